--- /dev/null
+++ b/cmd/meshctl/main.go
@@ -0,0 +1,10 @@
+// Command meshctl is the operators' command line of a mesh.
+package main
+
+import (
+	"os"
+
+	"ottershift/internal/mesh/meshctl"
+)
+
+func main() { os.Exit(meshctl.Run(os.Args[1:], os.Stdout, os.Stderr)) }
--- a/cmd/apiary/main.go
+++ b/cmd/meshsim/main.go
@@ -1,4 +1,4 @@
-// Command apiary answers what-if questions about a mesh, with the mesh's own state machines on a virtual clock.
+// Command meshsim answers what-if questions about a mesh, with the mesh's own state machines on a virtual clock.
 package main
 
 import (
@@ -13,12 +13,12 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
-	"ottershift/internal/hive/apiary"
-	"ottershift/internal/hive/apiary/live"
+	"ottershift/internal/mesh/simulation"
+	"ottershift/internal/mesh/simulation/processes"
 )
 
 func main() {
-	app := kingpin.New("apiary", "Plays a mesh on a virtual clock: other sizes, other failures, other settings.")
+	app := kingpin.New("meshsim", "Plays a mesh on a virtual clock: other sizes, other failures, other settings.")
 	ask := app.Command("ask", "Answer a question: a table, a row for each value that it varies.")
 	files := ask.Arg("file", "Question, TOML.").Required().ExistingFiles()
 	seeds := ask.Flag("seeds", "Days a row, instead of what the question says.").Int()
@@ -36,13 +36,13 @@
 	runFile := run.Arg("file", "Question, TOML: its table [run].").Required().ExistingFile()
 	runSeed := run.Flag("seed", "Of the clients.").Uint64()
 	short := run.Flag("short", "Its short form.").Bool()
-	demo := app.Command("demo", "Show a mesh for 20 seconds: three combs, six foragers, one of each killed on the way.")
-	programs := app.Flag("programs", "Folder with comb and forager; where this program is, if not given.").String()
-	beside := app.Flag("beside", "Folder with another version's comb and forager: every second process is started from it.").String()
+	demo := app.Command("demo", "Show a mesh for 20 seconds: three controllers, six proxies, one of each killed on the way.")
+	programs := app.Flag("programs", "Folder with controller and proxy; where this program is, if not given.").String()
+	beside := app.Flag("beside", "Folder with another version's controller and proxy: every second process is started from it.").String()
 	logs := app.Flag("logs", "Folder for what the processes of run and demo write.").String()
 	command := kingpin.MustParse(app.Parse(os.Args[1:]))
 	if command == run.FullCommand() || command == demo.FullCommand() {
-		q := apiary.Demo()
+		q := simulation.Demo()
 		if command == run.FullCommand() {
 			q = read(app, *runFile)
 		}
@@ -60,7 +60,7 @@
 		fmt.Println(q.Title)
 		m := q.Live(*programs, *logs, *short)
 		m.Beside = *beside
-		seen, err := live.Play(ctx, m, func(format string, args ...any) {
+		seen, err := processes.Play(ctx, m, func(format string, args ...any) {
 			fmt.Printf("%6.2fs  %s\n", time.Since(began).Seconds(), fmt.Sprintf(format, args...))
 		})
 		app.FatalIfError(err, "")
@@ -117,7 +117,7 @@
 			app.FatalIfError(err, "")
 			fmt.Println(string(raw))
 		} else {
-			apiary.Print(os.Stdout, q, names, rows)
+			simulation.Print(os.Stdout, q, names, rows)
 		}
 		held = held && q.Held(rows)
 	}
@@ -128,10 +128,10 @@
 	fmt.Println("verdict=held")
 }
 
-func read(app *kingpin.Application, file string) *apiary.Question {
+func read(app *kingpin.Application, file string) *simulation.Question {
 	text, err := os.ReadFile(file)
 	app.FatalIfError(err, "")
-	q, err := apiary.ReadQuestion(text)
+	q, err := simulation.ReadQuestion(text)
 	app.FatalIfError(err, "%s", file)
 	return q
 }
--- a/internal/hive/sting/sting.go
+++ b/internal/mesh/apierror/apierror.go
@@ -1,6 +1,6 @@
-// Package sting is the closed list of what can go wrong towards those who call the mesh, and the table from kind to
+// Package apierror is the closed list of what can go wrong towards those who call the mesh, and the table from kind to
 // answer. Nothing else makes an answer of ours.
-package sting
+package apierror
 
 import (
 	"net/http"
@@ -39,14 +39,14 @@
 )
 
 // Row is what a kind is answered with.
-type Row struct {
+type ErrorResponse struct {
 	Status int
 	Name   string
 	Again  time.Duration // when to come back, 0 for no advice; only where nothing has run
 	Closes bool          // the connection is closed after it: what follows may be out of step
 }
 
-var table = [Kinds]Row{
+var table = [Kinds]ErrorResponse{
 	None:       {http.StatusOK, "none", 0, false},
 	Malformed:  {http.StatusBadRequest, "malformed", 0, true},
 	NoRoute:    {http.StatusNotFound, "no_route", 0, false},
@@ -69,7 +69,7 @@
 }
 
 // Row is the answer of a kind.
-func (k Kind) Row() Row { return table[k] }
+func (k Kind) Response() ErrorResponse { return table[k] }
 
 func (k Kind) String() string { return table[k].Name }
 
--- a/internal/hive/sting/sting_test.go
+++ b/internal/mesh/apierror/apierror_test.go
@@ -1,4 +1,4 @@
-package sting
+package apierror
 
 import (
 	"net/http/httptest"
@@ -10,7 +10,7 @@
 func TestEveryKindHasItsRowAndNoOtherPromises(t *testing.T) {
 	names := map[string]bool{}
 	for k := Kind(0); k < Kinds; k++ {
-		row := k.Row()
+		row := k.Response()
 		must.NotEq(t, 0, row.Status, must.Sprint(k))
 		must.NotEq(t, "", row.Name)
 		must.False(t, names[row.Name], must.Sprint(row.Name))
--- a/internal/hive/nectar/nectar.go
+++ b/internal/mesh/burstcredit/burstcredit.go
@@ -1,4 +1,4 @@
-// Package nectar is burst credit: what a tenant leaves of its rate in quiet times is saved, and spent over its rate in rushes, in
+// Package burstcredit is burst credit: what a tenant leaves of its rate in quiet times is saved, and spent over its rate in rushes, in
 // whatever zone or region the rush lands. It does no I/O and reads no clock.
 //
 // A Book is the accounts of all tenants, a part of what the core agrees on (book.go). A Crop is what one balancer holds of them
@@ -19,13 +19,13 @@
 // have run are charged and the rest goes back at once.
 //
 //	identities kept in the Book  <=  Extra·Window
-package nectar
+package burstcredit
 
 import (
 	"hash/fnv"
 	"math"
 
-	"ottershift/internal/hive/dance"
+	"ottershift/internal/mesh/routing"
 )
 
 const s = int64(1e9)
@@ -39,7 +39,7 @@
 	day    = 86400 * s
 )
 
-// Terms are what a tenant's timetable entry says of its credit.
+// Terms are what a tenant's configuration entry says of its credit.
 type Terms struct {
 	Earn  float64 // part of what it leaves of its rate that is saved, above 0 to have an account
 	Cap   float64 // tokens saved at most
@@ -47,11 +47,11 @@
 	Extra float64 // tokens a second over its rate, all balancers together
 }
 
-// TermsOf are the terms of a timetable's tenants that have credit.
-func TermsOf(t *dance.Timetable) map[string]Terms {
+// TermsOf are the terms of a configuration's tenants that have credit.
+func TermsOf(t *routing.Configuration) map[string]Terms {
 	all := map[string]Terms{}
-	for _, s := range t.Senders {
-		if n := s.Nectar; n != nil && n.Earn > 0 {
+	for _, s := range t.Tenants {
+		if n := s.BurstCredit; n != nil && n.Earn > 0 {
 			all[s.Name] = Terms{Earn: n.Earn, Cap: n.Cap, Keep: int64(n.Keep), Extra: n.Extra}
 		}
 	}
@@ -75,7 +75,7 @@
 }
 
 // Mark is a request that was charged.
-type Mark struct {
+type ClaimID struct {
 	Tenant string
 	ID     uint64
 }
@@ -93,8 +93,8 @@
 	Node, Life string
 	Seq        uint64
 	Asks       map[string]Ask
-	Settled    []Mark // charged since the last report that was answered
-	Open       []Mark // effects that may be running: if this balancer is lost, they are charged
+	Settled    []ClaimID // charged since the last report that was answered
+	Open       []ClaimID // effects that may be running: if this balancer is lost, they are charged
 }
 
 // Grant is the answer to a report.
--- a/internal/hive/nectar/nectar_test.go
+++ b/internal/mesh/burstcredit/burstcredit_test.go
@@ -1,4 +1,4 @@
-package nectar
+package burstcredit
 
 import (
 	"encoding/json"
@@ -14,25 +14,25 @@
 var terms = map[string]Terms{"t": {Earn: 0.5, Cap: 1000, Keep: 14 * day, Extra: 20}}
 
 // talk is one report and its answer, as the core carries them: the book is written and read between.
-func talk(t *testing.T, b *Book, c *Crop, now int64) *Book {
+func talk(t *testing.T, b *Ledger, c *Wallet, now int64) *Ledger {
 	r := c.Report(now)
 	raw, err := b.Write()
 	must.NoError(t, err)
 	b, err = Read(raw)
 	must.NoError(t, err)
-	c.Given(b.Take([]*Report{r}, terms)[0], now, now)
+	c.ApplyGrant(b.Take([]*Report{r}, terms)[0], now, now)
 	must.Less(t, 1e-6, math.Abs(b.Gap("t")))
 	return b
 }
 
-func crop(node, life string) *Crop {
-	c := NewCrop(node, life)
+func testWallet(node, life string) *Wallet {
+	c := NewWallet(node, life)
 	c.Set(terms, nil, 2, 0)
 	return c
 }
 
-func opened(tokens float64) *Book {
-	b := NewBook()
+func opened(tokens float64) *Ledger {
+	b := NewLedger()
 	b.Grant("t", tokens, "me", "test")
 	b.Pass(2*s, terms) // purses are full
 	return b
@@ -41,7 +41,7 @@
 func claim(id uint64) Claim { return Claim{Tenant: "t", ID: id, Client: true} }
 
 // had claims a token and reports until it is had.
-func had(t *testing.T, b *Book, c *Crop, k Claim, now int64) (*Book, bool) {
+func had(t *testing.T, b *Ledger, c *Wallet, k Claim, now int64) (*Ledger, bool) {
 	got := false
 	switch c.Claim(k, now, func(bool) { got = true }) {
 	case Drawn:
@@ -57,14 +57,14 @@
 	for guard, want := range map[string]float64{"": 1, PerTry: 2} {
 		b := opened(50)
 		b.Without(guard)
-		all := []*Crop{crop("a", "1"), crop("b", "1"), crop("c", "1")}
+		all := []*Wallet{testWallet("a", "1"), testWallet("b", "1"), testWallet("c", "1")}
 		for _, c := range all {
 			c.Without(guard)
 			var ok bool
 			b, ok = had(t, b, c, claim(7), 3*s)
 			must.True(t, ok)
 		}
-		for n, end := range []End{NeverRan, Delivered, Delivered} {
+		for n, end := range []Outcome{NeverRan, Delivered, Delivered} {
 			all[n].Done(claim(7), end, 4*s)
 		}
 		b.Without(guard)
@@ -72,7 +72,7 @@
 			for _, c := range all {
 				r := c.Report(5 * s)
 				b.Without(guard)
-				c.Given(b.Take([]*Report{r}, terms)[0], 5*s, 5*s)
+				c.ApplyGrant(b.Take([]*Report{r}, terms)[0], 5*s, 5*s)
 			}
 		}
 		must.Eq(t, want, b.Accounts["t"].Spent, must.Sprint(guard))
@@ -82,7 +82,7 @@
 
 // A client's own repeat finds the reservation of its first try; an upload whose answer is lost is charged, and not again.
 func TestAnUploadIsChargedOnce(t *testing.T) {
-	b, c := opened(50), crop("a", "1")
+	b, c := opened(50), testWallet("a", "1")
 	k := claim(9)
 	k.Effect = true
 	b, ok := had(t, b, c, k, 3*s)
@@ -105,22 +105,22 @@
 // A balancer is killed between reserve and answer: its next life closes what it held. The effect that it had told of is charged,
 // the page is not.
 func TestALostBalancerIsClosedOnce(t *testing.T) {
-	b, c := opened(50), crop("a", "1")
+	b, c := opened(50), testWallet("a", "1")
 	effect, page := claim(1), claim(2)
 	effect.Effect = true
 	b, _ = had(t, b, c, effect, 3*s)
 	b, _ = had(t, b, c, page, 3*s)
 	b = talk(t, b, c, 3*s+Every) // the open effect is told
 	must.Positive(t, b.out("t"))
-	b = talk(t, b, crop("a", "2"), 4*s)
+	b = talk(t, b, testWallet("a", "2"), 4*s)
 	must.Eq(t, 1, b.Accounts["t"].Spent)
 	must.Eq(t, 0, b.out("t"))
 	c.Done(effect, Delivered, 5*s)
-	b, _ = had(t, b, crop("b", "1"), claim(3), 5*s)
+	b, _ = had(t, b, testWallet("b", "1"), claim(3), 5*s)
 	out := b.out("t")
 	must.Nil(t, b.Take([]*Report{c.Report(5 * s)}, terms)[0])                // a late word of the ended life closes nothing
 	must.Nil(t, b.Take([]*Report{{Node: "a", Life: "2", Seq: 0}}, terms)[0]) // and one of the present life changes nothing
-	must.Eq(t, "2", b.Tellers["a"].Life)
+	must.Eq(t, "2", b.Wallets["a"].Life)
 	must.Eq(t, out, b.out("t"))
 	must.Eq(t, 49-out, b.Accounts["t"].Balance())
 }
@@ -129,7 +129,7 @@
 // account again and it holds nothing. Without that word both have it.
 func TestAnEscrowWokenAfterItsEnd(t *testing.T) {
 	for _, guard := range []string{"", NoEnd} {
-		b, c := opened(50), crop("a", "1")
+		b, c := opened(50), testWallet("a", "1")
 		c.Without(guard)
 		for n := range uint64(6) {
 			b, _ = had(t, b, c, claim(n), 3*s)
@@ -148,7 +148,7 @@
 		}
 		b.Without(guard)
 		r := c.Report(woken)
-		c.Given(b.Take([]*Report{r}, terms)[0], woken, woken)
+		c.ApplyGrant(b.Take([]*Report{r}, terms)[0], woken, woken)
 		must.Eq(t, 1, b.Accounts["t"].Spent)
 		for n := range uint64(5) {
 			c.Done(claim(n+1), NeverRan, woken)
@@ -164,7 +164,7 @@
 
 // Saved in quiet weeks: half of what is left unused, up to the cap, for Keep; a cap that is lowered takes nothing away that is out.
 func TestEarningCapAndExpiry(t *testing.T) {
-	b := NewBook()
+	b := NewLedger()
 	b.Earn(map[string]float64{"t": 300, "other": 9}, terms)
 	must.Eq(t, 150, b.Accounts["t"].Balance())
 	must.MapNotContainsKey(t, b.Accounts, "other")
@@ -177,7 +177,7 @@
 	b.Freeze("t", true, "me", "a bill is open")
 	b.Earn(map[string]float64{"t": 100}, terms)
 	must.Eq(t, 850, b.Accounts["t"].Balance())
-	c := crop("a", "1")
+	c := testWallet("a", "1")
 	b, ok := had(t, b, c, claim(1), 16*day)
 	must.False(t, ok)
 	b.Freeze("t", false, "me", "paid")
@@ -186,12 +186,12 @@
 	must.Eq(t, 850, b.Accounts["t"].Balance())
 	must.Eq(t, -850, b.Grant("t", -2000, "me", "closed"))
 	must.Less(t, 1e-6, math.Abs(b.Gap("t")))
-	must.SliceLen(t, 4, b.Stands()[0].History)
+	must.SliceLen(t, 4, b.Status()[0].History)
 }
 
 func TestClientsFirstThenRankThenWhoWaitedLongest(t *testing.T) {
 	for _, guard := range []string{"", NoPrecedence} {
-		c := crop("a", "1")
+		c := testWallet("a", "1")
 		c.Without(guard)
 		var order []uint64
 		put := func(id uint64, client bool, rank int) {
@@ -202,7 +202,7 @@
 		put(2, true, 3)
 		put(3, true, 1)
 		put(4, true, 1)
-		c.Given(&Grant{Seq: c.Report(s).Seq, Tokens: map[string]float64{"t": 40}}, s, s)
+		c.ApplyGrant(&Grant{Seq: c.Report(s).Seq, Tokens: map[string]float64{"t": 40}}, s, s)
 		if guard == "" {
 			must.Eq(t, []uint64{3, 4, 2, 1}, order)
 		} else {
@@ -213,10 +213,10 @@
 
 // A service's own bound on all credit: a balancer has its part of it.
 func TestCreditNeverOverfeedsAService(t *testing.T) {
-	c := crop("a", "1")
+	c := testWallet("a", "1")
 	c.Set(terms, map[string]float64{"album": 8}, 2, 0)
 	c.Report(s)
-	c.Given(&Grant{Seq: 1, Tokens: map[string]float64{"t": 500}}, s, s)
+	c.ApplyGrant(&Grant{Seq: 1, Tokens: map[string]float64{"t": 500}}, s, s)
 	drawn := 0
 	for n := range uint64(1000) {
 		k := claim(n)
@@ -234,12 +234,12 @@
 	for seed := range uint64(schedules(400)) {
 		chance := rand.New(rand.NewPCG(seed, 3))
 		b := opened(200)
-		crops := make([]*Crop, 4)
+		crops := make([]*Wallet, 4)
 		lives := make([]int, 4)
 		held := make([]map[uint64]Claim, 4)
 		fresh := func(n int) {
 			lives[n]++
-			crops[n], held[n] = crop(strconv.Itoa(n), strconv.Itoa(lives[n])), map[uint64]Claim{}
+			crops[n], held[n] = testWallet(strconv.Itoa(n), strconv.Itoa(lives[n])), map[uint64]Claim{}
 		}
 		for n := range crops {
 			fresh(n)
@@ -259,7 +259,7 @@
 				}
 			case 3, 4:
 				for id, k := range held[n] {
-					end := End(chance.IntN(3))
+					end := Outcome(chance.IntN(3))
 					if c.Done(k, end, now); end == Delivered || end == Unknown && k.Effect {
 						charged[id] = true
 					}
@@ -273,7 +273,7 @@
 					g = b.Take([]*Report{r}, terms)[0] // heard twice
 				}
 				if chance.IntN(4) > 0 {
-					c.Given(g, now, now)
+					c.ApplyGrant(g, now, now)
 				}
 			case 7:
 				if chance.IntN(6) == 0 {
@@ -302,7 +302,7 @@
 	f.Add([]byte(`{"Accounts":{"t":null},"Tellers":{"a":null}}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		if b, err := Read(json.RawMessage(raw)); err == nil {
-			b.Take([]*Report{{Node: "a", Life: "1", Seq: 1, Asks: map[string]Ask{"t": {Want: 3}}, Settled: []Mark{{"t", 1}}}}, terms)
+			b.Take([]*Report{{Node: "a", Life: "1", Seq: 1, Asks: map[string]Ask{"t": {Want: 3}}, Settled: []ClaimID{{"t", 1}}}}, terms)
 			b.Pass(s, terms)
 		}
 	})
--- a/internal/hive/nectar/book.go
+++ b/internal/mesh/burstcredit/ledger.go
@@ -1,4 +1,4 @@
-package nectar
+package burstcredit
 
 import (
 	"cmp"
@@ -43,13 +43,13 @@
 }
 
 // teller is a balancer as the book knows it.
-type teller struct {
+type walletRecord struct {
 	Life  string
 	Ended []string `json:",omitempty"` // the lives before it, the last few
 	Seq   uint64
 	At    int64              // of its last report
 	Out   map[string]float64 `json:",omitempty"` // tokens in escrow there, by tenant
-	Open  []Mark             `json:",omitempty"`
+	Open  []ClaimID          `json:",omitempty"`
 	Lost  map[string]float64 `json:",omitempty"` // what it held when it had been silent for Strand: it counts as spent
 	Last  *Grant             `json:",omitempty"` // the answer to Seq, for when it was not heard
 }
@@ -66,11 +66,11 @@
 )
 
 // Book is all accounts. Its time runs while somebody keeps it: a core that was away makes nothing expire.
-type Book struct {
+type Ledger struct {
 	Now      int64
 	Accounts map[string]*Account
-	Tellers  map[string]*teller
-	Seen     []slot `json:",omitempty"`
+	Wallets  map[string]*walletRecord `json:"Tellers"`
+	Seen     []slot                   `json:",omitempty"`
 
 	index map[uint64]bool
 
@@ -88,39 +88,41 @@
 )
 
 // Without leaves a guard out.
-func (b *Book) Without(guard string) {
+func (b *Ledger) Without(guard string) {
 	b.perTry, b.noEnd, b.alike = guard == PerTry, guard == NoEnd, guard == NoPrecedence
 }
 
 // Without leaves a guard out.
-func (c *Crop) Without(guard string) {
+func (c *Wallet) Without(guard string) {
 	c.perTry, c.noEnd, c.noPrecedence = guard == PerTry, guard == NoEnd, guard == NoPrecedence
 }
 
 // NewBook makes an empty one.
-func NewBook() *Book { return &Book{Accounts: map[string]*Account{}, Tellers: map[string]*teller{}} }
+func NewLedger() *Ledger {
+	return &Ledger{Accounts: map[string]*Account{}, Wallets: map[string]*walletRecord{}}
+}
 
 // Read reads a book as the core keeps it; nothing is an empty one.
-func Read(raw json.RawMessage) (*Book, error) {
-	b := NewBook()
+func Read(raw json.RawMessage) (*Ledger, error) {
+	b := NewLedger()
 	if len(raw) == 0 {
 		return b, nil
 	}
 	if err := json.Unmarshal(raw, b); err != nil {
 		return nil, err
 	}
-	if b.Accounts == nil || b.Tellers == nil {
+	if b.Accounts == nil || b.Wallets == nil {
 		return nil, errs.New("credit: no accounts or no balancers")
 	}
 	maps.DeleteFunc(b.Accounts, func(_ string, a *Account) bool { return a == nil })
-	maps.DeleteFunc(b.Tellers, func(_ string, t *teller) bool { return t == nil })
+	maps.DeleteFunc(b.Wallets, func(_ string, t *walletRecord) bool { return t == nil })
 	return b, nil
 }
 
 // Write lays it out.
-func (b *Book) Write() (json.RawMessage, error) { return json.Marshal(b) }
+func (b *Ledger) Write() (json.RawMessage, error) { return json.Marshal(b) }
 
-func (b *Book) account(tenant string) *Account {
+func (b *Ledger) account(tenant string) *Account {
 	a := b.Accounts[tenant]
 	if a == nil {
 		a = &Account{}
@@ -131,7 +133,7 @@
 
 // Pass lets time go by: what was saved grows old, the window of identities moves, purses of Extra fill, and balancers that have
 // been silent for Strand are closed.
-func (b *Book) Pass(elapsed int64, terms map[string]Terms) {
+func (b *Ledger) Pass(elapsed int64, terms map[string]Terms) {
 	if elapsed <= 0 {
 		return
 	}
@@ -150,8 +152,8 @@
 	for len(b.Seen) > 0 && b.Seen[0].From+Window+Window/slots < b.Now {
 		b.Seen, b.index = b.Seen[1:], nil
 	}
-	for _, node := range slices.Sorted(maps.Keys(b.Tellers)) {
-		if t := b.Tellers[node]; b.Now-t.At > Strand && t.Lost == nil {
+	for _, node := range slices.Sorted(maps.Keys(b.Wallets)) {
+		if t := b.Wallets[node]; b.Now-t.At > Strand && t.Lost == nil {
 			t.Lost, t.Out = t.Out, nil
 			for tenant, n := range t.Lost {
 				b.account(tenant).Spent += n
@@ -161,13 +163,13 @@
 	}
 }
 
-func (b *Book) note(a *Account, what, who, why string, tokens float64) {
+func (b *Ledger) note(a *Account, what, who, why string, tokens float64) {
 	a.History = append(a.History, Entry{b.Now, what, who, why, tokens})
 	a.History = a.History[max(0, len(a.History)-history):]
 }
 
 // save puts tokens into today's lot, up to the cap; it says how many there was room for.
-func (b *Book) save(a *Account, tokens, most float64) float64 {
+func (b *Ledger) save(a *Account, tokens, most float64) float64 {
 	tokens = math.Max(0, math.Min(tokens, most-a.Balance()))
 	if tokens == 0 {
 		return 0
@@ -180,7 +182,7 @@
 }
 
 // Earn saves a part of what tenants left of their rates.
-func (b *Book) Earn(unused map[string]float64, terms map[string]Terms) {
+func (b *Ledger) Earn(unused map[string]float64, terms map[string]Terms) {
 	for _, tenant := range slices.Sorted(maps.Keys(unused)) {
 		t := terms[tenant]
 		if t.Earn <= 0 || unused[tenant] <= 0 {
@@ -194,8 +196,8 @@
 }
 
 // out is what balancers hold of a tenant's.
-func (b *Book) out(tenant string) (all float64) {
-	for _, t := range b.Tellers {
+func (b *Ledger) out(tenant string) (all float64) {
+	for _, t := range b.Wallets {
 		all += t.Out[tenant]
 	}
 	return all
@@ -216,11 +218,11 @@
 
 // Take takes reports in the order in which they came, and answers each. Wants of all of them are weighed together: what is there
 // goes to requests that began at clients first, in parts by what each balancer wants.
-func (b *Book) Take(reports []*Report, terms map[string]Terms) []*Grant {
+func (b *Ledger) Take(reports []*Report, terms map[string]Terms) []*Grant {
 	out := make([]*Grant, len(reports))
 	live := make([]bool, len(reports))
 	for n, r := range reports {
-		t := b.Tellers[r.Node]
+		t := b.Wallets[r.Node]
 		var ended []string
 		switch {
 		case t != nil && t.Life == r.Life && r.Seq == t.Seq && t.Lost == nil:
@@ -230,7 +232,7 @@
 		case t != nil && t.Life == r.Life && r.Seq < t.Seq:
 			continue // late: it has been answered, and more since
 		case t != nil && slices.Contains(t.Ended, r.Life):
-			continue // Danger: a late word of a life that has ended would close what the present one holds
+			continue // Invariant: a late word of a life that has ended would close what the present one holds
 		case t != nil && t.Life != r.Life:
 			ended = append(t.Ended, t.Life)
 			b.Close(r.Node) // that life has ended: it spends nothing any more
@@ -238,8 +240,8 @@
 		}
 		reset := t != nil && t.Lost != nil // it was silent for so long that what it held is closed
 		if t == nil {
-			t = &teller{Life: r.Life, Ended: ended[max(0, len(ended)-8):], Out: map[string]float64{}}
-			b.Tellers[r.Node] = t
+			t = &walletRecord{Life: r.Life, Ended: ended[max(0, len(ended)-8):], Out: map[string]float64{}}
+			b.Wallets[r.Node] = t
 		}
 		t.Seq, t.At, t.Open = r.Seq, b.Now, r.Open
 		if t.Out == nil {
@@ -277,7 +279,7 @@
 	for _, tenant := range tenants(reports, live) {
 		b.share(tenant, reports, out, live, terms[tenant])
 	}
-	for _, t := range b.Tellers {
+	for _, t := range b.Wallets {
 		maps.DeleteFunc(t.Out, func(_ string, n float64) bool { return n < 1e-9 })
 	}
 	return out
@@ -294,7 +296,7 @@
 }
 
 // share gives out what there is of one tenant's credit.
-func (b *Book) share(tenant string, reports []*Report, out []*Grant, live []bool, t Terms) {
+func (b *Ledger) share(tenant string, reports []*Report, out []*Grant, live []bool, t Terms) {
 	a := b.Accounts[tenant]
 	if a == nil || a.Frozen || t.Extra <= 0 {
 		return
@@ -332,17 +334,17 @@
 			there -= give
 			a.take(give)
 			a.Purse -= give
-			b.Tellers[reports[n].Node].Out[tenant] += give
+			b.Wallets[reports[n].Node].Out[tenant] += give
 			out[n].Tokens[tenant] += give
 		}
 	}
 }
 
 // back puts tokens that were out into the account again; whatever the cap is by now, they were in it.
-func (b *Book) back(a *Account, tokens float64) { b.save(a, tokens, math.Inf(1)) }
+func (b *Ledger) back(a *Account, tokens float64) { b.save(a, tokens, math.Inf(1)) }
 
 // found takes back what counted as spent of a balancer that was silent, and was not.
-func (b *Book) found(t *teller) {
+func (b *Ledger) found(t *walletRecord) {
 	for _, tenant := range slices.Sorted(maps.Keys(t.Lost)) {
 		a := b.account(tenant)
 		a.Spent -= t.Lost[tenant]
@@ -352,8 +354,8 @@
 }
 
 // Close ends what a balancer of a life that is over held. Effects that may have run are charged; the rest goes back.
-func (b *Book) Close(node string) {
-	t := b.Tellers[node]
+func (b *Ledger) Close(node string) {
+	t := b.Wallets[node]
 	if t == nil {
 		return
 	}
@@ -378,11 +380,11 @@
 	for _, tenant := range slices.Sorted(maps.Keys(t.Out)) {
 		b.back(b.account(tenant), t.Out[tenant])
 	}
-	delete(b.Tellers, node)
+	delete(b.Wallets, node)
 }
 
 // Grant is an operator's gift, or with less than nothing a taking away of what is there.
-func (b *Book) Grant(tenant string, tokens float64, who, why string) float64 {
+func (b *Ledger) Grant(tenant string, tokens float64, who, why string) float64 {
 	a := b.account(tenant)
 	if tokens < 0 {
 		tokens = -a.take(math.Min(-tokens, a.Balance()))
@@ -396,7 +398,7 @@
 }
 
 // Freeze stops what an account earns and gives out, or lets it go on.
-func (b *Book) Freeze(tenant string, frozen bool, who, why string) {
+func (b *Ledger) Freeze(tenant string, frozen bool, who, why string) {
 	a := b.account(tenant)
 	what := "thawed"
 	if a.Frozen = frozen; frozen {
@@ -406,7 +408,7 @@
 }
 
 // Gap is what an account does not add up to: 0.
-func (b *Book) Gap(tenant string) float64 {
+func (b *Ledger) Gap(tenant string) float64 {
 	a := b.Accounts[tenant]
 	if a == nil {
 		return 0
@@ -415,7 +417,7 @@
 }
 
 // Stand is an account as operators see it.
-type Stand struct {
+type AccountStatus struct {
 	Tenant                          string
 	Balance, Out                    float64
 	Earned, Granted, Spent, Expired float64
@@ -425,16 +427,16 @@
 }
 
 // Stands are all accounts, by name.
-func (b *Book) Stands() (all []Stand) {
+func (b *Ledger) Status() (all []AccountStatus) {
 	for _, tenant := range slices.Sorted(maps.Keys(b.Accounts)) {
 		a := b.Accounts[tenant]
-		all = append(all, Stand{tenant, a.Balance(), b.out(tenant), a.Earned, a.Granted, a.Spent, a.Expired, b.Gap(tenant), a.Frozen, a.History})
+		all = append(all, AccountStatus{tenant, a.Balance(), b.out(tenant), a.Earned, a.Granted, a.Spent, a.Expired, b.Gap(tenant), a.Frozen, a.History})
 	}
 	return all
 }
 
 // known reports whether an identity has been charged within the window.
-func (b *Book) known(m Mark) bool {
+func (b *Ledger) known(m ClaimID) bool {
 	if b.index == nil {
 		b.index = map[uint64]bool{}
 		for _, part := range b.Seen {
@@ -446,7 +448,7 @@
 	return b.index[m.key()]
 }
 
-func (b *Book) learn(m Mark) {
+func (b *Ledger) learn(m ClaimID) {
 	if b.known(m) {
 		return
 	}
@@ -458,4 +460,4 @@
 	b.index[m.key()] = true
 }
 
-func (m Mark) key() uint64 { return Identity(m.Tenant) ^ m.ID }
+func (m ClaimID) key() uint64 { return Identity(m.Tenant) ^ m.ID }
--- a/internal/hive/nectar/crop.go
+++ b/internal/mesh/burstcredit/wallet.go
@@ -1,4 +1,4 @@
-package nectar
+package burstcredit
 
 import (
 	"cmp"
@@ -27,13 +27,13 @@
 )
 
 // End is what became of a try.
-type End uint8
+type Outcome uint8
 
 // The ends.
 const (
-	Delivered End = iota // answered whole
-	Unknown              // it may have run
-	NeverRan             // or an answer that is no use: a failure, a refusal, a page that broke off
+	Delivered Outcome = iota // answered whole
+	Unknown                  // it may have run
+	NeverRan                 // or an answer that is no use: a failure, a refusal, a page that broke off
 )
 
 type hold struct {
@@ -44,7 +44,7 @@
 	until   int64 // then it is forgotten, where it is charged
 }
 
-type pot struct {
+type tenantCredit struct {
 	Terms
 	tokens   float64 // not reserved
 	reserved float64
@@ -55,7 +55,7 @@
 	usable   int64 // until then, by this balancer's own clock
 }
 
-type purse struct {
+type reservedCredit struct {
 	rate, most, has float64
 	at              int64
 }
@@ -68,36 +68,36 @@
 }
 
 // Crop is what one balancer holds of tenants' credit. It begins empty.
-type Crop struct {
+type Wallet struct {
 	node, life string
 	seq        uint64
-	pots       map[string]*pot
-	services   map[string]*purse
-	holds      map[Mark]*hold
+	tenants    map[string]*tenantCredit
+	services   map[string]*reservedCredit
+	holds      map[ClaimID]*hold
 	line       []*waiter
 	orders     uint64
-	sent       *Report // that has not been answered
-	settled    []Mark  // since the last that was
+	sent       *Report   // that has not been answered
+	settled    []ClaimID // since the last that was
 	swept      int64
 
 	noEnd, perTry, noPrecedence bool // guards left out
 }
 
 // NewCrop makes one for a life of a balancer.
-func NewCrop(node, life string) *Crop {
-	return &Crop{node: node, life: life, pots: map[string]*pot{}, services: map[string]*purse{}, holds: map[Mark]*hold{}}
+func NewWallet(node, life string) *Wallet {
+	return &Wallet{node: node, life: life, tenants: map[string]*tenantCredit{}, services: map[string]*reservedCredit{}, holds: map[ClaimID]*hold{}}
 }
 
 // Set puts terms in force, and the most that all credit together adds at a service a second, of which a balancer has a part.
-func (c *Crop) Set(terms map[string]Terms, services map[string]float64, members int, now int64) {
+func (c *Wallet) Set(terms map[string]Terms, services map[string]float64, members int, now int64) {
 	for tenant, t := range terms {
-		if p := c.pots[tenant]; p != nil {
+		if p := c.tenants[tenant]; p != nil {
 			p.Terms = t
 		} else if t.Extra > 0 {
-			c.pots[tenant] = &pot{Terms: t, at: now}
+			c.tenants[tenant] = &tenantCredit{Terms: t, at: now}
 		}
 	}
-	for tenant, p := range c.pots {
+	for tenant, p := range c.tenants {
 		if _, is := terms[tenant]; !is {
 			p.Terms = Terms{} // what it holds goes back with the next report
 		}
@@ -113,7 +113,7 @@
 		}
 		p := c.services[name]
 		if p == nil {
-			p = &purse{at: now}
+			p = &reservedCredit{at: now}
 			c.services[name] = p
 		}
 		p.rate = most / float64(max(members, 1))
@@ -122,10 +122,10 @@
 }
 
 // On reports whether any tenant has credit.
-func (c *Crop) On() bool { return len(c.pots) > 0 }
+func (c *Wallet) On() bool { return len(c.tenants) > 0 }
 
 // room takes one from a service's purse, if there is one.
-func (c *Crop) room(service string, now int64) bool {
+func (c *Wallet) room(service string, now int64) bool {
 	p := c.services[service]
 	if p == nil {
 		return true
@@ -136,8 +136,8 @@
 }
 
 // Claim reserves a token for a request. Whoever waits is called by Turn, with what became of it, or gives up by Leave.
-func (c *Crop) Claim(k Claim, now int64, call func(bool)) Verdict {
-	p := c.pots[k.Tenant]
+func (c *Wallet) Claim(k Claim, now int64, call func(bool)) Verdict {
+	p := c.tenants[k.Tenant]
 	if p == nil || p.Extra <= 0 {
 		return None
 	}
@@ -152,7 +152,7 @@
 	p.demand[0] *= math.Exp(-float64(now-p.at) / float64(s))
 	p.demand[1] *= math.Exp(-float64(now-p.at) / float64(s))
 	p.demand[kind]++
-	p.lately *= math.Exp(-float64(now-p.at) / float64(rushFor))
+	p.lately *= math.Exp(-float64(now-p.at) / float64(burstWindow))
 	p.lately += float64(kind)
 	p.at = now
 	if len(c.line) == 0 && c.reserve(k, now) {
@@ -170,7 +170,7 @@
 }
 
 // before is the order of those that wait: clients' requests, rank, the longest waiting.
-func (c *Crop) before(a, b *waiter) int {
+func (c *Wallet) before(a, b *waiter) int {
 	if c.noPrecedence {
 		return cmp.Compare(a.order, b.order)
 	}
@@ -183,16 +183,16 @@
 	return cmp.Or(cmp.Compare(first(a), first(b)), cmp.Compare(a.claim.Rank, b.claim.Rank), cmp.Compare(a.order, b.order))
 }
 
-func (k Claim) mark() Mark { return Mark{k.Tenant, k.ID} }
+func (k Claim) mark() ClaimID { return ClaimID{k.Tenant, k.ID} }
 
 // reserve takes a token for a claim, if there is one and its service has room.
-func (c *Crop) reserve(k Claim, now int64) bool {
-	p := c.pots[k.Tenant]
+func (c *Wallet) reserve(k Claim, now int64) bool {
+	p := c.tenants[k.Tenant]
 	if p == nil || p.tokens < 1 || now >= p.usable && !c.noEnd {
 		return false
 	}
 	if !k.Client && !c.noPrecedence { // what clients are about to ask for is theirs
-		if p.tokens < 1+2*p.rush(now) {
+		if p.tokens < 1+2*p.burstDemand(now) {
 			return false
 		}
 	}
@@ -213,7 +213,7 @@
 }
 
 // Turn serves those that wait, in their order, as far as there is something.
-func (c *Crop) Turn(now int64) {
+func (c *Wallet) Turn(now int64) {
 	kept := c.line[:0]
 	var called []*waiter
 	for _, w := range c.line {
@@ -233,18 +233,18 @@
 	}
 }
 
-func (c *Crop) unwait(w *waiter) {
+func (c *Wallet) unwait(w *waiter) {
 	kind := 0
 	if w.claim.Client {
 		kind = 1
 	}
-	if p := c.pots[w.claim.Tenant]; p != nil && p.waiting[kind] > 0 {
+	if p := c.tenants[w.claim.Tenant]; p != nil && p.waiting[kind] > 0 {
 		p.waiting[kind]--
 	}
 }
 
 // Leave takes a claim out of the line; it reports whether it still stood there.
-func (c *Crop) Leave(k Claim) bool {
+func (c *Wallet) Leave(k Claim) bool {
 	for n, w := range c.line {
 		if w.claim == k {
 			c.line = slices.Delete(c.line, n, n+1)
@@ -257,7 +257,7 @@
 
 // Done takes the end of a try that was drawn for. A token is spent once, by the first try that delivers, or that may have had an
 // effect; it is free again once the last try ends without.
-func (c *Crop) Done(k Claim, end End, now int64) {
+func (c *Wallet) Done(k Claim, end Outcome, now int64) {
 	m := k.mark()
 	h := c.holds[m]
 	if c.perTry {
@@ -272,13 +272,13 @@
 		return
 	}
 	h.tries--
-	p := c.pots[k.Tenant]
+	p := c.tenants[k.Tenant]
 	if !h.charged && (end == Delivered || end == Unknown && h.Effect) {
 		h.charged, h.until = true, now+Window
 		if p != nil {
 			p.reserved--
 		}
-		c.settled = append(c.settled, Mark{m.Tenant, m.ID})
+		c.settled = append(c.settled, ClaimID{m.Tenant, m.ID})
 	}
 	if h.tries == 0 && !h.charged {
 		if delete(c.holds, m); p != nil {
@@ -298,25 +298,25 @@
 }
 
 // rush is how many clients' claims are to be looked for within Ahead, by the last seconds: a lull is no end of a rush.
-func (p *pot) rush(now int64) float64 {
-	return p.lately*math.Exp(-float64(now-p.at)/float64(rushFor))*float64(Ahead)/float64(rushFor) + float64(p.waiting[1])
+func (p *tenantCredit) burstDemand(now int64) float64 {
+	return p.lately*math.Exp(-float64(now-p.at)/float64(burstWindow))*float64(Ahead)/float64(burstWindow) + float64(p.waiting[1])
 }
 
-const rushFor = 5 * s
+const burstWindow = 5 * s
 
 // wish is what a balancer would hold for clients and for services.
-func (p *pot) wish(now int64) (client, inner float64) {
+func (p *tenantCredit) wish(now int64) (client, inner float64) {
 	old := math.Exp(-float64(now-p.at) / float64(s))
 	ahead := float64(Ahead) / float64(s) / 2
 	return math.Ceil(p.demand[1]*old*ahead-0.05) + float64(p.waiting[1]), math.Ceil(p.demand[0]*old*ahead-0.05) + float64(p.waiting[0])
 }
 
 // Wants reports whether a report would be of use now.
-func (c *Crop) Wants(now int64) bool {
+func (c *Wallet) Wants(now int64) bool {
 	if c.sent != nil || len(c.settled) > 0 || len(c.line) > 0 {
 		return true
 	}
-	for _, p := range c.pots {
+	for _, p := range c.tenants {
 		client, inner := p.wish(now)
 		held := p.tokens + p.reserved
 		if held > 0 || p.Extra > 0 && client+inner > held {
@@ -327,7 +327,7 @@
 }
 
 // Report is the next word to the book, or the last again, if that was not answered.
-func (c *Crop) Report(now int64) *Report {
+func (c *Wallet) Report(now int64) *Report {
 	if c.sent != nil {
 		return c.sent
 	}
@@ -339,8 +339,8 @@
 			r.Open = append(r.Open, m)
 		}
 	}
-	slices.SortFunc(r.Open, func(a, b Mark) int { return cmp.Or(cmp.Compare(a.Tenant, b.Tenant), cmp.Compare(a.ID, b.ID)) })
-	for tenant, p := range c.pots {
+	slices.SortFunc(r.Open, func(a, b ClaimID) int { return cmp.Or(cmp.Compare(a.Tenant, b.Tenant), cmp.Compare(a.ID, b.ID)) })
+	for tenant, p := range c.tenants {
 		client, inner := p.wish(now)
 		if p.Extra <= 0 {
 			client, inner = 0, 0
@@ -361,12 +361,12 @@
 }
 
 // Given takes the answer to a report that was sent at a time.
-func (c *Crop) Given(g *Grant, sent, now int64) {
+func (c *Wallet) ApplyGrant(g *Grant, sent, now int64) {
 	if g == nil || c.sent == nil || g.Seq != c.sent.Seq {
 		return
 	}
 	c.sent = nil
-	for _, p := range c.pots {
+	for _, p := range c.tenants {
 		p.usable = sent + Strand*9/10 // by its own clock, well before the book closes it
 		if g.Reset {
 			p.tokens = 0
@@ -376,12 +376,12 @@
 		h.void = h.void || g.Reset && !h.charged
 	}
 	for tenant, n := range g.Refunds {
-		if p := c.pots[tenant]; p != nil {
+		if p := c.tenants[tenant]; p != nil {
 			p.tokens += n
 		}
 	}
 	for tenant, n := range g.Tokens {
-		if p := c.pots[tenant]; p != nil {
+		if p := c.tenants[tenant]; p != nil {
 			p.tokens += n
 		}
 	}
@@ -389,8 +389,8 @@
 }
 
 // Held is what is in escrow here.
-func (c *Crop) Held(tenant string) (free, reserved float64) {
-	if p := c.pots[tenant]; p != nil {
+func (c *Wallet) Held(tenant string) (free, reserved float64) {
+	if p := c.tenants[tenant]; p != nil {
 		return p.tokens, p.reserved
 	}
 	return 0, 0
--- /dev/null
+++ b/internal/mesh/controller/coordinator.go
@@ -0,0 +1,82 @@
+package controller
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"ottershift/internal/mesh/apierror"
+	"ottershift/internal/mesh/consensus"
+	"ottershift/internal/mesh/ratelimit"
+)
+
+const (
+	appointAfter = 600 * time.Millisecond // of a process's life before it takes duties over
+	// grace period is how long a new coordinator waits before its first grant. The one before it grants only while a majority has
+	// confirmed its copy within fresh of being asked, and that majority has since agreed on another coordinator.
+	gracePeriod = fresh + 250*time.Millisecond
+)
+
+// Regency is the same for pages and checks.
+const GracePeriod = gracePeriod
+
+// bank is the quotas' bank, while this process has the duty.
+type bank struct {
+	sync.Mutex
+	is    *ratelimit.TokenBank
+	epoch uint64
+	index uint64 // whose limits are in force
+	from  int64
+}
+
+// epoch takes the duties over, if this is the first process in the agreed order and another has them.
+func (c *Controller) takeCoordinator(ctx context.Context, s *consensus.State) {
+	if !c.replicator.current() || s.Coordinator.Life == c.life {
+		return
+	}
+	c.mu.Lock()
+	first := c.rank(s) == 0 && c.now() > int64(appointAfter)
+	c.mu.Unlock()
+	if !first {
+		return
+	}
+	within, end := context.WithTimeout(ctx, 2*time.Second)
+	defer end()
+	q := consensus.Coordinator{ID: c.replicator.identity(), Life: c.life, At: c.settings.Inner()}
+	_, err := c.replicator.change(within, c.otherControllers, func(newest *consensus.State) (*consensus.State, error) {
+		if newest.Epoch != s.Epoch { // somebody else has
+			return nil, nil
+		}
+		return newest.Appoint(q), nil
+	})
+	c.log.Info("coordinator", "before", s.Coordinator.At, "err", err)
+}
+
+// drawn gives tokens of tenants' quotas, if this process has the duty and a majority says that it still has.
+func (c *Controller) handleTokenRequest(_ context.Context, d *ratelimit.TokenRequest) (*map[string]ratelimit.TokenGrant, error) {
+	s, _ := c.replicator.state()
+	b := &c.bank
+	b.Lock()
+	defer b.Unlock()
+	if s.Coordinator.Life != c.life || !c.replicator.current() {
+		return nil, apierror.New(apierror.Unclear, "the duty is another's")
+	}
+	now := c.now()
+	if b.is == nil || b.epoch != s.Epoch {
+		b.is, b.epoch, b.index, b.from = ratelimit.NewTokenBank(now), s.Epoch, 0, now+int64(gracePeriod)
+	}
+	if b.index != s.Index {
+		t, err := c.parsedConfiguration(s)
+		if err != nil || t == nil {
+			return nil, apierror.New(apierror.Unclear, "no configuration: %v", err)
+		}
+		b.is.Set(ratelimit.LimitsOf(t, &c.settings.Bounds), s.Members, now)
+		b.index = s.Index
+	}
+	if now < b.from {
+		return nil, apierror.New(apierror.Unclear, "the duty is new")
+	}
+	c.counts.Add("draws")
+	given := b.is.Grant(d, now)
+	return &given, nil
+}
--- a/internal/hive/comb/propolis.go
+++ b/internal/mesh/controller/federation.go
@@ -1,4 +1,4 @@
-package comb
+package controller
 
 import (
 	"bytes"
@@ -11,10 +11,10 @@
 	"sync"
 	"time"
 
-	"ottershift/internal/hive/dance"
-	"ottershift/internal/hive/propolis"
-	"ottershift/internal/hive/sting"
-	"ottershift/internal/hive/swarm"
+	"ottershift/internal/mesh/apierror"
+	"ottershift/internal/mesh/consensus"
+	"ottershift/internal/mesh/federation"
+	"ottershift/internal/mesh/routing"
 )
 
 const (
@@ -25,10 +25,10 @@
 )
 
 // border is what this process knows of partners; it takes their word while it has the duty.
-type border struct {
+type federationGateway struct {
 	sync.Mutex
 	reign  uint64
-	taker  *propolis.Taker
+	taker  *federation.NarrowingTracker
 	asking map[string]bool
 	heard  map[string]int64  // when a partner has confirmed its word, by this process's clock
 	faults map[string]string // what was wrong with a partner's last word, or why there is none
@@ -36,20 +36,20 @@
 
 	doors map[string]uint64 // the word that balancers act on, of those that ask here
 
-	book *propolis.Book // as agreed
+	book *federation.ImportBook // as agreed
 	raw  []byte
 }
 
 // imports is what is agreed about partners.
-func (c *Comb) imports(s *swarm.State) *propolis.Book {
-	b := &c.border
+func (c *Controller) imports(s *consensus.State) *federation.ImportBook {
+	b := &c.gateway
 	b.Lock()
 	defer b.Unlock()
 	if b.book == nil || !bytes.Equal(b.raw, s.Imports) {
-		book, err := propolis.Read(s.Imports)
+		book, err := federation.Read(s.Imports)
 		if err != nil {
 			c.log.Error("partners", "err", err)
-			book = propolis.NewBook()
+			book = federation.NewImportBook()
 		}
 		b.book, b.raw = book, s.Imports
 	}
@@ -57,8 +57,8 @@
 }
 
 // ages are how long ago partners confirmed their words, as far as is known here.
-func (c *Comb) ages() map[string]int64 {
-	b := &c.border
+func (c *Controller) confirmationAges() map[string]int64 {
+	b := &c.gateway
 	b.Lock()
 	defer b.Unlock()
 	if len(b.heard) == 0 {
@@ -72,16 +72,16 @@
 }
 
 // acts notes on which word a balancer acts.
-func (c *Comb) acts(node string, no uint64) {
-	b := &c.border
+func (c *Controller) recordImportsInUse(node string, no uint64) {
+	b := &c.gateway
 	b.Lock()
 	defer b.Unlock()
 	b.doors[node] = no
 }
 
 // aged takes what another process knows of that.
-func (c *Comb) aged(ages map[string]int64) {
-	b := &c.border
+func (c *Controller) mergeConfirmationAges(ages map[string]int64) {
+	b := &c.gateway
 	b.Lock()
 	defer b.Unlock()
 	for partner, age := range ages {
@@ -92,19 +92,19 @@
 }
 
 // partners does what the duty asks for: it has each partner asked, finishes narrowings, and tells partners so.
-func (c *Comb) partners(ctx context.Context, s *swarm.State) {
-	t, err := c.table(s)
-	if err != nil || t == nil || s.Queen.Life != c.life || !c.keeper.current() {
+func (c *Controller) partners(ctx context.Context, s *consensus.State) {
+	t, err := c.parsedConfiguration(s)
+	if err != nil || t == nil || s.Coordinator.Life != c.life || !c.replicator.current() {
 		return
 	}
 	book := c.imports(s)
 	if len(t.Partners) == 0 && len(book.Partners) == 0 {
 		return
 	}
-	b := &c.border
+	b := &c.gateway
 	b.Lock()
-	if b.reign != s.Reign || b.taker == nil {
-		b.reign, b.taker, b.told = s.Reign, propolis.NewTaker(), map[string]int64{}
+	if b.reign != s.Epoch || b.taker == nil {
+		b.reign, b.taker, b.told = s.Epoch, federation.NewNarrowingTracker(), map[string]int64{}
 	}
 	due := b.taker.Due(book, c.now())
 	b.Unlock()
@@ -122,7 +122,7 @@
 			if i != nil && i.Table != nil {
 				edition = i.Table.Edition
 			}
-			go c.askPartner(p, t.Mesh, edition, s.Reign)
+			go c.askPartner(p, t.Mesh, edition, s.Epoch)
 		}
 		if i != nil && i.Told > told {
 			b.Lock()
@@ -131,12 +131,12 @@
 			go c.tellPartner(p, i.Told)
 		}
 	}
-	gone := propolis.NewBook()
+	gone := federation.NewImportBook()
 	if raw, err := book.Write(); err == nil {
-		gone, _ = propolis.Read(raw)
+		gone, _ = federation.Read(raw)
 	}
 	if len(due) > 0 || gone != nil && gone.Only(names) {
-		c.bordered(ctx, s.Reign, func(book *propolis.Book) error {
+		c.changeImports(ctx, s.Epoch, func(book *federation.ImportBook) error {
 			book.Only(names)
 			for partner, no := range due {
 				if book.Finish(partner, no) {
@@ -148,15 +148,15 @@
 	}
 }
 
-// bordered changes what is agreed about partners, under a reign that later ones refuse.
-func (c *Comb) bordered(ctx context.Context, reign uint64, do func(*propolis.Book) error) error {
-	ctx, end := context.WithTimeout(ctx, answerWithin)
+// bordered changes what is agreed about partners, under a epoch that later ones refuse.
+func (c *Controller) changeImports(ctx context.Context, reign uint64, do func(*federation.ImportBook) error) error {
+	ctx, end := context.WithTimeout(ctx, answerTimeout)
 	defer end()
-	_, err := c.keeper.change(ctx, c.others, func(newest *swarm.State) (*swarm.State, error) {
-		if reign > 0 && (newest.Reign != reign || newest.Queen.Life != c.life) {
-			return nil, sting.New(sting.Unclear, "the duty is another's")
+	_, err := c.replicator.change(ctx, c.otherControllers, func(newest *consensus.State) (*consensus.State, error) {
+		if reign > 0 && (newest.Epoch != reign || newest.Coordinator.Life != c.life) {
+			return nil, apierror.New(apierror.Unclear, "the duty is another's")
 		}
-		book, err := propolis.Read(newest.Imports)
+		book, err := federation.Read(newest.Imports)
 		if err != nil {
 			return nil, err
 		}
@@ -170,7 +170,7 @@
 		if bytes.Equal(raw, newest.Imports) {
 			return nil, nil
 		}
-		return newest.Import(raw), nil
+		return newest.WithImports(raw), nil
 	})
 	return err
 }
@@ -178,9 +178,9 @@
 var outside = &http.Client{Timeout: partnerWithin, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
 
 // askPartner asks one partner with the version at hand; it answers when there is news, or confirms that there is none.
-func (c *Comb) askPartner(p *dance.Partner, own string, have int64, reign uint64) {
+func (c *Controller) askPartner(p *routing.Partner, own string, have int64, reign uint64) {
 	err := c.askOnce(p, own, have, reign)
-	b := &c.border
+	b := &c.gateway
 	b.Lock()
 	text := ""
 	if err != nil {
@@ -199,11 +199,11 @@
 	b.Unlock()
 }
 
-func (c *Comb) askOnce(p *dance.Partner, own string, have int64, reign uint64) error {
+func (c *Controller) askOnce(p *routing.Partner, own string, have int64, reign uint64) error {
 	began := c.now()
 	w, err := outside.Get(fmt.Sprintf("http://%s/-/exports?have=%d&wait=%d&mesh=%s", p.Gateway, have, partnerWait.Milliseconds(), url.QueryEscape(own)))
 	if err != nil {
-		return propolis.Error.New("no answer: %v", err)
+		return federation.Error.New("no answer: %v", err)
 	}
 	defer w.Body.Close()
 	if w.StatusCode == http.StatusNotModified {
@@ -212,15 +212,15 @@
 	}
 	raw, err := io.ReadAll(io.LimitReader(w.Body, partnerBytes))
 	if err != nil || w.StatusCode != http.StatusOK {
-		return propolis.Error.New("answers %d: %v", w.StatusCode, err)
+		return federation.Error.New("answers %d: %v", w.StatusCode, err)
 	}
-	t, err := propolis.Parse(raw, p.Name, own)
+	t, err := federation.Parse(raw, p.Name, own)
 	if err != nil {
 		return err
 	}
 	changed := false
-	err = c.bordered(context.Background(), reign, func(book *propolis.Book) (err error) {
-		changed, err = book.Take(t, dance.Digest("exports", raw))
+	err = c.changeImports(context.Background(), reign, func(book *federation.ImportBook) (err error) {
+		changed, err = book.Take(t, routing.Digest("exports", raw))
 		return err
 	})
 	if err != nil {
@@ -233,15 +233,15 @@
 	return nil
 }
 
-func (c *Comb) confirm(partner string, at int64) {
-	b := &c.border
+func (c *Controller) confirm(partner string, at int64) {
+	b := &c.gateway
 	b.Lock()
 	defer b.Unlock()
 	b.heard[partner] = max(b.heard[partner], at)
 }
 
 // tellPartner reports that nothing goes any more where its edition forbids it.
-func (c *Comb) tellPartner(p *dance.Partner, edition int64) {
+func (c *Controller) tellPartner(p *routing.Partner, edition int64) {
 	raw, _ := json.Marshal(map[string]any{"Edition": edition})
 	w, err := outside.Post("http://"+p.Gateway+"/-/narrowed", "application/json", bytes.NewReader(raw))
 	if err == nil {
@@ -253,7 +253,7 @@
 	}
 	c.log.Warn("partner", "name", p.Name, "told", edition, "err", err)
 	time.Sleep(partnerPause)
-	b := &c.border
+	b := &c.gateway
 	b.Lock()
 	defer b.Unlock()
 	if b.told[p.Name] == edition {
@@ -268,15 +268,15 @@
 }
 
 // partnered carries it out, by agreement.
-func (c *Comb) partnered(ctx context.Context, o *PartnerOrder) (*propolis.Import, error) {
+func (c *Controller) handlePartnerOrder(ctx context.Context, o *PartnerOrder) (*federation.Import, error) {
 	if o.Partner == "" || o.Who == "" || o.Why == "" {
-		return nil, sting.New(sting.Invalid, "a partner, who orders it and why have to be said")
+		return nil, apierror.New(apierror.Invalid, "a partner, who orders it and why have to be said")
 	}
-	out := &propolis.Import{}
-	err := c.bordered(ctx, 0, func(book *propolis.Book) error {
+	out := &federation.Import{}
+	err := c.changeImports(ctx, 0, func(book *federation.ImportBook) error {
 		switch {
 		case book.Partners[o.Partner] == nil:
-			return sting.New(sting.Invalid, "no partner is known as %q", o.Partner)
+			return apierror.New(apierror.Invalid, "no partner is known as %q", o.Partner)
 		case o.Drop:
 			book.Drop(o.Partner, o.Who, o.Why)
 		default:
--- a/internal/hive/comb/status.go
+++ b/internal/mesh/controller/status.go
@@ -1,4 +1,4 @@
-package comb
+package controller
 
 import (
 	"context"
@@ -10,13 +10,13 @@
 	"strings"
 	"time"
 
-	"ottershift/internal/hive/pollen"
-	"ottershift/internal/hive/swarm"
-	"ottershift/internal/hive/waggle"
+	"ottershift/internal/mesh/consensus"
+	"ottershift/internal/mesh/membership"
+	"ottershift/internal/mesh/ratelimit"
 )
 
 // Look is what an operator asks for; Newest has the core make sure that what is agreed is shown as it is now.
-type Look struct{ Newest bool }
+type StatusRequest struct{ Newest bool }
 
 // Status is what one process of the core knows, each part with its age.
 type Status struct {
@@ -24,10 +24,10 @@
 	Up             time.Duration
 	Current        bool // a majority has confirmed the state a moment ago
 	Confirmed      time.Duration
-	State          *swarm.State
+	State          *consensus.State
 	Core           []CoreMember
-	Nests          []waggle.Told
-	Quotas         []pollen.Stand
+	Nodes          []membership.Record `json:"Nests"`
+	Quotas         []ratelimit.TenantStatus
 	Counts         map[string]int64
 	Ages           map[string]int64  `json:",omitempty"` // nanoseconds since partners confirmed their words
 	Faults         map[string]string `json:",omitempty"` // what was wrong with a partner's last word, where this process asks
@@ -36,68 +36,68 @@
 
 // CoreMember is a process of the core as this one hears of it.
 type CoreMember struct {
-	swarm.Member
+	consensus.Member
 	Votes bool
 	Index uint64
 	Quiet time.Duration // since it was heard of; below 0 for never
 }
 
 // status answers operators.
-func (c *Comb) status(ctx context.Context, l *Look) (*Status, error) {
-	s, _ := c.keeper.state()
+func (c *Controller) status(ctx context.Context, l *StatusRequest) (*Status, error) {
+	s, _ := c.replicator.state()
 	if l.Newest {
-		within, end := context.WithTimeout(ctx, answerWithin)
+		within, end := context.WithTimeout(ctx, answerTimeout)
 		defer end()
 		var err error
-		if s, err = c.keeper.newest(within, c.others); err != nil {
+		if s, err = c.replicator.newest(within, c.otherControllers); err != nil {
 			return nil, err
 		}
 	}
-	out := &Status{Node: c.box.Node, At: c.box.Inner(), Zone: c.box.District, Up: time.Since(c.epoch), Current: c.keeper.current(),
-		Confirmed: time.Since(c.keeper.epoch) - time.Duration(c.keeper.confirmed.Load()), State: s, Counts: map[string]int64{}}
-	out.Ages = c.ages()
-	c.border.Lock()
-	out.Faults, out.Doors = maps.Clone(c.border.faults), maps.Clone(c.border.doors)
-	c.border.Unlock()
+	out := &Status{Node: c.settings.Node, At: c.settings.Inner(), Zone: c.settings.District, Up: time.Since(c.epoch), Current: c.replicator.current(),
+		Confirmed: time.Since(c.replicator.epoch) - time.Duration(c.replicator.confirmed.Load()), State: s, Counts: map[string]int64{}}
+	out.Ages = c.confirmationAges()
+	c.gateway.Lock()
+	out.Faults, out.Doors = maps.Clone(c.gateway.faults), maps.Clone(c.gateway.doors)
+	c.gateway.Unlock()
 	c.counts.Each(func(name string, n int64) { out.Counts[name] = n })
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	out.Nests, _, _ = c.cell.Since(0, c.now())
+	out.Nodes, _, _ = c.registry.ChangesSince(0, c.now())
 	for _, m := range s.Core {
 		member := CoreMember{Member: m, Votes: true, Quiet: -1}
-		if m.ID == c.keeper.id() {
+		if m.ID == c.replicator.identity() {
 			member.Quiet, member.Index = 0, s.Index
-		} else if h, is := c.known[m.At]; is && h.ID == m.ID && c.heard[m.At] > 0 {
-			member.Quiet, member.Index = time.Duration(c.now()-c.heard[m.At]), h.Index
+		} else if h, is := c.peers[m.At]; is && h.ID == m.ID && c.lastHeard[m.At] > 0 {
+			member.Quiet, member.Index = time.Duration(c.now()-c.lastHeard[m.At]), h.Index
 		}
 		out.Core = append(out.Core, member)
 	}
-	for at, h := range c.known {
-		if h.ID != "" && !s.Has(h.ID) && c.heard[at] > 0 {
-			out.Core = append(out.Core, CoreMember{Member: swarm.Member{ID: h.ID, At: at, Zone: h.Zone}, Index: h.Index, Quiet: time.Duration(c.now() - c.heard[at])})
+	for at, h := range c.peers {
+		if h.ID != "" && !s.HasMember(h.ID) && c.lastHeard[at] > 0 {
+			out.Core = append(out.Core, CoreMember{Member: consensus.Member{ID: h.ID, At: at, Zone: h.Zone}, Index: h.Index, Quiet: time.Duration(c.now() - c.lastHeard[at])})
 		}
 	}
 	slices.SortFunc(out.Core, func(a, b CoreMember) int { return strings.Compare(a.At, b.At) })
 	c.bank.Lock()
 	defer c.bank.Unlock()
-	if c.bank.is != nil && s.Queen.Life == c.life {
-		out.Quotas = c.bank.is.Stands(c.now())
+	if c.bank.is != nil && s.Coordinator.Life == c.life {
+		out.Quotas = c.bank.is.Status(c.now())
 	}
 	return out, nil
 }
 
 // figures are the counters as Prometheus reads them.
-func (c *Comb) figures(w http.ResponseWriter, _ *http.Request) {
-	s, _ := c.keeper.state()
+func (c *Controller) figures(w http.ResponseWriter, _ *http.Request) {
+	s, _ := c.replicator.state()
 	c.mu.Lock()
-	known := c.cell.Known()
+	known := c.registry.Known()
 	c.mu.Unlock()
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4")
 	gauge := func(name, help string, v any) {
 		fmt.Fprintf(w, "# HELP ottershift_comb_%s %s\n# TYPE ottershift_comb_%s gauge\nottershift_comb_%s %v\n", name, help, name, name, v)
 	}
 	current := 0
-	if c.keeper.current() {
+	if c.replicator.current() {
 		current = 1
 	}
 	gauge("index", "Slot of the newest decision known here.", s.Index)
--- a/internal/hive/propolis/door.go
+++ b/internal/mesh/federation/export_policy.go
@@ -1,4 +1,4 @@
-package propolis
+package federation
 
 import (
 	"math"
@@ -51,7 +51,7 @@
 }
 
 // Door is one balancer's knowledge of what partners let in, and its leave to act on it. It begins closed.
-type Door struct {
+type ExportPolicy struct {
 	own     func(town, path string) bool // a route of ours takes it
 	order   []*known                     // as the configuration names them: the first goes first
 	no      uint64
@@ -62,7 +62,9 @@
 }
 
 // NewDoor makes one; own tells whether a route of ours takes a request: those go nowhere else.
-func NewDoor(own func(town, path string) bool) *Door { return &Door{own: own, members: 1} }
+func NewExportPolicy(own func(town, path string) bool) *ExportPolicy {
+	return &ExportPolicy{own: own, members: 1}
+}
 
 // Names of guards that may be left out.
 const (
@@ -73,16 +75,16 @@
 )
 
 // Without leaves a guard out.
-func (d *Door) Without(guard string) {
+func (d *ExportPolicy) Without(guard string) {
 	d.noLeave, d.openByDefault = guard == WithoutLeave, guard == OpenByDefault
 }
 
 // Without leaves a guard out.
-func (k *Taker) Without(guard string) { k.early = guard == WithoutLeave }
+func (k *NarrowingTracker) Without(guard string) { k.early = guard == WithoutLeave }
 
 // Hear takes what is agreed: partners as the configuration orders them, and their words. ages are how long ago each partner
 // confirmed its word. An older number than was heard changes nothing.
-func (d *Door) Hear(b *Book, partners []Partner, ages map[string]int64, members int, now int64) {
+func (d *ExportPolicy) Hear(b *ImportBook, partners []Partner, ages map[string]int64, members int, now int64) {
 	if b.No < d.no {
 		return
 	}
@@ -111,7 +113,7 @@
 }
 
 // Fresher notes that a partner has confirmed its word some time ago.
-func (d *Door) Fresher(partner string, age, now int64) {
+func (d *ExportPolicy) Fresher(partner string, age, now int64) {
 	for _, k := range d.order {
 		if k.Name == partner {
 			k.heard = max(k.heard, now-age)
@@ -120,14 +122,14 @@
 }
 
 // Renew takes the word of somebody current that number no is what is agreed; asked is when it was asked for.
-func (d *Door) Renew(no uint64, asked int64) {
+func (d *ExportPolicy) Renew(no uint64, asked int64) {
 	if no == d.no {
 		d.leave = max(d.leave, asked+LeaveFor)
 	}
 }
 
 // No is the number that is acted on.
-func (d *Door) No() uint64 { return d.no }
+func (d *ExportPolicy) No() uint64 { return d.no }
 
 // export is the longest prefix of a partner's that takes a path.
 func (k *known) export(town, p string) *Export {
@@ -140,7 +142,7 @@
 }
 
 // may decides about one partner.
-func (d *Door) may(k *known, method, town, p string, now int64) (*Export, Verdict) {
+func (d *ExportPolicy) may(k *known, method, town, p string, now int64) (*Export, Verdict) {
 	e := k.export(town, p)
 	switch {
 	case e == nil:
@@ -159,7 +161,7 @@
 
 // Decide says who lets a request in, in the order of the configuration, or why nobody does. Ours go before all: what a route of
 // ours takes is never a partner's.
-func (d *Door) Decide(method, town, p string, now int64) (all []Exporter, why Verdict) {
+func (d *ExportPolicy) Decide(method, town, p string, now int64) (all []Exporter, why Verdict) {
 	why = NoRoute
 	town = strings.ToLower(town)
 	if len(d.order) == 0 || !Plain(p) || d.own != nil && d.own(town, p) {
@@ -177,7 +179,7 @@
 }
 
 // Look says whether a request may go to one partner now, and spends nothing of its limit: the look before each try.
-func (d *Door) Look(partner, method, town, p string, now int64) Verdict {
+func (d *ExportPolicy) Look(partner, method, town, p string, now int64) Verdict {
 	if !Plain(p) || d.own != nil && d.own(strings.ToLower(town), p) {
 		return NoRoute
 	}
@@ -191,7 +193,7 @@
 }
 
 // May says whether a request may leave for one partner now: the second look, and that before each further try and copy.
-func (d *Door) May(partner, method, town, p string, now int64) (edition int64, why Verdict) {
+func (d *ExportPolicy) May(partner, method, town, p string, now int64) (edition int64, why Verdict) {
 	if !Plain(p) || d.own != nil && d.own(strings.ToLower(town), p) {
 		return 0, NoRoute
 	}
@@ -227,7 +229,7 @@
 }
 
 // Shadow names exports that nobody is sent to by this order: a route of ours takes their prefix, or an earlier partner has the same.
-func Shadow(b *Book, partners []Partner, own func(town, path string) bool) (told []string) {
+func Shadow(b *ImportBook, partners []Partner, own func(town, path string) bool) (told []string) {
 	first := map[string]string{}
 	for _, p := range partners {
 		i := b.Partners[p.Name]
--- a/internal/hive/propolis/propolis_test.go
+++ b/internal/mesh/federation/federation_test.go
@@ -1,4 +1,4 @@
-package propolis
+package federation
 
 import (
 	"encoding/json"
@@ -98,10 +98,10 @@
 
 // A trace at one door: what is open, kept, stale, ours.
 func TestADoor(t *testing.T) {
-	b := NewBook()
+	b := NewImportBook()
 	_, err := b.Take(said(t, 1, scans), "1")
 	must.NoError(t, err)
-	d := NewDoor(func(town, path string) bool { return town == "p.example" && strings.HasPrefix(path, "/scans/ours/") })
+	d := NewExportPolicy(func(town, path string) bool { return town == "p.example" && strings.HasPrefix(path, "/scans/ours/") })
 	decide := func(method, town, path string, now int64) Verdict {
 		_, why := d.Decide(method, town, path, now)
 		return why
@@ -129,21 +129,21 @@
 	must.Eq(t, NoLeave, decide("POST", "p.example", "/scans/1", 33*s))
 	d.Hear(b, partners, nil, 1, 33*s)
 	must.Eq(t, Kept, decide("GET", "p.example", "/scans/1", 33*s))
-	d.Hear(NewBook(), partners, nil, 1, 33*s) // older than what it acts on
+	d.Hear(NewImportBook(), partners, nil, 1, 33*s) // older than what it acts on
 	must.Eq(t, b.No, d.No())
 }
 
 // Two partners export one prefix: the first in our order goes first, reads have the other to turn to, and each is decided for
 // itself; limits are shared out among balancers.
 func TestTwoPartnersAndLimits(t *testing.T) {
-	b := NewBook()
+	b := NewImportBook()
 	_, err := b.Take(said(t, 1, strings.Replace(reads, `"Methods"`, `"PerS":8,"Methods"`, 1)), "1")
 	must.NoError(t, err)
 	other, err := Parse([]byte(`{"Partner":"q","Edition":1,"Lease":"20s","Via":["r"],"Exports":[`+scans+`]}`), "q", "us")
 	must.NoError(t, err)
 	_, err = b.Take(other, "1")
 	must.NoError(t, err)
-	d := NewDoor(nil)
+	d := NewExportPolicy(nil)
 	d.Hear(b, partners, nil, 2, 0)
 	d.Renew(b.No, 0)
 	all, _ := d.Decide("GET", "p.example", "/scans/1", s)
@@ -166,7 +166,7 @@
 
 // Words that go back or contradict themselves change nothing; what is dropped may begin again.
 func TestEditions(t *testing.T) {
-	b := NewBook()
+	b := NewImportBook()
 	take := func(edition int, exports, digest string) error {
 		_, err := b.Take(said(t, edition, exports), digest)
 		return err
@@ -186,7 +186,7 @@
 
 // A narrowing is done once nobody can act on what was before; a taker that is new counts from when it finds it.
 func TestWhenANarrowingIsDone(t *testing.T) {
-	b, k := NewBook(), NewTaker()
+	b, k := NewImportBook(), NewNarrowingTracker()
 	b.Take(said(t, 1, scans), "1")
 	must.MapEmpty(t, k.Due(b, 0))
 	b.Take(said(t, 2, reads), "2")
@@ -201,7 +201,7 @@
 	must.Eq(t, 1, b.Partners["p"].Told)
 	must.False(t, b.Finish("p", no))
 	must.False(t, b.Finish("p", b.No+1))
-	late := NewTaker() // the one before was killed
+	late := NewNarrowingTracker() // the one before was killed
 	must.MapEmpty(t, late.Due(b, due))
 	must.Eq(t, map[string]uint64{"p": b.No}, late.Due(b, due+(LeaveFor+Fresh)*102/100))
 	b.Finish("p", b.No)
@@ -221,9 +221,9 @@
 		if err != nil {
 			return
 		}
-		b := NewBook()
+		b := NewImportBook()
 		b.Take(table, "x")
-		d := NewDoor(nil)
+		d := NewExportPolicy(nil)
 		d.Hear(b, partners, nil, 1, 0)
 		d.Renew(b.No, 0)
 		for _, e := range table.Exports { // what is let in is just what is named
--- a/internal/hive/propolis/book.go
+++ b/internal/mesh/federation/import_book.go
@@ -1,4 +1,4 @@
-package propolis
+package federation
 
 import (
 	"encoding/json"
@@ -19,17 +19,17 @@
 }
 
 // Book is all partners, a part of what the core agrees on.
-type Book struct {
+type ImportBook struct {
 	No       uint64 // rises with each change of anything that balancers act on
 	Partners map[string]*Import
 }
 
 // NewBook makes an empty one.
-func NewBook() *Book { return &Book{Partners: map[string]*Import{}} }
+func NewImportBook() *ImportBook { return &ImportBook{Partners: map[string]*Import{}} }
 
 // Read reads a book as the core keeps it; nothing is an empty one.
-func Read(raw json.RawMessage) (*Book, error) {
-	b := NewBook()
+func Read(raw json.RawMessage) (*ImportBook, error) {
+	b := NewImportBook()
 	if len(raw) == 0 {
 		return b, nil
 	}
@@ -44,9 +44,9 @@
 }
 
 // Write lays it out.
-func (b *Book) Write() (json.RawMessage, error) { return json.Marshal(b) }
+func (b *ImportBook) Write() (json.RawMessage, error) { return json.Marshal(b) }
 
-func (b *Book) of(partner string) *Import {
+func (b *ImportBook) of(partner string) *Import {
 	i := b.Partners[partner]
 	if i == nil {
 		i = &Import{}
@@ -57,7 +57,7 @@
 
 // Take takes a partner's table; changed says whether there was anything to take. A word that goes back, or says something else
 // under the same edition, is refused.
-func (b *Book) Take(t *Table, digest string) (changed bool, err error) {
+func (b *ImportBook) Take(t *Table, digest string) (changed bool, err error) {
 	i := b.of(t.Partner)
 	if i.Table != nil {
 		switch {
@@ -80,7 +80,7 @@
 }
 
 // Close closes a partner by an operator's word, or opens it again.
-func (b *Book) Close(partner string, held bool, who, why string) {
+func (b *ImportBook) Close(partner string, held bool, who, why string) {
 	i := b.of(partner)
 	if i.Held == held {
 		return
@@ -92,7 +92,7 @@
 }
 
 // Drop forgets what a partner said, so that it may begin with any edition again. It is a narrowing: what it was is gone.
-func (b *Book) Drop(partner, who, why string) bool {
+func (b *ImportBook) Drop(partner, who, why string) bool {
 	i := b.Partners[partner]
 	if i == nil || i.Table == nil {
 		return false
@@ -103,7 +103,7 @@
 }
 
 // Only leaves out partners that the configuration names no more, as a narrowing.
-func (b *Book) Only(named []string) (changed bool) {
+func (b *ImportBook) Only(named []string) (changed bool) {
 	for _, partner := range slices.Sorted(maps.Keys(b.Partners)) {
 		if !slices.Contains(named, partner) && b.Partners[partner].Table != nil {
 			changed = b.Drop(partner, "", "the timetable names it no more") || changed
@@ -112,8 +112,8 @@
 	return changed
 }
 
-// Finish notes that a narrowing is done. Danger: one that was begun meanwhile is not.
-func (b *Book) Finish(partner string, no uint64) bool {
+// Finish notes that a narrowing is done. Invariant: one that was begun meanwhile is not.
+func (b *ImportBook) Finish(partner string, no uint64) bool {
 	i := b.Partners[partner]
 	if i == nil || i.Done >= no || no > i.No {
 		return false
@@ -126,17 +126,19 @@
 
 // Taker knows how long ago narrowings were agreed, by the steady clock of who has the duty. It knows nothing of what was before
 // its time: what it finds undone counts from when it finds it.
-type Taker struct {
+type NarrowingTracker struct {
 	since map[string]map[uint64]int64
 
 	early bool // without-leave: a narrowing is done at once
 }
 
-// NewTaker makes one for a reign.
-func NewTaker() *Taker { return &Taker{since: map[string]map[uint64]int64{}} }
+// NewTaker makes one for a epoch.
+func NewNarrowingTracker() *NarrowingTracker {
+	return &NarrowingTracker{since: map[string]map[uint64]int64{}}
+}
 
 // Due are the narrowings that are done by now, with the number of each partner's.
-func (k *Taker) Due(b *Book, now int64) map[string]uint64 {
+func (k *NarrowingTracker) Due(b *ImportBook, now int64) map[string]uint64 {
 	due := map[string]uint64{}
 	for partner, i := range b.Partners {
 		if i.No == i.Done {
--- a/internal/hive/propolis/table.go
+++ b/internal/mesh/federation/table.go
@@ -1,4 +1,4 @@
-// Package propolis is what partners let in: their route tables, taken into what the core agrees on, and the doors at which each
+// Package federation is what partners let in: their route tables, taken into what the core agrees on, and the doors at which each
 // request toward a partner is decided. What a partner keeps to itself is closed: nothing is sent there that its table does not
 // name. It does no I/O and reads no clock.
 //
@@ -8,7 +8,7 @@
 // drift, nobody acts on what was before, in reach or not: then it is done (Taker), and the partner is told.
 //
 //	from the agreement until the partner is told  <=  (LeaveFor + Fresh)·(1 + Drift) + 3·Every, and two agreed changes
-package propolis
+package federation
 
 import (
 	"bytes"
@@ -131,10 +131,10 @@
 		if e.Service == "" {
 			at("Service", "cannot be blank")
 		}
-		if fault := plainTown(e.Town); fault != "" {
+		if fault := normalHost(e.Town); fault != "" {
 			at("Town", "%.80q %s", e.Town, fault)
 		}
-		if fault := plainPrefix(e.StreetPrefix); fault != "" {
+		if fault := normalPrefix(e.StreetPrefix); fault != "" {
 			at("StreetPrefix", "%.80q %s", e.StreetPrefix, fault)
 		}
 		if len(e.Methods) == 0 {
@@ -170,8 +170,8 @@
 	return t, nil
 }
 
-// plainTown says what is wrong with a host. Danger: one that is written in two ways is decided in one and sent in the other.
-func plainTown(town string) string {
+// plainTown says what is wrong with a host. Invariant: one that is written in two ways is decided in one and sent in the other.
+func normalHost(town string) string {
 	switch {
 	case town == "":
 		return "cannot be blank"
@@ -184,7 +184,7 @@
 }
 
 // plainPrefix says what is wrong with a prefix.
-func plainPrefix(p string) string {
+func normalPrefix(p string) string {
 	switch {
 	case !strings.HasPrefix(p, "/") || !strings.HasSuffix(p, "/"):
 		return "must begin and end with a slash"
--- a/internal/hive/imports_test.go
+++ b/internal/mesh/imports_test.go
@@ -1,4 +1,4 @@
-package hive_test
+package mesh_test
 
 import (
 	"os/exec"
@@ -10,7 +10,7 @@
 
 // Agreement, membership, discovery, forwarding and replication are this project's own work in the mesh.
 func TestTheMeshLinksNothingThatDoesItsWork(t *testing.T) {
-	out, err := exec.Command("go", "list", "-deps", "ottershift/cmd/forager", "ottershift/cmd/comb", "ottershift/cmd/beekeeper", "ottershift/cmd/apiary").Output()
+	out, err := exec.Command("go", "list", "-deps", "ottershift/cmd/proxy", "ottershift/cmd/controller", "ottershift/cmd/meshctl", "ottershift/cmd/meshsim").Output()
 	must.NoError(t, err)
 	deps := strings.Fields(string(out))
 	must.Greater(t, 100, len(deps))
--- a/internal/hive/hive.go
+++ b/internal/mesh/mesh.go
@@ -1,6 +1,6 @@
-// Package hive is what the mesh's programs have in common: their command line, their settings, and how they begin and
+// Package mesh is what the mesh's programs have in common: their command line, their settings, and how they begin and
 // end.
-package hive
+package mesh
 
 import (
 	"context"
@@ -15,33 +15,33 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
-	"ottershift/internal/hive/box"
-	"ottershift/internal/hive/hum"
+	"ottershift/internal/mesh/settings"
+	"ottershift/internal/mesh/telemetry"
 )
 
 const rereadEvery = 2 * time.Second // settings may change without a signal
 
 // Process is what a program runs.
 type Process interface {
-	Reseed(*box.Box)
+	Reseed(*settings.Settings)
 	Run(context.Context) error
 }
 
 // Main is a program of the mesh: it serves, or checks a settings file.
-func Main(name, help string, make func(*box.Box, *slog.Logger) (Process, error)) {
+func Main(name, help string, make func(*settings.Settings, *slog.Logger) (Process, error)) {
 	app := kingpin.New(name, help)
-	path := app.Flag("config", "Settings file.").Envar(box.Variable).String()
+	path := app.Flag("config", "Settings file.").Envar(settings.Variable).String()
 	serve := app.Command("serve", "Serve until SIGTERM; SIGHUP, or a change of the file, puts other seeds in force.").Default()
 	check := app.Command("check", "Read the settings and name every fault with line and key.")
 	switch command, err := app.Parse(os.Args[1:]); {
 	case err != nil:
 		app.FatalUsage("%v", err)
 	case command == check.FullCommand():
-		b, err := box.Load(*path)
+		b, err := settings.Load(*path)
 		app.FatalIfError(err, "")
 		fmt.Printf("%s: %s in %s, %d seeds\n", *path, b.Node, b.District, len(b.Seeds))
 	case command == serve.FullCommand():
-		b, err := box.Load(*path)
+		b, err := settings.Load(*path)
 		app.FatalIfError(err, "")
 		if err := run(b, *path, make); err != nil {
 			fmt.Fprintf(os.Stderr, "%s: %v\n", name, err)
@@ -51,11 +51,11 @@
 }
 
 // run holds the process to its machine, and tells it what changes.
-func run(b *box.Box, path string, make func(*box.Box, *slog.Logger) (Process, error)) error {
+func run(b *settings.Settings, path string, make func(*settings.Settings, *slog.Logger) (Process, error)) error {
 	runtime.GOMAXPROCS(1) // a part of one core: threads beside one another only wait
 	debug.SetMemoryLimit(b.MemoryMb << 20 / 2)
 	debug.SetGCPercent(50) // memory is scarcer here than time
-	log := hum.New(os.Stderr, b.Node)
+	log := telemetry.New(os.Stderr, b.Node)
 	hangUp := watch(syscall.SIGHUP)
 	ctx, end := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer end()
@@ -80,7 +80,7 @@
 	for {
 		text, err := os.ReadFile(path)
 		if err == nil && string(text) != string(last) {
-			if b, err := box.Parse(string(text)); err != nil {
+			if b, err := settings.Parse(string(text)); err != nil {
 				log.Warn("settings", "err", err)
 			} else if last != nil {
 				log.Info("settings", "seeds", b.Seeds)
--- a/internal/hive/hive_test.go
+++ b/internal/mesh/mesh_test.go
@@ -1,4 +1,4 @@
-package hive_test
+package mesh_test
 
 import (
 	"bytes"
@@ -17,26 +17,26 @@
 	"github.com/shoenig/test/must"
 	"github.com/shoenig/test/wait"
 
-	"ottershift/internal/hive/box"
-	"ottershift/internal/hive/buzz"
-	"ottershift/internal/hive/comb"
-	"ottershift/internal/hive/flight"
-	"ottershift/internal/hive/keeper"
-	"ottershift/internal/hive/nectar"
-	"ottershift/internal/hive/stand"
+	"ottershift/internal/mesh/burstcredit"
+	"ottershift/internal/mesh/controller"
+	"ottershift/internal/mesh/meshctl"
+	"ottershift/internal/mesh/proxy"
+	"ottershift/internal/mesh/rpc"
+	"ottershift/internal/mesh/settings"
+	"ottershift/internal/mesh/testmesh"
 )
 
 // mesh is whole processes of both planes on loopback, in one process of ours.
 type mesh struct {
 	t     *testing.T
-	plan  *stand.Mesh
-	apps  []*stand.App
+	plan  *testmesh.Mesh
+	apps  []*testmesh.Upstream
 	stops map[string]func()
 	ids   int
 }
 
-func start(t *testing.T, combs, foragers int, work time.Duration, size int) *mesh {
-	plan, err := stand.Plan(combs, foragers, []string{"east", "west"}, []string{"album", "album", "regie"}, t.TempDir())
+func start(t *testing.T, controllers, proxies int, work time.Duration, size int) *mesh {
+	plan, err := testmesh.Plan(controllers, proxies, []string{"east", "west"}, []string{"album", "album", "regie"}, t.TempDir())
 	must.NoError(t, err)
 	m := &mesh{t: t, plan: plan, stops: map[string]func(){}}
 	t.Cleanup(func() {
@@ -47,13 +47,13 @@
 			a.Stop()
 		}
 	})
-	for _, b := range plan.Combs {
+	for _, b := range plan.Controllers {
 		must.NoError(t, os.MkdirAll(b.DataDir, 0o755))
 		m.comb(b)
 	}
-	for n, b := range plan.Foragers {
-		m.forager(b)
-		a, err := stand.NewApp(fmt.Sprintf("i-%d", n), b.Destination, b.App, b.Control, 8, work, size)
+	for n, b := range plan.Proxies {
+		m.proxy(b)
+		a, err := testmesh.NewUpstream(fmt.Sprintf("i-%d", n), b.Destination, b.App, b.Control, 8, work, size)
 		must.NoError(t, err)
 		m.apps = append(m.apps, a)
 	}
@@ -70,15 +70,15 @@
 	m.stops[name] = func() { end(); over.Wait(); delete(m.stops, name) }
 }
 
-func (m *mesh) comb(b *box.Box) {
-	c, err := comb.Open(b, quiet)
+func (m *mesh) comb(b *settings.Settings) {
+	c, err := controller.Open(b, quiet)
 	must.NoError(m.t, err)
 	m.run(b.Node, c.Run)
 }
 
-func (m *mesh) forager(b *box.Box) {
+func (m *mesh) proxy(b *settings.Settings) {
 	b.Bounds.Grace = 2 * time.Second
-	m.run(b.Node, flight.New(b, quiet).Run)
+	m.run(b.Node, proxy.New(b, quiet).Run)
 }
 
 const config = `{"Edition":%d,"SizeLimits":{"EnvelopeBytes":16384,"ContentsBytes":67108864,"Envelope":"3000ms","Idle":"15000ms"},
@@ -90,7 +90,7 @@
 
 // call is an operator's call at one of the core's processes.
 func (m *mesh) call(at int, call, match, body string) (int, string) {
-	r, err := http.NewRequest(http.MethodPost, "http://"+m.plan.Combs[at].Control+"/-/rpc?call="+call, strings.NewReader(body))
+	r, err := http.NewRequest(http.MethodPost, "http://"+m.plan.Controllers[at].Control+"/-/rpc?call="+call, strings.NewReader(body))
 	must.NoError(m.t, err)
 	r.Header.Set("If-Match", match)
 	w, err := (&http.Client{Timeout: 3 * time.Second}).Do(r)
@@ -108,15 +108,15 @@
 	must.Wait(m.t, wait.InitialSuccess(wait.BoolFunc(what), wait.Timeout(15*time.Second), wait.Gap(20*time.Millisecond)))
 }
 
-func (m *mesh) send(forager int, method, path string) (status int, id string, w *http.Response, body string) {
+func (m *mesh) send(proxy int, method, path string) (status int, id string, w *http.Response, body string) {
 	m.ids++
 	id = fmt.Sprintf("t%d", m.ids)
-	status, w, body = m.sendAs(forager, method, path, id)
+	status, w, body = m.sendAs(proxy, method, path, id)
 	return status, id, w, body
 }
 
-func (m *mesh) sendAs(forager int, method, path, id string) (int, *http.Response, string) {
-	r, err := http.NewRequest(method, "http://"+m.plan.Foragers[forager].Outbound+path, nil)
+func (m *mesh) sendAs(proxy int, method, path, id string) (int, *http.Response, string) {
+	r, err := http.NewRequest(method, "http://"+m.plan.Proxies[proxy].Outbound+path, nil)
 	must.NoError(m.t, err)
 	r.Host = "a.example"
 	r.Header = http.Header{"X-Attempt-Id": {id}, "X-Time-Left-Ms": {"2000"}, "X-Key": {"k1"}, "X-Sender": {"forged"}, "X-Return-Address": {"forged"}}
@@ -144,7 +144,7 @@
 		status, _ := m.call(0, "timetable.replace", "0", fmt.Sprintf(config, edition))
 		return status == http.StatusOK
 	})
-	for n := range m.plan.Foragers {
+	for n := range m.plan.Proxies {
 		m.until(func() bool { status, _, _, _ := m.send(n, "GET", "/read/x"); return status == http.StatusOK })
 	}
 }
@@ -164,13 +164,13 @@
 	for _, a := range m.apps {
 		if a.Runs(id) == 1 {
 			must.Eq(t, "acme", a.Saw("X-Sender"))
-			must.Eq(t, m.plan.Foragers[1].Destination, a.Saw("X-Return-Address"))
+			must.Eq(t, m.plan.Proxies[1].Destination, a.Saw("X-Return-Address"))
 			must.Eq(t, "", a.Saw("X-Key"))
 			must.Eq(t, a.ID, a.Saw("X-Addressee"))
 		}
 	}
-	m.stops["comb-1"]()
-	m.stops["forager-0"]()
+	m.stops["controller-1"]()
+	m.stops["proxy-0"]()
 	m.apps[0].Stop()
 	for n := range 40 {
 		status, id, _, _ := m.send(1+n%3, "GET", "/read/x")
@@ -187,12 +187,12 @@
 	m := start(t, 1, 2, 0, 4000)
 	m.put(1)
 	m.until(func() bool { // both are known at both
-		for n := range m.plan.Foragers {
+		for n := range m.plan.Proxies {
 			m.send(n, "GET", "/read/")
 		}
 		return m.apps[0].Total() > 1 && m.apps[1].Total() > 1
 	})
-	all := func(f stand.Fault) {
+	all := func(f testmesh.Fault) {
 		for _, a := range m.apps {
 			a.Next(f)
 		}
@@ -205,13 +205,13 @@
 		}
 	}
 	for _, c := range []struct {
-		fault        stand.Fault
+		fault        testmesh.Fault
 		method, path string
 		status, runs int
 	}{
-		{stand.OtherID, "POST", "/once/", 200, 1}, {stand.Extra, "POST", "/once/", 200, 1}, {stand.Sound, "POST", "/once/", 200, 1},
-		{stand.CutShort, "POST", "/once/", 502, 1}, {stand.Reset, "POST", "/once/", 502, 1}, {stand.Unstamped, "POST", "/once/", 502, 1},
-		{stand.Full, "POST", "/once/", 503, 0}, {stand.Elsewhere, "POST", "/once/", 503, 0}, {stand.Elsewhere, "GET", "/read/", 503, 0}, {stand.Error, "POST", "/once/", 500, 1},
+		{testmesh.OtherID, "POST", "/once/", 200, 1}, {testmesh.Extra, "POST", "/once/", 200, 1}, {testmesh.Sound, "POST", "/once/", 200, 1},
+		{testmesh.CutShort, "POST", "/once/", 502, 1}, {testmesh.Reset, "POST", "/once/", 502, 1}, {testmesh.Unstamped, "POST", "/once/", 502, 1},
+		{testmesh.Full, "POST", "/once/", 503, 0}, {testmesh.Elsewhere, "POST", "/once/", 503, 0}, {testmesh.Elsewhere, "GET", "/read/", 503, 0}, {testmesh.Error, "POST", "/once/", 500, 1},
 	} {
 		all(c.fault)
 		status, id, _, body := m.send(0, c.method, c.path)
@@ -225,8 +225,8 @@
 	for range 12 { // the module's bucket is filled by first sends
 		m.send(1, "GET", "/read/")
 	}
-	m.apps[0].Next(stand.CutShort) // a repeatable one is sent again, to the other
-	m.apps[1].Next(stand.Sound)
+	m.apps[0].Next(testmesh.CutShort) // a repeatable one is sent again, to the other
+	m.apps[1].Next(testmesh.Sound)
 	for range 2 {
 		status, _, _, body := m.send(1, "GET", "/read/")
 		must.Eq(t, 200, status)
@@ -240,7 +240,7 @@
 	status, _, _, body := m.send(0, "GET", "/read/")
 	must.Eq(t, 200, status)
 	must.Eq(t, 300<<10, len(body))
-	m.apps[0].Next(stand.CutShort)
+	m.apps[0].Next(testmesh.CutShort)
 	status, _, _, _ = m.send(0, "GET", "/read/")
 	must.Eq(t, -1, status)
 }
@@ -266,7 +266,7 @@
 	}
 	m.until(func() bool { return m.apps[0].Total()+m.apps[1].Total() > 8 })
 	must.True(t, m.apps[0].Close())
-	m.stops["forager-0"]() // SIGTERM with work both ways in flight
+	m.stops["proxy-0"]() // SIGTERM with work both ways in proxy
 	wg.Wait()
 	close(results)
 	for status := range results {
@@ -302,8 +302,8 @@
 	_, text := m.call(1, "timetable.fetch", "", "")
 	must.StrContains(t, text, `"Edition":7`)
 	must.StrNotContains(t, text, `"read"`)
-	m.stops["comb-0"]()
-	m.stops["comb-1"]()
+	m.stops["controller-0"]()
+	m.stops["controller-1"]()
 	status, text := m.call(2, "timetable.replace", "7", fmt.Sprintf(config, 9)) // no majority: unclear, never a 4xx
 	must.Eq(t, 503, status, must.Sprint(text))
 	status, _ = m.call(2, "timetable.fetch", "", "")
@@ -328,13 +328,13 @@
 		return status == http.StatusOK
 	}
 	m.until(func() bool { return page(0, 0) && page(0, 1) })
-	c := buzz.NewCaller()
+	c := rpc.NewCaller()
 	defer c.Close()
-	at := m.plan.Combs[0].Inner()
-	stand := &nectar.Stand{}
-	must.NoError(t, c.Call(context.Background(), at, "/hive/credit", &comb.Order{Tenant: "acme", Tokens: 150, Who: "me", Why: "a rush"}, stand))
+	at := m.plan.Controllers[0].Inner()
+	stand := &burstcredit.AccountStatus{}
+	must.NoError(t, c.Call(context.Background(), at, rpc.PathCreditOrder, &controller.Order{Tenant: "acme", Tokens: 150, Who: "me", Why: "a rush"}, stand))
 	must.Eq(t, 150, stand.Balance)
-	must.Error(t, c.Call(context.Background(), at, "/hive/credit", &comb.Order{Tenant: "acme", Tokens: 150}, stand)) // nobody says why
+	must.Error(t, c.Call(context.Background(), at, rpc.PathCreditOrder, &controller.Order{Tenant: "acme", Tokens: 150}, stand)) // nobody says why
 	rush := func(from, to int) (ok int) {
 		for n := from; n < to; n++ {
 			for _, at := range []int{0, 1} {
@@ -348,10 +348,10 @@
 	m.until(func() bool { return rush(1, 3) == 4 }) // the first tokens are drawn
 	ok := rush(100, 160)
 	must.Greater(t, 60, ok) // 4 a second alone would have served a few
-	account := func() *nectar.Stand {
-		s := &comb.Status{}
-		must.NoError(t, c.Call(context.Background(), at, "/hive/status", &comb.Look{}, s))
-		a, err := comb.Account(s.State.Credit, "acme")
+	account := func() *burstcredit.AccountStatus {
+		s := &controller.Status{}
+		must.NoError(t, c.Call(context.Background(), at, rpc.PathStatus, &controller.StatusRequest{}, s))
+		a, err := controller.Account(s.State.Credit, "acme")
 		must.NoError(t, err)
 		return a
 	}
@@ -367,11 +367,11 @@
 	a := account()
 	must.LessEq(t, float64(pages), a.Spent) // asked for twice each, drawn once
 	must.Less(t, 1e-6, max(a.Gap, -a.Gap))
-	m.stops["comb-0"]()
-	m.comb(m.plan.Combs[0])
+	m.stops["controller-0"]()
+	m.comb(m.plan.Controllers[0])
 	m.until(func() bool {
-		s := &comb.Status{}
-		return c.Call(context.Background(), at, "/hive/status", &comb.Look{}, s) == nil && len(s.State.Credit) > 0
+		s := &controller.Status{}
+		return c.Call(context.Background(), at, rpc.PathStatus, &controller.StatusRequest{}, s) == nil && len(s.State.Credit) > 0
 	})
 	must.GreaterEq(t, a.Spent, account().Spent)
 }
@@ -380,7 +380,7 @@
 // any more, reads go on, nothing runs twice, and who asks is told at once.
 func TestAPartnerNarrowsItsExports(t *testing.T) {
 	m := start(t, 1, 3, 0, 100)
-	partner, err := stand.NewPartner("zuid", "127.77.19.1:0")
+	partner, err := testmesh.NewPartner("zuid", "127.77.19.1:0")
 	must.NoError(t, err)
 	t.Cleanup(partner.Stop)
 	table := strings.Replace(config, `"Depots"`, fmt.Sprintf(`"Mesh":"us","Partners":[{"Name":"zuid","Gateway":%q,"Target":"300ms","Deadline":"1000ms","Tries":2}],"Depots"`, partner.Address), 1)
@@ -393,7 +393,7 @@
 	must.StrContains(t, text, "Mesh")
 	var mu sync.Mutex
 	ask := func(at int, method, path, id string) (int, string) {
-		r, err := http.NewRequest(method, "http://"+m.plan.Foragers[at].Outbound+path, nil)
+		r, err := http.NewRequest(method, "http://"+m.plan.Proxies[at].Outbound+path, nil)
 		must.NoError(t, err)
 		r.Host = "zuid.example"
 		r.Header = http.Header{"X-Attempt-Id": {id}, "X-Time-Left-Ms": {"1000"}, "X-Key": {"k1"}, "X-Hive-Gate": {"zuid"}, "X-Import-Edition": {"99"}}
@@ -405,7 +405,7 @@
 		body, _ := io.ReadAll(w.Body)
 		return w.StatusCode, string(body)
 	}
-	for n := range m.plan.Foragers {
+	for n := range m.plan.Proxies {
 		m.until(func() bool {
 			status, _ := ask(n, "POST", "/scans/1", fmt.Sprint("first", rand.Uint64()))
 			return status == 200
@@ -421,7 +421,7 @@
 	told := map[string]int{}
 	end := make(chan struct{})
 	var load sync.WaitGroup
-	for at := range m.plan.Foragers {
+	for at := range m.plan.Proxies {
 		load.Go(func() {
 			for n := 0; ; n++ {
 				select {
@@ -448,10 +448,10 @@
 		must.Eq(t, 200, status)
 		must.Eq(t, "of a partner", body)
 		var out, faults bytes.Buffer
-		args := []string{"--core", m.plan.Combs[0].Control, "--inner", fmt.Sprint(m.plan.Combs[0].InnerFirst), "partners"}
-		must.Eq(t, keeper.OK, keeper.Run(args, &out, &faults), must.Sprint(faults.String()))
-		must.StrContains(t, out.String(), "3 of the balancers that ask comb-0 act on word")
-		must.Eq(t, keeper.OK, keeper.Run(append(args, "show", "zuid"), &out, &faults))
+		args := []string{"--core", m.plan.Controllers[0].Control, "--inner", fmt.Sprint(m.plan.Controllers[0].InnerFirst), "partners"}
+		must.Eq(t, meshctl.OK, meshctl.Run(args, &out, &faults), must.Sprint(faults.String()))
+		must.StrContains(t, out.String(), "3 of the balancers that ask controller-0 act on word")
+		must.Eq(t, meshctl.OK, meshctl.Run(append(args, "show", "zuid"), &out, &faults))
 		must.StrContains(t, out.String(), "zuid.example")
 		partner.Say("GET", "POST")
 		m.until(func() bool {
--- a/internal/hive/keeper/credit.go
+++ b/internal/mesh/meshctl/credit.go
@@ -1,4 +1,4 @@
-package keeper
+package meshctl
 
 import (
 	"context"
@@ -6,27 +6,27 @@
 	"io"
 	"time"
 
-	"ottershift/internal/hive/box"
-	"ottershift/internal/hive/buzz"
-	"ottershift/internal/hive/comb"
-	"ottershift/internal/hive/nectar"
+	"ottershift/internal/mesh/burstcredit"
+	"ottershift/internal/mesh/controller"
+	"ottershift/internal/mesh/rpc"
+	"ottershift/internal/mesh/settings"
 )
 
 // accounts are all tenants' burst credit, as the core has agreed on it.
-func (k *keeper) accounts() ([]nectar.Stand, *comb.Status, error) {
+func (k *client) accounts() ([]burstcredit.AccountStatus, *controller.Status, error) {
 	s, err := k.ask()
 	if err != nil {
 		return nil, nil, err
 	}
-	b, err := nectar.Read(s.State.Credit)
+	b, err := burstcredit.Read(s.State.Credit)
 	if err != nil {
 		return nil, nil, Error.Wrap(err)
 	}
-	return b.Stands(), s, nil
+	return b.Status(), s, nil
 }
 
 // credit shows accounts, of one tenant where it is named.
-func (k *keeper) credit(tenant string) error {
+func (k *client) credit(tenant string) error {
 	all, s, err := k.accounts()
 	if err != nil {
 		return err
@@ -56,7 +56,7 @@
 }
 
 // history is the last lines of an account; their times are of the book, which runs while somebody keeps it.
-func (k *keeper) history(tenant string) error {
+func (k *client) history(tenant string) error {
 	all, s, err := k.accounts()
 	if err != nil {
 		return err
@@ -78,11 +78,11 @@
 	return &coded{Error.New("%q has no account", tenant), Refused}
 }
 
-// order has the core carry out an operator's word on an account. Danger: asked again elsewhere, a grant of which nobody knows
+// order has the core carry out an operator's word on an account. Invariant: asked again elsewhere, a grant of which nobody knows
 // whether it was agreed would count twice.
-func (k *keeper) order(o *comb.Order) error {
-	a := &nectar.Stand{}
-	if err := k.have("/hive/credit", o, a, "look at the account's history before it is ordered again"); err != nil {
+func (k *client) order(o *controller.Order) error {
+	a := &burstcredit.AccountStatus{}
+	if err := k.order_(rpc.PathCreditOrder, o, a, "look at the account's history before it is ordered again"); err != nil {
 		return err
 	}
 	_, err := fmt.Fprintf(k.out, "%s: balance %.1f, out %.1f, spent %.0f\n", a.Tenant, a.Balance, a.Out, a.Spent)
@@ -90,18 +90,18 @@
 }
 
 // have gives one process of the core an order, once; advice is for when nobody knows what came of it.
-func (k *keeper) have(path string, order, answer any, advice string) error {
+func (k *client) order_(path string, order, answer any, advice string) error {
 	if err := k.need(); err != nil {
 		return err
 	}
 	if k.inner == 0 {
 		return &coded{Error.New("the inner port is not known: --inner PORT, or a settings file for --core"), Usage}
 	}
-	c := buzz.NewCaller()
+	c := rpc.NewCaller()
 	defer c.Close()
 	ctx, end := context.WithTimeout(context.Background(), 2*k.wait)
 	defer end()
-	if err := c.Call(ctx, box.InnerOf(box.Host(k.seeds[0]), k.inner), path, order, answer); err != nil {
+	if err := c.Call(ctx, settings.InnerOf(settings.Host(k.seeds[0]), k.inner), path, order, answer); err != nil {
 		return &coded{Error.New("%v; %s", err, advice), Unclear}
 	}
 	return nil
--- a/internal/hive/keeper/keeper.go
+++ b/internal/mesh/meshctl/meshctl.go
@@ -1,5 +1,5 @@
 // Package keeper is the operators' command line: it asks processes of the core, and shows each answer with its age.
-package keeper
+package meshctl
 
 import (
 	"context"
@@ -17,12 +17,12 @@
 	"github.com/alecthomas/kingpin/v2"
 	"github.com/zeebo/errs"
 
-	"ottershift/internal/hive/box"
-	"ottershift/internal/hive/buzz"
-	"ottershift/internal/hive/comb"
-	"ottershift/internal/hive/dance"
-	"ottershift/internal/hive/swarm"
-	"ottershift/internal/hive/wax"
+	"ottershift/internal/mesh/consensus"
+	"ottershift/internal/mesh/controller"
+	"ottershift/internal/mesh/routing"
+	"ottershift/internal/mesh/rpc"
+	"ottershift/internal/mesh/settings"
+	"ottershift/internal/mesh/storage"
 )
 
 // Exit codes.
@@ -35,14 +35,14 @@
 )
 
 // Error is the class of what is told to operators.
-var Error = errs.Class("beekeeper")
+var Error = errs.Class("meshctl")
 
 type coded struct {
 	error
 	code int
 }
 
-type keeper struct {
+type client struct {
 	out   io.Writer
 	seeds []string // control addresses
 	inner int
@@ -53,8 +53,8 @@
 
 // Run carries a command line out and returns the exit code.
 func Run(args []string, out, faults io.Writer) int {
-	k := &keeper{out: out}
-	app := kingpin.New("beekeeper", "Looks after a mesh's core: asks it, changes its timetable, saves and restores what it has agreed.")
+	k := &client{out: out}
+	app := kingpin.New("meshctl", "Looks after a mesh's core: asks it, changes its timetable, saves and restores what it has agreed.")
 	app.Terminate(nil)
 	app.UsageWriter(faults)
 	app.ErrorWriter(faults)
@@ -77,7 +77,7 @@
 	creditOf := creditShow.Arg("tenant", "Of this one alone.").String()
 	creditHistory := credit.Command("history", "The last lines of an account.")
 	historyOf := creditHistory.Arg("tenant", "Whose.").Required().String()
-	order := &comb.Order{}
+	order := &controller.Order{}
 	creditGrant := credit.Command("grant", "Give a tenant credit, or with a number below 0 take some away.")
 	creditGrant.Arg("tenant", "Whom.").Required().StringVar(&order.Tenant)
 	creditGrant.Arg("tokens", "Requests.").Required().Float64Var(&order.Tokens)
@@ -92,7 +92,7 @@
 	partnersList := partners.Command("list", "Who exports what, what narrows, and how many balancers act on it.").Default()
 	partnersShow := partners.Command("show", "One partner's table, as it is in force.")
 	partnerOf := partnersShow.Arg("partner", "Whose.").Required().String()
-	word := &comb.PartnerOrder{}
+	word := &controller.PartnerOrder{}
 	partnersHold := partners.Command("hold", "Close a partner: nothing is sent there.")
 	partnersHold.Flag("release", "Open it again.").BoolVar(&word.Release)
 	partnersDrop := partners.Command("drop", "Forget what a partner said, so that it may begin with any edition again.")
@@ -131,7 +131,7 @@
 		return OK
 	}
 	if err != nil {
-		fmt.Fprintf(faults, "beekeeper: %v\n", err)
+		fmt.Fprintf(faults, "meshctl: %v\n", err)
 		return Usage
 	}
 	if err = k.reach(*core, *inner); err == nil {
@@ -139,13 +139,13 @@
 		case status.FullCommand():
 			err = k.status()
 		case coreCmd.FullCommand():
-			err = k.show((*keeper).core)
+			err = k.show((*client).core)
 		case nodes.FullCommand():
-			err = k.show((*keeper).nodes)
+			err = k.show((*client).nodes)
 		case upstreams.FullCommand():
-			err = k.show((*keeper).upstreams)
+			err = k.show((*client).upstreams)
 		case duties.FullCommand():
-			err = k.show((*keeper).duties)
+			err = k.show((*client).duties)
 		case quotas.FullCommand():
 			err = k.quotas()
 		case creditShow.FullCommand():
@@ -190,7 +190,7 @@
 	if err == nil {
 		return OK
 	}
-	fmt.Fprintf(faults, "beekeeper: %v\n", err)
+	fmt.Fprintf(faults, "meshctl: %v\n", err)
 	if c, is := err.(*coded); is {
 		return c.code
 	}
@@ -198,13 +198,13 @@
 }
 
 // reach finds whom to ask: addresses, or the seeds of a settings file.
-func (k *keeper) reach(core string, inner int) error {
+func (k *client) reach(core string, inner int) error {
 	k.inner = inner
 	if core == "" {
 		return nil
 	}
 	if _, err := os.Stat(core); err == nil {
-		b, err := box.Load(core)
+		b, err := settings.Load(core)
 		if err != nil {
 			return err
 		}
@@ -218,7 +218,7 @@
 	return nil
 }
 
-func (k *keeper) need() error {
+func (k *client) need() error {
 	if len(k.seeds) == 0 {
 		return &coded{Error.New("whom to ask: --core ADDRESS,... or a settings file, or BEEKEEPER_CORE"), Usage}
 	}
@@ -226,7 +226,7 @@
 }
 
 // ask has the first process that answers tell its status.
-func (k *keeper) ask() (*comb.Status, error) {
+func (k *client) ask() (*controller.Status, error) {
 	if err := k.need(); err != nil {
 		return nil, err
 	}
@@ -241,32 +241,32 @@
 	return nil, all.Err()
 }
 
-func (k *keeper) one(at string) (*comb.Status, error) {
+func (k *client) one(at string) (*controller.Status, error) {
 	if k.inner == 0 {
 		return nil, &coded{Error.New("the inner port is not known: --inner PORT, or a settings file for --core"), Usage}
 	}
 	ctx, end := context.WithTimeout(context.Background(), k.wait)
 	defer end()
-	c := buzz.NewCaller()
+	c := rpc.NewCaller()
 	defer c.Close()
-	s := &comb.Status{}
-	return s, c.Call(ctx, box.InnerOf(box.Host(at), k.inner), "/hive/status", comb.Look{Newest: k.newst}, s)
+	s := &controller.Status{}
+	return s, c.Call(ctx, settings.InnerOf(settings.Host(at), k.inner), rpc.PathStatus, controller.StatusRequest{Newest: k.newst}, s)
 }
 
-func (k *keeper) table(head string, rows func(w io.Writer)) error {
+func (k *client) table(head string, rows func(w io.Writer)) error {
 	w := tabwriter.NewWriter(k.out, 2, 8, 2, ' ', 0)
 	fmt.Fprintln(w, head)
 	rows(w)
 	return w.Flush()
 }
 
-func (k *keeper) raw(v any) error {
+func (k *client) raw(v any) error {
 	e := json.NewEncoder(k.out)
 	e.SetIndent("", "  ")
 	return e.Encode(v)
 }
 
-func (k *keeper) show(how func(*keeper, *comb.Status) error) error {
+func (k *client) show(how func(*client, *controller.Status) error) error {
 	s, err := k.ask()
 	if err != nil {
 		return err
@@ -275,7 +275,7 @@
 }
 
 // seen is the line that says whose word it is and how old.
-func (k *keeper) seen(s *comb.Status) {
+func (k *client) seen(s *controller.Status) {
 	state := "confirmed by a majority " + ago(s.Confirmed)
 	if !s.Current {
 		state = "NOT CURRENT: no majority has confirmed it since " + ago(s.Confirmed)
@@ -293,14 +293,14 @@
 	return d.Round(time.Millisecond).String() + " ago"
 }
 
-func (k *keeper) status() error {
+func (k *client) status() error {
 	if err := k.need(); err != nil {
 		return err
 	}
 	type line struct {
 		At     string
-		Fault  string       `json:",omitempty"`
-		Status *comb.Status `json:",omitempty"`
+		Fault  string             `json:",omitempty"`
+		Status *controller.Status `json:",omitempty"`
 	}
 	var all []line
 	answered := false
@@ -320,7 +320,7 @@
 		err = k.table("ADDRESS\tNODE\tUP\tCURRENT\tINDEX\tVERSION\tCORE\tBALANCERS", func(w io.Writer) {
 			for _, l := range all {
 				if s := l.Status; s != nil {
-					fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%d\t%d\t%d\t%d\n", l.At, s.Node, s.Up.Round(time.Second), s.Current, s.State.Index, s.State.Edition, len(s.State.Core), len(s.Nests))
+					fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%d\t%d\t%d\t%d\n", l.At, s.Node, s.Up.Round(time.Second), s.Current, s.State.Index, s.State.Edition, len(s.State.Core), len(s.Nodes))
 				} else {
 					fmt.Fprintf(w, "%s\tno answer: %s\n", l.At, l.Fault)
 				}
@@ -333,7 +333,7 @@
 	return err
 }
 
-func (k *keeper) core(s *comb.Status) error {
+func (k *client) core(s *controller.Status) error {
 	if k.json {
 		return k.raw(s.Core)
 	}
@@ -345,30 +345,30 @@
 	})
 }
 
-func (k *keeper) nodes(s *comb.Status) error {
+func (k *client) nodes(s *controller.Status) error {
 	if k.json {
-		return k.raw(s.Nests)
+		return k.raw(s.Nodes)
 	}
 	k.seen(s)
 	return k.table("NODE\tZONE\tINBOUND\tLEASE\tHEARD\tUPSTREAM", func(w io.Writer) {
-		for _, n := range s.Nests {
+		for _, n := range s.Nodes {
 			lease, up := "holds", "none"
 			if n.Lost {
 				lease = "ran out"
 			}
-			if n.Up != nil {
-				up = n.Up.ID
+			if n.Upstream != nil {
+				up = n.Upstream.ID
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", n.Node, n.District, n.Inbound, lease, ago(time.Duration(n.Age)), up)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", n.Name, n.District, n.Inbound, lease, ago(time.Duration(n.Age)), up)
 		}
 	})
 }
 
-func (k *keeper) upstreams(s *comb.Status) error {
-	nests := slices.Clone(s.Nests)
-	nests = slices.DeleteFunc(nests, func(n toldNest) bool { return n.Up == nil })
-	slices.SortFunc(nests, func(a, b toldNest) int {
-		return strings.Compare(a.Up.Service+" "+a.Node, b.Up.Service+" "+b.Node)
+func (k *client) upstreams(s *controller.Status) error {
+	nests := slices.Clone(s.Nodes)
+	nests = slices.DeleteFunc(nests, func(n nodeRecord) bool { return n.Upstream == nil })
+	slices.SortFunc(nests, func(a, b nodeRecord) int {
+		return strings.Compare(a.Upstream.Service+" "+a.Name, b.Upstream.Service+" "+b.Name)
 	})
 	if k.json {
 		return k.raw(nests)
@@ -378,34 +378,34 @@
 		for _, n := range nests {
 			state := "accepting"
 			switch {
-			case n.Up.Closing:
+			case n.Upstream.Closing:
 				state = "closing"
-			case n.Up.Cold > 0:
-				state = "cold for " + time.Duration(n.Up.Cold).Round(time.Millisecond).String()
+			case n.Upstream.Cold > 0:
+				state = "cold for " + time.Duration(n.Upstream.Cold).Round(time.Millisecond).String()
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\n", n.Up.Service, n.Up.ID, n.Up.Edition, n.District, n.Node, n.Up.Capacity, state, ago(time.Duration(n.Age)))
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\n", n.Upstream.Service, n.Upstream.ID, n.Upstream.Edition, n.District, n.Name, n.Upstream.Capacity, state, ago(time.Duration(n.Age)))
 		}
 	})
 }
 
-func (k *keeper) duties(s *comb.Status) error {
+func (k *client) duties(s *controller.Status) error {
 	if k.json {
-		return k.raw(map[string]any{"Queen": s.State.Queen, "Reign": s.State.Reign, "Members": s.State.Members})
+		return k.raw(map[string]any{"Coordinator": s.State.Coordinator, "Epoch": s.State.Epoch, "Members": s.State.Members})
 	}
 	k.seen(s)
 	return k.table("DUTY\tDONE BY\tREIGN", func(w io.Writer) {
-		fmt.Fprintf(w, "bank of quotas\t%s\t%d\n", s.State.Queen.At, s.State.Reign)
+		fmt.Fprintf(w, "bank of quotas\t%s\t%d\n", s.State.Coordinator.At, s.State.Epoch)
 		fmt.Fprintf(w, "core kept whole, census of %d balancers, settling\tfirst of the core in order\t\n", s.State.Members)
 	})
 }
 
 // quotas asks whoever keeps the bank.
-func (k *keeper) quotas() error {
+func (k *client) quotas() error {
 	s, err := k.ask()
 	if err != nil {
 		return err
 	}
-	if q := s.State.Queen.At; q != "" && s.At != q {
+	if q := s.State.Coordinator.At; q != "" && s.At != q {
 		if s, err = k.one(q); err != nil {
 			return Error.New("%s, which keeps the bank: %v", q, err)
 		}
@@ -422,7 +422,7 @@
 }
 
 // watch tells what changes.
-func (k *keeper) watch(long time.Duration) error {
+func (k *client) watch(long time.Duration) error {
 	if err := k.need(); err != nil {
 		return err
 	}
@@ -435,19 +435,19 @@
 		if err != nil {
 			now["core"] = "nobody answers: " + err.Error()
 		} else {
-			now["core"], now["version"], now["queen"] = coreText(s.State), strconv.FormatInt(s.State.Edition, 10), s.State.Queen.At
-			for _, n := range s.Nests {
+			now["core"], now["version"], now["coordinator"] = coreText(s.State), strconv.FormatInt(s.State.Edition, 10), s.State.Coordinator.At
+			for _, n := range s.Nodes {
 				text := "lease holds"
 				if n.Lost {
 					text = "lease ran out"
 				}
-				if n.Up != nil {
-					text += ", " + n.Up.ID
-					if n.Up.Closing {
+				if n.Upstream != nil {
+					text += ", " + n.Upstream.ID
+					if n.Upstream.Closing {
 						text += " closing"
 					}
 				}
-				now["node "+n.Node] = text
+				now["node "+n.Name] = text
 			}
 		}
 		var names []string
@@ -473,7 +473,7 @@
 	return nil
 }
 
-func coreText(s *swarm.State) string {
+func coreText(s *consensus.State) string {
 	var all []string
 	for _, m := range s.Core {
 		all = append(all, m.At)
@@ -482,7 +482,7 @@
 }
 
 // call is an operator's call, at one process after the other as long as the answer is unclear.
-func (k *keeper) call(call string, on int64, body []byte) ([]byte, error) {
+func (k *client) call(call string, on int64, body []byte) ([]byte, error) {
 	if err := k.need(); err != nil {
 		return nil, err
 	}
@@ -516,7 +516,7 @@
 	return nil, &coded{Error.New("nobody gave a clear answer; it may or may not count: %v", all.Err()), Unclear}
 }
 
-func (k *keeper) fetch() error {
+func (k *client) fetch() error {
 	text, err := k.call("timetable.fetch", -1, nil)
 	if err != nil {
 		return err
@@ -532,7 +532,7 @@
 	return os.ReadFile(file)
 }
 
-func (k *keeper) put(call, file string, on int64) error {
+func (k *client) put(call, file string, on int64) error {
 	body, err := read(file)
 	if err != nil {
 		return Error.Wrap(err)
@@ -552,7 +552,7 @@
 }
 
 // current is the version that is, 0 for none yet.
-func (k *keeper) current() (int64, error) {
+func (k *client) current() (int64, error) {
 	text, err := k.call("timetable.fetch", -1, nil)
 	if c, is := err.(*coded); is && c.code == Refused {
 		return 0, nil // nothing has been put yet
@@ -560,33 +560,33 @@
 	if err != nil {
 		return 0, err
 	}
-	t, err := dance.Parse(text)
+	t, err := routing.Parse(text)
 	if err != nil {
 		return 0, err
 	}
 	return t.Edition, nil
 }
 
-func (k *keeper) check(file string) error {
+func (k *client) check(file string) error {
 	body, err := read(file)
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	t, err := dance.Parse(body)
+	t, err := routing.Parse(body)
 	if err != nil {
 		return &coded{err, Refused}
 	}
-	_, err = fmt.Fprintf(k.out, "%s: version %d, %d routes, %d services, %d tenants\n", file, t.Edition, len(t.Rules), len(t.Depots), len(t.Senders))
+	_, err = fmt.Fprintf(k.out, "%s: version %d, %d routes, %d services, %d tenants\n", file, t.Edition, len(t.Routes), len(t.Services), len(t.Tenants))
 	return err
 }
 
 // diff names what a file would add, alter and take away.
-func (k *keeper) diff(file string) error {
+func (k *client) diff(file string) error {
 	body, err := read(file)
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	next, err := dance.Parse(body)
+	next, err := routing.Parse(body)
 	if err != nil {
 		return &coded{err, Refused}
 	}
@@ -594,11 +594,11 @@
 	if err != nil {
 		return err
 	}
-	now, err := dance.Parse(text)
+	now, err := routing.Parse(text)
 	if err != nil {
 		return err
 	}
-	lines := dance.Diff(now, next)
+	lines := routing.Diff(now, next)
 	if k.json {
 		return k.raw(lines)
 	}
@@ -608,10 +608,10 @@
 	return nil
 }
 
-func (k *keeper) backup(file, dir string) error {
-	var s *swarm.State
+func (k *client) backup(file, dir string) error {
+	var s *consensus.State
 	if dir != "" {
-		c, err := wax.Peek(dir)
+		c, err := storage.Peek(dir)
 		if err != nil {
 			return err
 		}
@@ -627,7 +627,7 @@
 		}
 		s = status.State
 	}
-	raw, err := wax.Seal(s)
+	raw, err := storage.EncodeBackup(s)
 	if err != nil {
 		return Error.Wrap(err)
 	}
@@ -638,16 +638,16 @@
 	return err
 }
 
-func (k *keeper) restore(file, dir, at, zone string) error {
+func (k *client) restore(file, dir, at, zone string) error {
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	s, err := wax.Unseal(raw)
+	s, err := storage.DecodeBackup(raw)
 	if err != nil {
 		return err
 	}
-	id, err := wax.Restore(dir, s, at, zone)
+	id, err := storage.Restore(dir, s, at, zone)
 	if err != nil {
 		return err
 	}
@@ -657,8 +657,8 @@
 }
 
 // bounds prints what follows from settings.
-func (k *keeper) bounds(file string) error {
-	b, err := box.Load(file)
+func (k *client) bounds(file string) error {
+	b, err := settings.Load(file)
 	if err != nil {
 		return &coded{err, Refused}
 	}
--- a/internal/hive/keeper/keeper_test.go
+++ b/internal/mesh/meshctl/meshctl_test.go
@@ -1,4 +1,4 @@
-package keeper
+package meshctl
 
 import (
 	"bytes"
@@ -15,8 +15,8 @@
 	"github.com/shoenig/test/must"
 	"github.com/shoenig/test/wait"
 
-	"ottershift/internal/hive/comb"
-	"ottershift/internal/hive/stand"
+	"ottershift/internal/mesh/controller"
+	"ottershift/internal/mesh/testmesh"
 )
 
 func run(args ...string) (code int, out, faults string) {
@@ -30,13 +30,13 @@
 // An operator's day: a core of one is watched, changed, saved, lost, and begun again from what was saved.
 func TestAnOperatorsDay(t *testing.T) {
 	dir := t.TempDir()
-	plan, err := stand.Plan(1, 0, []string{"east"}, nil, dir)
+	plan, err := testmesh.Plan(1, 0, []string{"east"}, nil, dir)
 	must.NoError(t, err)
-	b := plan.Combs[0]
+	b := plan.Controllers[0]
 	b.Tolerate.Machines = 0
 	must.NoError(t, os.MkdirAll(b.DataDir, 0o755))
 	start := func() (stop func()) {
-		c, err := comb.Open(b, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		c, err := controller.Open(b, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		must.NoError(t, err)
 		ctx, end := context.WithCancel(context.Background())
 		over := make(chan struct{})
@@ -123,12 +123,12 @@
 
 // Credit by an operator's hand: who and why are asked for, each word is in the history, an account that is frozen says so.
 func TestCreditByHand(t *testing.T) {
-	plan, err := stand.Plan(1, 0, []string{"east"}, nil, t.TempDir())
+	plan, err := testmesh.Plan(1, 0, []string{"east"}, nil, t.TempDir())
 	must.NoError(t, err)
-	b := plan.Combs[0]
+	b := plan.Controllers[0]
 	b.Tolerate.Machines = 0
 	must.NoError(t, os.MkdirAll(b.DataDir, 0o755))
-	c, err := comb.Open(b, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	c, err := controller.Open(b, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	must.NoError(t, err)
 	ctx, end := context.WithCancel(context.Background())
 	over := make(chan struct{})
--- a/internal/hive/keeper/partners.go
+++ b/internal/mesh/meshctl/partners.go
@@ -1,4 +1,4 @@
-package keeper
+package meshctl
 
 import (
 	"fmt"
@@ -8,23 +8,24 @@
 	"strings"
 	"time"
 
-	"ottershift/internal/hive/comb"
-	"ottershift/internal/hive/dance"
-	"ottershift/internal/hive/propolis"
+	"ottershift/internal/mesh/controller"
+	"ottershift/internal/mesh/federation"
+	"ottershift/internal/mesh/routing"
+	"ottershift/internal/mesh/rpc"
 )
 
 // partners shows who exports what, since when, and who acts on it.
-func (k *keeper) partners() error {
+func (k *client) partners() error {
 	s, err := k.ask()
 	if err != nil {
 		return err
 	}
-	if q := s.State.Queen.At; q != "" && s.At != q { // who asks partners knows what was wrong with their words
+	if q := s.State.Coordinator.At; q != "" && s.At != q { // who asks partners knows what was wrong with their words
 		if other, err := k.one(q); err == nil {
 			s = other
 		}
 	}
-	book, err := propolis.Read(s.State.Imports)
+	book, err := federation.Read(s.State.Imports)
 	if err != nil {
 		return Error.Wrap(err)
 	}
@@ -64,27 +65,27 @@
 		}
 	}
 	fmt.Fprintf(k.out, "%d of the balancers that ask %s act on word %d, %d on an earlier one\n", len(s.Doors)-behind, s.Node, book.No, behind)
-	t, err := dance.Parse(s.State.Timetable)
+	t, err := routing.Parse(s.State.Configuration)
 	if err != nil {
 		return nil
 	}
-	var all []propolis.Partner
+	var all []federation.Partner
 	for _, p := range t.Partners {
-		all = append(all, propolis.Partner{Name: p.Name})
+		all = append(all, federation.Partner{Name: p.Name})
 	}
-	for _, line := range propolis.Shadow(book, all, func(town, path string) bool { return t.Find(town, path) != nil }) {
+	for _, line := range federation.Shadow(book, all, func(town, path string) bool { return t.Find(town, path) != nil }) {
 		fmt.Fprintln(k.out, "not used:", line)
 	}
 	return nil
 }
 
 // exports shows one partner's table.
-func (k *keeper) exports(partner string) error {
+func (k *client) exports(partner string) error {
 	s, err := k.ask()
 	if err != nil {
 		return err
 	}
-	book, err := propolis.Read(s.State.Imports)
+	book, err := federation.Read(s.State.Imports)
 	if err != nil {
 		return Error.Wrap(err)
 	}
@@ -104,9 +105,9 @@
 }
 
 // partner has the core carry out an operator's word on a partner.
-func (k *keeper) partner(o *comb.PartnerOrder) error {
-	i := &propolis.Import{}
-	if err := k.have("/hive/partner", o, i, "the same order again is safe"); err != nil {
+func (k *client) partner(o *controller.PartnerOrder) error {
+	i := &federation.Import{}
+	if err := k.order_(rpc.PathPartner, o, i, "the same order again is safe"); err != nil {
 		return err
 	}
 	_, err := fmt.Fprintf(k.out, "%s: word %d, done up to %d\n", o.Partner, i.No, i.Done)
--- a/internal/hive/nurse/nurse.go
+++ b/internal/mesh/outlier/outlier.go
@@ -1,13 +1,13 @@
-// Package nurse judges upstreams that fail in part. The balancer beside an upstream is the only way to it and so sees all
+// Package outlier judges upstreams that fail in part. The balancer beside an upstream is the only way to it and so sees all
 // that comes of it, from every caller: a Ward keeps that one upstream's evidence and says how ill it is, in few words that go
 // round with the news. Whoever sends work holds an upstream against the others of its service (Shares). Neither does I/O or
 // reads a clock.
 //
-// It is hearsay, and bounded as such: a level ends by itself as its evidence grows old; it is held against the service's
+// It is gossip, and bounded as such: a level ends by itself as its evidence grows old; it is held against the service's
 // median, so that a service of which all fail alike (one that it calls may be the cause) is sent what it was; no more than
 // Most of a service's slots are lessened; and as each balancer tells only of the upstream beside it, one that says what is
 // not so changes nothing for the rest.
-package nurse
+package outlier
 
 import (
 	"math"
@@ -36,40 +36,40 @@
 )
 
 // Ward is what is seen of one upstream.
-type Ward struct {
+type Detector struct {
 	good, bad float64
 	at, since int64
 	level     int
 }
 
 // Saw takes an outcome and reports whether the level has changed.
-func (w *Ward) Saw(failed bool, now int64) bool {
+func (w *Detector) Observe(failed bool, now int64) bool {
 	w.age(now)
 	if failed {
 		w.bad++
 	} else {
 		w.good++
 	}
-	return w.look(now)
+	return w.refresh(now)
 }
 
 // Look lets time pass and reports whether the level has changed.
-func (w *Ward) Look(now int64) bool {
+func (w *Detector) Refresh(now int64) bool {
 	w.age(now)
-	return w.look(now)
+	return w.refresh(now)
 }
 
 // Level is how ill the upstream is.
-func (w *Ward) Level() int { return w.level }
+func (w *Detector) Level() int { return w.level }
 
-func (w *Ward) age(now int64) {
+func (w *Detector) age(now int64) {
 	if now > w.at {
 		f := math.Exp2(-float64(now-w.at) / float64(Half))
 		w.good, w.bad, w.at = w.good*f, w.bad*f, now
 	}
 }
 
-func (w *Ward) look(now int64) bool {
+func (w *Detector) refresh(now int64) bool {
 	if w.since != 0 && now-w.since < Calm {
 		return false
 	}
--- a/internal/hive/nurse/nurse_test.go
+++ b/internal/mesh/outlier/outlier_test.go
@@ -1,4 +1,4 @@
-package nurse
+package outlier
 
 import (
 	"math/rand/v2"
@@ -19,7 +19,7 @@
 // play tells when the first was lessened and when it was whole again, and for how long others were lessened, together.
 func (s season) play(seed uint64) (found, over int64, wrongly int64) {
 	chance := rand.New(rand.NewPCG(seed, 7))
-	wards := make([]Ward, s.upstreams)
+	wards := make([]Detector, s.upstreams)
 	levels, slots := make([]int, s.upstreams), make([]float64, s.upstreams)
 	shares := make([]float64, s.upstreams)
 	for n := range slots {
@@ -34,10 +34,10 @@
 				if n == 0 && now >= s.from && now < s.to {
 					share = s.ill
 				}
-				wards[n].Saw(chance.Float64() < share, now)
+				wards[n].Observe(chance.Float64() < share, now)
 			}
 			if s.without != "ends" {
-				wards[n].Look(now)
+				wards[n].Refresh(now)
 			}
 			levels[n] = wards[n].Level()
 		}
@@ -86,7 +86,7 @@
 	var shared, alone int64
 	for seed := range uint64(300) {
 		chance := rand.New(rand.NewPCG(seed, 9))
-		whole, each := &Ward{}, make([]Ward, callers)
+		whole, each := &Detector{}, make([]Detector, callers)
 		knownAt, half := int64(0), int64(0)
 		for now := int64(ms); half == 0 || knownAt == 0; now += 10 * ms {
 			if now > 60000*ms {
@@ -97,8 +97,8 @@
 			for n := range each {
 				if chance.Float64() < rate/callers*0.01 {
 					failed := chance.Float64() < ill
-					whole.Saw(failed, now)
-					each[n].Saw(failed, now)
+					whole.Observe(failed, now)
+					each[n].Observe(failed, now)
 				}
 				if each[n].Level() > 0 {
 					known++
@@ -135,16 +135,16 @@
 
 // One that is asked nothing any more gets well by time alone; without that end it stays ill.
 func TestEvidenceEnds(t *testing.T) {
-	w := &Ward{}
+	w := &Detector{}
 	now := int64(ms)
 	for range 6 {
-		w.Saw(true, now)
+		w.Observe(true, now)
 		now += 10 * ms
 	}
 	must.Eq(t, Levels-1, w.Level())
 	now += 20 * Half // nobody looks: the variant without an end
 	must.Eq(t, Levels-1, w.Level())
-	must.True(t, w.Look(now))
+	must.True(t, w.Refresh(now))
 	must.Eq(t, 0, w.Level())
 }
 
--- a/internal/hive/flight/nectar.go
+++ b/internal/mesh/proxy/burst_credit.go
@@ -1,4 +1,4 @@
-package flight
+package proxy
 
 import (
 	"context"
@@ -8,9 +8,10 @@
 	"sync/atomic"
 	"time"
 
-	"ottershift/internal/hive/box"
-	"ottershift/internal/hive/dance"
-	"ottershift/internal/hive/nectar"
+	"ottershift/internal/mesh/burstcredit"
+	"ottershift/internal/mesh/routing"
+	"ottershift/internal/mesh/rpc"
+	"ottershift/internal/mesh/settings"
 )
 
 const (
@@ -21,55 +22,55 @@
 // credit is this balancer's part of tenants' burst credit. Where no tenant has any, nothing here runs.
 type credit struct {
 	sync.Mutex
-	crop *nectar.Crop
-	on   atomic.Bool
-	need chan struct{} // has room for one
+	wallet *burstcredit.Wallet
+	on     atomic.Bool
+	need   chan struct{} // has room for one
 }
 
-// terms puts a timetable's in force. Under mu.
-func (f *Forager) creditTerms(t *dance.Timetable) {
+// terms puts a configuration's in force. Under mu.
+func (f *Proxy) creditTerms(t *routing.Configuration) {
 	services := map[string]float64{}
-	for _, d := range t.Depots {
-		services[d.Name] = d.NectarPerS
+	for _, d := range t.Services {
+		services[d.Name] = d.BurstCreditPerSecond
 	}
 	f.credit.Lock()
 	defer f.credit.Unlock()
-	f.credit.crop.Set(nectar.TermsOf(t), services, f.members, f.now())
-	f.credit.on.Store(f.credit.crop.On())
+	f.credit.wallet.Set(burstcredit.TermsOf(t), services, f.members, f.now())
+	f.credit.on.Store(f.credit.wallet.On())
 }
 
 // claim is what a request beyond its tenant's rate would draw for, and under which name: the client's key for it where it has
 // one; else an effect is its own, and pages and downloads of one tenant are one for as long as settled names are known.
-func (f *Forager) claim(r *http.Request, rule *dance.Rule, tenant *dance.Sender) nectar.Claim {
-	k := nectar.Claim{Tenant: tenant.Name, Service: rule.Parts[0].Destination, Effect: !rule.MailClass.Repeats(),
+func (f *Proxy) claim(r *http.Request, rule *routing.Route, tenant *routing.Tenant) burstcredit.Claim {
+	k := burstcredit.Claim{Tenant: tenant.Name, Service: rule.Parts[0].Service, Effect: !rule.MailClass.Repeats(),
 		Rank: tenant.Precedence*1000 + rule.Precedence}
 	if host, _, err := net.SplitHostPort(r.RemoteAddr); err == nil {
-		k.Client = host != box.Host(f.box.App) // the upstream on this machine calls from its own address
+		k.Client = host != settings.Host(f.settings.App) // the upstream on this machine calls from its own address
 	}
 	switch key := r.Header.Get("Idempotency-Key"); {
 	case key != "":
-		k.ID = nectar.Identity("key", key, r.Method, r.Host, r.RequestURI)
+		k.ID = burstcredit.Identity("key", key, r.Method, r.Host, r.RequestURI)
 	case k.Effect:
-		k.ID = nectar.Identity("try", r.Header.Get(attemptID))
+		k.ID = burstcredit.Identity("try", r.Header.Get(attemptID))
 	default:
-		k.ID = nectar.Identity("page", r.Method, r.Host, r.RequestURI)
+		k.ID = burstcredit.Identity("page", r.Method, r.Host, r.RequestURI)
 	}
 	return k
 }
 
 // draws has a request go on out of its tenant's credit, if there is any; it waits for its turn.
-func (f *Forager) draws(ctx context.Context, k nectar.Claim) bool {
+func (f *Proxy) draws(ctx context.Context, k burstcredit.Claim) bool {
 	c := &f.credit
 	called := make(chan bool, 1)
 	c.Lock()
-	verdict := c.crop.Claim(k, f.now(), func(ok bool) { called <- ok })
+	verdict := c.wallet.Claim(k, f.now(), func(ok bool) { called <- ok })
 	c.Unlock()
 	f.wantCredit()
 	switch verdict {
-	case nectar.Drawn:
+	case burstcredit.Drawn:
 		f.counts.Add("credit_drawn")
 		return true
-	case nectar.None:
+	case burstcredit.None:
 		return false
 	}
 	late := time.NewTimer(creditWait)
@@ -82,12 +83,12 @@
 	case <-ctx.Done():
 	}
 	c.Lock()
-	left := c.crop.Leave(k)
+	left := c.wallet.Leave(k)
 	c.Unlock()
 	if !left { // its turn came meanwhile
 		<-called
 		if ctx.Err() != nil {
-			f.drawn(k, nectar.NeverRan)
+			f.drawn(k, burstcredit.NeverRan)
 			return false
 		}
 		f.counts.Add("credit_drawn")
@@ -98,16 +99,16 @@
 }
 
 // drawn tells what became of it.
-func (f *Forager) drawn(k nectar.Claim, end nectar.End) {
+func (f *Proxy) drawn(k burstcredit.Claim, end burstcredit.Outcome) {
 	c := &f.credit
 	c.Lock()
-	c.crop.Done(k, end, f.now())
-	c.crop.Turn(f.now())
+	c.wallet.Done(k, end, f.now())
+	c.wallet.Turn(f.now())
 	c.Unlock()
 	f.wantCredit()
 }
 
-func (f *Forager) wantCredit() {
+func (f *Proxy) wantCredit() {
 	select {
 	case f.credit.need <- struct{}{}:
 	default:
@@ -115,7 +116,7 @@
 }
 
 // report tells the core what was spent, and asks for more, for as long as there is something to tell.
-func (f *Forager) report(ctx context.Context) {
+func (f *Proxy) report(ctx context.Context) {
 	c := &f.credit
 	for {
 		select {
@@ -125,13 +126,13 @@
 		}
 		for ctx.Err() == nil {
 			f.wallet.Lock()
-			at := f.wallet.queen
+			at := f.wallet.coordinator
 			f.wallet.Unlock()
 			c.Lock()
-			wants := c.crop.Wants(f.now()) && at != ""
-			var r *nectar.Report
+			wants := c.wallet.Wants(f.now()) && at != ""
+			var r *burstcredit.Report
 			if wants {
-				r = c.crop.Report(f.now())
+				r = c.wallet.Report(f.now())
 			}
 			c.Unlock()
 			if !wants {
@@ -139,17 +140,17 @@
 			}
 			sent := f.now()
 			call, end := context.WithTimeout(ctx, creditWithin)
-			g := &nectar.Grant{}
-			err := f.caller.Call(call, at, "/hive/nectar", r, g)
+			g := &burstcredit.Grant{}
+			err := f.caller.Call(call, at, rpc.PathCredit, r, g)
 			end()
 			if f.counts.Add("credit_reports"); err != nil {
 				f.counts.Add("credit_reports_failed")
 			} else {
 				c.Lock()
-				c.crop.Given(g, sent, f.now())
+				c.wallet.ApplyGrant(g, sent, f.now())
 				c.Unlock()
 			}
-			pause := time.NewTimer(time.Duration(nectar.Every))
+			pause := time.NewTimer(time.Duration(burstcredit.Every))
 			select {
 			case <-pause.C:
 			case <-ctx.Done():
@@ -160,17 +161,17 @@
 }
 
 // settles tells what became of a request that drew on credit, once it has its answer.
-func (f *Forager) settles(q *request) {
+func (f *Proxy) settles(q *request) {
 	if q.claim == nil {
 		return
 	}
 	q.mu.Lock()
-	end := nectar.NeverRan
+	end := burstcredit.NeverRan
 	switch {
 	case q.delivered:
-		end = nectar.Delivered
+		end = burstcredit.Delivered
 	case q.ran > 0:
-		end = nectar.Unknown
+		end = burstcredit.Unknown
 	}
 	q.mu.Unlock()
 	f.drawn(*q.claim, end)
--- a/internal/hive/flight/line.go
+++ b/internal/mesh/proxy/connection.go
@@ -1,4 +1,4 @@
-package flight
+package proxy
 
 import (
 	"bufio"
@@ -15,26 +15,26 @@
 	"syscall"
 	"time"
 
-	"ottershift/internal/hive/buzz"
-	"ottershift/internal/hive/hum"
+	"ottershift/internal/mesh/rpc"
+	"ottershift/internal/mesh/telemetry"
 	"ottershift/internal/rawconn"
 )
 
 const (
-	keptLong  = 20 * time.Second // idle, to a peer of the mesh, which closes later
-	keptShort = 3 * time.Second  // idle, to an upstream that does not say how long
-	strays    = 4                // answers to other requests that are skipped on one connection
-	peerGone  = 2500 * time.Millisecond
+	keptLong          = 20 * time.Second // idle, to a peer of the mesh, which closes later
+	keptShort         = 3 * time.Second  // idle, to an upstream that does not say how long
+	maxForeignAnswers = 4                // answers to other requests that are skipped on one connection
+	peerGone          = 2500 * time.Millisecond
 )
 
 var (
-	errStale  = errors.New("a kept connection had ended")
-	errStrays = errors.New("only answers to other requests came")
+	errConnectionEnded = errors.New("a kept connection had ended")
+	errForeignAnswers  = errors.New("only answers to other requests came")
 )
 
-// line is a connection that carries one request at a time. Danger: what lies behind a whole answer, or comes late,
+// line is a connection that carries one request at a time. Invariant: what lies behind a whole answer, or comes late,
 // belongs to no request; so a line is looked at before it is used again, and an answer has to bear its request's id.
-type line struct {
+type connection struct {
 	*net.TCPConn
 	raw   syscall.RawConn
 	read  *bufio.Reader
@@ -45,29 +45,29 @@
 }
 
 // rest and wake keep count of what is kept.
-func (l *line) rest(n int32) {
+func (l *connection) rest(n int32) {
 	if l.count != nil {
 		l.count.Add(n)
 	}
 }
 
 // lines are the kept connections of one process to all that it sends to.
-type lines struct {
+type connectionPool struct {
 	dialer               net.Dialer
 	mu                   sync.Mutex
-	idle                 map[string][]*line
+	idle                 map[string][]*connection
 	dials, failed, stale *atomic.Int64
 }
 
-func newLines(dial time.Duration, counts *hum.Counters, name string) *lines {
-	return &lines{
+func newConnectionPool(dial time.Duration, counts *telemetry.Counters, name string) *connectionPool {
+	return &connectionPool{
 		dials: counts.Of(name + "_dials"), failed: counts.Of(name + "_dials_failed"), stale: counts.Of(name + "_stale"),
-		dialer: net.Dialer{Timeout: dial, KeepAlive: -1, Control: buzz.UserTimeout(peerGone)}, idle: map[string][]*line{}}
+		dialer: net.Dialer{Timeout: dial, KeepAlive: -1, Control: rpc.UserTimeout(peerGone)}, idle: map[string][]*connection{}}
 }
 
 // take gives a line to an address, a kept one where there is one that is quiet. host names who is there: an address may
 // have a new owner.
-func (ls *lines) take(ctx context.Context, host, address string, onlyFresh bool, count *atomic.Int32) (*line, error) {
+func (ls *connectionPool) take(ctx context.Context, host, address string, onlyFresh bool, count *atomic.Int32) (*connection, error) {
 	for !onlyFresh {
 		ls.mu.Lock()
 		all := ls.idle[host]
@@ -99,11 +99,11 @@
 		t.Close()
 		return nil, err
 	}
-	return &line{TCPConn: t, raw: raw, read: bufio.NewReaderSize(t, 4<<10), host: host, count: count}, nil
+	return &connection{TCPConn: t, raw: raw, read: bufio.NewReaderSize(t, 4<<10), host: host, count: count}, nil
 }
 
 // put keeps a line whose answer has been read whole, unless it says that it ends or has more to say.
-func (ls *lines) put(l *line, answer *http.Response, long time.Duration) {
+func (ls *connectionPool) put(l *connection, answer *http.Response, long time.Duration) {
 	if answer.Close || l.read.Buffered() > 0 || answer.ProtoMinor == 0 {
 		l.Close()
 		return
@@ -111,7 +111,7 @@
 	keep := long
 	for _, part := range strings.Split(answer.Header.Get("Keep-Alive"), ",") {
 		if n, is := strings.CutPrefix(strings.TrimSpace(part), "timeout="); is {
-			if seconds, err := strconv.Atoi(n); err == nil { // Danger: what is sent as it ends may have run
+			if seconds, err := strconv.Atoi(n); err == nil { // Invariant: what is sent as it ends may have run
 				keep = min(keep, time.Duration(seconds)*time.Second*3/4)
 			}
 		}
@@ -124,8 +124,8 @@
 }
 
 // sweep closes what has been idle for long.
-func (ls *lines) sweep(now time.Time) {
-	var old []*line
+func (ls *connectionPool) sweep(now time.Time) {
+	var old []*connection
 	ls.mu.Lock()
 	for host, all := range ls.idle {
 		kept := all[:0]
@@ -148,7 +148,7 @@
 }
 
 // leave closes what is kept to a host that is gone.
-func (ls *lines) leave(host string) {
+func (ls *connectionPool) closeHost(host string) {
 	ls.mu.Lock()
 	all := ls.idle[host]
 	delete(ls.idle, host)
@@ -178,7 +178,7 @@
 
 // send writes a request and reads the head of its answer; wrote tells that some of it may have gone out. Answers that
 // bear another request's id are skipped.
-func (l *line) send(request *http.Request, first []byte, rest io.Reader, id string) (answer *http.Response, wrote bool, err error) {
+func (l *connection) send(request *http.Request, first []byte, rest io.Reader, id string) (answer *http.Response, wrote bool, err error) {
 	if n, err := l.Write(first); err != nil {
 		return nil, n > 0, err
 	}
@@ -187,7 +187,7 @@
 			return nil, true, err
 		}
 	}
-	for range strays {
+	for range maxForeignAnswers {
 		answer, err = http.ReadResponse(l.read, request)
 		if err != nil {
 			return nil, true, err
@@ -202,5 +202,5 @@
 			return nil, true, err
 		}
 	}
-	return nil, true, errStrays
+	return nil, true, errForeignAnswers
 }
--- a/internal/hive/flight/inbound.go
+++ b/internal/mesh/proxy/inbound.go
@@ -1,4 +1,4 @@
-package flight
+package proxy
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"io"
 	"net"
 	"net/http"
-	"ottershift/internal/hive/sting"
+	"ottershift/internal/mesh/apierror"
 	"ottershift/internal/roster"
 	"strconv"
 	"syscall"
@@ -14,12 +14,12 @@
 )
 
 // inbound is the second hop: a request from another balancer, for the upstream on this machine.
-func (f *Forager) inbound(w http.ResponseWriter, r *http.Request) {
-	if r.Header.Get(hiveOnly) == hiveWell {
-		if up, _, _ := f.brood.nest(); up != nil && !up.Closing && up.ID == r.Header.Get(addressee) {
+func (f *Proxy) serveInbound(w http.ResponseWriter, r *http.Request) {
+	if r.Header.Get(meshHeader) == meshWell {
+		if up, _, _ := f.local.snapshot(); up != nil && !up.Closing && up.ID == r.Header.Get(addressee) {
 			w.WriteHeader(http.StatusOK)
 		} else {
-			sting.Write(w, sting.NotHere, 0, "")
+			apierror.Write(w, apierror.NotHere, 0, "")
 		}
 		return
 	}
@@ -28,38 +28,38 @@
 	f.inbounds.Add(1)
 	if f.closed.Load() {
 		w.Header()["Connection"] = []string{"close"}
-		f.turn(w, r, sting.NotHere)
+		f.turn(w, r, apierror.NotHere)
 		return
 	}
 	header := onward(r.Header)
-	gate := r.Header.Get(hiveGate)
-	delete(header, hiveGate)
-	delete(header, hiveAim)
-	delete(header, hiveLong)
+	gate := r.Header.Get(meshGatewayHeader)
+	delete(header, meshGatewayHeader)
+	delete(header, meshAimHeader)
+	delete(header, meshLongHeader)
 	aim := aimUnsaid
-	if ms, err := strconv.ParseInt(r.Header.Get(hiveAim), 10, 64); err == nil && ms >= 0 {
+	if ms, err := strconv.ParseInt(r.Header.Get(meshAimHeader), 10, 64); err == nil && ms >= 0 {
 		aim = time.Duration(min(ms, 1e6)) * time.Millisecond
 	}
-	if r.Header[hiveLong] != nil {
+	if r.Header[meshLongHeader] != nil {
 		if !f.pace.admit(aim) {
 			f.counts.Add("turned_line_full")
-			f.turn(w, r, sting.NoRoom)
+			f.turn(w, r, apierror.NoRoom)
 			return
 		}
 		defer f.pace.leave()
 	}
 	left, err := strconv.ParseFloat(r.Header.Get(timeLeft), 64)
 	if err != nil {
-		f.turn(w, r, sting.Malformed)
+		f.turn(w, r, apierror.Malformed)
 		return
 	}
-	s := &sending{
+	s := &upstreamRequest{
 		id: r.Header.Get(attemptID), to: r.Header.Get(addressee), method: r.Method, target: r.RequestURI, host: r.Host, header: header,
 		aim: aim, length: max(r.ContentLength, 0), until: time.Now().Add(time.Duration(left * float64(time.Millisecond))),
 	}
 	if r.ContentLength > 0 {
 		if s.body, err = io.ReadAll(io.LimitReader(r.Body, heldBody)); err != nil {
-			f.turn(w, r, sting.Malformed)
+			f.turn(w, r, apierror.Malformed)
 			return
 		}
 		if int64(len(s.body)) < r.ContentLength {
@@ -68,20 +68,20 @@
 	}
 	ctx, end := context.WithDeadline(r.Context(), s.until.Add(lateBy))
 	defer end()
-	var back *coming
+	var back *upstreamResponse
 	if gate != "" {
-		back = f.leave(ctx, s, gate)
+		back = f.sendToPartner(ctx, s, gate)
 	} else {
-		back = f.give(ctx, s)
+		back = f.sendToLocalUpstream(ctx, s)
 	}
 	switch {
-	case back.kind == sting.NoRoom || back.kind == sting.NotHere || back.kind == sting.Unready:
+	case back.kind == apierror.NoRoom || back.kind == apierror.NotHere || back.kind == apierror.Unready:
 		f.turn(w, r, back.kind)
 		return
-	case back.kind != sting.None:
+	case back.kind != apierror.None:
 		f.counts.Add("app_" + cut(back.err))
-		w.Header()[hiveOnly] = []string{hiveBroke}
-		f.refuse(w, r, sting.Broke, 0)
+		w.Header()[meshHeader] = []string{meshBroke}
+		f.refuse(w, r, apierror.Broke, 0)
 		return
 	}
 	defer back.done(false)
@@ -89,8 +89,8 @@
 		flow: back.answer.Body, ended: make(chan bool, 1), pace: f.pace, context: r.Context()}
 	if err := into.measure(); err != nil {
 		f.counts.Add("app_" + cut(err))
-		w.Header()[hiveOnly] = []string{hiveBroke}
-		f.refuse(w, r, sting.Broke, 0)
+		w.Header()[meshHeader] = []string{meshBroke}
+		f.refuse(w, r, apierror.Broke, 0)
 		return
 	}
 	f.write(w, into)
@@ -106,37 +106,37 @@
 		return "reset"
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
 		return "closed"
-	case errors.Is(err, errStrays):
+	case errors.Is(err, errForeignAnswers):
 		return "strays"
 	}
 	return "garbled"
 }
 
 // turn refuses a request with the proof that it has not run and never will.
-func (f *Forager) turn(w http.ResponseWriter, r *http.Request, kind sting.Kind) {
-	w.Header()[hiveOnly] = []string{hiveTurned}
+func (f *Proxy) turn(w http.ResponseWriter, r *http.Request, kind apierror.Kind) {
+	w.Header()[meshHeader] = []string{meshTurned}
 	w.Header()[notDelivrd] = []string{"1"}
 	f.refuse(w, r, kind, 0)
 }
 
 // well asks the balancer beside an upstream whether that is well.
-func (f *Forager) well(ctx context.Context, p *pool, at roster.Place) bool {
+func (f *Proxy) probeUpstream(ctx context.Context, p *pool, at roster.Place) bool {
 	name := ""
 	f.mu.Lock()
-	for _, n := range f.nests {
-		if n.Inbound == at.Address && n.Up != nil {
-			name = n.Up.ID
+	for _, n := range f.nodes {
+		if n.Inbound == at.Address && n.Upstream != nil {
+			name = n.Upstream.ID
 		}
 	}
 	f.mu.Unlock()
-	s := &sending{method: http.MethodGet, target: "/", host: "hive", until: time.Now().Add(asideMost),
-		header: http.Header{hiveOnly: {hiveWell}, addressee: {name}}}
-	if at.Address == f.box.Inbound {
-		up, _, _ := f.brood.nest()
+	s := &upstreamRequest{method: http.MethodGet, target: "/", host: "hive", until: time.Now().Add(asideMost),
+		header: http.Header{meshHeader: {meshWell}, addressee: {name}}}
+	if at.Address == f.settings.Inbound {
+		up, _, _ := f.local.snapshot()
 		return up != nil && up.ID == name
 	}
 	back := f.send(ctx, s, p.peers, at)
-	if back.kind != sting.None {
+	if back.kind != apierror.None {
 		return false
 	}
 	defer back.done(false)
@@ -144,7 +144,7 @@
 	return back.answer.StatusCode == http.StatusOK
 }
 
-const hiveWell = "well"
+const meshWell = "well"
 
 const aimUnsaid = 200 * time.Millisecond
 
--- a/internal/hive/flight/brood.go
+++ b/internal/mesh/proxy/local_upstream.go
@@ -1,4 +1,4 @@
-package flight
+package proxy
 
 import (
 	"context"
@@ -9,10 +9,10 @@
 	"sync"
 	"time"
 
-	"ottershift/internal/hive/box"
-	"ottershift/internal/hive/nurse"
-	"ottershift/internal/hive/sting"
-	"ottershift/internal/hive/waggle"
+	"ottershift/internal/mesh/apierror"
+	"ottershift/internal/mesh/membership"
+	"ottershift/internal/mesh/outlier"
+	"ottershift/internal/mesh/settings"
 )
 
 // checkIn is an upstream's beat.
@@ -29,47 +29,47 @@
 	}
 }
 
-// brood is the life of the upstream on this machine, as its beats tell it. This process is the only way to it, so what
+// local upstream is the life of the upstream on this machine, as its beats tell it. This process is the only way to it, so what
 // is acknowledged here is kept here: from Drain after an acknowledged closing on nothing passes, whoever sends it.
-type brood struct {
+type localUpstream struct {
 	mu      sync.Mutex
 	drain   time.Duration
 	id      string   // of the present life, "" for none
 	ended   []string // the lives before it, the last few
 	address string
-	up      waggle.Upstream
+	up      membership.Upstream
 	number  int64
 	beat    time.Time
 	closing time.Time // when that was acknowledged
 	dead    bool      // its address refuses connections
 	open    int       // requests at it
 	line    []*turn   // those that wait, who is due first in front
-	ward    nurse.Ward
+	ward    outlier.Detector
 	epoch   time.Time
 	mute    int // connections to it in a row that nobody answered
 	seq     uint64
 	changed chan struct{} // closed at the next change
 }
 
-func newBrood(drain time.Duration, app string) *brood {
-	return &brood{drain: drain, address: app, changed: make(chan struct{}), epoch: time.Now()}
+func newLocalUpstream(drain time.Duration, app string) *localUpstream {
+	return &localUpstream{drain: drain, address: app, changed: make(chan struct{}), epoch: time.Now()}
 }
 
 // beatOf takes a beat; what is late changes nothing.
-func (b *brood) beatOf(id string, c *checkIn, now time.Time) {
+func (b *localUpstream) beatOf(id string, c *checkIn, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if slices.Contains(b.ended, id) || id == b.id && c.Status.PostmarkNo <= b.number {
 		return
 	}
-	cold, _ := box.Span(c.Status.Cold_time)
-	up := waggle.Upstream{
+	cold, _ := settings.Span(c.Status.Cold_time)
+	up := membership.Upstream{
 		ID: id, Service: c.Notice.Destination, Edition: c.Notice.Edition, Capacity: c.Notice.Capacity,
 		Closing: c.Status.Condition == "closing", Cold: int64(cold),
 	}
 	if id != b.id {
 		b.end()
-		b.id, b.closing, b.open, b.ward = id, time.Time{}, 0, nurse.Ward{}
+		b.id, b.closing, b.open, b.ward = id, time.Time{}, 0, outlier.Detector{}
 	}
 	up.Ill = b.ward.Level()
 	if up.Closing && b.closing.IsZero() {
@@ -88,7 +88,7 @@
 }
 
 // signOff ends a life.
-func (b *brood) signOff(id string) {
+func (b *localUpstream) signOff(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if id == b.id {
@@ -98,27 +98,27 @@
 }
 
 // end notes that the present life is over: what comes of it later is late. Under mu.
-func (b *brood) end() {
+func (b *localUpstream) end() {
 	if b.id != "" {
 		b.ended = append(b.ended, b.id)
 		b.ended = b.ended[max(0, len(b.ended)-8):]
 	}
-	b.id, b.up = "", waggle.Upstream{}
+	b.id, b.up = "", membership.Upstream{}
 }
 
 // saw takes what came of a request at the upstream.
-func (b *brood) saw(id string, failed bool, now time.Time) {
+func (b *localUpstream) observe(id string, failed bool, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if id != b.id || id == "" {
 		return
 	}
 	b.mute = 0
-	b.heed(b.ward.Saw(failed, int64(now.Sub(b.epoch))))
+	b.heed(b.ward.Observe(failed, int64(now.Sub(b.epoch))))
 }
 
 // heed has others told of a level that has changed. Under mu.
-func (b *brood) heed(changed bool) {
+func (b *localUpstream) heed(changed bool) {
 	if changed && b.up.Ill != b.ward.Level() {
 		b.up.Ill = b.ward.Level()
 		b.tell()
@@ -126,7 +126,7 @@
 }
 
 // silent notes that a connection to the upstream was not answered: an upstream that is dark refuses nothing.
-func (b *brood) silent(id string) {
+func (b *localUpstream) silent(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if id != b.id || b.dead {
@@ -141,7 +141,7 @@
 const muteMost = 2
 
 // refused notes that nobody listens at the upstream's address.
-func (b *brood) refused(id string) {
+func (b *localUpstream) refused(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if id == b.id && !b.dead {
@@ -151,31 +151,31 @@
 }
 
 // quiet notes that beats have stopped for so long that its address may be refused without a try.
-func (b *brood) quiet(now time.Time, after time.Duration) {
+func (b *localUpstream) quiet(now time.Time, after time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.id != "" && !b.dead && now.Sub(b.beat) > after {
 		b.dead = true
 		b.tell()
 	}
-	b.heed(b.ward.Look(int64(now.Sub(b.epoch))))
+	b.heed(b.ward.Refresh(int64(now.Sub(b.epoch))))
 }
 
-func (b *brood) tell() {
+func (b *localUpstream) tell() {
 	b.seq++
 	close(b.changed)
 	b.changed = make(chan struct{})
 }
 
 // poke has the core told again.
-func (b *brood) poke() {
+func (b *localUpstream) wakeWatchers() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tell()
 }
 
-// nest is what the core is told, and ends changed once there is more to tell.
-func (b *brood) nest() (up *waggle.Upstream, seq uint64, changed <-chan struct{}) {
+// node is what the core is told, and ends changed once there is more to tell.
+func (b *localUpstream) snapshot() (up *membership.Upstream, seq uint64, changed <-chan struct{}) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.id == "" || b.dead {
@@ -196,24 +196,24 @@
 }
 
 // admit lets a request through to the life that it is meant for, or says why not; leave ends what was let through. Where
-// all slots are taken it waits for a quarter of its aim, behind those that are due sooner. Danger: first come, first served,
+// all slots are taken it waits for a quarter of its aim, behind those that are due sooner. Invariant: first come, first served,
 // the short calls of work that is under way elsewhere stand behind long ones, and fail all that they are a part of.
-func (b *brood) admit(ctx context.Context, s *sending, now time.Time) (address string, kind sting.Kind) {
+func (b *localUpstream) admit(ctx context.Context, s *upstreamRequest, now time.Time) (address string, kind apierror.Kind) {
 	b.mu.Lock()
-	if address, kind = b.way(s.to, now); kind != sting.None {
+	if address, kind = b.addressOf(s.to, now); kind != apierror.None {
 		b.mu.Unlock()
 		return address, kind
 	}
 	if b.id == "" || b.up.Capacity <= 0 || b.open < b.slots() {
 		b.open++
 		b.mu.Unlock()
-		return address, sting.None
+		return address, apierror.None
 	}
 	due := now.Add(s.aim)
 	at, _ := slices.BinarySearchFunc(b.line, due, func(t *turn, due time.Time) int { return t.due.Compare(due) })
 	if at >= 2*b.up.Capacity {
 		b.mu.Unlock()
-		return "", sting.NoRoom
+		return "", apierror.NoRoom
 	}
 	t := &turn{s.to, due, make(chan bool, 1)}
 	b.line = slices.Insert(b.line, at, t)
@@ -223,9 +223,9 @@
 	select {
 	case ok := <-t.leave:
 		if ok {
-			return address, sting.None
+			return address, apierror.None
 		}
-		return "", sting.NoRoom
+		return "", apierror.NoRoom
 	case <-late.C:
 	case <-ctx.Done():
 	}
@@ -238,33 +238,33 @@
 	if at < 0 && <-t.leave { // it was its turn meanwhile
 		if ctx.Err() != nil {
 			b.leave(s.to)
-			return "", sting.NoRoom
+			return "", apierror.NoRoom
 		}
-		return address, sting.None
+		return address, apierror.None
 	}
-	return "", sting.NoRoom
+	return "", apierror.NoRoom
 }
 
 // way is where a request would go, whether there is room or not. Under mu.
-func (b *brood) way(id string, now time.Time) (address string, kind sting.Kind) {
+func (b *localUpstream) addressOf(id string, now time.Time) (address string, kind apierror.Kind) {
 	switch {
 	case b.id != "" && id != b.id:
-		return "", sting.NotHere
+		return "", apierror.NotHere
 	case b.id == "" && slices.Contains(b.ended, id):
-		return "", sting.NotHere
+		return "", apierror.NotHere
 	case !b.closing.IsZero() && now.Sub(b.closing) > b.drain*3/4: // the rest is for what is under way
-		return "", sting.NotHere
+		return "", apierror.NotHere
 	case b.dead:
-		return "", sting.NoRoom
+		return "", apierror.NoRoom
 	}
-	return b.address, sting.None
+	return b.address, apierror.None
 }
 
 // slots is how many requests may be at the upstream: those that it works on, and few that it need not wait for.
-func (b *brood) slots() int { return b.up.Capacity + b.up.Capacity/8 + 1 }
+func (b *localUpstream) slots() int { return b.up.Capacity + b.up.Capacity/8 + 1 }
 
 // leave ends a request at the upstream; the first that waits has its slot.
-func (b *brood) leave(id string) {
+func (b *localUpstream) leave(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if id != b.id && b.id != "" {
@@ -274,19 +274,19 @@
 	for len(b.line) > 0 && b.open < b.slots() {
 		t := b.line[0]
 		b.line = slices.Delete(b.line, 0, 1)
-		_, kind := b.way(t.id, time.Now())
-		if t.leave <- kind == sting.None; kind == sting.None {
+		_, kind := b.addressOf(t.id, time.Now())
+		if t.leave <- kind == apierror.None; kind == apierror.None {
 			b.open++
 		}
 	}
 }
 
 // control takes the calls of the upstream on this machine.
-func (f *Forager) control(w http.ResponseWriter, r *http.Request) {
+func (f *Proxy) control(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	id := q.Get("of")
 	if r.Method != http.MethodPost || r.URL.Path != "/-/rpc" || id == "" {
-		sting.Write(w, sting.NoCall, 0, "")
+		apierror.Write(w, apierror.NoCall, 0, "")
 		return
 	}
 	switch q.Get("call") {
@@ -297,15 +297,15 @@
 			err = json.Unmarshal(raw, c)
 		}
 		if err != nil {
-			sting.Write(w, sting.Unreadable, 0, err.Error())
+			apierror.Write(w, apierror.Unreadable, 0, err.Error())
 			return
 		}
 		f.counts.Add("beats")
-		f.brood.beatOf(id, c, time.Now())
+		f.local.beatOf(id, c, time.Now())
 	case "servers.sign_off":
-		f.brood.signOff(id)
+		f.local.signOff(id)
 	default:
-		sting.Write(w, sting.NoCall, 0, "")
+		apierror.Write(w, apierror.NoCall, 0, "")
 		return
 	}
 	w.Header()["Content-Type"] = []string{"application/json"}
--- a/internal/hive/flight/outbound.go
+++ b/internal/mesh/proxy/outbound.go
@@ -1,4 +1,4 @@
-package flight
+package proxy
 
 import (
 	"bytes"
@@ -12,9 +12,9 @@
 	"time"
 
 	"ottershift/internal/desk"
-	"ottershift/internal/hive/dance"
-	"ottershift/internal/hive/nectar"
-	"ottershift/internal/hive/sting"
+	"ottershift/internal/mesh/apierror"
+	"ottershift/internal/mesh/burstcredit"
+	"ottershift/internal/mesh/routing"
 	"ottershift/logic"
 )
 
@@ -38,7 +38,7 @@
 	aim    time.Duration // within which its answer is of full worth
 	long   bool          // its answer is
 	stop   time.Time
-	claim  *nectar.Claim // that it has drawn burst credit for, nil for none
+	claim  *burstcredit.Claim // that it has drawn burst credit for, nil for none
 
 	mu        sync.Mutex
 	delivered bool // its client has all of an answer that is of use
@@ -65,7 +65,7 @@
 }
 
 // begin lets a push out, unless its request has been answered or has been sent to as many upstreams as it may be; what was
-// turned away before it came to one doesn't count. One beyond the first has to be paid for. Danger: without a look at the
+// turned away before it came to one doesn't count. One beyond the first has to be paid for. Invariant: without a look at the
 // answer a push ordered before one that promises that nothing runs would go out after it.
 func (q *request) begin(paid func() bool) bool {
 	q.mu.Lock()
@@ -111,18 +111,18 @@
 
 // outbound is the life of a request that starts on this machine: read, routed, pushed as the module decides, answered
 // exactly once.
-func (f *Forager) outbound(w http.ResponseWriter, r *http.Request) {
+func (f *Proxy) serveOutbound(w http.ResponseWriter, r *http.Request) {
 	f.requests.Add(1)
 	f.open.Add(1)
 	defer f.open.Add(-1)
 	v := f.view.Load()
 	if f.closed.Load() {
 		w.Header()["Connection"] = []string{"close"}
-		f.refuse(w, r, sting.NoRoom, 0)
+		f.refuse(w, r, apierror.NoRoom, 0)
 		return
 	}
 	if v == nil {
-		f.refuse(w, r, sting.Unready, 0)
+		f.refuse(w, r, apierror.Unready, 0)
 		return
 	}
 	if f.leaving.Load() {
@@ -131,7 +131,7 @@
 		f.promise(w, r, v.idle)
 	}
 	q, t, kind, again := f.read(v, r)
-	if kind != sting.None {
+	if kind != apierror.None {
 		f.refuse(w, r, kind, again)
 		return
 	}
@@ -145,59 +145,59 @@
 }
 
 // read takes a request as it came, and what it may not do.
-func (f *Forager) read(v *view, r *http.Request) (q *request, t target, kind sting.Kind, again time.Duration) {
+func (f *Proxy) read(v *configurationView, r *http.Request) (q *request, t target, kind apierror.Kind, again time.Duration) {
 	target, path := r.RequestURI, r.RequestURI
 	if at := strings.IndexByte(path, '?'); at >= 0 {
 		path = path[:at]
 	}
 	if !strings.HasPrefix(path, "/") || r.Method == http.MethodConnect {
-		return nil, t, sting.Malformed, 0
+		return nil, t, apierror.Malformed, 0
 	}
 	rule := v.table.Find(r.Host, path)
 	if rule == nil { // a partner may let it in
-		if rule, t, kind = f.toPartner(r, path); kind != sting.None {
+		if rule, t, kind = f.toPartner(r, path); kind != apierror.None {
 			return nil, t, kind, 0
 		}
 	}
-	var drawn *nectar.Claim
+	var drawn *burstcredit.Claim
 	header := onward(r.Header)
 	for _, name := range setByTheHub {
 		delete(header, name)
 	}
-	if v.table.Stamped() && !rule.Unstamped { // partners' services too: whoever asks is a tenant of ours
-		owner := v.table.Owner(r.Header.Get(keyName))
+	if v.table.RequiresKeys() && !rule.Unstamped { // partners' services too: whoever asks is a tenant of ours
+		owner := v.table.Tenant(r.Header.Get(keyName))
 		if owner == nil {
-			return nil, t, sting.NoKey, 0
+			return nil, t, apierror.NoKey, 0
 		}
 		header[senderName] = []string{owner.Name}
-		if ok, again := f.within(r.Context(), owner.Name); !ok {
+		if ok, again := f.withinQuota(r.Context(), owner.Name); !ok {
 			if !f.credit.on.Load() {
-				return nil, t, sting.Beyond, again
+				return nil, t, apierror.Beyond, again
 			}
 			k := f.claim(r, rule, owner)
 			if !f.draws(r.Context(), k) {
-				return nil, t, sting.Beyond, again
+				return nil, t, apierror.Beyond, again
 			}
 			drawn = &k
 			defer func() {
-				if kind != sting.None { // it goes no further
-					f.drawn(k, nectar.NeverRan)
+				if kind != apierror.None { // it goes no further
+					f.drawn(k, burstcredit.NeverRan)
 				}
 			}()
 		}
 	}
-	header[returnTo] = []string{f.box.Destination}
+	header[returnTo] = []string{f.settings.Destination}
 	left := time.Duration(rule.Dispatch.Deadline)
 	if text := r.Header.Get(timeLeft); text != "" {
 		ms, err := strconv.ParseFloat(text, 64)
 		if err != nil || !(ms >= 0) {
-			return nil, t, sting.Malformed, 0
+			return nil, t, apierror.Malformed, 0
 		}
 		left = min(left, time.Duration(min(ms, 1e9)*float64(time.Millisecond)))
 	}
 	most := v.table.Limits.ContentsBytes
 	if most > 0 && r.ContentLength > most {
-		return nil, t, sting.TooLong, 0
+		return nil, t, apierror.TooLong, 0
 	}
 	now := time.Now()
 	q = &request{
@@ -207,17 +207,17 @@
 	if r.ContentLength != 0 {
 		body, err := io.ReadAll(io.LimitReader(r.Body, heldBody+1))
 		if err != nil {
-			return nil, t, sting.Malformed, 0
+			return nil, t, apierror.Malformed, 0
 		}
 		q.body = body
 		if len(body) > heldBody {
 			if r.ContentLength < 0 { // its length is not known before its end: it is gathered
 				more, err := io.ReadAll(io.LimitReader(r.Body, most-int64(len(body))+1))
 				if q.body = append(q.body, more...); err != nil {
-					return nil, t, sting.Malformed, 0
+					return nil, t, apierror.Malformed, 0
 				}
 				if most > 0 && int64(len(q.body)) > most {
-					return nil, t, sting.TooLong, 0
+					return nil, t, apierror.TooLong, 0
 				}
 			} else {
 				q.rest = r.Body
@@ -227,16 +227,16 @@
 			q.length = int64(len(q.body))
 		}
 	}
-	q.aim, q.long = time.Duration(cmp.Or(rule.Target, rule.Dispatch.Deadline)), rule.MailClass == dance.Freight
+	q.aim, q.long = time.Duration(cmp.Or(rule.Target, rule.Dispatch.Deadline)), rule.MailClass == routing.Streamed
 	if t.pool == nil {
 		t = v.pick(rule)
 	}
 	q.pool, q.tries = t.pool, rule.Dispatch.DeliveryTries
-	return q, t, sting.None, 0
+	return q, t, apierror.None, 0
 }
 
 // refuse answers what goes no further.
-func (f *Forager) refuse(w http.ResponseWriter, r *http.Request, kind sting.Kind, again time.Duration) {
+func (f *Proxy) refuse(w http.ResponseWriter, r *http.Request, kind apierror.Kind, again time.Duration) {
 	f.counts.Add("answer_" + kind.String())
 	if id := r.Header.Get(attemptID); id != "" {
 		w.Header()[attemptID] = []string{id}
@@ -244,11 +244,11 @@
 	if r.ContentLength > heldBody {
 		w.Header()["Connection"] = []string{"close"}
 	}
-	sting.Write(w, kind, again, "")
+	apierror.Write(w, kind, again, "")
 }
 
 // attend follows a request from its arrival at the module to its answer.
-func (f *Forager) attend(w http.ResponseWriter, r *http.Request, q *request, c *desk.Case) {
+func (f *Proxy) attend(w http.ResponseWriter, r *http.Request, q *request, c *desk.Case) {
 	defer func() {
 		for { // what was ordered and not begun
 			select {
@@ -290,7 +290,7 @@
 }
 
 // answer writes the one final answer.
-func (f *Forager) answer(w http.ResponseWriter, r *http.Request, q *request, a desk.Answer) {
+func (f *Proxy) answer(w http.ResponseWriter, r *http.Request, q *request, a desk.Answer) {
 	ran, out, failed := q.close()
 	if a.Ending == desk.Settled || a.Ending == desk.Rejected {
 		q.mu.Lock()
@@ -308,15 +308,15 @@
 	case failed != nil: // what an upstream said goes back unchanged
 		f.write(w, failed)
 	case ran == 0:
-		f.refuse(w, r, sting.NoRoom, a.Backoff)
+		f.refuse(w, r, apierror.NoRoom, a.Backoff)
 	case out > 0 || time.Until(q.stop) <= 0:
-		f.refuse(w, r, sting.Late, 0)
+		f.refuse(w, r, apierror.Late, 0)
 	default:
-		f.refuse(w, r, sting.Broke, 0)
+		f.refuse(w, r, apierror.Broke, 0)
 	}
 }
 
-// measure reads as much of an answer of no stated length as tells whether it is a long one. Danger: taken for long, a small
+// measure reads as much of an answer of no stated length as tells whether it is a long one. Invariant: taken for long, a small
 // one waits for its turn behind all long ones, while whoever called for it runs out of time.
 func (r *reply) measure() error {
 	if r.length >= 0 || r.pace == nil || r.pace.rate == 0 {
@@ -333,8 +333,8 @@
 	return nil
 }
 
-// write passes an upstream's answer on. Danger: one that breaks off must not look whole.
-func (f *Forager) write(w http.ResponseWriter, r *reply) {
+// write passes an upstream's answer on. Invariant: one that breaks off must not look whole.
+func (f *Proxy) write(w http.ResponseWriter, r *reply) {
 	h := w.Header()
 	for name, values := range r.header {
 		h[name] = values
--- a/internal/hive/flight/pace.go
+++ b/internal/mesh/proxy/pace.go
@@ -1,4 +1,4 @@
-package flight
+package proxy
 
 import (
 	"context"
@@ -15,7 +15,7 @@
 	longFrom  = heldAnswer // bytes from which an answer is a long one
 )
 
-// pacer keeps a narrow line from filling up with long answers. Danger: they would queue in front of each small one that
+// pacer keeps a narrow line from filling up with long answers. Invariant: they would queue in front of each small one that
 // another request waits for, and of the mesh's own words.
 type pacer struct {
 	rate float64 // bytes a second, 0 for no bound
--- a/internal/hive/flight/partner.go
+++ b/internal/mesh/proxy/partner.go
@@ -1,4 +1,4 @@
-package flight
+package proxy
 
 import (
 	"cmp"
@@ -9,10 +9,10 @@
 	"strings"
 	"sync"
 
-	"ottershift/internal/hive/dance"
-	"ottershift/internal/hive/propolis"
-	"ottershift/internal/hive/sting"
-	"ottershift/internal/hive/waggle"
+	"ottershift/internal/mesh/apierror"
+	"ottershift/internal/mesh/federation"
+	"ottershift/internal/mesh/membership"
+	"ottershift/internal/mesh/routing"
 	"ottershift/internal/roster"
 	"ottershift/logic"
 )
@@ -23,34 +23,34 @@
 	gateMark   = "@"  // between a partner and the balancer through which it is reached, in names of upstreams
 )
 
-// doors is what this balancer knows of partners. Where the timetable names none, it decides nothing.
-type doors struct {
+// doors is what this balancer knows of partners. Where the configuration names none, it decides nothing.
+type exportPolicies struct {
 	sync.Mutex // never held while f.mu is taken
-	is         *propolis.Door
-	book       *propolis.Book
+	is         *federation.ExportPolicy
+	book       *federation.ImportBook
 	ages       map[string]int64
 	heard      int64
 	gateways   map[string]string // addresses
-	terms      map[string]*dance.Partner
+	terms      map[string]*routing.Partner
 	on         bool
 }
 
-func (f *Forager) newDoors() {
-	f.doors.is = propolis.NewDoor(func(town, path string) bool {
+func (f *Proxy) newExportPolicies() {
+	f.exports.is = federation.NewExportPolicy(func(town, path string) bool {
 		v := f.view.Load()
 		return v == nil || v.table.Find(town, path) != nil
 	})
-	f.doors.book, f.doors.gateways = propolis.NewBook(), map[string]string{}
+	f.exports.book, f.exports.gateways = federation.NewImportBook(), map[string]string{}
 }
 
 // hear takes the core's word on partners; asked is when it was asked for.
-func (f *Forager) hear(n *waggle.News, asked int64) {
-	d := &f.doors
+func (f *Proxy) hear(n *membership.WatchResponse, asked int64) {
+	d := &f.exports
 	d.Lock()
 	defer d.Unlock()
 	now := f.now()
 	if n.Imports != nil {
-		book, err := propolis.Read(n.Imports)
+		book, err := federation.Read(n.Imports)
 		if err != nil {
 			f.log.Warn("partners", "err", err)
 			return
@@ -69,17 +69,17 @@
 	}
 }
 
-// partners puts what is known of them in force, as the timetable names them. Under the doors' lock.
-func (f *Forager) partners() {
-	d := &f.doors
+// partners puts what is known of them in force, as the configuration names them. Under the doors' lock.
+func (f *Proxy) partners() {
+	d := &f.exports
 	v := f.view.Load()
 	if v == nil {
 		return
 	}
-	var all []propolis.Partner
-	d.gateways, d.terms = map[string]string{}, map[string]*dance.Partner{}
+	var all []federation.Partner
+	d.gateways, d.terms = map[string]string{}, map[string]*routing.Partner{}
 	for _, p := range v.table.Partners {
-		all = append(all, propolis.Partner{Name: p.Name, Gateway: p.Gateway, ReadsStale: p.ReadsStale})
+		all = append(all, federation.Partner{Name: p.Name, Gateway: p.Gateway, ReadsStale: p.ReadsStale})
 		d.gateways[p.Name], d.terms[p.Name] = p.Gateway, p
 	}
 	d.on = len(all) > 0
@@ -91,37 +91,37 @@
 }
 
 // toPartner finds a way for a request that no route of ours takes.
-func (f *Forager) toPartner(r *http.Request, path string) (rule *dance.Rule, t target, kind sting.Kind) {
-	d := &f.doors
+func (f *Proxy) toPartner(r *http.Request, path string) (rule *routing.Route, t target, kind apierror.Kind) {
+	d := &f.exports
 	d.Lock()
 	if !d.on {
 		d.Unlock()
-		return nil, t, sting.NoRoute
+		return nil, t, apierror.NoRoute
 	}
 	all, why := d.is.Decide(r.Method, hostOnly(r.Host), path, f.now())
 	var names []string
 	for _, e := range all {
 		names = append(names, e.Partner.Name)
 	}
-	var of *dance.Partner
+	var of *routing.Partner
 	if len(all) > 0 {
 		of = d.terms[names[0]]
 	}
 	d.Unlock()
 	switch {
-	case why == propolis.Kept:
-		return nil, t, sting.Kept
-	case why == propolis.NoLeave:
-		return nil, t, sting.Unready
-	case why != propolis.Open || of == nil:
-		return nil, t, sting.NoRoute
-	}
-	class := dance.OnceOnly
-	if propolis.Reads(r.Method) {
-		class = dance.Repeatable
-	}
-	rule = &dance.Rule{Name: string(class), MailClass: class, Target: of.Target}
-	rule.Parts = []dance.Part{{Destination: "partners", Share: 1}}
+	case why == federation.Kept:
+		return nil, t, apierror.Kept
+	case why == federation.NoLeave:
+		return nil, t, apierror.Unready
+	case why != federation.Open || of == nil:
+		return nil, t, apierror.NoRoute
+	}
+	class := routing.OnceOnly
+	if federation.Reads(r.Method) {
+		class = routing.Repeatable
+	}
+	rule = &routing.Route{Name: string(class), MailClass: class, Target: of.Target}
+	rule.Parts = []routing.WeightedService{{Service: "partners", Share: 1}}
 	rule.Dispatch.Deadline, rule.Dispatch.DeliveryTries = of.Deadline, max(of.Tries, 1)
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -129,12 +129,12 @@
 	p := f.pools[name]
 	if p == nil {
 		reads, effects := *rule, *rule
-		reads.Name, reads.MailClass = string(dance.Repeatable), dance.Repeatable
-		effects.Name, effects.MailClass = string(dance.OnceOnly), dance.OnceOnly
-		rules := []*dance.Rule{&reads, &effects}
+		reads.Name, reads.MailClass = string(routing.Repeatable), routing.Repeatable
+		effects.Name, effects.MailClass = string(routing.OnceOnly), routing.OnceOnly
+		rules := []*routing.Route{&reads, &effects}
 		if err := f.retune(name, rules); err != nil {
 			f.log.Error("retune", "service", name, "err", err)
-			return nil, t, sting.NoRoom
+			return nil, t, apierror.NoRoom
 		}
 		p = f.pools[name]
 		p.partners, p.rules = names, rules
@@ -142,7 +142,7 @@
 	}
 	under := *p.book.Terms
 	under.MaxPushes = rule.Dispatch.DeliveryTries
-	return rule, target{p, 1, &under, p.book.Tariffs[rule.Name]}, sting.None
+	return rule, target{p, 1, &under, p.book.Tariffs[rule.Name]}, apierror.None
 }
 
 func hostOnly(host string) string {
@@ -153,22 +153,22 @@
 }
 
 // gates are the ways to partners: balancers, so that each request is decided a second time where it leaves. Under mu.
-func (f *Forager) gates(partners []string) (list []roster.Entry[string]) {
-	var nodes []*seen
-	for _, n := range f.nests {
-		if !n.Lost && !n.Leaving && n.Node != f.box.Node {
+func (f *Proxy) gates(partners []string) (list []roster.Entry[string]) {
+	var nodes []*knownNode
+	for _, n := range f.nodes {
+		if !n.Lost && !n.Leaving && n.Name != f.settings.Node {
 			nodes = append(nodes, n)
 		}
 	}
-	key := func(n *seen) uint32 { return roster.Number(n.Node + gateMark + f.box.Node) }
-	slices.SortFunc(nodes, func(a, b *seen) int { return cmp.Or(cmp.Compare(key(a), key(b)), strings.Compare(a.Node, b.Node)) })
+	key := func(n *knownNode) uint32 { return roster.Number(n.Name + gateMark + f.settings.Node) }
+	slices.SortFunc(nodes, func(a, b *knownNode) int { return cmp.Or(cmp.Compare(key(a), key(b)), strings.Compare(a.Name, b.Name)) })
 	type way struct{ node, zone, address string }
 	var ways []way
 	for _, n := range nodes[:min(len(nodes), gateMost)] {
-		ways = append(ways, way{n.Node, n.District, n.Inbound})
+		ways = append(ways, way{n.Name, n.District, n.Inbound})
 	}
 	if len(ways) == 0 {
-		ways = append(ways, way{f.box.Node, f.box.District, f.box.Inbound})
+		ways = append(ways, way{f.settings.Node, f.settings.District, f.settings.Inbound})
 	}
 	for k, partner := range partners {
 		for _, w := range ways {
@@ -184,10 +184,10 @@
 }
 
 // allowed is the look before each push toward a partner, the first and each repeat and copy.
-func (f *Forager) allowed(q *request, partner string) bool {
-	f.doors.Lock()
-	defer f.doors.Unlock()
-	return f.doors.is.Look(partner, q.method, hostOnly(q.host), pathOf(q.target), f.now()) == propolis.Open
+func (f *Proxy) allowed(q *request, partner string) bool {
+	f.exports.Lock()
+	defer f.exports.Unlock()
+	return f.exports.is.Look(partner, q.method, hostOnly(q.host), pathOf(q.target), f.now()) == federation.Open
 }
 
 func pathOf(target string) string {
@@ -196,21 +196,21 @@
 }
 
 // leave sends a request on to a partner's gateway, from where it is decided a second time. What is refused here has not run.
-func (f *Forager) leave(ctx context.Context, s *sending, partner string) *coming {
-	d := &f.doors
+func (f *Proxy) sendToPartner(ctx context.Context, s *upstreamRequest, partner string) *upstreamResponse {
+	d := &f.exports
 	d.Lock()
 	edition, why := d.is.May(partner, s.method, hostOnly(s.host), pathOf(s.target), f.now())
 	gateway := d.gateways[partner]
 	d.Unlock()
-	if why != propolis.Open || gateway == "" {
+	if why != federation.Open || gateway == "" {
 		f.counts.Add("gate_" + why.String())
-		return &coming{kind: sting.NotHere}
+		return &upstreamResponse{kind: apierror.NotHere}
 	}
 	delete(s.header, addressee)
 	s.header[importEdition] = []string{strconv.FormatInt(edition, 10)}
-	back := f.send(ctx, s, f.outside, roster.Place{Host: partner, Address: gateway})
-	if back.kind == sting.Unready && ctx.Err() == nil {
-		back.kind = sting.NoRoom // it never reached the partner
+	back := f.send(ctx, s, f.partnerConnections, roster.Place{Host: partner, Address: gateway})
+	if back.kind == apierror.Unready && ctx.Err() == nil {
+		back.kind = apierror.NoRoom // it never reached the partner
 	}
 	back.long = keptShort
 	f.counts.Add("gate_left")
--- a/internal/hive/flight/forager.go
+++ b/internal/mesh/proxy/proxy.go
@@ -1,8 +1,8 @@
-// Package flight is the data plane: a balancer beside an upstream. What starts on its machine goes out through it
+// Package proxy is the data plane: a balancer beside an upstream. What starts on its machine goes out through it
 // (outbound.go), by way of the balancer beside the upstream that the module chooses (push.go), and what is meant for the
-// upstream on its machine comes in through it (inbound.go). view.go is what it goes by, brood.go its own upstream's life,
-// line.go the connections. It decides nothing about a request that the module decides.
-package flight
+// upstream on its machine comes in through it (inbound.go). view.go is what it goes by, local upstream.go its own upstream's life,
+// connection.go the connections. It decides nothing about a request that the module decides.
+package proxy
 
 import (
 	"context"
@@ -16,23 +16,23 @@
 	"sync/atomic"
 	"time"
 
-	"ottershift/internal/hive/box"
-	"ottershift/internal/hive/buzz"
-	"ottershift/internal/hive/dance"
-	"ottershift/internal/hive/hum"
-	"ottershift/internal/hive/nectar"
-	"ottershift/internal/hive/pollen"
-	"ottershift/internal/hive/waggle"
-	"ottershift/internal/hive/wax"
+	"ottershift/internal/mesh/burstcredit"
+	"ottershift/internal/mesh/membership"
+	"ottershift/internal/mesh/ratelimit"
+	"ottershift/internal/mesh/routing"
+	"ottershift/internal/mesh/rpc"
+	"ottershift/internal/mesh/settings"
+	"ottershift/internal/mesh/storage"
+	"ottershift/internal/mesh/telemetry"
 )
 
 const (
-	askWait  = 600 * time.Millisecond // that an ask hangs at the core
-	askMore  = 300 * time.Millisecond // beyond it, until another process of the core is asked
-	dialPeer = 300 * time.Millisecond
-	dialApp  = 500 * time.Millisecond
+	watchWait  = 600 * time.Millisecond // that an ask hangs at the core
+	watchGrace = 300 * time.Millisecond // beyond it, until another process of the core is asked
+	dialPeer   = 300 * time.Millisecond
+	dialApp    = 500 * time.Millisecond
 	// AskLongest is how long a process of the core that says nothing is waited for.
-	AskLongest = askWait + askMore
+	WatchTimeout = watchWait + watchGrace
 
 	leaveStep  = 100 * time.Millisecond // between two looks at what is open once this process leaves
 	leaveQuiet = 25                     // looks in a row that found nothing
@@ -41,27 +41,27 @@
 	idleFirst = 15 * time.Second       // before a configuration says how long clients may be idle
 )
 
-// seen is a balancer as the core tells of it.
-type seen struct {
-	waggle.Told
+// knownNode is a balancer as the core tells of it.
+type knownNode struct {
+	membership.Record
 	warm time.Time // when its upstream is no longer slow from its start
 }
 
-// Forager is one balancer.
-type Forager struct {
-	box     *box.Box
-	log     *slog.Logger
-	counts  *hum.Counters
-	caller  *buzz.Caller
-	life    string
-	epoch   time.Time
-	brood   *brood
-	apps    *lines
-	outside *lines // to partners' gateways
-	pace    *pacer
-	end     chan struct{}
+// Proxy is one balancer.
+type Proxy struct {
+	settings            *settings.Settings
+	log                 *slog.Logger
+	counts              *telemetry.Counters
+	caller              *rpc.Caller
+	life                string
+	epoch               time.Time
+	local               *localUpstream
+	upstreamConnections *connectionPool
+	partnerConnections  *connectionPool // to partners' gateways
+	pace                *pacer
+	end                 chan struct{}
 
-	view       atomic.Pointer[view]
+	view       atomic.Pointer[configurationView]
 	leaving    atomic.Bool // not ready any more, serves what comes
 	closed     atomic.Bool // serves what it has, and nothing new
 	open       atomic.Int64
@@ -70,38 +70,38 @@
 	inbounds   *atomic.Int64
 	zones      []string
 
-	wallet wallet
-	credit credit
-	doors  doors
+	wallet  wallet
+	credit  credit
+	exports exportPolicies
 
-	mu      sync.Mutex // never taken under a module's lock
-	pools   map[string]*pool
-	rules   map[string][]*dance.Rule
-	nests   map[string]*seen
-	combs   []waggle.Post
-	seeds   []string
-	have    waggle.Have
-	members int
-	warms   time.Time // when the next upstream is warm
-	ranked  [2]int
+	mu          sync.Mutex // never taken under a module's lock
+	pools       map[string]*pool
+	rules       map[string][]*routing.Route
+	nodes       map[string]*knownNode
+	controllers []membership.ControllerAddress
+	seeds       []string
+	position    membership.Position
+	members     int
+	warms       time.Time // when the next upstream is warm
+	ranked      [2]int
 
 	clients clients
 }
 
 // New makes a balancer; it serves nobody yet.
-func New(b *box.Box, log *slog.Logger) *Forager {
-	f := &Forager{
-		box: b, log: log, counts: hum.NewCounters(), caller: buzz.NewCaller(), life: wax.Draw(), epoch: time.Now(),
-		brood: newBrood(b.Bounds.Drain, b.App), end: make(chan struct{}),
-		pools: map[string]*pool{}, nests: map[string]*seen{}, members: 1,
+func New(b *settings.Settings, log *slog.Logger) *Proxy {
+	f := &Proxy{
+		settings: b, log: log, counts: telemetry.NewCounters(), caller: rpc.NewCaller(), life: storage.NewIdentity(), epoch: time.Now(),
+		local: newLocalUpstream(b.Bounds.Drain, b.App), end: make(chan struct{}),
+		pools: map[string]*pool{}, nodes: map[string]*knownNode{}, members: 1,
 	}
 	f.pace = newPacer(b.LineMbps)
-	f.apps = newLines(dialApp, f.counts, "app")
-	f.outside = newLines(dialApp, f.counts, "outside")
-	f.newDoors()
+	f.upstreamConnections = newConnectionPool(dialApp, f.counts, "app")
+	f.partnerConnections = newConnectionPool(dialApp, f.counts, "outside")
+	f.newExportPolicies()
 	f.requests, f.inbounds = f.counts.Of("requests"), f.counts.Of("inbound")
-	f.wallet = wallet{is: pollen.NewWallet(0), need: make(chan struct{}, 1), drawn: make(chan struct{})}
-	f.credit.crop, f.credit.need = nectar.NewCrop(b.Node, f.life), make(chan struct{}, 1)
+	f.wallet = wallet{is: ratelimit.NewWallet(0), need: make(chan struct{}, 1), drawn: make(chan struct{})}
+	f.credit.wallet, f.credit.need = burstcredit.NewWallet(b.Node, f.life), make(chan struct{}, 1)
 	f.seeds = inner(b)
 	for zone := range b.Districts {
 		f.zones = append(f.zones, zone)
@@ -111,34 +111,34 @@
 	return f
 }
 
-func inner(b *box.Box) (all []string) {
+func inner(b *settings.Settings) (all []string) {
 	for _, at := range b.Seeds {
-		all = append(all, box.InnerOf(box.Host(at), b.InnerFirst))
+		all = append(all, settings.InnerOf(settings.Host(at), b.InnerFirst))
 	}
 	return all
 }
 
 // Reseed takes other seeds, as the settings name them now.
-func (f *Forager) Reseed(b *box.Box) {
+func (f *Proxy) Reseed(b *settings.Settings) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.seeds = inner(b)
 }
 
-func (f *Forager) now() int64 { return int64(time.Since(f.epoch)) }
+func (f *Proxy) now() int64 { return int64(time.Since(f.epoch)) }
 
 // Run serves until the context ends, and then until what is under way has ended or Grace is nearly over.
-func (f *Forager) Run(ctx context.Context) error {
+func (f *Proxy) Run(ctx context.Context) error {
 	quiet := slog.NewLogLogger(f.log.Handler(), slog.LevelDebug)
-	out := &http.Server{Handler: http.HandlerFunc(f.outbound), ReadHeaderTimeout: 15 * time.Second, MaxHeaderBytes: 64 << 10,
+	out := &http.Server{Handler: http.HandlerFunc(f.serveOutbound), ReadHeaderTimeout: 15 * time.Second, MaxHeaderBytes: 64 << 10,
 		ErrorLog: quiet, ConnState: f.clients.state, ConnContext: withConn, DisableGeneralOptionsHandler: true}
-	in := &http.Server{Handler: http.HandlerFunc(f.inbound), MaxHeaderBytes: 64 << 10, ErrorLog: quiet, DisableGeneralOptionsHandler: true}
+	in := &http.Server{Handler: http.HandlerFunc(f.serveInbound), MaxHeaderBytes: 64 << 10, ErrorLog: quiet, DisableGeneralOptionsHandler: true}
 	ready := &http.Server{Handler: http.HandlerFunc(f.ready), ErrorLog: quiet}
 	control := &http.Server{Handler: http.HandlerFunc(f.control), ErrorLog: quiet}
 	for _, s := range []struct {
 		server  *http.Server
 		address string
-	}{{out, f.box.Outbound}, {in, f.box.Inbound}, {ready, f.box.Ready}, {control, f.box.Control}} {
+	}{{out, f.settings.Outbound}, {in, f.settings.Inbound}, {ready, f.settings.Ready}, {control, f.settings.Control}} {
 		l, err := net.Listen("tcp4", s.address)
 		if err != nil {
 			return err
@@ -147,23 +147,23 @@
 	}
 	go f.counts.Say(f.log, 5*time.Second, f.end)
 	asking, stop := context.WithCancel(context.Background())
-	go f.ask(asking)
+	go f.watch(asking)
 	go f.draw(asking)
 	go f.report(asking)
-	go f.tidy()
+	go f.sweepConnections()
 	<-ctx.Done()
 
 	f.leaving.Store(true)
-	f.brood.poke() // others hear of it at once
+	f.local.wakeWatchers() // others hear of it at once
 	f.log.Info("leaving", "open", f.open.Load())
 	// Two answers to Ready in a row have to fail before nobody sends here any more, and where too few balancers are left
 	// everybody goes on. So the first half of Grace serves all that comes, the second ends it and refuses what is new.
 	began := time.Now()
-	until := began.Add(f.box.Bounds.Grace - settle)
+	until := began.Add(f.settings.Bounds.Grace - settle)
 	for quiet := 0; time.Now().Before(until); {
 		time.Sleep(leaveStep)
 		now := time.Now()
-		if now.Sub(began) > f.box.Bounds.Grace/2 {
+		if now.Sub(began) > f.settings.Bounds.Grace/2 {
 			f.closed.Store(true)
 		}
 		if quiet++; f.open.Load() > 0 {
@@ -187,7 +187,7 @@
 }
 
 // ready answers the platform.
-func (f *Forager) ready(w http.ResponseWriter, _ *http.Request) {
+func (f *Proxy) ready(w http.ResponseWriter, _ *http.Request) {
 	if f.view.Load() == nil || f.leaving.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -196,7 +196,7 @@
 }
 
 // tidy does what is due each second.
-func (f *Forager) tidy() {
+func (f *Proxy) sweepConnections() {
 	t := time.NewTicker(time.Second)
 	defer t.Stop()
 	for {
@@ -210,35 +210,35 @@
 				f.relist()
 			}
 			f.mu.Unlock()
-			f.apps.sweep(now)
-			f.outside.sweep(now)
+			f.upstreamConnections.sweep(now)
+			f.partnerConnections.sweep(now)
 			f.clients.sweep(now, false)
-			f.brood.quiet(now, 4*f.box.Beat)
+			f.local.quiet(now, 4*f.settings.Beat)
 		case <-f.end:
 			return
 		}
 	}
 }
 
-// ask renews this balancer's lease and takes news, from one process of the core at a time. Danger: one that is cut off
+// ask renews this balancer's lease and takes news, from one process of the core at a time. Invariant: one that is cut off
 // or stands still answers nothing, or old news for new; so each ask has a short end, and who is not current is left.
-func (f *Forager) ask(ctx context.Context) {
+func (f *Proxy) watch(ctx context.Context) {
 	bad := map[string]time.Time{}
 	for turn := 0; ctx.Err() == nil; turn++ {
-		at := f.comb(bad, turn)
+		at := f.pickController(bad, turn)
 		f.mu.Lock()
-		a := &waggle.Ask{Have: f.have, Wait: int64(askWait)}
+		a := &membership.WatchRequest{Position: f.position, MaxWait: int64(watchWait)}
 		f.mu.Unlock()
-		f.doors.Lock()
-		a.Have.Imports = f.doors.book.No
-		f.doors.Unlock()
-		up, seq, changed := f.brood.nest()
-		a.Nest = waggle.Nest{Node: f.box.Node, Inbound: f.box.Inbound, District: f.box.District, Life: f.life, Seq: seq, Up: up,
+		f.exports.Lock()
+		a.Position.Imports = f.exports.book.No
+		f.exports.Unlock()
+		up, seq, changed := f.local.snapshot()
+		a.Node = membership.Node{Name: f.settings.Node, Inbound: f.settings.Inbound, District: f.settings.District, Life: f.life, Seq: seq, Upstream: up,
 			Leaving: f.leaving.Load()}
 		if f.leaving.Load() {
-			a.Nest.Seq += 1 << 32
+			a.Node.Seq += 1 << 32
 		}
-		call, end := context.WithTimeout(ctx, askWait+askMore)
+		call, end := context.WithTimeout(ctx, watchWait+watchGrace)
 		go func() {
 			select {
 			case <-changed: // what is new here is told at once
@@ -246,12 +246,12 @@
 			case <-call.Done():
 			}
 		}()
-		news, asked := &waggle.News{}, f.now()
-		err := f.caller.Call(call, at, "/hive/ask", a, news)
+		news, asked := &membership.WatchResponse{}, f.now()
+		err := f.caller.Call(call, at, rpc.PathWatch, a, news)
 		interrupted := errors.Is(call.Err(), context.Canceled)
 		end()
 		if err == nil {
-			if err = f.take(news); err == nil {
+			if err = f.applyWatchResponse(news); err == nil {
 				f.hear(news, asked)
 			}
 			f.membersNow.Store(int64(f.memberCount()))
@@ -274,14 +274,14 @@
 	}
 }
 
-func (f *Forager) memberCount() int {
+func (f *Proxy) memberCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.members
 }
 
-// comb is whom to ask: of those that have not failed of late, one of this zone first.
-func (f *Forager) comb(bad map[string]time.Time, turn int) string {
+// controller is whom to ask: of those that have not failed of late, one of this zone first.
+func (f *Proxy) pickController(bad map[string]time.Time, turn int) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var all []string
@@ -290,13 +290,13 @@
 			all = append(all, at)
 		}
 	}
-	for _, p := range f.combs {
-		if p.Zone == f.box.District {
+	for _, p := range f.controllers {
+		if p.Zone == f.settings.District {
 			add(p.At)
 		}
 	}
 	others := len(all)
-	for _, p := range f.combs {
+	for _, p := range f.controllers {
 		add(p.At)
 	}
 	for _, at := range f.seeds {
@@ -306,7 +306,7 @@
 		return ""
 	}
 	if rest := all[others:]; len(rest) > 1 { // not all of a zone without a process of its own ask the same one
-		by := len(f.box.Node) + int(f.box.Node[len(f.box.Node)-1])
+		by := len(f.settings.Node) + int(f.settings.Node[len(f.settings.Node)-1])
 		rest = append(slices.Clone(rest[by%len(rest):]), rest[:by%len(rest)]...)
 		all = append(all[:others:others], rest...)
 	}
@@ -355,7 +355,7 @@
 }
 
 // promise tells a client how long its connection may be idle; it is held to, whatever a later configuration says.
-func (f *Forager) promise(w http.ResponseWriter, r *http.Request, idle time.Duration) {
+func (f *Proxy) promise(w http.ResponseWriter, r *http.Request, idle time.Duration) {
 	if idle <= 0 {
 		idle = idleFirst
 	}
--- a/internal/hive/flight/flight_test.go
+++ b/internal/mesh/proxy/proxy_test.go
@@ -1,4 +1,4 @@
-package flight
+package proxy
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 
 	"github.com/shoenig/test/must"
 
-	"ottershift/internal/hive/sting"
+	"ottershift/internal/mesh/apierror"
 	"ottershift/logic"
 )
 
@@ -20,57 +20,57 @@
 	return c
 }
 
-func asks(id string, aim time.Duration) *sending {
-	return &sending{to: id, aim: aim, until: time.Now().Add(time.Hour)}
+func asks(id string, aim time.Duration) *upstreamRequest {
+	return &upstreamRequest{to: id, aim: aim, until: time.Now().Add(time.Hour)}
 }
 
 // A trace of beats: late ones, a closing, the next life at the same address.
 func TestBeatsOfALifeAndWhatPassesToIt(t *testing.T) {
-	b := newBrood(2500*time.Millisecond, "127.0.0.1:1")
+	b := newLocalUpstream(2500*time.Millisecond, "127.0.0.1:1")
 	now := time.Now()
 	ctx := context.Background()
-	pass := func(id string, at time.Time) sting.Kind {
+	pass := func(id string, at time.Time) apierror.Kind {
 		_, kind := b.admit(ctx, asks(id, time.Second), at)
 		return kind
 	}
 	b.beatOf("i1", beat(2, 6, "accepting"), now)
-	must.Eq(t, sting.None, pass("i1", now))
-	must.Eq(t, sting.NotHere, pass("i0", now)) // another life is meant
+	must.Eq(t, apierror.None, pass("i1", now))
+	must.Eq(t, apierror.NotHere, pass("i0", now)) // another life is meant
 	b.beatOf("i1", beat(3, 6, "closing"), now)
 	b.beatOf("i1", beat(1, 6, "accepting"), now) // late: it stays closing
-	must.Eq(t, sting.None, pass("i1", now.Add(1800*time.Millisecond)))
-	must.Eq(t, sting.NotHere, pass("i1", now.Add(1900*time.Millisecond))) // 3/4 of Drain
+	must.Eq(t, apierror.None, pass("i1", now.Add(1800*time.Millisecond)))
+	must.Eq(t, apierror.NotHere, pass("i1", now.Add(1900*time.Millisecond))) // 3/4 of Drain
 	b.signOff("i1")
-	must.Eq(t, sting.NotHere, pass("i1", now))
+	must.Eq(t, apierror.NotHere, pass("i1", now))
 	b.beatOf("i2", beat(1, 6, "accepting"), now)
 	b.beatOf("i1", beat(9, 6, "accepting"), now) // of a life that has ended
-	must.Eq(t, sting.None, pass("i2", now.Add(time.Hour)))
+	must.Eq(t, apierror.None, pass("i2", now.Add(time.Hour)))
 	b.refused("i2")
-	must.Eq(t, sting.NoRoom, pass("i2", now))
-	up, _, changed := b.nest()
+	must.Eq(t, apierror.NoRoom, pass("i2", now))
+	up, _, changed := b.snapshot()
 	must.Nil(t, up) // nothing is there, as others are told
 	b.beatOf("i2", beat(2, 6, "accepting"), now)
 	<-changed // whoever took the word of before is told that there is more
-	must.Eq(t, sting.None, pass("i2", now))
+	must.Eq(t, apierror.None, pass("i2", now))
 	b.silent("i2")
-	must.Eq(t, sting.None, pass("i2", now))
+	must.Eq(t, apierror.None, pass("i2", now))
 	b.silent("i2") // dark: connections are not even refused
-	must.Eq(t, sting.NoRoom, pass("i2", now))
+	must.Eq(t, apierror.NoRoom, pass("i2", now))
 	b.beatOf("i2", beat(3, 6, "accepting"), now)
-	must.Eq(t, sting.None, pass("i2", now))
+	must.Eq(t, apierror.None, pass("i2", now))
 	for range 6 {
-		b.saw("i1", true, now) // of a life that has ended
+		b.observe("i1", true, now) // of a life that has ended
 	}
-	up, _, changed = b.nest()
+	up, _, changed = b.snapshot()
 	must.Eq(t, 0, up.Ill)
 	for n := range 6 {
-		b.saw("i2", true, now.Add(time.Duration(n)*time.Millisecond))
+		b.observe("i2", true, now.Add(time.Duration(n)*time.Millisecond))
 	}
 	<-changed
-	up, _, _ = b.nest()
+	up, _, _ = b.snapshot()
 	must.Eq(t, 3, up.Ill)
 	b.beatOf("i2", beat(4, 6, "accepting"), now) // its own word changes nothing of that
-	up, _, _ = b.nest()
+	up, _, _ = b.snapshot()
 	must.Eq(t, 3, up.Ill)
 }
 
@@ -104,17 +104,17 @@
 }
 
 func TestWhoIsDueFirstHasTheNextSlot(t *testing.T) {
-	b := newBrood(time.Second, "127.0.0.1:1")
+	b := newLocalUpstream(time.Second, "127.0.0.1:1")
 	now := time.Now()
 	b.beatOf("i", beat(1, 1, "accepting"), now)
 	for range b.slots() {
 		_, kind := b.admit(context.Background(), asks("i", time.Hour), now)
-		must.Eq(t, sting.None, kind)
+		must.Eq(t, apierror.None, kind)
 	}
 	order := make(chan string, 2)
 	wait := func(name string, aim time.Duration, before int) {
 		go func() {
-			if _, kind := b.admit(context.Background(), asks("i", aim), now); kind == sting.None {
+			if _, kind := b.admit(context.Background(), asks("i", aim), now); kind == apierror.None {
 				order <- name
 			}
 		}()
@@ -130,13 +130,13 @@
 	wait("long", 2*time.Hour, 0)
 	wait("short", time.Hour, 1)
 	_, kind := b.admit(context.Background(), asks("i", 3*time.Hour), now) // the line is full, and it is due last
-	must.Eq(t, sting.NoRoom, kind)
+	must.Eq(t, apierror.NoRoom, kind)
 	b.leave("i")
 	must.Eq(t, "short", <-order)
 	b.leave("i")
 	must.Eq(t, "long", <-order)
 	_, kind = b.admit(context.Background(), asks("i", time.Nanosecond), now) // a quarter of its aim is over at once
-	must.Eq(t, sting.NoRoom, kind)
+	must.Eq(t, apierror.NoRoom, kind)
 }
 
 func TestALongAnswerThatWouldBeLateIsTurnedAwayBeforeItsWork(t *testing.T) {
--- a/internal/hive/flight/push.go
+++ b/internal/mesh/proxy/push.go
@@ -1,4 +1,4 @@
-package flight
+package proxy
 
 import (
 	"bytes"
@@ -14,13 +14,13 @@
 	"time"
 
 	"ottershift/internal/desk"
-	"ottershift/internal/hive/sting"
+	"ottershift/internal/mesh/apierror"
 	"ottershift/internal/roster"
 	"ottershift/logic"
 )
 
 // push carries one order out.
-func (f *Forager) push(q *request, c *desk.Case, o *desk.Push) {
+func (f *Proxy) push(q *request, c *desk.Case, o *desk.Push) {
 	result, flowed := logic.Unsent, false
 	defer func() {
 		if fault := recover(); fault != nil {
@@ -56,35 +56,35 @@
 
 // carry sends a request to the balancer beside an upstream, or to the upstream if it is here, and takes what comes back;
 // early says that it never came to the upstream.
-func (f *Forager) carry(q *request, c *desk.Case, o *desk.Push) (result logic.Result, flowed, early bool, failed *reply) {
+func (f *Proxy) carry(q *request, c *desk.Case, o *desk.Push) (result logic.Result, flowed, early bool, failed *reply) {
 	header := make(http.Header, len(q.header)+2)
 	for name, values := range q.header {
 		header[name] = values
 	}
 	partner, _, through := strings.Cut(o.Name, gateMark)
 	if through = through && q.pool.partners != nil; through {
-		header[hiveGate] = []string{partner}
+		header[meshGatewayHeader] = []string{partner}
 	} else {
 		header[addressee] = []string{o.Name}
 	}
-	if o.Place.Address != f.box.Inbound {
-		header[hiveAim] = []string{strconv.FormatInt(q.aim.Milliseconds(), 10)}
+	if o.Place.Address != f.settings.Inbound {
+		header[meshAimHeader] = []string{strconv.FormatInt(q.aim.Milliseconds(), 10)}
 		if q.long {
-			header[hiveLong] = []string{"1"}
+			header[meshLongHeader] = []string{"1"}
 		}
 	}
-	s := &sending{id: q.id, to: o.Name, method: q.method, target: q.target, host: q.host, header: header, body: q.body,
+	s := &upstreamRequest{id: q.id, to: o.Name, method: q.method, target: q.target, host: q.host, header: header, body: q.body,
 		rest: q.rest, length: q.length, until: o.Until, aim: q.aim}
 	if q.rest != nil { // its time begins with its last byte
 		s.until = time.Now().Add(time.Until(q.stop) + time.Minute)
 		s.rest = &lastByte{q.rest, func() { q.pool.desk.Whole(c, time.Until(q.stop)) }}
 	}
-	var back *coming
-	if through && o.Place.Address == f.box.Inbound {
-		delete(header, hiveGate)
-		back = f.leave(o.Context, s, partner)
-	} else if o.Place.Address == f.box.Inbound {
-		back = f.give(o.Context, s)
+	var back *upstreamResponse
+	if through && o.Place.Address == f.settings.Inbound {
+		delete(header, meshGatewayHeader)
+		back = f.sendToPartner(o.Context, s, partner)
+	} else if o.Place.Address == f.settings.Inbound {
+		back = f.sendToLocalUpstream(o.Context, s)
 	} else {
 		back = f.send(o.Context, s, q.pool.peers, o.Place)
 	}
@@ -94,19 +94,19 @@
 		}
 	}()
 	switch {
-	case back.kind == sting.NoRoom || back.kind == sting.NotHere:
+	case back.kind == apierror.NoRoom || back.kind == apierror.NotHere:
 		return logic.TurnedAway, false, true, nil
-	case back.kind != sting.None:
+	case back.kind != apierror.None:
 		result = f.broken(o.Context, back)
 		return result, false, result.NeverRan(), nil
 	}
 	answer := back.answer
 	h := answer.Header
-	switch said := h.Get(hiveOnly); {
-	case said == hiveTurned, h[notDelivrd] != nil, answer.StatusCode == http.StatusMisdirectedRequest:
+	switch said := h.Get(meshHeader); {
+	case said == meshTurned, h[notDelivrd] != nil, answer.StatusCode == http.StatusMisdirectedRequest:
 		back.finish()
-		return logic.TurnedAway, false, said == hiveTurned, nil
-	case said == hiveBroke:
+		return logic.TurnedAway, false, said == meshTurned, nil
+	case said == meshBroke:
 		back.finish()
 		return logic.Broken, false, false, nil
 	}
@@ -119,7 +119,7 @@
 	body, err := io.ReadAll(io.LimitReader(answer.Body, heldAnswer+1))
 	into.body = body
 	if err != nil {
-		return f.broken(o.Context, &coming{kind: sting.Broke, err: err}), false, false, nil
+		return f.broken(o.Context, &upstreamResponse{kind: apierror.Broke, err: err}), false, false, nil
 	}
 	if len(body) <= heldAnswer {
 		into.length = int64(len(body))
@@ -149,12 +149,12 @@
 }
 
 // broken names the outcome of a push without a whole answer.
-func (f *Forager) broken(ctx context.Context, b *coming) logic.Result {
+func (f *Proxy) broken(ctx context.Context, b *upstreamResponse) logic.Result {
 	cause := context.Cause(ctx)
 	switch {
-	case !b.wrote && b.kind == sting.Unready && ctx.Err() != nil:
+	case !b.wrote && b.kind == apierror.Unready && ctx.Err() != nil:
 		return logic.Unsent // it was called off, or out of time, before it left
-	case !b.wrote && b.kind == sting.Unready:
+	case !b.wrote && b.kind == apierror.Unready:
 		return logic.Unreachable
 	case errors.Is(cause, context.Canceled):
 		return logic.Cancelled
@@ -181,7 +181,7 @@
 }
 
 // sending is a request as it goes over one connection.
-type sending struct {
+type upstreamRequest struct {
 	id, to               string
 	method, target, host string
 	header               http.Header
@@ -193,13 +193,13 @@
 }
 
 // coming is what comes back of it. kind Unready says that it never left, Broke that it may have run.
-type coming struct {
-	kind   sting.Kind
+type upstreamResponse struct {
+	kind   apierror.Kind
 	err    error
 	wrote  bool
 	answer *http.Response
-	line   *line
-	lines  *lines
+	line   *connection
+	lines  *connectionPool
 	long   time.Duration
 	stop   func() bool // no end of the request's reaches the line any more; false if one has
 	after  func()      // once, when it is over
@@ -207,7 +207,7 @@
 }
 
 // done gives the connection back, whole if its answer has been read to the end.
-func (c *coming) done(whole bool) {
+func (c *upstreamResponse) done(whole bool) {
 	if c.over {
 		return
 	}
@@ -226,17 +226,17 @@
 }
 
 // finish reads the rest of an answer that is no use, to keep its connection.
-func (c *coming) finish() {
+func (c *upstreamResponse) finish() {
 	_, err := io.CopyN(io.Discard, c.answer.Body, piece)
 	c.done(err == io.EOF)
 }
 
 // send carries a request over a connection of a set.
-func (f *Forager) send(ctx context.Context, s *sending, ls *lines, at roster.Place) *coming {
+func (f *Proxy) send(ctx context.Context, s *upstreamRequest, ls *connectionPool, at roster.Place) *upstreamResponse {
 	for again := false; ; again = true {
 		l, err := ls.take(ctx, at.Host, at.Address, again, at.Kept)
 		if err != nil {
-			return &coming{kind: sting.Unready, err: err}
+			return &upstreamResponse{kind: apierror.Unready, err: err}
 		}
 		var b bytes.Buffer
 		s.header[timeLeft] = []string{strconv.FormatInt(max(1, time.Until(s.until).Milliseconds()), 10)}
@@ -250,58 +250,58 @@
 			if !wrote && l.kept && ctx.Err() == nil {
 				continue // it had ended before any of it went out
 			}
-			kind := sting.Broke
+			kind := apierror.Broke
 			if !wrote {
-				kind = sting.Unready
+				kind = apierror.Unready
 			}
-			return &coming{kind: kind, err: err, wrote: wrote}
+			return &upstreamResponse{kind: kind, err: err, wrote: wrote}
 		}
-		return &coming{answer: answer, wrote: true, line: l, lines: ls, long: keptLong, stop: stop}
+		return &upstreamResponse{answer: answer, wrote: true, line: l, lines: ls, long: keptLong, stop: stop}
 	}
 }
 
 // give hands a request to the upstream on this machine, if it is the one that is meant and has room.
-func (f *Forager) give(ctx context.Context, s *sending) *coming {
-	address, kind := f.brood.admit(ctx, s, time.Now())
-	if kind != sting.None {
+func (f *Proxy) sendToLocalUpstream(ctx context.Context, s *upstreamRequest) *upstreamResponse {
+	address, kind := f.local.admit(ctx, s, time.Now())
+	if kind != apierror.None {
 		f.counts.Add("turned_" + kind.String())
-		return &coming{kind: kind}
+		return &upstreamResponse{kind: kind}
 	}
 	began := time.Now()
-	back := f.send(ctx, s, f.apps, roster.Place{Host: s.to, Address: address})
+	back := f.send(ctx, s, f.upstreamConnections, roster.Place{Host: s.to, Address: address})
 	if failed, known := verdict(ctx, s, back, time.Since(began)); known {
-		f.brood.saw(s.to, failed, time.Now())
+		f.local.observe(s.to, failed, time.Now())
 	}
-	if back.kind == sting.Unready {
+	if back.kind == apierror.Unready {
 		switch {
 		case errors.Is(back.err, syscall.ECONNREFUSED):
-			f.brood.refused(s.to)
+			f.local.refused(s.to)
 		case ctx.Err() == nil && errors.Is(back.err, os.ErrDeadlineExceeded):
-			f.brood.silent(s.to)
+			f.local.silent(s.to)
 		}
-		f.brood.leave(s.to)
+		f.local.leave(s.to)
 		if ctx.Err() == nil {
-			back.kind = sting.NoRoom // it never reached the upstream
+			back.kind = apierror.NoRoom // it never reached the upstream
 		}
 		return back
 	}
-	if back.kind != sting.None {
-		f.brood.leave(s.to)
+	if back.kind != apierror.None {
+		f.local.leave(s.to)
 		return back
 	}
 	back.long = keptShort
-	f.brood.leave(s.to) // its work is done: what is left is bytes
+	f.local.leave(s.to) // its work is done: what is left is bytes
 	return back
 }
 
 // verdict is what one request says of the upstream beside: one that failed, or took twice the time within which it would have
 // been of full worth. What its caller called off before tells nothing.
-func verdict(ctx context.Context, s *sending, back *coming, took time.Duration) (failed, known bool) {
+func verdict(ctx context.Context, s *upstreamRequest, back *upstreamResponse, took time.Duration) (failed, known bool) {
 	slow := s.aim > 0 && took > 2*s.aim
 	switch {
-	case back.kind == sting.Unready:
+	case back.kind == apierror.Unready:
 		return true, ctx.Err() == nil
-	case back.kind != sting.None:
+	case back.kind != apierror.None:
 		return true, slow || !errors.Is(context.Cause(ctx), context.Canceled)
 	case back.answer.StatusCode == http.StatusMisdirectedRequest:
 		return false, false
