--- a/internal/hive/flight/view.go
+++ b/internal/mesh/proxy/view.go
@@ -1,4 +1,4 @@
-package flight
+package proxy
 
 import (
 	"cmp"
@@ -12,10 +12,10 @@
 
 	"ottershift/internal/desk"
 	"ottershift/internal/figures"
-	"ottershift/internal/hive/dance"
-	"ottershift/internal/hive/nurse"
-	"ottershift/internal/hive/pollen"
-	"ottershift/internal/hive/waggle"
+	"ottershift/internal/mesh/membership"
+	"ottershift/internal/mesh/outlier"
+	"ottershift/internal/mesh/ratelimit"
+	"ottershift/internal/mesh/routing"
 	"ottershift/internal/roster"
 	"ottershift/internal/terms"
 	"ottershift/logic"
@@ -23,7 +23,7 @@
 
 const (
 	crossing     = 0.4 // the price of another zone: its turns are a fifth
-	longCrossing = 2.0 // the same where answers are long: a twentieth, so that one in flight stays in its zone
+	longCrossing = 2.0 // the same where answers are long: a twentieth, so that one in proxy stays in its zone
 
 	coldShare = 0.5             // of its slots that a cold upstream is sent work for
 	asideMost = 2 * time.Second // for a probe of an upstream that is aside
@@ -31,12 +31,12 @@
 	freeRefusals = 2 // balancers before an upstream that may turn a request away, beside the tries that its route has
 )
 
-// view is what a balancer goes by: one version of the timetable, whole.
-type view struct {
+// view is what a balancer goes by: one version of the configuration, whole.
+type configurationView struct {
 	index   uint64
-	table   *dance.Timetable
+	table   *routing.Configuration
 	idle    time.Duration
-	targets map[*dance.Rule][]target
+	targets map[*routing.Route][]target
 }
 
 // target is a service of a route, and the terms under which its pool takes the route's requests.
@@ -53,13 +53,13 @@
 	desk   *desk.Desk
 	counts *figures.Pool
 	book   *terms.Book
-	peers  *lines // hosts are named by the pool's own roster
+	peers  *connectionPool // hosts are named by the pool's own roster
 
 	mu     sync.Mutex
-	budget *pollen.Budget
+	budget *ratelimit.RetryBudget
 
-	partners []string      // that it leads to, where it is no service of ours
-	rules    []*dance.Rule // and by what it is tuned then
+	partners []string         // that it leads to, where it is no service of ours
+	rules    []*routing.Route // and by what it is tuned then
 }
 
 func (p *pool) first(now int64) {
@@ -75,7 +75,7 @@
 }
 
 // pick takes a service of a route by its shares.
-func (v *view) pick(r *dance.Rule) target {
+func (v *configurationView) pick(r *routing.Route) target {
 	all := v.targets[r]
 	total := 0.0
 	for _, t := range all {
@@ -90,18 +90,18 @@
 	return all[len(all)-1]
 }
 
-// adopt puts a version of the timetable in force. Danger: an older one than was acted on, within one life, is refused.
-func (f *Forager) adopt(index uint64, t *dance.Timetable) error {
+// adopt puts a version of the configuration in force. Invariant: an older one than was acted on, within one life, is refused.
+func (f *Proxy) adopt(index uint64, t *routing.Configuration) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if now := f.view.Load(); now != nil && index <= now.index {
 		return nil
 	}
-	v := &view{index: index, table: t, idle: time.Duration(t.Limits.Idle), targets: map[*dance.Rule][]target{}}
-	by := map[string][]*dance.Rule{}
-	for _, r := range t.Rules {
+	v := &configurationView{index: index, table: t, idle: time.Duration(t.Limits.Idle), targets: map[*routing.Route][]target{}}
+	by := map[string][]*routing.Route{}
+	for _, r := range t.Routes {
 		for _, part := range r.Parts {
-			by[part.Destination] = append(by[part.Destination], r)
+			by[part.Service] = append(by[part.Service], r)
 		}
 	}
 	for service, rules := range by {
@@ -109,9 +109,9 @@
 			return err
 		}
 	}
-	for _, r := range t.Rules {
+	for _, r := range t.Routes {
 		for _, part := range r.Parts {
-			p := f.pools[part.Destination]
+			p := f.pools[part.Service]
 			under := *p.book.Terms
 			under.MaxPushes = r.Dispatch.DeliveryTries
 			v.targets[r] = append(v.targets[r], target{p, part.Share, &under, p.book.Tariffs[r.Name]})
@@ -120,16 +120,16 @@
 	f.rules = by
 	f.view.Store(v)
 	f.quota(t)
-	f.log.Info("timetable", "edition", t.Edition, "index", index, "routes", len(t.Rules))
+	f.log.Info("timetable", "edition", t.Edition, "index", index, "routes", len(t.Routes))
 	f.relist()
-	f.doors.Lock()
+	f.exports.Lock()
 	f.partners()
-	f.doors.Unlock()
+	f.exports.Unlock()
 	return nil
 }
 
 // retune gives a service's module the routes that lead to it. Under mu.
-func (f *Forager) retune(service string, rules []*dance.Rule) error {
+func (f *Proxy) retune(service string, rules []*routing.Route) error {
 	n, place := f.rank()
 	most := 1
 	t := &logic.Terms{
@@ -139,7 +139,7 @@
 	}
 	b := &terms.Book{Terms: t, Tariffs: map[string]int{}, Customers: map[string]int{}, Default: -1}
 	for _, r := range rules {
-		if r.MailClass == dance.Freight {
+		if r.MailClass == routing.Streamed {
 			t.CrossZonePrice = longCrossing
 		}
 		if _, twice := b.Tariffs[r.Name]; twice {
@@ -158,12 +158,12 @@
 	}
 	t.MaxPushes = most
 	b.Zones = append(b.Zones, f.zones...)
-	b.Complete(f.box.District)
+	b.Complete(f.settings.District)
 	p := f.pools[service]
 	if p == nil {
-		bounds := &f.box.Bounds
-		p = &pool{name: service, counts: &figures.Pool{}, book: b, peers: newLines(dialPeer, f.counts, "peer"),
-			budget: pollen.NewBudget(int64(bounds.RetryWindow), bounds.RetryRatio, bounds.RetrySlack)}
+		bounds := &f.settings.Bounds
+		p = &pool{name: service, counts: &figures.Pool{}, book: b, peers: newConnectionPool(dialPeer, f.counts, "peer"),
+			budget: ratelimit.NewRetryBudget(int64(bounds.RetryWindow), bounds.RetryRatio, bounds.RetrySlack)}
 		var err error
 		if p.desk, err = desk.New(b, p.counts, f.log.With("service", service), desk.Design); err != nil {
 			return err
@@ -181,33 +181,33 @@
 }
 
 // rank is how many balancers there are, and this one's place in their agreed order. Under mu.
-func (f *Forager) rank() (n, place int) {
+func (f *Proxy) rank() (n, place int) {
 	var names []string
-	for node, t := range f.nests {
+	for node, t := range f.nodes {
 		if !t.Lost {
 			names = append(names, node)
 		}
 	}
-	if !slices.Contains(names, f.box.Node) {
-		names = append(names, f.box.Node)
+	if !slices.Contains(names, f.settings.Node) {
+		names = append(names, f.settings.Node)
 	}
 	slices.Sort(names)
-	return len(names), slices.Index(names, f.box.Node)
+	return len(names), slices.Index(names, f.settings.Node)
 }
 
 // relist hands every module the list of its upstreams as it stands. Under mu.
-func (f *Forager) relist() {
-	by := map[string][]*seen{}
+func (f *Proxy) relist() {
+	by := map[string][]*knownNode{}
 	now := time.Now()
 	f.warms = time.Time{}
-	for _, n := range f.nests {
+	for _, n := range f.nodes {
 		if now.Before(n.warm) && (f.warms.IsZero() || n.warm.Before(f.warms)) {
 			f.warms = n.warm
 		}
-		if n.Up == nil || n.Up.ID == "" {
+		if n.Upstream == nil || n.Upstream.ID == "" {
 			continue
 		}
-		by[n.Up.Service] = append(by[n.Up.Service], n)
+		by[n.Upstream.Service] = append(by[n.Upstream.Service], n)
 	}
 	for service, p := range f.pools {
 		list := entries(by[service], now)
@@ -217,7 +217,7 @@
 		slices.SortFunc(list, func(a, b roster.Entry[string]) int { return strings.Compare(a.Name, b.Name) })
 		change := p.desk.List(list, true)
 		for _, host := range change.Left {
-			p.peers.leave(host)
+			p.peers.closeHost(host)
 		}
 		if change.Joined+change.Ends+change.Gone > 0 {
 			f.log.Info("list", "service", service, "listed", change.Listed, "joined", change.Joined, "end", change.Ends, "gone", change.Gone)
@@ -226,16 +226,16 @@
 }
 
 // entries are a service's upstreams as its module is told of them, those that are ill with a lesser weight.
-func entries(all []*seen, now time.Time) (list []roster.Entry[string]) {
+func entries(all []*knownNode, now time.Time) (list []roster.Entry[string]) {
 	levels, slots := make([]int, len(all)), make([]float64, len(all))
 	for k, n := range all {
-		levels[k], slots[k] = n.Up.Ill, float64(max(n.Up.Capacity, 1))
+		levels[k], slots[k] = n.Upstream.Ill, float64(max(n.Upstream.Capacity, 1))
 	}
-	for k, share := range nurse.Shares(levels, slots) {
+	for k, share := range outlier.Shares(levels, slots) {
 		n := all[k]
 		list = append(list, roster.Entry[string]{
-			Name: n.Up.ID, Zone: n.District, Address: n.Inbound, Ends: n.Up.Closing || n.Leaving,
-			Up: logic.Upstream{Number: roster.Number(n.Up.ID), Weight: n.weight(now) * share},
+			Name: n.Upstream.ID, Zone: n.District, Address: n.Inbound, Ends: n.Upstream.Closing || n.Leaving,
+			Up: logic.Upstream{Number: roster.Number(n.Upstream.ID), Weight: n.weight(now) * share},
 		})
 	}
 	return list
@@ -244,8 +244,8 @@
 // weight is the part of a service's work that an upstream is sent: its slots, fewer while it is slow from its start. The
 // module's purses for cold upstreams, made for those that fall over, stay unused: the balancer beside an upstream lets in
 // what it has room for, and after a start of everything they would turn away nearly all there is to serve.
-func (n *seen) weight(now time.Time) float64 {
-	w := float64(max(n.Up.Capacity, 1))
+func (n *knownNode) weight(now time.Time) float64 {
+	w := float64(max(n.Upstream.Capacity, 1))
 	if now.Before(n.warm) {
 		w *= coldShare
 	}
@@ -253,34 +253,34 @@
 }
 
 // take takes the core's news.
-func (f *Forager) take(n *waggle.News) error {
+func (f *Proxy) applyWatchResponse(n *membership.WatchResponse) error {
 	f.mu.Lock()
 	now := time.Now()
 	if n.Whole {
 		told := map[string]bool{}
-		for _, t := range n.Nests {
-			told[t.Node] = true
+		for _, t := range n.Nodes {
+			told[t.Name] = true
 		}
-		for node := range f.nests {
-			if !told[node] && !n.Young { // Danger: a core that has just started has heard of nobody yet
-				delete(f.nests, node)
+		for node := range f.nodes {
+			if !told[node] && !n.Starting { // Invariant: a core that has just started has heard of nobody yet
+				delete(f.nodes, node)
 			}
 		}
 	}
-	for _, t := range n.Nests {
-		s := &seen{Told: t}
-		if t.Up != nil {
-			s.warm = now.Add(time.Duration(t.Up.Cold))
+	for _, t := range n.Nodes {
+		s := &knownNode{Record: t}
+		if t.Upstream != nil {
+			s.warm = now.Add(time.Duration(t.Upstream.Cold))
 		}
-		f.nests[t.Node] = s
+		f.nodes[t.Name] = s
 	}
 	for _, node := range n.Gone {
-		delete(f.nests, node)
+		delete(f.nodes, node)
 	}
-	f.combs = n.Combs
-	f.wallet.reigns(n.Queen, n.Reign)
-	changed := len(n.Nests)+len(n.Gone) > 0 || n.Whole
-	if members := max(n.Members, len(f.nests), 1); members != f.members {
+	f.controllers = n.Controllers
+	f.wallet.reigns(n.Coordinator, n.Epoch)
+	changed := len(n.Nodes)+len(n.Gone) > 0 || n.Whole
+	if members := max(n.Members, len(f.nodes), 1); members != f.members {
 		f.members = members
 		if v := f.view.Load(); v != nil {
 			f.quota(v.table)
@@ -303,11 +303,11 @@
 		}
 		f.relist()
 	}
-	f.have.Comb, f.have.Seq = n.Comb, n.Seq
+	f.position.Controller, f.position.Seq = n.Controller, n.Seq
 	f.mu.Unlock()
 
-	if n.Timetable != nil && (n.Current || f.view.Load() != nil) {
-		t, err := dance.Parse(n.Timetable)
+	if n.Configuration != nil && (n.Current || f.view.Load() != nil) {
+		t, err := routing.Parse(n.Configuration)
 		if err != nil {
 			return err
 		}
@@ -315,21 +315,21 @@
 			return err
 		}
 		f.mu.Lock()
-		f.have.Index, f.have.Edition = max(f.have.Index, n.Index), t.Edition
+		f.position.Index, f.position.Edition = max(f.position.Index, n.Index), t.Edition
 		f.mu.Unlock()
-	} else if n.Timetable == nil && n.Index > f.have.Index && (n.Edition == f.have.Edition || n.Edition == 0) {
+	} else if n.Configuration == nil && n.Index > f.position.Index && (n.Edition == f.position.Edition || n.Edition == 0) {
 		f.mu.Lock()
-		f.have.Index = n.Index // something else was agreed
+		f.position.Index = n.Index // something else was agreed
 		f.mu.Unlock()
 	}
 	return nil
 }
 
 // quota gives tenants their parts. Under mu.
-func (f *Forager) quota(t *dance.Timetable) {
+func (f *Proxy) quota(t *routing.Configuration) {
 	f.wallet.Lock()
 	defer f.wallet.Unlock()
-	limits := pollen.LimitsOf(t, &f.box.Bounds)
+	limits := ratelimit.LimitsOf(t, &f.settings.Bounds)
 	f.wallet.limited = false
 	for _, l := range limits {
 		f.wallet.limited = f.wallet.limited || l.Rate > 0
@@ -339,14 +339,14 @@
 }
 
 // probe carries out a module's probes: a question to the balancer beside the upstream, which knows it best.
-func (f *Forager) probe(p *pool) {
+func (f *Proxy) probe(p *pool) {
 	for {
 		select {
 		case o := <-p.desk.Probes():
 			go func() {
 				ctx, end := context.WithTimeout(context.Background(), asideMost)
 				defer end()
-				p.desk.Probed(o.Upstream, f.well(ctx, p, o.Place))
+				p.desk.Probed(o.Upstream, f.probeUpstream(ctx, p, o.Place))
 			}()
 		case <-f.end:
 			return
--- a/internal/hive/flight/wallet.go
+++ b/internal/mesh/proxy/wallet.go
@@ -1,11 +1,12 @@
-package flight
+package proxy
 
 import (
 	"context"
 	"sync"
 	"time"
 
-	"ottershift/internal/hive/pollen"
+	"ottershift/internal/mesh/ratelimit"
+	"ottershift/internal/mesh/rpc"
 )
 
 const (
@@ -19,20 +20,20 @@
 // wallet is this balancer's tokens of tenants' quotas, and where more are drawn.
 type wallet struct {
 	sync.Mutex
-	is      *pollen.Wallet
-	limited bool // a tenant has a limit
-	queen   string
-	reign   uint64
-	need    chan struct{} // has room for one
-	drawn   chan struct{} // closed with the end of each draw
+	is          *ratelimit.Wallet
+	limited     bool // a tenant has a limit
+	coordinator string
+	reign       uint64
+	need        chan struct{} // has room for one
+	drawn       chan struct{} // closed with the end of each draw
 }
 
-// reigns takes who keeps the bank. An earlier one than was heard of is refused.
+// epochs takes who keeps the bank. An earlier one than was heard of is refused.
 func (w *wallet) reigns(at string, reign uint64) {
 	w.Lock()
 	defer w.Unlock()
 	if reign >= w.reign {
-		w.queen, w.reign = at, reign
+		w.coordinator, w.reign = at, reign
 	}
 }
 
@@ -44,19 +45,19 @@
 }
 
 // within reports whether a request is within its tenant's quota. Most find a token; one that doesn't waits for a draw.
-func (f *Forager) within(ctx context.Context, tenant string) (ok bool, again time.Duration) {
+func (f *Proxy) withinQuota(ctx context.Context, tenant string) (ok bool, again time.Duration) {
 	w := &f.wallet
 	for round := 0; ; round++ {
 		w.Lock()
 		verdict, wait := w.is.Take(tenant, f.now(), round == drawRounds)
 		drawn := w.drawn
-		wants := verdict == pollen.Ask || w.is.Wants(f.now())
+		wants := verdict == ratelimit.Ask || w.is.Wants(f.now())
 		w.Unlock()
 		if wants {
 			w.want()
 		}
-		if verdict != pollen.Ask {
-			return verdict == pollen.Pass, time.Duration(wait)
+		if verdict != ratelimit.Ask {
+			return verdict == ratelimit.Pass, time.Duration(wait)
 		}
 		f.counts.Add("draws_waited")
 		late := time.NewTimer(drawWait)
@@ -70,7 +71,7 @@
 }
 
 // draw keeps the wallet as full as demand wants it.
-func (f *Forager) draw(ctx context.Context) {
+func (f *Proxy) draw(ctx context.Context) {
 	w := &f.wallet
 	t := time.NewTicker(drawEvery)
 	defer t.Stop()
@@ -82,26 +83,26 @@
 			return
 		}
 		w.Lock()
-		at, sent := w.queen, f.now()
+		at, sent := w.coordinator, f.now()
 		if !w.limited || at == "" {
 			w.Unlock()
 			continue
 		}
-		d := w.is.Draw(f.box.Node, f.life, sent)
+		d := w.is.NewRequest(f.settings.Node, f.life, sent)
 		w.Unlock()
 		call, end := context.WithTimeout(ctx, drawWithin)
-		given := map[string]pollen.Given{}
-		err := f.caller.Call(call, at, "/hive/draw", d, &given)
+		given := map[string]ratelimit.TokenGrant{}
+		err := f.caller.Call(call, at, rpc.PathTokens, d, &given)
 		refused := err != nil && call.Err() == nil
 		end()
 		w.Lock()
 		if err == nil {
-			w.is.Given(given, sent, f.now())
+			w.is.ApplyGrant(given, sent, f.now())
 			if w.is.Wants(f.now()) {
 				w.want()
 			}
 		} else if refused {
-			w.is.Refused(f.now())
+			w.is.GrantRefused(f.now())
 		}
 		close(w.drawn)
 		w.drawn = make(chan struct{})
--- a/internal/hive/pollen/quota.go
+++ b/internal/mesh/ratelimit/quota.go
@@ -1,12 +1,12 @@
-package pollen
+package ratelimit
 
 import (
 	"cmp"
 	"math"
 	"slices"
 
-	"ottershift/internal/hive/box"
-	"ottershift/internal/hive/dance"
+	"ottershift/internal/mesh/routing"
+	"ottershift/internal/mesh/settings"
 )
 
 // A tenant's quota is one purse for all balancers. Whoever has the duty keeps the bank: a pool that fills at the tenant's
@@ -51,10 +51,10 @@
 	return (l.Rate*float64(l.Window)/s+l.Surge)*(1+l.Over) + l.Slack
 }
 
-// LimitsOf is the limits of a timetable's tenants.
-func LimitsOf(t *dance.Timetable, b *box.Bounds) map[string]Limit {
+// LimitsOf is the limits of a configuration's tenants.
+func LimitsOf(t *routing.Configuration, b *settings.Bounds) map[string]Limit {
 	all := map[string]Limit{}
-	for _, s := range t.Senders {
+	for _, s := range t.Tenants {
 		all[s.Name] = Limit{s.RatePerS, s.Surge, int64(b.QuotaWindow), b.QuotaOver, b.QuotaSlack}
 	}
 	return all
@@ -78,7 +78,7 @@
 }
 
 // Bank is the purses of all tenants, at who has the duty.
-type Bank struct {
+type TokenBank struct {
 	opened   int64
 	members  map[string]*member
 	count    int // balancers, as agreed
@@ -86,33 +86,33 @@
 }
 
 // Want is what a balancer asks for one tenant.
-type Want struct {
+type Demand struct {
 	Held float64 `json:",omitempty"` // that it has
 	More float64 `json:",omitempty"` // that it wants beyond
 	Back float64 `json:",omitempty"` // that it had, has not spent and gives back
 }
 
 // Draw is a balancer's call to the bank.
-type Draw struct {
+type TokenRequest struct {
 	Node, Life string
 	Seq        uint64 // rises with each
 	Standing   bool   // it spends its standing rate
-	Wants      map[string]Want
+	Wants      map[string]Demand
 }
 
 // Given is the answer for one tenant.
-type Given struct {
+type TokenGrant struct {
 	Tokens float64 `json:",omitempty"`
 	Dry    int64   `json:",omitempty"` // nanoseconds for which asking again is no use, 0 where there was enough
 }
 
 // NewBank opens a bank. Tokens that an earlier one gave may be out until Forget is over.
-func NewBank(now int64) *Bank {
-	return &Bank{opened: now, members: map[string]*member{}, accounts: map[string]*account{}}
+func NewTokenBank(now int64) *TokenBank {
+	return &TokenBank{opened: now, members: map[string]*member{}, accounts: map[string]*account{}}
 }
 
 // Set puts limits in force; members is how many balancers there are.
-func (b *Bank) Set(limits map[string]Limit, members int, now int64) {
+func (b *TokenBank) Set(limits map[string]Limit, members int, now int64) {
 	b.count = members
 	for tenant := range b.accounts {
 		if l, is := limits[tenant]; !is || l.Rate <= 0 {
@@ -134,7 +134,7 @@
 }
 
 // present is the part of the balancers that draw on the pool.
-func (b *Bank) present(now int64) float64 {
+func (b *TokenBank) present(now int64) float64 {
 	n := 0
 	for _, m := range b.members {
 		if !m.standing && now-m.heard < Silent {
@@ -145,7 +145,7 @@
 }
 
 // fill lets a pool gain what time has brought, within what the reserve leaves.
-func (b *Bank) fill(a *account, now int64) {
+func (b *TokenBank) fill(a *account, now int64) {
 	a.pool += a.Rate * b.present(now) * float64(max(0, now-a.at)) / s
 	a.at = now
 	room := math.Max(0, a.Reserve()-b.out(a, now))
@@ -154,7 +154,7 @@
 }
 
 // Unused is what tenants have left of their rates since it was asked last.
-func (b *Bank) Unused() map[string]float64 {
+func (b *TokenBank) Unused() map[string]float64 {
 	all := map[string]float64{}
 	for tenant, a := range b.accounts {
 		if a.unused > 0 {
@@ -165,7 +165,7 @@
 }
 
 // out is what may be in wallets.
-func (b *Bank) out(a *account, now int64) (all float64) {
+func (b *TokenBank) out(a *account, now int64) (all float64) {
 	for node, n := range a.out {
 		if m := b.members[node]; m != nil && now-m.heard < Forget {
 			all += n
@@ -181,7 +181,7 @@
 
 // Draw gives tokens. What a balancer says that it holds is what it has been given and not spent: calls of one follow one
 // another, so what it never heard of counts as never given.
-func (b *Bank) Draw(d *Draw, now int64) map[string]Given {
+func (b *TokenBank) Grant(d *TokenRequest, now int64) map[string]TokenGrant {
 	m := b.members[d.Node]
 	if m != nil && m.life == d.Life && d.Seq <= m.seq {
 		return nil // late
@@ -203,7 +203,7 @@
 			delete(b.members, node)
 		}
 	}
-	given := map[string]Given{}
+	given := map[string]TokenGrant{}
 	tenants := make([]string, 0, len(d.Wants))
 	for tenant := range d.Wants {
 		tenants = append(tenants, tenant)
@@ -227,7 +227,7 @@
 			a.pool -= give
 			a.out[d.Node] += give
 		}
-		g := Given{Tokens: math.Max(give, 0)}
+		g := TokenGrant{Tokens: math.Max(give, 0)}
 		if give < 1 && w.More >= 1 {
 			least := dryLeast
 			if d.Standing || now-a.dried > int64(s/2) {
@@ -244,7 +244,7 @@
 }
 
 // Stand is a tenant's account as it is now, beside its bound.
-type Stand struct {
+type TenantStatus struct {
 	Tenant         string
 	Rate, Surge    float64
 	Pool, Out      float64 // tokens that lie in the pool, and that may be in wallets
@@ -252,12 +252,12 @@
 }
 
 // Stands are all accounts, by name.
-func (b *Bank) Stands(now int64) (all []Stand) {
+func (b *TokenBank) Status(now int64) (all []TenantStatus) {
 	for tenant, a := range b.accounts {
 		b.fill(a, now)
-		all = append(all, Stand{tenant, a.Rate, a.Surge, a.pool, b.out(a, now), a.Reserve(), a.Bound()})
+		all = append(all, TenantStatus{tenant, a.Rate, a.Surge, a.pool, b.out(a, now), a.Reserve(), a.Bound()})
 	}
-	slices.SortFunc(all, func(x, y Stand) int { return cmp.Compare(x.Tenant, y.Tenant) })
+	slices.SortFunc(all, func(x, y TenantStatus) int { return cmp.Compare(x.Tenant, y.Tenant) })
 	return all
 }
 
@@ -271,21 +271,21 @@
 	Ask                // one may be had by a draw
 )
 
-type purse struct {
+type tenantTokens struct {
 	Limit
 	tokens   float64
 	demand   float64 // a second
 	at       int64
 	dry      int64
 	waiting  int // requests that wait for a draw
-	standing Purse
+	standing TokenBucket
 }
 
 // Wallet is one balancer's tokens of all tenants. It begins empty: one that is started again, or a fleet of them, has
 // spent what it had for all that it knows.
 type Wallet struct {
 	members int
-	by      map[string]*purse
+	by      map[string]*tenantTokens
 	seq     uint64
 	again   bool  // the bank has answered one that stood alone: it counts as there from its next draw on
 	heard   int64 // when the last draw was sent that was answered
@@ -293,7 +293,7 @@
 
 // NewWallet makes an empty one, that has its standing rate until it has heard of the bank.
 func NewWallet(now int64) *Wallet {
-	return &Wallet{by: map[string]*purse{}, heard: now - Standing - 1}
+	return &Wallet{by: map[string]*tenantTokens{}, heard: now - Standing - 1}
 }
 
 // Set puts limits in force; members is how many balancers there are, as far as is known.
@@ -310,7 +310,7 @@
 		}
 		p := w.by[tenant]
 		if p == nil {
-			p = &purse{at: now, standing: Purse{at: now}}
+			p = &tenantTokens{at: now, standing: TokenBucket{at: now}}
 			w.by[tenant] = p
 		}
 		p.Limit = l
@@ -353,9 +353,9 @@
 	return Ask, 0
 }
 
-// wish is what a balancer would hold of a tenant's. Danger: one token at each of many balancers, for a tenant that sends a
+// wish is what a balancer would hold of a tenant's. Invariant: one token at each of many balancers, for a tenant that sends a
 // few requests a second, is all that there is, and none where the next request comes; of such a tenant none is held.
-func (p *purse) wish(now int64) float64 {
+func (p *tenantTokens) wish(now int64) float64 {
 	return math.Floor(p.demand * math.Exp(-float64(now-p.at)/s) * float64(Ahead) / s)
 }
 
@@ -373,19 +373,19 @@
 }
 
 // Draw is the call to the bank as things stand. What is held beyond need goes back with it.
-func (w *Wallet) Draw(node, life string, now int64) *Draw {
+func (w *Wallet) NewRequest(node, life string, now int64) *TokenRequest {
 	w.seq++
 	w.again = false
-	d := &Draw{Node: node, Life: life, Seq: w.seq, Standing: w.alone(now), Wants: map[string]Want{}}
+	d := &TokenRequest{Node: node, Life: life, Seq: w.seq, Standing: w.alone(now), Wants: map[string]Demand{}}
 	for tenant, p := range w.by {
 		wish := p.wish(now)
 		keep := math.Min(p.tokens, 2*wish+float64(p.waiting))
-		want := Want{Held: keep, Back: p.tokens - keep}
+		want := Demand{Held: keep, Back: p.tokens - keep}
 		p.tokens = keep
 		if now >= p.dry {
 			want.More = math.Max(0, wish-p.tokens) + float64(p.waiting)
 		}
-		if p.waiting = 0; want != (Want{}) {
+		if p.waiting = 0; want != (Demand{}) {
 			d.Wants[tenant] = want
 		}
 	}
@@ -394,10 +394,10 @@
 
 // Refused takes that whoever was asked does not keep the bank, or not yet, or is not there: nothing is drawn meanwhile, and
 // the standing rate holds at once.
-func (w *Wallet) Refused(now int64) { w.heard = min(w.heard, now-Standing-1) }
+func (w *Wallet) GrantRefused(now int64) { w.heard = min(w.heard, now-Standing-1) }
 
 // Given takes the answer to a draw that was sent at a time.
-func (w *Wallet) Given(given map[string]Given, sent, now int64) {
+func (w *Wallet) ApplyGrant(given map[string]TokenGrant, sent, now int64) {
 	if sent < w.heard {
 		return
 	}
--- a/internal/hive/pollen/pollen.go
+++ b/internal/mesh/ratelimit/ratelimit.go
@@ -1,28 +1,28 @@
-// Package pollen shares out what all balancers together may spend: tenants' quotas (quota.go) and the budget of repeats
+// Package ratelimit shares out what all balancers together may spend: tenants' quotas (quota.go) and the budget of repeats
 // of each service. It does no I/O and reads no clock.
 //
 // Budget: of the window's slack each of n members has a part of 1/n, and a ratio of its own first sends; no request waits
 // for anybody.
-package pollen
+package ratelimit
 
 import "math"
 
 const s = float64(1e9)
 
 // Purse fills at a rate.
-type Purse struct {
+type TokenBucket struct {
 	rate, most float64 // a second, and held at most
 	has        float64
 	at         int64
 }
 
-func (p *Purse) fill(now int64) {
+func (p *TokenBucket) fill(now int64) {
 	p.has = math.Min(p.most, p.has+p.rate*float64(max(0, now-p.at))/s)
 	p.at = now
 }
 
 // Budget is what a balancer may send to one service beyond the first sends of its own requests, over a sliding window.
-type Budget struct {
+type RetryBudget struct {
 	window       int64
 	ratio, slack float64
 	firsts, more ring
@@ -53,12 +53,12 @@
 }
 
 // NewBudget makes one that has seen nothing. Ratio is of own first sends, slack what all members together have a window.
-func NewBudget(window int64, ratio, slack float64) *Budget {
-	return &Budget{window: window, ratio: ratio, slack: slack}
+func NewRetryBudget(window int64, ratio, slack float64) *RetryBudget {
+	return &RetryBudget{window: window, ratio: ratio, slack: slack}
 }
 
 // First counts a first send.
-func (b *Budget) First(now int64) {
+func (b *RetryBudget) First(now int64) {
 	slot := now / (b.window / slots)
 	b.firsts.turn(slot)
 	b.firsts.n[slot%(slots+1)]++
@@ -66,7 +66,7 @@
 
 // Take spends one send beyond the first, if there is one to spend. Half of a part is what a balancer has by itself: the
 // other half is for the calls that repeated runs make, which nobody can tell from others.
-func (b *Budget) Take(now int64, members int) bool {
+func (b *RetryBudget) Take(now int64, members int) bool {
 	slot := now / (b.window / slots)
 	b.firsts.turn(slot)
 	b.more.turn(slot)
@@ -78,6 +78,6 @@
 }
 
 // Bound is how many sends beyond the first are allowed in the window that ends now.
-func (b *Budget) Bound(members int) float64 {
+func (b *RetryBudget) Bound(members int) float64 {
 	return b.ratio/2*b.firsts.sum() + math.Max(1, b.slack/2/float64(max(members, 1)))
 }
--- a/internal/hive/pollen/pollen_test.go
+++ b/internal/mesh/ratelimit/ratelimit_test.go
@@ -1,4 +1,4 @@
-package pollen
+package ratelimit
 
 import (
 	"fmt"
@@ -13,7 +13,7 @@
 
 // season is a schedule of a quota: balancers with wallets, a bank that changes hands, cuts both ways and one way, frozen
 // machines, restarts one by one and of all, demand of many times the limit that moves about.
-type season struct {
+type quotaSimulation struct {
 	rng      *rand.Rand
 	now      int64
 	limit    Limit
@@ -25,10 +25,10 @@
 	frozen   []int64
 	next     []int64 // when it draws
 	pending  []int64 // an answer on its way: due, -1 for none
-	answer   []map[string]Given
+	answer   []map[string]TokenGrant
 	sent     []int64
-	bank     *Bank
-	old      *Bank // one that has lost the duty and doesn't know it
+	bank     *TokenBank
+	old      *TokenBank // one that has lost the duty and doesn't know it
 	oldUntil int64
 	from     int64
 	passed   []int64
@@ -36,8 +36,8 @@
 	noRegency, fullPurse, keepTokens bool // guards left out
 }
 
-func newSeason(seed uint64, n int, l Limit) *season {
-	s := &season{rng: rand.New(rand.NewPCG(seed, 1)), limit: l, n: n, now: int64(5e9)}
+func newQuotaSimulation(seed uint64, n int, l Limit) *quotaSimulation {
+	s := &quotaSimulation{rng: rand.New(rand.NewPCG(seed, 1)), limit: l, n: n, now: int64(5e9)}
 	for i := range n {
 		s.wallets = append(s.wallets, nil)
 		s.lives, s.cutTo, s.cutFrom = append(s.lives, 0), append(s.cutTo, 0), append(s.cutFrom, 0)
@@ -45,14 +45,14 @@
 		s.answer, s.sent = append(s.answer, nil), append(s.sent, 0)
 		s.start(i)
 	}
-	s.crown()
+	s.appointCoordinator()
 	s.from = s.now
 	return s
 }
 
-func (s *season) limits() map[string]Limit { return map[string]Limit{"t": s.limit} }
+func (s *quotaSimulation) limits() map[string]Limit { return map[string]Limit{"t": s.limit} }
 
-func (s *season) start(i int) {
+func (s *quotaSimulation) start(i int) {
 	s.lives[i]++
 	s.wallets[i] = NewWallet(s.now)
 	s.wallets[i].Set(s.limits(), s.n, s.now)
@@ -63,16 +63,16 @@
 }
 
 // crown gives the duty to another; the one before may go on for as long as its last word of a majority holds.
-func (s *season) crown() {
+func (s *quotaSimulation) appointCoordinator() {
 	s.old, s.oldUntil = s.bank, s.now+700*ms
-	s.bank, s.from = NewBank(s.now), s.now+1000*ms
+	s.bank, s.from = NewTokenBank(s.now), s.now+1000*ms
 	if s.noRegency {
 		s.bank.opened, s.from, s.oldUntil = s.now-Forget, s.now, s.now+20e9
 	}
 	s.bank.Set(s.limits(), s.n, s.now)
 }
 
-func (s *season) step(hot float64) {
+func (s *quotaSimulation) step(hot float64) {
 	const tick = 5 * ms
 	s.now += tick
 	for i := range s.n {
@@ -81,7 +81,7 @@
 		}
 		w := s.wallets[i]
 		if s.pending[i] >= 0 && s.now >= s.pending[i] {
-			w.Given(s.answer[i], s.sent[i], s.now)
+			w.ApplyGrant(s.answer[i], s.sent[i], s.now)
 			s.pending[i] = -1
 		}
 		for k := s.rng.Float64() * hot * s.limit.Rate / float64(s.n) * float64(tick) / 1e9 * 2; k > s.rng.Float64(); k-- {
@@ -98,7 +98,7 @@
 			continue
 		}
 		s.next[i] = s.now + 350*ms
-		d := w.Draw(fmt.Sprint(i), fmt.Sprint(s.lives[i]), s.now)
+		d := w.NewRequest(fmt.Sprint(i), fmt.Sprint(s.lives[i]), s.now)
 		if s.now < s.cutTo[i] {
 			continue
 		}
@@ -108,7 +108,7 @@
 		} else if s.now < s.from {
 			continue
 		}
-		given := bank.Draw(d, s.now)
+		given := bank.Grant(d, s.now)
 		if given != nil && s.now >= s.cutFrom[i] {
 			s.pending[i], s.answer[i], s.sent[i] = s.now+2*ms, given, s.now
 		}
@@ -116,7 +116,7 @@
 }
 
 // play lets a season go by and returns the most that passed in a window.
-func (s *season) play(seconds int) (most float64) {
+func (s *quotaSimulation) play(seconds int) (most float64) {
 	hot := 0.5
 	for range seconds * 200 {
 		if s.rng.IntN(400) == 0 {
@@ -140,7 +140,7 @@
 			}
 		case 5:
 			if s.now > s.from+4e9 {
-				s.crown()
+				s.appointCoordinator()
 			}
 		}
 		s.step(hot)
@@ -167,7 +167,7 @@
 	for _, c := range tenants {
 		worst := 0.0
 		for seed := range uint64(12) {
-			worst = max(worst, newSeason(seed, c.n, c.l).play(60))
+			worst = max(worst, newQuotaSimulation(seed, c.n, c.l).play(60))
 		}
 		t.Logf("%d balancers, %v/s and %v: bound R·W + Reserve = %.0f, allowed %.0f, measured %.0f", c.n, c.l.Rate, c.l.Surge,
 			c.l.Rate*5+c.l.Reserve(), c.l.Bound(), worst)
@@ -177,13 +177,13 @@
 }
 
 func TestWithoutItsGuardsTheQuotaIsBroken(t *testing.T) {
-	for name, leave := range map[string]func(*season){
-		"no-epoch":   func(s *season) { s.noRegency = true },
-		"full-purse": func(s *season) { s.fullPurse = true },
+	for name, leave := range map[string]func(*quotaSimulation){
+		"no-epoch":   func(s *quotaSimulation) { s.noRegency = true },
+		"full-purse": func(s *quotaSimulation) { s.fullPurse = true },
 	} {
 		broken := 0
 		for seed := range uint64(12) {
-			s := newSeason(seed, 14, tenants[0].l)
+			s := newQuotaSimulation(seed, 14, tenants[0].l)
 			leave(s)
 			if s.play(60) > s.limit.Bound() {
 				broken++
@@ -196,13 +196,13 @@
 
 // A tenant within its limit gets nearly all that it asks for, wherever its requests come.
 func TestWithinTheQuotaNextToNothingIsRefused(t *testing.T) {
-	s := newSeason(1, 65, Limit{7, 7, 5e9, 0.1, 20})
+	s := newQuotaSimulation(1, 65, Limit{7, 7, 5e9, 0.1, 20})
 	asked, refused := 0, 0
 	for range 60 * 1000 { // a millisecond each, two for a draw
 		s.now += ms
 		if s.now%(350*ms) == 0 {
 			for i, w := range s.wallets {
-				w.Given(s.bank.Draw(w.Draw(fmt.Sprint(i), "1", s.now), s.now), s.now, s.now)
+				w.ApplyGrant(s.bank.Grant(w.NewRequest(fmt.Sprint(i), "1", s.now), s.now), s.now, s.now)
 			}
 		}
 		if s.rng.Float64() > 5.0/1000 {
@@ -213,7 +213,7 @@
 		asked++
 		verdict, _ := w.Take("t", s.now, false)
 		if verdict == Ask {
-			w.Given(s.bank.Draw(w.Draw(fmt.Sprint(i), "1", s.now), s.now), s.now, s.now)
+			w.ApplyGrant(s.bank.Grant(w.NewRequest(fmt.Sprint(i), "1", s.now), s.now), s.now, s.now)
 			verdict, _ = w.Take("t", s.now, true)
 		}
 		if verdict != Pass {
@@ -225,7 +225,7 @@
 }
 
 func TestABudgetSpendsItsRatioAndItsPartOfTheSlack(t *testing.T) {
-	b := NewBudget(10e9, 0.2, 58)
+	b := NewRetryBudget(10e9, 0.2, 58)
 	spent := 0
 	for now := int64(0); now < 10e9; now += 10 * ms {
 		b.First(now)
@@ -236,8 +236,8 @@
 	t.Logf("bound %.1f, spent %d", b.Bound(14), spent)
 	must.LessEq(t, b.Bound(14), float64(spent))
 	must.Positive(t, spent)
-	must.True(t, NewBudget(10e9, 0.2, 58).Take(0, 14)) // a start brings one, not a window's
-	fresh := NewBudget(10e9, 0.2, 58)
+	must.True(t, NewRetryBudget(10e9, 0.2, 58).Take(0, 14)) // a start brings one, not a window's
+	fresh := NewRetryBudget(10e9, 0.2, 58)
 	for range 3 {
 		fresh.Take(0, 14)
 	}
--- a/internal/hive/dance/diff.go
+++ b/internal/mesh/routing/diff.go
@@ -1,4 +1,4 @@
-package dance
+package routing
 
 import (
 	"bytes"
@@ -7,13 +7,13 @@
 )
 
 // Diff names what one version has beyond another, what is altered, and what is gone: + ~ -.
-func Diff(from, to *Timetable) (lines []string) {
+func Diff(from, to *Configuration) (lines []string) {
 	if from.Edition != to.Edition {
 		lines = append(lines, fmt.Sprintf("~ Edition %d -> %d", from.Edition, to.Edition))
 	}
-	lines = append(lines, differ("route", from.Rules, to.Rules, func(r *Rule) (string, string) { return r.Name, r.Town + " " + plain(r.raw) })...)
-	lines = append(lines, differ("sender", from.Senders, to.Senders, func(s *Sender) (string, string) { return s.Name, plain(s.raw) })...)
-	lines = append(lines, differ("depot", from.Depots, to.Depots, func(d *Depot) (string, string) { return d.Name, plain(d.raw) })...)
+	lines = append(lines, differ("route", from.Routes, to.Routes, func(r *Route) (string, string) { return r.Name, r.Host + " " + plain(r.raw) })...)
+	lines = append(lines, differ("sender", from.Tenants, to.Tenants, func(s *Tenant) (string, string) { return s.Name, plain(s.raw) })...)
+	lines = append(lines, differ("depot", from.Services, to.Services, func(d *Service) (string, string) { return d.Name, plain(d.raw) })...)
 	if a, b := plain(from.other["SizeLimits"]), plain(to.other["SizeLimits"]); a != b {
 		lines = append(lines, fmt.Sprintf("~ SizeLimits %s -> %s", a, b))
 	}
--- a/internal/hive/dance/dance.go
+++ b/internal/mesh/routing/routing.go
@@ -1,6 +1,6 @@
-// Package dance is the timetable, the configuration that the mesh agrees on: read, checked, amended, looked up. It does
+// Package routing is the configuration, the configuration that the mesh agrees on: read, checked, amended, looked up. It does
 // no I/O. What it doesn't know in a configuration is kept as it was sent.
-package dance
+package routing
 
 import (
 	"bytes"
@@ -16,7 +16,7 @@
 	validation "github.com/go-ozzo/ozzo-validation/v4"
 	"github.com/zeebo/errs"
 
-	"ottershift/internal/hive/box"
+	"ottershift/internal/mesh/settings"
 )
 
 // Error is the class of faults in a configuration.
@@ -33,7 +33,7 @@
 	if err := json.Unmarshal(raw, &text); err != nil {
 		return fmt.Errorf("%s is no time: text with a number and ms or s", raw)
 	}
-	d, err := box.Span(text)
+	d, err := settings.Span(text)
 	*s = Span(d)
 	return err
 }
@@ -45,20 +45,20 @@
 const (
 	Repeatable Class = "repeatable"
 	OnceOnly   Class = "once_only"
-	Freight    Class = "outbound_freight"
+	Streamed   Class = "outbound_freight"
 )
 
 // Repeats reports whether a request may run more than once.
-func (c Class) Repeats() bool { return c == Repeatable || c == Freight }
+func (c Class) Repeats() bool { return c == Repeatable || c == Streamed }
 
 // Part is a service with its share of a route.
-type Part struct {
-	Destination string
-	Share       float64
+type WeightedService struct {
+	Service string `json:"Destination"`
+	Share   float64
 }
 
 // Rule is a route.
-type Rule struct {
+type Route struct {
 	Name       string
 	MailClass  Class
 	Target     Span
@@ -67,30 +67,30 @@
 	Sorting    struct{ StreetPrefix string }
 	Dispatch   struct {
 		Destination   string
-		Apportion     []Part
+		Apportion     []WeightedService
 		Deadline      Span
 		DeliveryTries int
 	}
 
-	Town  string          `json:"-"`
-	Parts []Part          `json:"-"` // where it goes, always at least one
-	raw   json.RawMessage // as sent
+	Host  string            `json:"-"`
+	Parts []WeightedService `json:"-"` // where it goes, always at least one
+	raw   json.RawMessage   // as sent
 }
 
 // Sender is a tenant.
-type Sender struct {
-	Name       string
-	ApiKeys    []string
-	Precedence int
-	RatePerS   float64
-	Surge      float64
-	Nectar     *Nectar // burst credit, nil for none
+type Tenant struct {
+	Name        string
+	ApiKeys     []string
+	Precedence  int
+	RatePerS    float64
+	Surge       float64
+	BurstCredit *BurstCredit `json:"Nectar"` // burst credit, nil for none
 
 	raw json.RawMessage
 }
 
 // Nectar is a tenant's burst credit.
-type Nectar struct {
+type BurstCredit struct {
 	Earn  float64 // part of what it leaves of its rate that is saved
 	Cap   float64 // requests saved at most
 	Keep  Span    // for which they are
@@ -98,7 +98,7 @@
 }
 
 // check names what is wrong with it.
-func (n *Nectar) check() error {
+func (n *BurstCredit) check() error {
 	if n == nil {
 		return nil
 	}
@@ -110,13 +110,13 @@
 }
 
 // Depot is a service.
-type Depot struct {
-	Name       string
-	HealthPath string
-	LineCap    int
-	Protocol   string
-	Sealed     bool
-	NectarPerS float64 // the most that all tenants' burst credit adds here, a second; 0 for no bound
+type Service struct {
+	Name                 string
+	HealthPath           string
+	LineCap              int
+	Protocol             string
+	Sealed               bool
+	BurstCreditPerSecond float64 `json:"NectarPerS"` // the most that all tenants' burst credit adds here, a second; 0 for no bound
 
 	raw json.RawMessage
 }
@@ -132,7 +132,7 @@
 }
 
 // partners reads the meshes beside ours.
-func (t *Timetable) partners() error {
+func (t *Configuration) partners() error {
 	t.Mesh, t.Partners = "", nil
 	if raw := t.other["Mesh"]; len(raw) > 0 {
 		if err := json.Unmarshal(raw, &t.Mesh); err != nil {
@@ -169,28 +169,28 @@
 	Envelope, Idle               Span
 }
 
-type office struct {
-	Town  string
-	Rules []*Rule
+type hostRoutes struct {
+	Host   string   `json:"Town"`
+	Routes []*Route `json:"Rules"`
 }
 
-// Timetable is one version of the configuration.
-type Timetable struct {
-	Edition int64
-	Limits  Limits
-	Senders []*Sender
-	Depots  []*Depot
-	Rules   []*Rule
+// Configuration is one version of the configuration.
+type Configuration struct {
+	Edition  int64
+	Limits   Limits
+	Tenants  []*Tenant  `json:"Senders"`
+	Services []*Service `json:"Depots"`
+	Routes   []*Route   `json:"Rules"`
 
 	Mesh     string     // our own name, as partners know us
 	Partners []*Partner // in the order in which they are turned to
 
-	offices []*office
-	other   map[string]json.RawMessage // top-level fields kept as they are
-	doc     json.RawMessage
-	towns   map[string]map[string]*Rule // by host and prefix
-	keys    map[string]*Sender
-	depots  map[string]*Depot
+	hosts          []*hostRoutes
+	other          map[string]json.RawMessage // top-level fields kept as they are
+	document       json.RawMessage
+	routesByHost   map[string]map[string]*Route // by host and prefix
+	tenantsByKey   map[string]*Tenant
+	servicesByName map[string]*Service
 }
 
 // Digest names a call that changes the configuration, so that the same one sent again is known.
@@ -230,49 +230,49 @@
 	return nil
 }
 
-type rawOffice struct {
+type rawHostRoutes struct {
 	Town        string
 	Regulations []json.RawMessage
 }
 
 // parts reads the lists that a whole configuration and an amendment have in common.
-func (t *Timetable) parts(top map[string]json.RawMessage) error {
+func (t *Configuration) parts(top map[string]json.RawMessage) error {
 	var faults errs.Group
 	if raw := top["SizeLimits"]; len(raw) > 0 {
 		if err := json.Unmarshal(raw, &t.Limits); err != nil {
 			faults.Add(Error.New("SizeLimits: %v", err))
 		}
 	}
-	faults.Add(named(top["Senders"], "Senders", func(s *Sender, raw json.RawMessage) {
+	faults.Add(named(top["Senders"], "Senders", func(s *Tenant, raw json.RawMessage) {
 		s.raw = raw
-		t.Senders = append(t.Senders, s)
+		t.Tenants = append(t.Tenants, s)
 	}))
-	faults.Add(named(top["Depots"], "Depots", func(d *Depot, raw json.RawMessage) {
+	faults.Add(named(top["Depots"], "Depots", func(d *Service, raw json.RawMessage) {
 		d.raw = raw
-		t.Depots = append(t.Depots, d)
+		t.Services = append(t.Services, d)
 	}))
-	faults.Add(named(top["PostOffices"], "PostOffices", func(o *rawOffice, _ json.RawMessage) {
-		at := &office{Town: o.Town}
-		t.offices = append(t.offices, at)
+	faults.Add(named(top["PostOffices"], "PostOffices", func(o *rawHostRoutes, _ json.RawMessage) {
+		at := &hostRoutes{Host: o.Town}
+		t.hosts = append(t.hosts, at)
 		for n, item := range o.Regulations {
-			r := &Rule{Town: o.Town, raw: item}
+			r := &Route{Host: o.Town, raw: item}
 			if err := json.Unmarshal(item, r); err != nil {
 				faults.Add(Error.New("PostOffices %q Regulations[%d]: %v", o.Town, n, err))
 				continue
 			}
-			at.Rules = append(at.Rules, r)
+			at.Routes = append(at.Routes, r)
 		}
 	}))
 	return faults.Err()
 }
 
 // Parse reads a whole configuration and checks it.
-func Parse(body []byte) (*Timetable, error) {
+func Parse(body []byte) (*Configuration, error) {
 	var top map[string]json.RawMessage
 	if err := whole(body, &top); err != nil {
 		return nil, Error.New("can't be read whole: %v", err)
 	}
-	t := &Timetable{other: map[string]json.RawMessage{}}
+	t := &Configuration{other: map[string]json.RawMessage{}}
 	if err := json.Unmarshal(top["Edition"], &t.Edition); err != nil {
 		return nil, Error.New("Edition: is no whole number")
 	}
@@ -290,52 +290,52 @@
 	if err := json.Compact(&compact, body); err != nil {
 		return nil, Error.Wrap(err)
 	}
-	t.doc = compact.Bytes()
+	t.document = compact.Bytes()
 	return t, t.settle()
 }
 
 // settle indexes a configuration and names all that makes it invalid.
-func (t *Timetable) settle() error {
+func (t *Configuration) settle() error {
 	var faults errs.Group
-	t.towns, t.keys, t.depots = map[string]map[string]*Rule{}, map[string]*Sender{}, map[string]*Depot{}
-	t.Rules = t.Rules[:0]
+	t.routesByHost, t.tenantsByKey, t.servicesByName = map[string]map[string]*Route{}, map[string]*Tenant{}, map[string]*Service{}
+	t.Routes = t.Routes[:0]
 	faults.Add(t.partners())
 	if err := validation.Validate(t.Edition, validation.Required, validation.Min(int64(1))); err != nil {
 		faults.Add(Error.New("Edition: %v", err))
 	}
-	for _, d := range t.Depots {
+	for _, d := range t.Services {
 		if err := validation.Validate(d.Name, validation.Required); err != nil {
 			faults.Add(Error.New("Depots: Name: %v", err))
 		}
-		if d.NectarPerS < 0 {
+		if d.BurstCreditPerSecond < 0 {
 			faults.Add(Error.New("Depots %s: NectarPerS: is below 0", d.Name))
 		}
-		t.depots[d.Name] = d
+		t.servicesByName[d.Name] = d
 	}
-	for _, s := range t.Senders {
+	for _, s := range t.Tenants {
 		faults.Add(checked("Senders "+s.Name, validation.ValidateStruct(s,
 			validation.Field(&s.Name, validation.Required),
 			validation.Field(&s.RatePerS, validation.Min(0.0)), validation.Field(&s.Surge, validation.Min(0.0)))))
-		faults.Add(checked("Senders "+s.Name+": Nectar", s.Nectar.check()))
-		if s.Nectar != nil && s.RatePerS <= 0 {
+		faults.Add(checked("Senders "+s.Name+": Nectar", s.BurstCredit.check()))
+		if s.BurstCredit != nil && s.RatePerS <= 0 {
 			faults.Add(Error.New("Senders %s: Nectar: without RatePerS nothing is left to save", s.Name))
 		}
 		for _, key := range s.ApiKeys {
-			t.keys[key] = s
+			t.tenantsByKey[key] = s
 		}
 	}
-	for _, o := range t.offices {
-		if err := validation.Validate(strings.TrimSpace(o.Town), validation.Required); err != nil {
+	for _, o := range t.hosts {
+		if err := validation.Validate(strings.TrimSpace(o.Host), validation.Required); err != nil {
 			faults.Add(Error.New("PostOffices: Town: %v", err))
 		}
-		host := strings.ToLower(o.Town)
-		if t.towns[host] == nil {
-			t.towns[host] = map[string]*Rule{}
+		host := strings.ToLower(o.Host)
+		if t.routesByHost[host] == nil {
+			t.routesByHost[host] = map[string]*Route{}
 		}
-		for _, r := range o.Rules {
-			faults.Add(t.rule(r))
-			t.towns[host][r.Sorting.StreetPrefix] = r
-			t.Rules = append(t.Rules, r)
+		for _, r := range o.Routes {
+			faults.Add(t.checkRoute(r))
+			t.routesByHost[host][r.Sorting.StreetPrefix] = r
+			t.Routes = append(t.Routes, r)
 		}
 	}
 	return faults.Err()
@@ -349,18 +349,18 @@
 }
 
 // rule checks a route and finds where it goes.
-func (t *Timetable) rule(r *Rule) error {
+func (t *Configuration) checkRoute(r *Route) error {
 	where := "route " + r.Name
 	d := &r.Dispatch
 	r.Parts = d.Apportion
 	if len(r.Parts) == 0 {
-		r.Parts = []Part{{d.Destination, 1}}
+		r.Parts = []WeightedService{{d.Destination, 1}}
 	}
 	var faults errs.Group
 	total := 0.0
 	for _, p := range r.Parts {
-		if t.depots[p.Destination] == nil {
-			faults.Add(Error.New("%s: Destination: no service is named %q", where, p.Destination))
+		if t.servicesByName[p.Service] == nil {
+			faults.Add(Error.New("%s: Destination: no service is named %q", where, p.Service))
 		}
 		if p.Share < 0 {
 			faults.Add(Error.New("%s: Share: is below 0", where))
@@ -384,7 +384,7 @@
 }
 
 // Doc is the configuration as it is read back.
-func (t *Timetable) Doc() json.RawMessage { return t.doc }
+func (t *Configuration) Document() json.RawMessage { return t.document }
 
 // amendment is a call that alters items by name.
 type amendment struct {
@@ -395,12 +395,12 @@
 }
 
 // Amend makes the version that an amendment asks for.
-func (t *Timetable) Amend(body []byte) (*Timetable, error) {
+func (t *Configuration) Amend(body []byte) (*Configuration, error) {
 	var a amendment
 	if err := whole(body, &a); err != nil {
 		return nil, Error.New("can't be read whole: %v", err)
 	}
-	next := &Timetable{Edition: a.Edition, Limits: t.Limits, other: map[string]json.RawMessage{}}
+	next := &Configuration{Edition: a.Edition, Limits: t.Limits, other: map[string]json.RawMessage{}}
 	for name, raw := range t.other {
 		next.other[name] = raw
 	}
@@ -413,7 +413,7 @@
 		}
 		return out
 	}
-	add := &Timetable{}
+	add := &Configuration{}
 	if err := add.parts(a.Deliver); err != nil {
 		return nil, err
 	}
@@ -430,52 +430,52 @@
 			next.other[name] = raw
 		}
 	}
-	next.Senders = merge(t.Senders, add.Senders, gone("Senders"), func(s *Sender) string { return s.Name })
-	next.Depots = merge(t.Depots, add.Depots, gone("Depots", "Destinations"), func(d *Depot) string { return d.Name })
+	next.Tenants = merge(t.Tenants, add.Tenants, gone("Senders"), func(s *Tenant) string { return s.Name })
+	next.Services = merge(t.Services, add.Services, gone("Depots", "Destinations"), func(d *Service) string { return d.Name })
 
 	// Routes are replaced where they stand; one that comes to another town leaves its own.
 	routes, towns := gone("Routes", "Regulations"), gone("PostOffices", "Towns")
-	fresh, placed := map[string]*Rule{}, map[*Rule]bool{}
-	for _, o := range add.offices {
-		for _, r := range o.Rules {
+	fresh, placed := map[string]*Route{}, map[*Route]bool{}
+	for _, o := range add.hosts {
+		for _, r := range o.Routes {
 			fresh[r.Name] = r
 		}
 	}
-	at := map[string]*office{}
-	for _, o := range t.offices {
-		if towns[o.Town] {
+	at := map[string]*hostRoutes{}
+	for _, o := range t.hosts {
+		if towns[o.Host] {
 			continue
 		}
-		to := &office{Town: o.Town}
-		for _, r := range o.Rules {
-			if by := fresh[r.Name]; by != nil && by.Town == o.Town && !placed[by] {
-				to.Rules, placed[by] = append(to.Rules, by), true
+		to := &hostRoutes{Host: o.Host}
+		for _, r := range o.Routes {
+			if by := fresh[r.Name]; by != nil && by.Host == o.Host && !placed[by] {
+				to.Routes, placed[by] = append(to.Routes, by), true
 			} else if by == nil && !routes[r.Name] {
 				copied := *r
-				to.Rules = append(to.Rules, &copied)
+				to.Routes = append(to.Routes, &copied)
 			}
 		}
-		at[o.Town] = to
-		next.offices = append(next.offices, to)
+		at[o.Host] = to
+		next.hosts = append(next.hosts, to)
 	}
-	for _, o := range add.offices {
-		if at[o.Town] == nil {
-			at[o.Town] = &office{Town: o.Town}
-			next.offices = append(next.offices, at[o.Town])
+	for _, o := range add.hosts {
+		if at[o.Host] == nil {
+			at[o.Host] = &hostRoutes{Host: o.Host}
+			next.hosts = append(next.hosts, at[o.Host])
 		}
-		for _, r := range o.Rules {
+		for _, r := range o.Routes {
 			if !placed[r] && fresh[r.Name] == r {
-				at[o.Town].Rules = append(at[o.Town].Rules, r)
+				at[o.Host].Routes = append(at[o.Host].Routes, r)
 			}
 		}
 	}
-	kept := next.offices[:0]
-	for _, o := range next.offices {
-		if len(o.Rules) > 0 || o.Town == "" {
+	kept := next.hosts[:0]
+	for _, o := range next.hosts {
+		if len(o.Routes) > 0 || o.Host == "" {
 			kept = append(kept, o)
 		}
 	}
-	next.offices = kept
+	next.hosts = kept
 	if err := next.settle(); err != nil {
 		return nil, err
 	}
@@ -505,26 +505,26 @@
 }
 
 // write lays an amended configuration out as whole ones are put.
-func (t *Timetable) write() error {
+func (t *Configuration) write() error {
 	top := map[string]any{"Edition": t.Edition}
 	for name, raw := range t.other {
 		top[name] = raw
 	}
-	if len(t.Senders) > 0 {
-		top["Senders"] = raws(t.Senders, func(s *Sender) json.RawMessage { return s.raw })
+	if len(t.Tenants) > 0 {
+		top["Senders"] = raws(t.Tenants, func(s *Tenant) json.RawMessage { return s.raw })
 	}
-	top["Depots"] = raws(t.Depots, func(d *Depot) json.RawMessage { return d.raw })
+	top["Depots"] = raws(t.Services, func(d *Service) json.RawMessage { return d.raw })
 	type town struct {
 		Town        string
 		Regulations []json.RawMessage
 	}
 	offices := []town{}
-	for _, o := range t.offices {
-		offices = append(offices, town{o.Town, raws(o.Rules, func(r *Rule) json.RawMessage { return r.raw })})
+	for _, o := range t.hosts {
+		offices = append(offices, town{o.Host, raws(o.Routes, func(r *Route) json.RawMessage { return r.raw })})
 	}
 	top["PostOffices"] = offices
 	var err error
-	t.doc, err = json.Marshal(top)
+	t.document, err = json.Marshal(top)
 	return err
 }
 
@@ -537,13 +537,13 @@
 }
 
 // Find is the route of a request: of its host's, the one with the longest prefix of the path.
-func (t *Timetable) Find(host, path string) *Rule {
+func (t *Configuration) Find(host, path string) *Route {
 	if at := strings.LastIndexByte(host, ':'); at >= 0 && strings.IndexByte(host[at:], ']') < 0 {
 		host = host[:at]
 	}
-	rules := t.towns[host]
+	rules := t.routesByHost[host]
 	if rules == nil {
-		if rules = t.towns[strings.ToLower(host)]; rules == nil {
+		if rules = t.routesByHost[strings.ToLower(host)]; rules == nil {
 			return nil
 		}
 	}
@@ -556,10 +556,10 @@
 }
 
 // Owner is the tenant that holds a key, nil for none.
-func (t *Timetable) Owner(key string) *Sender { return t.keys[key] }
+func (t *Configuration) Tenant(key string) *Tenant { return t.tenantsByKey[key] }
 
 // Stamped reports whether requests must carry a key.
-func (t *Timetable) Stamped() bool { return len(t.Senders) > 0 }
+func (t *Configuration) RequiresKeys() bool { return len(t.Tenants) > 0 }
 
 // Depot is a service by its name.
-func (t *Timetable) Depot(name string) *Depot { return t.depots[name] }
+func (t *Configuration) Service(name string) *Service { return t.servicesByName[name] }
--- a/internal/hive/dance/dance_test.go
+++ b/internal/mesh/routing/routing_test.go
@@ -1,4 +1,4 @@
-package dance
+package routing
 
 import (
 	"strings"
@@ -48,8 +48,8 @@
 		}
 		must.Eq(t, c.want, got, must.Sprint(c))
 	}
-	must.Eq(t, "t", v.Owner("k2").Name)
-	must.Nil(t, v.Owner(""))
+	must.Eq(t, "t", v.Tenant("k2").Name)
+	must.Nil(t, v.Tenant(""))
 }
 
 func TestAnAmendmentAltersByNameAndKeepsTheRest(t *testing.T) {
@@ -61,11 +61,11 @@
 	must.Nil(t, v.Find("b.example", "/n/")) // the version before it is as it was
 	must.Eq(t, "r1", w.Find("b.example", "/n/").Name)
 	must.Nil(t, w.Find("a.example", "/a/1"))
-	must.Nil(t, w.Owner("k1"))
-	must.Eq(t, "u", w.Owner("k3").Name)
-	must.StrContains(t, string(w.Doc()), `"Unknown":{"kept":1}`)
-	must.StrContains(t, string(w.Doc()), `"LineCap":130`)
-	again, err := Parse(w.Doc())
+	must.Nil(t, w.Tenant("k1"))
+	must.Eq(t, "u", w.Tenant("k3").Name)
+	must.StrContains(t, string(w.Document()), `"Unknown":{"kept":1}`)
+	must.StrContains(t, string(w.Document()), `"LineCap":130`)
+	again, err := Parse(w.Document())
 	must.NoError(t, err)
 	must.Eq(t, 9, again.Edition)
 	_, err = v.Amend([]byte(`{"Edition":9,"Withdraw":{"Depots":["y"]}}`))
--- a/internal/hive/buzz/buzz.go
+++ b/internal/mesh/rpc/rpc.go
@@ -1,6 +1,6 @@
-// Package buzz is how the mesh's own processes call one another: HTTP/1.1 with JSON on connections that are kept, each
+// Package rpc is how the mesh's own processes call one another: HTTP/1.1 with JSON on connections that are kept, each
 // call with an end of its own.
-package buzz
+package rpc
 
 import (
 	"bytes"
@@ -17,7 +17,7 @@
 )
 
 // Error is the class of calls that failed.
-var Error = errs.Class("buzz")
+var Error = errs.Class("rpc")
 
 const (
 	mostBytes = 64 << 20
@@ -36,7 +36,7 @@
 	}}}
 }
 
-// UserTimeout bounds how long a connection waits for a peer that confirms nothing. Danger: without it one to a machine
+// UserTimeout bounds how long a connection waits for a peer that confirms nothing. Invariant: without it one to a machine
 // that is cut off hangs for minutes.
 func UserTimeout(after time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
@@ -78,7 +78,7 @@
 func (c *Caller) Close() { c.client.CloseIdleConnections() }
 
 // Take serves one kind of call.
-func Take[In, Out any](f func(ctx context.Context, in *In) (*Out, error)) http.HandlerFunc {
+func Handle[In, Out any](f func(ctx context.Context, in *In) (*Out, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		in := new(In)
 		body, err := io.ReadAll(io.LimitReader(r.Body, mostBytes))
--- a/internal/hive/box/box.go
+++ b/internal/mesh/settings/settings.go
@@ -1,6 +1,6 @@
 // Package box reads the settings that a process of the mesh is given: lines of a.b=value, of which unknown ones are
 // left alone and bad ones are named with line and key.
-package box
+package settings
 
 import (
 	"bufio"
@@ -23,7 +23,7 @@
 const Variable = "OTTERSHIFT_CONFIG"
 
 // Box is what a process is told about itself, its machine and the mesh.
-type Box struct {
+type Settings struct {
 	Node, Role, Class, District, Province string
 	Serves                                []string
 	Ip                                    string
@@ -58,7 +58,7 @@
 }
 
 // Inner is where other processes of the mesh reach this one.
-func (b *Box) Inner() string { return InnerOf(b.Ip, b.InnerFirst) }
+func (b *Settings) Inner() string { return InnerOf(b.Ip, b.InnerFirst) }
 
 // InnerOf is the same of any machine: all use the same ports.
 func InnerOf(ip string, port int) string { return ip + ":" + strconv.Itoa(port) }
@@ -72,8 +72,8 @@
 }
 
 // Default is what holds where nothing is said: the figures of the users' pages.
-func Default() *Box {
-	return &Box{
+func Default() *Settings {
+	return &Settings{
 		MemoryMb: 256, Fds: 4096, CpuShare: 1, Beat: 1500 * time.Millisecond, Districts: map[string]string{},
 		Bounds: Bounds{
 			SeedLag: 3 * time.Second, ReuseAfter: 2 * time.Second, Touch: 3 * time.Second, Ack: 5 * time.Second,
@@ -86,7 +86,7 @@
 }
 
 // Load reads a file.
-func Load(path string) (*Box, error) {
+func Load(path string) (*Settings, error) {
 	if path == "" {
 		return nil, Error.New("%s names no file", Variable)
 	}
@@ -98,7 +98,7 @@
 }
 
 // Parse reads settings; all faults are told at once.
-func Parse(text string) (*Box, error) {
+func Parse(text string) (*Settings, error) {
 	b := Default()
 	var faults errs.Group
 	known := b.fields()
@@ -144,7 +144,7 @@
 }
 
 // check holds the settings against one another, and names the key and its line.
-func (b *Box) check(at map[string]int) error {
+func (b *Settings) check(at map[string]int) error {
 	named := func(key string, err error) error {
 		if err == nil {
 			return nil
@@ -199,7 +199,7 @@
 }
 
 // fields is how each known line is taken.
-func (b *Box) fields() map[string]func(string) error {
+func (b *Settings) fields() map[string]func(string) error {
 	text := func(to *string) func(string) error {
 		return func(v string) error { *to = v; return nil }
 	}
--- a/internal/hive/box/box_test.go
+++ b/internal/mesh/settings/settings_test.go
@@ -1,4 +1,4 @@
-package box
+package settings
 
 import (
 	"testing"
--- a/internal/hive/apiary/ask.go
+++ b/internal/mesh/simulation/ask.go
@@ -1,4 +1,4 @@
-package apiary
+package simulation
 
 import (
 	"fmt"
@@ -16,12 +16,12 @@
 	"github.com/pelletier/go-toml/v2"
 	"github.com/zeebo/errs"
 
-	"ottershift/internal/hive/nectar"
-	"ottershift/internal/hive/propolis"
+	"ottershift/internal/mesh/burstcredit"
+	"ottershift/internal/mesh/federation"
 )
 
 // Error is the class of faults in questions.
-var Error = errs.Class("apiary")
+var Error = errs.Class("meshsim")
 
 // span is a time in a question: "1.5s".
 type span int64
@@ -55,22 +55,22 @@
 }
 
 type coreFile struct {
-	Combs, Founders, Tolerate, Puts, Reads int
-	Length, Delay, Jitter, Sync            span
-	CatchUp                                span `toml:"catch_up"`
-	Loss                                   float64
-	Kills, Wipes, Cuts, Freezes, Stalls    int
-	KillAlls                               int  `toml:"kill_alls"`
-	AckWipes                               int  `toml:"ack_wipes"`
-	UnsyncedAck                            bool `toml:"unsynced_ack"`
-	StrangerVotes                          bool `toml:"stranger_votes"`
-	NoEpoch                                bool `toml:"no_epoch"`
-	OldRead                                bool `toml:"old_read"`
-	Faults                                 []Fault
+	Controllers, Founders, Tolerate, Puts, Reads int
+	Length, Delay, Jitter, Sync                  span
+	CatchUp                                      span `toml:"catch_up"`
+	Loss                                         float64
+	Kills, Wipes, Cuts, Freezes, Stalls          int
+	KillAlls                                     int  `toml:"kill_alls"`
+	AckWipes                                     int  `toml:"ack_wipes"`
+	UnsyncedAck                                  bool `toml:"unsynced_ack"`
+	StrangerVotes                                bool `toml:"stranger_votes"`
+	NoEpoch                                      bool `toml:"no_epoch"`
+	OldRead                                      bool `toml:"old_read"`
+	Faults                                       []Fault
 }
 
 func (c coreFile) core() Core {
-	return Core{Combs: c.Combs, Founders: c.Founders, Tolerate: c.Tolerate, Puts: c.Puts, Reads: c.Reads, Length: int64(c.Length),
+	return Core{Controllers: c.Controllers, Founders: c.Founders, Tolerate: c.Tolerate, Puts: c.Puts, Reads: c.Reads, Length: int64(c.Length),
 		CatchUp: int64(c.CatchUp), Delay: int64(c.Delay), Jitter: int64(c.Jitter), Sync: int64(c.Sync), Loss: c.Loss, Kills: c.Kills,
 		KillAlls: c.KillAlls, Wipes: c.Wipes, AckWipes: c.AckWipes, Cuts: c.Cuts, Freezes: c.Freezes, Stalls: c.Stalls,
 		UnsyncedAck: c.UnsyncedAck, StrangerVotes: c.StrangerVotes, NoEpoch: c.NoEpoch, OldRead: c.OldRead, Faults: c.Faults}
@@ -78,7 +78,7 @@
 
 // ReadQuestion reads a question and names what is wrong with it.
 func ReadQuestion(text []byte) (*Question, error) {
-	q := &Question{Seeds: 50, Seed: 1, Holds: "always", Core: coreFile{Combs: 4, Founders: 3, Tolerate: 1, Length: span(30 * S), CatchUp: span(4 * S),
+	q := &Question{Seeds: 50, Seed: 1, Holds: "always", Core: coreFile{Controllers: 4, Founders: 3, Tolerate: 1, Length: span(30 * S), CatchUp: span(4 * S),
 		Delay: span(Ms / 2), Jitter: span(Ms), Sync: span(2 * Ms), Puts: 20, Reads: 20}, Mesh: plainMesh(), Run: plainRun(), Credit: plainCredit(), Partner: plainPartner()}
 	d := toml.NewDecoder(strings.NewReader(string(text))).DisallowUnknownFields()
 	if err := d.Decode(q); err != nil {
@@ -98,18 +98,18 @@
 		}
 	}
 	check("seeds", q.Seeds, validation.Min(1), validation.Max(100000))
-	check("core.combs", q.Core.Combs, validation.Required, validation.Min(1), validation.Max(64))
-	check("core.founders", q.Core.Founders, validation.Required, validation.Min(1), validation.Max(q.Core.Combs))
+	check("core.controllers", q.Core.Controllers, validation.Required, validation.Min(1), validation.Max(64))
+	check("core.founders", q.Core.Founders, validation.Required, validation.Min(1), validation.Max(q.Core.Controllers))
 	check("core.length", int64(q.Core.Length), validation.Min(8*S))
 	check("holds", q.Holds, validation.In("always", "never"))
-	check("partner.foragers", q.Partner.Foragers, validation.Min(0), validation.Max(2000))
-	check("partner.combs", q.Partner.Combs, validation.Required, validation.Min(1), validation.Max(9))
+	check("partner.proxies", q.Partner.Proxies, validation.Min(0), validation.Max(2000))
+	check("partner.controllers", q.Partner.Controllers, validation.Required, validation.Min(1), validation.Max(9))
 	check("partner.length", int64(q.Partner.Length), validation.Min(30*S))
-	check("partner.guard", q.Partner.Guard, validation.In("", propolis.WithoutLeave, propolis.OneDoor, propolis.OpenByDefault, propolis.RetryAfter))
-	check("credit.foragers", q.Credit.Foragers, validation.Min(0), validation.Max(2000))
+	check("partner.guard", q.Partner.Guard, validation.In("", federation.WithoutLeave, federation.OneDoor, federation.OpenByDefault, federation.RetryAfter))
+	check("credit.proxies", q.Credit.Proxies, validation.Min(0), validation.Max(2000))
 	check("credit.regions", q.Credit.Regions, validation.Required, validation.Min(1), validation.Max(100))
-	check("credit.guard", q.Credit.Guard, validation.In("", nectar.PerTry, nectar.NoEnd, nectar.NoPrecedence))
-	check("mesh.foragers", q.Mesh.Foragers, validation.Min(0), validation.Max(5000))
+	check("credit.guard", q.Credit.Guard, validation.In("", burstcredit.PerTry, burstcredit.NoEnd, burstcredit.NoPrecedence))
+	check("mesh.proxies", q.Mesh.Proxies, validation.Min(0), validation.Max(5000))
 	faults.Add(checkFaults("core", q.Core.Faults, coreKinds, q.Core.Length))
 	faults.Add(checkFaults("mesh", q.Mesh.Faults, meshKinds, q.Mesh.Length))
 	faults.Add(q.Run.check(check))
@@ -158,13 +158,13 @@
 		table, key, found := strings.Cut(name, ".")
 		if !found {
 			table, key = "core", name
-			if q.Mesh.Foragers > 0 {
+			if q.Mesh.Proxies > 0 {
 				table = "mesh"
 			}
-			if q.Credit.Foragers > 0 {
+			if q.Credit.Proxies > 0 {
 				table = "credit"
 			}
-			if q.Partner.Foragers > 0 {
+			if q.Partner.Proxies > 0 {
 				table = "partner"
 			}
 		}
@@ -220,13 +220,13 @@
 	days := make([]played, q.Seeds)
 	each(q.Seeds, func(n int) {
 		switch seed := q.Seed + uint64(n); {
-		case q.Partner.Foragers > 0:
+		case q.Partner.Proxies > 0:
 			d := q.Partner.partner().Play(seed)
 			days[n] = played{d.Broken, d.shown(), nil}
-		case q.Credit.Foragers > 0:
+		case q.Credit.Proxies > 0:
 			d := q.Credit.credit().Play(seed)
 			days[n] = played{d.Broken, d.shown(), nil}
-		case q.Mesh.Foragers > 0:
+		case q.Mesh.Proxies > 0:
 			d := q.Mesh.mesh().Play(seed)
 			days[n] = played{d.Broken, d.shown(), nil}
 		default:
@@ -310,13 +310,13 @@
 
 // Day plays one day of a question as it stands.
 func (q *Question) Day(seed uint64) any {
-	if q.Partner.Foragers > 0 {
+	if q.Partner.Proxies > 0 {
 		return q.Partner.partner().Play(seed)
 	}
-	if q.Credit.Foragers > 0 {
+	if q.Credit.Proxies > 0 {
 		return q.Credit.credit().Play(seed)
 	}
-	if q.Mesh.Foragers > 0 {
+	if q.Mesh.Proxies > 0 {
 		return q.Mesh.mesh().Play(seed)
 	}
 	return q.Core.core().Play(seed)
--- a/internal/hive/apiary/core.go
+++ b/internal/mesh/simulation/core.go
@@ -1,4 +1,4 @@
-package apiary
+package simulation
 
 import (
 	"errors"
@@ -6,23 +6,23 @@
 	"math/rand/v2"
 	"slices"
 
-	"ottershift/internal/hive/swarm"
+	"ottershift/internal/mesh/consensus"
 )
 
 // Core is a day of a core: processes with disks, links between them, operators who change one configuration, and what
 // goes wrong.
 type Core struct {
-	Combs    int   // processes
-	Founders int   // of them, members from the beginning
-	Tolerate int   // disks that may be lost at once
-	Length   int64 // of the day; what is wrong ends at 7/10 of it
-	CatchUp  int64 // after its return, a wiped machine still counts as lost
-	Delay    int64 // of a link, one way
-	Jitter   int64
-	Sync     int64 // of a disk
-	Loss     float64
-	Puts     int // changes that operators try
-	Reads    int
+	Controllers int   // processes
+	Founders    int   // of them, members from the beginning
+	Tolerate    int   // disks that may be lost at once
+	Length      int64 // of the day; what is wrong ends at 7/10 of it
+	CatchUp     int64 // after its return, a wiped machine still counts as lost
+	Delay       int64 // of a link, one way
+	Jitter      int64
+	Sync        int64 // of a disk
+	Loss        float64
+	Puts        int // changes that operators try
+	Reads       int
 
 	Kills, KillAlls, Wipes, Cuts, Freezes, Stalls int // how many of each
 	AckWipes                                      int // of acknowledgements, after which whoever gave it loses its disk and all others power
@@ -58,19 +58,19 @@
 	Call, Back int64
 }
 
-type comb struct {
+type coreProcess struct {
 	name   int
 	at     string
 	up     bool
 	frozen int64 // until then
 	slow   int64 // until then its disk does nothing
 	life   int
-	disk   *swarm.Copy
-	mem    *swarm.Copy
+	disk   *consensus.Replica
+	mem    *consensus.Replica
 	busy   int64 // until then its disk is at work
 	round  uint64
 	since  int64 // of this life
-	heard  map[string]swarm.Heard
+	heard  map[string]consensus.PeerStatus
 	when   map[string]int64
 	looked map[string]bool
 	lost   int64 // counts as lost until then
@@ -79,16 +79,16 @@
 type coreWorld struct {
 	*World
 	Core
-	day     CoreDay
-	net     *rand.Rand
-	combs   []*comb
-	cut     map[[2]int]int64 // until then
-	decided map[uint64]string
-	taken   map[int64]bool // versions that were acknowledged
-	newest  int64
-	drawn   int
-	founded *swarm.State
-	strike  func(*comb) // right after an acknowledgement
+	day       CoreDay
+	net       *rand.Rand
+	processes []*coreProcess
+	cut       map[[2]int]int64 // until then
+	decided   map[uint64]string
+	taken     map[int64]bool // versions that were acknowledged
+	newest    int64
+	drawn     int
+	founded   *consensus.State
+	strike    func(*coreProcess) // right after an acknowledgement
 }
 
 var errStale = errors.New("stale")
@@ -101,16 +101,16 @@
 	for n := range c.Founders {
 		founders = append(founders, address(n))
 	}
-	state := swarm.Founders(founders, func(at string) string { return at }, c.Tolerate)
+	state := consensus.Founders(founders, func(at string) string { return at }, c.Tolerate)
 	w.founded = state
-	for n := range c.Combs {
-		b := &comb{name: n, at: address(n), up: true, heard: map[string]swarm.Heard{}, when: map[string]int64{}, looked: map[string]bool{}}
+	for n := range c.Controllers {
+		b := &coreProcess{name: n, at: address(n), up: true, heard: map[string]consensus.PeerStatus{}, when: map[string]int64{}, looked: map[string]bool{}}
 		if n < c.Founders {
-			b.disk = &swarm.Copy{ID: swarm.FounderID(b.at), Decided: state}
+			b.disk = &consensus.Replica{ID: consensus.FounderID(b.at), Decided: state}
 		} else {
-			b.disk = &swarm.Copy{ID: fmt.Sprintf("disk-%d-first", n), Decided: &swarm.State{}}
+			b.disk = &consensus.Replica{ID: fmt.Sprintf("disk-%d-first", n), Decided: &consensus.State{}}
 		}
-		w.combs = append(w.combs, b)
+		w.processes = append(w.processes, b)
 		w.start(b)
 	}
 	w.trouble()
@@ -128,10 +128,10 @@
 }
 
 // start begins a life with what is on the disk.
-func (w *coreWorld) start(b *comb) {
+func (w *coreWorld) start(b *coreProcess) {
 	b.life++
 	b.up, b.since, b.busy, b.round = true, w.Now, 0, 0
-	b.heard, b.when, b.looked = map[string]swarm.Heard{}, map[string]int64{}, map[string]bool{}
+	b.heard, b.when, b.looked = map[string]consensus.PeerStatus{}, map[string]int64{}, map[string]bool{}
 	copied := *b.disk
 	b.mem = &copied
 	life := b.life
@@ -149,10 +149,10 @@
 }
 
 // alive says whether what was begun in a life may go on.
-func (b *comb) alive(life int) bool { return b.up && b.life == life }
+func (b *coreProcess) alive(life int) bool { return b.up && b.life == life }
 
 // send carries a message, unless it is lost; do runs in whatever life the hearer has by then.
-func (w *coreWorld) send(from, to *comb, do func()) {
+func (w *coreWorld) send(from, to *coreProcess, do func()) {
 	for copies := 1 + w.net.IntN(20)/19; copies > 0; copies-- {
 		if from != to && (w.net.Float64() < w.Loss || w.Now < w.cut[[2]int{from.name, to.name}]) {
 			continue
@@ -165,7 +165,7 @@
 	}
 }
 
-func (w *coreWorld) arrive(to *comb, do func()) {
+func (w *coreWorld) arrive(to *coreProcess, do func()) {
 	switch {
 	case !to.up:
 	case w.Now < to.frozen:
@@ -176,10 +176,10 @@
 }
 
 // handle is a copy's turn: asks that need the disk wait for it, one after the other.
-func (w *coreWorld) handle(b *comb, a swarm.Ask, back func(swarm.Answer)) {
+func (w *coreWorld) handle(b *coreProcess, a consensus.Request, back func(consensus.Response)) {
 	life := b.life
-	answer := func(out swarm.Answer) { back(out) }
-	sync := func(out swarm.Answer) {
+	answer := func(out consensus.Response) { back(out) }
+	sync := func(out consensus.Response) {
 		now := *b.mem
 		until := max(b.busy, w.Now, b.slow) + w.Sync
 		b.busy = until
@@ -200,8 +200,8 @@
 		if !b.alive(life) {
 			return
 		}
-		if w.NoEpoch && a.Kind == swarm.Accept {
-			b.mem.Promised = swarm.Ballot{}
+		if w.NoEpoch && a.Kind == consensus.Accept {
+			b.mem.Promised = consensus.Ballot{}
 		}
 		before := b.mem.Decided
 		out, keep := b.mem.Handle(a)
@@ -214,7 +214,7 @@
 			answer(out)
 		}
 	}
-	if a.Kind == swarm.Look || a.Kind == swarm.Learn {
+	if a.Kind == consensus.ReadState || a.Kind == consensus.Learn {
 		work()
 		return
 	}
@@ -222,8 +222,8 @@
 }
 
 // decide holds decisions against one another: of a slot there is one.
-func (w *coreWorld) decide(s *swarm.State) {
-	text := fmt.Sprint(s.Edition, s.Core, s.Members, s.Taken)
+func (w *coreWorld) decide(s *consensus.State) {
+	text := fmt.Sprint(s.Edition, s.Core, s.Members, s.AppliedChanges)
 	if was, is := w.decided[s.Index]; is && was != text {
 		w.fault("two decisions in slot %d: %s and %s", s.Index, was, text)
 	}
@@ -231,13 +231,13 @@
 }
 
 // ask puts a question to the core of a state; take takes answers until it says that it has enough.
-func (w *coreWorld) ask(b *comb, of *swarm.State, a swarm.Ask, within int64, take func(swarm.Answer) bool, timeout func()) {
+func (w *coreWorld) ask(b *coreProcess, of *consensus.State, a consensus.Request, within int64, take func(consensus.Response) bool, timeout func()) {
 	life, over := b.life, false
 	for _, m := range of.Core {
-		for _, to := range w.combs {
+		for _, to := range w.processes {
 			if to.at == m.At {
 				w.send(b, to, func() {
-					w.handle(to, a, func(out swarm.Answer) {
+					w.handle(to, a, func(out consensus.Response) {
 						w.send(to, b, func() {
 							if b.alive(life) && !over {
 								over = take(out)
@@ -257,7 +257,7 @@
 }
 
 // change is a proposer's loop, as the runner has it; until is when it gives up.
-func (w *coreWorld) change(b *comb, until int64, attempt int, what func(*swarm.State) (*swarm.State, error), done func(s *swarm.State, err error, ok bool)) {
+func (w *coreWorld) change(b *coreProcess, until int64, attempt int, what func(*consensus.State) (*consensus.State, error), done func(s *consensus.State, err error, ok bool)) {
 	if w.Now >= until {
 		done(nil, nil, false)
 		return
@@ -272,29 +272,29 @@
 	}
 	b.round = max(b.round, b.mem.Promised.Round) + 1
 	s := b.mem.Decided
-	p, first := swarm.Propose(s, swarm.Ballot{Round: b.round, By: fmt.Sprintf("%d.%d", b.name, b.life)}, what)
-	var step func(ask swarm.Ask)
-	step = func(ask swarm.Ask) {
-		w.ask(b, s, ask, min(900*Ms, until-w.Now), func(a swarm.Answer) bool {
+	p, first := consensus.Propose(s, consensus.Ballot{Round: b.round, By: fmt.Sprintf("%d.%d", b.name, b.life)}, what)
+	var step func(ask consensus.Request)
+	step = func(ask consensus.Request) {
+		w.ask(b, s, ask, min(900*Ms, until-w.Now), func(a consensus.Response) bool {
 			b.round = max(b.round, p.Round)
-			switch p.Take(a) {
-			case swarm.Wait:
+			switch p.HandleResponse(a) {
+			case consensus.StepWait:
 				return false
-			case swarm.Send:
-				step(p.Ask())
-			case swarm.Ahead:
-				w.handle(b, swarm.Ask{Kind: swarm.Learn, Value: p.State}, func(swarm.Answer) {})
+			case consensus.StepSend:
+				step(p.Request())
+			case consensus.StepAhead:
+				w.handle(b, consensus.Request{Kind: consensus.Learn, Value: p.State}, func(consensus.Response) {})
 				again()
-			case swarm.Old:
+			case consensus.StepBehind:
 				w.tell(b, s)
 				again()
-			case swarm.Lost:
+			case consensus.StepLost:
 				again()
-			case swarm.Ended:
+			case consensus.StepUnchanged:
 				done(p.State, p.Err, true)
-			case swarm.Decided:
+			case consensus.StepDecided:
 				w.decide(p.State)
-				w.handle(b, swarm.Ask{Kind: swarm.Learn, Value: p.State}, func(swarm.Answer) {})
+				w.handle(b, consensus.Request{Kind: consensus.Learn, Value: p.State}, func(consensus.Response) {})
 				w.tell(b, p.State)
 				if p.Own {
 					done(p.State, nil, true)
@@ -308,28 +308,28 @@
 	step(first)
 }
 
-func (w *coreWorld) tell(b *comb, s *swarm.State) {
-	for _, to := range w.combs {
+func (w *coreWorld) tell(b *coreProcess, s *consensus.State) {
+	for _, to := range w.processes {
 		if to != b {
-			w.send(b, to, func() { w.handle(to, swarm.Ask{Kind: swarm.Learn, Value: s}, func(swarm.Answer) {}) })
+			w.send(b, to, func() { w.handle(to, consensus.Request{Kind: consensus.Learn, Value: s}, func(consensus.Response) {}) })
 		}
 	}
 }
 
 // tend is what a process does by itself four times a second: hear of the others, look where the core stands, settle what
 // hangs, keep the core whole.
-func (w *coreWorld) tend(b *comb) {
-	for _, to := range w.combs {
+func (w *coreWorld) tend(b *coreProcess) {
+	for _, to := range w.processes {
 		if to == b {
 			continue
 		}
 		id, index := b.mem.ID, b.mem.Decided.Index
 		w.send(b, to, func() {
-			to.heard[b.at] = swarm.Heard{Member: swarm.Member{ID: id, At: b.at, Zone: b.at}}
+			to.heard[b.at] = consensus.PeerStatus{Member: consensus.Member{ID: id, At: b.at, Zone: b.at}}
 			to.when[b.at] = w.Now
 			if index > to.mem.Decided.Index && b.up {
 				s := b.mem.Decided
-				w.handle(to, swarm.Ask{Kind: swarm.Learn, Value: s}, func(swarm.Answer) {})
+				w.handle(to, consensus.Request{Kind: consensus.Learn, Value: s}, func(consensus.Response) {})
 			}
 		})
 	}
@@ -337,36 +337,36 @@
 	if len(s.Core) == 0 {
 		return
 	}
-	r, ask := swarm.Read(s)
-	w.ask(b, s, ask, 400*Ms, func(a swarm.Answer) bool {
-		if !r.Take(a) {
+	r, ask := consensus.NewMajorityRead(s)
+	w.ask(b, s, ask, 400*Ms, func(a consensus.Response) bool {
+		if !r.HandleResponse(a) {
 			return false
 		}
 		if ahead := r.Ahead(); ahead != nil {
-			w.handle(b, swarm.Ask{Kind: swarm.Learn, Value: ahead}, func(swarm.Answer) {})
+			w.handle(b, consensus.Request{Kind: consensus.Learn, Value: ahead}, func(consensus.Response) {})
 			return true
 		}
 		if !r.Current() || b.looked["busy"] {
 			return true
 		}
-		var others []swarm.Heard
+		var others []consensus.PeerStatus
 		for at, h := range b.heard {
-			h.Quiet = w.Now - b.when[at]
+			h.SilentFor = w.Now - b.when[at]
 			others = append(others, h)
 		}
-		slices.SortFunc(others, func(x, y swarm.Heard) int { return int(x.At[7]) - int(y.At[7]) })
+		slices.SortFunc(others, func(x, y consensus.PeerStatus) int { return int(x.At[7]) - int(y.At[7]) })
 		rank := s.Rank(b.mem.ID, others)
-		free := func(*swarm.State, error, bool) { b.looked["busy"] = false }
+		free := func(*consensus.State, error, bool) { b.looked["busy"] = false }
 		if r.Pending() && rank <= 1 {
 			b.looked["busy"] = true
-			w.change(b, w.Now+2*S, 0, func(*swarm.State) (*swarm.State, error) { return nil, nil }, free)
+			w.change(b, w.Now+2*S, 0, func(*consensus.State) (*consensus.State, error) { return nil, nil }, free)
 			return true
 		}
-		self := swarm.Member{ID: b.mem.ID, At: b.at, Zone: b.at}
-		if adoption, wanted := s.Adopt(self, others, w.Now-b.since); wanted && rank == 0 {
+		self := consensus.Member{ID: b.mem.ID, At: b.at, Zone: b.at}
+		if adoption, wanted := s.PlanMembership(self, others, w.Now-b.since); wanted && rank == 0 {
 			b.looked["busy"] = true
-			w.change(b, w.Now+2*S, 0, func(newest *swarm.State) (*swarm.State, error) { return newest.Adopted(adoption), nil },
-				func(s *swarm.State, err error, ok bool) {
+			w.change(b, w.Now+2*S, 0, func(newest *consensus.State) (*consensus.State, error) { return newest.ApplyMembership(adoption), nil },
+				func(s *consensus.State, err error, ok bool) {
 					if free(s, err, ok); ok {
 						w.day.Adopted++
 					}
@@ -388,16 +388,16 @@
 			version := base + int64(1+chance.IntN(3))
 			digest := fmt.Sprint("put-", n)
 			op := Op{Client: n, On: base, Put: version, Call: w.Now}
-			w.call(chance.IntN(len(w.combs)), 0, func(b *comb, done func(bool)) {
-				w.change(b, w.Now+900*Ms, 0, func(s *swarm.State) (*swarm.State, error) {
-					if s.Was(version, digest) {
+			w.call(chance.IntN(len(w.processes)), 0, func(b *coreProcess, done func(bool)) {
+				w.change(b, w.Now+900*Ms, 0, func(s *consensus.State) (*consensus.State, error) {
+					if s.HasApplied(version, digest) {
 						return nil, nil
 					}
 					if s.Edition != base {
 						return nil, errStale
 					}
-					return s.Put(version, nil, digest), nil
-				}, func(s *swarm.State, err error, ok bool) {
+					return s.WithConfiguration(version, nil, digest), nil
+				}, func(s *consensus.State, err error, ok bool) {
 					if ok {
 						op.OK, op.Stale = err == nil, err != nil
 					}
@@ -431,8 +431,8 @@
 		w.After(at, func() {
 			op := Op{Client: w.Puts + n, Read: true, Call: w.Now}
 			floor := w.newest
-			w.call(chance.IntN(len(w.combs)), 0, func(b *comb, done func(bool)) {
-				w.read(b, func(s *swarm.State, ok bool) {
+			w.call(chance.IntN(len(w.processes)), 0, func(b *coreProcess, done func(bool)) {
+				w.read(b, func(s *consensus.State, ok bool) {
 					if ok {
 						op.OK, op.Got = true, s.Edition
 					}
@@ -454,26 +454,26 @@
 }
 
 // read asks for the newest state beyond doubt.
-func (w *coreWorld) read(b *comb, done func(*swarm.State, bool)) {
+func (w *coreWorld) read(b *coreProcess, done func(*consensus.State, bool)) {
 	s := b.mem.Decided
 	if w.OldRead {
 		done(s, s.Edition > 0)
 		return
 	}
 	settle := func() {
-		w.change(b, w.Now+900*Ms, 0, func(*swarm.State) (*swarm.State, error) { return nil, nil },
-			func(s *swarm.State, _ error, ok bool) { done(s, ok) })
+		w.change(b, w.Now+900*Ms, 0, func(*consensus.State) (*consensus.State, error) { return nil, nil },
+			func(s *consensus.State, _ error, ok bool) { done(s, ok) })
 	}
-	r, ask := swarm.Read(s)
-	w.ask(b, s, ask, 400*Ms, func(a swarm.Answer) bool {
-		if !r.Take(a) {
+	r, ask := consensus.NewMajorityRead(s)
+	w.ask(b, s, ask, 400*Ms, func(a consensus.Response) bool {
+		if !r.HandleResponse(a) {
 			return false
 		}
 		if r.Newest() {
 			done(s, true)
 		} else {
 			if ahead := r.Ahead(); ahead != nil {
-				w.handle(b, swarm.Ask{Kind: swarm.Learn, Value: ahead}, func(swarm.Answer) {})
+				w.handle(b, consensus.Request{Kind: consensus.Learn, Value: ahead}, func(consensus.Response) {})
 			}
 			settle()
 		}
@@ -482,12 +482,12 @@
 }
 
 // call has an operator call a process, and after a second of silence or an unclear answer the next, with the same words.
-func (w *coreWorld) call(first, tries int, do func(b *comb, done func(bool)), end func(ok bool)) {
+func (w *coreWorld) call(first, tries int, do func(b *coreProcess, done func(bool)), end func(ok bool)) {
 	if tries == 4 {
 		end(false)
 		return
 	}
-	b := w.combs[(first+tries)%len(w.combs)]
+	b := w.processes[(first+tries)%len(w.processes)]
 	over := false
 	next := func() {
 		if !over {
@@ -524,7 +524,7 @@
 	last := w.Length * 7 / 10
 	add := func(kind string, least, spread int) {
 		f := Fault{Kind: kind, At: span(lead + int64(chance.Float64()*float64(last-lead)))}
-		f.Who = chance.IntN(len(w.combs))
+		f.Who = chance.IntN(len(w.processes))
 		f.For = span(int64(least)*Ms + int64(chance.IntN(spread))*Ms)
 		all = append(all, f)
 	}
@@ -565,7 +565,7 @@
 		}
 	}
 	acks := 0
-	w.strike = func(b *comb) {
+	w.strike = func(b *coreProcess) {
 		acks++
 		f, is := strikes[acks]
 		if !is || w.Now > w.Length*7/10 || w.Now < lead {
@@ -584,7 +584,7 @@
 
 // befall has one fault happen.
 func (w *coreWorld) befall(f Fault) {
-	b, long := w.combs[f.Who%len(w.combs)], int64(f.For)
+	b, long := w.processes[f.Who%len(w.processes)], int64(f.For)
 	away := func() { b.lost = max(b.lost, w.Now+long+w.CatchUp) }
 	switch f.Kind {
 	case Kill:
@@ -603,7 +603,7 @@
 		}
 	case Cut, CutOff, CutDeaf:
 		away()
-		for _, o := range w.combs {
+		for _, o := range w.processes {
 			if o != b {
 				if f.Kind != CutOff {
 					w.cut[[2]int{o.name, b.name}] = w.Now + long
@@ -623,7 +623,7 @@
 }
 
 // down takes a process away for a while, with its disk or without.
-func (w *coreWorld) down(b *comb, long int64, wipe bool) {
+func (w *coreWorld) down(b *coreProcess, long int64, wipe bool) {
 	if !b.up {
 		return
 	}
@@ -635,7 +635,7 @@
 		if w.StrangerVotes {
 			id = b.disk.ID
 		}
-		b.disk = &swarm.Copy{ID: id, Decided: &swarm.State{}}
+		b.disk = &consensus.Replica{ID: id, Decided: &consensus.State{}}
 		if w.StrangerVotes { // it takes itself for the founder that it was
 			b.disk.Decided = w.founded
 		}
@@ -646,8 +646,8 @@
 }
 
 // others takes all but one away, each for a little longer than the one before.
-func (w *coreWorld) others(b *comb, long int64) {
-	for n, o := range w.combs {
+func (w *coreWorld) others(b *coreProcess, long int64) {
+	for n, o := range w.processes {
 		if o != b {
 			w.down(o, long+int64(n)*90*Ms, false)
 		}
@@ -656,7 +656,7 @@
 
 // lost counts the processes that count as lost.
 func (w *coreWorld) lost() (n int) {
-	for _, b := range w.combs {
+	for _, b := range w.processes {
 		if w.Now < b.lost || !b.up || w.Now < b.frozen {
 			n++
 		}
@@ -671,7 +671,7 @@
 		return
 	}
 	n := 0
-	for _, b := range w.combs {
+	for _, b := range w.processes {
 		if b.disk.Decided.Edition >= w.newest || b.disk.Accepted != nil && b.disk.Accepted.Value.Edition >= w.newest {
 			n++
 		}
@@ -685,8 +685,8 @@
 func (w *coreWorld) final() {
 	answered := false
 	for n := 0; n < 8 && !answered; n++ {
-		b := w.combs[n%len(w.combs)]
-		w.read(b, func(s *swarm.State, ok bool) {
+		b := w.processes[n%len(w.processes)]
+		w.read(b, func(s *consensus.State, ok bool) {
 			if !ok || answered {
 				return
 			}
@@ -695,7 +695,7 @@
 				w.fault("lost: version %d was acknowledged, %d is read", w.newest, s.Edition)
 			}
 			for version := range w.taken {
-				if !slices.ContainsFunc(s.Taken, func(t swarm.Taken) bool { return t.Edition == version }) {
+				if !slices.ContainsFunc(s.AppliedChanges, func(t consensus.AppliedChange) bool { return t.Edition == version }) {
 					w.fault("lost: version %d was acknowledged and is not among those taken", version)
 				}
 			}
--- a/internal/hive/apiary/core_test.go
+++ b/internal/mesh/simulation/core_test.go
@@ -1,4 +1,4 @@
-package apiary
+package simulation
 
 import (
 	"os"
@@ -12,9 +12,9 @@
 )
 
 // rough is a day on which everything goes wrong that is to be borne.
-func rough(combs, founders, tolerate int) Core {
+func rough(controllers, founders, tolerate int) Core {
 	return Core{
-		Combs: combs, Founders: founders, Tolerate: tolerate, Length: 30 * S, CatchUp: 4 * S, Delay: Ms / 2, Jitter: 2 * Ms,
+		Controllers: controllers, Founders: founders, Tolerate: tolerate, Length: 30 * S, CatchUp: 4 * S, Delay: Ms / 2, Jitter: 2 * Ms,
 		Sync: 2 * Ms, Loss: 0.01, Puts: 24, Reads: 24, Kills: 3, KillAlls: 1, Wipes: 3, AckWipes: 2, Cuts: 3, Freezes: 2, Stalls: 2,
 	}
 }
@@ -103,9 +103,9 @@
 }
 
 func TestCoresKeepWhatTheyAcknowledged(t *testing.T) {
-	for _, of := range []struct{ combs, founders, tolerate int }{{4, 3, 1}, {3, 3, 1}, {5, 3, 2}, {4, 4, 1}} {
+	for _, of := range []struct{ controllers, founders, tolerate int }{{4, 3, 1}, {3, 3, 1}, {5, 3, 2}, {4, 4, 1}} {
 		n := schedules(600) / 4
-		broken, all := play(rough(of.combs, of.founders, of.tolerate), 1, n)
+		broken, all := play(rough(of.controllers, of.founders, of.tolerate), 1, n)
 		t.Logf("%+v: %d schedules, %d changes acknowledged, %d unclear, %d reads, %d adoptions", of, n, all.Acked, all.Unclear, all.Read, all.Adopted)
 		for seed, what := range broken {
 			t.Errorf("%+v seed %d: %s", of, seed, what)
@@ -124,7 +124,7 @@
 	}{
 		{"unsynced-ack", func(c *Core) { c.Sync = 20 * Ms; c.KillAlls = 6 }, func(c *Core) { c.UnsyncedAck = true }},
 		{"stranger-votes", func(c *Core) {
-			c.Combs, c.AckWipes, c.Puts, c.Loss, c.Kills, c.KillAlls, c.Wipes, c.Cuts, c.Freezes, c.Stalls = 3, 8, 60, 0.05, 0, 0, 0, 0, 0, 0
+			c.Controllers, c.AckWipes, c.Puts, c.Loss, c.Kills, c.KillAlls, c.Wipes, c.Cuts, c.Freezes, c.Stalls = 3, 8, 60, 0.05, 0, 0, 0, 0, 0, 0
 		}, func(c *Core) { c.StrangerVotes = true }},
 		{"no-epoch", func(c *Core) { c.Puts = 60; c.Cuts = 8 }, func(c *Core) { c.NoEpoch = true }},
 		{"old-read", func(*Core) {}, func(c *Core) { c.OldRead = true }},
--- a/internal/hive/apiary/credit.go
+++ b/internal/mesh/simulation/credit.go
@@ -1,17 +1,17 @@
-package apiary
+package simulation
 
 import (
 	"fmt"
 	"math"
 	"math/rand/v2"
 
-	"ottershift/internal/hive/nectar"
+	"ottershift/internal/mesh/burstcredit"
 )
 
 // Credit is a day of burst credit: one tenant whose rush lands in regions at once, balancers that hold escrows, a book that the
 // core keeps, links that lose words, and clients that ask again at other balancers.
 type Credit struct {
-	Regions, Foragers   int
+	Regions, Proxies    int
 	Length              int64
 	Delay, Cross        int64 // one way, within a region and between two
 	Loss                float64
@@ -20,20 +20,20 @@
 	Inner               float64 // and of calls of services
 	Repeats             float64 // part of the requests that is asked again elsewhere, up to twice, at once
 	Lost, Fails         float64 // parts of the tries whose answer is lost, and that never ran
-	Kills, Cuts, CoreOf int     // of foragers; of regions from the core; times that all of the core is away
+	Kills, Cuts, CoreOf int     // of proxies; of regions from the core; times that all of the core is away
 	CutFor              int64
 	Guard               string // left out
 }
 
 type creditFile struct {
-	Regions, Foragers, Kills, Cuts int
-	CoreOff                        int `toml:"core_off"`
-	Length, Delay, Cross           span
-	CutFor                         span `toml:"cut_for"`
-	Loss, Credit, Extra            float64
-	Rate, Inner, Repeats           float64
-	Lost, Fails                    float64
-	Guard                          string
+	Regions, Proxies, Kills, Cuts int
+	CoreOff                       int `toml:"core_off"`
+	Length, Delay, Cross          span
+	CutFor                        span `toml:"cut_for"`
+	Loss, Credit, Extra           float64
+	Rate, Inner, Repeats          float64
+	Lost, Fails                   float64
+	Guard                         string
 }
 
 func plainCredit() creditFile {
@@ -42,7 +42,7 @@
 }
 
 func (c creditFile) credit() Credit {
-	return Credit{Regions: c.Regions, Foragers: c.Foragers, Length: int64(c.Length), Delay: int64(c.Delay), Cross: int64(c.Cross), Loss: c.Loss,
+	return Credit{Regions: c.Regions, Proxies: c.Proxies, Length: int64(c.Length), Delay: int64(c.Delay), Cross: int64(c.Cross), Loss: c.Loss,
 		Credit: c.Credit, Extra: c.Extra, Rate: c.Rate, Inner: c.Inner, Repeats: c.Repeats, Lost: c.Lost, Fails: c.Fails, Kills: c.Kills,
 		Cuts: c.Cuts, CoreOf: c.CoreOff, CutFor: int64(c.CutFor), Guard: c.Guard}
 }
@@ -61,50 +61,50 @@
 	Waited                  []int64 // until a token was had
 }
 
-type creditBee struct {
+type creditProxy struct {
 	n, region int
 	up        bool
 	life      int
-	crop      *nectar.Crop
+	crop      *burstcredit.Wallet
 	flying    bool
 }
 
 type creditWorld struct {
 	*World
 	Credit
-	day    CreditDay
-	net    *rand.Rand
-	book   *nectar.Book
-	passed int64
-	bees   []*creditBee
-	cut    map[int]int64 // regions, until then
-	off    int64         // the core, until then
-	inbox  []letter
-	terms  map[string]nectar.Terms
-	due    map[uint64]bool // identities that were due a charge
-	may    map[uint64]bool // and those of effects that were under way at a balancer that died: nobody knows
-	owed   [2]float64      // of due, calls of services and clients' requests
-	told   map[uint64]bool
-	spends []int64
+	day     CreditDay
+	net     *rand.Rand
+	book    *burstcredit.Ledger
+	passed  int64
+	proxies []*creditProxy
+	cut     map[int]int64 // regions, until then
+	off     int64         // the core, until then
+	inbox   []letter
+	terms   map[string]burstcredit.Terms
+	due     map[uint64]bool // identities that were due a charge
+	may     map[uint64]bool // and those of effects that were under way at a balancer that died: nobody knows
+	owed    [2]float64      // of due, calls of services and clients' requests
+	told    map[uint64]bool
+	spends  []int64
 }
 
 type letter struct {
-	bee  *creditBee
-	life int
-	r    *nectar.Report
-	sent int64
+	proxy *creditProxy
+	life  int
+	r     *burstcredit.Report
+	sent  int64
 }
 
 // Play plays one day.
 func (c Credit) Play(seed uint64) *CreditDay {
-	w := &creditWorld{World: NewWorld(seed), Credit: c, book: nectar.NewBook(), cut: map[int]int64{}, due: map[uint64]bool{}, may: map[uint64]bool{}, told: map[uint64]bool{}}
+	w := &creditWorld{World: NewWorld(seed), Credit: c, book: burstcredit.NewLedger(), cut: map[int]int64{}, due: map[uint64]bool{}, may: map[uint64]bool{}, told: map[uint64]bool{}}
 	w.net = w.Chance("net")
-	w.terms = map[string]nectar.Terms{"t": {Earn: 0.5, Cap: 10 * c.Credit, Keep: 30 * 86400 * S, Extra: c.Extra}}
+	w.terms = map[string]burstcredit.Terms{"t": {Earn: 0.5, Cap: 10 * c.Credit, Keep: 30 * 86400 * S, Extra: c.Extra}}
 	w.book.Without(c.Guard)
 	w.book.Grant("t", c.Credit, "operator", "the day's credit")
-	for n := range c.Foragers {
-		b := &creditBee{n: n, region: n % c.Regions}
-		w.bees = append(w.bees, b)
+	for n := range c.Proxies {
+		b := &creditProxy{n: n, region: n % c.Regions}
+		w.proxies = append(w.proxies, b)
 		w.start(b)
 	}
 	w.core()
@@ -116,13 +116,13 @@
 	return &w.day
 }
 
-func (w *creditWorld) start(b *creditBee) {
+func (w *creditWorld) start(b *creditProxy) {
 	b.up, b.flying = true, false
 	b.life++
 	life := b.life
-	b.crop = nectar.NewCrop(fmt.Sprint("n", b.n), fmt.Sprint(life))
+	b.crop = burstcredit.NewWallet(fmt.Sprint("n", b.n), fmt.Sprint(life))
 	b.crop.Without(w.Guard)
-	b.crop.Set(w.terms, nil, w.Foragers, w.Now)
+	b.crop.Set(w.terms, nil, w.Proxies, w.Now)
 	var tell func()
 	tell = func() {
 		if !b.up || b.life != life {
@@ -131,7 +131,7 @@
 		if !b.flying && b.crop.Wants(w.Now) {
 			w.report(b)
 		}
-		w.After(nectar.Every, tell)
+		w.After(burstcredit.Every, tell)
 	}
 	w.After(int64(w.net.IntN(250))*Ms, tell)
 }
@@ -145,7 +145,7 @@
 }
 
 // report sends a balancer's word; without an answer in a second it is sent again, as it was.
-func (w *creditWorld) report(b *creditBee) {
+func (w *creditWorld) report(b *creditProxy) {
 	b.flying = true
 	l := letter{b, b.life, b.crop.Report(w.Now), w.Now}
 	w.day.Reports++
@@ -177,7 +177,7 @@
 	}
 	w.book.Pass(w.Now-w.passed, w.terms)
 	w.passed = w.Now
-	reports := make([]*nectar.Report, len(w.inbox))
+	reports := make([]*burstcredit.Report, len(w.inbox))
 	for n, l := range w.inbox {
 		reports[n] = l.r
 		for _, m := range l.r.Settled {
@@ -187,7 +187,7 @@
 	// As the core keeps it: written and read again.
 	raw, err := w.book.Write()
 	if err == nil {
-		w.book, err = nectar.Read(raw)
+		w.book, err = burstcredit.Read(raw)
 	}
 	if err != nil {
 		w.day.Broken = append(w.day.Broken, err.Error())
@@ -202,10 +202,10 @@
 		if w.net.Float64() < w.Loss {
 			continue
 		}
-		w.After(w.link(l.bee.region), func() {
-			if l.bee.up && l.bee.life == l.life && w.Now >= w.cut[l.bee.region] {
-				l.bee.flying = false
-				l.bee.crop.Given(grants[n], l.sent, w.Now)
+		w.After(w.link(l.proxy.region), func() {
+			if l.proxy.up && l.proxy.life == l.life && w.Now >= w.cut[l.proxy.region] {
+				l.proxy.flying = false
+				l.proxy.crop.ApplyGrant(grants[n], l.sent, w.Now)
 			}
 		})
 	}
@@ -225,7 +225,7 @@
 			return
 		}
 		id++
-		k := nectar.Claim{Tenant: "t", ID: nectar.Identity(fmt.Sprint(client, id)), Effect: chance.Float64() < 0.3, Client: client}
+		k := burstcredit.Claim{Tenant: "t", ID: burstcredit.Identity(fmt.Sprint(client, id)), Effect: chance.Float64() < 0.3, Client: client}
 		served := false
 		if client {
 			w.day.Asked++
@@ -237,7 +237,7 @@
 			tries += 1 + chance.IntN(2)
 		}
 		for n := range tries {
-			at := w.bees[chance.IntN(len(w.bees))]
+			at := w.proxies[chance.IntN(len(w.proxies))]
 			w.After(int64(n)*int64(chance.IntN(80))*Ms, func() { w.try(at, k, &served, chance) })
 		}
 		w.After(int64(chance.ExpFloat64()/rate*1e9), next)
@@ -246,7 +246,7 @@
 }
 
 // try is one try of a request at one balancer: it waits for a token for 400 ms at most, works, and ends in one way or another.
-func (w *creditWorld) try(b *creditBee, k nectar.Claim, served *bool, chance *rand.Rand) {
+func (w *creditWorld) try(b *creditProxy, k burstcredit.Claim, served *bool, chance *rand.Rand) {
 	if !b.up {
 		return
 	}
@@ -262,10 +262,10 @@
 				w.may[k.ID] = w.may[k.ID] || k.Effect
 				return
 			}
-			end := nectar.NeverRan
+			end := burstcredit.NeverRan
 			switch {
 			case ran && whole:
-				end = nectar.Delivered
+				end = burstcredit.Delivered
 				w.owe(k)
 				if !*served {
 					*served = true
@@ -276,7 +276,7 @@
 					}
 				}
 			case ran && k.Effect:
-				end = nectar.Unknown
+				end = burstcredit.Unknown
 			}
 			b.crop.Done(k, end, w.Now)
 		})
@@ -286,9 +286,9 @@
 			run()
 		}
 	}) {
-	case nectar.Drawn:
+	case burstcredit.Drawn:
 		run()
-	case nectar.Wait:
+	case burstcredit.Wait:
 		if !b.flying && b.crop.Wants(w.Now) {
 			w.report(b)
 		}
@@ -301,7 +301,7 @@
 }
 
 // owe notes that a request is due a charge.
-func (w *creditWorld) owe(k nectar.Claim) {
+func (w *creditWorld) owe(k burstcredit.Claim) {
 	if !w.due[k.ID] {
 		w.due[k.ID] = true
 		if k.Client {
@@ -317,7 +317,7 @@
 	chance := w.Chance("trouble")
 	when := func() int64 { return 3*S + int64(chance.Float64()*float64(w.Length*7/10)) }
 	for range w.Kills {
-		b := w.bees[chance.IntN(len(w.bees))]
+		b := w.proxies[chance.IntN(len(w.proxies))]
 		w.After(when(), func() {
 			if b.up {
 				b.up = false
@@ -331,7 +331,7 @@
 		w.After(when(), func() {
 			w.cut[region] = w.Now + w.CutFor
 			out := 0.0
-			for _, b := range w.bees {
+			for _, b := range w.proxies {
 				if b.region == region && b.up {
 					free, reserved := b.crop.Held("t")
 					out += free + reserved
@@ -350,7 +350,7 @@
 	for range 40 { // all is mended: what is left is told
 		w.Run(w.Now + S/2)
 	}
-	stand := w.book.Stands()[0]
+	stand := w.book.Status()[0]
 	w.day.Spent, w.day.Due = stand.Spent, float64(len(w.due))
 	for id := range w.due {
 		if !w.told[id] {
@@ -358,7 +358,7 @@
 		}
 	}
 	held := 0.0
-	for _, b := range w.bees {
+	for _, b := range w.proxies {
 		free, reserved := b.crop.Held("t")
 		held += free + reserved
 	}
--- a/internal/hive/apiary/engine.go
+++ b/internal/mesh/simulation/engine.go
@@ -1,6 +1,6 @@
-// Package apiary plays the mesh's own state machines on a virtual clock: seeded, the same on any machine, thousands of
+// Package meshsim plays the mesh's own state machines on a virtual clock: seeded, the same on any machine, thousands of
 // days in seconds. It holds no decision of the mesh; it only stands in for clocks, links, disks, machines and callers.
-package apiary
+package simulation
 
 import (
 	"container/heap"
--- a/internal/hive/apiary/fault.go
+++ b/internal/mesh/simulation/fault.go
@@ -1,4 +1,4 @@
-package apiary
+package simulation
 
 import (
 	"fmt"
@@ -11,18 +11,18 @@
 
 // Kinds of faults.
 const (
-	Kill      = "kill"       // a process
-	KillAll   = "kill_all"   // all of them, within a moment
-	Wipe      = "wipe"       // a process and its disk
-	WipeAlone = "wipe_alone" // the same while all others lose power
-	AckWipe   = "ack_wipe"   // the same of whoever gave an acknowledgement, right after it
-	Cut       = "cut"        // a process hears and reaches nobody
-	CutOff    = "cut_off"    // reaches nobody
-	CutDeaf   = "cut_deaf"   // hears nobody
-	Freeze    = "freeze"     // a process stands still
-	Stall     = "stall"      // its disk does
-	CombKill  = "comb_kill"  // on a day of a mesh: a process of the core
-	ZoneCut   = "zone_cut"   // a zone is cut off
+	Kill      = "kill"            // a process
+	KillAll   = "kill_all"        // all of them, within a moment
+	Wipe      = "wipe"            // a process and its disk
+	WipeAlone = "wipe_alone"      // the same while all others lose power
+	AckWipe   = "ack_wipe"        // the same of whoever gave an acknowledgement, right after it
+	Cut       = "cut"             // a process hears and reaches nobody
+	CutOff    = "cut_off"         // reaches nobody
+	CutDeaf   = "cut_deaf"        // hears nobody
+	Freeze    = "freeze"          // a process stands still
+	Stall     = "stall"           // its disk does
+	CombKill  = "controller_kill" // on a day of a mesh: a process of the core
+	ZoneCut   = "zone_cut"        // a zone is cut off
 )
 
 var (
--- a/internal/hive/apiary/hunt.go
+++ b/internal/mesh/simulation/hunt.go
@@ -1,4 +1,4 @@
-package apiary
+package simulation
 
 import (
 	"cmp"
@@ -81,7 +81,7 @@
 	if faults == nil {
 		faults = []Fault{}
 	}
-	if q.Mesh.Foragers > 0 {
+	if q.Mesh.Proxies > 0 {
 		m := q.Mesh.mesh()
 		m.Faults = faults
 		d := m.Play(seed)
@@ -109,21 +109,21 @@
 }
 
 func (q *Question) draws(seed uint64) []Fault {
-	if q.Mesh.Foragers > 0 {
+	if q.Mesh.Proxies > 0 {
 		m := q.Mesh.mesh()
-		w := &meshWorld{World: NewWorld(seed), Mesh: m, combs: make([]*meshComb, m.Zones)}
+		w := &meshWorld{World: NewWorld(seed), Mesh: m, controllers: make([]*controllerModel, m.Zones)}
 		return w.draws()
 	}
 	c := q.Core.core()
-	return (&coreWorld{World: NewWorld(seed), Core: c, combs: make([]*comb, c.Combs)}).draws()
+	return (&coreWorld{World: NewWorld(seed), Core: c, processes: make([]*coreProcess, c.Controllers)}).draws()
 }
 
 // mutate alters one to three things: a fault's time, place, length or kind, one more upon another, or one less.
 func (q *Question) mutate(all []Fault, chance *rand.Rand) []Fault {
 	out := slices.Clone(all)
-	kinds, length, who := coreKinds, q.Core.Length, q.Core.Combs
-	if q.Mesh.Foragers > 0 {
-		kinds, length, who = meshKinds, q.Mesh.Length, q.Mesh.Foragers
+	kinds, length, who := coreKinds, q.Core.Length, q.Core.Controllers
+	if q.Mesh.Proxies > 0 {
+		kinds, length, who = meshKinds, q.Mesh.Length, q.Mesh.Proxies
 	}
 	for range 1 + chance.IntN(3) {
 		if len(out) == 0 || chance.IntN(5) == 0 && len(out) < 24 {
@@ -206,7 +206,7 @@
 	out := *q
 	out.Title = fmt.Sprintf("Found by a hunt: %s (%d of %d faults are left)", f.Broken, len(f.Faults), f.Met)
 	out.Run.Faults, out.Seed, out.Seeds, out.Holds, out.Vary, out.Ask = nil, f.Seed, 1, "always", nil, nil
-	if q.Mesh.Foragers > 0 {
+	if q.Mesh.Proxies > 0 {
 		out.Mesh.Faults = f.Faults
 	} else {
 		out.Core.Faults = f.Faults
--- a/internal/hive/apiary/hunt_test.go
+++ b/internal/mesh/simulation/hunt_test.go
@@ -1,4 +1,4 @@
-package apiary
+package simulation
 
 import (
 	"testing"
@@ -12,7 +12,7 @@
 	return q
 }
 
-const hard = "title = \"hard\"\n[core]\ncombs = 4\nputs = 40\nreads = 30\nloss = 0.02\nkills = 2\nkill_alls = 1\nwipes = 2\nack_wipes = 2\ncuts = 2\nfreezes = 1\nstalls = 1\nsync = \"10ms\"\n"
+const hard = "title = \"hard\"\n[core]\ncontrollers = 4\nputs = 40\nreads = 30\nloss = 0.02\nkills = 2\nkill_alls = 1\nwipes = 2\nack_wipes = 2\ncuts = 2\nfreezes = 1\nstalls = 1\nsync = \"10ms\"\n"
 
 // A guard left out is found, and what is left of the day that found it is what breaks the rule; it is written as a question
 // that breaks as well. On the design the same hunt finds nothing.
@@ -40,7 +40,7 @@
 }
 
 func TestAHuntOfQuotas(t *testing.T) {
-	q := asked(t, "[mesh]\nforagers = 20\nzones = 3\ndemand = 1.0\nhot = 6.0\nkill_alls = 2\nkills = 2\nlength = \"20s\"\nfull_purse = true\n")
+	q := asked(t, "[mesh]\nproxies = 20\nzones = 3\ndemand = 1.0\nhot = 6.0\nkill_alls = 2\nkills = 2\nlength = \"20s\"\nfull_bucket = true\n")
 	found, _ := q.Hunt(3, 200, nil)
 	must.NotNil(t, found)
 	must.LessEq(t, 2, len(found.Faults))
--- a/internal/hive/apiary/mesh.go
+++ b/internal/mesh/simulation/mesh.go
@@ -1,4 +1,4 @@
-package apiary
+package simulation
 
 import (
 	"fmt"
@@ -6,37 +6,37 @@
 	"math/rand/v2"
 	"sort"
 
-	"ottershift/internal/hive/pollen"
-	"ottershift/internal/hive/waggle"
+	"ottershift/internal/mesh/membership"
+	"ottershift/internal/mesh/ratelimit"
 )
 
 // Mesh is a day of balancers around a core that agrees: leases, news, and the quota of one tenant, at sizes that nobody
 // has machines for. The core's own agreement is Core's affair; here its processes tell one another what they hear, and
 // the first of them that is there keeps the bank.
 type Mesh struct {
-	Zones, Foragers       int
-	Length                int64
-	Delay, Cross          int64 // one way, within a zone and between two
-	Rate, Surge           float64
-	Demand                float64 // of the tenant's rate, that it sends
-	Hot                   float64 // times as much, in the middle third
-	Kills, KillAlls, Cuts int     // of foragers
-	CombKills, ZoneCuts   int
-	FullPurse, NoRegency  bool    // guards left out
-	News                  int     // changes of upstreams, by chance spread over the day
-	Faults                []Fault // these, in place of so many by chance
+	Zones, Proxies            int
+	Length                    int64
+	Delay, Cross              int64 // one way, within a zone and between two
+	Rate, Surge               float64
+	Demand                    float64 // of the tenant's rate, that it sends
+	Hot                       float64 // times as much, in the middle third
+	Kills, KillAlls, Cuts     int     // of proxies
+	ControllerKills, ZoneCuts int
+	FullBucket, NoGracePeriod bool    // guards left out
+	News                      int     // changes of upstreams, by chance spread over the day
+	Faults                    []Fault // these, in place of so many by chance
 }
 
 type meshFile struct {
-	Zones, Foragers, Kills, Cuts, News int
-	KillAlls                           int `toml:"kill_alls"`
-	CombKills                          int `toml:"comb_kills"`
-	ZoneCuts                           int `toml:"zone_cuts"`
-	Length, Delay, Cross               span
-	Rate, Surge, Demand, Hot           float64
-	FullPurse                          bool `toml:"full_purse"`
-	NoRegency                          bool `toml:"no_regency"`
-	Faults                             []Fault
+	Zones, Proxies, Kills, Cuts, News int
+	KillAlls                          int `toml:"kill_alls"`
+	ControllerKills                   int `toml:"controller_kills"`
+	ZoneCuts                          int `toml:"zone_cuts"`
+	Length, Delay, Cross              span
+	Rate, Surge, Demand, Hot          float64
+	FullBucket                        bool `toml:"full_bucket"`
+	NoGracePeriod                     bool `toml:"no_grace_period"`
+	Faults                            []Fault
 }
 
 func plainMesh() meshFile {
@@ -44,9 +44,9 @@
 }
 
 func (m meshFile) mesh() Mesh {
-	return Mesh{Zones: m.Zones, Foragers: m.Foragers, Length: int64(m.Length), Delay: int64(m.Delay), Cross: int64(m.Cross), Rate: m.Rate,
-		Surge: m.Surge, Demand: m.Demand, Hot: m.Hot, Kills: m.Kills, KillAlls: m.KillAlls, Cuts: m.Cuts, CombKills: m.CombKills,
-		ZoneCuts: m.ZoneCuts, FullPurse: m.FullPurse, NoRegency: m.NoRegency, News: m.News, Faults: m.Faults}
+	return Mesh{Zones: m.Zones, Proxies: m.Proxies, Length: int64(m.Length), Delay: int64(m.Delay), Cross: int64(m.Cross), Rate: m.Rate,
+		Surge: m.Surge, Demand: m.Demand, Hot: m.Hot, Kills: m.Kills, KillAlls: m.KillAlls, Cuts: m.Cuts, ControllerKills: m.ControllerKills,
+		ZoneCuts: m.ZoneCuts, FullBucket: m.FullBucket, NoGracePeriod: m.NoGracePeriod, News: m.News, Faults: m.Faults}
 }
 
 // MeshDay is what came of one.
@@ -57,34 +57,34 @@
 	RefusedWithin          int
 	Window, Bound          float64 // the most that passed in a window, and what is allowed
 	Asks, Draws, Bytes     int     // calls at the core, and what they carried, by estimate of their JSON
-	CombAsks               int     // at the busiest process
+	ControllerRequests     int     // at the busiest process
 	Stale                  int64   // the longest until all balancers that are there knew a change of an upstream
 }
 
-type forager struct {
+type proxyModel struct {
 	n, zone int
 	up      bool
 	cut     int64
 	life    int
-	wallet  *pollen.Wallet
+	wallet  *ratelimit.Wallet
 	drawing bool
 	need    bool // somebody wants another draw after the one under way
-	have    waggle.Have
-	nest    waggle.Nest
+	have    membership.Position
+	nest    membership.Node
 	saw     map[string]uint64 // seq by node
 	asking  int
 	waiting []func()
 	draw    func(int)
 }
 
-type meshComb struct {
+type controllerModel struct {
 	n     int
 	up    bool
 	life  int
-	cell  *waggle.Cell
+	cell  *membership.Registry
 	sent  map[int]uint64
 	hang  []func() // asks that wait for news
-	bank  *pollen.Bank
+	bank  *ratelimit.TokenBank
 	from  int64
 	reign int
 	asks  int
@@ -93,17 +93,17 @@
 type meshWorld struct {
 	*World
 	Mesh
-	day   MeshDay
-	net   *rand.Rand
-	combs []*meshComb
-	bees  []*forager
-	pass  []int64
-	reign int
-	queen int
-	crown int64 // when the present queen was agreed on
-	cutZ  map[int]int64
-	told  map[string]change
-	limit pollen.Limit
+	day         MeshDay
+	net         *rand.Rand
+	controllers []*controllerModel
+	proxies     []*proxyModel
+	pass        []int64
+	reign       int
+	coordinator int
+	crown       int64 // when the present coordinator was agreed on
+	cutZ        map[int]int64
+	told        map[string]change
+	limit       ratelimit.Limit
 }
 
 type change struct {
@@ -113,18 +113,18 @@
 
 // Play plays one day.
 func (m Mesh) Play(seed uint64) *MeshDay {
-	w := &meshWorld{World: NewWorld(seed), Mesh: m, cutZ: map[int]int64{}, told: map[string]change{}, queen: -1,
-		limit: pollen.Limit{Rate: m.Rate, Surge: m.Surge, Window: 5 * S, Over: 0.1, Slack: 20}}
+	w := &meshWorld{World: NewWorld(seed), Mesh: m, cutZ: map[int]int64{}, told: map[string]change{}, coordinator: -1,
+		limit: ratelimit.Limit{Rate: m.Rate, Surge: m.Surge, Window: 5 * S, Over: 0.1, Slack: 20}}
 	w.net = w.Chance("net")
 	for z := range m.Zones {
-		c := &meshComb{n: z}
-		w.combs = append(w.combs, c)
-		w.startComb(c)
+		c := &controllerModel{n: z}
+		w.controllers = append(w.controllers, c)
+		w.startController(c)
 	}
-	for n := range m.Foragers {
-		b := &forager{n: n, zone: n % m.Zones}
-		w.bees = append(w.bees, b)
-		w.After(int64(w.net.IntN(300))*Ms, func() { w.startBee(b) })
+	for n := range m.Proxies {
+		b := &proxyModel{n: n, zone: n % m.Zones}
+		w.proxies = append(w.proxies, b)
+		w.After(int64(w.net.IntN(300))*Ms, func() { w.startProxy(b) })
 	}
 	w.trouble()
 	w.demand()
@@ -143,37 +143,37 @@
 
 func (w *meshWorld) apart(a, b int) bool { return a != b && (w.Now < w.cutZ[a] || w.Now < w.cutZ[b]) }
 
-func (w *meshWorld) startComb(c *meshComb) {
+func (w *meshWorld) startController(c *controllerModel) {
 	c.life++
-	c.up, c.cell, c.sent, c.hang, c.bank = true, waggle.NewCell(), map[int]uint64{}, nil, nil
+	c.up, c.cell, c.sent, c.hang, c.bank = true, membership.NewRegistry(), map[int]uint64{}, nil, nil
 	life := c.life
 	var tend func()
 	tend = func() {
 		if !c.up || c.life != life {
 			return
 		}
-		if c.cell.Sweep(w.Now) {
-			w.stir(c)
+		if c.cell.Expire(w.Now) {
+			w.notifyWatchers(c)
 		}
-		w.mingle(c)
-		w.reigns()
+		w.gossip(c)
+		w.appointCoordinator()
 		w.After(250*Ms, tend)
 	}
 	w.After(int64(w.net.IntN(250))*Ms, tend)
 }
 
 // mingle tells the other processes what is new, and who was heard directly.
-func (w *meshWorld) mingle(c *meshComb) {
-	for _, to := range w.combs {
+func (w *meshWorld) gossip(c *controllerModel) {
+	for _, to := range w.controllers {
 		if to == c || !to.up || w.apart(c.n, to.n) {
 			continue
 		}
 		seq, upto := c.sent[to.n], c.cell.Seq()
-		var nests []waggle.Told
+		var nests []membership.Record
 		if seq < upto {
-			nests, _, _ = c.cell.Since(seq, w.Now)
+			nests, _, _ = c.cell.ChangesSince(seq, w.Now)
 		}
-		beats, life := c.cell.Mine(w.Now), to.life
+		beats, life := c.cell.OwnRenewals(w.Now), to.life
 		w.day.Bytes += 220*len(nests) + 60*len(beats) + 200
 		w.After(w.link(c.n, to.n), func() {
 			if !to.up || to.life != life {
@@ -182,7 +182,7 @@
 			news := false
 			for _, n := range nests {
 				if !n.Lost {
-					news = to.cell.Hear(n.Nest, n.Age, w.Now, false) || news
+					news = to.cell.Observe(n.Node, n.Age, w.Now, false) || news
 				}
 			}
 			renewed, more := to.cell.Renew(beats, w.Now)
@@ -190,13 +190,13 @@
 				c.sent[to.n] = 0
 			}
 			if news || renewed {
-				w.stir(to)
+				w.notifyWatchers(to)
 			}
 		})
 	}
 }
 
-func (w *meshWorld) stir(c *meshComb) {
+func (w *meshWorld) notifyWatchers(c *controllerModel) {
 	hang := c.hang
 	c.hang = nil
 	for _, wake := range hang {
@@ -204,41 +204,41 @@
 	}
 }
 
-// reigns has the first process that is there take the duty once the one before is gone for as long as it takes to see.
-func (w *meshWorld) reigns() {
-	if w.queen >= 0 && w.combs[w.queen].up {
+// epochs has the first process that is there take the duty once the one before is gone for as long as it takes to see.
+func (w *meshWorld) appointCoordinator() {
+	if w.coordinator >= 0 && w.controllers[w.coordinator].up {
 		return
 	}
-	gone := w.queen
-	w.queen = -2
+	gone := w.coordinator
+	w.coordinator = -2
 	w.After(950*Ms, func() {
-		for _, c := range w.combs {
+		for _, c := range w.controllers {
 			if c.up {
-				w.queen = c.n
+				w.coordinator = c.n
 				w.reign++
-				c.bank, c.from, c.reign = pollen.NewBank(w.Now), w.Now+850*Ms, w.reign
-				if w.NoRegency {
-					c.bank, c.from = pollen.NewBank(w.Now-pollen.Forget), w.Now
+				c.bank, c.from, c.reign = ratelimit.NewTokenBank(w.Now), w.Now+850*Ms, w.reign
+				if w.NoGracePeriod {
+					c.bank, c.from = ratelimit.NewTokenBank(w.Now-ratelimit.Forget), w.Now
 				}
-				c.bank.Set(map[string]pollen.Limit{"t": w.limit}, w.Foragers, w.Now)
+				c.bank.Set(map[string]ratelimit.Limit{"t": w.limit}, w.Proxies, w.Now)
 				return
 			}
 		}
-		w.queen = gone
+		w.coordinator = gone
 	})
 }
 
-func (w *meshWorld) startBee(b *forager) {
+func (w *meshWorld) startProxy(b *proxyModel) {
 	b.life++
 	life := b.life
-	b.up, b.drawing, b.have, b.saw, b.waiting = true, false, waggle.Have{}, map[string]uint64{}, nil
-	b.wallet = pollen.NewWallet(w.Now)
-	b.wallet.Set(map[string]pollen.Limit{"t": w.limit}, w.Foragers, w.Now)
-	if w.FullPurse {
-		b.wallet.Given(map[string]pollen.Given{"t": {Tokens: w.Surge / float64(w.Foragers) * 6}}, w.Now, w.Now)
+	b.up, b.drawing, b.have, b.saw, b.waiting = true, false, membership.Position{}, map[string]uint64{}, nil
+	b.wallet = ratelimit.NewWallet(w.Now)
+	b.wallet.Set(map[string]ratelimit.Limit{"t": w.limit}, w.Proxies, w.Now)
+	if w.FullBucket {
+		b.wallet.ApplyGrant(map[string]ratelimit.TokenGrant{"t": {Tokens: w.Surge / float64(w.Proxies) * 6}}, w.Now, w.Now)
 	}
-	b.nest.Node, b.nest.Life, b.nest.District = fmt.Sprint("n", b.n), fmt.Sprint(b.life), fmt.Sprint(b.zone)
-	b.nest.Up = &waggle.Upstream{ID: fmt.Sprint("i", b.n), Service: "s", Capacity: 6}
+	b.nest.Name, b.nest.Life, b.nest.District = fmt.Sprint("n", b.n), fmt.Sprint(b.life), fmt.Sprint(b.zone)
+	b.nest.Upstream = &membership.Upstream{ID: fmt.Sprint("i", b.n), Service: "s", Capacity: 6}
 	w.asks(b, life, 0)
 	b.draw = func(at int) { w.drawFrom(b, at) }
 	var beat func()
@@ -252,17 +252,17 @@
 }
 
 // asks is a balancer's loop: it asks one process of the core, its own zone's first, and the next where that is silent.
-func (w *meshWorld) asks(b *forager, life, turn int) {
+func (w *meshWorld) asks(b *proxyModel, life, turn int) {
 	if !b.up || b.life != life {
 		return
 	}
-	c := w.combs[(b.zone+turn)%len(w.combs)]
+	c := w.controllers[(b.zone+turn)%len(w.controllers)]
 	b.asking++
 	this, over := b.asking, false
 	b.nest.Seq = max(b.nest.Seq, 1)
 	have, nest := b.have, b.nest
-	up := *b.nest.Up
-	nest.Up = &up
+	up := *b.nest.Upstream
+	nest.Upstream = &up
 	retry := func() {
 		if !over && b.asking == this {
 			over = true
@@ -278,9 +278,9 @@
 		c.asks++
 		w.day.Bytes += 420
 		cl := c.life
-		if c.cell.Hear(nest, 0, w.Now, true) {
-			w.stir(c)
-			w.After(0, func() { w.mingle(c) })
+		if c.cell.Observe(nest, 0, w.Now, true) {
+			w.notifyWatchers(c)
+			w.After(0, func() { w.gossip(c) })
 		}
 		answered := false
 		answer := func() {
@@ -289,10 +289,10 @@
 			}
 			answered = true
 			seq := have.Seq
-			if have.Comb != fmt.Sprint(c.n, ".", cl) {
+			if have.Controller != fmt.Sprint(c.n, ".", cl) {
 				seq = 0
 			}
-			nests, _, _ := c.cell.Since(seq, w.Now)
+			nests, _, _ := c.cell.ChangesSince(seq, w.Now)
 			at := c.cell.Seq()
 			w.day.Bytes += 240 + 220*len(nests)
 			w.After(w.link(b.zone, c.n), func() {
@@ -300,15 +300,15 @@
 					return
 				}
 				over = true
-				b.have = waggle.Have{Comb: fmt.Sprint(c.n, ".", cl), Seq: at}
+				b.have = membership.Position{Controller: fmt.Sprint(c.n, ".", cl), Seq: at}
 				for _, n := range nests {
-					b.saw[n.Node] = max(b.saw[n.Node], n.Seq)
+					b.saw[n.Name] = max(b.saw[n.Name], n.Seq)
 				}
 				w.asks(b, life, 0)
 			})
 		}
 		w.After(600*Ms, answer)
-		if have.Comb != fmt.Sprint(c.n, ".", cl) || have.Seq != c.cell.Seq() {
+		if have.Controller != fmt.Sprint(c.n, ".", cl) || have.Seq != c.cell.Seq() {
 			answer()
 		} else {
 			c.hang = append(c.hang, func() { w.After(15*Ms, answer) })
@@ -317,14 +317,14 @@
 }
 
 // drawFrom is one draw at the bank.
-func (w *meshWorld) drawFrom(b *forager, life int) {
-	if b.need = true; b.drawing || !b.up || b.life != life || w.queen < 0 {
+func (w *meshWorld) drawFrom(b *proxyModel, life int) {
+	if b.need = true; b.drawing || !b.up || b.life != life || w.coordinator < 0 {
 		return
 	}
 	b.need = false
-	c := w.combs[w.queen]
+	c := w.controllers[w.coordinator]
 	b.drawing = true
-	d, sent := b.wallet.Draw(b.nest.Node, fmt.Sprint(b.life), w.Now), w.Now
+	d, sent := b.wallet.NewRequest(b.nest.Name, fmt.Sprint(b.life), w.Now), w.Now
 	w.day.Draws++
 	w.day.Bytes += 260
 	over := false
@@ -349,15 +349,15 @@
 	}
 	w.After(300*Ms, end)
 	w.After(w.link(b.zone, c.n), func() {
-		if !c.up || w.Now < b.cut || w.apart(b.zone, c.n) || c.bank == nil || w.Now < c.from || w.queen != c.n && !w.NoRegency {
+		if !c.up || w.Now < b.cut || w.apart(b.zone, c.n) || c.bank == nil || w.Now < c.from || w.coordinator != c.n && !w.NoGracePeriod {
 			return
 		}
-		given := c.bank.Draw(d, w.Now)
+		given := c.bank.Grant(d, w.Now)
 		w.After(w.link(b.zone, c.n), func() {
 			if over || b.life != life || w.Now < b.cut {
 				return
 			}
-			b.wallet.Given(given, sent, w.Now)
+			b.wallet.ApplyGrant(given, sent, w.Now)
 			end()
 		})
 	})
@@ -371,14 +371,14 @@
 		if w.Now >= w.Length {
 			return
 		}
-		times, part := w.Demand, w.Foragers
+		times, part := w.Demand, w.Proxies
 		if w.Now > w.Length/3 && w.Now < 2*w.Length/3 {
 			times *= w.Hot
 			if w.Hot > 1 {
-				part = max(1, w.Foragers/3) // where the rush is, another third each second
+				part = max(1, w.Proxies/3) // where the rush is, another third each second
 			}
 		}
-		b := w.bees[(chance.IntN(part)+int(w.Now/S)*7)%w.Foragers]
+		b := w.proxies[(chance.IntN(part)+int(w.Now/S)*7)%w.Proxies]
 		if b.up {
 			w.day.Asked++
 			within := times <= 1
@@ -392,16 +392,16 @@
 	w.After(4*S, next)
 }
 
-func (w *meshWorld) take(b *forager, round int, within bool) {
+func (w *meshWorld) take(b *proxyModel, round int, within bool) {
 	verdict, _ := b.wallet.Take("t", w.Now, round == 2)
 	switch verdict {
-	case pollen.Pass:
+	case ratelimit.Pass:
 		w.pass = append(w.pass, w.Now)
 		w.day.Passed++
 		if b.wallet.Wants(w.Now) {
 			w.drawFrom(b, b.life)
 		}
-	case pollen.Ask:
+	case ratelimit.Ask:
 		life, done := b.life, false
 		again := func() {
 			if !done && b.life == life {
@@ -427,8 +427,8 @@
 		kind               string
 		who, least, spread int
 	}{
-		{w.Kills, Kill, w.Foragers, 100, 2000}, {w.KillAlls, KillAll, 1, 300, 1}, {w.Cuts, Cut, w.Foragers, 500, 6000},
-		{w.CombKills, CombKill, len(w.combs), 300, 4000}, {w.ZoneCuts, ZoneCut, w.Zones, 2000, 6000},
+		{w.Kills, Kill, w.Proxies, 100, 2000}, {w.KillAlls, KillAll, 1, 300, 1}, {w.Cuts, Cut, w.Proxies, 500, 6000},
+		{w.ControllerKills, CombKill, len(w.controllers), 300, 4000}, {w.ZoneCuts, ZoneCut, w.Zones, 2000, 6000},
 	} {
 		for range of.n {
 			all = append(all, Fault{Kind: of.kind, Who: chance.IntN(of.who), For: span(int64(of.least+chance.IntN(of.spread)) * Ms),
@@ -441,27 +441,27 @@
 // befall has one fault happen.
 func (w *meshWorld) befall(f Fault) {
 	long := int64(f.For)
-	restart := func(b *forager, down int64) {
+	restart := func(b *proxyModel, down int64) {
 		if !b.up {
 			return
 		}
 		b.up = false
 		b.life++
-		w.After(down, func() { w.startBee(b) })
+		w.After(down, func() { w.startProxy(b) })
 	}
 	switch f.Kind {
 	case Kill:
-		restart(w.bees[f.Who%w.Foragers], long)
+		restart(w.proxies[f.Who%w.Proxies], long)
 	case KillAll:
-		for _, b := range w.bees {
+		for _, b := range w.proxies {
 			restart(b, long+int64(b.n%7)*50*Ms)
 		}
 	case Cut:
-		w.bees[f.Who%w.Foragers].cut = w.Now + long
+		w.proxies[f.Who%w.Proxies].cut = w.Now + long
 	case CombKill:
-		if c := w.combs[f.Who%len(w.combs)]; c.up {
+		if c := w.controllers[f.Who%len(w.controllers)]; c.up {
 			c.up = false
-			w.After(long, func() { w.startComb(c) })
+			w.After(long, func() { w.startController(c) })
 		}
 	case ZoneCut:
 		w.cutZ[f.Who%w.Zones] = w.Now + long
@@ -480,15 +480,15 @@
 	chance := w.Chance("news")
 	when := func() int64 { return 5*S + int64(chance.Float64()*float64(max(w.Length-10*S, S))) }
 	for range w.News {
-		b := w.bees[chance.IntN(w.Foragers)]
+		b := w.proxies[chance.IntN(w.Proxies)]
 		w.After(when(), func() {
 			if !b.up || w.Now < b.cut {
 				return
 			}
 			b.nest.Seq = max(b.nest.Seq, 1) + 1
-			up := *b.nest.Up
+			up := *b.nest.Upstream
 			up.Closing = !up.Closing
-			b.nest.Up = &up
+			b.nest.Upstream = &up
 			seq, at := b.nest.Seq, w.Now
 			w.asks(b, b.life, 0) // told at once
 			w.watch(b, seq, at)
@@ -497,10 +497,10 @@
 }
 
 // watch measures how long it takes until all who are there know a change.
-func (w *meshWorld) watch(b *forager, seq uint64, at int64) {
+func (w *meshWorld) watch(b *proxyModel, seq uint64, at int64) {
 	w.After(5*Ms, func() {
-		for _, other := range w.bees {
-			if other.up && other != b && w.Now >= other.cut && w.Now >= w.cutZ[other.zone] && w.Now >= w.cutZ[b.zone] && other.saw[b.nest.Node] < seq {
+		for _, other := range w.proxies {
+			if other.up && other != b && w.Now >= other.cut && w.Now >= w.cutZ[other.zone] && w.Now >= w.cutZ[b.zone] && other.saw[b.nest.Name] < seq {
 				if w.Now-at < 5*S && b.up {
 					w.watch(b, seq, at)
 				}
@@ -523,8 +523,8 @@
 	if w.day.Bound = w.limit.Bound(); w.day.Window > w.day.Bound {
 		w.day.Broken = append(w.day.Broken, fmt.Sprintf("QUOTA: %.0f passed in a window, %.0f are allowed", w.day.Window, w.day.Bound))
 	}
-	for _, c := range w.combs {
-		w.day.CombAsks = max(w.day.CombAsks, c.asks)
+	for _, c := range w.controllers {
+		w.day.ControllerRequests = max(w.day.ControllerRequests, c.asks)
 	}
 }
 
--- a/internal/hive/apiary/partner.go
+++ b/internal/mesh/simulation/partner.go
@@ -1,17 +1,17 @@
-package apiary
+package simulation
 
 import (
 	"fmt"
 	"math"
 	"math/rand/v2"
 
-	"ottershift/internal/hive/propolis"
+	"ottershift/internal/mesh/federation"
 )
 
 // Partner is a day on which a partner narrows and widens what it exports, over and over, under load: balancers at which requests
 // begin, others through which they leave, a core that agrees, one of its processes that takes the partner's word.
 type Partner struct {
-	Foragers, Combs      int
+	Proxies, Controllers int
 	Length               int64
 	Delay                int64   // one way
 	Rate                 float64 // requests a second, half of them with an effect
@@ -24,19 +24,19 @@
 }
 
 type partnerFile struct {
-	Foragers, Combs, Changes, Cuts, Freezes, Kills int
-	Length, Delay                                  span
-	CutFor                                         span `toml:"cut_for"`
-	Rate, Busy, Turned                             float64
-	Guard                                          string
+	Proxies, Controllers, Changes, Cuts, Freezes, Kills int
+	Length, Delay                                       span
+	CutFor                                              span `toml:"cut_for"`
+	Rate, Busy, Turned                                  float64
+	Guard                                               string
 }
 
 func plainPartner() partnerFile {
-	return partnerFile{Combs: 3, Length: span(60 * S), Delay: span(Ms), Rate: 200, Changes: 10, CutFor: span(8 * S), Busy: 0.05, Turned: 0.05}
+	return partnerFile{Controllers: 3, Length: span(60 * S), Delay: span(Ms), Rate: 200, Changes: 10, CutFor: span(8 * S), Busy: 0.05, Turned: 0.05}
 }
 
 func (p partnerFile) partner() Partner {
-	return Partner{Foragers: p.Foragers, Combs: p.Combs, Length: int64(p.Length), Delay: int64(p.Delay), Rate: p.Rate, Changes: p.Changes, Cuts: p.Cuts,
+	return Partner{Proxies: p.Proxies, Controllers: p.Controllers, Length: int64(p.Length), Delay: int64(p.Delay), Rate: p.Rate, Changes: p.Changes, Cuts: p.Cuts,
 		Freezes: p.Freezes, Kills: p.Kills, CutFor: int64(p.CutFor), Busy: p.Busy, Turned: p.Turned, Guard: p.Guard}
 }
 
@@ -52,52 +52,52 @@
 	Bound             int64
 }
 
-type partnerBee struct {
+type partnerProxy struct {
 	up     bool
 	cut    int64 // from the core, until then
 	frozen int64
-	door   *propolis.Door
+	door   *federation.ExportPolicy
 	comb   int
 }
 
-type partnerComb struct {
+type partnerController struct {
 	up   bool
-	book *propolis.Book
+	book *federation.ImportBook
 }
 
 type partnerWorld struct {
 	*World
 	Partner
-	day   PartnerDay
-	net   *rand.Rand
-	book  *propolis.Book // agreed
-	combs []*partnerComb
-	bees  []*partnerBee
-	taker *propolis.Taker
-	duty  int
-	from  int64 // since when the duty is this process's
+	day         PartnerDay
+	net         *rand.Rand
+	book        *federation.ImportBook // agreed
+	controllers []*partnerController
+	proxies     []*partnerProxy
+	taker       *federation.NarrowingTracker
+	duty        int
+	from        int64 // since when the duty is this process's
 
-	table  *propolis.Table // the partner's, now
-	kept   int64           // edition since which effects are forbidden without a break, 0 for not
-	told   int64           // edition up to which narrowings were reported done
+	table  *federation.Table // the partner's, now
+	kept   int64             // edition since which effects are forbidden without a break, 0 for not
+	told   int64             // edition up to which narrowings were reported done
 	saidAt map[int64]int64
 	runs   map[int]int
 }
 
-var thePartner = []propolis.Partner{{Name: "p", Gateway: "p:1"}}
+var thePartner = []federation.Partner{{Name: "p", Gateway: "p:1"}}
 
 // Play plays one day.
 func (p Partner) Play(seed uint64) *PartnerDay {
-	w := &partnerWorld{World: NewWorld(seed), Partner: p, book: propolis.NewBook(), saidAt: map[int64]int64{}, runs: map[int]int{}}
+	w := &partnerWorld{World: NewWorld(seed), Partner: p, book: federation.NewImportBook(), saidAt: map[int64]int64{}, runs: map[int]int{}}
 	w.net = w.Chance("net")
-	w.day.Bound = int64(float64(propolis.LeaveFor+propolis.Fresh)*(1+propolis.Drift)) + propolis.Every
-	for range p.Combs {
-		w.combs = append(w.combs, &partnerComb{up: true, book: w.book})
+	w.day.Bound = int64(float64(federation.LeaveFor+federation.Fresh)*(1+federation.Drift)) + federation.Every
+	for range p.Controllers {
+		w.controllers = append(w.controllers, &partnerController{up: true, book: w.book})
 	}
-	for n := range p.Foragers {
-		b := &partnerBee{up: true, door: propolis.NewDoor(nil), comb: n % p.Combs}
+	for n := range p.Proxies {
+		b := &partnerProxy{up: true, door: federation.NewExportPolicy(nil), comb: n % p.Controllers}
 		b.door.Without(p.Guard)
-		w.bees = append(w.bees, b)
+		w.proxies = append(w.proxies, b)
 		w.asks(b)
 	}
 	w.word(true)
@@ -126,24 +126,24 @@
 		w.kept = edition
 		w.day.Narrowings++
 	}
-	w.table = &propolis.Table{Partner: "p", Edition: edition, Lease: propolis.Span(20 * S),
-		Exports: []propolis.Export{{Service: "scans", Town: "p.example", StreetPrefix: "/scans/", Methods: methods}}}
+	w.table = &federation.Table{Partner: "p", Edition: edition, Lease: federation.Span(20 * S),
+		Exports: []federation.Export{{Service: "scans", Town: "p.example", StreetPrefix: "/scans/", Methods: methods}}}
 	w.saidAt[edition] = w.Now
 }
 
 // hold gives the duty to a process of the core.
 func (w *partnerWorld) hold(n int) {
 	w.duty, w.from = n, w.Now
-	w.taker = propolis.NewTaker()
+	w.taker = federation.NewNarrowingTracker()
 	w.taker.Without(w.Guard)
 }
 
 // agree puts a changed book in force: whoever is up learns of it, one after the other.
-func (w *partnerWorld) agree(change func(*propolis.Book)) {
+func (w *partnerWorld) agree(change func(*federation.ImportBook)) {
 	raw, err := w.book.Write()
 	next := w.book
 	if err == nil {
-		next, err = propolis.Read(raw)
+		next, err = federation.Read(raw)
 	}
 	if err != nil {
 		w.day.Broken = append(w.day.Broken, err.Error())
@@ -151,7 +151,7 @@
 	}
 	change(next)
 	w.book = next
-	for _, c := range w.combs {
+	for _, c := range w.controllers {
 		w.After(int64(w.net.Float64()*60)*Ms, func() {
 			if c.up && c.book.No <= next.No {
 				c.book = next
@@ -162,8 +162,8 @@
 
 // takes is the taker's loop: the partner's word, and what is done.
 func (w *partnerWorld) takes() {
-	w.After(propolis.Every, w.takes)
-	c := w.combs[w.duty]
+	w.After(federation.Every, w.takes)
+	c := w.controllers[w.duty]
 	if !c.up {
 		return
 	}
@@ -172,10 +172,10 @@
 		if !c.up {
 			return
 		}
-		w.agree(func(b *propolis.Book) { b.Take(word, fmt.Sprint(word.Edition)) })
+		w.agree(func(b *federation.ImportBook) { b.Take(word, fmt.Sprint(word.Edition)) })
 	})
 	for partner, no := range w.taker.Due(w.book, w.Now) {
-		w.agree(func(b *propolis.Book) { b.Finish(partner, no) })
+		w.agree(func(b *federation.ImportBook) { b.Finish(partner, no) })
 	}
 	if i := w.book.Partners["p"]; i != nil && i.Told > w.told {
 		edition := i.Told
@@ -191,15 +191,15 @@
 }
 
 // asks is a balancer's loop at the core.
-func (w *partnerWorld) asks(b *partnerBee) {
+func (w *partnerWorld) asks(b *partnerProxy) {
 	again := func() { w.After(int64(100+w.net.IntN(500))*Ms, func() { w.asks(b) }) }
 	if w.Now < b.frozen {
 		w.After(b.frozen-w.Now, func() { w.asks(b) })
 		return
 	}
-	asked, c := w.Now, w.combs[b.comb]
+	asked, c := w.Now, w.controllers[b.comb]
 	if !b.up || w.Now < b.cut || !c.up {
-		b.comb = (b.comb + 1) % len(w.combs)
+		b.comb = (b.comb + 1) % len(w.controllers)
 		again()
 		return
 	}
@@ -211,7 +211,7 @@
 		book := c.book
 		w.After(w.link(), func() {
 			if b.up && w.Now >= b.frozen && w.Now >= b.cut {
-				b.door.Hear(book, thePartner, nil, len(w.bees), w.Now)
+				b.door.Hear(book, thePartner, nil, len(w.proxies), w.Now)
 				b.door.Renew(book.No, asked)
 			}
 			again()
@@ -236,7 +236,7 @@
 }
 
 func (w *partnerWorld) begin(id int, effect bool, chance *rand.Rand) {
-	at := w.bees[chance.IntN(len(w.bees))]
+	at := w.proxies[chance.IntN(len(w.proxies))]
 	method := "GET"
 	if effect {
 		method = "POST"
@@ -248,20 +248,20 @@
 }
 
 // push is one try: decided where it begins, and again where it leaves.
-func (w *partnerWorld) push(id int, at *partnerBee, method string, try int, chance *rand.Rand) {
+func (w *partnerWorld) push(id int, at *partnerProxy, method string, try int, chance *rand.Rand) {
 	if !at.up || w.Now < at.frozen {
 		return
 	}
-	again := w.Guard == propolis.RetryAfter && try > 0
+	again := w.Guard == federation.RetryAfter && try > 0
 	if !again {
-		if _, why := at.door.Decide(method, "p.example", "/scans/1", w.Now); why != propolis.Open {
-			if why == propolis.NoLeave && (method == "GET" || w.kept == 0) {
+		if _, why := at.door.Decide(method, "p.example", "/scans/1", w.Now); why != federation.Open {
+			if why == federation.NoLeave && (method == "GET" || w.kept == 0) {
 				w.day.Refused++
 			}
 			return
 		}
 	}
-	gate := w.bees[chance.IntN(len(w.bees))]
+	gate := w.proxies[chance.IntN(len(w.proxies))]
 	wait := w.link()
 	if chance.Float64() < w.Busy {
 		wait += int64(chance.IntN(4000)) * Ms
@@ -275,8 +275,8 @@
 		if !gate.up {
 			return
 		}
-		if !again && w.Guard != propolis.OneDoor {
-			if _, why := gate.door.May("p", method, "p.example", "/scans/1", w.Now); why != propolis.Open {
+		if !again && w.Guard != federation.OneDoor {
+			if _, why := gate.door.May("p", method, "p.example", "/scans/1", w.Now); why != federation.Open {
 				return // turned away, with the proof that it has not run
 			}
 		}
@@ -324,21 +324,21 @@
 		}
 	}
 	for range w.Cuts {
-		b := w.bees[chance.IntN(len(w.bees))]
+		b := w.proxies[chance.IntN(len(w.proxies))]
 		w.After(when(), func() { b.cut = w.Now + w.CutFor })
 	}
 	for range w.Freezes {
-		b, long := w.bees[chance.IntN(len(w.bees))], int64(1000+chance.IntN(6000))*Ms
+		b, long := w.proxies[chance.IntN(len(w.proxies))], int64(1000+chance.IntN(6000))*Ms
 		w.After(when(), func() { b.frozen = w.Now + long })
 	}
 	for range w.Kills {
 		w.After(when(), func() {
-			c := w.combs[w.duty]
+			c := w.controllers[w.duty]
 			if !c.up {
 				return
 			}
 			c.up = false
-			next := (w.duty + 1) % len(w.combs)
+			next := (w.duty + 1) % len(w.controllers)
 			w.After(1500*Ms, func() { w.hold(next) })
 			w.After(3*S, func() { c.up, c.book = true, w.book })
 		})
--- a/internal/hive/apiary/live/live.go
+++ b/internal/mesh/simulation/processes/processes.go
@@ -1,6 +1,6 @@
 // Package live plays a mesh as real processes on loopback, with stand-in upstreams, clients and operators of its own, and judges
-// it by what those saw alone. It is the part of apiary that has a real clock.
-package live
+// it by what those saw alone. It is the part of meshsim that has a real clock.
+package processes
 
 import (
 	"context"
@@ -21,11 +21,11 @@
 
 	"github.com/zeebo/errs"
 
-	"ottershift/internal/hive/box"
-	"ottershift/internal/hive/buzz"
-	"ottershift/internal/hive/comb"
-	"ottershift/internal/hive/nectar"
-	"ottershift/internal/hive/stand"
+	"ottershift/internal/mesh/burstcredit"
+	"ottershift/internal/mesh/controller"
+	"ottershift/internal/mesh/rpc"
+	"ottershift/internal/mesh/settings"
+	"ottershift/internal/mesh/testmesh"
 )
 
 // Error is the class of plays that could not be played.
@@ -33,17 +33,17 @@
 
 // Kinds of faults.
 const (
-	KillComb      = "kill_comb"
-	KillForager   = "kill_forager"
-	KillAll       = "kill_all"
-	FreezeComb    = "freeze_comb"
-	FreezeForager = "freeze_forager"
-	WipeComb      = "wipe_comb" // killed, and its disk emptied
-	TermForager   = "term_forager"
+	KillController   = "kill_controller"
+	KillProxy        = "kill_proxy"
+	KillAll          = "kill_all"
+	FreezeController = "freeze_controller"
+	FreezeProxy      = "freeze_proxy"
+	WipeController   = "wipe_controller" // killed, and its disk emptied
+	TermProxy        = "term_proxy"
 )
 
 // Kinds are all of them.
-var Kinds = []string{KillComb, KillForager, KillAll, FreezeComb, FreezeForager, WipeComb, TermForager}
+var Kinds = []string{KillController, KillProxy, KillAll, FreezeController, FreezeProxy, WipeController, TermProxy}
 
 // Fault is one thing that goes wrong.
 type Fault struct {
@@ -54,25 +54,25 @@
 
 // Mesh is what is played.
 type Mesh struct {
-	Programs        string // folder of comb and forager
-	Beside          string // folder of another version's: every second process is started from it, "" for none
-	Combs, Foragers int
-	Zones, Services []string
-	Length          time.Duration
-	Rate            float64 // requests a second, of all clients together
-	Work            time.Duration
-	Size            int // bytes of an answer
-	Routes          int // beside those that are asked for
-	Faults          []Fault
-	Seed            uint64
-	Credit          float64       // tokens of burst credit of the one tenant that all clients are of, 0 for none
-	TenantRate      float64       // its rate then, a second
-	Extra           float64       // and the most over it
-	Partner         time.Duration // between two words of a partner that narrows and widens what it exports, 0 for no partner
-	Logs            string        // folder for what the processes write, "" for nowhere
+	Programs             string // folder of controller and proxy
+	Beside               string // folder of another version's: every second process is started from it, "" for none
+	Controllers, Proxies int
+	Zones, Services      []string
+	Length               time.Duration
+	Rate                 float64 // requests a second, of all clients together
+	Work                 time.Duration
+	Size                 int // bytes of an answer
+	Routes               int // beside those that are asked for
+	Faults               []Fault
+	Seed                 uint64
+	Credit               float64       // tokens of burst credit of the one tenant that all clients are of, 0 for none
+	TenantRate           float64       // its rate then, a second
+	Extra                float64       // and the most over it
+	Partner              time.Duration // between two words of a partner that narrows and widens what it exports, 0 for no partner
+	Logs                 string        // folder for what the processes write, "" for nowhere
 }
 
-// Served is what came of the requests that began at one forager.
+// Served is what came of the requests that began at one proxy.
 type Served struct {
 	Node                                 string
 	Asked, OK, Refused, Failed, NoAnswer int
@@ -88,7 +88,7 @@
 	Restarts  int
 	Changes   int
 	Acks      []time.Duration // from the first call of a change until it was acknowledged
-	Bytes     int             // of the timetable
+	Bytes     int             // of the configuration
 	Settle    time.Duration   // from the start until a request was served
 	Spent     float64         // tokens that were charged
 	DueMost   int             // requests that were served, or whose effect may have been
@@ -98,8 +98,8 @@
 
 type process struct {
 	name, program string
-	box           *box.Box
-	settings      string
+	settings      *settings.Settings
+	settingsFile  string
 	mu            sync.Mutex
 	cmd           *exec.Cmd
 	down          bool // by a fault, until it starts it again
@@ -108,10 +108,10 @@
 type world struct {
 	Mesh
 	dir  string
-	plan *stand.Mesh
+	plan *testmesh.Mesh
 	all  []*process
-	apps []*stand.App
-	side *stand.Partner // nil for none
+	apps []*testmesh.Upstream
+	side *testmesh.Partner // nil for none
 
 	mu    sync.Mutex
 	out   Outcome
@@ -130,18 +130,18 @@
 
 // Play plays it; tell is told what happens.
 func Play(ctx context.Context, m Mesh, tell func(format string, args ...any)) (*Outcome, error) {
-	dir, err := os.MkdirTemp("", "apiary")
+	dir, err := os.MkdirTemp("", "meshsim")
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
 	defer os.RemoveAll(dir)
 	w := &world{Mesh: m, dir: dir, sent: map[string]*try{}}
-	if w.plan, err = stand.Plan(m.Combs, m.Foragers, m.Zones, m.Services, dir); err != nil {
+	if w.plan, err = testmesh.Plan(m.Controllers, m.Proxies, m.Zones, m.Services, dir); err != nil {
 		return nil, Error.Wrap(err)
 	}
 	defer w.stop()
 	if m.Partner > 0 {
-		if w.side, err = stand.NewPartner("zuid", box.Host(w.plan.Combs[0].Control)+":0"); err != nil {
+		if w.side, err = testmesh.NewPartner("zuid", settings.Host(w.plan.Controllers[0].Control)+":0"); err != nil {
 			return nil, Error.Wrap(err)
 		}
 		defer w.side.Stop()
@@ -154,7 +154,7 @@
 		return nil, err
 	}
 	w.out.Settle = time.Since(began)
-	tell("%d combs and %d foragers serve after %v", m.Combs, m.Foragers, w.out.Settle.Round(time.Millisecond))
+	tell("%d controllers and %d proxies serve after %v", m.Controllers, m.Proxies, w.out.Settle.Round(time.Millisecond))
 	ctx, end := context.WithTimeout(ctx, m.Length)
 	defer end()
 	var parts sync.WaitGroup
@@ -177,28 +177,28 @@
 }
 
 func (w *world) start() error {
-	add := func(program string, b *box.Box) error {
-		p := &process{name: b.Node, program: filepath.Join(w.Programs, program), box: b, settings: filepath.Join(w.dir, b.Node+".conf")}
+	add := func(program string, b *settings.Settings) error {
+		p := &process{name: b.Node, program: filepath.Join(w.Programs, program), settings: b, settingsFile: filepath.Join(w.dir, b.Node+".conf")}
 		if w.Beside != "" && len(w.all)%2 == 1 {
 			p.program = filepath.Join(w.Beside, program)
 		}
 		w.all = append(w.all, p)
 		return w.run(p)
 	}
-	for _, b := range w.plan.Combs {
+	for _, b := range w.plan.Controllers {
 		if err := os.MkdirAll(b.DataDir, 0o755); err != nil {
 			return Error.Wrap(err)
 		}
-		if err := add("comb", b); err != nil {
+		if err := add("controller", b); err != nil {
 			return err
 		}
 	}
-	for n, b := range w.plan.Foragers {
+	for n, b := range w.plan.Proxies {
 		b.Bounds.Grace = 3 * time.Second
-		if err := add("forager", b); err != nil {
+		if err := add("proxy", b); err != nil {
 			return err
 		}
-		a, err := stand.NewApp(fmt.Sprintf("i-%d", n), b.Destination, b.App, b.Control, 8, w.Work, w.Size)
+		a, err := testmesh.NewUpstream(fmt.Sprintf("i-%d", n), b.Destination, b.App, b.Control, 8, w.Work, w.Size)
 		if err != nil {
 			return Error.Wrap(err)
 		}
@@ -210,12 +210,12 @@
 
 // run starts a process with the settings of this moment.
 func (w *world) run(p *process) error {
-	if err := stand.Write(p.box, p.settings); err != nil {
+	if err := testmesh.Write(p.settings, p.settingsFile); err != nil {
 		return Error.Wrap(err)
 	}
-	p.box.FirstStart = false // from now on
+	p.settings.FirstStart = false // from now on
 	cmd := exec.Command(p.program, "serve")
-	cmd.Env = []string{box.Variable + "=" + p.settings, "PATH=" + os.Getenv("PATH")}
+	cmd.Env = []string{settings.Variable + "=" + p.settingsFile, "PATH=" + os.Getenv("PATH")}
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // none outlives this one
 	if w.Logs != "" {
 		f, err := os.OpenFile(filepath.Join(w.Logs, p.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
@@ -272,7 +272,7 @@
 
 const tenant = "families"
 
-// first puts a timetable and waits until each forager serves by it.
+// first puts a configuration and waits until each proxy serves by it.
 func (w *world) first(ctx context.Context) error {
 	var routes, depots []string
 	for _, s := range w.Services {
@@ -309,20 +309,20 @@
 		}
 	}
 	client := &http.Client{Timeout: time.Second}
-	for n := range w.plan.Foragers {
+	for n := range w.plan.Proxies {
 		for {
 			if status, _ := w.send(patience, client, n, "GET", "/read/"+w.Services[0]+"/", fmt.Sprint("first-", rand.Uint64())); status == http.StatusOK {
 				break
 			}
 			if err := nap(patience, 50*time.Millisecond); err != nil {
-				return Error.New("%s does not serve", w.plan.Foragers[n].Node)
+				return Error.New("%s does not serve", w.plan.Proxies[n].Node)
 			}
 		}
 	}
 	if w.Credit > 0 { // by an operator's hand
-		c := buzz.NewCaller()
+		c := rpc.NewCaller()
 		defer c.Close()
-		if err := c.Call(patience, w.plan.Combs[0].Inner(), "/hive/credit", &comb.Order{Tenant: tenant, Tokens: w.Credit, Who: "apiary", Why: "the rush"}, &nectar.Stand{}); err != nil {
+		if err := c.Call(patience, w.plan.Controllers[0].Inner(), rpc.PathCreditOrder, &controller.Order{Tenant: tenant, Tokens: w.Credit, Who: "meshsim", Why: "the rush"}, &burstcredit.AccountStatus{}); err != nil {
 			return Error.Wrap(err)
 		}
 	}
@@ -330,14 +330,14 @@
 }
 
 // account is what the core has agreed on of the tenant's credit.
-func (w *world) account(ctx context.Context) (*nectar.Stand, error) {
-	c := buzz.NewCaller()
+func (w *world) account(ctx context.Context) (*burstcredit.AccountStatus, error) {
+	c := rpc.NewCaller()
 	defer c.Close()
 	var last error
-	for _, b := range w.plan.Combs {
-		s := &comb.Status{}
-		if last = c.Call(ctx, b.Inner(), "/hive/status", comb.Look{Newest: true}, s); last == nil {
-			return comb.Account(s.State.Credit, tenant)
+	for _, b := range w.plan.Controllers {
+		s := &controller.Status{}
+		if last = c.Call(ctx, b.Inner(), rpc.PathStatus, controller.StatusRequest{Newest: true}, s); last == nil {
+			return controller.Account(s.State.Credit, tenant)
 		}
 	}
 	return nil, last
@@ -357,7 +357,7 @@
 func (w *world) call(ctx context.Context, comb int, call, match, body string) (int, string, error) {
 	ctx, end := context.WithTimeout(ctx, time.Second)
 	defer end()
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+w.plan.Combs[comb%w.Combs].Control+"/-/rpc?call="+call, strings.NewReader(body))
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+w.plan.Controllers[comb%w.Controllers].Control+"/-/rpc?call="+call, strings.NewReader(body))
 	if err != nil {
 		return 0, "", err
 	}
@@ -371,10 +371,10 @@
 	return a.StatusCode, string(text), err
 }
 
-// send has a client on a forager's machine ask for something; -1 is an answer that is not what an upstream sent.
+// send has a client on a proxy's machine ask for something; -1 is an answer that is not what an upstream sent.
 func (w *world) send(ctx context.Context, c *http.Client, forager int, method, path, id string) (int, time.Duration) {
 	began := time.Now()
-	r, err := http.NewRequestWithContext(ctx, method, "http://"+w.plan.Foragers[forager].Outbound+path, nil)
+	r, err := http.NewRequestWithContext(ctx, method, "http://"+w.plan.Proxies[forager].Outbound+path, nil)
 	if err != nil {
 		return 0, 0
 	}
@@ -419,7 +419,7 @@
 	late, end := context.WithTimeout(context.WithoutCancel(ctx), w.Length+5*time.Second)
 	defer end()
 	for n := 0; nap(ctx, time.Duration(chance.ExpFloat64()/w.Rate*1e9)) == nil; n++ {
-		f, method, kind := chance.IntN(w.Foragers), "GET", "read"
+		f, method, kind := chance.IntN(w.Proxies), "GET", "read"
 		if chance.IntN(4) == 0 {
 			method, kind = "POST", "once"
 		}
@@ -429,7 +429,7 @@
 		}
 		after := time.Now().After(calm) && w.Credit == 0 && !strings.HasPrefix(path, "/scans/") // a tenant beyond its rate is refused
 		if w.Credit > 0 && chance.IntN(5) == 0 {                                                // asked again at once, elsewhere
-			other := chance.IntN(w.Foragers)
+			other := chance.IntN(w.Proxies)
 			flying.Go(func() { w.send(late, c, other, method, path, id+"/again") })
 		}
 		flying.Go(func() {
@@ -464,7 +464,7 @@
 	flying.Wait()
 }
 
-// operate changes the timetable now and then and reads it back.
+// operate changes the configuration now and then and reads it back.
 func (w *world) operate(ctx context.Context, tell func(string, ...any)) {
 	edition, newest := 1, 1
 	for nap(ctx, 3*time.Second) == nil {
@@ -533,9 +533,9 @@
 	}
 	var hit []*process
 	for n, p := range w.all {
-		comb := n < w.Combs
+		comb := n < w.Controllers
 		if f.Kind == KillAll || comb == strings.HasSuffix(f.Kind, "_comb") &&
-			(comb && n == f.Who%w.Combs || !comb && n-w.Combs == f.Who%w.Foragers) {
+			(comb && n == f.Who%w.Controllers || !comb && n-w.Controllers == f.Who%w.Proxies) {
 			hit = append(hit, p)
 		}
 	}
@@ -544,7 +544,7 @@
 		switch {
 		case strings.HasPrefix(f.Kind, "freeze"):
 			p.signal(syscall.SIGSTOP, false)
-		case f.Kind == TermForager:
+		case f.Kind == TermProxy:
 			p.signal(syscall.SIGTERM, true)
 		default:
 			p.signal(syscall.SIGKILL, true)
@@ -557,9 +557,9 @@
 			continue
 		}
 		p.signal(syscall.SIGKILL, true) // one that was asked to leave has left by now
-		if f.Kind == WipeComb {
-			os.RemoveAll(p.box.DataDir)
-			os.MkdirAll(p.box.DataDir, 0o755)
+		if f.Kind == WipeController {
+			os.RemoveAll(p.settings.DataDir)
+			os.MkdirAll(p.settings.DataDir, 0o755)
 		}
 		if ctx.Err() != nil {
 			return
@@ -635,7 +635,7 @@
 	w.out.DueMost = len(due)
 	ctx, end := context.WithTimeout(context.Background(), 8*time.Second)
 	defer end()
-	var a *nectar.Stand
+	var a *burstcredit.AccountStatus
 	for last := -1.0; ; { // until all has been told
 		now, err := w.account(ctx)
 		if err != nil && ctx.Err() != nil {
@@ -667,7 +667,7 @@
 // Print writes what was seen; the last line is the verdict.
 func (o *Outcome) Print(out io.Writer) {
 	t := tabwriter.NewWriter(out, 2, 8, 2, ' ', 0)
-	fmt.Fprintln(t, "forager\tasked\tserved\trefused\tfailed\tno answer\tran beside it\t")
+	fmt.Fprintln(t, "proxy\tasked\tserved\trefused\tfailed\tno answer\tran beside it\t")
 	for _, s := range o.By {
 		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t\n", s.Node, s.Asked, s.OK, s.Refused, s.Failed, s.NoAnswer, s.Ran)
 	}
--- a/internal/hive/apiary/live/live_test.go
+++ b/internal/mesh/simulation/processes/processes_test.go
@@ -1,4 +1,4 @@
-package live
+package processes
 
 import (
 	"strings"
@@ -6,7 +6,7 @@
 
 	"github.com/shoenig/test/must"
 
-	"ottershift/internal/hive/stand"
+	"ottershift/internal/mesh/testmesh"
 )
 
 // The judge convicts each rule on what clients were told and upstreams ran, and nothing else.
@@ -27,8 +27,8 @@
 		{"DENIED", map[string]*try{"a": {once: false, status: 404}}, nil, [2]int{}},
 		{"RECOVER", nil, nil, [2]int{10, 8}},
 	} {
-		a := stand.Ran(c.ran)
-		w := &world{sent: c.sent, apps: []*stand.App{a}, tail: c.tail, out: Outcome{By: make([]Served, 1)}}
+		a := testmesh.Ran(c.ran)
+		w := &world{sent: c.sent, apps: []*testmesh.Upstream{a}, tail: c.tail, out: Outcome{By: make([]Served, 1)}}
 		w.judge()
 		if c.rule == "" {
 			must.SliceEmpty(t, w.out.Broken)
--- a/internal/hive/wax/crash_test.go
+++ b/internal/mesh/storage/crash_test.go
@@ -1,4 +1,4 @@
-package wax
+package storage
 
 import (
 	"bytes"
@@ -12,12 +12,12 @@
 	"github.com/syndtr/goleveldb/leveldb"
 	"github.com/syndtr/goleveldb/leveldb/storage"
 
-	"ottershift/internal/hive/swarm"
+	"ottershift/internal/mesh/consensus"
 )
 
 // platter is a disk that remembers what each loss of power may leave of it. What was synced stays; each write since then
 // is there, missing or torn; a name lasts with its file's sync, and removed ones last once the folder was synced.
-type platter struct {
+type memoryDisk struct {
 	mu      sync.Mutex
 	files   map[storage.FileDesc]*file
 	current storage.FileDesc
@@ -35,29 +35,29 @@
 
 func (f *file) whole() []byte { return append(bytes.Clone(f.synced), bytes.Join(f.loose, nil)...) }
 
-func newPlatter() *platter {
-	return &platter{files: map[storage.FileDesc]*file{}, removed: map[storage.FileDesc]*file{}}
+func newMemoryDisk() *memoryDisk {
+	return &memoryDisk{files: map[storage.FileDesc]*file{}, removed: map[storage.FileDesc]*file{}}
 }
 
-var errPower = fmt.Errorf("the power is gone")
+var errPowerLoss = fmt.Errorf("the power is gone")
 
 // op counts one step toward the loss of power.
-func (p *platter) op() error {
+func (p *memoryDisk) op() error {
 	if p.ops++; p.stop > 0 && p.ops > p.stop {
-		return errPower
+		return errPowerLoss
 	}
 	return nil
 }
 
-func (p *platter) Lock() (storage.Locker, error) { return unlocked{}, nil }
-func (p *platter) Log(string)                    {}
-func (p *platter) Close() error                  { return nil }
+func (p *memoryDisk) Lock() (storage.Locker, error) { return unlocked{}, nil }
+func (p *memoryDisk) Log(string)                    {}
+func (p *memoryDisk) Close() error                  { return nil }
 
 type unlocked struct{}
 
 func (unlocked) Unlock() {}
 
-func (p *platter) sync(fd storage.FileDesc) error {
+func (p *memoryDisk) sync(fd storage.FileDesc) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err := p.op(); err != nil {
@@ -69,7 +69,7 @@
 	return nil
 }
 
-func (p *platter) SetMeta(fd storage.FileDesc) error {
+func (p *memoryDisk) SetMeta(fd storage.FileDesc) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err := p.op(); err != nil {
@@ -82,7 +82,7 @@
 	return nil
 }
 
-func (p *platter) GetMeta() (storage.FileDesc, error) {
+func (p *memoryDisk) GetMeta() (storage.FileDesc, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.current.Zero() || p.files[p.current] == nil {
@@ -91,7 +91,7 @@
 	return p.current, nil
 }
 
-func (p *platter) List(t storage.FileType) (all []storage.FileDesc, _ error) {
+func (p *memoryDisk) List(t storage.FileType) (all []storage.FileDesc, _ error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for fd := range p.files {
@@ -103,7 +103,7 @@
 	return all, nil
 }
 
-func (p *platter) Open(fd storage.FileDesc) (storage.Reader, error) {
+func (p *memoryDisk) Open(fd storage.FileDesc) (storage.Reader, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f := p.files[fd]
@@ -113,7 +113,7 @@
 	return reader{bytes.NewReader(f.whole())}, nil
 }
 
-func (p *platter) Create(fd storage.FileDesc) (storage.Writer, error) {
+func (p *memoryDisk) Create(fd storage.FileDesc) (storage.Writer, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err := p.op(); err != nil {
@@ -123,7 +123,7 @@
 	return &writer{p, fd}, nil
 }
 
-func (p *platter) Remove(fd storage.FileDesc) error {
+func (p *memoryDisk) Remove(fd storage.FileDesc) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err := p.op(); err != nil {
@@ -136,7 +136,7 @@
 	return nil
 }
 
-func (p *platter) Rename(a, b storage.FileDesc) error {
+func (p *memoryDisk) Rename(a, b storage.FileDesc) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.files[b] = p.files[a]
@@ -149,7 +149,7 @@
 func (reader) Close() error { return nil }
 
 type writer struct {
-	p  *platter
+	p  *memoryDisk
 	fd storage.FileDesc
 }
 
@@ -171,7 +171,7 @@
 const mostLoose = 4 // loose writes of which every combination is played; of more, the last so many
 
 // after calls with each state that a loss of power may leave.
-func (p *platter) after(take func(*platter)) (states int) {
+func (p *memoryDisk) after(take func(*memoryDisk)) (states int) {
 	var loose []*file
 	for _, f := range p.files {
 		if len(f.loose) > 0 {
@@ -189,7 +189,7 @@
 	}
 	for combo := range combos {
 		for _, back := range []bool{false, true} { // removed names that are there again
-			q := newPlatter()
+			q := newMemoryDisk()
 			q.current = p.current
 			choice, at := combo, 0
 			for fd, f := range p.files {
@@ -225,19 +225,19 @@
 	return states
 }
 
-func (p *platter) open() (*Wax, *swarm.Copy, error) {
+func (p *memoryDisk) open() (*Store, *consensus.Replica, error) {
 	w, c, _, err := OpenOn(func() (storage.Storage, error) {
 		if p.naive {
 			return p, nil
 		}
 		return synced{p, p.sync}, nil
-	}, func() (string, *swarm.State) { return "one", &swarm.State{Index: 1} })
+	}, func() (string, *consensus.State) { return "one", &consensus.State{Index: 1} })
 	return w, c, err
 }
 
 // steps is what a core's process does with its disk over two starts: first promises and decisions, then another start,
 // at which goleveldb names a new manifest, and more of them.
-func (p *platter) steps(kept func(swarm.Copy)) error {
+func (p *memoryDisk) steps(kept func(consensus.Replica)) error {
 	for life := range 2 {
 		w, c, err := p.open()
 		if err != nil {
@@ -245,14 +245,14 @@
 		}
 		kept(*c)
 		for n := range 3 {
-			c.Promised = swarm.Ballot{Round: uint64(10*life + n + 1), By: "a"}
+			c.Promised = consensus.Ballot{Round: uint64(10*life + n + 1), By: "a"}
 			if n == 1 {
-				c.Accepted = &swarm.Voted{Ballot: c.Promised, Value: &swarm.State{Index: c.Decided.Index + 1}}
+				c.Accepted = &consensus.AcceptedValue{Ballot: c.Promised, Value: &consensus.State{Index: c.Decided.Index + 1}}
 			}
 			if n == 2 {
-				c.Decided, c.Accepted, c.Promised = &swarm.State{Index: c.Decided.Index + 1}, nil, swarm.Ballot{}
+				c.Decided, c.Accepted, c.Promised = &consensus.State{Index: c.Decided.Index + 1}, nil, consensus.Ballot{}
 			}
-			if err := w.Keep(c); err != nil {
+			if err := w.Save(c); err != nil {
 				return err
 			}
 			kept(*c)
@@ -265,19 +265,19 @@
 // crashes loses power before and after every step of the disk, in every state that may be left, and reports those in
 // which something that was kept is not there.
 func crashes(t *testing.T, naive bool) (points, states, lost int) {
-	clean := newPlatter()
+	clean := newMemoryDisk()
 	clean.naive = naive
-	must.NoError(t, clean.steps(func(swarm.Copy) {}))
+	must.NoError(t, clean.steps(func(consensus.Replica) {}))
 	points = clean.ops
 	for at := 1; at <= points; at++ {
-		p := newPlatter()
+		p := newMemoryDisk()
 		p.stop, p.naive = at, naive
-		var last *swarm.Copy
-		p.steps(func(c swarm.Copy) { last = &c })
+		var last *consensus.Replica
+		p.steps(func(c consensus.Replica) { last = &c })
 		if last == nil {
 			continue // nothing has counted yet
 		}
-		states += p.after(func(q *platter) {
+		states += p.after(func(q *memoryDisk) {
 			if naive { // as goleveldb has it by itself
 				if db, err := leveldb.Open(q, options); err != nil {
 					lost++
@@ -316,13 +316,13 @@
 }
 
 func TestAValueWithAWrongChecksumIsRefused(t *testing.T) {
-	raw, err := seal("x")
+	raw, err := encode("x")
 	must.NoError(t, err)
 	var s string
-	must.NoError(t, unseal(raw, &s))
+	must.NoError(t, decode(raw, &s))
 	raw[len(raw)-1] ^= 1
-	must.Error(t, unseal(raw, &s))
-	must.Error(t, unseal(raw[:3], &s))
+	must.Error(t, decode(raw, &s))
+	must.Error(t, decode(raw[:3], &s))
 	raw[0] = format + 1
-	must.ErrorContains(t, unseal(raw, &s), "format 2")
+	must.ErrorContains(t, decode(raw, &s), "format 2")
 }
--- a/internal/hive/wax/wax.go
+++ b/internal/mesh/storage/storage.go
@@ -1,6 +1,6 @@
-// Package wax keeps a core process's copy on its disk: goleveldb, each value with the format's version and a checksum,
+// Package storage keeps a core process's copy on its disk: goleveldb, each value with the format's version and a checksum,
 // each change synced before it counts.
-package wax
+package storage
 
 import (
 	"crypto/rand"
@@ -19,29 +19,29 @@
 	"github.com/syndtr/goleveldb/leveldb/storage"
 	"github.com/zeebo/errs"
 
-	"ottershift/internal/hive/swarm"
+	"ottershift/internal/mesh/consensus"
 )
 
 // Error is the class of faults of the disk.
 var Error = errs.Class("wax")
 
 const (
-	format   = 1
-	keyID    = "id"
-	keyCopy  = "decided"
-	keyVow   = "promised"
-	keyVoted = "accepted"
+	format      = 1
+	keyID       = "id"
+	keyCopy     = "decided"
+	keyPromised = "promised"
+	keyAccepted = "accepted"
 )
 
 // Wax is one process's disk.
-type Wax struct {
-	mu   sync.Mutex
-	stor storage.Storage
-	db   *leveldb.DB
-	was  swarm.Copy // as it is on disk
+type Store struct {
+	mu    sync.Mutex
+	stor  storage.Storage
+	db    *leveldb.DB
+	saved consensus.Replica // as it is on disk
 }
 
-// synced is a storage whose current manifest is on disk before it is named. Danger: goleveldb names a new manifest, at each
+// synced is a storage whose current manifest is on disk before it is named. Invariant: goleveldb names a new manifest, at each
 // start, once it is written and not yet synced; power lost then takes all that it led to.
 type synced struct {
 	storage.Storage
@@ -57,9 +57,9 @@
 
 // Open opens a directory. A disk without an identity gets the one that first says, which is called then only, and fresh
 // says why there was none; an unreadable one is put aside whole and counts as empty.
-func Open(dir string, first func() (id string, state *swarm.State)) (w *Wax, c *swarm.Copy, fresh error, err error) {
+func Open(dir string, first func() (id string, state *consensus.State)) (w *Store, c *consensus.Replica, fresh error, err error) {
 	path := filepath.Join(dir, "wax")
-	aside := "unreadable-" + Draw()
+	aside := "unreadable-" + NewIdentity()
 	w, c, fresh, err = OpenOn(func() (storage.Storage, error) { return files(dir, path) }, first)
 	if err == nil || w == nil {
 		return w, c, fresh, err
@@ -103,12 +103,12 @@
 }
 
 // OpenOn opens a storage. An error with a Wax says that what is there can't be read.
-func OpenOn(on func() (storage.Storage, error), first func() (id string, state *swarm.State)) (w *Wax, c *swarm.Copy, fresh error, err error) {
+func OpenOn(on func() (storage.Storage, error), first func() (id string, state *consensus.State)) (w *Store, c *consensus.Replica, fresh error, err error) {
 	stor, err := on()
 	if err != nil {
 		return nil, nil, nil, Error.Wrap(err)
 	}
-	w = &Wax{stor: stor}
+	w = &Store{stor: stor}
 	if w.db, err = leveldb.Open(stor, options); leveldberrors.IsCorrupted(err) {
 		// Its manifest is not what it was; tables and journals bear checksums of their own, and an order.
 		w.db, err = leveldb.Recover(stor, options)
@@ -116,16 +116,16 @@
 	if err != nil {
 		return w, nil, nil, Error.Wrap(err)
 	}
-	c = &swarm.Copy{}
+	c = &consensus.Replica{}
 	empty := true
-	for key, to := range map[string]any{keyID: &c.ID, keyCopy: &c.Decided, keyVow: &c.Promised, keyVoted: &c.Accepted} {
+	for key, to := range map[string]any{keyID: &c.ID, keyCopy: &c.Decided, keyPromised: &c.Promised, keyAccepted: &c.Accepted} {
 		raw, err := w.db.Get([]byte(key), nil)
 		if err == leveldb.ErrNotFound {
 			continue
 		}
 		empty = false
 		if err == nil {
-			err = unseal(raw, to)
+			err = decode(raw, to)
 		}
 		if err != nil {
 			return w, nil, nil, Error.New("%s: %v", key, err)
@@ -135,14 +135,14 @@
 	case empty:
 		fresh = Error.New("an empty disk")
 		id, state := first()
-		c = &swarm.Copy{ID: id, Decided: state}
-		if err := w.keep(c, true); err != nil {
+		c = &consensus.Replica{ID: id, Decided: state}
+		if err := w.save(c, true); err != nil {
 			return w, nil, nil, err
 		}
 	case c.ID == "" || c.Decided == nil:
 		return w, nil, nil, Error.New("a copy without an identity or a state")
 	}
-	w.was = *c
+	w.saved = *c
 	return w, c, fresh, nil
 }
 
@@ -152,16 +152,16 @@
 }
 
 // Draw makes an identity that no other disk has.
-func Draw() string {
+func NewIdentity() string {
 	var raw [12]byte
 	rand.Read(raw[:])
 	return "disk-" + hex.EncodeToString(raw[:])
 }
 
 // Keep syncs a copy. What has not changed is not written again.
-func (w *Wax) Keep(c *swarm.Copy) error { return w.keep(c, false) }
+func (w *Store) Save(c *consensus.Replica) error { return w.save(c, false) }
 
-func (w *Wax) keep(c *swarm.Copy, all bool) error {
+func (w *Store) save(c *consensus.Replica, all bool) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	b := &leveldb.Batch{}
@@ -169,25 +169,25 @@
 		if !changed && !all {
 			return nil
 		}
-		raw, err := seal(v)
+		raw, err := encode(v)
 		b.Put([]byte(key), raw)
 		return err
 	}
 	err := errs.Combine(
-		put(keyID, w.was.ID != c.ID, c.ID), put(keyCopy, w.was.Decided != c.Decided, c.Decided),
-		put(keyVow, w.was.Promised != c.Promised, c.Promised), put(keyVoted, w.was.Accepted != c.Accepted, c.Accepted))
+		put(keyID, w.saved.ID != c.ID, c.ID), put(keyCopy, w.saved.Decided != c.Decided, c.Decided),
+		put(keyPromised, w.saved.Promised != c.Promised, c.Promised), put(keyAccepted, w.saved.Accepted != c.Accepted, c.Accepted))
 	if err != nil {
 		return Error.Wrap(err)
 	}
 	if err := w.db.Write(b, &opt.WriteOptions{Sync: true}); err != nil {
 		return Error.Wrap(err)
 	}
-	w.was = *c
+	w.saved = *c
 	return nil
 }
 
 // Close lets the disk go.
-func (w *Wax) Close() (err error) {
+func (w *Store) Close() (err error) {
 	if w.db != nil {
 		err = w.db.Close()
 	}
@@ -195,7 +195,7 @@
 }
 
 // seal puts the format's version and a checksum before a value.
-func seal(v any) ([]byte, error) {
+func encode(v any) ([]byte, error) {
 	raw, err := json.Marshal(v)
 	if err != nil {
 		return nil, err
@@ -206,7 +206,7 @@
 	return out, nil
 }
 
-func unseal(raw []byte, to any) error {
+func decode(raw []byte, to any) error {
 	switch {
 	case len(raw) < 5:
 		return errs.New("a value is cut short")
@@ -221,12 +221,12 @@
 // Backup is an agreed state out of a core, to begin another one with.
 type Backup struct {
 	Format int
-	State  *swarm.State
+	State  *consensus.State
 	Sum    uint32 // of the state
 }
 
 // Seal makes a backup of a state.
-func Seal(s *swarm.State) ([]byte, error) {
+func EncodeBackup(s *consensus.State) ([]byte, error) {
 	raw, err := json.Marshal(s)
 	if err != nil {
 		return nil, err
@@ -235,7 +235,7 @@
 }
 
 // Unseal reads a backup; one that is not whole is refused.
-func Unseal(raw []byte) (*swarm.State, error) {
+func DecodeBackup(raw []byte) (*consensus.State, error) {
 	b := &Backup{}
 	if err := json.Unmarshal(raw, b); err != nil {
 		return nil, Error.New("the backup can't be read: %v", err)
@@ -252,18 +252,18 @@
 
 // Restore lays a state on an empty disk, as that of a core of one, whose identity is new: no disk of the core that was
 // counts there any more. Others join it as strangers do.
-func Restore(dir string, s *swarm.State, at, zone string) (id string, err error) {
+func Restore(dir string, s *consensus.State, at, zone string) (id string, err error) {
 	if _, err := os.Stat(filepath.Join(dir, "wax")); err == nil {
 		return "", Error.New("%s holds a copy already: restore lays one on an empty disk only", dir)
 	}
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return "", Error.Wrap(err)
 	}
-	id = Draw()
+	id = NewIdentity()
 	next := *s
 	next.Index += 1 << 20 // beyond whatever the lost core may have decided
-	next.Core, next.Queen = []swarm.Member{{ID: id, At: at, Zone: zone}}, swarm.Queen{}
-	w, _, fresh, err := Open(dir, func() (string, *swarm.State) { return id, &next })
+	next.Core, next.Coordinator = []consensus.Member{{ID: id, At: at, Zone: zone}}, consensus.Coordinator{}
+	w, _, fresh, err := Open(dir, func() (string, *consensus.State) { return id, &next })
 	if err != nil {
 		return "", err
 	}
@@ -275,11 +275,11 @@
 }
 
 // Peek reads the copy of a disk that no process uses.
-func Peek(dir string) (*swarm.Copy, error) {
+func Peek(dir string) (*consensus.Replica, error) {
 	if _, err := os.Stat(filepath.Join(dir, "wax")); err != nil {
 		return nil, Error.Wrap(err)
 	}
-	w, c, fresh, err := Open(dir, func() (string, *swarm.State) { return "", nil })
+	w, c, fresh, err := Open(dir, func() (string, *consensus.State) { return "", nil })
 	if err != nil {
 		return nil, err
 	}
--- a/internal/hive/hum/hum.go
+++ b/internal/mesh/telemetry/telemetry.go
@@ -1,6 +1,6 @@
-// Package hum is what the mesh's processes say: counters, on an interval where they changed, and a line for each
+// Package telemetry is what the mesh's processes say: counters, on an interval where they changed, and a line for each
 // change of state.
-package hum
+package telemetry
 
 import (
 	"io"
--- a/internal/hive/stand/partner.go
+++ b/internal/mesh/testmesh/partner.go
@@ -1,4 +1,4 @@
-package stand
+package testmesh
 
 import (
 	"encoding/json"
--- a/internal/hive/stand/settings.go
+++ b/internal/mesh/testmesh/settings.go
@@ -1,4 +1,4 @@
-package stand
+package testmesh
 
 import (
 	"fmt"
@@ -8,11 +8,11 @@
 	"strings"
 	"time"
 
-	"ottershift/internal/hive/box"
+	"ottershift/internal/mesh/settings"
 )
 
 // Write writes the settings file of one process, as the platform lays it.
-func Write(b *box.Box, path string) error {
+func Write(b *settings.Settings, path string) error {
 	var t strings.Builder
 	line := func(key string, value any) {
 		if text := fmt.Sprint(value); text != "" {
--- a/internal/hive/stand/stand.go
+++ b/internal/mesh/testmesh/testmesh.go
@@ -1,6 +1,6 @@
 // Package stand has stand-ins of ours for what the mesh meets outside: upstreams that check in and work, and settings for
-// whole meshes on loopback. Tests, the demo and apiary's runs use them.
-package stand
+// whole meshes on loopback. Tests, the demo and meshsim's runs use them.
+package testmesh
 
 import (
 	"bytes"
@@ -16,7 +16,7 @@
 	"sync/atomic"
 	"time"
 
-	"ottershift/internal/hive/box"
+	"ottershift/internal/mesh/settings"
 )
 
 // Fault is what an upstream does wrong with one answer.
@@ -36,7 +36,7 @@
 )
 
 // App is an upstream.
-type App struct {
+type Upstream struct {
 	ID, Service string
 	Capacity    int
 	Work        time.Duration
@@ -57,8 +57,8 @@
 }
 
 // NewApp serves at an address and checks in at the balancer beside it.
-func NewApp(id, service, address, control string, capacity int, work time.Duration, size int) (*App, error) {
-	a := &App{ID: id, Service: service, Capacity: capacity, Work: work, Size: size, address: address, control: control,
+func NewUpstream(id, service, address, control string, capacity int, work time.Duration, size int) (*Upstream, error) {
+	a := &Upstream{ID: id, Service: service, Capacity: capacity, Work: work, Size: size, address: address, control: control,
 		end: make(chan struct{}), runs: map[string]int{}, seen: map[string]string{}}
 	l, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -71,28 +71,28 @@
 }
 
 // Next has the next answers go wrong.
-func (a *App) Next(f ...Fault) {
+func (a *Upstream) Next(f ...Fault) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.faults = append(a.faults, f...)
 }
 
 // Runs is how often an attempt ran.
-func (a *App) Runs(id string) int {
+func (a *Upstream) Runs(id string) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.runs[id]
 }
 
 // All is how often each attempt ran.
-func (a *App) All() map[string]int {
+func (a *Upstream) All() map[string]int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return maps.Clone(a.runs)
 }
 
 // Total is how many requests ran.
-func (a *App) Total() (n int) {
+func (a *Upstream) Total() (n int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, k := range a.runs {
@@ -102,25 +102,25 @@
 }
 
 // Saw is a header of the last request.
-func (a *App) Saw(name string) string {
+func (a *Upstream) Saw(name string) string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.seen[name]
 }
 
 // Close says that it is closing, and reports whether that was acknowledged.
-func (a *App) Close() bool {
+func (a *Upstream) Close() bool {
 	a.closing.Store(true)
 	return a.checkIn()
 }
 
 // Stop ends it without a word.
-func (a *App) Stop() {
+func (a *Upstream) Stop() {
 	a.once.Do(func() { close(a.end) })
 	a.server.Close()
 }
 
-func (a *App) beat() {
+func (a *Upstream) beat() {
 	t := time.NewTicker(100 * time.Millisecond)
 	defer t.Stop()
 	for {
@@ -135,7 +135,7 @@
 
 var calls = http.Client{Timeout: time.Second}
 
-func (a *App) checkIn() bool {
+func (a *Upstream) checkIn() bool {
 	condition := "accepting"
 	if a.closing.Load() {
 		condition = "closing"
@@ -153,7 +153,7 @@
 	return w.StatusCode == http.StatusOK
 }
 
-func (a *App) serve(w http.ResponseWriter, r *http.Request) {
+func (a *Upstream) serve(w http.ResponseWriter, r *http.Request) {
 	if to := r.Header.Get("X-Addressee"); to != "" && to != a.ID {
 		w.Header().Set("X-Delivered-By", a.ID)
 		w.WriteHeader(http.StatusMisdirectedRequest)
@@ -246,12 +246,12 @@
 
 // Mesh is the settings of a whole mesh on loopback: each machine has an address of its own, and all use the same ports.
 type Mesh struct {
-	Combs, Foragers []*box.Box
+	Controllers, Proxies []*settings.Settings
 }
 
 var nextNet atomic.Int32
 
-// Plan lays a mesh out: so many combs and foragers, zones and services by turns.
+// Plan lays a mesh out: so many controllers and proxies, zones and services by turns.
 func Plan(combs, foragers int, zones, services []string, dir string) (*Mesh, error) {
 	third := int(nextNet.Add(1)) + 20
 	host := func(n int) string { return fmt.Sprintf("127.77.%d.%d", third, n+1) }
@@ -265,8 +265,8 @@
 		seeds = append(seeds, at(n, 0))
 	}
 	m := &Mesh{}
-	base := func(n int) *box.Box {
-		b := box.Default()
+	base := func(n int) *settings.Settings {
+		b := settings.Default()
 		b.Ip, b.District, b.Seeds, b.InnerFirst, b.InnerLast = host(n), zones[n%len(zones)], seeds, p[1], p[1]
 		b.FirstStart, b.Tolerate.Machines, b.Control = true, 1, at(n, 0)
 		for _, z := range zones {
@@ -276,27 +276,27 @@
 	}
 	for n := range combs {
 		b := base(n)
-		b.Node, b.DataDir = fmt.Sprintf("comb-%d", n), fmt.Sprintf("%s/comb-%d", dir, n)
-		m.Combs = append(m.Combs, b)
+		b.Node, b.DataDir = fmt.Sprintf("controller-%d", n), fmt.Sprintf("%s/controller-%d", dir, n)
+		m.Controllers = append(m.Controllers, b)
 	}
 	for n := range foragers {
 		b := base(combs + n)
-		b.Node, b.Destination = fmt.Sprintf("forager-%d", n), services[n%len(services)]
+		b.Node, b.Destination = fmt.Sprintf("proxy-%d", n), services[n%len(services)]
 		b.Inbound, b.Outbound, b.Ready, b.App = at(combs+n, 2), at(combs+n, 3), at(combs+n, 4), at(combs+n, 5)
-		m.Foragers = append(m.Foragers, b)
+		m.Proxies = append(m.Proxies, b)
 	}
 	return m, nil
 }
 
 // Pending is how many faults are still to come, and Drop takes one of them back.
-func (a *App) Pending() int {
+func (a *Upstream) Pending() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.faults)
 }
 
 // Drop takes back the next fault.
-func (a *App) Drop() {
+func (a *Upstream) Drop() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if len(a.faults) > 0 {
@@ -305,4 +305,4 @@
 }
 
 // Ran is an upstream that serves nobody and has run so many of each attempt, for those who test a judge.
-func Ran(runs map[string]int) *App { return &App{runs: maps.Clone(runs)} }
+func Ran(runs map[string]int) *Upstream { return &Upstream{runs: maps.Clone(runs)} }
