--- a/internal/mesh/burstcredit/ledger.go
+++ b/internal/mesh/burstcredit/ledger.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"encoding/binary"
 	"encoding/json"
 	"maps"
 	"math"
@@ -11,37 +10,6 @@
 	"github.com/zeebo/errs"
 )
 
-// Lot is what was saved on one day.
-type Lot struct {
-	Day  int64   // of the book's time
-	Left float64 // tokens
-}
-
-// Entry is a line of an account's history.
-type Entry struct {
-	At        int64 // of the book's time
-	What, Who string
-	Why       string `json:",omitempty"`
-	Tokens    float64
-}
-
-// Account is one tenant's credit. Earned + Granted = balance + out + Spent + Expired, always.
-type Account struct {
-	Earned, Granted, Spent, Expired float64 // since it was opened
-	Lots                            []Lot   `json:",omitempty"` // the oldest in front
-	Frozen                          bool    `json:",omitempty"`
-	Purse                           float64 // of Extra, that may be given out now
-	History                         []Entry `json:",omitempty"` // the last few
-}
-
-// Balance is what may be given out.
-func (a *Account) Balance() (all float64) {
-	for _, l := range a.Lots {
-		all += l.Left
-	}
-	return all
-}
-
 // teller is a balancer as the book knows it.
 type walletRecord struct {
 	Life  string
@@ -54,12 +22,6 @@
 	Last  *Grant             `json:",omitempty"` // the answer to Seq, for when it was not heard
 }
 
-// slot is the identities that were settled in one part of the window, eight bytes each.
-type slot struct {
-	From int64
-	IDs  []byte
-}
-
 const (
 	slots   = 6 // of Window
 	history = 40
@@ -122,15 +84,6 @@
 // Write lays it out.
 func (b *Ledger) Write() (json.RawMessage, error) { return json.Marshal(b) }
 
-func (b *Ledger) account(tenant string) *Account {
-	a := b.Accounts[tenant]
-	if a == nil {
-		a = &Account{}
-		b.Accounts[tenant] = a
-	}
-	return a
-}
-
 // Pass lets time go by: what was saved grows old, the window of identities moves, purses of Extra fill, and balancers that have
 // been silent for Strand are closed.
 func (b *Ledger) Pass(elapsed int64, terms map[string]Terms) {
@@ -163,24 +116,6 @@
 	}
 }
 
-func (b *Ledger) note(a *Account, what, who, why string, tokens float64) {
-	a.History = append(a.History, Entry{b.Now, what, who, why, tokens})
-	a.History = a.History[max(0, len(a.History)-history):]
-}
-
-// save puts tokens into today's lot, up to the cap; it says how many there was room for.
-func (b *Ledger) save(a *Account, tokens, most float64) float64 {
-	tokens = math.Max(0, math.Min(tokens, most-a.Balance()))
-	if tokens == 0 {
-		return 0
-	}
-	if n := len(a.Lots); n == 0 || a.Lots[n-1].Day < b.Now/day {
-		a.Lots = append(a.Lots, Lot{Day: b.Now / day})
-	}
-	a.Lots[len(a.Lots)-1].Left += tokens
-	return tokens
-}
-
 // Earn saves a part of what tenants left of their rates.
 func (b *Ledger) Earn(unused map[string]float64, terms map[string]Terms) {
 	for _, tenant := range slices.Sorted(maps.Keys(unused)) {
@@ -203,19 +138,6 @@
 	return all
 }
 
-// take takes tokens out of the oldest lots.
-func (a *Account) take(tokens float64) float64 {
-	left := tokens
-	for len(a.Lots) > 0 && left > 0 {
-		part := math.Min(left, a.Lots[0].Left)
-		a.Lots[0].Left -= part
-		if left -= part; a.Lots[0].Left <= 0 {
-			a.Lots = a.Lots[1:]
-		}
-	}
-	return tokens - left
-}
-
 // Take takes reports in the order in which they came, and answers each. Wants of all of them are weighed together: what is there
 // goes to requests that began at clients first, in parts by what each balancer wants.
 func (b *Ledger) Take(reports []*Report, terms map[string]Terms) []*Grant {
@@ -415,49 +337,3 @@
 	}
 	return a.Earned + a.Granted - a.Balance() - b.out(tenant) - a.Spent - a.Expired
 }
-
-// Stand is an account as operators see it.
-type AccountStatus struct {
-	Tenant                          string
-	Balance, Out                    float64
-	Earned, Granted, Spent, Expired float64
-	Gap                             float64
-	Frozen                          bool
-	History                         []Entry
-}
-
-// Stands are all accounts, by name.
-func (b *Ledger) Status() (all []AccountStatus) {
-	for _, tenant := range slices.Sorted(maps.Keys(b.Accounts)) {
-		a := b.Accounts[tenant]
-		all = append(all, AccountStatus{tenant, a.Balance(), b.out(tenant), a.Earned, a.Granted, a.Spent, a.Expired, b.Gap(tenant), a.Frozen, a.History})
-	}
-	return all
-}
-
-// known reports whether an identity has been charged within the window.
-func (b *Ledger) known(m ClaimID) bool {
-	if b.index == nil {
-		b.index = map[uint64]bool{}
-		for _, part := range b.Seen {
-			for at := 0; at+8 <= len(part.IDs); at += 8 {
-				b.index[binary.LittleEndian.Uint64(part.IDs[at:])] = true
-			}
-		}
-	}
-	return b.index[m.key()]
-}
-
-func (b *Ledger) learn(m ClaimID) {
-	if b.known(m) {
-		return
-	}
-	if n := len(b.Seen); n == 0 || b.Now >= b.Seen[n-1].From+Window/slots {
-		b.Seen = append(b.Seen, slot{From: b.Now})
-	}
-	last := &b.Seen[len(b.Seen)-1]
-	last.IDs = binary.LittleEndian.AppendUint64(last.IDs, m.key())
-	b.index[m.key()] = true
-}
-
-func (m ClaimID) key() uint64 { return Identity(m.Tenant) ^ m.ID }
--- /dev/null
+++ b/internal/mesh/consensus/proposal.go
@@ -0,0 +1,85 @@
+package consensus
+
+// Step is what a proposal wants next.
+type Step uint8
+
+// The steps.
+const (
+	StepWait      Step = iota // for more answers
+	StepSend                  // Ask, to all of the core
+	StepAhead                 // a later state is decided: State; begin again on top of it
+	StepBehind                // members have not heard of the state: tell them, begin again
+	StepLost                  // no quorum comes about under this ballot; begin again under a higher one
+	StepUnchanged             // the function wanted nothing more of the state, which is the newest
+	StepDecided               // State is decided; Own says whether it is the function's
+)
+
+// Proposal is one attempt at the slot after a state, from a promise to a decision.
+type Proposal struct {
+	base      *State
+	transform func(*State) (*State, error)
+	request   Request
+	votes     *VoteCount
+	State     *State
+	Own       bool
+	Err       error
+	Round     uint64 // the highest that was seen
+	closed    bool
+}
+
+// Propose begins an attempt; the ask goes to all of the state's core. The function is called once the state is the
+// newest beyond doubt, unless somebody's value has to be gone on with.
+func Propose(of *State, b Ballot, what func(*State) (*State, error)) (*Proposal, Request) {
+	p := &Proposal{base: of, transform: what, votes: NewVoteCount(of)}
+	p.request = Request{Kind: Prepare, Slot: of.Index + 1, Ballot: b}
+	return p, p.request
+}
+
+// Ask is what is being asked.
+func (p *Proposal) Request() Request { return p.request }
+
+// Take takes an answer. Those to another ask than the last say nothing.
+func (p *Proposal) HandleResponse(a Response) Step {
+	if p.closed || a.Kind != p.request.Kind || a.Slot != p.request.Slot {
+		return StepWait
+	}
+	p.votes.Add(a)
+	p.Round = max(p.Round, p.votes.HighestBallot().Round)
+	if ahead := p.votes.Ahead(); ahead != nil {
+		p.State, p.closed = ahead, true
+		return StepAhead
+	}
+	if p.request.Kind == Accept {
+		switch {
+		case p.votes.Accepted():
+			p.closed = true
+			return StepDecided
+		case p.votes.Lost(p.base.Quorum()):
+			p.closed = true
+			return StepLost
+		}
+		return StepWait
+	}
+	switch {
+	case p.votes.Promised():
+		// From here the state is the newest: whatever came after it would have been seen by one of those who promised.
+		if best := p.votes.HighestAccepted(); best != nil {
+			p.State = best.Value
+		} else if p.State, p.Err = p.transform(p.base); p.Err != nil || p.State == nil {
+			p.State, p.closed = p.base, true
+			return StepUnchanged
+		} else {
+			p.Own = true
+		}
+		p.request = Request{Kind: Accept, Slot: p.base.Index + 1, Ballot: p.request.Ballot, Value: p.State}
+		p.votes = NewVoteCount(p.base)
+		return StepSend
+	case p.votes.Lost(p.base.Majority()):
+		p.closed = true
+		if p.votes.Behind() {
+			return StepBehind
+		}
+		return StepLost
+	}
+	return StepWait
+}
--- /dev/null
+++ b/internal/mesh/consensus/replica.go
@@ -0,0 +1,89 @@
+package consensus
+
+// Ballot orders the attempts at a slot.
+type Ballot struct {
+	Round uint64
+	By    string // of one life of one process
+}
+
+// Below reports whether b comes before c.
+func (b Ballot) Below(c Ballot) bool { return b.Round < c.Round || b.Round == c.Round && b.By < c.By }
+
+// Voted is a value that was accepted under a ballot.
+type AcceptedValue struct {
+	Ballot Ballot
+	Value  *State
+}
+
+// Copy is what a core process keeps on disk.
+type Replica struct {
+	ID       string // of this disk
+	Decided  *State
+	Promised Ballot         // for the slot after it
+	Accepted *AcceptedValue // for the same
+}
+
+// What is asked of a copy.
+const (
+	ReadState = "look"    // where it stands; nothing is kept of it
+	Prepare   = "prepare" // promise a slot
+	Accept    = "accept"  // accept a value
+	Learn     = "learn"   // a value is decided
+)
+
+// Ask is a message to a copy.
+type Request struct {
+	Kind   string
+	Slot   uint64 `json:",omitempty"`
+	Ballot Ballot
+	Value  *State `json:",omitempty"`
+}
+
+// Answer is what a copy says.
+type Response struct {
+	Kind     string `json:"To"` // the kind of ask
+	Slot     uint64 // that it asked for
+	ID       string
+	Index    uint64 // decided
+	OK       bool
+	Promised Ballot
+	Pending  bool           // something is accepted for the next slot
+	Accepted *AcceptedValue `json:",omitempty"`
+	Decided  *State         `json:",omitempty"` // to who is behind
+}
+
+// Handle answers an ask; keep says that the copy has changed and must be synced before the answer leaves.
+func (c *Replica) Handle(a Request) (out Response, keep bool) {
+	out = Response{Kind: a.Kind, Slot: a.Slot, ID: c.ID, Index: c.Decided.Index}
+	switch a.Kind {
+	case Prepare:
+		switch {
+		case a.Slot <= c.Decided.Index:
+			out.Decided = c.Decided
+		case a.Slot == c.Decided.Index+1 && c.Promised.Below(a.Ballot):
+			c.Promised, out.OK, keep = a.Ballot, true, true
+			out.Accepted = c.Accepted
+		}
+	case Accept:
+		switch {
+		case a.Slot <= c.Decided.Index:
+			out.Decided = c.Decided
+		case a.Slot == c.Decided.Index+1 && !a.Ballot.Below(c.Promised) && a.Value != nil && a.Value.Index == a.Slot:
+			c.Promised, c.Accepted = a.Ballot, &AcceptedValue{a.Ballot, a.Value}
+			out.OK, keep = true, true
+		}
+	case Learn:
+		if a.Value != nil && a.Value.Index > c.Decided.Index {
+			c.Decided, c.Promised, c.Accepted = a.Value, Ballot{}, nil
+			keep = true
+		}
+		out.OK = true
+	case ReadState:
+		out.OK = true
+		if a.Slot < c.Decided.Index {
+			out.Decided = c.Decided
+		}
+	}
+	out.Index, out.Promised, out.Pending = c.Decided.Index, c.Promised, c.Accepted != nil
+	return out, keep
+}
--- a/internal/mesh/meshctl/meshctl_test.go
+++ b/internal/mesh/meshctl/meshctl_test.go
@@ -74,7 +74,7 @@
 	must.StrContains(t, out, "founder-")
 	code, out, _ = do("--json", "duties")
 	must.Eq(t, OK, code, must.Sprint(out, faults))
-	must.StrContains(t, out, `"Reign"`)
+	must.StrContains(t, out, `"Epoch"`)
 	saved := filepath.Join(dir, "saved")
 	code, _, faults = do("backup", saved)
 	must.Eq(t, OK, code, must.Sprint(faults))
--- /dev/null
+++ b/internal/mesh/routing/parse.go
@@ -0,0 +1,231 @@
+package routing
+
+import (
+	"bytes"
+	"encoding/json"
+	"io"
+	"net/netip"
+	"strings"
+	"time"
+
+	validation "github.com/go-ozzo/ozzo-validation/v4"
+	"github.com/zeebo/errs"
+)
+
+const longest = 10 * time.Minute // that a route may hold a request
+
+// partners reads the meshes beside ours.
+func (t *Configuration) partners() error {
+	t.Mesh, t.Partners = "", nil
+	if raw := t.other["Mesh"]; len(raw) > 0 {
+		if err := json.Unmarshal(raw, &t.Mesh); err != nil {
+			return Error.New("Mesh: %v", err)
+		}
+	}
+	var faults errs.Group
+	seen := map[string]bool{}
+	faults.Add(named(t.other["Partners"], "Partners", func(p *Partner, _ json.RawMessage) {
+		faults.Add(checked("Partners "+p.Name, validation.ValidateStruct(p,
+			validation.Field(&p.Name, validation.Required), validation.Field(&p.Deadline, validation.Required, validation.Max(Span(longest))),
+			validation.Field(&p.Tries, validation.Min(0), validation.Max(16)), validation.Field(&p.Gateway, validation.Required, validation.By(func(v any) error {
+				_, err := netip.ParseAddrPort(v.(string))
+				return err
+			})))))
+		switch {
+		case strings.ContainsAny(p.Name, "@,"):
+			faults.Add(Error.New("Partners %q: Name: has an @ or a comma in it", p.Name))
+		case seen[p.Name]:
+			faults.Add(Error.New("Partners %s: Name: stands twice", p.Name))
+		}
+		seen[p.Name] = true
+		t.Partners = append(t.Partners, p)
+	}))
+	if len(t.Partners) > 0 && t.Mesh == "" {
+		faults.Add(Error.New("Mesh: partners have to know us by a name"))
+	}
+	return faults.Err()
+}
+
+// whole decodes one JSON value with nothing behind it.
+func whole(body []byte, to any) error {
+	d := json.NewDecoder(bytes.NewReader(body))
+	if err := d.Decode(to); err != nil {
+		return err
+	}
+	if _, err := d.Token(); err != io.EOF {
+		return errs.New("something stands behind the configuration")
+	}
+	return nil
+}
+
+// named decodes a list of items, each kept raw.
+func named[T any](raw json.RawMessage, what string, take func(*T, json.RawMessage)) error {
+	if len(raw) == 0 || string(raw) == "null" {
+		return nil
+	}
+	var items []json.RawMessage
+	if err := json.Unmarshal(raw, &items); err != nil {
+		return Error.New("%s: %v", what, err)
+	}
+	for n, item := range items {
+		v := new(T)
+		if err := json.Unmarshal(item, v); err != nil {
+			return Error.New("%s[%d]: %v", what, n, err)
+		}
+		take(v, item)
+	}
+	return nil
+}
+
+type rawHostRoutes struct {
+	Town        string
+	Regulations []json.RawMessage
+}
+
+// parts reads the lists that a whole configuration and an amendment have in common.
+func (t *Configuration) parts(top map[string]json.RawMessage) error {
+	var faults errs.Group
+	if raw := top["SizeLimits"]; len(raw) > 0 {
+		if err := json.Unmarshal(raw, &t.Limits); err != nil {
+			faults.Add(Error.New("SizeLimits: %v", err))
+		}
+	}
+	faults.Add(named(top["Senders"], "Senders", func(s *Tenant, raw json.RawMessage) {
+		s.raw = raw
+		t.Tenants = append(t.Tenants, s)
+	}))
+	faults.Add(named(top["Depots"], "Depots", func(d *Service, raw json.RawMessage) {
+		d.raw = raw
+		t.Services = append(t.Services, d)
+	}))
+	faults.Add(named(top["PostOffices"], "PostOffices", func(o *rawHostRoutes, _ json.RawMessage) {
+		at := &hostRoutes{Host: o.Town}
+		t.hosts = append(t.hosts, at)
+		for n, item := range o.Regulations {
+			r := &Route{Host: o.Town, raw: item}
+			if err := json.Unmarshal(item, r); err != nil {
+				faults.Add(Error.New("PostOffices %q Regulations[%d]: %v", o.Town, n, err))
+				continue
+			}
+			at.Routes = append(at.Routes, r)
+		}
+	}))
+	return faults.Err()
+}
+
+// Parse reads a whole configuration and checks it.
+func Parse(body []byte) (*Configuration, error) {
+	var top map[string]json.RawMessage
+	if err := whole(body, &top); err != nil {
+		return nil, Error.New("can't be read whole: %v", err)
+	}
+	t := &Configuration{other: map[string]json.RawMessage{}}
+	if err := json.Unmarshal(top["Edition"], &t.Edition); err != nil {
+		return nil, Error.New("Edition: is no whole number")
+	}
+	if err := t.parts(top); err != nil {
+		return nil, err
+	}
+	for name, raw := range top {
+		switch name {
+		case "Edition", "Senders", "Depots", "PostOffices":
+		default:
+			t.other[name] = raw
+		}
+	}
+	var compact bytes.Buffer
+	if err := json.Compact(&compact, body); err != nil {
+		return nil, Error.Wrap(err)
+	}
+	t.document = compact.Bytes()
+	return t, t.settle()
+}
+
+// settle indexes a configuration and names all that makes it invalid.
+func (t *Configuration) settle() error {
+	var faults errs.Group
+	t.routesByHost, t.tenantsByKey, t.servicesByName = map[string]map[string]*Route{}, map[string]*Tenant{}, map[string]*Service{}
+	t.Routes = t.Routes[:0]
+	faults.Add(t.partners())
+	if err := validation.Validate(t.Edition, validation.Required, validation.Min(int64(1))); err != nil {
+		faults.Add(Error.New("Edition: %v", err))
+	}
+	for _, d := range t.Services {
+		if err := validation.Validate(d.Name, validation.Required); err != nil {
+			faults.Add(Error.New("Depots: Name: %v", err))
+		}
+		if d.BurstCreditPerSecond < 0 {
+			faults.Add(Error.New("Depots %s: NectarPerS: is below 0", d.Name))
+		}
+		t.servicesByName[d.Name] = d
+	}
+	for _, s := range t.Tenants {
+		faults.Add(checked("Senders "+s.Name, validation.ValidateStruct(s,
+			validation.Field(&s.Name, validation.Required),
+			validation.Field(&s.RatePerS, validation.Min(0.0)), validation.Field(&s.Surge, validation.Min(0.0)))))
+		faults.Add(checked("Senders "+s.Name+": Nectar", s.BurstCredit.check()))
+		if s.BurstCredit != nil && s.RatePerS <= 0 {
+			faults.Add(Error.New("Senders %s: Nectar: without RatePerS nothing is left to save", s.Name))
+		}
+		for _, key := range s.ApiKeys {
+			t.tenantsByKey[key] = s
+		}
+	}
+	for _, o := range t.hosts {
+		if err := validation.Validate(strings.TrimSpace(o.Host), validation.Required); err != nil {
+			faults.Add(Error.New("PostOffices: Town: %v", err))
+		}
+		host := strings.ToLower(o.Host)
+		if t.routesByHost[host] == nil {
+			t.routesByHost[host] = map[string]*Route{}
+		}
+		for _, r := range o.Routes {
+			faults.Add(t.checkRoute(r))
+			t.routesByHost[host][r.Sorting.StreetPrefix] = r
+			t.Routes = append(t.Routes, r)
+		}
+	}
+	return faults.Err()
+}
+
+func checked(where string, err error) error {
+	if err == nil {
+		return nil
+	}
+	return Error.New("%s: %v", where, err)
+}
+
+// rule checks a route and finds where it goes.
+func (t *Configuration) checkRoute(r *Route) error {
+	where := "route " + r.Name
+	d := &r.Dispatch
+	r.Parts = d.Apportion
+	if len(r.Parts) == 0 {
+		r.Parts = []WeightedService{{d.Destination, 1}}
+	}
+	var faults errs.Group
+	total := 0.0
+	for _, p := range r.Parts {
+		if t.servicesByName[p.Service] == nil {
+			faults.Add(Error.New("%s: Destination: no service is named %q", where, p.Service))
+		}
+		if p.Share < 0 {
+			faults.Add(Error.New("%s: Share: is below 0", where))
+		}
+		total += p.Share
+	}
+	if total <= 0 {
+		faults.Add(Error.New("%s: Apportion: the shares add up to 0", where))
+	}
+	faults.Add(checked(where+": Sorting", validation.ValidateStruct(&r.Sorting, validation.Field(&r.Sorting.StreetPrefix,
+		validation.Required, validation.By(func(v any) error {
+			if s := v.(string); !strings.HasPrefix(s, "/") || !strings.HasSuffix(s, "/") {
+				return errs.New("must begin and end with a slash")
+			}
+			return nil
+		})))))
+	faults.Add(checked(where+": Dispatch", validation.ValidateStruct(d,
+		validation.Field(&d.Deadline, validation.Required, validation.Max(Span(longest))),
+		validation.Field(&d.DeliveryTries, validation.Required, validation.Min(1)))))
+	return faults.Err()
+}
