--- a/internal/mesh/controller/controller.go
+++ b/internal/mesh/controller/controller.go
@@ -63,10 +63,32 @@
 	acting atomic.Bool // on what the core's first process has to do
 }
 
+// Option changes how a controller is opened.
+type Option func(*options)
+
+type options struct {
+	wrapTransport rpc.WrapTransport
+	wrapDisk      func(Disk) Disk
+}
+
+// WithTransport puts something between a controller and its connections to others.
+func WithTransport(wrap rpc.WrapTransport) Option {
+	return func(o *options) { o.wrapTransport = wrap }
+}
+
+// WithDisk puts something between a controller and its disk.
+func WithDisk(wrap func(Disk) Disk) Option {
+	return func(o *options) { o.wrapDisk = wrap }
+}
+
 // Open opens the disk and makes the process; it serves nobody yet.
-func Open(b *settings.Settings, log *slog.Logger) (*Controller, error) {
+func Open(b *settings.Settings, log *slog.Logger, with ...Option) (*Controller, error) {
+	var chosen options
+	for _, option := range with {
+		option(&chosen)
+	}
 	c := &Controller{
-		settings: b, log: log, counts: telemetry.NewCounters(), caller: rpc.NewCaller(), life: storage.NewIdentity(), epoch: time.Now(),
+		settings: b, log: log, counts: telemetry.NewCounters(), caller: rpc.NewCaller(chosen.wrapTransport), life: storage.NewIdentity(), epoch: time.Now(),
 		registry: membership.NewRegistry(), changed: make(chan struct{}), peers: map[string]PeerInfo{}, lastHeard: map[string]int64{},
 		gateway: federationGateway{asking: map[string]bool{}, heard: map[string]int64{}, faults: map[string]string{}, told: map[string]int64{}, doors: map[string]uint64{}},
 		sent:    map[string]uint64{}, wake: make(chan struct{}, 1),
@@ -101,7 +123,11 @@
 	}
 	log.Info("disk", "id", copied.ID, "fresh", fresh, "index", copied.Decided.Index, "edition", copied.Decided.Edition, "first", b.FirstStart)
 	c.store = w
-	c.replicator = newReplicator(copied, w, c.caller, c.counts, self, c.life)
+	var disk Disk = w
+	if chosen.wrapDisk != nil {
+		disk = chosen.wrapDisk(w)
+	}
+	c.replicator = newReplicator(copied, disk, c.caller, c.counts, self, c.life)
 	return c, nil
 }
 
--- a/internal/mesh/controller/replicator.go
+++ b/internal/mesh/controller/replicator.go
@@ -18,15 +18,15 @@
 	fresh       = time.Duration(federation.Fresh) // for which a majority's word that this copy is current holds
 )
 
-// disk is where a copy is kept: storage, or what a test sets in its place.
-type disk interface {
+// Disk is where a replica is kept: a storage.Store, or what a test puts in front of it.
+type Disk interface {
 	Save(*consensus.Replica) error
 }
 
 // keeper owns this process's copy and carries out attempts at changes. Invariant: a disk may hang for seconds, so looks
 // and everything else that needs no sync go past it: written guards the order on disk, mu only the memory.
 type replicator struct {
-	disk     disk
+	disk     Disk
 	caller   *rpc.Caller
 	counts   *telemetry.Counters
 	self     string // inner address
@@ -44,7 +44,7 @@
 	changing  sync.Mutex // one attempt at a time from here
 }
 
-func newReplicator(c *consensus.Replica, d disk, caller *rpc.Caller, counts *telemetry.Counters, self, by string) *replicator {
+func newReplicator(c *consensus.Replica, d Disk, caller *rpc.Caller, counts *telemetry.Counters, self, by string) *replicator {
 	k := &replicator{disk: d, caller: caller, counts: counts, self: self, proposer: by, replica: *c, news: make(chan struct{}), epoch: time.Now()}
 	k.confirmed.Store(-int64(time.Hour))
 	k.calmed.Store(-int64(time.Hour))
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -328,7 +328,7 @@
 		return status == http.StatusOK
 	}
 	m.until(func() bool { return page(0, 0) && page(0, 1) })
-	c := rpc.NewCaller()
+	c := rpc.NewCaller(nil)
 	defer c.Close()
 	at := m.plan.Controllers[0].Inner()
 	stand := &burstcredit.AccountStatus{}
--- a/internal/mesh/meshctl/credit.go
+++ b/internal/mesh/meshctl/credit.go
@@ -97,7 +97,7 @@
 	if k.inner == 0 {
 		return &coded{Error.New("the inner port is not known: --inner PORT, or a settings file for --core"), Usage}
 	}
-	c := rpc.NewCaller()
+	c := rpc.NewCaller(nil)
 	defer c.Close()
 	ctx, end := context.WithTimeout(context.Background(), 2*k.wait)
 	defer end()
--- a/internal/mesh/meshctl/meshctl.go
+++ b/internal/mesh/meshctl/meshctl.go
@@ -241,7 +241,7 @@
 	}
 	ctx, end := context.WithTimeout(context.Background(), k.wait)
 	defer end()
-	c := rpc.NewCaller()
+	c := rpc.NewCaller(nil)
 	defer c.Close()
 	s := &controller.Status{}
 	return s, c.Call(ctx, settings.InnerOf(settings.Host(at), k.inner), rpc.PathStatus, controller.StatusRequest{Newest: k.newst}, s)
--- a/internal/mesh/proxy/proxy.go
+++ b/internal/mesh/proxy/proxy.go
@@ -88,10 +88,24 @@
 	clients clients
 }
 
+// Option changes how a proxy is made.
+type Option func(*options)
+
+type options struct{ wrapTransport rpc.WrapTransport }
+
+// WithTransport puts something between a proxy and its connections to controllers.
+func WithTransport(wrap rpc.WrapTransport) Option {
+	return func(o *options) { o.wrapTransport = wrap }
+}
+
 // New makes a balancer; it serves nobody yet.
-func New(b *settings.Settings, log *slog.Logger) *Proxy {
+func New(b *settings.Settings, log *slog.Logger, with ...Option) *Proxy {
+	var chosen options
+	for _, option := range with {
+		option(&chosen)
+	}
 	f := &Proxy{
-		settings: b, log: log, counts: telemetry.NewCounters(), caller: rpc.NewCaller(), life: storage.NewIdentity(), epoch: time.Now(),
+		settings: b, log: log, counts: telemetry.NewCounters(), caller: rpc.NewCaller(chosen.wrapTransport), life: storage.NewIdentity(), epoch: time.Now(),
 		local: newLocalUpstream(b.Bounds.Drain, b.App), end: make(chan struct{}),
 		pools: map[string]*pool{}, nodes: map[string]*knownNode{}, members: 1,
 	}
--- a/internal/mesh/rpc/rpc.go
+++ b/internal/mesh/rpc/rpc.go
@@ -27,13 +27,20 @@
 // Caller calls other processes.
 type Caller struct{ client *http.Client }
 
+// WrapTransport puts something between a caller and its connections; nil for nothing. Tests inject faults with it.
+type WrapTransport func(http.RoundTripper) http.RoundTripper
+
 // NewCaller makes a caller.
-func NewCaller() *Caller {
+func NewCaller(wrap WrapTransport) *Caller {
 	dialer := &net.Dialer{Timeout: 400 * time.Millisecond, KeepAlive: -1, Control: UserTimeout(silent)}
-	return &Caller{&http.Client{Transport: &http.Transport{
+	var transport http.RoundTripper = &http.Transport{
 		DialContext: dialer.DialContext, MaxIdleConnsPerHost: 4, IdleConnTimeout: 30 * time.Second,
 		DisableCompression: true,
-	}}}
+	}
+	if wrap != nil {
+		transport = wrap(transport)
+	}
+	return &Caller{&http.Client{Transport: transport}}
 }
 
 // UserTimeout bounds how long a connection waits for a peer that confirms nothing. Invariant: without it one to a machine
@@ -77,7 +84,7 @@
 // Close closes what is kept.
 func (c *Caller) Close() { c.client.CloseIdleConnections() }
 
-// Take serves one kind of call.
+// Handle serves one kind of call.
 func Handle[In, Out any](f func(ctx context.Context, in *In) (*Out, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		in := new(In)
--- a/internal/mesh/simulation/processes/start.go
+++ b/internal/mesh/simulation/processes/start.go
@@ -158,7 +158,7 @@
 		}
 	}
 	if w.Credit > 0 { // by an operator's hand
-		c := rpc.NewCaller()
+		c := rpc.NewCaller(nil)
 		defer c.Close()
 		if err := c.Call(patience, w.plan.Controllers[0].Inner(), rpc.PathCreditOrder, &controller.Order{Tenant: tenant, Tokens: w.Credit, Who: "meshsim", Why: "the rush"}, &burstcredit.AccountStatus{}); err != nil {
 			return Error.Wrap(err)
@@ -169,7 +169,7 @@
 
 // account is what the core has agreed on of the tenant's credit.
 func (w *world) account(ctx context.Context) (*burstcredit.AccountStatus, error) {
-	c := rpc.NewCaller()
+	c := rpc.NewCaller(nil)
 	defer c.Close()
 	var last error
 	for _, b := range w.plan.Controllers {
