--- a/internal/mesh/consensus/read.go
+++ b/internal/mesh/consensus/read.go
@@ -1,29 +1,32 @@
 package consensus
 
-// Reading is a look at the core: is a state the newest?
+import (
+	"maps"
+	"slices"
+)
+
+// MajorityRead is a question to the core: is a state the newest?
 type MajorityRead struct {
 	base  *State
 	votes *VoteCount
 }
 
-// Read begins a look; the ask goes to all of the state's core.
+// NewMajorityRead begins a read; the request goes to all of the state's core.
 func NewMajorityRead(of *State) (*MajorityRead, Request) {
 	return &MajorityRead{of, NewVoteCount(of)}, Request{Kind: ReadState, Slot: of.Index}
 }
 
-// Take takes an answer; done says that a majority has spoken or somebody is ahead.
+// HandleResponse takes a response; done says that the others can't change what is known.
 func (r *MajorityRead) HandleResponse(a Response) (done bool) {
 	if a.Kind != ReadState || a.Slot != r.base.Index {
 		return false
 	}
 	r.votes.Add(a)
-	return r.votes.Promised() || r.votes.Ahead() != nil
+	return r.votes.Promised() || r.votes.Ahead() != nil || r.votes.Lost(r.base.Majority())
 }
 
 // Newest reports whether a majority says that nothing came after the state.
-func (r *MajorityRead) Newest() bool {
-	return r.votes.Ahead() == nil && r.votes.Promised() && !r.votes.Pending()
-}
+func (r *MajorityRead) Newest() bool { return r.Current() && !r.votes.Pending() }
 
 // Current reports whether a majority has not seen anything decided after it.
 func (r *MajorityRead) Current() bool { return r.votes.Ahead() == nil && r.votes.Promised() }
@@ -33,3 +36,13 @@
 
 // Ahead is a later decided state, nil for none.
 func (r *MajorityRead) Ahead() *State { return r.votes.Ahead() }
+
+// Heard reports whether a majority has answered at all, whatever it said.
+func (r *MajorityRead) Heard() bool {
+	return len(r.votes.granted)+len(r.votes.refused) >= r.base.Majority()
+}
+
+// voters are the members that said that nothing was decided after the state.
+func (r *MajorityRead) voters() []string {
+	return slices.Collect(maps.Keys(r.votes.granted))
+}
--- a/internal/mesh/controller/burst_credit.go
+++ b/internal/mesh/controller/burst_credit.go
@@ -35,7 +35,7 @@
 // credited takes a balancer's report and answers it once what it settles is agreed.
 func (c *Controller) handleCreditReport(ctx context.Context, r *burstcredit.Report) (*burstcredit.Grant, error) {
 	s, _ := c.replicator.state()
-	if s.Coordinator.Life != c.life || !c.replicator.current() {
+	if s.Coordinator.Life != c.life || !c.replicator.confirms(s) {
 		return nil, apierror.New(apierror.Unclear, "the duty is another's")
 	}
 	t := &c.ledger
--- a/internal/mesh/controller/coordinator.go
+++ b/internal/mesh/controller/coordinator.go
@@ -12,12 +12,12 @@
 
 const (
 	appointAfter = 600 * time.Millisecond // of a process's life before it takes duties over
-	// grace period is how long a new coordinator waits before its first grant. The one before it grants only while a majority has
-	// confirmed its copy within fresh of being asked, and that majority has since agreed on another coordinator.
+	// gracePeriod is how long a new coordinator waits before its first grant. The one before it grants only on a majority's word that
+	// was asked for less than fresh ago, when nothing after that coordinator's own epoch had been decided.
 	gracePeriod = fresh + 250*time.Millisecond
 )
 
-// Regency is the same for pages and checks.
+// GracePeriod is the same for pages and checks.
 const GracePeriod = gracePeriod
 
 // bank is the quotas' bank, while this process has the duty.
@@ -29,7 +29,7 @@
 	from  int64
 }
 
-// epoch takes the duties over, if this is the first process in the agreed order and another has them.
+// takeCoordinator takes the duties over, if this is the first process in the agreed order and another has them.
 func (c *Controller) takeCoordinator(ctx context.Context, s *consensus.State) {
 	if !c.replicator.current() || s.Coordinator.Life == c.life {
 		return
@@ -52,13 +52,13 @@
 	c.log.Info("coordinator", "before", s.Coordinator.At, "err", err)
 }
 
-// drawn gives tokens of tenants' quotas, if this process has the duty and a majority says that it still has.
+// handleTokenRequest gives tokens of tenants' quotas, if this process has the duty and a majority says that it still has.
 func (c *Controller) handleTokenRequest(_ context.Context, d *ratelimit.TokenRequest) (*map[string]ratelimit.TokenGrant, error) {
-	s, _ := c.replicator.state()
 	b := &c.bank
 	b.Lock()
 	defer b.Unlock()
-	if s.Coordinator.Life != c.life || !c.replicator.current() {
+	s, _ := c.replicator.state()
+	if s.Coordinator.Life != c.life || !c.replicator.confirms(s) {
 		return nil, apierror.New(apierror.Unclear, "the duty is another's")
 	}
 	now := c.now()
--- a/internal/mesh/controller/federation.go
+++ b/internal/mesh/controller/federation.go
@@ -94,7 +94,7 @@
 // partners does what the duty asks for: it has each partner asked, finishes narrowings, and tells partners so.
 func (c *Controller) partners(ctx context.Context, s *consensus.State) {
 	t, err := c.parsedConfiguration(s)
-	if err != nil || t == nil || s.Coordinator.Life != c.life || !c.replicator.current() {
+	if err != nil || t == nil || s.Coordinator.Life != c.life || !c.replicator.confirms(s) {
 		return
 	}
 	book := c.imports(s)
--- a/internal/mesh/controller/majority_read.go
+++ b/internal/mesh/controller/majority_read.go
@@ -2,55 +2,123 @@
 
 import (
 	"context"
+	"math"
+	"sync"
 	"time"
 
+	"ottershift/internal/mesh/apierror"
 	"ottershift/internal/mesh/consensus"
 )
 
-// look asks the core where it stands, mends this copy if it is old, and reports whether it is current and whether
-// something is accepted that nobody has been seen to decide.
-func (k *replicator) readMajority(ctx context.Context) (s *consensus.State, current, pending bool) {
-	asked := time.Since(k.epoch)
-	s, _ = k.state()
-	reading, ask := consensus.NewMajorityRead(s)
-	answers := k.broadcast(ctx, s, ask, readTimeout)
+const (
+	settledReads = 2                     // that find something accepted, or a later state, before what is accepted is decided
+	readPause    = 20 * time.Millisecond // between two reads that no majority has answered
+	decisionWait = 50 * time.Millisecond // for what was found accepted to be decided by whoever proposed it
+
+	neverConfirmed = time.Duration(math.MaxInt64) // the age of a confirmation that there has not been
+)
+
+// sharedReadLease is a read lease that several goroutines use.
+type sharedReadLease struct {
+	mu    sync.Mutex
+	lease *consensus.ReadLease
+}
+
+func (l *sharedReadLease) confirm(read *consensus.MajorityRead, askedAt int64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.lease.Confirm(read, askedAt)
+}
+
+func (l *sharedReadLease) valid(s *consensus.State, now int64) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.lease.Valid(s, now)
+}
+
+func (l *sharedReadLease) confirmedAt(s *consensus.State) (askedAt int64, known bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.lease.ConfirmedAt(s)
+}
+
+func (k *replicator) now() int64 { return int64(time.Since(k.epoch)) }
+
+// read asks the core whether the state known here is the newest. It renews the lease, and takes a later state that it is told of.
+func (k *replicator) read(ctx context.Context) (*consensus.State, *consensus.MajorityRead) {
+	askedAt := k.now()
+	s, _ := k.state()
+	reading, request := consensus.NewMajorityRead(s)
+	responses := k.broadcast(ctx, s, request, readTimeout)
 	for range s.Core {
-		if answer := <-answers; answer != nil && reading.HandleResponse(*answer) {
+		if response := <-responses; response != nil && reading.HandleResponse(*response) {
 			break
 		}
 	}
 	if ahead := reading.Ahead(); ahead != nil {
 		k.counts.Add("copies_mended")
-		k.learn(ahead)
+		go k.learn(ahead) // in memory at once; the disk may take its time
+		k.waitForIndex(ctx, ahead.Index)
 	}
-	if !reading.Current() {
-		return s, false, false
-	}
-	k.confirmed.Store(int64(asked))
-	if reading.Newest() {
-		k.calmed.Store(int64(asked))
-	}
-	return s, true, reading.Pending()
+	k.lease.confirm(reading, askedAt)
+	return s, reading
+}
+
+// readMajority reads, and reports whether a majority has seen nothing decided after the state, and whether something is accepted
+// that nobody has been seen to decide.
+func (k *replicator) readMajority(ctx context.Context) (s *consensus.State, current, pending bool) {
+	s, reading := k.read(ctx)
+	return s, reading.Current(), reading.Current() && reading.Pending()
 }
 
-// current reports whether a majority has said of late that this copy is.
+// confirms reports whether a majority has said of late that nothing had been decided after a state.
+func (k *replicator) confirms(s *consensus.State) bool { return k.lease.valid(s, k.now()) }
+
+// current reports the same of the state known here now.
 func (k *replicator) current() bool {
-	return time.Since(k.epoch)-time.Duration(k.confirmed.Load()) < fresh
+	s, _ := k.state()
+	return k.confirms(s)
 }
 
-// calm reports whether a majority has said of late that nothing beyond this copy is decided, or could be. Invariant: a copy is
-// current in the eyes of a majority that has accepted what comes after it and not heard yet that it is decided.
-func (k *replicator) calm() bool {
-	return time.Since(k.epoch)-time.Duration(k.calmed.Load()) < fresh
+// sinceConfirmed is how long ago a majority was asked that said so of a state.
+func (k *replicator) sinceConfirmed(s *consensus.State) time.Duration {
+	askedAt, known := k.lease.confirmedAt(s)
+	if !known {
+		return neverConfirmed
+	}
+	return time.Duration(k.now() - askedAt)
 }
 
-// newest is the newest state beyond doubt: a majority says that nothing came after it, or it is made sure of.
+// newest is the newest state beyond doubt: a majority that is asked from now on says that nothing came after it, or what stands
+// accepted is decided first. Where no majority answers, nothing is proposed either.
 func (k *replicator) newest(ctx context.Context, also func() []string) (*consensus.State, error) {
-	for range 2 {
-		if s, current, pending := k.readMajority(ctx); current && !pending {
+	arrived := k.now()
+	for heard := 0; heard < settledReads; {
+		read, reading := k.read(ctx)
+		if reading.Current() && reading.Pending() {
+			k.waitBriefly(ctx, read.Index+1)
+		}
+		s, _ := k.state()
+		if askedAt, known := k.lease.confirmedAt(s); known && askedAt >= arrived {
 			return s, nil
 		}
+		if reading.Heard() || reading.Ahead() != nil {
+			heard++
+			continue
+		}
+		select {
+		case <-time.After(readPause):
+		case <-ctx.Done():
+			return nil, apierror.New(apierror.Unclear, "no majority of the core has answered in time")
+		}
 	}
 	k.counts.Add("reads_settled")
 	return k.change(ctx, also, func(*consensus.State) (*consensus.State, error) { return nil, nil })
 }
+
+// waitBriefly waits for a decision that is likely to be on its way to this replica.
+func (k *replicator) waitBriefly(ctx context.Context, index uint64) {
+	ctx, end := context.WithTimeout(ctx, decisionWait)
+	defer end()
+	k.waitForIndex(ctx, index)
+}
--- a/internal/mesh/controller/replicator.go
+++ b/internal/mesh/controller/replicator.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"ottershift/internal/mesh/consensus"
@@ -38,17 +37,14 @@
 	round   uint64
 	news    chan struct{} // closed when something is decided
 
-	calmed    atomic.Int64 // the same where nothing stood accepted beyond it either: nothing had been decided that is not known here
-	confirmed atomic.Int64 // when a majority was asked that said that this copy is current, in steady nanoseconds
-	epoch     time.Time
-	changing  sync.Mutex // one attempt at a time from here
+	lease    sharedReadLease
+	epoch    time.Time
+	changing sync.Mutex // one attempt at a time from here
 }
 
 func newReplicator(c *consensus.Replica, d Disk, caller *rpc.Caller, counts *telemetry.Counters, self, by string) *replicator {
-	k := &replicator{disk: d, caller: caller, counts: counts, self: self, proposer: by, replica: *c, news: make(chan struct{}), epoch: time.Now()}
-	k.confirmed.Store(-int64(time.Hour))
-	k.calmed.Store(-int64(time.Hour))
-	return k
+	return &replicator{disk: d, caller: caller, counts: counts, self: self, proposer: by, replica: *c, news: make(chan struct{}), epoch: time.Now(),
+		lease: sharedReadLease{lease: consensus.NewReadLease(int64(fresh))}}
 }
 
 // state is what is decided as far as this copy knows, and a channel that ends when there is more.
--- a/internal/mesh/controller/status.go
+++ b/internal/mesh/controller/status.go
@@ -15,15 +15,15 @@
 	"ottershift/internal/mesh/ratelimit"
 )
 
-// Look is what an operator asks for; Newest has the core make sure that what is agreed is shown as it is now.
+// StatusRequest is what an operator asks for; Newest has the core make sure that what is agreed is shown as it is now.
 type StatusRequest struct{ Newest bool }
 
 // Status is what one process of the core knows, each part with its age.
 type Status struct {
 	Node, At, Zone string
 	Up             time.Duration
-	Current        bool // a majority has confirmed the state a moment ago
-	Confirmed      time.Duration
+	Current        bool          // a majority has said of late that nothing was decided after State
+	Confirmed      time.Duration // since that majority was asked
 	State          *consensus.State
 	Core           []CoreMember
 	Nodes          []membership.Record `json:"Nests"`
@@ -53,8 +53,7 @@
 			return nil, err
 		}
 	}
-	out := &Status{Node: c.settings.Node, At: c.settings.Inner(), Zone: c.settings.District, Up: time.Since(c.epoch), Current: c.replicator.current(),
-		Confirmed: time.Since(c.replicator.epoch) - time.Duration(c.replicator.confirmed.Load()), State: s, Counts: map[string]int64{}}
+	out := &Status{Node: c.settings.Node, At: c.settings.Inner(), Zone: c.settings.District, Up: time.Since(c.epoch), State: s, Counts: map[string]int64{}}
 	out.Ages = c.confirmationAges()
 	c.gateway.Lock()
 	out.Faults, out.Doors = maps.Clone(c.gateway.faults), maps.Clone(c.gateway.doors)
@@ -80,7 +79,8 @@
 	slices.SortFunc(out.Core, func(a, b CoreMember) int { return strings.Compare(a.At, b.At) })
 	c.bank.Lock()
 	defer c.bank.Unlock()
-	if c.bank.is != nil && s.Coordinator.Life == c.life {
+	out.Current, out.Confirmed = c.replicator.confirms(s), c.replicator.sinceConfirmed(s) // last: what is above may have taken time
+	if c.bank.is != nil && s.Coordinator.Life == c.life && out.Current {
 		out.Quotas = c.bank.is.Status(c.now())
 	}
 	return out, nil
@@ -97,7 +97,7 @@
 		fmt.Fprintf(w, "# HELP ottershift_comb_%s %s\n# TYPE ottershift_comb_%s gauge\nottershift_comb_%s %v\n", name, help, name, name, v)
 	}
 	current := 0
-	if c.replicator.current() {
+	if c.replicator.confirms(s) {
 		current = 1
 	}
 	gauge("index", "Slot of the newest decision known here.", s.Index)
