--- a/internal/mesh/simulation/processes/faults.go
+++ b/internal/mesh/simulation/processes/faults.go
@@ -36,9 +36,7 @@
 	}
 	var hit []*process
 	for n, p := range w.all {
-		comb := n < w.Controllers
-		if f.Kind == KillAll || comb == strings.HasSuffix(f.Kind, "_comb") &&
-			(comb && n == f.Who%w.Controllers || !comb && n-w.Controllers == f.Who%w.Proxies) {
+		if w.hits(f, n) {
 			hit = append(hit, p)
 		}
 	}
@@ -77,3 +75,16 @@
 		tell("%s is back", p.name)
 	}
 }
+
+// hits reports whether a fault is that of a process; controllers come first, proxies after them.
+func (w *world) hits(f Fault, n int) bool {
+	switch f.Kind {
+	case KillAll:
+		return true
+	case KillController, FreezeController, WipeController:
+		return n == f.Who%w.Controllers
+	case KillProxy, FreezeProxy, TermProxy:
+		return n == w.Controllers+f.Who%w.Proxies
+	}
+	return false
+}
--- a/internal/mesh/simulation/processes/processes_test.go
+++ b/internal/mesh/simulation/processes/processes_test.go
@@ -41,3 +41,19 @@
 		must.StrContains(t, out.String(), "verdict=broken")
 	}
 }
+
+func TestFaultsOfControllersHitControllers(t *testing.T) {
+	w := &world{Mesh: Mesh{Controllers: 3, Proxies: 2}}
+	all := map[string][]int{
+		KillController: {1}, FreezeController: {1}, WipeController: {1}, KillProxy: {3}, FreezeProxy: {3}, TermProxy: {3}, KillAll: {0, 1, 2, 3, 4},
+	}
+	for _, kind := range Kinds {
+		var hit []int
+		for n := range w.Controllers + w.Proxies {
+			if w.hits(Fault{Kind: kind, Who: 4}, n) {
+				hit = append(hit, n)
+			}
+		}
+		must.Eq(t, all[kind], hit, must.Sprint(kind))
+	}
+}
