--- a/internal/mesh/proxy/partner.go
+++ b/internal/mesh/proxy/partner.go
@@ -43,12 +43,12 @@
 	f.exports.book, f.exports.gateways = federation.NewImportBook(), map[string]string{}
 }
 
-// hear takes the core's word on partners; asked is when it was asked for.
+// hear takes the core's word on partners; asked is when it was asked for. Ages count from then: the answer may have been long on
+// its way, or this process may have stood still.
 func (f *Proxy) hear(n *membership.WatchResponse, asked int64) {
 	d := &f.exports
 	d.Lock()
 	defer d.Unlock()
-	now := f.now()
 	if n.Imports != nil {
 		book, err := federation.Read(n.Imports)
 		if err != nil {
@@ -56,13 +56,13 @@
 			return
 		}
 		if book.No >= d.book.No {
-			d.book, d.ages, d.heard = book, n.Ages, now
+			d.book, d.ages, d.heard = book, n.Ages, asked
 			f.partners()
 			f.log.Info("partners", "no", book.No)
 		}
 	}
 	for partner, age := range n.Ages {
-		d.is.Fresher(partner, age, now)
+		d.is.Fresher(partner, age, asked)
 	}
 	if n.Calm {
 		d.is.Renew(n.ImportsNo, asked)
--- a/internal/mesh/proxy/proxy.go
+++ b/internal/mesh/proxy/proxy.go
@@ -1,12 +1,12 @@
 // Package proxy is the data plane: a balancer beside an upstream. What starts on its machine goes out through it
 // (outbound.go), by way of the balancer beside the upstream that the module chooses (push.go), and what is meant for the
-// upstream on its machine comes in through it (inbound.go). view.go is what it goes by, local upstream.go its own upstream's life,
-// connection.go the connections. It decides nothing about a request that the module decides.
+// upstream on its machine comes in through it (inbound.go). view.go is what it goes by, watch.go how that comes from
+// controllers, local_upstream.go its own upstream's life, connection.go the connections. It decides nothing about a request that
+// the module decides.
 package proxy
 
 import (
 	"context"
-	"errors"
 	"log/slog"
 	"net"
 	"net/http"
@@ -27,12 +27,8 @@
 )
 
 const (
-	watchWait  = 600 * time.Millisecond // that an ask hangs at the core
-	watchGrace = 300 * time.Millisecond // beyond it, until another process of the core is asked
-	dialPeer   = 300 * time.Millisecond
-	dialApp    = 500 * time.Millisecond
-	// AskLongest is how long a process of the core that says nothing is waited for.
-	WatchTimeout = watchWait + watchGrace
+	dialPeer = 300 * time.Millisecond
+	dialApp  = 500 * time.Millisecond
 
 	leaveStep  = 100 * time.Millisecond // between two looks at what is open once this process leaves
 	leaveQuiet = 25                     // looks in a row that found nothing
@@ -41,12 +37,6 @@
 	idleFirst = 15 * time.Second       // before a configuration says how long clients may be idle
 )
 
-// knownNode is a balancer as the core tells of it.
-type knownNode struct {
-	membership.Record
-	warm time.Time // when its upstream is no longer slow from its start
-}
-
 // Proxy is one balancer.
 type Proxy struct {
 	settings            *settings.Settings
@@ -81,10 +71,13 @@
 	controllers []membership.ControllerAddress
 	seeds       []string
 	position    membership.Position
+	overlaid    bool // nodes hold some that the controller of position never told of
 	members     int
 	warms       time.Time // when the next upstream is warm
 	ranked      [2]int
 
+	withoutResponseAge, withoutOverlay bool // guards left out, by tests
+
 	clients clients
 }
 
@@ -234,108 +227,6 @@
 	}
 }
 
-// ask renews this balancer's lease and takes news, from one process of the core at a time. Invariant: one that is cut off
-// or stands still answers nothing, or old news for new; so each ask has a short end, and who is not current is left.
-func (f *Proxy) watch(ctx context.Context) {
-	bad := map[string]time.Time{}
-	for turn := 0; ctx.Err() == nil; turn++ {
-		at := f.pickController(bad, turn)
-		f.mu.Lock()
-		a := &membership.WatchRequest{Position: f.position, MaxWait: int64(watchWait)}
-		f.mu.Unlock()
-		f.exports.Lock()
-		a.Position.Imports = f.exports.book.No
-		f.exports.Unlock()
-		up, seq, changed := f.local.snapshot()
-		a.Node = membership.Node{Name: f.settings.Node, Inbound: f.settings.Inbound, District: f.settings.District, Life: f.life, Seq: seq, Upstream: up,
-			Leaving: f.leaving.Load()}
-		if f.leaving.Load() {
-			a.Node.Seq += 1 << 32
-		}
-		call, end := context.WithTimeout(ctx, watchWait+watchGrace)
-		go func() {
-			select {
-			case <-changed: // what is new here is told at once
-				end()
-			case <-call.Done():
-			}
-		}()
-		news, asked := &membership.WatchResponse{}, f.now()
-		err := f.caller.Call(call, at, rpc.PathWatch, a, news)
-		interrupted := errors.Is(call.Err(), context.Canceled)
-		end()
-		if err == nil {
-			if err = f.applyWatchResponse(news); err == nil {
-				f.hear(news, asked)
-			}
-			f.membersNow.Store(int64(f.memberCount()))
-		}
-		switch {
-		case err != nil && interrupted:
-		case err != nil:
-			f.counts.Add("asks_failed")
-			bad[at] = time.Now()
-		case !news.Current:
-			f.counts.Add("asks_not_current")
-			bad[at] = time.Now()
-		default:
-			continue
-		}
-		select {
-		case <-time.After(20 * time.Millisecond):
-		case <-ctx.Done():
-		}
-	}
-}
-
-func (f *Proxy) memberCount() int {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.members
-}
-
-// controller is whom to ask: of those that have not failed of late, one of this zone first.
-func (f *Proxy) pickController(bad map[string]time.Time, turn int) string {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	var all []string
-	add := func(at string) {
-		if !slices.Contains(all, at) {
-			all = append(all, at)
-		}
-	}
-	for _, p := range f.controllers {
-		if p.Zone == f.settings.District {
-			add(p.At)
-		}
-	}
-	others := len(all)
-	for _, p := range f.controllers {
-		add(p.At)
-	}
-	for _, at := range f.seeds {
-		add(at)
-	}
-	if len(all) == 0 {
-		return ""
-	}
-	if rest := all[others:]; len(rest) > 1 { // not all of a zone without a process of its own ask the same one
-		by := len(f.settings.Node) + int(f.settings.Node[len(f.settings.Node)-1])
-		rest = append(slices.Clone(rest[by%len(rest):]), rest[:by%len(rest)]...)
-		all = append(all[:others:others], rest...)
-	}
-	oldest := all[0]
-	for _, at := range all {
-		if time.Since(bad[at]) > 3*time.Second {
-			return at
-		}
-		if bad[at].Before(bad[oldest]) {
-			oldest = at
-		}
-	}
-	return oldest
-}
-
 // clients are the connections of those whose requests start here.
 type clients struct {
 	mu  sync.Mutex
--- a/internal/mesh/proxy/view.go
+++ b/internal/mesh/proxy/view.go
@@ -3,7 +3,6 @@
 import (
 	"cmp"
 	"context"
-	"maps"
 	"math/rand/v2"
 	"slices"
 	"strings"
@@ -12,7 +11,6 @@
 
 	"ottershift/internal/desk"
 	"ottershift/internal/figures"
-	"ottershift/internal/mesh/membership"
 	"ottershift/internal/mesh/outlier"
 	"ottershift/internal/mesh/ratelimit"
 	"ottershift/internal/mesh/routing"
@@ -252,79 +250,6 @@
 	return w
 }
 
-// take takes the core's news.
-func (f *Proxy) applyWatchResponse(n *membership.WatchResponse) error {
-	f.mu.Lock()
-	now := time.Now()
-	if n.Whole {
-		told := map[string]bool{}
-		for _, t := range n.Nodes {
-			told[t.Name] = true
-		}
-		for node := range f.nodes {
-			if !told[node] && !n.Starting { // Invariant: a core that has just started has heard of nobody yet
-				delete(f.nodes, node)
-			}
-		}
-	}
-	for _, t := range n.Nodes {
-		s := &knownNode{Record: t}
-		if t.Upstream != nil {
-			s.warm = now.Add(time.Duration(t.Upstream.Cold))
-		}
-		f.nodes[t.Name] = s
-	}
-	for _, node := range n.Gone {
-		delete(f.nodes, node)
-	}
-	f.controllers = n.Controllers
-	f.wallet.reigns(n.Coordinator, n.Epoch)
-	changed := len(n.Nodes)+len(n.Gone) > 0 || n.Whole
-	if members := max(n.Members, len(f.nodes), 1); members != f.members {
-		f.members = members
-		if v := f.view.Load(); v != nil {
-			f.quota(v.table)
-		}
-	}
-	if changed {
-		if count, place := f.rank(); count != f.ranked[0] || place != f.ranked[1] {
-			f.ranked = [2]int{count, place}
-			rulesOf := maps.Clone(f.rules)
-			for name, p := range f.pools {
-				if p.partners != nil {
-					rulesOf[name] = p.rules
-				}
-			}
-			for service, rules := range rulesOf {
-				if err := f.retune(service, rules); err != nil {
-					f.log.Error("retune", "service", service, "err", err)
-				}
-			}
-		}
-		f.relist()
-	}
-	f.position.Controller, f.position.Seq = n.Controller, n.Seq
-	f.mu.Unlock()
-
-	if n.Configuration != nil && (n.Current || f.view.Load() != nil) {
-		t, err := routing.Parse(n.Configuration)
-		if err != nil {
-			return err
-		}
-		if err := f.adopt(n.Index, t); err != nil {
-			return err
-		}
-		f.mu.Lock()
-		f.position.Index, f.position.Edition = max(f.position.Index, n.Index), t.Edition
-		f.mu.Unlock()
-	} else if n.Configuration == nil && n.Index > f.position.Index && (n.Edition == f.position.Edition || n.Edition == 0) {
-		f.mu.Lock()
-		f.position.Index = n.Index // something else was agreed
-		f.mu.Unlock()
-	}
-	return nil
-}
-
 // quota gives tenants their parts. Under mu.
 func (f *Proxy) quota(t *routing.Configuration) {
 	f.wallet.Lock()
