--- a/internal/mesh/consensus/lease.go
+++ b/internal/mesh/consensus/lease.go
@@ -10,7 +10,7 @@
 	settled  confirmation // by a read that found nothing accepted beyond its state
 	pending  confirmation // by a read that found something accepted, which may have been decided
 
-	withoutMajority, withoutPending, withoutIndex bool // guards left out
+	withoutMajority, withoutPending, withoutIndex, withoutMeeting bool // guards left out
 }
 
 // confirmation is what a majority said in a read.
@@ -25,6 +25,7 @@
 	WithoutMajority = "without-majority" // valid without contact to a majority
 	WithoutPending  = "without-pending"  // what is accepted and not known to be decided is overlooked
 	WithoutIndex    = "without-index"    // the word about one state is taken for all
+	WithoutMeeting  = "without-meeting"  // the word of one core is taken for that of a later one
 )
 
 // NewReadLease makes a lease under which nothing is valid yet; duration is how long a majority's word holds.
@@ -35,6 +36,7 @@
 	l.withoutMajority = guard == WithoutMajority
 	l.withoutPending = guard == WithoutPending
 	l.withoutIndex = guard == WithoutIndex
+	l.withoutMeeting = guard == WithoutMeeting
 }
 
 // Confirm takes what a read has found; askedAt is a moment before its question was sent.
@@ -65,7 +67,7 @@
 	if l.settled.voters != nil && (s.Index >= l.settled.index || l.withoutIndex) {
 		askedAt, known = l.settled.askedAt, true
 	}
-	if l.pending.coversSuccessor(s) && (!known || l.pending.askedAt > askedAt) {
+	if l.coversSuccessor(l.pending, s) && (!known || l.pending.askedAt > askedAt) {
 		askedAt, known = l.pending.askedAt, true
 	}
 	return askedAt, known
@@ -75,7 +77,7 @@
 // newest. What comes after that later state is accepted by a quorum of the later state's core, each member of which holds the
 // later state by then. Where each such quorum has a member that told the reader that it did not yet hold it, nothing can have come
 // after it.
-func (c confirmation) coversSuccessor(s *State) bool {
+func (l *ReadLease) coversSuccessor(c confirmation, s *State) bool {
 	if c.voters == nil || s.Index <= c.index {
 		return false
 	}
@@ -85,5 +87,5 @@
 			meet++
 		}
 	}
-	return meet >= s.Majority()
+	return meet >= s.Majority() || l.withoutMeeting
 }
