--- a/internal/mesh/proxy/controller_choice.go
+++ b/internal/mesh/proxy/controller_choice.go
@@ -10,7 +10,8 @@
 // controllerChoice says which controller is asked next: the first in the order of preference that has not failed of late. One that
 // goes on failing is asked less and less often, so that any number of them in front of a sound one does not keep it from being asked.
 type controllerChoice struct {
-	failures map[string]controllerFailures
+	failures  map[string]controllerFailures
+	avoidMost time.Duration
 }
 
 type controllerFailures struct {
@@ -19,7 +20,7 @@
 }
 
 func newControllerChoice() *controllerChoice {
-	return &controllerChoice{failures: map[string]controllerFailures{}}
+	return &controllerChoice{failures: map[string]controllerFailures{}, avoidMost: avoidMost}
 }
 
 // pick is the controller to ask, "" where none is known. Where all have failed of late, it is the one whose turn comes first.
@@ -42,7 +43,7 @@
 	if !failed {
 		return 0
 	}
-	avoid := min(avoidFirst<<min(f.inARow-1, 8), avoidMost)
+	avoid := min(avoidFirst<<min(f.inARow-1, 8), c.avoidMost)
 	return f.last + int64(avoid)
 }
 
