--- a/internal/mesh/proxy/controller_choice.go
+++ b/internal/mesh/proxy/controller_choice.go
@@ -47,8 +47,19 @@
 	return f.last + int64(avoid)
 }
 
+// failed notes that a controller did not answer in time. One that was asked before its turn, since there was nobody else, is not
+// avoided for longer by that.
 func (c *controllerChoice) failed(at string, now int64) {
-	c.failures[at] = controllerFailures{c.failures[at].inARow + 1, now}
+	inARow := c.failures[at].inARow
+	if now >= c.askAgainAt(at) {
+		inARow++
+	}
+	c.failures[at] = controllerFailures{inARow, now}
+}
+
+// notCurrent notes that a controller answered that it is not current. To hear that takes no time, so it is asked again soon.
+func (c *controllerChoice) notCurrent(at string, now int64) {
+	c.failures[at] = controllerFailures{1, now}
 }
 
 func (c *controllerChoice) succeeded(at string) { delete(c.failures, at) }
--- a/internal/mesh/proxy/watch.go
+++ b/internal/mesh/proxy/watch.go
@@ -48,7 +48,7 @@
 			failed++
 		case !current:
 			f.counts.Add("asks_not_current")
-			choice.failed(at, f.now())
+			choice.notCurrent(at, f.now())
 			failed++
 		default:
 			choice.succeeded(at)
@@ -117,7 +117,7 @@
 	return f.members
 }
 
-// knownControllers are whom to ask, in the order of preference: those of this zone first, the seeds last.
+// knownControllers are whom to ask, in the order of preference: those of this zone first.
 func (f *Proxy) knownControllers() (all []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -138,7 +138,10 @@
 	for _, at := range f.seeds {
 		add(at)
 	}
-	if rest := all[local:]; len(rest) > 1 { // not all of a zone without a controller of its own ask the same one
+	// Not all of a zone without a controller of its own ask the same one; and whom they ask does not depend on who told of whom: each
+	// controller tells of itself first.
+	if rest := all[local:]; len(rest) > 1 {
+		slices.Sort(rest)
 		by := len(f.settings.Node) + int(f.settings.Node[len(f.settings.Node)-1])
 		rest = append(slices.Clone(rest[by%len(rest):]), rest[:by%len(rest)]...)
 		all = append(all[:local:local], rest...)
--- a/internal/mesh/proxy/watch_test.go
+++ b/internal/mesh/proxy/watch_test.go
@@ -163,3 +163,25 @@
 	p.hear(&membership.WatchResponse{Ages: map[string]int64{"zuid": int64(time.Second)}}, p.now())
 	must.Eq(t, federation.Open, look())
 }
+
+// Each controller tells of itself first. A proxy in a zone without one of its own asks the same one all the same: else it would go from
+// one to the next without a pause, since each has all of its nodes to tell.
+func TestWhomAProxyAsksDoesNotDependOnWhoAnswered(t *testing.T) {
+	told := []membership.ControllerAddress{{At: "10.0.0.1:1", Zone: "x"}, {At: "10.0.0.2:1", Zone: "y"}, {At: "10.0.0.3:1", Zone: "y"}}
+	for _, node := range []string{"a", "b", "c", "d"} {
+		p := newTestProxy(nil)
+		p.settings.Node = node
+		first := ""
+		for _, by := range [][]int{{0, 1, 2}, {1, 0, 2}, {2, 0, 1}} {
+			p.controllers = nil
+			for _, n := range by {
+				p.controllers = append(p.controllers, told[n])
+			}
+			if at := p.knownControllers()[0]; first == "" {
+				first = at
+			} else {
+				must.Eq(t, first, at)
+			}
+		}
+	}
+}
