--- a/internal/mesh/controller/cut_off_test.go
+++ b/internal/mesh/controller/cut_off_test.go
@@ -337,3 +337,39 @@
 		})
 	}
 }
+
+// The first controller is cut off while an order is under way at it. Whatever it says, the same order sent to another is taken, and once.
+func TestAnOrderUnderWayWhenItsControllerIsCutOffIsTakenOnce(t *testing.T) {
+	t.Parallel()
+	m := startCutMesh(t, 3, 1)
+	m.put(0)
+	outcomes := map[int]int{}
+	for round := range 15 {
+		c := cuts[round%5]
+		for _, other := range m.plan.Controllers[1:] {
+			m.links.SetDelay(m.plan.Controllers[0].Ip, other.Ip, time.Millisecond)
+		}
+		told := make(chan int)
+		body := configuration(m.edition + 10)
+		go func() {
+			status, _ := m.call(0, "timetable.replace", m.edition, body)
+			told <- status
+		}()
+		time.Sleep(time.Duration(round/5) * 4 * time.Millisecond)
+		m.cut(c.out, c.in)
+		status := 0
+		m.until(3*time.Second, "no other takes the order", func() bool {
+			status, _ = m.call(1, "timetable.replace", m.edition, body)
+			must.False(t, status/100 == 4, must.Sprint(round, status))
+			return status == http.StatusOK
+		})
+		m.edition += 10
+		first := <-told
+		outcomes[first]++
+		must.True(t, first == http.StatusOK || first == http.StatusServiceUnavailable, must.Sprint(round, first))
+		m.links.Heal()
+		m.healed()
+	}
+	t.Logf("answers of the controller that was cut off: %v", outcomes)
+	must.MapLen(t, 2, outcomes)
+}
