--- a/internal/mesh/controller/cut_off_test.go
+++ b/internal/mesh/controller/cut_off_test.go
@@ -373,3 +373,36 @@
 	t.Logf("answers of the controller that was cut off: %v", outcomes)
 	must.MapLen(t, 2, outcomes)
 }
+
+// A token request stands still between its arrival and the grant, while another process becomes coordinator. It is judged by what is
+// agreed when it goes on.
+func TestATokenRequestThatStoodStillIsNotGrantedByAFormerCoordinator(t *testing.T) {
+	t.Parallel()
+	m := startCutMesh(t, 3, 1)
+	m.put(0)
+	first := m.controllers[0]
+	request := &ratelimit.TokenRequest{Node: "n", Life: "l", Seq: 1, Wants: map[string]ratelimit.Demand{"acme": {More: 5}}}
+	m.until(10*time.Second, "the first controller is not coordinator", func() bool {
+		_, err := first.handleTokenRequest(m.ctx, request)
+		return err == nil
+	})
+	before, _ := first.replicator.state()
+	first.bank.Lock()
+	granted := make(chan error)
+	go func() {
+		_, err := first.handleTokenRequest(m.ctx, &ratelimit.TokenRequest{Node: "n", Life: "l", Seq: 2, Wants: map[string]ratelimit.Demand{"acme": {More: 5}}})
+		granted <- err
+	}()
+	m.cut(testmesh.LinkSilent, testmesh.LinkSilent)
+	m.until(10*time.Second, "nobody else becomes coordinator", func() bool {
+		s, _ := m.controllers[1].replicator.state()
+		return s.Coordinator.Life != first.life
+	})
+	m.links.Heal()
+	m.until(5*time.Second, "the first controller does not hear of it", func() bool {
+		s, _ := first.replicator.state()
+		return s.Epoch > before.Epoch && first.replicator.confirms(s)
+	})
+	first.bank.Unlock()
+	must.Error(t, <-granted)
+}
