--- a/internal/mesh/consensus/lease.go
+++ b/internal/mesh/consensus/lease.go
@@ -46,9 +46,10 @@
 	l.withoutMembers = guard == WithoutMembers
 }
 
-// Observe takes a replica's response to a question where it stands; askedAt is a moment before the question was sent.
+// Observe takes a replica's response to a question where it stands; askedAt is a moment before the question was sent. The word of a
+// replica that does not vouch for itself counts for nothing.
 func (l *ReadLease) Observe(response Response, askedAt int64) {
-	if response.Kind != ReadState {
+	if response.Kind != ReadState || !response.OK {
 		return
 	}
 	kept := slices.DeleteFunc(l.answers[response.ID], func(a leaseAnswer) bool {
--- a/internal/mesh/consensus/lease_test.go
+++ b/internal/mesh/consensus/lease_test.go
@@ -172,8 +172,9 @@
 	for _, guard := range []string{"", WithoutMembers} {
 		lease := NewReadLease(leaseDuration)
 		lease.Without(guard)
-		lease.Observe(Response{Kind: ReadState, ID: FounderID("a"), Index: base.Index}, 100)
-		lease.Observe(Response{Kind: ReadState, ID: FounderID("b"), Index: base.Index, Pending: true}, 100)
+		lease.Observe(Response{Kind: ReadState, ID: FounderID("a"), Index: base.Index, OK: true}, 100)
+		lease.Observe(Response{Kind: ReadState, ID: FounderID("b"), Index: base.Index, OK: true, Pending: true}, 100)
+		lease.Observe(Response{Kind: ReadState, ID: FounderID("c"), Index: base.Index}, 100) // it does not vouch for itself
 		must.False(t, lease.Valid(base, 200)) // what is accepted may have been decided
 		must.True(t, lease.Valid(same, 200))
 		must.False(t, lease.Valid(same, 100+leaseDuration))
