--- a/internal/mesh/consensus/lease_test.go
+++ b/internal/mesh/consensus/lease_test.go
@@ -175,7 +175,7 @@
 		lease.Observe(Response{Kind: ReadState, ID: FounderID("a"), Index: base.Index, OK: true}, 100)
 		lease.Observe(Response{Kind: ReadState, ID: FounderID("b"), Index: base.Index, OK: true, Pending: true}, 100)
 		lease.Observe(Response{Kind: ReadState, ID: FounderID("c"), Index: base.Index}, 100) // it does not vouch for itself
-		must.False(t, lease.Valid(base, 200)) // what is accepted may have been decided
+		must.False(t, lease.Valid(base, 200))                                                // what is accepted may have been decided
 		must.True(t, lease.Valid(same, 200))
 		must.False(t, lease.Valid(same, 100+leaseDuration))
 		must.Eq(t, guard != "", lease.Valid(other, 200))
