--- a/internal/mesh/controller/cut_off_test.go
+++ b/internal/mesh/controller/cut_off_test.go
@@ -45,6 +45,7 @@
 	plan        *testmesh.Mesh
 	links       testmesh.Links
 	controllers []*Controller
+	stopFirst   func() // the first controller alone
 	running     sync.WaitGroup
 	stop        func()
 	ctx         context.Context
@@ -61,12 +62,10 @@
 	m := &cutMesh{t: t, plan: plan}
 	m.ctx, m.stop = context.WithCancel(context.Background())
 	t.Cleanup(func() { m.stop(); m.running.Wait() })
-	for _, b := range plan.Controllers {
+	m.controllers = make([]*Controller, controllers)
+	for n, b := range plan.Controllers {
 		must.NoError(t, os.MkdirAll(b.DataDir, 0o755))
-		c, err := Open(b, slog.New(slog.DiscardHandler), WithTransport(m.links.Transport(b.Ip)))
-		must.NoError(t, err)
-		m.controllers = append(m.controllers, c)
-		m.running.Go(func() { c.Run(m.ctx) })
+		m.startController(n)
 	}
 	for n, b := range plan.Proxies[:len(plan.Proxies)-1] { // the last is started while the first controller is cut off
 		m.proxy(b)
@@ -77,6 +76,23 @@
 	return m
 }
 
+func (m *cutMesh) startController(n int) {
+	b := m.plan.Controllers[n]
+	c, err := Open(b, slog.New(slog.DiscardHandler), WithTransport(m.links.Transport(b.Ip)))
+	must.NoError(m.t, err)
+	b.FirstStart = false // from now on
+	m.controllers[n] = c
+	ctx, end := context.WithCancel(m.ctx)
+	var over sync.WaitGroup
+	over.Add(1)
+	m.running.Go(func() { defer over.Done(); c.Run(ctx) })
+	stop := func() { end(); over.Wait() }
+	m.t.Cleanup(stop)
+	if n == 0 {
+		m.stopFirst = stop
+	}
+}
+
 func (m *cutMesh) proxy(b *settings.Settings) {
 	b.Bounds.Grace = time.Second
 	m.running.Go(func() {
@@ -244,13 +260,15 @@
 	name        string
 	controllers int
 	out, in     testmesh.LinkFault
+	restarts    bool
 }{
-	{"silent both ways", 3, testmesh.LinkSilent, testmesh.LinkSilent},
-	{"its requests are lost", 3, testmesh.LinkSilent, testmesh.LinkSound},
-	{"its requests arrive, responses to it are lost", 3, testmesh.LinkSound, testmesh.LinkSilent},
-	{"refused", 3, testmesh.LinkRefused, testmesh.LinkRefused},
-	{"reset before the response", 3, testmesh.LinkReset, testmesh.LinkReset},
-	{"silent both ways, and another takes its place", 4, testmesh.LinkSilent, testmesh.LinkSilent},
+	{"silent both ways", 3, testmesh.LinkSilent, testmesh.LinkSilent, false},
+	{"its requests are lost", 3, testmesh.LinkSilent, testmesh.LinkSound, false},
+	{"its requests arrive, responses to it are lost", 3, testmesh.LinkSound, testmesh.LinkSilent, false},
+	{"refused", 3, testmesh.LinkRefused, testmesh.LinkRefused, false},
+	{"reset before the response", 3, testmesh.LinkReset, testmesh.LinkReset, false},
+	{"silent both ways, and another takes its place", 4, testmesh.LinkSilent, testmesh.LinkSilent, false},
+	{"silent both ways, and it is restarted", 3, testmesh.LinkSilent, testmesh.LinkSilent, true},
 }
 
 func (m *cutMesh) cut(out, in testmesh.LinkFault) {
@@ -280,6 +298,10 @@
 			m.cut(c.out, c.in)
 			began := time.Now()
 			m.put(1)
+			if c.restarts {
+				m.stopFirst()
+				m.startController(0)
+			}
 			m.until(leaveMost, "a proxy stays with the old version", func() bool { return m.serves(running, m.edition) == http.StatusOK })
 			t.Logf("served %v after the cut, the acknowledgement included", time.Since(began).Round(time.Millisecond))
 			time.Sleep(max(0, fresh+slack-time.Since(began)))
