--- a/internal/mesh/consensus/state.go
+++ b/internal/mesh/consensus/state.go
@@ -13,17 +13,9 @@
 	Zone string
 }
 
-// Taken is a change that was taken, known by its digest.
-type AppliedChange struct {
-	Edition int64
-	Digest  string
-}
-
 // Coordinator is the process that has the duties that one does, in one of its lives.
 type Coordinator struct{ ID, Life, At string }
 
-const maxAppliedChanges = 64
-
 // State is all that is agreed.
 type State struct {
 	Index          uint64
@@ -31,7 +23,7 @@
 	Tolerate       int
 	Edition        int64           // of the configuration; 0 before the first
 	Configuration  json.RawMessage `json:"Timetable"`
-	AppliedChanges []AppliedChange `json:"Taken"`
+	AppliedChanges AppliedChanges  `json:"Taken"`
 	Members        int             // balancers, by which what all may spend is shared out
 	Coordinator    Coordinator     `json:"Queen"`
 	Epoch          uint64          `json:"Reign"`      // its number
@@ -45,28 +37,25 @@
 // Quorum is how many of the core have to accept.
 func (s *State) Quorum() int { return max(s.Majority(), min(s.Tolerate+1, len(s.Core))) }
 
-// Has is a member by identity.
+// HasMember reports whether a disk belongs to the core, by its identity.
 func (s *State) HasMember(id string) bool {
 	return slices.ContainsFunc(s.Core, func(m Member) bool { return m.ID == id })
 }
 
-// Was reports whether that very change has been taken.
+// HasApplied reports whether that very change is remembered as applied.
 func (s *State) HasApplied(edition int64, digest string) bool {
 	return slices.Contains(s.AppliedChanges, AppliedChange{edition, digest})
 }
 
-// Put is the state after a change of the configuration.
+// WithConfiguration is the state after a change of the configuration.
 func (s *State) WithConfiguration(edition int64, doc json.RawMessage, digest string) *State {
 	next := s.successor()
 	next.Edition, next.Configuration = edition, doc
-	next.AppliedChanges = append(slices.Clone(s.AppliedChanges), AppliedChange{edition, digest})
-	if len(next.AppliedChanges) > maxAppliedChanges {
-		next.AppliedChanges = next.AppliedChanges[len(next.AppliedChanges)-maxAppliedChanges:]
-	}
+	next.AppliedChanges = s.AppliedChanges.Append(AppliedChange{edition, digest})
 	return next
 }
 
-// Swap is the state after a member has made room for another; an empty one to be replaced only adds.
+// ReplaceMember is the state after a member has made room for another; an empty one to be replaced only adds.
 func (s *State) ReplaceMember(old string, by Member) *State {
 	next := s.successor()
 	next.Core = slices.DeleteFunc(slices.Clone(s.Core), func(m Member) bool { return m.ID == old || m.ID == by.ID })
@@ -75,28 +64,28 @@
 	return next
 }
 
-// Crown is the state after a process has taken the duties over.
+// Appoint is the state after a process has taken the duties over.
 func (s *State) Appoint(q Coordinator) *State {
 	next := s.successor()
 	next.Coordinator, next.Epoch = q, s.Epoch+1
 	return next
 }
 
-// Save is the state after the accounts have changed.
+// WithCredit is the state after the accounts have changed.
 func (s *State) WithCredit(credit json.RawMessage) *State {
 	next := s.successor()
 	next.Credit = credit
 	return next
 }
 
-// Import is the state after a partner's word has changed.
+// WithImports is the state after a partner's word has changed.
 func (s *State) WithImports(imports json.RawMessage) *State {
 	next := s.successor()
 	next.Imports = imports
 	return next
 }
 
-// Count is the state after a census of the balancers.
+// WithMembers is the state after a census of the balancers.
 func (s *State) WithMembers(members int) *State {
 	next := s.successor()
 	next.Members = members
