--- a/internal/mesh/controller/proposer.go
+++ b/internal/mesh/controller/proposer.go
@@ -10,8 +10,9 @@
 	"ottershift/internal/mesh/consensus"
 )
 
-// tell has others learn it; who doesn't hear finds out by its own looks.
-func (k *replicator) announce(s *consensus.State, also []string) (wait func()) {
+// announce has others learn a decision; who doesn't hear of it finds out by its own reads. The channel is closed once all
+// have answered or had their time.
+func (k *replicator) announce(s *consensus.State, also []string) (done <-chan struct{}) {
 	ctx, end := context.WithTimeout(context.Background(), stepTimeout)
 	var all sync.WaitGroup
 	seen := map[string]bool{k.self: true}
@@ -19,63 +20,118 @@
 		also = append(also, m.At)
 	}
 	for _, at := range also {
-		if !seen[at] {
-			seen[at] = true
-			all.Add(1)
-			go func() {
-				defer all.Done()
-				k.send(ctx, at, consensus.Request{Kind: consensus.Learn, Value: s})
-			}()
+		if seen[at] {
+			continue
 		}
+		seen[at] = true
+		all.Go(func() { k.send(ctx, at, consensus.Request{Kind: consensus.Learn, Value: s}) })
 	}
-	go func() { all.Wait(); end() }()
-	return all.Wait
+	announced := make(chan struct{})
+	go func() {
+		all.Wait()
+		end()
+		close(announced)
+	}()
+	return announced
 }
 
+// transform makes the state that is wanted of the newest one; nil where nothing more is wanted of it.
+type transform func(newest *consensus.State) (*consensus.State, error)
+
 // change has the core agree on what a function makes of the newest state. The function may be called several times, each
 // time with what is the newest beyond doubt; an error of it ends the change. A nil state asks for nothing but that it is
-// the newest.
-func (k *replicator) change(ctx context.Context, also func() []string, what func(*consensus.State) (*consensus.State, error)) (*consensus.State, error) {
-	k.changing.Lock()
-	defer k.changing.Unlock()
-	for attempt := 0; ctx.Err() == nil; attempt++ {
-		if attempt > 0 { // Invariant: two that go on at the same pace overtake one another for ever
-			pause := time.Duration(1+attempt*7%20)*time.Millisecond + time.Duration(len(k.proposer)%7+int(k.proposer[len(k.proposer)-1])%13)*time.Millisecond
-			select {
-			case <-time.After(pause):
-			case <-ctx.Done():
-			}
+// the newest. Changes from here run one after the other; one whose context ends leaves the queue with an unclear end.
+func (k *replicator) change(ctx context.Context, also func() []string, what transform) (*consensus.State, error) {
+	return k.changeWithPriority(ctx, ordinaryPriority, also, what)
+}
+
+// changeMembership is change for a repair of the core: it runs before every other change from here, and interrupts one that
+// is running.
+func (k *replicator) changeMembership(ctx context.Context, also func() []string, what transform) (*consensus.State, error) {
+	return k.changeWithPriority(ctx, membershipPriority, also, what)
+}
+
+func (k *replicator) changeWithPriority(ctx context.Context, priority changePriority, also func() []string, what transform) (*consensus.State, error) {
+	for ctx.Err() == nil {
+		turn, leave, err := k.changes.enter(ctx, priority)
+		if err != nil {
+			k.counts.Add("changes_left_queue")
+			break
 		}
-		s, _ := k.state()
-		k.mu.Lock()
-		k.round = max(k.round, k.replica.Promised.Round) + 1
-		p, ask := consensus.Propose(s, consensus.Ballot{Round: k.round, By: k.proposer}, what)
-		k.mu.Unlock()
-		step := k.attempt(ctx, s, p, ask)
+		s, ended, err := k.changeInTurn(turn, also, what)
+		leave()
+		if ended {
+			return s, err
+		}
+		if ctx.Err() == nil {
+			k.counts.Add("changes_interrupted")
+		}
+	}
+	return nil, apierror.New(apierror.Unclear, "no majority of the core has agreed in time")
+}
+
+// changeInTurn makes attempts until the change has ended, or the turn has.
+func (k *replicator) changeInTurn(turn context.Context, also func() []string, what transform) (s *consensus.State, ended bool, err error) {
+	for attempt := 0; turn.Err() == nil; attempt++ {
+		if attempt > 0 {
+			k.pauseBeforeAttempt(turn, attempt)
+		}
+		base, p, ask := k.propose(what)
+		step := k.attempt(turn, base, p, ask)
 		k.mu.Lock()
 		k.round = max(k.round, p.Round)
 		k.mu.Unlock()
 		switch step {
 		case consensus.StepUnchanged:
-			return p.State, p.Err
+			return p.State, true, p.Err
 		case consensus.StepAhead:
-			k.learn(p.State)
+			go k.learn(p.State) // Invariant: memory has it at once; a disk that hangs holds no change up
+			k.waitForIndex(turn, p.State.Index)
 		case consensus.StepBehind: // members that have not heard of the last decision
-			k.announce(s, nil)()
+			await(turn, k.announce(base, nil))
 		case consensus.StepDecided:
 			k.counts.Add("decided")
 			go k.learn(p.State)
-			told := k.announce(p.State, also())
-			if !sameCore(s, p.State) {
-				told() // Invariant: a new core must hold what it begins with before the old one's disks may go
+			announced := k.announce(p.State, also())
+			if !sameCore(base, p.State) { // a new core should hold what it begins with before the old one's disks may go
+				await(turn, announced)
 			}
 			if p.Own {
-				return p.State, nil
+				return p.State, true, nil
 			}
-			k.waitForIndex(ctx, p.State.Index)
+			k.waitForIndex(turn, p.State.Index)
 		}
 	}
-	return nil, apierror.New(apierror.Unclear, "no majority of the core has agreed in time")
+	return nil, false, nil
+}
+
+// propose begins an attempt on top of what is decided as far as this copy knows.
+func (k *replicator) propose(what transform) (base *consensus.State, p *consensus.Proposal, ask consensus.Request) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	base = k.replica.Decided
+	k.round = max(k.round, k.replica.Promised.Round) + 1
+	p, ask = consensus.Propose(base, consensus.Ballot{Round: k.round, By: k.proposer}, what)
+	return base, p, ask
+}
+
+// pauseBeforeAttempt waits for a time that differs between processes and attempts. Invariant: two that go on at the same
+// pace overtake one another for ever.
+func (k *replicator) pauseBeforeAttempt(ctx context.Context, attempt int) {
+	byAttempt := 1 + attempt*7%20
+	byProcess := len(k.proposer)%7 + int(k.proposer[len(k.proposer)-1])%13
+	select {
+	case <-time.After(time.Duration(byAttempt+byProcess) * time.Millisecond):
+	case <-ctx.Done():
+	}
+}
+
+// await waits for a channel to be closed or for the context's end.
+func await(ctx context.Context, done <-chan struct{}) {
+	select {
+	case <-done:
+	case <-ctx.Done():
+	}
 }
 
 // attempt carries one proposal to its last step, or to Wait where answers stay away.
@@ -98,7 +154,7 @@
 	return step
 }
 
-// waitFor waits until this copy knows a decision that is on its way to it.
+// waitForIndex waits until this copy knows a decision that is on its way to it.
 func (k *replicator) waitForIndex(ctx context.Context, index uint64) {
 	for {
 		s, more := k.state()
--- a/internal/mesh/controller/replicator.go
+++ b/internal/mesh/controller/replicator.go
@@ -41,7 +41,7 @@
 	calmed    atomic.Int64 // the same where nothing stood accepted beyond it either: nothing had been decided that is not known here
 	confirmed atomic.Int64 // when a majority was asked that said that this copy is current, in steady nanoseconds
 	epoch     time.Time
-	changing  sync.Mutex // one attempt at a time from here
+	changes   changeQueue // one change at a time from here
 }
 
 func newReplicator(c *consensus.Replica, d Disk, caller *rpc.Caller, counts *telemetry.Counters, self, by string) *replicator {
