--- a/internal/mesh/controller/control_api.go
+++ b/internal/mesh/controller/control_api.go
@@ -1,11 +1,11 @@
 package controller
 
 import (
+	"bytes"
 	"context"
 	"errors"
 	"io"
 	"net/http"
-	"slices"
 	"strconv"
 	"strings"
 	"time"
@@ -18,10 +18,11 @@
 const (
 	maxConfigurationBytes = 64 << 20
 	answerTimeout         = 900 * time.Millisecond // callers move on after a second of silence
+	answerTimeoutPerKiB   = 750 * time.Microsecond // and wait longer for the answer to a large body
 	bodyTimeout           = 15 * time.Second
 )
 
-// office answers the operator: one dispatch on method, path and call.
+// serveControl answers the operator: one dispatch on method, path and call.
 func (c *Controller) serveControl(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodPost || r.URL.Path != "/-/rpc" {
 		apierror.Write(w, apierror.NoCall, 0, "")
@@ -37,15 +38,8 @@
 		if s, err = c.fetchConfiguration(r.Context()); err == nil {
 			body = s.Configuration
 		}
-	case "timetable.replace":
-		err = c.changeConfiguration(w, r, call, func(_ *routing.Configuration, raw []byte) (*routing.Configuration, error) { return routing.Parse(raw) })
-	case "timetable.amend":
-		err = c.changeConfiguration(w, r, call, func(now *routing.Configuration, raw []byte) (*routing.Configuration, error) {
-			if now == nil {
-				return nil, apierror.New(apierror.Stale, "there is nothing yet to amend")
-			}
-			return now.Amend(raw)
-		})
+	case callReplace, callAmend:
+		err = c.changeConfiguration(w, r, call)
 	default:
 		err = apierror.New(apierror.NoCall, "no call is named %q", call)
 	}
@@ -85,71 +79,66 @@
 	return apierror.New(apierror.Unclear, "%v", err)
 }
 
-// put takes a change of the configuration: compare and set at the agreed state.
-func (c *Controller) changeConfiguration(w http.ResponseWriter, r *http.Request, call string, make func(now *routing.Configuration, raw []byte) (*routing.Configuration, error)) error {
-	http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyTimeout))
-	raw, err := io.ReadAll(io.LimitReader(r.Body, maxConfigurationBytes+1))
-	if err != nil {
-		return apierror.New(apierror.Unreadable, "the body is cut: %v", err)
-	}
-	if len(raw) > maxConfigurationBytes {
-		return apierror.New(apierror.TooLong, "more than %d bytes", maxConfigurationBytes)
-	}
-	match, err := strconv.ParseInt(strings.Trim(strings.TrimSpace(r.Header.Get("If-Match")), `"`), 10, 64)
+// changeConfiguration takes an order to change the configuration: compare and set at the agreed state.
+func (c *Controller) changeConfiguration(w http.ResponseWriter, r *http.Request, call string) error {
+	order, err := readOrder(w, r, call)
 	if err != nil {
-		return apierror.New(apierror.Invalid, "If-Match: %q is no version", r.Header.Get("If-Match"))
+		return err
 	}
 	began := time.Now()
-	within := answerTimeout + time.Duration(len(raw)>>10)*3*time.Millisecond/4
-	ctx, end := context.WithTimeout(r.Context(), within)
+	ctx, end := context.WithTimeout(r.Context(), orderTimeout(len(order.body)))
 	defer end()
-	digest := routing.Digest(call, raw)
-	var edition int64
-	next, err := c.replicator.change(ctx, c.otherControllers, func(s *consensus.State) (*consensus.State, error) {
-		now, err := c.parsedConfiguration(s)
-		if err != nil {
-			return nil, err
-		}
-		t, err := make(now, raw)
-		if t != nil {
-			if edition = t.Edition; s.HasApplied(edition, digest) {
-				return nil, nil // this very change has been taken
-			}
-		}
-		if s.Edition != match {
-			// An amendment may read differently on top of another version, and yet have been taken.
-			if slices.ContainsFunc(s.AppliedChanges, func(t consensus.AppliedChange) bool { return t.Digest == digest }) {
-				return nil, nil
-			}
-			return nil, apierror.New(apierror.Stale, "version %d is current, not %d", s.Edition, match)
-		}
-		if err != nil {
-			var known *apierror.Error
-			if errors.As(err, &known) {
-				return nil, known
-			}
-			return nil, apierror.New(apierror.Invalid, "%v", err)
-		}
-		if t.Edition <= s.Edition {
-			return nil, apierror.New(apierror.Invalid, "Edition: %d is not above %d", t.Edition, s.Edition)
-		}
-		return s.WithConfiguration(t.Edition, t.Document(), digest), nil
-	})
+	submit := c.submitOrder
+	if submit == nil {
+		submit = c.agreeOnOrder
+	}
+	next, err := submit(ctx, order)
 	if err != nil {
 		return unclear(err)
 	}
-	c.log.Info("timetable", "call", call, "match", match, "edition", edition, "index", next.Index, "bytes", len(raw), "took", time.Since(began))
+	c.log.Info("timetable", "call", call, "base", order.base, "edition", order.edition, "index", next.Index, "bytes", len(order.body), "took", time.Since(began))
 	return nil
 }
 
-// table is the configuration of a state, read once; nil where there is none.
+// readOrder reads an order whole. What it refuses was never read whole by anybody, or names no version.
+func readOrder(w http.ResponseWriter, r *http.Request, call string) (*configurationOrder, error) {
+	http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyTimeout))
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxConfigurationBytes+1))
+	if err != nil {
+		return nil, apierror.New(apierror.Unreadable, "the body is cut: %v", err)
+	}
+	if len(body) > maxConfigurationBytes {
+		return nil, apierror.New(apierror.TooLong, "more than %d bytes", maxConfigurationBytes)
+	}
+	match := r.Header.Get("If-Match")
+	base, err := strconv.ParseInt(strings.Trim(strings.TrimSpace(match), `"`), 10, 64)
+	if err != nil {
+		return nil, apierror.New(apierror.Invalid, "If-Match: %q is no version", match)
+	}
+	return newConfigurationOrder(call, base, body), nil
+}
+
+// orderTimeout is within what time an order is answered, once its body has been read.
+func orderTimeout(bodyBytes int) time.Duration {
+	return answerTimeout + time.Duration(bodyBytes>>10)*answerTimeoutPerKiB
+}
+
+// agreeOnOrder has the core agree on the state after an order.
+func (c *Controller) agreeOnOrder(ctx context.Context, order *configurationOrder) (*consensus.State, error) {
+	return c.replicator.change(ctx, c.otherControllers, func(newest *consensus.State) (*consensus.State, error) {
+		return order.decide(newest, func() (*routing.Configuration, error) { return c.parsedConfiguration(newest) })
+	})
+}
+
+// parsedConfiguration is the configuration of a state, read once; nil where there is none. Invariant: an edition does not
+// identify it. After a restore another configuration may bear a number that this process has seen.
 func (c *Controller) parsedConfiguration(s *consensus.State) (*routing.Configuration, error) {
 	if s.Edition == 0 {
 		return nil, nil
 	}
 	c.parsed.Lock()
 	defer c.parsed.Unlock()
-	if c.parsed.table == nil || c.parsed.table.Edition != s.Edition {
+	if c.parsed.table == nil || !bytes.Equal(c.parsed.table.Document(), s.Configuration) {
 		t, err := routing.Parse(s.Configuration)
 		if err != nil {
 			return nil, apierror.New(apierror.Unclear, "what is agreed can't be read: %v", err)
--- a/internal/mesh/controller/controller.go
+++ b/internal/mesh/controller/controller.go
@@ -61,6 +61,8 @@
 	gateway federationGateway
 
 	acting atomic.Bool // on what the core's first process has to do
+
+	submitOrder func(context.Context, *configurationOrder) (*consensus.State, error) // nil for agreeOnOrder; tests put variants here
 }
 
 // Option changes how a controller is opened.
