--- /dev/null
+++ b/internal/mesh/catch_up_test.go
@@ -0,0 +1,293 @@
+package mesh_test
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"os"
+	"strconv"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/shoenig/test/must"
+	"github.com/shoenig/test/wait"
+
+	"ottershift/internal/mesh/consensus"
+	"ottershift/internal/mesh/controller"
+	"ottershift/internal/mesh/membership"
+	"ottershift/internal/mesh/rpc"
+	"ottershift/internal/mesh/testmesh"
+)
+
+// catchUpBound is how long a member that comes back may take to hold the newest state: four turns of its own loop.
+const catchUpBound = 4 * time.Second
+
+// catchUpCore is a core of three with faults in its links and disks.
+type catchUpCore struct {
+	t       *testing.T
+	plan    *testmesh.Mesh
+	links   testmesh.Links
+	meter   testmesh.Meter
+	caller  *rpc.Caller
+	disks   []*testmesh.Disk
+	stops   []func()
+	edition atomic.Int64 // the newest that was acknowledged
+	routes  int
+}
+
+func startCatchUpCore(t *testing.T, routes int) *catchUpCore {
+	plan, err := testmesh.Plan(3, 0, []string{"east", "west", "north"}, nil, t.TempDir())
+	must.NoError(t, err)
+	c := &catchUpCore{t: t, plan: plan, caller: rpc.NewCaller(nil), disks: make([]*testmesh.Disk, 3), stops: make([]func(), 3), routes: routes}
+	t.Cleanup(func() {
+		c.caller.Close()
+		for n := range c.stops {
+			c.stop(n)
+		}
+	})
+	for n := range plan.Controllers {
+		c.start(n, 0)
+		plan.Controllers[n].FirstStart = false // of all later starts
+	}
+	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool {
+		status, _ := c.call(0, "timetable.replace", 0, catchUpConfiguration(routes, 1))
+		return status == http.StatusOK
+	}), wait.Timeout(15*time.Second), wait.Gap(20*time.Millisecond)))
+	c.edition.Store(1)
+	return c
+}
+
+// start starts a member, whose saves take so much longer.
+func (c *catchUpCore) start(n int, slower time.Duration) {
+	b := c.plan.Controllers[n]
+	must.NoError(c.t, os.MkdirAll(b.DataDir, 0o755))
+	faulty := c.links.Transport(b.Ip)
+	opened, err := controller.Open(b, quiet,
+		controller.WithTransport(func(next http.RoundTripper) http.RoundTripper { return c.meter.Transport(faulty(next)) }),
+		controller.WithDisk(func(next controller.Disk) controller.Disk {
+			c.disks[n] = testmesh.NewDisk(next)
+			c.disks[n].Slow(slower)
+			return c.disks[n]
+		}))
+	must.NoError(c.t, err)
+	ctx, end := context.WithCancel(context.Background())
+	over := make(chan struct{})
+	go func() { defer close(over); opened.Run(ctx) }()
+	c.stops[n] = func() { end(); <-over; c.stops[n] = nil }
+}
+
+func (c *catchUpCore) stop(n int) {
+	if c.stops[n] != nil {
+		c.stops[n]()
+	}
+}
+
+func (c *catchUpCore) call(at int, call string, match int64, body string) (int, string) {
+	url := "http://" + c.plan.Controllers[at].Control + "/-/rpc?call=" + call
+	r, err := http.NewRequest(http.MethodPost, url, strings.NewReader(body))
+	must.NoError(c.t, err)
+	r.Header.Set("If-Match", strconv.FormatInt(match, 10))
+	w, err := (&http.Client{Timeout: 3 * time.Second}).Do(r)
+	if err != nil {
+		return 0, err.Error()
+	}
+	defer w.Body.Close()
+	text, _ := io.ReadAll(w.Body)
+	return w.StatusCode, string(text)
+}
+
+// change makes so many changes, one after another, at a member.
+func (c *catchUpCore) change(at, changes int) {
+	for range changes {
+		before := c.edition.Load()
+		body := fmt.Sprintf(`{"Edition":%d,"Deliver":{"PostOffices":[{"Town":"a.example","Regulations":[%s]}]}}`, before+1, catchUpRoute(0, before+1))
+		must.Wait(c.t, wait.InitialSuccess(wait.BoolFunc(func() bool {
+			status, text := c.call(at, "timetable.amend", before, body)
+			if status >= 400 && status < 500 {
+				c.t.Fatalf("amend: %d %s", status, text)
+			}
+			return status == http.StatusOK
+		}), wait.Timeout(15*time.Second), wait.Gap(5*time.Millisecond)))
+		c.edition.Store(before + 1)
+	}
+}
+
+func (c *catchUpCore) status(at int) (*controller.Status, error) {
+	ctx, end := context.WithTimeout(context.Background(), time.Second)
+	defer end()
+	s := &controller.Status{}
+	err := c.caller.Call(ctx, c.plan.Controllers[at].Inner(), rpc.PathStatus, &controller.StatusRequest{}, s)
+	return s, err
+}
+
+func catchUpRoute(n int, edition int64) string {
+	return fmt.Sprintf(`{"Name":"route-%d","MailClass":"repeatable","Target":"300ms","Precedence":2,"Sorting":{"StreetPrefix":"/route-%d/"},`+
+		`"Dispatch":{"Destination":"album","Deadline":"%dms","DeliveryTries":3}}`, n, n, 1000+edition%1000)
+}
+
+func catchUpConfiguration(routes int, edition int64) string {
+	all := make([]string, routes)
+	for n := range all {
+		all[n] = catchUpRoute(n, edition)
+	}
+	return fmt.Sprintf(`{"Edition":%d,"SizeLimits":{"EnvelopeBytes":16384,"ContentsBytes":67108864,"Envelope":"3000ms","Idle":"15000ms"},`+
+		`"PostOffices":[{"Town":"a.example","Regulations":[%s]}],"Depots":[{"Name":"album","HealthPath":"/health","LineCap":130,"Protocol":"h1"}]}`,
+		edition, strings.Join(all, ","))
+}
+
+// observation is what a member said while it caught up.
+type observation struct {
+	took       time.Duration // until it held the newest state and had a vote
+	refused    int           // answers without a state: 503, or not current
+	fromDisk   int           // times at which an answer out of what it held would have been old
+	oldAnswers []string      // answers with an old state
+}
+
+// observe asks a member again and again, until it holds the newest state. For the first span of that time it is cut off.
+func (c *catchUpCore) observe(n int, cutFor time.Duration) (o observation) {
+	began := time.Now()
+	self := c.plan.Controllers[n].Ip
+	cut := cutFor > 0
+	for time.Since(began) < 20*time.Second {
+		if cut && time.Since(began) > cutFor {
+			c.links.Heal()
+			cut = false
+		}
+		acknowledged := c.edition.Load()
+		s, err := c.status(n)
+		switch {
+		case err != nil:
+		case s.State.Edition < acknowledged && s.Current:
+			o.oldAnswers = append(o.oldAnswers, fmt.Sprintf("current with %d after %d", s.State.Edition, acknowledged))
+		case s.State.Edition < acknowledged:
+			o.fromDisk++
+		case s.Current && slicesHas(s.State.Core, self):
+			o.took = time.Since(began) - cutFor
+			return o
+		}
+		code, text := c.call(n, "timetable.fetch", 0, "")
+		read := struct{ Edition int64 }{}
+		switch {
+		case code != http.StatusOK:
+			o.refused++
+		case json.Unmarshal([]byte(text), &read) != nil || read.Edition < acknowledged:
+			o.oldAnswers = append(o.oldAnswers, fmt.Sprintf("200 with %d after %d", read.Edition, acknowledged))
+		}
+	}
+	c.t.Fatal("it has not caught up")
+	return o
+}
+
+// slicesHas reports whether a process at an IP address has a vote.
+func slicesHas(core []consensus.Member, ip string) bool {
+	for _, m := range core {
+		if strings.HasPrefix(m.At, ip+":") {
+			return true
+		}
+	}
+	return false
+}
+
+// cutOff silences all links of a member.
+func (c *catchUpCore) cutOff(n int) {
+	for other, b := range c.plan.Controllers {
+		if other != n {
+			c.links.SetBoth(c.plan.Controllers[n].Ip, b.Ip, testmesh.LinkSilent)
+		}
+	}
+}
+
+// A member that was away for half of many changes comes back with its disk, with none, with an old copy of it, or with a slow
+// one: it holds the newest state within a bound, and never says an old one before. More changes by OTTERSHIFT_CHANGES.
+func TestAMemberThatComesBackCatchesUp(t *testing.T) {
+	changes := 20
+	if n, err := strconv.Atoi(os.Getenv("OTTERSHIFT_CHANGES")); err == nil {
+		changes = n
+	}
+	const member = 2
+	for _, routes := range []int{10, 4000} {
+		c := startCatchUpCore(t, routes)
+		dir := c.plan.Controllers[member].DataDir
+		old := t.TempDir()
+		for _, come := range []struct {
+			name    string
+			prepare func()
+			slower  time.Duration
+			cutFor  time.Duration
+		}{
+			{"its disk", func() {}, 0, 0},
+			{"its disk, cut off at first", func() { c.cutOff(member) }, 0, 700 * time.Millisecond},
+			{"an empty disk", func() { must.NoError(t, os.RemoveAll(dir)) }, 0, 0},
+			{"an old copy of its disk", func() {
+				must.NoError(t, os.RemoveAll(dir))
+				must.NoError(t, os.CopyFS(dir, os.DirFS(old)))
+			}, 0, 0},
+			{"a disk 30 times slower", func() {}, 150 * time.Millisecond, 0},
+		} {
+			began := time.Now()
+			c.change(0, changes/2)
+			c.stop(member)
+			c.change(0, changes-changes/2)
+			perChange := time.Since(began) / time.Duration(changes)
+			come.prepare()
+			c.start(member, come.slower)
+			o := c.observe(member, come.cutFor)
+			t.Logf("%d routes, %d changes (%v each), back with %s: %v to catch up; %d answers refused, %d would have been old from disk",
+				routes, changes, perChange.Round(time.Microsecond), come.name, o.took.Round(time.Millisecond), o.refused, o.fromDisk)
+			must.SliceEmpty(t, o.oldAnswers)
+			must.Less(t, catchUpBound, o.took)
+			if come.cutFor > 0 {
+				must.Positive(t, o.fromDisk) // convicted: a replica that answers from its disk without asking a majority
+				must.Positive(t, o.refused)
+			}
+			if come.name == "an empty disk" {
+				c.stop(member)
+				must.NoError(t, os.CopyFS(old, os.DirFS(dir)))
+				c.start(member, 0)
+			}
+		}
+		for n := range c.stops {
+			c.stop(n)
+		}
+	}
+}
+
+// What a change of the member count costs on the wire, beside a configuration of many routes.
+func TestAChangeOfTheMemberCountIsCheap(t *testing.T) {
+	const rounds = 8
+	for _, routes := range []int{10, 4000} {
+		c := startCatchUpCore(t, routes)
+		members := 0
+		join := func() {
+			members++
+			node := membership.Node{Name: fmt.Sprintf("proxy-%d", members), Inbound: fmt.Sprintf("127.0.0.1:%d", 20000+members), Life: "life", Seq: 1}
+			ctx, end := context.WithTimeout(context.Background(), time.Second)
+			defer end()
+			must.NoError(t, c.caller.Call(ctx, c.plan.Controllers[0].Inner(), rpc.PathWatch, &membership.WatchRequest{Node: node}, &membership.WatchResponse{}))
+			must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool {
+				s, err := c.status(0)
+				return err == nil && s.State.Members == members
+			}), wait.Timeout(10*time.Second), wait.Gap(2*time.Millisecond)))
+		}
+		join() // the first one asks who holds what
+		time.Sleep(300 * time.Millisecond)
+		before, began := c.meter.Sent(), time.Now()
+		for range rounds {
+			join()
+		}
+		time.Sleep(100 * time.Millisecond) // the last decision is still on its way
+		each := (c.meter.Sent() - before) / rounds
+		s, err := c.status(0)
+		must.NoError(t, err)
+		t.Logf("%d routes, %d KB of configuration: %d bytes sent in the core for a change of the member count, gossip with it; %v each; %d compact requests not understood",
+			routes, len(s.State.Configuration)/1000, each, (time.Since(began) / rounds).Round(time.Millisecond), s.Counts["compact_lacking"])
+		must.Less(t, 100_000, each)
+		for n := range c.stops {
+			c.stop(n)
+		}
+	}
+}
--- a/internal/mesh/consensus/replica.go
+++ b/internal/mesh/consensus/replica.go
@@ -9,13 +9,13 @@
 // Below reports whether b comes before c.
 func (b Ballot) Below(c Ballot) bool { return b.Round < c.Round || b.Round == c.Round && b.By < c.By }
 
-// Voted is a value that was accepted under a ballot.
+// AcceptedValue is a value that was accepted under a ballot.
 type AcceptedValue struct {
 	Ballot Ballot
 	Value  *State
 }
 
-// Copy is what a core process keeps on disk.
+// Replica is what a controller keeps on disk.
 type Replica struct {
 	ID       string // of this disk
 	Decided  *State
@@ -23,23 +23,29 @@
 	Accepted *AcceptedValue // for the same
 }
 
-// What is asked of a copy.
+// What is asked of a replica.
 const (
 	ReadState = "look"    // where it stands; nothing is kept of it
 	Prepare   = "prepare" // promise a slot
 	Accept    = "accept"  // accept a value
 	Learn     = "learn"   // a value is decided
+
+	// The same with a value whose configuration is left out, for a replica that holds it. Processes of the version before do
+	// nothing at a kind that they don't know.
+	AcceptCompact = "accept-compact"
+	LearnCompact  = "learn-compact"
 )
 
-// Ask is a message to a copy.
+// Request is a message to a replica.
 type Request struct {
-	Kind   string
-	Slot   uint64 `json:",omitempty"`
-	Ballot Ballot
-	Value  *State `json:",omitempty"`
+	Kind                string
+	Slot                uint64 `json:",omitempty"`
+	Ballot              Ballot
+	Value               *State `json:",omitempty"`
+	ConfigurationDigest string `json:",omitempty"` // of the configuration that a compact request leaves out
 }
 
-// Answer is what a copy says.
+// Response is what a replica says.
 type Response struct {
 	Kind     string `json:"To"` // the kind of ask
 	Slot     uint64 // that it asked for
@@ -50,9 +56,11 @@
 	Pending  bool           // something is accepted for the next slot
 	Accepted *AcceptedValue `json:",omitempty"`
 	Decided  *State         `json:",omitempty"` // to who is behind
+	Compact  bool           `json:",omitempty"` // it understands compact requests
+	Lacking  bool           `json:",omitempty"` // it does not hold what a compact request left out, and has done nothing
 }
 
-// Handle answers an ask; keep says that the copy has changed and must be synced before the answer leaves.
+// Handle answers a request; keep says that the replica has changed and must be synced before the answer leaves.
 func (c *Replica) Handle(a Request) (out Response, keep bool) {
 	out = Response{Kind: a.Kind, Slot: a.Slot, ID: c.ID, Index: c.Decided.Index}
 	switch a.Kind {
--- a/internal/mesh/controller/replicator.go
+++ b/internal/mesh/controller/replicator.go
@@ -23,8 +23,10 @@
 	Save(*consensus.Replica) error
 }
 
-// keeper owns this process's copy and carries out attempts at changes. Invariant: a disk may hang for seconds, so looks
-// and everything else that needs no sync go past it: written guards the order on disk, mu only the memory.
+// replicator owns this process's replica and carries out attempts at changes. Invariant: a disk may hang for seconds, so reads
+// and everything else that needs no sync go past it: written guards the order on disk, mu only the memory. Each save writes
+// the replica as it is in memory at that moment, in one batch: a vote for a slot reaches the disk only together with the
+// decision before it.
 type replicator struct {
 	disk     Disk
 	caller   *rpc.Caller
@@ -37,15 +39,19 @@
 	replica consensus.Replica
 	round   uint64
 	news    chan struct{} // closed when something is decided
+	saved   uint64        // slot of the newest decision on disk
+	digests consensus.DigestCache
+	held    map[string]string // by address, the digest of a configuration that the process there holds
 
-	calmed    atomic.Int64 // the same where nothing stood accepted beyond it either: nothing had been decided that is not known here
 	confirmed atomic.Int64 // when a majority was asked that said that this copy is current, in steady nanoseconds
+	calmed    atomic.Int64 // the same where nothing stood accepted beyond it either: nothing had been decided that is not known here
 	epoch     time.Time
 	changing  sync.Mutex // one attempt at a time from here
 }
 
 func newReplicator(c *consensus.Replica, d Disk, caller *rpc.Caller, counts *telemetry.Counters, self, by string) *replicator {
-	k := &replicator{disk: d, caller: caller, counts: counts, self: self, proposer: by, replica: *c, news: make(chan struct{}), epoch: time.Now()}
+	k := &replicator{disk: d, caller: caller, counts: counts, self: self, proposer: by, replica: *c, news: make(chan struct{}),
+		saved: c.Decided.Index, held: map[string]string{}, epoch: time.Now()}
 	k.confirmed.Store(-int64(time.Hour))
 	k.calmed.Store(-int64(time.Hour))
 	return k
@@ -60,43 +66,85 @@
 
 func (k *replicator) identity() string { return k.replica.ID }
 
-// handle answers another process's ask, after the sync that it needs.
+// handle answers another process's request, after the sync that it needs. A Learn that is answered with OK is on disk.
 func (k *replicator) handle(_ context.Context, a *consensus.Request) (*consensus.Response, error) {
-	if a.Kind == consensus.ReadState {
+	request, lacking := k.expand(*a)
+	if lacking != nil {
+		return lacking, nil
+	}
+	if request.Kind == consensus.ReadState {
 		k.mu.Lock()
 		defer k.mu.Unlock()
-		out, _ := k.replica.Handle(*a)
+		out, _ := k.replica.Handle(request)
+		out.Compact = true
 		return &out, nil
 	}
-	if a.Kind == consensus.Learn { // Invariant: behind a disk that hangs, news would wait for nothing
-		k.mu.Lock()
-		out, keep := k.replica.Handle(*a)
-		if keep {
-			close(k.news)
-			k.news = make(chan struct{})
-		}
-		k.mu.Unlock()
-		if !keep {
-			return &out, nil
+	if request.Kind == consensus.Learn && request.Value != nil { // Invariant: behind a disk that hangs, news would wait for nothing
+		if out := k.learnInMemory(request); out != nil {
+			return out, nil
 		}
 	}
 	k.written.Lock()
 	defer k.written.Unlock()
 	k.mu.Lock()
-	out, keep := k.replica.Handle(*a)
+	out, keep := k.replica.Handle(request)
+	out.Compact = true
 	now := k.replica
+	unsaved := request.Kind == consensus.Learn && k.saved < now.Decided.Index
 	k.mu.Unlock()
-	if keep || a.Kind == consensus.Learn {
-		if err := k.disk.Save(&now); err != nil {
-			k.counts.Add("disk_refused")
-			return nil, err
-		}
-		k.counts.Add("syncs")
+	if !keep && !unsaved {
+		return &out, nil
+	}
+	if err := k.save(&now); err != nil {
+		return nil, err
 	}
 	return &out, nil
 }
 
-// ask puts the same question to all members of a core; the answers come as they do, nil for none.
+// save writes a replica to the disk. Under written.
+func (k *replicator) save(replica *consensus.Replica) error {
+	if err := k.disk.Save(replica); err != nil {
+		k.counts.Add("disk_refused")
+		return err
+	}
+	k.counts.Add("syncs")
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	k.saved = replica.Decided.Index
+	return nil
+}
+
+// learnInMemory takes a decision before the disk has it; the response is nil while the disk has still to take it.
+func (k *replicator) learnInMemory(request consensus.Request) *consensus.Response {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	out, news := k.replica.Handle(request)
+	if news {
+		close(k.news)
+		k.news = make(chan struct{})
+	}
+	if k.saved < request.Value.Index {
+		return nil
+	}
+	out.Compact = true
+	return &out
+}
+
+// expand puts into a compact request what it left out; the response is nil unless this replica lacks that.
+func (k *replicator) expand(a consensus.Request) (whole consensus.Request, lacking *consensus.Response) {
+	if !a.IsCompact() {
+		return a, nil
+	}
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	whole, ok := k.replica.Expand(a, k.digests.Of)
+	if !ok {
+		return a, &consensus.Response{Kind: a.Kind, Slot: a.Slot, ID: k.replica.ID, Index: k.replica.Decided.Index, Compact: true, Lacking: true}
+	}
+	return whole, nil
+}
+
+// broadcast puts the same question to all members of a core; the answers come as they do, nil for none.
 func (k *replicator) broadcast(ctx context.Context, of *consensus.State, a consensus.Request, within time.Duration) <-chan *consensus.Response {
 	ctx, end := context.WithTimeout(ctx, within)
 	answers := make(chan *consensus.Response, len(of.Core))
@@ -112,6 +160,8 @@
 	return answers
 }
 
+// send puts a request to the process at an address; nil for no answer. Where that process holds the configuration of the
+// request's value, the request goes without it.
 func (k *replicator) send(ctx context.Context, at string, a consensus.Request) *consensus.Response {
 	if at == k.self {
 		answer, err := k.handle(ctx, &a)
@@ -120,6 +170,23 @@
 		}
 		return answer
 	}
+	digest, held := k.heldAt(at, a)
+	if held {
+		answer := k.call(ctx, at, a.Compact(digest))
+		if answer == nil || answer.Compact && !answer.Lacking {
+			return answer
+		}
+		k.counts.Add("compact_lacking")
+		k.noteHeld(at, "")
+	}
+	answer := k.call(ctx, at, a)
+	if answer != nil && answer.Compact && answer.OK && digest != "" {
+		k.noteHeld(at, digest)
+	}
+	return answer
+}
+
+func (k *replicator) call(ctx context.Context, at string, a consensus.Request) *consensus.Response {
 	answer := &consensus.Response{}
 	if err := k.caller.Call(ctx, at, rpc.PathConsensus, a, answer); err != nil {
 		return nil
@@ -127,6 +194,23 @@
 	return answer
 }
 
+// heldAt is the digest of a large configuration in a request, empty for none, and whether the process at an address holds it.
+func (k *replicator) heldAt(at string, a consensus.Request) (digest string, held bool) {
+	if a.Value == nil || len(a.Value.Configuration) < consensus.CompactFrom {
+		return "", false
+	}
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	digest = k.digests.Of(a.Value.Configuration)
+	return digest, k.held[at] == digest
+}
+
+func (k *replicator) noteHeld(at, digest string) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	k.held[at] = digest
+}
+
 // learn takes what is known to be decided.
 func (k *replicator) learn(s *consensus.State) {
 	k.handle(context.Background(), &consensus.Request{Kind: consensus.Learn, Value: s})
--- a/internal/mesh/storage/encoding.go
+++ b/internal/mesh/storage/encoding.go
@@ -1,9 +1,7 @@
 package storage
 
 import (
-	"crypto/sha256"
 	"encoding/binary"
-	"encoding/hex"
 	"encoding/json"
 	"hash/crc32"
 
@@ -88,11 +86,6 @@
 	return a.Value.format()
 }
 
-func digestOf(configuration json.RawMessage) string {
-	sum := sha256.Sum256(configuration)
-	return hex.EncodeToString(sum[:])
-}
-
 // join puts a state's configuration back into it.
 func (s *storedState) join(get func(digest string) (json.RawMessage, error)) (*consensus.State, error) {
 	if s == nil {
@@ -108,22 +101,3 @@
 	s.State.Configuration = configuration
 	return s.State, nil
 }
-
-// digestCache remembers the digests of the last documents: a configuration stays the same through most changes.
-type digestCache struct {
-	documents [4]json.RawMessage
-	digests   [4]string
-	next      int
-}
-
-func (c *digestCache) of(document json.RawMessage) string {
-	for n, known := range c.documents {
-		if len(known) == len(document) && len(known) > 0 && &known[0] == &document[0] {
-			return c.digests[n]
-		}
-	}
-	digest := digestOf(document)
-	c.documents[c.next], c.digests[c.next] = document, digest
-	c.next = (c.next + 1) % len(c.documents)
-	return digest
-}
--- a/internal/mesh/storage/format_test.go
+++ b/internal/mesh/storage/format_test.go
@@ -49,7 +49,7 @@
 	state := &consensus.State{Index: 7, Edition: 3, Configuration: configurationOf(400, 3)}
 	store, _, _, err := Open(dir, func() (string, *consensus.State) { return "one", state })
 	must.NoError(t, err)
-	must.NoError(t, store.db.Delete([]byte(prefixConfiguration+digestOf(state.Configuration)), nil))
+	must.NoError(t, store.db.Delete([]byte(prefixConfiguration+consensus.ConfigurationDigest(state.Configuration)), nil))
 	must.NoError(t, store.Close())
 	store, replica, fresh, err := Open(dir, func() (string, *consensus.State) { return "another", &consensus.State{} })
 	must.NoError(t, err)
--- a/internal/mesh/storage/storage.go
+++ b/internal/mesh/storage/storage.go
@@ -55,7 +55,7 @@
 	saved   consensus.Replica // as it is on disk
 	// configurations on disk under keys of their own, by digest
 	configurations map[string]bool
-	digests        digestCache
+	digests        consensus.DigestCache
 	// failed says that a save failed, so that nobody knows what of it is on disk: the next one opens the database again
 	failed bool
 }
@@ -205,7 +205,7 @@
 		return nil, err
 	}
 	body, err := unseal(raw)
-	if err == nil && digestOf(body) != digest {
+	if err == nil && consensus.ConfigurationDigest(body) != digest {
 		err = errs.New("it has another digest")
 	}
 	if err != nil {
@@ -312,7 +312,7 @@
 	}
 	slim := *state
 	slim.Configuration = nil
-	digest := s.digests.of(state.Configuration)
+	digest := s.digests.Of(state.Configuration)
 	configurations[digest] = state.Configuration
 	return &storedState{State: &slim, ConfigurationDigest: digest}
 }
