--- a/internal/mesh/controller/replicator.go
+++ b/internal/mesh/controller/replicator.go
@@ -40,6 +40,7 @@
 	round   uint64
 	news    chan struct{} // closed when something is decided
 	saved   uint64        // slot of the newest decision on disk
+	saving  atomic.Bool   // a decision is on its way to the disk
 	digests consensus.DigestCache
 	held    map[string]string // by address, the digest of a configuration that the process there holds
 
@@ -211,7 +212,26 @@
 	k.held[at] = digest
 }
 
-// learn takes what is known to be decided.
+// learn takes what is known to be decided. The disk takes it after that: nothing is answered on the ground of it.
 func (k *replicator) learn(s *consensus.State) {
-	k.handle(context.Background(), &consensus.Request{Kind: consensus.Learn, Value: s})
+	request := consensus.Request{Kind: consensus.Learn, Value: s}
+	if k.learnInMemory(request) == nil && k.saving.CompareAndSwap(false, true) {
+		go k.saveDecided()
+	}
+}
+
+// saveDecided saves until the disk has the newest decision, or refuses; the next vote or decision then saves it, too.
+func (k *replicator) saveDecided() {
+	defer k.saving.Store(false)
+	for saved := false; !saved; {
+		k.written.Lock()
+		k.mu.Lock()
+		now := k.replica
+		saved = k.saved >= now.Decided.Index
+		k.mu.Unlock()
+		if !saved && k.save(&now) != nil {
+			saved = true
+		}
+		k.written.Unlock()
+	}
 }
