--- a/internal/mesh/catch_up_test.go
+++ b/internal/mesh/catch_up_test.go
@@ -229,7 +229,7 @@
 	if n, err := strconv.Atoi(os.Getenv("OTTERSHIFT_CHANGES")); err == nil {
 		changes = n
 	}
-	const member, emptyDisk = 2, "an empty disk"
+	const member, emptyDisk, oldCopy = 2, "an empty disk", "an old copy of its disk"
 	for _, routes := range []int{10, 4000} {
 		c := startCatchUpCore(t, routes)
 		dir := c.plan.Controllers[member].DataDir
@@ -243,7 +243,7 @@
 			{"its disk", func() {}, 0, 0},
 			{"its disk, cut off at first", func() { c.cutOff(member) }, 0, 700 * time.Millisecond},
 			{emptyDisk, func() { must.NoError(t, os.RemoveAll(dir)) }, 0, 0},
-			{"an old copy of its disk", func() {
+			{oldCopy, func() {
 				must.NoError(t, os.RemoveAll(dir))
 				must.NoError(t, os.CopyFS(dir, os.DirFS(old)))
 			}, 0, 0},
@@ -255,7 +255,7 @@
 			c.change(0, changes-changes/2)
 			perChange := time.Since(began) / time.Duration(changes)
 			gone := ""
-			if come.name == emptyDisk {
+			if come.name == emptyDisk || come.name == oldCopy { // it comes back as a stranger
 				s, err := c.status(0)
 				must.NoError(t, err)
 				gone = identityAt(s.State.Core, c.plan.Controllers[member].Ip)
--- a/internal/mesh/consensus/replica.go
+++ b/internal/mesh/consensus/replica.go
@@ -21,6 +21,21 @@
 	Decided  *State
 	Promised Ballot         // for the slot after it
 	Accepted *AcceptedValue // for the same
+
+	Life DiskLife `json:"-"` // this start; the disk keeps it by itself
+}
+
+// DiskLife is one start of a process with a disk. Starts of one disk are numbered; an old copy of a disk, or a second one in use
+// beside it, has a number that others have seen already, with another token.
+type DiskLife struct {
+	ID     string
+	Number uint64
+	Token  string
+}
+
+// Supersedes reports whether a life shows another one of the same identity to be that of an old copy.
+func (l DiskLife) Supersedes(other DiskLife) bool {
+	return l.ID == other.ID && (l.Number > other.Number || l.Number == other.Number && l.Token != other.Token)
 }
 
 // What is asked of a replica.
@@ -41,8 +56,9 @@
 	Kind                string
 	Slot                uint64 `json:",omitempty"`
 	Ballot              Ballot
-	Value               *State `json:",omitempty"`
-	ConfigurationDigest string `json:",omitempty"` // of the configuration that a compact request leaves out
+	Value               *State    `json:",omitempty"`
+	ConfigurationDigest string    `json:",omitempty"` // of the configuration that a compact request leaves out
+	Life                *DiskLife `json:",omitempty"` // of the process that asks where a replica stands
 }
 
 // Response is what a replica says.
@@ -57,7 +73,9 @@
 	Accepted *AcceptedValue `json:",omitempty"`
 	Decided  *State         `json:",omitempty"` // to who is behind
 	Compact  bool           `json:",omitempty"` // it understands compact requests
-	Lacking  bool           `json:",omitempty"` // it does not hold what a compact request left out, and has done nothing
+	// Superseded says that the asker's disk is an old copy.
+	Superseded bool `json:",omitempty"`
+	Lacking    bool `json:",omitempty"` // it does not hold what a compact request left out, and has done nothing
 }
 
 // Handle answers a request; keep says that the replica has changed and must be synced before the answer leaves.
--- a/internal/mesh/controller/replicator.go
+++ b/internal/mesh/controller/replicator.go
@@ -44,6 +44,8 @@
 	digests consensus.DigestCache
 	held    map[string]string // by address, the digest of a configuration that the process there holds
 
+	vouching vouching
+
 	confirmed atomic.Int64 // when a majority was asked that said that this copy is current, in steady nanoseconds
 	calmed    atomic.Int64 // the same where nothing stood accepted beyond it either: nothing had been decided that is not known here
 	epoch     time.Time
@@ -52,7 +54,8 @@
 
 func newReplicator(c *consensus.Replica, d Disk, caller *rpc.Caller, counts *telemetry.Counters, self, by string) *replicator {
 	k := &replicator{disk: d, caller: caller, counts: counts, self: self, proposer: by, replica: *c, news: make(chan struct{}),
-		saved: c.Decided.Index, held: map[string]string{}, epoch: time.Now()}
+		saved: c.Decided.Index, held: map[string]string{},
+		vouching: vouching{lives: map[string]consensus.DiskLife{}, by: map[string]bool{}}, epoch: time.Now()}
 	k.confirmed.Store(-int64(time.Hour))
 	k.calmed.Store(-int64(time.Hour))
 	return k
@@ -65,7 +68,11 @@
 	return k.replica.Decided, k.news
 }
 
-func (k *replicator) identity() string { return k.replica.ID }
+func (k *replicator) identity() string {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	return k.replica.ID
+}
 
 // handle answers another process's request, after the sync that it needs. A Learn that is answered with OK is on disk.
 func (k *replicator) handle(_ context.Context, a *consensus.Request) (*consensus.Response, error) {
@@ -74,11 +81,7 @@
 		return lacking, nil
 	}
 	if request.Kind == consensus.ReadState {
-		k.mu.Lock()
-		defer k.mu.Unlock()
-		out, _ := k.replica.Handle(request)
-		out.Compact = true
-		return &out, nil
+		return k.handleRead(request), nil
 	}
 	if request.Kind == consensus.Learn && request.Value != nil { // Invariant: behind a disk that hangs, news would wait for nothing
 		if out := k.learnInMemory(request); out != nil {
@@ -88,6 +91,10 @@
 	k.written.Lock()
 	defer k.written.Unlock()
 	k.mu.Lock()
+	if request.Kind != consensus.Learn && !k.mayVote() {
+		defer k.mu.Unlock()
+		return k.withoutVote(request), nil
+	}
 	out, keep := k.replica.Handle(request)
 	out.Compact = true
 	now := k.replica
@@ -171,6 +178,17 @@
 		}
 		return answer
 	}
+	if a.Kind == consensus.ReadState {
+		k.mu.Lock()
+		life := k.replica.Life
+		k.mu.Unlock()
+		a.Life = &life
+		answer := k.call(ctx, at, a)
+		if answer != nil {
+			k.noteVouched(life, answer)
+		}
+		return answer
+	}
 	digest, held := k.heldAt(at, a)
 	if held {
 		answer := k.call(ctx, at, a.Compact(digest))
--- a/internal/mesh/storage/storage.go
+++ b/internal/mesh/storage/storage.go
@@ -28,6 +28,7 @@
 	keyDecided          = "decided"
 	keyPromised         = "promised"
 	keyAccepted         = "accepted"
+	keyLife             = "life"           // the last start's
 	prefixConfiguration = "configuration-" // and the configuration's digest
 )
 
@@ -131,10 +132,31 @@
 	} else if replica.ID == "" || replica.Decided == nil {
 		return nil, nil, &unreadableError{errs.New("a replica without an identity or a state")}
 	}
+	if err := s.beginLife(replica); err != nil {
+		return nil, nil, err
+	}
 	s.saved = *replica
 	return replica, fresh, nil
 }
 
+// beginLife numbers this start of the disk.
+func (s *Store) beginLife(replica *consensus.Replica) error {
+	var last consensus.DiskLife
+	if raw, err := s.get(keyLife); err == nil {
+		if err := decode(raw, &last); err != nil {
+			return &unreadableError{errs.New("%s: %v", keyLife, err)}
+		}
+	} else if err != leveldb.ErrNotFound {
+		return err
+	}
+	replica.Life = consensus.DiskLife{ID: replica.ID, Number: last.Number + 1, Token: NewIdentity()}
+	raw, err := encode(formatWhole, replica.Life)
+	if err != nil {
+		return err
+	}
+	return s.db.Put([]byte(keyLife), raw, &opt.WriteOptions{Sync: true})
+}
+
 // openDatabase opens goleveldb's database. A manifest may end in a torn record, or, at the first start, not be named yet; the
 // tables and journals, each whole and in their own order, then say what it would have. Invariant: where these themselves
 // are damaged nothing is put together again, which might leave out the last saves: a member would forget promises.
