--- a/internal/mesh/catch_up_test.go
+++ b/internal/mesh/catch_up_test.go
@@ -318,3 +318,33 @@
 		}
 	}
 }
+
+// After a loss of power of the whole core, with one member lost for good, the others serve what was acknowledged.
+func TestACoreThatRestartsWithoutOneMemberServesAgain(t *testing.T) {
+	c := startCatchUpCore(t, 10)
+	for lost := range c.stops {
+		c.change((lost+1)%3, 5)
+		for n := range c.stops {
+			c.stop(n)
+		}
+		began := time.Now()
+		for n := range c.stops {
+			if n != lost {
+				c.start(n, 0)
+			}
+		}
+		at := (lost + 1) % 3
+		var text string
+		must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool {
+			var status int
+			status, text = c.call(at, "timetable.fetch", 0, "")
+			return status == http.StatusOK
+		}), wait.Timeout(catchUpBound), wait.Gap(5*time.Millisecond)))
+		read := time.Since(began)
+		must.StrContains(t, text, fmt.Sprintf(`"Edition":%d,`, c.edition.Load()))
+		c.change(at, 1)
+		t.Logf("without member %d: read after %v, changed after %v", lost, read.Round(time.Millisecond), time.Since(began).Round(time.Millisecond))
+		c.start(lost, 0)
+		must.SliceEmpty(t, c.observe(lost, 0, "").oldAnswers)
+	}
+}
