--- a/internal/mesh/consensus/replica.go
+++ b/internal/mesh/consensus/replica.go
@@ -45,7 +45,7 @@
 	Accept    = "accept"  // accept a value
 	Learn     = "learn"   // a value is decided
 
-	// The same with a value whose configuration is left out, for a replica that holds it. Processes of the version before do
+	// The same with a value of which large documents are left out, for a replica that holds them. Processes of the version before do
 	// nothing at a kind that they don't know.
 	AcceptCompact = "accept-compact"
 	LearnCompact  = "learn-compact"
@@ -53,12 +53,12 @@
 
 // Request is a message to a replica.
 type Request struct {
-	Kind                string
-	Slot                uint64 `json:",omitempty"`
-	Ballot              Ballot
-	Value               *State    `json:",omitempty"`
-	ConfigurationDigest string    `json:",omitempty"` // of the configuration that a compact request leaves out
-	Life                *DiskLife `json:",omitempty"` // of the process that asks where a replica stands
+	Kind    string
+	Slot    uint64 `json:",omitempty"`
+	Ballot  Ballot
+	Value   *State      `json:",omitempty"`
+	LeftOut PartDigests `json:",omitempty"` // the documents that a compact request leaves out of its value
+	Life    *DiskLife   `json:",omitempty"` // of the process that asks where a replica stands
 }
 
 // Response is what a replica says.
--- a/internal/mesh/controller/replicator.go
+++ b/internal/mesh/controller/replicator.go
@@ -42,7 +42,7 @@
 	saved   uint64        // slot of the newest decision on disk
 	saving  atomic.Bool   // a decision is on its way to the disk
 	digests consensus.DigestCache
-	held    map[string]string // by address, the digest of a configuration that the process there holds
+	held    map[string]consensus.Documents // by address, large documents that the process there holds
 
 	vouching vouching
 
@@ -54,7 +54,7 @@
 
 func newReplicator(c *consensus.Replica, d Disk, caller *rpc.Caller, counts *telemetry.Counters, self, by string) *replicator {
 	k := &replicator{disk: d, caller: caller, counts: counts, self: self, proposer: by, replica: *c, news: make(chan struct{}),
-		saved: c.Decided.Index, held: map[string]string{},
+		saved: c.Decided.Index, held: map[string]consensus.Documents{},
 		vouching: vouching{lives: map[string]consensus.DiskLife{}, by: map[string]bool{}}, epoch: time.Now()}
 	k.confirmed.Store(-int64(time.Hour))
 	k.calmed.Store(-int64(time.Hour))
@@ -168,8 +168,8 @@
 	return answers
 }
 
-// send puts a request to the process at an address; nil for no answer. Where that process holds the configuration of the
-// request's value, the request goes without it.
+// send puts a request to the process at an address; nil for no answer. The request goes without the large
+// documents that the process there holds.
 func (k *replicator) send(ctx context.Context, at string, a consensus.Request) *consensus.Response {
 	if at == k.self {
 		answer, err := k.handle(ctx, &a)
@@ -189,18 +189,14 @@
 		}
 		return answer
 	}
-	digest, held := k.heldAt(at, a)
-	if held {
-		answer := k.call(ctx, at, a.Compact(digest))
-		if answer == nil || answer.Compact && !answer.Lacking {
-			return answer
-		}
+	compact, large := k.compactFor(at, a)
+	answer := k.call(ctx, at, compact)
+	if compact.IsCompact() && answer != nil && (!answer.Compact || answer.Lacking) {
 		k.counts.Add("compact_lacking")
-		k.noteHeld(at, "")
+		answer = k.call(ctx, at, a)
 	}
-	answer := k.call(ctx, at, a)
-	if answer != nil && answer.Compact && answer.OK && digest != "" {
-		k.noteHeld(at, digest)
+	if answer != nil && len(large) > 0 {
+		k.noteHeld(at, large, answer.Compact && answer.OK)
 	}
 	return answer
 }
@@ -213,21 +209,24 @@
 	return answer
 }
 
-// heldAt is the digest of a large configuration in a request, empty for none, and whether the process at an address holds it.
-func (k *replicator) heldAt(at string, a consensus.Request) (digest string, held bool) {
-	if a.Value == nil || len(a.Value.Configuration) < consensus.CompactFrom {
-		return "", false
+// compactFor is a request without what the process at an address holds of it, and the large documents of its value.
+func (k *replicator) compactFor(at string, a consensus.Request) (compact consensus.Request, large consensus.Documents) {
+	if a.Value == nil {
+		return a, nil
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	digest = k.digests.Of(a.Value.Configuration)
-	return digest, k.held[at] == digest
+	return a.Compact(k.digests.Of, k.held[at]), a.Value.LargeParts(k.digests.Of)
 }
 
-func (k *replicator) noteHeld(at, digest string) {
+// noteHeld notes which documents the process at an address holds: those of the value that it took last, or none.
+func (k *replicator) noteHeld(at string, large consensus.Documents, took bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.held[at] = digest
+	delete(k.held, at)
+	if took {
+		k.held[at] = large
+	}
 }
 
 // learn takes what is known to be decided. The disk takes it after that: nothing is answered on the ground of it.
--- a/internal/mesh/storage/encoding.go
+++ b/internal/mesh/storage/encoding.go
@@ -13,15 +13,10 @@
 // Formats of a value.
 const (
 	formatWhole = 1 // a value with all that belongs to it
-	formatSplit = 2 // a value whose configurations stand under keys of their own
+	formatSplit = 2 // a value whose large documents stand under keys of their own
 )
 
-const (
-	headerBytes = 5 // the format and a checksum
-	// splitFrom is the size from which a configuration gets a key of its own. Smaller ones stay in the value, which the version
-	// before this one reads, too.
-	splitFrom = 16 << 10
-)
+const headerBytes = 5 // the format and a checksum
 
 // encode puts the format and a checksum before a value.
 func encode(format byte, v any) ([]byte, error) {
@@ -60,10 +55,11 @@
 	return json.Unmarshal(body, to)
 }
 
-// storedState is a state whose configuration may stand under its digest.
+// storedState is a state whose large documents stand under their digests. A state without any is stored as the version before
+// this one does it.
 type storedState struct {
 	*consensus.State
-	ConfigurationDigest string `json:",omitempty"` // empty where the state holds its configuration itself
+	Parts consensus.PartDigests `json:",omitempty"`
 }
 
 // storedAccepted is an accepted value with a stored state.
@@ -73,7 +69,7 @@
 }
 
 func (s *storedState) format() byte {
-	if s.ConfigurationDigest == "" {
+	if len(s.Parts) == 0 {
 		return formatWhole
 	}
 	return formatSplit
@@ -86,18 +82,10 @@
 	return a.Value.format()
 }
 
-// join puts a state's configuration back into it.
-func (s *storedState) join(get func(digest string) (json.RawMessage, error)) (*consensus.State, error) {
-	if s == nil {
+// join puts a state's documents back into it.
+func (s *storedState) join(find func(digest string) (json.RawMessage, error)) (*consensus.State, error) {
+	if s == nil || s.State == nil {
 		return nil, nil
 	}
-	if s.ConfigurationDigest == "" {
-		return s.State, nil
-	}
-	configuration, err := get(s.ConfigurationDigest)
-	if err != nil {
-		return nil, err
-	}
-	s.State.Configuration = configuration
-	return s.State, nil
+	return s.State.Join(s.Parts, find)
 }
--- a/internal/mesh/storage/storage.go
+++ b/internal/mesh/storage/storage.go
@@ -24,12 +24,12 @@
 
 // Keys of the values.
 const (
-	keyID               = "id"
-	keyDecided          = "decided"
-	keyPromised         = "promised"
-	keyAccepted         = "accepted"
-	keyLife             = "life"           // the last start's
-	prefixConfiguration = "configuration-" // and the configuration's digest
+	keyID          = "id"
+	keyDecided     = "decided"
+	keyPromised    = "promised"
+	keyAccepted    = "accepted"
+	keyLife        = "life"      // the last start's
+	prefixDocument = "document-" // and the document's digest
 )
 
 // Names in the process's folder. Disks of the versions before this one have them, too.
@@ -54,9 +54,9 @@
 	options *opt.Options
 	db      *leveldb.DB
 	saved   consensus.Replica // as it is on disk
-	// configurations on disk under keys of their own, by digest
-	configurations map[string]bool
-	digests        consensus.DigestCache
+	// documents on disk under keys of their own, by digest
+	documents map[string]bool
+	digests   consensus.DigestCache
 	// failed says that a save failed, so that nobody knows what of it is on disk: the next one opens the database again
 	failed bool
 }
@@ -193,16 +193,16 @@
 			return nil, false, &unreadableError{errs.New("%s: %v", key, err)}
 		}
 	}
-	if err := s.listConfigurations(); err != nil {
+	if err := s.listDocuments(); err != nil {
 		return nil, false, err
 	}
-	if replica.Decided, err = decided.join(s.configuration); err != nil {
+	if replica.Decided, err = decided.join(s.document); err != nil {
 		return nil, false, err
 	}
 	if accepted == nil {
 		return replica, empty, nil
 	}
-	value, err := accepted.Value.join(s.configuration)
+	value, err := accepted.Value.join(s.document)
 	if err != nil {
 		return nil, false, err
 	}
@@ -218,30 +218,30 @@
 	return raw, err
 }
 
-func (s *Store) configuration(digest string) (json.RawMessage, error) {
-	raw, err := s.get(prefixConfiguration + digest)
+func (s *Store) document(digest string) (json.RawMessage, error) {
+	raw, err := s.get(prefixDocument + digest)
 	if err == leveldb.ErrNotFound {
-		return nil, &unreadableError{errs.New("the configuration %s is missing", digest)}
+		return nil, &unreadableError{errs.New("the document %s is missing", digest)}
 	}
 	if err != nil {
 		return nil, err
 	}
 	body, err := unseal(raw)
-	if err == nil && consensus.ConfigurationDigest(body) != digest {
+	if err == nil && consensus.DigestOf(body) != digest {
 		err = errs.New("it has another digest")
 	}
 	if err != nil {
-		return nil, &unreadableError{errs.New("the configuration %s: %v", digest, err)}
+		return nil, &unreadableError{errs.New("the document %s: %v", digest, err)}
 	}
 	return body, nil
 }
 
-func (s *Store) listConfigurations() error {
-	s.configurations = map[string]bool{}
-	all := s.db.NewIterator(util.BytesPrefix([]byte(prefixConfiguration)), nil)
+func (s *Store) listDocuments() error {
+	s.documents = map[string]bool{}
+	all := s.db.NewIterator(util.BytesPrefix([]byte(prefixDocument)), nil)
 	defer all.Release()
 	for all.Next() {
-		s.configurations[string(all.Key()[len(prefixConfiguration):])] = true
+		s.documents[string(all.Key()[len(prefixDocument):])] = true
 	}
 	return all.Error()
 }
@@ -280,7 +280,7 @@
 	if err := s.openDatabase(); err != nil {
 		return err
 	}
-	return s.listConfigurations()
+	return s.listDocuments()
 }
 
 // write puts what has changed since the last save, or all, into one synced batch.
@@ -296,22 +296,22 @@
 	}
 	put(keyID, s.saved.ID != replica.ID, formatWhole, replica.ID)
 	put(keyPromised, s.saved.Promised != replica.Promised, formatWhole, replica.Promised)
-	configurations := map[string]json.RawMessage{}
-	decided := s.split(replica.Decided, configurations)
+	documents := consensus.Documents{}
+	decided := s.split(replica.Decided, documents)
 	put(keyDecided, s.saved.Decided != replica.Decided, decided.format(), decided)
 	var accepted *storedAccepted
 	if replica.Accepted != nil {
-		accepted = &storedAccepted{replica.Accepted.Ballot, s.split(replica.Accepted.Value, configurations)}
+		accepted = &storedAccepted{replica.Accepted.Ballot, s.split(replica.Accepted.Value, documents)}
 	}
 	put(keyAccepted, s.saved.Accepted != replica.Accepted, accepted.format(), accepted)
-	for digest, configuration := range configurations {
-		if !s.configurations[digest] || all {
-			batch.Put([]byte(prefixConfiguration+digest), seal(formatWhole, configuration))
+	for digest, document := range documents {
+		if !s.documents[digest] || all {
+			batch.Put([]byte(prefixDocument+digest), seal(formatWhole, document))
 		}
 	}
-	for digest := range s.configurations {
-		if configurations[digest] == nil {
-			batch.Delete([]byte(prefixConfiguration + digest))
+	for digest := range s.documents {
+		if documents[digest] == nil {
+			batch.Delete([]byte(prefixDocument + digest))
 		}
 	}
 	if err := failed.Err(); err != nil {
@@ -320,23 +320,23 @@
 	if err := s.db.Write(batch, &opt.WriteOptions{Sync: true}); err != nil {
 		return err
 	}
-	s.saved, s.configurations = *replica, map[string]bool{}
-	for digest := range configurations {
-		s.configurations[digest] = true
+	s.saved, s.documents = *replica, map[string]bool{}
+	for digest := range documents {
+		s.documents[digest] = true
 	}
 	return nil
 }
 
-// split takes a large configuration out of a state and notes it under its digest.
-func (s *Store) split(state *consensus.State, configurations map[string]json.RawMessage) *storedState {
-	if state == nil || len(state.Configuration) < splitFrom {
-		return &storedState{State: state}
-	}
-	slim := *state
-	slim.Configuration = nil
-	digest := s.digests.Of(state.Configuration)
-	configurations[digest] = state.Configuration
-	return &storedState{State: &slim, ConfigurationDigest: digest}
+// split takes the large documents out of a state and notes them under their digests.
+func (s *Store) split(state *consensus.State, documents consensus.Documents) *storedState {
+	if state == nil {
+		return &storedState{}
+	}
+	for digest, document := range state.LargeParts(s.digests.Of) {
+		documents[digest] = document
+	}
+	slim, digests := state.Split(s.digests.Of, func(string) bool { return true })
+	return &storedState{State: slim, Parts: digests}
 }
 
 // Close lets the disk go.
