--- a/internal/mesh/storage/crash_test.go
+++ b/internal/mesh/storage/crash_test.go
@@ -127,6 +127,7 @@
 	points, states int
 	lost           []string // the first few states in which something that was saved was not there
 	losses         int
+	files          int // that goleveldb has made by the end of the undisturbed run, by their numbers
 }
 
 // crash loses power at every so-manieth operation of a journey, in the states that may be left, and counts those in which the
@@ -138,6 +139,12 @@
 	if err := j.run(clean, ignore, ignore); err != nil {
 		panic(err)
 	}
+	for _, name := range clean.Files(storeFolder) {
+		if number, _, _ := strings.Cut(name, "."); number != "" {
+			n, _ := strconv.Atoi(number)
+			result.files = max(result.files, n)
+		}
+	}
 	for point := 1; point <= clean.Operations(); point += stride {
 		disk := testmesh.NewMemoryDisk()
 		prepare(disk)
@@ -174,13 +181,14 @@
 func TestWhatWasSavedOutlivesEveryLossOfPower(t *testing.T) {
 	for _, run := range []struct {
 		journey
-		stride, bound int
+		stride, bound, files int
 	}{
-		{journey{2, 2}, 1, 48 * crashPoints()},
-		{journey{2, 120}, max(1, 60/crashPoints()), 24 * crashPoints()}, // 720 saves, with journals begun anew and compactions
+		{journey{2, 2}, 1, 48 * crashPoints(), 4},
+		{journey{2, 120}, max(1, 60/crashPoints()), 24 * crashPoints(), 100}, // 720 saves, with journals begun anew and compactions
 	} {
 		result := crash(run.journey, run.stride, run.bound, untouched, holdsReplica)
-		t.Logf("%d lives of %d changes: %d crash points, %d states of the disk, %d with a loss", run.lives, run.changes, result.points, result.states, result.losses)
+		t.Logf("%d lives of %d changes: %d crash points, %d states of the disk, %d with a loss; %d files made", run.lives, run.changes, result.points, result.states, result.losses, result.files)
+		must.GreaterEq(t, run.files, result.files)
 		must.Zero(t, result.losses, must.Sprint(result.lost))
 		must.Greater(t, 400, result.states)
 	}
