--- a/internal/cluster/keep/core.go
+++ b/internal/cluster/keep/core.go
@@ -146,9 +146,7 @@
 // First is what the disk of a group's first keepers holds, the same at each.
 func First(s *State) *raftpb.Snapshot {
 	conf := &raftpb.ConfState{}
-	for _, id := range slices.Sorted(maps.Keys(s.Seats)) {
-		conf.Voters = append(conf.Voters, id)
-	}
+	conf.Voters = append(conf.Voters, slices.Sorted(maps.Keys(s.Seats))...)
 	s.Index = 1
 	return &raftpb.Snapshot{Data: s.Save(), Metadata: &raftpb.SnapshotMetadata{ConfState: conf, Index: proto.Uint64(1), Term: proto.Uint64(1)}}
 }
--- a/internal/cluster/keep/core_test.go
+++ b/internal/cluster/keep/core_test.go
@@ -35,7 +35,6 @@
 type memory struct {
 	d     Disk
 	fails bool
-	loses bool
 	older Disk
 }
 
--- a/internal/cluster/ledger/book.go
+++ b/internal/cluster/ledger/book.go
@@ -404,6 +404,7 @@
 }
 
 type lowLine struct {
+	//lint:ignore U1000 read by the codec: records are arrays
 	_struct bool `codec:",toarray"`
 	Member  uint32
 	Epoch   uint64
@@ -412,6 +413,7 @@
 
 // line is a record in a snapshot, as an array.
 type line struct {
+	//lint:ignore U1000 read by the codec: records are arrays
 	_struct                bool `codec:",toarray"`
 	Key                    []byte
 	Pool, Customer, Tariff uint32
--- a/internal/cluster/member/virtual_test.go
+++ b/internal/cluster/member/virtual_test.go
@@ -35,7 +35,6 @@
 	twice  float64
 	late   func() time.Duration       // of a datagram
 	cut    func(from, to string) bool // addresses
-	bytes  atomic.Int64
 }
 
 func newWeb(seed uint64) *web {
--- a/internal/cluster/pack/pack.go
+++ b/internal/cluster/pack/pack.go
@@ -12,10 +12,17 @@
 // Most is the longest that is taken apart.
 const Most = 256 << 20
 
-var handle = &codec.MsgpackHandle{WriteExt: true, BasicHandle: codec.BasicHandle{
-	DecodeOptions: codec.DecodeOptions{MaxInitLen: 1024}, // danger: a length is no reason to make room
-	EncodeOptions: codec.EncodeOptions{Canonical: true},
-}}
+// maxInitialLength bounds what is allocated on the word of a length that was read.
+const maxInitialLength = 1024
+
+var handle = newHandle()
+
+func newHandle() *codec.MsgpackHandle {
+	h := &codec.MsgpackHandle{WriteExt: true}
+	h.MaxInitLen = maxInitialLength
+	h.Canonical = true
+	return h
+}
 
 // Faults of what came in.
 var (
--- a/internal/lab/load/client.go
+++ b/internal/lab/load/client.go
@@ -55,16 +55,22 @@
 	t.idle = nil
 }
 
+// takeIdle takes the idle connection that was used last, nil where there is none or none is kept.
+func (t *Target) takeIdle() *conn {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	last := len(t.idle) - 1
+	if !t.keep || last < 0 {
+		return nil
+	}
+	c := t.idle[last]
+	t.idle = t.idle[:last]
+	return c
+}
+
 // get takes the connection that was used last, or opens one. What the balancer has closed meanwhile is found out.
 func (t *Target) get(until time.Time) (c *conn, err error) {
-	for t.keep {
-		t.mu.Lock()
-		if len(t.idle) == 0 {
-			t.mu.Unlock()
-			break
-		}
-		c, t.idle = t.idle[len(t.idle)-1], t.idle[:len(t.idle)-1]
-		t.mu.Unlock()
+	if c := t.takeIdle(); c != nil {
 		return c, nil
 	}
 	n, err := net.DialTimeout("tcp", t.address, max(time.Millisecond, min(time.Until(until), 3*time.Second)))
--- a/internal/mesh/proxy/connection.go
+++ b/internal/mesh/proxy/connection.go
@@ -28,8 +28,7 @@
 )
 
 var (
-	errConnectionEnded = errors.New("a kept connection had ended")
-	errForeignAnswers  = errors.New("only answers to other requests came")
+	errForeignAnswers = errors.New("only answers to other requests came")
 )
 
 // line is a connection that carries one request at a time. Invariant: what lies behind a whole answer, or comes late,
--- a/internal/mesh/settings/settings.go
+++ b/internal/mesh/settings/settings.go
@@ -4,6 +4,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"net/netip"
 	"os"
@@ -272,18 +273,12 @@
 // plain leaves out what a number's fault says of the function that found it.
 func plain(err error) error {
 	var number *strconv.NumError
-	if errs.Unwrap(err) != nil && asNumber(err, &number) {
+	if errors.As(err, &number) {
 		return fmt.Errorf("%q is no number that fits", number.Num)
 	}
 	return err
 }
 
-func asNumber(err error, to **strconv.NumError) bool {
-	n, is := err.(*strconv.NumError)
-	*to = n
-	return is
-}
-
 // Span reads a time as the mesh writes it: a number and ms or s.
 func Span(text string) (time.Duration, error) {
 	number, unit := text, time.Duration(0)
--- a/internal/mesh/simulation/mesh.go
+++ b/internal/mesh/simulation/mesh.go
@@ -100,20 +100,13 @@
 	pass        []int64
 	reign       int
 	coordinator int
-	crown       int64 // when the present coordinator was agreed on
 	cutZ        map[int]int64
-	told        map[string]change
 	limit       ratelimit.Limit
 }
 
-type change struct {
-	at  int64
-	seq uint64
-}
-
 // Play plays one day.
 func (m Mesh) Play(seed uint64) *MeshDay {
-	w := &meshWorld{World: NewWorld(seed), Mesh: m, cutZ: map[int]int64{}, told: map[string]change{}, coordinator: -1,
+	w := &meshWorld{World: NewWorld(seed), Mesh: m, cutZ: map[int]int64{}, coordinator: -1,
 		limit: ratelimit.Limit{Rate: m.Rate, Surge: m.Surge, Window: 5 * S, Over: 0.1, Slack: 20}}
 	w.net = w.Chance("net")
 	for z := range m.Zones {
--- a/internal/mesh/testmesh/disk.go
+++ b/internal/mesh/testmesh/disk.go
@@ -25,7 +25,9 @@
 // NewDisk makes a disk in front of another one.
 func NewDisk(next interface {
 	Save(*consensus.Replica) error
-}) *Disk { return &Disk{next: next} }
+}) *Disk {
+	return &Disk{next: next}
+}
 
 // Slow has each save take so much longer.
 func (d *Disk) Slow(delay time.Duration) {
--- a/internal/mesh/testmesh/partner.go
+++ b/internal/mesh/testmesh/partner.go
@@ -27,7 +27,6 @@
 	runs    map[string]int
 	effects map[string]bool
 	kept    []string // effects that ran after the narrowing that forbids them was reported done
-	silent  bool
 }
 
 // NewPartner serves at an address; it lets reads and effects in.
