--- a/internal/mesh/apierror/apierror.go
+++ b/internal/mesh/apierror/apierror.go
@@ -74,8 +74,11 @@
 func (k Kind) String() string { return table[k].Name }
 
 // NeverRan reports whether the answer promises that the request has not run and never will.
-func (k Kind) NeverRan() bool {
-	switch table[k].Status {
+func (k Kind) NeverRan() bool { return Promises(table[k].Status) }
+
+// Promises reports whether whoever gets an answer of a status takes it for a promise that the request has not run and never will.
+func Promises(status int) bool {
+	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusMisdirectedRequest, http.StatusRequestTimeout:
 		return true
 	}
--- a/internal/mesh/proxy/connection.go
+++ b/internal/mesh/proxy/connection.go
@@ -3,159 +3,234 @@
 import (
 	"bufio"
 	"bytes"
-	"context"
 	"errors"
 	"io"
+	"math"
 	"net"
 	"net/http"
 	"strconv"
-	"strings"
-	"sync"
-	"sync/atomic"
 	"syscall"
 	"time"
-
-	"ottershift/internal/mesh/rpc"
-	"ottershift/internal/mesh/telemetry"
-	"ottershift/internal/rawconn"
 )
 
 const (
-	keptLong          = 20 * time.Second // idle, to a peer of the mesh, which closes later
-	keptShort         = 3 * time.Second  // idle, to an upstream that does not say how long
-	maxForeignAnswers = 4                // answers to other requests that are skipped on one connection
-	peerGone          = 2500 * time.Millisecond
+	maxAnswerHead     = 64 << 10 // bytes of an answer's head
+	maxForeignAnswers = 4        // answers to other requests that are skipped before an attempt is given up
+	maxForeignBody    = 1 << 20  // bytes of one of them
+	maxInformational  = 16       // 1xx answers to one request
+	maxRefusals       = 64       // attempts that one connection may have refused before it is closed
 )
 
 var (
 	errForeignAnswers = errors.New("only answers to other requests came")
+	errNotAnswer      = errors.New("what came is no answer to the request")
+	errNoStatedEnd    = errors.New("an answer without a stated end can't be told from one that broke off")
 )
 
-// line is a connection that carries one request at a time. Invariant: what lies behind a whole answer, or comes late,
-// belongs to no request; so a line is looked at before it is used again, and an answer has to bear its request's id.
+// connection is a TCP connection that carries one request at a time.
+//
+// Invariant: bytes behind a whole answer, and answers that come late, belong to no request in hand. Looking at a kept connection
+// and writing to it are two moments, so the look proves nothing. Whose an answer is shows the attempt id that it bears, whatever
+// its status; one without an id belongs to nobody.
 type connection struct {
 	*net.TCPConn
-	raw   syscall.RawConn
-	read  *bufio.Reader
-	host  string
-	kept  bool          // it has carried another request before
-	until time.Time     // when it is not to be used any more
-	count *atomic.Int32 // of those kept to the same host, nil where nobody asks
+	raw       syscall.RawConn
+	limit     *io.LimitedReader // between the connection and reader
+	reader    *bufio.Reader
+	pool      *connectionPool
+	to        destination
+	keptUntil time.Time
+
+	reused    bool            // it has carried another request before
+	outOfStep bool            // what comes next may belong to anyone: it carries no other request
+	early     bool            // its answer came before the request had been written whole
+	refused   map[string]bool // attempts that were not served over it, so that they may be sent once more elsewhere
 }
 
-// rest and wake keep count of what is kept.
-func (l *connection) rest(n int32) {
-	if l.count != nil {
-		l.count.Add(n)
+func newConnection(tcp *net.TCPConn, pool *connectionPool, to destination) (*connection, error) {
+	raw, err := tcp.SyscallConn()
+	if err != nil {
+		return nil, err
 	}
+	limit := &io.LimitedReader{R: tcp, N: math.MaxInt64}
+	return &connection{
+		TCPConn: tcp,
+		raw:     raw,
+		limit:   limit,
+		reader:  bufio.NewReaderSize(limit, 4<<10),
+		pool:    pool,
+		to:      to,
+	}, nil
 }
 
-// lines are the kept connections of one process to all that it sends to.
-type connectionPool struct {
-	dialer               net.Dialer
-	mu                   sync.Mutex
-	idle                 map[string][]*connection
-	dials, failed, stale *atomic.Int64
+func (c *connection) countKept(n int32) {
+	if c.to.kept != nil {
+		c.to.kept.Add(n)
+	}
 }
 
-func newConnectionPool(dial time.Duration, counts *telemetry.Counters, name string) *connectionPool {
-	return &connectionPool{
-		dials: counts.Of(name + "_dials"), failed: counts.Of(name + "_dials_failed"), stale: counts.Of(name + "_stale"),
-		dialer: net.Dialer{Timeout: dial, KeepAlive: -1, Control: rpc.UserTimeout(peerGone)}, idle: map[string][]*connection{}}
+// abandon resets a connection whose request has been given up. Invariant: what has not arrived of it is lost then; closed in
+// order, it could come out of a link that is cut, and run, long after its caller has been told that its time is up.
+func (c *connection) abandon() {
+	c.SetLinger(0)
+	c.Close()
 }
 
-// take gives a line to an address, a kept one where there is one that is quiet. host names who is there: an address may
-// have a new owner.
-func (ls *connectionPool) take(ctx context.Context, host, address string, onlyFresh bool, count *atomic.Int32) (*connection, error) {
-	for !onlyFresh {
-		ls.mu.Lock()
-		all := ls.idle[host]
-		if len(all) == 0 {
-			ls.mu.Unlock()
-			break
-		}
-		l := all[len(all)-1]
-		ls.idle[host] = all[:len(all)-1]
-		ls.mu.Unlock()
-		l.rest(-1)
-		if unread, ended := rawconn.Peek(l.raw); unread || ended || time.Now().After(l.until) {
-			ls.stale.Add(1)
-			l.Close()
-			continue
-		}
-		l.kept = true
-		return l, nil
+// hasRefused reports whether an attempt was refused over this connection before. Invariant: a second copy of that answer may come
+// late, with the right id; sent over the same connection, the same attempt would be given it for a promise while it runs.
+func (c *connection) hasRefused(attempt string) bool { return c.refused[attempt] }
+
+func (c *connection) noteRefusal(attempt string) {
+	if c.refused == nil {
+		c.refused = map[string]bool{}
 	}
-	ls.dials.Add(1)
-	c, err := ls.dialer.DialContext(ctx, "tcp4", address)
-	if err != nil {
-		ls.failed.Add(1)
-		return nil, err
+	c.refused[attempt] = true
+}
+
+// reusableAfter reports whether another request may be sent after an answer that has been read whole.
+func (c *connection) reusableAfter(answer *http.Response) bool {
+	switch {
+	case c.outOfStep, answer.Close, c.reader.Buffered() > 0:
+		return false
+	case answer.ProtoMinor == 0:
+		return false
+	case answer.Request.Method == http.MethodHead: // a late answer to another method would be framed wrongly
+		return false
 	}
-	t := c.(*net.TCPConn)
-	raw, err := t.SyscallConn()
-	if err != nil {
-		t.Close()
-		return nil, err
+	return len(c.refused) < maxRefusals
+}
+
+// exchange writes a request and reads the head of its answer; wrote tells that some of the request may have gone out. The answer
+// is waited for while a body is still being written: it may come early.
+func (c *connection) exchange(request *http.Request, first []byte, rest io.Reader, attempt string) (answer *http.Response, wrote bool, err error) {
+	if rest == nil && len(first) <= writtenInline {
+		answer, wrote, err = c.exchangeInline(request, first, attempt)
+	} else {
+		answer, wrote, err = c.exchangeWhileWriting(request, first, rest, attempt)
 	}
-	return &connection{TCPConn: t, raw: raw, read: bufio.NewReaderSize(t, 4<<10), host: host, count: count}, nil
+	if err == nil && (answer.StatusCode >= 500 || provesNotRun(answer)) {
+		c.noteRefusal(attempt)
+	}
+	return answer, wrote, err
 }
 
-// put keeps a line whose answer has been read whole, unless it says that it ends or has more to say.
-func (ls *connectionPool) put(l *connection, answer *http.Response, long time.Duration) {
-	if answer.Close || l.read.Buffered() > 0 || answer.ProtoMinor == 0 {
-		l.Close()
-		return
+func (c *connection) exchangeInline(request *http.Request, first []byte, attempt string) (answer *http.Response, wrote bool, err error) {
+	n, writeErr := c.Write(first)
+	if writeErr != nil && n == 0 {
+		return nil, false, writeErr
 	}
-	keep := long
-	for _, part := range strings.Split(answer.Header.Get("Keep-Alive"), ",") {
-		if n, is := strings.CutPrefix(strings.TrimSpace(part), "timeout="); is {
-			if seconds, err := strconv.Atoi(n); err == nil { // Invariant: what is sent as it ends may have run
-				keep = min(keep, time.Duration(seconds)*time.Second*3/4)
-			}
-		}
+	if writeErr != nil { // it may have been answered all the same, by an upstream that refuses it unread
+		c.outOfStep = true
+	}
+	answer, err = c.readAnswer(request, attempt)
+	return answer, true, err
+}
+
+func (c *connection) exchangeWhileWriting(request *http.Request, first []byte, rest io.Reader, attempt string) (answer *http.Response, wrote bool, err error) {
+	writing := startBodyWriter(c, first, rest)
+	answer, err = c.readAnswer(request, attempt)
+	if writing.succeeded() {
+		// Buffers may hold all of a body that an upstream has refused unread, and that it would take for its next request.
+		c.outOfStep = err == nil && answer.StatusCode >= http.StatusMultipleChoices || c.outOfStep
+		return answer, true, err
 	}
-	l.until = time.Now().Add(keep)
-	l.rest(1)
-	ls.mu.Lock()
-	ls.idle[l.host] = append(ls.idle[l.host], l)
-	ls.mu.Unlock()
-}
-
-// sweep closes what has been idle for long.
-func (ls *connectionPool) sweep(now time.Time) {
-	var old []*connection
-	ls.mu.Lock()
-	for host, all := range ls.idle {
-		kept := all[:0]
-		for _, l := range all {
-			if now.After(l.until) {
-				old = append(old, l)
-			} else {
-				kept = append(kept, l)
+	c.outOfStep, c.early = true, true
+	if err != nil || answer.StatusCode >= http.StatusMultipleChoices { // the rest of the body is of no use
+		c.SetWriteDeadline(longAgo)
+	}
+	if err != nil {
+		return nil, writing.begun(), writing.cause(err)
+	}
+	return answer, true, nil
+}
+
+// readAnswer reads the head of the answer to a request, past informational ones and those that belong to other requests.
+func (c *connection) readAnswer(request *http.Request, attempt string) (*http.Response, error) {
+	informational, foreign := 0, 0
+	for {
+		answer, err := c.readHead(request)
+		if err != nil {
+			return nil, err
+		}
+		switch {
+		case answer.ProtoMajor != 1 || answer.StatusCode == http.StatusSwitchingProtocols:
+			return nil, errNotAnswer
+		case answer.StatusCode < http.StatusOK:
+			if informational++; informational > maxInformational {
+				return nil, errNotAnswer
 			}
+			continue
+		case c.pool.belongs(answer, attempt):
+			requireStatedEnd(answer)
+			return answer, nil
+		}
+		c.outOfStep = true
+		c.pool.foreign.Add(1)
+		if foreign++; foreign == maxForeignAnswers {
+			return nil, errForeignAnswers
 		}
-		if ls.idle[host] = kept; len(kept) == 0 {
-			delete(ls.idle, host)
+		if err := skipBody(answer); err != nil {
+			return nil, err
 		}
 	}
-	ls.mu.Unlock()
-	for _, l := range old {
-		l.rest(-1)
-		l.Close()
+}
+
+func (c *connection) readHead(request *http.Request) (*http.Response, error) {
+	c.limit.N = maxAnswerHead
+	answer, err := http.ReadResponse(c.reader, request)
+	c.limit.N = math.MaxInt64
+	return answer, err
+}
+
+// answerRule reports whether an answer is proven to be that to an attempt.
+type answerRule func(answer *http.Response, attempt string) bool
+
+// bearsAttempt is the rule. A request without an id has a connection of its own, where only an answer without one can be its.
+// Waiting on is no loss where an upstream leaves out the id: a request that it may be at work on is not to be broken off.
+func bearsAttempt(answer *http.Response, attempt string) bool {
+	ids := answer.Header[attemptID]
+	if attempt == "" {
+		return len(ids) == 0
+	}
+	return len(ids) == 1 && ids[0] == attempt
+}
+
+func skipBody(answer *http.Response) error {
+	_, err := io.CopyN(io.Discard, answer.Body, maxForeignBody)
+	if err == nil {
+		return errForeignAnswers
+	}
+	if err != io.EOF {
+		return err
+	}
+	return nil
+}
+
+// requireStatedEnd has the body of an answer that only the end of its connection delimits end in an error: that is how a broken
+// one ends, too.
+func requireStatedEnd(answer *http.Response) {
+	if answer.ContentLength < 0 && len(answer.TransferEncoding) == 0 && answer.Body != http.NoBody {
+		answer.Body = &unstatedEnd{answer.Body}
+	}
+}
+
+type unstatedEnd struct{ io.ReadCloser }
+
+func (b *unstatedEnd) Read(p []byte) (int, error) {
+	n, err := b.ReadCloser.Read(p)
+	if err == io.EOF {
+		err = errNoStatedEnd
 	}
+	return n, err
 }
 
-// leave closes what is kept to a host that is gone.
-func (ls *connectionPool) closeHost(host string) {
-	ls.mu.Lock()
-	all := ls.idle[host]
-	delete(ls.idle, host)
-	ls.mu.Unlock()
-	for _, l := range all {
-		l.rest(-1)
-		l.Close()
+// provesNotRun reports whether an answer says that its upstream has not run the request and never will. No status alone says so
+// but 421.
+func provesNotRun(answer *http.Response) bool {
+	if answer.StatusCode == http.StatusMisdirectedRequest {
+		return true
 	}
+	return answer.Header[notDelivered] != nil && answer.StatusCode >= http.StatusBadRequest
 }
 
 // head writes a request's head. The target goes on as it came.
@@ -174,32 +249,3 @@
 	}
 	b.WriteString("\r\n")
 }
-
-// send writes a request and reads the head of its answer; wrote tells that some of it may have gone out. Answers that
-// bear another request's id are skipped.
-func (l *connection) send(request *http.Request, first []byte, rest io.Reader, id string) (answer *http.Response, wrote bool, err error) {
-	if n, err := l.Write(first); err != nil {
-		return nil, n > 0, err
-	}
-	if rest != nil {
-		if _, err := io.Copy(struct{ io.Writer }{l.TCPConn}, rest); err != nil {
-			return nil, true, err
-		}
-	}
-	for range maxForeignAnswers {
-		answer, err = http.ReadResponse(l.read, request)
-		if err != nil {
-			return nil, true, err
-		}
-		if answer.StatusCode < 200 { // informational: the answer is still to come
-			continue
-		}
-		if is := answer.Header.Get(attemptID); is == id || is == "" && answer.StatusCode >= 400 {
-			return answer, true, nil
-		}
-		if _, err := io.Copy(io.Discard, answer.Body); err != nil {
-			return nil, true, err
-		}
-	}
-	return nil, true, errForeignAnswers
-}
--- a/internal/mesh/proxy/headers.go
+++ b/internal/mesh/proxy/headers.go
@@ -15,7 +15,7 @@
 	senderName        = textproto.CanonicalMIMEHeaderKey("X-Sender")
 	keyName           = textproto.CanonicalMIMEHeaderKey("X-Key")
 	postmark          = textproto.CanonicalMIMEHeaderKey("X-Postmark")
-	notDelivrd        = textproto.CanonicalMIMEHeaderKey("X-Not-Delivered")
+	notDelivered      = textproto.CanonicalMIMEHeaderKey("X-Not-Delivered")
 	meshHeader        = textproto.CanonicalMIMEHeaderKey("X-Hive")           // between two balancers: who says it, and what it means
 	meshAimHeader     = textproto.CanonicalMIMEHeaderKey("X-Hive-Aim")       // milliseconds within which an answer is of full worth
 	meshLongHeader    = textproto.CanonicalMIMEHeaderKey("X-Hive-Long")      // the answer is a long one
--- a/internal/mesh/proxy/inbound.go
+++ b/internal/mesh/proxy/inbound.go
@@ -86,13 +86,16 @@
 	}
 	defer back.done(false)
 	into := &reply{status: back.answer.StatusCode, header: onward(back.answer.Header), length: back.answer.ContentLength,
-		flow: back.answer.Body, ended: make(chan bool, 1), pace: f.pace, context: r.Context()}
+		flow: back.answer.Body, early: back.line.early, ended: make(chan bool, 1), pace: f.pace, context: r.Context()}
 	if err := into.measure(); err != nil {
 		f.counts.Add("app_" + cut(err))
 		w.Header()[meshHeader] = []string{meshBroke}
 		f.refuse(w, r, apierror.Broke, 0)
 		return
 	}
+	if s.id != "" {
+		into.header[attemptID] = []string{s.id} // the answer is proven to be that attempt's
+	}
 	f.write(w, into)
 	back.done(true)
 }
@@ -115,7 +118,7 @@
 // turn refuses a request with the proof that it has not run and never will.
 func (f *Proxy) turn(w http.ResponseWriter, r *http.Request, kind apierror.Kind) {
 	w.Header()[meshHeader] = []string{meshTurned}
-	w.Header()[notDelivrd] = []string{"1"}
+	w.Header()[notDelivered] = []string{"1"}
 	f.refuse(w, r, kind, 0)
 }
 
--- a/internal/mesh/proxy/outbound.go
+++ b/internal/mesh/proxy/outbound.go
@@ -59,6 +59,7 @@
 	flow   io.Reader // the rest of it
 	length int64     // of all, -1 if nobody has said
 	ended  chan bool // says whether all of a flow was written
+	early  bool      // it came before the request had gone out whole: its caller may send nothing else behind that
 
 	pace    *pacer // of the line that it flows over, nil for none
 	context context.Context
@@ -150,6 +151,9 @@
 	if at := strings.IndexByte(path, '?'); at >= 0 {
 		path = path[:at]
 	}
+	if len(r.Header[attemptID]) > 1 { // no answer could be matched to it
+		return nil, t, apierror.Malformed, 0
+	}
 	if !strings.HasPrefix(path, "/") || r.Method == http.MethodConnect {
 		return nil, t, apierror.Malformed, 0
 	}
@@ -347,6 +351,9 @@
 			h[name] = nil
 		}
 	}
+	if r.early {
+		h["Connection"] = []string{"close"}
+	}
 	w.WriteHeader(r.status)
 	_, err := w.Write(r.body)
 	if r.flow != nil {
--- a/internal/mesh/proxy/push.go
+++ b/internal/mesh/proxy/push.go
@@ -19,7 +19,7 @@
 	"ottershift/logic"
 )
 
-// push carries one order out.
+// push carries one order of the module out.
 func (f *Proxy) push(q *request, c *desk.Case, o *desk.Push) {
 	result, flowed := logic.Unsent, false
 	defer func() {
@@ -102,27 +102,36 @@
 	}
 	answer := back.answer
 	h := answer.Header
+	good := answer.StatusCode < http.StatusMultipleChoices
 	switch said := h.Get(meshHeader); {
-	case said == meshTurned, h[notDelivrd] != nil, answer.StatusCode == http.StatusMisdirectedRequest:
+	case said == meshTurned, provesNotRun(answer):
 		back.finish()
 		return logic.TurnedAway, false, said == meshTurned, nil
 	case said == meshBroke:
 		back.finish()
 		return logic.Broken, false, false, nil
+	case good && h[notDelivered] != nil: // it contradicts itself
+		f.counts.Add("answers_contradictory")
+		return logic.Broken, false, false, nil
+	case !through && apierror.Promises(answer.StatusCode): // a partner's own promises are as good as ours
+		f.counts.Add("promises_unproven")
+		back.finish()
+		return logic.Errored, false, false, nil
 	}
-	good := answer.StatusCode < 300
 	if good && h[postmark] == nil && !through {
 		f.counts.Add("answers_unstamped")
 		return logic.Broken, false, false, nil
 	}
-	into := &reply{status: answer.StatusCode, header: onward(h), length: answer.ContentLength}
+	into := &reply{status: answer.StatusCode, header: onward(h), length: answer.ContentLength, early: back.line.early}
 	body, err := io.ReadAll(io.LimitReader(answer.Body, heldAnswer+1))
 	into.body = body
 	if err != nil {
 		return f.broken(o.Context, &upstreamResponse{kind: apierror.Broke, err: err}), false, false, nil
 	}
 	if len(body) <= heldAnswer {
-		into.length = int64(len(body))
+		if q.method != http.MethodHead {
+			into.length = int64(len(body))
+		}
 		back.done(true)
 		q.keep(o.Number, into)
 		switch {
@@ -152,7 +161,7 @@
 func (f *Proxy) broken(ctx context.Context, b *upstreamResponse) logic.Result {
 	cause := context.Cause(ctx)
 	switch {
-	case !b.wrote && b.kind == apierror.Unready && ctx.Err() != nil:
+	case !b.wrote && b.kind == apierror.Unready && (ctx.Err() != nil || errors.Is(b.err, errOutOfTime)):
 		return logic.Unsent // it was called off, or out of time, before it left
 	case !b.wrote && b.kind == apierror.Unready:
 		return logic.Unreachable
@@ -180,7 +189,7 @@
 	return n, err
 }
 
-// sending is a request as it goes over one connection.
+// upstreamRequest is a request as it goes over one connection.
 type upstreamRequest struct {
 	id, to               string
 	method, target, host string
@@ -192,7 +201,7 @@
 	aim                  time.Duration // within which its answer is of full worth
 }
 
-// coming is what comes back of it. kind Unready says that it never left, Broke that it may have run.
+// upstreamResponse is what comes back of it. kind Unready says that it never left, Broke that it may have run.
 type upstreamResponse struct {
 	kind   apierror.Kind
 	err    error
@@ -231,36 +240,67 @@
 	c.done(err == io.EOF)
 }
 
-// send carries a request over a connection of a set.
-func (f *Proxy) send(ctx context.Context, s *upstreamRequest, ls *connectionPool, at roster.Place) *upstreamResponse {
-	for again := false; ; again = true {
-		l, err := ls.take(ctx, at.Host, at.Address, again, at.Kept)
-		if err != nil {
-			return &upstreamResponse{kind: apierror.Unready, err: err}
-		}
-		var b bytes.Buffer
-		s.header[timeLeft] = []string{strconv.FormatInt(max(1, time.Until(s.until).Milliseconds()), 10)}
-		head(&b, s.method, s.target, s.host, s.header, s.length)
-		b.Write(s.body)
-		stop := context.AfterFunc(ctx, func() { l.SetDeadline(time.Unix(1, 0)) })
-		answer, wrote, err := l.send(&http.Request{Method: s.method}, b.Bytes(), s.rest, s.id)
-		if err != nil {
-			stop()
-			l.Close()
-			if !wrote && l.kept && ctx.Err() == nil {
-				continue // it had ended before any of it went out
-			}
-			kind := apierror.Broke
-			if !wrote {
-				kind = apierror.Unready
-			}
-			return &upstreamResponse{kind: kind, err: err, wrote: wrote}
+// send carries a request over a connection of a pool, a kept one if there is one that may carry it.
+func (f *Proxy) send(ctx context.Context, s *upstreamRequest, pool *connectionPool, at roster.Place) *upstreamResponse {
+	if err := sendable(ctx, s); err != nil {
+		return &upstreamResponse{kind: apierror.Unready, err: err}
+	}
+	to := destination{host: at.Host, address: at.Address, kept: at.Kept}
+	for c := pool.take(to, s.id); c != nil; c = nil {
+		back := f.sendOver(ctx, s, pool, c)
+		if back.kind != apierror.Unready || back.wrote || ctx.Err() != nil || errors.Is(back.err, errOutOfTime) {
+			return back
+		} // it had ended before any of the request went out
+	}
+	c, err := pool.dial(ctx, to)
+	if err != nil {
+		return &upstreamResponse{kind: apierror.Unready, err: err}
+	}
+	return f.sendOver(ctx, s, pool, c)
+}
+
+var errOutOfTime = errors.New("the request's time is up")
+
+// sendable says why a request may not leave any more. Invariant: a process that stood still may come here after the time at which
+// whoever sent the request has given it up.
+func sendable(ctx context.Context, s *upstreamRequest) error {
+	if err := ctx.Err(); err != nil {
+		return err
+	}
+	if !time.Now().Before(s.until) {
+		return errOutOfTime
+	}
+	return nil
+}
+
+// sendOver carries a request over one connection.
+func (f *Proxy) sendOver(ctx context.Context, s *upstreamRequest, pool *connectionPool, c *connection) *upstreamResponse {
+	if err := sendable(ctx, s); err != nil {
+		c.Close()
+		return &upstreamResponse{kind: apierror.Unready, err: err}
+	}
+	var b bytes.Buffer
+	s.header[timeLeft] = []string{strconv.FormatInt(max(1, time.Until(s.until).Milliseconds()), 10)}
+	head(&b, s.method, s.target, s.host, s.header, s.length)
+	b.Write(s.body)
+	stop := context.AfterFunc(ctx, func() { c.SetDeadline(longAgo) })
+	answer, wrote, err := c.exchange(&http.Request{Method: s.method}, b.Bytes(), s.rest, s.id)
+	if err != nil {
+		stop()
+		c.abandon()
+		kind := apierror.Broke
+		if !wrote {
+			kind = apierror.Unready
 		}
-		return &upstreamResponse{answer: answer, wrote: true, line: l, lines: ls, long: keptLong, stop: stop}
+		return &upstreamResponse{kind: kind, err: err, wrote: wrote}
 	}
+	if pool == f.upstreamConnections || pool == f.partnerConnections {
+		delete(answer.Header, meshHeader) // balancers alone say this
+	}
+	return &upstreamResponse{answer: answer, wrote: true, line: c, lines: pool, long: keptLong, stop: stop}
 }
 
-// give hands a request to the upstream on this machine, if it is the one that is meant and has room.
+// sendToLocalUpstream hands a request to the upstream on this machine, if it is the one that is meant and has room.
 func (f *Proxy) sendToLocalUpstream(ctx context.Context, s *upstreamRequest) *upstreamResponse {
 	address, kind := f.local.admit(ctx, s, time.Now())
 	if kind != apierror.None {
@@ -299,6 +339,8 @@
 func verdict(ctx context.Context, s *upstreamRequest, back *upstreamResponse, took time.Duration) (failed, known bool) {
 	slow := s.aim > 0 && took > 2*s.aim
 	switch {
+	case errors.Is(back.err, errOutOfTime):
+		return false, false
 	case back.kind == apierror.Unready:
 		return true, ctx.Err() == nil
 	case back.kind != apierror.None:
