--- a/internal/mesh/answers_test.go
+++ b/internal/mesh/answers_test.go
@@ -13,6 +13,7 @@
 
 	"github.com/shoenig/test/must"
 
+	"ottershift/internal/mesh/settings"
 	"ottershift/internal/mesh/testmesh"
 )
 
@@ -74,6 +75,11 @@
 
 // startAnswers starts a mesh of so many upstreams, and waits until the two proxies that are called reach them all.
 func startAnswers(t *testing.T, upstreams int, work time.Duration) *answersMesh {
+	return startAnswersWith(t, upstreams, work, (*mesh).proxy)
+}
+
+// startAnswersWith is the same with a way of one's own to start a proxy.
+func startAnswersWith(t *testing.T, upstreams int, work time.Duration, startProxy func(*mesh, *settings.Settings)) *answersMesh {
 	services := append([]string{"regie"}, slices.Repeat([]string{"album"}, upstreams)...)
 	plan, err := testmesh.Plan(1, 1+upstreams, []string{"east"}, services, t.TempDir())
 	must.NoError(t, err)
@@ -89,7 +95,7 @@
 	must.NoError(t, os.MkdirAll(plan.Controllers[0].DataDir, 0o755))
 	m.comb(plan.Controllers[0])
 	for _, b := range plan.Proxies {
-		m.proxy(b)
+		startProxy(m, b)
 	}
 	a := &answersMesh{mesh: m, classOf: map[string]requestClass{}}
 	for n, b := range plan.Proxies[1:] {
--- a/internal/mesh/proxy/answers_test.go
+++ b/internal/mesh/proxy/answers_test.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"io"
 	"log/slog"
+	"net"
 	"net/http"
 	"net/http/httptest"
 	"strings"
@@ -49,7 +50,9 @@
 }
 
 func (h *inboundHop) serve(handler http.HandlerFunc) {
-	h.server = httptest.NewServer(handler)
+	h.server = httptest.NewUnstartedServer(handler)
+	h.server.Config.ConnContext = withConn
+	h.server.Start()
 	h.t.Cleanup(h.server.Close)
 }
 
@@ -181,3 +184,50 @@
 		must.Eq(t, 0, h.upstream.Runs(s.id))
 	}
 }
+
+// A process that stood still reads a request together with the end of its connection. serveInbound runs at once, and so before the
+// request's context has ended.
+func TestNothingIsHandedOnForACallerThatHasGone(t *testing.T) {
+	h := startInboundHop(t)
+	const requests = 50
+	ranLate := func(within func(http.HandlerFunc) http.HandlerFunc) (n int) {
+		thawed, served := make(chan struct{}), make(chan struct{}, requests)
+		h.serve(func(w http.ResponseWriter, r *http.Request) {
+			<-thawed
+			within(h.proxy.serveInbound)(w, r.WithContext(context.WithoutCancel(r.Context())))
+			served <- struct{}{}
+		})
+		var attempts []string
+		for range requests {
+			attempt := h.attempt()
+			attempts = append(attempts, attempt)
+			h.leave(attempt)
+		}
+		close(thawed)
+		for range requests {
+			<-served
+		}
+		for _, attempt := range attempts {
+			n += h.upstream.Runs(attempt)
+		}
+		return n
+	}
+	must.Eq(t, 0, ranLate(func(serve http.HandlerFunc) http.HandlerFunc { return serve }))
+	// Variant: the connection is not looked at.
+	blind := func(serve http.HandlerFunc) http.HandlerFunc {
+		return func(w http.ResponseWriter, r *http.Request) {
+			serve(w, r.WithContext(context.WithValue(r.Context(), connKey{}, nil)))
+		}
+	}
+	late := ranLate(blind)
+	t.Logf("variant that does not look at the connection: %d of %d ran for nobody", late, requests)
+	must.Positive(t, late)
+}
+
+// leave sends a request and closes its connection.
+func (h *inboundHop) leave(attempt string) {
+	conn, err := net.Dial("tcp4", h.server.Listener.Addr().String())
+	must.NoError(h.t, err)
+	fmt.Fprintf(conn, "POST /once/x HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: %s\r\nX-Addressee: i-0\r\nX-Time-Left-Ms: 2000\r\nContent-Length: 0\r\n\r\n", attempt)
+	conn.Close()
+}
--- a/internal/mesh/proxy/inbound.go
+++ b/internal/mesh/proxy/inbound.go
@@ -6,14 +6,16 @@
 	"io"
 	"net"
 	"net/http"
-	"ottershift/internal/mesh/apierror"
-	"ottershift/internal/roster"
 	"strconv"
 	"syscall"
 	"time"
+
+	"ottershift/internal/mesh/apierror"
+	"ottershift/internal/rawconn"
+	"ottershift/internal/roster"
 )
 
-// inbound is the second hop: a request from another balancer, for the upstream on this machine.
+// serveInbound is the second hop: a request from another balancer, for the upstream on this machine.
 func (f *Proxy) serveInbound(w http.ResponseWriter, r *http.Request) {
 	if r.Header.Get(meshHeader) == meshWell {
 		if up, _, _ := f.local.snapshot(); up != nil && !up.Closing && up.ID == r.Header.Get(addressee) {
@@ -56,6 +58,7 @@
 	s := &upstreamRequest{
 		id: r.Header.Get(attemptID), to: r.Header.Get(addressee), method: r.Method, target: r.RequestURI, host: r.Host, header: header,
 		aim: aim, length: max(r.ContentLength, 0), until: time.Now().Add(time.Duration(left * float64(time.Millisecond))),
+		callerGone: callerGone(r),
 	}
 	if r.ContentLength > 0 {
 		if s.body, err = io.ReadAll(io.LimitReader(r.Body, heldBody)); err != nil {
@@ -100,6 +103,25 @@
 	back.done(true)
 }
 
+// callerGone looks whether the other balancer has closed the connection of a request. Invariant: a process that stood still reads
+// what came meanwhile as if it came now, and its time begins anew; the request's context ends only some time after the handler has
+// begun, too late for one that is handed on at once.
+func callerGone(r *http.Request) func() bool {
+	conn, is := r.Context().Value(connKey{}).(*net.TCPConn)
+	if !is {
+		return nil
+	}
+	raw, err := conn.SyscallConn()
+	if err != nil {
+		return nil
+	}
+	return func() bool {
+		_, ended := rawconn.Peek(raw)
+		return ended
+	}
+}
+
+// cut names what ended an exchange with the upstream, for the counts.
 func cut(err error) string {
 	var timeout net.Error
 	switch {
@@ -122,7 +144,7 @@
 	f.refuse(w, r, kind, 0)
 }
 
-// well asks the balancer beside an upstream whether that is well.
+// probeUpstream asks the balancer beside an upstream whether that is well.
 func (f *Proxy) probeUpstream(ctx context.Context, p *pool, at roster.Place) bool {
 	name := ""
 	f.mu.Lock()
--- a/internal/mesh/proxy/push.go
+++ b/internal/mesh/proxy/push.go
@@ -161,7 +161,7 @@
 func (f *Proxy) broken(ctx context.Context, b *upstreamResponse) logic.Result {
 	cause := context.Cause(ctx)
 	switch {
-	case !b.wrote && b.kind == apierror.Unready && (ctx.Err() != nil || errors.Is(b.err, errOutOfTime)):
+	case !b.wrote && b.kind == apierror.Unready && (ctx.Err() != nil || heldBack(b.err)):
 		return logic.Unsent // it was called off, or out of time, before it left
 	case !b.wrote && b.kind == apierror.Unready:
 		return logic.Unreachable
@@ -199,6 +199,7 @@
 	length               int64
 	until                time.Time
 	aim                  time.Duration // within which its answer is of full worth
+	callerGone           func() bool   // looks at the connection that it came over, nil where there is none to look at
 }
 
 // upstreamResponse is what comes back of it. kind Unready says that it never left, Broke that it may have run.
@@ -248,7 +249,7 @@
 	to := destination{host: at.Host, address: at.Address, kept: at.Kept}
 	for c := pool.take(to, s.id); c != nil; c = nil {
 		back := f.sendOver(ctx, s, pool, c)
-		if back.kind != apierror.Unready || back.wrote || ctx.Err() != nil || errors.Is(back.err, errOutOfTime) {
+		if back.kind != apierror.Unready || back.wrote || ctx.Err() != nil || heldBack(back.err) {
 			return back
 		} // it had ended before any of the request went out
 	}
@@ -259,7 +260,13 @@
 	return f.sendOver(ctx, s, pool, c)
 }
 
-var errOutOfTime = errors.New("the request's time is up")
+var (
+	errOutOfTime  = errors.New("the request's time is up")
+	errCallerGone = errors.New("whoever sent the request has gone")
+)
+
+// heldBack reports whether an error says that a request was not let out, which tells nothing of whoever it was meant for.
+func heldBack(err error) bool { return errors.Is(err, errOutOfTime) || errors.Is(err, errCallerGone) }
 
 // sendable says why a request may not leave any more. Invariant: a process that stood still may come here after the time at which
 // whoever sent the request has given it up.
@@ -270,6 +277,9 @@
 	if !time.Now().Before(s.until) {
 		return errOutOfTime
 	}
+	if s.callerGone != nil && s.callerGone() {
+		return errCallerGone
+	}
 	return nil
 }
 
@@ -339,7 +349,7 @@
 func verdict(ctx context.Context, s *upstreamRequest, back *upstreamResponse, took time.Duration) (failed, known bool) {
 	slow := s.aim > 0 && took > 2*s.aim
 	switch {
-	case errors.Is(back.err, errOutOfTime):
+	case heldBack(back.err):
 		return false, false
 	case back.kind == apierror.Unready:
 		return true, ctx.Err() == nil
