--- a/internal/mesh/answers_test.go
+++ b/internal/mesh/answers_test.go
@@ -486,6 +486,7 @@
 			o.told[got.String()]++
 			o.pairs++
 			o.maxRuns = max(o.maxRuns, got.runs)
+			time.Sleep(10 * time.Millisecond)
 		}
 		a.until(func() bool { return a.ask(0, requestClasses[0], nil, time.Second).status == http.StatusOK && next.Total() > 0 })
 	}
