--- a/internal/mesh/answers_test.go
+++ b/internal/mesh/answers_test.go
@@ -488,7 +488,9 @@
 			o.maxRuns = max(o.maxRuns, got.runs)
 			time.Sleep(10 * time.Millisecond)
 		}
-		a.until(func() bool { return a.ask(0, requestClasses[0], nil, time.Second).status == http.StatusOK && next.Total() > 0 })
+		a.until(func() bool {
+			return a.ask(0, requestClasses[0], nil, time.Second).status == http.StatusOK && next.Total() > 0
+		})
 	}
 	t.Log(o)
 	a.noneRanAgain()
--- a/internal/mesh/balancer_faults_test.go
+++ b/internal/mesh/balancer_faults_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"fmt"
+	"net"
 	"net/http"
 	"os"
 	"os/exec"
@@ -12,6 +13,7 @@
 	"time"
 
 	"github.com/shoenig/test/must"
+	"github.com/shoenig/test/wait"
 
 	"ottershift/internal/mesh/proxy"
 	"ottershift/internal/mesh/settings"
@@ -56,6 +58,17 @@
 	must.NoError(p.t, p.command.Start())
 }
 
+// listens waits until other balancers can connect.
+func (p *proxyProcess) listens() {
+	must.Wait(p.t, wait.InitialSuccess(wait.Timeout(5*time.Second), wait.Gap(time.Millisecond), wait.ErrorFunc(func() error {
+		conn, err := net.Dial("tcp4", p.settings.Inbound)
+		if err == nil {
+			conn.Close()
+		}
+		return err
+	})))
+}
+
 func (p *proxyProcess) signal(s syscall.Signal) { p.command.Process.Signal(s) }
 
 func (p *proxyProcess) kill() {
@@ -135,7 +148,7 @@
 	},
 	{
 		name: "replaced by another at the same address before the request", left: time.Second,
-		begin: func(_ *answersMesh, p *proxyProcess) { p.kill(); p.start() }, end: replace,
+		begin: func(_ *answersMesh, p *proxyProcess) { p.kill(); p.start(); p.listens() }, end: replace,
 	},
 }
 
