--- /dev/null
+++ b/cmd/meshsim/hunt.go
@@ -0,0 +1,36 @@
+package main
+
+import (
+	"fmt"
+	"os"
+
+	"github.com/alecthomas/kingpin/v2"
+)
+
+func huntCommand(app *kingpin.Application) command {
+	hunt := app.Command("hunt", "Look for a day that breaks a rule, shrink it to the fewest faults and write it as a question.")
+	file := hunt.Arg("file", "Question, TOML: its numbers of faults are where the hunt begins.").Required().ExistingFile()
+	days := hunt.Flag("days", "Days to play at most.").Default("5000").Int()
+	seed := hunt.Flag("seed", "Of the hunt.").Default("1").Uint64()
+	out := hunt.Flag("out", "Where to write the day.").Default("found.toml").String()
+	return command{hunt.FullCommand(), func(app *kingpin.Application) {
+		q := readQuestion(app, *file)
+		found, played := q.Hunt(*seed, *days, func(played int, near float64) {
+			fmt.Fprintf(os.Stderr, "\r%d days played, nearest %.2f of 1", played, near)
+		})
+		fmt.Fprintln(os.Stderr)
+		if found == nil {
+			fmt.Printf("verdict=held days=%d\n", played)
+			return
+		}
+		fmt.Printf("seed %d: %s\nmet on day %d with %d faults; %d days played to shrink it to %d:\n", found.Seed, found.Broken, found.Days, found.Met, found.Shrunk, len(found.Faults))
+		for _, f := range found.Faults {
+			fmt.Println("  ", f)
+		}
+		raw, err := found.File(q)
+		app.FatalIfError(err, "")
+		app.FatalIfError(os.WriteFile(*out, raw, 0o644), "")
+		fmt.Printf("written to %s\nverdict=broken days=%d\n", *out, found.Days)
+		os.Exit(exitBroken)
+	}}
+}
--- /dev/null
+++ b/internal/mesh/simulation/scale/hollow.go
@@ -0,0 +1,261 @@
+package scale
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"slices"
+	"sync"
+	"time"
+
+	"ottershift/internal/mesh/membership"
+	"ottershift/internal/mesh/proxy"
+	"ottershift/internal/mesh/rpc"
+	"ottershift/internal/mesh/storage"
+)
+
+// How a hollow balancer paces itself; a real proxy does the same.
+const (
+	watchWait   = 600 * time.Millisecond
+	avoidFailed = 3 * time.Second
+	retryPause  = 20 * time.Millisecond
+)
+
+// hollow is a balancer without a data plane: it renews its lease and takes news, as a real proxy does, and serves nobody.
+type hollow struct {
+	number int
+	fleet  *fleet
+	caller *rpc.Caller
+
+	mu          sync.Mutex
+	node        membership.Node
+	changed     chan struct{}
+	position    membership.Position
+	controllers []membership.ControllerAddress
+	known       []uint64 // by number: the newest Seq told of each hollow node, 0 for none
+	stop        context.CancelFunc
+	stopped     chan struct{}
+}
+
+func hollowName(number int) string { return fmt.Sprintf("hollow-%04d", number) }
+
+func newHollow(f *fleet, number int, zone, service string) *hollow {
+	return &hollow{
+		number: number, fleet: f, caller: rpc.NewCaller(f.meter.wrap), changed: make(chan struct{}), known: make([]uint64, f.size),
+		node: membership.Node{
+			Name: hollowName(number), Inbound: fmt.Sprintf("10.%d.%d.%d:8109", 100+number>>16, number>>8&255, number&255), District: zone,
+			Upstream: &membership.Upstream{ID: fmt.Sprintf("i-%08x", number*2654435761&0xffffffff), Service: service, Edition: "v1", Capacity: 8},
+		},
+	}
+}
+
+// start begins the watch; a new life knows nothing.
+func (h *hollow) start(ctx context.Context, newLife bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if newLife {
+		h.node.Life, h.position, h.controllers = storage.NewIdentity(), membership.Position{}, nil
+		h.node.Seq = h.fleet.next(h.number)
+		clear(h.known)
+	}
+	ctx, h.stop = context.WithCancel(ctx)
+	h.stopped = make(chan struct{})
+	go func() {
+		defer close(h.stopped)
+		h.watch(ctx)
+		h.caller.Close()
+	}()
+}
+
+// silence ends the watch without a word, as a crash or a cut does.
+func (h *hollow) silence() {
+	h.mu.Lock()
+	stop, stopped := h.stop, h.stopped
+	h.mu.Unlock()
+	if stop != nil {
+		stop()
+		<-stopped
+	}
+}
+
+// change has the balancer's upstream change, which it tells at once.
+func (h *hollow) change() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	upstream := *h.node.Upstream
+	upstream.Ill = (upstream.Ill + 1) % 4
+	h.node.Upstream, h.node.Seq = &upstream, h.fleet.next(h.number)
+	close(h.changed)
+	h.changed = make(chan struct{})
+}
+
+func (h *hollow) watch(ctx context.Context) {
+	failed := map[string]time.Time{}
+	for ctx.Err() == nil {
+		controller := h.pickController(failed)
+		response, interrupted, err := h.request(ctx, controller)
+		switch {
+		case ctx.Err() != nil:
+			return
+		case interrupted:
+			h.fleet.meter.Interrupted.Add(1)
+		case err != nil:
+			h.fleet.meter.Failed.Add(1)
+			failed[controller] = time.Now()
+		default:
+			h.apply(response)
+			if response.Current {
+				continue
+			}
+			h.fleet.meter.NotCurrent.Add(1)
+			failed[controller] = time.Now()
+		}
+		pause(ctx, retryPause)
+	}
+}
+
+// request makes one watch request; it is given up for a change of the balancer's own.
+func (h *hollow) request(ctx context.Context, controller string) (response *membership.WatchResponse, interrupted bool, err error) {
+	h.mu.Lock()
+	request := &membership.WatchRequest{Node: h.node, Position: h.position, MaxWait: int64(watchWait)}
+	changed := h.changed
+	h.mu.Unlock()
+	call, end := context.WithTimeout(ctx, proxy.WatchTimeout)
+	defer end()
+	go func() {
+		select {
+		case <-changed:
+			end()
+		case <-call.Done():
+		}
+	}()
+	h.fleet.meter.Requests.Add(1)
+	response = &membership.WatchResponse{}
+	err = h.caller.Call(call, controller, rpc.PathWatch, request, response)
+	return response, err != nil && errors.Is(call.Err(), context.Canceled), err
+}
+
+// apply takes news, as a real proxy takes it.
+func (h *hollow) apply(n *membership.WatchResponse) {
+	now := time.Now()
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if n.Whole {
+		h.fleet.meter.Whole.Add(1)
+		if !n.Starting {
+			clear(h.known)
+		}
+	}
+	h.fleet.meter.Nodes.Add(int64(len(n.Nodes)))
+	for _, record := range n.Nodes {
+		h.observe(record, now)
+	}
+	for _, name := range n.Gone {
+		if number, is := hollowNumber(name, len(h.known)); is {
+			h.known[number] = 0
+		}
+	}
+	h.controllers = n.Controllers
+	h.position.Controller, h.position.Seq = n.Controller, n.Seq
+	if n.Configuration != nil {
+		h.position.Index, h.position.Edition = max(h.position.Index, n.Index), n.Edition
+	} else if n.Index > h.position.Index && (n.Edition == h.position.Edition || n.Edition == 0) {
+		h.position.Index = n.Index
+	}
+}
+
+func (h *hollow) observe(record membership.Record, now time.Time) {
+	number, is := hollowNumber(record.Name, len(h.known))
+	if !is {
+		return
+	}
+	if record.Lost {
+		h.known[number] = 0
+		return
+	}
+	if record.Seq > h.known[number] {
+		h.known[number] = record.Seq
+		h.fleet.heard(number, record.Seq, now)
+	}
+}
+
+func hollowNumber(name string, size int) (int, bool) {
+	var number int
+	if n, err := fmt.Sscanf(name, "hollow-%d", &number); n != 1 || err != nil || number < 0 || number >= size {
+		return 0, false
+	}
+	return number, true
+}
+
+// complete reports whether all nodes that are there are known as they are.
+func (h *hollow) complete(seqs []uint64) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for number, seq := range seqs {
+		if seq > 0 && h.known[number] < seq {
+			return false
+		}
+	}
+	return true
+}
+
+func (h *hollow) edition() int64 {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.position.Edition
+}
+
+// pickController chooses as a real proxy does: of those that have not failed of late, one of its zone first.
+func (h *hollow) pickController(failed map[string]time.Time) string {
+	h.mu.Lock()
+	controllers := h.controllers
+	h.mu.Unlock()
+	all := orderControllers(h.node.Name, h.node.District, controllers, h.fleet.seeds)
+	oldest := all[0]
+	for _, at := range all {
+		if time.Since(failed[at]) > avoidFailed {
+			return at
+		}
+		if failed[at].Before(failed[oldest]) {
+			oldest = at
+		}
+	}
+	return oldest
+}
+
+func orderControllers(name, zone string, controllers []membership.ControllerAddress, seeds []string) (all []string) {
+	add := func(at string) {
+		if !slices.Contains(all, at) {
+			all = append(all, at)
+		}
+	}
+	for _, c := range controllers {
+		if c.Zone == zone {
+			add(c.At)
+		}
+	}
+	own := len(all)
+	for _, c := range controllers {
+		add(c.At)
+	}
+	for _, at := range seeds {
+		add(at)
+	}
+	rest := all[own:]
+	if len(rest) < 2 {
+		return all
+	}
+	by := (len(name) + int(name[len(name)-1])) % len(rest)
+	return slices.Concat(all[:own], rest[by:], rest[:by])
+}
+
+func pause(ctx context.Context, d time.Duration) error {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+		return nil
+	case <-ctx.Done():
+		return ctx.Err()
+	}
+}
--- /dev/null
+++ b/internal/mesh/simulation/scale/phase.go
@@ -0,0 +1,26 @@
+package scale
+
+// Phase is a part of the pass of one size.
+type Phase string
+
+// The phases, in the order in which they are played.
+const (
+	PhaseStart         Phase = "start"         // all balancers start at once
+	PhaseRest          Phase = "rest"          // nothing changes
+	PhaseChanges       Phase = "changes"       // upstreams change, one after another
+	PhaseServe         Phase = "serve"         // real proxies carry calls at given rates
+	PhaseConfiguration Phase = "configuration" // the configuration changes once a second
+	PhaseZone          Phase = "zone"          // a zone dies and all of it starts at once
+	PhaseRegion        Phase = "region"        // a region is cut off and returns
+	PhaseRestart       Phase = "restart"       // all balancers are restarted at once
+)
+
+// Phases are all of them.
+var Phases = []Phase{PhaseStart, PhaseRest, PhaseChanges, PhaseServe, PhaseConfiguration, PhaseZone, PhaseRegion, PhaseRestart}
+
+func anyPhases() (all []any) {
+	for _, phase := range Phases {
+		all = append(all, phase)
+	}
+	return all
+}
