--- a/internal/mesh/simulation/scale/fit.go
+++ b/internal/mesh/simulation/scale/fit.go
@@ -34,6 +34,7 @@
 	{"told to a balancer", "KB/s", always(func(r *Row) float64 { return r.perBalancer(r.Watch.Received) / 1000 })},
 	{"sent by a balancer", "KB/s", always(func(r *Row) float64 { return r.perBalancer(r.Watch.Sent) / 1000 })},
 	{"told to all", "MB", always(func(r *Row) float64 { return float64(r.Watch.Received) / 1e6 })},
+	{"responses with all nodes, to all", "1/s", always(func(r *Row) float64 { return float64(r.Watch.Whole) / r.Took })},
 	{"failed watch requests", "", always(func(r *Row) float64 { return float64(r.Watch.Failed) })},
 	{"new connections", "1/s", always(func(r *Row) float64 { return float64(r.Watch.Dialed) / r.Took })},
 	{"processor, controllers together", "cores", always(func(r *Row) float64 { return r.Controllers.Cores })},
--- a/internal/mesh/simulation/scale/fleet.go
+++ b/internal/mesh/simulation/scale/fleet.go
@@ -26,6 +26,8 @@
 	meter *Meter
 	all   []*hollow
 
+	stableOrder bool // of controllers, as Plan says
+
 	seqs  []atomic.Uint64 // by number, 0 while a balancer is away
 	last  []atomic.Uint64 // by number, the last Seq given out
 	since []atomic.Int64  // when, in Unix nanoseconds
--- a/internal/mesh/simulation/scale/hollow.go
+++ b/internal/mesh/simulation/scale/hollow.go
@@ -5,6 +5,7 @@
 	"errors"
 	"fmt"
 	"slices"
+	"strings"
 	"sync"
 	"time"
 
@@ -156,6 +157,9 @@
 		}
 	}
 	h.controllers = n.Controllers
+	if h.fleet.stableOrder {
+		slices.SortFunc(h.controllers, func(a, b membership.ControllerAddress) int { return strings.Compare(a.At, b.At) })
+	}
 	h.position.Controller, h.position.Seq = n.Controller, n.Seq
 	if n.Configuration != nil {
 		h.position.Index, h.position.Edition = max(h.position.Index, n.Index), n.Edition
--- a/internal/mesh/simulation/scale/plan.go
+++ b/internal/mesh/simulation/scale/plan.go
@@ -58,6 +58,10 @@
 	Configurations   int     // changes of the configuration, one a second
 	Phases           []Phase // those to play, all where left out
 
+	// StableOrder has hollow balancers order the controllers they are told of before each chooses its own. Without it they
+	// choose as proxies of this version do: by a list that names the controller that answered first.
+	StableOrder bool `toml:"stable_order"`
+
 	Serve ServePlan
 }
 
--- a/internal/mesh/simulation/scale/process.go
+++ b/internal/mesh/simulation/scale/process.go
@@ -104,9 +104,8 @@
 // parseProcessor reads user and system time; the program's name before them may hold spaces.
 func parseProcessor(stat []byte) (time.Duration, error) {
 	const userTime, systemTime = 11, 12 // fields after the name
-	_, rest, found := bytes.Cut(stat, []byte(") "))
-	fields := strings.Fields(string(rest))
-	if !found || len(fields) <= systemTime {
+	fields := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:]))
+	if len(fields) <= systemTime {
 		return 0, Error.New("no processor times in %q", stat)
 	}
 	var ticks int64
--- a/internal/mesh/simulation/scale/run.go
+++ b/internal/mesh/simulation/scale/run.go
@@ -123,6 +123,7 @@
 		seeds = append(seeds, settings.InnerOf(settings.Host(seed), mesh.Controllers[0].InnerFirst))
 	}
 	x.fleet = newFleet(size, seeds, x.plan.zoneNames(), x.plan.Services)
+	x.fleet.stableOrder = x.plan.StableOrder
 	x.operator = &operator{controls: controls}
 	self, err := os.FindProcess(os.Getpid())
 	if err != nil {
