--- a/internal/mesh/simulation/scale/phase.go
+++ b/internal/mesh/simulation/scale/phase.go
@@ -12,11 +12,12 @@
 	PhaseConfiguration Phase = "configuration" // the configuration changes once a second
 	PhaseZone          Phase = "zone"          // a zone dies and all of it starts at once
 	PhaseRegion        Phase = "region"        // a region is cut off and returns
+	PhaseController    Phase = "controller"    // a controller is killed, and is away while this is measured
 	PhaseRestart       Phase = "restart"       // all balancers are restarted at once
 )
 
 // Phases are all of them.
-var Phases = []Phase{PhaseStart, PhaseRest, PhaseChanges, PhaseServe, PhaseConfiguration, PhaseZone, PhaseRegion, PhaseRestart}
+var Phases = []Phase{PhaseStart, PhaseRest, PhaseChanges, PhaseServe, PhaseConfiguration, PhaseZone, PhaseRegion, PhaseController, PhaseRestart}
 
 func anyPhases() (all []any) {
 	for _, phase := range Phases {
--- a/internal/mesh/simulation/scale/process.go
+++ b/internal/mesh/simulation/scale/process.go
@@ -18,23 +18,27 @@
 // ticksPerSecond is the unit of processor times under /proc on Linux.
 const ticksPerSecond = 100
 
+// programs is where the mesh's programs are, and where what they need and write is kept.
+type programs struct{ folder, work, logs string }
+
 // process is a real process of the mesh.
 type process struct {
 	cmd   *exec.Cmd
 	ended chan struct{}
 }
 
-// startProcess starts a program of the mesh by its settings.
-func startProcess(program string, b *settings.Settings, dir, logs string) (*process, error) {
-	file := filepath.Join(dir, b.Node+".conf")
+// start starts a program of the mesh by its settings.
+func (p programs) start(program string, b *settings.Settings) (*process, error) {
+	file := filepath.Join(p.work, b.Node+".conf")
 	if err := testmesh.Write(b, file); err != nil {
 		return nil, Error.Wrap(err)
 	}
-	cmd := exec.Command(program, "serve")
+	b.FirstStart = false // from now on
+	cmd := exec.Command(filepath.Join(p.folder, program), "serve")
 	cmd.Env = []string{settings.Variable + "=" + file, "PATH=" + os.Getenv("PATH")}
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // none outlives this one
-	if logs != "" {
-		log, err := os.Create(filepath.Join(logs, b.Node+".log"))
+	if p.logs != "" {
+		log, err := os.OpenFile(filepath.Join(p.logs, b.Node+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 		if err != nil {
 			return nil, Error.Wrap(err)
 		}
@@ -44,12 +48,12 @@
 	if err := cmd.Start(); err != nil {
 		return nil, Error.New("%s: %v", program, err)
 	}
-	p := &process{cmd: cmd, ended: make(chan struct{})}
+	started := &process{cmd: cmd, ended: make(chan struct{})}
 	go func() {
-		defer close(p.ended)
+		defer close(started.ended)
 		cmd.Wait()
 	}()
-	return p, nil
+	return started, nil
 }
 
 func (p *process) kill() {
--- a/internal/mesh/simulation/scale/run.go
+++ b/internal/mesh/simulation/scale/run.go
@@ -4,7 +4,6 @@
 	"context"
 	"fmt"
 	"os"
-	"path/filepath"
 	"slices"
 	"strings"
 	"time"
@@ -14,6 +13,9 @@
 )
 
 const (
+	controllerProgram = "controller"
+	proxyProgram      = "proxy"
+
 	startPatience    = 20 * time.Second // for the core, and for real proxies to serve
 	completePatience = 45 * time.Second // for all balancers to know all
 	settlePause      = 2 * time.Second  // between phases
@@ -44,10 +46,10 @@
 }
 
 // Run plays all sizes of a plan with the programs of a folder; tell is told each row as it comes.
-func Run(ctx context.Context, p *Plan, programs, logs string, tell func(Row)) (*Report, error) {
+func Run(ctx context.Context, p *Plan, folder, logs string, tell func(Row)) (*Report, error) {
 	report := &Report{Title: p.Title}
 	for _, size := range p.Sizes {
-		rows, err := runSize(ctx, p, size, programs, logs, tell)
+		rows, err := runSize(ctx, p, size, programs{folder: folder, logs: logs}, tell)
 		report.Rows = append(report.Rows, rows...)
 		if err != nil {
 			return report, err
@@ -60,27 +62,30 @@
 // pass is the play of one size.
 type pass struct {
 	plan     *Plan
+	programs programs
 	fleet    *fleet
 	operator *operator
 	load     *load
 	tell     func(Row)
 
 	controllers, proxies, self group
+	settings                   []*settings.Settings // of the controllers
 	upstreams                  []*testmesh.Upstream
 	rows                       []Row
 }
 
-func runSize(ctx context.Context, p *Plan, size int, programs, logs string, tell func(Row)) (rows []Row, err error) {
+func runSize(ctx context.Context, p *Plan, size int, with programs, tell func(Row)) (rows []Row, err error) {
 	dir, err := os.MkdirTemp("", "meshsim-scale")
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
 	defer os.RemoveAll(dir)
+	with.work = dir
 	ctx, end := context.WithCancel(ctx)
 	defer end()
-	x := &pass{plan: p, tell: tell}
+	x := &pass{plan: p, programs: with, tell: tell}
 	defer x.close()
-	if err := x.open(ctx, size, programs, logs, dir); err != nil {
+	if err := x.open(ctx, size); err != nil {
 		return nil, err
 	}
 	for _, phase := range Phases {
@@ -98,21 +103,22 @@
 }
 
 // open starts controllers and real proxies and puts the first configuration; no hollow balancer runs yet.
-func (x *pass) open(ctx context.Context, size int, programs, logs, dir string) error {
+func (x *pass) open(ctx context.Context, size int) error {
 	var services []string
 	for n := range max(x.plan.Proxies, 1) {
 		services = append(services, servedName(n))
 	}
-	mesh, err := testmesh.Plan(x.plan.Controllers, x.plan.Proxies, x.plan.zoneNames(), services, dir)
+	mesh, err := testmesh.Plan(x.plan.Controllers, x.plan.Proxies, x.plan.zoneNames(), services, x.programs.work)
 	if err != nil {
 		return Error.Wrap(err)
 	}
 	var seeds, controls []string
+	x.settings = mesh.Controllers
 	for _, b := range mesh.Controllers {
 		if err := os.MkdirAll(b.DataDir, 0o755); err != nil {
 			return Error.Wrap(err)
 		}
-		controller, err := startProcess(filepath.Join(programs, "controller"), b, dir, logs)
+		controller, err := x.programs.start(controllerProgram, b)
 		if err != nil {
 			return err
 		}
@@ -135,13 +141,13 @@
 	if _, err := x.operator.put(patience, firstTimetable(x.plan)); err != nil {
 		return err
 	}
-	return x.openProxies(patience, mesh.Proxies, programs, logs, dir)
+	return x.openProxies(patience, mesh.Proxies)
 }
 
-func (x *pass) openProxies(ctx context.Context, proxies []*settings.Settings, programs, logs, dir string) error {
+func (x *pass) openProxies(ctx context.Context, proxies []*settings.Settings) error {
 	var outbounds, upstreams []string
 	for n, b := range proxies {
-		proxy, err := startProcess(filepath.Join(programs, "proxy"), b, dir, logs)
+		proxy, err := x.programs.start(proxyProgram, b)
 		if err != nil {
 			return err
 		}
@@ -209,6 +215,8 @@
 		return x.away(ctx, phase, func(zone int) bool { return zone == 0 }, true)
 	case PhaseRegion:
 		return x.away(ctx, phase, func(zone int) bool { return zone%x.plan.Regions == 0 }, false)
+	case PhaseController:
+		return x.loseController(ctx)
 	case PhaseRestart:
 		return x.storm(ctx, phase, x.plan.Serve.Base, func() {
 			x.fleet.silence(x.fleet.all)
@@ -228,6 +236,21 @@
 	return x.storm(ctx, phase, x.plan.Serve.Base, func() { x.fleet.start(ctx, some, newLife) })
 }
 
+// loseController kills the first controller, measures the others, which do all the work then, and starts it again.
+func (x *pass) loseController(ctx context.Context) error {
+	remaining := x.controllers[1:]
+	all := x.controllers
+	x.controllers[0].kill()
+	x.controllers = remaining
+	err := x.measure(ctx, PhaseController, x.plan.Serve.Base, nil)
+	x.controllers = all
+	if err != nil {
+		return err
+	}
+	x.controllers[0], err = x.programs.start(controllerProgram, x.settings[0])
+	return err
+}
+
 // storm measures what follows an event, and how long it takes until all know all.
 func (x *pass) storm(ctx context.Context, phase Phase, rate float64, event func()) error {
 	probe, err := x.begin(phase, rate)
