--- a/cmd/meshsim/scale.go
+++ b/cmd/meshsim/scale.go
@@ -25,8 +25,8 @@
 				fmt.Fprintln(os.Stderr, row.Summary())
 			}
 		})
-		app.FatalIfError(err, "%s", *file)
 		app.FatalIfError(writeReport(report, *asJSON, *svg), "")
+		app.FatalIfError(err, "%s", *file)
 	}}
 }
 
--- a/internal/mesh/simulation/scale/run.go
+++ b/internal/mesh/simulation/scale/run.go
@@ -45,18 +45,21 @@
 	P50, P99, Max float64
 }
 
-// Run plays all sizes of a plan with the programs of a folder; tell is told each row as it comes.
+// Run plays all sizes of a plan with the programs of a folder; tell is told each row as it comes. A report that comes with an
+// error holds what was measured before it.
 func Run(ctx context.Context, p *Plan, folder, logs string, tell func(Row)) (*Report, error) {
 	report := &Report{Title: p.Title}
+	var failed error
 	for _, size := range p.Sizes {
-		rows, err := runSize(ctx, p, size, programs{folder: folder, logs: logs}, tell)
+		var rows []Row
+		rows, failed = runSize(ctx, p, size, programs{folder: folder, logs: logs}, tell)
 		report.Rows = append(report.Rows, rows...)
-		if err != nil {
-			return report, err
+		if failed != nil {
+			break
 		}
 	}
 	report.Slopes = fitAll(report.Rows)
-	return report, nil
+	return report, failed
 }
 
 // pass is the play of one size.
