--- a/internal/mesh/simulation/scale/fit.go
+++ b/internal/mesh/simulation/scale/fit.go
@@ -36,6 +36,9 @@
 	{"told to all", "MB", always(func(r *Row) float64 { return float64(r.Watch.Received) / 1e6 })},
 	{"responses with all nodes, to all", "1/s", always(func(r *Row) float64 { return float64(r.Watch.Whole) / r.Took })},
 	{"failed watch requests", "", always(func(r *Row) float64 { return float64(r.Watch.Failed) })},
+	{"draws of a balancer", "1/s", ofDraws(func(r *Row) float64 { return r.perBalancer(r.Watch.Draws) })},
+	{"calls that wait for a draw", "", ofDraws(func(r *Row) float64 { return float64(r.Watch.QuotaWaited) / float64(max(r.Watch.QuotaCalls, 1)) })},
+	{"draws that fail", "", ofDraws(func(r *Row) float64 { return float64(r.Watch.DrawsFailed) / float64(r.Watch.Draws) })},
 	{"new connections", "1/s", always(func(r *Row) float64 { return float64(r.Watch.Dialed) / r.Took })},
 	{"processor, controllers together", "cores", always(func(r *Row) float64 { return r.Controllers.Cores })},
 	{"processor, busiest controller", "cores", always(func(r *Row) float64 { return r.Controllers.BusiestCore })},
@@ -76,6 +79,15 @@
 	}
 }
 
+func ofDraws(of func(*Row) float64) func(*Row) (float64, bool) {
+	return func(r *Row) (float64, bool) {
+		if r.Watch.Draws == 0 {
+			return 0, false
+		}
+		return of(r), true
+	}
+}
+
 func ofServed(of func(*Served) float64) func(*Row) (float64, bool) {
 	return func(r *Row) (float64, bool) {
 		if r.Served == nil || r.Served.Calls == 0 {
--- a/internal/mesh/simulation/scale/hollow.go
+++ b/internal/mesh/simulation/scale/hollow.go
@@ -28,14 +28,15 @@
 	fleet  *fleet
 	caller *rpc.Caller
 
-	mu          sync.Mutex
-	node        membership.Node
-	changed     chan struct{}
-	position    membership.Position
-	controllers []membership.ControllerAddress
-	known       []uint64 // by number: the newest Seq told of each hollow node, 0 for none
-	stop        context.CancelFunc
-	stopped     chan struct{}
+	mu            sync.Mutex
+	node          membership.Node
+	changed       chan struct{}
+	position      membership.Position
+	controllers   []membership.ControllerAddress
+	coordinatorAt string
+	known         []uint64 // by number: the newest Seq told of each hollow node, 0 for none
+	stop          context.CancelFunc
+	stopped       chan struct{}
 }
 
 func hollowName(number int) string { return fmt.Sprintf("hollow-%04d", number) }
@@ -156,7 +157,7 @@
 			h.known[number] = 0
 		}
 	}
-	h.controllers = n.Controllers
+	h.controllers, h.coordinatorAt = n.Controllers, n.Coordinator
 	if h.fleet.stableOrder {
 		slices.SortFunc(h.controllers, func(a, b membership.ControllerAddress) int { return strings.Compare(a.At, b.At) })
 	}
@@ -203,6 +204,19 @@
 	return true
 }
 
+// coordinator is the address of who keeps the token bank, as far as is known.
+func (h *hollow) coordinator() string {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.coordinatorAt
+}
+
+func (h *hollow) life() string {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.node.Life
+}
+
 func (h *hollow) edition() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/mesh/simulation/scale/meter.go
+++ b/internal/mesh/simulation/scale/meter.go
@@ -15,16 +15,24 @@
 	Requests, Failed   atomic.Int64 // watch requests
 	NotCurrent, Whole  atomic.Int64 // responses of controllers that are not current, and that hold all nodes
 	Interrupted, Nodes atomic.Int64 // requests given up for a change of one's own, and records received
+
+	QuotaCalls, QuotaWaited atomic.Int64 // calls of limited tenants, and those that had to wait for a draw
+	Draws, DrawsFailed      atomic.Int64
 }
 
 // Reading is a meter at one moment.
-type Reading struct{ Received, Sent, Dialed, Open, Requests, Failed, NotCurrent, Whole, Interrupted, Nodes int64 }
+type Reading struct {
+	Received, Sent, Dialed, Open                            int64
+	Requests, Failed, NotCurrent, Whole, Interrupted, Nodes int64
+	QuotaCalls, QuotaWaited, Draws, DrawsFailed             int64
+}
 
 // Read takes all counts.
 func (m *Meter) Read() Reading {
 	return Reading{
 		Received: m.Received.Load(), Sent: m.Sent.Load(), Dialed: m.Dialed.Load(), Open: m.Open.Load(), Requests: m.Requests.Load(),
 		Failed: m.Failed.Load(), NotCurrent: m.NotCurrent.Load(), Whole: m.Whole.Load(), Interrupted: m.Interrupted.Load(), Nodes: m.Nodes.Load(),
+		QuotaCalls: m.QuotaCalls.Load(), QuotaWaited: m.QuotaWaited.Load(), Draws: m.Draws.Load(), DrawsFailed: m.DrawsFailed.Load(),
 	}
 }
 
@@ -34,6 +42,8 @@
 		Received: r.Received - before.Received, Sent: r.Sent - before.Sent, Dialed: r.Dialed - before.Dialed, Open: r.Open,
 		Requests: r.Requests - before.Requests, Failed: r.Failed - before.Failed, NotCurrent: r.NotCurrent - before.NotCurrent,
 		Whole: r.Whole - before.Whole, Interrupted: r.Interrupted - before.Interrupted, Nodes: r.Nodes - before.Nodes,
+		QuotaCalls: r.QuotaCalls - before.QuotaCalls, QuotaWaited: r.QuotaWaited - before.QuotaWaited,
+		Draws: r.Draws - before.Draws, DrawsFailed: r.DrawsFailed - before.DrawsFailed,
 	}
 }
 
--- a/internal/mesh/simulation/scale/operator.go
+++ b/internal/mesh/simulation/scale/operator.go
@@ -53,11 +53,18 @@
 	Protocol         string
 }
 
+type sender struct {
+	Name            string
+	ApiKeys         []string
+	RatePerS, Surge float64
+}
+
 type timetable struct {
 	Edition     int64
 	SizeLimits  limits
 	PostOffices []postOffice `json:",omitempty"`
 	Depots      []depot      `json:",omitempty"`
+	Senders     []sender     `json:",omitempty"`
 }
 
 func sizeLimits(edition int64) limits {
@@ -89,6 +96,17 @@
 	return t
 }
 
+// withTenants is a timetable with limited tenants beside it.
+func (t *timetable) withTenants(p *Plan, balancers int) *timetable {
+	for n := range p.Quota.Tenants {
+		name, rate := tenantName(n), p.Quota.rate(balancers)
+		t.Senders = append(t.Senders, sender{Name: name, ApiKeys: []string{callKey(n)}, RatePerS: rate, Surge: rate})
+	}
+	return t
+}
+
+func callKey(tenant int) string { return fmt.Sprintf("key-%02d", tenant) }
+
 // put brings a whole configuration, and sends it until it is taken.
 func (o *operator) put(ctx context.Context, t *timetable) (bytes int, err error) {
 	return o.order(ctx, "timetable.replace", t)
--- a/internal/mesh/simulation/scale/phase.go
+++ b/internal/mesh/simulation/scale/phase.go
@@ -10,6 +10,7 @@
 	PhaseChanges       Phase = "changes"       // upstreams change, one after another
 	PhaseServe         Phase = "serve"         // real proxies carry calls at given rates
 	PhaseConfiguration Phase = "configuration" // the configuration changes once a second
+	PhaseQuota         Phase = "quota"         // balancers draw tokens for calls of limited tenants
 	PhaseZone          Phase = "zone"          // a zone dies and all of it starts at once
 	PhaseRegion        Phase = "region"        // a region is cut off and returns
 	PhaseController    Phase = "controller"    // a controller is killed, and is away while this is measured
@@ -17,7 +18,7 @@
 )
 
 // Phases are all of them.
-var Phases = []Phase{PhaseStart, PhaseRest, PhaseChanges, PhaseServe, PhaseConfiguration, PhaseZone, PhaseRegion, PhaseController, PhaseRestart}
+var Phases = []Phase{PhaseStart, PhaseRest, PhaseChanges, PhaseServe, PhaseConfiguration, PhaseQuota, PhaseZone, PhaseRegion, PhaseController, PhaseRestart}
 
 func anyPhases() (all []any) {
 	for _, phase := range Phases {
--- a/internal/mesh/simulation/scale/plan.go
+++ b/internal/mesh/simulation/scale/plan.go
@@ -63,6 +63,13 @@
 	StableOrder bool `toml:"stable_order"`
 
 	Serve ServePlan
+	Quota QuotaPlan
+}
+
+// QuotaPlan is the limited tenants, and the calls for which hollow balancers take tokens.
+type QuotaPlan struct {
+	Tenants int
+	Calls   float64 // a second at each balancer
 }
 
 // ServePlan is the traffic of the real proxies.
@@ -78,6 +85,7 @@
 		Controllers: 4, Proxies: 4, Services: 23, Zones: 6, Regions: 2, Routes: 100,
 		Window: Duration(8 * time.Second), Storm: Duration(6 * time.Second), Silence: Duration(17 * time.Second),
 		ChangesPerSecond: 5, Configurations: 5, Phases: Phases,
+		Quota: QuotaPlan{Tenants: 75, Calls: 65},
 		Serve: ServePlan{Rates: []float64{100, 400, 800}, Base: 100, Work: Duration(time.Millisecond), Bytes: 1000},
 	}
 }
@@ -135,6 +143,8 @@
 	check("serve.base", p.Serve.Base, validation.Min(0.0), validation.Max(maxRate))
 	check("serve.work", time.Duration(p.Serve.Work), validation.Min(time.Duration(0)), validation.Max(time.Second))
 	check("serve.bytes", p.Serve.Bytes, validation.Min(0), validation.Max(1<<20))
+	check("quota.tenants", p.Quota.Tenants, validation.Required, validation.Min(1), validation.Max(1000))
+	check("quota.calls", p.Quota.Calls, validation.Required, validation.Min(0.1), validation.Max(1000.0))
 	return faults.Err()
 }
 
--- a/internal/mesh/simulation/scale/run.go
+++ b/internal/mesh/simulation/scale/run.go
@@ -141,7 +141,7 @@
 	x.self = group{ownProcess(self)}
 	patience, end := context.WithTimeout(ctx, startPatience)
 	defer end()
-	if _, err := x.operator.put(patience, firstTimetable(x.plan)); err != nil {
+	if _, err := x.operator.put(patience, firstTimetable(x.plan).withTenants(x.plan, size)); err != nil {
 		return err
 	}
 	return x.openProxies(patience, mesh.Proxies)
@@ -212,6 +212,8 @@
 			}
 		}
 		return nil
+	case PhaseQuota:
+		return x.measure(ctx, phase, 0, x.draws)
 	case PhaseConfiguration:
 		return x.configure(ctx)
 	case PhaseZone:
@@ -229,6 +231,13 @@
 	return nil
 }
 
+// draws has all hollow balancers draw tokens until the context ends.
+func (x *pass) draws(ctx context.Context) {
+	for _, h := range x.fleet.all {
+		go newHollowQuota(h, x.plan).run(ctx)
+	}
+}
+
 // away silences the balancers of zones for a while and has them return at once, as new lives or as they were.
 func (x *pass) away(ctx context.Context, phase Phase, zones func(int) bool, newLife bool) error {
 	some := x.fleet.ofZones(zones)
--- a/internal/mesh/simulation/scale/token_bank_test.go
+++ b/internal/mesh/simulation/scale/token_bank_test.go
@@ -39,5 +39,3 @@
 		})
 	}
 }
-
-func tenantName(n int) string { return fmt.Sprintf("tenant-%02d", n) }
