--- a/internal/mesh/simulation/scale/operator.go
+++ b/internal/mesh/simulation/scale/operator.go
@@ -96,17 +96,22 @@
 	return t
 }
 
-// withTenants is a timetable with limited tenants beside it.
+// The tenant of the calls that real proxies carry; it has no quota, so that none is refused for one.
+const (
+	clientTenant = "clients"
+	clientKey    = "key-of-clients"
+)
+
+// withTenants is a timetable with limited tenants beside it, and the one of the calls of real proxies.
 func (t *timetable) withTenants(p *Plan, balancers int) *timetable {
+	t.Senders = append(t.Senders, sender{Name: clientTenant, ApiKeys: []string{clientKey}})
 	for n := range p.Quota.Tenants {
 		name, rate := tenantName(n), p.Quota.rate(balancers)
-		t.Senders = append(t.Senders, sender{Name: name, ApiKeys: []string{callKey(n)}, RatePerS: rate, Surge: rate})
+		t.Senders = append(t.Senders, sender{Name: name, ApiKeys: []string{"key-of-" + name}, RatePerS: rate, Surge: rate})
 	}
 	return t
 }
 
-func callKey(tenant int) string { return fmt.Sprintf("key-%02d", tenant) }
-
 // put brings a whole configuration, and sends it until it is taken.
 func (o *operator) put(ctx context.Context, t *timetable) (bytes int, err error) {
 	return o.order(ctx, "timetable.replace", t)
