--- a/internal/mesh/simulation/scale/fit.go
+++ b/internal/mesh/simulation/scale/fit.go
@@ -1,8 +1,6 @@
 package scale
 
-import (
-	"math"
-)
+import "math"
 
 // Slope is how a figure grows with the number of balancers.
 type Slope struct {
