--- a/internal/mesh/consensus/membership.go
+++ b/internal/mesh/consensus/membership.go
@@ -5,85 +5,89 @@
 	"strings"
 )
 
-// Heard is a process of the core as another one hears of it.
+// PeerStatus is a controller as another one hears of it.
 type PeerStatus struct {
 	Member
-	SilentFor int64 `json:"Quiet"` // nanoseconds since it was heard of; below 0 for never
+	SilentFor int64 `json:"Quiet"`      // nanoseconds since it was heard of; below 0 for never
+	Leaving   bool  `json:",omitempty"` // it has been told to stop
 }
 
-// Adoption is a change of the core: In comes, and Out, where it is not empty, makes room.
+// MembershipChange is a change of the core by one member: Add comes, and Remove makes room for it. An empty Remove only
+// adds; an Add without an identity only removes.
 type MembershipChange struct {
 	Remove string `json:"Out"`
 	Add    Member `json:"In"`
 }
 
-// Bounds of adoption, in nanoseconds.
+// Times after which a controller that is not heard of is treated as gone, in nanoseconds.
 const (
-	AwayAfter    = int64(1200e6) // quiet for so long, a process counts as away
-	DutyAfter    = int64(800e6)  // and its duties are another's
-	ReplaceAfter = int64(1500e6) // and a member for so long, another may take its place
+	AwayAfter    = int64(1200e6) // it is no longer a candidate for membership
+	DutyAfter    = int64(800e6)  // its duties are another's
+	ReplaceAfter = int64(1500e6) // another may take its place in the core
 )
 
-// Rank is a process's place among the members that are heard of, in the order of their identities: whoever is 0 does
-// what one alone has to do. Several that think so do no harm: what they do is decided by agreement.
+// Rank is a controller's place among the members that are heard of and stay, in the order of their identities: rank 0
+// does what one alone has to do. Several that think so do no harm: what they do is decided by agreement.
 func (s *State) Rank(self string, others []PeerStatus) (rank int) {
+	stays := func(id string) bool {
+		return slices.ContainsFunc(others, func(h PeerStatus) bool {
+			return h.ID == id && h.SilentFor >= 0 && h.SilentFor < DutyAfter && !h.Leaving
+		})
+	}
 	for _, m := range s.Core {
 		if m.ID == self {
 			return rank
 		}
-		if slices.ContainsFunc(others, func(h PeerStatus) bool { return h.ID == m.ID && h.SilentFor >= 0 && h.SilentFor < DutyAfter }) {
+		if stays(m.ID) {
 			rank++
 		}
 	}
 	return rank + len(s.Core)
 }
 
-// Adopt is what would make the core whole: a member whose disk is gone, or that is not heard of, makes room for a process
-// that is there, and a core that could not bear what it has to grows. up is how long self has listened.
-func (s *State) PlanMembership(self Member, others []PeerStatus, up int64) (a MembershipChange, wanted bool) {
-	var strangers []Member
-	quiet := map[string]int64{self.ID: 0}
-	for _, h := range others {
-		if h.SilentFor < 0 {
-			continue
-		}
-		quiet[h.ID] = h.SilentFor
-		if h.SilentFor < AwayAfter && !s.HasMember(h.ID) {
-			strangers = append(strangers, h.Member)
-		}
-	}
-	if !s.HasMember(self.ID) {
-		strangers = append(strangers, self)
-	}
-	if len(strangers) == 0 {
-		return a, false
-	}
-	slices.SortFunc(strangers, func(a, b Member) int { return strings.Compare(a.At, b.At) })
-	for _, m := range s.Core { // the same machine under another identity: its old disk is gone
-		for _, n := range strangers {
-			if n.At == m.At {
-				return MembershipChange{m.ID, n}, true
-			}
-		}
-	}
-	for _, m := range s.Core {
-		q, heard := quiet[m.ID]
-		if heard && q < ReplaceAfter || !heard && up < ReplaceAfter {
-			continue
-		}
-		in := strangers[0]
-		if at := slices.IndexFunc(strangers, func(n Member) bool { return n.Zone == m.Zone }); at >= 0 {
-			in = strangers[at]
+// PlanMembership is the change that the core needs first, where members only have to be spread over machines. up is how
+// long self has listened.
+func (s *State) PlanMembership(self Member, others []PeerStatus, up int64) (change MembershipChange, wanted bool) {
+	return Placement{}.Plan(s, self, others, up)
+}
+
+// ApplyMembership is the state after a change of the core, nil where the change has been overtaken.
+func (s *State) ApplyMembership(change MembershipChange) *State {
+	switch {
+	case change.Remove != "" && !s.HasMember(change.Remove):
+		return nil
+	case change.Add.ID == "":
+		if change.Remove == "" || !s.shrinksSafely() {
+			return nil
 		}
-		return MembershipChange{m.ID, in}, true
+		return s.withoutMember(change.Remove)
+	case s.HasMember(change.Add.ID), change.Remove == "" && len(s.Core) >= s.fullSize():
+		return nil
 	}
-	return MembershipChange{"", strangers[0]}, len(s.Core) < 2*s.Tolerate+1
+	return s.ReplaceMember(change.Remove, change.Add)
 }
 
-// Adopted is the state after an adoption, nil where it has been overtaken.
-func (s *State) ApplyMembership(a MembershipChange) *State {
-	if s.HasMember(a.Add.ID) || a.Remove != "" && !s.HasMember(a.Remove) || a.Remove == "" && len(s.Core) >= 2*s.Tolerate+1 {
-		return nil
+// fullSize is how many members bear the loss of Tolerate of them.
+func (s *State) fullSize() int { return 2*s.Tolerate + 1 }
+
+// shrinksSafely reports whether the core bears more without a member that is gone than with it: it is larger than it has
+// to be, and its quorum gets smaller. In all other cases an empty seat is worth as much as none, and a member that comes
+// back with its disk takes it again.
+func (s *State) shrinksSafely() bool {
+	if s.Tolerate < 1 || len(s.Core) <= s.fullSize() {
+		return false
 	}
-	return s.ReplaceMember(a.Remove, a.Add)
+	smaller := State{Core: s.Core[1:], Tolerate: s.Tolerate}
+	return smaller.Quorum() < s.Quorum()
+}
+
+func (s *State) withoutMember(id string) *State {
+	next := s.successor()
+	next.Core = slices.DeleteFunc(slices.Clone(s.Core), func(m Member) bool { return m.ID == id })
+	return next
 }
+
+// SameCore reports whether two states have the same members.
+func (s *State) SameCore(other *State) bool { return slices.Equal(s.Core, other.Core) }
+
+func byAddress(a, b Member) int { return strings.Compare(a.At, b.At) }
