--- a/internal/mesh/controller/controller.go
+++ b/internal/mesh/controller/controller.go
@@ -4,6 +4,7 @@
 
 import (
 	"context"
+	"errors"
 	"log/slog"
 	"net"
 	"net/http"
@@ -30,6 +31,8 @@
 	settleAfter     = 150 * time.Millisecond // for which something may stand accepted and undecided
 )
 
+var errDiskHangs = errors.New("the disk has not finished its last save")
+
 // Controller is one process of the core.
 type Controller struct {
 	settings   *settings.Settings
@@ -38,6 +41,7 @@
 	caller     *rpc.Caller
 	replicator *replicator
 	store      *storage.Store
+	disk       *durableDisk
 	life       string
 	epoch      time.Time
 
@@ -60,7 +64,10 @@
 	ledger  creditLedger
 	gateway federationGateway
 
-	acting atomic.Bool // on what the core's first process has to do
+	acting       atomic.Bool // on what the core's first process has to do
+	membership   coreMembership
+	changingCore atomic.Bool // a change of the core is carried out here
+	leaving      atomic.Bool // this controller has been told to stop
 }
 
 // Option changes how a controller is opened.
@@ -69,6 +76,7 @@
 type options struct {
 	wrapTransport rpc.WrapTransport
 	wrapDisk      func(Disk) Disk
+	variant       membershipVariant
 }
 
 // WithTransport puts something between a controller and its connections to others.
@@ -81,6 +89,11 @@
 	return func(o *options) { o.wrapDisk = wrap }
 }
 
+// WithoutHandOver has a controller end as soon as its context does, as if it had been killed.
+func WithoutHandOver() Option {
+	return func(o *options) { o.variant.leaveFirst = true }
+}
+
 // Open opens the disk and makes the process; it serves nobody yet.
 func Open(b *settings.Settings, log *slog.Logger, with ...Option) (*Controller, error) {
 	var chosen options
@@ -92,6 +105,7 @@
 		registry: membership.NewRegistry(), changed: make(chan struct{}), peers: map[string]PeerInfo{}, lastHeard: map[string]int64{},
 		gateway: federationGateway{asking: map[string]bool{}, heard: map[string]int64{}, faults: map[string]string{}, told: map[string]int64{}, doors: map[string]uint64{}},
 		sent:    map[string]uint64{}, wake: make(chan struct{}, 1),
+		membership: coreMembership{setAside: map[string]int64{}, unheld: map[string]int64{}, variant: chosen.variant},
 	}
 	self := b.Inner()
 	c.seeds = inner(b, b.Seeds)
@@ -106,7 +120,7 @@
 		founders := slices.Clone(c.seeds)
 		slices.Sort(founders)
 		if b.FirstStart && slices.Contains(founders, self) {
-			return consensus.FounderID(self), consensus.Founders(founders, func(string) string { return "" }, b.Tolerate.Machines)
+			return consensus.FounderID(self), consensus.Founders(founders, func(string) string { return "" }, tolerated(b.Tolerate))
 		}
 		return storage.NewIdentity(), &consensus.State{} // a stranger: no core that it knows of, so nothing that it could decide
 	}
@@ -127,7 +141,8 @@
 	if chosen.wrapDisk != nil {
 		disk = chosen.wrapDisk(w)
 	}
-	c.replicator = newReplicator(copied, disk, c.caller, c.counts, self, c.life)
+	c.disk = newDurableDisk(disk, copied)
+	c.replicator = newReplicator(copied, c.disk, c.caller, c.counts, self, c.life)
 	return c, nil
 }
 
@@ -148,7 +163,10 @@
 	c.seeds = inner(c.settings, b.Seeds)
 }
 
-// Run serves until the context ends.
+// tolerated is how many members' disks the core has to bear the loss of: of zones and regions it has one member in each.
+func tolerated(t settings.Tolerate) int { return max(t.Machines, t.Districts, t.Provinces) }
+
+// Run serves until the context ends, and then until this controller has handed over what it holds.
 func (c *Controller) Run(ctx context.Context) error {
 	control, err := net.Listen("tcp4", c.settings.Control)
 	if err != nil {
@@ -159,7 +177,7 @@
 		return err
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc(rpc.PathConsensus, rpc.Handle(c.replicator.handle))
+	mux.HandleFunc(rpc.PathConsensus, rpc.Handle(c.handleConsensus))
 	mux.HandleFunc(rpc.PathGossip, rpc.Handle(c.handleGossip))
 	mux.HandleFunc(rpc.PathWatch, rpc.Handle(c.handleWatch))
 	mux.HandleFunc(rpc.PathTokens, rpc.Handle(c.handleTokenRequest))
@@ -174,13 +192,20 @@
 	}
 	go servers[0].Serve(control)
 	go servers[1].Serve(mesh)
-	go c.counts.Say(c.log, 5*time.Second, ctx.Done())
-	c.runLoop(ctx)
-	stop, end := context.WithTimeout(context.Background(), time.Second)
+	serving, stopServing := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopServing()
+	go c.counts.Say(c.log, 5*time.Second, serving.Done())
+	go c.runLoop(serving)
+	<-ctx.Done()
+	c.leave(serving)
+	stopServing()
+	stop, end := context.WithTimeout(context.Background(), stopServersFor)
 	defer end()
 	for _, s := range servers {
 		s.Shutdown(stop)
 	}
-	c.replicator.written.Lock() // nothing is written any more
+	if !lockWithin(&c.replicator.written, stopDiskFor) { // Invariant: nothing is written after the store is closed
+		return errDiskHangs
+	}
 	return c.store.Close()
 }
--- /dev/null
+++ b/internal/mesh/controller/durable_disk.go
@@ -0,0 +1,80 @@
+package controller
+
+import (
+	"context"
+	"errors"
+	"sync"
+	"sync/atomic"
+
+	"ottershift/internal/mesh/consensus"
+)
+
+var errSealed = errors.New("this controller has handed over and votes no more")
+
+// durableDisk knows which decision the disk behind it holds. A sealed one takes no more saves, and as every vote is saved
+// before it is given, a controller behind a sealed disk gives none.
+type durableDisk struct {
+	next   Disk
+	held   atomic.Uint64 // slot of the newest decision on disk
+	sealed atomic.Bool
+	saving sync.Mutex // held during a save
+}
+
+func newDurableDisk(next Disk, opened *consensus.Replica) *durableDisk {
+	d := &durableDisk{next: next}
+	d.held.Store(opened.Decided.Index)
+	return d
+}
+
+// Save saves a replica on the disk behind.
+func (d *durableDisk) Save(replica *consensus.Replica) error {
+	d.saving.Lock()
+	defer d.saving.Unlock()
+	if d.sealed.Load() {
+		return errSealed
+	}
+	if err := d.next.Save(replica); err != nil {
+		return err
+	}
+	d.held.Store(replica.Decided.Index)
+	return nil
+}
+
+// seal ends the saves. It reports false, and does nothing, while a save is under way.
+func (d *durableDisk) seal() bool {
+	if !d.saving.TryLock() {
+		return false
+	}
+	defer d.saving.Unlock()
+	d.sealed.Store(true)
+	return true
+}
+
+func (d *durableDisk) unseal() { d.sealed.Store(false) }
+
+// handleConsensus answers another controller's consensus request. Invariant: a Learn is acknowledged only once the decision
+// is on disk, also where the replica in memory knew it already and its save is still under way or has failed.
+func (c *Controller) handleConsensus(ctx context.Context, request *consensus.Request) (*consensus.Response, error) {
+	response, err := c.replicator.handle(ctx, request)
+	if err != nil || request.Kind != consensus.Learn || request.Value == nil || c.disk.held.Load() >= request.Value.Index {
+		return response, err
+	}
+	return response, c.replicator.saveAgain()
+}
+
+// saveAgain saves the replica as it is in memory.
+func (k *replicator) saveAgain() error {
+	k.written.Lock()
+	defer k.written.Unlock()
+	k.mu.Lock()
+	now := k.replica
+	k.mu.Unlock()
+	return k.disk.Save(&now)
+}
+
+// holdsNothingBeyond reports whether the replica has neither learned nor accepted anything after a slot.
+func (k *replicator) holdsNothingBeyond(index uint64) bool {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	return k.replica.Decided.Index <= index && k.replica.Accepted == nil
+}
--- a/internal/mesh/controller/gossip.go
+++ b/internal/mesh/controller/gossip.go
@@ -10,13 +10,15 @@
 	"ottershift/internal/mesh/rpc"
 )
 
-// Hello is how processes of the core know one another.
+// PeerInfo is what a controller says of itself. Controllers of an earlier version leave the last two out.
 type PeerInfo struct {
 	ID, At, Zone string
 	Index        uint64
+	Held         uint64 `json:",omitempty"` // slot of the newest decision on its disk
+	Leaving      bool   `json:",omitempty"` // it has been told to stop
 }
 
-// others are the addresses of all processes of the core that are known of.
+// otherControllers are the addresses of all other controllers that are known of.
 func (c *Controller) otherControllers() (all []string) {
 	s, _ := c.replicator.state()
 	c.mu.Lock()
@@ -39,10 +41,10 @@
 	return all
 }
 
-// heardOf is the other processes of the core as they are heard of. Under mu.
+// peerStatuses is the other controllers as they are heard of. Under mu.
 func (c *Controller) peerStatuses() (all []consensus.PeerStatus) {
 	for at, h := range c.peers {
-		heard := consensus.PeerStatus{Member: consensus.Member{ID: h.ID, At: at, Zone: h.Zone}, SilentFor: -1}
+		heard := consensus.PeerStatus{Member: consensus.Member{ID: h.ID, At: at, Zone: h.Zone}, SilentFor: -1, Leaving: h.Leaving}
 		if last, is := c.lastHeard[at]; is {
 			heard.SilentFor = c.now() - last
 		}
@@ -51,7 +53,7 @@
 	return all
 }
 
-// Mingle is what processes of the core tell one another.
+// GossipMessage is what one controller tells another.
 type GossipMessage struct {
 	Peer       PeerInfo             `json:"Hello"`
 	Renewals   []membership.Renewal `json:"Beats"`
@@ -61,7 +63,7 @@
 	Ages       map[string]int64     `json:",omitempty"` // since partners confirmed their words
 }
 
-// Mingled is what comes back.
+// GossipReply is what comes back.
 type GossipReply struct {
 	Peer  PeerInfo   `json:"Hello"`
 	More  bool       // a beat was of a node not known as told
@@ -70,10 +72,13 @@
 
 func (c *Controller) peerInfo() PeerInfo {
 	s, _ := c.replicator.state()
-	return PeerInfo{c.replicator.identity(), c.settings.Inner(), c.settings.District, s.Index}
+	return PeerInfo{
+		ID: c.replicator.identity(), At: c.settings.Inner(), Zone: c.settings.District,
+		Index: s.Index, Held: c.disk.held.Load(), Leaving: c.leaving.Load(),
+	}
 }
 
-// mingle tells one other process what it has not been told yet.
+// gossip tells one other controller what it has not been told yet.
 func (c *Controller) gossip(ctx context.Context, at string) {
 	m := &GossipMessage{Peer: c.peerInfo(), Controller: c.life, Ages: c.confirmationAges()}
 	c.mu.Lock()
@@ -114,15 +119,26 @@
 	}
 }
 
-// meet notes that a process of the core was heard of. Under mu.
+// recordPeer notes that another controller was heard of. One that leaves is replaced now, not at the next turn. Under mu.
 func (c *Controller) recordPeer(h PeerInfo) {
 	if h.At == c.settings.Inner() || h.At == "" {
 		return
 	}
+	if h.Leaving && !c.peers[h.At].Leaving {
+		c.wakeLoop()
+	}
 	c.peers[h.At], c.lastHeard[h.At] = h, c.now()
 }
 
-// mingled takes what another process of the core tells.
+// wakeLoop has the next turn of the loop begin at once.
+func (c *Controller) wakeLoop() {
+	select {
+	case c.wake <- struct{}{}:
+	default:
+	}
+}
+
+// handleGossip takes what another controller tells.
 func (c *Controller) handleGossip(_ context.Context, m *GossipMessage) (*GossipReply, error) {
 	c.mergeConfirmationAges(m.Ages)
 	c.mu.Lock()
--- a/internal/mesh/controller/maintenance.go
+++ b/internal/mesh/controller/maintenance.go
@@ -9,7 +9,7 @@
 	"ottershift/internal/mesh/membership"
 )
 
-// tend is the loop that keeps what is as it is wanted: copies current, the registry swept, the core whole.
+// runLoop keeps replicas current, the registry free of what has ended, and the core whole.
 func (c *Controller) runLoop(ctx context.Context) {
 	t := time.NewTicker(gossipInterval)
 	defer t.Stop()
@@ -70,7 +70,7 @@
 	}
 }
 
-// census has the number of balancers agreed, by which what all may spend is shared out: more at once, fewer once leases
+// updateMemberCount has the number of proxies agreed, by which quotas are shared out: more at once, fewer only once leases
 // have run out for long.
 func (c *Controller) updateMemberCount(ctx context.Context, s *consensus.State) {
 	if !c.replicator.current() {
@@ -102,27 +102,10 @@
 	return strings.Join(all, " ")
 }
 
-// rank is this process's place in the agreed order of those that are there. Under mu.
+// rank is this controller's place in the agreed order of those that are there; one that leaves has the last. Under mu.
 func (c *Controller) rank(s *consensus.State) int {
-	return s.Rank(c.replicator.identity(), c.peerStatuses())
-}
-
-// adopt keeps the core whole. It is decided by agreement with the core as it is, so who does it twice or late does no
-// harm.
-func (c *Controller) maintainMembership(ctx context.Context, s *consensus.State) {
-	if !c.replicator.current() {
-		return
+	if c.leaving.Load() {
+		return len(s.Core)
 	}
-	c.mu.Lock()
-	self := consensus.Member{ID: c.replicator.identity(), At: c.settings.Inner(), Zone: c.settings.District}
-	a, wanted := s.PlanMembership(self, c.peerStatuses(), c.now())
-	first := c.rank(s) == 0
-	c.mu.Unlock()
-	if !wanted || !first {
-		return
-	}
-	within, end := context.WithTimeout(ctx, 2*time.Second)
-	defer end()
-	_, err := c.replicator.change(within, c.otherControllers, func(newest *consensus.State) (*consensus.State, error) { return newest.ApplyMembership(a), nil })
-	c.log.Info("adopt", "out", a.Remove, "in", a.Add.ID, "at", a.Add.At, "err", err)
+	return s.Rank(c.replicator.identity(), c.peerStatuses())
 }
--- a/internal/mesh/controller/proposer.go
+++ b/internal/mesh/controller/proposer.go
@@ -10,26 +10,33 @@
 	"ottershift/internal/mesh/consensus"
 )
 
-// tell has others learn it; who doesn't hear finds out by its own looks.
-func (k *replicator) announce(s *consensus.State, also []string) (wait func()) {
+// announce tells controllers a decided state, its core and others. The channel is closed once all of the core but this
+// controller have answered or had their time; for the others nobody waits. Who does not hear it finds out by gossip.
+func (k *replicator) announce(s *consensus.State, also []string) (done <-chan struct{}) {
 	ctx, end := context.WithTimeout(context.Background(), stepTimeout)
-	var all sync.WaitGroup
-	seen := map[string]bool{k.self: true}
+	var core, all sync.WaitGroup
+	told := map[string]bool{k.self: true}
+	tell := func(at string, group *sync.WaitGroup) {
+		if told[at] {
+			return
+		}
+		told[at] = true
+		group.Go(func() { k.send(ctx, at, consensus.Request{Kind: consensus.Learn, Value: s}) })
+	}
 	for _, m := range s.Core {
-		also = append(also, m.At)
+		tell(m.At, &core)
 	}
 	for _, at := range also {
-		if !seen[at] {
-			seen[at] = true
-			all.Add(1)
-			go func() {
-				defer all.Done()
-				k.send(ctx, at, consensus.Request{Kind: consensus.Learn, Value: s})
-			}()
-		}
+		tell(at, &all)
 	}
-	go func() { all.Wait(); end() }()
-	return all.Wait
+	announced := make(chan struct{})
+	go func() {
+		core.Wait()
+		close(announced)
+		all.Wait()
+		end()
+	}()
+	return announced
 }
 
 // change has the core agree on what a function makes of the newest state. The function may be called several times, each
@@ -61,13 +68,13 @@
 		case consensus.StepAhead:
 			k.learn(p.State)
 		case consensus.StepBehind: // members that have not heard of the last decision
-			k.announce(s, nil)()
+			<-k.announce(s, nil)
 		case consensus.StepDecided:
 			k.counts.Add("decided")
 			go k.learn(p.State)
 			told := k.announce(p.State, also())
 			if !sameCore(s, p.State) {
-				told() // Invariant: a new core must hold what it begins with before the old one's disks may go
+				<-told // Invariant: a new core must hold what it begins with before the old one's disks may go
 			}
 			if p.Own {
 				return p.State, nil
