--- a/internal/mesh/controller/cluster_test.go
+++ b/internal/mesh/controller/cluster_test.go
@@ -67,7 +67,7 @@
 		WithDisk(func(d Disk) Disk { node.disk = testmesh.NewDisk(d); return node.disk }),
 		func(o *options) { o.variant = c.variant })
 	must.NoError(c.t, err)
-	made.membership.held = func(s *consensus.State) {
+	made.membership.onHeld = func(s *consensus.State) {
 		c.mu.Lock()
 		onHeld := c.onHeld
 		c.mu.Unlock()
--- a/internal/mesh/controller/core_membership.go
+++ b/internal/mesh/controller/core_membership.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"maps"
 	"time"
 
 	"ottershift/internal/mesh/consensus"
@@ -18,7 +19,8 @@
 type coreMembership struct {
 	setAside map[string]int64 // spares that did not catch up, and when, by identity
 	unheld   map[string]int64 // members whose disks do not confirm what they are told, and since when, by identity
-	held     func(*consensus.State)
+	heldCore string           // the core that is known to be held
+	onHeld   func(*consensus.State)
 	variant  membershipVariant
 }
 
@@ -29,7 +31,8 @@
 }
 
 // maintainMembership begins the change that the core needs, one at a time. What is decided is decided by the core as it
-// is, so who begins it twice or late does no harm.
+// is, so who begins it twice or late does no harm. Where nothing is to be changed it has the core confirm that it holds
+// its state: whoever proposed the last change may have died before it was held.
 func (c *Controller) maintainMembership(ctx context.Context, s *consensus.State) {
 	if !c.replicator.current() || c.leaving.Load() {
 		return
@@ -38,13 +41,18 @@
 	others := c.candidates()
 	change, wanted := c.placement().Plan(s, c.self(), others, c.now())
 	first := c.rank(s) == 0
+	confirm := c.membership.heldCore != coreText(s)
 	c.mu.Unlock()
-	if !wanted || !first || !c.changingCore.CompareAndSwap(false, true) {
+	if !first || !wanted && !confirm || !c.changingCore.CompareAndSwap(false, true) {
 		return
 	}
 	go func() { // duties and accounts do not wait for it
 		defer c.changingCore.Store(false)
-		c.changeMembership(ctx, s, change, others)
+		if wanted {
+			c.changeMembership(ctx, s, change, others)
+			return
+		}
+		c.confirmMembership(ctx, s, c.confirmationNeeded(s, consensus.Member{}, others))
 	}()
 }
 
@@ -59,8 +67,9 @@
 
 // candidates is the other controllers without the spares that did not catch up a moment ago. Under mu.
 func (c *Controller) candidates() (others []consensus.PeerStatus) {
+	maps.DeleteFunc(c.membership.setAside, func(_ string, since int64) bool { return c.now()-since > int64(setAsideFor) })
 	for _, peer := range c.peerStatuses() {
-		if since, is := c.membership.setAside[peer.ID]; !is || c.now()-since > int64(setAsideFor) {
+		if _, is := c.membership.setAside[peer.ID]; !is {
 			others = append(others, peer)
 		}
 	}
@@ -79,14 +88,28 @@
 	if err != nil || decided.SameCore(base) || change.Add.ID != "" && !decided.HasMember(change.Add.ID) {
 		return
 	}
-	if !c.holdMembership(ctx, decided, change.Add) {
-		c.log.Warn("membership not confirmed", "index", decided.Index, "in", change.Add.ID)
+	needed := confirmationNeed{quorum: decided.Quorum()}
+	if change.Add.ID != "" {
+		needed.members = []string{change.Add.ID}
+	}
+	c.confirmMembership(ctx, decided, needed)
+}
+
+// confirmMembership tells a core its state until those that are needed say that their disks hold it: then its last change
+// is done, and that is known.
+func (c *Controller) confirmMembership(ctx context.Context, s *consensus.State, needed confirmationNeed) {
+	if !c.holdMembership(ctx, s, needed) {
+		c.counts.Add("membership_unconfirmed")
+		c.log.Warn("membership not confirmed", "index", s.Index, "members", coreText(s))
 		return
 	}
 	c.counts.Add("membership_held")
-	c.log.Info("membership held", "index", decided.Index, "members", coreText(decided))
-	if c.membership.held != nil {
-		c.membership.held(decided)
+	c.log.Info("membership held", "index", s.Index, "members", coreText(s))
+	c.mu.Lock()
+	c.membership.heldCore = coreText(s)
+	c.mu.Unlock()
+	if c.membership.onHeld != nil {
+		c.membership.onHeld(s)
 	}
 }
 
@@ -113,8 +136,9 @@
 	within, end := context.WithTimeout(ctx, stepTimeout)
 	defer end()
 	needed := c.confirmationNeeded(next, added, others)
+	began := c.now()
 	held := c.confirmHeld(within, base, next.Core, needed.met)
-	c.noteUnheld(next, added, held)
+	c.noteUnheld(next, added, held, began)
 	if !needed.met(held) {
 		c.counts.Add("membership_not_ready")
 		c.log.Info("core not ready for a change", "index", base.Index, "in", added.ID, "held", len(held), "of", len(next.Core))
@@ -123,20 +147,16 @@
 	return true
 }
 
-// holdMembership tells a new core its state until the new member and a quorum say that their disks hold it.
-func (c *Controller) holdMembership(ctx context.Context, decided *consensus.State, added consensus.Member) bool {
+// holdMembership tells a core its state, again and again, until those that are needed confirm that they hold it.
+func (c *Controller) holdMembership(ctx context.Context, s *consensus.State, needed confirmationNeed) bool {
 	if c.membership.variant.unconfirmed {
 		return true
 	}
 	within, end := context.WithTimeout(ctx, confirmFor)
 	defer end()
-	needed := confirmationNeed{quorum: decided.Quorum()}
-	if added.ID != "" {
-		needed.members = []string{added.ID}
-	}
 	for within.Err() == nil {
 		round, over := context.WithTimeout(within, stepTimeout)
-		held := c.confirmHeld(round, decided, decided.Core, needed.met)
+		held := c.confirmHeld(round, s, s.Core, needed.met)
 		over()
 		if needed.met(held) {
 			return true
@@ -165,10 +185,11 @@
 	return needed
 }
 
-// noteUnheld keeps whose disks did not confirm, and sets a spare aside that did not.
-func (c *Controller) noteUnheld(next *consensus.State, added consensus.Member, held confirmed) {
+// noteUnheld keeps whose disks did not confirm what they were told at a time, and sets a spare aside that did not.
+func (c *Controller) noteUnheld(next *consensus.State, added consensus.Member, held confirmed, told int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
+	maps.DeleteFunc(c.membership.unheld, func(id string, _ int64) bool { return !next.HasMember(id) })
 	for _, m := range next.Core {
 		_, noted := c.membership.unheld[m.ID]
 		switch {
@@ -178,7 +199,7 @@
 		case m.ID == added.ID:
 			c.membership.setAside[m.ID] = c.now()
 		case !noted:
-			c.membership.unheld[m.ID] = c.now()
+			c.membership.unheld[m.ID] = told
 		}
 	}
 }
--- a/internal/mesh/controller/gossip.go
+++ b/internal/mesh/controller/gossip.go
@@ -119,12 +119,13 @@
 	}
 }
 
-// recordPeer notes that another controller was heard of. One that leaves is replaced now, not at the next turn. Under mu.
+// recordPeer notes that another controller was heard of. One that leaves is replaced, and one that is new taken in, now and
+// not at the next turn. Under mu.
 func (c *Controller) recordPeer(h PeerInfo) {
 	if h.At == c.settings.Inner() || h.At == "" {
 		return
 	}
-	if h.Leaving && !c.peers[h.At].Leaving {
+	if before := c.peers[h.At]; h.ID != before.ID || h.Leaving && !before.Leaving {
 		c.wakeLoop()
 	}
 	c.peers[h.At], c.lastHeard[h.At] = h, c.now()
--- a/internal/mesh/controller/leave_test.go
+++ b/internal/mesh/controller/leave_test.go
@@ -9,6 +9,7 @@
 
 // A restart of all in turn, without a spare, is not slowed: nothing has to be waited for but one round of confirmations.
 func TestARestartWithoutASpareIsNotSlowed(t *testing.T) {
+	t.Parallel()
 	c := newCluster(t, 1, 0, membershipVariant{})
 	for n := range c.nodes {
 		took := c.terminate(n)
--- a/internal/mesh/controller/membership_test.go
+++ b/internal/mesh/controller/membership_test.go
@@ -10,7 +10,7 @@
 	"github.com/shoenig/test/must"
 
 	"ottershift/internal/mesh/consensus"
-	"ottershift/internal/mesh/testmesh"
+	"ottershift/internal/mesh/rpc"
 )
 
 // lossAfterDone takes a member away, waits until its replacement counts as done, and in that moment takes the proposer
@@ -53,11 +53,13 @@
 func catchUpOf(c *cluster) time.Duration { return c.nodes[0].settings.Bounds.CatchUp }
 
 func TestASecondLossRightAfterAReplacementIsDoneIsBorne(t *testing.T) {
+	t.Parallel()
 	must.True(t, lossAfterDone(t, membershipVariant{}))
 }
 
 // Gossip may bring the decision round in the moment before the proposer is lost, so that one run in some goes well.
 func TestAReplacementThatIsDoneBeforeItIsHeldIsConvicted(t *testing.T) {
+	t.Parallel()
 	convicted := false
 	for run := 0; run < 4 && !convicted; run++ {
 		convicted = !lossAfterDone(t, membershipVariant{unconfirmed: true})
@@ -66,6 +68,7 @@
 }
 
 func TestASpareThatDoesNotSyncIsNotTakenIn(t *testing.T) {
+	t.Parallel()
 	c := newCluster(t, 1, 2, membershipVariant{})
 	c.until("the spares are known", func() bool { return c.state(3).Edition == 1 && c.state(4).Edition == 1 })
 	c.nodes[3].disk.Stall() // the first by its address
@@ -76,6 +79,7 @@
 }
 
 func TestAnOldDiskThatComesBackIsAStrangerAndMayBeTakenInAgain(t *testing.T) {
+	t.Parallel()
 	c := newCluster(t, 1, 1, membershipVariant{})
 	old := c.nodes[0].identity()
 	c.lose(0)
@@ -96,6 +100,7 @@
 }
 
 func TestAnAddressThatIsUsedAgainIsAnotherMember(t *testing.T) {
+	t.Parallel()
 	c := newCluster(t, 1, 0, membershipVariant{})
 	old := c.nodes[0].identity()
 	c.terminate(0)
@@ -109,6 +114,7 @@
 }
 
 func TestTwoReplacementsAtOnce(t *testing.T) {
+	t.Parallel()
 	c := newCluster(t, 1, 2, membershipVariant{})
 	c.until("the spares are known", func() bool { return c.state(3).Edition == 1 && c.state(4).Edition == 1 })
 	var all sync.WaitGroup
@@ -122,6 +128,7 @@
 }
 
 func TestTwoOfFiveAreReplacedAndTwoMoreAreBorne(t *testing.T) {
+	t.Parallel()
 	c := newCluster(t, 2, 4, membershipVariant{}) // three founders grow to five, two stay spares
 	c.until("the core has grown", func() bool { return len(c.state(0).Core) == 5 })
 	must.True(t, c.put(0, 2))
@@ -143,24 +150,31 @@
 func leaveAndLoss(t *testing.T, variant membershipVariant) bool {
 	c := newCluster(t, 1, 1, variant)
 	c.until("the spare is known", func() bool { return c.state(3).Edition == 1 })
-	for _, n := range []int{0, 1, 3} {
-		c.links.SetBoth(c.nodes[2].settings.Ip, c.nodes[n].settings.Ip, testmesh.LinkSilent)
+	behind := c.nodes[2]
+	for _, n := range c.nodes { // one is heard of and hears no decision
+		n.filter.Drop(func(to, path string, _ []byte) bool {
+			return path == rpc.PathConsensus && (n == behind || to == behind.settings.Ip)
+		})
 	}
 	c.until("an order on two disks", func() bool { return c.put(0, 2) })
 	must.Less(t, 2, c.state(2).Edition)
 	took := c.terminate(0)
 	t.Logf("left after %v", took)
 	must.Less(t, c.nodes[0].settings.Bounds.Grace, took)
-	c.links.Heal()
+	for _, n := range c.nodes {
+		n.filter.Drop(nil)
+	}
 	c.lose(1)
 	return c.within(catchUpOf(c), func() bool { return c.put(2, 3) && c.read(3) == 3 && c.state(3).HasApplied(2, "digest-2") })
 }
 
 func TestAMemberThatLeavesIsReplacedBeforeItGoes(t *testing.T) {
+	t.Parallel()
 	must.True(t, leaveAndLoss(t, membershipVariant{}))
 }
 
 func TestAMemberThatLeavesFirstAndCopiesAfterIsConvicted(t *testing.T) {
+	t.Parallel()
 	must.False(t, leaveAndLoss(t, membershipVariant{leaveFirst: true}))
 }
 
@@ -170,13 +184,19 @@
 	c.nodes[0].filter.Drop(func(_, _ string, body []byte) bool { return bytes.Contains(body, []byte(`"accept"`)) })
 	began := make(chan bool)
 	go func() { began <- c.put(0, 2) }()
-	c.until("it has accepted", func() bool { return !c.nodes[0].replicator.holdsNothingBeyond(c.state(0).Index) })
+	c.until("it has accepted", func() bool {
+		k := c.nodes[0].replicator
+		k.mu.Lock()
+		defer k.mu.Unlock()
+		return k.replica.Accepted != nil && k.replica.Accepted.Value.Edition == 2
+	})
 	c.terminate(0)
 	<-began
 	return c.read(1) == 2
 }
 
 func TestWhatALeavingMemberHasAcceptedIsDecidedBeforeItGoes(t *testing.T) {
+	t.Parallel()
 	must.True(t, leaveWithAccepted(t, membershipVariant{}))
 	must.False(t, leaveWithAccepted(t, membershipVariant{leaveFirst: true}))
 }
--- a/internal/mesh/meshctl/bounds.go
+++ b/internal/mesh/meshctl/bounds.go
@@ -23,6 +23,7 @@
 	n := 2*b.Tolerate.Machines + 1
 	s := consensus.State{Core: make([]consensus.Member, n), Tolerate: b.Tolerate.Machines}
 	say("core: %d members bear the loss of %d disks; a change is synced on max(majority, Tolerate+1) = %d before it is acknowledged", n, b.Tolerate.Machines, s.Quorum())
+	say("repair: the place of a member that is gone is a spare's, and its disk holds the state, within ReplaceAfter + 2·turn + step timeout + 4·(sync + round trip) = %v + 4·(sync + round trip), of CatchUp %v: up to %v for a sync and a round trip", controller.RepairBound(0), b.Bounds.CatchUp, controller.LongestRepairStep(b.Bounds.CatchUp))
 	ask := proxy.WatchTimeout
 	say("news: a silent core process is left after %v; two in a row %v, of Config %v", ask, 2*ask, b.Bounds.Config)
 	say("closing: nothing passes to an upstream later than 3/4 of Drain = %v after its acknowledgement, of Drain %v", b.Bounds.Drain*3/4, b.Bounds.Drain)
