--- a/internal/mesh/controller/core_membership.go
+++ b/internal/mesh/controller/core_membership.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	confirmPause  = 50 * time.Millisecond // between two rounds of telling a new core its state
-	confirmFor    = 4 * time.Second       // after which a change that is not confirmed is left to the next one's check
-	setAsideFor   = time.Second           // for which a spare that did not catch up is no candidate
-	membershipFor = 2 * time.Second       // for one attempt at a change of the core
+	confirmPause  = 50 * time.Millisecond                 // between two rounds of telling a new core its state
+	confirmFor    = time.Duration(consensus.ReplaceAfter) // after which a change that is not confirmed is asked for again at each turn
+	setAsideFor   = time.Second                           // for which a spare that did not catch up is no candidate
+	membershipFor = 2 * time.Second                       // for one attempt at a change of the core
 )
 
 // coreMembership is what a controller knows of the changes of the core that it carries out. Under the controller's mu.
@@ -52,7 +52,7 @@
 			c.changeMembership(ctx, s, change, others)
 			return
 		}
-		c.confirmMembership(ctx, s, c.confirmationNeeded(s, consensus.Member{}, others))
+		c.confirmMembership(ctx, s, c.confirmationNeeded(s, consensus.Member{}, others), gossipInterval)
 	}()
 }
 
@@ -92,16 +92,19 @@
 	if change.Add.ID != "" {
 		needed.members = []string{change.Add.ID}
 	}
-	c.confirmMembership(ctx, decided, needed)
+	if !c.confirmMembership(ctx, decided, needed, confirmFor) {
+		c.counts.Add("membership_unconfirmed")
+		c.log.Warn("membership not confirmed", "index", decided.Index, "members", coreText(decided))
+	}
 }
 
 // confirmMembership tells a core its state until those that are needed say that their disks hold it: then its last change
 // is done, and that is known.
-func (c *Controller) confirmMembership(ctx context.Context, s *consensus.State, needed confirmationNeed) {
-	if !c.holdMembership(ctx, s, needed) {
-		c.counts.Add("membership_unconfirmed")
-		c.log.Warn("membership not confirmed", "index", s.Index, "members", coreText(s))
-		return
+func (c *Controller) confirmMembership(ctx context.Context, s *consensus.State, needed confirmationNeed, limit time.Duration) (held bool) {
+	within, end := context.WithTimeout(ctx, limit)
+	defer end()
+	if !c.holdMembership(within, s, needed) {
+		return false
 	}
 	c.counts.Add("membership_held")
 	c.log.Info("membership held", "index", s.Index, "members", coreText(s))
@@ -111,6 +114,7 @@
 	if c.membership.onHeld != nil {
 		c.membership.onHeld(s)
 	}
+	return true
 }
 
 // proposeMembership has the core decide a change, unless its members are others by now: then what was confirmed before
@@ -152,10 +156,8 @@
 	if c.membership.variant.unconfirmed {
 		return true
 	}
-	within, end := context.WithTimeout(ctx, confirmFor)
-	defer end()
-	for within.Err() == nil {
-		round, over := context.WithTimeout(within, stepTimeout)
+	for ctx.Err() == nil {
+		round, over := context.WithTimeout(ctx, stepTimeout)
 		held := c.confirmHeld(round, s, s.Core, needed.met)
 		over()
 		if needed.met(held) {
