--- a/internal/mesh/controller/cluster_test.go
+++ b/internal/mesh/controller/cluster_test.go
@@ -35,6 +35,8 @@
 	links   testmesh.Links
 	nodes   []*node
 	variant membershipVariant
+	ctx     context.Context // until the cluster ends
+	cancel  context.CancelFunc
 	mu      sync.Mutex
 	onHeld  func(proposer *node, s *consensus.State)
 }
@@ -45,6 +47,7 @@
 	plan, err := testmesh.Plan(founders+spares, 0, []string{"east"}, nil, t.TempDir())
 	must.NoError(t, err)
 	c := &cluster{t: t, variant: variant}
+	c.ctx, c.cancel = context.WithCancel(t.Context())
 	t.Cleanup(c.end)
 	for n, b := range plan.Controllers {
 		b.FirstStart = n < founders
@@ -60,7 +63,7 @@
 func (c *cluster) start(n int) {
 	node := c.nodes[n]
 	must.NoError(c.t, os.MkdirAll(node.settings.DataDir, 0o755))
-	made, err := Open(node.settings, slog.New(slog.NewTextHandler(c.output(), nil)),
+	made, err := Open(node.settings, slog.New(slog.NewTextHandler(c.output(), nil)).With("node", n),
 		WithTransport(func(next http.RoundTripper) http.RoundTripper {
 			return node.filter.Transport(c.links.Transport(node.settings.Ip)(next))
 		}),
@@ -78,7 +81,13 @@
 	node.Controller, node.done = made, make(chan struct{})
 	ctx, stop := context.WithCancel(context.Background())
 	node.stop = stop
-	go func() { defer close(node.done); made.Run(ctx) }()
+	done := node.done
+	go func() {
+		defer close(done)
+		if err := made.Run(ctx); err != nil && ctx.Err() == nil {
+			c.t.Errorf("controller %d: %v", n, err)
+		}
+	}()
 }
 
 func (c *cluster) output() io.Writer {
@@ -105,7 +114,9 @@
 	return time.Since(started)
 }
 
+// end stops all controllers; twice does no harm.
 func (c *cluster) end() {
+	c.cancel()
 	var all sync.WaitGroup
 	for _, node := range c.nodes {
 		if node.disk != nil {
@@ -124,7 +135,7 @@
 
 // put has a controller agree on a version of the configuration, and reports whether it was acknowledged.
 func (c *cluster) put(n int, edition int64) bool {
-	ctx, end := context.WithTimeout(context.Background(), time.Second)
+	ctx, end := context.WithTimeout(c.ctx, time.Second)
 	defer end()
 	_, err := c.nodes[n].replicator.change(ctx, c.nodes[n].otherControllers, func(s *consensus.State) (*consensus.State, error) {
 		if s.Edition >= edition {
--- a/internal/mesh/controller/controller.go
+++ b/internal/mesh/controller/controller.go
@@ -65,6 +65,7 @@
 	gateway federationGateway
 
 	acting       atomic.Bool // on what the core's first process has to do
+	settling     atomic.Bool // what stands undecided
 	membership   coreMembership
 	changingCore atomic.Bool // a change of the core is carried out here
 	leaving      atomic.Bool // this controller has been told to stop
--- a/internal/mesh/controller/maintenance.go
+++ b/internal/mesh/controller/maintenance.go
@@ -54,15 +54,13 @@
 	mend := c.pending != 0 && now-c.pending > int64(settleAfter)*int64(1+c.rank(s))
 	c.mu.Unlock()
 	if mend {
-		c.counts.Add("settled_for_others")
-		within, end := context.WithTimeout(ctx, 2*time.Second)
-		defer end()
-		c.replicator.change(within, c.otherControllers, func(*consensus.State) (*consensus.State, error) { return nil, nil })
+		c.settlePending(ctx)
 	}
+	s, _ = c.replicator.state()
+	c.maintainMembership(ctx, s)              // Invariant: a repair waits for no duty
 	if c.acting.CompareAndSwap(false, true) { // one change at a time from here
 		defer c.acting.Store(false)
 		s, _ = c.replicator.state()
-		c.maintainMembership(ctx, s)
 		c.updateMemberCount(ctx, s)
 		c.takeCoordinator(ctx, s)
 		c.accrueCredit(s)
@@ -70,6 +68,19 @@
 	}
 }
 
+// settlePending has what stands accepted and undecided decided, one attempt at a time: several of one controller would overtake
+// one another, and those of others.
+func (c *Controller) settlePending(ctx context.Context) {
+	if !c.settling.CompareAndSwap(false, true) {
+		return
+	}
+	defer c.settling.Store(false)
+	c.counts.Add("settled_for_others")
+	within, end := context.WithTimeout(ctx, 2*time.Second)
+	defer end()
+	c.replicator.change(within, c.otherControllers, func(*consensus.State) (*consensus.State, error) { return nil, nil })
+}
+
 // updateMemberCount has the number of proxies agreed, by which quotas are shared out: more at once, fewer only once leases
 // have run out for long.
 func (c *Controller) updateMemberCount(ctx context.Context, s *consensus.State) {
--- a/internal/mesh/controller/proposer.go
+++ b/internal/mesh/controller/proposer.go
@@ -10,28 +10,34 @@
 	"ottershift/internal/mesh/consensus"
 )
 
-// announce tells controllers a decided state, its core and others. The channel is closed once all of the core but this
-// controller have answered or had their time; for the others nobody waits. Who does not hear it finds out by gossip.
+// announcePatience is how long an announcement waits for the rest of a core once a quorum has answered.
+const announcePatience = 50 * time.Millisecond
+
+// announce tells controllers a decided state, its core and others. The channel is closed once all of the core have
+// answered, or a quorum has and the rest had a moment more, or the step's time is over; for the others nobody waits. Who
+// does not hear it finds out by gossip.
 func (k *replicator) announce(s *consensus.State, also []string) (done <-chan struct{}) {
 	ctx, end := context.WithTimeout(context.Background(), stepTimeout)
-	var core, all sync.WaitGroup
+	var all sync.WaitGroup
 	told := map[string]bool{k.self: true}
-	tell := func(at string, group *sync.WaitGroup) {
-		if told[at] {
-			return
-		}
-		told[at] = true
-		group.Go(func() { k.send(ctx, at, consensus.Request{Kind: consensus.Learn, Value: s}) })
-	}
+	answers := make(chan bool, len(s.Core))
 	for _, m := range s.Core {
-		tell(m.At, &core)
+		if m.At == k.self {
+			answers <- true
+			continue
+		}
+		told[m.At] = true
+		all.Go(func() { answers <- k.send(ctx, m.At, consensus.Request{Kind: consensus.Learn, Value: s}) != nil })
 	}
 	for _, at := range also {
-		tell(at, &all)
+		if !told[at] {
+			told[at] = true
+			all.Go(func() { k.send(ctx, at, consensus.Request{Kind: consensus.Learn, Value: s}) })
+		}
 	}
 	announced := make(chan struct{})
 	go func() {
-		core.Wait()
+		awaitAnswers(answers, len(s.Core), s.Quorum())
 		close(announced)
 		all.Wait()
 		end()
@@ -39,6 +45,24 @@
 	return announced
 }
 
+// awaitAnswers waits for all of so many answers, or for announcePatience from when a quorum of them was good.
+func awaitAnswers(answers <-chan bool, all, quorum int) {
+	var patience <-chan time.Time
+	for good := 0; all > 0; all-- {
+		select {
+		case ok := <-answers:
+			if ok {
+				good++
+			}
+		case <-patience:
+			return
+		}
+		if good == quorum && patience == nil {
+			patience = time.After(announcePatience)
+		}
+	}
+}
+
 // change has the core agree on what a function makes of the newest state. The function may be called several times, each
 // time with what is the newest beyond doubt; an error of it ends the change. A nil state asks for nothing but that it is
 // the newest.
--- a/internal/mesh/controller/repair_test.go
+++ b/internal/mesh/controller/repair_test.go
@@ -48,7 +48,7 @@
 		edition.Store(10)
 		for range 8 {
 			go func() {
-				for c.t.Context().Err() == nil {
+				for c.ctx.Err() == nil {
 					c.put(1, edition.Add(1))
 				}
 			}()
@@ -102,6 +102,7 @@
 // repair is how long it takes from a loss until the core is whole again and known to be held.
 func repair(t *testing.T, of trouble) time.Duration {
 	c := newCluster(t, 1, 1, membershipVariant{})
+	defer c.end()
 	c.until("the spare is known", func() bool { return c.state(3).Edition == 1 })
 	lost := c.nodes[0].identity()
 	whole := make(chan time.Time, 100)
@@ -141,6 +142,7 @@
 			var took []time.Duration
 			for range runs {
 				took = append(took, repair(t, of))
+				t.Logf("run %v", took[len(took)-1])
 			}
 			slices.Sort(took)
 			at := func(share float64) time.Duration {
