--- a/internal/mesh/simulation/ask.go
+++ b/internal/mesh/simulation/ask.go
@@ -54,32 +54,40 @@
 	Ask     []string         // what to show, all where left out
 }
 
+// coreFile is a day of a core as a question has it.
 type coreFile struct {
-	Controllers, Founders, Tolerate, Puts, Reads int
-	Length, Delay, Jitter, Sync                  span
-	CatchUp                                      span `toml:"catch_up"`
-	Loss                                         float64
-	Kills, Wipes, Cuts, Freezes, Stalls          int
-	KillAlls                                     int  `toml:"kill_alls"`
-	AckWipes                                     int  `toml:"ack_wipes"`
-	UnsyncedAck                                  bool `toml:"unsynced_ack"`
-	StrangerVotes                                bool `toml:"stranger_votes"`
-	NoEpoch                                      bool `toml:"no_epoch"`
-	OldRead                                      bool `toml:"old_read"`
-	Faults                                       []Fault
+	Controllers, Founders, Tolerate, Puts, Reads, Readers int
+	Length, Delay, Jitter, Sync, Handling, Grace          span
+	CatchUp                                               span `toml:"catch_up"`
+	RepairWithin                                          span `toml:"repair_within"`
+	Loss                                                  float64
+	AtOnce                                                int     `toml:"at_once"`
+	AnswersLost                                           float64 `toml:"answers_lost"`
+	AnswersLate                                           float64 `toml:"answers_late"`
+	Resends                                               float64
+	Remembered                                            int
+	Troubles
+	GuardsLeftOut
+	Faults []Fault
+}
+
+// plainCore is what a question has where it doesn't say otherwise.
+func plainCore() coreFile {
+	return coreFile{Controllers: 4, Founders: 3, Tolerate: 1, Length: span(30 * S), CatchUp: span(4 * S), Grace: span(6 * S),
+		RepairWithin: span(5 * S), Delay: span(Ms / 2), Jitter: span(Ms), Sync: span(2 * Ms), Handling: span(Ms / 4), Puts: 20, Reads: 20}
 }
 
 func (c coreFile) core() Core {
-	return Core{Controllers: c.Controllers, Founders: c.Founders, Tolerate: c.Tolerate, Puts: c.Puts, Reads: c.Reads, Length: int64(c.Length),
-		CatchUp: int64(c.CatchUp), Delay: int64(c.Delay), Jitter: int64(c.Jitter), Sync: int64(c.Sync), Loss: c.Loss, Kills: c.Kills,
-		KillAlls: c.KillAlls, Wipes: c.Wipes, AckWipes: c.AckWipes, Cuts: c.Cuts, Freezes: c.Freezes, Stalls: c.Stalls,
-		UnsyncedAck: c.UnsyncedAck, StrangerVotes: c.StrangerVotes, NoEpoch: c.NoEpoch, OldRead: c.OldRead, Faults: c.Faults}
+	return Core{Controllers: c.Controllers, Founders: c.Founders, Tolerate: c.Tolerate, Length: int64(c.Length), CatchUp: int64(c.CatchUp),
+		Grace: int64(c.Grace), RepairWithin: int64(c.RepairWithin), Delay: int64(c.Delay), Jitter: int64(c.Jitter), Sync: int64(c.Sync),
+		Handling: int64(c.Handling), Loss: c.Loss, Puts: c.Puts, AtOnce: c.AtOnce, Reads: c.Reads, Readers: c.Readers,
+		AnswersLost: c.AnswersLost, AnswersLate: c.AnswersLate, Resends: c.Resends, Remembered: c.Remembered,
+		Troubles: c.Troubles, Faults: c.Faults, GuardsLeftOut: c.GuardsLeftOut}
 }
 
 // ReadQuestion reads a question and names what is wrong with it.
 func ReadQuestion(text []byte) (*Question, error) {
-	q := &Question{Seeds: 50, Seed: 1, Holds: "always", Core: coreFile{Controllers: 4, Founders: 3, Tolerate: 1, Length: span(30 * S), CatchUp: span(4 * S),
-		Delay: span(Ms / 2), Jitter: span(Ms), Sync: span(2 * Ms), Puts: 20, Reads: 20}, Mesh: plainMesh(), Run: plainRun(), Credit: plainCredit(), Partner: plainPartner()}
+	q := &Question{Seeds: 50, Seed: 1, Holds: "always", Core: plainCore(), Mesh: plainMesh(), Run: plainRun(), Credit: plainCredit(), Partner: plainPartner()}
 	d := toml.NewDecoder(strings.NewReader(string(text))).DisallowUnknownFields()
 	if err := d.Decode(q); err != nil {
 		if strict, is := err.(*toml.StrictMissingError); is {
@@ -215,7 +223,7 @@
 	type played struct {
 		broken []string
 		shown  map[string]float64
-		took   []int64
+		times  []times
 	}
 	days := make([]played, q.Seeds)
 	each(q.Seeds, func(n int) {
@@ -231,11 +239,11 @@
 			days[n] = played{d.Broken, d.shown(), nil}
 		default:
 			d := q.Core.core().Play(seed)
-			days[n] = played{d.Broken, d.shown(), d.Took}
+			days[n] = played{d.Broken, d.shown(), d.times()}
 		}
 	})
 	sums, most := map[string]float64{}, map[string]float64{}
-	var took []int64
+	var all []times
 	var names []string
 	for n, d := range days {
 		if len(d.broken) > 0 {
@@ -250,7 +258,7 @@
 			sums[name] += v
 			most[name] = math.Max(most[name], v)
 		}
-		took = append(took, d.took...)
+		all = merge(all, d.times)
 	}
 	sort.Strings(names)
 	for _, name := range names {
@@ -260,10 +268,8 @@
 		}
 		row.Shown = append(row.Shown, Shown{name, fmt.Sprintf("%.4g", v)})
 	}
-	if len(took) > 0 {
-		slices.Sort(took)
-		row.Shown = append(row.Shown, Shown{"ack median", time.Duration(took[len(took)/2]).Round(10 * time.Microsecond).String()},
-			Shown{"ack worst", time.Duration(took[len(took)-1]).Round(10 * time.Microsecond).String()})
+	for _, t := range all {
+		row.Shown = append(row.Shown, t.shown()...)
 	}
 	if len(q.Ask) > 0 {
 		row.Shown = slices.DeleteFunc(row.Shown, func(s Shown) bool { return !slices.Contains(q.Ask, s.Name) })
@@ -271,9 +277,44 @@
 	return row
 }
 
+// times are spans of virtual time of one kind.
+type times struct {
+	name   string
+	values []int64
+}
+
+// merge puts a day's times to those of the days before it.
+func merge(all, day []times) []times {
+	if all == nil {
+		all = make([]times, len(day))
+	}
+	for n, t := range day {
+		all[n].name, all[n].values = t.name, append(all[n].values, t.values...)
+	}
+	return all
+}
+
+// shown is how they are spread.
+func (t times) shown() []Shown {
+	slices.Sort(t.values)
+	last := len(t.values) - 1
+	figure := func(name string, n int) Shown {
+		if last < 0 {
+			return Shown{t.name + " " + name, "-"}
+		}
+		return Shown{t.name + " " + name, time.Duration(t.values[n]).Round(10 * time.Microsecond).String()}
+	}
+	return []Shown{figure("median", max(last, 0)/2), figure("p99", last*99/100), figure("worst", last)}
+}
+
+func (d *CoreDay) times() []times {
+	return []times{{"ack", d.Took}, {"repair", d.Repairs}, {"catch-up", d.CatchUps}}
+}
+
 func (d *CoreDay) shown() map[string]float64 {
 	return map[string]float64{"acked": float64(d.Acked), "stale": float64(d.Stale), "unclear": float64(d.Unclear), "reads": float64(d.Read),
-		"slots": float64(d.Decided), "adopted": float64(d.Adopted)}
+		"slots": float64(d.Decided), "adopted": float64(d.Adopted), "handed over": float64(d.HandOver), "excluded": float64(d.Excluded),
+		"resent": float64(d.Resent), "resent unclear": float64(d.Forgot)}
 }
 
 // Print writes an answer as a table.
--- a/internal/mesh/simulation/core.go
+++ b/internal/mesh/simulation/core.go
@@ -10,25 +10,70 @@
 // Core is a day of a core: processes with disks, links between them, operators who change one configuration, and what
 // goes wrong.
 type Core struct {
-	Controllers int   // processes
-	Founders    int   // of them, members from the beginning
-	Tolerate    int   // disks that may be lost at once
-	Length      int64 // of the day; what is wrong ends at 7/10 of it
-	CatchUp     int64 // after its return, a wiped machine still counts as lost
-	Delay       int64 // of a link, one way
-	Jitter      int64
-	Sync        int64 // of a disk
-	Loss        float64
-	Puts        int // changes that operators try
-	Reads       int
-
-	Kills, KillAlls, Wipes, Cuts, Freezes, Stalls int // how many of each
-	AckWipes                                      int // of acknowledgements, after which whoever gave it loses its disk and all others power
+	Controllers  int   // processes at first
+	Founders     int   // of them, members from the beginning
+	Tolerate     int   // disks that may be lost at once
+	Length       int64 // of the day; what is wrong ends at 7/10 of it
+	CatchUp      int64 // after its return, a machine still counts as lost
+	Grace        int64 // from SIGTERM to SIGKILL
+	RepairWithin int64 // after the end of trouble, the core has to decide again
+	Delay        int64 // of a link, one way
+	Jitter       int64
+	Sync         int64 // of a disk
+	Handling     int64 // of a message, on a machine that is slowed, for each time that it is slower
+	Loss         float64
 
+	Puts        int     // orders that operators give
+	AtOnce      int     // of them, so many at a time on one version
+	Reads       int     // of operators
+	Readers     int     // balancers, each of which knows one process only
+	AnswersLost float64 // share of the answers to operators
+	AnswersLate float64 // share that comes after the operator has gone on to another process
+	Resends     float64 // share of the confirmed orders that are sent again later
+	Remembered  int     // applied changes; 0 for as many as consensus keeps
+
+	Troubles
 	Faults []Fault // these, in place of so many by chance
 
-	// Guards left out, to show that what they guard against is seen without them.
-	UnsyncedAck, StrangerVotes, NoEpoch, OldRead bool
+	GuardsLeftOut
+}
+
+// Troubles are how many faults of each kind a day has.
+type Troubles struct {
+	Kills       int `toml:"kills"`
+	KillAlls    int `toml:"kill_alls"`
+	PowerLosses int `toml:"power_losses"`
+	PowerAlls   int `toml:"power_alls"`
+	SendPowers  int `toml:"send_powers"` // of all machines, right after an order was sent
+	Wipes       int `toml:"wipes"`
+	AckWipes    int `toml:"ack_wipes"` // of whoever gave an acknowledgement, right after it, while all others lose power
+	Cuts        int `toml:"cuts"`
+	LinkCuts    int `toml:"link_cuts"` // of one direction of one link
+	LongCuts    int `toml:"long_cuts"` // of 20 s
+	Refusals    int `toml:"refusals"`
+	Freezes     int `toml:"freezes"`
+	Slows       int `toml:"slows"`
+	Stalls      int `toml:"stalls"`
+	SlowDisks   int `toml:"slow_disks"`
+	ClockSteps  int `toml:"clock_steps"`
+	Terms       int `toml:"terms"`         // SIGTERM; the machine returns with its disk
+	Replaces    int `toml:"replaces"`      // planned: a new machine, then SIGTERM to the old one
+	ReplaceWipe int `toml:"replace_wipes"` // the same; as it has ended, another loses its disk and all others power
+	MachineLoss int `toml:"machine_losses"`
+}
+
+// GuardsLeftOut are guards left out, to show that what they guard against is seen without them.
+type GuardsLeftOut struct {
+	FixedPause      bool `toml:"fixed_pause"`      // proposers that overtake one another wait 1 to 40 ms, however long attempts take
+	UnsyncedAck     bool `toml:"unsynced_ack"`     // answers before the sync
+	StrangerVotes   bool `toml:"stranger_votes"`   // a wiped disk under its old identity
+	NoEpoch         bool `toml:"no_epoch"`         // promises are not kept
+	OldRead         bool `toml:"old_read"`         // reads without a majority
+	LocalAnswers    bool `toml:"local_answers"`    // without contact to a majority, answers from what is known here
+	RefuseForgotten bool `toml:"refuse_forgotten"` // refuses orders that reach back beyond what is remembered
+	EarlyMembership bool `toml:"early_membership"` // a change of members is done before the new member holds the state
+	LeaveFirst      bool `toml:"leave_first"`      // a member that leaves ends first, and others copy after
+	LateLease       bool `toml:"late_lease"`       // how old a majority's word is counts from its answers
 }
 
 // CoreDay is what came of one.
@@ -38,15 +83,23 @@
 	Stale    int
 	Unclear  int
 	Read     int
+	Resent   int     // confirmed orders that were sent again and confirmed again
+	Forgot   int     // of them, left without a clear answer
+	Watched  int     // answers to balancers that were told to be current
 	Took     []int64 // of changes that were acknowledged
+	Repairs  []int64 // from the end of trouble to the next decision
+	CatchUps []int64 // from the start of a process to the newest state of then on its disk
 	Decided  uint64  // slots
 	Adopted  int
+	HandOver int // planned leaves with the state handed over
 	History  []Op
-	Excluded int // faults that Tolerate did not allow at their time
-	Fewest   int // disks that ever held the newest acknowledged version, 0 where none was lost
+	Excluded int  // faults that Tolerate did not allow at their time
+	Unjudged bool // its history could not be held against a register in time
+	Fewest   int  // disks that ever held the newest acknowledged version, 0 where none was lost
 }
 
-// Op is a call of an operator and what it was told, for those who check histories.
+// Op is a call of an operator and what it was told, for those who check histories. An order that is sent again is the same
+// call.
 type Op struct {
 	Client     int
 	Read       bool
@@ -56,54 +109,71 @@
 	Call, Back int64
 }
 
+// coreWorld is a day as it is played.
 type coreWorld struct {
 	*World
 	Core
 	day       CoreDay
 	net       *rand.Rand
+	disks     *rand.Rand
 	processes []*coreProcess
-	cut       map[[2]int]int64 // until then
-	decided   map[uint64]string
-	taken     map[int64]bool // versions that were acknowledged
-	newest    int64
-	drawn     int
+	byAddress map[string]*coreProcess
+	linkCuts  map[link]int64 // until then
 	founded   *consensus.State
-	strike    func(*coreProcess) // right after an acknowledgement
+	drawn     int // identities of disks
+	judge     judge
+	strikes   strikes
+
+	troubledUntil int64
 }
 
+// lead is how long nothing goes wrong at first: a core that is to bear the loss of two grows from its three founders.
+const lead = 4 * S
+
 // Play plays one day.
 func (c Core) Play(seed uint64) *CoreDay {
-	w := &coreWorld{World: NewWorld(seed), Core: c, cut: map[[2]int]int64{}, decided: map[uint64]string{}, taken: map[int64]bool{}}
-	w.net = w.Chance("net")
+	w := newCoreWorld(c, seed)
+	w.found()
+	w.scheduleFaults()
+	w.scheduleOperators()
+	w.scheduleReaders()
+	w.Run(c.Length)
+	w.closeDay()
+	w.day.Decided = w.judge.newestIndex
+	return &w.day
+}
+
+func newCoreWorld(c Core, seed uint64) *coreWorld {
+	w := &coreWorld{World: NewWorld(seed), Core: c, byAddress: map[string]*coreProcess{}, linkCuts: map[link]int64{}, judge: newJudge()}
+	w.net, w.disks = w.Chance("net"), w.Chance("disks")
+	return w
+}
+
+// found makes the processes of the first start.
+func (w *coreWorld) found() {
 	var founders []string
-	for n := range c.Founders {
+	for n := range w.Founders {
 		founders = append(founders, address(n))
 	}
-	state := consensus.Founders(founders, func(at string) string { return at }, c.Tolerate)
-	w.founded = state
-	for n := range c.Controllers {
-		b := &coreProcess{name: n, at: address(n), up: true, heard: map[string]consensus.PeerStatus{}, when: map[string]int64{}, looked: map[string]bool{}}
-		if n < c.Founders {
-			b.disk = &consensus.Replica{ID: consensus.FounderID(b.at), Decided: state}
+	w.founded = consensus.Founders(founders, func(at string) string { return at }, w.Tolerate)
+	for n := range w.Controllers {
+		if n < w.Founders {
+			w.addProcess(&consensus.Replica{ID: consensus.FounderID(address(n)), Decided: w.founded})
 		} else {
-			b.disk = &consensus.Replica{ID: fmt.Sprintf("disk-%d-first", n), Decided: &consensus.State{}}
+			w.addProcess(w.emptyDisk(n))
 		}
-		w.processes = append(w.processes, b)
-		w.start(b)
 	}
-	w.trouble()
-	w.operators()
-	w.Run(c.Length)
-	w.final()
-	w.day.Decided = uint64(len(w.decided))
-	return &w.day
+}
+
+// emptyDisk is a disk that has nothing on it, under an identity of its own.
+func (w *coreWorld) emptyDisk(machine int) *consensus.Replica {
+	w.drawn++
+	return &consensus.Replica{ID: fmt.Sprintf("disk-%d-%d", machine, w.drawn), Decided: &consensus.State{}}
 }
 
 func address(n int) string { return fmt.Sprintf("10.0.0.%d:1", n) }
 
-func (w *coreWorld) fault(format string, args ...any) {
+// broke notes a broken rule.
+func (w *coreWorld) broke(format string, args ...any) {
 	w.day.Broken = append(w.day.Broken, fmt.Sprintf("%.3fs ", float64(w.Now)/1e9)+fmt.Sprintf(format, args...))
 }
-
-// lead is how long nothing goes wrong at first: a core that is to bear the loss of two grows from its three founders.
-const lead = 4 * S
--- a/internal/mesh/simulation/core_faults.go
+++ b/internal/mesh/simulation/core_faults.go
@@ -1,153 +1,220 @@
 package simulation
 
-import (
-	"fmt"
+import "ottershift/internal/mesh/consensus"
 
-	"ottershift/internal/mesh/consensus"
+const (
+	slowMachineFactor = 40
+	slowDiskFactor    = 30
+	nextBackAfter     = 90 * Ms // where all go down, each comes back so much later than the one before
 )
 
-// draws are the faults of a day, by chance from how many of each there are to be.
-func (w *coreWorld) draws() (all []Fault) {
-	chance := w.Chance("trouble")
-	last := w.Length * 7 / 10
-	add := func(kind string, least, spread int) {
-		f := Fault{Kind: kind, At: span(lead + int64(chance.Float64()*float64(last-lead)))}
-		f.Who = chance.IntN(len(w.processes))
-		f.For = span(int64(least)*Ms + int64(chance.IntN(spread))*Ms)
-		all = append(all, f)
-	}
-	for _, of := range []struct {
-		n             int
-		kinds         []string
-		least, spread int
-	}{
-		{w.Kills, []string{Kill}, 200, 3000}, {w.KillAlls, []string{KillAll}, 300, 700}, {w.Wipes, []string{Wipe, Wipe, WipeAlone}, 300, 1500},
-		{w.Cuts, []string{Cut, CutOff, CutDeaf}, 500, 4000}, {w.Freezes, []string{Freeze}, 300, 4000}, {w.Stalls, []string{Stall}, 300, 4000},
-	} {
-		for range of.n {
-			add(of.kinds[chance.IntN(len(of.kinds))], of.least, of.spread)
-		}
-	}
-	strikes := map[int]bool{}
-	for range w.AckWipes {
-		n := 1 + chance.IntN(max(w.Puts/2, 1))
-		if f := (Fault{Kind: AckWipe, After: n, For: span(300*Ms + int64(chance.IntN(300))*Ms)}); !strikes[n] {
-			strikes[n], all = true, append(all, f)
-		}
-	}
-	return all
+// strikes are faults that come upon an event of the day.
+type strikes struct {
+	w                 *coreWorld
+	afterConfirmation map[int]Fault
+	afterOrder        map[int]Fault
+	confirmations     int
 }
 
-// trouble does what goes wrong. Disks are lost within what is to be borne at once, everything else as it comes.
-func (w *coreWorld) trouble() {
+// scheduleFaults does what goes wrong. Disks are lost within what is to be borne at once, everything else as it comes.
+func (w *coreWorld) scheduleFaults() {
 	faults := w.Faults
 	if faults == nil {
-		faults = w.draws()
+		faults = w.drawFaults(w.Chance("trouble"))
 	}
-	strikes := map[int]Fault{}
+	w.strikes = strikes{w: w, afterConfirmation: map[int]Fault{}, afterOrder: map[int]Fault{}}
 	for _, f := range faults {
-		if f.Kind == AckWipe {
-			strikes[f.After] = f
-		} else {
+		switch f.Kind {
+		case AckWipe:
+			w.strikes.afterConfirmation[f.After] = f
+		case SendPower:
+			w.strikes.afterOrder[f.After] = f
+		default:
 			w.After(int64(f.At), func() { w.befall(f) })
 		}
 	}
-	acks := 0
-	w.strike = func(b *coreProcess) {
-		acks++
-		f, is := strikes[acks]
-		if !is || w.Now > w.Length*7/10 || w.Now < lead {
+}
+
+// allowed reports whether trouble may come now.
+func (s *strikes) allowed() bool { return s.w.Now >= lead && s.w.Now <= s.w.Length*7/10 }
+
+// confirmed is called with each confirmation as it leaves a process.
+func (s *strikes) confirmed(by *coreProcess) {
+	s.confirmations++
+	f, is := s.afterConfirmation[s.confirmations]
+	if !is || !s.allowed() {
+		return
+	}
+	w := s.w
+	w.After(w.Delay+Ms/4, func() {
+		if w.lost() > 0 || !by.up {
+			w.day.Excluded++
 			return
 		}
-		w.After(w.Delay+Ms/4, func() {
-			if w.lost() > 0 || !b.up {
-				w.day.Excluded++
-				return
-			}
-			w.down(b, int64(f.For), true)
-			w.others(b, 200*Ms+int64(f.For)/2)
-		})
+		w.stop(by, int64(f.For), outage{wipe: true, power: true})
+		w.stopOthers(by, 200*Ms+int64(f.For)/2, outage{power: true})
+	})
+}
+
+// sent is called with each order as it is given; what follows comes within the time that it takes to be decided.
+func (s *strikes) sent(order int) {
+	f, is := s.afterOrder[order]
+	if !is || !s.allowed() {
+		return
 	}
+	w := s.w
+	soon := int64(w.disks.Float64() * float64(6*w.Delay+2*w.Jitter+3*w.Sync))
+	w.After(soon, func() { w.stopOthers(nil, int64(f.For), outage{power: true}) })
 }
 
 // befall has one fault happen.
 func (w *coreWorld) befall(f Fault) {
 	b, long := w.processes[f.Who%len(w.processes)], int64(f.For)
-	away := func() { b.lost = max(b.lost, w.Now+long+w.CatchUp) }
+	if b.retired {
+		w.day.Excluded++
+		return
+	}
 	switch f.Kind {
 	case Kill:
-		w.down(b, long, false)
+		w.stop(b, long, outage{fate: w.drawFate()})
 	case KillAll:
-		w.down(b, long, false)
-		w.others(b, long)
+		w.stopOthers(nil, long, outage{})
+	case PowerLoss:
+		w.stop(b, long, outage{power: true, fate: w.drawFate()})
+	case PowerAll:
+		w.stopOthers(nil, long, outage{power: true})
 	case Wipe, WipeAlone:
-		if w.lost() >= w.Tolerate || !b.up {
-			w.day.Excluded++
-			return
-		}
-		w.down(b, long, true)
-		if f.Kind == WipeAlone { // all others lose power in that moment, and keep their disks
-			w.others(b, 400*Ms)
-		}
+		w.wipe(b, long, f.Kind == WipeAlone)
+	case Term:
+		w.restartInOrder(b, long)
+	case Replace, ReplaceBack, ReplaceWipe:
+		w.replace(b, f)
+	case MachineLoss:
+		w.loseMachine(b, long)
+	case ClockStep:
+		b.timeOfDay += long - 5*S
+	default:
+		w.away(b, long)
+		w.hinder(b, f.Kind, w.Now+long)
+	}
+}
+
+// hinder has a process go on with something in its way.
+func (w *coreWorld) hinder(b *coreProcess, kind string, until int64) {
+	switch kind {
 	case Cut, CutOff, CutDeaf:
-		away()
-		for _, o := range w.processes {
-			if o != b {
-				if f.Kind != CutOff {
-					w.cut[[2]int{o.name, b.name}] = w.Now + long
-				}
-				if f.Kind != CutDeaf {
-					w.cut[[2]int{b.name, o.name}] = w.Now + long
-				}
-			}
-		}
+		w.cutOff(b, kind, until)
+	case CutLink:
+		l := link{b.number, (b.number + 1) % len(w.processes)}
+		w.linkCuts[l] = max(w.linkCuts[l], until)
+	case Refuse:
+		b.refusesUntil = max(b.refusesUntil, until)
 	case Freeze:
-		away()
-		b.frozen = w.Now + long
+		b.frozenUntil = max(b.frozenUntil, until)
+	case Slow:
+		b.slowMachine = slowdown{slowMachineFactor, until}
 	case Stall:
-		away()
-		b.slow = w.Now + long
+		b.stalledUntil = max(b.stalledUntil, until)
+	case SlowDisk:
+		b.slowDisk = slowdown{slowDiskFactor, until}
+	}
+}
+
+func (w *coreWorld) cutOff(b *coreProcess, kind string, until int64) {
+	if !b.isolated(w.Now) {
+		b.isolatedSince = w.Now
+	}
+	if kind != CutOff {
+		b.deafUntil = max(b.deafUntil, until)
 	}
+	if kind != CutDeaf {
+		b.mutedUntil = max(b.mutedUntil, until)
+	}
+}
+
+// away notes that a machine counts as lost for a while, and for CatchUp after.
+func (w *coreWorld) away(b *coreProcess, long int64) {
+	b.lostUntil = max(b.lostUntil, w.Now+long+w.CatchUp)
+	w.troubled(w.Now + long)
 }
 
-// down takes a process away for a while, with its disk or without.
-func (w *coreWorld) down(b *coreProcess, long int64, wipe bool) {
+// outage is how a process ends.
+type outage struct {
+	wipe  bool // its disk is lost
+	power bool // its machine says nothing
+	fate  unsyncedFate
+}
+
+// stop takes a process away for a while.
+func (w *coreWorld) stop(b *coreProcess, long int64, how outage) {
 	if !b.up {
 		return
 	}
-	b.up = false
-	b.life++
-	if wipe {
-		w.drawn++
-		id := fmt.Sprintf("disk-%d-%d", b.name, w.drawn)
-		if w.StrangerVotes {
-			id = b.disk.ID
-		}
-		b.disk = &consensus.Replica{ID: id, Decided: &consensus.State{}}
-		if w.StrangerVotes { // it takes itself for the founder that it was
-			b.disk.Decided = w.founded
+	w.end(b, how)
+	w.away(b, long)
+	w.After(long, func() {
+		if !b.retired {
+			w.start(b)
 		}
+	})
+	w.observeFewest()
+}
+
+// end ends a life.
+func (w *coreWorld) end(b *coreProcess, how outage) {
+	w.interrupt(b, how.fate)
+	b.up, b.powered = false, !how.power
+	b.life++
+	b.catchUp.pending = false
+	if how.wipe {
+		w.wipeDisk(b)
+	}
+}
+
+func (w *coreWorld) wipeDisk(b *coreProcess) {
+	before := b.disk.ID
+	b.disk = w.emptyDisk(b.number)
+	if w.StrangerVotes { // it takes itself for the founder that it was
+		b.disk.ID, b.disk.Decided = before, w.founded
 	}
-	b.lost = w.Now + long + w.CatchUp
-	w.After(long, func() { w.start(b) })
-	w.keeps()
 }
 
-// others takes all but one away, each for a little longer than the one before.
-func (w *coreWorld) others(b *coreProcess, long int64) {
-	for n, o := range w.processes {
-		if o != b {
-			w.down(o, long+int64(n)*90*Ms, false)
+// stopOthers takes all but one away, or all, each for a little longer than the one before.
+func (w *coreWorld) stopOthers(but *coreProcess, long int64, how outage) {
+	how.fate = w.drawFate()
+	for n, b := range w.processes {
+		if b != but {
+			w.stop(b, long+int64(n)*nextBackAfter, how)
 		}
 	}
 }
 
-// lost counts the processes that count as lost.
+// wipe takes a machine and its disk, where that may be borne.
+func (w *coreWorld) wipe(b *coreProcess, long int64, othersLosePower bool) {
+	if w.lost() >= w.Tolerate || !b.up {
+		w.day.Excluded++
+		return
+	}
+	w.stop(b, long, outage{wipe: true, power: true})
+	if othersLosePower {
+		w.stopOthers(b, 400*Ms, outage{power: true})
+	}
+}
+
+// lost counts the machines that count as lost.
 func (w *coreWorld) lost() (n int) {
 	for _, b := range w.processes {
-		if w.Now < b.lost || !b.up || w.Now < b.frozen {
+		if w.Now < b.lostUntil || !b.up && !b.retired {
 			n++
 		}
 	}
 	return n
 }
+
+// newestCore is the core as it was last seen decided.
+func (w *coreWorld) newestCore() []consensus.Member {
+	if s := w.judge.decided[w.judge.newestIndex]; s != nil {
+		return s.Core
+	}
+	return w.founded.Core
+}
--- a/internal/mesh/simulation/core_operators.go
+++ b/internal/mesh/simulation/core_operators.go
@@ -1,149 +1,285 @@
 package simulation
 
 import (
+	"encoding/json"
 	"errors"
 	"fmt"
+	"math/rand/v2"
+	"time"
 
 	"ottershift/internal/mesh/consensus"
 )
 
-var errStale = errors.New("stale")
-
-// operators call one process after the other: changes on top of what they last saw, the same one again after silence, and
-// reads.
-func (w *coreWorld) operators() {
-	chance := w.Chance("operators")
-	last := int64(0) // the version that was last seen by anybody
-	for n := range w.Puts {
-		at := int64(chance.Float64() * float64(w.Length*8/10))
-		w.After(at, func() {
-			base := last
-			version := base + int64(1+chance.IntN(3))
-			digest := fmt.Sprint("put-", n)
-			op := Op{Client: n, On: base, Put: version, Call: w.Now}
-			w.call(chance.IntN(len(w.processes)), 0, func(b *coreProcess, done func(bool)) {
-				w.change(b, w.Now+900*Ms, 0, func(s *consensus.State) (*consensus.State, error) {
-					if s.HasApplied(version, digest) {
-						return nil, nil
-					}
-					if s.Edition != base {
-						return nil, errStale
-					}
-					return s.WithConfiguration(version, nil, digest), nil
-				}, func(s *consensus.State, err error, ok bool) {
-					if ok {
-						op.OK, op.Stale = err == nil, err != nil
-					}
-					if done(ok); op.OK {
-						w.strike(b)
-					}
-				})
-			}, func(ok bool) {
-				op.Back = w.Now
-				w.day.History = append(w.day.History, op)
-				switch {
-				case op.OK:
-					w.day.Acked++
-					w.day.Took = append(w.day.Took, op.Back-op.Call)
-					if w.taken[version] {
-						w.fault("version %d acknowledged to two", version)
-					}
-					w.taken[version] = true
-					w.newest = max(w.newest, version)
-					last = max(last, version)
-				case op.Stale:
-					w.day.Stale++
-				default:
-					w.day.Unclear++
-				}
-			})
-		})
+var (
+	errStale     = errors.New("another version is current")
+	errForgotten = errors.New("the order reaches back beyond what is remembered")
+)
+
+const (
+	neverTrimmed    = 64 // a list of applied changes that is shorter has never been trimmed
+	callTimeout     = S  // after which an operator goes on to another process
+	callPause       = 50 * Ms
+	callsOfAnOrder  = 6
+	callsOfARead    = 4
+	answersLateBy   = 1200 * Ms
+	answersLateMost = 2500 * Ms
+)
+
+// order is a change of the configuration that an operator wants, and what came of it. Its identity is its digest.
+type order struct {
+	digest        string
+	base, edition int64
+	op            Op
+	refusals      int
+}
+
+func (o *order) content() json.RawMessage { return json.RawMessage(`"` + o.digest + `"`) }
+
+// verdict is a process's answer to a call.
+type verdict uint8
+
+const (
+	unclear  verdict = iota // 503
+	accepted                // 200
+	refused                 // 412
+)
+
+// answer is what a process says to a call; a read's has the version.
+type answer struct {
+	verdict
+	edition int64
+}
+
+// operators give orders and read.
+type operators struct {
+	w      *coreWorld
+	chance *rand.Rand
+	known  int64 // the version that was last seen by anybody
+}
+
+// scheduleOperators spreads the orders and reads over the day.
+func (w *coreWorld) scheduleOperators() {
+	o := &operators{w: w, chance: w.Chance("operators")}
+	atOnce := max(w.AtOnce, 1)
+	for n := 0; n < w.Puts; n += atOnce {
+		at := int64(o.chance.Float64() * float64(w.Length*8/10))
+		for k := n; k < min(n+atOnce, w.Puts); k++ {
+			w.After(at, func() { o.order(k) })
+		}
 	}
 	for n := range w.Reads {
-		at := int64(chance.Float64() * float64(w.Length*9/10))
-		w.After(at, func() {
-			op := Op{Client: w.Puts + n, Read: true, Call: w.Now}
-			floor := w.newest
-			w.call(chance.IntN(len(w.processes)), 0, func(b *coreProcess, done func(bool)) {
-				w.read(b, func(s *consensus.State, ok bool) {
-					if ok {
-						op.OK, op.Got = true, s.Edition
-					}
-					done(ok)
-				})
-			}, func(ok bool) {
-				op.Back = w.Now
-				if ok {
-					w.day.Read++
-					if op.Got < floor {
-						w.fault("old read: version %d was acknowledged before it was called, %d is read", floor, op.Got)
-					}
-					last = max(last, op.Got)
-					w.day.History = append(w.day.History, op)
-				}
-			})
-		})
+		at := int64(o.chance.Float64() * float64(w.Length*9/10))
+		w.After(at, func() { o.read(w.Puts + n) })
 	}
 }
 
-// read asks for the newest state beyond doubt.
-func (w *coreWorld) read(b *coreProcess, done func(*consensus.State, bool)) {
-	s := b.mem.Decided
-	if w.OldRead {
-		done(s, s.Edition > 0)
-		return
+// order gives an order on top of the version that was last seen. Several may pick the same number.
+func (o *operators) order(client int) {
+	w := o.w
+	next := &order{digest: fmt.Sprint("order-", client), base: o.known, edition: o.known + int64(1+o.chance.IntN(3))}
+	next.op = Op{Client: client, On: next.base, Put: next.edition, Call: w.Now}
+	w.judge.orders = append(w.judge.orders, next)
+	w.strikes.sent(len(w.judge.orders))
+	o.send(next, callsOfAnOrder, func(a answer) { o.answered(next, a.verdict) }, func() { o.ended(next) })
+}
+
+// ended judges an order whose calls have all been made: in a calm time it has an answer.
+func (o *operators) ended(of *order) {
+	w := o.w
+	if !of.op.OK && !of.op.Stale && w.troubledUntil+w.CatchUp <= of.op.Call {
+		w.broke("no acknowledgement: %s has no clear answer after %v, with no trouble", of.digest, time.Duration(w.Now-of.op.Call))
 	}
-	settle := func() {
-		w.change(b, w.Now+900*Ms, 0, func(*consensus.State) (*consensus.State, error) { return nil, nil },
-			func(s *consensus.State, _ error, ok bool) { done(s, ok) })
+}
+
+// send has an order sent, to one process after the other.
+func (o *operators) send(sent *order, calls int, answered func(answer), ended func()) {
+	c := &call{
+		w: o.w, first: o.chance.IntN(len(o.w.processes)), calls: calls, answered: answered, ended: ended,
+		handle: func(b *coreProcess, respond func(answer)) { o.w.handleOrder(b, sent, respond) },
 	}
-	r, ask := consensus.NewMajorityRead(s)
-	w.ask(b, s, ask, 400*Ms, func(a consensus.Response) bool {
-		if !r.HandleResponse(a) {
-			return false
+	c.next()
+}
+
+// answered is a clear answer to an order, which may come after others.
+func (o *operators) answered(to *order, v verdict) {
+	w, op := o.w, &to.op
+	if v == refused {
+		if to.refusals++; op.OK {
+			w.broke("refused: %s was confirmed, sent again and refused with 412", to.digest)
+		} else if !op.Stale {
+			op.Stale, op.Back = true, w.Now
 		}
-		if r.Newest() {
-			done(s, true)
-		} else {
-			if ahead := r.Ahead(); ahead != nil {
-				w.handle(b, consensus.Request{Kind: consensus.Learn, Value: ahead}, func(consensus.Response) {})
+		return
+	}
+	if op.OK {
+		return
+	}
+	if op.Stale {
+		w.broke("refused: %s was refused with 412, and then confirmed", to.digest)
+		return
+	}
+	op.OK, op.Back = true, w.Now
+	w.day.Took = append(w.day.Took, op.Back-op.Call)
+	o.known = max(o.known, to.edition)
+	w.observeConfirmation(to)
+	if o.chance.Float64() < w.Resends {
+		o.scheduleResend(to)
+	}
+}
+
+// scheduleResend has a confirmed order sent again, soon or much later.
+func (o *operators) scheduleResend(again *order) {
+	w := o.w
+	later := int64(o.chance.Float64() * float64(max(w.Length*9/10-w.Now, 0)))
+	if o.chance.IntN(2) == 0 {
+		later = min(later, S)
+	}
+	w.After(later, func() {
+		confirmed := false
+		o.send(again, 1, func(a answer) {
+			if confirmed = a.verdict == accepted; confirmed {
+				w.day.Resent++
 			}
-			settle()
+			o.answered(again, a.verdict)
+		}, func() {
+			if !confirmed {
+				w.day.Forgot++
+			}
+		})
+	})
+}
+
+// read asks for the newest configuration.
+func (o *operators) read(client int) {
+	w := o.w
+	op := Op{Client: client, Read: true, Call: w.Now}
+	floor := w.judge.newest
+	c := &call{
+		w: w, first: o.chance.IntN(len(w.processes)), calls: callsOfARead, ended: func() {},
+		handle: w.handleRead,
+		answered: func(a answer) {
+			if op.OK {
+				return
+			}
+			op.OK, op.Got, op.Back = true, a.edition, w.Now
+			w.day.Read++
+			if op.Got < floor {
+				w.broke("old read: version %d was acknowledged before it was called, %d is read", floor, op.Got)
+			}
+			o.known = max(o.known, op.Got)
+			w.day.History = append(w.day.History, op)
+		},
+	}
+	c.next()
+}
+
+// finishHistory adds the orders to the history, as they ended.
+func (w *coreWorld) finishHistory() {
+	for _, o := range w.judge.orders {
+		switch {
+		case o.op.OK:
+			w.day.Acked++
+		case o.op.Stale:
+			w.day.Stale++
+		default:
+			w.day.Unclear++
 		}
-		return true
-	}, settle)
+		w.day.History = append(w.day.History, o.op)
+	}
 }
 
-// call has an operator call a process, and after a second of silence or an unclear answer the next, with the same words.
-func (w *coreWorld) call(first, tries int, do func(b *coreProcess, done func(bool)), end func(ok bool)) {
-	if tries == 4 {
-		end(false)
-		return
+// remembered are the applied changes by which a process knows an order again.
+func (w *coreWorld) remembered(s *consensus.State) []consensus.AppliedChange {
+	all := s.AppliedChanges
+	if w.Remembered > 0 && len(all) > w.Remembered {
+		return all[len(all)-w.Remembered:]
 	}
-	b := w.processes[(first+tries)%len(w.processes)]
-	over := false
-	next := func() {
-		if !over {
-			over = true
-			w.After(50*Ms, func() { w.call(first, tries+1, do, end) })
+	return all
+}
+
+// rulesOut reports whether an order that is not among the applied changes can't have been applied and forgotten. Versions
+// rise: whatever is forgotten set, and was made on, a version below the oldest that is remembered.
+func (w *coreWorld) rulesOut(known []consensus.AppliedChange, o *order) bool {
+	trimmedFrom := neverTrimmed
+	if w.Remembered > 0 {
+		trimmedFrom = w.Remembered
+	}
+	return w.RefuseForgotten || len(known) < trimmedFrom || max(o.edition, o.base) >= known[0].Edition
+}
+
+// applyOrder is what a process makes of an order on top of the newest state.
+func (w *coreWorld) applyOrder(o *order) transform {
+	return func(s *consensus.State) (*consensus.State, error) {
+		known := w.remembered(s)
+		for _, a := range known {
+			if a.Digest == o.digest {
+				return nil, nil
+			}
+		}
+		if s.Edition == o.base {
+			return s.WithConfiguration(o.edition, o.content(), o.digest), nil
+		}
+		if w.rulesOut(known, o) {
+			return nil, errStale
 		}
+		return nil, errForgotten
 	}
-	w.After(S, next)
-	w.After(w.Delay, func() {
-		w.arrive(b, func() {
-			do(b, func(ok bool) {
-				w.After(w.Delay, func() {
-					if over {
-						return
-					}
-					if !ok {
-						next()
-						return
-					}
-					over = true
-					end(true)
-				})
-			})
+}
+
+// handleOrder is a process's turn with an order: one after the other, as the controller has it.
+func (w *coreWorld) handleOrder(b *coreProcess, o *order, respond func(answer)) {
+	until := w.Now + stepTimeout
+	b.orders = append(b.orders, func() {
+		w.propose(b, max(until-w.Now, 0), w.applyOrder(o), func(out outcome) {
+			out = w.answerFromHere(b, out, w.applyOrder(o))
+			w.nextOrder(b)
+			respond(answer{verdict: verdictOf(out)})
+			if verdictOf(out) == accepted {
+				w.strikes.confirmed(b)
+			}
 		})
 	})
+	if !b.ordering {
+		w.nextOrder(b)
+	}
+}
+
+func (w *coreWorld) nextOrder(b *coreProcess) {
+	if b.ordering = len(b.orders) > 0; b.ordering {
+		next := b.orders[0]
+		b.orders = b.orders[1:]
+		w.after(b, 0, next)
+	}
+}
+
+func verdictOf(o outcome) verdict {
+	switch {
+	case !o.decided, errors.Is(o.err, errForgotten):
+		return unclear
+	case o.err != nil:
+		return refused
+	}
+	return accepted
+}
+
+// answerFromHere is the variant that answers from what is known here where no majority does.
+func (w *coreWorld) answerFromHere(b *coreProcess, o outcome, what transform) outcome {
+	if !w.LocalAnswers || o.decided {
+		return o
+	}
+	s := b.memory.Decided
+	next, err := what(s)
+	return outcome{state: s, err: err, decided: next == nil}
+}
+
+// handleRead is a process's turn with a read.
+func (w *coreWorld) handleRead(b *coreProcess, respond func(answer)) {
+	w.readNewest(b, func(out outcome) {
+		out = w.answerFromHere(b, out, nothing)
+		if !out.decided {
+			respond(answer{})
+			return
+		}
+		respond(answer{accepted, out.state.Edition})
+	})
 }
--- a/internal/mesh/simulation/fault.go
+++ b/internal/mesh/simulation/fault.go
@@ -11,22 +11,36 @@
 
 // Kinds of faults.
 const (
-	Kill      = "kill"            // a process
-	KillAll   = "kill_all"        // all of them, within a moment
-	Wipe      = "wipe"            // a process and its disk
-	WipeAlone = "wipe_alone"      // the same while all others lose power
-	AckWipe   = "ack_wipe"        // the same of whoever gave an acknowledgement, right after it
-	Cut       = "cut"             // a process hears and reaches nobody
-	CutOff    = "cut_off"         // reaches nobody
-	CutDeaf   = "cut_deaf"        // hears nobody
-	Freeze    = "freeze"          // a process stands still
-	Stall     = "stall"           // its disk does
-	CombKill  = "controller_kill" // on a day of a mesh: a process of the core
-	ZoneCut   = "zone_cut"        // a zone is cut off
+	Kill        = "kill"             // a process; its port refuses connections
+	KillAll     = "kill_all"         // all of them, within a moment
+	PowerLoss   = "power_loss"       // of a machine; it says nothing
+	PowerAll    = "power_all"        // of all of them
+	SendPower   = "send_power"       // of all of them, right after an order was sent
+	Wipe        = "wipe"             // a machine and its disk
+	WipeAlone   = "wipe_alone"       // the same while all others lose power
+	AckWipe     = "ack_wipe"         // the same of whoever gave an acknowledgement, right after it
+	Cut         = "cut"              // a process hears and reaches nobody
+	CutOff      = "cut_off"          // reaches nobody
+	CutDeaf     = "cut_deaf"         // hears nobody
+	CutLink     = "cut_link"         // does not reach the next one
+	Refuse      = "refuse"           // refuses connections
+	Freeze      = "freeze"           // a process stands still
+	Slow        = "slow"             // it handles what arrives many times slower
+	Stall       = "stall"            // its disk stands still
+	SlowDisk    = "slow_disk"        // its disk is many times slower
+	ClockStep   = "clock_step"       // the time of day jumps
+	Term        = "term"             // SIGTERM; the machine returns with its disk
+	Replace     = "replace"          // a new machine joins; later SIGTERM to the old one, which is gone for good
+	ReplaceBack = "replace_and_back" // the same; the old machine returns later with its disk
+	ReplaceWipe = "replace_wipe"     // replace; as the old one has ended, another loses its disk and all others power
+	MachineLoss = "machine_loss"     // a machine is gone for good; a new one joins at another address
+	CombKill    = "controller_kill"  // on a day of a mesh: a process of the core
+	ZoneCut     = "zone_cut"         // a zone is cut off
 )
 
 var (
-	coreKinds = []string{Kill, KillAll, Wipe, WipeAlone, AckWipe, Cut, CutOff, CutDeaf, Freeze, Stall}
+	coreKinds = []string{Kill, KillAll, PowerLoss, PowerAll, SendPower, Wipe, WipeAlone, AckWipe, Cut, CutOff, CutDeaf, CutLink, Refuse, Freeze, Slow,
+		Stall, SlowDisk, ClockStep, Term, Replace, ReplaceBack, ReplaceWipe, MachineLoss}
 	meshKinds = []string{Kill, KillAll, Cut, CombKill, ZoneCut}
 )
 
@@ -36,12 +50,18 @@
 	At    span   `toml:"at,omitempty"`
 	For   span   `toml:"for,omitempty"`
 	Who   int    `toml:"who,omitempty"`   // process, or zone
-	After int    `toml:"after,omitempty"` // of ack_wipe: the how manieth acknowledgement of the day
+	After int    `toml:"after,omitempty"` // of ack_wipe and send_power: the how manieth acknowledgement or order of the day
 }
 
+// struck reports whether the fault comes upon an event of the day, not at a time.
+func (f Fault) struck() bool { return f.Kind == AckWipe || f.Kind == SendPower }
+
 func (f Fault) String() string {
-	if f.Kind == AckWipe {
+	switch f.Kind {
+	case AckWipe:
 		return fmt.Sprintf("%s after acknowledgement %d, for %v", f.Kind, f.After, time.Duration(f.For))
+	case SendPower:
+		return fmt.Sprintf("%s after order %d, for %v", f.Kind, f.After, time.Duration(f.For))
 	}
 	return fmt.Sprintf("%s of %d at %v, for %v", f.Kind, f.Who, time.Duration(f.At).Round(time.Millisecond), time.Duration(f.For))
 }
--- a/internal/mesh/simulation/hunt.go
+++ b/internal/mesh/simulation/hunt.go
@@ -96,16 +96,23 @@
 	if len(d.Broken) > 0 {
 		return d.Broken[0], 1
 	}
-	worst := int64(0)
-	for _, took := range d.Took {
-		worst = max(worst, took)
+	return "", d.nearness()
+}
+
+// nearness is how tight a day was: few disks that hold what was acknowledged, calls of which nobody knows the end, and long
+// waits.
+func (d *CoreDay) nearness() float64 {
+	near := 0.1*min(float64(d.Unclear), 5)/5 + 0.1*min(float64(d.Adopted), 6)/6
+	if len(d.Took) > 0 {
+		near += 0.05 * min(float64(slices.Max(d.Took))/float64(4*S), 1)
+	}
+	if len(d.Repairs) > 0 {
+		near += 0.05 * min(float64(slices.Max(d.Repairs))/float64(4*S), 1)
 	}
-	// Few disks that hold what was acknowledged, calls of which nobody knows the end, and long waits are where it is tight.
-	near = 0.1*min(float64(d.Unclear), 5)/5 + 0.1*min(float64(worst)/float64(4*S), 1) + 0.1*min(float64(d.Adopted), 6)/6
 	if d.Fewest > 0 {
 		near += 0.6 / float64(d.Fewest)
 	}
-	return "", near
+	return near
 }
 
 func (q *Question) draws(seed uint64) []Fault {
@@ -114,54 +121,80 @@
 		w := &meshWorld{World: NewWorld(seed), Mesh: m, controllers: make([]*controllerModel, m.Zones)}
 		return w.draws()
 	}
-	c := q.Core.core()
-	return (&coreWorld{World: NewWorld(seed), Core: c, processes: make([]*coreProcess, c.Controllers)}).draws()
+	return q.Core.core().drawFaults(NewWorld(seed).Chance("trouble"))
+}
+
+// faultRange is what the faults of a question may be.
+type faultRange struct {
+	kinds    []string
+	length   span // of the day
+	machines int
+}
+
+func (q *Question) faultRange() faultRange {
+	if q.Mesh.Proxies > 0 {
+		return faultRange{meshKinds, q.Mesh.Length, q.Mesh.Proxies}
+	}
+	return faultRange{coreKinds, q.Core.Length, q.Core.Controllers}
 }
 
+const (
+	mostFaults   = 24
+	shortest     = span(50 * Ms)
+	firstStrikes = 12 // events of the day upon which a new fault may come
+)
+
 // mutate alters one to three things: a fault's time, place, length or kind, one more upon another, or one less.
 func (q *Question) mutate(all []Fault, chance *rand.Rand) []Fault {
+	r := q.faultRange()
 	out := slices.Clone(all)
-	kinds, length, who := coreKinds, q.Core.Length, q.Core.Controllers
-	if q.Mesh.Proxies > 0 {
-		kinds, length, who = meshKinds, q.Mesh.Length, q.Mesh.Proxies
-	}
 	for range 1 + chance.IntN(3) {
-		if len(out) == 0 || chance.IntN(5) == 0 && len(out) < 24 {
-			f := Fault{Kind: kinds[chance.IntN(len(kinds))], Who: chance.IntN(who), For: span(int64(200+chance.IntN(3000)) * Ms)}
-			f.At = span(lead + int64(chance.Float64()*float64(int64(length)*7/10-lead)))
-			if len(out) > 0 { // upon another
-				f.At = max(0, out[chance.IntN(len(out))].At+span((chance.Float64()-0.5)*float64(S)))
-			}
-			if f.Kind == AckWipe {
-				f.At, f.After = 0, 1+chance.IntN(12)
-			}
-			out = append(out, f)
-			continue
-		}
-		n := chance.IntN(len(out))
-		f := &out[n]
-		switch chance.IntN(5) {
-		case 0:
-			f.Who = chance.IntN(who)
-		case 1:
-			f.For = max(span(50*Ms), span(float64(f.For)*(0.3+1.7*chance.Float64())))
-		case 2:
-			out = without(out, n)
-		default:
-			if f.Kind == AckWipe {
-				f.After = max(1, f.After+chance.IntN(5)-2)
-			} else {
-				f.At = min(length*7/10, max(0, f.At+span((chance.Float64()-0.5)*float64(2*S))))
-			}
+		if len(out) == 0 || chance.IntN(5) == 0 && len(out) < mostFaults {
+			out = append(out, r.another(out, chance))
+		} else {
+			out = r.alter(out, chance.IntN(len(out)), chance)
 		}
 	}
 	for n := range out { // what goes wrong is over by the last fifth of the day, in which all has to come back
-		out[n].At = min(out[n].At, length*7/10)
-		out[n].For = max(span(50*Ms), min(out[n].For, length*8/10-out[n].At))
+		out[n].At = min(out[n].At, r.length*7/10)
+		out[n].For = max(shortest, min(out[n].For, r.length*8/10-out[n].At))
 	}
 	return out
 }
 
+// another is a new fault, close to one of those that there are.
+func (r faultRange) another(beside []Fault, chance *rand.Rand) Fault {
+	f := Fault{Kind: r.kinds[chance.IntN(len(r.kinds))], Who: chance.IntN(r.machines), For: span(int64(200+chance.IntN(3000)) * Ms)}
+	f.At = span(lead + int64(chance.Float64()*float64(int64(r.length)*7/10-lead)))
+	if len(beside) > 0 {
+		f.At = max(0, beside[chance.IntN(len(beside))].At+span((chance.Float64()-0.5)*float64(S)))
+	}
+	if f.struck() {
+		f.At, f.After = 0, 1+chance.IntN(firstStrikes)
+	}
+	return f
+}
+
+// alter changes one fault, or leaves it out.
+func (r faultRange) alter(all []Fault, n int, chance *rand.Rand) []Fault {
+	f := &all[n]
+	switch chance.IntN(5) {
+	case 0:
+		f.Who = chance.IntN(r.machines)
+	case 1:
+		f.For = max(shortest, span(float64(f.For)*(0.3+1.7*chance.Float64())))
+	case 2:
+		return without(all, n)
+	default:
+		if f.struck() {
+			f.After = max(1, f.After+chance.IntN(5)-2)
+		} else {
+			f.At = min(r.length*7/10, max(0, f.At+span((chance.Float64()-0.5)*float64(2*S))))
+		}
+	}
+	return all
+}
+
 var figures = regexp.MustCompile(`[0-9.]+`)
 
 // rule is what broke, without its figures.
@@ -192,7 +225,7 @@
 	for n := range faults {
 		for range 4 {
 			try := slices.Clone(faults)
-			if try[n].For /= 2; try[n].For < span(50*Ms) || !breaks(try) {
+			if try[n].For /= 2; try[n].For < shortest || !breaks(try) {
 				break
 			}
 			faults = try
