--- a/internal/mesh/simulation/core_calls.go
+++ b/internal/mesh/simulation/core_calls.go
@@ -23,7 +23,8 @@
 		c.ended()
 		return
 	}
-	b := c.w.processes[(c.first+c.made)%len(c.w.processes)]
+	listed := c.w.listed()
+	b := listed[(c.first+c.made)%len(listed)]
 	c.made++
 	left := false
 	leave := func() {
@@ -38,6 +39,20 @@
 	})
 }
 
+// listLag is how late operators' list of processes is.
+const listLag = 3 * S
+
+// listed are the processes that operators know of.
+func (w *coreWorld) listed() []*coreProcess {
+	all := make([]*coreProcess, 0, len(w.processes))
+	for _, b := range w.processes {
+		if !b.retired || w.Now-b.retiredAt < listLag {
+			all = append(all, b)
+		}
+	}
+	return all
+}
+
 // arrived is the call at a process; its answer may get lost or come late.
 func (c *call) arrived(b *coreProcess, leave func()) {
 	came := c.w.Now
--- a/internal/mesh/simulation/core_membership.go
+++ b/internal/mesh/simulation/core_membership.go
@@ -27,7 +27,7 @@
 	propose := func() {
 		apply := func(newest *consensus.State) (*consensus.State, error) { return newest.ApplyMembership(wanted), nil }
 		w.propose(b, ownTimeout, apply, func(o outcome) {
-			if !o.decided || !o.state.HasMember(wanted.Add.ID) {
+			if !o.decided || !carriedOut(o.state, wanted) {
 				done(false)
 				return
 			}
@@ -58,6 +58,12 @@
 	})
 }
 
+// carriedOut reports whether a state is as a change of members wanted it. Another change may have taken the same new member
+// in for another that leaves.
+func carriedOut(s *consensus.State, wanted consensus.MembershipChange) bool {
+	return s.HasMember(wanted.Add.ID) && !s.HasMember(wanted.Remove)
+}
+
 // holding counts who holds a state on disk.
 type holding struct {
 	w      *coreWorld
@@ -66,6 +72,7 @@
 	ask    []consensus.Member
 	need   string // an identity that has to hold it, empty for none
 	quorum int    // and so many of those asked
+	invite bool   // it is asked whether it will be a member, too: who leaves won't
 	until  int64
 	held   map[string]bool
 	over   bool
@@ -80,7 +87,7 @@
 
 // catchUpNewMember asks until a process that is to be a member holds the state on disk.
 func (w *coreWorld) catchUpNewMember(b *coreProcess, s *consensus.State, m consensus.Member, done func(held bool)) {
-	h := &holding{w: w, by: b, state: s, ask: []consensus.Member{m}, need: m.ID, done: done}
+	h := &holding{w: w, by: b, state: s, ask: []consensus.Member{m}, need: m.ID, invite: true, done: done}
 	h.begin()
 }
 
@@ -110,6 +117,9 @@
 	life := h.by.life
 	request := consensus.Request{Kind: consensus.Learn, Value: h.state}
 	h.w.send(message{from: h.by, to: to, deliver: func() {
+		if h.invite && !to.acceptInvitation(h.w.Now) {
+			return
+		}
 		h.w.handle(to, request, func(response consensus.Response) {
 			h.w.send(message{from: to, to: h.by, deliver: func() {
 				if h.by.life == life {
@@ -120,6 +130,15 @@
 	}})
 }
 
+// acceptInvitation reports whether a process will be a member. Once it has said so it doesn't end before that is settled.
+func (b *coreProcess) acceptInvitation(now int64) bool {
+	if b.leaving {
+		return false
+	}
+	b.invitedUntil = now + 2*ownTimeout
+	return true
+}
+
 func (h *holding) note(response consensus.Response) {
 	isAsked := slices.ContainsFunc(h.ask, func(m consensus.Member) bool { return m.ID == response.ID })
 	if h.over || !isAsked || response.Index < h.state.Index {
@@ -170,21 +189,19 @@
 func (w *coreWorld) handOver(b *coreProcess, end func(handedOver bool)) {
 	again := func() { w.after(b, leaveInterval, func() { w.handOver(b, end) }) }
 	s := b.memory.Decided
-	if !s.HasMember(b.memory.ID) {
-		w.leaveAsStranger(b, s, end, again)
-		return
-	}
 	successor, is := w.successor(b, s)
 	switch {
 	case b.acting:
 		again()
+	case !s.HasMember(b.memory.ID):
+		w.leaveAsStranger(b, s, end, again)
 	case !is:
 		end(false)
 	default:
 		b.acting = true
 		w.changeMembership(b, s, consensus.MembershipChange{Remove: b.memory.ID, Add: successor}, func(held bool) {
 			b.acting = false
-			if held {
+			if held && !b.memory.Decided.HasMember(b.memory.ID) { // it may have been taken in again
 				w.day.HandOver++
 				end(true)
 				return
@@ -194,14 +211,15 @@
 	}
 }
 
-// leaveAsStranger ends a process that is no member, once those who are hold the state that says so.
+// leaveAsStranger ends a process that is no member, once those who are hold the state that says so and no invitation is
+// open.
 func (w *coreWorld) leaveAsStranger(b *coreProcess, s *consensus.State, end func(bool), again func()) {
 	if len(s.Core) == 0 {
 		end(true)
 		return
 	}
 	w.confirmHeld(b, s, "", func(held bool) {
-		if held {
+		if held && w.Now >= b.invitedUntil && !b.memory.Decided.HasMember(b.memory.ID) {
 			end(true)
 			return
 		}
--- a/internal/mesh/simulation/core_process.go
+++ b/internal/mesh/simulation/core_process.go
@@ -11,12 +11,14 @@
 	address  string
 	inFlight []*diskWrite // that have not reached the disk, oldest first
 
-	up      bool
-	powered bool
-	retired bool // gone for good
-	leaving bool // it has had SIGTERM
-	life    int
-	since   int64 // of this life
+	up           bool
+	powered      bool
+	retired      bool // gone for good
+	retiredAt    int64
+	invitedUntil int64 // a change that makes it a member may be under way
+	leaving      bool  // it has had SIGTERM
+	life         int
+	since        int64 // of this life
 
 	disk     *consensus.Replica
 	memory   *consensus.Replica
@@ -84,7 +86,7 @@
 	b.up, b.powered, b.leaving, b.since = true, true, false, w.Now
 	b.diskFree, b.machineFree, b.round, b.inFlight = 0, 0, 0, nil
 	b.peers, b.acting, b.orders, b.ordering = map[string]peer{}, false, nil, false
-	b.confirmedAt, b.pendingSince = -S, 0
+	b.confirmedAt, b.pendingSince, b.invitedUntil = -S, 0, 0
 	memory := *b.disk
 	b.memory = &memory
 	w.beginCatchUp(b)
--- a/internal/mesh/simulation/core_replacement.go
+++ b/internal/mesh/simulation/core_replacement.go
@@ -43,7 +43,7 @@
 			return
 		}
 		w.end(old, outage{power: true})
-		old.retired = true
+		old.retired, old.retiredAt = true, w.Now
 		w.observeFewest()
 		w.afterRetirement(old, f)
 	})
@@ -109,7 +109,7 @@
 		return
 	}
 	w.end(b, outage{power: true})
-	b.retired = true
+	b.retired, b.retiredAt = true, w.Now
 	w.away(b, long)
 	w.observeFewest()
 	w.After(long, func() { w.join() })
