--- a/internal/mesh/simulation/hunt.go
+++ b/internal/mesh/simulation/hunt.go
@@ -157,7 +157,9 @@
 		}
 	}
 	for n := range out { // what goes wrong is over by the last fifth of the day, in which all has to come back
-		out[n].At = min(max(out[n].At, r.first), r.length*7/10)
+		if !out[n].struck() {
+			out[n].At = min(max(out[n].At, r.first), r.length*7/10)
+		}
 		out[n].For = max(shortest, min(out[n].For, r.length*8/10-out[n].At))
 	}
 	return out
