--- a/internal/mesh/controller/proposer.go
+++ b/internal/mesh/controller/proposer.go
@@ -3,102 +3,166 @@
 import (
 	"context"
 	"encoding/json"
+	"math/rand/v2"
 	"sync"
 	"time"
 
-	"ottershift/internal/mesh/apierror"
 	"ottershift/internal/mesh/consensus"
 )
 
-// tell has others learn it; who doesn't hear finds out by its own looks.
-func (k *replicator) announce(s *consensus.State, also []string) (wait func()) {
+// Attempts that fail are made again, each time with more patience, for cores whose disks are slow.
+const (
+	refusalPatience     = 50 * time.Millisecond // with members that are silent, once another has refused or has to be told first
+	firstAttemptPause   = 16 * time.Millisecond // at most, beside the time that the first attempt took
+	maxAttemptDoublings = 3                     // of both
+)
+
+// announcePatience is how long an announcement waits for the rest of a core once a quorum has answered.
+const announcePatience = 50 * time.Millisecond
+
+// announce tells controllers a decided state, its core and others. The channel is closed once all of the core have
+// answered, or a quorum has and the rest had a moment more, or the step's time is over; for the others nobody waits. Who
+// does not hear it finds out by gossip.
+func (k *replicator) announce(s *consensus.State, also []string) (done <-chan struct{}) {
 	ctx, end := context.WithTimeout(context.Background(), stepTimeout)
 	var all sync.WaitGroup
-	seen := map[string]bool{k.self: true}
+	told := map[string]bool{k.self: true}
+	answers := make(chan bool, len(s.Core))
 	for _, m := range s.Core {
-		also = append(also, m.At)
+		if m.At == k.self {
+			answers <- true
+			continue
+		}
+		told[m.At] = true
+		all.Go(func() { answers <- k.send(ctx, m.At, consensus.Request{Kind: consensus.Learn, Value: s}) != nil })
 	}
 	for _, at := range also {
-		if !seen[at] {
-			seen[at] = true
-			all.Add(1)
-			go func() {
-				defer all.Done()
-				k.send(ctx, at, consensus.Request{Kind: consensus.Learn, Value: s})
-			}()
+		if !told[at] {
+			told[at] = true
+			all.Go(func() { k.send(ctx, at, consensus.Request{Kind: consensus.Learn, Value: s}) })
 		}
 	}
-	go func() { all.Wait(); end() }()
-	return all.Wait
+	announced := make(chan struct{})
+	go func() {
+		awaitAnswers(answers, len(s.Core), s.Quorum())
+		close(announced)
+		all.Wait()
+		end()
+	}()
+	return announced
 }
 
-// change has the core agree on what a function makes of the newest state. The function may be called several times, each
-// time with what is the newest beyond doubt; an error of it ends the change. A nil state asks for nothing but that it is
-// the newest.
-func (k *replicator) change(ctx context.Context, also func() []string, what func(*consensus.State) (*consensus.State, error)) (*consensus.State, error) {
-	k.changing.Lock()
-	defer k.changing.Unlock()
-	for attempt := 0; ctx.Err() == nil; attempt++ {
-		if attempt > 0 { // Invariant: two that go on at the same pace overtake one another for ever
-			pause := time.Duration(1+attempt*7%20)*time.Millisecond + time.Duration(len(k.proposer)%7+int(k.proposer[len(k.proposer)-1])%13)*time.Millisecond
-			select {
-			case <-time.After(pause):
-			case <-ctx.Done():
+// propose begins an attempt on top of what is decided as far as this copy knows.
+func (k *replicator) propose(what transform) (base *consensus.State, p *consensus.Proposal, request consensus.Request) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	base = k.replica.Decided
+	k.round = max(k.round, k.replica.Promised.Round) + 1
+	p, request = consensus.Propose(base, consensus.Ballot{Round: k.round, By: k.proposer}, what)
+	return base, p, request
+}
+
+// awaitAnswers waits for all of so many answers, or for announcePatience from when a quorum of them was good.
+func awaitAnswers(answers <-chan bool, all, quorum int) {
+	var patience <-chan time.Time
+	for good := 0; all > 0; all-- {
+		select {
+		case ok := <-answers:
+			if ok {
+				good++
 			}
+		case <-patience:
+			return
 		}
-		s, _ := k.state()
-		k.mu.Lock()
-		k.round = max(k.round, k.replica.Promised.Round) + 1
-		p, ask := consensus.Propose(s, consensus.Ballot{Round: k.round, By: k.proposer}, what)
-		k.mu.Unlock()
-		step := k.attempt(ctx, s, p, ask)
-		k.mu.Lock()
-		k.round = max(k.round, p.Round)
-		k.mu.Unlock()
-		switch step {
-		case consensus.StepUnchanged:
-			return p.State, p.Err
-		case consensus.StepAhead:
-			k.learn(p.State)
-		case consensus.StepBehind: // members that have not heard of the last decision
-			k.announce(s, nil)()
-		case consensus.StepDecided:
-			k.counts.Add("decided")
-			go k.learn(p.State)
-			told := k.announce(p.State, also())
-			if !sameCore(s, p.State) {
-				told() // Invariant: a new core must hold what it begins with before the old one's disks may go
-			}
-			if p.Own {
-				return p.State, nil
-			}
-			k.waitForIndex(ctx, p.State.Index)
+		if good == quorum && patience == nil {
+			patience = time.After(announcePatience)
 		}
 	}
-	return nil, apierror.New(apierror.Unclear, "no majority of the core has agreed in time")
 }
 
-// attempt carries one proposal to its last step, or to Wait where answers stay away.
-func (k *replicator) attempt(ctx context.Context, s *consensus.State, p *consensus.Proposal, ask consensus.Request) (step consensus.Step) {
+// sawRound notes a round, so that the next attempt is above it.
+func (k *replicator) sawRound(round uint64) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	k.round = max(k.round, round)
+}
+
+// waitForRival waits after an attempt that a rival has overtaken: until a decision is heard of, or for a time drawn at
+// random, longer with each attempt and with how long an attempt takes. Invariant: two that go on at the same pace overtake
+// one another for ever.
+func (k *replicator) waitForRival(ctx context.Context, base *consensus.State, took time.Duration, attempt int) {
+	longest := max(took, k.steps.attempt()) + firstAttemptPause<<min(attempt, maxAttemptDoublings)
+	s, decided := k.state()
+	if s.Index > base.Index {
+		return
+	}
+	await(ctx, decided, longest/2+rand.N(longest/2))
+}
+
+// await waits for a channel to be closed, for a time at most or until the context's end.
+func await(ctx context.Context, done <-chan struct{}, longest time.Duration) {
+	select {
+	case <-done:
+	case <-time.After(longest):
+	case <-ctx.Done():
+	}
+}
+
+// attempt carries one proposal to its last step, or to StepWait where answers stay away. Once a member has refused, the
+// others get no more than some patience.
+func (k *replicator) attempt(ctx context.Context, s *consensus.State, p *consensus.Proposal, request consensus.Request, patience time.Duration) (step consensus.Step) {
 	for step = consensus.StepSend; step == consensus.StepSend; {
-		answers := k.broadcast(ctx, s, ask, stepTimeout)
-		step = consensus.StepWait
-		for n := 0; n < len(s.Core) && step == consensus.StepWait; n++ {
-			select {
-			case answer := <-answers:
-				if answer != nil {
-					step = p.HandleResponse(*answer)
-				}
-			case <-ctx.Done():
-				return consensus.StepWait
+		step = k.attemptStep(ctx, s, p, request, patience)
+		request = p.Request()
+	}
+	return step
+}
+
+// attemptStep sends one request of a proposal to all of the core and takes the answers until there is a step.
+func (k *replicator) attemptStep(ctx context.Context, s *consensus.State, p *consensus.Proposal, request consensus.Request, patience time.Duration) consensus.Step {
+	began := time.Now()
+	answers := k.broadcast(ctx, s, request, stepTimeout)
+	var impatient <-chan time.Time
+	for range s.Core {
+		select {
+		case answer := <-answers:
+			if answer == nil {
+				continue
+			}
+			switch step := p.HandleResponse(*answer); step {
+			case consensus.StepWait:
+			case consensus.StepSend, consensus.StepDecided:
+				k.steps.add(time.Since(began))
+				return step
+			default:
+				return step
 			}
+			if p.Refused() && impatient == nil {
+				impatient = time.After(patience)
+			}
+		case <-impatient:
+			return p.GiveUp()
+		case <-ctx.Done():
+			return consensus.StepWait
 		}
-		ask = p.Request()
 	}
-	return step
+	return consensus.StepWait
+}
+
+// isNewest reports whether a majority says that nothing came after a state and that nothing else stands accepted. It needs
+// no disk, and no turn in the queue.
+func (k *replicator) isNewest(ctx context.Context, s *consensus.State) bool {
+	read, request := consensus.NewMajorityRead(s)
+	answers := k.broadcast(ctx, s, request, readTimeout)
+	for range s.Core {
+		if answer := <-answers; answer != nil && read.HandleResponse(*answer) {
+			return read.Newest()
+		}
+	}
+	return false
 }
 
-// waitFor waits until this copy knows a decision that is on its way to it.
+// waitForIndex waits until this copy knows a decision that is on its way to it.
 func (k *replicator) waitForIndex(ctx context.Context, index uint64) {
 	for {
 		s, more := k.state()
