--- a/internal/mesh/ratelimit/token_bank.go
+++ b/internal/mesh/ratelimit/token_bank.go
@@ -9,7 +9,8 @@
 type account struct {
 	Limit
 	pool  float64
-	at    int64
+	share float64            // of the bank's, up to which the pool has gained
+	at    int64              // when that was
 	out   map[string]float64 // tokens by balancer
 	dried int64              // when it was dry last
 
@@ -29,6 +30,9 @@
 	members  map[string]*member
 	count    int // balancers, as agreed
 	accounts map[string]*account
+
+	share float64 // seconds since the bank was opened, each times the part of the balancers that drew on it then
+	at    int64   // up to when share counts
 }
 
 // Want is what a balancer asks for one tenant.
@@ -54,7 +58,7 @@
 
 // NewBank opens a bank. Tokens that an earlier one gave may be out until Forget is over.
 func NewTokenBank(now int64) *TokenBank {
-	return &TokenBank{opened: now, members: map[string]*member{}, accounts: map[string]*account{}}
+	return &TokenBank{opened: now, at: now, members: map[string]*member{}, accounts: map[string]*account{}}
 }
 
 // Set puts limits in force; members is how many balancers there are.
@@ -71,7 +75,8 @@
 		}
 		a := b.accounts[tenant]
 		if a == nil {
-			a = &account{at: now, out: map[string]float64{}}
+			b.advance(now)
+			a = &account{share: b.share, at: now, out: map[string]float64{}}
 			b.accounts[tenant] = a
 		}
 		b.fill(a, now)
@@ -90,11 +95,21 @@
 	return float64(n) / float64(max(b.count, len(b.members), 1))
 }
 
+// advance counts time, with who is there until now.
+func (b *TokenBank) advance(now int64) {
+	if now > b.at {
+		b.share += b.present(now) * float64(now-b.at) / s
+		b.at = now
+	}
+}
+
 // fill lets a pool gain what time has brought, within what the reserve leaves.
 func (b *TokenBank) fill(a *account, now int64) {
-	a.pool += a.Rate * b.present(now) * float64(max(0, now-a.at)) / s
-	a.at = now
-	room := math.Max(0, a.Reserve()-b.out(a, now))
+	b.advance(now)
+	a.pool += a.Rate * (b.share - a.share)
+	// Invariant: what the pool gained is bounded by what was out while it did, not by what is out now.
+	room := math.Max(0, a.Reserve()-b.given(a))
+	a.share, a.at = b.share, now
 	a.unused += math.Max(0, a.pool-room)
 	a.pool = math.Min(a.pool, room)
 }
@@ -103,6 +118,7 @@
 func (b *TokenBank) Unused() map[string]float64 {
 	all := map[string]float64{}
 	for tenant, a := range b.accounts {
+		b.fill(a, b.at)
 		if a.unused > 0 {
 			all[tenant], a.unused = a.unused, 0
 		}
@@ -110,6 +126,17 @@
 	return all
 }
 
+// given is what may have been in wallets since the pool was filled last.
+func (b *TokenBank) given(a *account) (all float64) {
+	for _, n := range a.out {
+		all += n
+	}
+	if a.at-b.opened < Forget {
+		all += a.Reserve() / 2
+	}
+	return all
+}
+
 // out is what may be in wallets.
 func (b *TokenBank) out(a *account, now int64) (all float64) {
 	for node, n := range a.out {
@@ -136,13 +163,14 @@
 		m = &member{life: d.Life}
 		b.members[d.Node] = m
 		for _, a := range b.accounts { // its former life spends nothing any more
-			delete(a.out, d.Node)
+			if a.out[d.Node] != 0 {
+				b.fill(a, now)
+				delete(a.out, d.Node)
+			}
 		}
 	}
 	m.standing = m.standing && d.Standing // it has not stood alone since it was answered last
-	for _, a := range b.accounts {        // with who was there until now
-		b.fill(a, now)
-	}
+	b.advance(now)                        // with who was there until now
 	m.seq, m.heard, m.standing = d.Seq, now, d.Standing
 	for node, other := range b.members {
 		if now-other.heard > 20*Forget {
@@ -156,8 +184,9 @@
 	}
 	slices.SortFunc(tenants, cmp.Compare[string])
 	for _, a := range b.accounts {
-		if a.out[d.Node] != 0 {
-			a.out[d.Node] = 0 // told below, or spent
+		if a.out[d.Node] != 0 { // told below, or spent
+			b.fill(a, now)
+			delete(a.out, d.Node)
 		}
 	}
 	for _, tenant := range tenants {
@@ -165,6 +194,7 @@
 		if a == nil {
 			continue
 		}
+		b.fill(a, now)
 		a.out[d.Node] = math.Max(w.Held, 0)
 		a.pool = math.Max(a.pool, math.Min(a.pool+math.Max(w.Back, 0), a.Reserve()-b.out(a, now)))
 		room := math.Min(a.pool, a.Reserve()*3/4-b.out(a, now))
