--- a/internal/desk/desk.go
+++ b/internal/desk/desk.go
@@ -408,6 +408,9 @@
 			err = errors.New("the module takes no other terms in service")
 			return
 		}
+		if d.book != nil { // under the module's lock: it goes on learning under the earlier book
+			book.Keep(d.book)
+		}
 		book.Terms.Zone = d.roster.Zone(book.Zones[book.Terms.Zone]) // the list's numbers stay as they were
 		if err = b.Retune(book.Terms, now); err == nil {
 			d.show(book)
--- a/internal/httpwire/pool.go
+++ b/internal/httpwire/pool.go
@@ -98,7 +98,6 @@
 	for n, sh := range p.shards {
 		before := sh.told.Load().book
 		own := book.Part(n, len(p.shards))
-		own.Keep(before)
 		if err := sh.desk.Retune(own); err != nil {
 			return err
 		}
--- a/internal/mesh/proxy/proxy.go
+++ b/internal/mesh/proxy/proxy.go
@@ -139,7 +139,8 @@
 	quiet := slog.NewLogLogger(f.log.Handler(), slog.LevelDebug)
 	out := &http.Server{Handler: http.HandlerFunc(f.serveOutbound), ReadHeaderTimeout: 15 * time.Second, MaxHeaderBytes: 64 << 10,
 		ErrorLog: quiet, ConnState: f.clients.state, ConnContext: withConn, DisableGeneralOptionsHandler: true}
-	in := &http.Server{Handler: http.HandlerFunc(f.serveInbound), MaxHeaderBytes: 64 << 10, ErrorLog: quiet, DisableGeneralOptionsHandler: true}
+	in := &http.Server{Handler: http.HandlerFunc(f.serveInbound), MaxHeaderBytes: 64 << 10, ErrorLog: quiet,
+		ConnContext: withConn, DisableGeneralOptionsHandler: true}
 	ready := &http.Server{Handler: http.HandlerFunc(f.ready), ErrorLog: quiet}
 	control := &http.Server{Handler: http.HandlerFunc(f.control), ErrorLog: quiet}
 	for _, s := range []struct {
--- a/internal/mesh/proxy/view.go
+++ b/internal/mesh/proxy/view.go
@@ -170,7 +170,6 @@
 		go f.probe(p)
 		return nil
 	}
-	b.Keep(p.book)
 	if err := p.desk.Retune(b); err != nil {
 		return err
 	}
