--- a/internal/mesh/controller/controller.go
+++ b/internal/mesh/controller/controller.go
@@ -53,7 +53,9 @@
 	lastHeard map[string]int64    // when, by address
 	sent      map[string]uint64
 	pending   int64 // since when something stands undecided, 0 for nothing
-	core      string
+
+	pendingAfter uint64 // the slot of the state after which it stands
+	core         string
 
 	parsed struct {
 		sync.Mutex
--- a/internal/mesh/controller/maintenance.go
+++ b/internal/mesh/controller/maintenance.go
@@ -48,8 +48,8 @@
 	switch {
 	case !pending:
 		c.pending = 0
-	case c.pending == 0:
-		c.pending = now
+	case c.pending == 0 || c.pendingAfter != s.Index: // what stands after another state is a change of its own
+		c.pending, c.pendingAfter = now, s.Index
 	}
 	mend := c.pending != 0 && now-c.pending > int64(settleAfter)*int64(1+c.rank(s))
 	c.mu.Unlock()
--- a/internal/mesh/proxy/local_upstream.go
+++ b/internal/mesh/proxy/local_upstream.go
@@ -67,13 +67,17 @@
 		ID: id, Service: c.Notice.Destination, Edition: c.Notice.Edition, Capacity: c.Notice.Capacity,
 		Closing: c.Status.Condition == "closing", Cold: int64(cold),
 	}
-	if id != b.id {
+	first := id != b.id
+	if first {
 		b.end()
 		b.id, b.closing, b.open, b.ward = id, time.Time{}, 0, outlier.Detector{}
 	}
 	up.Ill = b.ward.Level()
 	if up.Closing && b.closing.IsZero() {
 		b.closing = now
+		if first { // Invariant: the process before this one may have acknowledged it, and Drain counts from then
+			b.closing = now.Add(-b.drain)
+		}
 	}
 	same := up
 	same.Cold = b.up.Cold
--- a/internal/mesh/proxy/proxy_test.go
+++ b/internal/mesh/proxy/proxy_test.go
@@ -24,6 +24,23 @@
 	return &upstreamRequest{to: id, aim: aim, until: time.Now().Add(time.Hour)}
 }
 
+// A closing may have been acknowledged by the process before: from its first beat on nothing passes.
+func TestAClosingThatAnotherProcessMayHaveAcknowledgedIsOld(t *testing.T) {
+	for _, trace := range []struct {
+		before string
+		kind   apierror.Kind
+	}{{"", apierror.NotHere}, {"accepting", apierror.None}} {
+		b := newLocalUpstream(2*time.Second, "127.0.0.1:1")
+		now := time.Now()
+		if trace.before != "" {
+			b.beatOf("i", beat(1, 6, trace.before), now)
+		}
+		b.beatOf("i", beat(2, 6, "closing"), now)
+		_, kind := b.addressOf("i", now)
+		must.Eq(t, trace.kind, kind)
+	}
+}
+
 // A trace of beats: late ones, a closing, the next life at the same address.
 func TestBeatsOfALifeAndWhatPassesToIt(t *testing.T) {
 	b := newLocalUpstream(2500*time.Millisecond, "127.0.0.1:1")
