--- a/internal/mesh/controller/change.go
+++ b/internal/mesh/controller/change.go
@@ -90,6 +90,10 @@
 func (k *replicator) runAttempt(turn context.Context, change *runningChange, attempt int) (s *consensus.State, ended bool, err error) {
 	began := time.Now()
 	patience := max(refusalPatience<<min(attempt, maxAttemptDoublings), k.steps.attempt())
+	if !k.hasContact(turn) {
+		await(turn, nil, readPause)
+		return nil, false, nil
+	}
 	base, p, request := k.propose(change.transform)
 	switch {
 	case change.doubt.decided(base):
@@ -120,6 +124,16 @@
 	return nil, false, nil
 }
 
+// hasContact reports whether a majority of the core answers this process. Invariant: no ballot goes out without it. A process
+// whose requests arrive and whose answers are lost would overtake the attempts of all others and never end its own.
+func (k *replicator) hasContact(ctx context.Context) bool {
+	if k.current() {
+		return true
+	}
+	_, reading := k.read(ctx)
+	return reading.Heard()
+}
+
 // spread has this process and all others learn what it has seen decided.
 func (k *replicator) spread(turn context.Context, base, decided *consensus.State, also []string) {
 	k.counts.Add("decided")
--- a/internal/mesh/proxy/outbound.go
+++ b/internal/mesh/proxy/outbound.go
@@ -173,6 +173,9 @@
 		if owner == nil {
 			return nil, t, apierror.NoKey, 0
 		}
+		if !f.keys.holds(f.now()) {
+			return nil, t, apierror.Unready, 0
+		}
 		header[senderName] = []string{owner.Name}
 		if ok, again := f.withinQuota(r.Context(), owner.Name); !ok {
 			if !f.credit.on.Load() {
--- a/internal/mesh/proxy/proxy.go
+++ b/internal/mesh/proxy/proxy.go
@@ -61,6 +61,7 @@
 	zones      []string
 
 	wallet  wallet
+	keys    keyTrust
 	credit  credit
 	exports exportPolicies
 
@@ -102,6 +103,9 @@
 		local: newLocalUpstream(b.Bounds.Drain, b.App), end: make(chan struct{}),
 		pools: map[string]*pool{}, nodes: map[string]*knownNode{}, members: 1,
 	}
+	if b.Bounds.RevokedEverywhere {
+		f.keys.bound = b.Bounds.Revoke
+	}
 	f.pace = newPacer(b.LineMbps)
 	f.upstreamConnections = newConnectionPool(dialApp, f.counts, "app")
 	f.partnerConnections = newConnectionPool(dialApp, f.counts, "outside")
--- a/internal/mesh/proxy/proxy_test.go
+++ b/internal/mesh/proxy/proxy_test.go
@@ -41,6 +41,18 @@
 	}
 }
 
+// Where a withdrawn key has to be refused everywhere, keys hold for as long as the last current answer proves them.
+func TestKeysAreTakenOnlyAsLongAsTheyAreProven(t *testing.T) {
+	second := int64(time.Second)
+	unbounded, bounded := &keyTrust{}, &keyTrust{bound: 5 * time.Second}
+	bounded.confirmed(10 * second)
+	must.True(t, unbounded.holds(1000*second))
+	must.True(t, bounded.holds(14*second))
+	must.False(t, bounded.holds(15*second))
+	bounded.confirmed(15 * second)
+	must.True(t, bounded.holds(15*second))
+}
+
 // A trace of beats: late ones, a closing, the next life at the same address.
 func TestBeatsOfALifeAndWhatPassesToIt(t *testing.T) {
 	b := newLocalUpstream(2500*time.Millisecond, "127.0.0.1:1")
--- a/internal/mesh/proxy/watch.go
+++ b/internal/mesh/proxy/watch.go
@@ -89,6 +89,9 @@
 	}
 	if err = f.applyWatchResponse(response, asked); err == nil {
 		f.hear(response, asked)
+		if response.Current {
+			f.keys.confirmed(asked)
+		}
 	}
 	f.membersNow.Store(int64(f.memberCount()))
 	return response.Current, interrupted, err
