--- a/internal/mesh/controller/controller.go
+++ b/internal/mesh/controller/controller.go
@@ -210,6 +210,10 @@
 		s.Shutdown(stop)
 	}
 	if !lockWithin(&c.replicator.written, stopDiskFor) { // Invariant: nothing is written after the store is closed
+		go func() { // the disk may go on before the process ends
+			c.replicator.written.Lock()
+			c.store.Close()
+		}()
 		return errDiskHangs
 	}
 	return c.store.Close()
