--- a/internal/mesh/proxy/body_writer.go
+++ b/internal/mesh/proxy/body_writer.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// writtenInline is the size up to which a request is written before its answer is read. Both sides' buffers hold that much, so an
+// maxInlineWrite is the size up to which a request is written before its answer is read. Both sides' buffers hold that much, so an
 // answer that comes early does not wait behind it.
-const writtenInline = 16 << 10
+const maxInlineWrite = 16 << 10
 
-const writerMoment = 5 * time.Millisecond
+const writerGracePeriod = 5 * time.Millisecond
 
-// longAgo is a deadline that ends reads and writes at once.
-var longAgo = time.Unix(1, 0)
+// pastDeadline is a deadline that ends reads and writes at once.
+var pastDeadline = time.Unix(1, 0)
 
 // bodyWriter writes a request while its answer is waited for. It ends when all is written, when a write fails, or with its
 // source: a source that stands still, as a slow client's body does, holds up nobody but the writer.
@@ -38,15 +38,15 @@
 		}
 		w.copy(c, rest)
 		if w.sourceErr != nil {
-			c.SetReadDeadline(longAgo)
+			c.SetReadDeadline(pastDeadline)
 		}
 	}()
 	return w
 }
 
 func (w *bodyWriter) copy(to io.Writer, from io.Reader) {
-	buffer := pieces.Get().(*[]byte)
-	defer pieces.Put(buffer)
+	buffer := bufferPool.Get().(*[]byte)
+	defer bufferPool.Put(buffer)
 	for {
 		n, err := from.Read(*buffer)
 		if n > 0 {
@@ -67,18 +67,18 @@
 // succeeded reports whether all has been written. The answer to a whole request may be here before the writer has seen its
 // source's end, so that is waited for a moment.
 func (w *bodyWriter) succeeded() bool {
-	moment := time.NewTimer(writerMoment)
-	defer moment.Stop()
+	grace := time.NewTimer(writerGracePeriod)
+	defer grace.Stop()
 	select {
 	case <-w.allDone:
 		return w.writeErr == nil && w.sourceErr == nil
-	case <-moment.C:
+	case <-grace.C:
 		return false
 	}
 }
 
-// begun reports whether some of the request has gone out. It waits for the first write, which the caller has put an end to.
-func (w *bodyWriter) begun() bool {
+// started reports whether some of the request has gone out. It waits for the first write, which the caller has put an end to.
+func (w *bodyWriter) started() bool {
 	<-w.firstDone
 	return w.firstSent > 0
 }
--- a/internal/mesh/proxy/burst_credit.go
+++ b/internal/mesh/proxy/burst_credit.go
@@ -15,140 +15,140 @@
 )
 
 const (
-	creditWait   = 300 * time.Millisecond // that a request waits for a token at most
-	creditWithin = 900 * time.Millisecond // that a report is waited for
+	maxCreditWait       = 300 * time.Millisecond // that a request waits for a token at most
+	creditReportTimeout = 900 * time.Millisecond // that a report is waited for
 )
 
-// credit is this balancer's part of tenants' burst credit. Where no tenant has any, nothing here runs.
-type credit struct {
+// burstCredit is this balancer's part of tenants' burst credit. Where no tenant has any, nothing here runs.
+type burstCredit struct {
 	sync.Mutex
-	wallet *burstcredit.Wallet
-	on     atomic.Bool
-	need   chan struct{} // has room for one
+	tokenCache *burstcredit.Wallet
+	enabled    atomic.Bool
+	wake       chan struct{} // has room for one
 }
 
 // terms puts a configuration's in force. Under mu.
-func (p *Proxy) creditTerms(t *routing.Configuration) {
+func (p *Proxy) applyCreditTerms(config *routing.Configuration) {
 	services := map[string]float64{}
-	for _, d := range t.Services {
-		services[d.Name] = d.BurstCreditPerSecond
+	for _, service := range config.Services {
+		services[service.Name] = service.BurstCreditPerSecond
 	}
-	p.credit.Lock()
-	defer p.credit.Unlock()
-	p.credit.wallet.Set(burstcredit.TermsOf(t), services, p.members, p.now())
-	p.credit.on.Store(p.credit.wallet.On())
+	p.burstCredit.Lock()
+	defer p.burstCredit.Unlock()
+	p.burstCredit.tokenCache.Set(burstcredit.TermsOf(config), services, p.members, p.now())
+	p.burstCredit.enabled.Store(p.burstCredit.tokenCache.On())
 }
 
-// claim is what a request beyond its tenant's rate would draw for, and under which name: the client's key for it where it has
+// creditClaim is what a request beyond its tenant's rate would draw for, and under which name: the client's key for it where it has
 // one; else an effect is its own, and pages and downloads of one tenant are one for as long as settled names are known.
-func (p *Proxy) claim(r *http.Request, rule *routing.Route, tenant *routing.Tenant) burstcredit.Claim {
-	k := burstcredit.Claim{Tenant: tenant.Name, Service: rule.Parts[0].Service, Effect: !rule.MailClass.Repeats(),
-		Rank: tenant.Precedence*1000 + rule.Precedence}
+func (p *Proxy) creditClaim(r *http.Request, route *routing.Route, tenant *routing.Tenant) burstcredit.Claim {
+	claim := burstcredit.Claim{Tenant: tenant.Name, Service: route.Parts[0].Service, Effect: !route.MailClass.Repeats(),
+		Rank: tenant.Precedence*1000 + route.Precedence}
 	if host, _, err := net.SplitHostPort(r.RemoteAddr); err == nil {
-		k.Client = host != settings.Host(p.settings.App) // the upstream on this machine calls from its own address
+		claim.Client = host != settings.Host(p.settings.App) // the upstream on this machine calls from its own address
 	}
 	switch key := r.Header.Get("Idempotency-Key"); {
 	case key != "":
-		k.ID = burstcredit.Identity("key", key, r.Method, r.Host, r.RequestURI)
-	case k.Effect:
-		k.ID = burstcredit.Identity("try", r.Header.Get(attemptID))
+		claim.ID = burstcredit.Identity("key", key, r.Method, r.Host, r.RequestURI)
+	case claim.Effect:
+		claim.ID = burstcredit.Identity("try", r.Header.Get(requestIDHeader))
 	default:
-		k.ID = burstcredit.Identity("page", r.Method, r.Host, r.RequestURI)
+		claim.ID = burstcredit.Identity("page", r.Method, r.Host, r.RequestURI)
 	}
-	return k
+	return claim
 }
 
-// draws has a request go on out of its tenant's credit, if there is any; it waits for its turn.
-func (p *Proxy) draws(ctx context.Context, k burstcredit.Claim) bool {
-	c := &p.credit
-	called := make(chan bool, 1)
-	c.Lock()
-	verdict := c.wallet.Claim(k, p.now(), func(ok bool) { called <- ok })
-	c.Unlock()
-	p.wantCredit()
+// drawCredit has a request go on out of its tenant's credit, if there is any; it waits for its turn.
+func (p *Proxy) drawCredit(ctx context.Context, claim burstcredit.Claim) bool {
+	credit := &p.burstCredit
+	granted := make(chan bool, 1)
+	credit.Lock()
+	verdict := credit.tokenCache.Claim(claim, p.now(), func(ok bool) { granted <- ok })
+	credit.Unlock()
+	p.signalCreditDemand()
 	switch verdict {
 	case burstcredit.Drawn:
-		p.counts.Add("credit_drawn")
+		p.counters.Add("credit_drawn")
 		return true
 	case burstcredit.None:
 		return false
 	}
-	late := time.NewTimer(creditWait)
-	defer late.Stop()
+	timeout := time.NewTimer(maxCreditWait)
+	defer timeout.Stop()
 	select {
-	case <-called:
-		p.counts.Add("credit_drawn")
+	case <-granted:
+		p.counters.Add("credit_drawn")
 		return true
-	case <-late.C:
+	case <-timeout.C:
 	case <-ctx.Done():
 	}
-	c.Lock()
-	left := c.wallet.Leave(k)
-	c.Unlock()
-	if !left { // its turn came meanwhile
-		<-called
+	credit.Lock()
+	removed := credit.tokenCache.Leave(claim)
+	credit.Unlock()
+	if !removed { // its turn came meanwhile
+		<-granted
 		if ctx.Err() != nil {
-			p.drawn(k, burstcredit.NeverRan)
+			p.finishClaim(claim, burstcredit.NeverRan)
 			return false
 		}
-		p.counts.Add("credit_drawn")
+		p.counters.Add("credit_drawn")
 		return true
 	}
-	p.counts.Add("credit_none")
+	p.counters.Add("credit_none")
 	return false
 }
 
-// drawn tells what became of it.
-func (p *Proxy) drawn(k burstcredit.Claim, end burstcredit.Outcome) {
-	c := &p.credit
-	c.Lock()
-	c.wallet.Done(k, end, p.now())
-	c.wallet.Turn(p.now())
-	c.Unlock()
-	p.wantCredit()
+// finishClaim tells what became of it.
+func (p *Proxy) finishClaim(claim burstcredit.Claim, outcome burstcredit.Outcome) {
+	credit := &p.burstCredit
+	credit.Lock()
+	credit.tokenCache.Done(claim, outcome, p.now())
+	credit.tokenCache.Turn(p.now())
+	credit.Unlock()
+	p.signalCreditDemand()
 }
 
-func (p *Proxy) wantCredit() {
+func (p *Proxy) signalCreditDemand() {
 	select {
-	case p.credit.need <- struct{}{}:
+	case p.burstCredit.wake <- struct{}{}:
 	default:
 	}
 }
 
-// report tells the core what was spent, and asks for more, for as long as there is something to tell.
-func (p *Proxy) report(ctx context.Context) {
-	c := &p.credit
+// runCreditReports tells the core what was spent, and asks for more, for as long as there is something to tell.
+func (p *Proxy) runCreditReports(ctx context.Context) {
+	credit := &p.burstCredit
 	for {
 		select {
-		case <-c.need:
+		case <-credit.wake:
 		case <-ctx.Done():
 			return
 		}
 		for ctx.Err() == nil {
-			p.wallet.Lock()
-			at := p.wallet.coordinator
-			p.wallet.Unlock()
-			c.Lock()
-			wants := c.wallet.Wants(p.now()) && at != ""
-			var r *burstcredit.Report
-			if wants {
-				r = c.wallet.Report(p.now())
+			p.tokenCache.Lock()
+			address := p.tokenCache.coordinator
+			p.tokenCache.Unlock()
+			credit.Lock()
+			due := credit.tokenCache.Wants(p.now()) && address != ""
+			var report *burstcredit.Report
+			if due {
+				report = credit.tokenCache.Report(p.now())
 			}
-			c.Unlock()
-			if !wants {
+			credit.Unlock()
+			if !due {
 				break
 			}
-			sent := p.now()
-			call, end := context.WithTimeout(ctx, creditWithin)
-			g := &burstcredit.Grant{}
-			err := p.caller.Call(call, at, rpc.PathCredit, r, g)
-			end()
-			if p.counts.Add("credit_reports"); err != nil {
-				p.counts.Add("credit_reports_failed")
+			sentAt := p.now()
+			callContext, cancel := context.WithTimeout(ctx, creditReportTimeout)
+			grant := &burstcredit.Grant{}
+			err := p.caller.Call(callContext, address, rpc.PathCredit, report, grant)
+			cancel()
+			if p.counters.Add("credit_reports"); err != nil {
+				p.counters.Add("credit_reports_failed")
 			} else {
-				c.Lock()
-				c.wallet.ApplyGrant(g, sent, p.now())
-				c.Unlock()
+				credit.Lock()
+				credit.tokenCache.ApplyGrant(grant, sentAt, p.now())
+				credit.Unlock()
 			}
 			pause := time.NewTimer(time.Duration(burstcredit.Every))
 			select {
@@ -160,19 +160,19 @@
 	}
 }
 
-// settles tells what became of a request that drew on credit, once it has its answer.
-func (p *Proxy) settles(q *request) {
-	if q.claim == nil {
+// settleCredit tells what became of a request that drew on credit, once it has its answer.
+func (p *Proxy) settleCredit(request *downstreamRequest) {
+	if request.creditClaim == nil {
 		return
 	}
-	q.mu.Lock()
-	end := burstcredit.NeverRan
+	request.mu.Lock()
+	outcome := burstcredit.NeverRan
 	switch {
-	case q.delivered:
-		end = burstcredit.Delivered
-	case q.ran > 0:
-		end = burstcredit.Unknown
+	case request.delivered:
+		outcome = burstcredit.Delivered
+	case request.mayHaveRun > 0:
+		outcome = burstcredit.Unknown
 	}
-	q.mu.Unlock()
-	p.drawn(*q.claim, end)
+	request.mu.Unlock()
+	p.finishClaim(*request.creditClaim, outcome)
 }
--- a/internal/mesh/proxy/configuration.go
+++ b/internal/mesh/proxy/configuration.go
@@ -11,83 +11,83 @@
 )
 
 const (
-	fetchSilence = 900 * time.Millisecond // without a byte, until another controller is asked
-	fetchPause   = 50 * time.Millisecond  // before that
+	fetchSilenceTimeout = 900 * time.Millisecond // without a byte, until another controller is asked
+	fetchRetryDelay     = 50 * time.Millisecond  // before that
 )
 
 // configurationFetch is what is known of a configuration that did not come with the answer to a watch, for being long.
 type configurationFetch struct {
-	at     string // controller that has it
-	index  uint64 // of the newest state that was told of
-	digest string // of that state's configuration
-	begin  chan struct{}
+	controller string // controller that has it
+	index      uint64 // of the newest state that was told of
+	digest     string // of that state's configuration
+	trigger    chan struct{}
 }
 
 // applyConfiguration puts a later configuration in force. The first one of a life is taken only from a controller that is current:
 // any other may be older than what this machine went by before.
-func (p *Proxy) applyConfiguration(n *membership.WatchResponse) error {
+func (p *Proxy) applyConfiguration(response *membership.WatchResponse) error {
 	position := p.currentPosition()
-	mayTake := n.Current || p.view.Load() != nil
+	acceptable := response.Current || p.view.Load() != nil
 	switch {
-	case n.Configuration != nil || n.Packed != nil:
-		if !mayTake {
+	case response.Configuration != nil || response.Packed != nil:
+		if !acceptable {
 			return nil
 		}
-		return p.takeConfiguration(n)
-	case n.Index <= position.Index:
-	case n.Digest != "" && n.Digest != position.Digest && n.Edition != 0:
-		if mayTake { // named alone: it is fetched apart, and the watch goes on from here
-			p.setIndex(n.Index)
+		return p.loadConfiguration(response)
+	case response.Index <= position.Index:
+	case response.Digest != "" && response.Digest != position.Digest && response.Edition != 0:
+		if acceptable { // named alone: it is fetched apart, and the watch goes on from here
+			p.advanceIndex(response.Index)
 		}
-	case n.Digest != "" || n.Edition == position.Edition || n.Edition == 0:
-		p.setIndex(n.Index) // something else was agreed
+	case response.Digest != "" || response.Edition == position.Edition || response.Edition == 0:
+		p.advanceIndex(response.Index) // something else was agreed
 	}
 	return nil
 }
 
-// takeConfiguration reads the configuration that came with the answer to a watch. A change of another one than is in force by now
+// loadConfiguration reads the configuration that came with the answer to a watch. A change of another one than is in force by now
 // changes nothing: the next answer has the right one.
-func (p *Proxy) takeConfiguration(n *membership.WatchResponse) error {
-	if n.Packed == nil {
-		t, err := routing.Load(n.Configuration)
+func (p *Proxy) loadConfiguration(response *membership.WatchResponse) error {
+	if response.Packed == nil {
+		config, err := routing.Load(response.Configuration)
 		if err != nil {
 			return err
 		}
-		p.adoptFrom(n.Index, t)
+		p.activateFrom(response.Index, config)
 		return nil
 	}
-	held := p.heldConfiguration()
-	if n.Packed.Base != "" && (held == nil || held.Digest() != n.Packed.Base) {
+	held := p.activeConfiguration()
+	if response.Packed.Base != "" && (held == nil || held.Digest() != response.Packed.Base) {
 		return nil
 	}
-	return p.unpack(n.Index, n.Packed, held)
+	return p.unpack(response.Index, response.Packed, held)
 }
 
 // unpack puts a packed configuration in force. One that can't be unpacked is asked for as it is.
 func (p *Proxy) unpack(index uint64, packed *routing.Packed, held *routing.Configuration) error {
-	t, err := packed.Unpack(held)
-	p.unpackable.Store(err != nil)
+	config, err := packed.Unpack(held)
+	p.unpackFailed.Store(err != nil)
 	if err != nil {
-		p.counts.Add("configurations_not_unpacked")
+		p.counters.Add("configurations_not_unpacked")
 		p.log.Error("configuration", "index", index, "unpacking", err)
-		p.forgetTold()
+		p.resetWatchIndex()
 		return err
 	}
-	p.adoptFrom(index, t)
+	p.activateFrom(index, config)
 	return nil
 }
 
-// forgetTold has the next watch be told again of what is not in force.
-func (p *Proxy) forgetTold() {
+// resetWatchIndex has the next watch be told again of what is not in force.
+func (p *Proxy) resetWatchIndex() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.position.Index = p.heldIndex()
+	p.position.Index = p.activeIndex()
 }
 
-// heldConfiguration is the one in force, nil for none.
-func (p *Proxy) heldConfiguration() *routing.Configuration {
+// activeConfiguration is the one in force, nil for none.
+func (p *Proxy) activeConfiguration() *routing.Configuration {
 	if v := p.view.Load(); v != nil {
-		return v.table
+		return v.configuration
 	}
 	return nil
 }
@@ -98,51 +98,51 @@
 	return p.position
 }
 
-// adoptFrom puts the configuration of a state in force.
-func (p *Proxy) adoptFrom(index uint64, t *routing.Configuration) {
-	p.adopt(index, t)
+// activateFrom puts the configuration of a state in force.
+func (p *Proxy) activateFrom(index uint64, config *routing.Configuration) {
+	p.activate(index, config)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.position.Index = max(p.position.Index, index)
 	if v := p.view.Load(); v.index == index {
-		p.position.Edition, p.position.Digest = t.Edition, t.Digest()
+		p.position.Edition, p.position.Digest = config.Edition, config.Digest()
 	}
 }
 
-func (p *Proxy) setIndex(index uint64) {
+func (p *Proxy) advanceIndex(index uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.position.Index = max(p.position.Index, index)
 }
 
-// fetchFrom has the configuration fetched that a controller has named and not given.
-func (p *Proxy) fetchFrom(at string, n *membership.WatchResponse) {
+// requestFetch has the configuration fetched that a controller has named and not given.
+func (p *Proxy) requestFetch(controller string, response *membership.WatchResponse) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if n.Digest == "" || n.Edition == 0 || n.Digest == p.position.Digest || n.Index < p.fetch.index {
+	if response.Digest == "" || response.Edition == 0 || response.Digest == p.position.Digest || response.Index < p.fetch.index {
 		return
 	}
-	if v := p.view.Load(); v != nil && n.Index <= v.index || v == nil && !n.Current {
+	if v := p.view.Load(); v != nil && response.Index <= v.index || v == nil && !response.Current {
 		return
 	}
-	p.fetch.at, p.fetch.index, p.fetch.digest = at, n.Index, n.Digest
+	p.fetch.controller, p.fetch.index, p.fetch.digest = controller, response.Index, response.Digest
 	select {
-	case p.fetch.begin <- struct{}{}:
+	case p.fetch.trigger <- struct{}{}:
 	default:
 	}
 }
 
-// wanted is the controller to fetch from, "" once what was named last is in force.
-func (p *Proxy) wanted() (at string) {
+// fetchSource is the controller to fetch from, "" once what was named last is in force.
+func (p *Proxy) fetchSource() (controller string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if v := p.view.Load(); v != nil && (v.index >= p.fetch.index || p.position.Digest == p.fetch.digest) {
 		return ""
 	}
-	if p.unpackable.Load() { // it comes with the watch, as it is
+	if p.unpackFailed.Load() { // it comes with the watch, as it is
 		return ""
 	}
-	return p.fetch.at
+	return p.fetch.controller
 }
 
 // fetchConfigurations fetches what is named, beside the watch: a lease must not wait for a long answer, nor a long answer for the end
@@ -151,36 +151,36 @@
 func (p *Proxy) fetchConfigurations(ctx context.Context) {
 	for {
 		select {
-		case <-p.fetch.begin:
+		case <-p.fetch.trigger:
 		case <-ctx.Done():
 			return
 		}
-		for tried := 0; ctx.Err() == nil; tried++ {
-			at := p.wanted()
-			if at == "" {
+		for tries := 0; ctx.Err() == nil; tries++ {
+			controller := p.fetchSource()
+			if controller == "" {
 				break
 			}
-			if known := p.knownControllers(); tried > 0 && len(known) > 0 {
-				at = known[tried%len(known)]
+			if controllers := p.knownControllers(); tries > 0 && len(controllers) > 0 {
+				controller = controllers[tries%len(controllers)]
 			}
-			before := p.heldIndex()
-			err := p.fetchConfiguration(ctx, at)
-			if err == nil && p.heldIndex() > before {
-				tried = -1
+			previous := p.activeIndex()
+			err := p.fetchConfiguration(ctx, controller)
+			if err == nil && p.activeIndex() > previous {
+				tries = -1
 				continue
 			}
-			p.counts.Add("configuration_fetches_failed")
-			p.log.Debug("configuration", "from", at, "err", err)
+			p.counters.Add("configuration_fetches_failed")
+			p.log.Debug("configuration", "from", controller, "err", err)
 			select {
-			case <-time.After(fetchPause):
+			case <-time.After(fetchRetryDelay):
 			case <-ctx.Done():
 			}
 		}
 	}
 }
 
-// heldIndex is the state whose configuration is in force, 0 for none.
-func (p *Proxy) heldIndex() uint64 {
+// activeIndex is the state whose configuration is in force, 0 for none.
+func (p *Proxy) activeIndex() uint64 {
 	if v := p.view.Load(); v != nil {
 		return v.index
 	}
@@ -189,12 +189,12 @@
 
 var (
 	errNotCurrent = errors.New("the controller is not current")
-	errNoBytes    = errors.New("an empty piece")
+	errEmptyChunk = errors.New("an empty piece")
 )
 
 // fetchConfiguration fetches the newest configuration of a controller, piece by piece, and puts it in force.
-func (p *Proxy) fetchConfiguration(ctx context.Context, at string) error {
-	held := p.heldConfiguration()
+func (p *Proxy) fetchConfiguration(ctx context.Context, controller string) error {
+	held := p.activeConfiguration()
 	request := &membership.ConfigurationRequest{}
 	if held != nil {
 		request.Held = held.Digest()
@@ -203,7 +203,7 @@
 	var data []byte
 	for last == nil || len(data) < first.Total {
 		last = &membership.ConfigurationResponse{}
-		if err := p.caller.CallPatiently(ctx, rpc.Patience{Silence: fetchSilence}, at, rpc.PathConfiguration, request, last); err != nil {
+		if err := p.caller.CallPatiently(ctx, rpc.Patience{Silence: fetchSilenceTimeout}, controller, rpc.PathConfiguration, request, last); err != nil {
 			return err
 		}
 		if last.Packed.Result == request.Held {
@@ -214,9 +214,9 @@
 		}
 		data = append(data, last.Packed.Data...)
 		request.Result, request.Base, request.Offset = first.Packed.Result, first.Packed.Base, len(data)
-		p.counts.Add("configuration_pieces")
+		p.counters.Add("configuration_pieces")
 		if len(last.Packed.Data) == 0 {
-			return errNoBytes
+			return errEmptyChunk
 		}
 	}
 	if held == nil && !first.Current {
--- a/internal/mesh/proxy/configuration_test.go
+++ b/internal/mesh/proxy/configuration_test.go
@@ -24,8 +24,8 @@
 	"ottershift/logic"
 )
 
-// twoServices is a configuration whose routes wait for some milliseconds.
-func twoServices(t *testing.T, edition, target int) *routing.Configuration {
+// twoServiceConfiguration is a configuration whose routes wait for some milliseconds.
+func twoServiceConfiguration(t *testing.T, edition, target int) *routing.Configuration {
 	route := func(service string) string {
 		return fmt.Sprintf(`{"Name":%q,"MailClass":"repeatable","Target":"%dms","Sorting":{"StreetPrefix":"/%s/%d/"},"Dispatch":{"Destination":%q,"Deadline":"2s","DeliveryTries":2}}`,
 			service, target, service, edition, service)
@@ -36,43 +36,43 @@
 	return c
 }
 
-// unchangeable is a module that takes no other terms in service.
-type unchangeable struct{ desk.Module }
+// immutableModule is a module that takes no other terms in service.
+type immutableModule struct{ desk.Module }
 
 // A module that refuses its terms, or has failed, is replaced; no version is kept from the other services by it.
-func TestAModuleThatRefusesItsTermsHoldsNoVersionBack(t *testing.T) {
+func TestModuleRejectingTermsDoesNotBlockConfiguration(t *testing.T) {
 	p := newTestProxy(nil)
-	p.adopt(1, twoServices(t, 1, 100))
+	p.activate(1, twoServiceConfiguration(t, 1, 100))
 	old := p.pools["x"]
-	book, order := p.bookOf(p.rules["x"])
+	book, order := p.bookOf(p.routes["x"])
 	stuck, err := desk.New(book, &figures.Pool{}, slog.New(slog.DiscardHandler), func(terms *logic.Terms, now int64) (desk.Module, error) {
 		module, err := logic.New(terms, now)
-		return unchangeable{module}, err
+		return immutableModule{module}, err
 	})
 	must.NoError(t, err)
-	old = &pool{name: "x", counts: &figures.Pool{}, desk: stuck, peers: old.peers, budget: old.budget}
-	old.take(book, order)
+	old = &servicePool{name: "x", counters: &figures.Pool{}, desk: stuck, peers: old.peers, budget: old.budget}
+	old.setBook(book, order)
 	p.pools["x"] = old
-	p.adopt(2, twoServices(t, 2, 200))
+	p.activate(2, twoServiceConfiguration(t, 2, 200))
 	v := p.view.Load()
 	must.Eq(t, 2, v.index)
 	for _, service := range []string{"x", "y"} {
-		r := v.table.Find("a", "/"+service+"/2/")
+		r := v.configuration.Find("a", "/"+service+"/2/")
 		must.SliceLen(t, 1, v.targets[r])
 		to := v.targets[r][0]
-		must.True(t, to.pool == p.pools[service])
-		must.Eq(t, int64(200*time.Millisecond), to.under.Tariffs[to.tariff].ContractTime)
+		must.True(t, to.servicePool == p.pools[service])
+		must.Eq(t, int64(200*time.Millisecond), to.limitedTerms.Tariffs[to.tariff].ContractTime)
 	}
 	must.True(t, p.pools["x"] != old)
-	must.Eq(t, 1, p.counts.Of("modules_replaced").Load())
+	must.Eq(t, 1, p.counters.Of("modules_replaced").Load())
 }
 
 // Nothing that comes later brings an older version back: not a controller that lags, whole, packed or as a change; not a fetch that
 // began before; not a look at who is there.
-func TestNoOlderVersionComesAfterANewerOne(t *testing.T) {
+func TestConfigurationNeverRollsBack(t *testing.T) {
 	versions := map[uint64]*routing.Configuration{}
 	for index := uint64(3); index < 8; index++ {
-		versions[index] = twoServices(t, int(index), 100+int(index))
+		versions[index] = twoServiceConfiguration(t, int(index), 100+int(index))
 	}
 	pack := func(base, of uint64) *routing.Packed {
 		packed, err := routing.Pack(versions[base], versions[of])
@@ -82,7 +82,7 @@
 	var told *membership.ConfigurationResponse
 	p := newTestProxy(nil)
 	p.caller = rpc.NewCaller(func(http.RoundTripper) http.RoundTripper {
-		return roundTrip(func(r *http.Request) (*http.Response, error) {
+		return roundTripFunc(func(r *http.Request) (*http.Response, error) {
 			raw, err := json.Marshal(told)
 			return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(bytes.NewReader(raw)), Request: r}, err
 		})
@@ -112,20 +112,20 @@
 	holds(5)
 	p.mu.Lock()
 	p.putNode(record("other", "l", 1, 0), p.now())
-	p.nodesChanged()
+	p.applyNodeChanges()
 	p.mu.Unlock()
 	holds(5)
 	must.NoError(t, p.applyConfiguration(answer(7, pack(5, 7))))
 	holds(7)
-	for _, r := range p.view.Load().table.Routes {
-		must.Eq(t, int64(107*time.Millisecond), p.view.Load().targets[r][0].under.Tariffs[0].ContractTime)
+	for _, r := range p.view.Load().configuration.Routes {
+		must.Eq(t, int64(107*time.Millisecond), p.view.Load().targets[r][0].limitedTerms.Tariffs[0].ContractTime)
 	}
 }
 
 // A long configuration is fetched piece by piece: what a controller has lost or won't give is fetched at another, and one whose answers
 // can't be unpacked is asked for as it is.
-func TestALongConfigurationIsFetchedWhereverItIs(t *testing.T) {
-	of := twoServices(t, 3, 100)
+func TestLongConfigurationIsFetchedFromAnyController(t *testing.T) {
+	of := twoServiceConfiguration(t, 3, 100)
 	whole, err := routing.Pack(nil, of)
 	must.NoError(t, err)
 	half := len(whole.Data) / 2
@@ -134,7 +134,7 @@
 		b := settings.Default()
 		b.Node, b.District = "self", "z"
 		p := New(b, slog.New(slog.DiscardHandler), WithTransport(func(http.RoundTripper) http.RoundTripper {
-			return roundTrip(func(r *http.Request) (*http.Response, error) {
+			return roundTripFunc(func(r *http.Request) (*http.Response, error) {
 				request := &membership.ConfigurationRequest{}
 				if err := json.NewDecoder(r.Body).Decode(request); err != nil {
 					return nil, err
@@ -162,24 +162,24 @@
 	named := &membership.WatchResponse{Current: true, Position: membership.Position{Index: 9, Edition: 3, Digest: of.Digest()}}
 	must.NoError(t, p.applyConfiguration(named))
 	must.Eq(t, 9, p.currentPosition().Index) // the watch goes on from there
-	p.fetchFrom("breaks", named)
+	p.requestFetch("breaks", named)
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return p.view.Load() != nil }), wait.Timeout(5*time.Second), wait.Gap(time.Millisecond)))
-	must.Eq(t, of.Digest(), p.view.Load().table.Digest())
+	must.Eq(t, of.Digest(), p.view.Load().configuration.Digest())
 	must.SliceContains(t, asked, fmt.Sprint("sound", half))
 	must.SliceContains(t, asked, "cut-off0") // it is not taken from who is not current
-	must.False(t, p.unpackable.Load())
+	must.False(t, p.unpackFailed.Load())
 
 	spoilt := newProxy(true)
 	must.NoError(t, spoilt.applyConfiguration(named))
 	must.Eq(t, 9, spoilt.currentPosition().Index)
-	spoilt.fetchFrom("sound", named)
+	spoilt.requestFetch("sound", named)
 	must.Error(t, spoilt.fetchConfiguration(context.Background(), "sound"))
-	must.True(t, spoilt.unpackable.Load())
-	must.Eq(t, "", spoilt.wanted())
+	must.True(t, spoilt.unpackFailed.Load())
+	must.Eq(t, "", spoilt.fetchSource())
 	request, _ := spoilt.watchRequest()
 	must.False(t, request.Packed)
 	must.Eq(t, 0, request.Position.Index) // it is told again
 	plain := &membership.WatchResponse{Current: true, Position: membership.Position{Index: 9, Edition: 3}, Configuration: of.Document()}
 	must.NoError(t, spoilt.applyConfiguration(plain))
-	must.Eq(t, of.Digest(), spoilt.view.Load().table.Digest())
+	must.Eq(t, of.Digest(), spoilt.view.Load().configuration.Digest())
 }
--- a/internal/mesh/proxy/control.go
+++ b/internal/mesh/proxy/control.go
@@ -9,8 +9,8 @@
 	"ottershift/internal/mesh/apierror"
 )
 
-// checkIn is an upstream's heartbeat, as it is sent.
-type checkIn struct {
+// heartbeatMessage is an upstream's heartbeat, as it is sent.
+type heartbeatMessage struct {
 	Address string
 	Notice  struct {
 		Destination, Edition, District string
@@ -25,25 +25,25 @@
 
 // control takes the calls of the upstream on this machine.
 func (p *Proxy) control(w http.ResponseWriter, r *http.Request) {
-	q := r.URL.Query()
-	id := q.Get("of")
+	query := r.URL.Query()
+	id := query.Get("of")
 	if r.Method != http.MethodPost || r.URL.Path != "/-/rpc" || id == "" {
 		apierror.Write(w, apierror.NoCall, 0, "")
 		return
 	}
-	switch q.Get("call") {
+	switch query.Get("call") {
 	case "servers.check_in":
-		c := &checkIn{}
-		raw, err := io.ReadAll(io.LimitReader(r.Body, 64<<10))
+		message := &heartbeatMessage{}
+		body, err := io.ReadAll(io.LimitReader(r.Body, 64<<10))
 		if err == nil {
-			err = json.Unmarshal(raw, c)
+			err = json.Unmarshal(body, message)
 		}
 		if err != nil {
 			apierror.Write(w, apierror.Unreadable, 0, err.Error())
 			return
 		}
-		p.counts.Add("beats")
-		p.local.heartbeat(id, c, time.Now())
+		p.counters.Add("beats")
+		p.local.heartbeat(id, message, time.Now())
 	case "servers.sign_off":
 		p.local.signOff(id)
 	default:
--- a/internal/mesh/proxy/inbound.go
+++ b/internal/mesh/proxy/inbound.go
@@ -17,104 +17,104 @@
 
 // serveInbound is the second hop: a request from another balancer, for the upstream on this machine.
 func (p *Proxy) serveInbound(w http.ResponseWriter, r *http.Request) {
-	if r.Header.Get(meshHeader) == meshWell {
-		if up, _, _ := p.local.snapshot(); up != nil && !up.Closing && up.ID == r.Header.Get(addressee) {
+	if r.Header.Get(meshHeader) == meshProbe {
+		if reported, _, _ := p.local.snapshot(); reported != nil && !reported.Closing && reported.ID == r.Header.Get(upstreamIDHeader) {
 			w.WriteHeader(http.StatusOK)
 		} else {
 			apierror.Write(w, apierror.NotHere, 0, "")
 		}
 		return
 	}
-	p.open.Add(1)
-	defer p.open.Add(-1)
-	p.inbounds.Add(1)
-	if p.closed.Load() {
-		p.turnAway(w, r, apierror.NotHere)
+	p.openRequests.Add(1)
+	defer p.openRequests.Add(-1)
+	p.inboundRequests.Add(1)
+	if p.refusing.Load() {
+		p.rejectNotExecuted(w, r, apierror.NotHere)
 		return
 	}
-	s, kind := p.readInbound(r)
+	request, kind := p.readInboundRequest(r)
 	if kind != apierror.None {
-		p.turnAway(w, r, kind)
+		p.rejectNotExecuted(w, r, kind)
 		return
 	}
-	if r.Header[meshLongHeader] != nil {
-		if p.leaving.Load() { // its answer may flow for longer than this process has; another balancer takes it
-			p.counts.Add("turned_leaving")
-			p.turnAway(w, r, apierror.NotHere)
+	if r.Header[meshLongResponseHeader] != nil {
+		if p.draining.Load() { // its answer may flow for longer than this process has; another balancer takes it
+			p.counters.Add("turned_leaving")
+			p.rejectNotExecuted(w, r, apierror.NotHere)
 			return
 		}
-		if !p.pace.admit(s.urgency) {
-			p.counts.Add("turned_line_full")
-			p.turnAway(w, r, apierror.NoRoom)
+		if !p.pacer.admit(request.requestPriority) {
+			p.counters.Add("turned_line_full")
+			p.rejectNotExecuted(w, r, apierror.NoRoom)
 			return
 		}
-		defer p.pace.leave(s.rank)
-	}
-	ctx, end := context.WithDeadline(r.Context(), s.until.Add(lateBy))
-	defer end()
-	defer context.AfterFunc(p.ending, end)() // what waits for a slot is turned away with the proof that it has not run
-	var back *upstreamResponse
-	if partner := r.Header.Get(meshGatewayHeader); partner != "" {
-		back = p.sendToPartner(ctx, s, partner)
+		defer p.pacer.release(request.rank)
+	}
+	ctx, cancel := context.WithDeadline(r.Context(), request.deadline.Add(responseGrace))
+	defer cancel()
+	defer context.AfterFunc(p.shutdownContext, cancel)() // what waits for a slot is turned away with the proof that it has not run
+	var response *upstreamResponse
+	if partner := r.Header.Get(meshPartnerHeader); partner != "" {
+		response = p.sendToPartner(ctx, request, partner)
 	} else {
-		back = p.sendToLocalUpstream(ctx, s)
+		response = p.sendToLocalUpstream(ctx, request)
 	}
-	switch back.kind {
+	switch response.kind {
 	case apierror.None:
-		p.passBack(w, r, s, back)
+		p.relayResponse(w, r, request, response)
 	case apierror.NoRoom, apierror.NotHere, apierror.Unready:
-		p.turnAway(w, r, back.kind)
+		p.rejectNotExecuted(w, r, response.kind)
 	default:
-		p.breakOff(w, r, back.err)
+		p.rejectMayHaveRun(w, r, response.err)
 	}
 }
 
-// readInbound reads a request of another balancer: for whom it is, how urgent, until when, and its body as far as it is held.
-func (p *Proxy) readInbound(r *http.Request) (*upstreamRequest, apierror.Kind) {
-	header := onward(r.Header)
-	for _, name := range []string{meshGatewayHeader, meshAimHeader, meshLongHeader} {
+// readInboundRequest reads a request of another balancer: for whom it is, how urgent, until when, and its body as far as it is held.
+func (p *Proxy) readInboundRequest(r *http.Request) (*upstreamRequest, apierror.Kind) {
+	header := endToEndHeaders(r.Header)
+	for _, name := range []string{meshPartnerHeader, meshPriorityHeader, meshLongResponseHeader} {
 		delete(header, name)
 	}
-	left, err := strconv.ParseFloat(r.Header.Get(timeLeft), 64)
+	remaining, err := strconv.ParseFloat(r.Header.Get(timeLeftHeader), 64)
 	if err != nil {
 		return nil, apierror.Malformed
 	}
-	s := &upstreamRequest{
-		id: r.Header.Get(attemptID), to: r.Header.Get(addressee), method: r.Method, target: r.RequestURI, host: r.Host, header: header,
-		urgency: p.urgencyOf(r), length: max(r.ContentLength, 0), until: time.Now().Add(time.Duration(left * float64(time.Millisecond))),
+	request := &upstreamRequest{
+		requestID: r.Header.Get(requestIDHeader), upstreamID: r.Header.Get(upstreamIDHeader), method: r.Method, target: r.RequestURI, host: r.Host, header: header,
+		requestPriority: p.priorityOf(r), length: max(r.ContentLength, 0), deadline: time.Now().Add(time.Duration(remaining * float64(time.Millisecond))),
 		callerGone: callerGone(r),
 	}
 	if r.ContentLength > 0 {
-		if s.body, err = io.ReadAll(io.LimitReader(r.Body, heldBody)); err != nil {
+		if request.body, err = io.ReadAll(io.LimitReader(r.Body, maxBufferedBody)); err != nil {
 			return nil, apierror.Malformed
 		}
-		if int64(len(s.body)) < r.ContentLength {
-			s.rest = r.Body
+		if int64(len(request.body)) < r.ContentLength {
+			request.bodyRest = r.Body
 		}
 	}
-	return s, apierror.None
+	return request, apierror.None
 }
 
-// passBack passes an upstream's answer back to the balancer that asked.
-func (p *Proxy) passBack(w http.ResponseWriter, r *http.Request, s *upstreamRequest, back *upstreamResponse) {
-	defer back.done(false)
-	into := &reply{status: back.answer.StatusCode, header: onward(back.answer.Header), length: back.answer.ContentLength,
-		flow: back.answer.Body, early: back.line.early, ended: make(chan bool, 1), pace: p.pace, rank: s.rank, context: r.Context()}
-	if err := into.measure(); err != nil {
-		p.breakOff(w, r, err)
+// relayResponse passes an upstream's answer back to the balancer that asked.
+func (p *Proxy) relayResponse(w http.ResponseWriter, r *http.Request, request *upstreamRequest, response *upstreamResponse) {
+	defer response.release(false)
+	relayed := &downstreamResponse{status: response.httpResponse.StatusCode, header: endToEndHeaders(response.httpResponse.Header), length: response.httpResponse.ContentLength,
+		remaining: response.httpResponse.Body, earlyResponse: response.conn.earlyResponse, written: make(chan bool, 1), pacer: p.pacer, rank: request.rank, context: r.Context()}
+	if err := relayed.detectLength(); err != nil {
+		p.rejectMayHaveRun(w, r, err)
 		return
 	}
-	if s.id != "" {
-		into.header[attemptID] = []string{s.id} // the answer is proven to be that attempt's
+	if request.requestID != "" {
+		relayed.header[requestIDHeader] = []string{request.requestID} // the answer is proven to be that attempt's
 	}
-	p.write(w, into)
-	back.done(true)
+	p.writeResponse(w, relayed)
+	response.release(true)
 }
 
-// breakOff says that a request may have run, and that nothing of use came of it.
-func (p *Proxy) breakOff(w http.ResponseWriter, r *http.Request, err error) {
-	p.counts.Add("app_" + cut(err))
-	w.Header()[meshHeader] = []string{meshBroke}
+// rejectMayHaveRun says that a request may have run, and that nothing of use came of it.
+func (p *Proxy) rejectMayHaveRun(w http.ResponseWriter, r *http.Request, err error) {
+	p.counters.Add("app_" + failureReason(err))
+	w.Header()[meshHeader] = []string{meshMayHaveRun}
 	p.refuse(w, r, apierror.Broke, 0)
 }
 
@@ -128,8 +128,8 @@
 	return nil
 }
 
-// cut names what ended an exchange with the upstream, for the counts.
-func cut(err error) string {
+// failureReason names what ended an exchange with the upstream, for the counts.
+func failureReason(err error) string {
 	var timeout net.Error
 	switch {
 	case errors.As(err, &timeout) && timeout.Timeout():
@@ -138,21 +138,21 @@
 		return "reset"
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
 		return "closed"
-	case errors.Is(err, errForeignAnswers):
+	case errors.Is(err, errForeignResponses):
 		return "strays"
 	}
 	return "garbled"
 }
 
-// turnAway refuses a request with the proof that it has not run and never will.
-func (p *Proxy) turnAway(w http.ResponseWriter, r *http.Request, kind apierror.Kind) {
-	w.Header()[meshHeader] = []string{meshTurned}
-	w.Header()[notDelivered] = []string{"1"}
+// rejectNotExecuted refuses a request with the proof that it has not run and never will.
+func (p *Proxy) rejectNotExecuted(w http.ResponseWriter, r *http.Request, kind apierror.Kind) {
+	w.Header()[meshHeader] = []string{meshNotExecuted}
+	w.Header()[notExecutedHeader] = []string{"1"}
 	p.refuse(w, r, kind, 0)
 }
 
 // probeUpstream asks the balancer beside an upstream whether that is well.
-func (p *Proxy) probeUpstream(ctx context.Context, service *pool, at roster.Place) bool {
+func (p *Proxy) probeUpstream(ctx context.Context, service *servicePool, at roster.Place) bool {
 	name := ""
 	p.mu.Lock()
 	for _, n := range p.nodes {
@@ -161,21 +161,21 @@
 		}
 	}
 	p.mu.Unlock()
-	s := &upstreamRequest{method: http.MethodGet, target: "/", host: "hive", until: time.Now().Add(asideMost),
-		header: http.Header{meshHeader: {meshWell}, addressee: {name}}}
+	request := &upstreamRequest{method: http.MethodGet, target: "/", host: "hive", deadline: time.Now().Add(probeTimeout),
+		header: http.Header{meshHeader: {meshProbe}, upstreamIDHeader: {name}}}
 	if at.Address == p.settings.Inbound {
-		up, _, _ := p.local.snapshot()
-		return up != nil && up.ID == name
+		reported, _, _ := p.local.snapshot()
+		return reported != nil && reported.ID == name
 	}
-	back := p.send(ctx, s, service.peers, at)
-	if back.kind != apierror.None {
+	response := p.send(ctx, request, service.peers, at)
+	if response.kind != apierror.None {
 		return false
 	}
-	defer back.done(false)
-	back.finish()
-	return back.answer.StatusCode == http.StatusOK
+	defer response.release(false)
+	response.discard()
+	return response.httpResponse.StatusCode == http.StatusOK
 }
 
-const meshWell = "well"
+const meshProbe = "well"
 
-const lateBy = 30 * time.Millisecond // beyond its time that an upstream's own word for it is waited for
+const responseGrace = 30 * time.Millisecond // beyond its time that an upstream's own word for it is waited for
--- a/internal/mesh/proxy/answers_test.go
+++ b/internal/mesh/proxy/inbound_test.go
@@ -22,8 +22,8 @@
 
 // upstreamWork is longer than lateDelay: what an upstream sends late comes while the next request is waited for.
 const (
-	upstreamWork = 2 * time.Millisecond
-	lateDelay    = 700 * time.Microsecond
+	upstreamServiceTime = 2 * time.Millisecond
+	lateResponseDelay   = 700 * time.Microsecond
 )
 
 // inboundHop is the hop from another balancer over a proxy to the upstream beside it.
@@ -33,23 +33,23 @@
 	upstream *testmesh.Upstream
 	address  string
 	client   *http.Client
-	attempts int
+	requests int
 }
 
 func startInboundHop(t *testing.T) *inboundHop {
 	plan, err := testmesh.Plan(0, 1, []string{"east"}, []string{"album"}, t.TempDir())
 	must.NoError(t, err)
-	b := plan.Proxies[0]
-	upstream, err := testmesh.NewUpstream("i-0", b.Destination, b.App, b.Control, 8, upstreamWork, 100)
+	proxySettings := plan.Proxies[0]
+	upstream, err := testmesh.NewUpstream("i-0", proxySettings.Destination, proxySettings.App, proxySettings.Control, 8, upstreamServiceTime, 100)
 	must.NoError(t, err)
 	t.Cleanup(upstream.Stop)
-	f := New(b, slog.New(slog.DiscardHandler))
-	accepting := beat(1, 8, "accepting")
-	accepting.Address = b.App
-	f.local.heartbeat("i-0", accepting, time.Now())
-	h := &inboundHop{t: t, proxy: f, upstream: upstream}
-	h.serve(f.serveInbound)
-	return h
+	p := New(proxySettings, slog.New(slog.DiscardHandler))
+	accepting := newHeartbeat(1, 8, "accepting")
+	accepting.Address = proxySettings.App
+	p.local.heartbeat("i-0", accepting, time.Now())
+	hop := &inboundHop{t: t, proxy: p, upstream: upstream}
+	hop.serve(p.serveInbound)
+	return hop
 }
 
 func (h *inboundHop) serve(handler http.HandlerFunc) {
@@ -67,31 +67,31 @@
 	})
 }
 
-func (h *inboundHop) attempt() string {
-	h.attempts++
-	return fmt.Sprintf("h%d", h.attempts)
+func (h *inboundHop) id() string {
+	h.requests++
+	return fmt.Sprintf("h%d", h.requests)
 }
 
-// ask sends an attempt as the other balancer does, and reports what it would make of the answer.
-func (h *inboundHop) ask(attempt string) (refused bool, body string) {
+// send sends an attempt as the other balancer does, and reports what it would make of the answer.
+func (h *inboundHop) send(requestID string) (refused bool, body string) {
 	r, err := http.NewRequest(http.MethodPost, "http://"+h.address+"/once/x", nil)
 	must.NoError(h.t, err)
-	r.Header = http.Header{attemptID: {attempt}, addressee: {"i-0"}, timeLeft: {"2000"}}
-	answer, err := h.client.Do(r)
+	r.Header = http.Header{requestIDHeader: {requestID}, upstreamIDHeader: {"i-0"}, timeLeftHeader: {"2000"}}
+	response, err := h.client.Do(r)
 	if err != nil { // its answer was cut
 		return false, ""
 	}
-	defer answer.Body.Close()
-	raw, _ := io.ReadAll(answer.Body)
-	return answer.Header.Get(meshHeader) == meshTurned || provesNotRun(answer), string(raw)
+	defer response.Body.Close()
+	raw, _ := io.ReadAll(response.Body)
+	return response.Header.Get(meshHeader) == meshNotExecuted || provesNotExecuted(response), string(raw)
 }
 
-// strays counts pairs of requests whose second is given what an upstream sends late on the connection of the first.
-func (h *inboundHop) strays(pairs int) (n int) {
+// countMisdelivered counts pairs of requests whose second is given what an upstream sends late on the connection of the first.
+func (h *inboundHop) countMisdelivered(pairs int) (n int) {
 	for range pairs {
-		h.upstream.Inject(testmesh.Injection{Fault: testmesh.ErrorWithoutIDLate, Delay: lateDelay})
-		h.ask(h.attempt())
-		if _, body := h.ask(h.attempt()); strings.Contains(body, testmesh.StrayBody) {
+		h.upstream.Inject(testmesh.Injection{Fault: testmesh.ErrorWithoutIDLate, Delay: lateResponseDelay})
+		h.send(h.id())
+		if _, body := h.send(h.id()); strings.Contains(body, testmesh.StrayBody) {
 			n++
 		}
 		time.Sleep(time.Millisecond)
@@ -99,29 +99,29 @@
 	return n
 }
 
-func TestALateAnswerWithoutAnIDIsGivenToNobody(t *testing.T) {
+func TestLateResponseWithoutIDIsDiscarded(t *testing.T) {
 	h := startInboundHop(t)
-	must.Eq(t, 0, h.strays(300))
+	must.Eq(t, 0, h.countMisdelivered(300))
 	// Variant: an error without an id is taken for the request's own.
-	h.proxy.upstreamConnections.belongs = func(answer *http.Response, attempt string) bool {
-		return bearsAttempt(answer, attempt) || answer.Header[attemptID] == nil && answer.StatusCode >= http.StatusBadRequest
+	h.proxy.upstreamConnections.matches = func(answer *http.Response, attempt string) bool {
+		return matchesRequestID(answer, attempt) || answer.Header[requestIDHeader] == nil && answer.StatusCode >= http.StatusBadRequest
 	}
-	wrong := h.strays(300)
+	wrong := h.countMisdelivered(300)
 	t.Logf("variant that takes an answer without an id: %d of 300 pairs with a wrong answer", wrong)
 	must.Positive(t, wrong)
 }
 
-// promisedAndRun counts attempts that are refused by their second push, too, although that runs: the second copy of the first
+// countRefusedButRun counts attempts that are refused by their second push, too, although that runs: the second copy of the first
 // refusal comes late.
-func (h *inboundHop) promisedAndRun(attempts int, between func()) (n int) {
-	for range attempts {
-		attempt := h.attempt()
-		h.upstream.Inject(testmesh.Injection{Fault: testmesh.FullTwice, Delay: lateDelay})
-		refused, _ := h.ask(attempt)
+func (h *inboundHop) countRefusedButRun(requests int, between func()) (n int) {
+	for range requests {
+		id := h.id()
+		h.upstream.Inject(testmesh.Injection{Fault: testmesh.FullTwice, Delay: lateResponseDelay})
+		refused, _ := h.send(id)
 		must.True(h.t, refused)
 		between()
-		refused, _ = h.ask(attempt)
-		if runs := h.upstream.Runs(attempt); refused && runs > 0 {
+		refused, _ = h.send(id)
+		if runs := h.upstream.Runs(id); refused && runs > 0 {
 			n++
 		}
 		time.Sleep(time.Millisecond)
@@ -129,9 +129,9 @@
 	return n
 }
 
-func TestASecondCopyOfARefusalIsNoPromise(t *testing.T) {
+func TestDuplicateRefusalIsNotTakenForALaterAttempt(t *testing.T) {
 	h := startInboundHop(t)
-	must.Eq(t, 0, h.promisedAndRun(200, func() {}))
+	must.Eq(t, 0, h.countRefusedButRun(200, func() {}))
 	// Variant: a connection carries an attempt again that it has refused.
 	forget := func() {
 		pool := h.proxy.upstreamConnections
@@ -139,24 +139,24 @@
 		defer pool.mu.Unlock()
 		for _, all := range pool.idle {
 			for _, c := range all {
-				c.refused = nil
+				c.refusedRequests = nil
 			}
 		}
 	}
-	wrong := h.promisedAndRun(200, forget)
+	wrong := h.countRefusedButRun(200, forget)
 	t.Logf("variant that sends a refused attempt over the same connection: %d of 200 refused although they ran", wrong)
 	must.Positive(t, wrong)
 }
 
-func TestNothingIsSentAgainAfterAReset(t *testing.T) {
+func TestNoResendAfterIncompleteResponse(t *testing.T) {
 	faults := []testmesh.Fault{testmesh.Reset, testmesh.CloseBeforeAnswer, testmesh.ResetInHead, testmesh.ResetInBody, testmesh.CutShort, testmesh.Garbage}
 	h := startInboundHop(t)
 	twice := func() (n int) {
 		for _, fault := range faults {
-			attempt := h.attempt()
+			id := h.id()
 			h.upstream.Next(fault)
-			h.ask(attempt)
-			if h.upstream.Runs(attempt) > 1 {
+			h.send(id)
+			if h.upstream.Runs(id) > 1 {
 				n++
 			}
 		}
@@ -167,7 +167,7 @@
 	h.serve(func(w http.ResponseWriter, r *http.Request) {
 		first := httptest.NewRecorder()
 		h.proxy.serveInbound(first, r)
-		if first.Header().Get(meshHeader) == meshBroke {
+		if first.Header().Get(meshHeader) == meshMayHaveRun {
 			h.proxy.serveInbound(w, r)
 		}
 	})
@@ -177,7 +177,7 @@
 }
 
 // A process that stood still hands nothing on after the time of whoever asked, nor once they have gone.
-func TestNothingLeavesAfterItsTime(t *testing.T) {
+func TestNoSendAfterDeadlineOrCancellation(t *testing.T) {
 	h := startInboundHop(t)
 	gone, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -185,20 +185,20 @@
 		ctx  context.Context
 		left time.Duration
 	}{{context.Background(), -time.Millisecond}, {gone, time.Second}} {
-		s := asks("i-0", time.Second)
-		s.id, s.method, s.target, s.host, s.header = h.attempt(), http.MethodPost, "/once/x", "a.example", http.Header{}
-		s.until = time.Now().Add(c.left)
+		s := newRequestTo("i-0", time.Second)
+		s.requestID, s.method, s.target, s.host, s.header = h.id(), http.MethodPost, "/once/x", "a.example", http.Header{}
+		s.deadline = time.Now().Add(c.left)
 		back := h.proxy.sendToLocalUpstream(c.ctx, s)
 		must.NotEq(t, apierror.None, back.kind)
 		must.False(t, back.wrote)
 		time.Sleep(10 * time.Millisecond)
-		must.Eq(t, 0, h.upstream.Runs(s.id))
+		must.Eq(t, 0, h.upstream.Runs(s.requestID))
 	}
 }
 
 // A process that stood still reads a request together with the end of its connection. serveInbound runs at once, and so before the
 // request's context has ended.
-func TestNothingIsHandedOnForACallerThatHasGone(t *testing.T) {
+func TestNoForwardingForDisconnectedCaller(t *testing.T) {
 	h := startInboundHop(t)
 	const requests = 50
 	ranLate := func(within func(http.HandlerFunc) http.HandlerFunc) (n int) {
@@ -208,18 +208,18 @@
 			within(h.proxy.serveInbound)(w, r.WithContext(context.WithoutCancel(r.Context())))
 			served <- struct{}{}
 		})
-		var attempts []string
+		var ids []string
 		for range requests {
-			attempt := h.attempt()
-			attempts = append(attempts, attempt)
-			h.leave(attempt)
+			id := h.id()
+			ids = append(ids, id)
+			h.sendAndClose(id)
 		}
 		close(thawed)
 		for range requests {
 			<-served
 		}
-		for _, attempt := range attempts {
-			n += h.upstream.Runs(attempt)
+		for _, id := range ids {
+			n += h.upstream.Runs(id)
 		}
 		return n
 	}
@@ -235,10 +235,10 @@
 	must.Positive(t, late)
 }
 
-// leave sends a request and closes its connection.
-func (h *inboundHop) leave(attempt string) {
+// sendAndClose sends a request and closes its connection.
+func (h *inboundHop) sendAndClose(requestID string) {
 	conn, err := net.Dial("tcp4", h.address)
 	must.NoError(h.t, err)
-	fmt.Fprintf(conn, "POST /once/x HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: %s\r\nX-Addressee: i-0\r\nX-Time-Left-Ms: 2000\r\nContent-Length: 0\r\n\r\n", attempt)
+	fmt.Fprintf(conn, "POST /once/x HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: %s\r\nX-Addressee: i-0\r\nX-Time-Left-Ms: 2000\r\nContent-Length: 0\r\n\r\n", requestID)
 	conn.Close()
 }
--- a/internal/mesh/proxy/known_nodes.go
+++ b/internal/mesh/proxy/known_nodes.go
@@ -11,54 +11,54 @@
 // knownNode is a balancer as a controller tells of it.
 type knownNode struct {
 	membership.Record
-	warm  time.Time // when its upstream is no longer slow from its start
-	heard int64     // when a controller had heard of it directly, by this process's clock
+	warmAt  time.Time // when its upstream is no longer slow from its start
+	heardAt int64     // when a controller had heard of it directly, by this process's clock
 }
 
-// lateList is the nodes that a controller told of as all there are, while it was current, in an answer that came too late to be
+// lateNodeList is the nodes that a controller told of as all there are, while it was current, in an answer that came too late to be
 // acted on so. Its next answer that comes in time says whether that holds. Invariant: asked for again each time, a long list would
 // never be taken over a line on which it is always late.
-type lateList struct {
+type lateNodeList struct {
 	controller string // its life, "" for none
 	names      map[string]bool
 }
 
-// noteLate takes an answer that was not acted on as a current one: it came late, or its controller was not current.
-func (p *Proxy) noteLate(n *membership.WatchResponse, wasCurrent bool) {
+// recordLateList takes an answer that was not acted on as a current one: it came late, or its controller was not current.
+func (p *Proxy) recordLateList(response *membership.WatchResponse, wasCurrent bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
-	case n.Starting || !wasCurrent:
-		p.late = lateList{}
-	case n.Whole:
-		p.late = lateList{n.Controller, map[string]bool{}}
-		p.late.add(n)
-	case p.late.controller == n.Controller:
-		p.late.add(n)
+	case response.Starting || !wasCurrent:
+		p.lateNodes = lateNodeList{}
+	case response.Whole:
+		p.lateNodes = lateNodeList{response.Controller, map[string]bool{}}
+		p.lateNodes.add(response)
+	case p.lateNodes.controller == response.Controller:
+		p.lateNodes.add(response)
 	default:
-		p.late = lateList{}
+		p.lateNodes = lateNodeList{}
 	}
 }
 
-func (l *lateList) add(n *membership.WatchResponse) {
-	for _, t := range n.Nodes {
-		l.names[t.Name] = true
+func (l *lateNodeList) add(response *membership.WatchResponse) {
+	for _, record := range response.Nodes {
+		l.names[record.Name] = true
 	}
-	for _, name := range n.Gone {
+	for _, name := range response.Gone {
 		delete(l.names, name)
 	}
 }
 
-// confirmLate drops the nodes that a late list does not name, once a current answer of the same controller builds on it. Under mu.
-func (p *Proxy) confirmLate(n *membership.WatchResponse) (confirmed bool) {
-	late := p.late
-	p.late = lateList{}
-	if n.Whole || n.Starting || late.controller == "" || late.controller != n.Controller {
+// confirmLateList drops the nodes that a late list does not name, once a current answer of the same controller builds on it. Under mu.
+func (p *Proxy) confirmLateList(response *membership.WatchResponse) (confirmed bool) {
+	lateNodes := p.lateNodes
+	p.lateNodes = lateNodeList{}
+	if response.Whole || response.Starting || lateNodes.controller == "" || lateNodes.controller != response.Controller {
 		return false
 	}
-	late.add(n)
+	lateNodes.add(response)
 	for name := range p.nodes {
-		if !late.names[name] {
+		if !lateNodes.names[name] {
 			delete(p.nodes, name)
 		}
 	}
@@ -66,73 +66,73 @@
 }
 
 // replaceNodes takes the nodes of a controller that is current. Under mu.
-func (p *Proxy) replaceNodes(n *membership.WatchResponse, asked int64) (changed bool) {
-	if n.Whole {
-		told := map[string]bool{}
-		for _, t := range n.Nodes {
-			told[t.Name] = true
+func (p *Proxy) replaceNodes(response *membership.WatchResponse, askedAt int64) (changed bool) {
+	if response.Whole {
+		listed := map[string]bool{}
+		for _, record := range response.Nodes {
+			listed[record.Name] = true
 		}
 		for node := range p.nodes {
-			if !told[node] && !n.Starting { // Invariant: a core that has just started has heard of nobody yet
+			if !listed[node] && !response.Starting { // Invariant: a core that has just started has heard of nobody yet
 				delete(p.nodes, node)
 			}
 		}
 	}
-	for _, t := range n.Nodes {
-		p.putNode(t, asked)
+	for _, record := range response.Nodes {
+		p.putNode(record, askedAt)
 	}
-	for _, node := range n.Gone {
+	for _, node := range response.Gone {
 		delete(p.nodes, node)
 	}
-	p.position.Controller, p.position.Seq = n.Controller, n.Seq
-	confirmed := p.confirmLate(n)
-	if n.Whole || confirmed {
-		p.overlaid = n.Starting
+	p.position.Controller, p.position.Seq = response.Controller, response.Seq
+	confirmed := p.confirmLateList(response)
+	if response.Whole || confirmed {
+		p.nodesOverlaid = response.Starting
 	}
-	if p.overlaid && !n.Starting {
+	if p.nodesOverlaid && !response.Starting {
 		p.position.Controller = "" // all of them, next time: changes alone take nothing away that this controller never knew
 	}
-	return len(n.Nodes)+len(n.Gone) > 0 || n.Whole || confirmed
+	return len(response.Nodes)+len(response.Gone) > 0 || response.Whole || confirmed
 }
 
 // overlayNodes takes what a controller that is not current has heard of later than this process. Under mu.
-func (p *Proxy) overlayNodes(n *membership.WatchResponse, asked int64) (changed bool) {
-	for _, t := range n.Nodes {
-		known := p.nodes[t.Name]
+func (p *Proxy) overlayNodes(response *membership.WatchResponse, askedAt int64) (changed bool) {
+	for _, record := range response.Nodes {
+		known := p.nodes[record.Name]
 		if known != nil {
-			if !known.precedes(t, asked-t.Age) {
+			if !known.supersededBy(record, askedAt-record.Age) {
 				continue
 			}
-			t.Lost = known.Lost && t.Lost
+			record.Lost = known.Lost && record.Lost
 		}
-		p.putNode(t, asked)
+		p.putNode(record, askedAt)
 		changed = true
 	}
-	p.position.Controller, p.position.Seq = n.Controller, n.Seq
-	p.overlaid = true
+	p.position.Controller, p.position.Seq = response.Controller, response.Seq
+	p.nodesOverlaid = true
 	return changed
 }
 
-// precedes reports whether a record, of something heard of at a time, is later than what is known.
-func (n *knownNode) precedes(t membership.Record, heard int64) bool {
-	if t.Life == n.Life {
-		return t.Seq > n.Seq
+// supersededBy reports whether a record, of something heard of at a time, is later than what is known.
+func (n *knownNode) supersededBy(record membership.Record, heardAt int64) bool {
+	if record.Life == n.Life {
+		return record.Seq > n.Seq
 	}
-	return heard > n.heard
+	return heardAt > n.heardAt
 }
 
 // putNode takes a record. Under mu.
-func (p *Proxy) putNode(t membership.Record, asked int64) {
-	known := &knownNode{Record: t, heard: asked - t.Age}
-	if t.Upstream != nil {
-		known.warm = time.Now().Add(time.Duration(t.Upstream.Cold))
+func (p *Proxy) putNode(record membership.Record, askedAt int64) {
+	known := &knownNode{Record: record, heardAt: askedAt - record.Age}
+	if record.Upstream != nil {
+		known.warmAt = time.Now().Add(time.Duration(record.Upstream.Cold))
 	}
-	p.nodes[t.Name] = known
+	p.nodes[record.Name] = known
 }
 
 // addControllers keeps those that are known. Under mu.
-func (p *Proxy) addControllers(told []membership.ControllerAddress) {
-	for _, c := range told {
+func (p *Proxy) addControllers(reported []membership.ControllerAddress) {
+	for _, c := range reported {
 		if !slices.ContainsFunc(p.controllers, func(known membership.ControllerAddress) bool { return known.At == c.At }) {
 			p.controllers = append(p.controllers, c)
 		}
@@ -140,9 +140,9 @@
 }
 
 // setMembers takes how many balancers share what all may spend; fewer only from who is current. Under mu.
-func (p *Proxy) setMembers(n *membership.WatchResponse) {
-	members := max(n.Members, len(p.nodes), 1)
-	if !n.Current {
+func (p *Proxy) setMembers(response *membership.WatchResponse) {
+	members := max(response.Members, len(p.nodes), 1)
+	if !response.Current {
 		members = max(members, p.members)
 	}
 	if members == p.members {
@@ -150,28 +150,28 @@
 	}
 	p.members = members
 	if v := p.view.Load(); v != nil {
-		p.quota(v.table)
+		p.applyQuotas(v.configuration)
 	}
 }
 
-// nodesChanged has the modules know of other nodes than before. Under mu.
-func (p *Proxy) nodesChanged() {
-	if count, place := p.rank(); count != p.ranked[0] || place != p.ranked[1] {
-		p.ranked = [2]int{count, place}
-		rulesOf := maps.Clone(p.rules)
+// applyNodeChanges has the modules know of other nodes than before. Under mu.
+func (p *Proxy) applyNodeChanges() {
+	if count, ordinal := p.nodeRank(); count != p.lastRank[0] || ordinal != p.lastRank[1] {
+		p.lastRank = [2]int{count, ordinal}
+		byService := maps.Clone(p.routes)
 		for name, service := range p.pools {
 			if service.partners != nil {
-				rulesOf[name] = service.rules
+				byService[name] = service.routes
 			}
 		}
-		for service, rules := range rulesOf {
-			if err := p.retune(service, rules); err != nil {
+		for service, routes := range byService {
+			if err := p.updateRoutes(service, routes); err != nil {
 				p.log.Error("retune", "service", service, "err", err)
 			}
 		}
 		if v := p.view.Load(); v != nil {
-			p.view.Store(p.viewOf(v.index, v.table))
+			p.view.Store(p.newView(v.index, v.configuration))
 		}
 	}
-	p.relist()
+	p.updateUpstreamLists()
 }
--- a/internal/mesh/proxy/local_upstream.go
+++ b/internal/mesh/proxy/local_upstream.go
@@ -12,8 +12,8 @@
 	"ottershift/internal/mesh/settings"
 )
 
-// mostUnanswered is how many connections in a row nobody answers at an upstream that is held for dark.
-const mostUnanswered = 2
+// maxUnanswered is how many connections in a row nobody answers at an upstream that is held for dark.
+const maxUnanswered = 2
 
 // localUpstream is the life of the upstream on this machine, as its heartbeats tell it. This process is the only way to it, so what
 // is acknowledged here is kept here: from Drain after an acknowledged closing on nothing passes, whoever sends it.
@@ -21,14 +21,14 @@
 	mu            sync.Mutex
 	drain         time.Duration
 	id            string   // of the present life, "" for none
-	ended         []string // the lives before it, the last few
+	endedIDs      []string // the lives before it, the last few
 	address       string
-	up            membership.Upstream
+	reported      membership.Upstream
 	revision      int64
 	lastHeartbeat time.Time
-	closing       time.Time                      // when that was acknowledged
-	dead          bool                           // its address refuses connections
-	open          int                            // requests at it
+	closingAt     time.Time                      // when that was acknowledged
+	unreachable   bool                           // its address refuses connections
+	active        int                            // requests at it
 	queue         priority.Queue[waitingRequest] // of those for whom there is no slot yet
 	detector      outlier.Detector
 	epoch         time.Time
@@ -42,37 +42,37 @@
 }
 
 // heartbeat takes an upstream's word about itself; what is late changes nothing.
-func (u *localUpstream) heartbeat(id string, c *checkIn, now time.Time) {
+func (u *localUpstream) heartbeat(id string, message *heartbeatMessage, now time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if slices.Contains(u.ended, id) || id == u.id && c.Status.PostmarkNo <= u.revision {
+	if slices.Contains(u.endedIDs, id) || id == u.id && message.Status.PostmarkNo <= u.revision {
 		return
 	}
-	cold, _ := settings.Span(c.Status.Cold_time)
-	up := membership.Upstream{
-		ID: id, Service: c.Notice.Destination, Edition: c.Notice.Edition, Capacity: c.Notice.Capacity,
-		Closing: c.Status.Condition == "closing", Cold: int64(cold),
+	cold, _ := settings.Span(message.Status.Cold_time)
+	reported := membership.Upstream{
+		ID: id, Service: message.Notice.Destination, Edition: message.Notice.Edition, Capacity: message.Notice.Capacity,
+		Closing: message.Status.Condition == "closing", Cold: int64(cold),
 	}
 	first := id != u.id
 	if first {
-		u.end()
-		u.id, u.closing, u.open, u.detector = id, time.Time{}, 0, outlier.Detector{}
+		u.endCurrent()
+		u.id, u.closingAt, u.active, u.detector = id, time.Time{}, 0, outlier.Detector{}
 	}
-	up.Ill = u.detector.Level()
-	if up.Closing && u.closing.IsZero() {
-		u.closing = now
+	reported.Ill = u.detector.Level()
+	if reported.Closing && u.closingAt.IsZero() {
+		u.closingAt = now
 		if first { // Invariant: the process before this one may have acknowledged it, and Drain counts from then
-			u.closing = now.Add(-u.drain)
+			u.closingAt = now.Add(-u.drain)
 		}
 	}
-	same := up
-	same.Cold = u.up.Cold
-	news := same != u.up || u.dead
-	u.up, u.revision, u.lastHeartbeat, u.dead, u.unanswered = up, c.Status.PostmarkNo, now, false, 0
-	if c.Address != "" {
-		u.address = c.Address
+	normalized := reported
+	normalized.Cold = u.reported.Cold
+	altered := normalized != u.reported || u.unreachable
+	u.reported, u.revision, u.lastHeartbeat, u.unreachable, u.unanswered = reported, message.Status.PostmarkNo, now, false, 0
+	if message.Address != "" {
+		u.address = message.Address
 	}
-	if news {
+	if altered {
 		u.notify()
 	}
 }
@@ -82,18 +82,18 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if id == u.id {
-		u.end()
+		u.endCurrent()
 		u.notify()
 	}
 }
 
-// end notes that the present life is over: what comes of it later is late. Under mu.
-func (u *localUpstream) end() {
+// endCurrent notes that the present life is over: what comes of it later is late. Under mu.
+func (u *localUpstream) endCurrent() {
 	if u.id != "" {
-		u.ended = append(u.ended, u.id)
-		u.ended = u.ended[max(0, len(u.ended)-8):]
+		u.endedIDs = append(u.endedIDs, u.id)
+		u.endedIDs = u.endedIDs[max(0, len(u.endedIDs)-8):]
 	}
-	u.id, u.up = "", membership.Upstream{}
+	u.id, u.reported = "", membership.Upstream{}
 }
 
 // observe takes what came of a request at the upstream.
@@ -104,49 +104,49 @@
 		return
 	}
 	u.unanswered = 0
-	u.reportLevel(u.detector.Observe(failed, int64(now.Sub(u.epoch))))
+	u.publishLevel(u.detector.Observe(failed, int64(now.Sub(u.epoch))))
 }
 
-// reportLevel has others told of a level that has changed. Under mu.
-func (u *localUpstream) reportLevel(changed bool) {
-	if changed && u.up.Ill != u.detector.Level() {
-		u.up.Ill = u.detector.Level()
+// publishLevel has others told of a level that has changed. Under mu.
+func (u *localUpstream) publishLevel(changed bool) {
+	if changed && u.reported.Ill != u.detector.Level() {
+		u.reported.Ill = u.detector.Level()
 		u.notify()
 	}
 }
 
-// silent notes that a connection to the upstream was not answered: an upstream that is dark refuses nothing.
-func (u *localUpstream) silent(id string) {
+// recordNoAnswer notes that a connection to the upstream was not answered: an upstream that is dark refuses nothing.
+func (u *localUpstream) recordNoAnswer(id string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if id != u.id || u.dead {
+	if id != u.id || u.unreachable {
 		return
 	}
-	if u.unanswered++; u.unanswered >= mostUnanswered {
-		u.dead = true // until its next heartbeat
+	if u.unanswered++; u.unanswered >= maxUnanswered {
+		u.unreachable = true // until its next heartbeat
 		u.notify()
 	}
 }
 
-// refused notes that nobody listens at the upstream's address.
-func (u *localUpstream) refused(id string) {
+// recordRefused notes that nobody listens at the upstream's address.
+func (u *localUpstream) recordRefused(id string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if id == u.id && !u.dead {
-		u.dead = true
+	if id == u.id && !u.unreachable {
+		u.unreachable = true
 		u.notify()
 	}
 }
 
 // checkHeartbeat notes that heartbeats have stopped for so long that its address may be refused without a try.
-func (u *localUpstream) checkHeartbeat(now time.Time, after time.Duration) {
+func (u *localUpstream) checkHeartbeat(now time.Time, timeout time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.id != "" && !u.dead && now.Sub(u.lastHeartbeat) > after {
-		u.dead = true
+	if u.id != "" && !u.unreachable && now.Sub(u.lastHeartbeat) > timeout {
+		u.unreachable = true
 		u.notify()
 	}
-	u.reportLevel(u.detector.Refresh(int64(now.Sub(u.epoch))))
+	u.publishLevel(u.detector.Refresh(int64(now.Sub(u.epoch))))
 }
 
 // notify wakes who waits for a change of what the core is told. Under mu.
@@ -164,15 +164,15 @@
 }
 
 // snapshot is what the core is told, and a channel that ends once there is more to tell.
-func (u *localUpstream) snapshot() (up *membership.Upstream, seq uint64, changed <-chan struct{}) {
+func (u *localUpstream) snapshot() (reported *membership.Upstream, seq uint64, changed <-chan struct{}) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.id == "" || u.dead {
+	if u.id == "" || u.unreachable {
 		return nil, u.seq, u.changed
 	}
-	copied := u.up
-	if past := int64(time.Since(u.lastHeartbeat)); copied.Cold > 0 {
-		copied.Cold = max(0, copied.Cold-past)
+	copied := u.reported
+	if elapsed := int64(time.Since(u.lastHeartbeat)); copied.Cold > 0 {
+		copied.Cold = max(0, copied.Cold-elapsed)
 	}
 	return &copied, u.seq, u.changed
 }
@@ -182,11 +182,11 @@
 	switch {
 	case u.id != "" && id != u.id:
 		return "", apierror.NotHere
-	case u.id == "" && slices.Contains(u.ended, id):
+	case u.id == "" && slices.Contains(u.endedIDs, id):
 		return "", apierror.NotHere
-	case !u.closing.IsZero() && now.Sub(u.closing) > u.drain*3/4: // the rest is for what is under way
+	case !u.closingAt.IsZero() && now.Sub(u.closingAt) > u.drain*3/4: // the rest is for what is under way
 		return "", apierror.NotHere
-	case u.dead:
+	case u.unreachable:
 		return "", apierror.NoRoom
 	}
 	return u.address, apierror.None
--- a/internal/mesh/proxy/outbound.go
+++ b/internal/mesh/proxy/outbound.go
@@ -15,192 +15,192 @@
 )
 
 const (
-	heldBody   = 256 << 10 // of a request, so that it can be sent again; what is longer goes once
-	heldAnswer = 64 << 10  // of an answer, until it is known to be whole; what is longer flows
-	piece      = 16 << 10
+	maxBufferedBody     = 256 << 10 // of a request, so that it can be sent again; what is longer goes once
+	maxBufferedResponse = 64 << 10  // of an answer, until it is known to be whole; what is longer flows
+	bufferSize          = 16 << 10
 
-	mostGathered = 64 << 20 // of a body of no stated length, where the configuration has no bound
+	maxUnsizedBody = 64 << 20 // of a body of no stated length, where the configuration has no bound
 )
 
 // serveOutbound is the life of a request that starts on this machine: read, routed, pushed as the module decides, answered
 // exactly once.
 func (p *Proxy) serveOutbound(w http.ResponseWriter, r *http.Request) {
-	p.requests.Add(1)
-	p.open.Add(1)
-	defer p.open.Add(-1)
-	v := p.view.Load()
-	if p.closed.Load() {
+	p.outboundRequests.Add(1)
+	p.openRequests.Add(1)
+	defer p.openRequests.Add(-1)
+	active := p.view.Load()
+	if p.refusing.Load() {
 		p.refuse(w, r, apierror.NoRoom, 0)
 		return
 	}
-	if v == nil {
+	if active == nil {
 		p.refuse(w, r, apierror.Unready, 0)
 		return
 	}
-	if !p.leaving.Load() {
-		p.promiseKeepAlive(w, r, v.idle)
+	if !p.draining.Load() {
+		p.advertiseKeepAlive(w, r, active.idle)
 	}
-	q, t, why := p.read(v, r)
-	if why != goesOn {
-		p.refuse(w, r, why.kind, why.after)
+	request, t, reason := p.readRequest(active, r)
+	if reason != notRefused {
+		p.refuse(w, r, reason.kind, reason.retryAfter)
 		return
 	}
-	defer p.settles(q)
+	defer p.settleCredit(request)
 	now := p.now()
-	t.pool.first(now, q.rank)
-	c := t.pool.desk.Arrive(desk.Arrival{
-		Under: t.under, Tariff: t.tariff, Customer: -1, Left: time.Until(q.stop), Unwhole: q.rest != nil,
+	t.servicePool.recordFirst(now, request.rank)
+	call := t.servicePool.desk.Arrive(desk.Arrival{
+		Under: t.limitedTerms, Tariff: t.tariff, Customer: -1, Left: time.Until(request.clientDeadline), Unwhole: request.bodyRest != nil,
 	})
-	p.follow(w, r, q, c)
+	p.runRequest(w, r, request, call)
 }
 
 // refusal is why a request goes no further, and when it may come again.
 type refusal struct {
-	kind  apierror.Kind
-	after time.Duration
+	kind       apierror.Kind
+	retryAfter time.Duration
 }
 
-var goesOn = refusal{kind: apierror.None}
+var notRefused = refusal{kind: apierror.None}
 
 func refused(kind apierror.Kind) refusal { return refusal{kind: kind} }
 
-// read takes a request as it came: its route, whose it is, its time and its body.
-func (p *Proxy) read(v *configurationView, r *http.Request) (*request, target, refusal) {
+// readRequest takes a request as it came: its route, whose it is, its time and its body.
+func (p *Proxy) readRequest(active *configurationView, r *http.Request) (*downstreamRequest, target, refusal) {
 	path, _, _ := strings.Cut(r.RequestURI, "?")
-	if !wellFormed(r, path) {
+	if !isRoutable(r, path) {
 		return nil, target{}, refused(apierror.Malformed)
 	}
 	var to target
-	route := v.table.Find(r.Host, path)
+	route := active.configuration.Find(r.Host, path)
 	if route == nil { // a partner may let it in
 		var kind apierror.Kind
-		if route, to, kind = p.toPartner(r, path); kind != apierror.None {
+		if route, to, kind = p.routeToPartner(r, path); kind != apierror.None {
 			return nil, to, refused(kind)
 		}
 	}
-	q := &request{
-		method: r.Method, target: r.RequestURI, host: r.Host, id: r.Header.Get(attemptID), header: onward(r.Header), length: r.ContentLength,
-		aim: time.Duration(cmp.Or(route.Target, route.Dispatch.Deadline)), long: route.MailClass == routing.Streamed,
-		tries: route.Dispatch.DeliveryTries, replies: map[int]*reply{},
+	request := &downstreamRequest{
+		method: r.Method, target: r.RequestURI, host: r.Host, requestID: r.Header.Get(requestIDHeader), header: endToEndHeaders(r.Header), length: r.ContentLength,
+		latencyTarget: time.Duration(cmp.Or(route.Target, route.Dispatch.Deadline)), longResponse: route.MailClass == routing.Streamed,
+		maxAttempts: route.Dispatch.DeliveryTries, responses: map[int]*downstreamResponse{},
 	}
-	for _, name := range setByTheHub {
-		delete(q.header, name)
+	for _, name := range meshOwnedHeaders {
+		delete(request.header, name)
 	}
-	q.header[returnTo] = []string{p.settings.Destination}
-	if why := p.authorize(v, r, route, q); why != goesOn {
-		return nil, to, why
+	request.header[callerServiceHeader] = []string{p.settings.Destination}
+	if reason := p.authorize(active, r, route, request); reason != notRefused {
+		return nil, to, reason
 	}
-	why := p.readTimeAndBody(v, r, route, q)
-	if why == goesOn && to.pool == nil {
-		if to = v.pick(route); to.pool == nil { // no module could be made for its service
-			why = refused(apierror.NoRoom)
+	reason := p.readDeadlineAndBody(active, r, route, request)
+	if reason == notRefused && to.servicePool == nil {
+		if to = active.pick(route); to.servicePool == nil { // no module could be made for its service
+			reason = refused(apierror.NoRoom)
 		}
 	}
-	if why != goesOn {
-		if q.claim != nil { // it goes no further
-			p.drawn(*q.claim, burstcredit.NeverRan)
+	if reason != notRefused {
+		if request.creditClaim != nil { // it goes no further
+			p.finishClaim(*request.creditClaim, burstcredit.NeverRan)
 		}
-		return nil, to, why
+		return nil, to, reason
 	}
-	q.pool = to.pool
-	return q, to, goesOn
+	request.servicePool = to.servicePool
+	return request, to, notRefused
 }
 
-// wellFormed reports whether a request may be routed at all.
-func wellFormed(r *http.Request, path string) bool {
+// isRoutable reports whether a request may be routed at all.
+func isRoutable(r *http.Request, path string) bool {
 	// Of one with several ids no answer could be matched to it.
-	return len(r.Header[attemptID]) <= 1 && strings.HasPrefix(path, "/") && r.Method != http.MethodConnect
+	return len(r.Header[requestIDHeader]) <= 1 && strings.HasPrefix(path, "/") && r.Method != http.MethodConnect
 }
 
 // authorize finds whose a request is, what its rank is, and whether its tenant may ask now. Partners' services need a key, too:
 // whoever asks is a tenant of ours.
-func (p *Proxy) authorize(v *configurationView, r *http.Request, route *routing.Route, q *request) refusal {
-	q.rank = rankOf(route, nil)
-	if !v.table.RequiresKeys() || route.Unstamped {
-		return goesOn
+func (p *Proxy) authorize(active *configurationView, r *http.Request, route *routing.Route, request *downstreamRequest) refusal {
+	request.rank = rankOf(route, nil)
+	if !active.configuration.RequiresKeys() || route.Unstamped {
+		return notRefused
 	}
-	owner := v.table.Tenant(r.Header.Get(keyName))
-	if owner == nil {
+	tenant := active.configuration.Tenant(r.Header.Get(apiKeyHeader))
+	if tenant == nil {
 		return refused(apierror.NoKey)
 	}
-	if !p.keys.holds(p.now()) {
+	if !p.keys.valid(p.now()) {
 		return refused(apierror.Unready)
 	}
-	q.header[senderName] = []string{owner.Name}
-	q.rank = rankOf(route, owner)
-	within, after := p.withinQuota(r.Context(), owner.Name)
-	if within {
-		return goesOn
+	request.header[tenantHeader] = []string{tenant.Name}
+	request.rank = rankOf(route, tenant)
+	allowed, retryAfter := p.withinQuota(r.Context(), tenant.Name)
+	if allowed {
+		return notRefused
 	}
-	if !p.credit.on.Load() {
-		return refusal{apierror.Beyond, after}
+	if !p.burstCredit.enabled.Load() {
+		return refusal{apierror.Beyond, retryAfter}
 	}
-	claim := p.claim(r, route, owner)
-	if !p.draws(r.Context(), claim) {
-		return refusal{apierror.Beyond, after}
+	creditClaim := p.creditClaim(r, route, tenant)
+	if !p.drawCredit(r.Context(), creditClaim) {
+		return refusal{apierror.Beyond, retryAfter}
 	}
-	q.claim = &claim
-	return goesOn
+	request.creditClaim = &creditClaim
+	return notRefused
 }
 
-// readTimeAndBody reads how long a request may take, and its body as far as it is held.
-func (p *Proxy) readTimeAndBody(v *configurationView, r *http.Request, route *routing.Route, q *request) refusal {
-	left := time.Duration(route.Dispatch.Deadline)
-	if text := r.Header.Get(timeLeft); text != "" {
+// readDeadlineAndBody reads how long a request may take, and its body as far as it is held.
+func (p *Proxy) readDeadlineAndBody(active *configurationView, r *http.Request, route *routing.Route, request *downstreamRequest) refusal {
+	remaining := time.Duration(route.Dispatch.Deadline)
+	if text := r.Header.Get(timeLeftHeader); text != "" {
 		ms, err := strconv.ParseFloat(text, 64)
 		if err != nil || !(ms >= 0) {
 			return refused(apierror.Malformed)
 		}
-		left = min(left, time.Duration(min(ms, 1e9)*float64(time.Millisecond)))
+		remaining = min(remaining, time.Duration(min(ms, 1e9)*float64(time.Millisecond)))
 	}
-	most := v.table.Limits.ContentsBytes
-	if most > 0 && r.ContentLength > most {
+	limit := active.configuration.Limits.ContentsBytes
+	if limit > 0 && r.ContentLength > limit {
 		return refused(apierror.TooLong)
 	}
-	q.stop = time.Now().Add(left)
+	request.clientDeadline = time.Now().Add(remaining)
 	if r.ContentLength == 0 {
-		return goesOn
+		return notRefused
 	}
-	return q.readBody(r, most)
+	return request.readBody(r, limit)
 }
 
 // readBody reads a body whole, or its beginning where it is long: the rest then goes on as it comes. One whose length is not known
 // before its end is gathered, up to the most that the configuration allows.
-func (q *request) readBody(r *http.Request, most int64) refusal {
-	body, err := io.ReadAll(io.LimitReader(r.Body, heldBody+1))
+func (r *downstreamRequest) readBody(httpRequest *http.Request, limit int64) refusal {
+	body, err := io.ReadAll(io.LimitReader(httpRequest.Body, maxBufferedBody+1))
 	if err != nil {
 		return refused(apierror.Malformed)
 	}
-	if len(body) > heldBody && r.ContentLength >= 0 {
-		q.body, q.rest = body, r.Body
-		return goesOn
+	if len(body) > maxBufferedBody && httpRequest.ContentLength >= 0 {
+		r.body, r.bodyRest = body, httpRequest.Body
+		return notRefused
 	}
-	if len(body) > heldBody {
-		most = cmp.Or(most, mostGathered)
-		more, err := io.ReadAll(io.LimitReader(r.Body, most-int64(len(body))+1))
+	if len(body) > maxBufferedBody {
+		limit = cmp.Or(limit, maxUnsizedBody)
+		more, err := io.ReadAll(io.LimitReader(httpRequest.Body, limit-int64(len(body))+1))
 		if err != nil {
 			return refused(apierror.Malformed)
 		}
-		if body = append(body, more...); int64(len(body)) > most {
+		if body = append(body, more...); int64(len(body)) > limit {
 			return refused(apierror.TooLong)
 		}
 	}
-	q.body, q.length = body, int64(len(body))
-	return goesOn
+	r.body, r.length = body, int64(len(body))
+	return notRefused
 }
 
 // refuse answers what goes no further.
-func (p *Proxy) refuse(w http.ResponseWriter, r *http.Request, kind apierror.Kind, again time.Duration) {
-	p.counts.Add("answer_" + kind.String())
-	p.writeError(w, r, kind, again)
+func (p *Proxy) refuse(w http.ResponseWriter, r *http.Request, kind apierror.Kind, retryAfter time.Duration) {
+	p.counters.Add("answer_" + kind.String())
+	p.writeError(w, r, kind, retryAfter)
 }
 
-func (p *Proxy) writeError(w http.ResponseWriter, r *http.Request, kind apierror.Kind, again time.Duration) {
-	if id := r.Header.Get(attemptID); id != "" {
-		w.Header()[attemptID] = []string{id}
+func (p *Proxy) writeError(w http.ResponseWriter, r *http.Request, kind apierror.Kind, retryAfter time.Duration) {
+	if id := r.Header.Get(requestIDHeader); id != "" {
+		w.Header()[requestIDHeader] = []string{id}
 	}
-	if r.ContentLength > heldBody {
+	if r.ContentLength > maxBufferedBody {
 		w.Header()["Connection"] = []string{"close"}
 	}
-	apierror.Write(w, kind, again, "")
+	apierror.Write(w, kind, retryAfter, "")
 }
--- /dev/null
+++ b/internal/mesh/proxy/partner_policy.go
@@ -0,0 +1,220 @@
+package proxy
+
+import (
+	"cmp"
+	"context"
+	"net/http"
+	"slices"
+	"strconv"
+	"strings"
+	"sync"
+
+	"ottershift/internal/mesh/apierror"
+	"ottershift/internal/mesh/federation"
+	"ottershift/internal/mesh/membership"
+	"ottershift/internal/mesh/routing"
+	"ottershift/internal/roster"
+	"ottershift/logic"
+)
+
+const (
+	maxGateways           = 4    // balancers through which one sends to partners
+	fallbackPartnerWeight = 1e-3 // of the turns, that a partner has behind the first that exports the same
+	gatewaySeparator      = "@"  // between a partner and the balancer through which it is reached, in names of upstreams
+)
+
+// doors is what this balancer knows of partners. Where the configuration names none, it decides nothing.
+type partnerPolicyState struct {
+	sync.Mutex     // never held while f.mu is taken
+	policy         *federation.ExportPolicy
+	imports        *federation.ImportBook
+	ages           map[string]int64
+	agesAskedAt    int64
+	gateways       map[string]string // addresses
+	configurations map[string]*routing.Partner
+	enabled        bool
+}
+
+func (p *Proxy) initPartnerPolicy() {
+	p.partnerPolicy.policy = federation.NewExportPolicy(func(town, path string) bool {
+		v := p.view.Load()
+		return v == nil || v.configuration.Find(town, path) != nil
+	})
+	p.partnerPolicy.imports, p.partnerPolicy.gateways = federation.NewImportBook(), map[string]string{}
+}
+
+// applyPartnerUpdate takes the core's word on partners; asked is when it was asked for. Ages count from then: the answer may have been long on
+// its way, or this process may have stood still.
+func (p *Proxy) applyPartnerUpdate(response *membership.WatchResponse, askedAt int64) {
+	state := &p.partnerPolicy
+	state.Lock()
+	defer state.Unlock()
+	if response.Imports != nil {
+		imports, err := federation.Read(response.Imports)
+		if err != nil {
+			p.log.Warn("partners", "err", err)
+			return
+		}
+		if imports.No >= state.imports.No {
+			state.imports, state.ages, state.agesAskedAt = imports, response.Ages, askedAt
+			p.applyPartners()
+			p.log.Info("partners", "no", imports.No)
+		}
+	}
+	for partner, age := range response.Ages {
+		state.policy.Fresher(partner, age, askedAt)
+	}
+	if response.Calm {
+		state.policy.Renew(response.ImportsNo, askedAt)
+	}
+}
+
+// applyPartners puts what is known of them in force, as the configuration names them. Under the doors' lock.
+func (p *Proxy) applyPartners() {
+	state := &p.partnerPolicy
+	active := p.view.Load()
+	if active == nil {
+		return
+	}
+	var federated []federation.Partner
+	state.gateways, state.configurations = map[string]string{}, map[string]*routing.Partner{}
+	for _, partner := range active.configuration.Partners {
+		federated = append(federated, federation.Partner{Name: partner.Name, Gateway: partner.Gateway, ReadsStale: partner.ReadsStale})
+		state.gateways[partner.Name], state.configurations[partner.Name] = partner.Gateway, partner
+	}
+	state.enabled = len(federated) > 0
+	ages := map[string]int64{}
+	for name, age := range state.ages {
+		ages[name] = age + p.now() - state.agesAskedAt
+	}
+	state.policy.Hear(state.imports, federated, ages, int(p.lastMembers.Load()), p.now())
+}
+
+// routeToPartner finds a way for a request that no route of ours takes.
+func (p *Proxy) routeToPartner(r *http.Request, path string) (route *routing.Route, t target, kind apierror.Kind) {
+	state := &p.partnerPolicy
+	state.Lock()
+	if !state.enabled {
+		state.Unlock()
+		return nil, t, apierror.NoRoute
+	}
+	exports, verdict := state.policy.Decide(r.Method, hostOnly(r.Host), path, p.now())
+	var names []string
+	for _, export := range exports {
+		names = append(names, export.Partner.Name)
+	}
+	var partner *routing.Partner
+	if len(exports) > 0 {
+		partner = state.configurations[names[0]]
+	}
+	state.Unlock()
+	switch {
+	case verdict == federation.Kept:
+		return nil, t, apierror.Kept
+	case verdict == federation.NoLeave:
+		return nil, t, apierror.Unready
+	case verdict != federation.Open || partner == nil:
+		return nil, t, apierror.NoRoute
+	}
+	class := routing.OnceOnly
+	if federation.Reads(r.Method) {
+		class = routing.Repeatable
+	}
+	route = &routing.Route{Name: string(class), MailClass: class, Target: partner.Target}
+	route.Parts = []routing.WeightedService{{Service: "partners", Share: 1}}
+	route.Dispatch.Deadline, route.Dispatch.DeliveryTries = partner.Deadline, max(partner.Tries, 1)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	name := "partners:" + strings.Join(names, ",")
+	service := p.pools[name]
+	if service == nil {
+		reads, effects := *route, *route
+		reads.Name, reads.MailClass = string(routing.Repeatable), routing.Repeatable
+		effects.Name, effects.MailClass = string(routing.OnceOnly), routing.OnceOnly
+		routes := []*routing.Route{&reads, &effects}
+		if err := p.updateRoutes(name, routes); err != nil {
+			p.log.Error("retune", "service", name, "err", err)
+			return nil, t, apierror.NoRoom
+		}
+		service = p.pools[name]
+		service.partners, service.routes = names, routes
+		p.updateUpstreamLists()
+	}
+	t, known := service.target(route, 1)
+	if !known {
+		return nil, t, apierror.NoRoom
+	}
+	return route, t, apierror.None
+}
+
+func hostOnly(host string) string {
+	if at := strings.LastIndexByte(host, ':'); at >= 0 {
+		return host[:at]
+	}
+	return host
+}
+
+// gatewayEntries are the ways to partners: balancers, so that each request is decided a second time where it leaves. Under mu.
+func (p *Proxy) gatewayEntries(partners []string) (entries []roster.Entry[string]) {
+	var nodes []*knownNode
+	for _, n := range p.nodes {
+		if !n.Lost && !n.Leaving && n.Name != p.settings.Node {
+			nodes = append(nodes, n)
+		}
+	}
+	key := func(n *knownNode) uint32 { return roster.Number(n.Name + gatewaySeparator + p.settings.Node) }
+	slices.SortFunc(nodes, func(a, b *knownNode) int { return cmp.Or(cmp.Compare(key(a), key(b)), strings.Compare(a.Name, b.Name)) })
+	type gatewayAddress struct{ node, zone, address string }
+	var gateways []gatewayAddress
+	for _, n := range nodes[:min(len(nodes), maxGateways)] {
+		gateways = append(gateways, gatewayAddress{n.Name, n.District, n.Inbound})
+	}
+	if len(gateways) == 0 {
+		gateways = append(gateways, gatewayAddress{p.settings.Node, p.settings.District, p.settings.Inbound})
+	}
+	for k, partner := range partners {
+		for _, gateway := range gateways {
+			weight := 1.0
+			if k > 0 {
+				weight = fallbackPartnerWeight
+			}
+			name := partner + gatewaySeparator + gateway.node
+			entries = append(entries, roster.Entry[string]{Name: name, Zone: gateway.zone, Address: gateway.address, Up: logic.Upstream{Number: roster.Number(name), Weight: weight}})
+		}
+	}
+	return entries
+}
+
+// partnerAllows is the look before each push toward a partner, the first and each repeat and copy.
+func (p *Proxy) partnerAllows(request *downstreamRequest, partner string) bool {
+	p.partnerPolicy.Lock()
+	defer p.partnerPolicy.Unlock()
+	return p.partnerPolicy.policy.Look(partner, request.method, hostOnly(request.host), pathOf(request.target), p.now()) == federation.Open
+}
+
+func pathOf(target string) string {
+	path, _, _ := strings.Cut(target, "?")
+	return path
+}
+
+// leave sends a request on to a partner's gateway, from where it is decided a second time. What is refused here has not run.
+func (p *Proxy) sendToPartner(ctx context.Context, request *upstreamRequest, partner string) *upstreamResponse {
+	state := &p.partnerPolicy
+	state.Lock()
+	edition, verdict := state.policy.May(partner, request.method, hostOnly(request.host), pathOf(request.target), p.now())
+	gateway := state.gateways[partner]
+	state.Unlock()
+	if verdict != federation.Open || gateway == "" {
+		p.counters.Add("gate_" + verdict.String())
+		return &upstreamResponse{kind: apierror.NotHere}
+	}
+	delete(request.header, upstreamIDHeader)
+	request.header[importEditionHeader] = []string{strconv.FormatInt(edition, 10)}
+	response := p.send(ctx, request, p.partnerConnections, roster.Place{Host: partner, Address: gateway})
+	if response.kind == apierror.Unready && ctx.Err() == nil {
+		response.kind = apierror.NoRoom // it never reached the partner
+	}
+	response.maxIdle = upstreamIdleTimeout
+	p.counters.Add("gate_left")
+	return response
+}
--- a/internal/mesh/proxy/proxy.go
+++ b/internal/mesh/proxy/proxy.go
@@ -25,59 +25,59 @@
 )
 
 const (
-	dialPeer = 300 * time.Millisecond
-	dialApp  = 500 * time.Millisecond
+	peerDialTimeout     = 300 * time.Millisecond
+	upstreamDialTimeout = 500 * time.Millisecond
 
-	idleFirst = 15 * time.Second // before a configuration says how long clients may be idle
+	defaultClientIdle = 15 * time.Second // before a configuration says how long clients may be idle
 )
 
 // Proxy is one balancer.
 type Proxy struct {
 	settings            *settings.Settings
 	log                 *slog.Logger
-	counts              *telemetry.Counters
+	counters            *telemetry.Counters
 	caller              *rpc.Caller
-	life                string
+	instanceID          string
 	epoch               time.Time
 	local               *localUpstream
 	upstreamConnections *connectionPool
 	partnerConnections  *connectionPool // to partners' gateways
-	pace                *pacer
-	end                 chan struct{}
-	ending              context.Context // ends once whatever is open has to have its answer
-	endOpen             context.CancelFunc
-
-	view       atomic.Pointer[configurationView]
-	leaving    atomic.Bool // not ready any more, serves what comes
-	closed     atomic.Bool // serves what it has, and nothing new
-	unpackable atomic.Bool // a packed configuration could not be read: from then on it is asked for as it is
-	open       atomic.Int64
-	membersNow atomic.Int64
-	requests   *atomic.Int64
-	inbounds   *atomic.Int64
-	zones      []string
-
-	wallet  wallet
-	keys    keyTrust
-	credit  credit
-	exports exportPolicies
-
-	mu          sync.Mutex // never taken under a module's lock
-	pools       map[string]*pool
-	rules       map[string][]*routing.Route
-	nodes       map[string]*knownNode
-	controllers []membership.ControllerAddress
-	seeds       []string
-	position    membership.Position
-	fetch       configurationFetch
-	late        lateList
-	overlaid    bool // nodes hold some that the controller of position never told of
-	members     int
-	warms       time.Time // when the next upstream is warm
-	ranked      [2]int
-
-	withoutResponseAge, withoutOverlay bool // guards left out, by tests
-	wrapListener                       httpserver.WrapListener
+	pacer               *linePacer
+	done                chan struct{}
+	shutdownContext     context.Context // ends once whatever is open has to have its answer
+	cancelOpen          context.CancelFunc
+
+	view             atomic.Pointer[configurationView]
+	draining         atomic.Bool // not ready any more, serves what comes
+	refusing         atomic.Bool // serves what it has, and nothing new
+	unpackFailed     atomic.Bool // a packed configuration could not be read: from then on it is asked for as it is
+	openRequests     atomic.Int64
+	lastMembers      atomic.Int64
+	outboundRequests *atomic.Int64
+	inboundRequests  *atomic.Int64
+	zones            []string
+
+	tokenCache    tokenCache
+	keys          keyValidity
+	burstCredit   burstCredit
+	partnerPolicy partnerPolicyState
+
+	mu            sync.Mutex // never taken under a module's lock
+	pools         map[string]*servicePool
+	routes        map[string][]*routing.Route
+	nodes         map[string]*knownNode
+	controllers   []membership.ControllerAddress
+	seeds         []string
+	position      membership.Position
+	fetch         configurationFetch
+	lateNodes     lateNodeList
+	nodesOverlaid bool // nodes hold some that the controller of position never told of
+	members       int
+	nextWarmUp    time.Time // when the next upstream is warm
+	lastRank      [2]int
+
+	skipResponseAgeCheck, skipOverlay bool // guards left out, by tests
+	wrapListener                      httpserver.WrapListener
 }
 
 // Option changes how a proxy is made.
@@ -99,47 +99,47 @@
 }
 
 // New makes a balancer; it serves nobody yet.
-func New(b *settings.Settings, log *slog.Logger, with ...Option) *Proxy {
-	var chosen options
-	for _, option := range with {
-		option(&chosen)
+func New(proxySettings *settings.Settings, log *slog.Logger, opts ...Option) *Proxy {
+	var selected options
+	for _, option := range opts {
+		option(&selected)
 	}
 	p := &Proxy{
-		settings: b, log: log, counts: telemetry.NewCounters(), caller: rpc.NewCaller(chosen.wrapTransport), life: storage.NewIdentity(), epoch: time.Now(),
-		local: newLocalUpstream(b.Bounds.Drain, b.App), end: make(chan struct{}), wrapListener: chosen.wrapListener,
-		pools: map[string]*pool{}, nodes: map[string]*knownNode{}, members: 1, fetch: configurationFetch{begin: make(chan struct{}, 1)},
+		settings: proxySettings, log: log, counters: telemetry.NewCounters(), caller: rpc.NewCaller(selected.wrapTransport), instanceID: storage.NewIdentity(), epoch: time.Now(),
+		local: newLocalUpstream(proxySettings.Bounds.Drain, proxySettings.App), done: make(chan struct{}), wrapListener: selected.wrapListener,
+		pools: map[string]*servicePool{}, nodes: map[string]*knownNode{}, members: 1, fetch: configurationFetch{trigger: make(chan struct{}, 1)},
 	}
-	if b.Bounds.RevokedEverywhere {
-		p.keys.bound = b.Bounds.Revoke
+	if proxySettings.Bounds.RevokedEverywhere {
+		p.keys.maxAge = proxySettings.Bounds.Revoke
 	}
-	p.ending, p.endOpen = context.WithCancel(context.Background())
-	p.pace = newPacer(b.LineMbps)
-	p.upstreamConnections = newConnectionPool(dialApp, p.counts, "app")
-	p.partnerConnections = newConnectionPool(dialApp, p.counts, "outside")
-	p.newExportPolicies()
-	p.requests, p.inbounds = p.counts.Of("requests"), p.counts.Of("inbound")
-	p.wallet = wallet{is: ratelimit.NewWallet(0), need: make(chan struct{}, 1), drawn: make(chan struct{})}
-	p.credit.wallet, p.credit.need = burstcredit.NewWallet(b.Node, p.life), make(chan struct{}, 1)
-	p.seeds = inner(b)
-	for zone := range b.Districts {
+	p.shutdownContext, p.cancelOpen = context.WithCancel(context.Background())
+	p.pacer = newLinePacer(proxySettings.LineMbps)
+	p.upstreamConnections = newConnectionPool(upstreamDialTimeout, p.counters, "app")
+	p.partnerConnections = newConnectionPool(upstreamDialTimeout, p.counters, "outside")
+	p.initPartnerPolicy()
+	p.outboundRequests, p.inboundRequests = p.counters.Of("requests"), p.counters.Of("inbound")
+	p.tokenCache = tokenCache{quota: ratelimit.NewWallet(0), wake: make(chan struct{}, 1), drawDone: make(chan struct{})}
+	p.burstCredit.tokenCache, p.burstCredit.wake = burstcredit.NewWallet(proxySettings.Node, p.instanceID), make(chan struct{}, 1)
+	p.seeds = seedAddresses(proxySettings)
+	for zone := range proxySettings.Districts {
 		p.zones = append(p.zones, zone)
 	}
 	slices.Sort(p.zones)
 	return p
 }
 
-func inner(b *settings.Settings) (all []string) {
-	for _, at := range b.Seeds {
-		all = append(all, settings.InnerOf(settings.Host(at), b.InnerFirst))
+func seedAddresses(proxySettings *settings.Settings) (addresses []string) {
+	for _, seed := range proxySettings.Seeds {
+		addresses = append(addresses, settings.InnerOf(settings.Host(seed), proxySettings.InnerFirst))
 	}
-	return all
+	return addresses
 }
 
 // Reseed takes other seeds, as the settings name them now.
-func (p *Proxy) Reseed(b *settings.Settings) {
+func (p *Proxy) Reseed(proxySettings *settings.Settings) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.seeds = inner(b)
+	p.seeds = seedAddresses(proxySettings)
 }
 
 func (p *Proxy) now() int64 { return int64(time.Since(p.epoch)) }
--- /dev/null
+++ b/internal/mesh/proxy/request_result.go
@@ -0,0 +1,106 @@
+package proxy
+
+import (
+	"net/http"
+	"time"
+
+	"ottershift/internal/desk"
+	"ottershift/internal/mesh/apierror"
+	"ottershift/logic"
+)
+
+// runRequest carries a request from its arrival at the module to its answer.
+func (p *Proxy) runRequest(w http.ResponseWriter, r *http.Request, request *downstreamRequest, call *desk.Case) {
+	defer func() {
+		for { // what was ordered and not begun
+			select {
+			case attempt := <-call.Pushes:
+				request.servicePool.desk.Outcome(call, attempt, logic.Unsent)
+			default:
+				return
+			}
+		}
+	}()
+	for {
+		select {
+		case attempt := <-call.Pushes:
+			go p.runAttempt(request, call, attempt)
+		case result := <-call.Answer:
+			p.writeResult(w, r, request, result)
+			return
+		case <-r.Context().Done():
+			p.handleClientGone(w, r, request, call)
+			return
+		case <-p.shutdownContext.Done():
+			p.answerAtShutdown(w, r, request, call)
+			return
+		}
+	}
+}
+
+// handleClientGone ends a request whose client sends no more. One that has closed its sending side alone still reads: the two can't be told
+// apart before something is written.
+func (p *Proxy) handleClientGone(w http.ResponseWriter, r *http.Request, request *downstreamRequest, call *desk.Case) {
+	mayHaveRun, _, _ := request.close()
+	request.servicePool.desk.Vanish(call)
+	p.recordClientGone(r)
+	select { // an answer that flows to nobody
+	case result := <-call.Answer:
+		request.discardResponse(result.Push)
+	default:
+	}
+	kind := apierror.Broke
+	if mayHaveRun == 0 {
+		kind = apierror.NoRoom
+	}
+	p.writeError(w, r, kind, 0)
+}
+
+// answerAtShutdown answers a request as it stands, as the process ends. Invariant: from close on nothing more of it goes out, and from Vanish
+// on no answer comes about that was not there before.
+func (p *Proxy) answerAtShutdown(w http.ResponseWriter, r *http.Request, request *downstreamRequest, call *desk.Case) {
+	mayHaveRun, inFlight, failedResponse := request.close()
+	request.servicePool.desk.Vanish(call)
+	select {
+	case result := <-call.Answer:
+		p.writeResult(w, r, request, result)
+		return
+	default:
+	}
+	p.log.Warn("answered at the end", "attempt", request.requestID, "ran", mayHaveRun, "out", inFlight)
+	switch {
+	case failedResponse != nil:
+		p.writeResponse(w, failedResponse)
+	case mayHaveRun == 0:
+		p.refuse(w, r, apierror.NoRoom, 0)
+	default:
+		p.refuse(w, r, apierror.Leaving, 0)
+	}
+}
+
+// writeResult writes the one final answer.
+func (p *Proxy) writeResult(w http.ResponseWriter, r *http.Request, request *downstreamRequest, result desk.Answer) {
+	mayHaveRun, inFlight, failedResponse := request.close()
+	if result.Ending == desk.Settled || result.Ending == desk.Rejected {
+		request.mu.Lock()
+		response := request.responses[result.Push]
+		request.mu.Unlock()
+		p.writeResponse(w, response)
+		if request.creditClaim != nil && response.status < 300 {
+			request.mu.Lock()
+			request.delivered = true
+			request.mu.Unlock()
+		}
+		return
+	}
+	switch {
+	case failedResponse != nil: // what an upstream said goes back unchanged
+		p.writeResponse(w, failedResponse)
+	case mayHaveRun == 0:
+		p.refuse(w, r, apierror.NoRoom, result.Backoff)
+	case inFlight > 0 || time.Until(request.clientDeadline) <= 0:
+		p.refuse(w, r, apierror.Late, 0)
+	default:
+		p.refuse(w, r, apierror.Broke, 0)
+	}
+}
--- a/internal/mesh/proxy/view.go
+++ b/internal/mesh/proxy/view.go
@@ -12,68 +12,68 @@
 
 // configurationView is what a balancer goes by: one version of the configuration, whole.
 type configurationView struct {
-	index   uint64
-	table   *routing.Configuration
-	idle    time.Duration
-	targets map[*routing.Route][]target
+	index         uint64
+	configuration *routing.Configuration
+	idle          time.Duration
+	targets       map[*routing.Route][]target
 }
 
 // target is a service of a route, and the terms under which its pool takes the route's requests.
 type target struct {
-	pool   *pool
-	share  float64
-	under  *logic.Terms
-	tariff int
+	servicePool  *servicePool
+	share        float64
+	limitedTerms *logic.Terms
+	tariff       int
 }
 
 // pick takes a service of a route by its shares.
-func (v *configurationView) pick(r *routing.Route) target {
-	all := v.targets[r]
+func (v *configurationView) pick(route *routing.Route) target {
+	candidates := v.targets[route]
 	total := 0.0
-	for _, t := range all {
+	for _, t := range candidates {
 		total += t.share
 	}
 	x := rand.Float64() * total
-	for _, t := range all {
+	for _, t := range candidates {
 		if x -= t.share; x < 0 && t.share > 0 {
 			return t
 		}
 	}
-	if len(all) == 0 {
+	if len(candidates) == 0 {
 		return target{}
 	}
-	return all[len(all)-1]
+	return candidates[len(candidates)-1]
 }
 
-// adopt puts a version of the configuration in force. Invariant: an older one than was acted on, within one life, is refused. What it
+// activate puts a version of the configuration in force. Invariant: an older one than was acted on, within one life, is refused. What it
 // costs goes by what differs from the version before, beside a look at each route. A service whose module refuses its terms goes on
 // under those before, and keeps no other from the new ones.
-func (p *Proxy) adopt(index uint64, t *routing.Configuration) {
+func (p *Proxy) activate(index uint64, config *routing.Configuration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if now := p.view.Load(); now != nil && index <= now.index {
+	if current := p.view.Load(); current != nil && index <= current.index {
 		return
 	}
 	byService := map[string][]*routing.Route{}
-	for _, r := range t.Routes {
-		for at, part := range r.Parts {
-			if !namedBefore(r.Parts[:at], part.Service) {
-				byService[part.Service] = append(byService[part.Service], r)
+	for _, route := range config.Routes {
+		for i, part := range route.Parts {
+			if !containsService(route.Parts[:i], part.Service) {
+				byService[part.Service] = append(byService[part.Service], route)
 			}
 		}
 	}
-	changed := p.retuneServices(byService)
-	p.rules = byService
-	p.view.Store(p.viewOf(index, t))
-	p.quota(t)
-	p.log.Info("configuration", "edition", t.Edition, "index", index, "routes", len(t.Routes), "services_changed", changed)
-	p.relist()
-	p.exports.Lock()
-	p.partners()
-	p.exports.Unlock()
+	changed := p.updateServices(byService)
+	p.routes = byService
+	p.view.Store(p.newView(index, config))
+	p.applyQuotas(config)
+	p.log.Info("configuration", "edition", config.Edition, "index", index, "routes", len(config.Routes), "services_changed", changed)
+	p.updateUpstreamLists()
+	p.partnerPolicy.Lock()
+	p.applyPartners()
+	p.partnerPolicy.Unlock()
 }
 
-func namedBefore(parts []routing.WeightedService, service string) bool {
+func containsService(parts []routing.WeightedService, service string) bool {
 	for _, part := range parts {
 		if part.Service == service {
 			return true
@@ -82,15 +82,15 @@
 	return false
 }
 
-// retuneServices gives their routes to the modules whose routes are others than before, and counts these. Under mu.
-func (p *Proxy) retuneServices(byService map[string][]*routing.Route) (changed int) {
-	for service, routes := range byService {
-		if p.pools[service] != nil && slices.Equal(p.rules[service], routes) {
+// updateServices gives their routes to the modules whose routes are others than before, and counts these. Under mu.
+func (p *Proxy) updateServices(byService map[string][]*routing.Route) (changed int) {
+	for service, newRoutes := range byService {
+		if p.pools[service] != nil && slices.Equal(p.routes[service], newRoutes) {
 			continue
 		}
 		changed++
-		if err := p.retune(service, routes); err != nil {
-			p.counts.Add("retunes_failed")
+		if err := p.updateRoutes(service, newRoutes); err != nil {
+			p.counters.Add("retunes_failed")
 			p.log.Error("retune", "service", service, "err", err)
 			delete(byService, service) // the next version tells it again, whether these routes differ or not
 		}
@@ -98,32 +98,32 @@
 	return changed
 }
 
-// viewOf is the view of a version, by the modules as they stand. Under mu.
-func (p *Proxy) viewOf(index uint64, t *routing.Configuration) *configurationView {
-	v := &configurationView{index: index, table: t, idle: time.Duration(t.Limits.Idle), targets: make(map[*routing.Route][]target, len(t.Routes))}
-	for _, r := range t.Routes {
-		for _, part := range r.Parts {
+// newView is the view of a version, by the modules as they stand. Under mu.
+func (p *Proxy) newView(index uint64, config *routing.Configuration) *configurationView {
+	v := &configurationView{index: index, configuration: config, idle: time.Duration(config.Limits.Idle), targets: make(map[*routing.Route][]target, len(config.Routes))}
+	for _, route := range config.Routes {
+		for _, part := range route.Parts {
 			service := p.pools[part.Service]
 			if service == nil {
 				continue
 			}
-			if to, known := service.target(r, part.Share); known {
-				v.targets[r] = append(v.targets[r], to)
+			if to, known := service.target(route, part.Share); known {
+				v.targets[route] = append(v.targets[route], to)
 			}
 		}
 	}
 	return v
 }
 
-// quota gives tenants their parts. Under mu.
-func (p *Proxy) quota(t *routing.Configuration) {
-	p.wallet.Lock()
-	defer p.wallet.Unlock()
-	limits := ratelimit.LimitsOf(t, &p.settings.Bounds)
-	p.wallet.limited = false
-	for _, l := range limits {
-		p.wallet.limited = p.wallet.limited || l.Rate > 0
+// applyQuotas gives tenants their parts. Under mu.
+func (p *Proxy) applyQuotas(config *routing.Configuration) {
+	p.tokenCache.Lock()
+	defer p.tokenCache.Unlock()
+	limits := ratelimit.LimitsOf(config, &p.settings.Bounds)
+	p.tokenCache.limited = false
+	for _, limit := range limits {
+		p.tokenCache.limited = p.tokenCache.limited || limit.Rate > 0
 	}
-	p.wallet.is.Set(limits, p.members, p.now())
-	p.creditTerms(t)
+	p.tokenCache.quota.Set(limits, p.members, p.now())
+	p.applyCreditTerms(config)
 }
--- a/internal/mesh/proxy/watch.go
+++ b/internal/mesh/proxy/watch.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	watchWait  = 600 * time.Millisecond // that a watch request hangs at the controller
-	watchGrace = 300 * time.Millisecond // beyond it, until another controller is asked
+	watchHold  = 600 * time.Millisecond // that a watch request hangs at the controller
+	watchSlack = 300 * time.Millisecond // beyond it, until another controller is asked
 	// WatchTimeout is how long a controller that says nothing is waited for, and how old a response may be that is acted on.
-	WatchTimeout = watchWait + watchGrace
+	WatchTimeout = watchHold + watchSlack
 
-	lateInARow = 4 // watch timeouts within which some response has to come in time
+	maxLateTimeouts = 4 // watch timeouts within which some response has to come in time
 
-	nextPause = 20 * time.Millisecond  // before another controller is asked
-	roundWait = 100 * time.Millisecond // the same, once all that are known have been asked in vain
+	nextControllerDelay = 20 * time.Millisecond  // before another controller is asked
+	nextRoundDelay      = 100 * time.Millisecond // the same, once all that are known have been asked in vain
 )
 
 var errLateResponse = errors.New("the response is older than the watch timeout")
@@ -27,92 +27,92 @@
 // watch renews this balancer's lease and takes news, from one controller at a time. Invariant: one that is cut off or stands still
 // answers nothing, or old news for new; so each request ends soon unless an answer is on its way, and who is not current is left.
 func (p *Proxy) watch(ctx context.Context) {
-	choice := newControllerChoice()
-	var silence silenceClock
+	selector := newControllerSelector()
+	var silence silenceTracker
 	failed := 0 // in a row
 	for ctx.Err() == nil {
-		known := p.knownControllers()
-		at := choice.pick(known, p.now())
-		asked := p.now()
-		current, err := p.watchOnce(ctx, at)
-		silent := silence.observe(at, asked, p.now(), err)
+		controllers := p.knownControllers()
+		controller := selector.pick(controllers, p.now())
+		askedAt := p.now()
+		current, err := p.watchOnce(ctx, controller)
+		silent := silence.observe(controller, askedAt, p.now(), err)
 		switch {
 		case errors.Is(err, rpc.ErrInterrupted) && !silent, errors.Is(err, errLateResponse) && !silent:
 		case err != nil:
-			p.counts.Add("asks_failed")
-			choice.failed(at, p.now())
+			p.counters.Add("asks_failed")
+			selector.failed(controller, p.now())
 			failed++
 		case !current:
-			p.counts.Add("asks_not_current")
-			choice.notCurrent(at, p.now())
+			p.counters.Add("asks_not_current")
+			selector.notCurrent(controller, p.now())
 			failed++
 		default:
-			choice.succeeded(at)
+			selector.succeeded(controller)
 			failed = 0
 			continue
 		}
-		pause := nextPause
-		if failed > len(known) {
-			pause = roundWait
+		delay := nextControllerDelay
+		if failed > len(controllers) {
+			delay = nextRoundDelay
 		}
 		select {
-		case <-time.After(pause):
+		case <-time.After(delay):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// silenceClock tells since when the controller that is asked has given no answer of use, over requests that were given up for one
+// silenceTracker tells since when the controller that is asked has given no answer of use, over requests that were given up for one
 // another. Invariant: with news of the own upstream more often than a request may take, none of them would ever fail.
-type silenceClock struct {
-	at    string
-	since int64
+type silenceTracker struct {
+	controller string
+	since      int64
 }
 
 // observe takes the outcome of a request and reports whether its controller has been silent, or has answered late, for too long.
-func (s *silenceClock) observe(at string, asked, now int64, err error) bool {
-	patience := int64(WatchTimeout)
+func (s *silenceTracker) observe(controller string, askedAt, now int64, err error) bool {
+	limit := int64(WatchTimeout)
 	switch {
 	case errors.Is(err, errLateResponse):
-		patience *= lateInARow
+		limit *= maxLateTimeouts
 	case !errors.Is(err, rpc.ErrInterrupted):
-		s.at = ""
+		s.controller = ""
 		return err != nil
 	}
-	if s.at != at {
-		s.at, s.since = at, asked
+	if s.controller != controller {
+		s.controller, s.since = controller, askedAt
 	}
-	if now-s.since < patience {
+	if now-s.since < limit {
 		return false
 	}
-	s.at = ""
+	s.controller = ""
 	return true
 }
 
 // watchOnce asks one controller, until there is something new to tell it.
-func (p *Proxy) watchOnce(ctx context.Context, at string) (current bool, err error) {
+func (p *Proxy) watchOnce(ctx context.Context, controller string) (current bool, err error) {
 	request, changed := p.watchRequest()
-	response, asked := &membership.WatchResponse{}, p.now()
-	patience := rpc.Patience{Silence: WatchTimeout, Interrupt: changed}
-	if err := p.caller.CallPatiently(ctx, patience, at, rpc.PathWatch, request, response); err != nil {
+	response, askedAt := &membership.WatchResponse{}, p.now()
+	limits := rpc.Patience{Silence: WatchTimeout, Interrupt: changed}
+	if err := p.caller.CallPatiently(ctx, limits, controller, rpc.PathWatch, request, response); err != nil {
 		return false, err
 	}
-	late := p.now()-asked > int64(WatchTimeout) && !p.withoutResponseAge
+	late := p.now()-askedAt > int64(WatchTimeout) && !p.skipResponseAgeCheck
 	wasCurrent := response.Current
 	if late { // what the controller vouched for may be long over, but what it knows may still be news
 		response.Current, response.Calm = false, false
 	}
-	err = p.applyWatchResponse(response, asked)
-	p.fetchFrom(at, response)
+	err = p.applyWatchResponse(response, askedAt)
+	p.requestFetch(controller, response)
 	if err == nil {
-		p.hear(response, asked)
+		p.applyPartnerUpdate(response, askedAt)
 		if response.Current {
-			p.keys.confirmed(asked)
+			p.keys.confirmed(askedAt)
 		}
 	}
-	p.membersNow.Store(int64(p.memberCount()))
+	p.lastMembers.Store(int64(p.memberCount()))
 	if late || !wasCurrent {
-		p.noteLate(response, wasCurrent)
+		p.recordLateList(response, wasCurrent)
 	}
 	if late {
 		return false, errLateResponse
@@ -123,14 +123,14 @@
 // watchRequest is what a controller is told and asked, and a channel that ends when there is more to tell.
 func (p *Proxy) watchRequest() (request *membership.WatchRequest, changed <-chan struct{}) {
 	p.mu.Lock()
-	request = &membership.WatchRequest{Position: p.position, MaxWait: int64(watchWait), Packed: !p.unpackable.Load()}
+	request = &membership.WatchRequest{Position: p.position, MaxWait: int64(watchHold), Packed: !p.unpackFailed.Load()}
 	p.mu.Unlock()
-	p.exports.Lock()
-	request.Position.Imports = p.exports.book.No
-	p.exports.Unlock()
+	p.partnerPolicy.Lock()
+	request.Position.Imports = p.partnerPolicy.imports.No
+	p.partnerPolicy.Unlock()
 	upstream, seq, changed := p.local.snapshot()
-	request.Node = membership.Node{Name: p.settings.Node, Inbound: p.settings.Inbound, District: p.settings.District, Life: p.life, Seq: seq,
-		Upstream: upstream, Leaving: p.leaving.Load()}
+	request.Node = membership.Node{Name: p.settings.Node, Inbound: p.settings.Inbound, District: p.settings.District, Life: p.instanceID, Seq: seq,
+		Upstream: upstream, Leaving: p.draining.Load()}
 	if request.Node.Leaving {
 		request.Node.Seq += 1 << 32
 	}
@@ -144,12 +144,12 @@
 }
 
 // knownControllers are whom to ask, in the order of preference: those of this zone first.
-func (p *Proxy) knownControllers() (all []string) {
+func (p *Proxy) knownControllers() (addresses []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	add := func(at string) {
-		if !slices.Contains(all, at) {
-			all = append(all, at)
+		if !slices.Contains(addresses, at) {
+			addresses = append(addresses, at)
 		}
 	}
 	for _, c := range p.controllers {
@@ -157,7 +157,7 @@
 			add(c.At)
 		}
 	}
-	local := len(all)
+	sameZone := len(addresses)
 	for _, c := range p.controllers {
 		add(c.At)
 	}
@@ -166,32 +166,32 @@
 	}
 	// Not all of a zone without a controller of its own ask the same one; and whom they ask does not depend on who told of whom: each
 	// controller tells of itself first.
-	if rest := all[local:]; len(rest) > 1 {
+	if rest := addresses[sameZone:]; len(rest) > 1 {
 		slices.Sort(rest)
-		by := len(p.settings.Node) + int(p.settings.Node[len(p.settings.Node)-1])
-		rest = append(slices.Clone(rest[by%len(rest):]), rest[:by%len(rest)]...)
-		all = append(all[:local:local], rest...)
+		offset := len(p.settings.Node) + int(p.settings.Node[len(p.settings.Node)-1])
+		rest = append(slices.Clone(rest[offset%len(rest):]), rest[:offset%len(rest)]...)
+		addresses = append(addresses[:sameZone:sameZone], rest...)
 	}
-	return all
+	return addresses
 }
 
 // applyWatchResponse takes a controller's news that was asked for at a time. One that is not current may be cut off: whoever it no
 // longer hears of may be there, so that it adds to what is known, and takes nothing away.
-func (p *Proxy) applyWatchResponse(n *membership.WatchResponse, asked int64) error {
+func (p *Proxy) applyWatchResponse(response *membership.WatchResponse, askedAt int64) error {
 	p.mu.Lock()
 	changed := false
-	if n.Current || p.withoutOverlay {
-		changed = p.replaceNodes(n, asked)
-		p.controllers = n.Controllers
+	if response.Current || p.skipOverlay {
+		changed = p.replaceNodes(response, askedAt)
+		p.controllers = response.Controllers
 	} else {
-		changed = p.overlayNodes(n, asked)
-		p.addControllers(n.Controllers)
+		changed = p.overlayNodes(response, askedAt)
+		p.addControllers(response.Controllers)
 	}
-	p.wallet.reigns(n.Coordinator, n.Epoch)
-	p.setMembers(n)
+	p.tokenCache.setCoordinator(response.Coordinator, response.Epoch)
+	p.setMembers(response)
 	if changed {
-		p.nodesChanged()
+		p.applyNodeChanges()
 	}
 	p.mu.Unlock()
-	return p.applyConfiguration(n)
+	return p.applyConfiguration(response)
 }
--- a/internal/mesh/proxy/watch_test.go
+++ b/internal/mesh/proxy/watch_test.go
@@ -22,7 +22,7 @@
 	"ottershift/internal/mesh/settings"
 )
 
-const aConfiguration = `{"Edition":%d,"SizeLimits":{"EnvelopeBytes":16384,"ContentsBytes":67108864,"Envelope":"3000ms","Idle":"15000ms"},
+const configurationFormat = `{"Edition":%d,"SizeLimits":{"EnvelopeBytes":16384,"ContentsBytes":67108864,"Envelope":"3000ms","Idle":"15000ms"},
 "PostOffices":[{"Town":"a.example","Regulations":[{"Name":"r","MailClass":"repeatable","Target":"300ms","Precedence":2,"Sorting":{"StreetPrefix":"/"},
 "Dispatch":{"Destination":"album","Deadline":"2000ms","DeliveryTries":3}}]}],%s
 "Depots":[{"Name":"album","HealthPath":"/health","LineCap":130,"Protocol":"h1"}]}`
@@ -36,9 +36,9 @@
 }
 
 func newTestProxy(answer controllerStub) *Proxy {
-	b := settings.Default()
-	b.Node, b.District = "self", "z"
-	return New(b, slog.New(slog.DiscardHandler), WithTransport(func(http.RoundTripper) http.RoundTripper { return answer }))
+	proxySettings := settings.Default()
+	proxySettings.Node, proxySettings.District = "self", "z"
+	return New(proxySettings, slog.New(slog.DiscardHandler), WithTransport(func(http.RoundTripper) http.RoundTripper { return answer }))
 }
 
 func record(name, life string, seq uint64, age time.Duration) membership.Record {
@@ -46,13 +46,13 @@
 }
 
 // A proxy that stands still between its question and the answer finds both the answer and the end of its patience when it goes on.
-func TestAResponseOlderThanTheWatchTimeoutIsNotActedOn(t *testing.T) {
+func TestStaleWatchResponseIsNotApplied(t *testing.T) {
 	for _, without := range []bool{false, true} {
 		p := newTestProxy(func(string) *membership.WatchResponse {
 			time.Sleep(WatchTimeout + 50*time.Millisecond) // whatever the caller's context says
-			return &membership.WatchResponse{Position: membership.Position{Index: 3, Edition: 1}, Current: true, Configuration: fmt.Appendf(nil, aConfiguration, 1, "")}
+			return &membership.WatchResponse{Position: membership.Position{Index: 3, Edition: 1}, Current: true, Configuration: fmt.Appendf(nil, configurationFormat, 1, "")}
 		})
-		p.withoutResponseAge = without
+		p.skipResponseAgeCheck = without
 		current, err := p.watchOnce(context.Background(), "10.0.0.1:1")
 		must.Eq(t, without, err == nil)
 		must.Eq(t, without, current)
@@ -61,14 +61,14 @@
 }
 
 // A controller that is cut off knows of nobody but itself and who asks it. That takes nothing away.
-func TestAControllerThatIsNotCurrentTakesNothingAway(t *testing.T) {
+func TestNonCurrentControllerRemovesNothing(t *testing.T) {
 	whole := func(controller string, current bool, at []membership.ControllerAddress, nodes ...membership.Record) *membership.WatchResponse {
 		return &membership.WatchResponse{Position: membership.Position{Controller: controller, Seq: 9}, Current: current, Members: len(nodes), Whole: true,
 			Controllers: at, Nodes: nodes}
 	}
 	for _, without := range []bool{false, true} {
 		p := newTestProxy(nil)
-		p.withoutOverlay = without
+		p.skipOverlay = without
 		take := func(n *membership.WatchResponse) {
 			must.NoError(t, p.applyWatchResponse(n, p.now()))
 		}
@@ -105,14 +105,14 @@
 
 // A list of all nodes that always comes late is taken once a later answer of the same controller, in time, builds on it: what it does
 // not name is dropped, and it is not asked for again.
-func TestAListThatComesLateIsTakenOnceItIsConfirmed(t *testing.T) {
+func TestLateNodeListAppliesOnceConfirmed(t *testing.T) {
 	list := func(current, whole bool, controller string, seq uint64, nodes ...membership.Record) *membership.WatchResponse {
 		return &membership.WatchResponse{Position: membership.Position{Controller: controller, Seq: seq}, Current: current, Whole: whole, Members: 3, Nodes: nodes}
 	}
 	late := func(p *Proxy, n *membership.WatchResponse) {
 		n.Current = false
 		must.NoError(t, p.applyWatchResponse(n, p.now()))
-		p.noteLate(n, true)
+		p.recordLateList(n, true)
 	}
 	names := func(p *Proxy) []string { return slices.Sorted(maps.Keys(p.nodes)) }
 	start := func() *Proxy {
@@ -140,16 +140,16 @@
 	p = start()
 	stale := list(false, false, "two", 6) // it was not current meanwhile: what it has told may be what one that is cut off knows
 	must.NoError(t, p.applyWatchResponse(stale, p.now()))
-	p.noteLate(stale, false)
+	p.recordLateList(stale, false)
 	must.NoError(t, p.applyWatchResponse(list(true, false, "two", 7), p.now()))
 	must.Eq(t, []string{"a", "b", "gone"}, names(p))
 	must.Eq(t, "", p.position.Controller)
 }
 
 // The first configuration of a life comes from who is current.
-func TestTheFirstConfigurationComesFromAControllerThatIsCurrent(t *testing.T) {
+func TestFirstConfigurationRequiresCurrentController(t *testing.T) {
 	p := newTestProxy(nil)
-	told := &membership.WatchResponse{Position: membership.Position{Index: 3, Edition: 1}, Configuration: fmt.Appendf(nil, aConfiguration, 1, "")}
+	told := &membership.WatchResponse{Position: membership.Position{Index: 3, Edition: 1}, Configuration: fmt.Appendf(nil, configurationFormat, 1, "")}
 	must.NoError(t, p.applyWatchResponse(told, p.now()))
 	must.Nil(t, p.view.Load())
 	must.Eq(t, 0, p.position.Index)
@@ -159,14 +159,14 @@
 }
 
 // Any number of silent controllers in front does not keep the sound one behind them from being asked; nor is a zone's own left for ever.
-func TestASoundControllerIsAskedBehindManySilentOnes(t *testing.T) {
+func TestHealthyControllerIsReachedBehindSilentOnes(t *testing.T) {
 	const silent = 9
 	known := []string{}
 	for n := range silent {
 		known = append(known, fmt.Sprint("silent", n))
 	}
 	known = append(known, "sound")
-	until := func(choice *controllerChoice, now int64) time.Duration {
+	until := func(choice *controllerSelector, now int64) time.Duration {
 		for began := now; ; now += int64(WatchTimeout) {
 			at := choice.pick(known, now)
 			if at == "sound" || now-began > int64(time.Minute) {
@@ -175,21 +175,21 @@
 			choice.failed(at, now+int64(WatchTimeout))
 		}
 	}
-	choice := newControllerChoice()
+	choice := newControllerSelector()
 	must.Less(t, 3*silent*WatchTimeout, until(choice, 0))
-	without := newControllerChoice()
-	without.avoidMost = avoidFirst
+	without := newControllerSelector()
+	without.maxAvoidance = initialAvoidance
 	must.Greater(t, time.Minute, until(without, 0))
 	choice.succeeded("sound")
 	must.Eq(t, known[0], choice.pick(known, int64(time.Minute)))
 }
 
 // A partner's age counts from before the question, however long the answer was on its way.
-func TestAPartnersAgeCountsFromBeforeTheQuestion(t *testing.T) {
+func TestPartnerAgeCountsFromRequestTime(t *testing.T) {
 	p := newTestProxy(nil)
 	partners := `"Mesh":"us","Partners":[{"Name":"zuid","Gateway":"10.9.9.9:1","Target":"300ms","Deadline":"1000ms","Tries":2}],`
 	must.NoError(t, p.applyWatchResponse(&membership.WatchResponse{Position: membership.Position{Index: 3, Edition: 1}, Current: true,
-		Configuration: fmt.Appendf(nil, aConfiguration, 1, partners)}, p.now()))
+		Configuration: fmt.Appendf(nil, configurationFormat, 1, partners)}, p.now()))
 	table, err := federation.Parse([]byte(`{"Partner":"zuid","Edition":1,"Lease":"20s","Exports":[{"Service":"scans","Town":"zuid.example","StreetPrefix":"/scans/","Methods":["POST"]}]}`), "zuid", "us")
 	must.NoError(t, err)
 	book := federation.NewImportBook()
@@ -198,20 +198,20 @@
 	raw, err := book.Write()
 	must.NoError(t, err)
 	look := func() federation.Verdict {
-		return p.exports.is.Look("zuid", "POST", "zuid.example", "/scans/1", p.now())
+		return p.partnerPolicy.policy.Look("zuid", "POST", "zuid.example", "/scans/1", p.now())
 	}
-	p.hear(&membership.WatchResponse{Imports: raw, ImportsNo: book.No, Ages: map[string]int64{"zuid": 0}}, p.now()-int64(21*time.Second))
-	p.hear(&membership.WatchResponse{ImportsNo: book.No, Calm: true}, p.now())
+	p.applyPartnerUpdate(&membership.WatchResponse{Imports: raw, ImportsNo: book.No, Ages: map[string]int64{"zuid": 0}}, p.now()-int64(21*time.Second))
+	p.applyPartnerUpdate(&membership.WatchResponse{ImportsNo: book.No, Calm: true}, p.now())
 	must.Eq(t, federation.NoLeave, look())
-	p.hear(&membership.WatchResponse{Ages: map[string]int64{"zuid": int64(time.Second)}}, p.now()-int64(21*time.Second))
+	p.applyPartnerUpdate(&membership.WatchResponse{Ages: map[string]int64{"zuid": int64(time.Second)}}, p.now()-int64(21*time.Second))
 	must.Eq(t, federation.NoLeave, look())
-	p.hear(&membership.WatchResponse{Ages: map[string]int64{"zuid": int64(time.Second)}}, p.now())
+	p.applyPartnerUpdate(&membership.WatchResponse{Ages: map[string]int64{"zuid": int64(time.Second)}}, p.now())
 	must.Eq(t, federation.Open, look())
 }
 
 // Each controller tells of itself first. A proxy in a zone without one of its own asks the same one all the same: else it would go from
 // one to the next without a pause, since each has all of its nodes to tell.
-func TestWhomAProxyAsksDoesNotDependOnWhoAnswered(t *testing.T) {
+func TestControllerOrderIsIndependentOfReportOrder(t *testing.T) {
 	told := []membership.ControllerAddress{{At: "10.0.0.1:1", Zone: "x"}, {At: "10.0.0.2:1", Zone: "y"}, {At: "10.0.0.3:1", Zone: "y"}}
 	for _, node := range []string{"a", "b", "c", "d"} {
 		p := newTestProxy(nil)
@@ -233,11 +233,11 @@
 
 // News of the own upstream come more often than a request may take: each is given up for the next, and a controller that is silent
 // counts as failed all the same. One that answers, however late, does not until it has been late for long.
-func TestAControllerIsSilentOverRequestsThatAreGivenUpForOneAnother(t *testing.T) {
+func TestSilenceAccumulatesAcrossInterruptedWatches(t *testing.T) {
 	interrupted, late := rpc.Error.Wrap(rpc.ErrInterrupted), errLateResponse
 	step := int64(100 * time.Millisecond)
 	until := func(each func(now int64) error) (failed int64) {
-		var clock silenceClock
+		var clock silenceTracker
 		for now := int64(0); now < int64(time.Minute); now += step {
 			if clock.observe("a", now, now+step, each(now)) {
 				return now + step
@@ -246,7 +246,7 @@
 		return -1
 	}
 	must.Eq(t, int64(WatchTimeout), until(func(int64) error { return interrupted }))
-	must.Eq(t, lateInARow*int64(WatchTimeout), until(func(int64) error { return late }))
+	must.Eq(t, maxLateTimeouts*int64(WatchTimeout), until(func(int64) error { return late }))
 	must.Eq(t, step, until(func(int64) error { return rpc.ErrSilent }))
 	must.Eq(t, -1, until(func(now int64) error {
 		if now%(5*step) == 0 {
@@ -254,7 +254,7 @@
 		}
 		return interrupted
 	}))
-	var clock silenceClock
+	var clock silenceTracker
 	for now := int64(0); now < int64(10*time.Second); now += 2 * step { // each is asked for a moment
 		must.False(t, clock.observe("a", now, now+step, interrupted))
 		must.False(t, clock.observe("b", now+step, now+2*step, interrupted))
@@ -262,13 +262,13 @@
 }
 
 // A proxy whose upstream has news more often than a watch may take leaves a controller that says nothing, and renews its lease elsewhere.
-func TestAProxyWithMuchNewsLeavesASilentController(t *testing.T) {
+func TestFrequentUpdatesDoNotPinProxyToSilentController(t *testing.T) {
 	var mu sync.Mutex
 	asked := map[string]int{}
 	b := settings.Default()
 	b.Node, b.District = "self", "z"
 	p := New(b, slog.New(slog.DiscardHandler), WithTransport(func(http.RoundTripper) http.RoundTripper {
-		return roundTrip(func(r *http.Request) (*http.Response, error) {
+		return roundTripFunc(func(r *http.Request) (*http.Response, error) {
 			mu.Lock()
 			asked[r.URL.Host]++
 			mu.Unlock()
@@ -298,6 +298,6 @@
 	}
 }
 
-type roundTrip func(*http.Request) (*http.Response, error)
+type roundTripFunc func(*http.Request) (*http.Response, error)
 
-func (f roundTrip) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
+func (f roundTripFunc) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
