--- a/internal/mesh/proxy/admission.go
+++ b/internal/mesh/proxy/admission.go
@@ -8,16 +8,16 @@
 	"ottershift/internal/mesh/priority"
 )
 
-// waitingRequest is a request that waits for a slot.
+// waitingRequest is a request that waits for a slot of the local upstream.
 type waitingRequest struct {
 	id      string
-	granted chan bool // has room for one: whether it has the slot
+	granted chan bool // buffered for one value, which says whether the request got the slot
 }
 
-// admit lets a request through to the life that it is meant for, or says why not; leave ends what was let through. Where all
-// slots are taken it waits for a quarter of its aim, in the order of priority.Queue: the most urgent rank first and, within a rank,
-// who is due first. Invariant: first come, first served, the short calls of work that is under way elsewhere stand behind long
-// ones, and fail all that they are a part of.
+// admit reserves a slot for a request at the upstream instance that it addresses, or returns why it can't; release
+// frees the slot. If all slots are taken, the request waits for up to a quarter of its latency target in the order of
+// priority.Queue: the most urgent rank first, and within a rank the earliest due time. In arrival order, the short
+// calls that belong to work under way elsewhere would wait behind long ones and fail the work that they are part of.
 func (u *localUpstream) admit(ctx context.Context, request *upstreamRequest, now time.Time) (address string, kind apierror.Kind) {
 	u.mu.Lock()
 	if address, kind = u.addressOf(request.upstreamID, now); kind != apierror.None {
@@ -34,7 +34,8 @@
 		u.mu.Unlock()
 		return address, apierror.None
 	}
-	waiter := &priority.Waiter[waitingRequest]{Rank: request.rank, Due: elapsed + int64(request.latencyTarget), Request: waitingRequest{request.upstreamID, make(chan bool, 1)}}
+	waiter := &priority.Waiter[waitingRequest]{Rank: request.rank, Due: elapsed + int64(request.latencyTarget),
+		Request: waitingRequest{request.upstreamID, make(chan bool, 1)}}
 	joined := u.queue.Join(waiter, maxQueuedPerSlot*u.reported.Capacity, elapsed)
 	u.mu.Unlock()
 	if joined && u.wait(ctx, request, waiter) {
@@ -43,10 +44,10 @@
 	return "", apierror.NoRoom
 }
 
-// maxQueuedPerSlot is how many requests may wait before another one, for each slot of the upstream.
+// maxQueuedPerSlot bounds how many requests may be ahead of another one in the queue, for each slot of the upstream.
 const maxQueuedPerSlot = 2
 
-// wait reports whether a request in the queue got a slot.
+// wait reports whether a queued request got a slot before its wait time was over.
 func (u *localUpstream) wait(ctx context.Context, request *upstreamRequest, waiter *priority.Waiter[waitingRequest]) bool {
 	timeout := time.NewTimer(min(request.latencyTarget/4, time.Until(request.deadline)/4))
 	defer timeout.Stop()
@@ -62,22 +63,23 @@
 	if removed || !<-waiter.Request.granted {
 		return false
 	}
-	if ctx.Err() != nil { // it got one meanwhile, and has no use for it
+	if ctx.Err() != nil { // cancelled after the slot was granted
 		u.release(request.upstreamID)
 		return false
 	}
 	return true
 }
 
-// slots is how many requests may be at the upstream: those that it works on, and few that it need not wait for.
+// slots returns how many requests may be at the upstream: its capacity and a small surplus, so that it need not wait
+// for the next request.
 func (u *localUpstream) slots() int { return u.reported.Capacity + u.reported.Capacity/8 + 1 }
 
-// release ends a request at the upstream; the next that waits has its slot.
+// release frees the slot of a request and grants free slots to waiting requests.
 func (u *localUpstream) release(id string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if id != u.id && u.id != "" {
-		return // of a life that has ended
+		return // the slot belonged to an instance that has ended
 	}
 	u.active = max(0, u.active-1)
 	now := time.Now()
@@ -94,5 +96,6 @@
 	}
 }
 
-// sinceStart is a time as state without a clock is told it.
+// sinceStart converts a time to nanoseconds since the epoch of the queue and the outlier detector, which read no
+// clock.
 func (u *localUpstream) sinceStart(now time.Time) int64 { return int64(now.Sub(u.epoch)) }
--- a/internal/mesh/proxy/attempt.go
+++ b/internal/mesh/proxy/attempt.go
@@ -14,15 +14,15 @@
 	"ottershift/logic"
 )
 
-// attemptOutcome is how a push ended.
+// attemptOutcome is the outcome of one attempt.
 type attemptOutcome struct {
 	result         logic.Result
-	streamed       bool                // its answer has gone on to the client piece by piece: the module has been told
-	notReceived    bool                // it never came to the upstream
-	failedResponse *downstreamResponse // what the upstream itself answered a request that it failed, nil for nothing
+	streamed       bool                // the response was streamed to the client, and the load balancer has been told
+	notReceived    bool                // the request did not reach the upstream
+	failedResponse *downstreamResponse // the upstream's own error response, nil if there is none
 }
 
-// runAttempt carries one order of the module out.
+// runAttempt carries out one attempt that the load balancer has ordered.
 func (p *Proxy) runAttempt(request *downstreamRequest, call *desk.Case, attempt *desk.Push) {
 	outcome := attemptOutcome{result: logic.Unsent}
 	defer func() {
@@ -55,13 +55,14 @@
 	}
 }
 
-// partnerOf is the partner that a push is meant for, if it is for one.
+// partnerOf returns the partner that an attempt is addressed to, if there is one.
 func (p *servicePool) partnerOf(attempt *desk.Push) (partner string, isPartner bool) {
 	partner, _, isPartner = strings.Cut(attempt.Name, gatewaySeparator)
 	return partner, isPartner && p.partners != nil
 }
 
-// sendAttempt sends a request to the balancer beside an upstream, or to the upstream if it is here, and takes what comes back.
+// sendAttempt sends a request to the proxy beside an upstream, or to the upstream if it is on this machine, and reads
+// the response.
 func (p *Proxy) sendAttempt(request *downstreamRequest, call *desk.Case, attempt *desk.Push) (outcome attemptOutcome) {
 	response := p.dispatch(request, call, attempt)
 	defer func() {
@@ -83,7 +84,7 @@
 	return p.readUpstreamResponse(request, call, attempt, response)
 }
 
-// dispatch sends a request on its way: through a partner's gateway, to the upstream here, or to the balancer beside another one.
+// dispatch sends a request through a partner's gateway, to the local upstream, or to the proxy beside another one.
 func (p *Proxy) dispatch(request *downstreamRequest, call *desk.Case, attempt *desk.Push) *upstreamResponse {
 	outgoing := p.newUpstreamRequest(request, call, attempt)
 	partner, isPartner := request.servicePool.partnerOf(attempt)
@@ -103,11 +104,13 @@
 	return p.sendToLocalUpstream(attempt.Context, outgoing)
 }
 
-// newUpstreamRequest is a request as it goes out by an order.
+// newUpstreamRequest returns the request of an attempt as it is sent.
 func (p *Proxy) newUpstreamRequest(request *downstreamRequest, call *desk.Case, attempt *desk.Push) *upstreamRequest {
 	outgoing := &upstreamRequest{
-		requestID: request.requestID, upstreamID: attempt.Name, method: request.method, target: request.target, host: request.host, header: make(http.Header, len(request.header)+3),
-		body: request.body, bodyRest: request.bodyRest, length: request.length, deadline: attempt.Until, requestPriority: requestPriority{request.latencyTarget, request.rank, attempt.Number > 0},
+		requestID: request.requestID, upstreamID: attempt.Name, method: request.method, target: request.target,
+		host: request.host, header: make(http.Header, len(request.header)+3),
+		body: request.body, bodyRest: request.bodyRest, length: request.length, deadline: attempt.Until,
+		requestPriority: requestPriority{request.latencyTarget, request.rank, attempt.Number > 0},
 	}
 	for name, values := range request.header {
 		outgoing.header[name] = values
@@ -115,16 +118,16 @@
 	if _, isPartner := request.servicePool.partnerOf(attempt); !isPartner {
 		outgoing.header[upstreamIDHeader] = []string{attempt.Name}
 	}
-	if request.bodyRest != nil { // the module's time begins with its last byte, its client's does not
+	if request.bodyRest != nil { // the load balancer counts time from the last byte, the client from the start
 		outgoing.deadline = request.clientDeadline
 		outgoing.bodyRest = &eofNotifier{request.bodyRest, func() { request.servicePool.desk.Whole(call, time.Until(request.clientDeadline)) }}
 	}
 	return outgoing
 }
 
-// classifyRefusal tells what an answer's head says of a request that it does not serve. Invariant: a status by which its client would take
-// the request for not run goes on to the client only from here, as our own word, and only with the upstream's proof; a partner's
-// promises are as good as ours.
+// classifyRefusal decides from the head of a response whether the request was refused or its response can't be used. A
+// status from which the client would conclude that the request has not run is passed on only as this mesh's own
+// statement, and only with the upstream's proof. A partner's statements are trusted like this mesh's own.
 func (p *Proxy) classifyRefusal(response *upstreamResponse, isPartner bool) (outcome attemptOutcome, isRefusal bool) {
 	httpResponse := response.httpResponse
 	success := httpResponse.StatusCode < http.StatusMultipleChoices
@@ -151,11 +154,14 @@
 	return attemptOutcome{}, false
 }
 
-// readUpstreamResponse reads an answer that goes on to the client: whole if it is short, as it flows if it is long and good.
-func (p *Proxy) readUpstreamResponse(request *downstreamRequest, call *desk.Case, attempt *desk.Push, response *upstreamResponse) attemptOutcome {
+// readUpstreamResponse reads a response for the client: a short one is buffered completely, a long successful one is
+// streamed.
+func (p *Proxy) readUpstreamResponse(request *downstreamRequest, call *desk.Case, attempt *desk.Push,
+	response *upstreamResponse) attemptOutcome {
 	httpResponse := response.httpResponse
 	success := httpResponse.StatusCode < http.StatusMultipleChoices
-	relayed := &downstreamResponse{status: httpResponse.StatusCode, header: endToEndHeaders(httpResponse.Header), length: httpResponse.ContentLength, earlyResponse: response.conn.earlyResponse}
+	relayed := &downstreamResponse{status: httpResponse.StatusCode, header: endToEndHeaders(httpResponse.Header),
+		length: httpResponse.ContentLength, earlyResponse: response.conn.earlyResponse}
 	body, err := io.ReadAll(io.LimitReader(httpResponse.Body, maxBufferedResponse+1))
 	relayed.body = body
 	switch {
@@ -180,26 +186,27 @@
 	return attemptOutcome{result: logic.Errored, failedResponse: relayed}
 }
 
-// streamResponse hands an answer to the client as it comes.
-func (p *Proxy) streamResponse(request *downstreamRequest, call *desk.Case, attempt *desk.Push, response *upstreamResponse, relayed *downstreamResponse) attemptOutcome {
+// streamResponse passes a response to the client while it arrives.
+func (p *Proxy) streamResponse(request *downstreamRequest, call *desk.Case, attempt *desk.Push,
+	response *upstreamResponse, relayed *downstreamResponse) attemptOutcome {
 	relayed.remaining, relayed.written = response.httpResponse.Body, make(chan bool, 1)
 	request.storeResponse(attempt.Number, relayed)
 	if !request.servicePool.desk.Flow(call, attempt) {
 		return attemptOutcome{result: logic.Cancelled}
 	}
-	response.conn.SetReadDeadline(request.clientDeadline.Add(time.Second)) // its client waits no longer
+	response.conn.SetReadDeadline(request.clientDeadline.Add(time.Second)) // the client does not wait longer
 	complete := <-relayed.written
 	response.release(complete)
 	request.servicePool.desk.Flowed(call, attempt, complete)
 	return attemptOutcome{result: logic.Settled, streamed: true}
 }
 
-// classifyFailure names the outcome of a push without a whole answer.
+// classifyFailure returns the result of an attempt without a complete response.
 func (p *Proxy) classifyFailure(ctx context.Context, response *upstreamResponse) logic.Result {
 	cause := context.Cause(ctx)
 	switch {
 	case !response.wrote && response.kind == apierror.Unready && (ctx.Err() != nil || notSent(response.err)):
-		return logic.Unsent // it was called off, or out of time, before it left
+		return logic.Unsent // cancelled, or past its deadline, before it was sent
 	case !response.wrote && response.kind == apierror.Unready:
 		return logic.Unreachable
 	case errors.Is(cause, context.Canceled):
@@ -211,7 +218,7 @@
 	return logic.Broken
 }
 
-// eofNotifier tells when a body has been read to its end.
+// eofNotifier calls notify once when its reader has been read to the end.
 type eofNotifier struct {
 	io.Reader
 	notify func()
--- a/internal/mesh/proxy/body_writer.go
+++ b/internal/mesh/proxy/body_writer.go
@@ -5,28 +5,29 @@
 	"time"
 )
 
-// maxInlineWrite is the size up to which a request is written before its answer is read. Both sides' buffers hold that much, so an
-// answer that comes early does not wait behind it.
+// maxInlineWrite is the size in bytes up to which a request is written completely before its response is read. The
+// socket buffers of both sides hold that much, so an early response does not block the write.
 const maxInlineWrite = 16 << 10
 
+// writerGracePeriod is how long a complete response waits for the writer to see the end of its source.
 const writerGracePeriod = 5 * time.Millisecond
 
-// pastDeadline is a deadline that ends reads and writes at once.
+// pastDeadline is a deadline that ends pending reads and writes at once.
 var pastDeadline = time.Unix(1, 0)
 
-// bodyWriter writes a request while its answer is waited for. It ends when all is written, when a write fails, or with its
-// source: a source that stands still, as a slow client's body does, holds up nobody but the writer.
+// bodyWriter writes a request while its response is awaited. It ends when everything is written, when a write fails or
+// when its source ends. A source that stalls, such as a slow client's body, blocks only the writer.
 type bodyWriter struct {
 	firstDone chan struct{} // closed after the first write
-	allDone   chan struct{} // closed at the end
+	allDone   chan struct{} // closed when the writer ends
 
 	firstSent int // valid after firstDone
 	sourceErr error
-	writeErr  error // both valid after allDone
+	writeErr  error // sourceErr and writeErr are valid after allDone
 }
 
-// startBodyWriter writes first and then rest, which may be nil. Invariant: where the source fails, the answer is waited for no
-// longer: the upstream would wait for the rest of the body.
+// startBodyWriter writes first and then rest, which may be nil. If the source fails, it also ends the wait for the
+// response: the upstream would wait for the rest of the body and not respond.
 func startBodyWriter(c *connection, first []byte, rest io.Reader) *bodyWriter {
 	w := &bodyWriter{firstDone: make(chan struct{}), allDone: make(chan struct{})}
 	go func() {
@@ -44,6 +45,7 @@
 	return w
 }
 
+// copy writes the source to the connection and records which of the two failed.
 func (w *bodyWriter) copy(to io.Writer, from io.Reader) {
 	buffer := bufferPool.Get().(*[]byte)
 	defer bufferPool.Put(buffer)
@@ -64,8 +66,8 @@
 	}
 }
 
-// succeeded reports whether all has been written. The answer to a whole request may be here before the writer has seen its
-// source's end, so that is waited for a moment.
+// succeeded reports whether the whole request has been written. The response to a complete request may arrive before
+// the writer has seen the end of its source, so succeeded waits for writerGracePeriod.
 func (w *bodyWriter) succeeded() bool {
 	grace := time.NewTimer(writerGracePeriod)
 	defer grace.Stop()
@@ -77,13 +79,14 @@
 	}
 }
 
-// started reports whether some of the request has gone out. It waits for the first write, which the caller has put an end to.
+// started reports whether any byte of the request was sent. It waits for the first write, which the caller must have
+// ended with a write deadline.
 func (w *bodyWriter) started() bool {
 	<-w.firstDone
 	return w.firstSent > 0
 }
 
-// cause is the source's error, if that ended the exchange, or else the one given.
+// cause returns the error of the source if that ended the exchange, and otherwise err.
 func (w *bodyWriter) cause(err error) error {
 	select {
 	case <-w.allDone:
--- a/internal/mesh/proxy/burst_credit.go
+++ b/internal/mesh/proxy/burst_credit.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	maxCreditWait       = 300 * time.Millisecond // that a request waits for a token at most
-	creditReportTimeout = 900 * time.Millisecond // that a report is waited for
+	maxCreditWait       = 300 * time.Millisecond // that a request waits for a burst token
+	creditReportTimeout = 900 * time.Millisecond // for the response to a report
 )
 
-// burstCredit is this balancer's part of tenants' burst credit. Where no tenant has any, nothing here runs.
+// burstCredit is this proxy's share of the tenants' burst credit. It is idle if no tenant has any.
 type burstCredit struct {
 	sync.Mutex
 	tokenCache *burstcredit.Wallet
 	enabled    atomic.Bool
-	wake       chan struct{} // has room for one
+	wake       chan struct{} // buffered for one value
 }
 
-// terms puts a configuration's in force. Under mu.
+// applyCreditTerms applies the burst credit terms of a configuration. The caller holds mu.
 func (p *Proxy) applyCreditTerms(config *routing.Configuration) {
 	services := map[string]float64{}
 	for _, service := range config.Services {
@@ -39,8 +39,9 @@
 	p.burstCredit.enabled.Store(p.burstCredit.tokenCache.On())
 }
 
-// creditClaim is what a request beyond its tenant's rate would draw for, and under which name: the client's key for it where it has
-// one; else an effect is its own, and pages and downloads of one tenant are one for as long as settled names are known.
+// creditClaim returns the claim of a request beyond its tenant's rate and the ID under which it is charged once. The
+// ID is the client's idempotency key if there is one. Otherwise each request with side effects has its own, and
+// repeatable requests of a tenant for the same URL share one while settled claims are remembered.
 func (p *Proxy) creditClaim(r *http.Request, route *routing.Route, tenant *routing.Tenant) burstcredit.Claim {
 	claim := burstcredit.Claim{Tenant: tenant.Name, Service: route.Parts[0].Service, Effect: !route.MailClass.Repeats(),
 		Rank: tenant.Precedence*1000 + route.Precedence}
@@ -58,7 +59,7 @@
 	return claim
 }
 
-// drawCredit has a request go on out of its tenant's credit, if there is any; it waits for its turn.
+// drawCredit reports whether a request may use its tenant's burst credit. It waits up to maxCreditWait for its turn.
 func (p *Proxy) drawCredit(ctx context.Context, claim burstcredit.Claim) bool {
 	credit := &p.burstCredit
 	granted := make(chan bool, 1)
@@ -85,7 +86,7 @@
 	credit.Lock()
 	removed := credit.tokenCache.Leave(claim)
 	credit.Unlock()
-	if !removed { // its turn came meanwhile
+	if !removed { // the credit was granted meanwhile
 		<-granted
 		if ctx.Err() != nil {
 			p.finishClaim(claim, burstcredit.NeverRan)
@@ -98,7 +99,7 @@
 	return false
 }
 
-// finishClaim tells what became of it.
+// finishClaim records the outcome of a claim.
 func (p *Proxy) finishClaim(claim burstcredit.Claim, outcome burstcredit.Outcome) {
 	credit := &p.burstCredit
 	credit.Lock()
@@ -108,6 +109,7 @@
 	p.signalCreditDemand()
 }
 
+// signalCreditDemand wakes runCreditReports.
 func (p *Proxy) signalCreditDemand() {
 	select {
 	case p.burstCredit.wake <- struct{}{}:
@@ -115,7 +117,8 @@
 	}
 }
 
-// runCreditReports tells the core what was spent, and asks for more, for as long as there is something to tell.
+// runCreditReports reports spent credit to the control plane's coordinator and requests more, as long as there is
+// something to report.
 func (p *Proxy) runCreditReports(ctx context.Context) {
 	credit := &p.burstCredit
 	for {
@@ -160,7 +163,7 @@
 	}
 }
 
-// settleCredit tells what became of a request that drew on credit, once it has its answer.
+// settleCredit records the outcome of a request that used burst credit, once the client has its response.
 func (p *Proxy) settleCredit(request *downstreamRequest) {
 	if request.creditClaim == nil {
 		return
--- a/internal/mesh/proxy/configuration.go
+++ b/internal/mesh/proxy/configuration.go
@@ -11,20 +11,21 @@
 )
 
 const (
-	fetchSilenceTimeout = 900 * time.Millisecond // without a byte, until another controller is asked
-	fetchRetryDelay     = 50 * time.Millisecond  // before that
+	fetchSilenceTimeout = 900 * time.Millisecond // without a received byte, until another controller is asked
+	fetchRetryDelay     = 50 * time.Millisecond  // before another controller is asked
 )
 
-// configurationFetch is what is known of a configuration that did not come with the answer to a watch, for being long.
+// configurationFetch describes a configuration that was too long to come with a watch response and is fetched
+// separately.
 type configurationFetch struct {
-	controller string // controller that has it
-	index      uint64 // of the newest state that was told of
-	digest     string // of that state's configuration
-	trigger    chan struct{}
+	controller string        // a controller that has the configuration
+	index      uint64        // of the newest announced state
+	digest     string        // of that state's configuration
+	trigger    chan struct{} // buffered for one value
 }
 
-// applyConfiguration puts a later configuration in force. The first one of a life is taken only from a controller that is current:
-// any other may be older than what this machine went by before.
+// applyConfiguration activates a newer configuration. A process takes its first one only from a current controller:
+// any other may be older than the one that this machine used before.
 func (p *Proxy) applyConfiguration(response *membership.WatchResponse) error {
 	position := p.currentPosition()
 	acceptable := response.Current || p.view.Load() != nil
@@ -36,17 +37,17 @@
 		return p.loadConfiguration(response)
 	case response.Index <= position.Index:
 	case response.Digest != "" && response.Digest != position.Digest && response.Edition != 0:
-		if acceptable { // named alone: it is fetched apart, and the watch goes on from here
+		if acceptable { // announced only: it is fetched separately, and the watch continues from this index
 			p.advanceIndex(response.Index)
 		}
 	case response.Digest != "" || response.Edition == position.Edition || response.Edition == 0:
-		p.advanceIndex(response.Index) // something else was agreed
+		p.advanceIndex(response.Index) // the state changed, but not its configuration
 	}
 	return nil
 }
 
-// loadConfiguration reads the configuration that came with the answer to a watch. A change of another one than is in force by now
-// changes nothing: the next answer has the right one.
+// loadConfiguration reads the configuration in a watch response. A delta to another configuration than the active one
+// is ignored: the next response contains the right one.
 func (p *Proxy) loadConfiguration(response *membership.WatchResponse) error {
 	if response.Packed == nil {
 		config, err := routing.Load(response.Configuration)
@@ -63,7 +64,7 @@
 	return p.unpack(response.Index, response.Packed, held)
 }
 
-// unpack puts a packed configuration in force. One that can't be unpacked is asked for as it is.
+// unpack activates a packed configuration. If it can't be unpacked, later watches ask for a plain one.
 func (p *Proxy) unpack(index uint64, packed *routing.Packed, held *routing.Configuration) error {
 	config, err := packed.Unpack(held)
 	p.unpackFailed.Store(err != nil)
@@ -77,14 +78,14 @@
 	return nil
 }
 
-// resetWatchIndex has the next watch be told again of what is not in force.
+// resetWatchIndex makes the next watch return states again that are not active yet.
 func (p *Proxy) resetWatchIndex() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.position.Index = p.activeIndex()
 }
 
-// activeConfiguration is the one in force, nil for none.
+// activeConfiguration returns the configuration in force, or nil.
 func (p *Proxy) activeConfiguration() *routing.Configuration {
 	if v := p.view.Load(); v != nil {
 		return v.configuration
@@ -92,13 +93,14 @@
 	return nil
 }
 
+// currentPosition returns the position from which the next watch continues.
 func (p *Proxy) currentPosition() membership.Position {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.position
 }
 
-// activateFrom puts the configuration of a state in force.
+// activateFrom activates the configuration of the state at index and moves the watch position there.
 func (p *Proxy) activateFrom(index uint64, config *routing.Configuration) {
 	p.activate(index, config)
 	p.mu.Lock()
@@ -109,13 +111,14 @@
 	}
 }
 
+// advanceIndex moves the watch position forward to index.
 func (p *Proxy) advanceIndex(index uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.position.Index = max(p.position.Index, index)
 }
 
-// requestFetch has the configuration fetched that a controller has named and not given.
+// requestFetch schedules the fetch of a configuration that a controller has announced without its contents.
 func (p *Proxy) requestFetch(controller string, response *membership.WatchResponse) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -132,22 +135,23 @@
 	}
 }
 
-// fetchSource is the controller to fetch from, "" once what was named last is in force.
+// fetchSource returns the controller to fetch from, or "" if the configuration announced last is active.
 func (p *Proxy) fetchSource() (controller string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if v := p.view.Load(); v != nil && (v.index >= p.fetch.index || p.position.Digest == p.fetch.digest) {
 		return ""
 	}
-	if p.unpackFailed.Load() { // it comes with the watch, as it is
+	if p.unpackFailed.Load() { // the watch returns it as a plain document
 		return ""
 	}
 	return p.fetch.controller
 }
 
-// fetchConfigurations fetches what is named, beside the watch: a lease must not wait for a long answer, nor a long answer for the end
-// that a watch has. What has begun is brought to its end, and what is newer by then comes as a change of it: begun anew for each newer
-// version, nothing would ever arrive while they follow one another fast.
+// fetchConfigurations fetches announced configurations concurrently with the watch, so that neither a long transfer
+// delays the renewal of the lease nor the watch timeout ends the transfer. A fetch that has started is completed, and
+// a newer version follows as a delta: with a restart for each newer version, no fetch would complete while versions
+// follow one another quickly.
 func (p *Proxy) fetchConfigurations(ctx context.Context) {
 	for {
 		select {
@@ -179,7 +183,7 @@
 	}
 }
 
-// activeIndex is the state whose configuration is in force, 0 for none.
+// activeIndex returns the index of the state whose configuration is in force, or 0.
 func (p *Proxy) activeIndex() uint64 {
 	if v := p.view.Load(); v != nil {
 		return v.index
@@ -188,11 +192,11 @@
 }
 
 var (
-	errNotCurrent = errors.New("the controller is not current")
-	errEmptyChunk = errors.New("an empty piece")
+	errNotCurrent = errors.New("controller is not current: no first configuration taken from it")
+	errEmptyChunk = errors.New("controller sent an empty configuration chunk")
 )
 
-// fetchConfiguration fetches the newest configuration of a controller, piece by piece, and puts it in force.
+// fetchConfiguration fetches the newest configuration of a controller in chunks and activates it.
 func (p *Proxy) fetchConfiguration(ctx context.Context, controller string) error {
 	held := p.activeConfiguration()
 	request := &membership.ConfigurationRequest{}
@@ -207,9 +211,9 @@
 			return err
 		}
 		if last.Packed.Result == request.Held {
-			return nil // there is nothing newer there
+			return nil // the controller has nothing newer
 		}
-		if last.Offset == 0 { // of the newest: what had begun is not kept there any more
+		if last.Offset == 0 { // the controller dropped the version under way and restarts with its newest
 			first, data = last, nil
 		}
 		data = append(data, last.Packed.Data...)
--- a/internal/mesh/proxy/configuration_test.go
+++ b/internal/mesh/proxy/configuration_test.go
@@ -24,7 +24,8 @@
 	"ottershift/logic"
 )
 
-// twoServiceConfiguration is a configuration whose routes wait for some milliseconds.
+// twoServiceConfiguration returns a configuration with routes to the services x and y, whose latency target is in
+// milliseconds.
 func twoServiceConfiguration(t *testing.T, edition, target int) *routing.Configuration {
 	route := func(service string) string {
 		return fmt.Sprintf(`{"Name":%q,"MailClass":"repeatable","Target":"%dms","Sorting":{"StreetPrefix":"/%s/%d/"},"Dispatch":{"Destination":%q,"Deadline":"2s","DeliveryTries":2}}`,
@@ -36,21 +37,22 @@
 	return c
 }
 
-// immutableModule is a module that takes no other terms in service.
+// immutableModule is a load balancer that cannot change its terms.
 type immutableModule struct{ desk.Module }
 
-// A module that refuses its terms, or has failed, is replaced; no version is kept from the other services by it.
+// A load balancer that rejects new terms, or has failed, is replaced. It must not keep the new version from the other
+// services.
 func TestModuleRejectingTermsDoesNotBlockConfiguration(t *testing.T) {
 	p := newTestProxy(nil)
 	p.activate(1, twoServiceConfiguration(t, 1, 100))
 	old := p.pools["x"]
 	book, order := p.bookOf(p.routes["x"])
-	stuck, err := desk.New(book, &figures.Pool{}, slog.New(slog.DiscardHandler), func(terms *logic.Terms, now int64) (desk.Module, error) {
+	rejecting, err := desk.New(book, &figures.Pool{}, slog.New(slog.DiscardHandler), func(terms *logic.Terms, now int64) (desk.Module, error) {
 		module, err := logic.New(terms, now)
 		return immutableModule{module}, err
 	})
 	must.NoError(t, err)
-	old = &servicePool{name: "x", counters: &figures.Pool{}, desk: stuck, peers: old.peers, budget: old.budget}
+	old = &servicePool{name: "x", counters: &figures.Pool{}, desk: rejecting, peers: old.peers, budget: old.budget}
 	old.setBook(book, order)
 	p.pools["x"] = old
 	p.activate(2, twoServiceConfiguration(t, 2, 200))
@@ -67,8 +69,8 @@
 	must.Eq(t, 1, p.counters.Of("modules_replaced").Load())
 }
 
-// Nothing that comes later brings an older version back: not a controller that lags, whole, packed or as a change; not a fetch that
-// began before; not a look at who is there.
+// No later event may bring an older version back: neither a response of a lagging controller (plain, packed or as a
+// delta), nor a fetch that started earlier, nor a change of nodes.
 func TestConfigurationNeverRollsBack(t *testing.T) {
 	versions := map[uint64]*routing.Configuration{}
 	for index := uint64(3); index < 8; index++ {
@@ -79,11 +81,11 @@
 		must.NoError(t, err)
 		return packed
 	}
-	var told *membership.ConfigurationResponse
+	var fetched *membership.ConfigurationResponse
 	p := newTestProxy(nil)
 	p.caller = rpc.NewCaller(func(http.RoundTripper) http.RoundTripper {
 		return roundTripFunc(func(r *http.Request) (*http.Response, error) {
-			raw, err := json.Marshal(told)
+			raw, err := json.Marshal(fetched)
 			return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(bytes.NewReader(raw)), Request: r}, err
 		})
 	})
@@ -92,48 +94,48 @@
 	}
 	must.NoError(t, p.applyConfiguration(answer(5, pack(0, 5))))
 	must.Eq(t, 5, p.view.Load().index)
-	holds := func(index uint64) {
+	mustBeAt := func(index uint64) {
 		t.Helper()
 		must.Eq(t, index, p.view.Load().index)
 		must.Eq(t, versions[index].Digest(), p.currentPosition().Digest)
 		must.Eq(t, versions[index].Edition, p.currentPosition().Edition)
 	}
-	must.NoError(t, p.applyConfiguration(answer(4, pack(0, 4)))) // of one that lags
-	holds(5)
+	must.NoError(t, p.applyConfiguration(answer(4, pack(0, 4)))) // from a lagging controller
+	mustBeAt(5)
 	must.NoError(t, p.applyConfiguration(answer(4, pack(5, 4))))
-	holds(5)
+	mustBeAt(5)
 	must.NoError(t, p.applyConfiguration(&membership.WatchResponse{Current: true, Position: membership.Position{Index: 4, Edition: 4}, Configuration: versions[4].Document()}))
-	holds(5)
-	must.NoError(t, p.applyConfiguration(answer(6, pack(4, 6)))) // of what is not held: the next answer has the right one
-	holds(5)
-	told = &membership.ConfigurationResponse{Packed: *pack(0, 4), Index: 4, Current: true}
-	told.Total = len(told.Packed.Data)
+	mustBeAt(5)
+	must.NoError(t, p.applyConfiguration(answer(6, pack(4, 6)))) // delta to a version that is not active: the next response has the right one
+	mustBeAt(5)
+	fetched = &membership.ConfigurationResponse{Packed: *pack(0, 4), Index: 4, Current: true}
+	fetched.Total = len(fetched.Packed.Data)
 	must.NoError(t, p.fetchConfiguration(context.Background(), "lags"))
-	holds(5)
+	mustBeAt(5)
 	p.mu.Lock()
 	p.putNode(record("other", "l", 1, 0), p.now())
 	p.applyNodeChanges()
 	p.mu.Unlock()
-	holds(5)
+	mustBeAt(5)
 	must.NoError(t, p.applyConfiguration(answer(7, pack(5, 7))))
-	holds(7)
+	mustBeAt(7)
 	for _, r := range p.view.Load().configuration.Routes {
 		must.Eq(t, int64(107*time.Millisecond), p.view.Load().targets[r][0].limitedTerms.Tariffs[0].ContractTime)
 	}
 }
 
-// A long configuration is fetched piece by piece: what a controller has lost or won't give is fetched at another, and one whose answers
-// can't be unpacked is asked for as it is.
+// A long configuration is fetched in chunks. If a controller fails during the transfer or is not current, another one
+// is asked; if a configuration can't be unpacked, the plain one is requested.
 func TestLongConfigurationIsFetchedFromAnyController(t *testing.T) {
-	of := twoServiceConfiguration(t, 3, 100)
-	whole, err := routing.Pack(nil, of)
+	config := twoServiceConfiguration(t, 3, 100)
+	whole, err := routing.Pack(nil, config)
 	must.NoError(t, err)
 	half := len(whole.Data) / 2
 	var asked []string
-	newProxy := func(spoil bool) *Proxy {
-		b := settings.Default()
-		b.Node, b.District = "self", "z"
-		p := New(b, slog.New(slog.DiscardHandler), WithTransport(func(http.RoundTripper) http.RoundTripper {
+	newProxy := func(corrupt bool) *Proxy {
+		proxySettings := settings.Default()
+		proxySettings.Node, proxySettings.District = "self", "z"
+		p := New(proxySettings, slog.New(slog.DiscardHandler), WithTransport(func(http.RoundTripper) http.RoundTripper {
 			return roundTripFunc(func(r *http.Request) (*http.Response, error) {
 				request := &membership.ConfigurationRequest{}
 				if err := json.NewDecoder(r.Body).Decode(request); err != nil {
@@ -143,12 +145,12 @@
 				if strings.HasPrefix(r.URL.Host, "breaks") && request.Offset > 0 {
 					return nil, io.ErrUnexpectedEOF
 				}
-				piece := membership.ConfigurationResponse{Packed: *whole, Offset: request.Offset, Total: len(whole.Data), Index: 9, Current: r.URL.Host != "cut-off"}
-				piece.Packed.Data = whole.Data[request.Offset:min(request.Offset+half, len(whole.Data))]
-				if spoil {
-					piece.Packed.Result = "another"
+				chunk := membership.ConfigurationResponse{Packed: *whole, Offset: request.Offset, Total: len(whole.Data), Index: 9, Current: r.URL.Host != "cut-off"}
+				chunk.Packed.Data = whole.Data[request.Offset:min(request.Offset+half, len(whole.Data))]
+				if corrupt {
+					chunk.Packed.Result = "another"
 				}
-				raw, err := json.Marshal(piece)
+				raw, err := json.Marshal(chunk)
 				return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(bytes.NewReader(raw)), Request: r}, err
 			})
 		}))
@@ -156,30 +158,30 @@
 		return p
 	}
 	p := newProxy(false)
-	ctx, end := context.WithCancel(context.Background())
-	defer end()
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	go p.fetchConfigurations(ctx)
-	named := &membership.WatchResponse{Current: true, Position: membership.Position{Index: 9, Edition: 3, Digest: of.Digest()}}
-	must.NoError(t, p.applyConfiguration(named))
-	must.Eq(t, 9, p.currentPosition().Index) // the watch goes on from there
-	p.requestFetch("breaks", named)
+	announced := &membership.WatchResponse{Current: true, Position: membership.Position{Index: 9, Edition: 3, Digest: config.Digest()}}
+	must.NoError(t, p.applyConfiguration(announced))
+	must.Eq(t, 9, p.currentPosition().Index) // the watch continues from the announced index
+	p.requestFetch("breaks", announced)
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return p.view.Load() != nil }), wait.Timeout(5*time.Second), wait.Gap(time.Millisecond)))
-	must.Eq(t, of.Digest(), p.view.Load().configuration.Digest())
+	must.Eq(t, config.Digest(), p.view.Load().configuration.Digest())
 	must.SliceContains(t, asked, fmt.Sprint("sound", half))
-	must.SliceContains(t, asked, "cut-off0") // it is not taken from who is not current
+	must.SliceContains(t, asked, "cut-off0") // asked, but its configuration is not used: it is not current
 	must.False(t, p.unpackFailed.Load())
 
-	spoilt := newProxy(true)
-	must.NoError(t, spoilt.applyConfiguration(named))
-	must.Eq(t, 9, spoilt.currentPosition().Index)
-	spoilt.requestFetch("sound", named)
-	must.Error(t, spoilt.fetchConfiguration(context.Background(), "sound"))
-	must.True(t, spoilt.unpackFailed.Load())
-	must.Eq(t, "", spoilt.fetchSource())
-	request, _ := spoilt.watchRequest()
+	failing := newProxy(true)
+	must.NoError(t, failing.applyConfiguration(announced))
+	must.Eq(t, 9, failing.currentPosition().Index)
+	failing.requestFetch("sound", announced)
+	must.Error(t, failing.fetchConfiguration(context.Background(), "sound"))
+	must.True(t, failing.unpackFailed.Load())
+	must.Eq(t, "", failing.fetchSource())
+	request, _ := failing.watchRequest()
 	must.False(t, request.Packed)
-	must.Eq(t, 0, request.Position.Index) // it is told again
-	plain := &membership.WatchResponse{Current: true, Position: membership.Position{Index: 9, Edition: 3}, Configuration: of.Document()}
-	must.NoError(t, spoilt.applyConfiguration(plain))
-	must.Eq(t, of.Digest(), spoilt.view.Load().configuration.Digest())
+	must.Eq(t, 0, request.Position.Index) // the watch returns the state again
+	plain := &membership.WatchResponse{Current: true, Position: membership.Position{Index: 9, Edition: 3}, Configuration: config.Document()}
+	must.NoError(t, failing.applyConfiguration(plain))
+	must.Eq(t, config.Digest(), failing.view.Load().configuration.Digest())
 }
--- a/internal/mesh/proxy/connection.go
+++ b/internal/mesh/proxy/connection.go
@@ -14,39 +14,41 @@
 )
 
 const (
-	maxResponseHeadBytes      = 64 << 10 // bytes of an answer's head
-	maxForeignResponses       = 4        // answers to other requests that are skipped before an attempt is given up
-	maxForeignBodyBytes       = 1 << 20  // bytes of one of them
-	maxInformationalResponses = 16       // 1xx answers to one request
-	maxRefusedPerConnection   = 64       // attempts that one connection may have refused before it is closed
+	maxResponseHeadBytes      = 64 << 10 // of a response head
+	maxForeignResponses       = 4        // responses to other requests that are skipped before the exchange fails
+	maxForeignBodyBytes       = 1 << 20  // of the body of a skipped response
+	maxInformationalResponses = 16       // 1xx responses to one request
+	maxRefusedPerConnection   = 64       // refused requests that one connection remembers before it is closed
 )
 
 var (
-	errForeignResponses  = errors.New("only answers to other requests came")
-	errMalformedResponse = errors.New("what came is no answer to the request")
-	errUndelimitedBody   = errors.New("an answer without a stated end can't be told from one that broke off")
+	errForeignResponses  = errors.New("received only responses to other requests")
+	errMalformedResponse = errors.New("not a final HTTP/1.x response to the request")
+	errUndelimitedBody   = errors.New("response body ends only with its connection: a truncated one can't be detected")
 )
 
 // connection is a TCP connection that carries one request at a time.
 //
-// Invariant: bytes behind a whole answer, and answers that come late, belong to no request in hand. Looking at a kept connection
-// and writing to it are two moments, so the look proves nothing. Whose an answer is shows the attempt id that it bears, whatever
-// its status; one without an id belongs to nobody.
+// Bytes after a complete response, and responses that arrive late, belong to an earlier request. Checking an idle
+// connection for unread bytes does not rule them out, because they may arrive between the check and the write.
+// Therefore a response is matched to its request by the request ID that it carries, whatever its status; a response
+// without an ID is discarded.
 type connection struct {
 	*net.TCPConn
 	raw       syscall.RawConn
-	limit     *io.LimitedReader // between the connection and reader
+	limit     *io.LimitedReader // between the TCP connection and reader
 	reader    *bufio.Reader
 	pool      *connectionPool
 	to        destination
 	idleUntil time.Time
 
 	reused          bool            // it has carried another request before
-	desynchronized  bool            // what comes next may belong to anyone: it carries no other request
-	earlyResponse   bool            // its answer came before the request had been written whole
-	refusedRequests map[string]bool // attempts that were not served over it, so that they may be sent once more elsewhere
+	desynchronized  bool            // later bytes may belong to any request: the connection is not reused
+	earlyResponse   bool            // the response arrived before the request had been written completely
+	refusedRequests map[string]bool // request IDs refused over it, which may be sent again over another connection
 }
 
+// newConnection wraps a TCP connection to a destination.
 func newConnection(tcp *net.TCPConn, pool *connectionPool, to destination) (*connection, error) {
 	raw, err := tcp.SyscallConn()
 	if err != nil {
@@ -63,23 +65,27 @@
 	}, nil
 }
 
+// addIdleCount adds n to the destination's count of idle connections.
 func (c *connection) addIdleCount(n int32) {
 	if c.to.idleCount != nil {
 		c.to.idleCount.Add(n)
 	}
 }
 
-// reset resets a connection whose request has been given up. Invariant: what has not arrived of it is lost then; closed in
-// order, it could come out of a link that is cut, and run, long after its caller has been told that its time is up.
+// reset closes a connection with a TCP reset after its request was given up. An orderly close would still deliver
+// unsent bytes, for example after a network partition heals, and the request would run long after its caller has been
+// told that it timed out.
 func (c *connection) reset() {
 	c.SetLinger(0)
 	c.Close()
 }
 
-// hasRefused reports whether an attempt was refused over this connection before. Invariant: a second copy of that answer may come
-// late, with the right id; sent over the same connection, the same attempt would be given it for a promise while it runs.
+// hasRefused reports whether a request was refused over this connection before. A duplicate of that refusal may arrive
+// late with the same request ID; if the request were sent again over the same connection, the duplicate would be taken
+// as proof that it did not run although it does.
 func (c *connection) hasRefused(requestID string) bool { return c.refusedRequests[requestID] }
 
+// recordRefusal remembers a request that was refused over this connection.
 func (c *connection) recordRefusal(requestID string) {
 	if c.refusedRequests == nil {
 		c.refusedRequests = map[string]bool{}
@@ -87,22 +93,23 @@
 	c.refusedRequests[requestID] = true
 }
 
-// reusableAfter reports whether another request may be sent after an answer that has been read whole.
+// reusableAfter reports whether another request may be sent after a response that was read completely.
 func (c *connection) reusableAfter(response *http.Response) bool {
 	switch {
 	case c.desynchronized, response.Close, c.reader.Buffered() > 0:
 		return false
 	case response.ProtoMinor == 0:
 		return false
-	case response.Request.Method == http.MethodHead: // a late answer to another method would be framed wrongly
+	case response.Request.Method == http.MethodHead: // a late response to another method would be framed wrongly
 		return false
 	}
 	return len(c.refusedRequests) < maxRefusedPerConnection
 }
 
-// exchange writes a request and reads the head of its answer; wrote tells that some of the request may have gone out. The answer
-// is waited for while a body is still being written: it may come early.
-func (c *connection) exchange(request *http.Request, first []byte, rest io.Reader, requestID string) (response *http.Response, wrote bool, err error) {
+// exchange writes a request and reads the head of its response. wrote reports whether any byte of the request may have
+// been sent. A body is written concurrently with the wait for the response, which may arrive early.
+func (c *connection) exchange(request *http.Request, first []byte, rest io.Reader, requestID string) (
+	response *http.Response, wrote bool, err error) {
 	if rest == nil && len(first) <= maxInlineWrite {
 		response, wrote, err = c.exchangeInline(request, first, requestID)
 	} else {
@@ -114,28 +121,32 @@
 	return response, wrote, err
 }
 
-func (c *connection) exchangeInline(request *http.Request, first []byte, requestID string) (response *http.Response, wrote bool, err error) {
+// exchangeInline writes the whole request before it reads the response.
+func (c *connection) exchangeInline(request *http.Request, first []byte, requestID string) (
+	response *http.Response, wrote bool, err error) {
 	n, writeErr := c.Write(first)
 	if writeErr != nil && n == 0 {
 		return nil, false, writeErr
 	}
-	if writeErr != nil { // it may have been answered all the same, by an upstream that refuses it unread
+	if writeErr != nil { // an upstream that refuses a request unread may still have responded
 		c.desynchronized = true
 	}
 	response, err = c.readResponse(request, requestID)
 	return response, true, err
 }
 
-func (c *connection) exchangeWhileWriting(request *http.Request, first []byte, rest io.Reader, requestID string) (response *http.Response, wrote bool, err error) {
+// exchangeWhileWriting reads the response while the request is being written.
+func (c *connection) exchangeWhileWriting(request *http.Request, first []byte, rest io.Reader, requestID string) (
+	response *http.Response, wrote bool, err error) {
 	writer := startBodyWriter(c, first, rest)
 	response, err = c.readResponse(request, requestID)
 	if writer.succeeded() {
-		// Buffers may hold all of a body that an upstream has refused unread, and that it would take for its next request.
+		// The socket buffers may hold a body that the upstream has refused unread and would parse as its next request.
 		c.desynchronized = err == nil && response.StatusCode >= http.StatusMultipleChoices || c.desynchronized
 		return response, true, err
 	}
 	c.desynchronized, c.earlyResponse = true, true
-	if err != nil || response.StatusCode >= http.StatusMultipleChoices { // the rest of the body is of no use
+	if err != nil || response.StatusCode >= http.StatusMultipleChoices { // the rest of the body is not needed
 		c.SetWriteDeadline(pastDeadline)
 	}
 	if err != nil {
@@ -144,7 +155,8 @@
 	return response, true, nil
 }
 
-// readResponse reads the head of the answer to a request, past informational ones and those that belong to other requests.
+// readResponse reads the head of the response to a request. It skips informational responses and responses to other
+// requests.
 func (c *connection) readResponse(request *http.Request, requestID string) (*http.Response, error) {
 	informational, foreign := 0, 0
 	for {
@@ -175,6 +187,7 @@
 	}
 }
 
+// readResponseHead reads one response head of at most maxResponseHeadBytes.
 func (c *connection) readResponseHead(request *http.Request) (*http.Response, error) {
 	c.limit.N = maxResponseHeadBytes
 	response, err := http.ReadResponse(c.reader, request)
@@ -182,11 +195,12 @@
 	return response, err
 }
 
-// responseMatcher reports whether an answer is proven to be that to an attempt.
-type responseMatcher func(answer *http.Response, attempt string) bool
+// responseMatcher reports whether a response is proven to belong to a request.
+type responseMatcher func(response *http.Response, requestID string) bool
 
-// matchesRequestID is the rule. A request without an id has a connection of its own, where only an answer without one can be its.
-// Waiting on is no loss where an upstream leaves out the id: a request that it may be at work on is not to be broken off.
+// matchesRequestID is the responseMatcher in production. A request without an ID has its own connection, where only a
+// response without an ID can belong to it. If an upstream omits the ID, the request waits until its deadline: it may
+// be running, so it must not be taken as failed.
 func matchesRequestID(response *http.Response, requestID string) bool {
 	ids := response.Header[requestIDHeader]
 	if requestID == "" {
@@ -195,6 +209,7 @@
 	return len(ids) == 1 && ids[0] == requestID
 }
 
+// skipBody discards the body of a response to another request, up to maxForeignBodyBytes.
 func skipBody(response *http.Response) error {
 	_, err := io.CopyN(io.Discard, response.Body, maxForeignBodyBytes)
 	if err == nil {
@@ -206,14 +221,15 @@
 	return nil
 }
 
-// requireDelimitedBody has the body of an answer that only the end of its connection delimits end in an error: that is how a broken
-// one ends, too.
+// requireDelimitedBody makes the body of a response end in an error if only the end of the connection delimits it,
+// because a truncated body ends the same way.
 func requireDelimitedBody(response *http.Response) {
 	if response.ContentLength < 0 && len(response.TransferEncoding) == 0 && response.Body != http.NoBody {
 		response.Body = &undelimitedBody{response.Body}
 	}
 }
 
+// undelimitedBody returns errUndelimitedBody in place of io.EOF.
 type undelimitedBody struct{ io.ReadCloser }
 
 func (b *undelimitedBody) Read(p []byte) (int, error) {
@@ -224,8 +240,8 @@
 	return n, err
 }
 
-// provesNotExecuted reports whether an answer says that its upstream has not run the request and never will. No status alone says so
-// but 421.
+// provesNotExecuted reports whether a response states that the upstream has not executed the request and never will.
+// The only status that proves this on its own is 421 Misdirected Request.
 func provesNotExecuted(response *http.Response) bool {
 	if response.StatusCode == http.StatusMisdirectedRequest {
 		return true
@@ -233,7 +249,7 @@
 	return response.Header[notExecutedHeader] != nil && response.StatusCode >= http.StatusBadRequest
 }
 
-// writeRequestHead writes a request's head. The target goes on as it came.
+// writeRequestHead writes the head of a request. The request target is passed on unchanged.
 func writeRequestHead(buffer *bytes.Buffer, method, target, host string, header http.Header, length int64) {
 	buffer.WriteString(method)
 	buffer.WriteByte(' ')
--- a/internal/mesh/proxy/connection_pool.go
+++ b/internal/mesh/proxy/connection_pool.go
@@ -16,21 +16,22 @@
 )
 
 const (
-	peerIdleTimeout     = 20 * time.Second // idle, to a peer of the mesh, which closes later
-	upstreamIdleTimeout = 3 * time.Second  // idle, to an upstream that does not say how long
-	tcpUserTimeout      = 2500 * time.Millisecond
+	peerIdleTimeout     = 20 * time.Second        // idle, to another proxy, which closes later
+	upstreamIdleTimeout = 3 * time.Second         // idle, to an upstream that does not announce its keep-alive time
+	tcpUserTimeout      = 2500 * time.Millisecond // without TCP acknowledgement, after which the peer counts as gone
 )
 
-// connectionPool holds the kept connections of one process to the hosts that it sends to.
+// connectionPool holds the idle connections of this process to a set of hosts.
 type connectionPool struct {
 	dialer               net.Dialer
 	mu                   sync.Mutex
 	idle                 map[string][]*connection
 	matches              responseMatcher
 	dials, failed, stale *atomic.Int64
-	foreign              *atomic.Int64 // answers that belonged to no request in hand
+	foreign              *atomic.Int64 // responses that belong to no open request
 }
 
+// newConnectionPool creates a pool whose counters start with name.
 func newConnectionPool(dialTimeout time.Duration, counters *telemetry.Counters, name string) *connectionPool {
 	return &connectionPool{
 		dials:   counters.Of(name + "_dials"),
@@ -43,16 +44,17 @@
 	}
 }
 
-// destination is where a connection goes: a host is the identity behind an address, which may get a new owner.
+// destination is the endpoint of a connection. The host identifies the process behind an address, which may pass to
+// another process.
 type destination struct {
 	host, address string
-	idleCount     *atomic.Int32 // counts the connections that are kept to the host, nil for no count
+	idleCount     *atomic.Int32 // counts the idle connections to the host, nil for no count
 }
 
-// get returns a kept connection that may carry the attempt, or nil if there is none.
+// get returns an idle connection that may carry the request, or nil if there is none.
 func (p *connectionPool) get(to destination, requestID string) *connection {
 	if requestID == "" {
-		return nil // no answer could be matched to it on a connection with a past
+		return nil // on a reused connection, no response could be matched to it
 	}
 	for {
 		c := p.popIdle(to.host, requestID)
@@ -70,7 +72,7 @@
 	}
 }
 
-// popIdle removes the connection that was kept last, of those that have not refused the attempt before.
+// popIdle removes the most recently used idle connection that has not refused the request before.
 func (p *connectionPool) popIdle(host, requestID string) *connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -101,7 +103,7 @@
 	return c, err
 }
 
-// put keeps a connection whose answer has been read whole, or closes it if nothing more may be sent over it.
+// put returns a connection whose response has been read completely to the pool, or closes it if it can't be reused.
 func (p *connectionPool) put(c *connection, response *http.Response, maxIdle time.Duration) {
 	if !c.reusableAfter(response) {
 		c.Close()
@@ -114,8 +116,8 @@
 	p.mu.Unlock()
 }
 
-// idleLimit is how long a connection may stay idle: a part of what its peer grants, since a request that is sent while the peer
-// closes may have run.
+// idleLimit returns how long a connection may stay idle: three quarters of the time that the peer announces, since a
+// request sent while the peer closes the connection may have run.
 func idleLimit(response *http.Response, maxIdle time.Duration) time.Duration {
 	limit := maxIdle
 	for _, part := range strings.Split(response.Header.Get("Keep-Alive"), ",") {
@@ -130,7 +132,7 @@
 	return limit
 }
 
-// closeExpired closes what has been idle for long.
+// closeExpired closes connections that have reached their idle limit.
 func (p *connectionPool) closeExpired(now time.Time) {
 	var expired []*connection
 	p.mu.Lock()
@@ -151,7 +153,7 @@
 	closeIdle(expired)
 }
 
-// closeHost closes what is kept to a host that is gone.
+// closeHost closes the idle connections to a host that is gone.
 func (p *connectionPool) closeHost(host string) {
 	p.mu.Lock()
 	connections := p.idle[host]
@@ -160,6 +162,7 @@
 	closeIdle(connections)
 }
 
+// closeIdle closes connections that were removed from the pool.
 func closeIdle(connections []*connection) {
 	for _, c := range connections {
 		c.addIdleCount(-1)
--- a/internal/mesh/proxy/control.go
+++ b/internal/mesh/proxy/control.go
@@ -9,7 +9,7 @@
 	"ottershift/internal/mesh/apierror"
 )
 
-// heartbeatMessage is an upstream's heartbeat, as it is sent.
+// heartbeatMessage is the JSON body of an upstream's heartbeat.
 type heartbeatMessage struct {
 	Address string
 	Notice  struct {
@@ -23,7 +23,7 @@
 	}
 }
 
-// control takes the calls of the upstream on this machine.
+// control handles the calls of the upstream on this machine: heartbeats and its sign-off.
 func (p *Proxy) control(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	id := query.Get("of")
--- a/internal/mesh/proxy/controller_selector.go
+++ b/internal/mesh/proxy/controller_selector.go
@@ -3,17 +3,19 @@
 import "time"
 
 const (
-	initialAvoidance = 3 * time.Second  // for which a controller is not asked after it failed once
-	maxAvoidance     = 12 * time.Second // and after it failed again and again
+	initialAvoidance = 3 * time.Second  // how long a controller is skipped after its first failure
+	maxAvoidance     = 12 * time.Second // how long it is skipped at most after repeated failures
 )
 
-// controllerSelector says which controller is asked next: the first in the order of preference that has not failed of late. One that
-// goes on failing is asked less and less often, so that any number of them in front of a sound one does not keep it from being asked.
+// controllerSelector selects the controller to ask next: the first in the order of preference that has not failed
+// recently. The wait doubles with repeated failures, so that any number of failing controllers does not keep a healthy
+// one further down from being asked.
 type controllerSelector struct {
 	byController map[string]controllerFailures
 	maxAvoidance time.Duration
 }
 
+// controllerFailures counts the consecutive failures of a controller.
 type controllerFailures struct {
 	consecutive int
 	lastAt      int64
@@ -23,7 +25,8 @@
 	return &controllerSelector{byController: map[string]controllerFailures{}, maxAvoidance: maxAvoidance}
 }
 
-// pick is the controller to ask, "" where none is known. Where all have failed of late, it is the one whose turn comes first.
+// pick returns the controller to ask, or "" if none is known. If all have failed recently, it returns the one whose
+// last failure is the oldest.
 func (s *controllerSelector) pick(controllers []string, now int64) (controller string) {
 	for _, candidate := range controllers {
 		if s.retryAt(candidate) <= now {
@@ -38,6 +41,7 @@
 	return controller
 }
 
+// retryAt returns the time from which a controller is asked again.
 func (s *controllerSelector) retryAt(controller string) int64 {
 	failures, failed := s.byController[controller]
 	if !failed {
@@ -47,8 +51,8 @@
 	return failures.lastAt + int64(avoidance)
 }
 
-// failed notes that a controller did not answer in time. One that was asked before its turn, since there was nobody else, is not
-// avoided for longer by that.
+// failed records that a controller did not respond in time. The wait does not grow if the controller was asked before
+// retryAt for lack of an alternative.
 func (s *controllerSelector) failed(controller string, now int64) {
 	consecutive := s.byController[controller].consecutive
 	if now >= s.retryAt(controller) {
@@ -57,9 +61,11 @@
 	s.byController[controller] = controllerFailures{consecutive, now}
 }
 
-// notCurrent notes that a controller answered that it is not current. To hear that takes no time, so it is asked again soon.
+// notCurrent records that a controller responded that it is not current. Such a response costs little time, so the
+// controller is asked again soon.
 func (s *controllerSelector) notCurrent(controller string, now int64) {
 	s.byController[controller] = controllerFailures{1, now}
 }
 
+// succeeded clears the failures of a controller.
 func (s *controllerSelector) succeeded(controller string) { delete(s.byController, controller) }
--- a/internal/mesh/proxy/downstream_request.go
+++ b/internal/mesh/proxy/downstream_request.go
@@ -11,37 +11,38 @@
 	"ottershift/logic"
 )
 
-// downstreamRequest is one try of a client on its way.
+// downstreamRequest is a request of a client, together with the state of its attempts.
 type downstreamRequest struct {
 	servicePool    *servicePool
 	method         string
-	target         string // as it came
+	target         string // as received
 	host           string
 	requestID      string
 	header         http.Header
 	body           []byte
-	bodyRest       io.Reader // behind body, nil if that is all
+	bodyRest       io.Reader // the part after body, nil if there is none
 	length         int64
-	latencyTarget  time.Duration // within which its answer is of full worth
+	latencyTarget  time.Duration // after which the response loses value
 	rank           priority.Rank
-	longResponse   bool // its answer is
+	longResponse   bool // its route has long responses
 	clientDeadline time.Time
-	creditClaim    *burstcredit.Claim // that it has drawn burst credit for, nil for none
+	creditClaim    *burstcredit.Claim // burst credit that it uses, nil for none
 
 	mu             sync.Mutex
-	delivered      bool // its client has all of an answer that is of use
-	stopped        bool // it has its answer: nothing more goes out
+	delivered      bool // the client has received a complete successful response
+	stopped        bool // no further attempts are sent
 	maxAttempts    int  // upstreams that it may be sent to
-	sent           int  // pushes that have reached one, or may have
-	mayHaveRun     int  // and of them, those that may have run
-	inFlight       int  // and of them, those without an outcome
+	sent           int  // attempts that have reached an upstream, or may have
+	mayHaveRun     int  // of these, attempts that may have run
+	inFlight       int  // attempts without an outcome
 	failedResponse *downstreamResponse
-	responses      map[int]*downstreamResponse // by push
+	responses      map[int]*downstreamResponse // by attempt number
 }
 
-// beginAttempt lets a push out, unless its request has been answered or has been sent to as many upstreams as it may be; what was
-// turned away before it came to one doesn't count. One beyond the first has to be paid for. Invariant: without a look at the
-// answer a push ordered before one that promises that nothing runs would go out after it.
+// beginAttempt reports whether an attempt may be sent. It may not after the request was answered, or after it was sent
+// to the maximum number of upstreams; attempts that were refused before they reached an upstream do not count. Each
+// attempt after the first takes a retry from the budget. Without the check for an answer, an attempt that was ordered
+// earlier would be sent after a response that states that nothing runs.
 func (r *downstreamRequest) beginAttempt(takeRetry func() bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -54,7 +55,7 @@
 	return true
 }
 
-// endAttempt takes a push's outcome; early says that it never came to an upstream.
+// endAttempt records the outcome of an attempt; notReceived means that it did not reach an upstream.
 func (r *downstreamRequest) endAttempt(result logic.Result, notReceived bool, failedResponse *downstreamResponse) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -70,7 +71,7 @@
 	}
 }
 
-// close lets nothing more out, and tells what may have run.
+// close stops further attempts and returns what may have run.
 func (r *downstreamRequest) close() (mayHaveRun, inFlight int, failedResponse *downstreamResponse) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -78,12 +79,14 @@
 	return r.mayHaveRun, r.inFlight, r.failedResponse
 }
 
+// storeResponse stores the response of an attempt.
 func (r *downstreamRequest) storeResponse(number int, response *downstreamResponse) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.responses[number] = response
 }
 
+// discardResponse ends the streaming of a response that has no reader.
 func (r *downstreamRequest) discardResponse(number int) {
 	r.mu.Lock()
 	response := r.responses[number]
--- a/internal/mesh/proxy/downstream_response.go
+++ b/internal/mesh/proxy/downstream_response.go
@@ -11,23 +11,23 @@
 	"ottershift/internal/mesh/priority"
 )
 
-// downstreamResponse is an answer of an upstream, held whole or flowing.
+// downstreamResponse is an upstream's response to be passed on, either buffered or streamed.
 type downstreamResponse struct {
 	status        int
 	header        http.Header
 	body          []byte
-	remaining     io.Reader // the rest of it
-	length        int64     // of all, -1 if nobody has said
-	written       chan bool // says whether all of a flow was written
-	earlyResponse bool      // it came before the request had gone out whole: its caller may send nothing else behind that
+	remaining     io.Reader // the part after body, nil if there is none
+	length        int64     // of the whole body, -1 if unknown
+	written       chan bool // receives whether a streamed response was written completely
+	earlyResponse bool      // it arrived before the request was sent completely: the caller's connection can't be reused
 
-	pacer   *linePacer // of the line that it flows over, nil for none
+	pacer   *linePacer // of the line over which it is sent, nil for none
 	rank    priority.Rank
 	context context.Context
 }
 
-// detectLength reads as much of an answer of no stated length as tells whether it is a long one. Invariant: taken for long, a small
-// one waits for its turn behind all long ones, while whoever called for it runs out of time.
+// detectLength reads ahead to determine whether a response of unknown length is a short one. A short response that was
+// taken for a long one would wait its turn behind all long ones until its caller's deadline.
 func (r *downstreamResponse) detectLength() error {
 	if r.length >= 0 || r.pacer == nil || r.pacer.rate == 0 {
 		return nil
@@ -43,7 +43,8 @@
 	return nil
 }
 
-// writeResponse passes an upstream's answer on. Invariant: one that breaks off must not look whole.
+// writeResponse passes an upstream's response on. A truncated response must not look complete, so its connection is
+// aborted.
 func (p *Proxy) writeResponse(w http.ResponseWriter, r *downstreamResponse) {
 	headers := w.Header()
 	for name, values := range r.header {
@@ -52,7 +53,7 @@
 	if r.length >= 0 {
 		headers["Content-Length"] = []string{strconv.FormatInt(r.length, 10)}
 	}
-	for _, name := range serverAddedHeaders { // unless it is set to nothing
+	for _, name := range serverAddedHeaders { // a nil value keeps the server from adding the header
 		if headers[name] == nil {
 			headers[name] = nil
 		}
@@ -73,13 +74,13 @@
 	}
 	r.written <- err == nil
 	if source.failed {
-		p.log.Debug("answer cut", "why", "its source broke off", "err", err)
+		p.log.Debug("response truncated", "why", "upstream ended it early", "err", err)
 		p.abortUnless(err == nil, counterSourceBroke)
 	}
 	p.abortUnless(err == nil, counterReaderGone)
 }
 
-// abortUnless ends the connection of an answer that could not be passed on whole, and counts why.
+// abortUnless aborts the connection of a response that was not passed on completely, and counts the reason.
 func (p *Proxy) abortUnless(complete bool, counter string) {
 	if !complete {
 		p.counters.Add(counter)
@@ -87,7 +88,7 @@
 	}
 }
 
-// sourceReader notes whether what an answer is read from has broken off.
+// sourceReader records whether reading a response has failed.
 type sourceReader struct {
 	io.Reader
 	failed bool
@@ -100,11 +101,13 @@
 	return n, err
 }
 
+// serverAddedHeaders are the headers that net/http adds to a response unless they are present.
 var serverAddedHeaders = []string{"Date", "Content-Type"}
 
+// bufferPool holds buffers of bufferSize bytes.
 var bufferPool = sync.Pool{New: func() any { b := make([]byte, bufferSize); return &b }}
 
-// stream writes what flows, at the line's pace where it leaves the machine.
+// stream writes the streamed part of a response, paced if it is long and leaves the machine.
 func (r *downstreamResponse) stream(w io.Writer) error {
 	if r.pacer != nil && r.pacer.rate > 0 && (r.length < 0 || r.length > maxShortResponse) {
 		return r.pacer.stream(r.context, w, r.remaining, max(r.length, maxShortResponse), r.rank)
--- a/internal/mesh/proxy/headers.go
+++ b/internal/mesh/proxy/headers.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Names of the headers that the mesh reads or sets, as http.Header has them.
+// Names of the headers that the mesh reads or sets, in canonical form, and the values of meshHeader.
 var (
 	requestIDHeader        = textproto.CanonicalMIMEHeaderKey("X-Attempt-Id")
 	timeLeftHeader         = textproto.CanonicalMIMEHeaderKey("X-Time-Left-Ms")
@@ -16,18 +16,20 @@
 	apiKeyHeader           = textproto.CanonicalMIMEHeaderKey("X-Key")
 	upstreamStampHeader    = textproto.CanonicalMIMEHeaderKey("X-Postmark")
 	notExecutedHeader      = textproto.CanonicalMIMEHeaderKey("X-Not-Delivered")
-	meshHeader             = textproto.CanonicalMIMEHeaderKey("X-Hive")           // between two balancers: who says it, and what it means
-	meshPriorityHeader     = textproto.CanonicalMIMEHeaderKey("X-Hive-Aim")       // milliseconds within which an answer is of full worth
-	meshLongResponseHeader = textproto.CanonicalMIMEHeaderKey("X-Hive-Long")      // the answer is a long one
-	meshPartnerHeader      = textproto.CanonicalMIMEHeaderKey("X-Hive-Gate")      // a partner to which the balancer that is asked sends it on
-	importEditionHeader    = textproto.CanonicalMIMEHeaderKey("X-Import-Edition") // of the table under which it was sent to a partner
-	meshMayHaveRun         = "broke"                                              // the push may have run
-	meshNotExecuted        = "turned"                                             // it has not run and never will
-	hopByHopHeaders        = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length"}
-	meshOwnedHeaders       = []string{upstreamIDHeader, callerServiceHeader, tenantHeader, apiKeyHeader, timeLeftHeader, meshHeader, meshPriorityHeader, meshLongResponseHeader, meshPartnerHeader, importEditionHeader}
+	meshHeader             = textproto.CanonicalMIMEHeaderKey("X-Hive")           // between two proxies: one of the values below
+	meshPriorityHeader     = textproto.CanonicalMIMEHeaderKey("X-Hive-Aim")       // latency target in milliseconds, and rank
+	meshLongResponseHeader = textproto.CanonicalMIMEHeaderKey("X-Hive-Long")      // the response is a long one
+	meshPartnerHeader      = textproto.CanonicalMIMEHeaderKey("X-Hive-Gate")      // the partner to forward the request to
+	importEditionHeader    = textproto.CanonicalMIMEHeaderKey("X-Import-Edition") // version of the partner's import table
+	meshMayHaveRun         = "broke"                                              // the request may have run
+	meshNotExecuted        = "turned"                                             // the request has not run and never will
+	hopByHopHeaders        = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
+		"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length"}
+	meshOwnedHeaders = []string{upstreamIDHeader, callerServiceHeader, tenantHeader, apiKeyHeader, timeLeftHeader, meshHeader,
+		meshPriorityHeader, meshLongResponseHeader, meshPartnerHeader, importEditionHeader} // removed from clients' requests
 )
 
-// endToEndHeaders copies the headers that concern more than one connection.
+// endToEndHeaders copies the headers without the hop-by-hop ones.
 func endToEndHeaders(header http.Header) http.Header {
 	out := make(http.Header, len(header)+4)
 	for name, values := range header {
--- a/internal/mesh/proxy/inbound.go
+++ b/internal/mesh/proxy/inbound.go
@@ -15,7 +15,8 @@
 	"ottershift/internal/roster"
 )
 
-// serveInbound is the second hop: a request from another balancer, for the upstream on this machine.
+// serveInbound handles the inbound hop: a request that another proxy sends to the upstream on this machine or, through
+// this proxy, to a partner.
 func (p *Proxy) serveInbound(w http.ResponseWriter, r *http.Request) {
 	if r.Header.Get(meshHeader) == meshProbe {
 		if reported, _, _ := p.local.snapshot(); reported != nil && !reported.Closing && reported.ID == r.Header.Get(upstreamIDHeader) {
@@ -38,7 +39,7 @@
 		return
 	}
 	if r.Header[meshLongResponseHeader] != nil {
-		if p.draining.Load() { // its answer may flow for longer than this process has; another balancer takes it
+		if p.draining.Load() { // its response may take longer than the drain leaves; another proxy can serve it
 			p.counters.Add("turned_leaving")
 			p.rejectNotExecuted(w, r, apierror.NotHere)
 			return
@@ -52,7 +53,7 @@
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), request.deadline.Add(responseGrace))
 	defer cancel()
-	defer context.AfterFunc(p.shutdownContext, cancel)() // what waits for a slot is turned away with the proof that it has not run
+	defer context.AfterFunc(p.shutdownContext, cancel)() // at shutdown, a request that waits for a slot is refused as not executed
 	var response *upstreamResponse
 	if partner := r.Header.Get(meshPartnerHeader); partner != "" {
 		response = p.sendToPartner(ctx, request, partner)
@@ -69,7 +70,8 @@
 	}
 }
 
-// readInboundRequest reads a request of another balancer: for whom it is, how urgent, until when, and its body as far as it is held.
+// readInboundRequest reads the addressee, priority and deadline of a request from another proxy, and its body up to
+// maxBufferedBody.
 func (p *Proxy) readInboundRequest(r *http.Request) (*upstreamRequest, apierror.Kind) {
 	header := endToEndHeaders(r.Header)
 	for _, name := range []string{meshPartnerHeader, meshPriorityHeader, meshLongResponseHeader} {
@@ -80,8 +82,10 @@
 		return nil, apierror.Malformed
 	}
 	request := &upstreamRequest{
-		requestID: r.Header.Get(requestIDHeader), upstreamID: r.Header.Get(upstreamIDHeader), method: r.Method, target: r.RequestURI, host: r.Host, header: header,
-		requestPriority: p.priorityOf(r), length: max(r.ContentLength, 0), deadline: time.Now().Add(time.Duration(remaining * float64(time.Millisecond))),
+		requestID: r.Header.Get(requestIDHeader), upstreamID: r.Header.Get(upstreamIDHeader),
+		method: r.Method, target: r.RequestURI, host: r.Host, header: header,
+		requestPriority: p.priorityOf(r), length: max(r.ContentLength, 0),
+		deadline:   time.Now().Add(time.Duration(remaining * float64(time.Millisecond))),
 		callerGone: callerGone(r),
 	}
 	if r.ContentLength > 0 {
@@ -95,32 +99,34 @@
 	return request, apierror.None
 }
 
-// relayResponse passes an upstream's answer back to the balancer that asked.
+// relayResponse passes an upstream's response back to the proxy that sent the request.
 func (p *Proxy) relayResponse(w http.ResponseWriter, r *http.Request, request *upstreamRequest, response *upstreamResponse) {
 	defer response.release(false)
-	relayed := &downstreamResponse{status: response.httpResponse.StatusCode, header: endToEndHeaders(response.httpResponse.Header), length: response.httpResponse.ContentLength,
-		remaining: response.httpResponse.Body, earlyResponse: response.conn.earlyResponse, written: make(chan bool, 1), pacer: p.pacer, rank: request.rank, context: r.Context()}
+	relayed := &downstreamResponse{status: response.httpResponse.StatusCode, header: endToEndHeaders(response.httpResponse.Header),
+		length: response.httpResponse.ContentLength, remaining: response.httpResponse.Body,
+		earlyResponse: response.conn.earlyResponse, written: make(chan bool, 1), pacer: p.pacer, rank: request.rank, context: r.Context()}
 	if err := relayed.detectLength(); err != nil {
 		p.rejectMayHaveRun(w, r, err)
 		return
 	}
 	if request.requestID != "" {
-		relayed.header[requestIDHeader] = []string{request.requestID} // the answer is proven to be that attempt's
+		relayed.header[requestIDHeader] = []string{request.requestID} // proves that the response belongs to the request
 	}
 	p.writeResponse(w, relayed)
 	response.release(true)
 }
 
-// rejectMayHaveRun says that a request may have run, and that nothing of use came of it.
+// rejectMayHaveRun responds that a request may have run but has no usable response.
 func (p *Proxy) rejectMayHaveRun(w http.ResponseWriter, r *http.Request, err error) {
 	p.counters.Add("app_" + failureReason(err))
 	w.Header()[meshHeader] = []string{meshMayHaveRun}
 	p.refuse(w, r, apierror.Broke, 0)
 }
 
-// callerGone looks whether the other balancer has closed the connection of a request. Invariant: a process that stood still reads
-// what came meanwhile as if it came now, and its time begins anew; the request's context ends only some time after the handler has
-// begun, too late for one that is handed on at once.
+// callerGone returns a function that checks whether the other proxy has closed the request's connection. After a pause
+// of this process, for example a VM freeze, a request and the end of its connection are read together, and its
+// relative time limit starts anew. The request's context is cancelled only some time after the handler has started,
+// which is too late for a request that is forwarded at once.
 func callerGone(r *http.Request) func() bool {
 	if c := httpserver.ConnectionOf(r); c != nil {
 		return c.Gone
@@ -128,7 +134,7 @@
 	return nil
 }
 
-// failureReason names what ended an exchange with the upstream, for the counts.
+// failureReason names the cause of a failed exchange with the upstream, for the counters.
 func failureReason(err error) string {
 	var timeout net.Error
 	switch {
@@ -151,7 +157,7 @@
 	p.refuse(w, r, kind, 0)
 }
 
-// probeUpstream asks the balancer beside an upstream whether that is well.
+// probeUpstream asks the proxy beside an upstream whether the upstream is available.
 func (p *Proxy) probeUpstream(ctx context.Context, service *servicePool, at roster.Place) bool {
 	name := ""
 	p.mu.Lock()
@@ -176,6 +182,8 @@
 	return response.httpResponse.StatusCode == http.StatusOK
 }
 
+// meshProbe is the value of meshHeader in a health probe.
 const meshProbe = "well"
 
-const responseGrace = 30 * time.Millisecond // beyond its time that an upstream's own word for it is waited for
+// responseGrace is how long the response of the upstream is awaited after the request's deadline.
+const responseGrace = 30 * time.Millisecond
--- a/internal/mesh/proxy/inbound_test.go
+++ b/internal/mesh/proxy/inbound_test.go
@@ -20,13 +20,14 @@
 	"ottershift/internal/mesh/testmesh"
 )
 
-// upstreamWork is longer than lateDelay: what an upstream sends late comes while the next request is waited for.
+// upstreamServiceTime is longer than lateResponseDelay, so that a late response of the upstream arrives while the next
+// request is awaited.
 const (
 	upstreamServiceTime = 2 * time.Millisecond
 	lateResponseDelay   = 700 * time.Microsecond
 )
 
-// inboundHop is the hop from another balancer over a proxy to the upstream beside it.
+// inboundHop is the inbound hop of a proxy, from another proxy to the local upstream.
 type inboundHop struct {
 	t        *testing.T
 	proxy    *Proxy
@@ -36,6 +37,7 @@
 	requests int
 }
 
+// startInboundHop starts an upstream and the inbound server of its proxy.
 func startInboundHop(t *testing.T) *inboundHop {
 	plan, err := testmesh.Plan(0, 1, []string{"east"}, []string{"album"}, t.TempDir())
 	must.NoError(t, err)
@@ -52,6 +54,7 @@
 	return hop
 }
 
+// serve starts another inbound server with the handler.
 func (h *inboundHop) serve(handler http.HandlerFunc) {
 	server, err := httpserver.Listen("127.0.0.1:0", httpserver.Options{
 		Name: "inbound", Handler: handler, Counts: telemetry.NewCounters(), Log: slog.New(slog.DiscardHandler)})
@@ -67,18 +70,19 @@
 	})
 }
 
+// id returns a new request ID.
 func (h *inboundHop) id() string {
 	h.requests++
 	return fmt.Sprintf("h%d", h.requests)
 }
 
-// send sends an attempt as the other balancer does, and reports what it would make of the answer.
+// send sends a request as another proxy does and reports whether that proxy would conclude that it was not executed.
 func (h *inboundHop) send(requestID string) (refused bool, body string) {
 	r, err := http.NewRequest(http.MethodPost, "http://"+h.address+"/once/x", nil)
 	must.NoError(h.t, err)
 	r.Header = http.Header{requestIDHeader: {requestID}, upstreamIDHeader: {"i-0"}, timeLeftHeader: {"2000"}}
 	response, err := h.client.Do(r)
-	if err != nil { // its answer was cut
+	if err != nil { // the response was truncated
 		return false, ""
 	}
 	defer response.Body.Close()
@@ -86,7 +90,7 @@
 	return response.Header.Get(meshHeader) == meshNotExecuted || provesNotExecuted(response), string(raw)
 }
 
-// countMisdelivered counts pairs of requests whose second is given what an upstream sends late on the connection of the first.
+// countMisdelivered counts the pairs of requests whose second one gets the late response to the first one.
 func (h *inboundHop) countMisdelivered(pairs int) (n int) {
 	for range pairs {
 		h.upstream.Inject(testmesh.Injection{Fault: testmesh.ErrorWithoutIDLate, Delay: lateResponseDelay})
@@ -99,20 +103,22 @@
 	return n
 }
 
+// A late error response without a request ID arrives on a reused connection and must not be taken for the response to
+// the next request.
 func TestLateResponseWithoutIDIsDiscarded(t *testing.T) {
 	h := startInboundHop(t)
 	must.Eq(t, 0, h.countMisdelivered(300))
-	// Variant: an error without an id is taken for the request's own.
+	// Counter-check: the fault occurs if an error response without an ID is accepted.
 	h.proxy.upstreamConnections.matches = func(answer *http.Response, attempt string) bool {
 		return matchesRequestID(answer, attempt) || answer.Header[requestIDHeader] == nil && answer.StatusCode >= http.StatusBadRequest
 	}
 	wrong := h.countMisdelivered(300)
-	t.Logf("variant that takes an answer without an id: %d of 300 pairs with a wrong answer", wrong)
+	t.Logf("matcher that accepts responses without an ID: %d of 300 pairs with a wrong response", wrong)
 	must.Positive(t, wrong)
 }
 
-// countRefusedButRun counts attempts that are refused by their second push, too, although that runs: the second copy of the first
-// refusal comes late.
+// countRefusedButRun counts the requests that appear refused on their second sending although they run, because a
+// duplicate of the first refusal arrives late.
 func (h *inboundHop) countRefusedButRun(requests int, between func()) (n int) {
 	for range requests {
 		id := h.id()
@@ -129,10 +135,12 @@
 	return n
 }
 
+// A request that was refused is sent again. A late duplicate of the first refusal has the same request ID and must not
+// be taken as the response to the second sending.
 func TestDuplicateRefusalIsNotTakenForALaterAttempt(t *testing.T) {
 	h := startInboundHop(t)
 	must.Eq(t, 0, h.countRefusedButRun(200, func() {}))
-	// Variant: a connection carries an attempt again that it has refused.
+	// Counter-check: the fault occurs if a refused request is sent again over the same connection.
 	forget := func() {
 		pool := h.proxy.upstreamConnections
 		pool.mu.Lock()
@@ -144,14 +152,15 @@
 		}
 	}
 	wrong := h.countRefusedButRun(200, forget)
-	t.Logf("variant that sends a refused attempt over the same connection: %d of 200 refused although they ran", wrong)
+	t.Logf("refused request sent again over the same connection: %d of 200 refused although they ran", wrong)
 	must.Positive(t, wrong)
 }
 
+// A request whose response is missing or incomplete may have run and must not be sent again.
 func TestNoResendAfterIncompleteResponse(t *testing.T) {
 	faults := []testmesh.Fault{testmesh.Reset, testmesh.CloseBeforeAnswer, testmesh.ResetInHead, testmesh.ResetInBody, testmesh.CutShort, testmesh.Garbage}
 	h := startInboundHop(t)
-	twice := func() (n int) {
+	countRunTwice := func() (n int) {
 		for _, fault := range faults {
 			id := h.id()
 			h.upstream.Next(fault)
@@ -162,8 +171,8 @@
 		}
 		return n
 	}
-	must.Eq(t, 0, twice())
-	// Variant: what ended without a whole answer is sent once more.
+	must.Eq(t, 0, countRunTwice())
+	// Counter-check: the upstream runs a request twice if it is sent again.
 	h.serve(func(w http.ResponseWriter, r *http.Request) {
 		first := httptest.NewRecorder()
 		h.proxy.serveInbound(first, r)
@@ -171,41 +180,41 @@
 			h.proxy.serveInbound(w, r)
 		}
 	})
-	wrong := twice()
-	t.Logf("variant that sends again: %d of %d faults run twice", wrong, len(faults))
+	wrong := countRunTwice()
+	t.Logf("with resending: %d of %d faults run twice", wrong, len(faults))
 	must.Positive(t, wrong)
 }
 
-// A process that stood still hands nothing on after the time of whoever asked, nor once they have gone.
+// After a pause of the process, a request must not be sent once its deadline has passed or its caller has gone.
 func TestNoSendAfterDeadlineOrCancellation(t *testing.T) {
 	h := startInboundHop(t)
-	gone, cancel := context.WithCancel(context.Background())
+	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
 	for _, c := range []struct {
 		ctx  context.Context
 		left time.Duration
-	}{{context.Background(), -time.Millisecond}, {gone, time.Second}} {
-		s := newRequestTo("i-0", time.Second)
-		s.requestID, s.method, s.target, s.host, s.header = h.id(), http.MethodPost, "/once/x", "a.example", http.Header{}
-		s.deadline = time.Now().Add(c.left)
-		back := h.proxy.sendToLocalUpstream(c.ctx, s)
-		must.NotEq(t, apierror.None, back.kind)
-		must.False(t, back.wrote)
+	}{{context.Background(), -time.Millisecond}, {cancelled, time.Second}} {
+		request := newRequestTo("i-0", time.Second)
+		request.requestID, request.method, request.target, request.host, request.header = h.id(), http.MethodPost, "/once/x", "a.example", http.Header{}
+		request.deadline = time.Now().Add(c.left)
+		response := h.proxy.sendToLocalUpstream(c.ctx, request)
+		must.NotEq(t, apierror.None, response.kind)
+		must.False(t, response.wrote)
 		time.Sleep(10 * time.Millisecond)
-		must.Eq(t, 0, h.upstream.Runs(s.requestID))
+		must.Eq(t, 0, h.upstream.Runs(request.requestID))
 	}
 }
 
-// A process that stood still reads a request together with the end of its connection. serveInbound runs at once, and so before the
-// request's context has ended.
+// After a pause, the process reads a request together with the end of its connection. The handler runs at once, before
+// the request's context is cancelled, and must not forward the request.
 func TestNoForwardingForDisconnectedCaller(t *testing.T) {
 	h := startInboundHop(t)
 	const requests = 50
-	ranLate := func(within func(http.HandlerFunc) http.HandlerFunc) (n int) {
-		thawed, served := make(chan struct{}), make(chan struct{}, requests)
+	countRuns := func(wrap func(http.HandlerFunc) http.HandlerFunc) (n int) {
+		resumed, served := make(chan struct{}), make(chan struct{}, requests)
 		h.serve(func(w http.ResponseWriter, r *http.Request) {
-			<-thawed
-			within(h.proxy.serveInbound)(w, r.WithContext(context.WithoutCancel(r.Context())))
+			<-resumed
+			wrap(h.proxy.serveInbound)(w, r.WithContext(context.WithoutCancel(r.Context())))
 			served <- struct{}{}
 		})
 		var ids []string
@@ -214,7 +223,7 @@
 			ids = append(ids, id)
 			h.sendAndClose(id)
 		}
-		close(thawed)
+		close(resumed)
 		for range requests {
 			<-served
 		}
@@ -223,16 +232,16 @@
 		}
 		return n
 	}
-	must.Eq(t, 0, ranLate(func(serve http.HandlerFunc) http.HandlerFunc { return serve }))
-	// Variant: the connection is not looked at.
-	blind := func(serve http.HandlerFunc) http.HandlerFunc {
+	must.Eq(t, 0, countRuns(func(serve http.HandlerFunc) http.HandlerFunc { return serve }))
+	// Counter-check: the requests run if the connection is not checked.
+	withoutCheck := func(serve http.HandlerFunc) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
 			serve(w, r.WithContext(context.Background()))
 		}
 	}
-	late := ranLate(blind)
-	t.Logf("variant that does not look at the connection: %d of %d ran for nobody", late, requests)
-	must.Positive(t, late)
+	runs := countRuns(withoutCheck)
+	t.Logf("without the connection check: %d of %d ran for a disconnected caller", runs, requests)
+	must.Positive(t, runs)
 }
 
 // sendAndClose sends a request and closes its connection.
--- a/internal/mesh/proxy/key_validity.go
+++ b/internal/mesh/proxy/key_validity.go
@@ -7,19 +7,19 @@
 	"ottershift/internal/mesh/federation"
 )
 
-// keyValidity says for how long keys of tenants are taken on the word of a configuration that may have been replaced meanwhile.
-// Where a withdrawn key has to be refused everywhere within a bound, a balancer that hears of no newer configuration can't know
-// which keys still hold once the bound is over.
+// keyValidity limits for how long API keys are accepted from a configuration that may have been replaced. If a revoked
+// key has to be refused everywhere within a bound, a proxy without a confirmed configuration can't know which keys are
+// valid once the bound is over.
 type keyValidity struct {
-	maxAge      time.Duration // 0: keys are taken as long as the configuration that names them
-	confirmedAt atomic.Int64  // when the last question was sent that a controller answered as current
+	maxAge      time.Duration // 0: keys are valid as long as the configuration that contains them
+	confirmedAt atomic.Int64  // when the last request was sent that a current controller answered
 }
 
-// confirmed notes that a controller answered as current; askedAt is when its question was sent.
+// confirmed records the response of a current controller to a request that was sent at askedAt.
 func (v *keyValidity) confirmed(askedAt int64) { v.confirmedAt.Store(askedAt) }
 
-// valid reports whether keys may be taken. Invariant: the controller's own proof is up to federation.Fresh older than the
-// question that it answered.
+// valid reports whether API keys may be accepted. The controller's own confirmation may be older by up to
+// federation.Fresh than the request that it answered.
 func (v *keyValidity) valid(now int64) bool {
 	if v.maxAge == 0 {
 		return true
--- a/internal/mesh/proxy/known_nodes.go
+++ b/internal/mesh/proxy/known_nodes.go
@@ -8,22 +8,23 @@
 	"ottershift/internal/mesh/membership"
 )
 
-// knownNode is a balancer as a controller tells of it.
+// knownNode is a proxy as the controllers report it.
 type knownNode struct {
 	membership.Record
-	warmAt  time.Time // when its upstream is no longer slow from its start
-	heardAt int64     // when a controller had heard of it directly, by this process's clock
+	warmAt  time.Time // when its upstream has finished its cold start
+	heardAt int64     // when a controller last heard of it directly, by this process's clock
 }
 
-// lateNodeList is the nodes that a controller told of as all there are, while it was current, in an answer that came too late to be
-// acted on so. Its next answer that comes in time says whether that holds. Invariant: asked for again each time, a long list would
-// never be taken over a line on which it is always late.
+// lateNodeList is a complete list of nodes from a current controller whose response arrived too late to remove nodes.
+// The controller's next timely response confirms or discards it. If the list were requested again each time, a long
+// list would never be applied over a link on which it is always late.
 type lateNodeList struct {
-	controller string // its life, "" for none
+	controller string // instance ID of the controller, "" for none
 	names      map[string]bool
 }
 
-// recordLateList takes an answer that was not acted on as a current one: it came late, or its controller was not current.
+// recordLateList records a response that was not applied as a current one because it was late or its controller was
+// not current.
 func (p *Proxy) recordLateList(response *membership.WatchResponse, wasCurrent bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -40,6 +41,7 @@
 	}
 }
 
+// add applies the changes of a response to the list.
 func (l *lateNodeList) add(response *membership.WatchResponse) {
 	for _, record := range response.Nodes {
 		l.names[record.Name] = true
@@ -49,7 +51,8 @@
 	}
 }
 
-// confirmLateList drops the nodes that a late list does not name, once a current answer of the same controller builds on it. Under mu.
+// confirmLateList removes the nodes that are missing from a late list, if a current response of the same controller
+// continues from that list. The caller holds mu.
 func (p *Proxy) confirmLateList(response *membership.WatchResponse) (confirmed bool) {
 	lateNodes := p.lateNodes
 	p.lateNodes = lateNodeList{}
@@ -65,7 +68,7 @@
 	return true
 }
 
-// replaceNodes takes the nodes of a controller that is current. Under mu.
+// replaceNodes applies the nodes that a current controller reports. The caller holds mu.
 func (p *Proxy) replaceNodes(response *membership.WatchResponse, askedAt int64) (changed bool) {
 	if response.Whole {
 		listed := map[string]bool{}
@@ -73,7 +76,7 @@
 			listed[record.Name] = true
 		}
 		for node := range p.nodes {
-			if !listed[node] && !response.Starting { // Invariant: a core that has just started has heard of nobody yet
+			if !listed[node] && !response.Starting { // a control plane that has just started has not heard of all nodes yet
 				delete(p.nodes, node)
 			}
 		}
@@ -90,12 +93,13 @@
 		p.nodesOverlaid = response.Starting
 	}
 	if p.nodesOverlaid && !response.Starting {
-		p.position.Controller = "" // all of them, next time: changes alone take nothing away that this controller never knew
+		p.position.Controller = "" // ask for the complete list: changes never remove a node that this controller did not know
 	}
 	return len(response.Nodes)+len(response.Gone) > 0 || response.Whole || confirmed
 }
 
-// overlayNodes takes what a controller that is not current has heard of later than this process. Under mu.
+// overlayNodes applies the records of a controller that is not current as far as they are newer, and removes no node.
+// The caller holds mu.
 func (p *Proxy) overlayNodes(response *membership.WatchResponse, askedAt int64) (changed bool) {
 	for _, record := range response.Nodes {
 		known := p.nodes[record.Name]
@@ -113,7 +117,7 @@
 	return changed
 }
 
-// supersededBy reports whether a record, of something heard of at a time, is later than what is known.
+// supersededBy reports whether a record that was heard at heardAt is newer than the known one.
 func (n *knownNode) supersededBy(record membership.Record, heardAt int64) bool {
 	if record.Life == n.Life {
 		return record.Seq > n.Seq
@@ -121,7 +125,7 @@
 	return heardAt > n.heardAt
 }
 
-// putNode takes a record. Under mu.
+// putNode stores a record from the response to a request sent at askedAt. The caller holds mu.
 func (p *Proxy) putNode(record membership.Record, askedAt int64) {
 	known := &knownNode{Record: record, heardAt: askedAt - record.Age}
 	if record.Upstream != nil {
@@ -130,7 +134,7 @@
 	p.nodes[record.Name] = known
 }
 
-// addControllers keeps those that are known. Under mu.
+// addControllers adds reported controllers and keeps the known ones. The caller holds mu.
 func (p *Proxy) addControllers(reported []membership.ControllerAddress) {
 	for _, c := range reported {
 		if !slices.ContainsFunc(p.controllers, func(known membership.ControllerAddress) bool { return known.At == c.At }) {
@@ -139,7 +143,8 @@
 	}
 }
 
-// setMembers takes how many balancers share what all may spend; fewer only from who is current. Under mu.
+// setMembers updates the number of proxies that share the tenants' quotas. Only a current controller can lower it. The
+// caller holds mu.
 func (p *Proxy) setMembers(response *membership.WatchResponse) {
 	members := max(response.Members, len(p.nodes), 1)
 	if !response.Current {
@@ -154,7 +159,7 @@
 	}
 }
 
-// applyNodeChanges has the modules know of other nodes than before. Under mu.
+// applyNodeChanges updates the load balancers after a change of nodes. The caller holds mu.
 func (p *Proxy) applyNodeChanges() {
 	if count, ordinal := p.nodeRank(); count != p.lastRank[0] || ordinal != p.lastRank[1] {
 		p.lastRank = [2]int{count, ordinal}
--- a/internal/mesh/proxy/lifecycle.go
+++ b/internal/mesh/proxy/lifecycle.go
@@ -17,26 +17,27 @@
 	headerTimeout  = 15 * time.Second // for the head of a client's request
 	maxHeaderBytes = 64 << 10
 
-	acceptFraction    = 0.45                   // of Grace, in which a leaving process takes new requests
-	drainPollInterval = 100 * time.Millisecond // between two looks at what is open once this process leaves
-	drainIdlePolls    = 25                     // looks in a row that found nothing
-	refusingIdlePolls = 3                      // the same once nothing new is taken
-	forcedAnswerLead  = 400 * time.Millisecond // before Grace is over, when what is open is answered as it stands
-	forcedCloseLead   = 200 * time.Millisecond // before Grace is over, when what has no answer yet is cut
+	acceptFraction    = 0.45                   // of Grace, during which a draining process accepts new requests
+	drainPollInterval = 100 * time.Millisecond // between two checks for open requests during a drain
+	drainIdlePolls    = 25                     // consecutive idle checks that end the drain
+	refusingIdlePolls = 3                      // the same once new requests are refused
+	forcedAnswerLead  = 400 * time.Millisecond // before the end of Grace, when open requests are answered at once
+	forcedCloseLead   = 200 * time.Millisecond // before the end of Grace, when the remaining connections are closed
 
 	countersInterval    = 5 * time.Second
 	maintenanceInterval = time.Second
-	maxMissedHeartbeats = 4 // heartbeats of the upstream here that did not come, after which it counts as gone
+	maxMissedHeartbeats = 4 // heartbeats of the local upstream that may be missing before it counts as gone
 )
 
-// servers are what others reach a proxy by.
+// servers are the listeners of a proxy.
 type servers struct{ outbound, inbound, ready, control, metrics *httpserver.Server }
 
+// all returns the servers, nil for one that is not listening.
 func (s *servers) all() []*httpserver.Server {
 	return []*httpserver.Server{s.outbound, s.inbound, s.ready, s.control, s.metrics}
 }
 
-// listen makes all servers, or none of them.
+// listen opens all servers, or none of them.
 func (p *Proxy) listen() (*servers, error) {
 	s := &servers{}
 	for _, server := range []struct {
@@ -65,7 +66,7 @@
 	return s, nil
 }
 
-// close ends servers that have not served.
+// close closes servers that have not started to serve.
 func (s *servers) close() {
 	for _, server := range s.all() {
 		if server != nil {
@@ -74,7 +75,8 @@
 	}
 }
 
-// shutDown ends all servers at once, and cuts what is left on them at a time. It returns how many requests that were.
+// shutDown shuts all servers down concurrently and aborts what is still open at the deadline. It returns the number of
+// aborted requests.
 func (s *servers) shutDown(deadline time.Time) (aborted int) {
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
@@ -90,7 +92,7 @@
 	return aborted
 }
 
-// Run serves until the context ends, and then until what is under way has ended or Grace is nearly over.
+// Run serves until the context ends, and then until open requests have ended or Grace is nearly over.
 func (p *Proxy) Run(ctx context.Context) error {
 	s, err := p.listen()
 	if err != nil {
@@ -119,14 +121,14 @@
 	return nil
 }
 
-// drain serves on until nothing is open or the time is over. Two answers to Ready in a row have to fail before nobody sends here any
-// more, and where too few balancers are left everybody goes on: so the first part of Grace serves all that comes, and the rest ends
-// that and refuses what is new. Invariant: a kept connection that is quiet stays open meanwhile, since the next request on it is
-// answered, and told that it is the last one there.
+// drain serves until nothing is open or the time is over. The platform stops sending requests only after two failed
+// readiness checks in a row, and keeps sending them if too few proxies are ready. Therefore the first part of Grace
+// accepts all requests; after that, new ones are refused and open ones are completed. An idle kept-alive connection
+// stays open meanwhile: its next request is answered with the notice that the connection closes.
 func (p *Proxy) drain(s *servers, until time.Time) {
 	p.draining.Store(true)
 	s.outbound.CloseConnections()
-	p.local.wakeWatchers() // others hear of it at once
+	p.local.wakeWatchers() // reports the drain to the controllers at once
 	refuseTimer := time.AfterFunc(time.Duration(acceptFraction*float64(p.settings.Bounds.Grace)), func() {
 		p.refusing.Store(true)
 		s.inbound.CloseConnections()
@@ -144,7 +146,7 @@
 	p.refusing.Store(true)
 }
 
-// ready answers the platform.
+// ready handles the readiness checks of the platform.
 func (p *Proxy) ready(w http.ResponseWriter, _ *http.Request) {
 	if p.view.Load() == nil || p.draining.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -153,7 +155,7 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// metricsHandler shows the counters as Prometheus reads them.
+// metricsHandler serves the counters in the Prometheus text format.
 func (p *Proxy) metricsHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc(rpc.PathFigures, func(w http.ResponseWriter, _ *http.Request) {
@@ -170,7 +172,7 @@
 	return mux
 }
 
-// runMaintenance closes connections that have been idle for too long, and does what else is due each second.
+// runMaintenance closes idle connections and checks the upstream's heartbeats at a fixed interval.
 func (p *Proxy) runMaintenance(outbound *httpserver.Server) {
 	ticker := time.NewTicker(maintenanceInterval)
 	defer ticker.Stop()
@@ -188,6 +190,7 @@
 	}
 }
 
+// maintainPools closes idle connections to other proxies and updates the weights of upstreams that have become warm.
 func (p *Proxy) maintainPools(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -199,7 +202,8 @@
 	}
 }
 
-// advertiseKeepAlive tells a client how long its connection may be idle; it is held to, whatever a later configuration says.
+// advertiseKeepAlive tells a client how long its connection may stay idle. The connection keeps that limit if a later
+// configuration changes it.
 func (p *Proxy) advertiseKeepAlive(w http.ResponseWriter, r *http.Request, idle time.Duration) {
 	if idle <= 0 {
 		idle = defaultClientIdle
--- a/internal/mesh/proxy/line_pacer.go
+++ b/internal/mesh/proxy/line_pacer.go
@@ -11,28 +11,30 @@
 )
 
 const (
-	pacedLineShare   = 0.88                // of the machine's line that long answers may fill
-	pacerBurst       = 24 << 10            // bytes that may go at once
-	maxPacedFlows    = 2                   // long answers that share the line; the others wait, so that each is soon done
-	minUnpacedLine   = 64e6                // lines of more bits a second are never full of what one process sends
-	maxShortResponse = maxBufferedResponse // bytes from which an answer is a long one
+	pacedLineShare   = 0.88                // fraction of the machine's line that long responses may use
+	pacerBurst       = 24 << 10            // bytes that may be sent at once
+	maxPacedFlows    = 2                   // long responses that share the line; the others wait, so that each one under way ends soon
+	minUnpacedLine   = 64e6                // bits per second, from which one process can't fill a line
+	maxShortResponse = maxBufferedResponse // bytes; a longer response is a long one
 )
 
-// linePacer keeps a narrow line from filling up with long answers. Invariant: they would queue in front of each small one that
-// another request waits for, and of the mesh's own words.
+// linePacer keeps long responses from filling up a narrow line. Short responses that other requests wait for, and the
+// control traffic of the mesh, would queue behind them.
 type linePacer struct {
-	rate float64 // bytes a second, 0 for no bound
+	rate float64 // bytes per second, 0 for no limit
 
 	mu          sync.Mutex
 	tokens      float64
 	refilledAt  time.Time
-	activeFlows int                           // long answers that have the line
-	queue       priority.Queue[chan struct{}] // of those that wait for it; its channel is closed at their turn
-	admitted    map[priority.Rank]int         // long answers that have the line, wait or are asked for
-	meanLength  float64                       // bytes of a long answer
+	activeFlows int                           // long responses that are being sent
+	queue       priority.Queue[chan struct{}] // responses that wait for the line; the channel is closed at their turn
+	admitted    map[priority.Rank]int         // admitted long responses, whether requested, waiting or being sent
+	meanLength  float64                       // bytes of a long response
 	epoch       time.Time
 }
 
+// newLinePacer returns a pacer for a line of mbps megabits per second, which limits nothing if mbps is 0 or at least
+// minUnpacedLine.
 func newLinePacer(mbps float64) *linePacer {
 	now := time.Now()
 	p := &linePacer{admitted: map[priority.Rank]int{}, refilledAt: now, epoch: now, tokens: pacerBurst}
@@ -42,7 +44,7 @@
 	return p
 }
 
-// consume takes bytes off the line's level and says how long to wait until there are some again.
+// consume takes n bytes from the token bucket and returns how long to wait until it is no longer negative.
 func (p *linePacer) consume(n int, now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -54,42 +56,42 @@
 	return time.Duration(-p.tokens / p.rate * float64(time.Second))
 }
 
-// countShort notes an answer that never waits.
+// countShort accounts for a short response, which does not wait.
 func (p *linePacer) countShort(n int) {
 	if p.rate > 0 {
 		p.consume(n, time.Now())
 	}
 }
 
-// admit lets in a request whose answer is long, if it would be on its way by half of the time within which it is of full
-// worth: those in front of it, asked for or on their way, each take the line for as long as one does in the mean. A rank that is
-// owed its share has one request let in all the same.
-func (p *linePacer) admit(priority requestPriority) bool {
+// admit accepts a request with a long response if the response would start within half of the latency target: each
+// admitted response of the same or a more urgent rank is expected to take the line for the mean duration. A rank that
+// is owed its minimum share gets one request admitted regardless.
+func (p *linePacer) admit(requested requestPriority) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.rate == 0 {
 		return true
 	}
 	now := p.sinceStart(time.Now())
-	if !priority.retried {
-		p.queue.Shares.Came(priority.rank, now)
+	if !requested.retried {
+		p.queue.Shares.Came(requested.rank, now)
 	}
 	ahead := 0
 	for other, n := range p.admitted {
-		if !priority.rank.Before(other) {
+		if !requested.rank.Before(other) {
 			ahead += n
 		}
 	}
-	late := float64(ahead)*p.meanLength/p.rate > priority.latencyTarget.Seconds()/2
-	if late && (p.admitted[priority.rank] > 0 || !p.queue.Shares.Owed(priority.rank, now)) {
+	late := float64(ahead)*p.meanLength/p.rate > requested.latencyTarget.Seconds()/2
+	if late && (p.admitted[requested.rank] > 0 || !p.queue.Shares.Owed(requested.rank, now)) {
 		return false
 	}
-	p.queue.Shares.Served(priority.rank, now)
-	p.admitted[priority.rank]++
+	p.queue.Shares.Served(requested.rank, now)
+	p.admitted[requested.rank]++
 	return true
 }
 
-// release notes that a long answer that was let in is over.
+// release ends the admission of a long response.
 func (p *linePacer) release(rank priority.Rank) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -101,7 +103,7 @@
 	}
 }
 
-// acquire waits for the line; give ends what take began.
+// acquire waits for the line; yield gives it back.
 func (p *linePacer) acquire(ctx context.Context, rank priority.Rank) error {
 	p.mu.Lock()
 	if p.activeFlows < maxPacedFlows {
@@ -121,12 +123,13 @@
 	p.mu.Lock()
 	removed := p.queue.Remove(waiter)
 	p.mu.Unlock()
-	if !removed { // its turn came meanwhile
+	if !removed { // the line was granted meanwhile
 		p.yield()
 	}
 	return ctx.Err()
 }
 
+// yield passes the line to the next waiting response.
 func (p *linePacer) yield() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -139,7 +142,7 @@
 
 func (p *linePacer) sinceStart(now time.Time) int64 { return int64(now.Sub(p.epoch)) }
 
-// stream writes a long answer at the line's pace.
+// stream writes a long response at the pace of the line.
 func (p *linePacer) stream(ctx context.Context, w io.Writer, source io.Reader, length int64, rank priority.Rank) error {
 	p.mu.Lock()
 	if p.meanLength += (float64(length) - p.meanLength) / 8; p.meanLength <= 0 {
--- a/internal/mesh/proxy/local_upstream.go
+++ b/internal/mesh/proxy/local_upstream.go
@@ -12,36 +12,39 @@
 	"ottershift/internal/mesh/settings"
 )
 
-// maxUnanswered is how many connections in a row nobody answers at an upstream that is held for dark.
+// maxUnanswered is the number of consecutive connection attempts without an answer after which the upstream counts as
+// unreachable.
 const maxUnanswered = 2
 
-// localUpstream is the life of the upstream on this machine, as its heartbeats tell it. This process is the only way to it, so what
-// is acknowledged here is kept here: from Drain after an acknowledged closing on nothing passes, whoever sends it.
+// localUpstream tracks the upstream on this machine from its heartbeats. An instance is one run of the upstream
+// process. All requests to the upstream pass through this proxy, so an acknowledged closing is enforced here: once
+// Drain has passed since then, no request gets through, whoever sends it.
 type localUpstream struct {
 	mu            sync.Mutex
 	drain         time.Duration
-	id            string   // of the present life, "" for none
-	endedIDs      []string // the lives before it, the last few
+	id            string   // of the present instance, "" for none
+	endedIDs      []string // of previous instances, the last 8
 	address       string
 	reported      membership.Upstream
 	revision      int64
 	lastHeartbeat time.Time
-	closingAt     time.Time                      // when that was acknowledged
-	unreachable   bool                           // its address refuses connections
-	active        int                            // requests at it
-	queue         priority.Queue[waitingRequest] // of those for whom there is no slot yet
+	closingAt     time.Time                      // when the closing was acknowledged
+	unreachable   bool                           // connections to its address are refused or not answered, or heartbeats are missing
+	active        int                            // requests at the upstream
+	queue         priority.Queue[waitingRequest] // requests that wait for a slot
 	detector      outlier.Detector
 	epoch         time.Time
-	unanswered    int // connections to it in a row that nobody answered
+	unanswered    int // consecutive connection attempts without an answer
 	seq           uint64
 	changed       chan struct{} // closed at the next change
 }
 
+// newLocalUpstream returns the state of an upstream that has sent no heartbeat yet.
 func newLocalUpstream(drain time.Duration, app string) *localUpstream {
 	return &localUpstream{drain: drain, address: app, changed: make(chan struct{}), epoch: time.Now()}
 }
 
-// heartbeat takes an upstream's word about itself; what is late changes nothing.
+// heartbeat applies a heartbeat of the upstream. One that is out of order or belongs to an ended instance is ignored.
 func (u *localUpstream) heartbeat(id string, message *heartbeatMessage, now time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -61,7 +64,7 @@
 	reported.Ill = u.detector.Level()
 	if reported.Closing && u.closingAt.IsZero() {
 		u.closingAt = now
-		if first { // Invariant: the process before this one may have acknowledged it, and Drain counts from then
+		if first { // a previous proxy process may have acknowledged the closing, and Drain counts from then
 			u.closingAt = now.Add(-u.drain)
 		}
 	}
@@ -77,7 +80,7 @@
 	}
 }
 
-// signOff ends a life.
+// signOff ends an instance.
 func (u *localUpstream) signOff(id string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -87,7 +90,7 @@
 	}
 }
 
-// endCurrent notes that the present life is over: what comes of it later is late. Under mu.
+// endCurrent marks the present instance as ended, so that later messages about it are ignored. The caller holds mu.
 func (u *localUpstream) endCurrent() {
 	if u.id != "" {
 		u.endedIDs = append(u.endedIDs, u.id)
@@ -96,7 +99,7 @@
 	u.id, u.reported = "", membership.Upstream{}
 }
 
-// observe takes what came of a request at the upstream.
+// observe records the outcome of a request at the upstream for outlier detection.
 func (u *localUpstream) observe(id string, failed bool, now time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -107,7 +110,7 @@
 	u.publishLevel(u.detector.Observe(failed, int64(now.Sub(u.epoch))))
 }
 
-// publishLevel has others told of a level that has changed. Under mu.
+// publishLevel notifies watchers if the outlier level has changed. The caller holds mu.
 func (u *localUpstream) publishLevel(changed bool) {
 	if changed && u.reported.Ill != u.detector.Level() {
 		u.reported.Ill = u.detector.Level()
@@ -115,7 +118,8 @@
 	}
 }
 
-// recordNoAnswer notes that a connection to the upstream was not answered: an upstream that is dark refuses nothing.
+// recordNoAnswer records that a connection attempt to the upstream timed out. A host that is down does not refuse
+// connections.
 func (u *localUpstream) recordNoAnswer(id string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -123,12 +127,12 @@
 		return
 	}
 	if u.unanswered++; u.unanswered >= maxUnanswered {
-		u.unreachable = true // until its next heartbeat
+		u.unreachable = true // until the next heartbeat
 		u.notify()
 	}
 }
 
-// recordRefused notes that nobody listens at the upstream's address.
+// recordRefused records that the upstream's address refused a connection.
 func (u *localUpstream) recordRefused(id string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -138,7 +142,8 @@
 	}
 }
 
-// checkHeartbeat notes that heartbeats have stopped for so long that its address may be refused without a try.
+// checkHeartbeat marks the upstream as unreachable if its last heartbeat is older than timeout, and refreshes the
+// outlier level.
 func (u *localUpstream) checkHeartbeat(now time.Time, timeout time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -149,21 +154,22 @@
 	u.publishLevel(u.detector.Refresh(int64(now.Sub(u.epoch))))
 }
 
-// notify wakes who waits for a change of what the core is told. Under mu.
+// notify wakes the goroutines that wait for a change of the reported state. The caller holds mu.
 func (u *localUpstream) notify() {
 	u.seq++
 	close(u.changed)
 	u.changed = make(chan struct{})
 }
 
-// wakeWatchers has the core told again.
+// wakeWatchers makes the watch report the node's state again.
 func (u *localUpstream) wakeWatchers() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.notify()
 }
 
-// snapshot is what the core is told, and a channel that ends once there is more to tell.
+// snapshot returns the state that is reported to the controllers, nil if the upstream is not available, and a channel
+// that is closed at the next change.
 func (u *localUpstream) snapshot() (reported *membership.Upstream, seq uint64, changed <-chan struct{}) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -177,14 +183,14 @@
 	return &copied, u.seq, u.changed
 }
 
-// addressOf is where a request would go, whether there is room or not. Under mu.
+// addressOf returns the address for a request to an instance, regardless of free slots. The caller holds mu.
 func (u *localUpstream) addressOf(id string, now time.Time) (address string, kind apierror.Kind) {
 	switch {
 	case u.id != "" && id != u.id:
 		return "", apierror.NotHere
 	case u.id == "" && slices.Contains(u.endedIDs, id):
 		return "", apierror.NotHere
-	case !u.closingAt.IsZero() && now.Sub(u.closingAt) > u.drain*3/4: // the rest is for what is under way
+	case !u.closingAt.IsZero() && now.Sub(u.closingAt) > u.drain*3/4: // the last quarter of Drain is for requests under way
 		return "", apierror.NotHere
 	case u.unreachable:
 		return "", apierror.NoRoom
--- a/internal/mesh/proxy/outbound.go
+++ b/internal/mesh/proxy/outbound.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	maxBufferedBody     = 256 << 10 // of a request, so that it can be sent again; what is longer goes once
-	maxBufferedResponse = 64 << 10  // of an answer, until it is known to be whole; what is longer flows
+	maxBufferedBody     = 256 << 10 // bytes of a request body that are held so that it can be sent again; a longer body is sent once
+	maxBufferedResponse = 64 << 10  // bytes of a response that are held until it is complete; a longer one is streamed
 	bufferSize          = 16 << 10
 
-	maxUnsizedBody = 64 << 20 // of a body of no stated length, where the configuration has no bound
+	maxUnsizedBody = 64 << 20 // bytes of a body of unknown length, if the configuration sets no limit
 )
 
-// serveOutbound is the life of a request that starts on this machine: read, routed, pushed as the module decides, answered
-// exactly once.
+// serveOutbound handles a request that starts on this machine: it is read, routed and sent in the attempts that the
+// load balancer orders, and the client gets exactly one response.
 func (p *Proxy) serveOutbound(w http.ResponseWriter, r *http.Request) {
 	p.outboundRequests.Add(1)
 	p.openRequests.Add(1)
@@ -40,31 +40,34 @@
 	if !p.draining.Load() {
 		p.advertiseKeepAlive(w, r, active.idle)
 	}
-	request, t, reason := p.readRequest(active, r)
+	request, routeTarget, reason := p.readRequest(active, r)
 	if reason != notRefused {
 		p.refuse(w, r, reason.kind, reason.retryAfter)
 		return
 	}
 	defer p.settleCredit(request)
 	now := p.now()
-	t.servicePool.recordFirst(now, request.rank)
-	call := t.servicePool.desk.Arrive(desk.Arrival{
-		Under: t.limitedTerms, Tariff: t.tariff, Customer: -1, Left: time.Until(request.clientDeadline), Unwhole: request.bodyRest != nil,
+	routeTarget.servicePool.recordFirst(now, request.rank)
+	call := routeTarget.servicePool.desk.Arrive(desk.Arrival{
+		Under: routeTarget.limitedTerms, Tariff: routeTarget.tariff, Customer: -1,
+		Left: time.Until(request.clientDeadline), Unwhole: request.bodyRest != nil,
 	})
 	p.runRequest(w, r, request, call)
 }
 
-// refusal is why a request goes no further, and when it may come again.
+// refusal is the reason why a request is not served, and when the client may retry.
 type refusal struct {
 	kind       apierror.Kind
 	retryAfter time.Duration
 }
 
+// notRefused is the refusal of a request that may go on.
 var notRefused = refusal{kind: apierror.None}
 
+// refused returns a refusal without a retry time.
 func refused(kind apierror.Kind) refusal { return refusal{kind: kind} }
 
-// readRequest takes a request as it came: its route, whose it is, its time and its body.
+// readRequest reads a client's request and determines its route, tenant, deadline and body.
 func (p *Proxy) readRequest(active *configurationView, r *http.Request) (*downstreamRequest, target, refusal) {
 	path, _, _ := strings.Cut(r.RequestURI, "?")
 	if !isRoutable(r, path) {
@@ -72,14 +75,15 @@
 	}
 	var to target
 	route := active.configuration.Find(r.Host, path)
-	if route == nil { // a partner may let it in
+	if route == nil { // a partner may export the path
 		var kind apierror.Kind
 		if route, to, kind = p.routeToPartner(r, path); kind != apierror.None {
 			return nil, to, refused(kind)
 		}
 	}
 	request := &downstreamRequest{
-		method: r.Method, target: r.RequestURI, host: r.Host, requestID: r.Header.Get(requestIDHeader), header: endToEndHeaders(r.Header), length: r.ContentLength,
+		method: r.Method, target: r.RequestURI, host: r.Host, requestID: r.Header.Get(requestIDHeader),
+		header: endToEndHeaders(r.Header), length: r.ContentLength,
 		latencyTarget: time.Duration(cmp.Or(route.Target, route.Dispatch.Deadline)), longResponse: route.MailClass == routing.Streamed,
 		maxAttempts: route.Dispatch.DeliveryTries, responses: map[int]*downstreamResponse{},
 	}
@@ -92,12 +96,12 @@
 	}
 	reason := p.readDeadlineAndBody(active, r, route, request)
 	if reason == notRefused && to.servicePool == nil {
-		if to = active.pick(route); to.servicePool == nil { // no module could be made for its service
+		if to = active.pick(route); to.servicePool == nil { // the service has no load balancer: its terms were rejected
 			reason = refused(apierror.NoRoom)
 		}
 	}
 	if reason != notRefused {
-		if request.creditClaim != nil { // it goes no further
+		if request.creditClaim != nil { // the credit was not used
 			p.finishClaim(*request.creditClaim, burstcredit.NeverRan)
 		}
 		return nil, to, reason
@@ -106,14 +110,14 @@
 	return request, to, notRefused
 }
 
-// isRoutable reports whether a request may be routed at all.
+// isRoutable reports whether a request may be routed.
 func isRoutable(r *http.Request, path string) bool {
-	// Of one with several ids no answer could be matched to it.
+	// No response could be matched to a request with several IDs.
 	return len(r.Header[requestIDHeader]) <= 1 && strings.HasPrefix(path, "/") && r.Method != http.MethodConnect
 }
 
-// authorize finds whose a request is, what its rank is, and whether its tenant may ask now. Partners' services need a key, too:
-// whoever asks is a tenant of ours.
+// authorize determines the tenant and rank of a request, and whether the tenant may send it now. Services of partners
+// require a key as well, because the caller is a tenant of this mesh.
 func (p *Proxy) authorize(active *configurationView, r *http.Request, route *routing.Route, request *downstreamRequest) refusal {
 	request.rank = rankOf(route, nil)
 	if !active.configuration.RequiresKeys() || route.Unstamped {
@@ -143,8 +147,9 @@
 	return notRefused
 }
 
-// readDeadlineAndBody reads how long a request may take, and its body as far as it is held.
-func (p *Proxy) readDeadlineAndBody(active *configurationView, r *http.Request, route *routing.Route, request *downstreamRequest) refusal {
+// readDeadlineAndBody reads the deadline of a request, and its body up to maxBufferedBody.
+func (p *Proxy) readDeadlineAndBody(active *configurationView, r *http.Request, route *routing.Route,
+	request *downstreamRequest) refusal {
 	remaining := time.Duration(route.Dispatch.Deadline)
 	if text := r.Header.Get(timeLeftHeader); text != "" {
 		ms, err := strconv.ParseFloat(text, 64)
@@ -164,8 +169,8 @@
 	return request.readBody(r, limit)
 }
 
-// readBody reads a body whole, or its beginning where it is long: the rest then goes on as it comes. One whose length is not known
-// before its end is gathered, up to the most that the configuration allows.
+// readBody reads a short body completely and the beginning of a long one, whose rest is streamed later. A body of
+// unknown length is buffered completely, up to the limit of the configuration.
 func (r *downstreamRequest) readBody(httpRequest *http.Request, limit int64) refusal {
 	body, err := io.ReadAll(io.LimitReader(httpRequest.Body, maxBufferedBody+1))
 	if err != nil {
@@ -189,12 +194,13 @@
 	return notRefused
 }
 
-// refuse answers what goes no further.
+// refuse responds to a request that is not served, and counts the reason.
 func (p *Proxy) refuse(w http.ResponseWriter, r *http.Request, kind apierror.Kind, retryAfter time.Duration) {
 	p.counters.Add("answer_" + kind.String())
 	p.writeError(w, r, kind, retryAfter)
 }
 
+// writeError writes an error response with the request's ID.
 func (p *Proxy) writeError(w http.ResponseWriter, r *http.Request, kind apierror.Kind, retryAfter time.Duration) {
 	if id := r.Header.Get(requestIDHeader); id != "" {
 		w.Header()[requestIDHeader] = []string{id}
--- a/internal/mesh/proxy/partner_policy.go
+++ b/internal/mesh/proxy/partner_policy.go
@@ -18,23 +18,25 @@
 )
 
 const (
-	maxGateways           = 4    // balancers through which one sends to partners
-	fallbackPartnerWeight = 1e-3 // of the turns, that a partner has behind the first that exports the same
-	gatewaySeparator      = "@"  // between a partner and the balancer through which it is reached, in names of upstreams
+	maxGateways           = 4    // proxies through which one proxy sends to partners
+	fallbackPartnerWeight = 1e-3 // relative weight of a partner after the first one that exports the same path
+	gatewaySeparator      = "@"  // between the partner and its gateway proxy in upstream names
 )
 
-// doors is what this balancer knows of partners. Where the configuration names none, it decides nothing.
+// partnerPolicyState holds what this proxy knows of partner meshes. It is unused if the configuration names no
+// partners.
 type partnerPolicyState struct {
-	sync.Mutex     // never held while f.mu is taken
+	sync.Mutex     // locked after Proxy.mu, never before it
 	policy         *federation.ExportPolicy
 	imports        *federation.ImportBook
 	ages           map[string]int64
 	agesAskedAt    int64
-	gateways       map[string]string // addresses
+	gateways       map[string]string // addresses by partner
 	configurations map[string]*routing.Partner
 	enabled        bool
 }
 
+// initPartnerPolicy creates the policy, in which the routes of this mesh take precedence over partners' exports.
 func (p *Proxy) initPartnerPolicy() {
 	p.partnerPolicy.policy = federation.NewExportPolicy(func(town, path string) bool {
 		v := p.view.Load()
@@ -43,8 +45,8 @@
 	p.partnerPolicy.imports, p.partnerPolicy.gateways = federation.NewImportBook(), map[string]string{}
 }
 
-// applyPartnerUpdate takes the core's word on partners; asked is when it was asked for. Ages count from then: the answer may have been long on
-// its way, or this process may have stood still.
+// applyPartnerUpdate applies the partner state in a controller's response; askedAt is when the request was sent. Ages
+// count from then, because the response may have been delayed or this process paused.
 func (p *Proxy) applyPartnerUpdate(response *membership.WatchResponse, askedAt int64) {
 	state := &p.partnerPolicy
 	state.Lock()
@@ -69,7 +71,8 @@
 	}
 }
 
-// applyPartners puts what is known of them in force, as the configuration names them. Under the doors' lock.
+// applyPartners updates the policy with the partners of the configuration in force. The caller holds the lock of
+// partnerPolicy.
 func (p *Proxy) applyPartners() {
 	state := &p.partnerPolicy
 	active := p.view.Load()
@@ -90,7 +93,7 @@
 	state.policy.Hear(state.imports, federated, ages, int(p.lastMembers.Load()), p.now())
 }
 
-// routeToPartner finds a way for a request that no route of ours takes.
+// routeToPartner finds a route to a partner for a request that no route of this mesh matches.
 func (p *Proxy) routeToPartner(r *http.Request, path string) (route *routing.Route, t target, kind apierror.Kind) {
 	state := &p.partnerPolicy
 	state.Lock()
@@ -147,6 +150,7 @@
 	return route, t, apierror.None
 }
 
+// hostOnly returns a host without its port.
 func hostOnly(host string) string {
 	if at := strings.LastIndexByte(host, ':'); at >= 0 {
 		return host[:at]
@@ -154,7 +158,8 @@
 	return host
 }
 
-// gatewayEntries are the ways to partners: balancers, so that each request is decided a second time where it leaves. Under mu.
+// gatewayEntries lists the upstreams that lead to partners. They are proxies, which check each request again before it
+// leaves the mesh. The caller holds mu.
 func (p *Proxy) gatewayEntries(partners []string) (entries []roster.Entry[string]) {
 	var nodes []*knownNode
 	for _, n := range p.nodes {
@@ -179,25 +184,29 @@
 				weight = fallbackPartnerWeight
 			}
 			name := partner + gatewaySeparator + gateway.node
-			entries = append(entries, roster.Entry[string]{Name: name, Zone: gateway.zone, Address: gateway.address, Up: logic.Upstream{Number: roster.Number(name), Weight: weight}})
+			entries = append(entries, roster.Entry[string]{Name: name, Zone: gateway.zone, Address: gateway.address,
+				Up: logic.Upstream{Number: roster.Number(name), Weight: weight}})
 		}
 	}
 	return entries
 }
 
-// partnerAllows is the look before each push toward a partner, the first and each repeat and copy.
+// partnerAllows reports whether a request may be sent to a partner now. It is checked before each attempt, including
+// retries and hedges.
 func (p *Proxy) partnerAllows(request *downstreamRequest, partner string) bool {
 	p.partnerPolicy.Lock()
 	defer p.partnerPolicy.Unlock()
 	return p.partnerPolicy.policy.Look(partner, request.method, hostOnly(request.host), pathOf(request.target), p.now()) == federation.Open
 }
 
+// pathOf returns the path of a request target.
 func pathOf(target string) string {
 	path, _, _ := strings.Cut(target, "?")
 	return path
 }
 
-// leave sends a request on to a partner's gateway, from where it is decided a second time. What is refused here has not run.
+// sendToPartner forwards a request to a partner's gateway after a second policy check. A request that is refused here
+// has not run.
 func (p *Proxy) sendToPartner(ctx context.Context, request *upstreamRequest, partner string) *upstreamResponse {
 	state := &p.partnerPolicy
 	state.Lock()
@@ -212,7 +221,7 @@
 	request.header[importEditionHeader] = []string{strconv.FormatInt(edition, 10)}
 	response := p.send(ctx, request, p.partnerConnections, roster.Place{Host: partner, Address: gateway})
 	if response.kind == apierror.Unready && ctx.Err() == nil {
-		response.kind = apierror.NoRoom // it never reached the partner
+		response.kind = apierror.NoRoom // it did not reach the partner
 	}
 	response.maxIdle = upstreamIdleTimeout
 	p.counters.Add("gate_left")
--- a/internal/mesh/proxy/proxy.go
+++ b/internal/mesh/proxy/proxy.go
@@ -1,8 +1,8 @@
-// Package proxy is the data plane: a balancer beside an upstream. What starts on its machine goes out through it
-// (outbound.go, answer.go), by way of the balancer beside the upstream that the module chooses (push.go), and what is meant for the
-// upstream on its machine comes in through it (inbound.go). view.go is what it goes by, watch.go how that comes from
-// controllers, local_upstream.go its own upstream's life, connection.go the connections. It decides nothing about a request that
-// the module decides.
+// Package proxy is the data plane of the mesh: a sidecar proxy that runs beside an upstream. Requests that start on
+// its machine leave through the outbound hop (outbound.go, request_result.go, attempt.go), and requests for the
+// upstream on its machine arrive through the inbound hop (inbound.go). view.go holds the configuration in force,
+// watch.go follows the controllers, local_upstream.go tracks the state of the upstream, and connection.go handles the
+// connections. Package logic decides on upstreams, retries and hedges; this package carries the decisions out.
 package proxy
 
 import (
@@ -25,34 +25,34 @@
 )
 
 const (
-	peerDialTimeout     = 300 * time.Millisecond
-	upstreamDialTimeout = 500 * time.Millisecond
+	peerDialTimeout     = 300 * time.Millisecond // dialing another proxy
+	upstreamDialTimeout = 500 * time.Millisecond // dialing the local upstream or a partner's gateway
 
-	defaultClientIdle = 15 * time.Second // before a configuration says how long clients may be idle
+	defaultClientIdle = 15 * time.Second // idle limit of client connections until a configuration sets one
 )
 
-// Proxy is one balancer.
+// Proxy is one sidecar proxy.
 type Proxy struct {
 	settings            *settings.Settings
 	log                 *slog.Logger
 	counters            *telemetry.Counters
 	caller              *rpc.Caller
-	instanceID          string
+	instanceID          string // identifies this process, which gets a new one at each start
 	epoch               time.Time
 	local               *localUpstream
 	upstreamConnections *connectionPool
-	partnerConnections  *connectionPool // to partners' gateways
+	partnerConnections  *connectionPool // to the gateways of partners
 	pacer               *linePacer
 	done                chan struct{}
-	shutdownContext     context.Context // ends once whatever is open has to have its answer
+	shutdownContext     context.Context // ends when open requests have to be answered at once
 	cancelOpen          context.CancelFunc
 
 	view             atomic.Pointer[configurationView]
-	draining         atomic.Bool // not ready any more, serves what comes
-	refusing         atomic.Bool // serves what it has, and nothing new
-	unpackFailed     atomic.Bool // a packed configuration could not be read: from then on it is asked for as it is
+	draining         atomic.Bool // not ready any more, but still accepts requests
+	refusing         atomic.Bool // finishes open requests and refuses new ones
+	unpackFailed     atomic.Bool // a packed configuration could not be read; plain ones are requested instead
 	openRequests     atomic.Int64
-	lastMembers      atomic.Int64
+	lastMembers      atomic.Int64 // the member count, readable without mu
 	outboundRequests *atomic.Int64
 	inboundRequests  *atomic.Int64
 	zones            []string
@@ -62,7 +62,7 @@
 	burstCredit   burstCredit
 	partnerPolicy partnerPolicyState
 
-	mu            sync.Mutex // never taken under a module's lock
+	mu            sync.Mutex // must not be taken while a load balancer's lock is held
 	pools         map[string]*servicePool
 	routes        map[string][]*routing.Route
 	nodes         map[string]*knownNode
@@ -71,16 +71,16 @@
 	position      membership.Position
 	fetch         configurationFetch
 	lateNodes     lateNodeList
-	nodesOverlaid bool // nodes hold some that the controller of position never told of
+	nodesOverlaid bool // nodes contains some that the controller in position has not reported
 	members       int
-	nextWarmUp    time.Time // when the next upstream is warm
-	lastRank      [2]int
+	nextWarmUp    time.Time // when the next cold upstream counts as warm
+	lastRank      [2]int    // result of nodeRank that the load balancers were last configured with
 
-	skipResponseAgeCheck, skipOverlay bool // guards left out, by tests
+	skipResponseAgeCheck, skipOverlay bool // disable these checks in tests
 	wrapListener                      httpserver.WrapListener
 }
 
-// Option changes how a proxy is made.
+// Option configures a Proxy at its creation.
 type Option func(*options)
 
 type options struct {
@@ -88,26 +88,28 @@
 	wrapListener  httpserver.WrapListener
 }
 
-// WithListener puts something between a proxy and the connections of its clients and of other balancers.
+// WithListener wraps the listeners that accept connections from clients and other proxies.
 func WithListener(wrap httpserver.WrapListener) Option {
 	return func(o *options) { o.wrapListener = wrap }
 }
 
-// WithTransport puts something between a proxy and its connections to controllers.
+// WithTransport wraps the transport of calls to controllers.
 func WithTransport(wrap rpc.WrapTransport) Option {
 	return func(o *options) { o.wrapTransport = wrap }
 }
 
-// New makes a balancer; it serves nobody yet.
+// New creates a proxy, which starts to serve with Run.
 func New(proxySettings *settings.Settings, log *slog.Logger, opts ...Option) *Proxy {
 	var selected options
 	for _, option := range opts {
 		option(&selected)
 	}
 	p := &Proxy{
-		settings: proxySettings, log: log, counters: telemetry.NewCounters(), caller: rpc.NewCaller(selected.wrapTransport), instanceID: storage.NewIdentity(), epoch: time.Now(),
+		settings: proxySettings, log: log, counters: telemetry.NewCounters(),
+		caller: rpc.NewCaller(selected.wrapTransport), instanceID: storage.NewIdentity(), epoch: time.Now(),
 		local: newLocalUpstream(proxySettings.Bounds.Drain, proxySettings.App), done: make(chan struct{}), wrapListener: selected.wrapListener,
-		pools: map[string]*servicePool{}, nodes: map[string]*knownNode{}, members: 1, fetch: configurationFetch{trigger: make(chan struct{}, 1)},
+		pools: map[string]*servicePool{}, nodes: map[string]*knownNode{}, members: 1,
+		fetch: configurationFetch{trigger: make(chan struct{}, 1)},
 	}
 	if proxySettings.Bounds.RevokedEverywhere {
 		p.keys.maxAge = proxySettings.Bounds.Revoke
@@ -128,6 +130,7 @@
 	return p
 }
 
+// seedAddresses returns the internal addresses of the seed controllers.
 func seedAddresses(proxySettings *settings.Settings) (addresses []string) {
 	for _, seed := range proxySettings.Seeds {
 		addresses = append(addresses, settings.InnerOf(settings.Host(seed), proxySettings.InnerFirst))
@@ -135,11 +138,12 @@
 	return addresses
 }
 
-// Reseed takes other seeds, as the settings name them now.
+// Reseed replaces the seed controllers with those of the given settings.
 func (p *Proxy) Reseed(proxySettings *settings.Settings) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.seeds = seedAddresses(proxySettings)
 }
 
+// now returns the monotonic time since the proxy was created, in nanoseconds.
 func (p *Proxy) now() int64 { return int64(time.Since(p.epoch)) }
--- a/internal/mesh/proxy/proxy_test.go
+++ b/internal/mesh/proxy/proxy_test.go
@@ -15,7 +15,7 @@
 	"ottershift/logic"
 )
 
-// newHeartbeat is a beat of an upstream's life.
+// newHeartbeat returns a heartbeat of an upstream.
 func newHeartbeat(revision int64, capacity int, condition string) *heartbeatMessage {
 	message := &heartbeatMessage{Address: "127.0.0.1:1"}
 	message.Notice.Destination, message.Notice.Capacity = "s", capacity
@@ -23,28 +23,31 @@
 	return message
 }
 
+// newRequestTo returns a request to an upstream instance.
 func newRequestTo(upstream string, latencyTarget time.Duration) *upstreamRequest {
 	return &upstreamRequest{upstreamID: upstream, requestPriority: requestPriority{latencyTarget: latencyTarget}, deadline: time.Now().Add(time.Hour)}
 }
 
-// A closing may have been acknowledged by the process before: from its first beat on nothing passes.
+// A previous proxy process may have acknowledged a closing. If the first heartbeat already reports it, no request is
+// admitted.
 func TestClosingInFirstHeartbeatCountsAsAcknowledged(t *testing.T) {
-	for _, trace := range []struct {
+	for _, test := range []struct {
 		before string
 		kind   apierror.Kind
 	}{{"", apierror.NotHere}, {"accepting", apierror.None}} {
-		b := newLocalUpstream(2*time.Second, "127.0.0.1:1")
+		upstream := newLocalUpstream(2*time.Second, "127.0.0.1:1")
 		now := time.Now()
-		if trace.before != "" {
-			b.heartbeat("i", newHeartbeat(1, 6, trace.before), now)
+		if test.before != "" {
+			upstream.heartbeat("i", newHeartbeat(1, 6, test.before), now)
 		}
-		b.heartbeat("i", newHeartbeat(2, 6, "closing"), now)
-		_, kind := b.addressOf("i", now)
-		must.Eq(t, trace.kind, kind)
+		upstream.heartbeat("i", newHeartbeat(2, 6, "closing"), now)
+		_, kind := upstream.addressOf("i", now)
+		must.Eq(t, test.kind, kind)
 	}
 }
 
-// Where a withdrawn key has to be refused everywhere, keys hold for as long as the last current answer proves them.
+// If revoked keys have to be refused everywhere within a bound, keys are accepted only as long as a recent response of
+// a current controller confirms them.
 func TestAPIKeysExpireWithoutConfirmation(t *testing.T) {
 	second := int64(time.Second)
 	unbounded, bounded := &keyValidity{}, &keyValidity{maxAge: 5 * time.Second}
@@ -56,64 +59,65 @@
 	must.True(t, bounded.valid(15*second))
 }
 
-// A trace of beats: late ones, a closing, the next life at the same address.
+// Admission follows the heartbeats of the upstream: out-of-order ones, a closing, and the next instance at the same
+// address.
 func TestHeartbeatsControlAdmission(t *testing.T) {
-	b := newLocalUpstream(2500*time.Millisecond, "127.0.0.1:1")
+	upstream := newLocalUpstream(2500*time.Millisecond, "127.0.0.1:1")
 	now := time.Now()
 	ctx := context.Background()
-	pass := func(id string, at time.Time) apierror.Kind {
-		_, kind := b.admit(ctx, newRequestTo(id, time.Second), at)
+	admitAt := func(id string, at time.Time) apierror.Kind {
+		_, kind := upstream.admit(ctx, newRequestTo(id, time.Second), at)
 		return kind
 	}
-	b.heartbeat("i1", newHeartbeat(2, 6, "accepting"), now)
-	must.Eq(t, apierror.None, pass("i1", now))
-	must.Eq(t, apierror.NotHere, pass("i0", now)) // another life is meant
-	b.heartbeat("i1", newHeartbeat(3, 6, "closing"), now)
-	b.heartbeat("i1", newHeartbeat(1, 6, "accepting"), now) // late: it stays closing
-	must.Eq(t, apierror.None, pass("i1", now.Add(1800*time.Millisecond)))
-	must.Eq(t, apierror.NotHere, pass("i1", now.Add(1900*time.Millisecond))) // 3/4 of Drain
-	b.signOff("i1")
-	must.Eq(t, apierror.NotHere, pass("i1", now))
-	b.heartbeat("i2", newHeartbeat(1, 6, "accepting"), now)
-	b.heartbeat("i1", newHeartbeat(9, 6, "accepting"), now) // of a life that has ended
-	must.Eq(t, apierror.None, pass("i2", now.Add(time.Hour)))
-	b.recordRefused("i2")
-	must.Eq(t, apierror.NoRoom, pass("i2", now))
-	up, _, changed := b.snapshot()
-	must.Nil(t, up) // nothing is there, as others are told
-	b.heartbeat("i2", newHeartbeat(2, 6, "accepting"), now)
-	<-changed // whoever took the word of before is told that there is more
-	must.Eq(t, apierror.None, pass("i2", now))
-	b.recordNoAnswer("i2")
-	must.Eq(t, apierror.None, pass("i2", now))
-	b.recordNoAnswer("i2") // dark: connections are not even refused
-	must.Eq(t, apierror.NoRoom, pass("i2", now))
-	b.heartbeat("i2", newHeartbeat(3, 6, "accepting"), now)
-	must.Eq(t, apierror.None, pass("i2", now))
+	upstream.heartbeat("i1", newHeartbeat(2, 6, "accepting"), now)
+	must.Eq(t, apierror.None, admitAt("i1", now))
+	must.Eq(t, apierror.NotHere, admitAt("i0", now)) // another instance is addressed
+	upstream.heartbeat("i1", newHeartbeat(3, 6, "closing"), now)
+	upstream.heartbeat("i1", newHeartbeat(1, 6, "accepting"), now) // out of order: the upstream stays closing
+	must.Eq(t, apierror.None, admitAt("i1", now.Add(1800*time.Millisecond)))
+	must.Eq(t, apierror.NotHere, admitAt("i1", now.Add(1900*time.Millisecond))) // three quarters of Drain have passed
+	upstream.signOff("i1")
+	must.Eq(t, apierror.NotHere, admitAt("i1", now))
+	upstream.heartbeat("i2", newHeartbeat(1, 6, "accepting"), now)
+	upstream.heartbeat("i1", newHeartbeat(9, 6, "accepting"), now) // of an ended instance
+	must.Eq(t, apierror.None, admitAt("i2", now.Add(time.Hour)))
+	upstream.recordRefused("i2")
+	must.Eq(t, apierror.NoRoom, admitAt("i2", now))
+	reported, _, changed := upstream.snapshot()
+	must.Nil(t, reported) // reported as absent
+	upstream.heartbeat("i2", newHeartbeat(2, 6, "accepting"), now)
+	<-changed // holders of the previous state are notified
+	must.Eq(t, apierror.None, admitAt("i2", now))
+	upstream.recordNoAnswer("i2")
+	must.Eq(t, apierror.None, admitAt("i2", now))
+	upstream.recordNoAnswer("i2") // second connection attempt without an answer: unreachable
+	must.Eq(t, apierror.NoRoom, admitAt("i2", now))
+	upstream.heartbeat("i2", newHeartbeat(3, 6, "accepting"), now)
+	must.Eq(t, apierror.None, admitAt("i2", now))
 	for range 6 {
-		b.observe("i1", true, now) // of a life that has ended
+		upstream.observe("i1", true, now) // of an ended instance
 	}
-	up, _, changed = b.snapshot()
-	must.Eq(t, 0, up.Ill)
+	reported, _, changed = upstream.snapshot()
+	must.Eq(t, 0, reported.Ill)
 	for n := range 6 {
-		b.observe("i2", true, now.Add(time.Duration(n)*time.Millisecond))
+		upstream.observe("i2", true, now.Add(time.Duration(n)*time.Millisecond))
 	}
 	<-changed
-	up, _, _ = b.snapshot()
-	must.Eq(t, 3, up.Ill)
-	b.heartbeat("i2", newHeartbeat(4, 6, "accepting"), now) // its own word changes nothing of that
-	up, _, _ = b.snapshot()
-	must.Eq(t, 3, up.Ill)
+	reported, _, _ = upstream.snapshot()
+	must.Eq(t, 3, reported.Ill)
+	upstream.heartbeat("i2", newHeartbeat(4, 6, "accepting"), now) // a heartbeat does not reset the outlier level
+	reported, _, _ = upstream.snapshot()
+	must.Eq(t, 3, reported.Ill)
 }
 
-// An answer in chunks says nothing of its length; only one that is long takes the line's turns.
+// A chunked response does not state its length. A short one must not wait for the line behind long responses.
 func TestShortResponseOfUnknownLengthIsNotPaced(t *testing.T) {
-	p := newLinePacer(6.4)
+	line := newLinePacer(6.4)
 	for range maxPacedFlows {
-		must.NoError(t, p.acquire(context.Background(), priority.Rank{})) // all turns are taken, for ever
+		must.NoError(t, line.acquire(context.Background(), priority.Rank{})) // the line stays occupied
 	}
 	answer := func(size int) *downstreamResponse {
-		return &downstreamResponse{length: -1, remaining: strings.NewReader(strings.Repeat("x", size)), pacer: p, context: context.Background()}
+		return &downstreamResponse{length: -1, remaining: strings.NewReader(strings.Repeat("x", size)), pacer: line, context: context.Background()}
 	}
 	small := answer(1500)
 	must.NoError(t, small.detectLength())
@@ -127,95 +131,99 @@
 	ctx, end := context.WithCancel(context.Background())
 	long.context = ctx
 	end()
-	must.ErrorIs(t, long.stream(&out), context.Canceled) // it waits for its turn
-	p.yield()
+	must.ErrorIs(t, long.stream(&out), context.Canceled) // it waits for the line
+	line.yield()
 	long.context = context.Background()
 	out.Reset()
 	must.NoError(t, long.stream(&out))
 	must.Eq(t, maxShortResponse+9, out.Len())
 }
 
+// Requests of equal rank get slots in the order of their due times, and a request does not wait longer than a quarter
+// of its latency target.
 func TestEarliestDeadlineGetsNextSlot(t *testing.T) {
-	b := newLocalUpstream(time.Second, "127.0.0.1:1")
+	upstream := newLocalUpstream(time.Second, "127.0.0.1:1")
 	now := time.Now()
-	b.heartbeat("i", newHeartbeat(1, 1, "accepting"), now)
-	for range b.slots() {
-		_, kind := b.admit(context.Background(), newRequestTo("i", time.Hour), now)
+	upstream.heartbeat("i", newHeartbeat(1, 1, "accepting"), now)
+	for range upstream.slots() {
+		_, kind := upstream.admit(context.Background(), newRequestTo("i", time.Hour), now)
 		must.Eq(t, apierror.None, kind)
 	}
 	order := make(chan string, 2)
-	wait := func(name string, aim time.Duration, before int) {
+	enqueue := func(name string, latencyTarget time.Duration, before int) {
 		go func() {
-			if _, kind := b.admit(context.Background(), newRequestTo("i", aim), now); kind == apierror.None {
+			if _, kind := upstream.admit(context.Background(), newRequestTo("i", latencyTarget), now); kind == apierror.None {
 				order <- name
 			}
 		}()
 		for {
-			b.mu.Lock()
-			n := b.queue.Len()
-			b.mu.Unlock()
+			upstream.mu.Lock()
+			n := upstream.queue.Len()
+			upstream.mu.Unlock()
 			if n == before+1 {
 				return
 			}
 		}
 	}
-	wait("long", 2*time.Hour, 0)
-	wait("short", time.Hour, 1)
-	_, kind := b.admit(context.Background(), newRequestTo("i", 3*time.Hour), now) // the line is full, and it is due last
+	enqueue("long", 2*time.Hour, 0)
+	enqueue("short", time.Hour, 1)
+	_, kind := upstream.admit(context.Background(), newRequestTo("i", 3*time.Hour), now) // the queue is full, and this request is due last
 	must.Eq(t, apierror.NoRoom, kind)
-	b.release("i")
+	upstream.release("i")
 	must.Eq(t, "short", <-order)
-	b.release("i")
+	upstream.release("i")
 	must.Eq(t, "long", <-order)
-	_, kind = b.admit(context.Background(), newRequestTo("i", time.Nanosecond), now) // a quarter of its aim is over at once
+	_, kind = upstream.admit(context.Background(), newRequestTo("i", time.Nanosecond), now) // its wait time is over at once
 	must.Eq(t, apierror.NoRoom, kind)
 }
 
+// A request whose long response could not start within half of its latency target is refused before it is executed.
 func TestLateLongResponseIsRejectedBeforeExecution(t *testing.T) {
-	p := newLinePacer(8)  // a million bytes a second, of which long answers have 880,000
-	p.meanLength = 88_000 // a tenth of a second each
-	in := 0
-	for p.admit(requestPriority{latencyTarget: time.Second}) {
-		in++
+	pacer := newLinePacer(8)  // 1,000,000 bytes per second, of which long responses get 880,000
+	pacer.meanLength = 88_000 // 100 ms each
+	admitted := 0
+	for pacer.admit(requestPriority{latencyTarget: time.Second}) {
+		admitted++
 	}
-	must.Eq(t, 6, in) // those in front take half of the aim
-	p.release(priority.Rank{})
-	must.True(t, p.admit(requestPriority{latencyTarget: time.Second}))
+	must.Eq(t, 6, admitted) // the requests ahead take half of the latency target
+	pacer.release(priority.Rank{})
+	must.True(t, pacer.admit(requestPriority{latencyTarget: time.Second}))
 	now := time.Now()
-	p.refilledAt, p.tokens = now, pacerBurst
-	must.Eq(t, 0, p.consume(pacerBurst, now))
-	must.Eq(t, 100*time.Millisecond, p.consume(88_000, now))
-	wide := newLinePacer(1000)
+	pacer.refilledAt, pacer.tokens = now, pacerBurst
+	must.Eq(t, 0, pacer.consume(pacerBurst, now))
+	must.Eq(t, 100*time.Millisecond, pacer.consume(88_000, now))
+	fast := newLinePacer(1000)
 	for range 1000 {
-		must.True(t, wide.admit(requestPriority{latencyTarget: time.Millisecond})) // a wide line turns nothing away
+		must.True(t, fast.admit(requestPriority{latencyTarget: time.Millisecond})) // a fast line refuses nothing
 	}
 }
 
-// A push that was ordered before an answer that promises that nothing has run does not leave after it; what a balancer turned
-// away before its upstream is no try, and what comes after it no repeat.
+// An attempt that was ordered before the final response must not be sent after it, because that response may state
+// that nothing runs. Attempts that were refused before they reached an upstream count neither as attempts nor as
+// retries.
 func TestAttemptLimits(t *testing.T) {
-	paid, free := 0, func() bool { panic("no repeat") }
-	pay := func() bool { paid++; return paid < 3 }
-	q := &downstreamRequest{maxAttempts: 2, responses: map[int]*downstreamResponse{}}
-	must.True(t, q.beginAttempt(free))
-	q.endAttempt(logic.TurnedAway, true, nil) // by the balancer before it
-	must.True(t, q.beginAttempt(free))
-	q.endAttempt(logic.TurnedAway, false, nil) // by the upstream: it has come there, and not run
-	must.True(t, q.beginAttempt(pay))
-	q.endAttempt(logic.Unreachable, true, nil)
-	must.True(t, q.beginAttempt(pay))
-	q.endAttempt(logic.Broken, false, nil)
-	must.False(t, q.beginAttempt(pay)) // two upstreams have had it
-	ran, out, _ := q.close()
-	must.Eq(t, []int{1, 0, 2}, []int{ran, out, paid})
-	q = &downstreamRequest{maxAttempts: 3}
-	must.True(t, q.beginAttempt(free))
-	must.False(t, q.beginAttempt(func() bool { return false })) // the budget is spent
-	q.close()
-	must.False(t, q.beginAttempt(pay))
+	taken, unexpectedRetry := 0, func() bool { panic("no repeat") }
+	takeRetry := func() bool { taken++; return taken < 3 }
+	request := &downstreamRequest{maxAttempts: 2, responses: map[int]*downstreamResponse{}}
+	must.True(t, request.beginAttempt(unexpectedRetry))
+	request.endAttempt(logic.TurnedAway, true, nil) // by the proxy beside the upstream
+	must.True(t, request.beginAttempt(unexpectedRetry))
+	request.endAttempt(logic.TurnedAway, false, nil) // by the upstream: received, but not executed
+	must.True(t, request.beginAttempt(takeRetry))
+	request.endAttempt(logic.Unreachable, true, nil)
+	must.True(t, request.beginAttempt(takeRetry))
+	request.endAttempt(logic.Broken, false, nil)
+	must.False(t, request.beginAttempt(takeRetry)) // two upstreams have received it
+	mayHaveRun, inFlight, _ := request.close()
+	must.Eq(t, []int{1, 0, 2}, []int{mayHaveRun, inFlight, taken})
+	request = &downstreamRequest{maxAttempts: 3}
+	must.True(t, request.beginAttempt(unexpectedRetry))
+	must.False(t, request.beginAttempt(func() bool { return false })) // the retry budget is exhausted
+	request.close()
+	must.False(t, request.beginAttempt(takeRetry))
 }
 
-// The header that tells a request's aim and rank is read by versions that know of no rank, and written by them without one.
+// Earlier versions read the priority header without the rank and send it without one; both directions have to work.
 func TestPriorityHeaderBetweenVersions(t *testing.T) {
 	configuration, err := routing.Parse([]byte(`{"Edition":1,"Senders":[{"Name":"t","ApiKeys":["k"],"Precedence":3}],"PostOffices":[{"Town":"a","Regulations":[
 {"Name":"r","MailClass":"repeatable","Target":"1s","Precedence":2,"Sorting":{"StreetPrefix":"/r/"},"Dispatch":{"Destination":"s","Deadline":"1s","DeliveryTries":1}}]}],"Depots":[{"Name":"s"}]}`))
@@ -223,7 +231,7 @@
 	p := &Proxy{}
 	p.view.Store(&configurationView{configuration: configuration})
 	encoded := requestPriority{300 * time.Millisecond, priority.Of(1, 0), false}.encode()
-	must.Eq(t, "300", encoded[0]) // all that the version before reads
+	must.Eq(t, "300", encoded[0]) // all that earlier versions read
 	for _, c := range []struct {
 		values []string
 		path   string
@@ -231,7 +239,7 @@
 		want   requestPriority
 	}{
 		{encoded, "/r/x", "t", requestPriority{300 * time.Millisecond, priority.Of(1, 0), false}},
-		{encoded[:1], "/r/x?y", "t", requestPriority{300 * time.Millisecond, priority.Of(3, 2), false}}, // of the version before: by what is known here
+		{encoded[:1], "/r/x?y", "t", requestPriority{300 * time.Millisecond, priority.Of(3, 2), false}}, // from an earlier version: rank of the local configuration
 		{encoded[:1], "/r/x", "", requestPriority{300 * time.Millisecond, priority.Of(0, 2), false}},
 		{requestPriority{300 * time.Millisecond, priority.Of(1, 0), true}.encode(), "/r/x", "t", requestPriority{300 * time.Millisecond, priority.Of(1, 0), true}},
 		{encoded[:1], "/other/", "t", requestPriority{300 * time.Millisecond, priority.Lowest, false}},
@@ -244,32 +252,32 @@
 		r.Header[tenantHeader] = []string{c.tenant}
 		must.Eq(t, c.want, p.priorityOf(r), must.Sprint(c))
 	}
-	must.SliceContains(t, meshOwnedHeaders, meshPriorityHeader) // what a client sends of it goes no further
+	must.SliceContains(t, meshOwnedHeaders, meshPriorityHeader) // removed from clients' requests
 }
 
-// A long answer of an urgent request has the narrow line before those that have waited for longer.
+// A narrow line passes to the most urgent waiting response, even if others have waited longer.
 func TestPacerPrefersMostUrgentResponse(t *testing.T) {
-	p := newLinePacer(6.4)
+	pacer := newLinePacer(6.4)
 	for range maxPacedFlows {
-		must.NoError(t, p.acquire(context.Background(), priority.Rank{}))
+		must.NoError(t, pacer.acquire(context.Background(), priority.Rank{}))
 	}
 	order := make(chan string, 2)
-	wait := func(name string, rank priority.Rank, before int) {
+	enqueue := func(name string, rank priority.Rank, before int) {
 		go func() {
-			if p.acquire(context.Background(), rank) == nil {
+			if pacer.acquire(context.Background(), rank) == nil {
 				order <- name
 			}
 		}()
 		for waiting := 0; waiting != before+1; {
-			p.mu.Lock()
-			waiting = p.queue.Len()
-			p.mu.Unlock()
+			pacer.mu.Lock()
+			waiting = pacer.queue.Len()
+			pacer.mu.Unlock()
 		}
 	}
-	wait("usual", priority.Of(0, 2), 0)
-	wait("urgent", priority.Of(0, 0), 1)
-	p.yield()
+	enqueue("usual", priority.Of(0, 2), 0)
+	enqueue("urgent", priority.Of(0, 0), 1)
+	pacer.yield()
 	must.Eq(t, "urgent", <-order)
-	p.yield()
+	pacer.yield()
 	must.Eq(t, "usual", <-order)
 }
--- a/internal/mesh/proxy/quota.go
+++ b/internal/mesh/proxy/quota.go
@@ -10,25 +10,26 @@
 )
 
 const (
-	idleDrawInterval = 350 * time.Millisecond // where nothing is needed: the bank leaves who is silent a standing rate
+	idleDrawInterval = 350 * time.Millisecond // without demand: the token bank reserves a base rate for a proxy that does not draw
 	minDrawInterval  = 12 * time.Millisecond  // between two draws
-	drawTimeout      = 300 * time.Millisecond
-	maxDrawWait      = 60 * time.Millisecond // that a request without a token waits for a draw
-	maxDrawWaits     = 3                     // draws that it waits for: one under way knew nothing of it, a bank just opened has nothing yet
+	drawTimeout      = 300 * time.Millisecond // for the response to a draw
+	maxDrawWait      = 60 * time.Millisecond  // that a request without a token waits for one draw
+	// A request may need several draws: one under way does not include its demand, and a new bank has no tokens yet.
+	maxDrawWaits = 3 // draws that a request waits for
 )
 
-// tokenCache is this balancer's tokens of tenants' quotas, and where more are drawn.
+// tokenCache holds this proxy's quota tokens of the tenants and the address of the coordinator that grants more.
 type tokenCache struct {
 	sync.Mutex
 	quota       *ratelimit.Wallet
-	limited     bool // a tenant has a limit
+	limited     bool // some tenant has a limit
 	coordinator string
 	epoch       uint64
-	wake        chan struct{} // has room for one
-	drawDone    chan struct{} // closed with the end of each draw
+	wake        chan struct{} // buffered for one value
+	drawDone    chan struct{} // closed at the end of each draw
 }
 
-// epochs takes who keeps the bank. An earlier one than was heard of is refused.
+// setCoordinator sets the controller that keeps the token bank. One of an earlier epoch is ignored.
 func (c *tokenCache) setCoordinator(address string, epoch uint64) {
 	c.Lock()
 	defer c.Unlock()
@@ -37,6 +38,7 @@
 	}
 }
 
+// signalDemand wakes runTokenDraws.
 func (c *tokenCache) signalDemand() {
 	select {
 	case c.wake <- struct{}{}:
@@ -44,7 +46,8 @@
 	}
 }
 
-// within reports whether a request is within its tenant's quota. Most find a token; one that doesn't waits for a draw.
+// withinQuota reports whether a request is within its tenant's quota. Most requests find a token in the cache; one
+// that does not waits for a draw.
 func (p *Proxy) withinQuota(ctx context.Context, tenant string) (ok bool, retryAfter time.Duration) {
 	cache := &p.tokenCache
 	for round := 0; ; round++ {
@@ -70,7 +73,7 @@
 	}
 }
 
-// runTokenDraws keeps the wallet as full as demand wants it.
+// runTokenDraws draws tokens from the coordinator according to demand.
 func (p *Proxy) runTokenDraws(ctx context.Context) {
 	cache := &p.tokenCache
 	ticker := time.NewTicker(idleDrawInterval)
--- a/internal/mesh/proxy/request_priority.go
+++ b/internal/mesh/proxy/request_priority.go
@@ -11,23 +11,23 @@
 )
 
 const (
-	defaultLatencyTarget = 200 * time.Millisecond
+	defaultLatencyTarget = 200 * time.Millisecond // if the header is missing
 	maxLatencyTarget     = 1000 * time.Second
 
-	rankPrefix    = "priority=" // of the second value of meshAimHeader
-	retriedSuffix = ";again"    // of the same, for a request that has been sent to another balancer before
+	rankPrefix    = "priority=" // of the second value of meshPriorityHeader
+	retriedSuffix = ";again"    // of the same, for a request that was sent to another proxy before
 )
 
-// requestPriority is how urgent a request is.
+// requestPriority determines the order in which requests are served.
 type requestPriority struct {
-	latencyTarget time.Duration // within which its answer is of full worth
+	latencyTarget time.Duration // after which the response loses value
 	rank          priority.Rank
-	retried       bool // it has been sent to another balancer before
+	retried       bool // it was sent to another proxy before
 }
 
-// encode tells the balancer beside an upstream how urgent a request is: the header's first value is the aim in milliseconds,
-// all that versions before this one read, and the second one is the rank. Every version removes the header from what clients send,
-// so nobody else can set either.
+// encode returns the values of meshPriorityHeader. The first one is the latency target in milliseconds, which is all
+// that earlier versions read; the second one is the rank. Every version removes the header from clients' requests, so
+// only proxies can set it.
 func (p requestPriority) encode() []string {
 	rank := rankPrefix + p.rank.String()
 	if p.retried {
@@ -36,8 +36,8 @@
 	return []string{strconv.FormatInt(p.latencyTarget.Milliseconds(), 10), rank}
 }
 
-// priorityOf is how urgent a request from another balancer is. Where that balancer is of a version that does not tell the rank, it is
-// what this one's own configuration says.
+// priorityOf returns the priority of a request from another proxy. If that proxy runs an earlier version that does not
+// send the rank, the rank comes from this proxy's configuration.
 func (p *Proxy) priorityOf(r *http.Request) requestPriority {
 	requested := requestPriority{latencyTarget: defaultLatencyTarget}
 	if ms, err := strconv.ParseInt(r.Header.Get(meshPriorityHeader), 10, 64); err == nil && ms >= 0 {
@@ -58,7 +58,8 @@
 	return requested
 }
 
-// configuredRank is the rank of a request by this balancer's own configuration, the lowest where it knows no route for it.
+// configuredRank returns the rank of a request according to this proxy's configuration, and the lowest rank without a
+// route.
 func (p *Proxy) configuredRank(r *http.Request) priority.Rank {
 	active := p.view.Load()
 	if active == nil {
@@ -71,7 +72,7 @@
 	return rankOf(route, active.configuration.TenantByName(r.Header.Get(tenantHeader)))
 }
 
-// rankOf is the rank of a request on a route, for a tenant or, with nil, for nobody's account.
+// rankOf returns the rank of a request on a route for a tenant, which is nil for requests without one.
 func rankOf(route *routing.Route, tenant *routing.Tenant) priority.Rank {
 	if tenant == nil {
 		return priority.Of(0, route.Precedence)
--- a/internal/mesh/proxy/request_result.go
+++ b/internal/mesh/proxy/request_result.go
@@ -9,10 +9,10 @@
 	"ottershift/logic"
 )
 
-// runRequest carries a request from its arrival at the module to its answer.
+// runRequest carries out the attempts that the load balancer orders for a request, until the client has its response.
 func (p *Proxy) runRequest(w http.ResponseWriter, r *http.Request, request *downstreamRequest, call *desk.Case) {
 	defer func() {
-		for { // what was ordered and not begun
+		for { // report attempts that were ordered but not started
 			select {
 			case attempt := <-call.Pushes:
 				request.servicePool.desk.Outcome(call, attempt, logic.Unsent)
@@ -38,13 +38,13 @@
 	}
 }
 
-// handleClientGone ends a request whose client sends no more. One that has closed its sending side alone still reads: the two can't be told
-// apart before something is written.
+// handleClientGone ends a request whose client has closed its sending side. The client may still read: a half-closed
+// connection can't be told from a closed one before something is written, so an error response is written.
 func (p *Proxy) handleClientGone(w http.ResponseWriter, r *http.Request, request *downstreamRequest, call *desk.Case) {
 	mayHaveRun, _, _ := request.close()
 	request.servicePool.desk.Vanish(call)
 	p.recordClientGone(r)
-	select { // an answer that flows to nobody
+	select { // a streamed response has no reader any more
 	case result := <-call.Answer:
 		request.discardResponse(result.Push)
 	default:
@@ -56,8 +56,8 @@
 	p.writeError(w, r, kind, 0)
 }
 
-// answerAtShutdown answers a request as it stands, as the process ends. Invariant: from close on nothing more of it goes out, and from Vanish
-// on no answer comes about that was not there before.
+// answerAtShutdown answers an open request according to its state when the process ends. After close no further
+// attempt starts, and after Vanish no new result arrives, so the state is final.
 func (p *Proxy) answerAtShutdown(w http.ResponseWriter, r *http.Request, request *downstreamRequest, call *desk.Case) {
 	mayHaveRun, inFlight, failedResponse := request.close()
 	request.servicePool.desk.Vanish(call)
@@ -78,7 +78,7 @@
 	}
 }
 
-// writeResult writes the one final answer.
+// writeResult writes the final response of a request.
 func (p *Proxy) writeResult(w http.ResponseWriter, r *http.Request, request *downstreamRequest, result desk.Answer) {
 	mayHaveRun, inFlight, failedResponse := request.close()
 	if result.Ending == desk.Settled || result.Ending == desk.Rejected {
@@ -94,7 +94,7 @@
 		return
 	}
 	switch {
-	case failedResponse != nil: // what an upstream said goes back unchanged
+	case failedResponse != nil: // an upstream's own error response is passed on unchanged
 		p.writeResponse(w, failedResponse)
 	case mayHaveRun == 0:
 		p.refuse(w, r, apierror.NoRoom, result.Backoff)
--- a/internal/mesh/proxy/service_pool.go
+++ b/internal/mesh/proxy/service_pool.go
@@ -22,61 +22,68 @@
 )
 
 const (
-	crossZonePrice     = 0.4 // the price of another zone: its turns are a fifth
-	longCrossZonePrice = 2.0 // the same where answers are long: a twentieth, so that one in proxy stays in its zone
+	crossZonePrice     = 0.4 // cost of another zone: it gets a fifth of the selections
+	longCrossZonePrice = 2.0 // the same for long responses: a twentieth, so that nearly all of them stay in their zone
 
-	coldWeightShare = 0.5             // of its slots that a cold upstream is sent work for
-	probeTimeout    = 2 * time.Second // for a probe of an upstream that is aside
+	coldWeightShare = 0.5             // weight of a cold upstream, relative to its slots
+	probeTimeout    = 2 * time.Second // for a probe of an ejected upstream
 
-	freeRefusals = 2 // balancers before an upstream that may turn a request away, beside the tries that its route has
+	freeRefusals = 2 // refusals by proxies beside upstreams that do not count as attempts of the route
 )
 
-// servicePool is the upstreams of one service, and the module that decides among them.
+// servicePool holds the upstreams of one service and the load balancer that selects among them.
 type servicePool struct {
 	name         string
 	desk         *desk.Desk
 	counters     *figures.Pool
 	book         *terms.Book
-	tariffOrder  []serviceLevel       // of the book's tariffs
-	tariffs      map[serviceLevel]int // of the book, by what is promised
-	limitedTerms map[int]*logic.Terms // the book's, by the number of upstreams that a route may be sent to
+	tariffOrder  []serviceLevel       // order of the service levels in book
+	tariffs      map[serviceLevel]int // index of each service level in book
+	limitedTerms map[int]*logic.Terms // the terms of book, by the maximum number of attempts
 	peers        *connectionPool      // hosts are named by the pool's own roster
 
 	mu     sync.Mutex
 	budget *ratelimit.RetryBudget
 
-	partners []string         // that it leads to, where it is no service of ours
-	routes   []*routing.Route // and by what it is tuned then
+	partners []string         // that the pool leads to, if it is not a service of this mesh
+	routes   []*routing.Route // the routes of a pool that leads to partners
 }
 
+// recordFirst counts the first attempt of a request toward the retry budget.
 func (p *servicePool) recordFirst(now int64, rank priority.Rank) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.budget.First(now, rank)
 }
 
+// allowRetry takes a retry from the budget, if it allows one.
 func (p *servicePool) allowRetry(now int64, members int, rank priority.Rank) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.budget.Take(now, members, rank)
 }
 
-// serviceLevel is what is promised for the requests of a route. Routes that promise alike are one tariff of the module.
+// serviceLevel is the promise for the requests of a route. Routes with equal promises share one class in the load
+// balancer.
 type serviceLevel struct {
 	repeats          bool
 	target, deadline time.Duration
 }
 
+// serviceLevelOf returns the service level of a route.
 func serviceLevelOf(route *routing.Route) serviceLevel {
-	return serviceLevel{route.MailClass.Repeats(), time.Duration(cmp.Or(route.Target, route.Dispatch.Deadline)), time.Duration(route.Dispatch.Deadline)}
+	return serviceLevel{
+		route.MailClass.Repeats(), time.Duration(cmp.Or(route.Target, route.Dispatch.Deadline)),
+		time.Duration(route.Dispatch.Deadline),
+	}
 }
 
-// label is the tariff's in counts.
+// label returns the name of the service level in counters.
 func (l serviceLevel) label() string {
 	return fmt.Sprintf("repeats=%v target=%v deadline=%v", l.repeats, l.target, l.deadline)
 }
 
-// target is the pool's part of a route; there is none of one whose terms its module has refused.
+// target returns the pool as a target of a route. It is not known if the load balancer has rejected the route's terms.
 func (p *servicePool) target(route *routing.Route, share float64) (t target, known bool) {
 	tariff, known := p.tariffs[serviceLevelOf(route)]
 	if !known {
@@ -93,15 +100,17 @@
 	return target{p, share, limitedTerms, tariff}, true
 }
 
-// setBook goes by another book from now on.
+// setBook replaces the terms of the load balancer.
 func (p *servicePool) setBook(book *terms.Book, tariffOrder []serviceLevel) {
-	p.book, p.tariffOrder, p.tariffs, p.limitedTerms = book, tariffOrder, make(map[serviceLevel]int, len(tariffOrder)), map[int]*logic.Terms{}
+	p.book, p.tariffOrder, p.tariffs, p.limitedTerms = book, tariffOrder,
+		make(map[serviceLevel]int, len(tariffOrder)), map[int]*logic.Terms{}
 	for at, key := range tariffOrder {
 		p.tariffs[key] = at
 	}
 }
 
-// updateRoutes gives a service's module the routes that lead to it. Under mu.
+// updateRoutes applies the routes of a service to its load balancer. One that rejects the new terms is replaced. The
+// caller holds mu.
 func (p *Proxy) updateRoutes(service string, newRoutes []*routing.Route) error {
 	book, tariffOrder := p.bookOf(newRoutes)
 	existing := p.pools[service]
@@ -133,18 +142,22 @@
 	return nil
 }
 
-// sameTerms reports whether terms are alike but for their tariffs, in which a module learns.
+// sameTerms reports whether two sets of terms are equal apart from their classes. The load balancer stores what it
+// learns in the classes, so they are not compared by value; the caller compares tariffOrder instead.
 func sameTerms(a, b *logic.Terms) bool {
 	return a.Balancers == b.Balancers && a.Index == b.Index && a.MaxPushes == b.MaxPushes && a.CrossZonePrice == b.CrossZonePrice
 }
 
-// bookOf is what a service's module is told: of this balancer's place among all, and of what its routes promise. Under mu.
+// bookOf returns the terms of a service's load balancer: this proxy's rank among all proxies, and the service levels
+// of the routes. The caller holds mu.
 func (p *Proxy) bookOf(routes []*routing.Route) (book *terms.Book, tariffOrder []serviceLevel) {
 	balancers, ordinal := p.nodeRank()
 	moduleTerms := &logic.Terms{
-		Seed: rand.Uint64(), FreeRefusals: freeRefusals, Balancers: balancers, Index: ordinal, Layer: 1, SecondCopies: true, Cancelling: true, Probing: true,
+		Seed: rand.Uint64(), FreeRefusals: freeRefusals, Balancers: balancers, Index: ordinal, Layer: 1,
+		SecondCopies: true, Cancelling: true, Probing: true,
 		AdviseBackoff: true, MaxBackoff: int64(250 * time.Millisecond), CrossZonePrice: crossZonePrice, MaxPushes: 1,
-		ColdShare: 1, FallMultiple: 1, FallSpan: int64(time.Second), BeyondShare: 1, // nothing here falls over: see weight
+		// no limits for cold upstreams: see weight
+		ColdShare: 1, FallMultiple: 1, FallSpan: int64(time.Second), BeyondShare: 1,
 	}
 	book = &terms.Book{Terms: moduleTerms, Tariffs: map[string]int{}, Customers: map[string]int{}, Default: -1}
 	seen := map[serviceLevel]bool{}
@@ -167,6 +180,7 @@
 	return book, tariffOrder
 }
 
+// tariff returns the load balancer's parameters for the service level.
 func (l serviceLevel) tariff() *logic.Tariff {
 	t := &logic.Tariff{HardStop: int64(l.deadline), ContractTime: int64(l.target), Earnings: 1, LateEarnings: 0.3}
 	if l.repeats {
@@ -175,7 +189,7 @@
 	return t
 }
 
-// nodeRank is how many balancers there are, and this one's place in their agreed order. Under mu.
+// nodeRank returns the number of proxies and this proxy's position in their common order. The caller holds mu.
 func (p *Proxy) nodeRank() (count, ordinal int) {
 	var names []string
 	for node, record := range p.nodes {
@@ -190,7 +204,7 @@
 	return len(names), slices.Index(names, p.settings.Node)
 }
 
-// updateUpstreamLists hands every module the list of its upstreams as it stands. Under mu.
+// updateUpstreamLists passes the current list of upstreams to each load balancer. The caller holds mu.
 func (p *Proxy) updateUpstreamLists() {
 	byService := map[string][]*knownNode{}
 	now := time.Now()
@@ -220,7 +234,7 @@
 	}
 }
 
-// upstreamEntries are a service's upstreams as its module is told of them, those that are ill with a lesser weight.
+// upstreamEntries returns the upstreams of a service as its load balancer sees them, with a lower weight for outliers.
 func upstreamEntries(nodes []*knownNode, now time.Time) (entries []roster.Entry[string]) {
 	levels, slots := make([]int, len(nodes)), make([]float64, len(nodes))
 	for k, n := range nodes {
@@ -236,9 +250,10 @@
 	return entries
 }
 
-// weight is the part of a service's work that an upstream is sent: its slots, fewer while it is slow from its start. The
-// module's purses for cold upstreams, made for those that fall over, stay unused: the balancer beside an upstream lets in
-// what it has room for, and after a start of everything they would turn away nearly all there is to serve.
+// weight returns an upstream's share of the service's work: its slots, reduced while it is cold. The load balancer's
+// limits for cold upstreams, made for upstreams that fail under overload, are not used: the proxy beside an upstream
+// admits only what the upstream has room for, and after a start of all upstreams the limits would refuse nearly all
+// requests.
 func (n *knownNode) weight(now time.Time) float64 {
 	slots := float64(max(n.Upstream.Capacity, 1))
 	if now.Before(n.warmAt) {
@@ -247,7 +262,8 @@
 	return slots
 }
 
-// runProbes carries out a module's probes: a question to the balancer beside the upstream, which knows it best.
+// runProbes carries out the probes that a load balancer orders. A probe asks the proxy beside the upstream, which
+// tracks its state.
 func (p *Proxy) runProbes(service *servicePool) {
 	for {
 		select {
--- a/internal/mesh/proxy/unanswered.go
+++ b/internal/mesh/proxy/unanswered.go
@@ -7,16 +7,17 @@
 	"ottershift/internal/mesh/httpserver"
 )
 
-// A request that has been read whole gets an answer, or one of these counters and, where it is this process that ended it, a line.
+// Counters of requests that were read completely and got no complete response. If this process ended the connection, it
+// also writes a log line.
 const (
-	counterClientGone = "clients_left"           // its client closed the connection
-	counterClosedHere = "unanswered_closed_here" // this process ended the connection under it
+	counterClientGone = "clients_left"           // the client closed the connection
+	counterClosedHere = "unanswered_closed_here" // this process closed the connection
 
-	counterSourceBroke = "answers_cut_source_broke" // the upstream, or the balancer beside it, broke off a long answer
-	counterReaderGone  = "answers_cut_reader_gone"  // whoever it was meant for takes no more of it
+	counterSourceBroke = "answers_cut_source_broke" // the upstream, or the proxy beside it, truncated a long response
+	counterReaderGone  = "answers_cut_reader_gone"  // the receiver closed its connection
 )
 
-// recordClientGone notes a request whose connection has ended before its answer.
+// recordClientGone counts a request whose connection ended before its response.
 func (p *Proxy) recordClientGone(r *http.Request) {
 	if c := httpserver.ConnectionOf(r); c == nil || !c.CutHere() {
 		p.counters.Add(counterClientGone)
@@ -26,12 +27,12 @@
 	p.log.Warn("unanswered", "why", "closed here", "attempt", r.Header.Get(requestIDHeader))
 }
 
-// handleOutboundPanic answers a client whose request has met a fault of this process. It may have run.
+// handleOutboundPanic responds to a client whose request made the handler panic. The request may have run.
 func (p *Proxy) handleOutboundPanic(w http.ResponseWriter, r *http.Request) {
 	p.refuse(w, r, apierror.Broke, 0)
 }
 
-// handleInboundPanic is the same toward another balancer.
+// handleInboundPanic does the same for a request from another proxy.
 func (p *Proxy) handleInboundPanic(w http.ResponseWriter, r *http.Request) {
 	w.Header()[meshHeader] = []string{meshMayHaveRun}
 	p.refuse(w, r, apierror.Broke, 0)
--- a/internal/mesh/proxy/upstream_request.go
+++ b/internal/mesh/proxy/upstream_request.go
@@ -15,7 +15,7 @@
 	"ottershift/internal/roster"
 )
 
-// upstreamRequest is a request as it goes over one connection.
+// upstreamRequest is a request as it is sent over one connection.
 type upstreamRequest struct {
 	requestID, upstreamID string
 	method, target, host  string
@@ -25,10 +25,11 @@
 	length                int64
 	deadline              time.Time
 	requestPriority
-	callerGone func() bool // looks at the connection that it came over, nil where there is none to look at
+	callerGone func() bool // reports whether the connection that the request came over is closed; nil for no check
 }
 
-// upstreamResponse is what comes back of it. kind Unready says that it never left, Broke that it may have run.
+// upstreamResponse is the result of sending an upstreamRequest. The kind Unready means that the request was not sent,
+// Broke that it may have run.
 type upstreamResponse struct {
 	kind         apierror.Kind
 	err          error
@@ -37,12 +38,12 @@
 	conn         *connection
 	owner        *connectionPool
 	maxIdle      time.Duration
-	detach       func() bool // no end of the request's reaches the line any more; false if one has
-	onDone       func()      // once, when it is over
+	detach       func() bool // ends the effect of the request's context on conn; false if the context has ended
+	onDone       func()      // called once, at the release
 	released     bool
 }
 
-// release gives the connection back, whole if its answer has been read to the end.
+// release returns the connection to its pool if the response was read to the end, and closes it otherwise.
 func (r *upstreamResponse) release(reusable bool) {
 	if r.released {
 		return
@@ -61,13 +62,13 @@
 	}
 }
 
-// discard reads the rest of an answer that is no use, to keep its connection.
+// discard reads the rest of an unused response, so that its connection can be reused.
 func (r *upstreamResponse) discard() {
 	_, err := io.CopyN(io.Discard, r.httpResponse.Body, bufferSize)
 	r.release(err == io.EOF)
 }
 
-// send carries a request over a connection of a pool, a kept one if there is one that may carry it.
+// send sends a request over a connection of a pool, an idle one if one may carry the request.
 func (p *Proxy) send(ctx context.Context, request *upstreamRequest, pool *connectionPool, at roster.Place) *upstreamResponse {
 	if err := checkSendable(ctx, request); err != nil {
 		return &upstreamResponse{kind: apierror.Unready, err: err}
@@ -77,7 +78,7 @@
 		response := p.sendOver(ctx, request, pool, c)
 		if response.kind != apierror.Unready || response.wrote || ctx.Err() != nil || notSent(response.err) {
 			return response
-		} // it had ended before any of the request went out
+		} // the idle connection was closed before any byte of the request was sent
 	}
 	c, err := pool.dial(ctx, to)
 	if err != nil {
@@ -87,17 +88,18 @@
 }
 
 var (
-	errDeadlinePassed = errors.New("the request's time is up")
-	errCallerGone     = errors.New("whoever sent the request has gone")
+	errDeadlinePassed = errors.New("request deadline passed before it was sent")
+	errCallerGone     = errors.New("caller closed its connection before the request was sent")
 )
 
-// notSent reports whether an error says that a request was not let out, which tells nothing of whoever it was meant for.
+// notSent reports whether an error means that this proxy did not send the request, which says nothing about the
+// upstream.
 func notSent(err error) bool {
 	return errors.Is(err, errDeadlinePassed) || errors.Is(err, errCallerGone)
 }
 
-// checkSendable says why a request may not leave any more. Invariant: a process that stood still may come here after the time at which
-// whoever sent the request has given it up.
+// checkSendable returns an error if a request must not be sent any more. After a pause of this process, the caller may
+// have given the request up already.
 func checkSendable(ctx context.Context, request *upstreamRequest) error {
 	if err := ctx.Err(); err != nil {
 		return err
@@ -111,7 +113,7 @@
 	return nil
 }
 
-// sendOver carries a request over one connection.
+// sendOver sends a request over one connection.
 func (p *Proxy) sendOver(ctx context.Context, request *upstreamRequest, pool *connectionPool, c *connection) *upstreamResponse {
 	if err := checkSendable(ctx, request); err != nil {
 		c.Close()
@@ -133,12 +135,12 @@
 		return &upstreamResponse{kind: kind, err: err, wrote: wrote}
 	}
 	if pool == p.upstreamConnections || pool == p.partnerConnections {
-		delete(httpResponse.Header, meshHeader) // balancers alone say this
+		delete(httpResponse.Header, meshHeader) // only proxies may set this header
 	}
 	return &upstreamResponse{httpResponse: httpResponse, wrote: true, conn: c, owner: pool, maxIdle: peerIdleTimeout, detach: detach}
 }
 
-// sendToLocalUpstream hands a request to the upstream on this machine, if it is the one that is meant and has room.
+// sendToLocalUpstream sends a request to the upstream on this machine, if it is the addressee and has room.
 func (p *Proxy) sendToLocalUpstream(ctx context.Context, request *upstreamRequest) *upstreamResponse {
 	address, kind := p.local.admit(ctx, request, time.Now())
 	if kind != apierror.None {
@@ -159,7 +161,7 @@
 		}
 		p.local.release(request.upstreamID)
 		if ctx.Err() == nil {
-			response.kind = apierror.NoRoom // it never reached the upstream
+			response.kind = apierror.NoRoom // it did not reach the upstream
 		}
 		return response
 	}
@@ -168,12 +170,12 @@
 		return response
 	}
 	response.maxIdle = upstreamIdleTimeout
-	p.local.release(request.upstreamID) // its work is done: what is left is bytes
+	p.local.release(request.upstreamID) // the upstream has processed it; only the transfer is left
 	return response
 }
 
-// assessUpstream is what one request says of the upstream beside: one that failed, or took twice the time within which it would have
-// been of full worth. What its caller called off before tells nothing.
+// assessUpstream derives from one request whether the local upstream failed it: by an error, or by taking more than
+// twice the latency target. A request that its caller cancelled earlier says nothing.
 func assessUpstream(ctx context.Context, request *upstreamRequest, response *upstreamResponse, took time.Duration) (failed, known bool) {
 	slow := request.latencyTarget > 0 && took > 2*request.latencyTarget
 	switch {
--- a/internal/mesh/proxy/view.go
+++ b/internal/mesh/proxy/view.go
@@ -10,7 +10,7 @@
 	"ottershift/logic"
 )
 
-// configurationView is what a balancer goes by: one version of the configuration, whole.
+// configurationView is one version of the configuration, prepared for routing requests.
 type configurationView struct {
 	index         uint64
 	configuration *routing.Configuration
@@ -18,7 +18,7 @@
 	targets       map[*routing.Route][]target
 }
 
-// target is a service of a route, and the terms under which its pool takes the route's requests.
+// target is a service of a route, with the terms under which its pool serves the route.
 type target struct {
 	servicePool  *servicePool
 	share        float64
@@ -26,7 +26,7 @@
 	tariff       int
 }
 
-// pick takes a service of a route by its shares.
+// pick selects a service of a route at random according to the services' shares.
 func (v *configurationView) pick(route *routing.Route) target {
 	candidates := v.targets[route]
 	total := 0.0
@@ -45,9 +45,9 @@
 	return candidates[len(candidates)-1]
 }
 
-// activate puts a version of the configuration in force. Invariant: an older one than was acted on, within one life, is refused. What it
-// costs goes by what differs from the version before, beside a look at each route. A service whose module refuses its terms goes on
-// under those before, and keeps no other from the new ones.
+// activate puts a version of the configuration in force. A version that is not newer than the active one is refused.
+// The cost depends on the changed services, apart from one pass over all routes. A service whose load balancer rejects
+// its terms keeps the previous ones and does not block the other services.
 func (p *Proxy) activate(index uint64, config *routing.Configuration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -73,6 +73,7 @@
 	p.partnerPolicy.Unlock()
 }
 
+// containsService reports whether parts include a service.
 func containsService(parts []routing.WeightedService, service string) bool {
 	for _, part := range parts {
 		if part.Service == service {
@@ -82,7 +83,8 @@
 	return false
 }
 
-// updateServices gives their routes to the modules whose routes are others than before, and counts these. Under mu.
+// updateServices applies changed routes to the load balancers of their services and returns the number of changed
+// services. The caller holds mu.
 func (p *Proxy) updateServices(byService map[string][]*routing.Route) (changed int) {
 	for service, newRoutes := range byService {
 		if p.pools[service] != nil && slices.Equal(p.routes[service], newRoutes) {
@@ -92,15 +94,16 @@
 		if err := p.updateRoutes(service, newRoutes); err != nil {
 			p.counters.Add("retunes_failed")
 			p.log.Error("retune", "service", service, "err", err)
-			delete(byService, service) // the next version tells it again, whether these routes differ or not
+			delete(byService, service) // retried with the next version, even if these routes do not change
 		}
 	}
 	return changed
 }
 
-// newView is the view of a version, by the modules as they stand. Under mu.
+// newView returns the view of a version with the existing load balancers. The caller holds mu.
 func (p *Proxy) newView(index uint64, config *routing.Configuration) *configurationView {
-	v := &configurationView{index: index, configuration: config, idle: time.Duration(config.Limits.Idle), targets: make(map[*routing.Route][]target, len(config.Routes))}
+	v := &configurationView{index: index, configuration: config, idle: time.Duration(config.Limits.Idle),
+		targets: make(map[*routing.Route][]target, len(config.Routes))}
 	for _, route := range config.Routes {
 		for _, part := range route.Parts {
 			service := p.pools[part.Service]
@@ -115,7 +118,7 @@
 	return v
 }
 
-// applyQuotas gives tenants their parts. Under mu.
+// applyQuotas applies the tenants' quotas of a configuration. The caller holds mu.
 func (p *Proxy) applyQuotas(config *routing.Configuration) {
 	p.tokenCache.Lock()
 	defer p.tokenCache.Unlock()
--- a/internal/mesh/proxy/watch.go
+++ b/internal/mesh/proxy/watch.go
@@ -11,21 +11,23 @@
 )
 
 const (
-	watchHold  = 600 * time.Millisecond // that a watch request hangs at the controller
-	watchSlack = 300 * time.Millisecond // beyond it, until another controller is asked
-	// WatchTimeout is how long a controller that says nothing is waited for, and how old a response may be that is acted on.
+	watchHold  = 600 * time.Millisecond // how long the controller holds a watch request open
+	watchSlack = 300 * time.Millisecond // beyond watchHold, until another controller is asked
+	// WatchTimeout is how long a silent controller is waited for, and the maximum age of a response that is applied as
+	// current.
 	WatchTimeout = watchHold + watchSlack
 
-	maxLateTimeouts = 4 // watch timeouts within which some response has to come in time
+	maxLateTimeouts = 4 // watch timeouts within which at least one response has to be in time
 
 	nextControllerDelay = 20 * time.Millisecond  // before another controller is asked
-	nextRoundDelay      = 100 * time.Millisecond // the same, once all that are known have been asked in vain
+	nextRoundDelay      = 100 * time.Millisecond // the same once all known controllers have failed
 )
 
-var errLateResponse = errors.New("the response is older than the watch timeout")
+var errLateResponse = errors.New("watch response is older than the watch timeout")
 
-// watch renews this balancer's lease and takes news, from one controller at a time. Invariant: one that is cut off or stands still
-// answers nothing, or old news for new; so each request ends soon unless an answer is on its way, and who is not current is left.
+// watch renews this proxy's lease and receives updates, from one controller at a time. A controller is current while a
+// majority has recently confirmed its state. A partitioned or paused controller does not respond or sends stale state;
+// therefore a request is ended early unless its response has begun, and a controller that is not current is left.
 func (p *Proxy) watch(ctx context.Context) {
 	selector := newControllerSelector()
 	var silence silenceTracker
@@ -62,14 +64,15 @@
 	}
 }
 
-// silenceTracker tells since when the controller that is asked has given no answer of use, over requests that were given up for one
-// another. Invariant: with news of the own upstream more often than a request may take, none of them would ever fail.
+// silenceTracker measures how long the present controller has sent no usable response, across watch requests that were
+// interrupted by a change of the local upstream. If each request were considered alone, changes more frequent than the
+// watch timeout would keep all requests from failing.
 type silenceTracker struct {
 	controller string
 	since      int64
 }
 
-// observe takes the outcome of a request and reports whether its controller has been silent, or has answered late, for too long.
+// observe records the outcome of a request and reports whether its controller has been silent or late for too long.
 func (s *silenceTracker) observe(controller string, askedAt, now int64, err error) bool {
 	limit := int64(WatchTimeout)
 	switch {
@@ -89,7 +92,8 @@
 	return true
 }
 
-// watchOnce asks one controller, until there is something new to tell it.
+// watchOnce sends one watch request to a controller and applies the response. The request is interrupted when there is
+// a change to report.
 func (p *Proxy) watchOnce(ctx context.Context, controller string) (current bool, err error) {
 	request, changed := p.watchRequest()
 	response, askedAt := &membership.WatchResponse{}, p.now()
@@ -99,7 +103,7 @@
 	}
 	late := p.now()-askedAt > int64(WatchTimeout) && !p.skipResponseAgeCheck
 	wasCurrent := response.Current
-	if late { // what the controller vouched for may be long over, but what it knows may still be news
+	if late { // the controller may no longer be current, but its state may still be newer
 		response.Current, response.Calm = false, false
 	}
 	err = p.applyWatchResponse(response, askedAt)
@@ -120,7 +124,7 @@
 	return response.Current, err
 }
 
-// watchRequest is what a controller is told and asked, and a channel that ends when there is more to tell.
+// watchRequest returns the next watch request and a channel that is closed when there is a change to report.
 func (p *Proxy) watchRequest() (request *membership.WatchRequest, changed <-chan struct{}) {
 	p.mu.Lock()
 	request = &membership.WatchRequest{Position: p.position, MaxWait: int64(watchHold), Packed: !p.unpackFailed.Load()}
@@ -129,21 +133,22 @@
 	request.Position.Imports = p.partnerPolicy.imports.No
 	p.partnerPolicy.Unlock()
 	upstream, seq, changed := p.local.snapshot()
-	request.Node = membership.Node{Name: p.settings.Node, Inbound: p.settings.Inbound, District: p.settings.District, Life: p.instanceID, Seq: seq,
-		Upstream: upstream, Leaving: p.draining.Load()}
+	request.Node = membership.Node{Name: p.settings.Node, Inbound: p.settings.Inbound, District: p.settings.District,
+		Life: p.instanceID, Seq: seq, Upstream: upstream, Leaving: p.draining.Load()}
 	if request.Node.Leaving {
 		request.Node.Seq += 1 << 32
 	}
 	return request, changed
 }
 
+// memberCount returns the number of proxies in the mesh.
 func (p *Proxy) memberCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.members
 }
 
-// knownControllers are whom to ask, in the order of preference: those of this zone first.
+// knownControllers returns the addresses of the controllers in the order of preference, those of this zone first.
 func (p *Proxy) knownControllers() (addresses []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -164,8 +169,8 @@
 	for _, at := range p.seeds {
 		add(at)
 	}
-	// Not all of a zone without a controller of its own ask the same one; and whom they ask does not depend on who told of whom: each
-	// controller tells of itself first.
+	// The proxies of a zone without a controller are spread over the others. Sorting makes the order independent of the
+	// controller that responded: each one lists itself first.
 	if rest := addresses[sameZone:]; len(rest) > 1 {
 		slices.Sort(rest)
 		offset := len(p.settings.Node) + int(p.settings.Node[len(p.settings.Node)-1])
@@ -175,8 +180,8 @@
 	return addresses
 }
 
-// applyWatchResponse takes a controller's news that was asked for at a time. One that is not current may be cut off: whoever it no
-// longer hears of may be there, so that it adds to what is known, and takes nothing away.
+// applyWatchResponse applies a controller's response to a request sent at askedAt. A controller that is not current
+// may be partitioned, and the nodes that it has lost may still be there; its response only adds to the known state.
 func (p *Proxy) applyWatchResponse(response *membership.WatchResponse, askedAt int64) error {
 	p.mu.Lock()
 	changed := false
