--- a/internal/mesh/proxy/watch_test.go
+++ b/internal/mesh/proxy/watch_test.go
@@ -27,58 +27,62 @@
 "Dispatch":{"Destination":"album","Deadline":"2000ms","DeliveryTries":3}}]}],%s
 "Depots":[{"Name":"album","HealthPath":"/health","LineCap":130,"Protocol":"h1"}]}`
 
-// controllerStub answers in place of all controllers.
+// controllerStub responds in place of all controllers.
 type controllerStub func(at string) *membership.WatchResponse
 
-func (c controllerStub) RoundTrip(r *http.Request) (*http.Response, error) {
-	raw, err := json.Marshal(c(r.URL.Host))
+func (s controllerStub) RoundTrip(r *http.Request) (*http.Response, error) {
+	raw, err := json.Marshal(s(r.URL.Host))
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(bytes.NewReader(raw)), Request: r}, err
 }
 
+// newTestProxy returns a proxy whose calls to controllers go to the stub.
 func newTestProxy(answer controllerStub) *Proxy {
 	proxySettings := settings.Default()
 	proxySettings.Node, proxySettings.District = "self", "z"
 	return New(proxySettings, slog.New(slog.DiscardHandler), WithTransport(func(http.RoundTripper) http.RoundTripper { return answer }))
 }
 
+// record returns the record of a node that was heard of before the given age.
 func record(name, life string, seq uint64, age time.Duration) membership.Record {
 	return membership.Record{Node: membership.Node{Name: name, Life: life, Seq: seq}, Age: int64(age)}
 }
 
-// A proxy that stands still between its question and the answer finds both the answer and the end of its patience when it goes on.
+// A proxy that is paused between its request and the response finds both the response and the end of the watch timeout
+// when it resumes. The response is too old to be applied.
 func TestStaleWatchResponseIsNotApplied(t *testing.T) {
-	for _, without := range []bool{false, true} {
+	for _, skipCheck := range []bool{false, true} {
 		p := newTestProxy(func(string) *membership.WatchResponse {
-			time.Sleep(WatchTimeout + 50*time.Millisecond) // whatever the caller's context says
+			time.Sleep(WatchTimeout + 50*time.Millisecond) // regardless of the caller's context
 			return &membership.WatchResponse{Position: membership.Position{Index: 3, Edition: 1}, Current: true, Configuration: fmt.Appendf(nil, configurationFormat, 1, "")}
 		})
-		p.skipResponseAgeCheck = without
+		p.skipResponseAgeCheck = skipCheck
 		current, err := p.watchOnce(context.Background(), "10.0.0.1:1")
-		must.Eq(t, without, err == nil)
-		must.Eq(t, without, current)
-		must.Eq(t, without, p.view.Load() != nil)
+		must.Eq(t, skipCheck, err == nil)
+		must.Eq(t, skipCheck, current)
+		must.Eq(t, skipCheck, p.view.Load() != nil)
 	}
 }
 
-// A controller that is cut off knows of nobody but itself and who asks it. That takes nothing away.
+// A partitioned controller knows only itself and the proxies that ask it. Its response must not remove nodes or
+// controllers.
 func TestNonCurrentControllerRemovesNothing(t *testing.T) {
-	whole := func(controller string, current bool, at []membership.ControllerAddress, nodes ...membership.Record) *membership.WatchResponse {
+	whole := func(controller string, current bool, controllers []membership.ControllerAddress, nodes ...membership.Record) *membership.WatchResponse {
 		return &membership.WatchResponse{Position: membership.Position{Controller: controller, Seq: 9}, Current: current, Members: len(nodes), Whole: true,
-			Controllers: at, Nodes: nodes}
+			Controllers: controllers, Nodes: nodes}
 	}
-	for _, without := range []bool{false, true} {
+	for _, withoutOverlay := range []bool{false, true} {
 		p := newTestProxy(nil)
-		p.skipOverlay = without
-		take := func(n *membership.WatchResponse) {
-			must.NoError(t, p.applyWatchResponse(n, p.now()))
+		p.skipOverlay = withoutOverlay
+		apply := func(response *membership.WatchResponse) {
+			must.NoError(t, p.applyWatchResponse(response, p.now()))
 		}
-		take(whole("sound", true, []membership.ControllerAddress{{At: "sound"}, {At: "other"}},
+		apply(whole("sound", true, []membership.ControllerAddress{{At: "sound"}, {At: "other"}},
 			record("a", "a2", 1, time.Second), record("b", "b1", 4, time.Second), record("c", "c1", 1, time.Second)))
 		lost := record("b", "b1", 4, 15*time.Second)
 		lost.Lost = true
-		take(whole("cut off", false, []membership.ControllerAddress{{At: "cut off"}},
+		apply(whole("cut off", false, []membership.ControllerAddress{{At: "cut off"}},
 			record("a", "a1", 8, 18*time.Second), lost, record("c", "c1", 2, time.Second), record("d", "d1", 1, 0)))
-		if without {
+		if withoutOverlay {
 			must.Eq(t, "a1", p.nodes["a"].Life)
 			must.True(t, p.nodes["b"].Lost)
 			must.SliceLen(t, 1, p.knownControllers())
@@ -87,45 +91,45 @@
 		must.Eq(t, []string{"a", "b", "c", "d"}, slices.Sorted(maps.Keys(p.nodes)))
 		must.Eq(t, "a2", p.nodes["a"].Life)
 		must.False(t, p.nodes["b"].Lost)
-		must.Eq(t, 2, p.nodes["c"].Seq) // of the same life, and later
+		must.Eq(t, 2, p.nodes["c"].Seq) // newer record of the same instance
 		must.SliceLen(t, 3, p.knownControllers())
 		must.Eq(t, 4, p.members)
-		take(&membership.WatchResponse{Position: membership.Position{Controller: "cut off", Seq: 12}, Members: 1, Gone: []string{"a", "b"}})
+		apply(&membership.WatchResponse{Position: membership.Position{Controller: "cut off", Seq: 12}, Members: 1, Gone: []string{"a", "b"}})
 		must.MapLen(t, 4, p.nodes)
 		must.Eq(t, 4, p.members)
-		// Once it is current again, its changes alone would leave d as it is: all of them are asked for.
-		take(&membership.WatchResponse{Position: membership.Position{Controller: "cut off", Seq: 13}, Current: true, Members: 3})
+		// Once it is current again, its changes alone would never remove d, so the complete list is requested.
+		apply(&membership.WatchResponse{Position: membership.Position{Controller: "cut off", Seq: 13}, Current: true, Members: 3})
 		must.Eq(t, "", p.position.Controller)
-		take(whole("cut off", true, nil, record("a", "a2", 1, 0), record("b", "b1", 4, 0)))
+		apply(whole("cut off", true, nil, record("a", "a2", 1, 0), record("b", "b1", 4, 0)))
 		must.Eq(t, []string{"a", "b"}, slices.Sorted(maps.Keys(p.nodes)))
 		must.Eq(t, "cut off", p.position.Controller)
 		must.Eq(t, 2, p.members)
 	}
 }
 
-// A list of all nodes that always comes late is taken once a later answer of the same controller, in time, builds on it: what it does
-// not name is dropped, and it is not asked for again.
+// A complete node list that always arrives late is applied once a timely response of the same controller continues
+// from it. Nodes missing from the list are removed, and it is not requested again.
 func TestLateNodeListAppliesOnceConfirmed(t *testing.T) {
 	list := func(current, whole bool, controller string, seq uint64, nodes ...membership.Record) *membership.WatchResponse {
 		return &membership.WatchResponse{Position: membership.Position{Controller: controller, Seq: seq}, Current: current, Whole: whole, Members: 3, Nodes: nodes}
 	}
-	late := func(p *Proxy, n *membership.WatchResponse) {
-		n.Current = false
-		must.NoError(t, p.applyWatchResponse(n, p.now()))
-		p.recordLateList(n, true)
+	late := func(p *Proxy, response *membership.WatchResponse) {
+		response.Current = false
+		must.NoError(t, p.applyWatchResponse(response, p.now()))
+		p.recordLateList(response, true)
 	}
 	names := func(p *Proxy) []string { return slices.Sorted(maps.Keys(p.nodes)) }
 	start := func() *Proxy {
 		p := newTestProxy(nil)
 		must.NoError(t, p.applyWatchResponse(list(true, true, "one", 1, record("a", "a", 1, 0), record("gone", "g", 1, 0)), p.now()))
 		late(p, list(true, true, "two", 5, record("a", "a", 1, 0), record("b", "b", 1, 0)))
-		must.Eq(t, []string{"a", "b", "gone"}, names(p)) // nothing is taken away by what came late
+		must.Eq(t, []string{"a", "b", "gone"}, names(p)) // a late response removes nothing
 		return p
 	}
 	p := start()
 	must.NoError(t, p.applyWatchResponse(list(true, false, "two", 6, record("c", "c", 1, 0)), p.now()))
 	must.Eq(t, []string{"a", "b", "c"}, names(p))
-	must.Eq(t, "two", p.position.Controller) // all of them are not asked for again
+	must.Eq(t, "two", p.position.Controller) // the complete list is not requested again
 
 	p = start()
 	late(p, &membership.WatchResponse{Position: membership.Position{Controller: "two", Seq: 6}, Gone: []string{"b"}})
@@ -133,12 +137,12 @@
 	must.Eq(t, []string{"a"}, names(p))
 
 	p = start()
-	must.NoError(t, p.applyWatchResponse(list(true, false, "three", 7), p.now())) // another's word confirms nothing
+	must.NoError(t, p.applyWatchResponse(list(true, false, "three", 7), p.now())) // another controller's response does not confirm it
 	must.Eq(t, []string{"a", "b", "gone"}, names(p))
 	must.Eq(t, "", p.position.Controller)
 
 	p = start()
-	stale := list(false, false, "two", 6) // it was not current meanwhile: what it has told may be what one that is cut off knows
+	stale := list(false, false, "two", 6) // it was not current meanwhile, so its list may be that of a partitioned controller
 	must.NoError(t, p.applyWatchResponse(stale, p.now()))
 	p.recordLateList(stale, false)
 	must.NoError(t, p.applyWatchResponse(list(true, false, "two", 7), p.now()))
@@ -146,45 +150,46 @@
 	must.Eq(t, "", p.position.Controller)
 }
 
-// The first configuration of a life comes from who is current.
+// A process takes its first configuration only from a current controller.
 func TestFirstConfigurationRequiresCurrentController(t *testing.T) {
 	p := newTestProxy(nil)
-	told := &membership.WatchResponse{Position: membership.Position{Index: 3, Edition: 1}, Configuration: fmt.Appendf(nil, configurationFormat, 1, "")}
-	must.NoError(t, p.applyWatchResponse(told, p.now()))
+	response := &membership.WatchResponse{Position: membership.Position{Index: 3, Edition: 1}, Configuration: fmt.Appendf(nil, configurationFormat, 1, "")}
+	must.NoError(t, p.applyWatchResponse(response, p.now()))
 	must.Nil(t, p.view.Load())
 	must.Eq(t, 0, p.position.Index)
-	told.Current = true
-	must.NoError(t, p.applyWatchResponse(told, p.now()))
+	response.Current = true
+	must.NoError(t, p.applyWatchResponse(response, p.now()))
 	must.Eq(t, 3, p.view.Load().index)
 }
 
-// Any number of silent controllers in front does not keep the sound one behind them from being asked; nor is a zone's own left for ever.
+// Any number of silent controllers at the head of the list must not keep a healthy one behind them from being asked.
+// After a while, the preferred controllers are tried again.
 func TestHealthyControllerIsReachedBehindSilentOnes(t *testing.T) {
 	const silent = 9
-	known := []string{}
+	controllers := []string{}
 	for n := range silent {
-		known = append(known, fmt.Sprint("silent", n))
+		controllers = append(controllers, fmt.Sprint("silent", n))
 	}
-	known = append(known, "sound")
-	until := func(choice *controllerSelector, now int64) time.Duration {
+	controllers = append(controllers, "sound")
+	timeToReach := func(selector *controllerSelector, now int64) time.Duration {
 		for began := now; ; now += int64(WatchTimeout) {
-			at := choice.pick(known, now)
+			at := selector.pick(controllers, now)
 			if at == "sound" || now-began > int64(time.Minute) {
 				return time.Duration(now - began)
 			}
-			choice.failed(at, now+int64(WatchTimeout))
+			selector.failed(at, now+int64(WatchTimeout))
 		}
 	}
-	choice := newControllerSelector()
-	must.Less(t, 3*silent*WatchTimeout, until(choice, 0))
-	without := newControllerSelector()
-	without.maxAvoidance = initialAvoidance
-	must.Greater(t, time.Minute, until(without, 0))
-	choice.succeeded("sound")
-	must.Eq(t, known[0], choice.pick(known, int64(time.Minute)))
+	selector := newControllerSelector()
+	must.Less(t, 3*silent*WatchTimeout, timeToReach(selector, 0))
+	constant := newControllerSelector()
+	constant.maxAvoidance = initialAvoidance
+	must.Greater(t, time.Minute, timeToReach(constant, 0))
+	selector.succeeded("sound")
+	must.Eq(t, controllers[0], selector.pick(controllers, int64(time.Minute)))
 }
 
-// A partner's age counts from before the question, however long the answer was on its way.
+// The age of a partner's state counts from the time of the request, however late the response arrives.
 func TestPartnerAgeCountsFromRequestTime(t *testing.T) {
 	p := newTestProxy(nil)
 	partners := `"Mesh":"us","Partners":[{"Name":"zuid","Gateway":"10.9.9.9:1","Target":"300ms","Deadline":"1000ms","Tries":2}],`
@@ -209,18 +214,18 @@
 	must.Eq(t, federation.Open, look())
 }
 
-// Each controller tells of itself first. A proxy in a zone without one of its own asks the same one all the same: else it would go from
-// one to the next without a pause, since each has all of its nodes to tell.
+// Each controller lists itself first. A proxy in a zone without a controller must keep asking the same one; otherwise
+// it would move to another one with each response without a pause, because each one has all of its nodes to report.
 func TestControllerOrderIsIndependentOfReportOrder(t *testing.T) {
-	told := []membership.ControllerAddress{{At: "10.0.0.1:1", Zone: "x"}, {At: "10.0.0.2:1", Zone: "y"}, {At: "10.0.0.3:1", Zone: "y"}}
+	reported := []membership.ControllerAddress{{At: "10.0.0.1:1", Zone: "x"}, {At: "10.0.0.2:1", Zone: "y"}, {At: "10.0.0.3:1", Zone: "y"}}
 	for _, node := range []string{"a", "b", "c", "d"} {
 		p := newTestProxy(nil)
 		p.settings.Node = node
 		first := ""
-		for _, by := range [][]int{{0, 1, 2}, {1, 0, 2}, {2, 0, 1}} {
+		for _, order := range [][]int{{0, 1, 2}, {1, 0, 2}, {2, 0, 1}} {
 			p.controllers = nil
-			for _, n := range by {
-				p.controllers = append(p.controllers, told[n])
+			for _, n := range order {
+				p.controllers = append(p.controllers, reported[n])
 			}
 			if at := p.knownControllers()[0]; first == "" {
 				first = at
@@ -231,43 +236,45 @@
 	}
 }
 
-// News of the own upstream come more often than a request may take: each is given up for the next, and a controller that is silent
-// counts as failed all the same. One that answers, however late, does not until it has been late for long.
+// If the local upstream changes more often than the watch timeout, each watch is interrupted by the next. A silent
+// controller must still count as failed after the timeout; one that responds late fails only after maxLateTimeouts of
+// them.
 func TestSilenceAccumulatesAcrossInterruptedWatches(t *testing.T) {
 	interrupted, late := rpc.Error.Wrap(rpc.ErrInterrupted), errLateResponse
 	step := int64(100 * time.Millisecond)
-	until := func(each func(now int64) error) (failed int64) {
-		var clock silenceTracker
+	timeToFailure := func(each func(now int64) error) (failed int64) {
+		var tracker silenceTracker
 		for now := int64(0); now < int64(time.Minute); now += step {
-			if clock.observe("a", now, now+step, each(now)) {
+			if tracker.observe("a", now, now+step, each(now)) {
 				return now + step
 			}
 		}
 		return -1
 	}
-	must.Eq(t, int64(WatchTimeout), until(func(int64) error { return interrupted }))
-	must.Eq(t, maxLateTimeouts*int64(WatchTimeout), until(func(int64) error { return late }))
-	must.Eq(t, step, until(func(int64) error { return rpc.ErrSilent }))
-	must.Eq(t, -1, until(func(now int64) error {
+	must.Eq(t, int64(WatchTimeout), timeToFailure(func(int64) error { return interrupted }))
+	must.Eq(t, maxLateTimeouts*int64(WatchTimeout), timeToFailure(func(int64) error { return late }))
+	must.Eq(t, step, timeToFailure(func(int64) error { return rpc.ErrSilent }))
+	must.Eq(t, -1, timeToFailure(func(now int64) error {
 		if now%(5*step) == 0 {
-			return nil // an answer between
+			return nil // a response in between
 		}
 		return interrupted
 	}))
-	var clock silenceTracker
-	for now := int64(0); now < int64(10*time.Second); now += 2 * step { // each is asked for a moment
-		must.False(t, clock.observe("a", now, now+step, interrupted))
-		must.False(t, clock.observe("b", now+step, now+2*step, interrupted))
+	var tracker silenceTracker
+	for now := int64(0); now < int64(10*time.Second); now += 2 * step { // the controllers alternate
+		must.False(t, tracker.observe("a", now, now+step, interrupted))
+		must.False(t, tracker.observe("b", now+step, now+2*step, interrupted))
 	}
 }
 
-// A proxy whose upstream has news more often than a watch may take leaves a controller that says nothing, and renews its lease elsewhere.
+// A proxy whose upstream changes more often than a watch takes must leave a silent controller and renew its lease at
+// another one.
 func TestFrequentUpdatesDoNotPinProxyToSilentController(t *testing.T) {
 	var mu sync.Mutex
 	asked := map[string]int{}
-	b := settings.Default()
-	b.Node, b.District = "self", "z"
-	p := New(b, slog.New(slog.DiscardHandler), WithTransport(func(http.RoundTripper) http.RoundTripper {
+	proxySettings := settings.Default()
+	proxySettings.Node, proxySettings.District = "self", "z"
+	p := New(proxySettings, slog.New(slog.DiscardHandler), WithTransport(func(http.RoundTripper) http.RoundTripper {
 		return roundTripFunc(func(r *http.Request) (*http.Response, error) {
 			mu.Lock()
 			asked[r.URL.Host]++
@@ -280,21 +287,21 @@
 		})
 	}))
 	p.controllers = []membership.ControllerAddress{{At: "silent", Zone: "z"}, {At: "sound", Zone: "y"}}
-	ctx, end := context.WithCancel(context.Background())
-	defer end()
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	go p.watch(ctx)
-	news := time.NewTicker(50 * time.Millisecond)
-	defer news.Stop()
-	for began := time.Now(); ; <-news.C {
+	updates := time.NewTicker(50 * time.Millisecond)
+	defer updates.Stop()
+	for began := time.Now(); ; <-updates.C {
 		p.local.wakeWatchers()
 		mu.Lock()
 		sound := asked["sound"]
 		mu.Unlock()
 		if sound > 0 {
-			t.Logf("left after %v", time.Since(began))
+			t.Logf("left the silent controller after %v", time.Since(began))
 			return
 		}
-		must.Less(t, 3*WatchTimeout, time.Since(began), must.Sprint("the sound controller was never asked"))
+		must.Less(t, 3*WatchTimeout, time.Since(began), must.Sprint("the healthy controller was never asked"))
 	}
 }
 
