--- a/internal/mesh/proxy/configuration_test.go
+++ b/internal/mesh/proxy/configuration_test.go
@@ -37,31 +37,31 @@
 	return c
 }
 
-// immutableModule is a load balancer that cannot change its terms.
-type immutableModule struct{ desk.Module }
+// immutableBalancer is a load balancer that cannot change its terms.
+type immutableBalancer struct{ desk.Module }
 
 // A load balancer that rejects new terms, or has failed, is replaced. It must not keep the new version from the other
 // services.
-func TestModuleRejectingTermsDoesNotBlockConfiguration(t *testing.T) {
+func TestLoadBalancerRejectingTermsDoesNotBlockConfiguration(t *testing.T) {
 	p := newTestProxy(nil)
 	p.activate(1, twoServiceConfiguration(t, 1, 100))
 	old := p.pools["x"]
-	book, order := p.bookOf(p.routes["x"])
+	book, order := p.bookFor(p.routes["x"])
 	rejecting, err := desk.New(book, &figures.Pool{}, slog.New(slog.DiscardHandler), func(terms *logic.Terms, now int64) (desk.Module, error) {
-		module, err := logic.New(terms, now)
-		return immutableModule{module}, err
+		balancer, err := logic.New(terms, now)
+		return immutableBalancer{balancer}, err
 	})
 	must.NoError(t, err)
 	old = &servicePool{name: "x", counters: &figures.Pool{}, desk: rejecting, peers: old.peers, budget: old.budget}
 	old.setBook(book, order)
 	p.pools["x"] = old
 	p.activate(2, twoServiceConfiguration(t, 2, 200))
-	v := p.view.Load()
-	must.Eq(t, 2, v.index)
+	active := p.view.Load()
+	must.Eq(t, 2, active.index)
 	for _, service := range []string{"x", "y"} {
-		r := v.configuration.Find("a", "/"+service+"/2/")
-		must.SliceLen(t, 1, v.targets[r])
-		to := v.targets[r][0]
+		route := active.configuration.Find("a", "/"+service+"/2/")
+		must.SliceLen(t, 1, active.targets[route])
+		to := active.targets[route][0]
 		must.True(t, to.servicePool == p.pools[service])
 		must.Eq(t, int64(200*time.Millisecond), to.limitedTerms.Tariffs[to.tariff].ContractTime)
 	}
@@ -76,8 +76,8 @@
 	for index := uint64(3); index < 8; index++ {
 		versions[index] = twoServiceConfiguration(t, int(index), 100+int(index))
 	}
-	pack := func(base, of uint64) *routing.Packed {
-		packed, err := routing.Pack(versions[base], versions[of])
+	pack := func(base, version uint64) *routing.Packed {
+		packed, err := routing.Pack(versions[base], versions[version])
 		must.NoError(t, err)
 		return packed
 	}
@@ -89,10 +89,10 @@
 			return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(bytes.NewReader(raw)), Request: r}, err
 		})
 	})
-	answer := func(index uint64, packed *routing.Packed) *membership.WatchResponse {
+	watchResponse := func(index uint64, packed *routing.Packed) *membership.WatchResponse {
 		return &membership.WatchResponse{Current: true, Packed: packed, Position: membership.Position{Index: index, Edition: versions[index].Edition, Digest: versions[index].Digest()}}
 	}
-	must.NoError(t, p.applyConfiguration(answer(5, pack(0, 5))))
+	must.NoError(t, p.applyConfiguration(watchResponse(5, pack(0, 5))))
 	must.Eq(t, 5, p.view.Load().index)
 	mustBeAt := func(index uint64) {
 		t.Helper()
@@ -100,13 +100,13 @@
 		must.Eq(t, versions[index].Digest(), p.currentPosition().Digest)
 		must.Eq(t, versions[index].Edition, p.currentPosition().Edition)
 	}
-	must.NoError(t, p.applyConfiguration(answer(4, pack(0, 4)))) // from a lagging controller
+	must.NoError(t, p.applyConfiguration(watchResponse(4, pack(0, 4)))) // from a lagging controller
 	mustBeAt(5)
-	must.NoError(t, p.applyConfiguration(answer(4, pack(5, 4))))
+	must.NoError(t, p.applyConfiguration(watchResponse(4, pack(5, 4))))
 	mustBeAt(5)
 	must.NoError(t, p.applyConfiguration(&membership.WatchResponse{Current: true, Position: membership.Position{Index: 4, Edition: 4}, Configuration: versions[4].Document()}))
 	mustBeAt(5)
-	must.NoError(t, p.applyConfiguration(answer(6, pack(4, 6)))) // delta to a version that is not active: the next response has the right one
+	must.NoError(t, p.applyConfiguration(watchResponse(6, pack(4, 6)))) // delta to a version that is not active: the next response has the right one
 	mustBeAt(5)
 	fetched = &membership.ConfigurationResponse{Packed: *pack(0, 4), Index: 4, Current: true}
 	fetched.Total = len(fetched.Packed.Data)
@@ -117,7 +117,7 @@
 	p.applyNodeChanges()
 	p.mu.Unlock()
 	mustBeAt(5)
-	must.NoError(t, p.applyConfiguration(answer(7, pack(5, 7))))
+	must.NoError(t, p.applyConfiguration(watchResponse(7, pack(5, 7))))
 	mustBeAt(7)
 	for _, r := range p.view.Load().configuration.Routes {
 		must.Eq(t, int64(107*time.Millisecond), p.view.Load().targets[r][0].limitedTerms.Tariffs[0].ContractTime)
--- a/internal/mesh/proxy/control.go
+++ b/internal/mesh/proxy/control.go
@@ -9,7 +9,7 @@
 	"ottershift/internal/mesh/apierror"
 )
 
-// heartbeatMessage is the JSON body of an upstream's heartbeat.
+// heartbeatMessage is the JSON body of an upstream's heartbeat. Its fields are decoded under their own names.
 type heartbeatMessage struct {
 	Address string
 	Notice  struct {
--- a/internal/mesh/proxy/controller_selector.go
+++ b/internal/mesh/proxy/controller_selector.go
@@ -21,6 +21,7 @@
 	lastAt      int64
 }
 
+// newControllerSelector returns a selector without recorded failures.
 func newControllerSelector() *controllerSelector {
 	return &controllerSelector{byController: map[string]controllerFailures{}, maxAvoidance: maxAvoidance}
 }
--- a/internal/mesh/proxy/downstream_response.go
+++ b/internal/mesh/proxy/downstream_response.go
@@ -45,34 +45,34 @@
 
 // writeResponse passes an upstream's response on. A truncated response must not look complete, so its connection is
 // aborted.
-func (p *Proxy) writeResponse(w http.ResponseWriter, r *downstreamResponse) {
+func (p *Proxy) writeResponse(w http.ResponseWriter, response *downstreamResponse) {
 	headers := w.Header()
-	for name, values := range r.header {
+	for name, values := range response.header {
 		headers[name] = values
 	}
-	if r.length >= 0 {
-		headers["Content-Length"] = []string{strconv.FormatInt(r.length, 10)}
+	if response.length >= 0 {
+		headers["Content-Length"] = []string{strconv.FormatInt(response.length, 10)}
 	}
 	for _, name := range serverAddedHeaders { // a nil value keeps the server from adding the header
 		if headers[name] == nil {
 			headers[name] = nil
 		}
 	}
-	if r.earlyResponse {
+	if response.earlyResponse {
 		headers["Connection"] = []string{"close"}
 	}
-	w.WriteHeader(r.status)
-	_, err := w.Write(r.body)
-	if r.remaining == nil {
+	w.WriteHeader(response.status)
+	_, err := w.Write(response.body)
+	if response.remaining == nil {
 		p.abortUnless(err == nil, counterReaderGone)
 		return
 	}
-	source := &sourceReader{Reader: r.remaining}
-	r.remaining = source
+	source := &sourceReader{Reader: response.remaining}
+	response.remaining = source
 	if err == nil {
-		err = r.stream(w)
+		err = response.stream(w)
 	}
-	r.written <- err == nil
+	response.written <- err == nil
 	if source.failed {
 		p.log.Debug("response truncated", "why", "upstream ended it early", "err", err)
 		p.abortUnless(err == nil, counterSourceBroke)
--- a/internal/mesh/proxy/inbound.go
+++ b/internal/mesh/proxy/inbound.go
@@ -49,7 +49,7 @@
 			p.rejectNotExecuted(w, r, apierror.NoRoom)
 			return
 		}
-		defer p.pacer.release(request.rank)
+		defer p.pacer.done(request.rank)
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), request.deadline.Add(responseGrace))
 	defer cancel()
--- a/internal/mesh/proxy/inbound_test.go
+++ b/internal/mesh/proxy/inbound_test.go
@@ -64,9 +64,9 @@
 	h.address, h.client = server.Address(), &http.Client{Transport: transport}
 	h.t.Cleanup(func() {
 		transport.CloseIdleConnections()
-		at, end := context.WithTimeout(context.Background(), time.Second)
-		defer end()
-		server.Shutdown(at)
+		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
+		defer cancel()
+		server.Shutdown(ctx)
 	})
 }
 
@@ -109,8 +109,8 @@
 	h := startInboundHop(t)
 	must.Eq(t, 0, h.countMisdelivered(300))
 	// Counter-check: the fault occurs if an error response without an ID is accepted.
-	h.proxy.upstreamConnections.matches = func(answer *http.Response, attempt string) bool {
-		return matchesRequestID(answer, attempt) || answer.Header[requestIDHeader] == nil && answer.StatusCode >= http.StatusBadRequest
+	h.proxy.upstreamConnections.matches = func(response *http.Response, requestID string) bool {
+		return matchesRequestID(response, requestID) || response.Header[requestIDHeader] == nil && response.StatusCode >= http.StatusBadRequest
 	}
 	wrong := h.countMisdelivered(300)
 	t.Logf("matcher that accepts responses without an ID: %d of 300 pairs with a wrong response", wrong)
--- a/internal/mesh/proxy/lifecycle.go
+++ b/internal/mesh/proxy/lifecycle.go
@@ -39,31 +39,31 @@
 
 // listen opens all servers, or none of them.
 func (p *Proxy) listen() (*servers, error) {
-	s := &servers{}
+	opened := &servers{}
 	for _, server := range []struct {
 		at      **httpserver.Server
 		address string
 		options httpserver.Options
 	}{
-		{&s.outbound, p.settings.Outbound, httpserver.Options{
+		{&opened.outbound, p.settings.Outbound, httpserver.Options{
 			Name: "outbound", Handler: http.HandlerFunc(p.serveOutbound), Failed: p.handleOutboundPanic, ReadHeaderTimeout: headerTimeout,
 			KeepAlive: defaultClientIdle, WrapListener: p.wrapListener}},
-		{&s.inbound, p.settings.Inbound, httpserver.Options{
+		{&opened.inbound, p.settings.Inbound, httpserver.Options{
 			Name: "inbound", Handler: http.HandlerFunc(p.serveInbound), Failed: p.handleInboundPanic, WrapListener: p.wrapListener}},
-		{&s.ready, p.settings.Ready, httpserver.Options{Name: "ready", Handler: http.HandlerFunc(p.ready)}},
-		{&s.control, p.settings.Control, httpserver.Options{Name: "control", Handler: http.HandlerFunc(p.control)}},
-		{&s.metrics, p.settings.Inner(), httpserver.Options{Name: "figures", Handler: p.metricsHandler()}},
+		{&opened.ready, p.settings.Ready, httpserver.Options{Name: "ready", Handler: http.HandlerFunc(p.ready)}},
+		{&opened.control, p.settings.Control, httpserver.Options{Name: "control", Handler: http.HandlerFunc(p.control)}},
+		{&opened.metrics, p.settings.Inner(), httpserver.Options{Name: "figures", Handler: p.metricsHandler()}},
 	} {
 		options := server.options
 		options.MaxHeaderBytes, options.Counts, options.Log = maxHeaderBytes, p.counters, p.log
 		listening, err := httpserver.Listen(server.address, options)
 		if err != nil {
-			s.close()
+			opened.close()
 			return nil, err
 		}
 		*server.at = listening
 	}
-	return s, nil
+	return opened, nil
 }
 
 // close closes servers that have not started to serve.
@@ -94,11 +94,11 @@
 
 // Run serves until the context ends, and then until open requests have ended or Grace is nearly over.
 func (p *Proxy) Run(ctx context.Context) error {
-	s, err := p.listen()
+	running, err := p.listen()
 	if err != nil {
 		return err
 	}
-	for _, server := range s.all() {
+	for _, server := range running.all() {
 		go server.Serve()
 	}
 	go p.counters.Say(p.log, countersInterval, p.done)
@@ -107,16 +107,16 @@
 	go p.fetchConfigurations(watchContext)
 	go p.runTokenDraws(watchContext)
 	go p.runCreditReports(watchContext)
-	go p.runMaintenance(s.outbound)
+	go p.runMaintenance(running.outbound)
 	<-ctx.Done()
 	deadline := time.Now().Add(p.settings.Bounds.Grace)
 	p.log.Info("leaving", "open", p.openRequests.Load())
-	p.drain(s, deadline.Add(-forcedAnswerLead))
+	p.drain(running, deadline.Add(-forcedAnswerLead))
 	cancelWatch()
 	close(p.done)
 	openRequests := p.openRequests.Load()
 	p.cancelOpen()
-	aborted := s.shutDown(deadline.Add(-forcedCloseLead))
+	aborted := running.shutDown(deadline.Add(-forcedCloseLead))
 	p.log.Info("left", append([]any{"open", openRequests, "cut", aborted}, p.counters.Changed()...)...)
 	return nil
 }
@@ -125,13 +125,13 @@
 // readiness checks in a row, and keeps sending them if too few proxies are ready. Therefore the first part of Grace
 // accepts all requests; after that, new ones are refused and open ones are completed. An idle kept-alive connection
 // stays open meanwhile: its next request is answered with the notice that the connection closes.
-func (p *Proxy) drain(s *servers, until time.Time) {
+func (p *Proxy) drain(running *servers, until time.Time) {
 	p.draining.Store(true)
-	s.outbound.CloseConnections()
+	running.outbound.CloseConnections()
 	p.local.wakeWatchers() // reports the drain to the controllers at once
 	refuseTimer := time.AfterFunc(time.Duration(acceptFraction*float64(p.settings.Bounds.Grace)), func() {
 		p.refusing.Store(true)
-		s.inbound.CloseConnections()
+		running.inbound.CloseConnections()
 	})
 	defer refuseTimer.Stop()
 	for idlePolls := 0; time.Now().Before(until); {
--- a/internal/mesh/proxy/line_pacer.go
+++ b/internal/mesh/proxy/line_pacer.go
@@ -13,7 +13,7 @@
 const (
 	pacedLineShare   = 0.88                // fraction of the machine's line that long responses may use
 	pacerBurst       = 24 << 10            // bytes that may be sent at once
-	maxPacedFlows    = 2                   // long responses that share the line; the others wait, so that each one under way ends soon
+	maxPacedFlows    = 2                   // long responses that share the line; the others wait, so that each ends soon
 	minUnpacedLine   = 64e6                // bits per second, from which one process can't fill a line
 	maxShortResponse = maxBufferedResponse // bytes; a longer response is a long one
 )
@@ -91,8 +91,8 @@
 	return true
 }
 
-// release ends the admission of a long response.
-func (p *linePacer) release(rank priority.Rank) {
+// done ends the admission of a long response.
+func (p *linePacer) done(rank priority.Rank) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.rate == 0 {
@@ -103,7 +103,7 @@
 	}
 }
 
-// acquire waits for the line; yield gives it back.
+// acquire waits for the line; release gives it back.
 func (p *linePacer) acquire(ctx context.Context, rank priority.Rank) error {
 	p.mu.Lock()
 	if p.activeFlows < maxPacedFlows {
@@ -124,13 +124,13 @@
 	removed := p.queue.Remove(waiter)
 	p.mu.Unlock()
 	if !removed { // the line was granted meanwhile
-		p.yield()
+		p.release()
 	}
 	return ctx.Err()
 }
 
-// yield passes the line to the next waiting response.
-func (p *linePacer) yield() {
+// release passes the line to the next waiting response.
+func (p *linePacer) release() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if next := p.queue.Next(p.sinceStart(time.Now())); next != nil {
@@ -152,7 +152,7 @@
 	if err := p.acquire(ctx, rank); err != nil {
 		return err
 	}
-	defer p.yield()
+	defer p.release()
 	buffer := bufferPool.Get().(*[]byte)
 	defer bufferPool.Put(buffer)
 	for {
--- a/internal/mesh/proxy/outbound.go
+++ b/internal/mesh/proxy/outbound.go
@@ -17,7 +17,7 @@
 const (
 	maxBufferedBody     = 256 << 10 // bytes of a request body that are held so that it can be sent again; a longer body is sent once
 	maxBufferedResponse = 64 << 10  // bytes of a response that are held until it is complete; a longer one is streamed
-	bufferSize          = 16 << 10
+	bufferSize          = 16 << 10  // bytes of a copy buffer
 
 	maxUnsizedBody = 64 << 20 // bytes of a body of unknown length, if the configuration sets no limit
 )
--- a/internal/mesh/proxy/partner_policy.go
+++ b/internal/mesh/proxy/partner_policy.go
@@ -94,12 +94,12 @@
 }
 
 // routeToPartner finds a route to a partner for a request that no route of this mesh matches.
-func (p *Proxy) routeToPartner(r *http.Request, path string) (route *routing.Route, t target, kind apierror.Kind) {
+func (p *Proxy) routeToPartner(r *http.Request, path string) (route *routing.Route, to target, kind apierror.Kind) {
 	state := &p.partnerPolicy
 	state.Lock()
 	if !state.enabled {
 		state.Unlock()
-		return nil, t, apierror.NoRoute
+		return nil, to, apierror.NoRoute
 	}
 	exports, verdict := state.policy.Decide(r.Method, hostOnly(r.Host), path, p.now())
 	var names []string
@@ -113,11 +113,11 @@
 	state.Unlock()
 	switch {
 	case verdict == federation.Kept:
-		return nil, t, apierror.Kept
+		return nil, to, apierror.Kept
 	case verdict == federation.NoLeave:
-		return nil, t, apierror.Unready
+		return nil, to, apierror.Unready
 	case verdict != federation.Open || partner == nil:
-		return nil, t, apierror.NoRoute
+		return nil, to, apierror.NoRoute
 	}
 	class := routing.OnceOnly
 	if federation.Reads(r.Method) {
@@ -131,23 +131,23 @@
 	name := "partners:" + strings.Join(names, ",")
 	service := p.pools[name]
 	if service == nil {
-		reads, effects := *route, *route
-		reads.Name, reads.MailClass = string(routing.Repeatable), routing.Repeatable
-		effects.Name, effects.MailClass = string(routing.OnceOnly), routing.OnceOnly
-		routes := []*routing.Route{&reads, &effects}
+		repeatable, onceOnly := *route, *route
+		repeatable.Name, repeatable.MailClass = string(routing.Repeatable), routing.Repeatable
+		onceOnly.Name, onceOnly.MailClass = string(routing.OnceOnly), routing.OnceOnly
+		routes := []*routing.Route{&repeatable, &onceOnly}
 		if err := p.updateRoutes(name, routes); err != nil {
 			p.log.Error("retune", "service", name, "err", err)
-			return nil, t, apierror.NoRoom
+			return nil, to, apierror.NoRoom
 		}
 		service = p.pools[name]
 		service.partners, service.routes = names, routes
 		p.updateUpstreamLists()
 	}
-	t, known := service.target(route, 1)
+	to, known := service.target(route, 1)
 	if !known {
-		return nil, t, apierror.NoRoom
+		return nil, to, apierror.NoRoom
 	}
-	return route, t, apierror.None
+	return route, to, apierror.None
 }
 
 // hostOnly returns a host without its port.
--- a/internal/mesh/proxy/proxy.go
+++ b/internal/mesh/proxy/proxy.go
@@ -83,6 +83,7 @@
 // Option configures a Proxy at its creation.
 type Option func(*options)
 
+// options are the settings that an Option changes.
 type options struct {
 	wrapTransport rpc.WrapTransport
 	wrapListener  httpserver.WrapListener
--- a/internal/mesh/proxy/proxy_test.go
+++ b/internal/mesh/proxy/proxy_test.go
@@ -116,23 +116,23 @@
 	for range maxPacedFlows {
 		must.NoError(t, line.acquire(context.Background(), priority.Rank{})) // the line stays occupied
 	}
-	answer := func(size int) *downstreamResponse {
+	newResponse := func(size int) *downstreamResponse {
 		return &downstreamResponse{length: -1, remaining: strings.NewReader(strings.Repeat("x", size)), pacer: line, context: context.Background()}
 	}
-	small := answer(1500)
-	must.NoError(t, small.detectLength())
-	must.Eq(t, 1500, small.length)
+	short := newResponse(1500)
+	must.NoError(t, short.detectLength())
+	must.Eq(t, 1500, short.length)
 	var out strings.Builder
-	must.NoError(t, small.stream(&out))
+	must.NoError(t, short.stream(&out))
 	must.Eq(t, 1500, out.Len())
-	long := answer(maxShortResponse + 9)
+	long := newResponse(maxShortResponse + 9)
 	must.NoError(t, long.detectLength())
 	must.Eq(t, -1, long.length)
-	ctx, end := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	long.context = ctx
-	end()
+	cancel()
 	must.ErrorIs(t, long.stream(&out), context.Canceled) // it waits for the line
-	line.yield()
+	line.release()
 	long.context = context.Background()
 	out.Reset()
 	must.NoError(t, long.stream(&out))
@@ -186,7 +186,7 @@
 		admitted++
 	}
 	must.Eq(t, 6, admitted) // the requests ahead take half of the latency target
-	pacer.release(priority.Rank{})
+	pacer.done(priority.Rank{})
 	must.True(t, pacer.admit(requestPriority{latencyTarget: time.Second}))
 	now := time.Now()
 	pacer.refilledAt, pacer.tokens = now, pacerBurst
@@ -202,7 +202,7 @@
 // that nothing runs. Attempts that were refused before they reached an upstream count neither as attempts nor as
 // retries.
 func TestAttemptLimits(t *testing.T) {
-	taken, unexpectedRetry := 0, func() bool { panic("no repeat") }
+	taken, unexpectedRetry := 0, func() bool { panic("unexpected retry") }
 	takeRetry := func() bool { taken++; return taken < 3 }
 	request := &downstreamRequest{maxAttempts: 2, responses: map[int]*downstreamResponse{}}
 	must.True(t, request.beginAttempt(unexpectedRetry))
@@ -276,8 +276,8 @@
 	}
 	enqueue("usual", priority.Of(0, 2), 0)
 	enqueue("urgent", priority.Of(0, 0), 1)
-	pacer.yield()
+	pacer.release()
 	must.Eq(t, "urgent", <-order)
-	pacer.yield()
+	pacer.release()
 	must.Eq(t, "usual", <-order)
 }
--- a/internal/mesh/proxy/service_pool.go
+++ b/internal/mesh/proxy/service_pool.go
@@ -28,7 +28,7 @@
 	coldWeightShare = 0.5             // weight of a cold upstream, relative to its slots
 	probeTimeout    = 2 * time.Second // for a probe of an ejected upstream
 
-	freeRefusals = 2 // refusals by proxies beside upstreams that do not count as attempts of the route
+	freeRefusals = 2 // refusals by the proxies beside upstreams, in addition to the attempts of the route
 )
 
 // servicePool holds the upstreams of one service and the load balancer that selects among them.
@@ -112,7 +112,7 @@
 // updateRoutes applies the routes of a service to its load balancer. One that rejects the new terms is replaced. The
 // caller holds mu.
 func (p *Proxy) updateRoutes(service string, newRoutes []*routing.Route) error {
-	book, tariffOrder := p.bookOf(newRoutes)
+	book, tariffOrder := p.bookFor(newRoutes)
 	existing := p.pools[service]
 	if existing != nil {
 		if sameTerms(existing.book.Terms, book.Terms) && slices.Equal(existing.tariffOrder, tariffOrder) {
@@ -148,9 +148,9 @@
 	return a.Balancers == b.Balancers && a.Index == b.Index && a.MaxPushes == b.MaxPushes && a.CrossZonePrice == b.CrossZonePrice
 }
 
-// bookOf returns the terms of a service's load balancer: this proxy's rank among all proxies, and the service levels
+// bookFor returns the terms of a service's load balancer: this proxy's rank among all proxies, and the service levels
 // of the routes. The caller holds mu.
-func (p *Proxy) bookOf(routes []*routing.Route) (book *terms.Book, tariffOrder []serviceLevel) {
+func (p *Proxy) bookFor(routes []*routing.Route) (book *terms.Book, tariffOrder []serviceLevel) {
 	balancers, ordinal := p.nodeRank()
 	moduleTerms := &logic.Terms{
 		Seed: rand.Uint64(), FreeRefusals: freeRefusals, Balancers: balancers, Index: ordinal, Layer: 1,
--- a/internal/mesh/proxy/view.go
+++ b/internal/mesh/proxy/view.go
@@ -102,7 +102,7 @@
 
 // newView returns the view of a version with the existing load balancers. The caller holds mu.
 func (p *Proxy) newView(index uint64, config *routing.Configuration) *configurationView {
-	v := &configurationView{index: index, configuration: config, idle: time.Duration(config.Limits.Idle),
+	view := &configurationView{index: index, configuration: config, idle: time.Duration(config.Limits.Idle),
 		targets: make(map[*routing.Route][]target, len(config.Routes))}
 	for _, route := range config.Routes {
 		for _, part := range route.Parts {
@@ -111,11 +111,11 @@
 				continue
 			}
 			if to, known := service.target(route, part.Share); known {
-				v.targets[route] = append(v.targets[route], to)
+				view.targets[route] = append(view.targets[route], to)
 			}
 		}
 	}
-	return v
+	return view
 }
 
 // applyQuotas applies the tenants' quotas of a configuration. The caller holds mu.
--- a/internal/mesh/proxy/watch_test.go
+++ b/internal/mesh/proxy/watch_test.go
@@ -22,6 +22,7 @@
 	"ottershift/internal/mesh/settings"
 )
 
+// configurationFormat is a configuration with one route, formatted with an edition and further top-level members.
 const configurationFormat = `{"Edition":%d,"SizeLimits":{"EnvelopeBytes":16384,"ContentsBytes":67108864,"Envelope":"3000ms","Idle":"15000ms"},
 "PostOffices":[{"Town":"a.example","Regulations":[{"Name":"r","MailClass":"repeatable","Target":"300ms","Precedence":2,"Sorting":{"StreetPrefix":"/"},
 "Dispatch":{"Destination":"album","Deadline":"2000ms","DeliveryTries":3}}]}],%s
@@ -36,10 +37,10 @@
 }
 
 // newTestProxy returns a proxy whose calls to controllers go to the stub.
-func newTestProxy(answer controllerStub) *Proxy {
+func newTestProxy(stub controllerStub) *Proxy {
 	proxySettings := settings.Default()
 	proxySettings.Node, proxySettings.District = "self", "z"
-	return New(proxySettings, slog.New(slog.DiscardHandler), WithTransport(func(http.RoundTripper) http.RoundTripper { return answer }))
+	return New(proxySettings, slog.New(slog.DiscardHandler), WithTransport(func(http.RoundTripper) http.RoundTripper { return stub }))
 }
 
 // record returns the record of a node that was heard of before the given age.
@@ -113,7 +114,7 @@
 	list := func(current, whole bool, controller string, seq uint64, nodes ...membership.Record) *membership.WatchResponse {
 		return &membership.WatchResponse{Position: membership.Position{Controller: controller, Seq: seq}, Current: current, Whole: whole, Members: 3, Nodes: nodes}
 	}
-	late := func(p *Proxy, response *membership.WatchResponse) {
+	applyLate := func(p *Proxy, response *membership.WatchResponse) {
 		response.Current = false
 		must.NoError(t, p.applyWatchResponse(response, p.now()))
 		p.recordLateList(response, true)
@@ -122,7 +123,7 @@
 	start := func() *Proxy {
 		p := newTestProxy(nil)
 		must.NoError(t, p.applyWatchResponse(list(true, true, "one", 1, record("a", "a", 1, 0), record("gone", "g", 1, 0)), p.now()))
-		late(p, list(true, true, "two", 5, record("a", "a", 1, 0), record("b", "b", 1, 0)))
+		applyLate(p, list(true, true, "two", 5, record("a", "a", 1, 0), record("b", "b", 1, 0)))
 		must.Eq(t, []string{"a", "b", "gone"}, names(p)) // a late response removes nothing
 		return p
 	}
@@ -132,7 +133,7 @@
 	must.Eq(t, "two", p.position.Controller) // the complete list is not requested again
 
 	p = start()
-	late(p, &membership.WatchResponse{Position: membership.Position{Controller: "two", Seq: 6}, Gone: []string{"b"}})
+	applyLate(p, &membership.WatchResponse{Position: membership.Position{Controller: "two", Seq: 6}, Gone: []string{"b"}})
 	must.NoError(t, p.applyWatchResponse(list(true, false, "two", 7), p.now()))
 	must.Eq(t, []string{"a"}, names(p))
 
@@ -173,11 +174,11 @@
 	controllers = append(controllers, "sound")
 	timeToReach := func(selector *controllerSelector, now int64) time.Duration {
 		for began := now; ; now += int64(WatchTimeout) {
-			at := selector.pick(controllers, now)
-			if at == "sound" || now-began > int64(time.Minute) {
+			controller := selector.pick(controllers, now)
+			if controller == "sound" || now-began > int64(time.Minute) {
 				return time.Duration(now - began)
 			}
-			selector.failed(at, now+int64(WatchTimeout))
+			selector.failed(controller, now+int64(WatchTimeout))
 		}
 	}
 	selector := newControllerSelector()
@@ -202,16 +203,16 @@
 	must.NoError(t, err)
 	raw, err := book.Write()
 	must.NoError(t, err)
-	look := func() federation.Verdict {
+	verdict := func() federation.Verdict {
 		return p.partnerPolicy.policy.Look("zuid", "POST", "zuid.example", "/scans/1", p.now())
 	}
 	p.applyPartnerUpdate(&membership.WatchResponse{Imports: raw, ImportsNo: book.No, Ages: map[string]int64{"zuid": 0}}, p.now()-int64(21*time.Second))
 	p.applyPartnerUpdate(&membership.WatchResponse{ImportsNo: book.No, Calm: true}, p.now())
-	must.Eq(t, federation.NoLeave, look())
+	must.Eq(t, federation.NoLeave, verdict())
 	p.applyPartnerUpdate(&membership.WatchResponse{Ages: map[string]int64{"zuid": int64(time.Second)}}, p.now()-int64(21*time.Second))
-	must.Eq(t, federation.NoLeave, look())
+	must.Eq(t, federation.NoLeave, verdict())
 	p.applyPartnerUpdate(&membership.WatchResponse{Ages: map[string]int64{"zuid": int64(time.Second)}}, p.now())
-	must.Eq(t, federation.Open, look())
+	must.Eq(t, federation.Open, verdict())
 }
 
 // Each controller lists itself first. A proxy in a zone without a controller must keep asking the same one; otherwise
@@ -295,9 +296,9 @@
 	for began := time.Now(); ; <-updates.C {
 		p.local.wakeWatchers()
 		mu.Lock()
-		sound := asked["sound"]
+		healthyAsked := asked["sound"]
 		mu.Unlock()
-		if sound > 0 {
+		if healthyAsked > 0 {
 			t.Logf("left the silent controller after %v", time.Since(began))
 			return
 		}
@@ -305,6 +306,7 @@
 	}
 }
 
+// roundTripFunc is an http.RoundTripper.
 type roundTripFunc func(*http.Request) (*http.Response, error)
 
 func (f roundTripFunc) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
