--- a/internal/mesh/proxy/configuration.go
+++ b/internal/mesh/proxy/configuration.go
@@ -11,176 +11,180 @@
 )
 
 const (
-	fetchSilence = 900 * time.Millisecond // without a byte, until another controller is asked
-	fetchPause   = 50 * time.Millisecond  // before that
+	fetchSilenceTimeout = 900 * time.Millisecond // without a received byte, until another controller is asked
+	fetchRetryDelay     = 50 * time.Millisecond  // before another controller is asked
 )
 
-// configurationFetch is what is known of a configuration that did not come with the answer to a watch, for being long.
+// configurationFetch describes a configuration that was too long to come with a watch response and is fetched
+// separately.
 type configurationFetch struct {
-	at     string // controller that has it
-	index  uint64 // of the newest state that was told of
-	digest string // of that state's configuration
-	begin  chan struct{}
+	controller string        // a controller that has the configuration
+	index      uint64        // of the newest announced state
+	digest     string        // of that state's configuration
+	trigger    chan struct{} // buffered for one value
 }
 
-// applyConfiguration puts a later configuration in force. The first one of a life is taken only from a controller that is current:
-// any other may be older than what this machine went by before.
-func (p *Proxy) applyConfiguration(n *membership.WatchResponse) error {
+// applyConfiguration activates a newer configuration. A process takes its first one only from a current controller:
+// any other may be older than the one that this machine used before.
+func (p *Proxy) applyConfiguration(response *membership.WatchResponse) error {
 	position := p.currentPosition()
-	mayTake := n.Current || p.view.Load() != nil
+	acceptable := response.Current || p.view.Load() != nil
 	switch {
-	case n.Configuration != nil || n.Packed != nil:
-		if !mayTake {
+	case response.Configuration != nil || response.Packed != nil:
+		if !acceptable {
 			return nil
 		}
-		return p.takeConfiguration(n)
-	case n.Index <= position.Index:
-	case n.Digest != "" && n.Digest != position.Digest && n.Edition != 0:
-		if mayTake { // named alone: it is fetched apart, and the watch goes on from here
-			p.setIndex(n.Index)
+		return p.loadConfiguration(response)
+	case response.Index <= position.Index:
+	case response.Digest != "" && response.Digest != position.Digest && response.Edition != 0:
+		if acceptable { // announced only: it is fetched separately, and the watch continues from this index
+			p.advanceIndex(response.Index)
 		}
-	case n.Digest != "" || n.Edition == position.Edition || n.Edition == 0:
-		p.setIndex(n.Index) // something else was agreed
+	case response.Digest != "" || response.Edition == position.Edition || response.Edition == 0:
+		p.advanceIndex(response.Index) // the state changed, but not its configuration
 	}
 	return nil
 }
 
-// takeConfiguration reads the configuration that came with the answer to a watch. A change of another one than is in force by now
-// changes nothing: the next answer has the right one.
-func (p *Proxy) takeConfiguration(n *membership.WatchResponse) error {
-	if n.Packed == nil {
-		t, err := routing.Load(n.Configuration)
+// loadConfiguration reads the configuration in a watch response. A delta to another configuration than the active one
+// is ignored: the next response contains the right one.
+func (p *Proxy) loadConfiguration(response *membership.WatchResponse) error {
+	if response.Packed == nil {
+		config, err := routing.Load(response.Configuration)
 		if err != nil {
 			return err
 		}
-		p.adoptFrom(n.Index, t)
+		p.activateFrom(response.Index, config)
 		return nil
 	}
-	held := p.heldConfiguration()
-	if n.Packed.Base != "" && (held == nil || held.Digest() != n.Packed.Base) {
+	held := p.activeConfiguration()
+	if response.Packed.Base != "" && (held == nil || held.Digest() != response.Packed.Base) {
 		return nil
 	}
-	return p.unpack(n.Index, n.Packed, held)
+	return p.unpack(response.Index, response.Packed, held)
 }
 
-// unpack puts a packed configuration in force. One that can't be unpacked is asked for as it is.
+// unpack activates a packed configuration. If it can't be unpacked, later watches ask for a plain one.
 func (p *Proxy) unpack(index uint64, packed *routing.Packed, held *routing.Configuration) error {
-	t, err := packed.Unpack(held)
-	p.unpackable.Store(err != nil)
+	config, err := packed.Unpack(held)
+	p.unpackFailed.Store(err != nil)
 	if err != nil {
-		p.counts.Add("configurations_not_unpacked")
+		p.counters.Add("configurations_not_unpacked")
 		p.log.Error("configuration", "index", index, "unpacking", err)
-		p.forgetTold()
+		p.resetWatchIndex()
 		return err
 	}
-	p.adoptFrom(index, t)
+	p.activateFrom(index, config)
 	return nil
 }
 
-// forgetTold has the next watch be told again of what is not in force.
-func (p *Proxy) forgetTold() {
+// resetWatchIndex makes the next watch return states again that are not active yet.
+func (p *Proxy) resetWatchIndex() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.position.Index = p.heldIndex()
+	p.position.Index = p.activeIndex()
 }
 
-// heldConfiguration is the one in force, nil for none.
-func (p *Proxy) heldConfiguration() *routing.Configuration {
+// activeConfiguration returns the configuration in force, or nil.
+func (p *Proxy) activeConfiguration() *routing.Configuration {
 	if v := p.view.Load(); v != nil {
-		return v.table
+		return v.configuration
 	}
 	return nil
 }
 
+// currentPosition returns the position from which the next watch continues.
 func (p *Proxy) currentPosition() membership.Position {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.position
 }
 
-// adoptFrom puts the configuration of a state in force.
-func (p *Proxy) adoptFrom(index uint64, t *routing.Configuration) {
-	p.adopt(index, t)
+// activateFrom activates the configuration of the state at index and moves the watch position there.
+func (p *Proxy) activateFrom(index uint64, config *routing.Configuration) {
+	p.activate(index, config)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.position.Index = max(p.position.Index, index)
 	if v := p.view.Load(); v.index == index {
-		p.position.Edition, p.position.Digest = t.Edition, t.Digest()
+		p.position.Edition, p.position.Digest = config.Edition, config.Digest()
 	}
 }
 
-func (p *Proxy) setIndex(index uint64) {
+// advanceIndex moves the watch position forward to index.
+func (p *Proxy) advanceIndex(index uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.position.Index = max(p.position.Index, index)
 }
 
-// fetchFrom has the configuration fetched that a controller has named and not given.
-func (p *Proxy) fetchFrom(at string, n *membership.WatchResponse) {
+// requestFetch schedules the fetch of a configuration that a controller has announced without its contents.
+func (p *Proxy) requestFetch(controller string, response *membership.WatchResponse) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if n.Digest == "" || n.Edition == 0 || n.Digest == p.position.Digest || n.Index < p.fetch.index {
+	if response.Digest == "" || response.Edition == 0 || response.Digest == p.position.Digest || response.Index < p.fetch.index {
 		return
 	}
-	if v := p.view.Load(); v != nil && n.Index <= v.index || v == nil && !n.Current {
+	if v := p.view.Load(); v != nil && response.Index <= v.index || v == nil && !response.Current {
 		return
 	}
-	p.fetch.at, p.fetch.index, p.fetch.digest = at, n.Index, n.Digest
+	p.fetch.controller, p.fetch.index, p.fetch.digest = controller, response.Index, response.Digest
 	select {
-	case p.fetch.begin <- struct{}{}:
+	case p.fetch.trigger <- struct{}{}:
 	default:
 	}
 }
 
-// wanted is the controller to fetch from, "" once what was named last is in force.
-func (p *Proxy) wanted() (at string) {
+// fetchSource returns the controller to fetch from, or "" if the configuration announced last is active.
+func (p *Proxy) fetchSource() (controller string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if v := p.view.Load(); v != nil && (v.index >= p.fetch.index || p.position.Digest == p.fetch.digest) {
 		return ""
 	}
-	if p.unpackable.Load() { // it comes with the watch, as it is
+	if p.unpackFailed.Load() { // the watch returns it as a plain document
 		return ""
 	}
-	return p.fetch.at
+	return p.fetch.controller
 }
 
-// fetchConfigurations fetches what is named, beside the watch: a lease must not wait for a long answer, nor a long answer for the end
-// that a watch has. What has begun is brought to its end, and what is newer by then comes as a change of it: begun anew for each newer
-// version, nothing would ever arrive while they follow one another fast.
+// fetchConfigurations fetches announced configurations concurrently with the watch, so that neither a long transfer
+// delays the renewal of the lease nor the watch timeout ends the transfer. A fetch that has started is completed, and
+// a newer version follows as a delta: with a restart for each newer version, no fetch would complete while versions
+// follow one another quickly.
 func (p *Proxy) fetchConfigurations(ctx context.Context) {
 	for {
 		select {
-		case <-p.fetch.begin:
+		case <-p.fetch.trigger:
 		case <-ctx.Done():
 			return
 		}
-		for tried := 0; ctx.Err() == nil; tried++ {
-			at := p.wanted()
-			if at == "" {
+		for tries := 0; ctx.Err() == nil; tries++ {
+			controller := p.fetchSource()
+			if controller == "" {
 				break
 			}
-			if known := p.knownControllers(); tried > 0 && len(known) > 0 {
-				at = known[tried%len(known)]
+			if controllers := p.knownControllers(); tries > 0 && len(controllers) > 0 {
+				controller = controllers[tries%len(controllers)]
 			}
-			before := p.heldIndex()
-			err := p.fetchConfiguration(ctx, at)
-			if err == nil && p.heldIndex() > before {
-				tried = -1
+			previous := p.activeIndex()
+			err := p.fetchConfiguration(ctx, controller)
+			if err == nil && p.activeIndex() > previous {
+				tries = -1
 				continue
 			}
-			p.counts.Add("configuration_fetches_failed")
-			p.log.Debug("configuration", "from", at, "err", err)
+			p.counters.Add("configuration_fetches_failed")
+			p.log.Debug("configuration", "from", controller, "err", err)
 			select {
-			case <-time.After(fetchPause):
+			case <-time.After(fetchRetryDelay):
 			case <-ctx.Done():
 			}
 		}
 	}
 }
 
-// heldIndex is the state whose configuration is in force, 0 for none.
-func (p *Proxy) heldIndex() uint64 {
+// activeIndex returns the index of the state whose configuration is in force, or 0.
+func (p *Proxy) activeIndex() uint64 {
 	if v := p.view.Load(); v != nil {
 		return v.index
 	}
@@ -188,13 +192,13 @@
 }
 
 var (
-	errNotCurrent = errors.New("the controller is not current")
-	errNoBytes    = errors.New("an empty piece")
+	errNotCurrent = errors.New("controller is not current: no first configuration taken from it")
+	errEmptyChunk = errors.New("controller sent an empty configuration chunk")
 )
 
-// fetchConfiguration fetches the newest configuration of a controller, piece by piece, and puts it in force.
-func (p *Proxy) fetchConfiguration(ctx context.Context, at string) error {
-	held := p.heldConfiguration()
+// fetchConfiguration fetches the newest configuration of a controller in chunks and activates it.
+func (p *Proxy) fetchConfiguration(ctx context.Context, controller string) error {
+	held := p.activeConfiguration()
 	request := &membership.ConfigurationRequest{}
 	if held != nil {
 		request.Held = held.Digest()
@@ -203,20 +207,20 @@
 	var data []byte
 	for last == nil || len(data) < first.Total {
 		last = &membership.ConfigurationResponse{}
-		if err := p.caller.CallPatiently(ctx, rpc.Patience{Silence: fetchSilence}, at, rpc.PathConfiguration, request, last); err != nil {
+		if err := p.caller.CallPatiently(ctx, rpc.Patience{Silence: fetchSilenceTimeout}, controller, rpc.PathConfiguration, request, last); err != nil {
 			return err
 		}
 		if last.Packed.Result == request.Held {
-			return nil // there is nothing newer there
+			return nil // the controller has nothing newer
 		}
-		if last.Offset == 0 { // of the newest: what had begun is not kept there any more
+		if last.Offset == 0 { // the controller dropped the version under way and restarts with its newest
 			first, data = last, nil
 		}
 		data = append(data, last.Packed.Data...)
 		request.Result, request.Base, request.Offset = first.Packed.Result, first.Packed.Base, len(data)
-		p.counts.Add("configuration_pieces")
+		p.counters.Add("configuration_pieces")
 		if len(last.Packed.Data) == 0 {
-			return errNoBytes
+			return errEmptyChunk
 		}
 	}
 	if held == nil && !first.Current {
--- a/internal/mesh/proxy/connection.go
+++ b/internal/mesh/proxy/connection.go
@@ -14,39 +14,41 @@
 )
 
 const (
-	maxAnswerHead     = 64 << 10 // bytes of an answer's head
-	maxForeignAnswers = 4        // answers to other requests that are skipped before an attempt is given up
-	maxForeignBody    = 1 << 20  // bytes of one of them
-	maxInformational  = 16       // 1xx answers to one request
-	maxRefusals       = 64       // attempts that one connection may have refused before it is closed
+	maxResponseHeadBytes      = 64 << 10 // of a response head
+	maxForeignResponses       = 4        // responses to other requests that are skipped before the exchange fails
+	maxForeignBodyBytes       = 1 << 20  // of the body of a skipped response
+	maxInformationalResponses = 16       // 1xx responses to one request
+	maxRefusedPerConnection   = 64       // refused requests that one connection remembers before it is closed
 )
 
 var (
-	errForeignAnswers = errors.New("only answers to other requests came")
-	errNotAnswer      = errors.New("what came is no answer to the request")
-	errNoStatedEnd    = errors.New("an answer without a stated end can't be told from one that broke off")
+	errForeignResponses  = errors.New("received only responses to other requests")
+	errMalformedResponse = errors.New("not a final HTTP/1.x response to the request")
+	errUndelimitedBody   = errors.New("response body ends only with its connection: a truncated one can't be detected")
 )
 
 // connection is a TCP connection that carries one request at a time.
 //
-// Invariant: bytes behind a whole answer, and answers that come late, belong to no request in hand. Looking at a kept connection
-// and writing to it are two moments, so the look proves nothing. Whose an answer is shows the attempt id that it bears, whatever
-// its status; one without an id belongs to nobody.
+// Bytes after a complete response, and responses that arrive late, belong to an earlier request. Checking an idle
+// connection for unread bytes does not rule them out, because they may arrive between the check and the write.
+// Therefore a response is matched to its request by the request ID that it carries, whatever its status; a response
+// without an ID is discarded.
 type connection struct {
 	*net.TCPConn
 	raw       syscall.RawConn
-	limit     *io.LimitedReader // between the connection and reader
+	limit     *io.LimitedReader // between the TCP connection and reader
 	reader    *bufio.Reader
 	pool      *connectionPool
 	to        destination
-	keptUntil time.Time
+	idleUntil time.Time
 
-	reused    bool            // it has carried another request before
-	outOfStep bool            // what comes next may belong to anyone: it carries no other request
-	early     bool            // its answer came before the request had been written whole
-	refused   map[string]bool // attempts that were not served over it, so that they may be sent once more elsewhere
+	reused          bool            // it has carried another request before
+	desynchronized  bool            // later bytes may belong to any request: the connection is not reused
+	earlyResponse   bool            // the response arrived before the request had been written completely
+	refusedRequests map[string]bool // request IDs refused over it, which may be sent again over another connection
 }
 
+// newConnection wraps a TCP connection to a destination.
 func newConnection(tcp *net.TCPConn, pool *connectionPool, to destination) (*connection, error) {
 	raw, err := tcp.SyscallConn()
 	if err != nil {
@@ -63,142 +65,155 @@
 	}, nil
 }
 
-func (c *connection) countKept(n int32) {
-	if c.to.kept != nil {
-		c.to.kept.Add(n)
+// addIdleCount adds n to the destination's count of idle connections.
+func (c *connection) addIdleCount(n int32) {
+	if c.to.idleCount != nil {
+		c.to.idleCount.Add(n)
 	}
 }
 
-// abandon resets a connection whose request has been given up. Invariant: what has not arrived of it is lost then; closed in
-// order, it could come out of a link that is cut, and run, long after its caller has been told that its time is up.
-func (c *connection) abandon() {
+// reset closes a connection with a TCP reset after its request was given up. An orderly close would still deliver
+// unsent bytes, for example after a network partition heals, and the request would run long after its caller has been
+// told that it timed out.
+func (c *connection) reset() {
 	c.SetLinger(0)
 	c.Close()
 }
 
-// hasRefused reports whether an attempt was refused over this connection before. Invariant: a second copy of that answer may come
-// late, with the right id; sent over the same connection, the same attempt would be given it for a promise while it runs.
-func (c *connection) hasRefused(attempt string) bool { return c.refused[attempt] }
+// hasRefused reports whether a request was refused over this connection before. A duplicate of that refusal may arrive
+// late with the same request ID; if the request were sent again over the same connection, the duplicate would be taken
+// as proof that it did not run although it does.
+func (c *connection) hasRefused(requestID string) bool { return c.refusedRequests[requestID] }
 
-func (c *connection) noteRefusal(attempt string) {
-	if c.refused == nil {
-		c.refused = map[string]bool{}
+// recordRefusal remembers a request that was refused over this connection.
+func (c *connection) recordRefusal(requestID string) {
+	if c.refusedRequests == nil {
+		c.refusedRequests = map[string]bool{}
 	}
-	c.refused[attempt] = true
+	c.refusedRequests[requestID] = true
 }
 
-// reusableAfter reports whether another request may be sent after an answer that has been read whole.
-func (c *connection) reusableAfter(answer *http.Response) bool {
+// reusableAfter reports whether another request may be sent after a response that was read completely.
+func (c *connection) reusableAfter(response *http.Response) bool {
 	switch {
-	case c.outOfStep, answer.Close, c.reader.Buffered() > 0:
+	case c.desynchronized, response.Close, c.reader.Buffered() > 0:
 		return false
-	case answer.ProtoMinor == 0:
+	case response.ProtoMinor == 0:
 		return false
-	case answer.Request.Method == http.MethodHead: // a late answer to another method would be framed wrongly
+	case response.Request.Method == http.MethodHead: // a late response to another method would be framed wrongly
 		return false
 	}
-	return len(c.refused) < maxRefusals
+	return len(c.refusedRequests) < maxRefusedPerConnection
 }
 
-// exchange writes a request and reads the head of its answer; wrote tells that some of the request may have gone out. The answer
-// is waited for while a body is still being written: it may come early.
-func (c *connection) exchange(request *http.Request, first []byte, rest io.Reader, attempt string) (answer *http.Response, wrote bool, err error) {
-	if rest == nil && len(first) <= writtenInline {
-		answer, wrote, err = c.exchangeInline(request, first, attempt)
+// exchange writes a request and reads the head of its response. wrote reports whether any byte of the request may have
+// been sent. A body is written concurrently with the wait for the response, which may arrive early.
+func (c *connection) exchange(request *http.Request, first []byte, rest io.Reader, requestID string) (
+	response *http.Response, wrote bool, err error) {
+	if rest == nil && len(first) <= maxInlineWrite {
+		response, wrote, err = c.exchangeInline(request, first, requestID)
 	} else {
-		answer, wrote, err = c.exchangeWhileWriting(request, first, rest, attempt)
+		response, wrote, err = c.exchangeWhileWriting(request, first, rest, requestID)
 	}
-	if err == nil && (answer.StatusCode >= 500 || provesNotRun(answer)) {
-		c.noteRefusal(attempt)
+	if err == nil && (response.StatusCode >= 500 || provesNotExecuted(response)) {
+		c.recordRefusal(requestID)
 	}
-	return answer, wrote, err
+	return response, wrote, err
 }
 
-func (c *connection) exchangeInline(request *http.Request, first []byte, attempt string) (answer *http.Response, wrote bool, err error) {
+// exchangeInline writes the whole request before it reads the response.
+func (c *connection) exchangeInline(request *http.Request, first []byte, requestID string) (
+	response *http.Response, wrote bool, err error) {
 	n, writeErr := c.Write(first)
 	if writeErr != nil && n == 0 {
 		return nil, false, writeErr
 	}
-	if writeErr != nil { // it may have been answered all the same, by an upstream that refuses it unread
-		c.outOfStep = true
+	if writeErr != nil { // an upstream that refuses a request unread may still have responded
+		c.desynchronized = true
 	}
-	answer, err = c.readAnswer(request, attempt)
-	return answer, true, err
+	response, err = c.readResponse(request, requestID)
+	return response, true, err
 }
 
-func (c *connection) exchangeWhileWriting(request *http.Request, first []byte, rest io.Reader, attempt string) (answer *http.Response, wrote bool, err error) {
-	writing := startBodyWriter(c, first, rest)
-	answer, err = c.readAnswer(request, attempt)
-	if writing.succeeded() {
-		// Buffers may hold all of a body that an upstream has refused unread, and that it would take for its next request.
-		c.outOfStep = err == nil && answer.StatusCode >= http.StatusMultipleChoices || c.outOfStep
-		return answer, true, err
+// exchangeWhileWriting reads the response while the request is being written.
+func (c *connection) exchangeWhileWriting(request *http.Request, first []byte, rest io.Reader, requestID string) (
+	response *http.Response, wrote bool, err error) {
+	writer := startBodyWriter(c, first, rest)
+	response, err = c.readResponse(request, requestID)
+	if writer.succeeded() {
+		// The socket buffers may hold a body that the upstream has refused unread and would parse as its next request.
+		c.desynchronized = err == nil && response.StatusCode >= http.StatusMultipleChoices || c.desynchronized
+		return response, true, err
 	}
-	c.outOfStep, c.early = true, true
-	if err != nil || answer.StatusCode >= http.StatusMultipleChoices { // the rest of the body is of no use
-		c.SetWriteDeadline(longAgo)
+	c.desynchronized, c.earlyResponse = true, true
+	if err != nil || response.StatusCode >= http.StatusMultipleChoices { // the rest of the body is not needed
+		c.SetWriteDeadline(pastDeadline)
 	}
 	if err != nil {
-		return nil, writing.begun(), writing.cause(err)
+		return nil, writer.started(), writer.cause(err)
 	}
-	return answer, true, nil
+	return response, true, nil
 }
 
-// readAnswer reads the head of the answer to a request, past informational ones and those that belong to other requests.
-func (c *connection) readAnswer(request *http.Request, attempt string) (*http.Response, error) {
+// readResponse reads the head of the response to a request. It skips informational responses and responses to other
+// requests.
+func (c *connection) readResponse(request *http.Request, requestID string) (*http.Response, error) {
 	informational, foreign := 0, 0
 	for {
-		answer, err := c.readHead(request)
+		response, err := c.readResponseHead(request)
 		if err != nil {
 			return nil, err
 		}
 		switch {
-		case answer.ProtoMajor != 1 || answer.StatusCode == http.StatusSwitchingProtocols:
-			return nil, errNotAnswer
-		case answer.StatusCode < http.StatusOK:
-			if informational++; informational > maxInformational {
-				return nil, errNotAnswer
+		case response.ProtoMajor != 1 || response.StatusCode == http.StatusSwitchingProtocols:
+			return nil, errMalformedResponse
+		case response.StatusCode < http.StatusOK:
+			if informational++; informational > maxInformationalResponses {
+				return nil, errMalformedResponse
 			}
 			continue
-		case c.pool.belongs(answer, attempt):
-			requireStatedEnd(answer)
-			return answer, nil
+		case c.pool.matches(response, requestID):
+			requireDelimitedBody(response)
+			return response, nil
 		}
-		c.outOfStep = true
+		c.desynchronized = true
 		c.pool.foreign.Add(1)
-		if foreign++; foreign == maxForeignAnswers {
-			return nil, errForeignAnswers
+		if foreign++; foreign == maxForeignResponses {
+			return nil, errForeignResponses
 		}
-		if err := skipBody(answer); err != nil {
+		if err := skipBody(response); err != nil {
 			return nil, err
 		}
 	}
 }
 
-func (c *connection) readHead(request *http.Request) (*http.Response, error) {
-	c.limit.N = maxAnswerHead
-	answer, err := http.ReadResponse(c.reader, request)
+// readResponseHead reads one response head of at most maxResponseHeadBytes.
+func (c *connection) readResponseHead(request *http.Request) (*http.Response, error) {
+	c.limit.N = maxResponseHeadBytes
+	response, err := http.ReadResponse(c.reader, request)
 	c.limit.N = math.MaxInt64
-	return answer, err
+	return response, err
 }
 
-// answerRule reports whether an answer is proven to be that to an attempt.
-type answerRule func(answer *http.Response, attempt string) bool
+// responseMatcher reports whether a response is proven to belong to a request.
+type responseMatcher func(response *http.Response, requestID string) bool
 
-// bearsAttempt is the rule. A request without an id has a connection of its own, where only an answer without one can be its.
-// Waiting on is no loss where an upstream leaves out the id: a request that it may be at work on is not to be broken off.
-func bearsAttempt(answer *http.Response, attempt string) bool {
-	ids := answer.Header[attemptID]
-	if attempt == "" {
+// matchesRequestID is the responseMatcher in production. A request without an ID has its own connection, where only a
+// response without an ID can belong to it. If an upstream omits the ID, the request waits until its deadline: it may
+// be running, so it must not be taken as failed.
+func matchesRequestID(response *http.Response, requestID string) bool {
+	ids := response.Header[requestIDHeader]
+	if requestID == "" {
 		return len(ids) == 0
 	}
-	return len(ids) == 1 && ids[0] == attempt
+	return len(ids) == 1 && ids[0] == requestID
 }
 
-func skipBody(answer *http.Response) error {
-	_, err := io.CopyN(io.Discard, answer.Body, maxForeignBody)
+// skipBody discards the body of a response to another request, up to maxForeignBodyBytes.
+func skipBody(response *http.Response) error {
+	_, err := io.CopyN(io.Discard, response.Body, maxForeignBodyBytes)
 	if err == nil {
-		return errForeignAnswers
+		return errForeignResponses
 	}
 	if err != io.EOF {
 		return err
@@ -206,46 +221,47 @@
 	return nil
 }
 
-// requireStatedEnd has the body of an answer that only the end of its connection delimits end in an error: that is how a broken
-// one ends, too.
-func requireStatedEnd(answer *http.Response) {
-	if answer.ContentLength < 0 && len(answer.TransferEncoding) == 0 && answer.Body != http.NoBody {
-		answer.Body = &unstatedEnd{answer.Body}
+// requireDelimitedBody makes the body of a response end in an error if only the end of the connection delimits it,
+// because a truncated body ends the same way.
+func requireDelimitedBody(response *http.Response) {
+	if response.ContentLength < 0 && len(response.TransferEncoding) == 0 && response.Body != http.NoBody {
+		response.Body = &undelimitedBody{response.Body}
 	}
 }
 
-type unstatedEnd struct{ io.ReadCloser }
+// undelimitedBody returns errUndelimitedBody in place of io.EOF.
+type undelimitedBody struct{ io.ReadCloser }
 
-func (b *unstatedEnd) Read(p []byte) (int, error) {
+func (b *undelimitedBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if err == io.EOF {
-		err = errNoStatedEnd
+		err = errUndelimitedBody
 	}
 	return n, err
 }
 
-// provesNotRun reports whether an answer says that its upstream has not run the request and never will. No status alone says so
-// but 421.
-func provesNotRun(answer *http.Response) bool {
-	if answer.StatusCode == http.StatusMisdirectedRequest {
+// provesNotExecuted reports whether a response states that the upstream has not executed the request and never will.
+// The only status that proves this on its own is 421 Misdirected Request.
+func provesNotExecuted(response *http.Response) bool {
+	if response.StatusCode == http.StatusMisdirectedRequest {
 		return true
 	}
-	return answer.Header[notDelivered] != nil && answer.StatusCode >= http.StatusBadRequest
+	return response.Header[notExecutedHeader] != nil && response.StatusCode >= http.StatusBadRequest
 }
 
-// head writes a request's head. The target goes on as it came.
-func head(b *bytes.Buffer, method, target, host string, header http.Header, length int64) {
-	b.WriteString(method)
-	b.WriteByte(' ')
-	b.WriteString(target)
-	b.WriteString(" HTTP/1.1\r\nHost: ")
-	b.WriteString(host)
-	b.WriteString("\r\n")
-	header.Write(b)
+// writeRequestHead writes the head of a request. The request target is passed on unchanged.
+func writeRequestHead(buffer *bytes.Buffer, method, target, host string, header http.Header, length int64) {
+	buffer.WriteString(method)
+	buffer.WriteByte(' ')
+	buffer.WriteString(target)
+	buffer.WriteString(" HTTP/1.1\r\nHost: ")
+	buffer.WriteString(host)
+	buffer.WriteString("\r\n")
+	header.Write(buffer)
 	if length > 0 || method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch {
-		b.WriteString("Content-Length: ")
-		b.WriteString(strconv.FormatInt(length, 10))
-		b.WriteString("\r\n")
+		buffer.WriteString("Content-Length: ")
+		buffer.WriteString(strconv.FormatInt(length, 10))
+		buffer.WriteString("\r\n")
 	}
-	b.WriteString("\r\n")
+	buffer.WriteString("\r\n")
 }
--- a/internal/mesh/proxy/lifecycle.go
+++ b/internal/mesh/proxy/lifecycle.go
@@ -17,55 +17,56 @@
 	headerTimeout  = 15 * time.Second // for the head of a client's request
 	maxHeaderBytes = 64 << 10
 
-	acceptShare = 0.45                   // of Grace, in which a leaving process takes new requests
-	leaveStep   = 100 * time.Millisecond // between two looks at what is open once this process leaves
-	leaveQuiet  = 25                     // looks in a row that found nothing
-	closedQuiet = 3                      // the same once nothing new is taken
-	answerBy    = 400 * time.Millisecond // before Grace is over, when what is open is answered as it stands
-	exitBy      = 200 * time.Millisecond // before Grace is over, when what has no answer yet is cut
-
-	countsInterval = 5 * time.Second
-	sweepInterval  = time.Second
-	lostBeats      = 4 // heartbeats of the upstream here that did not come, after which it counts as gone
+	acceptFraction    = 0.45                   // of Grace, during which a draining process accepts new requests
+	drainPollInterval = 100 * time.Millisecond // between two checks for open requests during a drain
+	drainIdlePolls    = 25                     // consecutive idle checks that end the drain
+	refusingIdlePolls = 3                      // the same once new requests are refused
+	forcedAnswerLead  = 400 * time.Millisecond // before the end of Grace, when open requests are answered at once
+	forcedCloseLead   = 200 * time.Millisecond // before the end of Grace, when the remaining connections are closed
+
+	countersInterval    = 5 * time.Second
+	maintenanceInterval = time.Second
+	maxMissedHeartbeats = 4 // heartbeats of the local upstream that may be missing before it counts as gone
 )
 
-// servers are what others reach a proxy by.
-type servers struct{ outbound, inbound, ready, control, figures *httpserver.Server }
+// servers are the listeners of a proxy.
+type servers struct{ outbound, inbound, ready, control, metrics *httpserver.Server }
 
+// all returns the servers, nil for one that is not listening.
 func (s *servers) all() []*httpserver.Server {
-	return []*httpserver.Server{s.outbound, s.inbound, s.ready, s.control, s.figures}
+	return []*httpserver.Server{s.outbound, s.inbound, s.ready, s.control, s.metrics}
 }
 
-// listen makes all servers, or none of them.
+// listen opens all servers, or none of them.
 func (p *Proxy) listen() (*servers, error) {
-	s := &servers{}
+	opened := &servers{}
 	for _, server := range []struct {
 		at      **httpserver.Server
 		address string
 		options httpserver.Options
 	}{
-		{&s.outbound, p.settings.Outbound, httpserver.Options{
-			Name: "outbound", Handler: http.HandlerFunc(p.serveOutbound), Failed: p.handlerFailed, ReadHeaderTimeout: headerTimeout,
-			KeepAlive: idleFirst, WrapListener: p.wrapListener}},
-		{&s.inbound, p.settings.Inbound, httpserver.Options{
-			Name: "inbound", Handler: http.HandlerFunc(p.serveInbound), Failed: p.inboundHandlerFailed, WrapListener: p.wrapListener}},
-		{&s.ready, p.settings.Ready, httpserver.Options{Name: "ready", Handler: http.HandlerFunc(p.ready)}},
-		{&s.control, p.settings.Control, httpserver.Options{Name: "control", Handler: http.HandlerFunc(p.control)}},
-		{&s.figures, p.settings.Inner(), httpserver.Options{Name: "figures", Handler: p.figuresHandler()}},
+		{&opened.outbound, p.settings.Outbound, httpserver.Options{
+			Name: "outbound", Handler: http.HandlerFunc(p.serveOutbound), Failed: p.handleOutboundPanic, ReadHeaderTimeout: headerTimeout,
+			KeepAlive: defaultClientIdle, WrapListener: p.wrapListener}},
+		{&opened.inbound, p.settings.Inbound, httpserver.Options{
+			Name: "inbound", Handler: http.HandlerFunc(p.serveInbound), Failed: p.handleInboundPanic, WrapListener: p.wrapListener}},
+		{&opened.ready, p.settings.Ready, httpserver.Options{Name: "ready", Handler: http.HandlerFunc(p.ready)}},
+		{&opened.control, p.settings.Control, httpserver.Options{Name: "control", Handler: http.HandlerFunc(p.control)}},
+		{&opened.metrics, p.settings.Inner(), httpserver.Options{Name: "figures", Handler: p.metricsHandler()}},
 	} {
 		options := server.options
-		options.MaxHeaderBytes, options.Counts, options.Log = maxHeaderBytes, p.counts, p.log
-		made, err := httpserver.Listen(server.address, options)
+		options.MaxHeaderBytes, options.Counts, options.Log = maxHeaderBytes, p.counters, p.log
+		listening, err := httpserver.Listen(server.address, options)
 		if err != nil {
-			s.close()
+			opened.close()
 			return nil, err
 		}
-		*server.at = made
+		*server.at = listening
 	}
-	return s, nil
+	return opened, nil
 }
 
-// close ends servers that have not served.
+// close closes servers that have not started to serve.
 func (s *servers) close() {
 	for _, server := range s.all() {
 		if server != nil {
@@ -74,135 +75,138 @@
 	}
 }
 
-// shutDown ends all servers at once, and cuts what is left on them at a time. It returns how many requests that were.
-func (s *servers) shutDown(last time.Time) (cut int) {
-	ctx, end := context.WithDeadline(context.Background(), last)
-	defer end()
-	var over sync.WaitGroup
-	left := make([]int, len(s.all()))
+// shutDown shuts all servers down concurrently and aborts what is still open at the deadline. It returns the number of
+// aborted requests.
+func (s *servers) shutDown(deadline time.Time) (aborted int) {
+	ctx, cancel := context.WithDeadline(context.Background(), deadline)
+	defer cancel()
+	var group sync.WaitGroup
+	remaining := make([]int, len(s.all()))
 	for n, server := range s.all() {
-		over.Go(func() { left[n] = server.Shutdown(ctx) })
+		group.Go(func() { remaining[n] = server.Shutdown(ctx) })
 	}
-	over.Wait()
-	for _, n := range left {
-		cut += n
+	group.Wait()
+	for _, n := range remaining {
+		aborted += n
 	}
-	return cut
+	return aborted
 }
 
-// Run serves until the context ends, and then until what is under way has ended or Grace is nearly over.
+// Run serves until the context ends, and then until open requests have ended or Grace is nearly over.
 func (p *Proxy) Run(ctx context.Context) error {
-	s, err := p.listen()
+	running, err := p.listen()
 	if err != nil {
 		return err
 	}
-	for _, server := range s.all() {
+	for _, server := range running.all() {
 		go server.Serve()
 	}
-	go p.counts.Say(p.log, countsInterval, p.end)
-	asking, stop := context.WithCancel(context.Background())
-	go p.watch(asking)
-	go p.fetchConfigurations(asking)
-	go p.draw(asking)
-	go p.report(asking)
-	go p.sweepConnections(s.outbound)
+	go p.counters.Say(p.log, countersInterval, p.done)
+	watchContext, cancelWatch := context.WithCancel(context.Background())
+	go p.watch(watchContext)
+	go p.fetchConfigurations(watchContext)
+	go p.runTokenDraws(watchContext)
+	go p.runCreditReports(watchContext)
+	go p.runMaintenance(running.outbound)
 	<-ctx.Done()
 	deadline := time.Now().Add(p.settings.Bounds.Grace)
-	p.log.Info("leaving", "open", p.open.Load())
-	p.leave(s, deadline.Add(-answerBy))
-	stop()
-	close(p.end)
-	open := p.open.Load()
-	p.endOpen()
-	cut := s.shutDown(deadline.Add(-exitBy))
-	p.log.Info("left", append([]any{"open", open, "cut", cut}, p.counts.Changed()...)...)
+	p.log.Info("leaving", "open", p.openRequests.Load())
+	p.drain(running, deadline.Add(-forcedAnswerLead))
+	cancelWatch()
+	close(p.done)
+	openRequests := p.openRequests.Load()
+	p.cancelOpen()
+	aborted := running.shutDown(deadline.Add(-forcedCloseLead))
+	p.log.Info("left", append([]any{"open", openRequests, "cut", aborted}, p.counters.Changed()...)...)
 	return nil
 }
 
-// leave serves on until nothing is open or the time is over. Two answers to Ready in a row have to fail before nobody sends here any
-// more, and where too few balancers are left everybody goes on: so the first part of Grace serves all that comes, and the rest ends
-// that and refuses what is new. Invariant: a kept connection that is quiet stays open meanwhile, since the next request on it is
-// answered, and told that it is the last one there.
-func (p *Proxy) leave(s *servers, until time.Time) {
-	p.leaving.Store(true)
-	s.outbound.CloseConnections()
-	p.local.wakeWatchers() // others hear of it at once
-	refusing := time.AfterFunc(time.Duration(acceptShare*float64(p.settings.Bounds.Grace)), func() {
-		p.closed.Store(true)
-		s.inbound.CloseConnections()
+// drain serves until nothing is open or the time is over. The platform stops sending requests only after two failed
+// readiness checks in a row, and keeps sending them if too few proxies are ready. Therefore the first part of Grace
+// accepts all requests; after that, new ones are refused and open ones are completed. An idle kept-alive connection
+// stays open meanwhile: its next request is answered with the notice that the connection closes.
+func (p *Proxy) drain(running *servers, until time.Time) {
+	p.draining.Store(true)
+	running.outbound.CloseConnections()
+	p.local.wakeWatchers() // reports the drain to the controllers at once
+	refuseTimer := time.AfterFunc(time.Duration(acceptFraction*float64(p.settings.Bounds.Grace)), func() {
+		p.refusing.Store(true)
+		running.inbound.CloseConnections()
 	})
-	defer refusing.Stop()
-	for quiet := 0; time.Now().Before(until); {
-		time.Sleep(min(leaveStep, time.Until(until)))
-		if quiet++; p.open.Load() > 0 {
-			quiet = 0
+	defer refuseTimer.Stop()
+	for idlePolls := 0; time.Now().Before(until); {
+		time.Sleep(min(drainPollInterval, time.Until(until)))
+		if idlePolls++; p.openRequests.Load() > 0 {
+			idlePolls = 0
 		}
-		if quiet >= leaveQuiet || p.closed.Load() && quiet >= closedQuiet {
+		if idlePolls >= drainIdlePolls || p.refusing.Load() && idlePolls >= refusingIdlePolls {
 			break
 		}
 	}
-	p.closed.Store(true)
+	p.refusing.Store(true)
 }
 
-// ready answers the platform.
+// ready handles the readiness checks of the platform.
 func (p *Proxy) ready(w http.ResponseWriter, _ *http.Request) {
-	if p.view.Load() == nil || p.leaving.Load() {
+	if p.view.Load() == nil || p.draining.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	w.WriteHeader(http.StatusOK)
 }
 
-// figuresHandler shows the counters as Prometheus reads them.
-func (p *Proxy) figuresHandler() http.Handler {
+// metricsHandler serves the counters in the Prometheus text format.
+func (p *Proxy) metricsHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc(rpc.PathFigures, func(w http.ResponseWriter, _ *http.Request) {
 		edition := int64(0)
 		if v := p.view.Load(); v != nil {
-			edition = v.table.Edition
+			edition = v.configuration.Edition
 		}
 		telemetry.WriteFigures(w, "ottershift_proxy", []telemetry.Gauge{
 			{Name: "edition", Help: "Version of the configuration in force, 0 for none.", Value: edition},
-			{Name: "open", Help: "Requests open here.", Value: p.open.Load()},
+			{Name: "open", Help: "Requests open here.", Value: p.openRequests.Load()},
 			{Name: "goroutines", Help: "Goroutines.", Value: runtime.NumGoroutine()},
-		}, p.counts)
+		}, p.counters)
 	})
 	return mux
 }
 
-// sweepConnections closes connections that have been idle for too long, and does what else is due each second.
-func (p *Proxy) sweepConnections(outbound *httpserver.Server) {
-	t := time.NewTicker(sweepInterval)
-	defer t.Stop()
+// runMaintenance closes idle connections and checks the upstream's heartbeats at a fixed interval.
+func (p *Proxy) runMaintenance(outbound *httpserver.Server) {
+	ticker := time.NewTicker(maintenanceInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case now := <-t.C:
-			p.sweepPools(now)
-			p.upstreamConnections.sweep(now)
-			p.partnerConnections.sweep(now)
+		case now := <-ticker.C:
+			p.maintainPools(now)
+			p.upstreamConnections.closeExpired(now)
+			p.partnerConnections.closeExpired(now)
 			outbound.CloseIdle(now)
-			p.local.checkHeartbeat(now, lostBeats*p.settings.Beat)
-		case <-p.end:
+			p.local.checkHeartbeat(now, maxMissedHeartbeats*p.settings.Beat)
+		case <-p.done:
 			return
 		}
 	}
 }
 
-func (p *Proxy) sweepPools(now time.Time) {
+// maintainPools closes idle connections to other proxies and updates the weights of upstreams that have become warm.
+func (p *Proxy) maintainPools(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, service := range p.pools {
-		service.peers.sweep(now)
+		service.peers.closeExpired(now)
 	}
-	if !p.warms.IsZero() && now.After(p.warms) {
-		p.relist()
+	if !p.nextWarmUp.IsZero() && now.After(p.nextWarmUp) {
+		p.updateUpstreamLists()
 	}
 }
 
-// promiseKeepAlive tells a client how long its connection may be idle; it is held to, whatever a later configuration says.
-func (p *Proxy) promiseKeepAlive(w http.ResponseWriter, r *http.Request, idle time.Duration) {
+// advertiseKeepAlive tells a client how long its connection may stay idle. The connection keeps that limit if a later
+// configuration changes it.
+func (p *Proxy) advertiseKeepAlive(w http.ResponseWriter, r *http.Request, idle time.Duration) {
 	if idle <= 0 {
-		idle = idleFirst
+		idle = defaultClientIdle
 	}
 	if c := httpserver.ConnectionOf(r); c != nil {
 		c.KeepAlive(idle)
--- a/internal/mesh/proxy/local_upstream.go
+++ b/internal/mesh/proxy/local_upstream.go
@@ -12,91 +12,94 @@
 	"ottershift/internal/mesh/settings"
 )
 
-// mostUnanswered is how many connections in a row nobody answers at an upstream that is held for dark.
-const mostUnanswered = 2
+// maxUnanswered is the number of consecutive connection attempts without an answer after which the upstream counts as
+// unreachable.
+const maxUnanswered = 2
 
-// localUpstream is the life of the upstream on this machine, as its heartbeats tell it. This process is the only way to it, so what
-// is acknowledged here is kept here: from Drain after an acknowledged closing on nothing passes, whoever sends it.
+// localUpstream tracks the upstream on this machine from its heartbeats. An instance is one run of the upstream
+// process. All requests to the upstream pass through this proxy, so an acknowledged closing is enforced here: once
+// Drain has passed since then, no request gets through, whoever sends it.
 type localUpstream struct {
 	mu            sync.Mutex
 	drain         time.Duration
-	id            string   // of the present life, "" for none
-	ended         []string // the lives before it, the last few
+	id            string   // of the present instance, "" for none
+	endedIDs      []string // of previous instances, the last 8
 	address       string
-	up            membership.Upstream
+	reported      membership.Upstream
 	revision      int64
 	lastHeartbeat time.Time
-	closing       time.Time                      // when that was acknowledged
-	dead          bool                           // its address refuses connections
-	open          int                            // requests at it
-	queue         priority.Queue[waitingRequest] // of those for whom there is no slot yet
+	closingAt     time.Time                      // when the closing was acknowledged
+	unreachable   bool                           // connections to its address are refused or not answered, or heartbeats are missing
+	active        int                            // requests at the upstream
+	queue         priority.Queue[waitingRequest] // requests that wait for a slot
 	detector      outlier.Detector
 	epoch         time.Time
-	unanswered    int // connections to it in a row that nobody answered
+	unanswered    int // consecutive connection attempts without an answer
 	seq           uint64
 	changed       chan struct{} // closed at the next change
 }
 
+// newLocalUpstream returns the state of an upstream that has sent no heartbeat yet.
 func newLocalUpstream(drain time.Duration, app string) *localUpstream {
 	return &localUpstream{drain: drain, address: app, changed: make(chan struct{}), epoch: time.Now()}
 }
 
-// heartbeat takes an upstream's word about itself; what is late changes nothing.
-func (u *localUpstream) heartbeat(id string, c *checkIn, now time.Time) {
+// heartbeat applies a heartbeat of the upstream. One that is out of order or belongs to an ended instance is ignored.
+func (u *localUpstream) heartbeat(id string, message *heartbeatMessage, now time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if slices.Contains(u.ended, id) || id == u.id && c.Status.PostmarkNo <= u.revision {
+	if slices.Contains(u.endedIDs, id) || id == u.id && message.Status.PostmarkNo <= u.revision {
 		return
 	}
-	cold, _ := settings.Span(c.Status.Cold_time)
-	up := membership.Upstream{
-		ID: id, Service: c.Notice.Destination, Edition: c.Notice.Edition, Capacity: c.Notice.Capacity,
-		Closing: c.Status.Condition == "closing", Cold: int64(cold),
+	cold, _ := settings.Span(message.Status.Cold_time)
+	reported := membership.Upstream{
+		ID: id, Service: message.Notice.Destination, Edition: message.Notice.Edition, Capacity: message.Notice.Capacity,
+		Closing: message.Status.Condition == "closing", Cold: int64(cold),
 	}
 	first := id != u.id
 	if first {
-		u.end()
-		u.id, u.closing, u.open, u.detector = id, time.Time{}, 0, outlier.Detector{}
-	}
-	up.Ill = u.detector.Level()
-	if up.Closing && u.closing.IsZero() {
-		u.closing = now
-		if first { // Invariant: the process before this one may have acknowledged it, and Drain counts from then
-			u.closing = now.Add(-u.drain)
+		u.endCurrent()
+		u.id, u.closingAt, u.active, u.detector = id, time.Time{}, 0, outlier.Detector{}
+	}
+	reported.Ill = u.detector.Level()
+	if reported.Closing && u.closingAt.IsZero() {
+		u.closingAt = now
+		if first { // a previous proxy process may have acknowledged the closing, and Drain counts from then
+			u.closingAt = now.Add(-u.drain)
 		}
 	}
-	same := up
-	same.Cold = u.up.Cold
-	news := same != u.up || u.dead
-	u.up, u.revision, u.lastHeartbeat, u.dead, u.unanswered = up, c.Status.PostmarkNo, now, false, 0
-	if c.Address != "" {
-		u.address = c.Address
+	normalized := reported
+	normalized.Cold = u.reported.Cold
+	altered := normalized != u.reported || u.unreachable
+	u.reported, u.revision, u.lastHeartbeat, u.unreachable, u.unanswered = reported, message.Status.PostmarkNo, now, false, 0
+	if message.Address != "" {
+		u.address = message.Address
 	}
-	if news {
+	if altered {
 		u.notify()
 	}
 }
 
-// signOff ends a life.
+// signOff ends an instance.
 func (u *localUpstream) signOff(id string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if id == u.id {
-		u.end()
+		u.endCurrent()
 		u.notify()
 	}
 }
 
-// end notes that the present life is over: what comes of it later is late. Under mu.
-func (u *localUpstream) end() {
+// endCurrent marks the present instance as ended, so that later messages about it are ignored. The caller holds mu.
+func (u *localUpstream) endCurrent() {
 	if u.id != "" {
-		u.ended = append(u.ended, u.id)
-		u.ended = u.ended[max(0, len(u.ended)-8):]
+		u.endedIDs = append(u.endedIDs, u.id)
+		u.endedIDs = u.endedIDs[max(0, len(u.endedIDs)-8):]
 	}
-	u.id, u.up = "", membership.Upstream{}
+	u.id, u.reported = "", membership.Upstream{}
 }
 
-// observe takes what came of a request at the upstream.
+// observe records the outcome of a request at the upstream for outlier detection.
 func (u *localUpstream) observe(id string, failed bool, now time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -104,89 +107,92 @@
 		return
 	}
 	u.unanswered = 0
-	u.reportLevel(u.detector.Observe(failed, int64(now.Sub(u.epoch))))
+	u.publishLevel(u.detector.Observe(failed, int64(now.Sub(u.epoch))))
 }
 
-// reportLevel has others told of a level that has changed. Under mu.
-func (u *localUpstream) reportLevel(changed bool) {
-	if changed && u.up.Ill != u.detector.Level() {
-		u.up.Ill = u.detector.Level()
+// publishLevel notifies watchers if the outlier level has changed. The caller holds mu.
+func (u *localUpstream) publishLevel(changed bool) {
+	if changed && u.reported.Ill != u.detector.Level() {
+		u.reported.Ill = u.detector.Level()
 		u.notify()
 	}
 }
 
-// silent notes that a connection to the upstream was not answered: an upstream that is dark refuses nothing.
-func (u *localUpstream) silent(id string) {
+// recordNoAnswer records that a connection attempt to the upstream timed out. A host that is down does not refuse
+// connections.
+func (u *localUpstream) recordNoAnswer(id string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if id != u.id || u.dead {
+	if id != u.id || u.unreachable {
 		return
 	}
-	if u.unanswered++; u.unanswered >= mostUnanswered {
-		u.dead = true // until its next heartbeat
+	if u.unanswered++; u.unanswered >= maxUnanswered {
+		u.unreachable = true // until the next heartbeat
 		u.notify()
 	}
 }
 
-// refused notes that nobody listens at the upstream's address.
-func (u *localUpstream) refused(id string) {
+// recordRefused records that the upstream's address refused a connection.
+func (u *localUpstream) recordRefused(id string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if id == u.id && !u.dead {
-		u.dead = true
+	if id == u.id && !u.unreachable {
+		u.unreachable = true
 		u.notify()
 	}
 }
 
-// checkHeartbeat notes that heartbeats have stopped for so long that its address may be refused without a try.
-func (u *localUpstream) checkHeartbeat(now time.Time, after time.Duration) {
+// checkHeartbeat marks the upstream as unreachable if its last heartbeat is older than timeout, and refreshes the
+// outlier level.
+func (u *localUpstream) checkHeartbeat(now time.Time, timeout time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.id != "" && !u.dead && now.Sub(u.lastHeartbeat) > after {
-		u.dead = true
+	if u.id != "" && !u.unreachable && now.Sub(u.lastHeartbeat) > timeout {
+		u.unreachable = true
 		u.notify()
 	}
-	u.reportLevel(u.detector.Refresh(int64(now.Sub(u.epoch))))
+	u.publishLevel(u.detector.Refresh(int64(now.Sub(u.epoch))))
 }
 
-// notify wakes who waits for a change of what the core is told. Under mu.
+// notify wakes the goroutines that wait for a change of the reported state. The caller holds mu.
 func (u *localUpstream) notify() {
 	u.seq++
 	close(u.changed)
 	u.changed = make(chan struct{})
 }
 
-// wakeWatchers has the core told again.
+// wakeWatchers makes the watch report the node's state again.
 func (u *localUpstream) wakeWatchers() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.notify()
 }
 
-// snapshot is what the core is told, and a channel that ends once there is more to tell.
-func (u *localUpstream) snapshot() (up *membership.Upstream, seq uint64, changed <-chan struct{}) {
+// snapshot returns the state that is reported to the controllers, nil if the upstream is not available, and a channel
+// that is closed at the next change.
+func (u *localUpstream) snapshot() (reported *membership.Upstream, seq uint64, changed <-chan struct{}) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.id == "" || u.dead {
+	if u.id == "" || u.unreachable {
 		return nil, u.seq, u.changed
 	}
-	copied := u.up
-	if past := int64(time.Since(u.lastHeartbeat)); copied.Cold > 0 {
-		copied.Cold = max(0, copied.Cold-past)
+	copied := u.reported
+	if elapsed := int64(time.Since(u.lastHeartbeat)); copied.Cold > 0 {
+		copied.Cold = max(0, copied.Cold-elapsed)
 	}
 	return &copied, u.seq, u.changed
 }
 
-// addressOf is where a request would go, whether there is room or not. Under mu.
+// addressOf returns the address for a request to an instance, regardless of free slots. The caller holds mu.
 func (u *localUpstream) addressOf(id string, now time.Time) (address string, kind apierror.Kind) {
 	switch {
 	case u.id != "" && id != u.id:
 		return "", apierror.NotHere
-	case u.id == "" && slices.Contains(u.ended, id):
+	case u.id == "" && slices.Contains(u.endedIDs, id):
 		return "", apierror.NotHere
-	case !u.closing.IsZero() && now.Sub(u.closing) > u.drain*3/4: // the rest is for what is under way
+	case !u.closingAt.IsZero() && now.Sub(u.closingAt) > u.drain*3/4: // the last quarter of Drain is for requests under way
 		return "", apierror.NotHere
-	case u.dead:
+	case u.unreachable:
 		return "", apierror.NoRoom
 	}
 	return u.address, apierror.None
