--- a/internal/mesh/answers_test.go
+++ b/internal/mesh/answers_test.go
@@ -402,8 +402,8 @@
 	caller := rpc.NewCaller(nil)
 	defer caller.Close()
 	request := &membership.WatchRequest{Node: membership.Node{
-		Name: b.Node, Inbound: b.Inbound, District: b.District, Life: "life", Seq: 1,
-		Upstream: &membership.Upstream{ID: "i-0", Service: b.Destination, Edition: "v1", Capacity: 8},
+		Name: b.Node, Inbound: b.Inbound, Zone: b.District, Incarnation: "life", Seq: 1,
+		Upstream: &membership.Upstream{ID: "i-0", Service: b.Destination, Version: "v1", Capacity: 8},
 	}}
 	for ctx.Err() == nil {
 		call, end := context.WithTimeout(ctx, time.Second)
--- a/internal/mesh/burstcredit/burstcredit.go
+++ b/internal/mesh/burstcredit/burstcredit.go
@@ -51,8 +51,8 @@
 func TermsOf(t *routing.Configuration) map[string]Terms {
 	all := map[string]Terms{}
 	for _, s := range t.Tenants {
-		if n := s.BurstCredit; n != nil && n.Earn > 0 {
-			all[s.Name] = Terms{Earn: n.Earn, Cap: n.Cap, Keep: int64(n.Keep), Extra: n.Extra}
+		if n := s.BurstCredit; n != nil && n.SavedFraction > 0 {
+			all[s.Name] = Terms{Earn: n.SavedFraction, Cap: n.MaxSaved, Keep: int64(n.Retention), Extra: n.MaxExtraRate}
 		}
 	}
 	return all
--- a/internal/mesh/catch_up_test.go
+++ b/internal/mesh/catch_up_test.go
@@ -206,7 +206,7 @@
 // identityAt is the identity with a vote at an IP address, empty for none.
 func identityAt(core []consensus.Member, ip string) string {
 	for _, m := range core {
-		if strings.HasPrefix(m.At, ip+":") {
+		if strings.HasPrefix(m.Address, ip+":") {
 			return m.ID
 		}
 	}
@@ -291,7 +291,7 @@
 		members := 0
 		join := func() {
 			members++
-			node := membership.Node{Name: fmt.Sprintf("proxy-%d", members), Inbound: fmt.Sprintf("127.0.0.1:%d", 20000+members), Life: "life", Seq: 1}
+			node := membership.Node{Name: fmt.Sprintf("proxy-%d", members), Inbound: fmt.Sprintf("127.0.0.1:%d", 20000+members), Incarnation: "life", Seq: 1}
 			must.Wait(t, wait.InitialSuccess(wait.ErrorFunc(func() error { // its answer carries the whole configuration
 				ctx, end := context.WithTimeout(context.Background(), time.Second)
 				defer end()
@@ -299,7 +299,7 @@
 			}), wait.Timeout(10*time.Second), wait.Gap(2*time.Millisecond)))
 			must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool {
 				s, err := c.status(0)
-				return err == nil && s.State.Members == members
+				return err == nil && s.State.BalancerCount == members
 			}), wait.Timeout(10*time.Second), wait.Gap(2*time.Millisecond)))
 		}
 		join() // the first one asks who holds what
--- a/internal/mesh/consensus/applied_changes.go
+++ b/internal/mesh/consensus/applied_changes.go
@@ -29,12 +29,12 @@
 	return slices.ContainsFunc(a, func(c AppliedChange) bool { return c.Digest == digest })
 }
 
-// RulesOut reports whether a change that Contains does not find is certain never to have been applied. edition is the one
+// CertainlyNotApplied reports whether a change that Contains does not find is certain never to have been applied. edition is the one
 // that the change sets, 0 where it is unknown; base is the one that it was made on.
 //
 // Editions rise, and an applied change sets an edition above its base. So whatever has been forgotten had both numbers
 // below the oldest remembered edition.
-func (a AppliedChanges) RulesOut(edition, base int64) bool {
+func (a AppliedChanges) CertainlyNotApplied(edition, base int64) bool {
 	return a.complete() || max(edition, base) >= a[0].Edition
 }
 
@@ -46,10 +46,10 @@
 func (a AppliedChanges) Append(change AppliedChange) AppliedChanges {
 	first := max(0, len(a)+1-MaxAppliedChanges)
 	size := len("[]") - len(",") + change.jsonSize()
-	for n := len(a) - 1; n >= first; n-- {
-		size += a[n].jsonSize()
+	for i := len(a) - 1; i >= first; i-- {
+		size += a[i].jsonSize()
 		if size > MaxAppliedChangeBytes {
-			first = n + 1
+			first = i + 1
 		}
 	}
 	return append(slices.Clone(a[first:]), change)
--- a/internal/mesh/consensus/compact.go
+++ b/internal/mesh/consensus/compact.go
@@ -5,54 +5,54 @@
 	"errors"
 )
 
-var errLacking = errors.New("the document is not held here")
+var errDocumentMissing = errors.New("the document is not held here")
 
 // Compact is the request without those large documents of its value that the receiver holds. The request itself is returned
 // where there is nothing to leave out.
-func (a Request) Compact(digestOf func(json.RawMessage) string, held Documents) Request {
-	if a.Value == nil || a.Kind != Accept && a.Kind != Learn {
-		return a
+func (r Request) Compact(digestOf func(json.RawMessage) string, held Documents) Request {
+	if r.Value == nil || r.Kind != Accept && r.Kind != Learn {
+		return r
 	}
-	slim, digests := a.Value.Split(digestOf, func(digest string) bool { return held[digest] != nil })
+	stripped, digests := r.Value.Split(digestOf, func(digest string) bool { return held[digest] != nil })
 	if len(digests) == 0 {
-		return a
+		return r
 	}
-	a.Value, a.LeftOut = slim, digests
-	if a.Kind == Accept {
-		a.Kind = AcceptCompact
+	r.Value, r.Omitted = stripped, digests
+	if r.Kind == Accept {
+		r.Kind = AcceptCompact
 	} else {
-		a.Kind = LearnCompact
+		r.Kind = LearnCompact
 	}
-	return a
+	return r
 }
 
 // IsCompact reports whether the request's value lacks documents.
-func (a Request) IsCompact() bool { return a.Kind == AcceptCompact || a.Kind == LearnCompact }
+func (r Request) IsCompact() bool { return r.Kind == AcceptCompact || r.Kind == LearnCompact }
 
 // Expand puts what a compact request left out back into it, out of what the replica holds; ok says whether it holds that.
-func (c *Replica) Expand(a Request, digestOf func(json.RawMessage) string) (whole Request, ok bool) {
-	if a.Value == nil {
-		return a, false
+func (r *Replica) Expand(request Request, digestOf func(json.RawMessage) string) (expanded Request, ok bool) {
+	if request.Value == nil {
+		return request, false
 	}
-	held := c.Decided.LargeParts(digestOf)
-	if c.Accepted != nil {
-		for digest, document := range c.Accepted.Value.LargeParts(digestOf) {
+	held := r.Decided.LargeDocuments(digestOf)
+	if r.Accepted != nil {
+		for digest, document := range r.Accepted.Value.LargeDocuments(digestOf) {
 			held[digest] = document
 		}
 	}
-	value, err := a.Value.Join(a.LeftOut, func(digest string) (json.RawMessage, error) {
+	value, err := request.Value.Join(request.Omitted, func(digest string) (json.RawMessage, error) {
 		if document := held[digest]; document != nil {
 			return document, nil
 		}
-		return nil, errLacking
+		return nil, errDocumentMissing
 	})
 	if err != nil {
-		return a, false
+		return request, false
 	}
-	whole = a
-	whole.Kind, whole.Value, whole.LeftOut = Learn, value, nil
-	if a.Kind == AcceptCompact {
-		whole.Kind = Accept
+	expanded = request
+	expanded.Kind, expanded.Value, expanded.Omitted = Learn, value, nil
+	if request.Kind == AcceptCompact {
+		expanded.Kind = Accept
 	}
-	return whole, true
+	return expanded, true
 }
--- a/internal/mesh/consensus/compact_test.go
+++ b/internal/mesh/consensus/compact_test.go
@@ -10,19 +10,19 @@
 
 // largeDocument is one that is kept apart.
 func largeDocument(text string) json.RawMessage {
-	raw, err := json.Marshal(map[string]string{"Text": text, "Padding": strings.Repeat("x", LargePart)})
+	raw, err := json.Marshal(map[string]string{"Text": text, "Padding": strings.Repeat("x", LargeDocumentSize)})
 	if err != nil {
 		panic(err)
 	}
 	return raw
 }
 
-func TestACompactRequestIsExpandedOnlyByWhoHoldsItsDocuments(t *testing.T) {
+func TestCompactRequestExpandsOnlyWithHeldDocuments(t *testing.T) {
 	unescaped := json.RawMessage(strings.Replace(string(largeDocument("a")), `"a"`, `"<a&b>"`, 1)) // as an operator sends it
 	base := &State{Index: 4, Edition: 2, Configuration: unescaped, Credit: largeDocument("credit"), Imports: json.RawMessage(`{"No":3}`)}
-	request := Request{Kind: Accept, Slot: 5, Ballot: Ballot{3, "a"}, Value: base.WithMembers(9)}
+	request := Request{Kind: Accept, Slot: 5, Ballot: Ballot{3, "a"}, Value: base.WithBalancerCount(9)}
 
-	sent, err := json.Marshal(request.Compact(DigestOf, base.LargeParts(DigestOf)))
+	sent, err := json.Marshal(request.Compact(DigestOf, base.LargeDocuments(DigestOf)))
 	must.NoError(t, err)
 	arrived := Request{}
 	must.NoError(t, json.Unmarshal(sent, &arrived))
@@ -34,10 +34,10 @@
 	decided := &State{}
 	must.NoError(t, json.Unmarshal(stored, decided))
 	holder := &Replica{ID: "one", Decided: decided}
-	whole, ok := holder.Expand(arrived, DigestOf)
+	expanded, ok := holder.Expand(arrived, DigestOf)
 	must.True(t, ok)
-	must.Eq(t, Accept, whole.Kind)
-	must.Eq(t, decided.WithMembers(9), whole.Value)
+	must.Eq(t, Accept, expanded.Kind)
+	must.Eq(t, decided.WithBalancerCount(9), expanded.Value)
 
 	other := &Replica{ID: "two", Decided: &State{Index: 4, Edition: 2, Configuration: decided.Configuration, Credit: largeDocument("other")}}
 	_, ok = other.Expand(arrived, DigestOf)
@@ -48,28 +48,28 @@
 }
 
 // A change of one document goes with that one, without the others.
-func TestACompactRequestCarriesWhatIsNew(t *testing.T) {
+func TestCompactRequestCarriesChangedDocuments(t *testing.T) {
 	base := &State{Index: 4, Configuration: largeDocument("configuration"), Credit: largeDocument("credit")}
 	next := base.WithCredit(largeDocument("more credit"))
-	request := Request{Kind: Learn, Value: next}.Compact(DigestOf, base.LargeParts(DigestOf))
+	request := Request{Kind: Learn, Value: next}.Compact(DigestOf, base.LargeDocuments(DigestOf))
 	must.Eq(t, LearnCompact, request.Kind)
 	must.Eq(t, next.Credit, request.Value.Credit)
 	must.Eq(t, 0, len(request.Value.Configuration))
-	whole, ok := (&Replica{Decided: base}).Expand(request, DigestOf)
+	expanded, ok := (&Replica{Decided: base}).Expand(request, DigestOf)
 	must.True(t, ok)
-	must.Eq(t, next, whole.Value)
+	must.Eq(t, next, expanded.Value)
 }
 
 // A process of the version before knows no compact kinds: it must do nothing at one, not take a value without configuration.
-func TestACompactRequestDoesNothingWhereItIsNotKnown(t *testing.T) {
+func TestCompactRequestIsIgnoredByPreviousVersion(t *testing.T) {
 	base := &State{Index: 4, Configuration: largeDocument("configuration")}
 	for _, kind := range []string{Accept, Learn} {
 		replica := &Replica{ID: "one", Decided: base}
-		request := Request{Kind: kind, Slot: 5, Ballot: Ballot{3, "a"}, Value: base.WithMembers(9)}
-		out, keep := replica.Handle(request.Compact(DigestOf, base.LargeParts(DigestOf)))
-		must.False(t, keep)
-		must.False(t, out.OK)
-		must.False(t, out.Compact)
+		request := Request{Kind: kind, Slot: 5, Ballot: Ballot{3, "a"}, Value: base.WithBalancerCount(9)}
+		response, changed := replica.Handle(request.Compact(DigestOf, base.LargeDocuments(DigestOf)))
+		must.False(t, changed)
+		must.False(t, response.OK)
+		must.False(t, response.SupportsCompact)
 		must.Nil(t, replica.Accepted)
 		must.Eq(t, base, replica.Decided)
 	}
--- a/internal/mesh/consensus/lease.go
+++ b/internal/mesh/consensus/lease.go
@@ -38,8 +38,8 @@
 	return &ReadLease{duration: duration, answers: map[string][]leaseAnswer{}}
 }
 
-// Without leaves a guard out.
-func (l *ReadLease) Without(guard string) {
+// DisableGuard leaves a guard out.
+func (l *ReadLease) DisableGuard(guard string) {
 	l.withoutMajority = guard == WithoutMajority
 	l.withoutPending = guard == WithoutPending
 	l.withoutIndex = guard == WithoutIndex
@@ -75,7 +75,7 @@
 func (l *ReadLease) ConfirmedAt(s *State) (askedAt int64, known bool) {
 	var asked []int64
 	for id, answers := range l.answers {
-		if at, confirms := l.confirmedBy(answers, s); confirms && (s.HasMember(id) || l.withoutMembers) {
+		if at, confirms := l.confirmationTime(answers, s); confirms && (s.HasMember(id) || l.withoutMembers) {
 			asked = append(asked, at)
 		}
 	}
@@ -87,13 +87,13 @@
 	return asked[len(asked)-majority], true
 }
 
-// confirmedBy is when a member was last asked that said that it had accepted nothing after a state.
-func (l *ReadLease) confirmedBy(answers []leaseAnswer, s *State) (askedAt int64, confirms bool) {
-	for _, a := range answers {
-		nothingAfter := a.index < s.Index || a.index == s.Index && !a.pending
-		nothingAfter = nothingAfter || l.withoutIndex || l.withoutPending && a.index == s.Index
-		if nothingAfter && (!confirms || a.askedAt > askedAt) {
-			askedAt, confirms = a.askedAt, true
+// confirmationTime is when a member was last asked that said that it had accepted nothing after a state.
+func (l *ReadLease) confirmationTime(answers []leaseAnswer, s *State) (askedAt int64, confirms bool) {
+	for _, answer := range answers {
+		unchanged := answer.index < s.Index || answer.index == s.Index && !answer.pending
+		unchanged = unchanged || l.withoutIndex || l.withoutPending && answer.index == s.Index
+		if unchanged && (!confirms || answer.askedAt > askedAt) {
+			askedAt, confirms = answer.askedAt, true
 		}
 	}
 	return askedAt, confirms
--- a/internal/mesh/consensus/parts.go
+++ b/internal/mesh/consensus/parts.go
@@ -7,17 +7,17 @@
 	"encoding/json"
 )
 
-// LargePart is the size from which a document of a state is kept and sent apart from it, under its digest.
-const LargePart = 16 << 10
+// LargeDocumentSize is the size from which a document of a state is kept and sent apart from it, under its digest.
+const LargeDocumentSize = 16 << 10
 
-// PartDigests are the digests of documents that were taken out of a state, by the document's name.
-type PartDigests map[string]string
+// DocumentDigests are the digests of documents that were taken out of a state, by the document's name.
+type DocumentDigests map[string]string
 
 // Documents are documents by their digests.
 type Documents map[string]json.RawMessage
 
-// parts are the documents of a state that may be large. Most changes leave them as they are.
-var parts = []struct {
+// documentFields are the documents of a state that may be large. Most changes leave them as they are.
+var documentFields = []struct {
 	name string
 	of   func(*State) *json.RawMessage
 }{
@@ -36,47 +36,47 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// LargeParts are the large documents of a state, by their digests.
-func (s *State) LargeParts(digestOf func(json.RawMessage) string) Documents {
-	all := Documents{}
-	for _, part := range parts {
-		if document := *part.of(s); len(document) >= LargePart {
-			all[digestOf(document)] = document
+// LargeDocuments are the large documents of a state, by their digests.
+func (s *State) LargeDocuments(digestOf func(json.RawMessage) string) Documents {
+	documents := Documents{}
+	for _, field := range documentFields {
+		if document := *field.of(s); len(document) >= LargeDocumentSize {
+			documents[digestOf(document)] = document
 		}
 	}
-	return all
+	return documents
 }
 
 // Split takes those large documents out of a state that leave accepts; the state itself stays as it is.
-func (s *State) Split(digestOf func(json.RawMessage) string, leave func(digest string) bool) (*State, PartDigests) {
-	slim, digests := *s, PartDigests{}
-	for _, part := range parts {
-		document := part.of(&slim)
-		if len(*document) < LargePart {
+func (s *State) Split(digestOf func(json.RawMessage) string, omit func(digest string) bool) (*State, DocumentDigests) {
+	stripped, digests := *s, DocumentDigests{}
+	for _, field := range documentFields {
+		document := field.of(&stripped)
+		if len(*document) < LargeDocumentSize {
 			continue
 		}
-		if digest := digestOf(*document); leave(digest) {
-			*document, digests[part.name] = nil, digest
+		if digest := digestOf(*document); omit(digest) {
+			*document, digests[field.name] = nil, digest
 		}
 	}
-	return &slim, digests
+	return &stripped, digests
 }
 
 // Join puts documents back into a state that was split.
-func (s *State) Join(digests PartDigests, find func(digest string) (json.RawMessage, error)) (*State, error) {
-	whole := *s
-	for _, part := range parts {
-		digest, out := digests[part.name]
-		if !out {
+func (s *State) Join(digests DocumentDigests, find func(digest string) (json.RawMessage, error)) (*State, error) {
+	joined := *s
+	for _, field := range documentFields {
+		digest, omitted := digests[field.name]
+		if !omitted {
 			continue
 		}
 		document, err := find(digest)
 		if err != nil {
 			return nil, err
 		}
-		*part.of(&whole) = document
+		*field.of(&joined) = document
 	}
-	return &whole, nil
+	return &joined, nil
 }
 
 // DigestCache remembers the digests of the last documents: most stay the same through most changes. It is not safe for
@@ -87,8 +87,8 @@
 	next      int
 }
 
-// Of is a document's digest.
-func (c *DigestCache) Of(document json.RawMessage) string {
+// Digest is a document's digest.
+func (c *DigestCache) Digest(document json.RawMessage) string {
 	for n, known := range c.documents {
 		if len(known) == len(document) && len(known) > 0 && &known[0] == &document[0] {
 			return c.digests[n]
--- a/internal/mesh/consensus/proposal.go
+++ b/internal/mesh/consensus/proposal.go
@@ -24,14 +24,14 @@
 	Own       bool
 	Err       error
 	Round     uint64 // the highest that was seen
-	closed    bool
+	finished  bool
 }
 
 // Propose begins an attempt; the request goes to all of the state's core. The function is called once the state is the
 // newest beyond doubt, unless somebody's value has to be gone on with.
-func Propose(of *State, b Ballot, what func(*State) (*State, error)) (*Proposal, Request) {
-	p := &Proposal{base: of, transform: what, votes: NewVoteCount(of)}
-	p.request = Request{Kind: Prepare, Slot: of.Index + 1, Ballot: b}
+func Propose(base *State, ballot Ballot, transform func(*State) (*State, error)) (*Proposal, Request) {
+	p := &Proposal{base: base, transform: transform, votes: NewVoteCount(base)}
+	p.request = Request{Kind: Prepare, Slot: base.Index + 1, Ballot: ballot}
 	return p, p.request
 }
 
@@ -39,23 +39,23 @@
 func (p *Proposal) Request() Request { return p.request }
 
 // HandleResponse takes a response. Those to another request than the last say nothing.
-func (p *Proposal) HandleResponse(a Response) Step {
-	if p.closed || a.Kind != p.request.Kind || a.Slot != p.request.Slot {
+func (p *Proposal) HandleResponse(response Response) Step {
+	if p.finished || response.Kind != p.request.Kind || response.Slot != p.request.Slot {
 		return StepWait
 	}
-	p.votes.Add(a)
+	p.votes.Add(response)
 	p.Round = max(p.Round, p.votes.HighestBallot().Round)
 	if ahead := p.votes.Ahead(); ahead != nil {
-		p.State, p.closed = ahead, true
+		p.State, p.finished = ahead, true
 		return StepAhead
 	}
 	if p.request.Kind == Accept {
 		switch {
 		case p.votes.Accepted():
-			p.closed = true
+			p.finished = true
 			return StepDecided
-		case p.votes.Lost(p.base.Quorum()):
-			p.closed = true
+		case p.votes.CannotReach(p.base.Quorum()):
+			p.finished = true
 			return StepLost
 		}
 		return StepWait
@@ -63,18 +63,18 @@
 	switch {
 	case p.votes.Promised():
 		// From here the state is the newest: whatever came after it would have been seen by one of those who promised.
-		if best := p.votes.HighestAccepted(); best != nil {
-			p.State = best.Value
+		if accepted := p.votes.HighestAccepted(); accepted != nil {
+			p.State = accepted.Value
 		} else if p.State, p.Err = p.transform(p.base); p.Err != nil || p.State == nil {
-			p.State, p.closed = p.base, true
+			p.State, p.finished = p.base, true
 			return StepUnchanged
 		} else {
-			p.State, p.Own = p.State.from(p.request.Ballot), true
+			p.State, p.Own = p.State.withOrigin(p.request.Ballot), true
 		}
 		p.request = Request{Kind: Accept, Slot: p.base.Index + 1, Ballot: p.request.Ballot, Value: p.State}
 		p.votes = NewVoteCount(p.base)
 		return StepSend
-	case p.votes.Lost(p.base.Majority()):
+	case p.votes.CannotReach(p.base.Majority()):
 		return p.GiveUp()
 	}
 	return StepWait
@@ -85,7 +85,7 @@
 
 // GiveUp ends an attempt for which no further responses are waited, and is what has to be done before the next.
 func (p *Proposal) GiveUp() Step {
-	p.closed = true
+	p.finished = true
 	if p.votes.Behind() {
 		return StepBehind
 	}
--- a/internal/mesh/consensus/read.go
+++ b/internal/mesh/consensus/read.go
@@ -7,17 +7,17 @@
 }
 
 // NewMajorityRead begins a read; the request goes to all of the state's core.
-func NewMajorityRead(of *State) (*MajorityRead, Request) {
-	return &MajorityRead{of, NewVoteCount(of)}, Request{Kind: ReadState, Slot: of.Index}
+func NewMajorityRead(base *State) (*MajorityRead, Request) {
+	return &MajorityRead{base, NewVoteCount(base)}, Request{Kind: ReadState, Slot: base.Index}
 }
 
 // HandleResponse takes a response; done says that the others can't change what is known.
-func (r *MajorityRead) HandleResponse(a Response) (done bool) {
-	if a.Kind != ReadState || a.Slot != r.base.Index {
+func (r *MajorityRead) HandleResponse(response Response) (done bool) {
+	if response.Kind != ReadState || response.Slot != r.base.Index {
 		return false
 	}
-	r.votes.Add(a)
-	return r.votes.Promised() || r.votes.Ahead() != nil || r.votes.Lost(r.base.Majority())
+	r.votes.Add(response)
+	return r.votes.Promised() || r.votes.Ahead() != nil || r.votes.CannotReach(r.base.Majority())
 }
 
 // Newest reports whether a majority says that nothing came after the state.
@@ -32,7 +32,7 @@
 // Ahead is a later decided state, nil for none.
 func (r *MajorityRead) Ahead() *State { return r.votes.Ahead() }
 
-// Heard reports whether a majority has answered at all, whatever it said.
-func (r *MajorityRead) Heard() bool {
+// MajorityAnswered reports whether a majority has answered at all, whatever it said.
+func (r *MajorityRead) MajorityAnswered() bool {
 	return len(r.votes.granted)+len(r.votes.refused) >= r.base.Majority()
 }
--- a/internal/mesh/consensus/votes.go
+++ b/internal/mesh/consensus/votes.go
@@ -14,30 +14,30 @@
 }
 
 // NewTally starts a count.
-func NewVoteCount(of *State) *VoteCount {
-	return &VoteCount{base: of, granted: map[string]bool{}, refused: map[string]bool{}}
+func NewVoteCount(base *State) *VoteCount {
+	return &VoteCount{base: base, granted: map[string]bool{}, refused: map[string]bool{}}
 }
 
 // Add counts an answer.
-func (v *VoteCount) Add(a Response) {
-	if a.Decided != nil && a.Decided.Index > v.base.Index && (v.ahead == nil || a.Decided.Index > v.ahead.Index) {
-		v.ahead = a.Decided
+func (v *VoteCount) Add(response Response) {
+	if response.Decided != nil && response.Decided.Index > v.base.Index && (v.ahead == nil || response.Decided.Index > v.ahead.Index) {
+		v.ahead = response.Decided
 	}
-	if v.highestBallot.Below(a.Promised) {
-		v.highestBallot = a.Promised
+	if v.highestBallot.Below(response.Promised) {
+		v.highestBallot = response.Promised
 	}
-	if !v.base.HasMember(a.ID) {
+	if !v.base.HasMember(response.ID) {
 		return
 	}
-	v.pending = v.pending || a.Pending && a.Index == v.base.Index
-	v.behind = v.behind || a.Index < v.base.Index
-	if !a.OK || a.Index != v.base.Index {
-		v.refused[a.ID] = true
+	v.pending = v.pending || response.Pending && response.Index == v.base.Index
+	v.behind = v.behind || response.Index < v.base.Index
+	if !response.OK || response.Index != v.base.Index {
+		v.refused[response.ID] = true
 		return
 	}
-	v.granted[a.ID] = true
-	if a.Accepted != nil && (v.highestAccepted == nil || v.highestAccepted.Ballot.Below(a.Accepted.Ballot)) {
-		v.highestAccepted = a.Accepted
+	v.granted[response.ID] = true
+	if response.Accepted != nil && (v.highestAccepted == nil || v.highestAccepted.Ballot.Below(response.Accepted.Ballot)) {
+		v.highestAccepted = response.Accepted
 	}
 }
 
@@ -47,8 +47,8 @@
 // Accepted reports whether a quorum has.
 func (v *VoteCount) Accepted() bool { return len(v.granted) >= v.base.Quorum() }
 
-// Lost reports whether so many can't agree any more.
-func (v *VoteCount) Lost(need int) bool { return len(v.base.Core)-len(v.refused) < need }
+// CannotReach reports whether so many can't agree any more.
+func (v *VoteCount) CannotReach(required int) bool { return len(v.base.Core)-len(v.refused) < required }
 
 // Refused reports whether any has refused.
 func (v *VoteCount) Refused() bool { return len(v.refused) > 0 }
--- a/internal/mesh/controller/burst_credit.go
+++ b/internal/mesh/controller/burst_credit.go
@@ -35,7 +35,7 @@
 // credited takes a balancer's report and answers it once what it settles is agreed.
 func (c *Controller) handleCreditReport(ctx context.Context, r *burstcredit.Report) (*burstcredit.Grant, error) {
 	s, _ := c.replicator.state()
-	if s.Coordinator.Life != c.life || !c.replicator.confirms(s) {
+	if s.Coordinator.Incarnation != c.life || !c.replicator.confirms(s) {
 		return nil, apierror.New(apierror.Unclear, "the duty is another's")
 	}
 	t := &c.ledger
@@ -73,7 +73,7 @@
 
 // accrueCredit has what tenants left of their rates saved, now and then, where no report does.
 func (c *Controller) accrueCredit(s *consensus.State) {
-	if s.Coordinator.Life != c.life {
+	if s.Coordinator.Incarnation != c.life {
 		return
 	}
 	table, err := c.parsedConfiguration(s)
@@ -115,7 +115,7 @@
 	defer end()
 	_, err := c.replicator.change(ctx, c.otherControllers, func(newest *consensus.State) (*consensus.State, error) {
 		grants = nil
-		if newest.Epoch != reign || newest.Coordinator.Life != c.life { // a late doer does nothing
+		if newest.Epoch != reign || newest.Coordinator.Incarnation != c.life { // a late doer does nothing
 			return nil, apierror.New(apierror.Unclear, "the duty is another's")
 		}
 		table, err := c.parsedConfiguration(newest)
--- a/internal/mesh/controller/change.go
+++ b/internal/mesh/controller/change.go
@@ -131,7 +131,7 @@
 		return true
 	}
 	_, reading := r.read(ctx)
-	return reading.Heard()
+	return reading.MajorityAnswered()
 }
 
 // spread has this process and all others learn what it has seen decided.
--- a/internal/mesh/controller/change_doubt_test.go
+++ b/internal/mesh/controller/change_doubt_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestADoubtEndsWithWhatItsSlotWasDecidedToBe(t *testing.T) {
-	own, earlier, rival := consensus.Ballot{Round: 4, By: "own"}, consensus.Ballot{Round: 2, By: "own"}, consensus.Ballot{Round: 3, By: "rival"}
+	own, earlier, rival := consensus.Ballot{Round: 4, Proposer: "own"}, consensus.Ballot{Round: 2, Proposer: "own"}, consensus.Ballot{Round: 3, Proposer: "rival"}
 	for name, c := range map[string]struct {
 		state            consensus.State
 		decided, lasting bool
--- a/internal/mesh/controller/configuration_order.go
+++ b/internal/mesh/controller/configuration_order.go
@@ -73,7 +73,7 @@
 		return nil, nil
 	case o.invalid != nil:
 		return nil, apierror.New(apierror.Invalid, "%v", o.invalid)
-	case newest.Edition != o.base && !newest.AppliedChanges.RulesOut(o.edition, o.base):
+	case newest.Edition != o.base && !newest.AppliedChanges.CertainlyNotApplied(o.edition, o.base):
 		return nil, apierror.New(apierror.Unclear, "version %d is older than what is remembered of changes (from %d on): whether this one was applied is not known; version %d is current",
 			o.base, newest.AppliedChanges[0].Edition, newest.Edition)
 	case newest.Edition != o.base:
--- a/internal/mesh/controller/configurations.go
+++ b/internal/mesh/controller/configurations.go
@@ -128,7 +128,7 @@
 		return nil, nil
 	}
 	return c.configurations.version(s.Configuration, func(read *routing.Configuration) {
-		if err := read.Ambiguous(); err != nil { // agreed by a version that took it; the next change has to mend it
+		if err := read.Ambiguities(); err != nil { // agreed by a version that took it; the next change has to mend it
 			c.log.Warn("configuration", "edition", read.Edition, "ambiguous", err)
 		}
 	})
@@ -137,7 +137,7 @@
 // addConfiguration adds the configuration of a state to the answer to a balancer's watch, if it holds another one: as it is to those
 // that can't take it packed, and packed if it is short. A long one is only named, and fetched apart: a lease must not wait for it.
 func (c *Controller) addConfiguration(out *membership.WatchResponse, a *membership.WatchRequest, s *consensus.State) {
-	if !a.Packed {
+	if !a.AcceptsPacked {
 		if s.Index > a.Position.Index && s.Edition != a.Position.Edition {
 			out.Configuration = s.Configuration
 		}
@@ -179,8 +179,8 @@
 		return nil, apierror.New(apierror.Absent, "no configuration has been put")
 	}
 	out := &membership.ConfigurationResponse{Packed: routing.Packed{Result: v.table.Digest()}}
-	if out.Packed.Result != a.Held {
-		p, err := c.configurations.pack(v, a.Held)
+	if out.Packed.Result != a.HeldDigest {
+		p, err := c.configurations.pack(v, a.HeldDigest)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/mesh/controller/confirmation.go
+++ b/internal/mesh/controller/confirmation.go
@@ -52,10 +52,10 @@
 func (c *Controller) heldBy(ctx context.Context, s *consensus.State, m consensus.Member) string {
 	request := consensus.Request{Kind: consensus.Learn, Value: s}
 	var response *consensus.Response
-	if m.At == c.settings.Inner() {
+	if m.Address == c.settings.Inner() {
 		response, _ = c.replicator.handle(ctx, &request)
 	} else {
-		response = c.replicator.send(ctx, m.At, request)
+		response = c.replicator.send(ctx, m.Address, request)
 	}
 	if response == nil || response.ID != m.ID || !response.OK || response.Index < s.Index {
 		return ""
--- a/internal/mesh/controller/controller.go
+++ b/internal/mesh/controller/controller.go
@@ -25,7 +25,7 @@
 
 const (
 	gossipInterval       = 250 * time.Millisecond
-	peerTimeout          = time.Duration(consensus.AwayAfter)
+	peerTimeout          = time.Duration(consensus.CandidateTimeout)
 	maxDiskAttempts      = 100                    // at a disk that refuses, before the process gives up
 	diskRetryPause       = 200 * time.Millisecond // between two of them
 	controlHeaderTimeout = 5 * time.Second        // for the head of an operator's call
@@ -124,7 +124,7 @@
 		founders := slices.Clone(c.seeds)
 		slices.Sort(founders)
 		if b.FirstStart && slices.Contains(founders, self) {
-			return consensus.FounderID(self), consensus.Founders(founders, func(string) string { return "" }, tolerated(b.Tolerate))
+			return consensus.InitialMemberID(self), consensus.InitialState(founders, func(string) string { return "" }, tolerated(b.Tolerate))
 		}
 		return storage.NewIdentity(), &consensus.State{} // a stranger: no core that it knows of, so nothing that it could decide
 	}
--- a/internal/mesh/controller/coordinator.go
+++ b/internal/mesh/controller/coordinator.go
@@ -31,7 +31,7 @@
 
 // takeCoordinator takes the duties over, if this is the first process in the agreed order and another has them.
 func (c *Controller) takeCoordinator(ctx context.Context, s *consensus.State) {
-	if !c.replicator.current() || s.Coordinator.Life == c.life {
+	if !c.replicator.current() || s.Coordinator.Incarnation == c.life {
 		return
 	}
 	c.mu.Lock()
@@ -42,14 +42,14 @@
 	}
 	within, end := context.WithTimeout(ctx, 2*time.Second)
 	defer end()
-	q := consensus.Coordinator{ID: c.replicator.identity(), Life: c.life, At: c.settings.Inner()}
+	q := consensus.Coordinator{ID: c.replicator.identity(), Incarnation: c.life, Address: c.settings.Inner()}
 	_, err := c.replicator.change(within, c.otherControllers, func(newest *consensus.State) (*consensus.State, error) {
 		if newest.Epoch != s.Epoch { // somebody else has
 			return nil, nil
 		}
-		return newest.Appoint(q), nil
+		return newest.WithCoordinator(q), nil
 	})
-	c.log.Info("coordinator", "before", s.Coordinator.At, "err", err)
+	c.log.Info("coordinator", "before", s.Coordinator.Address, "err", err)
 }
 
 // handleTokenRequest gives tokens of tenants' quotas, if this process has the duty and a majority says that it still has.
@@ -58,7 +58,7 @@
 	b.Lock()
 	defer b.Unlock()
 	s, _ := c.replicator.state()
-	if s.Coordinator.Life != c.life || !c.replicator.confirms(s) {
+	if s.Coordinator.Incarnation != c.life || !c.replicator.confirms(s) {
 		return nil, apierror.New(apierror.Unclear, "the duty is another's")
 	}
 	now := c.now()
@@ -70,7 +70,7 @@
 		if err != nil || t == nil {
 			return nil, apierror.New(apierror.Unclear, "no configuration: %v", err)
 		}
-		b.is.Set(ratelimit.LimitsOf(t, &c.settings.Bounds), s.Members, now)
+		b.is.Set(ratelimit.LimitsOf(t, &c.settings.Bounds), s.BalancerCount, now)
 		b.index = s.Index
 	}
 	if now < b.from {
--- a/internal/mesh/controller/core_membership.go
+++ b/internal/mesh/controller/core_membership.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	confirmPause  = 50 * time.Millisecond                 // between two rounds of telling a new core its state
-	confirmFor    = time.Duration(consensus.ReplaceAfter) // after which a change that is not confirmed is asked for again at each turn
-	setAsideFor   = time.Second                           // for which a spare that did not catch up is no candidate
-	membershipFor = 2 * time.Second                       // for one attempt at a change of the core
+	confirmPause  = 50 * time.Millisecond                       // between two rounds of telling a new core its state
+	confirmFor    = time.Duration(consensus.ReplacementTimeout) // after which a change that is not confirmed is asked for again at each turn
+	setAsideFor   = time.Second                                 // for which a spare that did not catch up is no candidate
+	membershipFor = 2 * time.Second                             // for one attempt at a change of the core
 )
 
 // coreMembership is what a controller knows of the changes of the core that it carries out. Under the controller's mu.
@@ -57,7 +57,7 @@
 }
 
 func (c *Controller) self() consensus.Member {
-	return consensus.Member{ID: c.replicator.identity(), At: c.settings.Inner(), Zone: c.settings.District}
+	return consensus.Member{ID: c.replicator.identity(), Address: c.settings.Inner(), Zone: c.settings.District}
 }
 
 func (c *Controller) placement() consensus.Placement {
@@ -84,7 +84,7 @@
 		return
 	}
 	decided, err := c.proposeMembership(ctx, base, change)
-	c.log.Info("adopt", "out", change.Remove, "in", change.Add.ID, "at", change.Add.At, "err", err)
+	c.log.Info("adopt", "out", change.Remove, "in", change.Add.ID, "at", change.Add.Address, "err", err)
 	if err != nil || decided.SameCore(base) || change.Add.ID != "" && !decided.HasMember(change.Add.ID) {
 		return
 	}
@@ -179,8 +179,8 @@
 	defer c.mu.Unlock()
 	for _, peer := range others {
 		since, is := c.membership.unheld[peer.ID]
-		waited := is && c.now()-since > consensus.ReplaceAfter
-		if next.HasMember(peer.ID) && peer.SilentFor >= 0 && peer.SilentFor < consensus.DutyAfter && !waited {
+		waited := is && c.now()-since > consensus.ReplacementTimeout
+		if next.HasMember(peer.ID) && peer.SilentFor >= 0 && peer.SilentFor < consensus.DutyTimeout && !waited {
 			needed.members = append(needed.members, peer.ID)
 		}
 	}
--- a/internal/mesh/controller/cut_off_test.go
+++ b/internal/mesh/controller/cut_off_test.go
@@ -239,7 +239,7 @@
 	asked.Go(func() {
 		news := &membership.WatchResponse{}
 		request := membership.WatchRequest{Node: membership.Node{Name: "proxy-0"}, MaxWait: int64(500 * time.Millisecond)}
-		ask("watch", rpc.PathWatch, request, news, func(err error) bool { return err != nil || news.Current || news.Calm })
+		ask("watch", rpc.PathWatch, request, news, func(err error) bool { return err != nil || news.Current || news.ImportsCurrent })
 	})
 	asked.Go(func() {
 		began := time.Now()
@@ -283,7 +283,7 @@
 	shared := &m.controllers[0].replicator.lease
 	shared.mu.Lock()
 	defer shared.mu.Unlock()
-	shared.lease.Without(guard)
+	shared.lease.DisableGuard(guard)
 }
 
 // A controller is cut off from the others, while proxies and operators reach it: it says nothing that a majority has not said since it
@@ -427,7 +427,7 @@
 	m.cut(testmesh.LinkSilent, testmesh.LinkSilent)
 	m.until(10*time.Second, "nobody else becomes coordinator", func() bool {
 		s, _ := m.controllers[1].replicator.state()
-		return s.Coordinator.Life != first.life
+		return s.Coordinator.Incarnation != first.life
 	})
 	m.links.Heal()
 	m.until(5*time.Second, "the first controller does not hear of it", func() bool {
--- a/internal/mesh/controller/federation.go
+++ b/internal/mesh/controller/federation.go
@@ -94,7 +94,7 @@
 // partners does what the duty asks for: it has each partner asked, finishes narrowings, and tells partners so.
 func (c *Controller) partners(ctx context.Context, s *consensus.State) {
 	t, err := c.parsedConfiguration(s)
-	if err != nil || t == nil || s.Coordinator.Life != c.life || !c.replicator.confirms(s) {
+	if err != nil || t == nil || s.Coordinator.Incarnation != c.life || !c.replicator.confirms(s) {
 		return
 	}
 	book := c.imports(s)
@@ -153,7 +153,7 @@
 	ctx, end := context.WithTimeout(ctx, answerTimeout)
 	defer end()
 	_, err := c.replicator.change(ctx, c.otherControllers, func(newest *consensus.State) (*consensus.State, error) {
-		if reign > 0 && (newest.Epoch != reign || newest.Coordinator.Life != c.life) {
+		if reign > 0 && (newest.Epoch != reign || newest.Coordinator.Incarnation != c.life) {
 			return nil, apierror.New(apierror.Unclear, "the duty is another's")
 		}
 		book, err := federation.Read(newest.Imports)
--- a/internal/mesh/controller/gossip.go
+++ b/internal/mesh/controller/gossip.go
@@ -29,7 +29,7 @@
 		}
 	}
 	for _, m := range s.Core {
-		add(m.At)
+		add(m.Address)
 	}
 	for _, at := range c.seeds {
 		add(at)
@@ -44,7 +44,7 @@
 // peerStatuses is the other controllers as they are heard of. Under mu.
 func (c *Controller) peerStatuses() (all []consensus.PeerStatus) {
 	for at, h := range c.peers {
-		heard := consensus.PeerStatus{Member: consensus.Member{ID: h.ID, At: at, Zone: h.Zone}, SilentFor: -1, Leaving: h.Leaving}
+		heard := consensus.PeerStatus{Member: consensus.Member{ID: h.ID, Address: at, Zone: h.Zone}, SilentFor: -1, Leaving: h.Leaving}
 		if last, is := c.lastHeard[at]; is {
 			heard.SilentFor = c.now() - last
 		}
--- a/internal/mesh/controller/leave.go
+++ b/internal/mesh/controller/leave.go
@@ -56,7 +56,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, peer := range c.peerStatuses() {
-		if !s.HasMember(peer.ID) && !peer.Leaving && peer.SilentFor >= 0 && peer.SilentFor < consensus.AwayAfter {
+		if !s.HasMember(peer.ID) && !peer.Leaving && peer.SilentFor >= 0 && peer.SilentFor < consensus.CandidateTimeout {
 			return true
 		}
 	}
--- a/internal/mesh/controller/maintenance.go
+++ b/internal/mesh/controller/maintenance.go
@@ -88,27 +88,27 @@
 		return
 	}
 	c.mu.Lock()
-	n := c.registry.Known()
+	n := c.registry.Len()
 	first := c.rank(s) == 0
-	young := c.now() < membership.Remembered
+	young := c.now() < membership.LostRetention
 	c.mu.Unlock()
-	if !first || n == s.Members || n < s.Members && young || n == 0 {
+	if !first || n == s.BalancerCount || n < s.BalancerCount && young || n == 0 {
 		return
 	}
 	within, end := context.WithTimeout(ctx, 2*time.Second)
 	defer end()
 	c.replicator.change(within, c.otherControllers, func(newest *consensus.State) (*consensus.State, error) {
-		if newest.Members == n {
+		if newest.BalancerCount == n {
 			return nil, nil
 		}
-		return newest.WithMembers(n), nil
+		return newest.WithBalancerCount(n), nil
 	})
 }
 
 func coreText(s *consensus.State) string {
 	var all []string
 	for _, m := range s.Core {
-		all = append(all, m.At+"="+m.ID)
+		all = append(all, m.Address+"="+m.ID)
 	}
 	return strings.Join(all, " ")
 }
@@ -118,5 +118,5 @@
 	if c.leaving.Load() {
 		return len(s.Core)
 	}
-	return s.Rank(c.replicator.identity(), c.peerStatuses())
+	return s.DutyRank(c.replicator.identity(), c.peerStatuses())
 }
--- a/internal/mesh/controller/majority_read.go
+++ b/internal/mesh/controller/majority_read.go
@@ -106,7 +106,7 @@
 		if askedAt, known := r.lease.confirmedAt(s); known && askedAt >= arrived {
 			return s, nil
 		}
-		if reading.Heard() || reading.Ahead() != nil {
+		if reading.MajorityAnswered() || reading.Ahead() != nil {
 			heard++
 			continue
 		}
--- a/internal/mesh/controller/orders_test.go
+++ b/internal/mesh/controller/orders_test.go
@@ -139,7 +139,7 @@
 func membersText(s *consensus.State) string {
 	var all []string
 	for _, m := range s.Core {
-		all = append(all, m.At)
+		all = append(all, m.Address)
 	}
 	return strings.Join(all, " ")
 }
--- a/internal/mesh/controller/proposer.go
+++ b/internal/mesh/controller/proposer.go
@@ -29,12 +29,12 @@
 	told := map[string]bool{r.self: true}
 	answers := make(chan bool, len(s.Core))
 	for _, m := range s.Core {
-		if m.At == r.self {
+		if m.Address == r.self {
 			answers <- true
 			continue
 		}
-		told[m.At] = true
-		all.Go(func() { answers <- r.send(ctx, m.At, consensus.Request{Kind: consensus.Learn, Value: s}) != nil })
+		told[m.Address] = true
+		all.Go(func() { answers <- r.send(ctx, m.Address, consensus.Request{Kind: consensus.Learn, Value: s}) != nil })
 	}
 	for _, at := range also {
 		if !told[at] {
@@ -58,7 +58,7 @@
 	defer r.mu.Unlock()
 	base = r.replica.Decided
 	r.round = max(r.round, r.replica.Promised.Round) + 1
-	p, request = consensus.Propose(base, consensus.Ballot{Round: r.round, By: r.proposer}, what)
+	p, request = consensus.Propose(base, consensus.Ballot{Round: r.round, Proposer: r.proposer}, what)
 	return base, p, request
 }
 
--- a/internal/mesh/controller/repair_bound.go
+++ b/internal/mesh/controller/repair_bound.go
@@ -18,7 +18,7 @@
 //
 // What a disk or a machine stands still for comes on top of it.
 func RepairBound(step time.Duration) time.Duration {
-	return time.Duration(consensus.ReplaceAfter) + repairTurns*gossipInterval + stepTimeout + repairSteps*step
+	return time.Duration(consensus.ReplacementTimeout) + repairTurns*gossipInterval + stepTimeout + repairSteps*step
 }
 
 // LongestRepairStep is the longest step with which a repair ends within a time, 0 where none does.
--- a/internal/mesh/controller/replicator.go
+++ b/internal/mesh/controller/replicator.go
@@ -56,7 +56,7 @@
 	return &replicator{
 		disk: d, caller: caller, counts: counts, self: self, proposer: by, replica: *c, news: make(chan struct{}),
 		saved: c.Decided.Index, held: map[string]consensus.Documents{},
-		vouching: vouching{lives: map[string]consensus.DiskLife{}, by: map[string]bool{}}, epoch: time.Now(),
+		vouching: vouching{lives: map[string]consensus.DiskIncarnation{}, by: map[string]bool{}}, epoch: time.Now(),
 		lease: sharedReadLease{lease: consensus.NewReadLease(int64(fresh))},
 	}
 }
@@ -96,7 +96,7 @@
 		return r.withoutVote(request), nil
 	}
 	out, keep := r.replica.Handle(request)
-	out.Compact = true
+	out.SupportsCompact = true
 	now := r.replica
 	unsaved := request.Kind == consensus.Learn && r.saved < now.Decided.Index
 	r.mu.Unlock()
@@ -134,7 +134,7 @@
 	if r.saved < request.Value.Index {
 		return nil
 	}
-	out.Compact = true
+	out.SupportsCompact = true
 	return &out
 }
 
@@ -145,9 +145,9 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	whole, ok := r.replica.Expand(a, r.digests.Of)
+	whole, ok := r.replica.Expand(a, r.digests.Digest)
 	if !ok {
-		return a, &consensus.Response{Kind: a.Kind, Slot: a.Slot, ID: r.replica.ID, Index: r.replica.Decided.Index, Compact: true, Lacking: true}
+		return a, &consensus.Response{Kind: a.Kind, Slot: a.Slot, ID: r.replica.ID, Index: r.replica.Decided.Index, SupportsCompact: true, DocumentsMissing: true}
 	}
 	return whole, nil
 }
@@ -161,7 +161,7 @@
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			answers <- r.send(ctx, m.At, a)
+			answers <- r.send(ctx, m.Address, a)
 		}()
 	}
 	go func() { wait.Wait(); end() }() // the slower ones go on: what they keep counts too
@@ -180,9 +180,9 @@
 	}
 	if a.Kind == consensus.ReadState {
 		r.mu.Lock()
-		life := r.replica.Life
+		life := r.replica.Incarnation
 		r.mu.Unlock()
-		a.Life = &life
+		a.Incarnation = &life
 		answer := r.call(ctx, at, a)
 		if answer != nil {
 			r.noteVouched(life, answer)
@@ -191,7 +191,7 @@
 	}
 	compact, large := r.compactFor(at, a)
 	answer := r.call(ctx, at, compact)
-	if compact.IsCompact() && answer != nil && (!answer.Compact || answer.Lacking) {
+	if compact.IsCompact() && answer != nil && (!answer.SupportsCompact || answer.DocumentsMissing) {
 		r.counts.Add("compact_lacking")
 		r.forgetHeld(at)
 		answer = r.call(ctx, at, a)
@@ -217,13 +217,13 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return a.Compact(r.digests.Of, r.held[at]), a.Value.LargeParts(r.digests.Of)
+	return a.Compact(r.digests.Digest, r.held[at]), a.Value.LargeDocuments(r.digests.Digest)
 }
 
 // noteHeld notes which documents the process at an address holds: those of the value that it took last. One that refuses a value
 // holds what it held before, so that proposals which overtake one another don't carry whole documents.
 func (r *replicator) noteHeld(at string, large consensus.Documents, answer *consensus.Response) {
-	if !answer.Compact {
+	if !answer.SupportsCompact {
 		r.forgetHeld(at)
 		return
 	}
--- a/internal/mesh/controller/replicator_held_test.go
+++ b/internal/mesh/controller/replicator_held_test.go
@@ -24,13 +24,13 @@
 	must.False(t, sent.IsCompact())
 	must.MapLen(t, 1, large)
 
-	k.noteHeld(at, large, &consensus.Response{Compact: true}) // refused, and nothing was held before
+	k.noteHeld(at, large, &consensus.Response{SupportsCompact: true}) // refused, and nothing was held before
 	sent, _ = k.compactFor(at, request)
 	must.False(t, sent.IsCompact())
-	k.noteHeld(at, large, &consensus.Response{Compact: true, OK: true})
+	k.noteHeld(at, large, &consensus.Response{SupportsCompact: true, OK: true})
 	sent, _ = k.compactFor(at, request)
 	must.True(t, sent.IsCompact())
-	k.noteHeld(at, large, &consensus.Response{Compact: true})
+	k.noteHeld(at, large, &consensus.Response{SupportsCompact: true})
 	sent, _ = k.compactFor(at, request)
 	must.True(t, sent.IsCompact())
 	k.noteHeld(at, large, &consensus.Response{OK: true}) // a version that understands no compact requests
--- a/internal/mesh/controller/replicator_save_test.go
+++ b/internal/mesh/controller/replicator_save_test.go
@@ -101,8 +101,8 @@
 func randomRequest(k *replicator, random *rand.Rand) consensus.Request {
 	s, _ := k.state()
 	slot := s.Index + 1 + uint64(random.IntN(6)/5)
-	ballot := consensus.Ballot{Round: uint64(random.IntN(50)), By: "a"}
-	value := &consensus.State{Index: slot, Members: int(slot)}
+	ballot := consensus.Ballot{Round: uint64(random.IntN(50)), Proposer: "a"}
+	value := &consensus.State{Index: slot, BalancerCount: int(slot)}
 	switch random.IntN(5) {
 	case 0, 1:
 		return consensus.Request{Kind: consensus.Prepare, Slot: slot, Ballot: ballot}
@@ -155,7 +155,7 @@
 	must.True(t, out.OK)
 	promised := make(chan *consensus.Response, 1)
 	go func() {
-		out, _ := k.handle(ctx, &consensus.Request{Kind: consensus.Prepare, Slot: 4, Ballot: consensus.Ballot{Round: 1, By: "a"}})
+		out, _ := k.handle(ctx, &consensus.Request{Kind: consensus.Prepare, Slot: 4, Ballot: consensus.Ballot{Round: 1, Proposer: "a"}})
 		promised <- out
 	}()
 	select {
--- a/internal/mesh/controller/status.go
+++ b/internal/mesh/controller/status.go
@@ -66,21 +66,21 @@
 		member := CoreMember{Member: m, Votes: true, Quiet: -1}
 		if m.ID == c.replicator.identity() {
 			member.Quiet, member.Index = 0, s.Index
-		} else if h, is := c.peers[m.At]; is && h.ID == m.ID && c.lastHeard[m.At] > 0 {
-			member.Quiet, member.Index = time.Duration(c.now()-c.lastHeard[m.At]), h.Index
+		} else if h, is := c.peers[m.Address]; is && h.ID == m.ID && c.lastHeard[m.Address] > 0 {
+			member.Quiet, member.Index = time.Duration(c.now()-c.lastHeard[m.Address]), h.Index
 		}
 		out.Core = append(out.Core, member)
 	}
 	for at, h := range c.peers {
 		if h.ID != "" && !s.HasMember(h.ID) && c.lastHeard[at] > 0 {
-			out.Core = append(out.Core, CoreMember{Member: consensus.Member{ID: h.ID, At: at, Zone: h.Zone}, Index: h.Index, Quiet: time.Duration(c.now() - c.lastHeard[at])})
+			out.Core = append(out.Core, CoreMember{Member: consensus.Member{ID: h.ID, Address: at, Zone: h.Zone}, Index: h.Index, Quiet: time.Duration(c.now() - c.lastHeard[at])})
 		}
 	}
-	slices.SortFunc(out.Core, func(a, b CoreMember) int { return strings.Compare(a.At, b.At) })
+	slices.SortFunc(out.Core, func(a, b CoreMember) int { return strings.Compare(a.Address, b.Address) })
 	c.bank.Lock()
 	defer c.bank.Unlock()
 	out.Current, out.Confirmed = c.replicator.confirms(s), c.replicator.sinceConfirmed(s) // last: what is above may have taken time
-	if c.bank.is != nil && s.Coordinator.Life == c.life && out.Current {
+	if c.bank.is != nil && s.Coordinator.Incarnation == c.life && out.Current {
 		out.Quotas = c.bank.is.Status(c.now())
 	}
 	return out, nil
@@ -90,7 +90,7 @@
 func (c *Controller) figures(w http.ResponseWriter, _ *http.Request) {
 	s, _ := c.replicator.state()
 	c.mu.Lock()
-	known := c.registry.Known()
+	known := c.registry.Len()
 	c.mu.Unlock()
 	current := 0
 	if c.replicator.confirms(s) {
--- a/internal/mesh/controller/vouching.go
+++ b/internal/mesh/controller/vouching.go
@@ -7,11 +7,11 @@
 
 // vouching is how a replica learns whether its disk is the one that has its identity, or an old copy of it.
 type vouching struct {
-	lives      map[string]consensus.DiskLife // by identity, the last starts of others that were seen
-	by         map[string]bool               // members that have seen no later life of this disk
-	done       bool                          // enough of them
-	superseded bool                          // somebody has seen a later life, and no new identity has been drawn yet
-	drawing    bool                          // one is being drawn
+	lives      map[string]consensus.DiskIncarnation // by identity, the last starts of others that were seen
+	by         map[string]bool                      // members that have seen no later life of this disk
+	done       bool                                 // enough of them
+	superseded bool                                 // somebody has seen a later life, and no new identity has been drawn yet
+	drawing    bool                                 // one is being drawn
 }
 
 // handleRead answers where this replica stands, and whether the asker's disk is an old copy.
@@ -19,9 +19,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out, _ := r.replica.Handle(request)
-	out.Compact = true
+	out.SupportsCompact = true
 	out.OK = out.OK && r.mayVote()
-	if life := request.Life; life != nil {
+	if life := request.Incarnation; life != nil {
 		if out.Superseded = r.vouching.lives[life.ID].Supersedes(*life); !out.Superseded {
 			r.vouching.lives[life.ID] = *life
 		}
@@ -35,7 +35,7 @@
 func (r *replicator) mayVote() bool {
 	state := r.replica.Decided
 	enough := state.HasMember(r.replica.ID) && len(r.vouching.by)+1 >= state.Majority()
-	if enough || r.replica.Life.Number <= 1 {
+	if enough || r.replica.Incarnation.Number <= 1 {
 		r.vouching.done = true
 	}
 	return r.vouching.done && !r.vouching.superseded
@@ -44,16 +44,16 @@
 // withoutVote answers a request for a vote that must not be given. Under mu.
 func (r *replicator) withoutVote(request consensus.Request) *consensus.Response {
 	out, _ := r.replica.Handle(consensus.Request{Kind: consensus.ReadState, Slot: request.Slot - 1})
-	out.Kind, out.Slot, out.OK, out.Compact = request.Kind, request.Slot, false, true
+	out.Kind, out.Slot, out.OK, out.SupportsCompact = request.Kind, request.Slot, false, true
 	return &out
 }
 
 // noteVouched takes what another replica says about this disk's life.
-func (r *replicator) noteVouched(asked consensus.DiskLife, answer *consensus.Response) {
+func (r *replicator) noteVouched(asked consensus.DiskIncarnation, answer *consensus.Response) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
-	case asked != r.replica.Life: // said of an identity that has been given up
+	case asked != r.replica.Incarnation: // said of an identity that has been given up
 	case answer.Superseded:
 		r.vouching.superseded = true
 		if !r.vouching.drawing {
@@ -73,7 +73,7 @@
 	defer r.written.Unlock()
 	id := storage.NewIdentity()
 	r.mu.Lock()
-	stranger := consensus.Replica{ID: id, Decided: r.replica.Decided, Life: consensus.DiskLife{ID: id, Number: 1, Token: storage.NewIdentity()}}
+	stranger := consensus.Replica{ID: id, Decided: r.replica.Decided, Incarnation: consensus.DiskIncarnation{ID: id, Number: 1, Token: storage.NewIdentity()}}
 	r.mu.Unlock()
 	err := r.save(&stranger)
 	r.mu.Lock()
--- a/internal/mesh/controller/vouching_test.go
+++ b/internal/mesh/controller/vouching_test.go
@@ -15,11 +15,11 @@
 
 // vouchingCore is a state of three members, and a replica of one of them in a life of its disk.
 func vouchingCore() *consensus.State {
-	return &consensus.State{Index: 4, Tolerate: 1, Core: []consensus.Member{{ID: "a", At: "a:1"}, {ID: "b", At: "b:1"}, {ID: "c", At: "c:1"}}}
+	return &consensus.State{Index: 4, ToleratedLosses: 1, Core: []consensus.Member{{ID: "a", Address: "a:1"}, {ID: "b", Address: "b:1"}, {ID: "c", Address: "c:1"}}}
 }
 
-func replicaInLife(id string, life consensus.DiskLife) *replicator {
-	replica := &consensus.Replica{ID: id, Decided: vouchingCore(), Life: life}
+func replicaInLife(id string, life consensus.DiskIncarnation) *replicator {
+	replica := &consensus.Replica{ID: id, Decided: vouchingCore(), Incarnation: life}
 	return newReplicator(replica, &hangingDisk{release: closedChannel()}, nil, telemetry.NewCounters(), id+":1", "life-"+id)
 }
 
@@ -31,21 +31,21 @@
 
 // read has one replica ask another where it stands.
 func read(t *testing.T, from, to *replicator) *consensus.Response {
-	life := from.replica.Life
-	out, err := to.handle(context.Background(), &consensus.Request{Kind: consensus.ReadState, Slot: 4, Life: &life})
+	life := from.replica.Incarnation
+	out, err := to.handle(context.Background(), &consensus.Request{Kind: consensus.ReadState, Slot: 4, Incarnation: &life})
 	must.NoError(t, err)
 	from.noteVouched(life, out)
 	return out
 }
 
 func prepareOf(k *replicator, round uint64) *consensus.Response {
-	out, _ := k.handle(context.Background(), &consensus.Request{Kind: consensus.Prepare, Slot: 5, Ballot: consensus.Ballot{Round: round, By: "p"}})
+	out, _ := k.handle(context.Background(), &consensus.Request{Kind: consensus.Prepare, Slot: 5, Ballot: consensus.Ballot{Round: round, Proposer: "p"}})
 	return out
 }
 
 func TestADiskInUseBeforeVotesOnceAMajorityKnowsOfNoLaterLife(t *testing.T) {
-	b := replicaInLife("b", consensus.DiskLife{ID: "b", Number: 2, Token: "second"})
-	c := replicaInLife("c", consensus.DiskLife{ID: "c", Number: 2, Token: "other"})
+	b := replicaInLife("b", consensus.DiskIncarnation{ID: "b", Number: 2, Token: "second"})
+	c := replicaInLife("c", consensus.DiskIncarnation{ID: "c", Number: 2, Token: "other"})
 	out := prepareOf(b, 1)
 	must.False(t, out.OK)
 	must.Eq(t, 4, out.Index) // it says where it stands all the same
@@ -57,8 +57,8 @@
 
 // The copy of a disk's first life comes back after its second one has promised something.
 func TestAnOldCopyOfADiskBecomesAStranger(t *testing.T) {
-	second := consensus.DiskLife{ID: "b", Number: 2, Token: "second"}
-	c := replicaInLife("c", consensus.DiskLife{ID: "c", Number: 1, Token: "other"})
+	second := consensus.DiskIncarnation{ID: "b", Number: 2, Token: "second"}
+	c := replicaInLife("c", consensus.DiskIncarnation{ID: "c", Number: 1, Token: "other"})
 	b := replicaInLife("b", second)
 	read(t, b, c)
 	must.True(t, prepareOf(b, 9).OK)
@@ -76,10 +76,10 @@
 
 // The variant without the guard counts each start as a first one: it promises below what its identity has promised before.
 func TestWithoutVouchingAnOldCopyBreaksAPromise(t *testing.T) {
-	first := consensus.DiskLife{ID: "b", Number: 1, Token: "second"}
+	first := consensus.DiskIncarnation{ID: "b", Number: 1, Token: "second"}
 	b := replicaInLife("b", first)
 	must.True(t, prepareOf(b, 9).OK)
-	old := replicaInLife("b", consensus.DiskLife{ID: "b", Number: 1, Token: "copied"})
+	old := replicaInLife("b", consensus.DiskIncarnation{ID: "b", Number: 1, Token: "copied"})
 	out := prepareOf(old, 1)
 	must.True(t, out.OK)
 	must.Eq(t, "b", out.ID)
--- a/internal/mesh/controller/watch.go
+++ b/internal/mesh/controller/watch.go
@@ -66,20 +66,20 @@
 // time may pass while the rest is put together, and a later state may be learned and confirmed meanwhile.
 func (c *Controller) watchResponse(a *membership.WatchRequest) *membership.WatchResponse {
 	s, _ := c.replicator.state()
-	out := &membership.WatchResponse{Position: membership.Position{Controller: c.life, Index: s.Index, Edition: s.Edition}, Members: s.Members}
-	out.Starting, out.Coordinator, out.Epoch = c.now() < membership.Lease, s.Coordinator.At, s.Epoch
+	out := &membership.WatchResponse{Position: membership.Position{Controller: c.life, Index: s.Index, Edition: s.Edition}, BalancerCount: s.BalancerCount}
+	out.Starting, out.Coordinator, out.Epoch = c.now() < membership.LeaseDuration, s.Coordinator.Address, s.Epoch
 	c.addConfiguration(out, a, s)
 	imports := c.imports(s)
 	if imports.No > 0 {
-		c.recordImportsInUse(a.Node.Name, a.Position.Imports)
-		out.ImportsNo, out.Ages = imports.No, c.confirmationAges()
-		if a.Position.Imports != imports.No {
+		c.recordImportsInUse(a.Node.Name, a.Position.KnownImports)
+		out.ImportsVersion, out.PartnerAges = imports.No, c.confirmationAges()
+		if a.Position.KnownImports != imports.No {
 			out.Imports = s.Imports
 		}
 	}
 	c.addRegistry(out, a)
 	out.Current = c.replicator.confirms(s)
-	out.Calm = out.Current && imports.No > 0
+	out.ImportsCurrent = out.Current && imports.No > 0
 	return out
 }
 
@@ -91,13 +91,13 @@
 	if a.Position.Controller != c.life {
 		seq = 0
 	}
-	out.Nodes, out.Gone, out.Whole = c.registry.ChangesSince(seq, c.now())
+	out.Nodes, out.RemovedNodes, out.Complete = c.registry.ChangesSince(seq, c.now())
 	out.Seq = c.registry.Seq()
-	out.Controllers = []membership.ControllerAddress{{At: c.settings.Inner(), Zone: c.settings.District}}
+	out.Controllers = []membership.ControllerAddress{{Address: c.settings.Inner(), Zone: c.settings.District}}
 	for at, h := range c.peers {
 		if c.now()-c.lastHeard[at] < int64(peerTimeout) && c.lastHeard[at] > 0 {
-			out.Controllers = append(out.Controllers, membership.ControllerAddress{At: at, Zone: h.Zone})
+			out.Controllers = append(out.Controllers, membership.ControllerAddress{Address: at, Zone: h.Zone})
 		}
 	}
-	slices.SortFunc(out.Controllers[1:], func(a, b membership.ControllerAddress) int { return strings.Compare(a.At, b.At) })
+	slices.SortFunc(out.Controllers[1:], func(a, b membership.ControllerAddress) int { return strings.Compare(a.Address, b.Address) })
 }
--- a/internal/mesh/frozen_test.go
+++ b/internal/mesh/frozen_test.go
@@ -105,7 +105,7 @@
 		})
 		other := (coordinator + 1) % 3
 		held := &membership.WatchResponse{}
-		node := membership.Node{Name: "proxy-0", Life: "l"}
+		node := membership.Node{Name: "proxy-0", Incarnation: "l"}
 		must.NoError(t, m.ask(coordinator, rpc.PathWatch, membership.WatchRequest{Node: node}, held))
 
 		var asked sync.WaitGroup
--- a/internal/mesh/membership/membership_test.go
+++ b/internal/mesh/membership/membership_test.go
@@ -6,50 +6,50 @@
 	"github.com/shoenig/test/must"
 )
 
-func nest(node, life string, seq uint64, id string) Node {
-	return Node{Name: node, Life: life, Seq: seq, Upstream: &Upstream{ID: id, Service: "x"}}
+func testNode(node, incarnation string, seq uint64, id string) Node {
+	return Node{Name: node, Incarnation: incarnation, Seq: seq, Upstream: &Upstream{ID: id, Service: "x"}}
 }
 
 // A trace of what two processes of the core hear, one directly and one from the other.
-func TestNewsGoesRoundOnceAndOldNewsNever(t *testing.T) {
+func TestRegistryIgnoresRepeatedAndStaleReports(t *testing.T) {
 	a, b := NewRegistry(), NewRegistry()
-	must.True(t, a.Observe(nest("n", "l1", 1, "i1"), 0, 0, true))
-	must.False(t, a.Observe(nest("n", "l1", 1, "i1"), 0, s, true)) // a renewal is no news
-	nests, _, whole := a.ChangesSince(0, s)
-	must.True(t, whole)
-	must.True(t, b.Observe(nests[0].Node, nests[0].Age, s, false))
-	must.SliceEmpty(t, b.OwnRenewals(s)) // what was heard from another is not passed on as one's own
-	must.True(t, a.Observe(nest("n", "l1", 2, "i2"), 0, 2*s, true))
-	must.False(t, a.Observe(nest("n", "l1", 1, "i1"), 0, 2*s, false))            // late
-	must.True(t, b.Observe(nest("n", "l2", 1, "i3"), 0, 2*s, true))              // started again, heard directly
-	must.False(t, b.Observe(nest("n", "l1", 2, "i2"), s, 2*s+ms, false))         // its former life, heard earlier
-	news, unknown := b.Renew([]Renewal{{Node: "n", Life: "l1", Seq: 2}}, 2*s+ms) // of a life that is not known as told
-	must.False(t, news)
+	must.True(t, a.Observe(testNode("n", "l1", 1, "i1"), 0, 0, true))
+	must.False(t, a.Observe(testNode("n", "l1", 1, "i1"), 0, second, true)) // a renewal is no news
+	nodes, _, complete := a.ChangesSince(0, second)
+	must.True(t, complete)
+	must.True(t, b.Observe(nodes[0].Node, nodes[0].Age, second, false))
+	must.SliceEmpty(t, b.OwnRenewals(second)) // what was heard from another is not passed on as one's own
+	must.True(t, a.Observe(testNode("n", "l1", 2, "i2"), 0, 2*second, true))
+	must.False(t, a.Observe(testNode("n", "l1", 1, "i1"), 0, 2*second, false))                           // late
+	must.True(t, b.Observe(testNode("n", "l2", 1, "i3"), 0, 2*second, true))                             // started again, heard directly
+	must.False(t, b.Observe(testNode("n", "l1", 2, "i2"), second, 2*second+millisecond, false))          // its former life, heard earlier
+	changed, unknown := b.Renew([]Renewal{{Node: "n", Incarnation: "l1", Seq: 2}}, 2*second+millisecond) // of a life that is not known as told
+	must.False(t, changed)
 	must.True(t, unknown)
 }
 
-func TestALeaseRunsOutIsToldAndForgottenLater(t *testing.T) {
-	c := NewRegistry()
-	c.Observe(nest("n", "l", 1, "i"), 0, 0, true)
-	seq := c.Seq()
-	must.False(t, c.Expire(Lease))
-	must.True(t, c.Expire(Lease+1))
-	nests, gone, _ := c.ChangesSince(seq, Lease+1)
-	must.True(t, nests[0].Lost)
-	must.SliceEmpty(t, gone)
-	must.True(t, c.Observe(nest("n", "l", 1, "i"), 0, Lease+2, true)) // it is back
-	must.False(t, c.entries["n"].lost)
-	must.True(t, c.Expire(Lease+2+Lease+1))
-	must.True(t, c.Expire(Lease+2+Remembered+1))
-	_, gone, _ = c.ChangesSince(seq, 2*Remembered)
-	must.Eq(t, []string{"n"}, gone)
-	must.Eq(t, 0, c.Known())
+func TestExpiredLeaseIsReportedThenRemoved(t *testing.T) {
+	r := NewRegistry()
+	r.Observe(testNode("n", "l", 1, "i"), 0, 0, true)
+	seq := r.Seq()
+	must.False(t, r.Expire(LeaseDuration))
+	must.True(t, r.Expire(LeaseDuration+1))
+	nodes, removed, _ := r.ChangesSince(seq, LeaseDuration+1)
+	must.True(t, nodes[0].Lost)
+	must.SliceEmpty(t, removed)
+	must.True(t, r.Observe(testNode("n", "l", 1, "i"), 0, LeaseDuration+2, true)) // it is back
+	must.False(t, r.entries["n"].lost)
+	must.True(t, r.Expire(LeaseDuration+2+LeaseDuration+1))
+	must.True(t, r.Expire(LeaseDuration+2+LostRetention+1))
+	_, removed, _ = r.ChangesSince(seq, 2*LostRetention)
+	must.Eq(t, []string{"n"}, removed)
+	must.Eq(t, 0, r.Len())
 }
 
-func TestOneThatLeavesIsGoneAtOnce(t *testing.T) {
-	c := NewRegistry()
-	c.Observe(nest("n", "l", 1, "i"), 0, 0, true)
-	must.False(t, c.Observe(Node{Name: "n", Life: "other", Leaving: true}, 0, 1, true))
-	must.True(t, c.Observe(Node{Name: "n", Life: "l", Seq: 9, Leaving: true}, 0, 1, true))
-	must.Eq(t, 0, c.Known())
+func TestLeavingNodeIsRemovedImmediately(t *testing.T) {
+	r := NewRegistry()
+	r.Observe(testNode("n", "l", 1, "i"), 0, 0, true)
+	must.False(t, r.Observe(Node{Name: "n", Incarnation: "other", Leaving: true}, 0, 1, true))
+	must.True(t, r.Observe(Node{Name: "n", Incarnation: "l", Seq: 9, Leaving: true}, 0, 1, true))
+	must.Eq(t, 0, r.Len())
 }
--- a/internal/mesh/meshctl/bounds.go
+++ b/internal/mesh/meshctl/bounds.go
@@ -21,13 +21,13 @@
 	say := func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) }
 	say("%s in %s: settings read", b.Node, b.District)
 	n := 2*b.Tolerate.Machines + 1
-	s := consensus.State{Core: make([]consensus.Member, n), Tolerate: b.Tolerate.Machines}
+	s := consensus.State{Core: make([]consensus.Member, n), ToleratedLosses: b.Tolerate.Machines}
 	say("core: %d members bear the loss of %d disks; a change is synced on max(majority, Tolerate+1) = %d before it is acknowledged", n, b.Tolerate.Machines, s.Quorum())
 	say("repair: the place of a member that is gone is a spare's, and its disk holds the state, within ReplaceAfter + 2·turn + step timeout + 4·(sync + round trip) = %v + 4·(sync + round trip), of CatchUp %v: up to %v for a sync and a round trip", controller.RepairBound(0), b.Bounds.CatchUp, controller.LongestRepairStep(b.Bounds.CatchUp))
 	ask := proxy.WatchTimeout
 	say("news: a silent core process is left after %v; two in a row %v, of Config %v", ask, 2*ask, b.Bounds.Config)
 	say("closing: nothing passes to an upstream later than 3/4 of Drain = %v after its acknowledgement, of Drain %v", b.Bounds.Drain*3/4, b.Bounds.Drain)
-	say("duties: another process has them after %v of silence, and acts after %v more", time.Duration(consensus.DutyAfter), controller.GracePeriod)
+	say("duties: another process has them after %v of silence, and acts after %v more", time.Duration(consensus.DutyTimeout), controller.GracePeriod)
 	l := ratelimit.Limit{Rate: 100, Surge: 100, Window: int64(b.Bounds.QuotaWindow), Over: b.Bounds.QuotaOver, Slack: b.Bounds.QuotaSlack}
 	say("quota, for 100 a second and a surge of 100: R·W + Reserve = %.0f in %v, allowed (R·W + S)·(1 + over) + slack = %.0f", l.Rate*b.Bounds.QuotaWindow.Seconds()+l.Reserve(), b.Bounds.QuotaWindow, l.Bound())
 	n2 := burstcredit.Terms{Extra: 100}
--- a/internal/mesh/meshctl/configuration.go
+++ b/internal/mesh/meshctl/configuration.go
@@ -53,8 +53,8 @@
 	if err != nil {
 		return err
 	}
-	if t, err := routing.Load(text); err == nil && t.Ambiguous() != nil {
-		fmt.Fprintf(os.Stderr, "in force, and refused as the next change, since it means two things:\n%v\n", t.Ambiguous())
+	if t, err := routing.Load(text); err == nil && t.Ambiguities() != nil {
+		fmt.Fprintf(os.Stderr, "in force, and refused as the next change, since it means two things:\n%v\n", t.Ambiguities())
 	}
 	_, err = fmt.Fprintln(k.out, string(text))
 	return err
--- a/internal/mesh/meshctl/partners.go
+++ b/internal/mesh/meshctl/partners.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		return err
 	}
-	if q := s.State.Coordinator.At; q != "" && s.At != q { // who asks partners knows what was wrong with their words
+	if q := s.State.Coordinator.Address; q != "" && s.At != q { // who asks partners knows what was wrong with their words
 		if other, err := k.one(q); err == nil {
 			s = other
 		}
--- a/internal/mesh/meshctl/status.go
+++ b/internal/mesh/meshctl/status.go
@@ -78,7 +78,7 @@
 	k.seen(s)
 	return k.table("ADDRESS\tZONE\tDISK\tVOTES\tINDEX\tHEARD", func(w io.Writer) {
 		for _, m := range s.Core {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%d\t%s\n", m.At, m.Zone, m.ID, m.Votes, m.Index, ago(m.Quiet))
+			fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%d\t%s\n", m.Address, m.Zone, m.ID, m.Votes, m.Index, ago(m.Quiet))
 		}
 	})
 }
@@ -97,7 +97,7 @@
 			if n.Upstream != nil {
 				up = n.Upstream.ID
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", n.Name, n.District, n.Inbound, lease, ago(time.Duration(n.Age)), up)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", n.Name, n.Zone, n.Inbound, lease, ago(time.Duration(n.Age)), up)
 		}
 	})
 }
@@ -116,24 +116,24 @@
 		for _, n := range nests {
 			state := "accepting"
 			switch {
-			case n.Upstream.Closing:
+			case n.Upstream.Draining:
 				state = "closing"
-			case n.Upstream.Cold > 0:
-				state = "cold for " + time.Duration(n.Upstream.Cold).Round(time.Millisecond).String()
+			case n.Upstream.WarmupRemaining > 0:
+				state = "cold for " + time.Duration(n.Upstream.WarmupRemaining).Round(time.Millisecond).String()
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\n", n.Upstream.Service, n.Upstream.ID, n.Upstream.Edition, n.District, n.Name, n.Upstream.Capacity, state, ago(time.Duration(n.Age)))
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\n", n.Upstream.Service, n.Upstream.ID, n.Upstream.Version, n.Zone, n.Name, n.Upstream.Capacity, state, ago(time.Duration(n.Age)))
 		}
 	})
 }
 
 func (k *client) duties(s *controller.Status) error {
 	if k.json {
-		return k.raw(map[string]any{"Coordinator": s.State.Coordinator, "Epoch": s.State.Epoch, "Members": s.State.Members})
+		return k.raw(map[string]any{"Coordinator": s.State.Coordinator, "Epoch": s.State.Epoch, "Members": s.State.BalancerCount})
 	}
 	k.seen(s)
 	return k.table("DUTY\tDONE BY\tREIGN", func(w io.Writer) {
-		fmt.Fprintf(w, "bank of quotas\t%s\t%d\n", s.State.Coordinator.At, s.State.Epoch)
-		fmt.Fprintf(w, "core kept whole, census of %d balancers, settling\tfirst of the core in order\t\n", s.State.Members)
+		fmt.Fprintf(w, "bank of quotas\t%s\t%d\n", s.State.Coordinator.Address, s.State.Epoch)
+		fmt.Fprintf(w, "core kept whole, census of %d balancers, settling\tfirst of the core in order\t\n", s.State.BalancerCount)
 	})
 }
 
@@ -143,7 +143,7 @@
 	if err != nil {
 		return err
 	}
-	if q := s.State.Coordinator.At; q != "" && s.At != q {
+	if q := s.State.Coordinator.Address; q != "" && s.At != q {
 		if s, err = k.one(q); err != nil {
 			return Error.New("%s, which keeps the bank: %v", q, err)
 		}
@@ -173,7 +173,7 @@
 		if err != nil {
 			now["core"] = "nobody answers: " + err.Error()
 		} else {
-			now["core"], now["version"], now["coordinator"] = coreText(s.State), strconv.FormatInt(s.State.Edition, 10), s.State.Coordinator.At
+			now["core"], now["version"], now["coordinator"] = coreText(s.State), strconv.FormatInt(s.State.Edition, 10), s.State.Coordinator.Address
 			for _, n := range s.Nodes {
 				text := "lease holds"
 				if n.Lost {
@@ -181,7 +181,7 @@
 				}
 				if n.Upstream != nil {
 					text += ", " + n.Upstream.ID
-					if n.Upstream.Closing {
+					if n.Upstream.Draining {
 						text += " closing"
 					}
 				}
@@ -214,7 +214,7 @@
 func coreText(s *consensus.State) string {
 	var all []string
 	for _, m := range s.Core {
-		all = append(all, m.At)
+		all = append(all, m.Address)
 	}
 	return strings.Join(all, " ")
 }
--- a/internal/mesh/priority/priority.go
+++ b/internal/mesh/priority/priority.go
@@ -19,11 +19,11 @@
 // one wastes the work of its parent.
 type Rank struct{ Tenant, Route int }
 
-// Lowest is the rank of a request of which nothing is known.
-var Lowest = Rank{math.MaxInt32, math.MaxInt32}
+// LowestRank is the rank of a request of which nothing is known.
+var LowestRank = Rank{math.MaxInt32, math.MaxInt32}
 
-// Of makes a rank; what is below 0 or beyond what a rank can say counts as the nearest that it can.
-func Of(tenant, route int) Rank {
+// NewRank makes a rank; what is below 0 or beyond what a rank can say counts as the nearest that it can.
+func NewRank(tenant, route int) Rank {
 	return Rank{min(max(tenant, 0), math.MaxInt32), min(max(route, 0), math.MaxInt32)}
 }
 
@@ -41,10 +41,10 @@
 // Parse reads what String wrote.
 func Parse(text string) (Rank, error) {
 	tenant, route, found := strings.Cut(text, ".")
-	t, tenantErr := strconv.ParseUint(tenant, 10, 31)
-	r, routeErr := strconv.ParseUint(route, 10, 31)
+	tenantPart, tenantErr := strconv.ParseUint(tenant, 10, 31)
+	routePart, routeErr := strconv.ParseUint(route, 10, 31)
 	if !found || tenantErr != nil || routeErr != nil {
 		return Rank{}, Error.New("%.40q is no rank", text)
 	}
-	return Rank{int(t), int(r)}, nil
+	return Rank{int(tenantPart), int(routePart)}, nil
 }
--- a/internal/mesh/priority/queue.go
+++ b/internal/mesh/priority/queue.go
@@ -27,50 +27,50 @@
 // Len is how many wait.
 func (q *Queue[T]) Len() int { return len(q.waiting) }
 
-// Join lets a request wait, unless so many stand before it that there is no room for it. A rank that is owed its share may always
+// Enqueue lets a request wait, unless so many stand before it that there is no room for it. A rank that is owed its share may always
 // have one request waiting.
-func (q *Queue[T]) Join(w *Waiter[T], room int, now int64) bool {
-	at, _ := slices.BinarySearchFunc(q.waiting, w, func(a, b *Waiter[T]) int {
+func (q *Queue[T]) Enqueue(w *Waiter[T], capacity int, now int64) bool {
+	position, _ := slices.BinarySearchFunc(q.waiting, w, func(a, b *Waiter[T]) int {
 		if order := a.compare(b); order != 0 {
 			return order
 		}
 		return -1 // behind those that are alike
 	})
-	if at >= room && (q.waits(w.Rank) || !q.Shares.Owed(w.Rank, now)) {
+	if position >= capacity && (q.hasRank(w.Rank) || !q.Shares.Underserved(w.Rank, now)) {
 		return false
 	}
-	q.waiting = slices.Insert(q.waiting, at, w)
+	q.waiting = slices.Insert(q.waiting, position, w)
 	return true
 }
 
-// Next takes the request whose turn it is out of the queue, nil if none waits. Who takes it tells Shares if it is served.
-func (q *Queue[T]) Next(now int64) *Waiter[T] {
+// Dequeue takes the request whose turn it is out of the queue, nil if none waits. Who takes it tells Shares if it is served.
+func (q *Queue[T]) Dequeue(now int64) *Waiter[T] {
 	if len(q.waiting) == 0 {
 		return nil
 	}
-	at := 0
+	position := 0
 	for n := len(q.waiting) - 1; n > 0; n-- {
-		first := q.waiting[n-1].Rank != q.waiting[n].Rank
-		if first && q.Shares.Owed(q.waiting[n].Rank, now) {
-			at = n
+		firstOfRank := q.waiting[n-1].Rank != q.waiting[n].Rank
+		if firstOfRank && q.Shares.Underserved(q.waiting[n].Rank, now) {
+			position = n
 			break
 		}
 	}
-	next := q.waiting[at]
-	q.waiting = slices.Delete(q.waiting, at, at+1)
+	next := q.waiting[position]
+	q.waiting = slices.Delete(q.waiting, position, position+1)
 	return next
 }
 
 // Remove takes a request that waits no longer out of the queue, and reports whether it was there.
 func (q *Queue[T]) Remove(w *Waiter[T]) bool {
-	at := slices.Index(q.waiting, w)
-	if at < 0 {
+	position := slices.Index(q.waiting, w)
+	if position < 0 {
 		return false
 	}
-	q.waiting = slices.Delete(q.waiting, at, at+1)
+	q.waiting = slices.Delete(q.waiting, position, position+1)
 	return true
 }
 
-func (q *Queue[T]) waits(rank Rank) bool {
+func (q *Queue[T]) hasRank(rank Rank) bool {
 	return slices.ContainsFunc(q.waiting, func(w *Waiter[T]) bool { return w.Rank == rank })
 }
--- a/internal/mesh/proxy/admission.go
+++ b/internal/mesh/proxy/admission.go
@@ -26,16 +26,16 @@
 	}
 	at := u.sinceStart(now)
 	if !s.again {
-		u.queue.Shares.Came(s.rank, at)
+		u.queue.Shares.CountArrival(s.rank, at)
 	}
 	if u.id == "" || u.up.Capacity <= 0 || u.open < u.slots() {
 		u.open++
-		u.queue.Shares.Served(s.rank, at)
+		u.queue.Shares.CountServed(s.rank, at)
 		u.mu.Unlock()
 		return address, apierror.None
 	}
 	waiting := &priority.Waiter[waitingRequest]{Rank: s.rank, Due: at + int64(s.aim), Request: waitingRequest{s.to, make(chan bool, 1)}}
-	joined := u.queue.Join(waiting, queuePerSlot*u.up.Capacity, at)
+	joined := u.queue.Enqueue(waiting, queuePerSlot*u.up.Capacity, at)
 	u.mu.Unlock()
 	if joined && u.wait(ctx, s, waiting) {
 		return address, apierror.None
@@ -82,14 +82,14 @@
 	u.open = max(0, u.open-1)
 	now := time.Now()
 	for u.open < u.slots() {
-		next := u.queue.Next(u.sinceStart(now))
+		next := u.queue.Dequeue(u.sinceStart(now))
 		if next == nil {
 			return
 		}
 		_, kind := u.addressOf(next.Request.id, now)
 		if next.Request.granted <- kind == apierror.None; kind == apierror.None {
 			u.open++
-			u.queue.Shares.Served(next.Rank, u.sinceStart(now))
+			u.queue.Shares.CountServed(next.Rank, u.sinceStart(now))
 		}
 	}
 }
--- a/internal/mesh/proxy/burst_credit.go
+++ b/internal/mesh/proxy/burst_credit.go
@@ -31,7 +31,7 @@
 func (p *Proxy) creditTerms(t *routing.Configuration) {
 	services := map[string]float64{}
 	for _, d := range t.Services {
-		services[d.Name] = d.BurstCreditPerSecond
+		services[d.Name] = d.MaxBurstCreditPerSecond
 	}
 	p.credit.Lock()
 	defer p.credit.Unlock()
@@ -42,8 +42,8 @@
 // claim is what a request beyond its tenant's rate would draw for, and under which name: the client's key for it where it has
 // one; else an effect is its own, and pages and downloads of one tenant are one for as long as settled names are known.
 func (p *Proxy) claim(r *http.Request, rule *routing.Route, tenant *routing.Tenant) burstcredit.Claim {
-	k := burstcredit.Claim{Tenant: tenant.Name, Service: rule.Parts[0].Service, Effect: !rule.MailClass.Repeats(),
-		Rank: tenant.Precedence*1000 + rule.Precedence}
+	k := burstcredit.Claim{Tenant: tenant.Name, Service: rule.Services[0].Service, Effect: !rule.Class.IsRepeatable(),
+		Rank: tenant.Priority*1000 + rule.Priority}
 	if host, _, err := net.SplitHostPort(r.RemoteAddr); err == nil {
 		k.Client = host != settings.Host(p.settings.App) // the upstream on this machine calls from its own address
 	}
--- a/internal/mesh/proxy/configuration.go
+++ b/internal/mesh/proxy/configuration.go
@@ -197,7 +197,7 @@
 	held := p.heldConfiguration()
 	request := &membership.ConfigurationRequest{}
 	if held != nil {
-		request.Held = held.Digest()
+		request.HeldDigest = held.Digest()
 	}
 	var first, last *membership.ConfigurationResponse
 	var data []byte
@@ -206,7 +206,7 @@
 		if err := p.caller.CallPatiently(ctx, rpc.Patience{Silence: fetchSilence}, at, rpc.PathConfiguration, request, last); err != nil {
 			return err
 		}
-		if last.Packed.Result == request.Held {
+		if last.Packed.Result == request.HeldDigest {
 			return nil // there is nothing newer there
 		}
 		if last.Offset == 0 { // of the newest: what had begun is not kept there any more
--- a/internal/mesh/proxy/configuration_test.go
+++ b/internal/mesh/proxy/configuration_test.go
@@ -152,7 +152,7 @@
 				return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(bytes.NewReader(raw)), Request: r}, err
 			})
 		}))
-		p.controllers = []membership.ControllerAddress{{At: "breaks", Zone: "z"}, {At: "cut-off", Zone: "y"}, {At: "sound", Zone: "y"}}
+		p.controllers = []membership.ControllerAddress{{Address: "breaks", Zone: "z"}, {Address: "cut-off", Zone: "y"}, {Address: "sound", Zone: "y"}}
 		return p
 	}
 	p := newProxy(false)
@@ -177,7 +177,7 @@
 	must.True(t, spoilt.unpackable.Load())
 	must.Eq(t, "", spoilt.wanted())
 	request, _ := spoilt.watchRequest()
-	must.False(t, request.Packed)
+	must.False(t, request.AcceptsPacked)
 	must.Eq(t, 0, request.Position.Index) // it is told again
 	plain := &membership.WatchResponse{Current: true, Position: membership.Position{Index: 9, Edition: 3}, Configuration: of.Document()}
 	must.NoError(t, spoilt.applyConfiguration(plain))
--- a/internal/mesh/proxy/inbound.go
+++ b/internal/mesh/proxy/inbound.go
@@ -18,7 +18,7 @@
 // serveInbound is the second hop: a request from another balancer, for the upstream on this machine.
 func (p *Proxy) serveInbound(w http.ResponseWriter, r *http.Request) {
 	if r.Header.Get(meshHeader) == meshWell {
-		if up, _, _ := p.local.snapshot(); up != nil && !up.Closing && up.ID == r.Header.Get(addressee) {
+		if up, _, _ := p.local.snapshot(); up != nil && !up.Draining && up.ID == r.Header.Get(addressee) {
 			w.WriteHeader(http.StatusOK)
 		} else {
 			apierror.Write(w, apierror.NotHere, 0, "")
--- a/internal/mesh/proxy/known_nodes.go
+++ b/internal/mesh/proxy/known_nodes.go
@@ -30,7 +30,7 @@
 	switch {
 	case n.Starting || !wasCurrent:
 		p.late = lateList{}
-	case n.Whole:
+	case n.Complete:
 		p.late = lateList{n.Controller, map[string]bool{}}
 		p.late.add(n)
 	case p.late.controller == n.Controller:
@@ -44,7 +44,7 @@
 	for _, t := range n.Nodes {
 		l.names[t.Name] = true
 	}
-	for _, name := range n.Gone {
+	for _, name := range n.RemovedNodes {
 		delete(l.names, name)
 	}
 }
@@ -53,7 +53,7 @@
 func (p *Proxy) confirmLate(n *membership.WatchResponse) (confirmed bool) {
 	late := p.late
 	p.late = lateList{}
-	if n.Whole || n.Starting || late.controller == "" || late.controller != n.Controller {
+	if n.Complete || n.Starting || late.controller == "" || late.controller != n.Controller {
 		return false
 	}
 	late.add(n)
@@ -67,7 +67,7 @@
 
 // replaceNodes takes the nodes of a controller that is current. Under mu.
 func (p *Proxy) replaceNodes(n *membership.WatchResponse, asked int64) (changed bool) {
-	if n.Whole {
+	if n.Complete {
 		told := map[string]bool{}
 		for _, t := range n.Nodes {
 			told[t.Name] = true
@@ -81,18 +81,18 @@
 	for _, t := range n.Nodes {
 		p.putNode(t, asked)
 	}
-	for _, node := range n.Gone {
+	for _, node := range n.RemovedNodes {
 		delete(p.nodes, node)
 	}
 	p.position.Controller, p.position.Seq = n.Controller, n.Seq
 	confirmed := p.confirmLate(n)
-	if n.Whole || confirmed {
+	if n.Complete || confirmed {
 		p.overlaid = n.Starting
 	}
 	if p.overlaid && !n.Starting {
 		p.position.Controller = "" // all of them, next time: changes alone take nothing away that this controller never knew
 	}
-	return len(n.Nodes)+len(n.Gone) > 0 || n.Whole || confirmed
+	return len(n.Nodes)+len(n.RemovedNodes) > 0 || n.Complete || confirmed
 }
 
 // overlayNodes takes what a controller that is not current has heard of later than this process. Under mu.
@@ -115,7 +115,7 @@
 
 // precedes reports whether a record, of something heard of at a time, is later than what is known.
 func (n *knownNode) precedes(t membership.Record, heard int64) bool {
-	if t.Life == n.Life {
+	if t.Incarnation == n.Incarnation {
 		return t.Seq > n.Seq
 	}
 	return heard > n.heard
@@ -125,7 +125,7 @@
 func (p *Proxy) putNode(t membership.Record, asked int64) {
 	known := &knownNode{Record: t, heard: asked - t.Age}
 	if t.Upstream != nil {
-		known.warm = time.Now().Add(time.Duration(t.Upstream.Cold))
+		known.warm = time.Now().Add(time.Duration(t.Upstream.WarmupRemaining))
 	}
 	p.nodes[t.Name] = known
 }
@@ -133,7 +133,7 @@
 // addControllers keeps those that are known. Under mu.
 func (p *Proxy) addControllers(told []membership.ControllerAddress) {
 	for _, c := range told {
-		if !slices.ContainsFunc(p.controllers, func(known membership.ControllerAddress) bool { return known.At == c.At }) {
+		if !slices.ContainsFunc(p.controllers, func(known membership.ControllerAddress) bool { return known.Address == c.Address }) {
 			p.controllers = append(p.controllers, c)
 		}
 	}
@@ -141,7 +141,7 @@
 
 // setMembers takes how many balancers share what all may spend; fewer only from who is current. Under mu.
 func (p *Proxy) setMembers(n *membership.WatchResponse) {
-	members := max(n.Members, len(p.nodes), 1)
+	members := max(n.BalancerCount, len(p.nodes), 1)
 	if !n.Current {
 		members = max(members, p.members)
 	}
--- a/internal/mesh/proxy/local_upstream.go
+++ b/internal/mesh/proxy/local_upstream.go
@@ -50,23 +50,23 @@
 	}
 	cold, _ := settings.Span(c.Status.Cold_time)
 	up := membership.Upstream{
-		ID: id, Service: c.Notice.Destination, Edition: c.Notice.Edition, Capacity: c.Notice.Capacity,
-		Closing: c.Status.Condition == "closing", Cold: int64(cold),
+		ID: id, Service: c.Notice.Destination, Version: c.Notice.Edition, Capacity: c.Notice.Capacity,
+		Draining: c.Status.Condition == "closing", WarmupRemaining: int64(cold),
 	}
 	first := id != u.id
 	if first {
 		u.end()
 		u.id, u.closing, u.open, u.detector = id, time.Time{}, 0, outlier.Detector{}
 	}
-	up.Ill = u.detector.Level()
-	if up.Closing && u.closing.IsZero() {
+	up.OutlierLevel = u.detector.Level()
+	if up.Draining && u.closing.IsZero() {
 		u.closing = now
 		if first { // Invariant: the process before this one may have acknowledged it, and Drain counts from then
 			u.closing = now.Add(-u.drain)
 		}
 	}
 	same := up
-	same.Cold = u.up.Cold
+	same.WarmupRemaining = u.up.WarmupRemaining
 	news := same != u.up || u.dead
 	u.up, u.revision, u.lastHeartbeat, u.dead, u.unanswered = up, c.Status.PostmarkNo, now, false, 0
 	if c.Address != "" {
@@ -109,8 +109,8 @@
 
 // reportLevel has others told of a level that has changed. Under mu.
 func (u *localUpstream) reportLevel(changed bool) {
-	if changed && u.up.Ill != u.detector.Level() {
-		u.up.Ill = u.detector.Level()
+	if changed && u.up.OutlierLevel != u.detector.Level() {
+		u.up.OutlierLevel = u.detector.Level()
 		u.notify()
 	}
 }
@@ -171,8 +171,8 @@
 		return nil, u.seq, u.changed
 	}
 	copied := u.up
-	if past := int64(time.Since(u.lastHeartbeat)); copied.Cold > 0 {
-		copied.Cold = max(0, copied.Cold-past)
+	if past := int64(time.Since(u.lastHeartbeat)); copied.WarmupRemaining > 0 {
+		copied.WarmupRemaining = max(0, copied.WarmupRemaining-past)
 	}
 	return &copied, u.seq, u.changed
 }
--- a/internal/mesh/proxy/outbound.go
+++ b/internal/mesh/proxy/outbound.go
@@ -80,8 +80,8 @@
 	}
 	q := &request{
 		method: r.Method, target: r.RequestURI, host: r.Host, id: r.Header.Get(attemptID), header: onward(r.Header), length: r.ContentLength,
-		aim: time.Duration(cmp.Or(route.Target, route.Dispatch.Deadline)), long: route.MailClass == routing.Streamed,
-		tries: route.Dispatch.DeliveryTries, replies: map[int]*reply{},
+		aim: time.Duration(cmp.Or(route.TargetLatency, route.Forwarding.Deadline)), long: route.Class == routing.Streamed,
+		tries: route.Forwarding.MaxAttempts, replies: map[int]*reply{},
 	}
 	for _, name := range setByTheHub {
 		delete(q.header, name)
@@ -116,7 +116,7 @@
 // whoever asks is a tenant of ours.
 func (p *Proxy) authorize(v *configurationView, r *http.Request, route *routing.Route, q *request) refusal {
 	q.rank = rankOf(route, nil)
-	if !v.table.RequiresKeys() || route.Unstamped {
+	if !v.table.RequiresKeys() || route.AllowsAnonymous {
 		return goesOn
 	}
 	owner := v.table.Tenant(r.Header.Get(keyName))
@@ -145,7 +145,7 @@
 
 // readTimeAndBody reads how long a request may take, and its body as far as it is held.
 func (p *Proxy) readTimeAndBody(v *configurationView, r *http.Request, route *routing.Route, q *request) refusal {
-	left := time.Duration(route.Dispatch.Deadline)
+	left := time.Duration(route.Forwarding.Deadline)
 	if text := r.Header.Get(timeLeft); text != "" {
 		ms, err := strconv.ParseFloat(text, 64)
 		if err != nil || !(ms >= 0) {
@@ -153,7 +153,7 @@
 		}
 		left = min(left, time.Duration(min(ms, 1e9)*float64(time.Millisecond)))
 	}
-	most := v.table.Limits.ContentsBytes
+	most := v.table.Limits.MaxBodyBytes
 	if most > 0 && r.ContentLength > most {
 		return refused(apierror.TooLong)
 	}
--- a/internal/mesh/proxy/pace.go
+++ b/internal/mesh/proxy/pace.go
@@ -72,7 +72,7 @@
 	}
 	now := p.sinceStart(time.Now())
 	if !u.again {
-		p.queue.Shares.Came(u.rank, now)
+		p.queue.Shares.CountArrival(u.rank, now)
 	}
 	ahead := 0
 	for other, n := range p.asked {
@@ -81,10 +81,10 @@
 		}
 	}
 	late := float64(ahead)*p.mean/p.rate > u.aim.Seconds()/2
-	if late && (p.asked[u.rank] > 0 || !p.queue.Shares.Owed(u.rank, now)) {
+	if late && (p.asked[u.rank] > 0 || !p.queue.Shares.Underserved(u.rank, now)) {
 		return false
 	}
-	p.queue.Shares.Served(u.rank, now)
+	p.queue.Shares.CountServed(u.rank, now)
 	p.asked[u.rank]++
 	return true
 }
@@ -111,7 +111,7 @@
 	}
 	now := p.sinceStart(time.Now())
 	waiting := &priority.Waiter[chan struct{}]{Rank: rank, Due: now, Request: make(chan struct{})}
-	p.queue.Join(waiting, math.MaxInt, now)
+	p.queue.Enqueue(waiting, math.MaxInt, now)
 	p.mu.Unlock()
 	select {
 	case <-waiting.Request:
@@ -130,7 +130,7 @@
 func (p *pacer) give() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if next := p.queue.Next(p.sinceStart(time.Now())); next != nil {
+	if next := p.queue.Dequeue(p.sinceStart(time.Now())); next != nil {
 		close(next.Request)
 		return
 	}
--- a/internal/mesh/proxy/partner.go
+++ b/internal/mesh/proxy/partner.go
@@ -56,16 +56,16 @@
 			return
 		}
 		if book.No >= d.book.No {
-			d.book, d.ages, d.heard = book, n.Ages, asked
+			d.book, d.ages, d.heard = book, n.PartnerAges, asked
 			p.partners()
 			p.log.Info("partners", "no", book.No)
 		}
 	}
-	for partner, age := range n.Ages {
+	for partner, age := range n.PartnerAges {
 		d.is.Fresher(partner, age, asked)
 	}
-	if n.Calm {
-		d.is.Renew(n.ImportsNo, asked)
+	if n.ImportsCurrent {
+		d.is.Renew(n.ImportsVersion, asked)
 	}
 }
 
@@ -79,7 +79,7 @@
 	var all []federation.Partner
 	d.gateways, d.terms = map[string]string{}, map[string]*routing.Partner{}
 	for _, partner := range v.table.Partners {
-		all = append(all, federation.Partner{Name: partner.Name, Gateway: partner.Gateway, ReadsStale: partner.ReadsStale})
+		all = append(all, federation.Partner{Name: partner.Name, Gateway: partner.Gateway, ReadsStale: partner.AllowStaleReads})
 		d.gateways[partner.Name], d.terms[partner.Name] = partner.Gateway, partner
 	}
 	d.on = len(all) > 0
@@ -120,17 +120,17 @@
 	if federation.Reads(r.Method) {
 		class = routing.Repeatable
 	}
-	rule = &routing.Route{Name: string(class), MailClass: class, Target: of.Target}
-	rule.Parts = []routing.WeightedService{{Service: "partners", Share: 1}}
-	rule.Dispatch.Deadline, rule.Dispatch.DeliveryTries = of.Deadline, max(of.Tries, 1)
+	rule = &routing.Route{Name: string(class), Class: class, TargetLatency: of.TargetLatency}
+	rule.Services = []routing.WeightedService{{Service: "partners", Weight: 1}}
+	rule.Forwarding.Deadline, rule.Forwarding.MaxAttempts = of.Deadline, max(of.MaxAttempts, 1)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	name := "partners:" + strings.Join(names, ",")
 	service := p.pools[name]
 	if service == nil {
 		reads, effects := *rule, *rule
-		reads.Name, reads.MailClass = string(routing.Repeatable), routing.Repeatable
-		effects.Name, effects.MailClass = string(routing.OnceOnly), routing.OnceOnly
+		reads.Name, reads.Class = string(routing.Repeatable), routing.Repeatable
+		effects.Name, effects.Class = string(routing.OnceOnly), routing.OnceOnly
 		rules := []*routing.Route{&reads, &effects}
 		if err := p.retune(name, rules); err != nil {
 			p.log.Error("retune", "service", name, "err", err)
@@ -167,7 +167,7 @@
 	type gatewayAddress struct{ node, zone, address string }
 	var gateways []gatewayAddress
 	for _, n := range nodes[:min(len(nodes), gateMost)] {
-		gateways = append(gateways, gatewayAddress{n.Name, n.District, n.Inbound})
+		gateways = append(gateways, gatewayAddress{n.Name, n.Zone, n.Inbound})
 	}
 	if len(gateways) == 0 {
 		gateways = append(gateways, gatewayAddress{p.settings.Node, p.settings.District, p.settings.Inbound})
--- a/internal/mesh/proxy/pools.go
+++ b/internal/mesh/proxy/pools.go
@@ -68,7 +68,7 @@
 }
 
 func tariffKeyOf(r *routing.Route) tariffKey {
-	return tariffKey{r.MailClass.Repeats(), time.Duration(cmp.Or(r.Target, r.Dispatch.Deadline)), time.Duration(r.Dispatch.Deadline)}
+	return tariffKey{r.Class.IsRepeatable(), time.Duration(cmp.Or(r.TargetLatency, r.Forwarding.Deadline)), time.Duration(r.Forwarding.Deadline)}
 }
 
 // name is the tariff's in counts.
@@ -82,7 +82,7 @@
 	if !known {
 		return target{}, false
 	}
-	tries := r.Dispatch.DeliveryTries
+	tries := r.Forwarding.MaxAttempts
 	under := p.under[tries]
 	if under == nil {
 		copied := *p.book.Terms
@@ -149,10 +149,10 @@
 	b = &terms.Book{Terms: t, Tariffs: map[string]int{}, Customers: map[string]int{}, Default: -1}
 	seen := map[tariffKey]bool{}
 	for _, r := range routes {
-		if r.MailClass == routing.Streamed {
+		if r.Class == routing.Streamed {
 			t.CrossZonePrice = longCrossing
 		}
-		t.MaxPushes = max(t.MaxPushes, r.Dispatch.DeliveryTries)
+		t.MaxPushes = max(t.MaxPushes, r.Forwarding.MaxAttempts)
 		key := tariffKeyOf(r)
 		if seen[key] {
 			continue
@@ -224,12 +224,12 @@
 func entries(all []*knownNode, now time.Time) (list []roster.Entry[string]) {
 	levels, slots := make([]int, len(all)), make([]float64, len(all))
 	for k, n := range all {
-		levels[k], slots[k] = n.Upstream.Ill, float64(max(n.Upstream.Capacity, 1))
+		levels[k], slots[k] = n.Upstream.OutlierLevel, float64(max(n.Upstream.Capacity, 1))
 	}
 	for k, share := range outlier.Shares(levels, slots) {
 		n := all[k]
 		list = append(list, roster.Entry[string]{
-			Name: n.Upstream.ID, Zone: n.District, Address: n.Inbound, Ends: n.Upstream.Closing || n.Leaving,
+			Name: n.Upstream.ID, Zone: n.Zone, Address: n.Inbound, Ends: n.Upstream.Draining || n.Leaving,
 			Up: logic.Upstream{Number: roster.Number(n.Upstream.ID), Weight: n.weight(now) * share},
 		})
 	}
--- a/internal/mesh/proxy/proxy_test.go
+++ b/internal/mesh/proxy/proxy_test.go
@@ -94,16 +94,16 @@
 		b.observe("i1", true, now) // of a life that has ended
 	}
 	up, _, changed = b.snapshot()
-	must.Eq(t, 0, up.Ill)
+	must.Eq(t, 0, up.OutlierLevel)
 	for n := range 6 {
 		b.observe("i2", true, now.Add(time.Duration(n)*time.Millisecond))
 	}
 	<-changed
 	up, _, _ = b.snapshot()
-	must.Eq(t, 3, up.Ill)
+	must.Eq(t, 3, up.OutlierLevel)
 	b.heartbeat("i2", beat(4, 6, "accepting"), now) // its own word changes nothing of that
 	up, _, _ = b.snapshot()
-	must.Eq(t, 3, up.Ill)
+	must.Eq(t, 3, up.OutlierLevel)
 }
 
 // An answer in chunks says nothing of its length; only one that is long takes the line's turns.
@@ -222,7 +222,7 @@
 	must.NoError(t, err)
 	f := &Proxy{}
 	f.view.Store(&configurationView{table: table})
-	told := urgency{300 * time.Millisecond, priority.Of(1, 0), false}.encode()
+	told := urgency{300 * time.Millisecond, priority.NewRank(1, 0), false}.encode()
 	must.Eq(t, "300", told[0]) // all that the version before reads
 	for _, c := range []struct {
 		values []string
@@ -230,13 +230,13 @@
 		tenant string
 		want   urgency
 	}{
-		{told, "/r/x", "t", urgency{300 * time.Millisecond, priority.Of(1, 0), false}},
-		{told[:1], "/r/x?y", "t", urgency{300 * time.Millisecond, priority.Of(3, 2), false}}, // of the version before: by what is known here
-		{told[:1], "/r/x", "", urgency{300 * time.Millisecond, priority.Of(0, 2), false}},
-		{urgency{300 * time.Millisecond, priority.Of(1, 0), true}.encode(), "/r/x", "t", urgency{300 * time.Millisecond, priority.Of(1, 0), true}},
-		{told[:1], "/other/", "t", urgency{300 * time.Millisecond, priority.Lowest, false}},
-		{[]string{"1e9", "priority=no"}, "/other/", "", urgency{aimUnsaid, priority.Lowest, false}},
-		{nil, "/other/", "", urgency{aimUnsaid, priority.Lowest, false}},
+		{told, "/r/x", "t", urgency{300 * time.Millisecond, priority.NewRank(1, 0), false}},
+		{told[:1], "/r/x?y", "t", urgency{300 * time.Millisecond, priority.NewRank(3, 2), false}}, // of the version before: by what is known here
+		{told[:1], "/r/x", "", urgency{300 * time.Millisecond, priority.NewRank(0, 2), false}},
+		{urgency{300 * time.Millisecond, priority.NewRank(1, 0), true}.encode(), "/r/x", "t", urgency{300 * time.Millisecond, priority.NewRank(1, 0), true}},
+		{told[:1], "/other/", "t", urgency{300 * time.Millisecond, priority.LowestRank, false}},
+		{[]string{"1e9", "priority=no"}, "/other/", "", urgency{aimUnsaid, priority.LowestRank, false}},
+		{nil, "/other/", "", urgency{aimUnsaid, priority.LowestRank, false}},
 	} {
 		r := httptest.NewRequest("GET", "http://a"+c.path, nil)
 		r.RequestURI, r.Host = c.path, "a"
@@ -266,8 +266,8 @@
 			p.mu.Unlock()
 		}
 	}
-	wait("usual", priority.Of(0, 2), 0)
-	wait("urgent", priority.Of(0, 0), 1)
+	wait("usual", priority.NewRank(0, 2), 0)
+	wait("urgent", priority.NewRank(0, 0), 1)
 	p.give()
 	must.Eq(t, "urgent", <-order)
 	p.give()
--- a/internal/mesh/proxy/urgency.go
+++ b/internal/mesh/proxy/urgency.go
@@ -62,11 +62,11 @@
 func (p *Proxy) configuredRank(r *http.Request) priority.Rank {
 	v := p.view.Load()
 	if v == nil {
-		return priority.Lowest
+		return priority.LowestRank
 	}
 	route := v.table.Find(r.Host, pathOf(r.RequestURI))
 	if route == nil {
-		return priority.Lowest
+		return priority.LowestRank
 	}
 	return rankOf(route, v.table.TenantByName(r.Header.Get(senderName)))
 }
@@ -74,7 +74,7 @@
 // rankOf is the rank of a request on a route, for a tenant or, with nil, for nobody's account.
 func rankOf(route *routing.Route, tenant *routing.Tenant) priority.Rank {
 	if tenant == nil {
-		return priority.Of(0, route.Precedence)
+		return priority.NewRank(0, route.Priority)
 	}
-	return priority.Of(tenant.Precedence, route.Precedence)
+	return priority.NewRank(tenant.Priority, route.Priority)
 }
--- a/internal/mesh/proxy/view.go
+++ b/internal/mesh/proxy/view.go
@@ -56,8 +56,8 @@
 	}
 	byService := map[string][]*routing.Route{}
 	for _, r := range t.Routes {
-		for at, part := range r.Parts {
-			if !namedBefore(r.Parts[:at], part.Service) {
+		for at, part := range r.Services {
+			if !namedBefore(r.Services[:at], part.Service) {
 				byService[part.Service] = append(byService[part.Service], r)
 			}
 		}
@@ -100,14 +100,14 @@
 
 // viewOf is the view of a version, by the modules as they stand. Under mu.
 func (p *Proxy) viewOf(index uint64, t *routing.Configuration) *configurationView {
-	v := &configurationView{index: index, table: t, idle: time.Duration(t.Limits.Idle), targets: make(map[*routing.Route][]target, len(t.Routes))}
+	v := &configurationView{index: index, table: t, idle: time.Duration(t.Limits.IdleTimeout), targets: make(map[*routing.Route][]target, len(t.Routes))}
 	for _, r := range t.Routes {
-		for _, part := range r.Parts {
+		for _, part := range r.Services {
 			service := p.pools[part.Service]
 			if service == nil {
 				continue
 			}
-			if to, known := service.target(r, part.Share); known {
+			if to, known := service.target(r, part.Weight); known {
 				v.targets[r] = append(v.targets[r], to)
 			}
 		}
--- a/internal/mesh/proxy/watch.go
+++ b/internal/mesh/proxy/watch.go
@@ -100,7 +100,7 @@
 	late := p.now()-asked > int64(WatchTimeout) && !p.withoutResponseAge
 	wasCurrent := response.Current
 	if late { // what the controller vouched for may be long over, but what it knows may still be news
-		response.Current, response.Calm = false, false
+		response.Current, response.ImportsCurrent = false, false
 	}
 	err = p.applyWatchResponse(response, asked)
 	p.fetchFrom(at, response)
@@ -123,13 +123,13 @@
 // watchRequest is what a controller is told and asked, and a channel that ends when there is more to tell.
 func (p *Proxy) watchRequest() (request *membership.WatchRequest, changed <-chan struct{}) {
 	p.mu.Lock()
-	request = &membership.WatchRequest{Position: p.position, MaxWait: int64(watchWait), Packed: !p.unpackable.Load()}
+	request = &membership.WatchRequest{Position: p.position, MaxWait: int64(watchWait), AcceptsPacked: !p.unpackable.Load()}
 	p.mu.Unlock()
 	p.exports.Lock()
-	request.Position.Imports = p.exports.book.No
+	request.Position.KnownImports = p.exports.book.No
 	p.exports.Unlock()
 	upstream, seq, changed := p.local.snapshot()
-	request.Node = membership.Node{Name: p.settings.Node, Inbound: p.settings.Inbound, District: p.settings.District, Life: p.life, Seq: seq,
+	request.Node = membership.Node{Name: p.settings.Node, Inbound: p.settings.Inbound, Zone: p.settings.District, Incarnation: p.life, Seq: seq,
 		Upstream: upstream, Leaving: p.leaving.Load()}
 	if request.Node.Leaving {
 		request.Node.Seq += 1 << 32
@@ -154,12 +154,12 @@
 	}
 	for _, c := range p.controllers {
 		if c.Zone == p.settings.District {
-			add(c.At)
+			add(c.Address)
 		}
 	}
 	local := len(all)
 	for _, c := range p.controllers {
-		add(c.At)
+		add(c.Address)
 	}
 	for _, at := range p.seeds {
 		add(at)
--- a/internal/mesh/proxy/watch_test.go
+++ b/internal/mesh/proxy/watch_test.go
@@ -42,7 +42,7 @@
 }
 
 func record(name, life string, seq uint64, age time.Duration) membership.Record {
-	return membership.Record{Node: membership.Node{Name: name, Life: life, Seq: seq}, Age: int64(age)}
+	return membership.Record{Node: membership.Node{Name: name, Incarnation: life, Seq: seq}, Age: int64(age)}
 }
 
 // A proxy that stands still between its question and the answer finds both the answer and the end of its patience when it goes on.
@@ -63,7 +63,7 @@
 // A controller that is cut off knows of nobody but itself and who asks it. That takes nothing away.
 func TestAControllerThatIsNotCurrentTakesNothingAway(t *testing.T) {
 	whole := func(controller string, current bool, at []membership.ControllerAddress, nodes ...membership.Record) *membership.WatchResponse {
-		return &membership.WatchResponse{Position: membership.Position{Controller: controller, Seq: 9}, Current: current, Members: len(nodes), Whole: true,
+		return &membership.WatchResponse{Position: membership.Position{Controller: controller, Seq: 9}, Current: current, BalancerCount: len(nodes), Complete: true,
 			Controllers: at, Nodes: nodes}
 	}
 	for _, without := range []bool{false, true} {
@@ -72,29 +72,29 @@
 		take := func(n *membership.WatchResponse) {
 			must.NoError(t, p.applyWatchResponse(n, p.now()))
 		}
-		take(whole("sound", true, []membership.ControllerAddress{{At: "sound"}, {At: "other"}},
+		take(whole("sound", true, []membership.ControllerAddress{{Address: "sound"}, {Address: "other"}},
 			record("a", "a2", 1, time.Second), record("b", "b1", 4, time.Second), record("c", "c1", 1, time.Second)))
 		lost := record("b", "b1", 4, 15*time.Second)
 		lost.Lost = true
-		take(whole("cut off", false, []membership.ControllerAddress{{At: "cut off"}},
+		take(whole("cut off", false, []membership.ControllerAddress{{Address: "cut off"}},
 			record("a", "a1", 8, 18*time.Second), lost, record("c", "c1", 2, time.Second), record("d", "d1", 1, 0)))
 		if without {
-			must.Eq(t, "a1", p.nodes["a"].Life)
+			must.Eq(t, "a1", p.nodes["a"].Incarnation)
 			must.True(t, p.nodes["b"].Lost)
 			must.SliceLen(t, 1, p.knownControllers())
 			continue
 		}
 		must.Eq(t, []string{"a", "b", "c", "d"}, slices.Sorted(maps.Keys(p.nodes)))
-		must.Eq(t, "a2", p.nodes["a"].Life)
+		must.Eq(t, "a2", p.nodes["a"].Incarnation)
 		must.False(t, p.nodes["b"].Lost)
 		must.Eq(t, 2, p.nodes["c"].Seq) // of the same life, and later
 		must.SliceLen(t, 3, p.knownControllers())
 		must.Eq(t, 4, p.members)
-		take(&membership.WatchResponse{Position: membership.Position{Controller: "cut off", Seq: 12}, Members: 1, Gone: []string{"a", "b"}})
+		take(&membership.WatchResponse{Position: membership.Position{Controller: "cut off", Seq: 12}, BalancerCount: 1, RemovedNodes: []string{"a", "b"}})
 		must.MapLen(t, 4, p.nodes)
 		must.Eq(t, 4, p.members)
 		// Once it is current again, its changes alone would leave d as it is: all of them are asked for.
-		take(&membership.WatchResponse{Position: membership.Position{Controller: "cut off", Seq: 13}, Current: true, Members: 3})
+		take(&membership.WatchResponse{Position: membership.Position{Controller: "cut off", Seq: 13}, Current: true, BalancerCount: 3})
 		must.Eq(t, "", p.position.Controller)
 		take(whole("cut off", true, nil, record("a", "a2", 1, 0), record("b", "b1", 4, 0)))
 		must.Eq(t, []string{"a", "b"}, slices.Sorted(maps.Keys(p.nodes)))
@@ -107,7 +107,7 @@
 // not name is dropped, and it is not asked for again.
 func TestAListThatComesLateIsTakenOnceItIsConfirmed(t *testing.T) {
 	list := func(current, whole bool, controller string, seq uint64, nodes ...membership.Record) *membership.WatchResponse {
-		return &membership.WatchResponse{Position: membership.Position{Controller: controller, Seq: seq}, Current: current, Whole: whole, Members: 3, Nodes: nodes}
+		return &membership.WatchResponse{Position: membership.Position{Controller: controller, Seq: seq}, Current: current, Complete: whole, BalancerCount: 3, Nodes: nodes}
 	}
 	late := func(p *Proxy, n *membership.WatchResponse) {
 		n.Current = false
@@ -128,7 +128,7 @@
 	must.Eq(t, "two", p.position.Controller) // all of them are not asked for again
 
 	p = start()
-	late(p, &membership.WatchResponse{Position: membership.Position{Controller: "two", Seq: 6}, Gone: []string{"b"}})
+	late(p, &membership.WatchResponse{Position: membership.Position{Controller: "two", Seq: 6}, RemovedNodes: []string{"b"}})
 	must.NoError(t, p.applyWatchResponse(list(true, false, "two", 7), p.now()))
 	must.Eq(t, []string{"a"}, names(p))
 
@@ -200,19 +200,19 @@
 	look := func() federation.Verdict {
 		return p.exports.is.Look("zuid", "POST", "zuid.example", "/scans/1", p.now())
 	}
-	p.hear(&membership.WatchResponse{Imports: raw, ImportsNo: book.No, Ages: map[string]int64{"zuid": 0}}, p.now()-int64(21*time.Second))
-	p.hear(&membership.WatchResponse{ImportsNo: book.No, Calm: true}, p.now())
+	p.hear(&membership.WatchResponse{Imports: raw, ImportsVersion: book.No, PartnerAges: map[string]int64{"zuid": 0}}, p.now()-int64(21*time.Second))
+	p.hear(&membership.WatchResponse{ImportsVersion: book.No, ImportsCurrent: true}, p.now())
 	must.Eq(t, federation.NoLeave, look())
-	p.hear(&membership.WatchResponse{Ages: map[string]int64{"zuid": int64(time.Second)}}, p.now()-int64(21*time.Second))
+	p.hear(&membership.WatchResponse{PartnerAges: map[string]int64{"zuid": int64(time.Second)}}, p.now()-int64(21*time.Second))
 	must.Eq(t, federation.NoLeave, look())
-	p.hear(&membership.WatchResponse{Ages: map[string]int64{"zuid": int64(time.Second)}}, p.now())
+	p.hear(&membership.WatchResponse{PartnerAges: map[string]int64{"zuid": int64(time.Second)}}, p.now())
 	must.Eq(t, federation.Open, look())
 }
 
 // Each controller tells of itself first. A proxy in a zone without one of its own asks the same one all the same: else it would go from
 // one to the next without a pause, since each has all of its nodes to tell.
 func TestWhomAProxyAsksDoesNotDependOnWhoAnswered(t *testing.T) {
-	told := []membership.ControllerAddress{{At: "10.0.0.1:1", Zone: "x"}, {At: "10.0.0.2:1", Zone: "y"}, {At: "10.0.0.3:1", Zone: "y"}}
+	told := []membership.ControllerAddress{{Address: "10.0.0.1:1", Zone: "x"}, {Address: "10.0.0.2:1", Zone: "y"}, {Address: "10.0.0.3:1", Zone: "y"}}
 	for _, node := range []string{"a", "b", "c", "d"} {
 		p := newTestProxy(nil)
 		p.settings.Node = node
@@ -276,10 +276,12 @@
 				<-r.Context().Done()
 				return nil, r.Context().Err()
 			}
-			return controllerStub(func(string) *membership.WatchResponse { return &membership.WatchResponse{Current: true, Members: 1} }).RoundTrip(r)
+			return controllerStub(func(string) *membership.WatchResponse {
+				return &membership.WatchResponse{Current: true, BalancerCount: 1}
+			}).RoundTrip(r)
 		})
 	}))
-	p.controllers = []membership.ControllerAddress{{At: "silent", Zone: "z"}, {At: "sound", Zone: "y"}}
+	p.controllers = []membership.ControllerAddress{{Address: "silent", Zone: "z"}, {Address: "sound", Zone: "y"}}
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
 	go p.watch(ctx)
--- a/internal/mesh/ratelimit/quota.go
+++ b/internal/mesh/ratelimit/quota.go
@@ -53,7 +53,7 @@
 func LimitsOf(t *routing.Configuration, b *settings.Bounds) map[string]Limit {
 	all := map[string]Limit{}
 	for _, s := range t.Tenants {
-		all[s.Name] = Limit{s.RatePerS, s.Surge, int64(b.QuotaWindow), b.QuotaOver, b.QuotaSlack}
+		all[s.Name] = Limit{s.RatePerSecond, s.Burst, int64(b.QuotaWindow), b.QuotaOver, b.QuotaSlack}
 	}
 	return all
 }
--- a/internal/mesh/ratelimit/ratelimit.go
+++ b/internal/mesh/ratelimit/ratelimit.go
@@ -64,7 +64,7 @@
 
 // NewBudget makes one that has seen nothing. Ratio is of own first sends, slack what all members together have a window.
 func NewRetryBudget(window int64, ratio, slack float64) *RetryBudget {
-	return &RetryBudget{window: window, ratio: ratio, slack: slack, urgent: priority.Lowest}
+	return &RetryBudget{window: window, ratio: ratio, slack: slack, urgent: priority.LowestRank}
 }
 
 // First counts a first send.
--- a/internal/mesh/ratelimit/ratelimit_test.go
+++ b/internal/mesh/ratelimit/ratelimit_test.go
@@ -247,7 +247,7 @@
 
 // The last tenth of a budget is for the most urgent rank that a service has; once that is gone for a window, it is for the next.
 func TestTheLastOfABudgetIsForTheMostUrgent(t *testing.T) {
-	urgent, usual := priority.Of(0, 0), priority.Of(0, 2)
+	urgent, usual := priority.NewRank(0, 0), priority.NewRank(0, 2)
 	spend := func(b *RetryBudget, now int64, rank priority.Rank) (n int) {
 		for b.Take(now, 14, rank) {
 			n++
--- a/internal/mesh/routing/change.go
+++ b/internal/mesh/routing/change.go
@@ -38,30 +38,30 @@
 }
 
 // Digest names what a configuration says, however it is laid out.
-func (t *Configuration) Digest() string { return t.digest }
+func (c *Configuration) Digest() string { return c.digest }
 
 // computeDigest is the digest of all items, in their order.
-func (t *Configuration) computeDigest() string {
+func (c *Configuration) computeDigest() string {
 	sum := sha256.New()
 	number := func(n int64) { sum.Write(binary.BigEndian.AppendUint64(nil, uint64(n))) }
 	text := func(s string) {
 		number(int64(len(s)))
 		sum.Write([]byte(s))
 	}
-	number(t.Edition)
-	for _, name := range slices.Sorted(maps.Keys(t.other)) {
+	number(c.Edition)
+	for _, name := range slices.Sorted(maps.Keys(c.other)) {
 		text(name)
-		text(string(t.other[name]))
+		text(string(c.other[name]))
 	}
-	number(int64(len(t.Tenants)))
-	for _, v := range t.Tenants {
+	number(int64(len(c.Tenants)))
+	for _, v := range c.Tenants {
 		sum.Write(v.sum[:])
 	}
-	number(int64(len(t.Services)))
-	for _, v := range t.Services {
+	number(int64(len(c.Services)))
+	for _, v := range c.Services {
 		sum.Write(v.sum[:])
 	}
-	for _, host := range t.hosts {
+	for _, host := range c.hosts {
 		text(host.Host)
 		number(int64(len(host.Routes)))
 		for _, v := range host.Routes {
@@ -72,106 +72,106 @@
 }
 
 // ChangeTo is what makes another configuration out of this one.
-func (t *Configuration) ChangeTo(next *Configuration) *Change {
-	c := &Change{Base: t.digest, Result: next.digest, Edition: next.Edition, Other: map[string]json.RawMessage{}}
+func (c *Configuration) ChangeTo(next *Configuration) *Change {
+	change := &Change{Base: c.digest, Result: next.digest, Edition: next.Edition, Other: map[string]json.RawMessage{}}
 	for name, raw := range next.other {
-		if old, known := t.other[name]; !known || !bytes.Equal(old, raw) {
-			c.Other[name] = raw
+		if old, known := c.other[name]; !known || !bytes.Equal(old, raw) {
+			change.Other[name] = raw
 		}
 	}
-	for name := range t.other {
+	for name := range c.other {
 		if _, kept := next.other[name]; !kept {
-			c.Removed = append(c.Removed, name)
+			change.Removed = append(change.Removed, name)
 		}
 	}
-	slices.Sort(c.Removed)
-	c.Tenants = runsOf(t.Tenants, next.Tenants, func(v *Tenant) *item { return &v.item })
-	c.Services = runsOf(t.Services, next.Services, func(v *Service) *item { return &v.item })
-	c.Hosts = hostRuns(t, next)
-	return c
+	slices.Sort(change.Removed)
+	change.Tenants = itemRuns(c.Tenants, next.Tenants, func(v *Tenant) *item { return &v.item })
+	change.Services = itemRuns(c.Services, next.Services, func(v *Service) *item { return &v.item })
+	change.Hosts = hostRuns(c, next)
+	return change
 }
 
-// finder finds items of a list by what they say.
-type finder struct {
-	sums   []itemSum
-	places map[itemSum]int // the first of each
+// itemIndex finds items of a list by what they say.
+type itemIndex struct {
+	sums      []itemSum
+	positions map[itemSum]int // the first of each
 }
 
-func newFinder[T any](list []T, itemOf func(T) *item) *finder {
-	f := &finder{places: make(map[itemSum]int, len(list))}
-	for at, v := range list {
+func newItemIndex[T any](list []T, itemOf func(T) *item) *itemIndex {
+	index := &itemIndex{positions: make(map[itemSum]int, len(list))}
+	for position, v := range list {
 		sum := itemOf(v).sum
-		f.sums = append(f.sums, sum)
-		if _, known := f.places[sum]; !known {
-			f.places[sum] = at
+		index.sums = append(index.sums, sum)
+		if _, known := index.positions[sum]; !known {
+			index.positions[sum] = position
 		}
 	}
-	return f
+	return index
 }
 
-// place is where an item stands, next if it stands there, -1 if nowhere.
-func (f *finder) place(sum itemSum, next int) int {
-	if next < len(f.sums) && f.sums[next] == sum {
+// position is where an item stands, next if it stands there, -1 if nowhere.
+func (index *itemIndex) position(sum itemSum, next int) int {
+	if next < len(index.sums) && index.sums[next] == sum {
 		return next
 	}
-	if at, known := f.places[sum]; known {
-		return at
+	if position, known := index.positions[sum]; known {
+		return position
 	}
 	return -1
 }
 
-func (f *finder) runs(items []*item) (runs []itemRun) {
+func (index *itemIndex) runs(items []*item) (runs []itemRun) {
 	next := 0
 	for _, v := range items {
 		last := len(runs) - 1
-		at := f.place(v.sum, next)
+		position := index.position(v.sum, next)
 		switch {
-		case at < 0 && last >= 0 && runs[last].Count == 0:
+		case position < 0 && last >= 0 && runs[last].Count == 0:
 			runs[last].New = append(runs[last].New, v.raw)
-		case at < 0:
+		case position < 0:
 			runs = append(runs, itemRun{New: []json.RawMessage{v.raw}})
-		case last >= 0 && runs[last].Count > 0 && at == next:
+		case last >= 0 && runs[last].Count > 0 && position == next:
 			runs[last].Count++
 		default:
-			runs = append(runs, itemRun{From: at, Count: 1})
+			runs = append(runs, itemRun{From: position, Count: 1})
 		}
-		if at >= 0 {
-			next = at + 1
+		if position >= 0 {
+			next = position + 1
 		}
 	}
 	return runs
 }
 
-func runsOf[T any](old, list []*T, itemOf func(*T) *item) []itemRun {
-	items := make([]*item, len(list))
-	for at, v := range list {
-		items[at] = itemOf(v)
+func itemRuns[T any](base, next []*T, itemOf func(*T) *item) []itemRun {
+	items := make([]*item, len(next))
+	for i, v := range next {
+		items[i] = itemOf(v)
 	}
-	return newFinder(old, itemOf).runs(items)
+	return newItemIndex(base, itemOf).runs(items)
 }
 
 func hostRuns(from, to *Configuration) (runs []hostRun) {
 	same := func(a, b *hostRoutes) bool {
 		return a.Host == b.Host && slices.EqualFunc(a.Routes, b.Routes, func(r, other *Route) bool { return r.sum == other.sum })
 	}
-	places := map[string]int{}
-	for at, host := range from.hosts {
-		places[host.Host] = at
+	positions := map[string]int{}
+	for position, host := range from.hosts {
+		positions[host.Host] = position
 	}
-	routes := newFinder(from.Routes, func(r *Route) *item { return &r.item })
+	routes := newItemIndex(from.Routes, func(r *Route) *item { return &r.item })
 	for _, host := range to.hosts {
 		last := len(runs) - 1
-		if at, known := places[host.Host]; known && same(from.hosts[at], host) {
-			if last >= 0 && runs[last].Count > 0 && at == runs[last].From+runs[last].Count {
+		if position, known := positions[host.Host]; known && same(from.hosts[position], host) {
+			if last >= 0 && runs[last].Count > 0 && position == runs[last].From+runs[last].Count {
 				runs[last].Count++
 			} else {
-				runs = append(runs, hostRun{From: at, Count: 1})
+				runs = append(runs, hostRun{From: position, Count: 1})
 			}
 			continue
 		}
 		items := make([]*item, len(host.Routes))
-		for at, r := range host.Routes {
-			items[at] = &r.item
+		for position, r := range host.Routes {
+			items[position] = &r.item
 		}
 		runs = append(runs, hostRun{Host: host.Host, Routes: routes.runs(items)})
 	}
@@ -179,13 +179,13 @@
 }
 
 // Apply makes the configuration that a change leads to. What is not changed is shared with this one.
-func (t *Configuration) Apply(c *Change) (*Configuration, error) {
-	if c.Base != t.digest {
-		return nil, Error.New("a change of %.32s, not of %s", c.Base, t.digest)
+func (c *Configuration) Apply(change *Change) (*Configuration, error) {
+	if change.Base != c.digest {
+		return nil, Error.New("a change of %.32s, not of %s", change.Base, c.digest)
 	}
-	next := &Configuration{Edition: c.Edition, other: maps.Clone(t.other)}
-	maps.Copy(next.other, c.Other)
-	for _, name := range c.Removed {
+	next := &Configuration{Edition: change.Edition, other: maps.Clone(c.other)}
+	maps.Copy(next.other, change.Other)
+	for _, name := range change.Removed {
 		delete(next.other, name)
 	}
 	if raw := next.other["SizeLimits"]; len(raw) > 0 {
@@ -194,42 +194,42 @@
 		}
 	}
 	var err error
-	if next.Tenants, err = applyRuns(t.Tenants, c.Tenants, func(v *Tenant, of item) { v.item = of }); err != nil {
+	if next.Tenants, err = applyRuns(c.Tenants, change.Tenants, func(v *Tenant, decoded item) { v.item = decoded }); err != nil {
 		return nil, err
 	}
-	if next.Services, err = applyRuns(t.Services, c.Services, func(v *Service, of item) { v.item = of }); err != nil {
+	if next.Services, err = applyRuns(c.Services, change.Services, func(v *Service, decoded item) { v.item = decoded }); err != nil {
 		return nil, err
 	}
-	if next.hosts, err = t.applyHosts(c.Hosts); err != nil {
+	if next.hosts, err = c.applyHosts(change.Hosts); err != nil {
 		return nil, err
 	}
-	if err := next.settle(); err != nil {
+	if err := next.indexAndValidate(); err != nil {
 		return nil, err
 	}
-	if next.digest != c.Result {
-		return nil, Error.New("a change to %.32s led to %s", c.Result, next.digest)
+	if next.digest != change.Result {
+		return nil, Error.New("a change to %.32s led to %s", change.Result, next.digest)
 	}
 	return next, nil
 }
 
-func (t *Configuration) applyHosts(runs []hostRun) (hosts []*hostRoutes, err error) {
+func (c *Configuration) applyHosts(runs []hostRun) (hosts []*hostRoutes, err error) {
 	for _, run := range runs {
 		if run.Count > 0 {
-			if !within(run.From, run.Count, len(t.hosts)) {
+			if !inRange(run.From, run.Count, len(c.hosts)) {
 				return nil, Error.New("a change of hosts that are not there")
 			}
-			hosts = append(hosts, t.hosts[run.From:run.From+run.Count]...)
+			hosts = append(hosts, c.hosts[run.From:run.From+run.Count]...)
 			continue
 		}
-		routes, err := applyRuns(t.Routes, run.Routes, func(r *Route, of item) { r.Host, r.item = run.Host, of })
+		routes, err := applyRuns(c.Routes, run.Routes, func(r *Route, decoded item) { r.Host, r.item = run.Host, decoded })
 		if err != nil {
 			return nil, err
 		}
-		for at, r := range routes {
+		for i, r := range routes {
 			if r.Host != run.Host { // it came from another host
 				moved := *r
 				moved.Host = run.Host
-				routes[at] = &moved
+				routes[i] = &moved
 			}
 		}
 		hosts = append(hosts, &hostRoutes{Host: run.Host, Routes: routes})
@@ -237,13 +237,13 @@
 	return hosts, nil
 }
 
-func applyRuns[T any](old []*T, runs []itemRun, set func(*T, item)) (list []*T, err error) {
+func applyRuns[T any](base []*T, runs []itemRun, set func(*T, item)) (list []*T, err error) {
 	for _, run := range runs {
 		if run.Count > 0 {
-			if !within(run.From, run.Count, len(old)) {
+			if !inRange(run.From, run.Count, len(base)) {
 				return nil, Error.New("a change of items that are not there")
 			}
-			list = append(list, old[run.From:run.From+run.Count]...)
+			list = append(list, base[run.From:run.From+run.Count]...)
 			continue
 		}
 		for _, raw := range run.New {
@@ -258,6 +258,6 @@
 	return list, nil
 }
 
-func within(from, count, length int) bool {
+func inRange(from, count, length int) bool {
 	return from >= 0 && count <= length && from <= length-count
 }
--- a/internal/mesh/routing/change_test.go
+++ b/internal/mesh/routing/change_test.go
@@ -10,29 +10,29 @@
 	"github.com/shoenig/test/must"
 )
 
-// aRoute is the text of a route; what varies between versions is its target.
-func aRoute(name string, target int) string {
+// routeJSON is the text of a route; what varies between versions is its target.
+func routeJSON(name string, target int) string {
 	return fmt.Sprintf(`{"Name":"r-%s","MailClass":"repeatable","Target":"%dms","Precedence":0,"Sorting":{"StreetPrefix":"/q%s/"},"Dispatch":{"Destination":"y","Deadline":"10s","DeliveryTries":2},"Note":"<&>\u2028"}`, name, target, name)
 }
 
-// manyRoutes is a configuration whose routes are named by numbers.
-func manyRoutes(edition, count int) []byte {
+// configurationWithRoutes is a configuration whose routes are named by numbers.
+func configurationWithRoutes(edition, count int) []byte {
 	routes := make([]string, count)
 	for n := range routes {
-		routes[n] = aRoute(fmt.Sprintf("%x-%d", n*7919%100003, n), 1000)
+		routes[n] = routeJSON(fmt.Sprintf("%x-%d", n*7919%100003, n), 1000)
 	}
-	text := strings.Replace(whole1, `{"Name":"r2"`, strings.Join(routes, ",")+`,{"Name":"r2"`, 1)
+	text := strings.Replace(testConfiguration, `{"Name":"r2"`, strings.Join(routes, ",")+`,{"Name":"r2"`, 1)
 	return []byte(strings.Replace(text, `"Edition":7`, fmt.Sprintf(`"Edition":%d`, edition), 1))
 }
 
-// drawnConfiguration is one that chance makes: hosts, routes, tenants and services that come, go, move and change.
-func drawnConfiguration(random *rand.Rand, edition int) *Configuration {
+// randomConfiguration is one that chance makes: hosts, routes, tenants and services that come, go, move and change.
+func randomConfiguration(random *rand.Rand, edition int) *Configuration {
 	var hosts []string
 	for host := range 1 + random.IntN(4) {
 		var routes []string
 		for n := range random.IntN(12) {
 			if random.IntN(3) > 0 {
-				routes = append(routes, aRoute(fmt.Sprint(n), 100*(1+random.IntN(3))))
+				routes = append(routes, routeJSON(fmt.Sprint(n), 100*(1+random.IntN(3))))
 			}
 		}
 		random.Shuffle(len(routes), func(i, j int) { routes[i], routes[j] = routes[j], routes[i] })
@@ -45,19 +45,19 @@
 	other := []string{"", `"Later":{"a":1},`, `"Later":{"a":2},`, `"Mesh":"us",`}[random.IntN(4)]
 	text := fmt.Sprintf(`{"Edition":%d,%s"SizeLimits":{"Idle":"%ds"},"Senders":[%s],"PostOffices":[%s],"Depots":[{"Name":"y"},{"Name":"z","LineCap":%d}]}`,
 		edition, other, 1+random.IntN(2), strings.TrimSuffix(tenants, ","), strings.Join(hosts, ","), random.IntN(2))
-	t, err := Parse([]byte(text))
+	configuration, err := Parse([]byte(text))
 	if err != nil {
 		panic(err)
 	}
-	return t
+	return configuration
 }
 
 // A change leads from any configuration to any other, and what it leads to is what the other says, also by way of many changes.
-func TestAChangeLeadsFromAnyConfigurationToAnyOther(t *testing.T) {
+func TestChangeConvertsBetweenAnyConfigurations(t *testing.T) {
 	random := rand.New(rand.NewPCG(60, 1))
-	held := drawnConfiguration(random, 1)
+	held := randomConfiguration(random, 1)
 	for edition := 2; edition < 2000; edition++ {
-		next := drawnConfiguration(random, edition)
+		next := randomConfiguration(random, edition)
 		packed, err := Pack(held, next)
 		must.NoError(t, err)
 		got, err := packed.Unpack(held)
@@ -72,14 +72,14 @@
 		must.Eq(t, next.Mesh, got.Mesh)
 		must.Eq(t, len(next.Routes), len(got.Routes))
 		for _, r := range next.Routes {
-			found := got.Find(r.Host, r.Sorting.StreetPrefix)
+			found := got.Find(r.Host, r.Match.PathPrefix)
 			must.Eq(t, r.Name, found.Name)
-			must.Eq(t, r.Target, found.Target)
+			must.Eq(t, r.TargetLatency, found.TargetLatency)
 			must.Eq(t, r.Host, found.Host)
-			must.Eq(t, r.Parts, found.Parts)
+			must.Eq(t, r.Services, found.Services)
 		}
 		for _, tenant := range next.Tenants {
-			must.Eq(t, tenant.Name, got.Tenant(tenant.ApiKeys[0]).Name)
+			must.Eq(t, tenant.Name, got.Tenant(tenant.APIKeys[0]).Name)
 		}
 		if random.IntN(5) > 0 { // some are never taken
 			held = got
@@ -88,17 +88,17 @@
 }
 
 // What is not a change of what is held, or does not lead to what it is told to, is refused.
-func TestAChangeThatDoesNotFitIsRefused(t *testing.T) {
-	base, err := Parse(manyRoutes(1, 3))
+func TestApplyRejectsMismatchedChanges(t *testing.T) {
+	base, err := Parse(configurationWithRoutes(1, 3))
 	must.NoError(t, err)
-	next, err := Parse(manyRoutes(2, 5))
+	next, err := Parse(configurationWithRoutes(2, 5))
 	must.NoError(t, err)
-	other, err := Parse(manyRoutes(3, 5))
+	other, err := Parse(configurationWithRoutes(3, 5))
 	must.NoError(t, err)
 	change := base.ChangeTo(next)
 	_, err = other.Apply(change)
 	must.ErrorContains(t, err, "not of")
-	for name, spoil := range map[string]func(c *Change){
+	for name, corrupt := range map[string]func(c *Change){
 		"result":  func(c *Change) { c.Result = other.Digest() },
 		"edition": func(c *Change) { c.Edition = 9 },
 		"run":     func(c *Change) { c.Services = []itemRun{{From: 1, Count: 5}} },
@@ -108,10 +108,10 @@
 	} {
 		raw, err := json.Marshal(change)
 		must.NoError(t, err)
-		var spoilt Change
-		must.NoError(t, json.Unmarshal(raw, &spoilt))
-		spoil(&spoilt)
-		_, err = base.Apply(&spoilt)
+		var corrupted Change
+		must.NoError(t, json.Unmarshal(raw, &corrupted))
+		corrupt(&corrupted)
+		_, err = base.Apply(&corrupted)
 		must.Error(t, err, must.Sprint(name))
 	}
 	packed, err := Pack(nil, next)
@@ -125,23 +125,23 @@
 }
 
 // Processes that hand a configuration on by json.Marshal, which escapes some characters, have one digest of it.
-func TestADigestIsTheSameHoweverOftenItIsTold(t *testing.T) {
-	here, err := Parse(manyRoutes(1, 3))
+func TestDigestIsStableAcrossReencoding(t *testing.T) {
+	original, err := Parse(configurationWithRoutes(1, 3))
 	must.NoError(t, err)
-	told, err := json.Marshal(json.RawMessage(manyRoutes(1, 3)))
+	reencoded, err := json.Marshal(json.RawMessage(configurationWithRoutes(1, 3)))
 	must.NoError(t, err)
-	there, err := Load(told)
+	loaded, err := Load(reencoded)
 	must.NoError(t, err)
-	must.Eq(t, here.Digest(), there.Digest())
-	must.Eq(t, string(here.Document()), string(there.Document()))
+	must.Eq(t, original.Digest(), loaded.Digest())
+	must.Eq(t, string(original.Document()), string(loaded.Document()))
 }
 
 // The bytes of a change go by what differs, not by what there is.
-func TestAChangeIsAsLargeAsWhatDiffers(t *testing.T) {
+func TestChangeSizeIsProportionalToDifference(t *testing.T) {
 	for _, routes := range []int{100, 4000} {
-		base, err := Parse(manyRoutes(1, routes))
+		base, err := Parse(configurationWithRoutes(1, routes))
 		must.NoError(t, err)
-		next, err := base.Amend([]byte(`{"Edition":2,"Deliver":{"PostOffices":[{"Town":"A.example","Regulations":[` + aRoute("new", 500) + `]}]}}`))
+		next, err := base.Amend([]byte(`{"Edition":2,"Deliver":{"PostOffices":[{"Town":"A.example","Regulations":[` + routeJSON("new", 500) + `]}]}}`))
 		must.NoError(t, err)
 		next, err = Load(next.Document())
 		must.NoError(t, err)
@@ -158,7 +158,7 @@
 }
 
 func BenchmarkLoad(b *testing.B) {
-	text := manyRoutes(1, 4000)
+	text := configurationWithRoutes(1, 4000)
 	b.SetBytes(int64(len(text)))
 	for b.Loop() {
 		_, err := Load(text)
@@ -167,7 +167,7 @@
 }
 
 func BenchmarkParse(b *testing.B) {
-	text := manyRoutes(1, 4000)
+	text := configurationWithRoutes(1, 4000)
 	b.SetBytes(int64(len(text)))
 	for b.Loop() {
 		_, err := Parse(text)
@@ -176,9 +176,9 @@
 }
 
 func BenchmarkApply(b *testing.B) {
-	base, err := Load(manyRoutes(1, 4000))
+	base, err := Load(configurationWithRoutes(1, 4000))
 	must.NoError(b, err)
-	next, err := Load(manyRoutes(2, 4001))
+	next, err := Load(configurationWithRoutes(2, 4001))
 	must.NoError(b, err)
 	packed, err := Pack(base, next)
 	must.NoError(b, err)
@@ -189,9 +189,9 @@
 }
 
 func BenchmarkLoadAfter(b *testing.B) {
-	base, err := Load(manyRoutes(1, 4000))
+	base, err := Load(configurationWithRoutes(1, 4000))
 	must.NoError(b, err)
-	text := manyRoutes(2, 4001)
+	text := configurationWithRoutes(2, 4001)
 	b.SetBytes(int64(len(text)))
 	for b.Loop() {
 		_, err := LoadAfter(base, text)
--- a/internal/mesh/routing/packed.go
+++ b/internal/mesh/routing/packed.go
@@ -7,8 +7,8 @@
 	"io"
 )
 
-// mostUnpacked bounds what a packed configuration may grow to.
-const mostUnpacked = 256 << 20
+// maxUnpackedBytes bounds what a packed configuration may grow to.
+const maxUnpackedBytes = 256 << 20
 
 // Packed is a configuration, or a change that leads to it, as it travels between processes.
 type Packed struct {
@@ -18,53 +18,53 @@
 }
 
 // Pack compresses a configuration: as a change of a base, or whole where base is nil.
-func Pack(base, t *Configuration) (*Packed, error) {
-	content := []byte(t.document)
-	p := &Packed{Result: t.digest}
+func Pack(base, configuration *Configuration) (*Packed, error) {
+	content := []byte(configuration.document)
+	packed := &Packed{Result: configuration.digest}
 	if base != nil {
-		text, err := json.Marshal(base.ChangeTo(t))
+		text, err := json.Marshal(base.ChangeTo(configuration))
 		if err != nil {
 			return nil, Error.Wrap(err)
 		}
-		content, p.Base = text, base.digest
+		content, packed.Base = text, base.digest
 	}
-	var packed bytes.Buffer
-	w, err := flate.NewWriter(&packed, flate.DefaultCompression)
+	var compressed bytes.Buffer
+	writer, err := flate.NewWriter(&compressed, flate.DefaultCompression)
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	if _, err := w.Write(content); err != nil {
+	if _, err := writer.Write(content); err != nil {
 		return nil, Error.Wrap(err)
 	}
-	if err := w.Close(); err != nil {
+	if err := writer.Close(); err != nil {
 		return nil, Error.Wrap(err)
 	}
-	p.Data = packed.Bytes()
-	return p, nil
+	packed.Data = compressed.Bytes()
+	return packed, nil
 }
 
 // Unpack reads a packed configuration; base is the one that is held, nil for none.
 func (p *Packed) Unpack(base *Configuration) (*Configuration, error) {
-	content, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(p.Data)), mostUnpacked))
+	content, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(p.Data)), maxUnpackedBytes))
 	if err != nil {
 		return nil, Error.New("unpacking: %v", err)
 	}
 	if p.Base == "" {
-		t, err := Load(content)
-		if err == nil && t.digest != p.Result {
-			return nil, Error.New("what was told to be %.32s is %s", p.Result, t.digest)
+		configuration, err := Load(content)
+		if err == nil && configuration.digest != p.Result {
+			return nil, Error.New("what was told to be %.32s is %s", p.Result, configuration.digest)
 		}
-		return t, err
+		return configuration, err
 	}
 	if base == nil {
 		return nil, Error.New("a change, and nothing that it changes")
 	}
-	var c Change
-	if err := json.Unmarshal(content, &c); err != nil {
+	var change Change
+	if err := json.Unmarshal(content, &change); err != nil {
 		return nil, Error.New("a change: %v", err)
 	}
-	if c.Result != p.Result {
-		return nil, Error.New("a change to %.32s, told to lead to %.32s", c.Result, p.Result)
+	if change.Result != p.Result {
+		return nil, Error.New("a change to %.32s, told to lead to %.32s", change.Result, p.Result)
 	}
-	return base.Apply(&c)
+	return base.Apply(&change)
 }
--- a/internal/mesh/routing/routing.go
+++ b/internal/mesh/routing/routing.go
@@ -47,21 +47,21 @@
 }
 
 // Document is the configuration as it is read back.
-func (t *Configuration) Document() json.RawMessage { return t.document }
+func (c *Configuration) Document() json.RawMessage { return c.document }
 
 // Find is the route of a request: of its host's, the one with the longest prefix of the path.
-func (t *Configuration) Find(host, path string) *Route {
-	if at := strings.LastIndexByte(host, ':'); at >= 0 && strings.IndexByte(host[at:], ']') < 0 {
-		host = host[:at]
+func (c *Configuration) Find(host, path string) *Route {
+	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && strings.IndexByte(host[colon:], ']') < 0 {
+		host = host[:colon]
 	}
-	rules := t.routesByHost[host]
-	if rules == nil {
-		if rules = t.routesByHost[strings.ToLower(host)]; rules == nil {
+	routes := c.routesByHost[host]
+	if routes == nil {
+		if routes = c.routesByHost[strings.ToLower(host)]; routes == nil {
 			return nil
 		}
 	}
 	for end := strings.LastIndexByte(path, '/'); end >= 0; end = strings.LastIndexByte(path[:end], '/') {
-		if r := rules[path[:end+1]]; r != nil {
+		if r := routes[path[:end+1]]; r != nil {
 			return r
 		}
 	}
@@ -69,13 +69,13 @@
 }
 
 // Tenant is the tenant that holds a key, nil for none.
-func (t *Configuration) Tenant(key string) *Tenant { return t.tenantsByKey[key] }
+func (c *Configuration) Tenant(key string) *Tenant { return c.tenantsByKey[key] }
 
 // TenantByName is the tenant of a name, nil for none.
-func (t *Configuration) TenantByName(name string) *Tenant { return t.tenantsByName[name] }
+func (c *Configuration) TenantByName(name string) *Tenant { return c.tenantsByName[name] }
 
 // RequiresKeys reports whether requests must carry a key.
-func (t *Configuration) RequiresKeys() bool { return len(t.Tenants) > 0 }
+func (c *Configuration) RequiresKeys() bool { return len(c.Tenants) > 0 }
 
 // Service is a service by its name, nil for none.
-func (t *Configuration) Service(name string) *Service { return t.servicesByName[name] }
+func (c *Configuration) Service(name string) *Service { return c.servicesByName[name] }
--- a/internal/mesh/routing/strict_test.go
+++ b/internal/mesh/routing/strict_test.go
@@ -10,7 +10,7 @@
 )
 
 // What means two things is refused, whether it is put whole or comes about by an amendment.
-func TestWhatMeansTwoThingsIsRefused(t *testing.T) {
+func TestParseRejectsAmbiguousConfigurations(t *testing.T) {
 	route := func(name, prefix string) string {
 		return fmt.Sprintf(`{"Name":%q,"MailClass":"repeatable","Sorting":{"StreetPrefix":%q},"Dispatch":{"Destination":"y","Deadline":"1s","DeliveryTries":1}}`, name, prefix)
 	}
@@ -32,20 +32,20 @@
 		"an unknown service, not used": {`"Apportion":[`, `"Destination":"z","Apportion":[`, `no service is named "z"`},
 		"shares beyond numbers":        {`"Share":90},{"Destination":"y","Share":10`, `"Share":1e308},{"Destination":"y","Share":1e308`, "shares"},
 	} {
-		body := strings.Replace(whole1, c.old, c.new, 1)
-		must.NotEq(t, whole1, body, must.Sprint(name))
+		body := strings.Replace(testConfiguration, c.old, c.new, 1)
+		must.NotEq(t, testConfiguration, body, must.Sprint(name))
 		_, err := Parse([]byte(body))
 		must.ErrorContains(t, err, c.says, must.Sprint(name))
 		agreed, err := Load([]byte(body)) // as a version that took it goes on with it
 		must.NoError(t, err, must.Sprint(name))
-		must.ErrorContains(t, agreed.Ambiguous(), c.says, must.Sprint(name))
+		must.ErrorContains(t, agreed.Ambiguities(), c.says, must.Sprint(name))
 	}
 }
 
-func TestAnAmendmentThatMakesSomethingAmbiguousIsRefused(t *testing.T) {
-	v, err := Parse([]byte(whole1))
+func TestAmendRejectsAmbiguousResults(t *testing.T) {
+	base, err := Parse([]byte(testConfiguration))
 	must.NoError(t, err)
-	must.NoError(t, v.Ambiguous())
+	must.NoError(t, base.Ambiguities())
 	route := func(town, name, prefix string) string {
 		return fmt.Sprintf(`"Deliver":{"PostOffices":[{"Town":%q,"Regulations":[{"Name":%q,"Sorting":{"StreetPrefix":%q},"Dispatch":{"Destination":"y","Deadline":"1s","DeliveryTries":1}}]}]}`, town, name, prefix)
 	}
@@ -60,22 +60,22 @@
 		"withdrawn from nobody": {`"Withdraw":{"Rutes":["r1"]}`, `Withdraw: nothing is named "Rutes"`},
 		"not UTF-8":             {"\"Deliver\":{\"Depots\":[{\"Name\":\"\xfe\"}]}", "UTF-8"},
 	} {
-		_, err := v.Amend([]byte(`{"Edition":9,` + c.change + `}`))
+		_, err := base.Amend([]byte(`{"Edition":9,` + c.change + `}`))
 		must.ErrorContains(t, err, c.says, must.Sprint(name))
 	}
 	// What was ambiguous before has to be mended by the next change, and can be.
-	old, err := Load([]byte(strings.Replace(whole1, `"Senders":[`, `"Senders":[{"Name":"u","ApiKeys":["k2"]},`, 1)))
+	ambiguous, err := Load([]byte(strings.Replace(testConfiguration, `"Senders":[`, `"Senders":[{"Name":"u","ApiKeys":["k2"]},`, 1)))
 	must.NoError(t, err)
-	_, err = old.Amend([]byte(`{"Edition":9,` + route("a.example", "r9", "/n/") + `}`))
+	_, err = ambiguous.Amend([]byte(`{"Edition":9,` + route("a.example", "r9", "/n/") + `}`))
 	must.ErrorContains(t, err, "holds one of them")
-	mended, err := old.Amend([]byte(`{"Edition":9,"Withdraw":{"Senders":["u"]}}`))
+	repaired, err := ambiguous.Amend([]byte(`{"Edition":9,"Withdraw":{"Senders":["u"]}}`))
 	must.NoError(t, err)
-	must.NoError(t, mended.Ambiguous())
-	must.Eq(t, "t", mended.Tenant("k2").Name)
+	must.NoError(t, repaired.Ambiguities())
+	must.Eq(t, "t", repaired.Tenant("k2").Name)
 }
 
 // Proper configurations are taken, however alike their parts look.
-func TestWhatMeansOneThingIsTaken(t *testing.T) {
+func TestParseAcceptsUnambiguousConfigurations(t *testing.T) {
 	for name, c := range map[string]struct{ old, new string }{
 		"routes within routes":  {`"/a/"`, `"/a/b/c/"`},
 		"a town in two entries": {`"PostOffices":[`, `"PostOffices":[{"Town":"a.example","Regulations":[{"Name":"r3","Sorting":{"StreetPrefix":"/c/"},"Dispatch":{"Destination":"y","Deadline":"1s","DeliveryTries":1}}]},`},
@@ -86,8 +86,8 @@
 		"an escaped backslash":  {`"r1"`, `"r1\\ud800"`},
 		"fields of items alike": {`"Unknown":{"kept":1}`, `"Unknown":[{"kept":1},{"kept":1}]`},
 	} {
-		body := strings.Replace(whole1, c.old, c.new, 1)
-		must.NotEq(t, whole1, body, must.Sprint(name))
+		body := strings.Replace(testConfiguration, c.old, c.new, 1)
+		must.NotEq(t, testConfiguration, body, must.Sprint(name))
 		_, err := Parse([]byte(body))
 		must.NoError(t, err, must.Sprint(name))
 	}
@@ -95,53 +95,53 @@
 	for n := range 4000 {
 		routes = append(routes, fmt.Sprintf(`{"Name":"n%d","Sorting":{"StreetPrefix":"/n/%d/"},"Dispatch":{"Destination":"y","Deadline":"1s","DeliveryTries":1}}`, n, n))
 	}
-	v, err := Parse([]byte(strings.Replace(whole1, `{"Name":"r2"`, strings.Join(routes, ",")+`,{"Name":"r2"`, 1)))
+	configuration, err := Parse([]byte(strings.Replace(testConfiguration, `{"Name":"r2"`, strings.Join(routes, ",")+`,{"Name":"r2"`, 1)))
 	must.NoError(t, err)
-	must.Eq(t, 4002, len(v.Routes))
-	must.Eq(t, "n3999", v.Find("a.example", "/n/3999/x").Name)
+	must.Eq(t, 4002, len(configuration.Routes))
+	must.Eq(t, "n3999", configuration.Find("a.example", "/n/3999/x").Name)
 }
 
 // Limits that an amendment does not name stay as they are, for whoever reads the configuration back too.
-func TestLimitsThatAreNotNamedStay(t *testing.T) {
-	v, err := Parse([]byte(whole1))
+func TestAmendKeepsUnnamedLimits(t *testing.T) {
+	base, err := Parse([]byte(testConfiguration))
 	must.NoError(t, err)
-	w, err := v.Amend([]byte(`{"Edition":8,"Deliver":{"SizeLimits":{"Idle":"5s"}}}`))
+	amended, err := base.Amend([]byte(`{"Edition":8,"Deliver":{"SizeLimits":{"Idle":"5s"}}}`))
 	must.NoError(t, err)
-	again, err := Parse(w.Document())
+	again, err := Parse(amended.Document())
 	must.NoError(t, err)
-	must.Eq(t, w.Limits, again.Limits)
-	must.Eq(t, 1000, again.Limits.ContentsBytes)
-	w, err = v.Amend([]byte(`{"Edition":8,"Withdraw":{"Towns":["a.EXAMPLE"]}}`)) // hosts have no capitals
+	must.Eq(t, amended.Limits, again.Limits)
+	must.Eq(t, 1000, again.Limits.MaxBodyBytes)
+	amended, err = base.Amend([]byte(`{"Edition":8,"Withdraw":{"Towns":["a.EXAMPLE"]}}`)) // hosts have no capitals
 	must.NoError(t, err)
-	must.Nil(t, w.Find("a.example", "/a/1"))
+	must.Nil(t, amended.Find("a.example", "/a/1"))
 }
 
 // Whatever is taken, whole or as an amendment, is read back byte for byte and with one meaning.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(whole1))
-	f.Add([]byte(strings.Replace(whole1, `{"Name":"y"}`, `{"Name":"y"},{"Name":"y"}`, 1)))
-	f.Add([]byte(strings.Replace(whole1, `"k1","k2"`, `"k1",""`, 1)))
-	f.Add([]byte(strings.Replace(whole1, `"Edition":7`, `"Edition":7,"edition":8`, 1)))
-	f.Add([]byte(strings.Replace(whole1, `"r1"`, `"r1\ud800"`, 1)))
+	f.Add([]byte(testConfiguration))
+	f.Add([]byte(strings.Replace(testConfiguration, `{"Name":"y"}`, `{"Name":"y"},{"Name":"y"}`, 1)))
+	f.Add([]byte(strings.Replace(testConfiguration, `"k1","k2"`, `"k1",""`, 1)))
+	f.Add([]byte(strings.Replace(testConfiguration, `"Edition":7`, `"Edition":7,"edition":8`, 1)))
+	f.Add([]byte(strings.Replace(testConfiguration, `"r1"`, `"r1\ud800"`, 1)))
 	f.Add([]byte(`{"Edition":9,"Deliver":{"PostOffices":[{"Town":"a.example","Regulations":[{"Name":"r1","Sorting":{"StreetPrefix":"/n/"},"Dispatch":{"Destination":"y","Deadline":"1s","DeliveryTries":1}}]}]},"Withdraw":{"Senders":["t"]}}`))
 	f.Add([]byte(`{"Edition":9,"Deliver":{"Senders":[{"Name":"u","ApiKeys":["k1"]}],"SizeLimits":{"Idle":"1s"}}}`))
-	base, err := Parse([]byte(whole1))
+	base, err := Parse([]byte(testConfiguration))
 	must.NoError(f, err)
 	f.Fuzz(func(t *testing.T, body []byte) {
-		for _, take := range []func([]byte) (*Configuration, error){Parse, base.Amend} {
-			taken, err := take(body)
+		for _, parse := range []func([]byte) (*Configuration, error){Parse, base.Amend} {
+			accepted, err := parse(body)
 			if err != nil {
 				continue
 			}
-			must.NoError(t, taken.Ambiguous())
-			again, err := Parse(taken.Document())
-			must.NoError(t, err, must.Sprintf("taken, and refused when read back: %s", taken.Document()))
-			must.True(t, bytes.Equal(taken.Document(), again.Document()))
-			must.SliceEmpty(t, Diff(taken, again))
-			must.Eq(t, taken.Limits, again.Limits)
-			must.Eq(t, len(taken.Routes), len(again.Routes))
-			for _, r := range taken.Routes {
-				must.Eq(t, r.Name, again.Find(r.Host, r.Sorting.StreetPrefix).Name)
+			must.NoError(t, accepted.Ambiguities())
+			again, err := Parse(accepted.Document())
+			must.NoError(t, err, must.Sprintf("taken, and refused when read back: %s", accepted.Document()))
+			must.True(t, bytes.Equal(accepted.Document(), again.Document()))
+			must.SliceEmpty(t, Diff(accepted, again))
+			must.Eq(t, accepted.Limits, again.Limits)
+			must.Eq(t, len(accepted.Routes), len(again.Routes))
+			for _, r := range accepted.Routes {
+				must.Eq(t, r.Name, again.Find(r.Host, r.Match.PathPrefix).Name)
 			}
 		}
 	})
--- a/internal/mesh/simulation/core.go
+++ b/internal/mesh/simulation/core.go
@@ -155,10 +155,10 @@
 	for n := range w.Founders {
 		founders = append(founders, address(n))
 	}
-	w.founded = consensus.Founders(founders, func(at string) string { return at }, w.Tolerate)
+	w.founded = consensus.InitialState(founders, func(at string) string { return at }, w.Tolerate)
 	for n := range w.Controllers {
 		if n < w.Founders {
-			w.addProcess(&consensus.Replica{ID: consensus.FounderID(address(n)), Decided: w.founded})
+			w.addProcess(&consensus.Replica{ID: consensus.InitialMemberID(address(n)), Decided: w.founded})
 		} else {
 			w.addProcess(w.emptyDisk(n))
 		}
--- a/internal/mesh/simulation/core_closing.go
+++ b/internal/mesh/simulation/core_closing.go
@@ -93,7 +93,9 @@
 		next()
 		return
 	}
-	count := func(s *consensus.State) (*consensus.State, error) { return s.WithMembers(s.Members + 1), nil }
+	count := func(s *consensus.State) (*consensus.State, error) {
+		return s.WithBalancerCount(s.BalancerCount + 1), nil
+	}
 	w.propose(b, probeTimeout, count, func(o outcome) {
 		if o.decided && r.expected() {
 			r.over = true
@@ -123,12 +125,12 @@
 	if newest == nil {
 		return
 	}
-	victim := w.byAddress[newest.Core[w.net.IntN(len(newest.Core))].At]
+	victim := w.byAddress[newest.Core[w.net.IntN(len(newest.Core))].Address]
 	w.stop(victim, closingWipeFor, outage{wipe: true})
 	w.Run(w.Now + closingWipeFor + w.CatchUp)
 	newest = w.judge.decided[w.judge.newestIndex]
 	for _, m := range newest.Core {
-		b := w.byAddress[m.At]
+		b := w.byAddress[m.Address]
 		if !b.up || b.memory.ID != m.ID {
 			w.broke("not whole: member %s is away %v after the last disk that was lost", m.ID, time.Duration(w.CatchUp))
 		}
--- a/internal/mesh/simulation/core_faults.go
+++ b/internal/mesh/simulation/core_faults.go
@@ -66,7 +66,7 @@
 		if len(victims) >= w.Tolerate {
 			break
 		}
-		if b := w.byAddress[core[n].At]; b != first {
+		if b := w.byAddress[core[n].Address]; b != first {
 			victims = append(victims, b)
 		}
 	}
--- a/internal/mesh/simulation/core_maintenance.go
+++ b/internal/mesh/simulation/core_maintenance.go
@@ -66,7 +66,7 @@
 	if b.acting {
 		return
 	}
-	rank := s.Rank(b.memory.ID, w.peerStatuses(b))
+	rank := s.DutyRank(b.memory.ID, w.peerStatuses(b))
 	switch {
 	case b.pendingSince > 0 && w.Now-b.pendingSince > settleAfter*int64(1+rank):
 		b.acting = true
@@ -95,6 +95,6 @@
 			others = append(others, consensus.PeerStatus{Member: p.member, SilentFor: w.Now - p.at, Leaving: p.leaving})
 		}
 	}
-	slices.SortFunc(others, func(x, y consensus.PeerStatus) int { return strings.Compare(x.At, y.At) })
+	slices.SortFunc(others, func(x, y consensus.PeerStatus) int { return strings.Compare(x.Address, y.Address) })
 	return others
 }
--- a/internal/mesh/simulation/core_membership.go
+++ b/internal/mesh/simulation/core_membership.go
@@ -106,7 +106,7 @@
 		return
 	}
 	for _, m := range h.ask {
-		if to := h.w.byAddress[m.At]; to != nil && !h.held[m.ID] {
+		if to := h.w.byAddress[m.Address]; to != nil && !h.held[m.ID] {
 			h.request(to)
 		}
 	}
@@ -230,7 +230,7 @@
 // successor is who takes a leaving member's place: the first process that is there and is no member.
 func (w *coreWorld) successor(b *coreProcess, s *consensus.State) (consensus.Member, bool) {
 	for _, other := range w.peerStatuses(b) {
-		if other.SilentFor < consensus.AwayAfter && !s.HasMember(other.ID) {
+		if other.SilentFor < consensus.CandidateTimeout && !s.HasMember(other.ID) {
 			return other.Member, true
 		}
 	}
--- a/internal/mesh/simulation/core_operators.go
+++ b/internal/mesh/simulation/core_operators.go
@@ -204,7 +204,7 @@
 	case w.Remembered > 0: // a window of the question's own
 		return len(known) < w.Remembered || max(o.edition, o.base) >= known[0].Edition
 	}
-	return known.RulesOut(o.edition, o.base)
+	return known.CertainlyNotApplied(o.edition, o.base)
 }
 
 // applyOrder is what a process makes of an order on top of the newest state.
--- a/internal/mesh/simulation/core_process.go
+++ b/internal/mesh/simulation/core_process.go
@@ -103,7 +103,7 @@
 
 // member is the process as the core counts it.
 func (b *coreProcess) member() consensus.Member {
-	return consensus.Member{ID: b.memory.ID, At: b.address, Zone: b.address}
+	return consensus.Member{ID: b.memory.ID, Address: b.address, Zone: b.address}
 }
 
 // isolated reports whether the process can't both reach and hear anybody.
--- a/internal/mesh/simulation/core_proposer.go
+++ b/internal/mesh/simulation/core_proposer.go
@@ -28,7 +28,7 @@
 func (w *coreWorld) ask(from *coreProcess, of *consensus.State, request consensus.Request, within int64, receive func(consensus.Response) bool, failed func()) {
 	b := &broadcast{w: w, from: from, of: of, heard: map[string]bool{}, receive: receive, failed: failed}
 	for _, m := range of.Core {
-		if to := w.byAddress[m.At]; to != nil {
+		if to := w.byAddress[m.Address]; to != nil {
 			b.request(to, request)
 		}
 	}
@@ -114,7 +114,7 @@
 	b := p.by
 	b.round = max(b.round, b.memory.Promised.Round) + 1
 	base := b.memory.Decided
-	ballot := consensus.Ballot{Round: b.round, By: fmt.Sprintf("%d.%d", b.number, b.life)}
+	ballot := consensus.Ballot{Round: b.round, Proposer: fmt.Sprintf("%d.%d", b.number, b.life)}
 	proposal, first := consensus.Propose(base, ballot, p.transform)
 	p.step(proposal, base, first)
 }
--- a/internal/mesh/simulation/core_replacement.go
+++ b/internal/mesh/simulation/core_replacement.go
@@ -60,7 +60,7 @@
 	case ReplaceWipe:
 		core := w.newestCore()
 		for k := range core {
-			victim := w.byAddress[core[(k+f.Who)%len(core)].At]
+			victim := w.byAddress[core[(k+f.Who)%len(core)].Address]
 			if victim.up && w.lost() < w.Tolerate {
 				w.stop(victim, int64(f.For), outage{wipe: true, power: true})
 				w.stopOthers(victim, int64(f.For)/2, outage{power: true})
--- a/internal/mesh/simulation/mesh_faults.go
+++ b/internal/mesh/simulation/mesh_faults.go
@@ -68,7 +68,7 @@
 			}
 			b.nest.Seq = max(b.nest.Seq, 1) + 1
 			up := *b.nest.Upstream
-			up.Closing = !up.Closing
+			up.Draining = !up.Draining
 			b.nest.Upstream = &up
 			seq, at := b.nest.Seq, w.Now
 			w.asks(b, b.life, 0) // told at once
--- a/internal/mesh/simulation/mesh_processes.go
+++ b/internal/mesh/simulation/mesh_processes.go
@@ -130,7 +130,7 @@
 	if w.FullBucket {
 		b.wallet.ApplyGrant(map[string]ratelimit.TokenGrant{"t": {Tokens: w.Surge / float64(w.Proxies) * 6}}, w.Now, w.Now)
 	}
-	b.nest.Name, b.nest.Life, b.nest.District = fmt.Sprint("n", b.n), fmt.Sprint(b.life), fmt.Sprint(b.zone)
+	b.nest.Name, b.nest.Incarnation, b.nest.Zone = fmt.Sprint("n", b.n), fmt.Sprint(b.life), fmt.Sprint(b.zone)
 	b.nest.Upstream = &membership.Upstream{ID: fmt.Sprint("i", b.n), Service: "s", Capacity: 6}
 	w.asks(b, life, 0)
 	b.draw = func(at int) { w.drawFrom(b, at) }
--- a/internal/mesh/simulation/scale/hollow.go
+++ b/internal/mesh/simulation/scale/hollow.go
@@ -45,8 +45,8 @@
 	return &hollow{
 		number: number, fleet: f, caller: rpc.NewCaller(f.meter.wrap), changed: make(chan struct{}), known: make([]uint64, f.size),
 		node: membership.Node{
-			Name: hollowName(number), Inbound: fmt.Sprintf("10.%d.%d.%d:8109", 100+number>>16, number>>8&255, number&255), District: zone,
-			Upstream: &membership.Upstream{ID: fmt.Sprintf("i-%08x", number*2654435761&0xffffffff), Service: service, Edition: "v1", Capacity: 8},
+			Name: hollowName(number), Inbound: fmt.Sprintf("10.%d.%d.%d:8109", 100+number>>16, number>>8&255, number&255), Zone: zone,
+			Upstream: &membership.Upstream{ID: fmt.Sprintf("i-%08x", number*2654435761&0xffffffff), Service: service, Version: "v1", Capacity: 8},
 		},
 	}
 }
@@ -56,7 +56,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if newLife {
-		h.node.Life, h.position, h.controllers = storage.NewIdentity(), membership.Position{}, nil
+		h.node.Incarnation, h.position, h.controllers = storage.NewIdentity(), membership.Position{}, nil
 		h.node.Seq = h.fleet.next(h.number)
 		clear(h.known)
 	}
@@ -85,7 +85,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	upstream := *h.node.Upstream
-	upstream.Ill = (upstream.Ill + 1) % 4
+	upstream.OutlierLevel = (upstream.OutlierLevel + 1) % 4
 	h.node.Upstream, h.node.Seq = &upstream, h.fleet.next(h.number)
 	close(h.changed)
 	h.changed = make(chan struct{})
@@ -119,7 +119,7 @@
 // request makes one watch request; it is given up for a change of the balancer's own.
 func (h *hollow) request(ctx context.Context, controller string) (response *membership.WatchResponse, interrupted bool, err error) {
 	h.mu.Lock()
-	request := &membership.WatchRequest{Node: h.node, Position: h.position, MaxWait: int64(watchWait), Packed: true}
+	request := &membership.WatchRequest{Node: h.node, Position: h.position, MaxWait: int64(watchWait), AcceptsPacked: true}
 	changed := h.changed
 	h.mu.Unlock()
 	h.fleet.meter.Requests.Add(1)
@@ -134,7 +134,7 @@
 
 // fetchConfiguration takes the bytes of a long configuration, as a real proxy does, and reads nothing of them.
 func (h *hollow) fetchConfiguration(ctx context.Context, controller, held string) error {
-	request := &membership.ConfigurationRequest{Held: held}
+	request := &membership.ConfigurationRequest{HeldDigest: held}
 	for {
 		piece := &membership.ConfigurationResponse{}
 		err := h.caller.CallPatiently(ctx, rpc.Patience{Silence: proxy.WatchTimeout}, controller, rpc.PathConfiguration, request, piece)
@@ -153,7 +153,7 @@
 	now := time.Now()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if n.Whole {
+	if n.Complete {
 		h.fleet.meter.Whole.Add(1)
 		if !n.Starting {
 			clear(h.known)
@@ -163,14 +163,14 @@
 	for _, record := range n.Nodes {
 		h.observe(record, now)
 	}
-	for _, name := range n.Gone {
+	for _, name := range n.RemovedNodes {
 		if number, is := hollowNumber(name, len(h.known)); is {
 			h.known[number] = 0
 		}
 	}
 	h.controllers, h.coordinatorAt = n.Controllers, n.Coordinator
 	if h.fleet.stableOrder {
-		slices.SortFunc(h.controllers, func(a, b membership.ControllerAddress) int { return strings.Compare(a.At, b.At) })
+		slices.SortFunc(h.controllers, func(a, b membership.ControllerAddress) int { return strings.Compare(a.Address, b.Address) })
 	}
 	h.position.Controller, h.position.Seq = n.Controller, n.Seq
 	if n.Configuration != nil || n.Digest != h.position.Digest {
@@ -225,7 +225,7 @@
 func (h *hollow) life() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.node.Life
+	return h.node.Incarnation
 }
 
 func (h *hollow) edition() int64 {
@@ -239,7 +239,7 @@
 	h.mu.Lock()
 	controllers := h.controllers
 	h.mu.Unlock()
-	all := orderControllers(h.node.Name, h.node.District, controllers, h.fleet.seeds)
+	all := orderControllers(h.node.Name, h.node.Zone, controllers, h.fleet.seeds)
 	oldest := all[0]
 	for _, at := range all {
 		if time.Since(failed[at]) > avoidFailed {
@@ -260,12 +260,12 @@
 	}
 	for _, c := range controllers {
 		if c.Zone == zone {
-			add(c.At)
+			add(c.Address)
 		}
 	}
 	own := len(all)
 	for _, c := range controllers {
-		add(c.At)
+		add(c.Address)
 	}
 	for _, at := range seeds {
 		add(at)
--- a/internal/mesh/simulation/scale/hollow_test.go
+++ b/internal/mesh/simulation/scale/hollow_test.go
@@ -42,7 +42,7 @@
 	now := time.Now().UnixNano()
 	r.Observe(request.Node, 0, now, true)
 	response := &membership.WatchResponse{Position: membership.Position{Controller: "life", Seq: r.Seq()}, Current: true}
-	response.Nodes, response.Gone, response.Whole = r.ChangesSince(request.Position.Seq, now)
+	response.Nodes, response.RemovedNodes, response.Complete = r.ChangesSince(request.Position.Seq, now)
 	return response, nil
 }
 
@@ -67,9 +67,9 @@
 	some := f.ofZones(func(zone int) bool { return zone == 1 })
 	must.SliceLen(t, 3, some)
 	f.silence(some)
-	before := f.all[1].node.Life
+	before := f.all[1].node.Incarnation
 	f.start(ctx, some, true)
-	must.NotEq(t, before, f.all[1].node.Life)
+	must.NotEq(t, before, f.all[1].node.Incarnation)
 	_, done = f.waitComplete(ctx, 5*time.Second)
 	must.True(t, done)
 }
@@ -101,6 +101,6 @@
 	must.False(t, h.complete([]uint64{0, 4}))
 	node.Lost = false
 	h.apply(&membership.WatchResponse{Nodes: []membership.Record{node}})
-	h.apply(&membership.WatchResponse{Gone: []string{hollowName(1)}})
+	h.apply(&membership.WatchResponse{RemovedNodes: []string{hollowName(1)}})
 	must.False(t, h.complete([]uint64{0, 4}))
 }
--- a/internal/mesh/simulation/scale/scale_test.go
+++ b/internal/mesh/simulation/scale/scale_test.go
@@ -92,7 +92,7 @@
 }
 
 func TestControllersOfTheOwnZoneComeFirst(t *testing.T) {
-	controllers := []membership.ControllerAddress{{At: "a", Zone: "x"}, {At: "b", Zone: "y"}, {At: "c", Zone: "z"}}
+	controllers := []membership.ControllerAddress{{Address: "a", Zone: "x"}, {Address: "b", Zone: "y"}, {Address: "c", Zone: "z"}}
 	must.Eq(t, "b", orderControllers("hollow-0001", "y", controllers, nil)[0])
 	first := map[string]bool{}
 	for n := range 10 {
--- a/internal/mesh/storage/backup.go
+++ b/internal/mesh/storage/backup.go
@@ -55,7 +55,7 @@
 	id = NewIdentity()
 	next := *s
 	next.Index += 1 << 20 // beyond whatever the lost core may have decided
-	next.Core, next.Coordinator = []consensus.Member{{ID: id, At: at, Zone: zone}}, consensus.Coordinator{}
+	next.Core, next.Coordinator = []consensus.Member{{ID: id, Address: at, Zone: zone}}, consensus.Coordinator{}
 	w, _, fresh, err := Open(dir, func() (string, *consensus.State) { return id, &next })
 	if err != nil {
 		return "", err
--- a/internal/mesh/storage/crash_test.go
+++ b/internal/mesh/storage/crash_test.go
@@ -79,7 +79,7 @@
 
 // saveOneChange is a promise, a vote and a decision; every fifth time of another configuration, larger than the write buffer.
 func saveOneChange(replica *consensus.Replica, n int, edition *int64, save func() error) error {
-	replica.Promised = consensus.Ballot{Round: replica.Decided.Index*10 + 1, By: "a"}
+	replica.Promised = consensus.Ballot{Round: replica.Decided.Index*10 + 1, Proposer: "a"}
 	if err := save(); err != nil {
 		return err
 	}
--- a/internal/mesh/storage/encoding.go
+++ b/internal/mesh/storage/encoding.go
@@ -59,7 +59,7 @@
 // this one does it.
 type storedState struct {
 	*consensus.State
-	Parts consensus.PartDigests `json:",omitempty"`
+	Parts consensus.DocumentDigests `json:",omitempty"`
 }
 
 // storedAccepted is an accepted value with a stored state.
--- a/internal/mesh/storage/format_test.go
+++ b/internal/mesh/storage/format_test.go
@@ -16,7 +16,7 @@
 	dir := t.TempDir()
 	must.NoError(t, os.MkdirAll(dir, 0o755))
 	decided := &consensus.State{Index: 7, Edition: 3, Configuration: configurationOf(400, 3)}
-	accepted := &consensus.AcceptedValue{Ballot: consensus.Ballot{Round: 9, By: "a"}, Value: decided.WithMembers(5)}
+	accepted := &consensus.AcceptedValue{Ballot: consensus.Ballot{Round: 9, Proposer: "a"}, Value: decided.WithBalancerCount(5)}
 	old := &consensus.Replica{ID: "one", Decided: decided, Promised: accepted.Ballot, Accepted: accepted}
 	db, err := leveldb.OpenFile(filepath.Join(dir, storeFolder), nil)
 	must.NoError(t, err)
--- a/internal/mesh/storage/size_test.go
+++ b/internal/mesh/storage/size_test.go
@@ -88,9 +88,9 @@
 	}
 	before := writtenBytes()
 	for n := range changes {
-		replica.Promised = consensus.Ballot{Round: uint64(n), By: "a"}
+		replica.Promised = consensus.Ballot{Round: uint64(n), Proposer: "a"}
 		save()
-		next := replica.Decided.WithMembers(n)
+		next := replica.Decided.WithBalancerCount(n)
 		if n%configurationEvery == 0 {
 			edition := next.Edition + 1
 			next = replica.Decided.WithConfiguration(edition, configurationOf(routes, edition), fmt.Sprint(edition))
--- a/internal/mesh/storage/storage.go
+++ b/internal/mesh/storage/storage.go
@@ -141,7 +141,7 @@
 
 // beginLife numbers this start of the disk.
 func (s *Store) beginLife(replica *consensus.Replica) error {
-	var last consensus.DiskLife
+	var last consensus.DiskIncarnation
 	if raw, err := s.get(keyLife); err == nil {
 		if err := decode(raw, &last); err != nil {
 			return &unreadableError{errs.New("%s: %v", keyLife, err)}
@@ -149,8 +149,8 @@
 	} else if err != leveldb.ErrNotFound {
 		return err
 	}
-	replica.Life = consensus.DiskLife{ID: replica.ID, Number: last.Number + 1, Token: NewIdentity()}
-	raw, err := encode(formatWhole, replica.Life)
+	replica.Incarnation = consensus.DiskIncarnation{ID: replica.ID, Number: last.Number + 1, Token: NewIdentity()}
+	raw, err := encode(formatWhole, replica.Incarnation)
 	if err != nil {
 		return err
 	}
@@ -332,10 +332,10 @@
 	if state == nil {
 		return &storedState{}
 	}
-	for digest, document := range state.LargeParts(s.digests.Of) {
+	for digest, document := range state.LargeDocuments(s.digests.Digest) {
 		documents[digest] = document
 	}
-	slim, digests := state.Split(s.digests.Of, func(string) bool { return true })
+	slim, digests := state.Split(s.digests.Digest, func(string) bool { return true })
 	return &storedState{State: slim, Parts: digests}
 }
 
