--- a/internal/mesh/consensus/applied_changes.go
+++ b/internal/mesh/consensus/applied_changes.go
@@ -5,44 +5,45 @@
 	"strconv"
 )
 
-// AppliedChange is a change of the configuration that was applied. Its digest is its identity.
+// AppliedChange is a change of the configuration that was applied. It is identified by its digest.
 type AppliedChange struct {
 	Edition int64
 	Digest  string
 }
 
-// AppliedChanges are the latest changes, oldest first, so that an order that is sent again is recognized. Editions rise.
+// AppliedChanges are the most recent changes, oldest first and with increasing editions. They are kept to recognize a
+// change request that is sent again.
 type AppliedChanges []AppliedChange
 
-// Bounds of what is remembered: whichever is reached first.
+// Bounds on the list of applied changes. The list is trimmed when either is reached.
 const (
 	MaxAppliedChanges     = 1024
-	MaxAppliedChangeBytes = 64 << 10 // as JSON
+	MaxAppliedChangeBytes = 64 << 10 // in bytes of JSON
 
-	// previousMaxAppliedChanges is the limit of processes of the version before, which run beside this one and trim to
-	// it. A list that is shorter has never been trimmed by anybody.
+	// previousMaxAppliedChanges is the limit of the previous version. Its processes may run alongside this version and
+	// trim the list to this length. A shorter list has never been trimmed.
 	previousMaxAppliedChanges = 64
 )
 
-// Contains reports whether the change of a digest is remembered.
+// Contains reports whether the list holds the change with the given digest.
 func (a AppliedChanges) Contains(digest string) bool {
 	return slices.ContainsFunc(a, func(c AppliedChange) bool { return c.Digest == digest })
 }
 
-// CertainlyNotApplied reports whether a change that Contains does not find is certain never to have been applied. edition is the one
-// that the change sets, 0 where it is unknown; base is the one that it was made on.
+// CertainlyNotApplied reports whether a change that Contains does not find is certain never to have been applied. The
+// edition is the one that the change sets, or 0 if unknown. The base is the edition that the change was made on.
 //
-// Editions rise, and an applied change sets an edition above its base. So whatever has been forgotten had both numbers
-// below the oldest remembered edition.
+// Editions increase, and an applied change sets an edition above its base. Both numbers of a trimmed change are therefore
+// below the oldest edition in the list.
 func (a AppliedChanges) CertainlyNotApplied(edition, base int64) bool {
 	return a.complete() || max(edition, base) >= a[0].Edition
 }
 
-// complete reports whether nothing has ever been forgotten.
+// complete reports whether the list has never been trimmed.
 func (a AppliedChanges) complete() bool { return len(a) < previousMaxAppliedChanges }
 
-// Append returns the list with one more change, within the bounds. The list itself stays as it is. The newest change is
-// always kept.
+// Append returns a copy of the list with the change added, trimmed to the bounds. The newest change is always kept, even if
+// it exceeds MaxAppliedChangeBytes by itself.
 func (a AppliedChanges) Append(change AppliedChange) AppliedChanges {
 	first := max(0, len(a)+1-MaxAppliedChanges)
 	size := len("[]") - len(",") + change.jsonSize()
@@ -55,8 +56,8 @@
 	return append(slices.Clone(a[first:]), change)
 }
 
-// jsonSize is the number of bytes that a change takes in a JSON list, with the separator. Digests are hexadecimal: nothing
-// in them is escaped.
+// jsonSize is the number of bytes of a change in a JSON list, with the separator. Digests are hexadecimal, so JSON does not
+// escape any of their characters.
 func (c AppliedChange) jsonSize() int {
 	const syntax = len(`{"Edition":,"Digest":""},`)
 	return syntax + len(strconv.FormatInt(c.Edition, 10)) + len(c.Digest)
--- a/internal/mesh/consensus/applied_changes_test.go
+++ b/internal/mesh/consensus/applied_changes_test.go
@@ -9,7 +9,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// appliedChanges is a list after so many changes whose editions are 2, 4, 6 and so on.
+// appliedChanges returns the list after count changes with editions 2, 4, 6 and so on.
 func appliedChanges(count int) (all AppliedChanges) {
 	for n := range count {
 		all = all.Append(testChange(n))
@@ -21,8 +21,8 @@
 	return AppliedChange{Edition: int64(2 * (n + 1)), Digest: fmt.Sprintf("%032x", n)}
 }
 
-// Whatever has been applied is found or at least not ruled out, however long the list was; a change that was not applied is
-// ruled out wherever the list reaches.
+// An applied change that was trimmed from the list must not be reported as never applied. A change that was not applied is
+// reported as such if its edition or base is not older than the list.
 func TestAppliedChangesAreNeverExcluded(t *testing.T) {
 	for _, count := range []int{0, 1, 63, 64, 65, 100, MaxAppliedChanges, MaxAppliedChanges + 500} {
 		all := appliedChanges(count)
@@ -38,12 +38,13 @@
 		}
 		must.Eq(t, min(count, MaxAppliedChanges), found)
 		newest := int64(2 * count)
-		must.True(t, all.CertainlyNotApplied(newest+1, 0), must.Sprint(count))         // an edition that nobody has set yet
-		must.True(t, all.CertainlyNotApplied(0, max(0, newest-2)), must.Sprint(count)) // built on a version that is remembered
+		must.True(t, all.CertainlyNotApplied(newest+1, 0), must.Sprint(count))         // an edition that no change has set yet
+		must.True(t, all.CertainlyNotApplied(0, max(0, newest-2)), must.Sprint(count)) // made on an edition that the list covers
 	}
 }
 
-// A process of the version before trims to 64 entries; what it forgot is not ruled out either.
+// A process of the previous version trims the list to 64 entries. A change that it trimmed must not be reported as never
+// applied either.
 func TestListTrimmedByPreviousVersion(t *testing.T) {
 	all := appliedChanges(300)
 	trimmed := AppliedChanges(all[len(all)-previousMaxAppliedChanges:])
@@ -70,7 +71,7 @@
 	must.False(t, all.CertainlyNotApplied(high, high-1))
 
 	huge := all.Append(AppliedChange{Edition: high + 2000, Digest: strings.Repeat("f", 2*MaxAppliedChangeBytes)})
-	must.Len(t, 1, huge) // the newest stays in any case
+	must.Len(t, 1, huge) // the newest is kept in any case
 }
 
 func BenchmarkAStateWithAppliedChanges(b *testing.B) {
--- a/internal/mesh/consensus/compact.go
+++ b/internal/mesh/consensus/compact.go
@@ -5,10 +5,10 @@
 	"errors"
 )
 
-var errDocumentMissing = errors.New("the document is not held here")
+var errDocumentMissing = errors.New("the replica does not hold an omitted document")
 
-// Compact is the request without those large documents of its value that the receiver holds. The request itself is returned
-// where there is nothing to leave out.
+// Compact returns the request without the large documents of its value that the receiver holds. It returns the request
+// unchanged if there are no documents to omit.
 func (r Request) Compact(digestOf func(json.RawMessage) string, held Documents) Request {
 	if r.Value == nil || r.Kind != Accept && r.Kind != Learn {
 		return r
@@ -26,10 +26,11 @@
 	return r
 }
 
-// IsCompact reports whether the request's value lacks documents.
+// IsCompact reports whether documents are omitted from the value of the request.
 func (r Request) IsCompact() bool { return r.Kind == AcceptCompact || r.Kind == LearnCompact }
 
-// Expand puts what a compact request left out back into it, out of what the replica holds; ok says whether it holds that.
+// Expand returns a compact request with its omitted documents restored from the decided and accepted states of the replica.
+// The result ok is false if the replica does not hold all of them.
 func (r *Replica) Expand(request Request, digestOf func(json.RawMessage) string) (expanded Request, ok bool) {
 	if request.Value == nil {
 		return request, false
--- a/internal/mesh/consensus/compact_test.go
+++ b/internal/mesh/consensus/compact_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// largeDocument is one that is kept apart.
+// largeDocument returns a document that is large enough to be omitted from compact requests.
 func largeDocument(text string) json.RawMessage {
 	raw, err := json.Marshal(map[string]string{"Text": text, "Padding": strings.Repeat("x", LargeDocumentSize)})
 	if err != nil {
@@ -18,7 +18,7 @@
 }
 
 func TestCompactRequestExpandsOnlyWithHeldDocuments(t *testing.T) {
-	unescaped := json.RawMessage(strings.Replace(string(largeDocument("a")), `"a"`, `"<a&b>"`, 1)) // as an operator sends it
+	unescaped := json.RawMessage(strings.Replace(string(largeDocument("a")), `"a"`, `"<a&b>"`, 1)) // unescaped, as an operator sends it
 	base := &State{Index: 4, Edition: 2, Configuration: unescaped, Credit: largeDocument("credit"), Imports: json.RawMessage(`{"No":3}`)}
 	request := Request{Kind: Accept, Slot: 5, Ballot: Ballot{3, "a"}, Value: base.WithBalancerCount(9)}
 
@@ -29,7 +29,7 @@
 	must.True(t, arrived.IsCompact())
 	must.Less(t, 1000, len(sent))
 
-	stored, err := json.Marshal(base) // as another process got it
+	stored, err := json.Marshal(base) // as another process received it
 	must.NoError(t, err)
 	decided := &State{}
 	must.NoError(t, json.Unmarshal(stored, decided))
@@ -47,7 +47,7 @@
 	must.True(t, ok)
 }
 
-// A change of one document goes with that one, without the others.
+// A request that changes one document carries that document and omits the others.
 func TestCompactRequestCarriesChangedDocuments(t *testing.T) {
 	base := &State{Index: 4, Configuration: largeDocument("configuration"), Credit: largeDocument("credit")}
 	next := base.WithCredit(largeDocument("more credit"))
@@ -60,7 +60,8 @@
 	must.Eq(t, next, expanded.Value)
 }
 
-// A process of the version before knows no compact kinds: it must do nothing at one, not take a value without configuration.
+// A process of the previous version does not know the compact request kinds. It must ignore such a request and must not
+// accept a value without its configuration.
 func TestCompactRequestIsIgnoredByPreviousVersion(t *testing.T) {
 	base := &State{Index: 4, Configuration: largeDocument("configuration")}
 	for _, kind := range []string{Accept, Learn} {
--- a/internal/mesh/consensus/consensus.go
+++ b/internal/mesh/consensus/consensus.go
@@ -1,8 +1,10 @@
-// Package consensus is how the core agrees: one state, replaced whole, slot after slot. Each slot is decided by Paxos among
-// the members that the state before it names, so that the core itself is part of what is agreed. It does no I/O and
-// reads no clock: Replica is an acceptor with its answers, Proposal one proposer's attempt.
+// Package consensus implements the Paxos protocol by which the controllers agree on one shared State. The controllers that
+// vote are called the core. Each slot replaces the whole state. A slot is decided among the core members that the previous
+// state lists, so the membership of the core is part of the agreed state. The package does no I/O and reads no clock:
+// Replica is an acceptor, and Proposal is one attempt of a proposer.
 //
-// What is decided in slot n was accepted, synced, by a quorum of the core of state n-1. A quorum is a majority, and no
-// fewer than Tolerate+1, so that what counts outlives as many lost disks. A member is known by the identity of its
-// disk: a wiped disk comes back under a new one, which counts only once an agreed change has put it into the core.
+// The value decided in slot n has been accepted and synced to disk by a quorum of the core of state n-1. A quorum is a
+// majority of the core, and at least ToleratedLosses+1 members, so that a decision survives the loss of that many disks.
+// A member is identified by its disk. A wiped disk returns with a new identity, which has no vote until an agreed change
+// adds it to the core.
 package consensus
--- a/internal/mesh/consensus/lease.go
+++ b/internal/mesh/consensus/lease.go
@@ -2,43 +2,44 @@
 
 import "slices"
 
-// ReadLease says for how long a state may be passed off as the newest: for a time after a majority of its core said that it had
-// accepted nothing after it. It does no I/O and reads no clock: times are nanoseconds of the caller's steady clock.
+// ReadLease tracks for how long a state may be served as the newest one. A state is valid for the lease duration after a
+// majority of its core reported that they had accepted no value after it. ReadLease does no I/O and reads no clock: times
+// are nanoseconds of the caller's monotonic clock.
 //
-// An answer counts from the moment before its question was sent, and it is about states: one that a caller looked up before a later
-// one was confirmed is not the newest by the later one's confirmation.
+// A response counts from the time at which its request was sent. It confirms the state with the reported index, so the
+// confirmation of a later state does not make an earlier one valid that a caller read before.
 //
-// Why it holds: what follows a state is decided once a quorum of the state's core has accepted it, on disk, on top of that state. A
-// member that answers later than that has either the accepted value, or a later state. So where a majority of the core answers that it
-// holds an earlier state, or this one with nothing accepted, nothing after the state had been decided when it was asked.
+// The lease is safe because the successor of a state is decided only once a quorum of the state's core has accepted it on
+// disk. A member that answers after that has either the accepted value or a later state. If a majority of the core reports
+// an earlier state, or this state with nothing accepted, no successor had been decided when the request was sent.
 type ReadLease struct {
 	duration int64
-	answers  map[string][]leaseAnswer // by identity of the member
+	answers  map[string][]leaseAnswer // by member ID
 
-	withoutMajority, withoutPending, withoutIndex, withoutMembers bool // guards left out
+	withoutMajority, withoutPending, withoutIndex, withoutMembers bool // disabled guards, for tests
 }
 
-// leaseAnswer is what a member said of its replica.
+// leaseAnswer is the state of a replica as its member reported it.
 type leaseAnswer struct {
 	index   uint64
-	pending bool // something was accepted after it
+	pending bool // a value is accepted for the next slot
 	askedAt int64
 }
 
-// Names of guards that may be left out of a lease.
+// Names of the guards that DisableGuard can turn off.
 const (
-	WithoutMajority = "without-majority" // valid without contact to a majority
-	WithoutPending  = "without-pending"  // what is accepted and not known to be decided is overlooked
-	WithoutIndex    = "without-index"    // an answer about one state is taken for all
-	WithoutMembers  = "without-members"  // answers of an earlier core are taken for those of a later one
+	WithoutMajority = "without-majority" // a state is valid without answers from a majority
+	WithoutPending  = "without-pending"  // accepted values that may have been decided are ignored
+	WithoutIndex    = "without-index"    // an answer about one state confirms any state
+	WithoutMembers  = "without-members"  // answers from an earlier core confirm states of a later one
 )
 
-// NewReadLease makes a lease under which nothing is valid yet; duration is how long an answer holds.
+// NewReadLease returns a lease under which no state is valid yet. An answer counts for the given duration in nanoseconds.
 func NewReadLease(duration int64) *ReadLease {
 	return &ReadLease{duration: duration, answers: map[string][]leaseAnswer{}}
 }
 
-// DisableGuard leaves a guard out.
+// DisableGuard turns the named guard off and all others on, so that tests can show that each guard is needed.
 func (l *ReadLease) DisableGuard(guard string) {
 	l.withoutMajority = guard == WithoutMajority
 	l.withoutPending = guard == WithoutPending
@@ -46,8 +47,8 @@
 	l.withoutMembers = guard == WithoutMembers
 }
 
-// Observe takes a replica's response to a question where it stands; askedAt is a moment before the question was sent. The word of a
-// replica that does not vouch for itself counts for nothing.
+// Observe records a replica's response to a ReadState request. The time askedAt must not be later than the moment at which
+// the request was sent. A response without OK is ignored, because the replica does not vouch for its own state.
 func (l *ReadLease) Observe(response Response, askedAt int64) {
 	if response.Kind != ReadState || !response.OK {
 		return
@@ -62,7 +63,7 @@
 	l.answers[response.ID] = append(kept, leaseAnswer{response.Index, response.Pending, askedAt})
 }
 
-// Valid reports whether nothing after a state had been decided at some moment less than the lease's duration ago.
+// Valid reports whether the state was confirmed to be the newest less than the lease duration before now.
 func (l *ReadLease) Valid(s *State, now int64) bool {
 	if l.withoutMajority {
 		return true
@@ -71,7 +72,8 @@
 	return known && now-askedAt < l.duration
 }
 
-// ConfirmedAt is the last moment at which nothing after a state had been decided, as far as is known.
+// ConfirmedAt returns the latest time at which no successor of the state is known to have been decided. The result known is
+// false if no majority of the state's core has confirmed it.
 func (l *ReadLease) ConfirmedAt(s *State) (askedAt int64, known bool) {
 	var asked []int64
 	for id, answers := range l.answers {
@@ -87,7 +89,8 @@
 	return asked[len(asked)-majority], true
 }
 
-// confirmationTime is when a member was last asked that said that it had accepted nothing after a state.
+// confirmationTime returns when the latest request was sent to which a member answered that it had accepted no value after
+// the state.
 func (l *ReadLease) confirmationTime(answers []leaseAnswer, s *State) (askedAt int64, confirms bool) {
 	for _, answer := range answers {
 		unchanged := answer.index < s.Index || answer.index == s.Index && !answer.pending
--- a/internal/mesh/consensus/lease_test.go
+++ b/internal/mesh/consensus/lease_test.go
@@ -10,13 +10,13 @@
 
 const leaseDuration = 600
 
-// leaseSimulation is a core whose messages are lost, late and out of order, with a lease at each member.
+// leaseSimulation runs a core, with a lease at each member, over a network that loses, delays and reorders messages.
 type leaseSimulation struct {
 	random        *rand.Rand
 	now           int64
 	replicas      []*Replica
 	leases        []*ReadLease
-	earlierStates []*State // that each has looked up before
+	earlierStates []*State // a state that each replica read earlier
 	decidedAt     map[uint64]int64
 	inFlight      []func()
 	validChecks   int
@@ -33,7 +33,7 @@
 	return sim
 }
 
-// send has a replica handle a request some time, unless it is lost, and the response come back some time.
+// send queues a request to a replica unless it is lost. Once the request is delivered, its response is queued as well.
 func (sim *leaseSimulation) send(to string, request Request, lossRate float64, onResponse func(Response)) {
 	for _, r := range sim.replicas {
 		if r.ID == to && sim.random.Float64() >= lossRate {
@@ -45,7 +45,7 @@
 	}
 }
 
-// propose is an attempt of a replica at the next slot.
+// propose starts a proposal by a replica for the next slot.
 func (sim *leaseSimulation) propose(n int) {
 	base := sim.replicas[n].Decided
 	attempt, first := Propose(base, Ballot{Round: sim.replicas[n].Promised.Round + 1 + sim.random.Uint64N(3), Proposer: sim.replicas[n].ID}, func(s *State) (*State, error) {
@@ -98,7 +98,8 @@
 	}
 }
 
-// check holds what a lease says of the state that a replica has now, or had looked up before, against what was decided when.
+// check fails if the lease of a replica declares its current state, or the one that it read earlier, valid although a later
+// state had been decided for at least the lease duration.
 func (sim *leaseSimulation) check(n int) error {
 	for _, s := range []*State{sim.earlierStates[n], sim.replicas[n].Decided} {
 		if !sim.leases[n].Valid(s, sim.now) {
@@ -107,7 +108,7 @@
 		sim.validChecks++
 		for index, decidedAt := range sim.decidedAt {
 			if index > s.Index && decidedAt <= sim.now-leaseDuration {
-				return fmt.Errorf("state %d is passed off as the newest %d after state %d was decided", s.Index, sim.now-decidedAt, index)
+				return fmt.Errorf("state %d is valid under the lease %d ns after state %d was decided", s.Index, sim.now-decidedAt, index)
 			}
 		}
 	}
@@ -141,7 +142,8 @@
 	return nil
 }
 
-// A lease passes nothing off as the newest that had been followed for as long as its duration, and each guard left out does.
+// A lease must never declare a state valid whose successor was decided at least the lease duration ago. With any one guard
+// disabled, the simulation must find a violation.
 func TestLeaseNeverConfirmsStaleState(t *testing.T) {
 	const seeds, steps = 120, 4000
 	for _, guard := range []string{"", WithoutMajority, WithoutPending, WithoutIndex} {
@@ -156,7 +158,7 @@
 				}
 			}
 		}
-		t.Logf("without %q: convicted on %d of %d seeds, %d decisions, %d times valid", guard, violations, seeds, decided, valid)
+		t.Logf("disabled guard %q: violations on %d of %d seeds, %d decisions, %d checks with a valid lease", guard, violations, seeds, decided, valid)
 		must.Eq(t, guard != "", violations > 0, must.Sprint(guard))
 		must.Positive(t, valid)
 		if guard == "" {
@@ -165,7 +167,8 @@
 	}
 }
 
-// What follows a state may have changed the core: the answers of the core before it are not those of the later one's majority.
+// A later state may have another core. Answers from members of the earlier core must not count towards the majority of the
+// later one.
 func TestLeaseIgnoresAnswersOfEarlierCore(t *testing.T) {
 	base := InitialState([]string{"a", "b", "c"}, func(string) string { return "" }, 1)
 	same, other := base.WithBalancerCount(5), base.ReplaceMember(InitialMemberID("a"), Member{ID: "d", Address: "d"})
@@ -174,8 +177,8 @@
 		lease.DisableGuard(guard)
 		lease.Observe(Response{Kind: ReadState, ID: InitialMemberID("a"), Index: base.Index, OK: true}, 100)
 		lease.Observe(Response{Kind: ReadState, ID: InitialMemberID("b"), Index: base.Index, OK: true, Pending: true}, 100)
-		lease.Observe(Response{Kind: ReadState, ID: InitialMemberID("c"), Index: base.Index}, 100) // it does not vouch for itself
-		must.False(t, lease.Valid(base, 200))                                                      // what is accepted may have been decided
+		lease.Observe(Response{Kind: ReadState, ID: InitialMemberID("c"), Index: base.Index}, 100) // does not vouch for itself
+		must.False(t, lease.Valid(base, 200))                                                      // the accepted value may have been decided
 		must.True(t, lease.Valid(same, 200))
 		must.False(t, lease.Valid(same, 100+leaseDuration))
 		must.Eq(t, guard != "", lease.Valid(other, 200))
--- a/internal/mesh/consensus/membership.go
+++ b/internal/mesh/consensus/membership.go
@@ -5,29 +5,30 @@
 	"strings"
 )
 
-// PeerStatus is a controller as another one hears of it.
+// PeerStatus describes a controller as another controller sees it.
 type PeerStatus struct {
 	Member
-	SilentFor int64 `json:"Quiet"`      // nanoseconds since it was heard of; below 0 for never
-	Leaving   bool  `json:",omitempty"` // it has been told to stop
+	SilentFor int64 `json:"Quiet"`      // nanoseconds since its last heartbeat; negative if none was received
+	Leaving   bool  `json:",omitempty"` // it is shutting down
 }
 
-// MembershipChange is a change of the core by one member: Add comes, and Remove makes room for it. An empty Remove only
-// adds; an Add without an identity only removes.
+// MembershipChange changes the core by one member: Add replaces the member with the ID Remove. If Remove is empty, the
+// change only adds; if Add has no ID, it only removes.
 type MembershipChange struct {
 	Remove string `json:"Out"`
 	Add    Member `json:"In"`
 }
 
-// Times after which a controller that is not heard of is treated as gone, in nanoseconds.
+// Times without a heartbeat after which a controller is treated as unavailable, in nanoseconds.
 const (
-	CandidateTimeout   = int64(1200e6) // it is no longer a candidate for membership
-	DutyTimeout        = int64(800e6)  // its duties are another's
-	ReplacementTimeout = int64(1500e6) // another may take its place in the core
+	CandidateTimeout   = int64(1200e6) // it is no longer a candidate for the core
+	DutyTimeout        = int64(800e6)  // another controller takes over its duties
+	ReplacementTimeout = int64(1500e6) // another controller may replace it in the core
 )
 
-// DutyRank is a controller's place among the members that are heard of and stay, in the order of their identities: rank 0
-// does what one alone has to do. Several that think so do no harm: what they do is decided by agreement.
+// DutyRank is a controller's position among the available members in the order of their IDs. The controller with rank 0
+// performs the duties of which there must be one performer. It is safe if several controllers compute rank 0, because the
+// effects of these duties are decided by consensus.
 func (s *State) DutyRank(self string, peers []PeerStatus) (rank int) {
 	available := func(id string) bool {
 		return slices.ContainsFunc(peers, func(peer PeerStatus) bool {
@@ -45,13 +46,13 @@
 	return rank + len(s.Core)
 }
 
-// PlanMembership is the change that the core needs first, where members only have to be spread over machines. up is how
-// long self has listened.
+// PlanMembership returns the most urgent change of the core, without requirements on zones or regions. The uptime is how
+// long self has been receiving heartbeats, in nanoseconds.
 func (s *State) PlanMembership(self Member, peers []PeerStatus, uptime int64) (change MembershipChange, wanted bool) {
 	return Placement{}.Plan(s, self, peers, uptime)
 }
 
-// ApplyMembership is the state after a change of the core, nil where the change has been overtaken.
+// ApplyMembership returns the state after a change of the core, or nil if the change does not apply to the state any more.
 func (s *State) ApplyMembership(change MembershipChange) *State {
 	switch {
 	case change.Remove != "" && !s.HasMember(change.Remove):
@@ -67,12 +68,12 @@
 	return s.ReplaceMember(change.Remove, change.Add)
 }
 
-// targetSize is how many members bear the loss of Tolerate of them.
+// targetSize is the number of members needed to tolerate the loss of ToleratedLosses of them.
 func (s *State) targetSize() int { return 2*s.ToleratedLosses + 1 }
 
-// shouldShrink reports whether the core bears more without a member that is gone than with it: it is larger than it has
-// to be, and its quorum gets smaller. In all other cases an empty seat is worth as much as none, and a member that comes
-// back with its disk takes it again.
+// shouldShrink reports whether removing an unavailable member lets the core tolerate more losses: the core is larger than
+// its target size, and the removal makes its quorum smaller. Otherwise the removal gains nothing, and the member can resume
+// its place if it returns with its disk.
 func (s *State) shouldShrink() bool {
 	if s.ToleratedLosses < 1 || len(s.Core) <= s.targetSize() {
 		return false
--- a/internal/mesh/consensus/membership_test.go
+++ b/internal/mesh/consensus/membership_test.go
@@ -10,8 +10,9 @@
 	"ottershift/internal/mesh/consensus"
 )
 
-// parsePeers reads controllers off a text: "name zone" each, with "!" behind a name for one that is not heard of, "?" for one
-// that never was, and "-" for one that leaves. Its address is its name without a number behind "'".
+// parsePeers parses a comma-separated list of controllers, each written as "name zone". A name ending in "!" has been silent
+// for ReplacementTimeout, one ending in "?" has never been heard, and one ending in "-" is leaving. Trailing "'" characters
+// are not part of the address: "b'" is the controller at b after its disk was wiped.
 func parsePeers(text string) (all []consensus.PeerStatus) {
 	for _, field := range strings.Split(text, ",") {
 		name, zone, _ := strings.Cut(strings.TrimSpace(field), " ")
@@ -36,39 +37,39 @@
 	for _, c := range []struct {
 		name      string
 		tolerate  int
-		members   int // the first of the peers, which are the core
+		members   int // number of leading peers that form the core
 		peers     string
 		up        int64
 		placement consensus.Placement
-		want      string // "out>in", empty for nothing
+		want      string // "removed>added", or empty for no change
 	}{
-		{"whole", 1, 3, "a x, b y, c z", longUptime, zones, ""},
-		{"a spare changes nothing", 1, 3, "a x, b y, c z, d x", longUptime, zones, ""},
-		{"a silent one makes room", 1, 3, "a x, b! y, c z, d x, e y", longUptime, zones, "b>e"},
-		{"not before it could have been heard", 1, 3, "a x, b? y, c z, d x", shortUptime, zones, ""},
-		{"one never heard of", 1, 3, "a x, b? y, c z, d x", longUptime, zones, "b>d"},
-		{"nobody takes the place", 1, 3, "a x, b! y, c z", longUptime, zones, ""},
-		{"a wiped disk comes before the silent", 1, 3, "a x, b y, c! z, b' y, d z", longUptime, zones, "b>b'"},
-		{"one that leaves makes room at once", 1, 3, "a x, b- y, c z, d y", longUptime, zones, "b>d"},
-		{"after one that is gone", 1, 3, "a x, b- y, c! z, d y", longUptime, zones, "c>d"},
-		{"a spare that leaves is none", 1, 3, "a x, b! y, c z, d- x", longUptime, zones, ""},
-		{"among equals the zone of the one gone", 1, 3, "a x, b y, c! z, d w, e z", longUptime, zones, "c>e"},
-		{"growth", 2, 3, "a x, b y, c z, d x, e w", longUptime, zones, ">e"},
-		{"a gap comes before growth", 2, 3, "a x, b! y, c z, d w", longUptime, zones, "b>d"},
-		{"four with one gone are three", 1, 4, "a x, b y, c z, d! w", longUptime, zones, "d>"},
-		{"three with one gone stay three", 1, 3, "a x, b y, c! z", longUptime, zones, ""},
-		{"two of one zone, a spare elsewhere", 1, 3, "a x, b x, c z, d y", longUptime, zones, "a>d"},
-		{"no zone counts", 1, 3, "a x, b x, c z, d y", longUptime, consensus.Placement{}, ""},
-		{"no better spare", 1, 3, "a x, b x, c z, d z", longUptime, zones, ""},
-		{"an empty zone is preferred to that of the one gone", 1, 3, "a x, b x, c! x, d x, e y", longUptime, zones, "c>e"},
-		{"two of one region", 1, 3, "a x1, b x2, c y1, d z1", longUptime, regions, "a>d"},
-		{"regions before zones", 1, 3, "a x1, b! z1, c y1, d x2, e z1", longUptime, regions, "b>e"},
+		{"all members available", 1, 3, "a x, b y, c z", longUptime, zones, ""},
+		{"a spare is available but not needed", 1, 3, "a x, b y, c z, d x", longUptime, zones, ""},
+		{"a silent member is replaced", 1, 3, "a x, b! y, c z, d x, e y", longUptime, zones, "b>e"},
+		{"a member is not missing before it could have been heard", 1, 3, "a x, b? y, c z, d x", shortUptime, zones, ""},
+		{"a member that was never heard is replaced", 1, 3, "a x, b? y, c z, d x", longUptime, zones, "b>d"},
+		{"a silent member without a spare stays", 1, 3, "a x, b! y, c z", longUptime, zones, ""},
+		{"a wiped disk is replaced before a silent member", 1, 3, "a x, b y, c! z, b' y, d z", longUptime, zones, "b>b'"},
+		{"a leaving member is replaced immediately", 1, 3, "a x, b- y, c z, d y", longUptime, zones, "b>d"},
+		{"a silent member is replaced before a leaving one", 1, 3, "a x, b- y, c! z, d y", longUptime, zones, "c>d"},
+		{"a leaving spare is not a candidate", 1, 3, "a x, b! y, c z, d- x", longUptime, zones, ""},
+		{"among equal spares the zone of the replaced member is preferred", 1, 3, "a x, b y, c! z, d w, e z", longUptime, zones, "c>e"},
+		{"a core below its target size grows", 2, 3, "a x, b y, c z, d x, e w", longUptime, zones, ">e"},
+		{"a silent member is replaced before the core grows", 2, 3, "a x, b! y, c z, d w", longUptime, zones, "b>d"},
+		{"four members with one silent shrink to three", 1, 4, "a x, b y, c z, d! w", longUptime, zones, "d>"},
+		{"three members with one silent do not shrink", 1, 3, "a x, b y, c! z", longUptime, zones, ""},
+		{"two members in one zone with a spare in another zone", 1, 3, "a x, b x, c z, d y", longUptime, zones, "a>d"},
+		{"zones are not considered", 1, 3, "a x, b x, c z, d y", longUptime, consensus.Placement{}, ""},
+		{"no spare improves the spread", 1, 3, "a x, b x, c z, d z", longUptime, zones, ""},
+		{"an unused zone is preferred to the zone of the replaced member", 1, 3, "a x, b x, c! x, d x, e y", longUptime, zones, "c>e"},
+		{"two members in one region", 1, 3, "a x1, b x2, c y1, d z1", longUptime, regions, "a>d"},
+		{"regions are considered before zones", 1, 3, "a x1, b! z1, c y1, d x2, e z1", longUptime, regions, "b>e"},
 	} {
 		all := parsePeers(c.peers)
 		s := &consensus.State{Index: 1, ToleratedLosses: c.tolerate}
 		for _, m := range all[:c.members] {
 			member := m.Member
-			member.Zone = "" // a founder's is not agreed
+			member.Zone = "" // the agreed state has no zones of initial members
 			s.Core = append(s.Core, member)
 		}
 		change, wanted := c.placement.Plan(s, all[0].Member, all[1:], c.up)
@@ -80,13 +81,13 @@
 		if wanted {
 			next := s.ApplyMembership(change)
 			must.NotNil(t, next, must.Sprint(c.name))
-			must.Nil(t, next.ApplyMembership(change), must.Sprint(c.name, " twice"))
+			must.Nil(t, next.ApplyMembership(change), must.Sprint(c.name, " applied twice"))
 		}
 	}
 }
 
-// Whatever is lost and comes, as often as it may: exchanges for the sake of zones end, and the core is never larger than
-// it has to be nor smaller than it was.
+// Repeated planning must terminate instead of exchanging members for the sake of zones without end, and it must leave a
+// core of the target size that is spread over the zones.
 func TestPlanTerminates(t *testing.T) {
 	all := parsePeers("a x, b x, c x, d x, e y, f y, g z, h z, i z")
 	s := &consensus.State{Index: 1, ToleratedLosses: 2}
--- a/internal/mesh/consensus/parts.go
+++ b/internal/mesh/consensus/parts.go
@@ -7,27 +7,27 @@
 	"encoding/json"
 )
 
-// LargeDocumentSize is the size from which a document of a state is kept and sent apart from it, under its digest.
+// LargeDocumentSize is the size in bytes from which a document of a state is stored and sent separately under its digest.
 const LargeDocumentSize = 16 << 10
 
-// DocumentDigests are the digests of documents that were taken out of a state, by the document's name.
+// DocumentDigests maps the names of documents that were removed from a state to their digests.
 type DocumentDigests map[string]string
 
-// Documents are documents by their digests.
+// Documents maps digests to documents.
 type Documents map[string]json.RawMessage
 
-// documentFields are the documents of a state that may be large. Most changes leave them as they are.
+// documentFields lists the documents of a state that may be large. Most changes of the state do not modify them.
 var documentFields = []struct {
 	name string
-	of   func(*State) *json.RawMessage
+	get  func(*State) *json.RawMessage
 }{
 	{"configuration", func(s *State) *json.RawMessage { return &s.Configuration }},
 	{"credit", func(s *State) *json.RawMessage { return &s.Credit }},
 	{"imports", func(s *State) *json.RawMessage { return &s.Imports }},
 }
 
-// DigestOf identifies a document by its content. It is the same before and after the document has been sent as JSON, which
-// escapes some characters.
+// DigestOf returns the digest of a document's content. The digest is the same before and after the document is sent as
+// JSON, because it is computed from the escaped form that json.Marshal produces.
 func DigestOf(document json.RawMessage) string {
 	var escaped bytes.Buffer
 	escaped.Grow(len(document))
@@ -36,22 +36,23 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// LargeDocuments are the large documents of a state, by their digests.
+// LargeDocuments returns the large documents of a state by their digests.
 func (s *State) LargeDocuments(digestOf func(json.RawMessage) string) Documents {
 	documents := Documents{}
 	for _, field := range documentFields {
-		if document := *field.of(s); len(document) >= LargeDocumentSize {
+		if document := *field.get(s); len(document) >= LargeDocumentSize {
 			documents[digestOf(document)] = document
 		}
 	}
 	return documents
 }
 
-// Split takes those large documents out of a state that leave accepts; the state itself stays as it is.
+// Split returns a copy of the state without the large documents for whose digests omit returns true, and the digests of
+// these documents.
 func (s *State) Split(digestOf func(json.RawMessage) string, omit func(digest string) bool) (*State, DocumentDigests) {
 	stripped, digests := *s, DocumentDigests{}
 	for _, field := range documentFields {
-		document := field.of(&stripped)
+		document := field.get(&stripped)
 		if len(*document) < LargeDocumentSize {
 			continue
 		}
@@ -62,7 +63,7 @@
 	return &stripped, digests
 }
 
-// Join puts documents back into a state that was split.
+// Join returns a copy of a state that was split, with its documents restored.
 func (s *State) Join(digests DocumentDigests, find func(digest string) (json.RawMessage, error)) (*State, error) {
 	joined := *s
 	for _, field := range documentFields {
@@ -74,20 +75,20 @@
 		if err != nil {
 			return nil, err
 		}
-		*field.of(&joined) = document
+		*field.get(&joined) = document
 	}
 	return &joined, nil
 }
 
-// DigestCache remembers the digests of the last documents: most stay the same through most changes. It is not safe for
-// concurrent use.
+// DigestCache caches the digests of recently used documents, since most changes of the state leave them unmodified. It is not
+// safe for concurrent use.
 type DigestCache struct {
-	documents [12]json.RawMessage // three parts of a decided state, an accepted one and two on their way
+	documents [12]json.RawMessage // three documents each of a decided state, an accepted one and two in transit
 	digests   [12]string
 	next      int
 }
 
-// Digest is a document's digest.
+// Digest returns the digest of a document.
 func (c *DigestCache) Digest(document json.RawMessage) string {
 	for n, known := range c.documents {
 		if len(known) == len(document) && len(known) > 0 && &known[0] == &document[0] {
--- a/internal/mesh/consensus/placement.go
+++ b/internal/mesh/consensus/placement.go
@@ -5,22 +5,25 @@
 	"slices"
 )
 
-// Placement says over what the members of a core are spread: how many zones and regions may be lost at once, and which
-// region a zone is in. Its zero value spreads over zones as far as it costs no change of its own.
+// Placement defines how the members of the core are spread: how many zones and regions may be lost at once, and the region of
+// each zone. The zero value prefers a spread over zones when a member is added or replaced for another reason, but does not
+// move members for it.
 type Placement struct {
 	Zones, Regions int
 	RegionOf       map[string]string
 }
 
-// Plan is the change that the core needs first:
+// Plan returns the most urgent change of the core, in this order:
 //
-//  1. a member whose address answers under another identity has lost its disk, and makes room for that identity;
-//  2. a member that is not heard of makes room for a spare, and after it one that is leaving;
-//  3. a core smaller than 2·Tolerate+1 takes a spare in;
-//  4. a core that a missing member makes weaker than one without it lets it go;
-//  5. a member moves to a spare elsewhere where the loss of zones or regions that is to be borne would take too many.
+//  1. A member whose address answers with another ID has lost its disk and is replaced by the new ID.
+//  2. A member without heartbeats is replaced by a spare; if there is none, a leaving member is.
+//  3. A core with fewer than 2·ToleratedLosses+1 members adds a spare.
+//  4. An unavailable member is removed if the core tolerates more losses without it.
+//  5. A member is replaced by a spare elsewhere if the loss of the configured number of zones or regions would take too many
+//     members.
 //
-// up is how long self has listened: a member never heard of is not missing before that is ReplaceAfter.
+// The uptime is how long self has been receiving heartbeats, in nanoseconds. A member without any heartbeat is not
+// unavailable before the uptime reaches ReplacementTimeout.
 func (p Placement) Plan(s *State, self Member, peers []PeerStatus, uptime int64) (change MembershipChange, wanted bool) {
 	view := newMembershipView(s, self, peers, uptime)
 	if change, wanted = view.planWipedDiskReplacement(); wanted {
@@ -42,13 +45,13 @@
 	return p.planMove(view)
 }
 
-// membershipView is the core and its surroundings as one controller sees them.
+// membershipView is the core and the other known controllers as one controller sees them.
 type membershipView struct {
 	state  *State
 	self   string
 	uptime int64
-	peers  map[string]PeerStatus // by identity
-	spares []Member              // heard of, staying, no members; in the order of their addresses
+	peers  map[string]PeerStatus // by ID, including self
+	spares []Member              // available controllers outside the core, ordered by address
 }
 
 func newMembershipView(s *State, self Member, peers []PeerStatus, uptime int64) *membershipView {
@@ -67,7 +70,7 @@
 	return view
 }
 
-// planWipedDiskReplacement finds a member whose machine is there under another identity: the disk that had its vote is gone.
+// planWipedDiskReplacement finds a member whose address has a spare with another ID: the disk that had the vote is lost.
 func (v *membershipView) planWipedDiskReplacement() (change MembershipChange, wanted bool) {
 	for _, m := range v.state.Core {
 		for _, spare := range v.spares {
@@ -79,7 +82,7 @@
 	return change, false
 }
 
-// firstUnavailable is a member that is not heard of, or else one that leaves.
+// firstUnavailable returns the first member without recent heartbeats or, if there is none, the first leaving member.
 func (v *membershipView) firstUnavailable() (unavailable Member, found bool) {
 	for _, m := range v.state.Core {
 		peer, known := v.peers[m.ID]
@@ -95,14 +98,14 @@
 	return unavailable, false
 }
 
-// zoneOf is a member's zone as the member itself says it: that of a founder is not part of the agreed state. An unknown
-// zone is taken for one of its own.
+// zoneOf returns a member's zone as the member itself reports it, since the agreed state does not have the zones of initial
+// members. A member whose zone is unknown counts as alone in its zone.
 func (v *membershipView) zoneOf(m Member) string {
 	return cmp.Or(v.peers[m.ID].Zone, m.Zone, "of "+m.ID)
 }
 
-// bestSpare is the spare that spreads the core furthest in place of a member, or beside all of them for an empty one. Among
-// equals it is one of the member's own zone, then that of the lowest address.
+// bestSpare returns the spare that gives the best spread of the core in place of the replaced member, or as an additional
+// member if replaced is empty. Ties are broken in favor of the zone of the replaced member, then of the lowest address.
 func (p Placement) bestSpare(view *membershipView, replaced Member) Member {
 	zones, regions := map[string]int{}, map[string]int{}
 	for _, m := range view.state.Core {
@@ -128,8 +131,8 @@
 	})
 }
 
-// planMove finds the exchange of one member for a spare after which the worst loss that is to be borne takes fewer members.
-// Each exchange lowers that number, so there are only so many of them.
+// planMove finds the replacement of one member by a spare that most reduces the number of members lost with the configured
+// number of zones or regions. Each replacement lowers that number, so a sequence of replacements terminates.
 func (p Placement) planMove(view *membershipView) (change MembershipChange, wanted bool) {
 	lowest := p.worstLoss(view, view.state.Core)
 	if lowest <= view.state.maxTolerableLoss() {
@@ -146,10 +149,11 @@
 	return change, wanted
 }
 
-// maxTolerableLoss is how many members may be lost at once so that the rest is a quorum and one of them has every decision.
+// maxTolerableLoss is how many members may be lost at once such that the others form a quorum and at least one of them holds
+// each decision.
 func (s *State) maxTolerableLoss() int { return min(len(s.Core)-s.Quorum(), s.Quorum()-1) }
 
-// worstLoss is how many members the loss of the zones, or regions, that is to be borne takes at most.
+// worstLoss is the largest number of members that the loss of the configured number of zones, or of regions, can take.
 func (p Placement) worstLoss(view *membershipView, core []Member) int {
 	zones, regions := map[string]int{}, map[string]int{}
 	for _, m := range core {
@@ -161,7 +165,7 @@
 
 func (p Placement) region(zone string) string { return cmp.Or(p.RegionOf[zone], "of "+zone) }
 
-// sumOfLargest is the sum of the n largest counts.
+// sumOfLargest returns the sum of the n largest counts.
 func sumOfLargest(counts map[string]int, n int) (sum int) {
 	var sorted []int
 	for _, count := range counts {
--- a/internal/mesh/consensus/proposal.go
+++ b/internal/mesh/consensus/proposal.go
@@ -1,20 +1,20 @@
 package consensus
 
-// Step is what a proposal wants next.
+// Step is the next action that a proposal requires.
 type Step uint8
 
-// The steps.
+// Steps of a proposal.
 const (
-	StepWait      Step = iota // for more answers
-	StepSend                  // Request, to all of the core
-	StepAhead                 // a later state is decided: State; begin again on top of it
-	StepBehind                // members have not heard of the state: tell them, begin again
-	StepLost                  // no quorum comes about under this ballot; begin again under a higher one
-	StepUnchanged             // the function wanted nothing more of the state, which is the newest
-	StepDecided               // State is decided; Own says whether it is the function's
+	StepWait      Step = iota // wait for more responses
+	StepSend                  // send Request to all members of the core
+	StepAhead                 // a later state has been decided: start again from State
+	StepBehind                // members do not have the base state yet: send it to them and start again
+	StepLost                  // no quorum is possible with this ballot: start again with a higher one
+	StepUnchanged             // the transform function made no change to the base, which is the newest state
+	StepDecided               // State is decided; Own tells whether it is the result of the transform function
 )
 
-// Proposal is one attempt at the slot after a state, from a promise to a decision.
+// Proposal is one attempt to decide the slot after a base state, from the prepare phase to the decision.
 type Proposal struct {
 	base      *State
 	transform func(*State) (*State, error)
@@ -23,22 +23,23 @@
 	State     *State
 	Own       bool
 	Err       error
-	Round     uint64 // the highest that was seen
+	Round     uint64 // the highest round seen in responses
 	finished  bool
 }
 
-// Propose begins an attempt; the request goes to all of the state's core. The function is called once the state is the
-// newest beyond doubt, unless somebody's value has to be gone on with.
+// Propose starts a proposal and returns the request to send to all members of the base state's core. The transform function
+// is called once the base is known to be the newest state, unless the proposal has to continue with a value that was
+// accepted earlier.
 func Propose(base *State, ballot Ballot, transform func(*State) (*State, error)) (*Proposal, Request) {
 	p := &Proposal{base: base, transform: transform, votes: NewVoteCount(base)}
 	p.request = Request{Kind: Prepare, Slot: base.Index + 1, Ballot: ballot}
 	return p, p.request
 }
 
-// Request is what is being asked.
+// Request returns the current request of the proposal.
 func (p *Proposal) Request() Request { return p.request }
 
-// HandleResponse takes a response. Those to another request than the last say nothing.
+// HandleResponse processes a response. Responses to another request than the current one are ignored.
 func (p *Proposal) HandleResponse(response Response) Step {
 	if p.finished || response.Kind != p.request.Kind || response.Slot != p.request.Slot {
 		return StepWait
@@ -62,7 +63,7 @@
 	}
 	switch {
 	case p.votes.Promised():
-		// From here the state is the newest: whatever came after it would have been seen by one of those who promised.
+		// The base is the newest state here: one of the members that promised would have reported a later decision.
 		if accepted := p.votes.HighestAccepted(); accepted != nil {
 			p.State = accepted.Value
 		} else if p.State, p.Err = p.transform(p.base); p.Err != nil || p.State == nil {
@@ -80,10 +81,10 @@
 	return StepWait
 }
 
-// Refused reports whether a member has refused what is asked. The others may yet be enough, if they answer.
+// Refused reports whether a member has refused the current request. The other members may still form a quorum.
 func (p *Proposal) Refused() bool { return p.votes.Refused() }
 
-// GiveUp ends an attempt for which no further responses are waited, and is what has to be done before the next.
+// GiveUp ends a proposal without waiting for further responses and returns the step to take before the next proposal.
 func (p *Proposal) GiveUp() Step {
 	p.finished = true
 	if p.votes.Behind() {
--- a/internal/mesh/consensus/replica.go
+++ b/internal/mesh/consensus/replica.go
@@ -1,9 +1,9 @@
 package consensus
 
-// Ballot orders the attempts at a slot.
+// Ballot orders the proposals for a slot.
 type Ballot struct {
 	Round    uint64
-	Proposer string `json:"By"` // of one life of one process
+	Proposer string `json:"By"` // unique to one process incarnation
 }
 
 // Below reports whether b comes before c.
@@ -11,76 +11,77 @@
 	return b.Round < c.Round || b.Round == c.Round && b.Proposer < c.Proposer
 }
 
-// AcceptedValue is a value that was accepted under a ballot.
+// AcceptedValue is a value and the ballot with which it was accepted.
 type AcceptedValue struct {
 	Ballot Ballot
 	Value  *State
 }
 
-// Replica is what a controller keeps on disk.
+// Replica is the acceptor state that a controller keeps on disk.
 type Replica struct {
-	ID       string // of this disk
+	ID       string // identity of the disk
 	Decided  *State
-	Promised Ballot         // for the slot after it
-	Accepted *AcceptedValue // for the same
+	Promised Ballot         // for the slot after Decided
+	Accepted *AcceptedValue // for the slot after Decided
 
-	Incarnation DiskIncarnation `json:"-"` // this start; the disk keeps it by itself
+	Incarnation DiskIncarnation `json:"-"` // the current start; stored separately from the replica
 }
 
-// DiskIncarnation is one start of a process with a disk. Starts of one disk are numbered; an old copy of a disk, or a second one in use
-// beside it, has a number that others have seen already, with another token.
+// DiskIncarnation identifies one start of a process with a disk. The starts with one disk are numbered. An old copy of a disk,
+// or a second copy in use at the same time, reuses a number that others have already seen with another token.
 type DiskIncarnation struct {
 	ID     string
 	Number uint64
 	Token  string
 }
 
-// Supersedes reports whether a life shows another one of the same identity to be that of an old copy.
+// Supersedes reports whether d proves that another incarnation with the same disk ID belongs to an old copy of the disk.
 func (d DiskIncarnation) Supersedes(other DiskIncarnation) bool {
 	return d.ID == other.ID && (d.Number > other.Number || d.Number == other.Number && d.Token != other.Token)
 }
 
-// What is asked of a replica.
+// Kinds of requests.
 const (
-	ReadState = "look"    // where it stands; nothing is kept of it
-	Prepare   = "prepare" // promise a slot
-	Accept    = "accept"  // accept a value
-	Learn     = "learn"   // a value is decided
+	ReadState = "look"    // report the state; changes nothing on disk
+	Prepare   = "prepare" // promise to accept no lower ballot for a slot
+	Accept    = "accept"  // accept a value for a slot
+	Learn     = "learn"   // record a decided value
 
-	// The same with a value of which large documents are left out, for a replica that holds them. Processes of the version before do
-	// nothing at a kind that they don't know.
+	// Accept and Learn with a value whose large documents are omitted, for a replica that holds them. Processes of the
+	// previous version ignore these kinds.
 	AcceptCompact = "accept-compact"
 	LearnCompact  = "learn-compact"
 )
 
-// Request is a message to a replica.
+// Request is a message from a controller to a replica.
 type Request struct {
 	Kind        string
 	Slot        uint64 `json:",omitempty"`
 	Ballot      Ballot
 	Value       *State           `json:",omitempty"`
-	Omitted     DocumentDigests  `json:"LeftOut,omitempty"` // the documents that a compact request leaves out of its value
-	Incarnation *DiskIncarnation `json:"Life,omitempty"`    // of the process that asks where a replica stands
+	Omitted     DocumentDigests  `json:"LeftOut,omitempty"` // digests of the documents that a compact request omits from its value
+	Incarnation *DiskIncarnation `json:"Life,omitempty"`    // of the sender of a ReadState request
 }
 
-// Response is what a replica says.
+// Response is the answer of a replica to a request.
 type Response struct {
-	Kind            string `json:"To"` // the kind of ask
-	Slot            uint64 // that it asked for
+	Kind            string `json:"To"` // of the request
+	Slot            uint64 // of the request
 	ID              string
-	Index           uint64 // decided
+	Index           uint64 // of the decided state
 	OK              bool
 	Promised        Ballot
-	Pending         bool           // something is accepted for the next slot
+	Pending         bool           // a value is accepted for the next slot
 	Accepted        *AcceptedValue `json:",omitempty"`
-	Decided         *State         `json:",omitempty"`        // to who is behind
-	SupportsCompact bool           `json:"Compact,omitempty"` // it understands compact requests
-	// Superseded says that the asker's disk is an old copy.
+	Decided         *State         `json:",omitempty"`        // set if the sender does not have this state yet
+	SupportsCompact bool           `json:"Compact,omitempty"` // the replica understands compact requests
+	// Superseded tells the sender that its disk is an old copy.
 	Superseded       bool `json:",omitempty"`
-	DocumentsMissing bool `json:"Lacking,omitempty"` // it does not hold what a compact request left out, and has done nothing
+	DocumentsMissing bool `json:"Lacking,omitempty"` // the replica lacks omitted documents and has ignored the request
 }
 
-// Handle answers a request; keep says that the replica has changed and must be synced before the answer leaves.
+// Handle processes a request. The result changed is true if the replica has changed and must be synced to disk before the
+// response is sent.
 func (r *Replica) Handle(request Request) (response Response, changed bool) {
 	response = Response{Kind: request.Kind, Slot: request.Slot, ID: r.ID, Index: r.Decided.Index}
 	switch request.Kind {
--- a/internal/mesh/consensus/state.go
+++ b/internal/mesh/consensus/state.go
@@ -6,53 +6,53 @@
 	"strings"
 )
 
-// Member is one disk of the core.
+// Member is a member of the core, identified by its disk.
 type Member struct {
 	ID      string
-	Address string `json:"At"` // its process's address
+	Address string `json:"At"` // of its process
 	Zone    string
 }
 
-// Coordinator is the process that has the duties that one does, in one of its lives.
+// Coordinator identifies the process incarnation that performs the duties of which there must be one performer.
 type Coordinator struct {
 	ID          string
 	Incarnation string `json:"Life"`
 	Address     string `json:"At"`
 }
 
-// State is all that is agreed.
+// State is the complete agreed state.
 type State struct {
 	Index           uint64
-	Origin          Ballot `json:",omitzero"` // of the attempt that made this state; none from processes of the version before
+	Origin          Ballot `json:",omitzero"` // of the proposal that made this state; zero from processes of the previous version
 	Core            []Member
 	ToleratedLosses int             `json:"Tolerate"`
-	Edition         int64           // of the configuration; 0 before the first
+	Edition         int64           // of the configuration; 0 if there is none yet
 	Configuration   json.RawMessage `json:"Timetable"`
 	AppliedChanges  AppliedChanges  `json:"Taken"`
-	BalancerCount   int             `json:"Members"` // balancers, by which what all may spend is shared out
+	BalancerCount   int             `json:"Members"` // number of balancers among which shared quotas are divided
 	Coordinator     Coordinator     `json:"Queen"`
-	Epoch           uint64          `json:"Reign"`      // its number
-	Credit          json.RawMessage `json:",omitempty"` // tenants' accounts (burstcredit)
-	Imports         json.RawMessage `json:",omitempty"` // what partners let in (federation)
+	Epoch           uint64          `json:"Reign"`      // increases with each change of the coordinator
+	Credit          json.RawMessage `json:",omitempty"` // burst credit accounts of the tenants (burstcredit)
+	Imports         json.RawMessage `json:",omitempty"` // exports of partner meshes that are in use (federation)
 }
 
-// Majority is how many of the core meet any quorum.
+// Majority is the number of core members that intersects with every quorum.
 func (s *State) Majority() int { return len(s.Core)/2 + 1 }
 
-// Quorum is how many of the core have to accept.
+// Quorum is the number of core members that have to accept a value.
 func (s *State) Quorum() int { return max(s.Majority(), min(s.ToleratedLosses+1, len(s.Core))) }
 
-// HasMember reports whether a disk belongs to the core, by its identity.
+// HasMember reports whether the core has a member with the given ID.
 func (s *State) HasMember(id string) bool {
 	return slices.ContainsFunc(s.Core, func(m Member) bool { return m.ID == id })
 }
 
-// HasApplied reports whether that very change is remembered as applied.
+// HasApplied reports whether the list of applied changes has the change with this edition and digest.
 func (s *State) HasApplied(edition int64, digest string) bool {
 	return slices.Contains(s.AppliedChanges, AppliedChange{edition, digest})
 }
 
-// WithConfiguration is the state after a change of the configuration.
+// WithConfiguration returns the successor state with a changed configuration.
 func (s *State) WithConfiguration(edition int64, document json.RawMessage, digest string) *State {
 	next := s.successor()
 	next.Edition, next.Configuration = edition, document
@@ -60,7 +60,7 @@
 	return next
 }
 
-// ReplaceMember is the state after a member has made room for another; an empty one to be replaced only adds.
+// ReplaceMember returns the successor state with one member replaced. If old is empty, the replacement is only added.
 func (s *State) ReplaceMember(old string, replacement Member) *State {
 	next := s.successor()
 	next.Core = slices.DeleteFunc(slices.Clone(s.Core), func(m Member) bool { return m.ID == old || m.ID == replacement.ID })
@@ -69,28 +69,28 @@
 	return next
 }
 
-// WithCoordinator is the state after a process has taken the duties over.
+// WithCoordinator returns the successor state with a new coordinator, in a new epoch.
 func (s *State) WithCoordinator(coordinator Coordinator) *State {
 	next := s.successor()
 	next.Coordinator, next.Epoch = coordinator, s.Epoch+1
 	return next
 }
 
-// WithCredit is the state after the accounts have changed.
+// WithCredit returns the successor state with changed burst credit accounts.
 func (s *State) WithCredit(credit json.RawMessage) *State {
 	next := s.successor()
 	next.Credit = credit
 	return next
 }
 
-// WithImports is the state after a partner's word has changed.
+// WithImports returns the successor state with changed imports from partner meshes.
 func (s *State) WithImports(imports json.RawMessage) *State {
 	next := s.successor()
 	next.Imports = imports
 	return next
 }
 
-// WithBalancerCount is the state after a census of the balancers.
+// WithBalancerCount returns the successor state with a new number of balancers.
 func (s *State) WithBalancerCount(count int) *State {
 	next := s.successor()
 	next.BalancerCount = count
@@ -103,16 +103,16 @@
 	return &next
 }
 
-// withOrigin is the state with the attempt that made it.
+// withOrigin returns the state with the ballot of the proposal that made it.
 func (s *State) withOrigin(origin Ballot) *State {
 	next := *s
 	next.Origin = origin
 	return &next
 }
 
-// InitialState is the state of a core that has agreed on nothing yet.
+// InitialState returns the first state of a core whose members have the given addresses.
 func InitialState(addresses []string, zoneOf func(string) string, tolerate int) *State {
-	s := &State{Index: 1, ToleratedLosses: tolerate} // a stranger's, that knows of no core, has 0
+	s := &State{Index: 1, ToleratedLosses: tolerate} // index 0 is for a process that does not know of any core
 	for _, address := range addresses {
 		s.Core = append(s.Core, Member{InitialMemberID(address), address, zoneOf(address)})
 	}
@@ -122,5 +122,5 @@
 
 func compareIDs(a, b Member) int { return strings.Compare(a.ID, b.ID) }
 
-// InitialMemberID is the identity of a founder's first disk. Its next one is drawn.
+// InitialMemberID returns the ID of the first disk of an initial member. Later disks of the same address get random IDs.
 func InitialMemberID(address string) string { return "founder-" + address }
--- a/internal/mesh/consensus/votes.go
+++ b/internal/mesh/consensus/votes.go
@@ -1,24 +1,24 @@
 package consensus
 
-// Tally counts answers of members to one step of an attempt at the slot after a state. Only identities of that state's
-// core count, each once.
+// VoteCount counts the responses to one request about the slot after a base state. Only members of the core of the base
+// state are counted, each once.
 type VoteCount struct {
 	base            *State
 	granted         map[string]bool
 	refused         map[string]bool
 	highestAccepted *AcceptedValue
-	ahead           *State // decided later than the state
+	ahead           *State // a decided state later than the base
 	highestBallot   Ballot
-	pending         bool // somebody has accepted something for the slot
-	behind          bool // a member has not heard of the state
+	pending         bool // a member has accepted a value for the slot
+	behind          bool // a member does not have the base state yet
 }
 
-// NewTally starts a count.
+// NewVoteCount returns an empty count for the core of a base state.
 func NewVoteCount(base *State) *VoteCount {
 	return &VoteCount{base: base, granted: map[string]bool{}, refused: map[string]bool{}}
 }
 
-// Add counts an answer.
+// Add counts a response.
 func (v *VoteCount) Add(response Response) {
 	if response.Decided != nil && response.Decided.Index > v.base.Index && (v.ahead == nil || response.Decided.Index > v.ahead.Index) {
 		v.ahead = response.Decided
@@ -41,29 +41,29 @@
 	}
 }
 
-// Promised reports whether a majority has: enough to meet any quorum that accepts.
+// Promised reports whether a majority has granted the request, which intersects with every quorum that accepts a value.
 func (v *VoteCount) Promised() bool { return len(v.granted) >= v.base.Majority() }
 
-// Accepted reports whether a quorum has.
+// Accepted reports whether a quorum has granted the request.
 func (v *VoteCount) Accepted() bool { return len(v.granted) >= v.base.Quorum() }
 
-// CannotReach reports whether so many can't agree any more.
+// CannotReach reports whether the required number of members can no longer grant the request.
 func (v *VoteCount) CannotReach(required int) bool { return len(v.base.Core)-len(v.refused) < required }
 
-// Refused reports whether any has refused.
+// Refused reports whether any member has refused the request.
 func (v *VoteCount) Refused() bool { return len(v.refused) > 0 }
 
-// Pending reports whether something is accepted for the slot.
+// Pending reports whether a member has accepted a value for the slot.
 func (v *VoteCount) Pending() bool { return v.pending }
 
-// Behind reports whether a member has not heard of the state.
+// Behind reports whether a member does not have the base state yet.
 func (v *VoteCount) Behind() bool { return v.behind }
 
-// High is the highest ballot that was seen.
+// HighestBallot returns the highest ballot that any response promised.
 func (v *VoteCount) HighestBallot() Ballot { return v.highestBallot }
 
-// Ahead is a later decided state that somebody told, nil for none.
+// Ahead returns the latest decided state that a response contained after the base, or nil.
 func (v *VoteCount) Ahead() *State { return v.ahead }
 
-// Best is what was accepted under the highest ballot: an attempt has to go on with it.
+// HighestAccepted returns the value accepted with the highest ballot, or nil. A proposal has to continue with this value.
 func (v *VoteCount) HighestAccepted() *AcceptedValue { return v.highestAccepted }
