--- a/internal/mesh/consensus/applied_changes.go
+++ b/internal/mesh/consensus/applied_changes.go
@@ -33,8 +33,8 @@
 // CertainlyNotApplied reports whether a change that Contains does not find is certain never to have been applied. The
 // edition is the one that the change sets, or 0 if unknown. The base is the edition that the change was made on.
 //
-// Editions increase, and an applied change sets an edition above its base. Both numbers of a trimmed change are therefore
-// below the oldest edition in the list.
+// Editions increase, and an applied change sets an edition above its base. Both numbers of a trimmed change are
+// therefore below the oldest edition in the list.
 func (a AppliedChanges) CertainlyNotApplied(edition, base int64) bool {
 	return a.complete() || max(edition, base) >= a[0].Edition
 }
@@ -42,8 +42,8 @@
 // complete reports whether the list has never been trimmed.
 func (a AppliedChanges) complete() bool { return len(a) < previousMaxAppliedChanges }
 
-// Append returns a copy of the list with the change added, trimmed to the bounds. The newest change is always kept, even if
-// it exceeds MaxAppliedChangeBytes by itself.
+// Append returns a copy of the list with the change added, trimmed to the bounds. The newest change is always kept,
+// even if it exceeds MaxAppliedChangeBytes by itself.
 func (a AppliedChanges) Append(change AppliedChange) AppliedChanges {
 	first := max(0, len(a)+1-MaxAppliedChanges)
 	size := len("[]") - len(",") + change.jsonSize()
@@ -56,8 +56,8 @@
 	return append(slices.Clone(a[first:]), change)
 }
 
-// jsonSize is the number of bytes of a change in a JSON list, with the separator. Digests are hexadecimal, so JSON does not
-// escape any of their characters.
+// jsonSize is the number of bytes of a change in a JSON list, with the separator. Digests are hexadecimal, so JSON does
+// not escape any of their characters.
 func (c AppliedChange) jsonSize() int {
 	const syntax = len(`{"Edition":,"Digest":""},`)
 	return syntax + len(strconv.FormatInt(c.Edition, 10)) + len(c.Digest)
--- a/internal/mesh/consensus/applied_changes_test.go
+++ b/internal/mesh/consensus/applied_changes_test.go
@@ -21,8 +21,8 @@
 	return AppliedChange{Edition: int64(2 * (n + 1)), Digest: fmt.Sprintf("%032x", n)}
 }
 
-// An applied change that was trimmed from the list must not be reported as never applied. A change that was not applied is
-// reported as such if its edition or base is not older than the list.
+// An applied change that was trimmed from the list must not be reported as never applied. A change that was not applied
+// is reported as such if its edition or base is not older than the list.
 func TestAppliedChangesAreNeverExcluded(t *testing.T) {
 	for _, count := range []int{0, 1, 63, 64, 65, 100, MaxAppliedChanges, MaxAppliedChanges + 500} {
 		all := appliedChanges(count)
@@ -43,8 +43,8 @@
 	}
 }
 
-// A process of the previous version trims the list to 64 entries. A change that it trimmed must not be reported as never
-// applied either.
+// A process of the previous version trims the list to 64 entries. A change that it trimmed must not be reported as
+// never applied either.
 func TestListTrimmedByPreviousVersion(t *testing.T) {
 	all := appliedChanges(300)
 	trimmed := AppliedChanges(all[len(all)-previousMaxAppliedChanges:])
--- a/internal/mesh/consensus/compact.go
+++ b/internal/mesh/consensus/compact.go
@@ -29,8 +29,8 @@
 // IsCompact reports whether documents are omitted from the value of the request.
 func (r Request) IsCompact() bool { return r.Kind == AcceptCompact || r.Kind == LearnCompact }
 
-// Expand returns a compact request with its omitted documents restored from the decided and accepted states of the replica.
-// The result ok is false if the replica does not hold all of them.
+// Expand returns a compact request with its omitted documents restored from the decided and accepted states of the
+// replica. The result ok is false if the replica does not hold all of them.
 func (r *Replica) Expand(request Request, digestOf func(json.RawMessage) string) (expanded Request, ok bool) {
 	if request.Value == nil {
 		return request, false
--- a/internal/mesh/consensus/lease.go
+++ b/internal/mesh/consensus/lease.go
@@ -2,16 +2,17 @@
 
 import "slices"
 
-// ReadLease tracks for how long a state may be served as the newest one. A state is valid for the lease duration after a
-// majority of its core reported that they had accepted no value after it. ReadLease does no I/O and reads no clock: times
-// are nanoseconds of the caller's monotonic clock.
+// ReadLease tracks for how long a state may be served as the newest one. A state is valid for the lease duration after
+// a majority of its core reported that they had accepted no value after it. ReadLease does no I/O and reads no clock:
+// times are nanoseconds of the caller's monotonic clock.
 //
 // A response counts from the time at which its request was sent. It confirms the state with the reported index, so the
 // confirmation of a later state does not make an earlier one valid that a caller read before.
 //
-// The lease is safe because the successor of a state is decided only once a quorum of the state's core has accepted it on
-// disk. A member that answers after that has either the accepted value or a later state. If a majority of the core reports
-// an earlier state, or this state with nothing accepted, no successor had been decided when the request was sent.
+// The lease is safe because the successor of a state is decided only once a quorum of the state's core has accepted it
+// on disk. A member that answers after that has either the accepted value or a later state. If a majority of the core
+// reports an earlier state, or this state with nothing accepted, no successor had been decided when the request was
+// sent.
 type ReadLease struct {
 	duration int64
 	answers  map[string][]leaseAnswer // by member ID
@@ -34,7 +35,8 @@
 	WithoutMembers  = "without-members"  // answers from an earlier core confirm states of a later one
 )
 
-// NewReadLease returns a lease under which no state is valid yet. An answer counts for the given duration in nanoseconds.
+// NewReadLease returns a lease under which no state is valid yet. An answer counts for the given duration in
+// nanoseconds.
 func NewReadLease(duration int64) *ReadLease {
 	return &ReadLease{duration: duration, answers: map[string][]leaseAnswer{}}
 }
@@ -47,8 +49,8 @@
 	l.withoutMembers = guard == WithoutMembers
 }
 
-// Observe records a replica's response to a ReadState request. The time askedAt must not be later than the moment at which
-// the request was sent. A response without OK is ignored, because the replica does not vouch for its own state.
+// Observe records a replica's response to a ReadState request. The time askedAt must not be later than the moment at
+// which the request was sent. A response without OK is ignored, because the replica does not vouch for its own state.
 func (l *ReadLease) Observe(response Response, askedAt int64) {
 	if response.Kind != ReadState || !response.OK {
 		return
@@ -72,8 +74,8 @@
 	return known && now-askedAt < l.duration
 }
 
-// ConfirmedAt returns the latest time at which no successor of the state is known to have been decided. The result known is
-// false if no majority of the state's core has confirmed it.
+// ConfirmedAt returns the latest time at which no successor of the state is known to have been decided. The result
+// known is false if no majority of the state's core has confirmed it.
 func (l *ReadLease) ConfirmedAt(s *State) (askedAt int64, known bool) {
 	var asked []int64
 	for id, answers := range l.answers {
@@ -89,8 +91,8 @@
 	return asked[len(asked)-majority], true
 }
 
-// confirmationTime returns when the latest request was sent to which a member answered that it had accepted no value after
-// the state.
+// confirmationTime returns when the latest request was sent to which a member answered that it had accepted no value
+// after the state.
 func (l *ReadLease) confirmationTime(answers []leaseAnswer, s *State) (askedAt int64, confirms bool) {
 	for _, answer := range answers {
 		unchanged := answer.index < s.Index || answer.index == s.Index && !answer.pending
--- a/internal/mesh/consensus/lease_test.go
+++ b/internal/mesh/consensus/lease_test.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// check fails if the lease of a replica declares its current state, or the one that it read earlier, valid although a later
-// state had been decided for at least the lease duration.
+// check fails if the lease of a replica declares its current state, or the one that it read earlier, valid although a
+// later state had been decided for at least the lease duration.
 func (sim *leaseSimulation) check(n int) error {
 	for _, s := range []*State{sim.earlierStates[n], sim.replicas[n].Decided} {
 		if !sim.leases[n].Valid(s, sim.now) {
@@ -142,8 +142,8 @@
 	return nil
 }
 
-// A lease must never declare a state valid whose successor was decided at least the lease duration ago. With any one guard
-// disabled, the simulation must find a violation.
+// A lease must never declare a state valid whose successor was decided at least the lease duration ago. With any one
+// guard disabled, the simulation must find a violation.
 func TestLeaseNeverConfirmsStaleState(t *testing.T) {
 	const seeds, steps = 120, 4000
 	for _, guard := range []string{"", WithoutMajority, WithoutPending, WithoutIndex} {
@@ -167,8 +167,8 @@
 	}
 }
 
-// A later state may have another core. Answers from members of the earlier core must not count towards the majority of the
-// later one.
+// A later state may have another core. Answers from members of the earlier core must not count towards the majority of
+// the later one.
 func TestLeaseIgnoresAnswersOfEarlierCore(t *testing.T) {
 	base := InitialState([]string{"a", "b", "c"}, func(string) string { return "" }, 1)
 	same, other := base.WithBalancerCount(5), base.ReplaceMember(InitialMemberID("a"), Member{ID: "d", Address: "d"})
--- a/internal/mesh/consensus/membership.go
+++ b/internal/mesh/consensus/membership.go
@@ -27,8 +27,8 @@
 )
 
 // DutyRank is a controller's position among the available members in the order of their IDs. The controller with rank 0
-// performs the duties of which there must be one performer. It is safe if several controllers compute rank 0, because the
-// effects of these duties are decided by consensus.
+// performs the duties of which there must be one performer. It is safe if several controllers compute rank 0, because
+// the effects of these duties are decided by consensus.
 func (s *State) DutyRank(self string, peers []PeerStatus) (rank int) {
 	available := func(id string) bool {
 		return slices.ContainsFunc(peers, func(peer PeerStatus) bool {
@@ -46,13 +46,14 @@
 	return rank + len(s.Core)
 }
 
-// PlanMembership returns the most urgent change of the core, without requirements on zones or regions. The uptime is how
-// long self has been receiving heartbeats, in nanoseconds.
+// PlanMembership returns the most urgent change of the core, without requirements on zones or regions. The uptime is
+// how long self has been receiving heartbeats, in nanoseconds.
 func (s *State) PlanMembership(self Member, peers []PeerStatus, uptime int64) (change MembershipChange, wanted bool) {
 	return Placement{}.Plan(s, self, peers, uptime)
 }
 
-// ApplyMembership returns the state after a change of the core, or nil if the change does not apply to the state any more.
+// ApplyMembership returns the state after a change of the core, or nil if the change does not apply to the state any
+// more.
 func (s *State) ApplyMembership(change MembershipChange) *State {
 	switch {
 	case change.Remove != "" && !s.HasMember(change.Remove):
@@ -71,9 +72,9 @@
 // targetSize is the number of members needed to tolerate the loss of ToleratedLosses of them.
 func (s *State) targetSize() int { return 2*s.ToleratedLosses + 1 }
 
-// shouldShrink reports whether removing an unavailable member lets the core tolerate more losses: the core is larger than
-// its target size, and the removal makes its quorum smaller. Otherwise the removal gains nothing, and the member can resume
-// its place if it returns with its disk.
+// shouldShrink reports whether removing an unavailable member lets the core tolerate more losses: the core is larger
+// than its target size, and the removal makes its quorum smaller. Otherwise the removal gains nothing, and the member
+// can resume its place if it returns with its disk.
 func (s *State) shouldShrink() bool {
 	if s.ToleratedLosses < 1 || len(s.Core) <= s.targetSize() {
 		return false
--- a/internal/mesh/consensus/membership_test.go
+++ b/internal/mesh/consensus/membership_test.go
@@ -10,9 +10,9 @@
 	"ottershift/internal/mesh/consensus"
 )
 
-// parsePeers parses a comma-separated list of controllers, each written as "name zone". A name ending in "!" has been silent
-// for ReplacementTimeout, one ending in "?" has never been heard, and one ending in "-" is leaving. Trailing "'" characters
-// are not part of the address: "b'" is the controller at b after its disk was wiped.
+// parsePeers parses a comma-separated list of controllers, each written as "name zone". A name ending in "!" has been
+// silent for ReplacementTimeout, one ending in "?" has never been heard, and one ending in "-" is leaving. Trailing "'"
+// characters are not part of the address: "b'" is the controller at b after its disk was wiped.
 func parsePeers(text string) (all []consensus.PeerStatus) {
 	for _, field := range strings.Split(text, ",") {
 		name, zone, _ := strings.Cut(strings.TrimSpace(field), " ")
--- a/internal/mesh/consensus/parts.go
+++ b/internal/mesh/consensus/parts.go
@@ -7,7 +7,8 @@
 	"encoding/json"
 )
 
-// LargeDocumentSize is the size in bytes from which a document of a state is stored and sent separately under its digest.
+// LargeDocumentSize is the size in bytes from which a document of a state is stored and sent separately under its
+// digest.
 const LargeDocumentSize = 16 << 10
 
 // DocumentDigests maps the names of documents that were removed from a state to their digests.
@@ -80,8 +81,8 @@
 	return &joined, nil
 }
 
-// DigestCache caches the digests of recently used documents, since most changes of the state leave them unmodified. It is not
-// safe for concurrent use.
+// DigestCache caches the digests of recently used documents, since most changes of the state leave them unmodified. It
+// is not safe for concurrent use.
 type DigestCache struct {
 	documents [12]json.RawMessage // three documents each of a decided state, an accepted one and two in transit
 	digests   [12]string
--- a/internal/mesh/consensus/placement.go
+++ b/internal/mesh/consensus/placement.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// Placement defines how the members of the core are spread: how many zones and regions may be lost at once, and the region of
-// each zone. The zero value prefers a spread over zones when a member is added or replaced for another reason, but does not
-// move members for it.
+// Placement defines how the members of the core are spread: how many zones and regions may be lost at once, and the
+// region of each zone. The zero value prefers a spread over zones when a member is added or replaced for another
+// reason, but does not move members for it.
 type Placement struct {
 	Zones, Regions int
 	RegionOf       map[string]string
@@ -16,7 +16,7 @@
 // Plan returns the most urgent change of the core, in this order:
 //
 //  1. A member whose address answers with another ID has lost its disk and is replaced by the new ID.
-//  2. A member without heartbeats is replaced by a spare; if there is none, a leaving member is.
+//  2. A member without recent heartbeats is replaced by a spare. If there is no such member, a leaving member is replaced.
 //  3. A core with fewer than 2·ToleratedLosses+1 members adds a spare.
 //  4. An unavailable member is removed if the core tolerates more losses without it.
 //  5. A member is replaced by a spare elsewhere if the loss of the configured number of zones or regions would take too many
@@ -70,7 +70,8 @@
 	return view
 }
 
-// planWipedDiskReplacement finds a member whose address has a spare with another ID: the disk that had the vote is lost.
+// planWipedDiskReplacement finds a member whose address has a spare with another ID: the disk that had the vote is
+// lost.
 func (v *membershipView) planWipedDiskReplacement() (change MembershipChange, wanted bool) {
 	for _, m := range v.state.Core {
 		for _, spare := range v.spares {
@@ -98,14 +99,15 @@
 	return unavailable, false
 }
 
-// zoneOf returns a member's zone as the member itself reports it, since the agreed state does not have the zones of initial
-// members. A member whose zone is unknown counts as alone in its zone.
+// zoneOf returns a member's zone as the member itself reports it, since the agreed state does not have the zones of
+// initial members. A member whose zone is unknown counts as alone in its zone.
 func (v *membershipView) zoneOf(m Member) string {
 	return cmp.Or(v.peers[m.ID].Zone, m.Zone, "of "+m.ID)
 }
 
-// bestSpare returns the spare that gives the best spread of the core in place of the replaced member, or as an additional
-// member if replaced is empty. Ties are broken in favor of the zone of the replaced member, then of the lowest address.
+// bestSpare returns the spare that gives the best spread of the core in place of the replaced member, or as an
+// additional member if replaced is empty. Ties are broken in favor of the zone of the replaced member, then of the
+// lowest address.
 func (p Placement) bestSpare(view *membershipView, replaced Member) Member {
 	zones, regions := map[string]int{}, map[string]int{}
 	for _, m := range view.state.Core {
@@ -131,8 +133,8 @@
 	})
 }
 
-// planMove finds the replacement of one member by a spare that most reduces the number of members lost with the configured
-// number of zones or regions. Each replacement lowers that number, so a sequence of replacements terminates.
+// planMove finds the replacement of one member by a spare that most reduces the number of members lost with the
+// configured number of zones or regions. Each replacement lowers that number, so a sequence of replacements terminates.
 func (p Placement) planMove(view *membershipView) (change MembershipChange, wanted bool) {
 	lowest := p.worstLoss(view, view.state.Core)
 	if lowest <= view.state.maxTolerableLoss() {
@@ -149,8 +151,8 @@
 	return change, wanted
 }
 
-// maxTolerableLoss is how many members may be lost at once such that the others form a quorum and at least one of them holds
-// each decision.
+// maxTolerableLoss is how many members may be lost at once such that the others form a quorum and at least one of them
+// holds each decision.
 func (s *State) maxTolerableLoss() int { return min(len(s.Core)-s.Quorum(), s.Quorum()-1) }
 
 // worstLoss is the largest number of members that the loss of the configured number of zones, or of regions, can take.
--- a/internal/mesh/consensus/proposal.go
+++ b/internal/mesh/consensus/proposal.go
@@ -27,9 +27,9 @@
 	finished  bool
 }
 
-// Propose starts a proposal and returns the request to send to all members of the base state's core. The transform function
-// is called once the base is known to be the newest state, unless the proposal has to continue with a value that was
-// accepted earlier.
+// Propose starts a proposal and returns the request to send to all members of the base state's core. The transform
+// function is called once the base is known to be the newest state, unless the proposal has to continue with a value
+// that was accepted earlier.
 func Propose(base *State, ballot Ballot, transform func(*State) (*State, error)) (*Proposal, Request) {
 	p := &Proposal{base: base, transform: transform, votes: NewVoteCount(base)}
 	p.request = Request{Kind: Prepare, Slot: base.Index + 1, Ballot: ballot}
--- a/internal/mesh/consensus/replica.go
+++ b/internal/mesh/consensus/replica.go
@@ -27,15 +27,16 @@
 	Incarnation DiskIncarnation `json:"-"` // the current start; stored separately from the replica
 }
 
-// DiskIncarnation identifies one start of a process with a disk. The starts with one disk are numbered. An old copy of a disk,
-// or a second copy in use at the same time, reuses a number that others have already seen with another token.
+// DiskIncarnation identifies one start of a process with a disk. The starts with one disk are numbered. An old copy of
+// a disk, or a second copy in use at the same time, reuses a number that others have already seen with another token.
 type DiskIncarnation struct {
 	ID     string
 	Number uint64
 	Token  string
 }
 
-// Supersedes reports whether d proves that another incarnation with the same disk ID belongs to an old copy of the disk.
+// Supersedes reports whether d proves that another incarnation with the same disk ID belongs to an old copy of the
+// disk.
 func (d DiskIncarnation) Supersedes(other DiskIncarnation) bool {
 	return d.ID == other.ID && (d.Number > other.Number || d.Number == other.Number && d.Token != other.Token)
 }
@@ -80,8 +81,8 @@
 	DocumentsMissing bool `json:"Lacking,omitempty"` // the replica lacks omitted documents and has ignored the request
 }
 
-// Handle processes a request. The result changed is true if the replica has changed and must be synced to disk before the
-// response is sent.
+// Handle processes a request. The result changed is true if the replica has changed and must be synced to disk before
+// the response is sent.
 func (r *Replica) Handle(request Request) (response Response, changed bool) {
 	response = Response{Kind: request.Kind, Slot: request.Slot, ID: r.ID, Index: r.Decided.Index}
 	switch request.Kind {
--- a/internal/mesh/consensus/state.go
+++ b/internal/mesh/consensus/state.go
@@ -122,5 +122,6 @@
 
 func compareIDs(a, b Member) int { return strings.Compare(a.ID, b.ID) }
 
-// InitialMemberID returns the ID of the first disk of an initial member. Later disks of the same address get random IDs.
+// InitialMemberID returns the ID of the first disk of an initial member. Later disks of the same address get random
+// IDs.
 func InitialMemberID(address string) string { return "founder-" + address }
--- a/internal/mesh/consensus/votes.go
+++ b/internal/mesh/consensus/votes.go
@@ -65,5 +65,6 @@
 // Ahead returns the latest decided state that a response contained after the base, or nil.
 func (v *VoteCount) Ahead() *State { return v.ahead }
 
-// HighestAccepted returns the value accepted with the highest ballot, or nil. A proposal has to continue with this value.
+// HighestAccepted returns the value accepted with the highest ballot, or nil. A proposal has to continue with this
+// value.
 func (v *VoteCount) HighestAccepted() *AcceptedValue { return v.highestAccepted }
--- a/internal/mesh/membership/membership.go
+++ b/internal/mesh/membership/membership.go
@@ -1,6 +1,7 @@
-// Package membership is the news that goes round the mesh: which machines with balancers there are, the upstream on each,
-// and the words in which balancers ask the core for it. A Registry is one core process's knowledge of them, without I/O or
-// clock. All of it is gossip: it is renewed, grows old and is dropped; no rule rests on it alone.
+// Package membership tracks the balancers of the mesh and the upstream on each of their machines. It also defines the
+// messages with which balancers watch the controllers for changes. A Registry is the view of one controller; it does no
+// I/O and reads no clock. The registry is spread by gossip, is only eventually consistent, and expires without
+// renewals, so no correctness guarantee may depend on it alone.
 package membership
 
 import (
@@ -11,135 +12,139 @@
 	"ottershift/internal/mesh/routing"
 )
 
-// Times are nanoseconds of a steady clock; no two processes compare theirs, so ages travel.
+// Times are nanoseconds of a monotonic clock of the process. The clocks of two processes are not comparable, so
+// messages carry ages instead of times.
 const (
 	millisecond = int64(1e6)
 	second      = int64(1e9)
 
-	// LeaseDuration is how long a balancer is a member without a renewal.
+	// LeaseDuration is the time in nanoseconds after which the lease of a balancer expires unless it is renewed.
 	LeaseDuration = 3 * second
-	// LostRetention is how long one whose lease ran out is still told of: it may be cut off from the core alone, and serve.
+	// LostRetention is the time in nanoseconds since its last renewal for which a balancer with an expired lease is
+	// still listed. It may be cut off only from the controllers and still serve requests.
 	LostRetention = 15 * second
 )
 
-// Upstream is the life of an application on a balancer's machine.
+// Upstream is a running application instance on the machine of a balancer.
 type Upstream struct {
 	ID              string
 	Service         string
 	Version         string `json:"Edition,omitempty"`
-	Capacity        int
-	Draining        bool  `json:"Closing,omitempty"`
-	WarmupRemaining int64 `json:"Cold,omitempty"` // nanoseconds for which it is still slow
-	OutlierLevel    int   `json:"Ill,omitempty"`  // level, by what the balancer beside it sees of it (outlier)
+	Capacity        int    // number of requests that it serves at a time
+	Draining        bool   `json:"Closing,omitempty"`
+	WarmupRemaining int64  `json:"Cold,omitempty"` // remaining time in nanoseconds in which it is still slow after its start
+	OutlierLevel    int    `json:"Ill,omitempty"`  // level of package outlier, as determined by the balancer on the same machine
 }
 
-// Node is a balancer and its machine, as it tells of itself.
+// Node describes a balancer and its machine, as the balancer reports itself.
 type Node struct {
 	Name        string    `json:"Node"`
-	Inbound     string    // address
+	Inbound     string    // address for requests from other balancers
 	Zone        string    `json:"District"`
-	Incarnation string    `json:"Life"` // of its process
-	Seq         uint64    // rises with each change within a life
+	Incarnation string    `json:"Life"` // of the balancer process
+	Seq         uint64    // increases with each change within an incarnation
 	Upstream    *Upstream `json:"Up,omitempty"`
 	Leaving     bool      `json:",omitempty"`
 }
 
-// Record is a node as the core passes it on.
+// Record is a node as controllers report it.
 type Record struct {
 	Node
-	Age  int64 // nanoseconds since it was heard of directly
-	Lost bool  `json:",omitempty"` // its lease has run out
+	Age  int64 // nanoseconds since a controller last heard from it directly
+	Lost bool  `json:",omitempty"` // its lease has expired
 }
 
-// Position is what a balancer knows already.
+// Position identifies what a balancer already knows.
 type Position struct {
-	Controller string `json:"Comb"` // whose count Seq is of
-	Seq        uint64
+	Controller string `json:"Comb"` // process incarnation of the controller that issued Seq
+	Seq        uint64 // of the registry of that controller
 	Index      uint64 // of the agreed state
 
 	Edition      int64  // of the configuration
-	Digest       string `json:",omitempty"`        // of the configuration; none from processes of the version before
-	KnownImports uint64 `json:"Imports,omitempty"` // number of what is agreed about partners
+	Digest       string `json:",omitempty"`        // of the configuration; empty from processes of the previous version
+	KnownImports uint64 `json:"Imports,omitempty"` // version of the agreed imports from partner meshes
 }
 
-// WatchRequest renews a balancer's lease and asks for news.
+// WatchRequest renews a balancer's lease and asks for changes since a position.
 type WatchRequest struct {
 	Node          Node     `json:"Nest"`
 	Position      Position `json:"Have"`
-	MaxWait       int64    `json:"Wait"`             // nanoseconds at most until an answer
-	AcceptsPacked bool     `json:"Packed,omitempty"` // a configuration may come packed, or be only named: the asker fetches it apart
+	MaxWait       int64    `json:"Wait"`             // maximum time until a response, in nanoseconds
+	AcceptsPacked bool     `json:"Packed,omitempty"` // the balancer accepts a packed configuration, or only its digest to fetch it separately
 }
 
-// WatchResponse is the answer.
+// WatchResponse is the response to a WatchRequest.
 type WatchResponse struct {
 	Position
-	Current        bool                // a majority of the core confirmed Index a moment ago
-	Starting       bool                `json:"Young,omitempty"`     // the asked process has not been up for a lease yet: there may be more nodes
-	BalancerCount  int                 `json:"Members"`             // balancers, as agreed
-	Coordinator    string              `json:"Queen"`               // address of who keeps the bank of quotas
-	Epoch          uint64              `json:"Reign"`               // rises with each
-	Configuration  json.RawMessage     `json:"Timetable,omitempty"` // where Edition was another
-	Packed         *routing.Packed     `json:",omitempty"`          // the same for who takes it so, if it is short; a long one is named by Digest alone
-	Complete       bool                `json:"Whole"`               // Nodes are all there are
+	Current        bool                // a majority of the core recently confirmed Index as the newest state
+	Starting       bool                `json:"Young,omitempty"`     // the controller has been up for less than LeaseDuration, so nodes may be missing
+	BalancerCount  int                 `json:"Members"`             // agreed number of balancers
+	Coordinator    string              `json:"Queen"`               // address of the controller that manages the quotas
+	Epoch          uint64              `json:"Reign"`               // increases with each change of the coordinator
+	Configuration  json.RawMessage     `json:"Timetable,omitempty"` // set if the balancer has another edition
+	Packed         *routing.Packed     `json:",omitempty"`          // replaces Configuration for balancers with AcceptsPacked; absent if too long, then only Digest names it
+	Complete       bool                `json:"Whole"`               // Nodes lists all known nodes, not only changes
 	Nodes          []Record            `json:"Nests,omitempty"`
 	RemovedNodes   []string            `json:"Gone,omitempty"`
-	Imports        json.RawMessage     `json:",omitempty"` // what is agreed about partners, where the number was another
+	Imports        json.RawMessage     `json:",omitempty"` // agreed imports from partner meshes, set if the balancer has another version
 	ImportsVersion uint64              `json:"ImportsNo,omitempty"`
-	ImportsCurrent bool                `json:"Calm,omitempty"` // nothing later can have been decided before a moment ago: what is agreed may be acted on
-	PartnerAges    map[string]int64    `json:"Ages,omitempty"` // nanoseconds since partners confirmed their words
-	Controllers    []ControllerAddress `json:"Combs"`          // the core's processes, as far as they are heard of
+	ImportsCurrent bool                `json:"Calm,omitempty"` // no later imports had been decided until recently, so the agreed imports may be used
+	PartnerAges    map[string]int64    `json:"Ages,omitempty"` // nanoseconds since each partner mesh confirmed its exports
+	Controllers    []ControllerAddress `json:"Combs"`          // known controllers
 }
 
-// ConfigurationRequest asks for a piece of the configuration as it travels: the first one of the newest, or the next one of what a
-// former answer began.
+// ConfigurationRequest asks for a part of a packed configuration: the first part of the newest one, or the next part of
+// the transfer that an earlier response began.
 type ConfigurationRequest struct {
-	HeldDigest   string `json:"Held"`       // digest of the configuration that the asker has, none for nothing
-	Result, Base string `json:",omitempty"` // what a former answer began
-	Offset       int    `json:",omitempty"` // bytes of that which the asker has
+	HeldDigest   string `json:"Held"`       // digest of the configuration that the balancer has, empty if none
+	Result, Base string `json:",omitempty"` // digests from the response that began the transfer
+	Offset       int    `json:",omitempty"` // number of bytes already received in this transfer
 }
 
-// ConfigurationResponse is a piece. What it belongs to is named by the digests in Packed; where that is not what was asked for, it is
-// the first piece of the newest.
+// ConfigurationResponse is a part of a packed configuration. The digests in Packed identify the transfer. If they
+// differ from those of the request, the response is the first part of the newest configuration.
 type ConfigurationResponse struct {
 	Packed  routing.Packed
 	Offset  int
 	Total   int
-	Index   uint64 `json:",omitempty"` // of the state whose configuration it is, with a first piece
-	Current bool   `json:",omitempty"` // a majority of the core confirmed Index a moment ago
+	Index   uint64 `json:",omitempty"` // of the state that has this configuration; set in first parts
+	Current bool   `json:",omitempty"` // a majority of the core recently confirmed Index as the newest state
 }
 
-// ControllerAddress is a process of the core.
+// ControllerAddress is the address and the zone of a controller.
 type ControllerAddress struct {
 	Address string `json:"At"`
 	Zone    string
 }
 
+// entry is a node in the registry.
 type entry struct {
 	Node
 	lastHeard   int64
-	warmupUntil int64 // moment until which its upstream is slow
+	warmupUntil int64 // time until which its upstream is still slow after its start
 	seq         uint64
 	lost        bool
-	direct      bool // heard directly, not through another process
+	direct      bool // last heard directly, not through another controller
 }
 
-// Registry keeps who is there.
+// Registry holds the nodes that a controller knows. It is not safe for concurrent use.
 type Registry struct {
 	seq           uint64
 	entries       map[string]*entry
-	removed       map[string]uint64 // when nodes were dropped
-	oldestRemoval uint64            // of gone: who asks with less gets all
+	removed       map[string]uint64 // sequence numbers of the removals of nodes, by name
+	oldestRemoval uint64            // sequence number up to which removals may have been discarded
 }
 
-// NewRegistry makes an empty one.
+// NewRegistry returns an empty registry.
 func NewRegistry() *Registry {
 	return &Registry{entries: map[string]*entry{}, removed: map[string]uint64{}}
 }
 
-// Seq counts changes.
+// Seq returns the sequence number of the last change.
 func (r *Registry) Seq() uint64 { return r.seq }
 
-// Hear takes a node's own word, or what was heard of it some time ago; it reports whether that is news.
+// Observe records a report of a node about itself, which was received directly or reached another controller age
+// nanoseconds ago. It reports whether the registry changed.
 func (r *Registry) Observe(node Node, age, now int64, direct bool) bool {
 	heardAt := now - age
 	e := r.entries[node.Name]
@@ -161,7 +166,7 @@
 		return false
 	case e.Incarnation == node.Incarnation && node.Seq == e.Seq:
 		if heardAt >= e.lastHeard {
-			e.lastHeard, e.direct = heardAt, direct // who heard it last passes it on
+			e.lastHeard, e.direct = heardAt, direct // the controller that heard it last passes it on
 		}
 		if e.lost && now-e.lastHeard < LeaseDuration {
 			e.lost = false
@@ -197,7 +202,7 @@
 	}
 }
 
-// Sweep ends leases and forgets who has been away for long; it reports whether that is news.
+// Expire ends leases without renewal and removes nodes after LostRetention. It reports whether the registry changed.
 func (r *Registry) Expire(now int64) bool {
 	before := r.seq
 	for name, e := range r.entries {
@@ -212,7 +217,8 @@
 	return r.seq != before
 }
 
-// Since is what has changed after a count; whole says that it is all.
+// ChangesSince returns the nodes that changed and the names of those removed after a sequence number. If the changes
+// since then are no longer known, it returns all nodes and complete is true.
 func (r *Registry) ChangesSince(seq uint64, now int64) (nodes []Record, removed []string, complete bool) {
 	if seq < r.oldestRemoval || seq > r.seq {
 		seq = 0
@@ -244,15 +250,15 @@
 	return out
 }
 
-// Beat is a renewal that another process heard directly.
+// Renewal is a lease renewal that a controller received directly from a node.
 type Renewal struct {
 	Node        string
 	Incarnation string `json:"Life"`
 	Seq         uint64
-	Age         int64
+	Age         int64 // nanoseconds since the renewal
 }
 
-// Mine are the renewals heard directly of late.
+// OwnRenewals returns the renewals that this controller received directly within LeaseDuration.
 func (r *Registry) OwnRenewals(now int64) (renewals []Renewal) {
 	for _, e := range r.entries {
 		if e.direct && now-e.lastHeard < LeaseDuration {
@@ -263,8 +269,8 @@
 	return renewals
 }
 
-// Renew takes renewals that another process heard; it reports whether that is news, and which nodes are not known as
-// told.
+// Renew records renewals that another controller received. It reports whether the registry changed and whether a
+// renewal concerns an incarnation or a sequence number of a node that the registry does not have yet.
 func (r *Registry) Renew(renewals []Renewal, now int64) (changed bool, unknown bool) {
 	for _, renewal := range renewals {
 		e := r.entries[renewal.Node]
@@ -279,5 +285,5 @@
 	return changed, unknown
 }
 
-// Len are the balancers that are there or were of late.
+// Len returns the number of nodes, including those with an expired lease.
 func (r *Registry) Len() int { return len(r.entries) }
--- a/internal/mesh/priority/priority_test.go
+++ b/internal/mesh/priority/priority_test.go
@@ -23,7 +23,7 @@
 	must.False(t, NewRank(1, 1).Before(NewRank(1, 1)))
 }
 
-// workload is a kind of request that comes at random.
+// workload is a kind of request that arrives at random.
 type workload struct {
 	rank            Rank
 	perSecond       float64
@@ -33,13 +33,13 @@
 
 const millisecond = int64(1e6)
 
-// simulate plays a minute of an upstream with slots that each work for a time, before which requests wait for a quarter of their
-// target at most. inTime leaves ranks out, so that time alone orders the queue.
+// simulate runs one minute of an upstream whose slots each serve a request for serviceTime. Requests wait at most a
+// quarter of their target latency. With ignoreRanks the queue is ordered by due time alone.
 func simulate(seed uint64, workloads []*workload, slots int, serviceTime int64, strictOrder, ignoreRanks bool) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	var queue Queue[*workload]
 	queue.Shares.StrictOrder = strictOrder
-	var busy []int64 // when each slot that is taken is free
+	var busy []int64 // times at which the occupied slots become free
 	rankOf := func(load *workload) Rank {
 		if ignoreRanks {
 			return Rank{}
@@ -81,8 +81,9 @@
 	return float64(served) / float64(arrived)
 }
 
-// An upstream that can serve 60 requests a second is asked for more: urgent ones with much time, which routes that are added
-// often are, beside others that are due soon. Loads and shares differ; both ends hold in each.
+// An upstream with a capacity of 60 requests per second is overloaded by urgent requests with a late due time, which
+// are typical of newly added routes, and by others that are due soon. For each load, urgent requests must not be served
+// less than others, and no rank may starve. The checks must fail without the minimum share and without ranks.
 func TestUrgentRequestsAreServedWithoutStarvation(t *testing.T) {
 	for seed := range uint64(10) {
 		for _, load := range []struct{ urgent, usual, late float64 }{{3, 100, 0}, {30, 60, 30}, {80, 40, 10}, {200, 20, 20}, {55, 60, 5}} {
@@ -96,25 +97,25 @@
 			urgent, usual, late := run(false, false)
 			overall := servedRatio(urgent, usual, late)
 			t.Logf("seed %d %v: urgent %.2f usual %.2f late %.2f all %.2f", seed, load, servedRatio(urgent), servedRatio(usual), servedRatio(late), overall)
-			must.Greater(t, servedRatio(usual)-0.05, servedRatio(urgent), must.Sprint("inversion", load))
+			must.Greater(t, servedRatio(usual)-0.05, servedRatio(urgent), must.Sprint("priority inversion", load))
 			must.Greater(t, overall/4, servedRatio(usual), must.Sprint("starved", load))
 			if late.arrived > 0 {
-				must.Greater(t, servedRatio(late)-0.05, servedRatio(usual), must.Sprint("inversion", load))
+				must.Greater(t, servedRatio(late)-0.05, servedRatio(usual), must.Sprint("priority inversion", load))
 				must.Greater(t, overall/4, servedRatio(late), must.Sprint("starved", load))
 			}
 			if load.urgent > 100 {
-				urgent, usual, late = run(true, false) // without the guard
-				must.Less(t, servedRatio(urgent, usual, late)/4, servedRatio(usual), must.Sprint("strict order convicted", load))
+				urgent, usual, late = run(true, false) // without the minimum share
+				must.Less(t, servedRatio(urgent, usual, late)/4, servedRatio(usual), must.Sprint("no starvation with strict order", load))
 			}
 			if load.urgent == 3 {
 				urgent, usual, _ = run(false, true) // without ranks
-				must.Less(t, servedRatio(usual)-0.05, servedRatio(urgent), must.Sprint("order by time alone convicted", load))
+				must.Less(t, servedRatio(usual)-0.05, servedRatio(urgent), must.Sprint("no inversion with order by due time alone", load))
 			}
 		}
 	}
 }
 
-// What was counted long ago weighs nothing, and costs nothing.
+// Counts from long ago must neither influence decisions nor use memory.
 func TestSharesForgetOldCounts(t *testing.T) {
 	var shares Shares
 	for n := range 1000 {
@@ -125,7 +126,7 @@
 		shares.CountServed(NewRank(0, 0), 0)
 	}
 	must.True(t, shares.Underserved(NewRank(7, 7), 0))
-	must.False(t, shares.Underserved(NewRank(0, 1), 0)) // never came
+	must.False(t, shares.Underserved(NewRank(0, 1), 0)) // no arrivals
 	must.False(t, shares.Underserved(NewRank(7, 7), 60e9))
 	must.MapLen(t, 0, shares.counts)
 	must.Eq(t, shareCount{}, shares.total)
--- a/internal/mesh/priority/queue.go
+++ b/internal/mesh/priority/queue.go
@@ -8,7 +8,7 @@
 // Waiter is a request in a queue.
 type Waiter[T any] struct {
 	Rank    Rank
-	Due     int64 // when its answer is of full worth no more
+	Due     int64 // time until which its response has its full value, in nanoseconds
 	Request T
 }
 
@@ -16,25 +16,25 @@
 	return cmp.Or(w.Rank.Compare(other.Rank), cmp.Compare(w.Due, other.Due))
 }
 
-// Queue holds the requests that wait for a slot: the most urgent rank first, and within a rank who is due first. A rank that is
-// served less than its least share goes before all others. Invariant: served by time alone, urgent requests with much time stand
-// behind all others under load and are turned away.
+// Queue holds the requests that wait for a slot, ordered by rank and within a rank by due time. A rank that is served
+// less than its minimum share goes before all others. Ordering by due time alone would place urgent requests with a
+// late due time behind all others under load, so that they would be rejected.
 type Queue[T any] struct {
 	Shares  Shares
 	waiting []*Waiter[T]
 }
 
-// Len is how many wait.
+// Len returns the number of waiting requests.
 func (q *Queue[T]) Len() int { return len(q.waiting) }
 
-// Enqueue lets a request wait, unless so many stand before it that there is no room for it. A rank that is owed its share may always
-// have one request waiting.
+// Enqueue adds a request and returns true, unless at least capacity requests are ahead of it. An underserved rank may
+// always have one request waiting.
 func (q *Queue[T]) Enqueue(w *Waiter[T], capacity int, now int64) bool {
 	position, _ := slices.BinarySearchFunc(q.waiting, w, func(a, b *Waiter[T]) int {
 		if order := a.compare(b); order != 0 {
 			return order
 		}
-		return -1 // behind those that are alike
+		return -1 // after equal elements
 	})
 	if position >= capacity && (q.hasRank(w.Rank) || !q.Shares.Underserved(w.Rank, now)) {
 		return false
@@ -43,7 +43,8 @@
 	return true
 }
 
-// Dequeue takes the request whose turn it is out of the queue, nil if none waits. Who takes it tells Shares if it is served.
+// Dequeue removes and returns the next request, or nil if the queue is empty. The caller must call Shares.CountServed
+// if the request is served.
 func (q *Queue[T]) Dequeue(now int64) *Waiter[T] {
 	if len(q.waiting) == 0 {
 		return nil
@@ -61,7 +62,7 @@
 	return next
 }
 
-// Remove takes a request that waits no longer out of the queue, and reports whether it was there.
+// Remove removes a request that no longer waits and reports whether it was in the queue.
 func (q *Queue[T]) Remove(w *Waiter[T]) bool {
 	position := slices.Index(q.waiting, w)
 	if position < 0 {
--- a/internal/mesh/priority/shares.go
+++ b/internal/mesh/priority/shares.go
@@ -3,40 +3,42 @@
 import "math"
 
 const (
-	// MinShare is the part of what all ranks together are served that each rank is served at least: a little above the quarter
-	// that is owed, since counts decay. More of it is taken from the calls of work that is under way, which fails without them.
+	// MinShare is the minimum service ratio of a rank as a fraction of the service ratio of all ranks together. It is
+	// slightly above the guaranteed quarter because the counts decay. A larger value would take more capacity from the
+	// calls of work in progress, which fails without them.
 	MinShare = 0.28
-	// shareHalfLife is the time in nanoseconds within which what was counted loses half of its weight.
+	// shareHalfLife is the time in nanoseconds in which the weight of a count halves.
 	shareHalfLife = 2e9
-	// negligibleWeight is the weight of a count that says nothing any more.
+	// negligibleWeight is the weight below which a count is dropped.
 	negligibleWeight = 0.01
 )
 
-// Shares counts, for each rank, the requests that came and those that were served, the recent ones more. Invariant: strict order
-// alone would starve a lesser rank for as long as the urgent ones fill all there is.
+// Shares counts, for each rank, the requests that arrived and those that were served, with exponentially decaying
+// weights. Strict order by rank alone would starve a less urgent rank as long as urgent requests take the whole
+// capacity.
 type Shares struct {
 	counts    map[Rank]*shareCount
 	total     shareCount // of all ranks together
-	decayedAt int64
-	// StrictOrder leaves the guard out; tests convict it.
+	decayedAt int64      // nanoseconds
+	// StrictOrder disables the minimum share, so that tests can show the starvation without it.
 	StrictOrder bool
 }
 
 type shareCount struct{ arrived, served float64 }
 
-// CountArrival counts a request that wants to be served, once however often it is sent.
+// CountArrival counts a request on its first arrival. Retries must not be counted again.
 func (s *Shares) CountArrival(rank Rank, now int64) {
 	s.count(rank, now).arrived++
 	s.total.arrived++
 }
 
-// CountServed counts a request that is served.
+// CountServed counts a request as served.
 func (s *Shares) CountServed(rank Rank, now int64) {
 	s.count(rank, now).served++
 	s.total.served++
 }
 
-// Underserved reports whether a rank is served less than its least share of what all are.
+// Underserved reports whether a rank is served less than its minimum share.
 func (s *Shares) Underserved(rank Rank, now int64) bool {
 	if s.StrictOrder {
 		return false
@@ -62,7 +64,8 @@
 	return counts
 }
 
-// decay ages what was counted, and forgets what no longer weighs anything. It works in steps, so that most calls cost nothing.
+// decay reduces the weights of the counts and drops negligible ones. It works in steps, so that most calls return at
+// once.
 func (s *Shares) decay(now int64) {
 	const step = shareHalfLife / 16
 	if now-s.decayedAt < step {
--- a/internal/mesh/routing/amend.go
+++ b/internal/mesh/routing/amend.go
@@ -10,7 +10,7 @@
 	"ottershift/internal/mesh/strictjson"
 )
 
-// amendment is a call that alters items by name.
+// amendment is a request that adds, replaces and removes items of a configuration by name.
 type amendment struct {
 	Edition    int64
 	SizeLimits json.RawMessage
@@ -18,11 +18,11 @@
 	Withdraw   map[string][]string
 }
 
-// Amend makes the version that an amendment asks for.
+// Amend returns the configuration that results from an amendment. It leaves c unchanged.
 func (c *Configuration) Amend(body []byte) (*Configuration, error) {
 	var change amendment
 	if err := strictjson.DecodeWhole(body, &change); err != nil {
-		return nil, Error.New("can't be read whole: %v", err)
+		return nil, Error.New("invalid JSON: %v", err)
 	}
 	if err := strictjson.Check(body); err != nil {
 		return nil, Error.Wrap(err)
@@ -55,15 +55,16 @@
 			return nil, err
 		}
 	}
-	for _, name := range []string{"Mesh", "Partners"} { // whole
+	for _, name := range []string{"Mesh", "Partners"} { // replaced as a whole
 		if raw := change.Deliver[name]; len(raw) > 0 {
 			next.other[name] = raw
 		}
 	}
-	next.Tenants = mergeByName(c.Tenants, delivered.Tenants, withdrawn("Senders"), func(s *Tenant) string { return s.Name })
-	next.Services = mergeByName(c.Services, delivered.Services, withdrawn("Depots", "Destinations"), func(d *Service) string { return d.Name })
+	next.Tenants = mergeByName(c.Tenants, delivered.Tenants, withdrawn("Senders"), func(t *Tenant) string { return t.Name })
+	next.Services = mergeByName(c.Services, delivered.Services, withdrawn("Depots", "Destinations"), func(s *Service) string { return s.Name })
 
-	// Routes are replaced where they stand; one that comes to another town leaves its own.
+	// Routes are replaced at their position. A route that is delivered for another host is removed from its previous
+	// one.
 	withdrawnRoutes, withdrawnHosts := withdrawn("Routes", "Regulations"), map[string]bool{}
 	for host := range withdrawn("PostOffices", "Towns") {
 		withdrawnHosts[strings.ToLower(host)] = true
@@ -117,17 +118,18 @@
 	return next, next.encodeDocument()
 }
 
-// checkLists refuses lists that an amendment can't have: what is not understood would be acknowledged and not be in force.
+// checkLists rejects unknown lists in an amendment. If they were ignored, the amendment would be acknowledged without
+// taking full effect.
 func (a *amendment) checkLists() error {
 	var faults errs.Group
 	for list := range a.Deliver {
 		if !slices.Contains(deliverableLists, list) {
-			faults.Add(Error.New("Deliver: nothing is named %q", list))
+			faults.Add(Error.New("Deliver: unknown list %q", list))
 		}
 	}
 	for list := range a.Withdraw {
 		if !slices.Contains(withdrawableLists, list) {
-			faults.Add(Error.New("Withdraw: nothing is named %q", list))
+			faults.Add(Error.New("Withdraw: unknown list %q", list))
 		}
 	}
 	return faults.Err()
@@ -138,7 +140,7 @@
 	withdrawableLists = []string{"Routes", "Regulations", "PostOffices", "Towns", "Depots", "Destinations", "Senders"}
 )
 
-// checkDelivered refuses items by which an amendment would mean two things.
+// checkDelivered rejects delivered items that make an amendment ambiguous.
 func (c *Configuration) checkDelivered() error {
 	var routes []*Route
 	for _, host := range c.hosts {
@@ -147,11 +149,11 @@
 	var faults errs.Group
 	faults.Add(checkUniqueNames("route", routes, func(r *Route) string { return r.Name }))
 	faults.Add(checkUniqueNames("Depots", c.Services, func(s *Service) string { return s.Name }))
-	faults.Add(checkUniqueNames("Senders", c.Tenants, func(s *Tenant) string { return s.Name }))
+	faults.Add(checkUniqueNames("Senders", c.Tenants, func(t *Tenant) string { return t.Name }))
 	return faults.Err()
 }
 
-// amendLimits alters the limits that are named, and leaves the others as they are.
+// amendLimits changes the limits that the amendment names and keeps the others.
 func (c *Configuration) amendLimits(raw json.RawMessage) error {
 	if len(raw) == 0 || string(raw) == "null" {
 		return nil
@@ -184,7 +186,7 @@
 	return nil
 }
 
-// mergeByName replaces items by name, adds what is new and leaves out what is withdrawn.
+// mergeByName replaces existing items by delivered ones of the same name, appends new ones and omits withdrawn ones.
 func mergeByName[T any](existing, delivered []*T, withdrawn map[string]bool, name func(*T) string) (out []*T) {
 	replacements, placed := map[string]*T{}, map[string]bool{}
 	for _, v := range delivered {
@@ -206,23 +208,23 @@
 	return out
 }
 
-// encodeDocument lays an amended configuration out as whole ones are put.
+// encodeDocument encodes an amended configuration as a document in the format that Parse reads.
 func (c *Configuration) encodeDocument() error {
 	top := map[string]any{"Edition": c.Edition}
 	for name, raw := range c.other {
 		top[name] = raw
 	}
 	if len(c.Tenants) > 0 {
-		top["Senders"] = rawItems(c.Tenants, func(s *Tenant) json.RawMessage { return s.raw })
+		top["Senders"] = rawItems(c.Tenants, func(t *Tenant) json.RawMessage { return t.raw })
 	}
-	top["Depots"] = rawItems(c.Services, func(d *Service) json.RawMessage { return d.raw })
-	type town struct {
-		Town        string
-		Regulations []json.RawMessage
+	top["Depots"] = rawItems(c.Services, func(s *Service) json.RawMessage { return s.raw })
+	type hostDocument struct {
+		Host   string            `json:"Town"`
+		Routes []json.RawMessage `json:"Regulations"`
 	}
-	hosts := []town{}
+	hosts := []hostDocument{}
 	for _, entry := range c.hosts {
-		hosts = append(hosts, town{entry.Host, rawItems(entry.Routes, func(r *Route) json.RawMessage { return r.raw })})
+		hosts = append(hosts, hostDocument{entry.Host, rawItems(entry.Routes, func(r *Route) json.RawMessage { return r.raw })})
 	}
 	top["PostOffices"] = hosts
 	var err error
--- a/internal/mesh/routing/change.go
+++ b/internal/mesh/routing/change.go
@@ -10,26 +10,28 @@
 	"slices"
 )
 
-// Change is what makes one configuration out of another. It is as large as what differs, and costs as much to apply, beside a look at
-// each item; it is bound to its base and its result by their digests.
+// Change is the difference between two configurations. Its size is proportional to the differing items. The cost to
+// apply it is so too, apart from a constant cost per item of the configuration. The digests of its base and result
+// prevent it from being applied to another base.
 type Change struct {
-	Base, Result string // digests
+	Base, Result string // digests of the configurations
 	Edition      int64
-	Other        map[string]json.RawMessage `json:",omitempty"` // of the fields that are not lists, those that differ
-	Removed      []string                   `json:",omitempty"` // of these fields, those that are gone
+	Other        map[string]json.RawMessage `json:",omitempty"` // top-level fields other than lists that differ
+	Removed      []string                   `json:",omitempty"` // top-level fields other than lists that the result does not have
 	Tenants      []itemRun                  `json:",omitempty"`
 	Services     []itemRun                  `json:",omitempty"`
 	Hosts        []hostRun                  `json:",omitempty"`
 }
 
-// itemRun is a part of a list: some items of the base's list, as they stand there, or new ones.
+// itemRun is a part of a list: Count consecutive items of the base's list starting at From, or new items.
 type itemRun struct {
 	From  int               `json:",omitempty"`
 	Count int               `json:",omitempty"`
 	New   []json.RawMessage `json:",omitempty"`
 }
 
-// hostRun is some hosts as the base has them, or one whose routes are runs of all routes of the base.
+// hostRun is Count consecutive hosts of the base starting at From, or one host whose routes are runs over all routes of
+// the base.
 type hostRun struct {
 	From   int       `json:",omitempty"`
 	Count  int       `json:",omitempty"`
@@ -37,10 +39,10 @@
 	Routes []itemRun `json:",omitempty"`
 }
 
-// Digest names what a configuration says, however it is laid out.
+// Digest returns the digest of the content of a configuration, which does not depend on the formatting of the document.
 func (c *Configuration) Digest() string { return c.digest }
 
-// computeDigest is the digest of all items, in their order.
+// computeDigest returns the digest over all items in their order.
 func (c *Configuration) computeDigest() string {
 	sum := sha256.New()
 	number := func(n int64) { sum.Write(binary.BigEndian.AppendUint64(nil, uint64(n))) }
@@ -71,7 +73,7 @@
 	return hex.EncodeToString(sum.Sum(nil)[:16])
 }
 
-// ChangeTo is what makes another configuration out of this one.
+// ChangeTo returns the change that turns this configuration into another one.
 func (c *Configuration) ChangeTo(next *Configuration) *Change {
 	change := &Change{Base: c.digest, Result: next.digest, Edition: next.Edition, Other: map[string]json.RawMessage{}}
 	for name, raw := range next.other {
@@ -91,10 +93,10 @@
 	return change
 }
 
-// itemIndex finds items of a list by what they say.
+// itemIndex finds the positions of items in a list by their content.
 type itemIndex struct {
 	sums      []itemSum
-	positions map[itemSum]int // the first of each
+	positions map[itemSum]int // position of the first item with each sum
 }
 
 func newItemIndex[T any](list []T, itemOf func(T) *item) *itemIndex {
@@ -109,7 +111,7 @@
 	return index
 }
 
-// position is where an item stands, next if it stands there, -1 if nowhere.
+// position returns the position of an item: next if the item is there, or -1 if the list does not have it.
 func (index *itemIndex) position(sum itemSum, next int) int {
 	if next < len(index.sums) && index.sums[next] == sum {
 		return next
@@ -178,10 +180,10 @@
 	return runs
 }
 
-// Apply makes the configuration that a change leads to. What is not changed is shared with this one.
+// Apply returns the result of a change. Items that the change does not affect are shared with this configuration.
 func (c *Configuration) Apply(change *Change) (*Configuration, error) {
 	if change.Base != c.digest {
-		return nil, Error.New("a change of %.32s, not of %s", change.Base, c.digest)
+		return nil, Error.New("change applies to base %.32s, not to %s", change.Base, c.digest)
 	}
 	next := &Configuration{Edition: change.Edition, other: maps.Clone(c.other)}
 	maps.Copy(next.other, change.Other)
@@ -207,7 +209,7 @@
 		return nil, err
 	}
 	if next.digest != change.Result {
-		return nil, Error.New("a change to %.32s led to %s", change.Result, next.digest)
+		return nil, Error.New("change should result in %.32s but resulted in %s", change.Result, next.digest)
 	}
 	return next, nil
 }
@@ -216,7 +218,7 @@
 	for _, run := range runs {
 		if run.Count > 0 {
 			if !inRange(run.From, run.Count, len(c.hosts)) {
-				return nil, Error.New("a change of hosts that are not there")
+				return nil, Error.New("change refers to hosts beyond those of its base")
 			}
 			hosts = append(hosts, c.hosts[run.From:run.From+run.Count]...)
 			continue
@@ -226,7 +228,7 @@
 			return nil, err
 		}
 		for i, r := range routes {
-			if r.Host != run.Host { // it came from another host
+			if r.Host != run.Host { // moved from another host
 				moved := *r
 				moved.Host = run.Host
 				routes[i] = &moved
@@ -241,7 +243,7 @@
 	for _, run := range runs {
 		if run.Count > 0 {
 			if !inRange(run.From, run.Count, len(base)) {
-				return nil, Error.New("a change of items that are not there")
+				return nil, Error.New("change refers to items beyond those of its base")
 			}
 			list = append(list, base[run.From:run.From+run.Count]...)
 			continue
--- a/internal/mesh/routing/change_test.go
+++ b/internal/mesh/routing/change_test.go
@@ -10,12 +10,13 @@
 	"github.com/shoenig/test/must"
 )
 
-// routeJSON is the text of a route; what varies between versions is its target.
+// routeJSON returns the JSON of a route. Versions of the route differ in their target latency, in milliseconds.
 func routeJSON(name string, target int) string {
 	return fmt.Sprintf(`{"Name":"r-%s","MailClass":"repeatable","Target":"%dms","Precedence":0,"Sorting":{"StreetPrefix":"/q%s/"},"Dispatch":{"Destination":"y","Deadline":"10s","DeliveryTries":2},"Note":"<&>\u2028"}`, name, target, name)
 }
 
-// configurationWithRoutes is a configuration whose routes are named by numbers.
+// configurationWithRoutes returns the JSON of a configuration with count generated routes besides those of
+// testConfiguration.
 func configurationWithRoutes(edition, count int) []byte {
 	routes := make([]string, count)
 	for n := range routes {
@@ -25,7 +26,8 @@
 	return []byte(strings.Replace(text, `"Edition":7`, fmt.Sprintf(`"Edition":%d`, edition), 1))
 }
 
-// randomConfiguration is one that chance makes: hosts, routes, tenants and services that come, go, move and change.
+// randomConfiguration returns a random configuration. Hosts, routes, tenants and services are added, removed, moved and
+// changed between calls.
 func randomConfiguration(random *rand.Rand, edition int) *Configuration {
 	var hosts []string
 	for host := range 1 + random.IntN(4) {
@@ -52,7 +54,8 @@
 	return configuration
 }
 
-// A change leads from any configuration to any other, and what it leads to is what the other says, also by way of many changes.
+// A change between two arbitrary configurations must reproduce the second one, also when the base is itself the result
+// of many changes.
 func TestChangeConvertsBetweenAnyConfigurations(t *testing.T) {
 	random := rand.New(rand.NewPCG(60, 1))
 	held := randomConfiguration(random, 1)
@@ -81,13 +84,14 @@
 		for _, tenant := range next.Tenants {
 			must.Eq(t, tenant.Name, got.Tenant(tenant.APIKeys[0]).Name)
 		}
-		if random.IntN(5) > 0 { // some are never taken
+		if random.IntN(5) > 0 { // some changes are not applied
 			held = got
 		}
 	}
 }
 
-// What is not a change of what is held, or does not lead to what it is told to, is refused.
+// A change for another base, or whose result differs from the announced digest, must be rejected instead of leaving
+// processes with different configurations.
 func TestApplyRejectsMismatchedChanges(t *testing.T) {
 	base, err := Parse(configurationWithRoutes(1, 3))
 	must.NoError(t, err)
@@ -97,14 +101,14 @@
 	must.NoError(t, err)
 	change := base.ChangeTo(next)
 	_, err = other.Apply(change)
-	must.ErrorContains(t, err, "not of")
+	must.ErrorContains(t, err, "change applies to base")
 	for name, corrupt := range map[string]func(c *Change){
-		"result":  func(c *Change) { c.Result = other.Digest() },
-		"edition": func(c *Change) { c.Edition = 9 },
-		"run":     func(c *Change) { c.Services = []itemRun{{From: 1, Count: 5}} },
-		"back":    func(c *Change) { c.Services = []itemRun{{From: -1, Count: 1}} },
-		"hosts":   func(c *Change) { c.Hosts = []hostRun{{From: 0, Count: 9}} },
-		"service": func(c *Change) { c.Services = nil },
+		"result":               func(c *Change) { c.Result = other.Digest() },
+		"edition":              func(c *Change) { c.Edition = 9 },
+		"run beyond the end":   func(c *Change) { c.Services = []itemRun{{From: 1, Count: 5}} },
+		"negative position":    func(c *Change) { c.Services = []itemRun{{From: -1, Count: 1}} },
+		"hosts beyond the end": func(c *Change) { c.Hosts = []hostRun{{From: 0, Count: 9}} },
+		"missing services":     func(c *Change) { c.Services = nil },
 	} {
 		raw, err := json.Marshal(change)
 		must.NoError(t, err)
@@ -124,7 +128,8 @@
 	must.Error(t, err)
 }
 
-// Processes that hand a configuration on by json.Marshal, which escapes some characters, have one digest of it.
+// Forwarding a configuration with json.Marshal escapes some characters. The digest must not change by that, or
+// processes would disagree about which configuration they have.
 func TestDigestIsStableAcrossReencoding(t *testing.T) {
 	original, err := Parse(configurationWithRoutes(1, 3))
 	must.NoError(t, err)
@@ -136,7 +141,7 @@
 	must.Eq(t, string(original.Document()), string(loaded.Document()))
 }
 
-// The bytes of a change go by what differs, not by what there is.
+// The size of a change must depend on the differing items, not on the size of the configuration.
 func TestChangeSizeIsProportionalToDifference(t *testing.T) {
 	for _, routes := range []int{100, 4000} {
 		base, err := Parse(configurationWithRoutes(1, routes))
@@ -151,7 +156,7 @@
 		must.NoError(t, err)
 		whole, err := Pack(nil, next)
 		must.NoError(t, err)
-		t.Logf("%d routes, %d bytes: whole %d bytes packed, one route more %d", routes, len(next.Document()), len(whole.Data), len(change.Data))
+		t.Logf("%d routes, %d bytes: packed configuration %d bytes, packed change of one route %d bytes", routes, len(next.Document()), len(whole.Data), len(change.Data))
 		must.Less(t, 600, len(change.Data))
 		must.Less(t, len(next.Document())/6, len(whole.Data))
 	}
--- a/internal/mesh/routing/diff.go
+++ b/internal/mesh/routing/diff.go
@@ -6,7 +6,8 @@
 	"fmt"
 )
 
-// Diff names what one version has beyond another, what is altered, and what is gone: + ~ -.
+// Diff lists the differences between two configurations, one per line: "+" for added, "~" for changed, "-" for removed
+// items.
 func Diff(from, to *Configuration) (lines []string) {
 	if from.Edition != to.Edition {
 		lines = append(lines, fmt.Sprintf("~ Edition %d -> %d", from.Edition, to.Edition))
@@ -20,7 +21,8 @@
 	return lines
 }
 
-// canonicalJSON is JSON with its fields in order and without spaces.
+// canonicalJSON returns JSON with sorted fields and without white space. Text that is not valid JSON is returned as it
+// is.
 func canonicalJSON(raw json.RawMessage) string {
 	var v any
 	if json.Unmarshal(raw, &v) != nil {
@@ -30,11 +32,11 @@
 	return string(bytes.TrimSpace(out))
 }
 
-// diffItems compares items by name; of those that share one, the first with the first, and so on.
+// diffItems compares items by name. Items with the same name are matched in their order.
 func diffItems[T any](kind string, from, to []*T, describe func(*T) (name, text string)) (lines []string) {
 	type key struct {
-		name  string
-		place int
+		name       string
+		occurrence int
 	}
 	keysOf := func(items []*T) (keys []key, texts map[key]string) {
 		seen, texts := map[string]int{}, map[key]string{}
--- a/internal/mesh/routing/parse.go
+++ b/internal/mesh/routing/parse.go
@@ -13,9 +13,9 @@
 	"ottershift/internal/mesh/strictjson"
 )
 
-const maxDeadline = 10 * time.Minute // that a route may hold a request
+const maxDeadline = 10 * time.Minute // longest deadline of a route or partner
 
-// decodePartners reads the meshes beside ours.
+// decodePartners decodes and checks the name of this mesh and the partner meshes.
 func (c *Configuration) decodePartners() error {
 	c.Mesh, c.Partners = "", nil
 	if raw := c.other["Mesh"]; len(raw) > 0 {
@@ -34,20 +34,20 @@
 			})))))
 		switch {
 		case strings.ContainsAny(partner.Name, "@,"):
-			faults.Add(Error.New("Partners %q: Name: has an @ or a comma in it", partner.Name))
+			faults.Add(Error.New("Partners %q: Name: must not contain @ or a comma", partner.Name))
 		case seen[partner.Name]:
-			faults.Add(Error.New("Partners %s: Name: stands twice", partner.Name))
+			faults.Add(Error.New("Partners %s: Name: duplicate name", partner.Name))
 		}
 		seen[partner.Name] = true
 		c.Partners = append(c.Partners, partner)
 	}))
 	if len(c.Partners) > 0 && c.Mesh == "" {
-		faults.Add(Error.New("Mesh: partners have to know us by a name"))
+		faults.Add(Error.New("Mesh: a name is required if there are partners"))
 	}
 	return faults.Err()
 }
 
-// decodeItems decodes a list of items, each kept raw.
+// decodeItems decodes a list and passes each item with its raw JSON to take.
 func decodeItems[T any](raw json.RawMessage, list string, take func(*T, json.RawMessage)) error {
 	if len(raw) == 0 || string(raw) == "null" {
 		return nil
@@ -66,12 +66,14 @@
 	return nil
 }
 
+// rawHostRoutes is a host with its routes as they are encoded in a configuration.
 type rawHostRoutes struct {
 	Host   string            `json:"Town"`
 	Routes []json.RawMessage `json:"Regulations"`
 }
 
-// decodeLists reads the lists that a whole configuration and an amendment have in common.
+// decodeLists decodes the lists and limits that a whole configuration and an amendment have in common. Routes in known
+// are reused.
 func (c *Configuration) decodeLists(top map[string]json.RawMessage, known map[routeKey]*Route) error {
 	var faults errs.Group
 	if raw := top["SizeLimits"]; len(raw) > 0 {
@@ -107,7 +109,7 @@
 	return faults.Err()
 }
 
-// routeKey is a route by its host and what its text says.
+// routeKey identifies a route by its host and the sum of its raw JSON.
 type routeKey struct {
 	host string
 	sum  itemSum
@@ -124,7 +126,7 @@
 	return known
 }
 
-// Parse reads a whole configuration and refuses what is invalid, or would mean two things.
+// Parse decodes a whole configuration. It rejects invalid and ambiguous ones.
 func Parse(body []byte) (*Configuration, error) {
 	configuration, err := decode(body, nil)
 	if err != nil {
@@ -139,16 +141,18 @@
 	return configuration, nil
 }
 
-// Load reads a configuration that has been agreed on. One that a version before this took although it means two things goes on in
-// force, with the meaning that it had there; Ambiguous says what that is. The next change has to mend that.
+// Load decodes a configuration that has been agreed on. An ambiguous configuration that an earlier version accepted
+// stays in effect with the meaning that it had there. Ambiguities reports the conflicts, which the next change has to
+// resolve.
 func Load(document []byte) (*Configuration, error) { return decode(document, nil) }
 
-// LoadAfter is Load for a version that follows another one: items that say the same are shared with it, and cost next to nothing.
+// LoadAfter is Load for the successor of another configuration. It is cheaper because it shares routes with the same
+// content.
 func LoadAfter(before *Configuration, document []byte) (*Configuration, error) {
 	return decode(document, before)
 }
 
-// Ambiguities says by what a configuration that was loaded means two things, nil for nothing.
+// Ambiguities returns an error that lists everything ambiguous in a loaded configuration, or nil.
 func (c *Configuration) Ambiguities() error {
 	var faults errs.Group
 	if len(c.document) > 0 {
@@ -161,18 +165,19 @@
 func decode(body []byte, before *Configuration) (*Configuration, error) {
 	var compact bytes.Buffer
 	if err := json.Compact(&compact, body); err != nil {
-		return nil, Error.New("can't be read whole: %v", err)
+		return nil, Error.New("invalid JSON: %v", err)
 	}
-	// Invariant: what is told on by way of json.Marshal comes out byte for byte, so all processes have the same digest of it.
+	// The document is stored as json.Marshal would encode it. It therefore stays the same byte for byte when it is
+	// forwarded, and all processes compute the same digest.
 	var document bytes.Buffer
 	json.HTMLEscape(&document, compact.Bytes())
 	configuration := &Configuration{other: map[string]json.RawMessage{}, document: document.Bytes()}
 	var top map[string]json.RawMessage
 	if err := strictjson.DecodeWhole(configuration.document, &top); err != nil {
-		return nil, Error.New("can't be read whole: %v", err)
+		return nil, Error.New("invalid JSON: %v", err)
 	}
 	if err := json.Unmarshal(top["Edition"], &configuration.Edition); err != nil {
-		return nil, Error.New("Edition: is no whole number")
+		return nil, Error.New("Edition: must be an integer")
 	}
 	if err := configuration.decodeLists(top, routesByKey(before)); err != nil {
 		return nil, err
@@ -190,7 +195,7 @@
 	return configuration, nil
 }
 
-// indexAndValidate indexes a configuration and names all that makes it invalid.
+// indexAndValidate builds the indexes of a configuration and returns an error that lists everything invalid in it.
 func (c *Configuration) indexAndValidate() error {
 	var faults errs.Group
 	c.routesByHost, c.tenantsByKey, c.servicesByName = map[string]map[string]*Route{}, map[string]*Tenant{}, map[string]*Service{}
@@ -205,7 +210,7 @@
 			faults.Add(Error.New("Depots: Name: %v", err))
 		}
 		if service.MaxBurstCreditPerSecond < 0 {
-			faults.Add(Error.New("Depots %s: NectarPerS: is below 0", service.Name))
+			faults.Add(Error.New("Depots %s: NectarPerS: must not be negative", service.Name))
 		}
 		c.servicesByName[service.Name] = service
 	}
@@ -215,7 +220,7 @@
 			validation.Field(&tenant.RatePerSecond, validation.Min(0.0)), validation.Field(&tenant.Burst, validation.Min(0.0)))))
 		faults.Add(prefixError("Senders "+tenant.Name+": Nectar", tenant.BurstCredit.check()))
 		if tenant.BurstCredit != nil && tenant.RatePerSecond <= 0 {
-			faults.Add(Error.New("Senders %s: Nectar: without RatePerS nothing is left to save", tenant.Name))
+			faults.Add(Error.New("Senders %s: Nectar: requires a positive RatePerS", tenant.Name))
 		}
 		c.tenantsByName[tenant.Name] = tenant
 		for _, key := range tenant.APIKeys {
@@ -240,6 +245,7 @@
 	return faults.Err()
 }
 
+// prefixError adds a prefix to an error. It returns nil for nil.
 func prefixError(prefix string, err error) error {
 	if err == nil {
 		return nil
@@ -247,7 +253,8 @@
 	return Error.New("%s: %v", prefix, err)
 }
 
-// checkRoute checks a route and finds where it goes. One that another version has checked is shared with it, and only read.
+// checkRoute checks a route and sets its services. A route that was validated before may be shared with another
+// configuration and is only read.
 func (c *Configuration) checkRoute(r *Route) error {
 	if r.validated {
 		return c.checkServices(r)
@@ -263,12 +270,12 @@
 	faults.Add(c.checkServices(r))
 	for _, p := range r.Services {
 		if p.Weight < 0 {
-			faults.Add(Error.New("%s: Share: is below 0", prefix))
+			faults.Add(Error.New("%s: Share: must not be negative", prefix))
 		}
 		total += p.Weight
 	}
 	if total <= 0 {
-		faults.Add(Error.New("%s: Apportion: the shares add up to 0", prefix))
+		faults.Add(Error.New("%s: Apportion: the sum of the shares must be positive", prefix))
 	}
 	faults.Add(prefixError(prefix+": Sorting", validation.ValidateStruct(&r.Match, validation.Field(&r.Match.PathPrefix,
 		validation.Required, validation.By(func(v any) error {
@@ -288,7 +295,7 @@
 	var faults errs.Group
 	for _, p := range r.Services {
 		if c.servicesByName[p.Service] == nil {
-			faults.Add(Error.New("route %s: Destination: no service is named %q", r.Name, p.Service))
+			faults.Add(Error.New("route %s: Destination: unknown service %q", r.Name, p.Service))
 		}
 	}
 	return faults.Err()
--- a/internal/mesh/routing/routing.go
+++ b/internal/mesh/routing/routing.go
@@ -1,5 +1,5 @@
-// Package routing is the configuration that the mesh agrees on: read, checked, amended, looked up. It does
-// no I/O. What it doesn't know in a configuration is kept as it was sent.
+// Package routing implements the agreed configuration of the mesh: its decoding, validation, amendment and lookup of
+// routes. It does no I/O. Fields of a configuration that it does not know are preserved unchanged.
 package routing
 
 import (
@@ -11,15 +11,16 @@
 	"github.com/zeebo/errs"
 )
 
-// Error is the class of faults in a configuration.
+// Error is the class of errors in a configuration.
 var Error = errs.Class("configuration")
 
+// hostRoutes is a host with its routes in the order of the configuration.
 type hostRoutes struct {
 	Host   string   `json:"Town"`
 	Routes []*Route `json:"Rules"`
 }
 
-// Configuration is one version of the configuration.
+// Configuration is one version of the configuration of the mesh.
 type Configuration struct {
 	Edition  int64
 	Limits   Limits
@@ -27,29 +28,29 @@
 	Services []*Service `json:"Depots"`
 	Routes   []*Route   `json:"Rules"`
 
-	Mesh     string     // our own name, as partners know us
-	Partners []*Partner // in the order in which they are turned to
+	Mesh     string     // name of this mesh, as its partners know it
+	Partners []*Partner // in the order in which they are tried
 
 	hosts          []*hostRoutes
-	other          map[string]json.RawMessage // top-level fields kept as they are
-	document       json.RawMessage            // nil of one that a change led to
+	other          map[string]json.RawMessage // top-level fields other than Edition and lists, kept as raw JSON
+	document       json.RawMessage            // nil for the result of Apply
 	digest         string
-	routesByHost   map[string]map[string]*Route // by host and prefix
+	routesByHost   map[string]map[string]*Route // by lower-case host and path prefix
 	tenantsByKey   map[string]*Tenant
 	servicesByName map[string]*Service
 	tenantsByName  map[string]*Tenant
 }
 
-// Digest names a call that changes the configuration, so that the same one sent again is known.
+// Digest returns the digest of a request that changes the configuration, by which a repeated request is recognized.
 func Digest(call string, body []byte) string {
 	sum := sha256.Sum256(append([]byte(call+"\x00"), body...))
 	return hex.EncodeToString(sum[:16])
 }
 
-// Document is the configuration as it is read back.
+// Document returns the encoded configuration, or nil if it is the result of Apply.
 func (c *Configuration) Document() json.RawMessage { return c.document }
 
-// Find is the route of a request: of its host's, the one with the longest prefix of the path.
+// Find returns the route of the host with the longest prefix of the path, or nil.
 func (c *Configuration) Find(host, path string) *Route {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && strings.IndexByte(host[colon:], ']') < 0 {
 		host = host[:colon]
@@ -68,14 +69,14 @@
 	return nil
 }
 
-// Tenant is the tenant that holds a key, nil for none.
+// Tenant returns the tenant with an API key, or nil.
 func (c *Configuration) Tenant(key string) *Tenant { return c.tenantsByKey[key] }
 
-// TenantByName is the tenant of a name, nil for none.
+// TenantByName returns the tenant with a name, or nil.
 func (c *Configuration) TenantByName(name string) *Tenant { return c.tenantsByName[name] }
 
-// RequiresKeys reports whether requests must carry a key.
+// RequiresKeys reports whether requests must have an API key, which is the case if there are tenants.
 func (c *Configuration) RequiresKeys() bool { return len(c.Tenants) > 0 }
 
-// Service is a service by its name, nil for none.
+// Service returns the service with a name, or nil.
 func (c *Configuration) Service(name string) *Service { return c.servicesByName[name] }
--- a/internal/mesh/routing/routing_test.go
+++ b/internal/mesh/routing/routing_test.go
@@ -17,21 +17,21 @@
 func TestParseReportsInvalidConfigurations(t *testing.T) {
 	_, err := Parse([]byte(testConfiguration))
 	must.NoError(t, err)
-	for name, c := range map[string]struct{ old, new, says string }{
-		"cut short":             {testConfiguration, testConfiguration[:len(testConfiguration)/2], "can't be read whole"},
-		"something behind":      {testConfiguration, testConfiguration + "{}", "can't be read whole"},
-		"unknown service":       {`"Destination":"y","Deadline"`, `"Destination":"z","Deadline"`, `route r2: Destination: no service is named "z"`},
-		"no weight":             {`"Share":90},{"Destination":"y","Share":10}`, `"Share":0},{"Destination":"y","Share":0}`, "route r1: Apportion"},
-		"no time":               {`"Deadline":"3000ms"`, `"Deadline":"0ms"`, "Deadline"},
-		"too long a time":       {`"Deadline":"3000ms"`, `"Deadline":"601s"`, "Deadline"},
-		"no tries":              {`"Deadline":"3000ms","DeliveryTries":2`, `"Deadline":"3000ms","DeliveryTries":0`, "DeliveryTries"},
-		"no town":               {`"Town":"A.example"`, `"Town":""`, "Town"},
-		"no edition":            {`"Edition":7`, `"Edition":"seven"`, "Edition"},
-		"a time without a unit": {`"Target":"800ms"`, `"Target":"800"`, "is no time"},
-		"no slash":              {`"StreetPrefix":"/a/"`, `"StreetPrefix":"/a"`, "slash"},
+	for name, c := range map[string]struct{ old, new, message string }{
+		"truncated document":            {testConfiguration, testConfiguration[:len(testConfiguration)/2], "invalid JSON"},
+		"trailing data":                 {testConfiguration, testConfiguration + "{}", "invalid JSON"},
+		"unknown service":               {`"Destination":"y","Deadline"`, `"Destination":"z","Deadline"`, `route r2: Destination: unknown service "z"`},
+		"sum of shares is 0":            {`"Share":90},{"Destination":"y","Share":10}`, `"Share":0},{"Destination":"y","Share":0}`, "route r1: Apportion"},
+		"deadline is 0":                 {`"Deadline":"3000ms"`, `"Deadline":"0ms"`, "Deadline"},
+		"deadline is too long":          {`"Deadline":"3000ms"`, `"Deadline":"601s"`, "Deadline"},
+		"no delivery attempts":          {`"Deadline":"3000ms","DeliveryTries":2`, `"Deadline":"3000ms","DeliveryTries":0`, "DeliveryTries"},
+		"empty host":                    {`"Town":"A.example"`, `"Town":""`, "Town"},
+		"edition is not a number":       {`"Edition":7`, `"Edition":"seven"`, "Edition"},
+		"duration without a unit":       {`"Target":"800ms"`, `"Target":"800"`, "is no time"},
+		"prefix without trailing slash": {`"StreetPrefix":"/a/"`, `"StreetPrefix":"/a"`, "slash"},
 	} {
 		_, err := Parse([]byte(strings.Replace(testConfiguration, c.old, c.new, 1)))
-		must.ErrorContains(t, err, c.says, must.Sprint(name))
+		must.ErrorContains(t, err, c.message, must.Sprint(name))
 	}
 }
 
@@ -58,7 +58,7 @@
 	after, err := before.Amend([]byte(`{"Edition":9,"Deliver":{"PostOffices":[{"Town":"B.example","Regulations":[{"Name":"r1","MailClass":"repeatable","Target":"1s","Sorting":{"StreetPrefix":"/n/"},"Dispatch":{"Destination":"z","Deadline":"1s","DeliveryTries":1}}]}],
 "Senders":[{"Name":"u","ApiKeys":["k3"]}],"Depots":[{"Name":"z"}]},"Withdraw":{"Routes":["r2","missing"],"Senders":["t"]}}`))
 	must.NoError(t, err)
-	must.Nil(t, before.Find("b.example", "/n/")) // the version before it is as it was
+	must.Nil(t, before.Find("b.example", "/n/")) // the previous version is unchanged
 	must.Eq(t, "r1", after.Find("b.example", "/n/").Name)
 	must.Nil(t, after.Find("a.example", "/a/1"))
 	must.Nil(t, after.Tenant("k1"))
@@ -69,5 +69,5 @@
 	must.NoError(t, err)
 	must.Eq(t, 9, again.Edition)
 	_, err = before.Amend([]byte(`{"Edition":9,"Withdraw":{"Depots":["y"]}}`))
-	must.ErrorContains(t, err, "no service")
+	must.ErrorContains(t, err, "unknown service")
 }
--- a/internal/mesh/routing/strict_test.go
+++ b/internal/mesh/routing/strict_test.go
@@ -9,36 +9,37 @@
 	"github.com/shoenig/test/must"
 )
 
-// What means two things is refused, whether it is put whole or comes about by an amendment.
+// Parse must reject a configuration that can be understood in two ways, since operators would not know which meaning is
+// in effect. Load must still accept it, because earlier versions may have agreed on it.
 func TestParseRejectsAmbiguousConfigurations(t *testing.T) {
 	route := func(name, prefix string) string {
 		return fmt.Sprintf(`{"Name":%q,"MailClass":"repeatable","Sorting":{"StreetPrefix":%q},"Dispatch":{"Destination":"y","Deadline":"1s","DeliveryTries":1}}`, name, prefix)
 	}
-	for name, c := range map[string]struct{ old, new, says string }{
-		"a place twice":                {`{"Name":"r2"`, route("r9", "/a/") + `,{"Name":"r2"`, "route r9: Sorting: StreetPrefix: route r1 stands at A.example/a/, too"},
-		"a place in two entries":       {`"PostOffices":[`, `"PostOffices":[{"Town":"A.example","Regulations":[` + route("r9", "/a/b/") + `]},`, "stands at"},
-		"a place in other capitals":    {`"PostOffices":[`, `"PostOffices":[{"Town":"a.EXAMPLE","Regulations":[` + route("r9", "/a/") + `]},`, "stands at"},
-		"a key of two tenants":         {`"Senders":[`, `"Senders":[{"Name":"u","ApiKeys":["k2"]},`, "Senders t: ApiKeys: u holds one of them, too"},
-		"an empty key":                 {`"k1","k2"`, `"k1",""`, "Senders t: ApiKeys: one is empty"},
-		"a tenant twice":               {`"Senders":[`, `"Senders":[{"Name":"t"},`, "Senders t: Name: stands twice"},
-		"a service twice":              {`{"Name":"y"}`, `{"Name":"y"},{"Name":"y","LineCap":1}`, "Depots y: Name: stands twice"},
-		"a field twice":                {`{"Edition":7`, `{"Edition":7,"Edition":8`, "Edition: stands twice"},
-		"a field in other capitals":    {`"Deadline":"3000ms"`, `"Deadline":"3000ms","deadline":"1s"`, "PostOffices.Regulations.Dispatch.deadline: stands twice"},
-		"a list twice":                 {`"PostOffices":[`, `"PostOffices":[],"PostOffices":[`, "PostOffices: stands twice"},
-		"a field escaped":              {`"Edition":7`, `"Edition":7,"\u0045dition":8`, "Edition: stands twice"},
-		"no UTF-8":                     {`"r1"`, "\"r1\xff\"", "UTF-8"},
-		"half of a pair":               {`"r1"`, `"r1\ud800"`, "surrogate"},
-		"the other half":               {`"r1"`, `"r1\udc00x"`, "surrogate"},
-		"an unknown service, not used": {`"Apportion":[`, `"Destination":"z","Apportion":[`, `no service is named "z"`},
-		"shares beyond numbers":        {`"Share":90},{"Destination":"y","Share":10`, `"Share":1e308},{"Destination":"y","Share":1e308`, "shares"},
+	for name, c := range map[string]struct{ old, new, message string }{
+		"same host and prefix":                {`{"Name":"r2"`, route("r9", "/a/") + `,{"Name":"r2"`, "route r9: Sorting: StreetPrefix: route r1 has the same host and prefix A.example/a/"},
+		"same host and prefix in two entries": {`"PostOffices":[`, `"PostOffices":[{"Town":"A.example","Regulations":[` + route("r9", "/a/b/") + `]},`, "has the same host and prefix"},
+		"same host in other case":             {`"PostOffices":[`, `"PostOffices":[{"Town":"a.EXAMPLE","Regulations":[` + route("r9", "/a/") + `]},`, "has the same host and prefix"},
+		"API key of two tenants":              {`"Senders":[`, `"Senders":[{"Name":"u","ApiKeys":["k2"]},`, "Senders t: ApiKeys: tenant u has one of the same keys"},
+		"empty API key":                       {`"k1","k2"`, `"k1",""`, "Senders t: ApiKeys: a key is empty"},
+		"duplicate tenant":                    {`"Senders":[`, `"Senders":[{"Name":"t"},`, "Senders t: Name: duplicate name"},
+		"duplicate service":                   {`{"Name":"y"}`, `{"Name":"y"},{"Name":"y","LineCap":1}`, "Depots y: Name: duplicate name"},
+		"duplicate field":                     {`{"Edition":7`, `{"Edition":7,"Edition":8`, "Edition: stands twice"},
+		"duplicate field in other case":       {`"Deadline":"3000ms"`, `"Deadline":"3000ms","deadline":"1s"`, "PostOffices.Regulations.Dispatch.deadline: stands twice"},
+		"duplicate list":                      {`"PostOffices":[`, `"PostOffices":[],"PostOffices":[`, "PostOffices: stands twice"},
+		"duplicate field with an escape":      {`"Edition":7`, `"Edition":7,"\u0045dition":8`, "Edition: stands twice"},
+		"invalid UTF-8":                       {`"r1"`, "\"r1\xff\"", "UTF-8"},
+		"lone high surrogate":                 {`"r1"`, `"r1\ud800"`, "surrogate"},
+		"lone low surrogate":                  {`"r1"`, `"r1\udc00x"`, "surrogate"},
+		"unknown service, not used":           {`"Apportion":[`, `"Destination":"z","Apportion":[`, `unknown service "z"`},
+		"sum of shares overflows":             {`"Share":90},{"Destination":"y","Share":10`, `"Share":1e308},{"Destination":"y","Share":1e308`, "shares"},
 	} {
 		body := strings.Replace(testConfiguration, c.old, c.new, 1)
 		must.NotEq(t, testConfiguration, body, must.Sprint(name))
 		_, err := Parse([]byte(body))
-		must.ErrorContains(t, err, c.says, must.Sprint(name))
-		agreed, err := Load([]byte(body)) // as a version that took it goes on with it
+		must.ErrorContains(t, err, c.message, must.Sprint(name))
+		agreed, err := Load([]byte(body)) // as agreed by an earlier version that accepted it
 		must.NoError(t, err, must.Sprint(name))
-		must.ErrorContains(t, agreed.Ambiguities(), c.says, must.Sprint(name))
+		must.ErrorContains(t, agreed.Ambiguities(), c.message, must.Sprint(name))
 	}
 }
 
@@ -49,42 +50,42 @@
 	route := func(town, name, prefix string) string {
 		return fmt.Sprintf(`"Deliver":{"PostOffices":[{"Town":%q,"Regulations":[{"Name":%q,"Sorting":{"StreetPrefix":%q},"Dispatch":{"Destination":"y","Deadline":"1s","DeliveryTries":1}}]}]}`, town, name, prefix)
 	}
-	for name, c := range map[string]struct{ change, says string }{
-		"a place":               {route("a.example", "r9", "/a/"), "stands at"},
-		"a route without name":  {route("a.example", "", "/n/"), "route: Name: is empty"},
-		"a key":                 {`"Deliver":{"Senders":[{"Name":"u","ApiKeys":["k1"]}]}`, "holds one of them"},
-		"a tenant twice":        {`"Deliver":{"Senders":[{"Name":"u","ApiKeys":["a"]},{"Name":"u","ApiKeys":["b"]}]}`, "Senders u: Name: stands twice"},
-		"a service twice":       {`"Deliver":{"Depots":[{"Name":"u"},{"Name":"u"}]}`, "Depots u: Name: stands twice"},
-		"a field twice":         {`"Deliver":{},"Deliver":{"Depots":[{"Name":"u"}]}`, "Deliver: stands twice"},
-		"a list nobody knows":   {`"Deliver":{"Rutes":[]}`, `Deliver: nothing is named "Rutes"`},
-		"withdrawn from nobody": {`"Withdraw":{"Rutes":["r1"]}`, `Withdraw: nothing is named "Rutes"`},
-		"not UTF-8":             {"\"Deliver\":{\"Depots\":[{\"Name\":\"\xfe\"}]}", "UTF-8"},
+	for name, c := range map[string]struct{ change, message string }{
+		"same host and prefix":   {route("a.example", "r9", "/a/"), "has the same host and prefix"},
+		"route without a name":   {route("a.example", "", "/n/"), "route: Name: must not be empty"},
+		"API key of two tenants": {`"Deliver":{"Senders":[{"Name":"u","ApiKeys":["k1"]}]}`, "has one of the same keys"},
+		"duplicate tenant":       {`"Deliver":{"Senders":[{"Name":"u","ApiKeys":["a"]},{"Name":"u","ApiKeys":["b"]}]}`, "Senders u: Name: duplicate name"},
+		"duplicate service":      {`"Deliver":{"Depots":[{"Name":"u"},{"Name":"u"}]}`, "Depots u: Name: duplicate name"},
+		"duplicate field":        {`"Deliver":{},"Deliver":{"Depots":[{"Name":"u"}]}`, "Deliver: stands twice"},
+		"unknown delivered list": {`"Deliver":{"Rutes":[]}`, `Deliver: unknown list "Rutes"`},
+		"unknown withdrawn list": {`"Withdraw":{"Rutes":["r1"]}`, `Withdraw: unknown list "Rutes"`},
+		"invalid UTF-8":          {"\"Deliver\":{\"Depots\":[{\"Name\":\"\xfe\"}]}", "UTF-8"},
 	} {
 		_, err := base.Amend([]byte(`{"Edition":9,` + c.change + `}`))
-		must.ErrorContains(t, err, c.says, must.Sprint(name))
+		must.ErrorContains(t, err, c.message, must.Sprint(name))
 	}
-	// What was ambiguous before has to be mended by the next change, and can be.
+	// The next change of an ambiguous configuration is rejected unless it resolves the ambiguity.
 	ambiguous, err := Load([]byte(strings.Replace(testConfiguration, `"Senders":[`, `"Senders":[{"Name":"u","ApiKeys":["k2"]},`, 1)))
 	must.NoError(t, err)
 	_, err = ambiguous.Amend([]byte(`{"Edition":9,` + route("a.example", "r9", "/n/") + `}`))
-	must.ErrorContains(t, err, "holds one of them")
+	must.ErrorContains(t, err, "has one of the same keys")
 	repaired, err := ambiguous.Amend([]byte(`{"Edition":9,"Withdraw":{"Senders":["u"]}}`))
 	must.NoError(t, err)
 	must.NoError(t, repaired.Ambiguities())
 	must.Eq(t, "t", repaired.Tenant("k2").Name)
 }
 
-// Proper configurations are taken, however alike their parts look.
+// Items that are similar but not ambiguous must be accepted, also in a configuration with thousands of routes.
 func TestParseAcceptsUnambiguousConfigurations(t *testing.T) {
 	for name, c := range map[string]struct{ old, new string }{
-		"routes within routes":  {`"/a/"`, `"/a/b/c/"`},
-		"a town in two entries": {`"PostOffices":[`, `"PostOffices":[{"Town":"a.example","Regulations":[{"Name":"r3","Sorting":{"StreetPrefix":"/c/"},"Dispatch":{"Destination":"y","Deadline":"1s","DeliveryTries":1}}]},`},
-		"a tenant without keys": {`"Senders":[`, `"Senders":[{"Name":"u"},`},
-		"one key twice":         {`"k1","k2"`, `"k1","k1"`},
-		"routes of one name":    {`"Name":"r2"`, `"Name":"r1"`},
-		"a whole pair":          {`"r1"`, `"r1\ud83d\udc1d"`},
-		"an escaped backslash":  {`"r1"`, `"r1\\ud800"`},
-		"fields of items alike": {`"Unknown":{"kept":1}`, `"Unknown":[{"kept":1},{"kept":1}]`},
+		"nested prefixes":            {`"/a/"`, `"/a/b/c/"`},
+		"host in two entries":        {`"PostOffices":[`, `"PostOffices":[{"Town":"a.example","Regulations":[{"Name":"r3","Sorting":{"StreetPrefix":"/c/"},"Dispatch":{"Destination":"y","Deadline":"1s","DeliveryTries":1}}]},`},
+		"tenant without keys":        {`"Senders":[`, `"Senders":[{"Name":"u"},`},
+		"repeated key of one tenant": {`"k1","k2"`, `"k1","k1"`},
+		"routes with the same name":  {`"Name":"r2"`, `"Name":"r1"`},
+		"surrogate pair":             {`"r1"`, `"r1\ud83d\udc1d"`},
+		"escaped backslash":          {`"r1"`, `"r1\\ud800"`},
+		"items with equal fields":    {`"Unknown":{"kept":1}`, `"Unknown":[{"kept":1},{"kept":1}]`},
 	} {
 		body := strings.Replace(testConfiguration, c.old, c.new, 1)
 		must.NotEq(t, testConfiguration, body, must.Sprint(name))
@@ -101,7 +102,7 @@
 	must.Eq(t, "n3999", configuration.Find("a.example", "/n/3999/x").Name)
 }
 
-// Limits that an amendment does not name stay as they are, for whoever reads the configuration back too.
+// An amendment must keep the limits that it does not name, both in the result and in its encoded document.
 func TestAmendKeepsUnnamedLimits(t *testing.T) {
 	base, err := Parse([]byte(testConfiguration))
 	must.NoError(t, err)
@@ -111,12 +112,13 @@
 	must.NoError(t, err)
 	must.Eq(t, amended.Limits, again.Limits)
 	must.Eq(t, 1000, again.Limits.MaxBodyBytes)
-	amended, err = base.Amend([]byte(`{"Edition":8,"Withdraw":{"Towns":["a.EXAMPLE"]}}`)) // hosts have no capitals
+	amended, err = base.Amend([]byte(`{"Edition":8,"Withdraw":{"Towns":["a.EXAMPLE"]}}`)) // hosts are not case-sensitive
 	must.NoError(t, err)
 	must.Nil(t, amended.Find("a.example", "/a/1"))
 }
 
-// Whatever is taken, whole or as an amendment, is read back byte for byte and with one meaning.
+// Any accepted configuration or amendment must result in a document that is accepted again, unambiguous, byte for byte
+// the same, and with the same content.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(testConfiguration))
 	f.Add([]byte(strings.Replace(testConfiguration, `{"Name":"y"}`, `{"Name":"y"},{"Name":"y"}`, 1)))
@@ -135,7 +137,7 @@
 			}
 			must.NoError(t, accepted.Ambiguities())
 			again, err := Parse(accepted.Document())
-			must.NoError(t, err, must.Sprintf("taken, and refused when read back: %s", accepted.Document()))
+			must.NoError(t, err, must.Sprintf("the document of an accepted configuration is rejected: %s", accepted.Document()))
 			must.True(t, bytes.Equal(accepted.Document(), again.Document()))
 			must.SliceEmpty(t, Diff(accepted, again))
 			must.Eq(t, accepted.Limits, again.Limits)
--- a/internal/mesh/routing/types.go
+++ b/internal/mesh/routing/types.go
@@ -11,46 +11,46 @@
 	"ottershift/internal/mesh/settings"
 )
 
-// Duration is a time as configurations write it.
+// Duration is a time.Duration that a configuration writes as a string with a number and the unit ms or s.
 type Duration time.Duration
 
 // UnmarshalJSON implements json.Unmarshaler.
 func (s *Duration) UnmarshalJSON(raw []byte) error {
 	var text string
 	if err := json.Unmarshal(raw, &text); err != nil {
-		return fmt.Errorf("%s is no time: text with a number and ms or s", raw)
+		return fmt.Errorf("invalid duration %s: want a string with a number and the unit ms or s", raw)
 	}
 	d, err := settings.Span(text)
 	*s = Duration(d)
 	return err
 }
 
-// RequestClass is what may be done with a request.
+// RequestClass defines whether a request may be repeated and how its response is transferred.
 type RequestClass string
 
-// The classes; another one is treated as once only.
+// Classes of requests. A request of any other class is treated as OnceOnly.
 const (
 	Repeatable RequestClass = "repeatable"
 	OnceOnly   RequestClass = "once_only"
-	Streamed   RequestClass = "outbound_freight"
+	Streamed   RequestClass = "outbound_freight" // repeatable, with a long response
 )
 
-// IsRepeatable reports whether a request may run more than once.
+// IsRepeatable reports whether a request may be executed more than once.
 func (c RequestClass) IsRepeatable() bool { return c == Repeatable || c == Streamed }
 
-// WeightedService is a service with its share of a route.
+// WeightedService is a service and its share of the requests of a route.
 type WeightedService struct {
 	Service string  `json:"Destination"`
-	Weight  float64 `json:"Share"`
+	Weight  float64 `json:"Share"` // relative to the sum of the weights of the route
 }
 
-// Route says what is done with the requests at a place.
+// Route defines how the requests for a host and a path prefix are handled.
 type Route struct {
 	Name            string
 	Class           RequestClass `json:"MailClass"`
-	TargetLatency   Duration     `json:"Target"`
-	Priority        int          `json:"Precedence"`
-	AllowsAnonymous bool         `json:"Unstamped"`
+	TargetLatency   Duration     `json:"Target"`     // within which a response has its full value
+	Priority        int          `json:"Precedence"` // 0 is the most urgent
+	AllowsAnonymous bool         `json:"Unstamped"`  // requests need no API key
 	Match           struct {
 		PathPrefix string `json:"StreetPrefix"`
 	} `json:"Sorting"`
@@ -62,17 +62,18 @@
 	} `json:"Dispatch"`
 
 	Host     string            `json:"-"`
-	Services []WeightedService `json:"-"` // where it goes, always at least one
+	Services []WeightedService `json:"-"` // services that receive the requests, at least one
 	item
-	validated bool // settled in a configuration: nothing writes to it any more
+	validated bool // the route has been validated and is read-only, since configurations may share it
 }
 
-// item is what a configuration keeps of each of its tenants, services and routes beside what it reads of them.
+// item is the raw form of a tenant, service or route, which preserves unknown fields.
 type item struct {
-	raw json.RawMessage // as sent
+	raw json.RawMessage // as received
 	sum itemSum         // of raw
 }
 
+// itemSum is the first 16 bytes of the SHA-256 sum of the raw JSON of an item.
 type itemSum [16]byte
 
 func newItem(raw json.RawMessage) item {
@@ -80,27 +81,27 @@
 	return item{raw, itemSum(whole[:len(itemSum{})])}
 }
 
-// Tenant is who may ask, by its keys.
+// Tenant is a client of the mesh, identified by its API keys.
 type Tenant struct {
 	Name          string
 	APIKeys       []string     `json:"ApiKeys"`
-	Priority      int          `json:"Precedence"`
-	RatePerSecond float64      `json:"RatePerS"`
-	Burst         float64      `json:"Surge"`
-	BurstCredit   *BurstCredit `json:"Nectar"` // burst credit, nil for none
+	Priority      int          `json:"Precedence"` // 0 is the most urgent
+	RatePerSecond float64      `json:"RatePerS"`   // requests per second
+	Burst         float64      `json:"Surge"`      // burst size in requests
+	BurstCredit   *BurstCredit `json:"Nectar"`     // nil if the tenant has no burst credit
 
 	item
 }
 
-// BurstCredit is a tenant's burst credit.
+// BurstCredit defines how a tenant saves unused requests of its rate for later bursts.
 type BurstCredit struct {
-	SavedFraction float64  `json:"Earn"`  // part of what it leaves of its rate that is saved
-	MaxSaved      float64  `json:"Cap"`   // requests saved at most
-	Retention     Duration `json:"Keep"`  // for which they are
-	MaxExtraRate  float64  `json:"Extra"` // requests a second beyond its rate, at most
+	SavedFraction float64  `json:"Earn"`  // saved part of the unused rate, at most 1
+	MaxSaved      float64  `json:"Cap"`   // maximum number of saved requests
+	Retention     Duration `json:"Keep"`  // time for which requests stay saved
+	MaxExtraRate  float64  `json:"Extra"` // maximum rate beyond the regular one, in requests per second
 }
 
-// check names what is wrong with it.
+// check returns an error that lists the invalid fields, or nil.
 func (b *BurstCredit) check() error {
 	if b == nil {
 		return nil
@@ -112,29 +113,30 @@
 		validation.Field(&b.MaxExtraRate, validation.Required, validation.Min(1.0)))
 }
 
-// Service is what upstreams offer.
+// Service is a service that upstreams provide. The mesh decodes HealthPath, MaxConnections,
+// Protocol and TLS but does not use them.
 type Service struct {
 	Name                    string
 	HealthPath              string
 	MaxConnections          int `json:"LineCap"`
 	Protocol                string
 	TLS                     bool    `json:"Sealed"`
-	MaxBurstCreditPerSecond float64 `json:"NectarPerS"` // the most that all tenants' burst credit adds here, a second; 0 for no bound
+	MaxBurstCreditPerSecond float64 `json:"NectarPerS"` // maximum rate that burst credit of all tenants adds to the service; 0 for no limit
 
 	item
 }
 
-// Partner is another mesh whose exports we use.
+// Partner is another mesh whose exported services this mesh uses.
 type Partner struct {
 	Name            string
-	Gateway         string   // address of its gateway: it gives its table, and takes requests
-	TargetLatency   Duration `json:"Target"` // within which an answer is of full worth
+	Gateway         string   // address of the gateway that publishes its exports and receives requests
+	TargetLatency   Duration `json:"Target"` // within which a response has its full value
 	Deadline        Duration
 	MaxAttempts     int  `json:"Tries"`
-	AllowStaleReads bool `json:"ReadsStale"` // reads go on when it has been silent beyond its lease
+	AllowStaleReads bool `json:"ReadsStale"` // reads continue after its lease has expired
 }
 
-// Limits bound what a client may send.
+// Limits limit what a client may send.
 type Limits struct {
 	MaxHeaderBytes int64    `json:"EnvelopeBytes"`
 	MaxBodyBytes   int64    `json:"ContentsBytes"`
