--- a/internal/mesh/consensus/lease.go
+++ b/internal/mesh/consensus/lease.go
@@ -6,8 +6,8 @@
 // a majority of its core reported that they had accepted no value after it. ReadLease does no I/O and reads no clock:
 // times are nanoseconds of the caller's monotonic clock.
 //
-// A response counts from the time at which its request was sent. It confirms the state with the reported index, so the
-// confirmation of a later state does not make an earlier one valid that a caller read before.
+// A response counts from the time at which its request was sent. It confirms no state before the reported index, so the
+// confirmation of a later state does not make an earlier one valid that a caller has read before.
 //
 // The lease is safe because the successor of a state is decided only once a quorum of the state's core has accepted it
 // on disk. A member that answers after that has either the accepted value or a later state. If a majority of the core
@@ -74,8 +74,8 @@
 	return known && now-askedAt < l.duration
 }
 
-// ConfirmedAt returns the latest time at which no successor of the state is known to have been decided. The result
-// known is false if no majority of the state's core has confirmed it.
+// ConfirmedAt returns the latest time at which the state is known to have had no decided successor. The result known is
+// false if no majority of the state's core has confirmed it.
 func (l *ReadLease) ConfirmedAt(s *State) (askedAt int64, known bool) {
 	var asked []int64
 	for id, answers := range l.answers {
--- a/internal/mesh/consensus/lease_test.go
+++ b/internal/mesh/consensus/lease_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-const leaseDuration = 600
+const leaseDuration = 600 // nanoseconds of simulated time
 
 // leaseSimulation runs a core, with a lease at each member, over a network that loses, delays and reorders messages.
 type leaseSimulation struct {
@@ -142,8 +142,8 @@
 	return nil
 }
 
-// A lease must never declare a state valid whose successor was decided at least the lease duration ago. With any one
-// guard disabled, the simulation must find a violation.
+// A lease must never declare a state valid whose successor was decided at least the lease duration ago. With any one of
+// these guards disabled, the simulation must find a violation.
 func TestLeaseNeverConfirmsStaleState(t *testing.T) {
 	const seeds, steps = 120, 4000
 	for _, guard := range []string{"", WithoutMajority, WithoutPending, WithoutIndex} {
--- a/internal/mesh/consensus/membership.go
+++ b/internal/mesh/consensus/membership.go
@@ -8,7 +8,7 @@
 // PeerStatus describes a controller as another controller sees it.
 type PeerStatus struct {
 	Member
-	SilentFor int64 `json:"Quiet"`      // nanoseconds since its last heartbeat; negative if none was received
+	SilentFor int64 `json:"Quiet"`      // nanoseconds since it was last heard; negative if it never was
 	Leaving   bool  `json:",omitempty"` // it is shutting down
 }
 
@@ -19,16 +19,16 @@
 	Add    Member `json:"In"`
 }
 
-// Times without a heartbeat after which a controller is treated as unavailable, in nanoseconds.
+// Times without contact after which a controller is treated as unavailable, in nanoseconds.
 const (
 	CandidateTimeout   = int64(1200e6) // it is no longer a candidate for the core
 	DutyTimeout        = int64(800e6)  // another controller takes over its duties
 	ReplacementTimeout = int64(1500e6) // another controller may replace it in the core
 )
 
-// DutyRank is a controller's position among the available members in the order of their IDs. The controller with rank 0
-// performs the duties of which there must be one performer. It is safe if several controllers compute rank 0, because
-// the effects of these duties are decided by consensus.
+// DutyRank returns a controller's position among the available members in the order of their IDs. The controller with
+// rank 0 performs the duties that a single controller has to perform. It is safe if several controllers compute rank 0,
+// because the effects of these duties are decided by consensus.
 func (s *State) DutyRank(self string, peers []PeerStatus) (rank int) {
 	available := func(id string) bool {
 		return slices.ContainsFunc(peers, func(peer PeerStatus) bool {
@@ -47,7 +47,7 @@
 }
 
 // PlanMembership returns the most urgent change of the core, without requirements on zones or regions. The uptime is
-// how long self has been receiving heartbeats, in nanoseconds.
+// how long self has been listening for other controllers, in nanoseconds.
 func (s *State) PlanMembership(self Member, peers []PeerStatus, uptime int64) (change MembershipChange, wanted bool) {
 	return Placement{}.Plan(s, self, peers, uptime)
 }
--- a/internal/mesh/consensus/membership_test.go
+++ b/internal/mesh/consensus/membership_test.go
@@ -39,7 +39,7 @@
 		tolerate  int
 		members   int // number of leading peers that form the core
 		peers     string
-		up        int64
+		uptime    int64
 		placement consensus.Placement
 		want      string // "removed>added", or empty for no change
 	}{
@@ -72,7 +72,7 @@
 			member.Zone = "" // the agreed state has no zones of initial members
 			s.Core = append(s.Core, member)
 		}
-		change, wanted := c.placement.Plan(s, all[0].Member, all[1:], c.up)
+		change, wanted := c.placement.Plan(s, all[0].Member, all[1:], c.uptime)
 		got := ""
 		if wanted {
 			got = fmt.Sprintf("%s>%s", change.Remove, change.Add.ID)
--- a/internal/mesh/consensus/parts.go
+++ b/internal/mesh/consensus/parts.go
@@ -91,9 +91,9 @@
 
 // Digest returns the digest of a document.
 func (c *DigestCache) Digest(document json.RawMessage) string {
-	for n, known := range c.documents {
+	for i, known := range c.documents {
 		if len(known) == len(document) && len(known) > 0 && &known[0] == &document[0] {
-			return c.digests[n]
+			return c.digests[i]
 		}
 	}
 	digest := DigestOf(document)
--- a/internal/mesh/consensus/placement.go
+++ b/internal/mesh/consensus/placement.go
@@ -16,14 +16,15 @@
 // Plan returns the most urgent change of the core, in this order:
 //
 //  1. A member whose address answers with another ID has lost its disk and is replaced by the new ID.
-//  2. A member without recent heartbeats is replaced by a spare. If there is no such member, a leaving member is replaced.
+//  2. A member without recent contact is replaced by a spare. If there is no such member, a leaving member is
+//     replaced.
 //  3. A core with fewer than 2·ToleratedLosses+1 members adds a spare.
 //  4. An unavailable member is removed if the core tolerates more losses without it.
-//  5. A member is replaced by a spare elsewhere if the loss of the configured number of zones or regions would take too many
-//     members.
+//  5. A member is replaced by a spare elsewhere if the loss of the configured number of zones or regions would take
+//     too many members.
 //
-// The uptime is how long self has been receiving heartbeats, in nanoseconds. A member without any heartbeat is not
-// unavailable before the uptime reaches ReplacementTimeout.
+// The uptime is how long self has been listening for other controllers, in nanoseconds. A member that was never heard
+// counts as unavailable only after the uptime has reached ReplacementTimeout.
 func (p Placement) Plan(s *State, self Member, peers []PeerStatus, uptime int64) (change MembershipChange, wanted bool) {
 	view := newMembershipView(s, self, peers, uptime)
 	if change, wanted = view.planWipedDiskReplacement(); wanted {
@@ -83,7 +84,7 @@
 	return change, false
 }
 
-// firstUnavailable returns the first member without recent heartbeats or, if there is none, the first leaving member.
+// firstUnavailable returns the first member without recent contact or, if there is none, the first leaving member.
 func (v *membershipView) firstUnavailable() (unavailable Member, found bool) {
 	for _, m := range v.state.Core {
 		peer, known := v.peers[m.ID]
--- a/internal/mesh/consensus/replica.go
+++ b/internal/mesh/consensus/replica.go
@@ -6,7 +6,7 @@
 	Proposer string `json:"By"` // unique to one process incarnation
 }
 
-// Below reports whether b comes before c.
+// Below reports whether b is lower than c.
 func (b Ballot) Below(c Ballot) bool {
 	return b.Round < c.Round || b.Round == c.Round && b.Proposer < c.Proposer
 }
--- a/internal/mesh/consensus/state.go
+++ b/internal/mesh/consensus/state.go
@@ -13,7 +13,8 @@
 	Zone    string
 }
 
-// Coordinator identifies the process incarnation that performs the duties of which there must be one performer.
+// Coordinator identifies the process incarnation that performs the duties of a single controller, such as the
+// management of quotas.
 type Coordinator struct {
 	ID          string
 	Incarnation string `json:"Life"`
@@ -25,7 +26,7 @@
 	Index           uint64
 	Origin          Ballot `json:",omitzero"` // of the proposal that made this state; zero from processes of the previous version
 	Core            []Member
-	ToleratedLosses int             `json:"Tolerate"`
+	ToleratedLosses int             `json:"Tolerate"` // number of lost disks that decisions must survive
 	Edition         int64           // of the configuration; 0 if there is none yet
 	Configuration   json.RawMessage `json:"Timetable"`
 	AppliedChanges  AppliedChanges  `json:"Taken"`
@@ -111,8 +112,8 @@
 }
 
 // InitialState returns the first state of a core whose members have the given addresses.
-func InitialState(addresses []string, zoneOf func(string) string, tolerate int) *State {
-	s := &State{Index: 1, ToleratedLosses: tolerate} // index 0 is for a process that does not know of any core
+func InitialState(addresses []string, zoneOf func(string) string, toleratedLosses int) *State {
+	s := &State{Index: 1, ToleratedLosses: toleratedLosses} // index 0 is for a process that does not know of any core
 	for _, address := range addresses {
 		s.Core = append(s.Core, Member{InitialMemberID(address), address, zoneOf(address)})
 	}
--- a/internal/mesh/consensus/votes.go
+++ b/internal/mesh/consensus/votes.go
@@ -4,8 +4,8 @@
 // state are counted, each once.
 type VoteCount struct {
 	base            *State
-	granted         map[string]bool
-	refused         map[string]bool
+	granted         map[string]bool // by member ID
+	refused         map[string]bool // by member ID
 	highestAccepted *AcceptedValue
 	ahead           *State // a decided state later than the base
 	highestBallot   Ballot
--- a/internal/mesh/membership/membership.go
+++ b/internal/mesh/membership/membership.go
@@ -30,7 +30,7 @@
 	ID              string
 	Service         string
 	Version         string `json:"Edition,omitempty"`
-	Capacity        int    // number of requests that it serves at a time
+	Capacity        int    // number of requests that it can serve concurrently
 	Draining        bool   `json:"Closing,omitempty"`
 	WarmupRemaining int64  `json:"Cold,omitempty"` // remaining time in nanoseconds in which it is still slow after its start
 	OutlierLevel    int    `json:"Ill,omitempty"`  // level of package outlier, as determined by the balancer on the same machine
@@ -67,28 +67,35 @@
 
 // WatchRequest renews a balancer's lease and asks for changes since a position.
 type WatchRequest struct {
-	Node          Node     `json:"Nest"`
-	Position      Position `json:"Have"`
-	MaxWait       int64    `json:"Wait"`             // maximum time until a response, in nanoseconds
-	AcceptsPacked bool     `json:"Packed,omitempty"` // the balancer accepts a packed configuration, or only its digest to fetch it separately
+	Node     Node     `json:"Nest"`
+	Position Position `json:"Have"`
+	MaxWait  int64    `json:"Wait"` // maximum time until a response, in nanoseconds
+	// AcceptsPacked is set if the balancer accepts a packed configuration, or only its digest to fetch it separately.
+	AcceptsPacked bool `json:"Packed,omitempty"`
 }
 
 // WatchResponse is the response to a WatchRequest.
 type WatchResponse struct {
 	Position
-	Current        bool                // a majority of the core recently confirmed Index as the newest state
-	Starting       bool                `json:"Young,omitempty"`     // the controller has been up for less than LeaseDuration, so nodes may be missing
-	BalancerCount  int                 `json:"Members"`             // agreed number of balancers
-	Coordinator    string              `json:"Queen"`               // address of the controller that manages the quotas
-	Epoch          uint64              `json:"Reign"`               // increases with each change of the coordinator
-	Configuration  json.RawMessage     `json:"Timetable,omitempty"` // set if the balancer has another edition
-	Packed         *routing.Packed     `json:",omitempty"`          // replaces Configuration for balancers with AcceptsPacked; absent if too long, then only Digest names it
-	Complete       bool                `json:"Whole"`               // Nodes lists all known nodes, not only changes
-	Nodes          []Record            `json:"Nests,omitempty"`
-	RemovedNodes   []string            `json:"Gone,omitempty"`
-	Imports        json.RawMessage     `json:",omitempty"` // agreed imports from partner meshes, set if the balancer has another version
-	ImportsVersion uint64              `json:"ImportsNo,omitempty"`
-	ImportsCurrent bool                `json:"Calm,omitempty"` // no later imports had been decided until recently, so the agreed imports may be used
+	Current bool // a majority of the core recently confirmed Index as the newest state
+	// Starting is set while the controller has been up for less than LeaseDuration, so that nodes may be missing.
+	Starting      bool            `json:"Young,omitempty"`
+	BalancerCount int             `json:"Members"`             // agreed number of balancers
+	Coordinator   string          `json:"Queen"`               // address of the controller that manages the quotas
+	Epoch         uint64          `json:"Reign"`               // increases with each change of the coordinator
+	Configuration json.RawMessage `json:"Timetable,omitempty"` // set if the balancer has another edition
+	// Packed replaces Configuration in responses to requests with AcceptsPacked. It is absent if it is too long. The
+	// balancer then fetches the configuration with the given Digest separately.
+	Packed       *routing.Packed `json:",omitempty"`
+	Complete     bool            `json:"Whole"` // Nodes lists all known nodes, not only changes
+	Nodes        []Record        `json:"Nests,omitempty"`
+	RemovedNodes []string        `json:"Gone,omitempty"`
+	// Imports are the agreed imports from partner meshes, set if the balancer has another version of them.
+	Imports        json.RawMessage `json:",omitempty"`
+	ImportsVersion uint64          `json:"ImportsNo,omitempty"`
+	// ImportsCurrent is set if no later imports had been decided until recently, so that the agreed imports may be
+	// used.
+	ImportsCurrent bool                `json:"Calm,omitempty"`
 	PartnerAges    map[string]int64    `json:"Ages,omitempty"` // nanoseconds since each partner mesh confirmed its exports
 	Controllers    []ControllerAddress `json:"Combs"`          // known controllers
 }
@@ -132,7 +139,7 @@
 	seq           uint64
 	entries       map[string]*entry
 	removed       map[string]uint64 // sequence numbers of the removals of nodes, by name
-	oldestRemoval uint64            // sequence number up to which removals may have been discarded
+	discardedUpTo uint64            // sequence number up to which removals may have been discarded
 }
 
 // NewRegistry returns an empty registry.
@@ -198,7 +205,7 @@
 				delete(r.removed, removedName)
 			}
 		}
-		r.oldestRemoval = r.seq - 128
+		r.discardedUpTo = r.seq - 128
 	}
 }
 
@@ -217,10 +224,10 @@
 	return r.seq != before
 }
 
-// ChangesSince returns the nodes that changed and the names of those removed after a sequence number. If the changes
-// since then are no longer known, it returns all nodes and complete is true.
+// ChangesSince returns the nodes that changed and the names of those removed after a sequence number. If the number is
+// 0 or the changes since then are no longer known, it returns all nodes and complete is true.
 func (r *Registry) ChangesSince(seq uint64, now int64) (nodes []Record, removed []string, complete bool) {
-	if seq < r.oldestRemoval || seq > r.seq {
+	if seq < r.discardedUpTo || seq > r.seq {
 		seq = 0
 	}
 	for _, e := range r.entries {
--- a/internal/mesh/priority/queue.go
+++ b/internal/mesh/priority/queue.go
@@ -50,10 +50,10 @@
 		return nil
 	}
 	position := 0
-	for n := len(q.waiting) - 1; n > 0; n-- {
-		firstOfRank := q.waiting[n-1].Rank != q.waiting[n].Rank
-		if firstOfRank && q.Shares.Underserved(q.waiting[n].Rank, now) {
-			position = n
+	for i := len(q.waiting) - 1; i > 0; i-- {
+		firstOfRank := q.waiting[i-1].Rank != q.waiting[i].Rank
+		if firstOfRank && q.Shares.Underserved(q.waiting[i].Rank, now) {
+			position = i
 			break
 		}
 	}
--- a/internal/mesh/routing/ambiguity.go
+++ b/internal/mesh/routing/ambiguity.go
@@ -66,8 +66,8 @@
 			faults.Add(Error.New("route %s: Destination: unknown service %q", r.Name, service))
 		}
 		total := 0.0
-		for _, part := range r.Services {
-			total += part.Weight
+		for _, weighted := range r.Services {
+			total += weighted.Weight
 		}
 		if math.IsInf(total, 1) {
 			faults.Add(Error.New("route %s: Apportion: the sum of the shares overflows", r.Name))
--- a/internal/mesh/routing/amend.go
+++ b/internal/mesh/routing/amend.go
@@ -20,43 +20,43 @@
 
 // Amend returns the configuration that results from an amendment. It leaves c unchanged.
 func (c *Configuration) Amend(body []byte) (*Configuration, error) {
-	var change amendment
-	if err := strictjson.DecodeWhole(body, &change); err != nil {
+	var request amendment
+	if err := strictjson.DecodeWhole(body, &request); err != nil {
 		return nil, Error.New("invalid JSON: %v", err)
 	}
 	if err := strictjson.Check(body); err != nil {
 		return nil, Error.Wrap(err)
 	}
-	if err := change.checkLists(); err != nil {
+	if err := request.checkLists(); err != nil {
 		return nil, err
 	}
-	next := &Configuration{Edition: change.Edition, Limits: c.Limits, other: map[string]json.RawMessage{}}
+	next := &Configuration{Edition: request.Edition, Limits: c.Limits, other: map[string]json.RawMessage{}}
 	for name, raw := range c.other {
 		next.other[name] = raw
 	}
 	withdrawn := func(lists ...string) map[string]bool {
 		names := map[string]bool{}
 		for _, list := range lists {
-			for _, name := range change.Withdraw[list] {
+			for _, name := range request.Withdraw[list] {
 				names[name] = true
 			}
 		}
 		return names
 	}
 	delivered := &Configuration{}
-	if err := delivered.decodeLists(change.Deliver, nil); err != nil {
+	if err := delivered.decodeLists(request.Deliver, nil); err != nil {
 		return nil, err
 	}
-	if err := delivered.checkDelivered(); err != nil {
+	if err := delivered.checkDeliveredNames(); err != nil {
 		return nil, err
 	}
-	for _, raw := range []json.RawMessage{change.SizeLimits, change.Deliver["SizeLimits"]} {
+	for _, raw := range []json.RawMessage{request.SizeLimits, request.Deliver["SizeLimits"]} {
 		if err := next.amendLimits(raw); err != nil {
 			return nil, err
 		}
 	}
 	for _, name := range []string{"Mesh", "Partners"} { // replaced as a whole
-		if raw := change.Deliver[name]; len(raw) > 0 {
+		if raw := request.Deliver[name]; len(raw) > 0 {
 			next.other[name] = raw
 		}
 	}
@@ -140,8 +140,8 @@
 	withdrawableLists = []string{"Routes", "Regulations", "PostOffices", "Towns", "Depots", "Destinations", "Senders"}
 )
 
-// checkDelivered rejects delivered items that make an amendment ambiguous.
-func (c *Configuration) checkDelivered() error {
+// checkDeliveredNames rejects delivered items that make an amendment ambiguous.
+func (c *Configuration) checkDeliveredNames() error {
 	var routes []*Route
 	for _, host := range c.hosts {
 		routes = append(routes, host.Routes...)
--- a/internal/mesh/routing/change.go
+++ b/internal/mesh/routing/change.go
@@ -10,9 +10,9 @@
 	"slices"
 )
 
-// Change is the difference between two configurations. Its size is proportional to the differing items. The cost to
-// apply it is so too, apart from a constant cost per item of the configuration. The digests of its base and result
-// prevent it from being applied to another base.
+// Change is the difference between two configurations. Its size and the cost of applying it are proportional to the
+// differing items, apart from a small constant cost per item of the configuration. A change is bound to its base and
+// its result by their digests.
 type Change struct {
 	Base, Result string // digests of the configurations
 	Edition      int64
--- a/internal/mesh/routing/diff.go
+++ b/internal/mesh/routing/diff.go
@@ -13,8 +13,8 @@
 		lines = append(lines, fmt.Sprintf("~ Edition %d -> %d", from.Edition, to.Edition))
 	}
 	lines = append(lines, diffItems("route", from.Routes, to.Routes, func(r *Route) (string, string) { return r.Name, r.Host + " " + canonicalJSON(r.raw) })...)
-	lines = append(lines, diffItems("sender", from.Tenants, to.Tenants, func(s *Tenant) (string, string) { return s.Name, canonicalJSON(s.raw) })...)
-	lines = append(lines, diffItems("depot", from.Services, to.Services, func(d *Service) (string, string) { return d.Name, canonicalJSON(d.raw) })...)
+	lines = append(lines, diffItems("sender", from.Tenants, to.Tenants, func(t *Tenant) (string, string) { return t.Name, canonicalJSON(t.raw) })...)
+	lines = append(lines, diffItems("depot", from.Services, to.Services, func(s *Service) (string, string) { return s.Name, canonicalJSON(s.raw) })...)
 	if a, b := canonicalJSON(from.other["SizeLimits"]), canonicalJSON(to.other["SizeLimits"]); a != b {
 		lines = append(lines, fmt.Sprintf("~ SizeLimits %s -> %s", a, b))
 	}
--- a/internal/mesh/routing/parse.go
+++ b/internal/mesh/routing/parse.go
@@ -268,11 +268,11 @@
 	var faults errs.Group
 	total := 0.0
 	faults.Add(c.checkServices(r))
-	for _, p := range r.Services {
-		if p.Weight < 0 {
+	for _, weighted := range r.Services {
+		if weighted.Weight < 0 {
 			faults.Add(Error.New("%s: Share: must not be negative", prefix))
 		}
-		total += p.Weight
+		total += weighted.Weight
 	}
 	if total <= 0 {
 		faults.Add(Error.New("%s: Apportion: the sum of the shares must be positive", prefix))
@@ -293,9 +293,9 @@
 
 func (c *Configuration) checkServices(r *Route) error {
 	var faults errs.Group
-	for _, p := range r.Services {
-		if c.servicesByName[p.Service] == nil {
-			faults.Add(Error.New("route %s: Destination: unknown service %q", r.Name, p.Service))
+	for _, weighted := range r.Services {
+		if c.servicesByName[weighted.Service] == nil {
+			faults.Add(Error.New("route %s: Destination: unknown service %q", r.Name, weighted.Service))
 		}
 	}
 	return faults.Err()
--- a/internal/mesh/routing/routing.go
+++ b/internal/mesh/routing/routing.go
@@ -50,7 +50,8 @@
 // Document returns the encoded configuration, or nil if it is the result of Apply.
 func (c *Configuration) Document() json.RawMessage { return c.document }
 
-// Find returns the route of the host with the longest prefix of the path, or nil.
+// Find returns the route of the host with the longest path prefix that matches the path, or nil. A port in the host is
+// ignored.
 func (c *Configuration) Find(host, path string) *Route {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && strings.IndexByte(host[colon:], ']') < 0 {
 		host = host[:colon]
--- a/internal/mesh/routing/types.go
+++ b/internal/mesh/routing/types.go
@@ -15,13 +15,13 @@
 type Duration time.Duration
 
 // UnmarshalJSON implements json.Unmarshaler.
-func (s *Duration) UnmarshalJSON(raw []byte) error {
+func (d *Duration) UnmarshalJSON(raw []byte) error {
 	var text string
 	if err := json.Unmarshal(raw, &text); err != nil {
 		return fmt.Errorf("invalid duration %s: want a string with a number and the unit ms or s", raw)
 	}
-	d, err := settings.Span(text)
-	*s = Duration(d)
+	parsed, err := settings.Span(text)
+	*d = Duration(parsed)
 	return err
 }
 
@@ -113,8 +113,8 @@
 		validation.Field(&b.MaxExtraRate, validation.Required, validation.Min(1.0)))
 }
 
-// Service is a service that upstreams provide. The mesh decodes HealthPath, MaxConnections,
-// Protocol and TLS but does not use them.
+// Service is a service that upstreams provide. The mesh decodes HealthPath, MaxConnections, Protocol and TLS but does
+// not use them.
 type Service struct {
 	Name                    string
 	HealthPath              string
@@ -136,7 +136,7 @@
 	AllowStaleReads bool `json:"ReadsStale"` // reads continue after its lease has expired
 }
 
-// Limits limit what a client may send.
+// Limits restrict what a client may send.
 type Limits struct {
 	MaxHeaderBytes int64    `json:"EnvelopeBytes"`
 	MaxBodyBytes   int64    `json:"ContentsBytes"`
