--- a/internal/mesh/consensus/applied_changes_test.go
+++ b/internal/mesh/consensus/applied_changes_test.go
@@ -23,7 +23,7 @@
 
 // An applied change that was trimmed from the list must not be reported as never applied. A change that was not applied
 // is reported as such if its edition or base is not older than the list.
-func TestAppliedChangesAreNeverExcluded(t *testing.T) {
+func TestAppliedChangesAreNeverReportedAsNotApplied(t *testing.T) {
 	for _, count := range []int{0, 1, 63, 64, 65, 100, MaxAppliedChanges, MaxAppliedChanges + 500} {
 		all := appliedChanges(count)
 		found := 0
--- a/internal/mesh/consensus/lease.go
+++ b/internal/mesh/consensus/lease.go
@@ -77,18 +77,18 @@
 // ConfirmedAt returns the latest time at which the state is known to have had no decided successor. The result known is
 // false if no majority of the state's core has confirmed it.
 func (l *ReadLease) ConfirmedAt(s *State) (askedAt int64, known bool) {
-	var asked []int64
+	var confirmations []int64
 	for id, answers := range l.answers {
 		if at, confirms := l.confirmationTime(answers, s); confirms && (s.HasMember(id) || l.withoutMembers) {
-			asked = append(asked, at)
+			confirmations = append(confirmations, at)
 		}
 	}
 	majority := s.Majority()
-	if len(asked) < majority {
+	if len(confirmations) < majority {
 		return 0, false
 	}
-	slices.Sort(asked)
-	return asked[len(asked)-majority], true
+	slices.Sort(confirmations)
+	return confirmations[len(confirmations)-majority], true
 }
 
 // confirmationTime returns when the latest request was sent to which a member answered that it had accepted no value
--- a/internal/mesh/priority/priority_test.go
+++ b/internal/mesh/priority/priority_test.go
@@ -86,30 +86,30 @@
 // less than others, and no rank may starve. The checks must fail without the minimum share and without ranks.
 func TestUrgentRequestsAreServedWithoutStarvation(t *testing.T) {
 	for seed := range uint64(10) {
-		for _, load := range []struct{ urgent, usual, late float64 }{{3, 100, 0}, {30, 60, 30}, {80, 40, 10}, {200, 20, 20}, {55, 60, 5}} {
-			run := func(strict, inTime bool) (urgent, usual, late *workload) {
+		for _, load := range []struct{ urgent, normal, lowPriority float64 }{{3, 100, 0}, {30, 60, 30}, {80, 40, 10}, {200, 20, 20}, {55, 60, 5}} {
+			run := func(strictOrder, ignoreRanks bool) (urgent, normal, lowPriority *workload) {
 				urgent = &workload{rank: NewRank(0, 0), perSecond: load.urgent, targetLatency: 1000 * millisecond}
-				usual = &workload{rank: NewRank(0, 2), perSecond: load.usual, targetLatency: 300 * millisecond}
-				late = &workload{rank: NewRank(1, 0), perSecond: load.late, targetLatency: 500 * millisecond}
-				simulate(seed, []*workload{urgent, usual, late}, 6, 100*millisecond, strict, inTime)
-				return urgent, usual, late
+				normal = &workload{rank: NewRank(0, 2), perSecond: load.normal, targetLatency: 300 * millisecond}
+				lowPriority = &workload{rank: NewRank(1, 0), perSecond: load.lowPriority, targetLatency: 500 * millisecond}
+				simulate(seed, []*workload{urgent, normal, lowPriority}, 6, 100*millisecond, strictOrder, ignoreRanks)
+				return urgent, normal, lowPriority
 			}
-			urgent, usual, late := run(false, false)
-			overall := servedRatio(urgent, usual, late)
-			t.Logf("seed %d %v: urgent %.2f usual %.2f late %.2f all %.2f", seed, load, servedRatio(urgent), servedRatio(usual), servedRatio(late), overall)
-			must.Greater(t, servedRatio(usual)-0.05, servedRatio(urgent), must.Sprint("priority inversion", load))
-			must.Greater(t, overall/4, servedRatio(usual), must.Sprint("starved", load))
-			if late.arrived > 0 {
-				must.Greater(t, servedRatio(late)-0.05, servedRatio(usual), must.Sprint("priority inversion", load))
-				must.Greater(t, overall/4, servedRatio(late), must.Sprint("starved", load))
+			urgent, normal, lowPriority := run(false, false)
+			overall := servedRatio(urgent, normal, lowPriority)
+			t.Logf("seed %d %v: urgent %.2f normal %.2f low priority %.2f all %.2f", seed, load, servedRatio(urgent), servedRatio(normal), servedRatio(lowPriority), overall)
+			must.Greater(t, servedRatio(normal)-0.05, servedRatio(urgent), must.Sprint("priority inversion", load))
+			must.Greater(t, overall/4, servedRatio(normal), must.Sprint("starved", load))
+			if lowPriority.arrived > 0 {
+				must.Greater(t, servedRatio(lowPriority)-0.05, servedRatio(normal), must.Sprint("priority inversion", load))
+				must.Greater(t, overall/4, servedRatio(lowPriority), must.Sprint("starved", load))
 			}
 			if load.urgent > 100 {
-				urgent, usual, late = run(true, false) // without the minimum share
-				must.Less(t, servedRatio(urgent, usual, late)/4, servedRatio(usual), must.Sprint("no starvation with strict order", load))
+				urgent, normal, lowPriority = run(true, false) // without the minimum share
+				must.Less(t, servedRatio(urgent, normal, lowPriority)/4, servedRatio(normal), must.Sprint("no starvation with strict order", load))
 			}
 			if load.urgent == 3 {
-				urgent, usual, _ = run(false, true) // without ranks
-				must.Less(t, servedRatio(usual)-0.05, servedRatio(urgent), must.Sprint("no inversion with order by due time alone", load))
+				urgent, normal, _ = run(false, true) // without ranks
+				must.Less(t, servedRatio(normal)-0.05, servedRatio(urgent), must.Sprint("no inversion with order by due time alone", load))
 			}
 		}
 	}
--- a/internal/mesh/routing/types.go
+++ b/internal/mesh/routing/types.go
@@ -77,8 +77,8 @@
 type itemSum [16]byte
 
 func newItem(raw json.RawMessage) item {
-	whole := sha256.Sum256(raw)
-	return item{raw, itemSum(whole[:len(itemSum{})])}
+	sum := sha256.Sum256(raw)
+	return item{raw, itemSum(sum[:len(itemSum{})])}
 }
 
 // Tenant is a client of the mesh, identified by its API keys.
