--- a/internal/mesh/consensus/replica.go
+++ b/internal/mesh/consensus/replica.go
@@ -1,115 +1,119 @@
 package consensus
 
-// Ballot orders the attempts at a slot.
+// Ballot orders the proposals for a slot.
 type Ballot struct {
-	Round uint64
-	By    string // of one life of one process
+	Round    uint64
+	Proposer string `json:"By"` // unique to one process incarnation
 }
 
-// Below reports whether b comes before c.
-func (b Ballot) Below(c Ballot) bool { return b.Round < c.Round || b.Round == c.Round && b.By < c.By }
+// Below reports whether b is lower than c.
+func (b Ballot) Below(c Ballot) bool {
+	return b.Round < c.Round || b.Round == c.Round && b.Proposer < c.Proposer
+}
 
-// AcceptedValue is a value that was accepted under a ballot.
+// AcceptedValue is a value and the ballot with which it was accepted.
 type AcceptedValue struct {
 	Ballot Ballot
 	Value  *State
 }
 
-// Replica is what a controller keeps on disk.
+// Replica is the acceptor state that a controller keeps on disk.
 type Replica struct {
-	ID       string // of this disk
+	ID       string // identity of the disk
 	Decided  *State
-	Promised Ballot         // for the slot after it
-	Accepted *AcceptedValue // for the same
+	Promised Ballot         // for the slot after Decided
+	Accepted *AcceptedValue // for the slot after Decided
 
-	Life DiskLife `json:"-"` // this start; the disk keeps it by itself
+	Incarnation DiskIncarnation `json:"-"` // the current start; stored separately from the replica
 }
 
-// DiskLife is one start of a process with a disk. Starts of one disk are numbered; an old copy of a disk, or a second one in use
-// beside it, has a number that others have seen already, with another token.
-type DiskLife struct {
+// DiskIncarnation identifies one start of a process with a disk. The starts with one disk are numbered. An old copy of
+// a disk, or a second copy in use at the same time, reuses a number that others have already seen with another token.
+type DiskIncarnation struct {
 	ID     string
 	Number uint64
 	Token  string
 }
 
-// Supersedes reports whether a life shows another one of the same identity to be that of an old copy.
-func (l DiskLife) Supersedes(other DiskLife) bool {
-	return l.ID == other.ID && (l.Number > other.Number || l.Number == other.Number && l.Token != other.Token)
+// Supersedes reports whether d proves that another incarnation with the same disk ID belongs to an old copy of the
+// disk.
+func (d DiskIncarnation) Supersedes(other DiskIncarnation) bool {
+	return d.ID == other.ID && (d.Number > other.Number || d.Number == other.Number && d.Token != other.Token)
 }
 
-// What is asked of a replica.
+// Kinds of requests.
 const (
-	ReadState = "look"    // where it stands; nothing is kept of it
-	Prepare   = "prepare" // promise a slot
-	Accept    = "accept"  // accept a value
-	Learn     = "learn"   // a value is decided
+	ReadState = "look"    // report the state; changes nothing on disk
+	Prepare   = "prepare" // promise to accept no lower ballot for a slot
+	Accept    = "accept"  // accept a value for a slot
+	Learn     = "learn"   // record a decided value
 
-	// The same with a value of which large documents are left out, for a replica that holds them. Processes of the version before do
-	// nothing at a kind that they don't know.
+	// Accept and Learn with a value whose large documents are omitted, for a replica that holds them. Processes of the
+	// previous version ignore these kinds.
 	AcceptCompact = "accept-compact"
 	LearnCompact  = "learn-compact"
 )
 
-// Request is a message to a replica.
+// Request is a message from a controller to a replica.
 type Request struct {
-	Kind    string
-	Slot    uint64 `json:",omitempty"`
-	Ballot  Ballot
-	Value   *State      `json:",omitempty"`
-	LeftOut PartDigests `json:",omitempty"` // the documents that a compact request leaves out of its value
-	Life    *DiskLife   `json:",omitempty"` // of the process that asks where a replica stands
+	Kind        string
+	Slot        uint64 `json:",omitempty"`
+	Ballot      Ballot
+	Value       *State           `json:",omitempty"`
+	Omitted     DocumentDigests  `json:"LeftOut,omitempty"` // digests of the documents that a compact request omits from its value
+	Incarnation *DiskIncarnation `json:"Life,omitempty"`    // of the sender of a ReadState request
 }
 
-// Response is what a replica says.
+// Response is the answer of a replica to a request.
 type Response struct {
-	Kind     string `json:"To"` // the kind of ask
-	Slot     uint64 // that it asked for
-	ID       string
-	Index    uint64 // decided
-	OK       bool
-	Promised Ballot
-	Pending  bool           // something is accepted for the next slot
-	Accepted *AcceptedValue `json:",omitempty"`
-	Decided  *State         `json:",omitempty"` // to who is behind
-	Compact  bool           `json:",omitempty"` // it understands compact requests
-	// Superseded says that the asker's disk is an old copy.
-	Superseded bool `json:",omitempty"`
-	Lacking    bool `json:",omitempty"` // it does not hold what a compact request left out, and has done nothing
+	Kind            string `json:"To"` // of the request
+	Slot            uint64 // of the request
+	ID              string
+	Index           uint64 // of the decided state
+	OK              bool
+	Promised        Ballot
+	Pending         bool           // a value is accepted for the next slot
+	Accepted        *AcceptedValue `json:",omitempty"`
+	Decided         *State         `json:",omitempty"`        // set if the sender does not have this state yet
+	SupportsCompact bool           `json:"Compact,omitempty"` // the replica understands compact requests
+	// Superseded tells the sender that its disk is an old copy.
+	Superseded       bool `json:",omitempty"`
+	DocumentsMissing bool `json:"Lacking,omitempty"` // the replica lacks omitted documents and has ignored the request
 }
 
-// Handle answers a request; keep says that the replica has changed and must be synced before the answer leaves.
-func (c *Replica) Handle(a Request) (out Response, keep bool) {
-	out = Response{Kind: a.Kind, Slot: a.Slot, ID: c.ID, Index: c.Decided.Index}
-	switch a.Kind {
+// Handle processes a request. The result changed is true if the replica has changed and must be synced to disk before
+// the response is sent.
+func (r *Replica) Handle(request Request) (response Response, changed bool) {
+	response = Response{Kind: request.Kind, Slot: request.Slot, ID: r.ID, Index: r.Decided.Index}
+	switch request.Kind {
 	case Prepare:
 		switch {
-		case a.Slot <= c.Decided.Index:
-			out.Decided = c.Decided
-		case a.Slot == c.Decided.Index+1 && c.Promised.Below(a.Ballot):
-			c.Promised, out.OK, keep = a.Ballot, true, true
-			out.Accepted = c.Accepted
+		case request.Slot <= r.Decided.Index:
+			response.Decided = r.Decided
+		case request.Slot == r.Decided.Index+1 && r.Promised.Below(request.Ballot):
+			r.Promised, response.OK, changed = request.Ballot, true, true
+			response.Accepted = r.Accepted
 		}
 	case Accept:
 		switch {
-		case a.Slot <= c.Decided.Index:
-			out.Decided = c.Decided
-		case a.Slot == c.Decided.Index+1 && !a.Ballot.Below(c.Promised) && a.Value != nil && a.Value.Index == a.Slot:
-			c.Promised, c.Accepted = a.Ballot, &AcceptedValue{a.Ballot, a.Value}
-			out.OK, keep = true, true
+		case request.Slot <= r.Decided.Index:
+			response.Decided = r.Decided
+		case request.Slot == r.Decided.Index+1 && !request.Ballot.Below(r.Promised) && request.Value != nil && request.Value.Index == request.Slot:
+			r.Promised, r.Accepted = request.Ballot, &AcceptedValue{request.Ballot, request.Value}
+			response.OK, changed = true, true
 		}
 	case Learn:
-		if a.Value != nil && a.Value.Index > c.Decided.Index {
-			c.Decided, c.Promised, c.Accepted = a.Value, Ballot{}, nil
-			keep = true
+		if request.Value != nil && request.Value.Index > r.Decided.Index {
+			r.Decided, r.Promised, r.Accepted = request.Value, Ballot{}, nil
+			changed = true
 		}
-		out.OK = true
+		response.OK = true
 	case ReadState:
-		out.OK = true
-		if a.Slot < c.Decided.Index {
-			out.Decided = c.Decided
+		response.OK = true
+		if request.Slot < r.Decided.Index {
+			response.Decided = r.Decided
 		}
 	}
-	out.Index, out.Promised, out.Pending = c.Decided.Index, c.Promised, c.Accepted != nil
-	return out, keep
+	response.Index, response.Promised, response.Pending = r.Decided.Index, r.Promised, r.Accepted != nil
+	return response, changed
 }
--- a/internal/mesh/membership/membership.go
+++ b/internal/mesh/membership/membership.go
@@ -1,6 +1,7 @@
-// Package membership is the news that goes round the mesh: which machines with balancers there are, the upstream on each,
-// and the words in which balancers ask the core for it. A Registry is one core process's knowledge of them, without I/O or
-// clock. All of it is gossip: it is renewed, grows old and is dropped; no rule rests on it alone.
+// Package membership tracks the balancers of the mesh and the upstream on each of their machines. It also defines the
+// messages with which balancers watch the controllers for changes. A Registry is the view of one controller; it does no
+// I/O and reads no clock. The registry is spread by gossip, is only eventually consistent, and expires without
+// renewals, so no correctness guarantee may depend on it alone.
 package membership
 
 import (
@@ -11,269 +12,285 @@
 	"ottershift/internal/mesh/routing"
 )
 
-// Times are nanoseconds of a steady clock; no two processes compare theirs, so ages travel.
+// Times are nanoseconds of a monotonic clock of the process. The clocks of two processes are not comparable, so
+// messages carry ages instead of times.
 const (
-	ms = int64(1e6)
-	s  = int64(1e9)
+	millisecond = int64(1e6)
+	second      = int64(1e9)
 
-	// Lease is how long a balancer is a member without a renewal.
-	Lease = 3 * s
-	// Remembered is how long one whose lease ran out is still told of: it may be cut off from the core alone, and serve.
-	Remembered = 15 * s
+	// LeaseDuration is the time in nanoseconds after which the lease of a balancer expires unless it is renewed.
+	LeaseDuration = 3 * second
+	// LostRetention is the time in nanoseconds since its last renewal for which a balancer with an expired lease is
+	// still listed. It may be cut off only from the controllers and still serve requests.
+	LostRetention = 15 * second
 )
 
-// Upstream is the life of an application on a balancer's machine.
+// Upstream is a running application instance on the machine of a balancer.
 type Upstream struct {
-	ID       string
-	Service  string
-	Edition  string `json:",omitempty"`
-	Capacity int
-	Closing  bool  `json:",omitempty"`
-	Cold     int64 `json:",omitempty"` // nanoseconds for which it is still slow
-	Ill      int   `json:",omitempty"` // level, by what the balancer beside it sees of it (outlier)
+	ID              string
+	Service         string
+	Version         string `json:"Edition,omitempty"`
+	Capacity        int    // number of requests that it can serve concurrently
+	Draining        bool   `json:"Closing,omitempty"`
+	WarmupRemaining int64  `json:"Cold,omitempty"` // remaining time in nanoseconds in which it is still slow after its start
+	OutlierLevel    int    `json:"Ill,omitempty"`  // level of package outlier, as determined by the balancer on the same machine
 }
 
-// Node is a balancer and its machine, as it tells of itself.
+// Node describes a balancer and its machine, as the balancer reports itself.
 type Node struct {
-	Name     string `json:"Node"`
-	Inbound  string // address
-	District string
-	Life     string    // of its process
-	Seq      uint64    // rises with each change within a life
-	Upstream *Upstream `json:"Up,omitempty"`
-	Leaving  bool      `json:",omitempty"`
+	Name        string    `json:"Node"`
+	Inbound     string    // address for requests from other balancers
+	Zone        string    `json:"District"`
+	Incarnation string    `json:"Life"` // of the balancer process
+	Seq         uint64    // increases with each change within an incarnation
+	Upstream    *Upstream `json:"Up,omitempty"`
+	Leaving     bool      `json:",omitempty"`
 }
 
-// Record is a node as the core passes it on.
+// Record is a node as controllers report it.
 type Record struct {
 	Node
-	Age  int64 // nanoseconds since it was heard of directly
-	Lost bool  `json:",omitempty"` // its lease has run out
+	Age  int64 // nanoseconds since a controller last heard from it directly
+	Lost bool  `json:",omitempty"` // its lease has expired
 }
 
-// Position is what a balancer knows already.
+// Position identifies what a balancer already knows.
 type Position struct {
-	Controller string `json:"Comb"` // whose count Seq is of
-	Seq        uint64
+	Controller string `json:"Comb"` // process incarnation of the controller that issued Seq
+	Seq        uint64 // of the registry of that controller
 	Index      uint64 // of the agreed state
 
-	Edition int64  // of the configuration
-	Digest  string `json:",omitempty"` // of the configuration; none from processes of the version before
-	Imports uint64 `json:",omitempty"` // number of what is agreed about partners
+	Edition      int64  // of the configuration
+	Digest       string `json:",omitempty"`        // of the configuration; empty from processes of the previous version
+	KnownImports uint64 `json:"Imports,omitempty"` // version of the agreed imports from partner meshes
 }
 
-// WatchRequest renews a balancer's lease and asks for news.
+// WatchRequest renews a balancer's lease and asks for changes since a position.
 type WatchRequest struct {
 	Node     Node     `json:"Nest"`
 	Position Position `json:"Have"`
-	MaxWait  int64    `json:"Wait"`       // nanoseconds at most until an answer
-	Packed   bool     `json:",omitempty"` // a configuration may come packed, or be only named: the asker fetches it apart
+	MaxWait  int64    `json:"Wait"` // maximum time until a response, in nanoseconds
+	// AcceptsPacked is set if the balancer accepts a packed configuration, or only its digest to fetch it separately.
+	AcceptsPacked bool `json:"Packed,omitempty"`
 }
 
-// WatchResponse is the answer.
+// WatchResponse is the response to a WatchRequest.
 type WatchResponse struct {
 	Position
-	Current       bool                // a majority of the core confirmed Index a moment ago
-	Starting      bool                `json:"Young,omitempty"` // the asked process has not been up for a lease yet: there may be more nodes
-	Members       int                 // balancers, as agreed
-	Coordinator   string              `json:"Queen"`               // address of who keeps the bank of quotas
-	Epoch         uint64              `json:"Reign"`               // rises with each
-	Configuration json.RawMessage     `json:"Timetable,omitempty"` // where Edition was another
-	Packed        *routing.Packed     `json:",omitempty"`          // the same for who takes it so, if it is short; a long one is named by Digest alone
-	Whole         bool                // Nodes are all there are
-	Nodes         []Record            `json:"Nests,omitempty"`
-	Gone          []string            `json:",omitempty"`
-	Imports       json.RawMessage     `json:",omitempty"` // what is agreed about partners, where the number was another
-	ImportsNo     uint64              `json:",omitempty"`
-	Calm          bool                `json:",omitempty"` // nothing later can have been decided before a moment ago: what is agreed may be acted on
-	Ages          map[string]int64    `json:",omitempty"` // nanoseconds since partners confirmed their words
-	Controllers   []ControllerAddress `json:"Combs"`      // the core's processes, as far as they are heard of
+	Current bool // a majority of the core recently confirmed Index as the newest state
+	// Starting is set while the controller has been up for less than LeaseDuration, so that nodes may be missing.
+	Starting      bool            `json:"Young,omitempty"`
+	BalancerCount int             `json:"Members"`             // agreed number of balancers
+	Coordinator   string          `json:"Queen"`               // address of the controller that manages the quotas
+	Epoch         uint64          `json:"Reign"`               // increases with each change of the coordinator
+	Configuration json.RawMessage `json:"Timetable,omitempty"` // set if the balancer has another edition
+	// Packed replaces Configuration in responses to requests with AcceptsPacked. It is absent if it is too long. The
+	// balancer then fetches the configuration with the given Digest separately.
+	Packed       *routing.Packed `json:",omitempty"`
+	Complete     bool            `json:"Whole"` // Nodes lists all known nodes, not only changes
+	Nodes        []Record        `json:"Nests,omitempty"`
+	RemovedNodes []string        `json:"Gone,omitempty"`
+	// Imports are the agreed imports from partner meshes, set if the balancer has another version of them.
+	Imports        json.RawMessage `json:",omitempty"`
+	ImportsVersion uint64          `json:"ImportsNo,omitempty"`
+	// ImportsCurrent is set if no later imports had been decided until recently, so that the agreed imports may be
+	// used.
+	ImportsCurrent bool                `json:"Calm,omitempty"`
+	PartnerAges    map[string]int64    `json:"Ages,omitempty"` // nanoseconds since each partner mesh confirmed its exports
+	Controllers    []ControllerAddress `json:"Combs"`          // known controllers
 }
 
-// ConfigurationRequest asks for a piece of the configuration as it travels: the first one of the newest, or the next one of what a
-// former answer began.
+// ConfigurationRequest asks for a part of a packed configuration: the first part of the newest one, or the next part of
+// the transfer that an earlier response began.
 type ConfigurationRequest struct {
-	Held         string // digest of the configuration that the asker has, none for nothing
-	Result, Base string `json:",omitempty"` // what a former answer began
-	Offset       int    `json:",omitempty"` // bytes of that which the asker has
+	HeldDigest   string `json:"Held"`       // digest of the configuration that the balancer has, empty if none
+	Result, Base string `json:",omitempty"` // digests from the response that began the transfer
+	Offset       int    `json:",omitempty"` // number of bytes already received in this transfer
 }
 
-// ConfigurationResponse is a piece. What it belongs to is named by the digests in Packed; where that is not what was asked for, it is
-// the first piece of the newest.
+// ConfigurationResponse is a part of a packed configuration. The digests in Packed identify the transfer. If they
+// differ from those of the request, the response is the first part of the newest configuration.
 type ConfigurationResponse struct {
 	Packed  routing.Packed
 	Offset  int
 	Total   int
-	Index   uint64 `json:",omitempty"` // of the state whose configuration it is, with a first piece
-	Current bool   `json:",omitempty"` // a majority of the core confirmed Index a moment ago
+	Index   uint64 `json:",omitempty"` // of the state that has this configuration; set in first parts
+	Current bool   `json:",omitempty"` // a majority of the core recently confirmed Index as the newest state
 }
 
-// ControllerAddress is a process of the core.
-type ControllerAddress struct{ At, Zone string }
+// ControllerAddress is the address and the zone of a controller.
+type ControllerAddress struct {
+	Address string `json:"At"`
+	Zone    string
+}
 
+// entry is a node in the registry.
 type entry struct {
 	Node
-	lastHeard int64
-	cold      int64 // moment until which its upstream is slow
-	seq       uint64
-	lost      bool
-	direct    bool // heard directly, not through another process
+	lastHeard   int64
+	warmupUntil int64 // time until which its upstream is still slow after its start
+	seq         uint64
+	lost        bool
+	direct      bool // last heard directly, not through another controller
 }
 
-// Registry keeps who is there.
+// Registry holds the nodes that a controller knows. It is not safe for concurrent use.
 type Registry struct {
-	seq     uint64
-	entries map[string]*entry
-	removed map[string]uint64 // when nodes were dropped
-	floor   uint64            // of gone: who asks with less gets all
+	seq           uint64
+	entries       map[string]*entry
+	removed       map[string]uint64 // sequence numbers of the removals of nodes, by name
+	discardedUpTo uint64            // sequence number up to which removals may have been discarded
 }
 
-// NewRegistry makes an empty one.
+// NewRegistry returns an empty registry.
 func NewRegistry() *Registry {
 	return &Registry{entries: map[string]*entry{}, removed: map[string]uint64{}}
 }
 
-// Seq counts changes.
-func (c *Registry) Seq() uint64 { return c.seq }
+// Seq returns the sequence number of the last change.
+func (r *Registry) Seq() uint64 { return r.seq }
 
-// Hear takes a node's own word, or what was heard of it some time ago; it reports whether that is news.
-func (c *Registry) Observe(n Node, age, now int64, direct bool) bool {
-	heard := now - age
-	e := c.entries[n.Name]
+// Observe records a report of a node about itself, which was received directly or reached another controller age
+// nanoseconds ago. It reports whether the registry changed.
+func (r *Registry) Observe(node Node, age, now int64, direct bool) bool {
+	heardAt := now - age
+	e := r.entries[node.Name]
 	switch {
-	case n.Leaving && n.Upstream == nil:
-		if e == nil || e.Life != n.Life {
+	case node.Leaving && node.Upstream == nil:
+		if e == nil || e.Incarnation != node.Incarnation {
 			return false
 		}
-		c.drop(n.Name)
+		r.remove(node.Name)
 		return true
 	case e == nil:
-		if age > Remembered {
+		if age > LostRetention {
 			return false
 		}
 		e = &entry{}
-		c.entries[n.Name] = e
-		delete(c.removed, n.Name)
-	case e.Life == n.Life && n.Seq < e.Seq, e.Life != n.Life && heard <= e.lastHeard:
+		r.entries[node.Name] = e
+		delete(r.removed, node.Name)
+	case e.Incarnation == node.Incarnation && node.Seq < e.Seq, e.Incarnation != node.Incarnation && heardAt <= e.lastHeard:
 		return false
-	case e.Life == n.Life && n.Seq == e.Seq:
-		if heard >= e.lastHeard {
-			e.lastHeard, e.direct = heard, direct // who heard it last passes it on
+	case e.Incarnation == node.Incarnation && node.Seq == e.Seq:
+		if heardAt >= e.lastHeard {
+			e.lastHeard, e.direct = heardAt, direct // the controller that heard it last passes it on
 		}
-		if e.lost && now-e.lastHeard < Lease {
+		if e.lost && now-e.lastHeard < LeaseDuration {
 			e.lost = false
-			c.mark(e)
+			r.markChanged(e)
 			return true
 		}
 		return false
 	}
-	e.Node, e.lastHeard, e.direct, e.lost = n, max(heard, e.lastHeard), direct, false
-	if n.Upstream != nil {
-		e.cold = heard + n.Upstream.Cold
+	e.Node, e.lastHeard, e.direct, e.lost = node, max(heardAt, e.lastHeard), direct, false
+	if node.Upstream != nil {
+		e.warmupUntil = heardAt + node.Upstream.WarmupRemaining
 	}
-	c.mark(e)
+	r.markChanged(e)
 	return true
 }
 
-func (c *Registry) mark(e *entry) {
-	c.seq++
-	e.seq = c.seq
+func (r *Registry) markChanged(e *entry) {
+	r.seq++
+	e.seq = r.seq
 }
 
-func (c *Registry) drop(node string) {
-	delete(c.entries, node)
-	c.seq++
-	c.removed[node] = c.seq
-	if len(c.removed) > 256 {
-		for name, at := range c.removed {
-			if at <= c.seq-128 {
-				delete(c.removed, name)
+func (r *Registry) remove(name string) {
+	delete(r.entries, name)
+	r.seq++
+	r.removed[name] = r.seq
+	if len(r.removed) > 256 {
+		for removedName, at := range r.removed {
+			if at <= r.seq-128 {
+				delete(r.removed, removedName)
 			}
 		}
-		c.floor = c.seq - 128
+		r.discardedUpTo = r.seq - 128
 	}
 }
 
-// Sweep ends leases and forgets who has been away for long; it reports whether that is news.
-func (c *Registry) Expire(now int64) bool {
-	before := c.seq
-	for node, e := range c.entries {
+// Expire ends leases without renewal and removes nodes after LostRetention. It reports whether the registry changed.
+func (r *Registry) Expire(now int64) bool {
+	before := r.seq
+	for name, e := range r.entries {
 		switch age := now - e.lastHeard; {
-		case age > Remembered:
-			c.drop(node)
-		case age > Lease && !e.lost:
+		case age > LostRetention:
+			r.remove(name)
+		case age > LeaseDuration && !e.lost:
 			e.lost = true
-			c.mark(e)
+			r.markChanged(e)
 		}
 	}
-	return c.seq != before
+	return r.seq != before
 }
 
-// Since is what has changed after a count; whole says that it is all.
-func (c *Registry) ChangesSince(seq uint64, now int64) (nests []Record, gone []string, whole bool) {
-	if seq < c.floor || seq > c.seq {
+// ChangesSince returns the nodes that changed and the names of those removed after a sequence number. If the number is
+// 0 or the changes since then are no longer known, it returns all nodes and complete is true.
+func (r *Registry) ChangesSince(seq uint64, now int64) (nodes []Record, removed []string, complete bool) {
+	if seq < r.discardedUpTo || seq > r.seq {
 		seq = 0
 	}
-	for _, e := range c.entries {
+	for _, e := range r.entries {
 		if e.seq > seq {
-			nests = append(nests, c.record(e, now))
+			nodes = append(nodes, r.record(e, now))
 		}
 	}
-	slices.SortFunc(nests, func(a, b Record) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(nodes, func(a, b Record) int { return strings.Compare(a.Name, b.Name) })
 	if seq > 0 {
-		for node, at := range c.removed {
+		for name, at := range r.removed {
 			if at > seq {
-				gone = append(gone, node)
+				removed = append(removed, name)
 			}
 		}
-		slices.Sort(gone)
+		slices.Sort(removed)
 	}
-	return nests, gone, seq == 0
+	return nodes, removed, seq == 0
 }
 
-func (c *Registry) record(e *entry, now int64) Record {
-	t := Record{Node: e.Node, Age: now - e.lastHeard, Lost: e.lost}
+func (r *Registry) record(e *entry, now int64) Record {
+	out := Record{Node: e.Node, Age: now - e.lastHeard, Lost: e.lost}
 	if e.Upstream != nil {
-		up := *e.Upstream
-		up.Cold = max(0, e.cold-now)
-		t.Upstream = &up
+		upstream := *e.Upstream
+		upstream.WarmupRemaining = max(0, e.warmupUntil-now)
+		out.Upstream = &upstream
 	}
-	return t
+	return out
 }
 
-// Beat is a renewal that another process heard directly.
+// Renewal is a lease renewal that a controller received directly from a node.
 type Renewal struct {
-	Node, Life string
-	Seq        uint64
-	Age        int64
+	Node        string
+	Incarnation string `json:"Life"`
+	Seq         uint64
+	Age         int64 // nanoseconds since the renewal
 }
 
-// Mine are the renewals heard directly of late.
-func (c *Registry) OwnRenewals(now int64) (all []Renewal) {
-	for _, e := range c.entries {
-		if e.direct && now-e.lastHeard < Lease {
-			all = append(all, Renewal{e.Name, e.Life, e.Seq, now - e.lastHeard})
+// OwnRenewals returns the renewals that this controller received directly within LeaseDuration.
+func (r *Registry) OwnRenewals(now int64) (renewals []Renewal) {
+	for _, e := range r.entries {
+		if e.direct && now-e.lastHeard < LeaseDuration {
+			renewals = append(renewals, Renewal{e.Name, e.Incarnation, e.Seq, now - e.lastHeard})
 		}
 	}
-	slices.SortFunc(all, func(a, b Renewal) int { return strings.Compare(a.Node, b.Node) })
-	return all
+	slices.SortFunc(renewals, func(a, b Renewal) int { return strings.Compare(a.Node, b.Node) })
+	return renewals
 }
 
-// Renew takes renewals that another process heard; it reports whether that is news, and which nodes are not known as
-// told.
-func (c *Registry) Renew(beats []Renewal, now int64) (news bool, unknown bool) {
-	for _, b := range beats {
-		e := c.entries[b.Node]
-		if e == nil || e.Life != b.Life || e.Seq < b.Seq {
+// Renew records renewals that another controller received. It reports whether the registry changed and whether a
+// renewal concerns an incarnation or a sequence number of a node that the registry does not have yet.
+func (r *Registry) Renew(renewals []Renewal, now int64) (changed bool, unknown bool) {
+	for _, renewal := range renewals {
+		e := r.entries[renewal.Node]
+		if e == nil || e.Incarnation != renewal.Incarnation || e.Seq < renewal.Seq {
 			unknown = true
 			continue
 		}
-		if e.Seq == b.Seq {
-			news = c.Observe(e.Node, b.Age, now, false) || news
+		if e.Seq == renewal.Seq {
+			changed = r.Observe(e.Node, renewal.Age, now, false) || changed
 		}
 	}
-	return news, unknown
+	return changed, unknown
 }
 
-// Known are the balancers that are there or were of late.
-func (c *Registry) Known() int { return len(c.entries) }
+// Len returns the number of nodes, including those with an expired lease.
+func (r *Registry) Len() int { return len(r.entries) }
--- a/internal/mesh/proxy/admission.go
+++ b/internal/mesh/proxy/admission.go
@@ -26,17 +26,17 @@
 	}
 	elapsed := u.sinceStart(now)
 	if !request.retried {
-		u.queue.Shares.Came(request.rank, elapsed)
+		u.queue.Shares.CountArrival(request.rank, elapsed)
 	}
 	if u.id == "" || u.reported.Capacity <= 0 || u.active < u.slots() {
 		u.active++
-		u.queue.Shares.Served(request.rank, elapsed)
+		u.queue.Shares.CountServed(request.rank, elapsed)
 		u.mu.Unlock()
 		return address, apierror.None
 	}
 	waiter := &priority.Waiter[waitingRequest]{Rank: request.rank, Due: elapsed + int64(request.latencyTarget),
 		Request: waitingRequest{request.upstreamID, make(chan bool, 1)}}
-	joined := u.queue.Join(waiter, maxQueuedPerSlot*u.reported.Capacity, elapsed)
+	joined := u.queue.Enqueue(waiter, maxQueuedPerSlot*u.reported.Capacity, elapsed)
 	u.mu.Unlock()
 	if joined && u.wait(ctx, request, waiter) {
 		return address, apierror.None
@@ -84,14 +84,14 @@
 	u.active = max(0, u.active-1)
 	now := time.Now()
 	for u.active < u.slots() {
-		next := u.queue.Next(u.sinceStart(now))
+		next := u.queue.Dequeue(u.sinceStart(now))
 		if next == nil {
 			return
 		}
 		_, kind := u.addressOf(next.Request.id, now)
 		if next.Request.granted <- kind == apierror.None; kind == apierror.None {
 			u.active++
-			u.queue.Shares.Served(next.Rank, u.sinceStart(now))
+			u.queue.Shares.CountServed(next.Rank, u.sinceStart(now))
 		}
 	}
 }
--- a/internal/mesh/proxy/burst_credit.go
+++ b/internal/mesh/proxy/burst_credit.go
@@ -31,7 +31,7 @@
 func (p *Proxy) applyCreditTerms(config *routing.Configuration) {
 	services := map[string]float64{}
 	for _, service := range config.Services {
-		services[service.Name] = service.BurstCreditPerSecond
+		services[service.Name] = service.MaxBurstCreditPerSecond
 	}
 	p.burstCredit.Lock()
 	defer p.burstCredit.Unlock()
@@ -43,8 +43,8 @@
 // ID is the client's idempotency key if there is one. Otherwise each request with side effects has its own, and
 // repeatable requests of a tenant for the same URL share one while settled claims are remembered.
 func (p *Proxy) creditClaim(r *http.Request, route *routing.Route, tenant *routing.Tenant) burstcredit.Claim {
-	claim := burstcredit.Claim{Tenant: tenant.Name, Service: route.Parts[0].Service, Effect: !route.MailClass.Repeats(),
-		Rank: tenant.Precedence*1000 + route.Precedence}
+	claim := burstcredit.Claim{Tenant: tenant.Name, Service: route.Services[0].Service, Effect: !route.Class.IsRepeatable(),
+		Rank: tenant.Priority*1000 + route.Priority}
 	if host, _, err := net.SplitHostPort(r.RemoteAddr); err == nil {
 		claim.Client = host != settings.Host(p.settings.App) // the upstream on this machine calls from its own address
 	}
--- a/internal/mesh/proxy/configuration.go
+++ b/internal/mesh/proxy/configuration.go
@@ -201,7 +201,7 @@
 	held := p.activeConfiguration()
 	request := &membership.ConfigurationRequest{}
 	if held != nil {
-		request.Held = held.Digest()
+		request.HeldDigest = held.Digest()
 	}
 	var first, last *membership.ConfigurationResponse
 	var data []byte
@@ -210,7 +210,7 @@
 		if err := p.caller.CallPatiently(ctx, rpc.Patience{Silence: fetchSilenceTimeout}, controller, rpc.PathConfiguration, request, last); err != nil {
 			return err
 		}
-		if last.Packed.Result == request.Held {
+		if last.Packed.Result == request.HeldDigest {
 			return nil // the controller has nothing newer
 		}
 		if last.Offset == 0 { // the controller dropped the version under way and restarts with its newest
--- a/internal/mesh/proxy/configuration_test.go
+++ b/internal/mesh/proxy/configuration_test.go
@@ -154,7 +154,7 @@
 				return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(bytes.NewReader(raw)), Request: r}, err
 			})
 		}))
-		p.controllers = []membership.ControllerAddress{{At: "breaks", Zone: "z"}, {At: "cut-off", Zone: "y"}, {At: "sound", Zone: "y"}}
+		p.controllers = []membership.ControllerAddress{{Address: "breaks", Zone: "z"}, {Address: "cut-off", Zone: "y"}, {Address: "sound", Zone: "y"}}
 		return p
 	}
 	p := newProxy(false)
@@ -179,7 +179,7 @@
 	must.True(t, failing.unpackFailed.Load())
 	must.Eq(t, "", failing.fetchSource())
 	request, _ := failing.watchRequest()
-	must.False(t, request.Packed)
+	must.False(t, request.AcceptsPacked)
 	must.Eq(t, 0, request.Position.Index) // the watch returns the state again
 	plain := &membership.WatchResponse{Current: true, Position: membership.Position{Index: 9, Edition: 3}, Configuration: config.Document()}
 	must.NoError(t, failing.applyConfiguration(plain))
--- a/internal/mesh/proxy/inbound.go
+++ b/internal/mesh/proxy/inbound.go
@@ -19,7 +19,7 @@
 // this proxy, to a partner.
 func (p *Proxy) serveInbound(w http.ResponseWriter, r *http.Request) {
 	if r.Header.Get(meshHeader) == meshProbe {
-		if reported, _, _ := p.local.snapshot(); reported != nil && !reported.Closing && reported.ID == r.Header.Get(upstreamIDHeader) {
+		if reported, _, _ := p.local.snapshot(); reported != nil && !reported.Draining && reported.ID == r.Header.Get(upstreamIDHeader) {
 			w.WriteHeader(http.StatusOK)
 		} else {
 			apierror.Write(w, apierror.NotHere, 0, "")
--- a/internal/mesh/proxy/known_nodes.go
+++ b/internal/mesh/proxy/known_nodes.go
@@ -31,7 +31,7 @@
 	switch {
 	case response.Starting || !wasCurrent:
 		p.lateNodes = lateNodeList{}
-	case response.Whole:
+	case response.Complete:
 		p.lateNodes = lateNodeList{response.Controller, map[string]bool{}}
 		p.lateNodes.add(response)
 	case p.lateNodes.controller == response.Controller:
@@ -46,7 +46,7 @@
 	for _, record := range response.Nodes {
 		l.names[record.Name] = true
 	}
-	for _, name := range response.Gone {
+	for _, name := range response.RemovedNodes {
 		delete(l.names, name)
 	}
 }
@@ -56,7 +56,7 @@
 func (p *Proxy) confirmLateList(response *membership.WatchResponse) (confirmed bool) {
 	lateNodes := p.lateNodes
 	p.lateNodes = lateNodeList{}
-	if response.Whole || response.Starting || lateNodes.controller == "" || lateNodes.controller != response.Controller {
+	if response.Complete || response.Starting || lateNodes.controller == "" || lateNodes.controller != response.Controller {
 		return false
 	}
 	lateNodes.add(response)
@@ -70,7 +70,7 @@
 
 // replaceNodes applies the nodes that a current controller reports. The caller holds mu.
 func (p *Proxy) replaceNodes(response *membership.WatchResponse, askedAt int64) (changed bool) {
-	if response.Whole {
+	if response.Complete {
 		listed := map[string]bool{}
 		for _, record := range response.Nodes {
 			listed[record.Name] = true
@@ -84,18 +84,18 @@
 	for _, record := range response.Nodes {
 		p.putNode(record, askedAt)
 	}
-	for _, node := range response.Gone {
+	for _, node := range response.RemovedNodes {
 		delete(p.nodes, node)
 	}
 	p.position.Controller, p.position.Seq = response.Controller, response.Seq
 	confirmed := p.confirmLateList(response)
-	if response.Whole || confirmed {
+	if response.Complete || confirmed {
 		p.nodesOverlaid = response.Starting
 	}
 	if p.nodesOverlaid && !response.Starting {
 		p.position.Controller = "" // ask for the complete list: changes never remove a node that this controller did not know
 	}
-	return len(response.Nodes)+len(response.Gone) > 0 || response.Whole || confirmed
+	return len(response.Nodes)+len(response.RemovedNodes) > 0 || response.Complete || confirmed
 }
 
 // overlayNodes applies the records of a controller that is not current as far as they are newer, and removes no node.
@@ -119,7 +119,7 @@
 
 // supersededBy reports whether a record that was heard at heardAt is newer than the known one.
 func (n *knownNode) supersededBy(record membership.Record, heardAt int64) bool {
-	if record.Life == n.Life {
+	if record.Incarnation == n.Incarnation {
 		return record.Seq > n.Seq
 	}
 	return heardAt > n.heardAt
@@ -129,7 +129,7 @@
 func (p *Proxy) putNode(record membership.Record, askedAt int64) {
 	known := &knownNode{Record: record, heardAt: askedAt - record.Age}
 	if record.Upstream != nil {
-		known.warmAt = time.Now().Add(time.Duration(record.Upstream.Cold))
+		known.warmAt = time.Now().Add(time.Duration(record.Upstream.WarmupRemaining))
 	}
 	p.nodes[record.Name] = known
 }
@@ -137,7 +137,7 @@
 // addControllers adds reported controllers and keeps the known ones. The caller holds mu.
 func (p *Proxy) addControllers(reported []membership.ControllerAddress) {
 	for _, c := range reported {
-		if !slices.ContainsFunc(p.controllers, func(known membership.ControllerAddress) bool { return known.At == c.At }) {
+		if !slices.ContainsFunc(p.controllers, func(known membership.ControllerAddress) bool { return known.Address == c.Address }) {
 			p.controllers = append(p.controllers, c)
 		}
 	}
@@ -146,7 +146,7 @@
 // setMembers updates the number of proxies that share the tenants' quotas. Only a current controller can lower it. The
 // caller holds mu.
 func (p *Proxy) setMembers(response *membership.WatchResponse) {
-	members := max(response.Members, len(p.nodes), 1)
+	members := max(response.BalancerCount, len(p.nodes), 1)
 	if !response.Current {
 		members = max(members, p.members)
 	}
--- a/internal/mesh/proxy/line_pacer.go
+++ b/internal/mesh/proxy/line_pacer.go
@@ -74,7 +74,7 @@
 	}
 	now := p.sinceStart(time.Now())
 	if !requested.retried {
-		p.queue.Shares.Came(requested.rank, now)
+		p.queue.Shares.CountArrival(requested.rank, now)
 	}
 	ahead := 0
 	for other, n := range p.admitted {
@@ -83,10 +83,10 @@
 		}
 	}
 	late := float64(ahead)*p.meanLength/p.rate > requested.latencyTarget.Seconds()/2
-	if late && (p.admitted[requested.rank] > 0 || !p.queue.Shares.Owed(requested.rank, now)) {
+	if late && (p.admitted[requested.rank] > 0 || !p.queue.Shares.Underserved(requested.rank, now)) {
 		return false
 	}
-	p.queue.Shares.Served(requested.rank, now)
+	p.queue.Shares.CountServed(requested.rank, now)
 	p.admitted[requested.rank]++
 	return true
 }
@@ -113,7 +113,7 @@
 	}
 	now := p.sinceStart(time.Now())
 	waiter := &priority.Waiter[chan struct{}]{Rank: rank, Due: now, Request: make(chan struct{})}
-	p.queue.Join(waiter, math.MaxInt, now)
+	p.queue.Enqueue(waiter, math.MaxInt, now)
 	p.mu.Unlock()
 	select {
 	case <-waiter.Request:
@@ -133,7 +133,7 @@
 func (p *linePacer) release() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if next := p.queue.Next(p.sinceStart(time.Now())); next != nil {
+	if next := p.queue.Dequeue(p.sinceStart(time.Now())); next != nil {
 		close(next.Request)
 		return
 	}
--- a/internal/mesh/proxy/local_upstream.go
+++ b/internal/mesh/proxy/local_upstream.go
@@ -53,23 +53,23 @@
 	}
 	cold, _ := settings.Span(message.Status.Cold_time)
 	reported := membership.Upstream{
-		ID: id, Service: message.Notice.Destination, Edition: message.Notice.Edition, Capacity: message.Notice.Capacity,
-		Closing: message.Status.Condition == "closing", Cold: int64(cold),
+		ID: id, Service: message.Notice.Destination, Version: message.Notice.Edition, Capacity: message.Notice.Capacity,
+		Draining: message.Status.Condition == "closing", WarmupRemaining: int64(cold),
 	}
 	first := id != u.id
 	if first {
 		u.endCurrent()
 		u.id, u.closingAt, u.active, u.detector = id, time.Time{}, 0, outlier.Detector{}
 	}
-	reported.Ill = u.detector.Level()
-	if reported.Closing && u.closingAt.IsZero() {
+	reported.OutlierLevel = u.detector.Level()
+	if reported.Draining && u.closingAt.IsZero() {
 		u.closingAt = now
 		if first { // a previous proxy process may have acknowledged the closing, and Drain counts from then
 			u.closingAt = now.Add(-u.drain)
 		}
 	}
 	normalized := reported
-	normalized.Cold = u.reported.Cold
+	normalized.WarmupRemaining = u.reported.WarmupRemaining
 	altered := normalized != u.reported || u.unreachable
 	u.reported, u.revision, u.lastHeartbeat, u.unreachable, u.unanswered = reported, message.Status.PostmarkNo, now, false, 0
 	if message.Address != "" {
@@ -112,8 +112,8 @@
 
 // publishLevel notifies watchers if the outlier level has changed. The caller holds mu.
 func (u *localUpstream) publishLevel(changed bool) {
-	if changed && u.reported.Ill != u.detector.Level() {
-		u.reported.Ill = u.detector.Level()
+	if changed && u.reported.OutlierLevel != u.detector.Level() {
+		u.reported.OutlierLevel = u.detector.Level()
 		u.notify()
 	}
 }
@@ -177,8 +177,8 @@
 		return nil, u.seq, u.changed
 	}
 	copied := u.reported
-	if elapsed := int64(time.Since(u.lastHeartbeat)); copied.Cold > 0 {
-		copied.Cold = max(0, copied.Cold-elapsed)
+	if elapsed := int64(time.Since(u.lastHeartbeat)); copied.WarmupRemaining > 0 {
+		copied.WarmupRemaining = max(0, copied.WarmupRemaining-elapsed)
 	}
 	return &copied, u.seq, u.changed
 }
--- a/internal/mesh/proxy/outbound.go
+++ b/internal/mesh/proxy/outbound.go
@@ -84,8 +84,8 @@
 	request := &downstreamRequest{
 		method: r.Method, target: r.RequestURI, host: r.Host, requestID: r.Header.Get(requestIDHeader),
 		header: endToEndHeaders(r.Header), length: r.ContentLength,
-		latencyTarget: time.Duration(cmp.Or(route.Target, route.Dispatch.Deadline)), longResponse: route.MailClass == routing.Streamed,
-		maxAttempts: route.Dispatch.DeliveryTries, responses: map[int]*downstreamResponse{},
+		latencyTarget: time.Duration(cmp.Or(route.TargetLatency, route.Forwarding.Deadline)), longResponse: route.Class == routing.Streamed,
+		maxAttempts: route.Forwarding.MaxAttempts, responses: map[int]*downstreamResponse{},
 	}
 	for _, name := range meshOwnedHeaders {
 		delete(request.header, name)
@@ -120,7 +120,7 @@
 // require a key as well, because the caller is a tenant of this mesh.
 func (p *Proxy) authorize(active *configurationView, r *http.Request, route *routing.Route, request *downstreamRequest) refusal {
 	request.rank = rankOf(route, nil)
-	if !active.configuration.RequiresKeys() || route.Unstamped {
+	if !active.configuration.RequiresKeys() || route.AllowsAnonymous {
 		return notRefused
 	}
 	tenant := active.configuration.Tenant(r.Header.Get(apiKeyHeader))
@@ -150,7 +150,7 @@
 // readDeadlineAndBody reads the deadline of a request, and its body up to maxBufferedBody.
 func (p *Proxy) readDeadlineAndBody(active *configurationView, r *http.Request, route *routing.Route,
 	request *downstreamRequest) refusal {
-	remaining := time.Duration(route.Dispatch.Deadline)
+	remaining := time.Duration(route.Forwarding.Deadline)
 	if text := r.Header.Get(timeLeftHeader); text != "" {
 		ms, err := strconv.ParseFloat(text, 64)
 		if err != nil || !(ms >= 0) {
@@ -158,7 +158,7 @@
 		}
 		remaining = min(remaining, time.Duration(min(ms, 1e9)*float64(time.Millisecond)))
 	}
-	limit := active.configuration.Limits.ContentsBytes
+	limit := active.configuration.Limits.MaxBodyBytes
 	if limit > 0 && r.ContentLength > limit {
 		return refused(apierror.TooLong)
 	}
--- a/internal/mesh/proxy/partner_policy.go
+++ b/internal/mesh/proxy/partner_policy.go
@@ -58,16 +58,16 @@
 			return
 		}
 		if imports.No >= state.imports.No {
-			state.imports, state.ages, state.agesAskedAt = imports, response.Ages, askedAt
+			state.imports, state.ages, state.agesAskedAt = imports, response.PartnerAges, askedAt
 			p.applyPartners()
 			p.log.Info("partners", "no", imports.No)
 		}
 	}
-	for partner, age := range response.Ages {
+	for partner, age := range response.PartnerAges {
 		state.policy.Fresher(partner, age, askedAt)
 	}
-	if response.Calm {
-		state.policy.Renew(response.ImportsNo, askedAt)
+	if response.ImportsCurrent {
+		state.policy.Renew(response.ImportsVersion, askedAt)
 	}
 }
 
@@ -82,7 +82,7 @@
 	var federated []federation.Partner
 	state.gateways, state.configurations = map[string]string{}, map[string]*routing.Partner{}
 	for _, partner := range active.configuration.Partners {
-		federated = append(federated, federation.Partner{Name: partner.Name, Gateway: partner.Gateway, ReadsStale: partner.ReadsStale})
+		federated = append(federated, federation.Partner{Name: partner.Name, Gateway: partner.Gateway, ReadsStale: partner.AllowStaleReads})
 		state.gateways[partner.Name], state.configurations[partner.Name] = partner.Gateway, partner
 	}
 	state.enabled = len(federated) > 0
@@ -123,17 +123,17 @@
 	if federation.Reads(r.Method) {
 		class = routing.Repeatable
 	}
-	route = &routing.Route{Name: string(class), MailClass: class, Target: partner.Target}
-	route.Parts = []routing.WeightedService{{Service: "partners", Share: 1}}
-	route.Dispatch.Deadline, route.Dispatch.DeliveryTries = partner.Deadline, max(partner.Tries, 1)
+	route = &routing.Route{Name: string(class), Class: class, TargetLatency: partner.TargetLatency}
+	route.Services = []routing.WeightedService{{Service: "partners", Weight: 1}}
+	route.Forwarding.Deadline, route.Forwarding.MaxAttempts = partner.Deadline, max(partner.MaxAttempts, 1)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	name := "partners:" + strings.Join(names, ",")
 	service := p.pools[name]
 	if service == nil {
 		repeatable, onceOnly := *route, *route
-		repeatable.Name, repeatable.MailClass = string(routing.Repeatable), routing.Repeatable
-		onceOnly.Name, onceOnly.MailClass = string(routing.OnceOnly), routing.OnceOnly
+		repeatable.Name, repeatable.Class = string(routing.Repeatable), routing.Repeatable
+		onceOnly.Name, onceOnly.Class = string(routing.OnceOnly), routing.OnceOnly
 		routes := []*routing.Route{&repeatable, &onceOnly}
 		if err := p.updateRoutes(name, routes); err != nil {
 			p.log.Error("retune", "service", name, "err", err)
@@ -172,7 +172,7 @@
 	type gatewayAddress struct{ node, zone, address string }
 	var gateways []gatewayAddress
 	for _, n := range nodes[:min(len(nodes), maxGateways)] {
-		gateways = append(gateways, gatewayAddress{n.Name, n.District, n.Inbound})
+		gateways = append(gateways, gatewayAddress{n.Name, n.Zone, n.Inbound})
 	}
 	if len(gateways) == 0 {
 		gateways = append(gateways, gatewayAddress{p.settings.Node, p.settings.District, p.settings.Inbound})
--- a/internal/mesh/proxy/proxy_test.go
+++ b/internal/mesh/proxy/proxy_test.go
@@ -98,16 +98,16 @@
 		upstream.observe("i1", true, now) // of an ended instance
 	}
 	reported, _, changed = upstream.snapshot()
-	must.Eq(t, 0, reported.Ill)
+	must.Eq(t, 0, reported.OutlierLevel)
 	for n := range 6 {
 		upstream.observe("i2", true, now.Add(time.Duration(n)*time.Millisecond))
 	}
 	<-changed
 	reported, _, _ = upstream.snapshot()
-	must.Eq(t, 3, reported.Ill)
+	must.Eq(t, 3, reported.OutlierLevel)
 	upstream.heartbeat("i2", newHeartbeat(4, 6, "accepting"), now) // a heartbeat does not reset the outlier level
 	reported, _, _ = upstream.snapshot()
-	must.Eq(t, 3, reported.Ill)
+	must.Eq(t, 3, reported.OutlierLevel)
 }
 
 // A chunked response does not state its length. A short one must not wait for the line behind long responses.
@@ -230,7 +230,7 @@
 	must.NoError(t, err)
 	p := &Proxy{}
 	p.view.Store(&configurationView{configuration: configuration})
-	encoded := requestPriority{300 * time.Millisecond, priority.Of(1, 0), false}.encode()
+	encoded := requestPriority{300 * time.Millisecond, priority.NewRank(1, 0), false}.encode()
 	must.Eq(t, "300", encoded[0]) // all that earlier versions read
 	for _, c := range []struct {
 		values []string
@@ -238,13 +238,13 @@
 		tenant string
 		want   requestPriority
 	}{
-		{encoded, "/r/x", "t", requestPriority{300 * time.Millisecond, priority.Of(1, 0), false}},
-		{encoded[:1], "/r/x?y", "t", requestPriority{300 * time.Millisecond, priority.Of(3, 2), false}}, // from an earlier version: rank of the local configuration
-		{encoded[:1], "/r/x", "", requestPriority{300 * time.Millisecond, priority.Of(0, 2), false}},
-		{requestPriority{300 * time.Millisecond, priority.Of(1, 0), true}.encode(), "/r/x", "t", requestPriority{300 * time.Millisecond, priority.Of(1, 0), true}},
-		{encoded[:1], "/other/", "t", requestPriority{300 * time.Millisecond, priority.Lowest, false}},
-		{[]string{"1e9", "priority=no"}, "/other/", "", requestPriority{defaultLatencyTarget, priority.Lowest, false}},
-		{nil, "/other/", "", requestPriority{defaultLatencyTarget, priority.Lowest, false}},
+		{encoded, "/r/x", "t", requestPriority{300 * time.Millisecond, priority.NewRank(1, 0), false}},
+		{encoded[:1], "/r/x?y", "t", requestPriority{300 * time.Millisecond, priority.NewRank(3, 2), false}}, // from an earlier version: rank of the local configuration
+		{encoded[:1], "/r/x", "", requestPriority{300 * time.Millisecond, priority.NewRank(0, 2), false}},
+		{requestPriority{300 * time.Millisecond, priority.NewRank(1, 0), true}.encode(), "/r/x", "t", requestPriority{300 * time.Millisecond, priority.NewRank(1, 0), true}},
+		{encoded[:1], "/other/", "t", requestPriority{300 * time.Millisecond, priority.LowestRank, false}},
+		{[]string{"1e9", "priority=no"}, "/other/", "", requestPriority{defaultLatencyTarget, priority.LowestRank, false}},
+		{nil, "/other/", "", requestPriority{defaultLatencyTarget, priority.LowestRank, false}},
 	} {
 		r := httptest.NewRequest("GET", "http://a"+c.path, nil)
 		r.RequestURI, r.Host = c.path, "a"
@@ -274,8 +274,8 @@
 			pacer.mu.Unlock()
 		}
 	}
-	enqueue("usual", priority.Of(0, 2), 0)
-	enqueue("urgent", priority.Of(0, 0), 1)
+	enqueue("usual", priority.NewRank(0, 2), 0)
+	enqueue("urgent", priority.NewRank(0, 0), 1)
 	pacer.release()
 	must.Eq(t, "urgent", <-order)
 	pacer.release()
--- a/internal/mesh/proxy/request_priority.go
+++ b/internal/mesh/proxy/request_priority.go
@@ -63,11 +63,11 @@
 func (p *Proxy) configuredRank(r *http.Request) priority.Rank {
 	active := p.view.Load()
 	if active == nil {
-		return priority.Lowest
+		return priority.LowestRank
 	}
 	route := active.configuration.Find(r.Host, pathOf(r.RequestURI))
 	if route == nil {
-		return priority.Lowest
+		return priority.LowestRank
 	}
 	return rankOf(route, active.configuration.TenantByName(r.Header.Get(tenantHeader)))
 }
@@ -75,7 +75,7 @@
 // rankOf returns the rank of a request on a route for a tenant, which is nil for requests without one.
 func rankOf(route *routing.Route, tenant *routing.Tenant) priority.Rank {
 	if tenant == nil {
-		return priority.Of(0, route.Precedence)
+		return priority.NewRank(0, route.Priority)
 	}
-	return priority.Of(tenant.Precedence, route.Precedence)
+	return priority.NewRank(tenant.Priority, route.Priority)
 }
--- a/internal/mesh/proxy/service_pool.go
+++ b/internal/mesh/proxy/service_pool.go
@@ -73,8 +73,8 @@
 // serviceLevelOf returns the service level of a route.
 func serviceLevelOf(route *routing.Route) serviceLevel {
 	return serviceLevel{
-		route.MailClass.Repeats(), time.Duration(cmp.Or(route.Target, route.Dispatch.Deadline)),
-		time.Duration(route.Dispatch.Deadline),
+		route.Class.IsRepeatable(), time.Duration(cmp.Or(route.TargetLatency, route.Forwarding.Deadline)),
+		time.Duration(route.Forwarding.Deadline),
 	}
 }
 
@@ -89,7 +89,7 @@
 	if !known {
 		return target{}, false
 	}
-	tries := route.Dispatch.DeliveryTries
+	tries := route.Forwarding.MaxAttempts
 	limitedTerms := p.limitedTerms[tries]
 	if limitedTerms == nil {
 		copied := *p.book.Terms
@@ -162,10 +162,10 @@
 	book = &terms.Book{Terms: moduleTerms, Tariffs: map[string]int{}, Customers: map[string]int{}, Default: -1}
 	seen := map[serviceLevel]bool{}
 	for _, route := range routes {
-		if route.MailClass == routing.Streamed {
+		if route.Class == routing.Streamed {
 			moduleTerms.CrossZonePrice = longCrossZonePrice
 		}
-		moduleTerms.MaxPushes = max(moduleTerms.MaxPushes, route.Dispatch.DeliveryTries)
+		moduleTerms.MaxPushes = max(moduleTerms.MaxPushes, route.Forwarding.MaxAttempts)
 		key := serviceLevelOf(route)
 		if seen[key] {
 			continue
@@ -238,12 +238,12 @@
 func upstreamEntries(nodes []*knownNode, now time.Time) (entries []roster.Entry[string]) {
 	levels, slots := make([]int, len(nodes)), make([]float64, len(nodes))
 	for k, n := range nodes {
-		levels[k], slots[k] = n.Upstream.Ill, float64(max(n.Upstream.Capacity, 1))
+		levels[k], slots[k] = n.Upstream.OutlierLevel, float64(max(n.Upstream.Capacity, 1))
 	}
 	for k, share := range outlier.Shares(levels, slots) {
 		n := nodes[k]
 		entries = append(entries, roster.Entry[string]{
-			Name: n.Upstream.ID, Zone: n.District, Address: n.Inbound, Ends: n.Upstream.Closing || n.Leaving,
+			Name: n.Upstream.ID, Zone: n.Zone, Address: n.Inbound, Ends: n.Upstream.Draining || n.Leaving,
 			Up: logic.Upstream{Number: roster.Number(n.Upstream.ID), Weight: n.weight(now) * share},
 		})
 	}
--- a/internal/mesh/proxy/view.go
+++ b/internal/mesh/proxy/view.go
@@ -56,8 +56,8 @@
 	}
 	byService := map[string][]*routing.Route{}
 	for _, route := range config.Routes {
-		for i, part := range route.Parts {
-			if !containsService(route.Parts[:i], part.Service) {
+		for i, part := range route.Services {
+			if !containsService(route.Services[:i], part.Service) {
 				byService[part.Service] = append(byService[part.Service], route)
 			}
 		}
@@ -102,15 +102,15 @@
 
 // newView returns the view of a version with the existing load balancers. The caller holds mu.
 func (p *Proxy) newView(index uint64, config *routing.Configuration) *configurationView {
-	view := &configurationView{index: index, configuration: config, idle: time.Duration(config.Limits.Idle),
+	view := &configurationView{index: index, configuration: config, idle: time.Duration(config.Limits.IdleTimeout),
 		targets: make(map[*routing.Route][]target, len(config.Routes))}
 	for _, route := range config.Routes {
-		for _, part := range route.Parts {
+		for _, part := range route.Services {
 			service := p.pools[part.Service]
 			if service == nil {
 				continue
 			}
-			if to, known := service.target(route, part.Share); known {
+			if to, known := service.target(route, part.Weight); known {
 				view.targets[route] = append(view.targets[route], to)
 			}
 		}
--- a/internal/mesh/proxy/watch.go
+++ b/internal/mesh/proxy/watch.go
@@ -104,7 +104,7 @@
 	late := p.now()-askedAt > int64(WatchTimeout) && !p.skipResponseAgeCheck
 	wasCurrent := response.Current
 	if late { // the controller may no longer be current, but its state may still be newer
-		response.Current, response.Calm = false, false
+		response.Current, response.ImportsCurrent = false, false
 	}
 	err = p.applyWatchResponse(response, askedAt)
 	p.requestFetch(controller, response)
@@ -127,14 +127,14 @@
 // watchRequest returns the next watch request and a channel that is closed when there is a change to report.
 func (p *Proxy) watchRequest() (request *membership.WatchRequest, changed <-chan struct{}) {
 	p.mu.Lock()
-	request = &membership.WatchRequest{Position: p.position, MaxWait: int64(watchHold), Packed: !p.unpackFailed.Load()}
+	request = &membership.WatchRequest{Position: p.position, MaxWait: int64(watchHold), AcceptsPacked: !p.unpackFailed.Load()}
 	p.mu.Unlock()
 	p.partnerPolicy.Lock()
-	request.Position.Imports = p.partnerPolicy.imports.No
+	request.Position.KnownImports = p.partnerPolicy.imports.No
 	p.partnerPolicy.Unlock()
 	upstream, seq, changed := p.local.snapshot()
-	request.Node = membership.Node{Name: p.settings.Node, Inbound: p.settings.Inbound, District: p.settings.District,
-		Life: p.instanceID, Seq: seq, Upstream: upstream, Leaving: p.draining.Load()}
+	request.Node = membership.Node{Name: p.settings.Node, Inbound: p.settings.Inbound, Zone: p.settings.District,
+		Incarnation: p.instanceID, Seq: seq, Upstream: upstream, Leaving: p.draining.Load()}
 	if request.Node.Leaving {
 		request.Node.Seq += 1 << 32
 	}
@@ -159,12 +159,12 @@
 	}
 	for _, c := range p.controllers {
 		if c.Zone == p.settings.District {
-			add(c.At)
+			add(c.Address)
 		}
 	}
 	sameZone := len(addresses)
 	for _, c := range p.controllers {
-		add(c.At)
+		add(c.Address)
 	}
 	for _, at := range p.seeds {
 		add(at)
--- a/internal/mesh/proxy/watch_test.go
+++ b/internal/mesh/proxy/watch_test.go
@@ -45,7 +45,7 @@
 
 // record returns the record of a node that was heard of before the given age.
 func record(name, life string, seq uint64, age time.Duration) membership.Record {
-	return membership.Record{Node: membership.Node{Name: name, Life: life, Seq: seq}, Age: int64(age)}
+	return membership.Record{Node: membership.Node{Name: name, Incarnation: life, Seq: seq}, Age: int64(age)}
 }
 
 // A proxy that is paused between its request and the response finds both the response and the end of the watch timeout
@@ -68,7 +68,7 @@
 // controllers.
 func TestNonCurrentControllerRemovesNothing(t *testing.T) {
 	whole := func(controller string, current bool, controllers []membership.ControllerAddress, nodes ...membership.Record) *membership.WatchResponse {
-		return &membership.WatchResponse{Position: membership.Position{Controller: controller, Seq: 9}, Current: current, Members: len(nodes), Whole: true,
+		return &membership.WatchResponse{Position: membership.Position{Controller: controller, Seq: 9}, Current: current, BalancerCount: len(nodes), Complete: true,
 			Controllers: controllers, Nodes: nodes}
 	}
 	for _, withoutOverlay := range []bool{false, true} {
@@ -77,29 +77,29 @@
 		apply := func(response *membership.WatchResponse) {
 			must.NoError(t, p.applyWatchResponse(response, p.now()))
 		}
-		apply(whole("sound", true, []membership.ControllerAddress{{At: "sound"}, {At: "other"}},
+		apply(whole("sound", true, []membership.ControllerAddress{{Address: "sound"}, {Address: "other"}},
 			record("a", "a2", 1, time.Second), record("b", "b1", 4, time.Second), record("c", "c1", 1, time.Second)))
 		lost := record("b", "b1", 4, 15*time.Second)
 		lost.Lost = true
-		apply(whole("cut off", false, []membership.ControllerAddress{{At: "cut off"}},
+		apply(whole("cut off", false, []membership.ControllerAddress{{Address: "cut off"}},
 			record("a", "a1", 8, 18*time.Second), lost, record("c", "c1", 2, time.Second), record("d", "d1", 1, 0)))
 		if withoutOverlay {
-			must.Eq(t, "a1", p.nodes["a"].Life)
+			must.Eq(t, "a1", p.nodes["a"].Incarnation)
 			must.True(t, p.nodes["b"].Lost)
 			must.SliceLen(t, 1, p.knownControllers())
 			continue
 		}
 		must.Eq(t, []string{"a", "b", "c", "d"}, slices.Sorted(maps.Keys(p.nodes)))
-		must.Eq(t, "a2", p.nodes["a"].Life)
+		must.Eq(t, "a2", p.nodes["a"].Incarnation)
 		must.False(t, p.nodes["b"].Lost)
 		must.Eq(t, 2, p.nodes["c"].Seq) // newer record of the same instance
 		must.SliceLen(t, 3, p.knownControllers())
 		must.Eq(t, 4, p.members)
-		apply(&membership.WatchResponse{Position: membership.Position{Controller: "cut off", Seq: 12}, Members: 1, Gone: []string{"a", "b"}})
+		apply(&membership.WatchResponse{Position: membership.Position{Controller: "cut off", Seq: 12}, BalancerCount: 1, RemovedNodes: []string{"a", "b"}})
 		must.MapLen(t, 4, p.nodes)
 		must.Eq(t, 4, p.members)
 		// Once it is current again, its changes alone would never remove d, so the complete list is requested.
-		apply(&membership.WatchResponse{Position: membership.Position{Controller: "cut off", Seq: 13}, Current: true, Members: 3})
+		apply(&membership.WatchResponse{Position: membership.Position{Controller: "cut off", Seq: 13}, Current: true, BalancerCount: 3})
 		must.Eq(t, "", p.position.Controller)
 		apply(whole("cut off", true, nil, record("a", "a2", 1, 0), record("b", "b1", 4, 0)))
 		must.Eq(t, []string{"a", "b"}, slices.Sorted(maps.Keys(p.nodes)))
@@ -112,7 +112,7 @@
 // from it. Nodes missing from the list are removed, and it is not requested again.
 func TestLateNodeListAppliesOnceConfirmed(t *testing.T) {
 	list := func(current, whole bool, controller string, seq uint64, nodes ...membership.Record) *membership.WatchResponse {
-		return &membership.WatchResponse{Position: membership.Position{Controller: controller, Seq: seq}, Current: current, Whole: whole, Members: 3, Nodes: nodes}
+		return &membership.WatchResponse{Position: membership.Position{Controller: controller, Seq: seq}, Current: current, Complete: whole, BalancerCount: 3, Nodes: nodes}
 	}
 	applyLate := func(p *Proxy, response *membership.WatchResponse) {
 		response.Current = false
@@ -133,7 +133,7 @@
 	must.Eq(t, "two", p.position.Controller) // the complete list is not requested again
 
 	p = start()
-	applyLate(p, &membership.WatchResponse{Position: membership.Position{Controller: "two", Seq: 6}, Gone: []string{"b"}})
+	applyLate(p, &membership.WatchResponse{Position: membership.Position{Controller: "two", Seq: 6}, RemovedNodes: []string{"b"}})
 	must.NoError(t, p.applyWatchResponse(list(true, false, "two", 7), p.now()))
 	must.Eq(t, []string{"a"}, names(p))
 
@@ -206,19 +206,19 @@
 	verdict := func() federation.Verdict {
 		return p.partnerPolicy.policy.Look("zuid", "POST", "zuid.example", "/scans/1", p.now())
 	}
-	p.applyPartnerUpdate(&membership.WatchResponse{Imports: raw, ImportsNo: book.No, Ages: map[string]int64{"zuid": 0}}, p.now()-int64(21*time.Second))
-	p.applyPartnerUpdate(&membership.WatchResponse{ImportsNo: book.No, Calm: true}, p.now())
+	p.applyPartnerUpdate(&membership.WatchResponse{Imports: raw, ImportsVersion: book.No, PartnerAges: map[string]int64{"zuid": 0}}, p.now()-int64(21*time.Second))
+	p.applyPartnerUpdate(&membership.WatchResponse{ImportsVersion: book.No, ImportsCurrent: true}, p.now())
 	must.Eq(t, federation.NoLeave, verdict())
-	p.applyPartnerUpdate(&membership.WatchResponse{Ages: map[string]int64{"zuid": int64(time.Second)}}, p.now()-int64(21*time.Second))
+	p.applyPartnerUpdate(&membership.WatchResponse{PartnerAges: map[string]int64{"zuid": int64(time.Second)}}, p.now()-int64(21*time.Second))
 	must.Eq(t, federation.NoLeave, verdict())
-	p.applyPartnerUpdate(&membership.WatchResponse{Ages: map[string]int64{"zuid": int64(time.Second)}}, p.now())
+	p.applyPartnerUpdate(&membership.WatchResponse{PartnerAges: map[string]int64{"zuid": int64(time.Second)}}, p.now())
 	must.Eq(t, federation.Open, verdict())
 }
 
 // Each controller lists itself first. A proxy in a zone without a controller must keep asking the same one; otherwise
 // it would move to another one with each response without a pause, because each one has all of its nodes to report.
 func TestControllerOrderIsIndependentOfReportOrder(t *testing.T) {
-	reported := []membership.ControllerAddress{{At: "10.0.0.1:1", Zone: "x"}, {At: "10.0.0.2:1", Zone: "y"}, {At: "10.0.0.3:1", Zone: "y"}}
+	reported := []membership.ControllerAddress{{Address: "10.0.0.1:1", Zone: "x"}, {Address: "10.0.0.2:1", Zone: "y"}, {Address: "10.0.0.3:1", Zone: "y"}}
 	for _, node := range []string{"a", "b", "c", "d"} {
 		p := newTestProxy(nil)
 		p.settings.Node = node
@@ -284,10 +284,12 @@
 				<-r.Context().Done()
 				return nil, r.Context().Err()
 			}
-			return controllerStub(func(string) *membership.WatchResponse { return &membership.WatchResponse{Current: true, Members: 1} }).RoundTrip(r)
+			return controllerStub(func(string) *membership.WatchResponse {
+				return &membership.WatchResponse{Current: true, BalancerCount: 1}
+			}).RoundTrip(r)
 		})
 	}))
-	p.controllers = []membership.ControllerAddress{{At: "silent", Zone: "z"}, {At: "sound", Zone: "y"}}
+	p.controllers = []membership.ControllerAddress{{Address: "silent", Zone: "z"}, {Address: "sound", Zone: "y"}}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go p.watch(ctx)
--- a/internal/mesh/routing/packed.go
+++ b/internal/mesh/routing/packed.go
@@ -7,64 +7,64 @@
 	"io"
 )
 
-// mostUnpacked bounds what a packed configuration may grow to.
-const mostUnpacked = 256 << 20
+// maxUnpackedBytes limits the size of a decompressed configuration or change.
+const maxUnpackedBytes = 256 << 20
 
-// Packed is a configuration, or a change that leads to it, as it travels between processes.
+// Packed is a compressed configuration, or a compressed change that results in it, for the transfer between processes.
 type Packed struct {
 	Result string // digest of the configuration
-	Base   string `json:",omitempty"` // digest of the one that it changes, none for a whole one
-	Data   []byte // compressed
+	Base   string `json:",omitempty"` // digest of the base of the change, empty for a whole configuration
+	Data   []byte // compressed with DEFLATE
 }
 
-// Pack compresses a configuration: as a change of a base, or whole where base is nil.
-func Pack(base, t *Configuration) (*Packed, error) {
-	content := []byte(t.document)
-	p := &Packed{Result: t.digest}
+// Pack compresses a configuration as a change of base, or as a whole if base is nil.
+func Pack(base, configuration *Configuration) (*Packed, error) {
+	content := []byte(configuration.document)
+	packed := &Packed{Result: configuration.digest}
 	if base != nil {
-		text, err := json.Marshal(base.ChangeTo(t))
+		text, err := json.Marshal(base.ChangeTo(configuration))
 		if err != nil {
 			return nil, Error.Wrap(err)
 		}
-		content, p.Base = text, base.digest
+		content, packed.Base = text, base.digest
 	}
-	var packed bytes.Buffer
-	w, err := flate.NewWriter(&packed, flate.DefaultCompression)
+	var compressed bytes.Buffer
+	writer, err := flate.NewWriter(&compressed, flate.DefaultCompression)
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	if _, err := w.Write(content); err != nil {
+	if _, err := writer.Write(content); err != nil {
 		return nil, Error.Wrap(err)
 	}
-	if err := w.Close(); err != nil {
+	if err := writer.Close(); err != nil {
 		return nil, Error.Wrap(err)
 	}
-	p.Data = packed.Bytes()
-	return p, nil
+	packed.Data = compressed.Bytes()
+	return packed, nil
 }
 
-// Unpack reads a packed configuration; base is the one that is held, nil for none.
+// Unpack decompresses and decodes a packed configuration. A packed change requires its base; otherwise base may be nil.
 func (p *Packed) Unpack(base *Configuration) (*Configuration, error) {
-	content, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(p.Data)), mostUnpacked))
+	content, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(p.Data)), maxUnpackedBytes))
 	if err != nil {
-		return nil, Error.New("unpacking: %v", err)
+		return nil, Error.New("decompressing the configuration: %v", err)
 	}
 	if p.Base == "" {
-		t, err := Load(content)
-		if err == nil && t.digest != p.Result {
-			return nil, Error.New("what was told to be %.32s is %s", p.Result, t.digest)
+		configuration, err := Load(content)
+		if err == nil && configuration.digest != p.Result {
+			return nil, Error.New("configuration announced as %.32s has the digest %s", p.Result, configuration.digest)
 		}
-		return t, err
+		return configuration, err
 	}
 	if base == nil {
-		return nil, Error.New("a change, and nothing that it changes")
+		return nil, Error.New("received a change without having a base configuration")
 	}
-	var c Change
-	if err := json.Unmarshal(content, &c); err != nil {
-		return nil, Error.New("a change: %v", err)
+	var change Change
+	if err := json.Unmarshal(content, &change); err != nil {
+		return nil, Error.New("decoding a change: %v", err)
 	}
-	if c.Result != p.Result {
-		return nil, Error.New("a change to %.32s, told to lead to %.32s", c.Result, p.Result)
+	if change.Result != p.Result {
+		return nil, Error.New("change results in %.32s but was announced to result in %.32s", change.Result, p.Result)
 	}
-	return base.Apply(&c)
+	return base.Apply(&change)
 }
