--- a/internal/mesh/burstcredit/account.go
+++ b/internal/mesh/burstcredit/account.go
@@ -6,92 +6,97 @@
 	"slices"
 )
 
-// Lot is what was saved on one day.
+// Lot holds the tokens saved on one day.
 type Lot struct {
-	Day  int64   // of the book's time
-	Left float64 // tokens
+	Day  int64   // in ledger time
+	Left float64 // remaining tokens
 }
 
 // Entry is a line of an account's history.
 type Entry struct {
-	At        int64 // of the book's time
+	At        int64 // ledger time in nanoseconds
 	What, Who string
 	Why       string `json:",omitempty"`
 	Tokens    float64
 }
 
-// Account is one tenant's credit. Earned + Granted = balance + out + Spent + Expired, always.
+// Account is one tenant's credit, in tokens. Earned + Granted always equals balance + outstanding escrow + Spent +
+// Expired.
 type Account struct {
-	Earned, Granted, Spent, Expired float64 // since it was opened
-	Lots                            []Lot   `json:",omitempty"` // the oldest in front
+	Earned, Granted, Spent, Expired float64 // totals since the account was opened
+	Lots                            []Lot   `json:",omitempty"` // oldest first
 	Frozen                          bool    `json:",omitempty"`
-	Purse                           float64 // of Extra, that may be given out now
-	History                         []Entry `json:",omitempty"` // the last few
+	GrantBudget                     float64 `json:"Purse"`      // tokens that may be granted now within ExtraRate
+	History                         []Entry `json:",omitempty"` // the last maxHistory entries
 }
 
-// Balance is what may be given out.
-func (a *Account) Balance() (all float64) {
-	for _, l := range a.Lots {
-		all += l.Left
+// Balance returns the saved tokens.
+func (a *Account) Balance() (total float64) {
+	for _, lot := range a.Lots {
+		total += lot.Left
 	}
-	return all
+	return total
 }
 
-func (l *Ledger) account(tenant string) *Account {
-	a := l.Accounts[tenant]
-	if a == nil {
-		a = &Account{}
-		l.Accounts[tenant] = a
+// openAccount returns a tenant's account and opens it if necessary.
+func (l *Ledger) openAccount(tenant string) *Account {
+	account := l.Accounts[tenant]
+	if account == nil {
+		account = &Account{}
+		l.Accounts[tenant] = account
 	}
-	return a
+	return account
 }
 
-func (l *Ledger) note(a *Account, what, who, why string, tokens float64) {
-	a.History = append(a.History, Entry{l.Now, what, who, why, tokens})
-	a.History = a.History[max(0, len(a.History)-history):]
+// record appends an entry to an account's history.
+func (l *Ledger) record(account *Account, what, who, why string, tokens float64) {
+	account.History = append(account.History, Entry{l.Now, what, who, why, tokens})
+	account.History = account.History[max(0, len(account.History)-maxHistory):]
 }
 
-// save puts tokens into today's lot, up to the cap; it says how many there was room for.
-func (l *Ledger) save(a *Account, tokens, most float64) float64 {
-	tokens = math.Max(0, math.Min(tokens, most-a.Balance()))
+// deposit adds tokens to today's lot, up to a balance of limit. It returns how many were added.
+func (l *Ledger) deposit(account *Account, tokens, limit float64) float64 {
+	tokens = math.Max(0, math.Min(tokens, limit-account.Balance()))
 	if tokens == 0 {
 		return 0
 	}
-	if n := len(a.Lots); n == 0 || a.Lots[n-1].Day < l.Now/day {
-		a.Lots = append(a.Lots, Lot{Day: l.Now / day})
+	if n := len(account.Lots); n == 0 || account.Lots[n-1].Day < l.Now/day {
+		account.Lots = append(account.Lots, Lot{Day: l.Now / day})
 	}
-	a.Lots[len(a.Lots)-1].Left += tokens
+	account.Lots[len(account.Lots)-1].Left += tokens
 	return tokens
 }
 
-// take takes tokens out of the oldest lots.
-func (a *Account) take(tokens float64) float64 {
-	left := tokens
-	for len(a.Lots) > 0 && left > 0 {
-		part := math.Min(left, a.Lots[0].Left)
-		a.Lots[0].Left -= part
-		if left -= part; a.Lots[0].Left <= 0 {
+// withdraw removes tokens from the oldest lots. It returns how many were removed.
+func (a *Account) withdraw(tokens float64) float64 {
+	remaining := tokens
+	for len(a.Lots) > 0 && remaining > 0 {
+		amount := math.Min(remaining, a.Lots[0].Left)
+		a.Lots[0].Left -= amount
+		if remaining -= amount; a.Lots[0].Left <= 0 {
 			a.Lots = a.Lots[1:]
 		}
 	}
-	return tokens - left
+	return tokens - remaining
 }
 
-// Stand is an account as operators see it.
+// AccountStatus is an account as shown to operators.
 type AccountStatus struct {
 	Tenant                          string
-	Balance, Out                    float64
+	Balance                         float64
+	Outstanding                     float64 `json:"Out"` // tokens in escrow at balancers
 	Earned, Granted, Spent, Expired float64
-	Gap                             float64
+	Gap                             float64 // see Ledger.Gap
 	Frozen                          bool
 	History                         []Entry
 }
 
-// Stands are all accounts, by name.
+// Status returns the state of all accounts, sorted by tenant.
 func (l *Ledger) Status() (all []AccountStatus) {
 	for _, tenant := range slices.Sorted(maps.Keys(l.Accounts)) {
-		a := l.Accounts[tenant]
-		all = append(all, AccountStatus{tenant, a.Balance(), l.out(tenant), a.Earned, a.Granted, a.Spent, a.Expired, l.Gap(tenant), a.Frozen, a.History})
+		account := l.Accounts[tenant]
+		all = append(all, AccountStatus{tenant, account.Balance(), l.outstanding(tenant), account.Earned, account.Granted, account.Spent,
+			account.Expired, l.Gap(tenant), account.Frozen, account.History})
 	}
 	return all
 }
--- a/internal/mesh/burstcredit/burstcredit.go
+++ b/internal/mesh/burstcredit/burstcredit.go
@@ -1,24 +1,25 @@
-// Package burstcredit is burst credit: what a tenant leaves of its rate in quiet times is saved, and spent over its rate in rushes, in
-// whatever zone or region the rush lands. It does no I/O and reads no clock.
+// Package burstcredit implements burst credit: a tenant saves part of its unused rate and spends it later above its
+// rate, in any zone or region. The package does no I/O and reads no clock.
 //
-// A Book is the accounts of all tenants, a part of what the core agrees on (book.go). A Crop is what one balancer holds of them
-// (crop.go): tokens in escrow, which are gone from the account for as long as they are out, so that no request waits for the core.
+// The Ledger (ledger.go) holds the accounts of all tenants and is part of the controllers' replicated state. A Wallet
+// (wallet.go) holds the tokens of one balancer in escrow. Tokens in escrow are deducted from the account, so that
+// requests need no call to the controllers.
 //
-// What a request draws is reserved under its identity, then settled or released. Tries of one request, and a client's own
-// repeats of it, share one reservation at a balancer; settlements of one identity at several balancers are charged once, by
-// the Book.
+// A request reserves a token under its identity. The token is charged or released when the outcome is known. All
+// attempts of a request, including the client's own retries, share one reservation at a balancer. If several balancers
+// charge the same identity, the Ledger charges it once.
 //
-// Bounds, for a tenant with Extra tokens a second over its rate, n balancers, and Strand:
+// Bounds for one tenant:
 //
-//	spent over the rate in a window W  <=  Extra·W + Extra·Ahead
-//	stranded by balancers cut off      <=  Extra·Ahead, for as long as they are cut off, Strand at most
-//	drawn beyond the credit            <=  what balancers that die spent since their last report: Extra·Ahead in all; 0 otherwise
+//	spent above the rate in a window W   <=  ExtraRate·W + ExtraRate·PrefetchWindow
+//	held by unreachable balancers        <=  ExtraRate·PrefetchWindow, for at most EscrowTimeout
+//	spent beyond the credit              <=  what crashed balancers spent after their last report, ExtraRate·PrefetchWindow in all
+//	identities kept for deduplication    <=  ExtraRate·DedupWindow
 //
-// A balancer that is silent for Strand may have spent all that it holds, so all of it counts as spent; once it is back, what it
-// has not spent is in the account again, and it holds nothing. Only a later life proves that one is dead: then effects that may
-// have run are charged and the rest goes back at once.
-//
-//	identities kept in the Book  <=  Extra·Window
+// A balancer that is silent for EscrowTimeout may have spent its whole escrow, so the escrow is written off as spent.
+// When the balancer returns, its unspent tokens go back to the account and its wallet is reset. Only a report of a
+// later incarnation proves that a balancer crashed: then effects that may have run are charged and the rest is refunded
+// at once.
 package burstcredit
 
 import (
@@ -28,81 +29,84 @@
 	"ottershift/internal/mesh/routing"
 )
 
-const s = int64(1e9)
+const second = int64(1e9)
 
-// Times of the protocol, in nanoseconds.
+// Time constants of the protocol, in nanoseconds.
 const (
-	Ahead  = 1 * s    // of its demand that a balancer holds beforehand
-	Every  = s / 4    // between two reports of a balancer that has something to tell
-	Window = 60 * s   // for which a settled identity is known again
-	Strand = 3600 * s // after which what a silent balancer holds is closed
-	day    = 86400 * s
+	PrefetchWindow = 1 * second    // amount of demand that a balancer prefetches
+	ReportInterval = second / 4    // time between two reports of a balancer that has something to report
+	DedupWindow    = 60 * second   // time for which a charged identity is recognized
+	EscrowTimeout  = 3600 * second // silence after which a balancer's escrow is written off
+	day            = 86400 * second
 )
 
-// Terms are what a tenant's configuration entry says of its credit.
+// Terms are the configured terms of a tenant's credit.
 type Terms struct {
-	Earn  float64 // part of what it leaves of its rate that is saved, above 0 to have an account
-	Cap   float64 // tokens saved at most
-	Keep  int64   // nanoseconds after which what was saved expires
-	Extra float64 // tokens a second over its rate, all balancers together
+	EarnRatio  float64 // fraction of the unused rate that is saved; 0 for no account
+	MaxBalance float64 // limit of saved tokens
+	Retention  int64   // nanoseconds after which saved tokens expire
+	ExtraRate  float64 // tokens per second above the tenant's rate, at all balancers together
 }
 
-// TermsOf are the terms of a configuration's tenants that have credit.
-func TermsOf(t *routing.Configuration) map[string]Terms {
-	all := map[string]Terms{}
-	for _, s := range t.Tenants {
-		if n := s.BurstCredit; n != nil && n.Earn > 0 {
-			all[s.Name] = Terms{Earn: n.Earn, Cap: n.Cap, Keep: int64(n.Keep), Extra: n.Extra}
+// TenantTerms returns the terms of a configuration's tenants that have credit, by name.
+func TenantTerms(configuration *routing.Configuration) map[string]Terms {
+	terms := map[string]Terms{}
+	for _, tenant := range configuration.Tenants {
+		if credit := tenant.BurstCredit; credit != nil && credit.Earn > 0 {
+			terms[tenant.Name] = Terms{EarnRatio: credit.Earn, MaxBalance: credit.Cap, Retention: int64(credit.Keep), ExtraRate: credit.Extra}
 		}
 	}
-	return all
+	return terms
 }
 
-// Bounds are the formulas above with figures in.
+// Bounds evaluates the bounds of the package comment for a window in nanoseconds.
 func (t Terms) Bounds(window int64) (spent, stranded, identities float64) {
-	out := t.Extra * float64(Ahead) / float64(s)
-	return t.Extra*float64(window)/float64(s) + out, out, t.Extra * float64(Window) / float64(s)
+	escrow := t.ExtraRate * float64(PrefetchWindow) / float64(second)
+	return t.ExtraRate*float64(window)/float64(second) + escrow, escrow, t.ExtraRate * float64(DedupWindow) / float64(second)
 }
 
-// Identity is the name under which a request is charged once.
-func Identity(parts ...string) uint64 {
-	h := fnv.New64a()
-	for _, p := range parts {
-		h.Write([]byte(p))
-		h.Write([]byte{0})
+// RequestID hashes the parts of the identity under which a request is charged once.
+func RequestID(parts ...string) uint64 {
+	hash := fnv.New64a()
+	for _, part := range parts {
+		hash.Write([]byte(part))
+		hash.Write([]byte{0})
 	}
-	return h.Sum64()
+	return hash.Sum64()
 }
 
-// Mark is a request that was charged.
+// ClaimID identifies a request for deduplication.
 type ClaimID struct {
 	Tenant string
 	ID     uint64
 }
 
-// Ask is what a balancer tells of one tenant.
-type Ask struct {
-	Held   float64 `json:",omitempty"` // in escrow here, reserved or not
-	Want   float64 `json:",omitempty"` // that it would hold for requests that began at clients
-	Inner  float64 `json:",omitempty"` // and for calls of services
-	Return float64 `json:",omitempty"` // that it gives back
+// Demand is what a balancer reports of one tenant, in tokens.
+type Demand struct {
+	Held             float64 `json:",omitempty"`       // tokens in escrow, reserved or free
+	WantedByClients  float64 `json:"Want,omitempty"`   // tokens wanted for client requests
+	WantedByServices float64 `json:"Inner,omitempty"`  // tokens wanted for calls between services
+	Returned         float64 `json:"Return,omitempty"` // tokens given back
 }
 
-// Report is a balancer's word. Reports of one life are numbered; one that was not answered is sent again as it was.
+// Report is a balancer's report to the ledger. The reports of an incarnation are numbered. An unanswered report is sent
+// again unchanged.
 type Report struct {
-	Node, Life string
-	Seq        uint64
-	Asks       map[string]Ask
-	Settled    []ClaimID // charged since the last report that was answered
-	Open       []ClaimID // effects that may be running: if this balancer is lost, they are charged
+	Node        string
+	Incarnation string `json:"Life"` // one run of the balancer's process
+	Seq         uint64
+	Demands     map[string]Demand `json:"Asks"` // by tenant
+	Settled     []ClaimID         // charged since the last answered report
+	OpenEffects []ClaimID         `json:"Open"` // requests with effects that may be running; charged if the balancer crashes
 }
 
-// Grant is the answer to a report.
+// Grant is the ledger's answer to a report.
 type Grant struct {
 	Seq     uint64
-	Tokens  map[string]float64 // now in escrow beyond what was held
-	Refunds map[string]float64 // tokens of settlements that had been charged already: they are held again
-	Reset   bool               `json:",omitempty"` // what was held has been closed: it is spent no more
+	Tokens  map[string]float64 // added to the escrow, by tenant
+	Refunds map[string]float64 // returned to the escrow, by tenant, as another balancer had charged the same request
+	Reset   bool               `json:",omitempty"` // the escrow was written off; the wallet must not spend what it held
 }
 
-func whole(v float64) float64 { return math.Floor(v + 1e-9) }
+// floor rounds down, with a tolerance for accumulated rounding errors.
+func floor(v float64) float64 { return math.Floor(v + 1e-9) }
--- a/internal/mesh/burstcredit/burstcredit_test.go
+++ b/internal/mesh/burstcredit/burstcredit_test.go
@@ -11,198 +11,208 @@
 	"github.com/shoenig/test/must"
 )
 
-var terms = map[string]Terms{"t": {Earn: 0.5, Cap: 1000, Keep: 14 * day, Extra: 20}}
+var terms = map[string]Terms{"t": {EarnRatio: 0.5, MaxBalance: 1000, Retention: 14 * day, ExtraRate: 20}}
 
-// talk is one report and its answer, as the core carries them: the book is written and read between.
-func talk(t *testing.T, b *Ledger, c *Wallet, now int64) *Ledger {
-	r := c.Report(now)
-	raw, err := b.Write()
+// exchange sends one report and applies its answer. It encodes and decodes the ledger in between, as the controllers
+// do.
+func exchange(t *testing.T, ledger *Ledger, wallet *Wallet, now int64) *Ledger {
+	report := wallet.Report(now)
+	raw, err := ledger.Encode()
 	must.NoError(t, err)
-	b, err = Read(raw)
+	ledger, err = DecodeLedger(raw)
 	must.NoError(t, err)
-	c.ApplyGrant(b.Take([]*Report{r}, terms)[0], now, now)
-	must.Less(t, 1e-6, math.Abs(b.Gap("t")))
-	return b
+	wallet.ApplyGrant(ledger.ProcessReports([]*Report{report}, terms)[0], now, now)
+	must.Less(t, 1e-6, math.Abs(ledger.Gap("t")))
+	return ledger
 }
 
-func testWallet(node, life string) *Wallet {
-	c := NewWallet(node, life)
-	c.Set(terms, nil, 2, 0)
-	return c
+// testWallet returns an empty wallet, one of two.
+func testWallet(node, incarnation string) *Wallet {
+	wallet := NewWallet(node, incarnation)
+	wallet.SetTerms(terms, nil, 2, 0)
+	return wallet
 }
 
-func opened(tokens float64) *Ledger {
-	b := NewLedger()
-	b.Grant("t", tokens, "me", "test")
-	b.Pass(2*s, terms) // purses are full
-	return b
+// newTestLedger returns a ledger with a balance of tenant t.
+func newTestLedger(tokens float64) *Ledger {
+	ledger := NewLedger()
+	ledger.GrantTokens("t", tokens, "me", "test")
+	ledger.Advance(2*second, terms) // grant budgets are full
+	return ledger
 }
 
-func claim(id uint64) Claim { return Claim{Tenant: "t", ID: id, Client: true} }
+// claim returns a client request of tenant t.
+func claim(id uint64) Claim { return Claim{Tenant: "t", ID: id, FromClient: true} }
 
-// had claims a token and reports until it is had.
-func had(t *testing.T, b *Ledger, c *Wallet, k Claim, now int64) (*Ledger, bool) {
-	got := false
-	switch c.Claim(k, now, func(bool) { got = true }) {
-	case Drawn:
-		return b, true
-	case Wait:
-		b = talk(t, b, c, now)
+// claimAndReport claims a token, sends a report if the claim is queued, and returns whether a token was reserved.
+func claimAndReport(t *testing.T, ledger *Ledger, wallet *Wallet, request Claim, now int64) (*Ledger, bool) {
+	reserved := false
+	switch wallet.Claim(request, now, func(bool) { reserved = true }) {
+	case Reserved:
+		return ledger, true
+	case Queued:
+		ledger = exchange(t, ledger, wallet, now)
 	}
-	return b, got
+	return ledger, reserved
 }
 
-// A download is asked for at three balancers at once, breaks off at one, and is delivered at two: one charge.
-func TestADownloadThroughThreeBalancersIsDrawnOnce(t *testing.T) {
-	for guard, want := range map[string]float64{"": 1, PerTry: 2} {
-		b := opened(50)
-		b.Without(guard)
-		all := []*Wallet{testWallet("a", "1"), testWallet("b", "1"), testWallet("c", "1")}
-		for _, c := range all {
-			c.Without(guard)
+// A download that is requested at three balancers at once, fails at one and is delivered by two is charged once.
+// Without deduplication it is charged twice.
+func TestDownloadThroughThreeBalancersIsChargedOnce(t *testing.T) {
+	for guard, want := range map[string]float64{"": 1, WithoutDeduplication: 2} {
+		ledger := newTestLedger(50)
+		ledger.DisableGuard(guard)
+		wallets := []*Wallet{testWallet("a", "1"), testWallet("b", "1"), testWallet("c", "1")}
+		for _, wallet := range wallets {
+			wallet.DisableGuard(guard)
 			var ok bool
-			b, ok = had(t, b, c, claim(7), 3*s)
+			ledger, ok = claimAndReport(t, ledger, wallet, claim(7), 3*second)
 			must.True(t, ok)
 		}
-		for n, end := range []Outcome{NeverRan, Delivered, Delivered} {
-			all[n].Done(claim(7), end, 4*s)
+		for i, outcome := range []Outcome{NotDelivered, Delivered, Delivered} {
+			wallets[i].Finish(claim(7), outcome, 4*second)
 		}
-		b.Without(guard)
+		ledger.DisableGuard(guard)
 		for range 2 {
-			for _, c := range all {
-				r := c.Report(5 * s)
-				b.Without(guard)
-				c.ApplyGrant(b.Take([]*Report{r}, terms)[0], 5*s, 5*s)
+			for _, wallet := range wallets {
+				report := wallet.Report(5 * second)
+				ledger.DisableGuard(guard)
+				wallet.ApplyGrant(ledger.ProcessReports([]*Report{report}, terms)[0], 5*second, 5*second)
 			}
 		}
-		must.Eq(t, want, b.Accounts["t"].Spent, must.Sprint(guard))
-		must.Less(t, 1e-6, math.Abs(b.Gap("t")))
+		must.Eq(t, want, ledger.Accounts["t"].Spent, must.Sprint(guard))
+		must.Less(t, 1e-6, math.Abs(ledger.Gap("t")))
 	}
 }
 
-// A client's own repeat finds the reservation of its first try; an upload whose answer is lost is charged, and not again.
-func TestAnUploadIsChargedOnce(t *testing.T) {
-	b, c := opened(50), testWallet("a", "1")
-	k := claim(9)
-	k.Effect = true
-	b, ok := had(t, b, c, k, 3*s)
+// A client's retry shares the reservation of the first attempt. An upload whose response is lost is charged once, one
+// that provably did not run is not charged.
+func TestUploadIsChargedOnce(t *testing.T) {
+	ledger, wallet := newTestLedger(50), testWallet("a", "1")
+	upload := claim(9)
+	upload.HasEffect = true
+	ledger, ok := claimAndReport(t, ledger, wallet, upload, 3*second)
 	must.True(t, ok)
-	must.Eq(t, Drawn, c.Claim(k, 3*s, nil)) // asked again while the first is under way
-	c.Done(k, Unknown, 4*s)
-	c.Done(k, Delivered, 4*s)
-	must.Eq(t, Drawn, c.Claim(k, 5*s, nil)) // and after it
-	c.Done(k, Delivered, 5*s)
-	b = talk(t, b, c, 6*s)
-	must.Eq(t, 1, b.Accounts["t"].Spent)
-	never := claim(10)
-	never.Effect = true
-	b, _ = had(t, b, c, never, 6*s)
-	c.Done(never, NeverRan, 7*s) // it provably has not run
-	b = talk(t, b, c, 7*s)
-	must.Eq(t, 1, b.Accounts["t"].Spent)
+	must.Eq(t, Reserved, wallet.Claim(upload, 3*second, nil)) // retry while the first attempt is active
+	wallet.Finish(upload, Unknown, 4*second)
+	wallet.Finish(upload, Delivered, 4*second)
+	must.Eq(t, Reserved, wallet.Claim(upload, 5*second, nil)) // retry after the first attempt ended
+	wallet.Finish(upload, Delivered, 5*second)
+	ledger = exchange(t, ledger, wallet, 6*second)
+	must.Eq(t, 1, ledger.Accounts["t"].Spent)
+	failed := claim(10)
+	failed.HasEffect = true
+	ledger, _ = claimAndReport(t, ledger, wallet, failed, 6*second)
+	wallet.Finish(failed, NotDelivered, 7*second) // it did not run
+	ledger = exchange(t, ledger, wallet, 7*second)
+	must.Eq(t, 1, ledger.Accounts["t"].Spent)
 }
 
-// A balancer is killed between reserve and answer: its next life closes what it held. The effect that it had told of is charged,
-// the page is not.
-func TestALostBalancerIsClosedOnce(t *testing.T) {
-	b, c := opened(50), testWallet("a", "1")
+// A balancer crashes with active requests. The first report of its next incarnation closes its wallet: the reported
+// effect is charged, the request without effect is refunded.
+func TestWalletOfLostBalancerIsClosedOnce(t *testing.T) {
+	ledger, wallet := newTestLedger(50), testWallet("a", "1")
 	effect, page := claim(1), claim(2)
-	effect.Effect = true
-	b, _ = had(t, b, c, effect, 3*s)
-	b, _ = had(t, b, c, page, 3*s)
-	b = talk(t, b, c, 3*s+Every) // the open effect is told
-	must.Positive(t, b.out("t"))
-	b = talk(t, b, testWallet("a", "2"), 4*s)
-	must.Eq(t, 1, b.Accounts["t"].Spent)
-	must.Eq(t, 0, b.out("t"))
-	c.Done(effect, Delivered, 5*s)
-	b, _ = had(t, b, testWallet("b", "1"), claim(3), 5*s)
-	out := b.out("t")
-	must.Nil(t, b.Take([]*Report{c.Report(5 * s)}, terms)[0])                // a late word of the ended life closes nothing
-	must.Nil(t, b.Take([]*Report{{Node: "a", Life: "2", Seq: 0}}, terms)[0]) // and one of the present life changes nothing
-	must.Eq(t, "2", b.Wallets["a"].Life)
-	must.Eq(t, out, b.out("t"))
-	must.Eq(t, 49-out, b.Accounts["t"].Balance())
+	effect.HasEffect = true
+	ledger, _ = claimAndReport(t, ledger, wallet, effect, 3*second)
+	ledger, _ = claimAndReport(t, ledger, wallet, page, 3*second)
+	ledger = exchange(t, ledger, wallet, 3*second+ReportInterval) // reports the open effect
+	must.Positive(t, ledger.outstanding("t"))
+	ledger = exchange(t, ledger, testWallet("a", "2"), 4*second)
+	must.Eq(t, 1, ledger.Accounts["t"].Spent)
+	must.Eq(t, 0, ledger.outstanding("t"))
+	wallet.Finish(effect, Delivered, 5*second)
+	ledger, _ = claimAndReport(t, ledger, testWallet("b", "1"), claim(3), 5*second)
+	outstanding := ledger.outstanding("t")
+	// A delayed report of the ended incarnation and a stale one of the present incarnation change nothing.
+	must.Nil(t, ledger.ProcessReports([]*Report{wallet.Report(5 * second)}, terms)[0])
+	must.Nil(t, ledger.ProcessReports([]*Report{{Node: "a", Incarnation: "2", Seq: 0}}, terms)[0])
+	must.Eq(t, "2", ledger.Wallets["a"].Incarnation)
+	must.Eq(t, outstanding, ledger.outstanding("t"))
+	must.Eq(t, 49-outstanding, ledger.Accounts["t"].Balance())
 }
 
-// A balancer cut off for longer than Strand: what it holds counts as spent, and once it is back, what it had not spent is in the
-// account again and it holds nothing. Without that word both have it.
-func TestAnEscrowWokenAfterItsEnd(t *testing.T) {
-	for _, guard := range []string{"", NoEnd} {
-		b, c := opened(50), testWallet("a", "1")
-		c.Without(guard)
-		for n := range uint64(6) {
-			b, _ = had(t, b, c, claim(n), 3*s)
+// The escrow of a balancer that is unreachable for longer than EscrowTimeout is written off. When the balancer returns,
+// its unspent tokens are refunded and its wallet is reset. Without the reset the same tokens are in the account and in
+// the wallet.
+func TestBalancerReturnsAfterEscrowTimeout(t *testing.T) {
+	for _, guard := range []string{"", WithoutEscrowTimeout} {
+		ledger, wallet := newTestLedger(50), testWallet("a", "1")
+		wallet.DisableGuard(guard)
+		for id := range uint64(6) {
+			ledger, _ = claimAndReport(t, ledger, wallet, claim(id), 3*second)
 		}
-		free, reserved := c.Held("t")
-		must.Eq(t, b.out("t"), free+reserved)
-		c.Done(claim(0), Delivered, 4*s) // in the cut
-		b.Pass(Strand+2*s, terms)
-		must.Eq(t, 0, b.out("t"))
-		must.Eq(t, free+reserved, b.Accounts["t"].Spent)
-		must.Less(t, 1e-6, math.Abs(b.Gap("t")))
-		woken := Strand + 5*s
+		free, reserved := wallet.Held("t")
+		must.Eq(t, ledger.outstanding("t"), free+reserved)
+		wallet.Finish(claim(0), Delivered, 4*second) // while unreachable
+		ledger.Advance(EscrowTimeout+2*second, terms)
+		must.Eq(t, 0, ledger.outstanding("t"))
+		must.Eq(t, free+reserved, ledger.Accounts["t"].Spent)
+		must.Less(t, 1e-6, math.Abs(ledger.Gap("t")))
+		returnedAt := EscrowTimeout + 5*second
 		if guard == "" {
-			must.Eq(t, Wait, c.Claim(claim(99), woken, func(bool) {})) // its own clock says that the end has come
-			must.True(t, c.Leave(claim(99)))
+			must.Eq(t, Queued, wallet.Claim(claim(99), returnedAt, func(bool) {})) // the escrow has ended by the local clock
+			must.True(t, wallet.Cancel(claim(99)))
 		}
-		b.Without(guard)
-		r := c.Report(woken)
-		c.ApplyGrant(b.Take([]*Report{r}, terms)[0], woken, woken)
-		must.Eq(t, 1, b.Accounts["t"].Spent)
-		for n := range uint64(5) {
-			c.Done(claim(n+1), NeverRan, woken)
+		ledger.DisableGuard(guard)
+		report := wallet.Report(returnedAt)
+		wallet.ApplyGrant(ledger.ProcessReports([]*Report{report}, terms)[0], returnedAt, returnedAt)
+		must.Eq(t, 1, ledger.Accounts["t"].Spent)
+		for id := range uint64(5) {
+			wallet.Finish(claim(id+1), NotDelivered, returnedAt)
 		}
-		free, reserved = c.Held("t")
+		free, reserved = wallet.Held("t")
 		if guard == "" {
-			must.Eq(t, b.out("t"), free+reserved)
+			must.Eq(t, ledger.outstanding("t"), free+reserved)
 		} else {
-			must.Greater(t, b.out("t"), free+reserved)
+			must.Greater(t, ledger.outstanding("t"), free+reserved)
 		}
 	}
 }
 
-// Saved in quiet weeks: half of what is left unused, up to the cap, for Keep; a cap that is lowered takes nothing away that is out.
+// Half of the unused tokens are saved, up to MaxBalance, and expire after Retention. A lower MaxBalance removes no
+// saved tokens.
 func TestEarningCapAndExpiry(t *testing.T) {
-	b := NewLedger()
-	b.Earn(map[string]float64{"t": 300, "other": 9}, terms)
-	must.Eq(t, 150, b.Accounts["t"].Balance())
-	must.MapNotContainsKey(t, b.Accounts, "other")
-	b.Pass(7*day, terms)
-	b.Earn(map[string]float64{"t": 9999}, terms)
-	must.Eq(t, 1000, b.Accounts["t"].Balance())
-	b.Pass(8*day+s, terms) // the first week's is 15 days old
-	must.Eq(t, 850, b.Accounts["t"].Balance())
-	must.Eq(t, 150, b.Accounts["t"].Expired)
-	b.Freeze("t", true, "me", "a bill is open")
-	b.Earn(map[string]float64{"t": 100}, terms)
-	must.Eq(t, 850, b.Accounts["t"].Balance())
-	c := testWallet("a", "1")
-	b, ok := had(t, b, c, claim(1), 16*day)
+	ledger := NewLedger()
+	ledger.Earn(map[string]float64{"t": 300, "other": 9}, terms)
+	must.Eq(t, 150, ledger.Accounts["t"].Balance())
+	must.MapNotContainsKey(t, ledger.Accounts, "other")
+	ledger.Advance(7*day, terms)
+	ledger.Earn(map[string]float64{"t": 9999}, terms)
+	must.Eq(t, 1000, ledger.Accounts["t"].Balance())
+	ledger.Advance(8*day+second, terms) // the first lot has expired
+	must.Eq(t, 850, ledger.Accounts["t"].Balance())
+	must.Eq(t, 150, ledger.Accounts["t"].Expired)
+	ledger.SetFrozen("t", true, "me", "a bill is open")
+	ledger.Earn(map[string]float64{"t": 100}, terms)
+	must.Eq(t, 850, ledger.Accounts["t"].Balance())
+	wallet := testWallet("a", "1")
+	ledger, ok := claimAndReport(t, ledger, wallet, claim(1), 16*day)
 	must.False(t, ok)
-	b.Freeze("t", false, "me", "paid")
-	low := map[string]Terms{"t": {Earn: 0.5, Cap: 100, Keep: 14 * day, Extra: 20}}
-	b.Earn(map[string]float64{"t": 100}, low)
-	must.Eq(t, 850, b.Accounts["t"].Balance())
-	must.Eq(t, -850, b.Grant("t", -2000, "me", "closed"))
-	must.Less(t, 1e-6, math.Abs(b.Gap("t")))
-	must.SliceLen(t, 4, b.Status()[0].History)
+	ledger.SetFrozen("t", false, "me", "paid")
+	lowerCap := map[string]Terms{"t": {EarnRatio: 0.5, MaxBalance: 100, Retention: 14 * day, ExtraRate: 20}}
+	ledger.Earn(map[string]float64{"t": 100}, lowerCap)
+	must.Eq(t, 850, ledger.Accounts["t"].Balance())
+	must.Eq(t, -850, ledger.GrantTokens("t", -2000, "me", "closed"))
+	must.Less(t, 1e-6, math.Abs(ledger.Gap("t")))
+	must.SliceLen(t, 4, ledger.Status()[0].History)
 }
 
-func TestClientsFirstThenRankThenWhoWaitedLongest(t *testing.T) {
-	for _, guard := range []string{"", NoPrecedence} {
-		c := testWallet("a", "1")
-		c.Without(guard)
+// Queued claims are served by origin, rank and arrival; without precedence by arrival alone.
+func TestQueueOrderIsClientsThenRankThenArrival(t *testing.T) {
+	for _, guard := range []string{"", WithoutPrecedence} {
+		wallet := testWallet("a", "1")
+		wallet.DisableGuard(guard)
 		var order []uint64
-		put := func(id uint64, client bool, rank int) {
-			k := Claim{Tenant: "t", ID: id, Client: client, Rank: rank}
-			must.Eq(t, Wait, c.Claim(k, s, func(bool) { order = append(order, id) }))
+		enqueue := func(id uint64, client bool, rank int) {
+			request := Claim{Tenant: "t", ID: id, FromClient: client, Rank: rank}
+			must.Eq(t, Queued, wallet.Claim(request, second, func(bool) { order = append(order, id) }))
 		}
-		put(1, false, 0)
-		put(2, true, 3)
-		put(3, true, 1)
-		put(4, true, 1)
-		c.ApplyGrant(&Grant{Seq: c.Report(s).Seq, Tokens: map[string]float64{"t": 40}}, s, s)
+		enqueue(1, false, 0)
+		enqueue(2, true, 3)
+		enqueue(3, true, 1)
+		enqueue(4, true, 1)
+		wallet.ApplyGrant(&Grant{Seq: wallet.Report(second).Seq, Tokens: map[string]float64{"t": 40}}, second, second)
 		if guard == "" {
 			must.Eq(t, []uint64{3, 4, 2, 1}, order)
 		} else {
@@ -211,106 +221,108 @@
 	}
 }
 
-// A service's own bound on all credit: a balancer has its part of it.
-func TestCreditNeverOverfeedsAService(t *testing.T) {
-	c := testWallet("a", "1")
-	c.Set(terms, map[string]float64{"album": 8}, 2, 0)
-	c.Report(s)
-	c.ApplyGrant(&Grant{Seq: 1, Tokens: map[string]float64{"t": 500}}, s, s)
-	drawn := 0
-	for n := range uint64(1000) {
-		k := claim(n)
-		k.Service = "album"
-		if c.Claim(k, s+int64(n)*10*s/1000, nil) == Drawn {
-			drawn++
+// The credit spent at a service stays within the balancer's share of the service's limit.
+func TestCreditStaysWithinServiceLimit(t *testing.T) {
+	wallet := testWallet("a", "1")
+	wallet.SetTerms(terms, map[string]float64{"album": 8}, 2, 0)
+	wallet.Report(second)
+	wallet.ApplyGrant(&Grant{Seq: 1, Tokens: map[string]float64{"t": 500}}, second, second)
+	reserved := 0
+	for id := range uint64(1000) {
+		request := claim(id)
+		request.Service = "album"
+		if wallet.Claim(request, second+int64(id)*10*second/1000, nil) == Reserved {
+			reserved++
 		}
 	}
-	must.Between(t, 40, drawn, 45) // 4 a second for 10 s, and what lay there
+	must.Between(t, 40, reserved, 45) // 4 per second for 10 s, and the initial capacity of the bucket
 }
 
-// Many balancers, lost and repeated words, lives that end: the accounts add up after each step, nobody's token counts twice, and
-// a book that is read from disk again goes on as it was.
-func TestSchedules(t *testing.T) {
-	for seed := range uint64(schedules(400)) {
-		chance := rand.New(rand.NewPCG(seed, 3))
-		b := opened(200)
-		crops := make([]*Wallet, 4)
-		lives := make([]int, 4)
+// Random schedules of four balancers with lost and repeated messages, restarts and reloads of the ledger: after each
+// step the account is balanced, and no more tokens are spent than were charged or lost with a balancer.
+func TestRandomSchedules(t *testing.T) {
+	for seed := range uint64(scheduleCount(400)) {
+		rng := rand.New(rand.NewPCG(seed, 3))
+		ledger := newTestLedger(200)
+		wallets := make([]*Wallet, 4)
+		incarnations := make([]int, 4)
 		held := make([]map[uint64]Claim, 4)
-		fresh := func(n int) {
-			lives[n]++
-			crops[n], held[n] = testWallet(strconv.Itoa(n), strconv.Itoa(lives[n])), map[uint64]Claim{}
+		restart := func(node int) {
+			incarnations[node]++
+			wallets[node], held[node] = testWallet(strconv.Itoa(node), strconv.Itoa(incarnations[node])), map[uint64]Claim{}
 		}
-		for n := range crops {
-			fresh(n)
+		for node := range wallets {
+			restart(node)
 		}
-		charged, died := map[uint64]bool{}, 0.0
-		now := 3 * s
+		charged, lostTokens := map[uint64]bool{}, 0.0
+		now := 3 * second
 		for range 300 {
-			now += int64(chance.IntN(200)) * s / 1000
-			n := chance.IntN(4)
-			c := crops[n]
-			switch chance.IntN(8) {
+			now += int64(rng.IntN(200)) * second / 1000
+			node := rng.IntN(4)
+			wallet := wallets[node]
+			switch rng.IntN(8) {
 			case 0, 1, 2:
-				k := claim(uint64(chance.IntN(300)))
-				k.Effect = k.ID%3 == 0
-				if held[n][k.ID] == (Claim{}) && c.Claim(k, now, nil) == Drawn {
-					held[n][k.ID] = k
+				request := claim(uint64(rng.IntN(300)))
+				request.HasEffect = request.ID%3 == 0
+				if held[node][request.ID] == (Claim{}) && wallet.Claim(request, now, nil) == Reserved {
+					held[node][request.ID] = request
 				}
 			case 3, 4:
-				for id, k := range held[n] {
-					end := Outcome(chance.IntN(3))
-					if c.Done(k, end, now); end == Delivered || end == Unknown && k.Effect {
+				for id, request := range held[node] {
+					outcome := Outcome(rng.IntN(3))
+					if wallet.Finish(request, outcome, now); outcome == Delivered || outcome == Unknown && request.HasEffect {
 						charged[id] = true
 					}
-					delete(held[n], id)
+					delete(held[node], id)
 					break
 				}
 			case 5, 6:
-				r := c.Report(now)
-				g := b.Take([]*Report{r}, terms)[0]
-				if chance.IntN(3) == 0 {
-					g = b.Take([]*Report{r}, terms)[0] // heard twice
+				report := wallet.Report(now)
+				grant := ledger.ProcessReports([]*Report{report}, terms)[0]
+				if rng.IntN(3) == 0 {
+					grant = ledger.ProcessReports([]*Report{report}, terms)[0] // the report arrives twice
 				}
-				if chance.IntN(4) > 0 {
-					c.ApplyGrant(g, now, now)
+				if rng.IntN(4) > 0 {
+					wallet.ApplyGrant(grant, now, now)
 				}
 			case 7:
-				if chance.IntN(6) == 0 {
-					free, reserved := c.Held("t")
-					died += free + reserved + 40 // and what it had not told
-					fresh(n)
+				if rng.IntN(6) == 0 {
+					free, reserved := wallet.Held("t")
+					lostTokens += free + reserved + 40 // and up to 40 that it had not reported
+					restart(node)
 				} else {
-					raw, err := b.Write()
+					raw, err := ledger.Encode()
 					must.NoError(t, err)
-					b, err = Read(raw)
+					ledger, err = DecodeLedger(raw)
 					must.NoError(t, err)
-					b.Pass(s/10, terms)
+					ledger.Advance(second/10, terms)
 				}
 			}
-			must.Less(t, 1e-6, math.Abs(b.Gap("t")), must.Sprint("seed ", seed))
-			must.GreaterEq(t, -1e-9, b.Accounts["t"].Balance())
+			must.Less(t, 1e-6, math.Abs(ledger.Gap("t")), must.Sprint("seed ", seed))
+			must.GreaterEq(t, -1e-9, ledger.Accounts["t"].Balance())
 		}
-		must.LessEq(t, float64(len(charged))+died, b.Accounts["t"].Spent, must.Sprint("seed ", seed))
+		must.LessEq(t, float64(len(charged))+lostTokens, ledger.Accounts["t"].Spent, must.Sprint("seed ", seed))
 	}
 }
 
-func FuzzRead(f *testing.F) {
-	b := opened(50)
-	raw, _ := b.Write()
+func FuzzDecodeLedger(f *testing.F) {
+	ledger := newTestLedger(50)
+	raw, _ := ledger.Encode()
 	f.Add([]byte(raw))
 	f.Add([]byte(`{"Accounts":{"t":null},"Tellers":{"a":null}}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		if b, err := Read(json.RawMessage(raw)); err == nil {
-			b.Take([]*Report{{Node: "a", Life: "1", Seq: 1, Asks: map[string]Ask{"t": {Want: 3}}, Settled: []ClaimID{{"t", 1}}}}, terms)
-			b.Pass(s, terms)
+		if ledger, err := DecodeLedger(json.RawMessage(raw)); err == nil {
+			ledger.ProcessReports([]*Report{{Node: "a", Incarnation: "1", Seq: 1, Demands: map[string]Demand{"t": {WantedByClients: 3}},
+				Settled: []ClaimID{{"t", 1}}}}, terms)
+			ledger.Advance(second, terms)
 		}
 	})
 }
 
-func schedules(normal int) int {
-	if n, err := strconv.Atoi(os.Getenv("OTTERSHIFT_SCHEDULES")); err == nil {
-		return n
+// scheduleCount returns the number of random schedules to run, from OTTERSHIFT_SCHEDULES if that is set.
+func scheduleCount(defaultCount int) int {
+	if count, err := strconv.Atoi(os.Getenv("OTTERSHIFT_SCHEDULES")); err == nil {
+		return count
 	}
-	return normal
+	return defaultCount
 }
--- a/internal/mesh/burstcredit/deduplication.go
+++ b/internal/mesh/burstcredit/deduplication.go
@@ -4,35 +4,37 @@
 	"encoding/binary"
 )
 
-// slot is the identities that were settled in one part of the window, eight bytes each.
-type slot struct {
-	From int64
-	IDs  []byte
+// chargedSlot holds the identities charged in one slot of DedupWindow.
+type chargedSlot struct {
+	From int64  // start of the slot, ledger time in nanoseconds
+	IDs  []byte // hashes, eight bytes each
 }
 
-// known reports whether an identity has been charged within the window.
-func (l *Ledger) known(m ClaimID) bool {
-	if l.index == nil {
-		l.index = map[uint64]bool{}
-		for _, part := range l.Seen {
-			for at := 0; at+8 <= len(part.IDs); at += 8 {
-				l.index[binary.LittleEndian.Uint64(part.IDs[at:])] = true
+// isCharged reports whether an identity was charged within DedupWindow.
+func (l *Ledger) isCharged(id ClaimID) bool {
+	if l.chargedIndex == nil {
+		l.chargedIndex = map[uint64]bool{}
+		for _, slot := range l.Charged {
+			for offset := 0; offset+8 <= len(slot.IDs); offset += 8 {
+				l.chargedIndex[binary.LittleEndian.Uint64(slot.IDs[offset:])] = true
 			}
 		}
 	}
-	return l.index[m.key()]
+	return l.chargedIndex[id.hash()]
 }
 
-func (l *Ledger) learn(m ClaimID) {
-	if l.known(m) {
+// markCharged records an identity as charged.
+func (l *Ledger) markCharged(id ClaimID) {
+	if l.isCharged(id) {
 		return
 	}
-	if n := len(l.Seen); n == 0 || l.Now >= l.Seen[n-1].From+Window/slots {
-		l.Seen = append(l.Seen, slot{From: l.Now})
+	if n := len(l.Charged); n == 0 || l.Now >= l.Charged[n-1].From+DedupWindow/dedupSlots {
+		l.Charged = append(l.Charged, chargedSlot{From: l.Now})
 	}
-	last := &l.Seen[len(l.Seen)-1]
-	last.IDs = binary.LittleEndian.AppendUint64(last.IDs, m.key())
-	l.index[m.key()] = true
+	last := &l.Charged[len(l.Charged)-1]
+	last.IDs = binary.LittleEndian.AppendUint64(last.IDs, id.hash())
+	l.chargedIndex[id.hash()] = true
 }
 
-func (m ClaimID) key() uint64 { return Identity(m.Tenant) ^ m.ID }
+// hash combines the tenant and the request ID into the key that is kept for deduplication.
+func (id ClaimID) hash() uint64 { return RequestID(id.Tenant) ^ id.ID }
--- a/internal/mesh/burstcredit/grants.go
+++ b/internal/mesh/burstcredit/grants.go
@@ -7,126 +7,131 @@
 	"slices"
 )
 
-// Take takes reports in the order in which they came, and answers each. Wants of all of them are weighed together: what is there
-// goes to requests that began at clients first, in parts by what each balancer wants.
-func (l *Ledger) Take(reports []*Report, terms map[string]Terms) []*Grant {
-	out := make([]*Grant, len(reports))
-	live := make([]bool, len(reports))
-	for n, r := range reports {
-		t := l.Wallets[r.Node]
+// ProcessReports processes a batch of reports in order of arrival and returns the answer to each; nil for a stale
+// report. The demands of the batch are served together: client requests first, then calls of services, each in
+// proportion to the demands.
+func (l *Ledger) ProcessReports(reports []*Report, terms map[string]Terms) []*Grant {
+	grants := make([]*Grant, len(reports))
+	accepted := make([]bool, len(reports))
+	for i, report := range reports {
+		wallet := l.Wallets[report.Node]
 		var ended []string
 		switch {
-		case t != nil && t.Life == r.Life && r.Seq == t.Seq && t.Lost == nil:
-			out[n] = t.Last // its answer was lost
-			t.At = l.Now
+		case wallet != nil && wallet.Incarnation == report.Incarnation && report.Seq == wallet.Seq && wallet.WrittenOff == nil:
+			grants[i] = wallet.LastGrant // a repeated report, whose answer was lost
+			wallet.ReportedAt = l.Now
 			continue
-		case t != nil && t.Life == r.Life && r.Seq < t.Seq:
-			continue // late: it has been answered, and more since
-		case t != nil && slices.Contains(t.Ended, r.Life):
-			continue // Invariant: a late word of a life that has ended would close what the present one holds
-		case t != nil && t.Life != r.Life:
-			ended = append(t.Ended, t.Life)
-			l.Close(r.Node) // that life has ended: it spends nothing any more
-			t = nil
+		case wallet != nil && wallet.Incarnation == report.Incarnation && report.Seq < wallet.Seq:
+			continue // stale: a later report was answered
+		case wallet != nil && slices.Contains(wallet.EndedIncarnations, report.Incarnation):
+			continue // a delayed report of an ended incarnation would close the wallet of the present one
+		case wallet != nil && wallet.Incarnation != report.Incarnation:
+			ended = append(wallet.EndedIncarnations, wallet.Incarnation)
+			l.CloseWallet(report.Node) // the previous incarnation has ended and spends nothing any more
+			wallet = nil
 		}
-		reset := t != nil && t.Lost != nil // it was silent for so long that what it held is closed
-		if t == nil {
-			t = &walletRecord{Life: r.Life, Ended: ended[max(0, len(ended)-8):], Out: map[string]float64{}}
-			l.Wallets[r.Node] = t
+		reset := wallet != nil && wallet.WrittenOff != nil // its escrow was written off
+		if wallet == nil {
+			wallet = &walletRecord{Incarnation: report.Incarnation, EndedIncarnations: ended[max(0, len(ended)-8):], Escrow: map[string]float64{}}
+			l.Wallets[report.Node] = wallet
 		}
-		t.Seq, t.At, t.Open = r.Seq, l.Now, r.Open
-		if t.Out == nil {
-			t.Out = map[string]float64{}
+		wallet.Seq, wallet.ReportedAt, wallet.OpenEffects = report.Seq, l.Now, report.OpenEffects
+		if wallet.Escrow == nil {
+			wallet.Escrow = map[string]float64{}
 		}
-		g := &Grant{Seq: r.Seq, Tokens: map[string]float64{}, Refunds: map[string]float64{}, Reset: reset && !l.noEnd}
-		t.Last, out[n], live[n] = g, g, true
-		for _, m := range r.Settled {
-			a := l.account(m.Tenant)
+		grant := &Grant{Seq: report.Seq, Tokens: map[string]float64{}, Refunds: map[string]float64{}, Reset: reset && !l.noEscrowTimeout}
+		wallet.LastGrant, grants[i], accepted[i] = grant, grant, true
+		for _, id := range report.Settled {
+			account := l.openAccount(id.Tenant)
 			switch {
-			case l.known(m) && !l.perTry:
+			case l.isCharged(id) && !l.chargePerTry:
 				if !reset {
-					g.Refunds[m.Tenant]++ // charged at another balancer; the token stays in escrow there
+					grant.Refunds[id.Tenant]++ // charged by another balancer; the token stays in this escrow
 				}
 				continue
-			case t.Lost[m.Tenant] >= 1:
-				t.Lost[m.Tenant]-- // it counts as spent already
-			case t.Out[m.Tenant] >= 1:
-				t.Out[m.Tenant]--
-				a.Spent++
+			case wallet.WrittenOff[id.Tenant] >= 1:
+				wallet.WrittenOff[id.Tenant]-- // already counted as spent
+			case wallet.Escrow[id.Tenant] >= 1:
+				wallet.Escrow[id.Tenant]--
+				account.Spent++
 			default:
-				a.Spent += a.take(1)
+				account.Spent += account.withdraw(1)
 			}
-			l.learn(m)
+			l.markCharged(id)
 		}
 		if reset {
-			l.found(t)
+			l.reverseWriteOff(wallet)
 		}
-		for _, tenant := range slices.Sorted(maps.Keys(r.Asks)) {
-			back := math.Min(math.Max(r.Asks[tenant].Return, 0), t.Out[tenant])
-			t.Out[tenant] -= back
-			l.back(l.account(tenant), back)
+		for _, tenant := range slices.Sorted(maps.Keys(report.Demands)) {
+			returned := math.Min(math.Max(report.Demands[tenant].Returned, 0), wallet.Escrow[tenant])
+			wallet.Escrow[tenant] -= returned
+			l.refund(l.openAccount(tenant), returned)
 		}
 	}
-	for _, tenant := range tenants(reports, live) {
-		l.share(tenant, reports, out, live, terms[tenant])
+	for _, tenant := range tenantsInReports(reports, accepted) {
+		l.distribute(tenant, reports, grants, accepted, terms[tenant])
 	}
-	for _, t := range l.Wallets {
-		maps.DeleteFunc(t.Out, func(_ string, n float64) bool { return n < 1e-9 })
+	for _, wallet := range l.Wallets {
+		maps.DeleteFunc(wallet.Escrow, func(_ string, tokens float64) bool { return tokens < 1e-9 })
 	}
-	return out
+	return grants
 }
 
-func tenants(reports []*Report, live []bool) []string {
-	all := map[string]bool{}
-	for n, r := range reports {
-		for tenant := range r.Asks {
-			all[tenant] = all[tenant] || live[n]
+// tenantsInReports returns the sorted names of all tenants with demands in the reports.
+func tenantsInReports(reports []*Report, accepted []bool) []string {
+	seen := map[string]bool{}
+	for i, report := range reports {
+		for tenant := range report.Demands {
+			seen[tenant] = seen[tenant] || accepted[i]
 		}
 	}
-	return slices.Sorted(maps.Keys(all))
+	return slices.Sorted(maps.Keys(seen))
 }
 
-// share gives out what there is of one tenant's credit.
-func (l *Ledger) share(tenant string, reports []*Report, out []*Grant, live []bool, t Terms) {
-	a := l.Accounts[tenant]
-	if a == nil || a.Frozen || t.Extra <= 0 {
+// distribute grants one tenant's available credit to the balancers that want it.
+func (l *Ledger) distribute(tenant string, reports []*Report, grants []*Grant, accepted []bool, terms Terms) {
+	account := l.Accounts[tenant]
+	if account == nil || account.Frozen || terms.ExtraRate <= 0 {
 		return
 	}
-	for class, want := range []func(Ask) float64{func(k Ask) float64 { return k.Want }, func(k Ask) float64 { return k.Inner }} {
-		all := 0.0
-		for n, r := range reports {
-			if live[n] {
-				all += math.Max(0, want(r.Asks[tenant]))
+	for class, wanted := range []func(Demand) float64{
+		func(demand Demand) float64 { return demand.WantedByClients },
+		func(demand Demand) float64 { return demand.WantedByServices },
+	} {
+		total := 0.0
+		for i, report := range reports {
+			if accepted[i] {
+				total += math.Max(0, wanted(report.Demands[tenant]))
 			}
 		}
-		there := whole(math.Min(a.Balance(), a.Purse))
-		if class == 1 && !l.alike { // half of what may go out is kept for clients that are not among these reports
-			there = whole(math.Min(a.Balance(), a.Purse-t.Extra*float64(Ahead)/float64(s)/2))
+		available := floor(math.Min(account.Balance(), account.GrantBudget))
+		if class == 1 && !l.noPrecedence { // half of the budget is kept for client requests in later reports
+			available = floor(math.Min(account.Balance(), account.GrantBudget-terms.ExtraRate*float64(PrefetchWindow)/float64(second)/2))
 		}
-		if all <= 0 || there <= 0 {
+		if total <= 0 || available <= 0 {
 			continue
 		}
 		order := make([]int, 0, len(reports))
-		for n, r := range reports {
-			if live[n] && want(r.Asks[tenant]) > 0 {
-				order = append(order, n)
+		for i, report := range reports {
+			if accepted[i] && wanted(report.Demands[tenant]) > 0 {
+				order = append(order, i)
 			}
 		}
 		slices.SortStableFunc(order, func(x, y int) int { return cmp.Compare(reports[x].Node, reports[y].Node) })
-		part := math.Min(1, there/all)
-		carry := 0.0 // of a token, from one balancer to the next: nobody's part is lost to rounding
-		for _, n := range order {
-			carry += want(reports[n].Asks[tenant]) * part
-			give := math.Min(whole(carry), there)
-			if give <= 0 {
+		ratio := math.Min(1, available/total)
+		carry := 0.0 // fraction of a token that is carried to the next balancer, so that rounding loses nothing
+		for _, i := range order {
+			carry += wanted(reports[i].Demands[tenant]) * ratio
+			granted := math.Min(floor(carry), available)
+			if granted <= 0 {
 				continue
 			}
-			carry -= give
-			there -= give
-			a.take(give)
-			a.Purse -= give
-			l.Wallets[reports[n].Node].Out[tenant] += give
-			out[n].Tokens[tenant] += give
+			carry -= granted
+			available -= granted
+			account.withdraw(granted)
+			account.GrantBudget -= granted
+			l.Wallets[reports[i].Node].Escrow[tenant] += granted
+			grants[i].Tokens[tenant] += granted
 		}
 	}
 }
--- a/internal/mesh/burstcredit/ledger.go
+++ b/internal/mesh/burstcredit/ledger.go
@@ -9,206 +9,213 @@
 	"github.com/zeebo/errs"
 )
 
-// walletRecord is a balancer as the ledger knows it.
+// walletRecord is the ledger's record of one balancer's wallet.
 type walletRecord struct {
-	Life  string
-	Ended []string `json:",omitempty"` // the lives before it, the last few
-	Seq   uint64
-	At    int64              // of its last report
-	Out   map[string]float64 `json:",omitempty"` // tokens in escrow there, by tenant
-	Open  []ClaimID          `json:",omitempty"`
-	Lost  map[string]float64 `json:",omitempty"` // what it held when it had been silent for Strand: it counts as spent
-	Last  *Grant             `json:",omitempty"` // the answer to Seq, for when it was not heard
+	Incarnation       string             `json:"Life"`
+	EndedIncarnations []string           `json:"Ended,omitempty"` // the most recent previous incarnations
+	Seq               uint64             // of the last processed report
+	ReportedAt        int64              `json:"At"`             // ledger time of the last report, in nanoseconds
+	Escrow            map[string]float64 `json:"Out,omitempty"`  // tokens in escrow, by tenant
+	OpenEffects       []ClaimID          `json:"Open,omitempty"` // as in Report
+	WrittenOff        map[string]float64 `json:"Lost,omitempty"` // escrow that was counted as spent, by tenant
+	LastGrant         *Grant             `json:"Last,omitempty"` // the answer to Seq, sent again if the report is repeated
 }
 
 const (
-	slots   = 6 // of Window
-	history = 40
+	dedupSlots = 6  // per DedupWindow
+	maxHistory = 40 // entries per account
 )
 
-// Ledger is all accounts. Its time runs while somebody keeps it: a core that was away makes nothing expire.
+// Ledger holds all accounts. Its clock advances only while a coordinator is active, so that nothing expires during an
+// outage of the controllers.
 type Ledger struct {
-	Now      int64
+	Now      int64 // ledger time in nanoseconds
 	Accounts map[string]*Account
 	Wallets  map[string]*walletRecord `json:"Tellers"`
-	Seen     []slot                   `json:",omitempty"`
+	Charged  []chargedSlot            `json:"Seen,omitempty"` // oldest first
 
-	index map[uint64]bool
+	chargedIndex map[uint64]bool
 
-	// Guards left out, to show that what they guard against is seen without them.
-	perTry bool // a settlement is charged whether its identity is known or not
-	noEnd  bool // a balancer whose escrow was closed is not told
-	alike  bool // calls of services are given what clients' requests are
+	// Disabled guards, for tests.
+	chargePerTry    bool // charge an identity each time it is reported
+	noEscrowTimeout bool // do not reset the wallet of a balancer whose escrow was written off
+	noPrecedence    bool // keep no credit for client requests
 }
 
-// Names of guards that may be left out, to see that what they guard against comes without them.
+// Names of guards that tests and simulations disable to verify that the checks detect their absence.
 const (
-	PerTry       = "draw-per-try"
-	NoEnd        = "escrow-without-end"
-	NoPrecedence = "no-precedence"
+	WithoutDeduplication = "draw-per-try"
+	WithoutEscrowTimeout = "escrow-without-end"
+	WithoutPrecedence    = "no-precedence"
 )
 
-// Without leaves a guard out.
-func (l *Ledger) Without(guard string) {
-	l.perTry, l.noEnd, l.alike = guard == PerTry, guard == NoEnd, guard == NoPrecedence
+// DisableGuard disables one guard; an empty name enables all of them.
+func (l *Ledger) DisableGuard(guard string) {
+	l.chargePerTry, l.noEscrowTimeout, l.noPrecedence =
+		guard == WithoutDeduplication, guard == WithoutEscrowTimeout, guard == WithoutPrecedence
 }
 
-// Without leaves a guard out.
-func (c *Wallet) Without(guard string) {
-	c.perTry, c.noEnd, c.noPrecedence = guard == PerTry, guard == NoEnd, guard == NoPrecedence
+// DisableGuard disables one guard; an empty name enables all of them.
+func (w *Wallet) DisableGuard(guard string) {
+	w.chargePerTry, w.noEscrowTimeout, w.noPrecedence =
+		guard == WithoutDeduplication, guard == WithoutEscrowTimeout, guard == WithoutPrecedence
 }
 
-// NewLedger makes an empty one.
+// NewLedger returns an empty ledger.
 func NewLedger() *Ledger {
 	return &Ledger{Accounts: map[string]*Account{}, Wallets: map[string]*walletRecord{}}
 }
 
-// Read reads a ledger as the core keeps it; nothing is an empty one.
-func Read(raw json.RawMessage) (*Ledger, error) {
-	b := NewLedger()
+// DecodeLedger decodes the ledger from the replicated state. Empty input is an empty ledger.
+func DecodeLedger(raw json.RawMessage) (*Ledger, error) {
+	ledger := NewLedger()
 	if len(raw) == 0 {
-		return b, nil
+		return ledger, nil
 	}
-	if err := json.Unmarshal(raw, b); err != nil {
+	if err := json.Unmarshal(raw, ledger); err != nil {
 		return nil, err
 	}
-	if b.Accounts == nil || b.Wallets == nil {
-		return nil, errs.New("credit: no accounts or no balancers")
+	if ledger.Accounts == nil || ledger.Wallets == nil {
+		return nil, errs.New("burst credit ledger has no accounts or no wallets")
 	}
-	maps.DeleteFunc(b.Accounts, func(_ string, a *Account) bool { return a == nil })
-	maps.DeleteFunc(b.Wallets, func(_ string, t *walletRecord) bool { return t == nil })
-	return b, nil
+	maps.DeleteFunc(ledger.Accounts, func(_ string, account *Account) bool { return account == nil })
+	maps.DeleteFunc(ledger.Wallets, func(_ string, wallet *walletRecord) bool { return wallet == nil })
+	return ledger, nil
 }
 
-// Write lays it out.
-func (l *Ledger) Write() (json.RawMessage, error) { return json.Marshal(l) }
+// Encode encodes the ledger for the replicated state.
+func (l *Ledger) Encode() (json.RawMessage, error) { return json.Marshal(l) }
 
-// Pass lets time go by: what was saved grows old, the window of identities moves, purses of Extra fill, and balancers that have
-// been silent for Strand are closed.
-func (l *Ledger) Pass(elapsed int64, terms map[string]Terms) {
+// Advance advances the ledger's clock: saved tokens expire, old identities are forgotten, grant budgets refill, and the
+// escrow of balancers that have been silent for EscrowTimeout is written off.
+func (l *Ledger) Advance(elapsed int64, terms map[string]Terms) {
 	if elapsed <= 0 {
 		return
 	}
 	l.Now += elapsed
 	for _, tenant := range slices.Sorted(maps.Keys(l.Accounts)) {
-		a, t := l.Accounts[tenant], terms[tenant]
-		if t.Keep > 0 {
-			for len(a.Lots) > 0 && a.Lots[0].Day*day+day+t.Keep < l.Now {
-				a.Expired += a.Lots[0].Left
-				l.note(a, "expired", "", "", a.Lots[0].Left)
-				a.Lots = a.Lots[1:]
+		account, tenantTerms := l.Accounts[tenant], terms[tenant]
+		if tenantTerms.Retention > 0 {
+			for len(account.Lots) > 0 && account.Lots[0].Day*day+day+tenantTerms.Retention < l.Now {
+				account.Expired += account.Lots[0].Left
+				l.record(account, "expired", "", "", account.Lots[0].Left)
+				account.Lots = account.Lots[1:]
 			}
 		}
-		a.Purse = math.Min(t.Extra*float64(Ahead)/float64(s), a.Purse+t.Extra*float64(elapsed)/float64(s))
+		account.GrantBudget = math.Min(tenantTerms.ExtraRate*float64(PrefetchWindow)/float64(second),
+			account.GrantBudget+tenantTerms.ExtraRate*float64(elapsed)/float64(second))
 	}
-	for len(l.Seen) > 0 && l.Seen[0].From+Window+Window/slots < l.Now {
-		l.Seen, l.index = l.Seen[1:], nil
+	for len(l.Charged) > 0 && l.Charged[0].From+DedupWindow+DedupWindow/dedupSlots < l.Now {
+		l.Charged, l.chargedIndex = l.Charged[1:], nil
 	}
 	for _, node := range slices.Sorted(maps.Keys(l.Wallets)) {
-		if t := l.Wallets[node]; l.Now-t.At > Strand && t.Lost == nil {
-			t.Lost, t.Out = t.Out, nil
-			for tenant, n := range t.Lost {
-				l.account(tenant).Spent += n
-				l.note(l.account(tenant), "written off, its balancer is silent", node, "", n)
+		if wallet := l.Wallets[node]; l.Now-wallet.ReportedAt > EscrowTimeout && wallet.WrittenOff == nil {
+			wallet.WrittenOff, wallet.Escrow = wallet.Escrow, nil
+			for tenant, tokens := range wallet.WrittenOff {
+				l.openAccount(tenant).Spent += tokens
+				l.record(l.openAccount(tenant), "written off, its balancer is silent", node, "", tokens)
 			}
 		}
 	}
 }
 
-// Earn saves a part of what tenants left of their rates.
+// Earn saves the fraction EarnRatio of the tokens that tenants left unused.
 func (l *Ledger) Earn(unused map[string]float64, terms map[string]Terms) {
 	for _, tenant := range slices.Sorted(maps.Keys(unused)) {
-		t := terms[tenant]
-		if t.Earn <= 0 || unused[tenant] <= 0 {
+		tenantTerms := terms[tenant]
+		if tenantTerms.EarnRatio <= 0 || unused[tenant] <= 0 {
 			continue
 		}
-		a := l.account(tenant)
-		if !a.Frozen {
-			a.Earned += l.save(a, unused[tenant]*t.Earn, t.Cap-l.out(tenant))
+		account := l.openAccount(tenant)
+		if !account.Frozen {
+			account.Earned += l.deposit(account, unused[tenant]*tenantTerms.EarnRatio, tenantTerms.MaxBalance-l.outstanding(tenant))
 		}
 	}
 }
 
-// out is what balancers hold of a tenant's.
-func (l *Ledger) out(tenant string) (all float64) {
-	for _, t := range l.Wallets {
-		all += t.Out[tenant]
+// outstanding returns the tokens of a tenant that are in escrow at balancers.
+func (l *Ledger) outstanding(tenant string) (total float64) {
+	for _, wallet := range l.Wallets {
+		total += wallet.Escrow[tenant]
 	}
-	return all
+	return total
 }
 
-// back puts tokens that were out into the account again; whatever the cap is by now, they were in it.
-func (l *Ledger) back(a *Account, tokens float64) { l.save(a, tokens, math.Inf(1)) }
+// refund returns tokens from escrow to the account. The limit does not apply: the tokens were within it when they were
+// saved, even if it has been lowered since.
+func (l *Ledger) refund(account *Account, tokens float64) { l.deposit(account, tokens, math.Inf(1)) }
 
-// found takes back what counted as spent of a balancer that was silent, and was not.
-func (l *Ledger) found(t *walletRecord) {
-	for _, tenant := range slices.Sorted(maps.Keys(t.Lost)) {
-		a := l.account(tenant)
-		a.Spent -= t.Lost[tenant]
-		l.back(a, t.Lost[tenant])
+// reverseWriteOff refunds the part of a written-off escrow that was not spent.
+func (l *Ledger) reverseWriteOff(wallet *walletRecord) {
+	for _, tenant := range slices.Sorted(maps.Keys(wallet.WrittenOff)) {
+		account := l.openAccount(tenant)
+		account.Spent -= wallet.WrittenOff[tenant]
+		l.refund(account, wallet.WrittenOff[tenant])
 	}
-	t.Lost = nil
+	wallet.WrittenOff = nil
 }
 
-// Close ends what a balancer of a life that is over held. Effects that may have run are charged; the rest goes back.
-func (l *Ledger) Close(node string) {
-	t := l.Wallets[node]
-	if t == nil {
+// CloseWallet closes the wallet of an incarnation that has ended. It charges effects that may have run and refunds the
+// rest.
+func (l *Ledger) CloseWallet(node string) {
+	wallet := l.Wallets[node]
+	if wallet == nil {
 		return
 	}
-	if t.Lost != nil {
-		t.Out = map[string]float64{}
-		for tenant, n := range t.Lost {
-			l.account(tenant).Spent -= n
-			t.Out[tenant] = n
+	if wallet.WrittenOff != nil {
+		wallet.Escrow = map[string]float64{}
+		for tenant, tokens := range wallet.WrittenOff {
+			l.openAccount(tenant).Spent -= tokens
+			wallet.Escrow[tenant] = tokens
 		}
-		t.Lost = nil
+		wallet.WrittenOff = nil
 	}
-	for _, m := range t.Open {
-		if l.known(m) || t.Out[m.Tenant] < 1 {
+	for _, id := range wallet.OpenEffects {
+		if l.isCharged(id) || wallet.Escrow[id.Tenant] < 1 {
 			continue
 		}
-		l.learn(m)
-		a := l.account(m.Tenant)
-		t.Out[m.Tenant]--
-		a.Spent++
-		l.note(a, "charged, its balancer is lost", node, "", 1)
+		l.markCharged(id)
+		account := l.openAccount(id.Tenant)
+		wallet.Escrow[id.Tenant]--
+		account.Spent++
+		l.record(account, "charged, its balancer is lost", node, "", 1)
 	}
-	for _, tenant := range slices.Sorted(maps.Keys(t.Out)) {
-		l.back(l.account(tenant), t.Out[tenant])
+	for _, tenant := range slices.Sorted(maps.Keys(wallet.Escrow)) {
+		l.refund(l.openAccount(tenant), wallet.Escrow[tenant])
 	}
 	delete(l.Wallets, node)
 }
 
-// Grant is an operator's gift, or with less than nothing a taking away of what is there.
-func (l *Ledger) Grant(tenant string, tokens float64, who, why string) float64 {
-	a := l.account(tenant)
+// GrantTokens adds tokens on behalf of an operator. A negative number removes tokens, at most the balance. It returns
+// the change.
+func (l *Ledger) GrantTokens(tenant string, tokens float64, who, why string) float64 {
+	account := l.openAccount(tenant)
 	if tokens < 0 {
-		tokens = -a.take(math.Min(-tokens, a.Balance()))
-		a.Granted += tokens
+		tokens = -account.withdraw(math.Min(-tokens, account.Balance()))
+		account.Granted += tokens
 	} else {
-		l.back(a, tokens)
-		a.Granted += tokens
+		l.refund(account, tokens)
+		account.Granted += tokens
 	}
-	l.note(a, "granted", who, why, tokens)
+	l.record(account, "granted", who, why, tokens)
 	return tokens
 }
 
-// Freeze stops what an account earns and gives out, or lets it go on.
-func (l *Ledger) Freeze(tenant string, frozen bool, who, why string) {
-	a := l.account(tenant)
+// SetFrozen freezes an account, so that it neither earns nor grants tokens, or unfreezes it.
+func (l *Ledger) SetFrozen(tenant string, frozen bool, who, why string) {
+	account := l.openAccount(tenant)
 	what := "thawed"
-	if a.Frozen = frozen; frozen {
+	if account.Frozen = frozen; frozen {
 		what = "frozen"
 	}
-	l.note(a, what, who, why, 0)
+	l.record(account, what, who, why, 0)
 }
 
-// Gap is what an account does not add up to: 0.
+// Gap returns the discrepancy of an account's sums; it is 0 if the books balance.
 func (l *Ledger) Gap(tenant string) float64 {
-	a := l.Accounts[tenant]
-	if a == nil {
+	account := l.Accounts[tenant]
+	if account == nil {
 		return 0
 	}
-	return a.Earned + a.Granted - a.Balance() - l.out(tenant) - a.Spent - a.Expired
+	return account.Earned + account.Granted - account.Balance() - l.outstanding(tenant) - account.Spent - account.Expired
 }
--- a/internal/mesh/burstcredit/wallet.go
+++ b/internal/mesh/burstcredit/wallet.go
@@ -6,392 +6,405 @@
 	"slices"
 )
 
-// Claim is a request that is beyond its tenant's rate.
+// Claim is a request above its tenant's rate that needs burst credit.
 type Claim struct {
-	Tenant  string
-	ID      uint64
-	Service string
-	Effect  bool // it must not run twice: once it may have run it is charged
-	Client  bool // it began at a client, not at a service
-	Rank    int  // of tenant and route, 0 first
+	Tenant     string
+	ID         uint64
+	Service    string
+	HasEffect  bool // not idempotent: it is charged as soon as it may have run
+	FromClient bool // sent by a client, not by a service
+	Rank       int  // priority of tenant and route; 0 is the highest
 }
 
-// Verdict is how a claim goes on.
+// Verdict is the decision on a claim.
 type Verdict uint8
 
-// The verdicts.
+// Verdicts of Wallet.Claim.
 const (
-	None  Verdict = iota // there is no credit to draw on
-	Drawn                // it goes on: a token is reserved for it, or was for an earlier try of the same
-	Wait                 // there may be some soon: Turn calls it
+	NoCredit Verdict = iota // no credit is available
+	Reserved                // a token is reserved for the request, by this or an earlier attempt
+	Queued                  // the claim waits in the queue until ServeQueue serves it
 )
 
-// End is what became of a try.
+// Outcome is the result of an attempt.
 type Outcome uint8
 
-// The ends.
+// Outcomes of an attempt.
 const (
-	Delivered Outcome = iota // answered whole
-	Unknown                  // it may have run
-	NeverRan                 // or an answer that is no use: a failure, a refusal, a page that broke off
+	Delivered    Outcome = iota // the response was delivered completely
+	Unknown                     // the attempt may have run
+	NotDelivered                // the attempt did not run, failed, was rejected, or its response was truncated
 )
 
-type hold struct {
+// reservation is a token reserved for a request.
+type reservation struct {
 	Claim
-	tries   int   // under way
-	charged bool  // its token is spent
-	void    bool  // its token was in an escrow that has been closed
-	until   int64 // then it is forgotten, where it is charged
+	activeAttempts int
+	charged        bool  // the token is spent
+	void           bool  // the token belonged to an escrow that was written off
+	expiresAt      int64 // when a charged reservation may be removed, in nanoseconds
 }
 
+// tenantCredit is the wallet's credit of one tenant.
 type tenantCredit struct {
 	Terms
-	tokens   float64 // not reserved
-	reserved float64
-	demand   [2]float64 // a second, of calls of services and of clients
-	lately   float64    // clients' claims, over rushFor
-	at       int64
-	waiting  [2]int
-	usable   int64 // until then, by this balancer's own clock
+	unreserved         float64 // tokens not reserved
+	reserved           float64
+	demand             [2]float64 // claims per second, decayed; of services [0] and clients [1]
+	recentClientClaims float64    // client claims, decayed over burstWindow
+	updatedAt          int64      // of demand and recentClientClaims, in nanoseconds
+	waiting            [2]int     // queued claims of services and clients
+	usableUntil        int64      // when the escrow ends, by the balancer's own clock
 }
 
-type reservedCredit struct {
-	rate, most, has float64
-	at              int64
+// serviceBucket is a token bucket that limits the credit spent at one service.
+type serviceBucket struct {
+	rate, capacity, tokens float64 // rate in tokens per second
+	updatedAt              int64
 }
 
-// waiter is a claim that waits for its turn.
+// waiter is a queued claim.
 type waiter struct {
-	claim Claim
-	order uint64
-	call  func(bool)
+	claim   Claim
+	arrival uint64 // sequence number
+	notify  func(bool)
 }
 
-// Crop is what one balancer holds of tenants' credit. It begins empty.
+// Wallet holds one balancer's escrow of all tenants' credit and its reservations. It starts empty.
 type Wallet struct {
-	node, life string
-	seq        uint64
-	tenants    map[string]*tenantCredit
-	services   map[string]*reservedCredit
-	holds      map[ClaimID]*hold
-	line       []*waiter
-	orders     uint64
-	sent       *Report   // that has not been answered
-	settled    []ClaimID // since the last that was
-	swept      int64
+	node, incarnation string
+	seq               uint64
+	tenants           map[string]*tenantCredit
+	services          map[string]*serviceBucket
+	reservations      map[ClaimID]*reservation
+	queue             []*waiter
+	arrivals          uint64
+	pendingReport     *Report   // not answered yet
+	settled           []ClaimID // charged since the last report
+	lastSweep         int64
 
-	noEnd, perTry, noPrecedence bool // guards left out
+	noEscrowTimeout, chargePerTry, noPrecedence bool // disabled guards
 }
 
-// NewCrop makes one for a life of a balancer.
-func NewWallet(node, life string) *Wallet {
-	return &Wallet{node: node, life: life, tenants: map[string]*tenantCredit{}, services: map[string]*reservedCredit{}, holds: map[ClaimID]*hold{}}
+// NewWallet returns an empty wallet for one incarnation of a balancer.
+func NewWallet(node, incarnation string) *Wallet {
+	return &Wallet{node: node, incarnation: incarnation, tenants: map[string]*tenantCredit{}, services: map[string]*serviceBucket{},
+		reservations: map[ClaimID]*reservation{}}
 }
 
-// Set puts terms in force, and the most that all credit together adds at a service a second, of which a balancer has a part.
-func (c *Wallet) Set(terms map[string]Terms, services map[string]float64, members int, now int64) {
-	for tenant, t := range terms {
-		if p := c.tenants[tenant]; p != nil {
-			p.Terms = t
-		} else if t.Extra > 0 {
-			c.tenants[tenant] = &tenantCredit{Terms: t, at: now}
+// SetTerms applies the tenants' terms and the limits of services: the credit, in tokens per second, that all balancers
+// together may spend at each.
+func (w *Wallet) SetTerms(terms map[string]Terms, services map[string]float64, balancerCount int, now int64) {
+	for tenant, tenantTerms := range terms {
+		if credit := w.tenants[tenant]; credit != nil {
+			credit.Terms = tenantTerms
+		} else if tenantTerms.ExtraRate > 0 {
+			w.tenants[tenant] = &tenantCredit{Terms: tenantTerms, updatedAt: now}
 		}
 	}
-	for tenant, p := range c.tenants {
-		if _, is := terms[tenant]; !is {
-			p.Terms = Terms{} // what it holds goes back with the next report
+	for tenant, credit := range w.tenants {
+		if _, found := terms[tenant]; !found {
+			credit.Terms = Terms{} // the next report returns its tokens
 		}
 	}
-	for name := range c.services {
+	for name := range w.services {
 		if services[name] <= 0 {
-			delete(c.services, name)
+			delete(w.services, name)
 		}
 	}
-	for name, most := range services {
-		if most <= 0 {
+	for name, maxRate := range services {
+		if maxRate <= 0 {
 			continue
 		}
-		p := c.services[name]
-		if p == nil {
-			p = &reservedCredit{at: now}
-			c.services[name] = p
+		bucket := w.services[name]
+		if bucket == nil {
+			bucket = &serviceBucket{updatedAt: now}
+			w.services[name] = bucket
 		}
-		p.rate = most / float64(max(members, 1))
-		p.most = math.Max(1, p.rate)
+		bucket.rate = maxRate / float64(max(balancerCount, 1))
+		bucket.capacity = math.Max(1, bucket.rate)
 	}
 }
 
-// On reports whether any tenant has credit.
-func (c *Wallet) On() bool { return len(c.tenants) > 0 }
+// Enabled reports whether any tenant has credit.
+func (w *Wallet) Enabled() bool { return len(w.tenants) > 0 }
 
-// room takes one from a service's purse, if there is one.
-func (c *Wallet) room(service string, now int64) bool {
-	p := c.services[service]
-	if p == nil {
+// hasServiceCapacity refills a service's bucket and reports whether it has a token.
+func (w *Wallet) hasServiceCapacity(service string, now int64) bool {
+	bucket := w.services[service]
+	if bucket == nil {
 		return true
 	}
-	p.has = math.Min(p.most, p.has+p.rate*float64(max(0, now-p.at))/float64(s))
-	p.at = now
-	return p.has >= 1
+	bucket.tokens = math.Min(bucket.capacity, bucket.tokens+bucket.rate*float64(max(0, now-bucket.updatedAt))/float64(second))
+	bucket.updatedAt = now
+	return bucket.tokens >= 1
 }
 
-// Claim reserves a token for a request. Whoever waits is called by Turn, with what became of it, or gives up by Leave.
-func (c *Wallet) Claim(k Claim, now int64, call func(bool)) Verdict {
-	p := c.tenants[k.Tenant]
-	if p == nil || p.Extra <= 0 {
-		return None
-	}
-	if h := c.holds[k.mark()]; h != nil && !c.perTry { // another try of the same
-		h.tries++
-		return Drawn
-	}
-	kind := 0
-	if k.Client {
-		kind = 1
-	}
-	p.demand[0] *= math.Exp(-float64(now-p.at) / float64(s))
-	p.demand[1] *= math.Exp(-float64(now-p.at) / float64(s))
-	p.demand[kind]++
-	p.lately *= math.Exp(-float64(now-p.at) / float64(burstWindow))
-	p.lately += float64(kind)
-	p.at = now
-	if len(c.line) == 0 && c.reserve(k, now) {
-		return Drawn
-	}
-	if call == nil {
-		return None
-	}
-	c.orders++
-	w := &waiter{k, c.orders, call}
-	at, _ := slices.BinarySearchFunc(c.line, w, c.before)
-	c.line = slices.Insert(c.line, at, w)
-	p.waiting[kind]++
-	return Wait
+// Claim reserves a token for a request. A queued claim is notified by ServeQueue or withdrawn with Cancel. Without
+// notify, a claim is never queued.
+func (w *Wallet) Claim(claim Claim, now int64, notify func(bool)) Verdict {
+	credit := w.tenants[claim.Tenant]
+	if credit == nil || credit.ExtraRate <= 0 {
+		return NoCredit
+	}
+	if held := w.reservations[claim.requestID()]; held != nil && !w.chargePerTry { // another attempt of the same request
+		held.activeAttempts++
+		return Reserved
+	}
+	origin := 0
+	if claim.FromClient {
+		origin = 1
+	}
+	credit.demand[0] *= math.Exp(-float64(now-credit.updatedAt) / float64(second))
+	credit.demand[1] *= math.Exp(-float64(now-credit.updatedAt) / float64(second))
+	credit.demand[origin]++
+	credit.recentClientClaims *= math.Exp(-float64(now-credit.updatedAt) / float64(burstWindow))
+	credit.recentClientClaims += float64(origin)
+	credit.updatedAt = now
+	if len(w.queue) == 0 && w.reserve(claim, now) {
+		return Reserved
+	}
+	if notify == nil {
+		return NoCredit
+	}
+	w.arrivals++
+	entry := &waiter{claim, w.arrivals, notify}
+	position, _ := slices.BinarySearchFunc(w.queue, entry, w.compareWaiters)
+	w.queue = slices.Insert(w.queue, position, entry)
+	credit.waiting[origin]++
+	return Queued
 }
 
-// before is the order of those that wait: clients' requests, rank, the longest waiting.
-func (c *Wallet) before(a, b *waiter) int {
-	if c.noPrecedence {
-		return cmp.Compare(a.order, b.order)
+// compareWaiters orders the queue: client requests first, then by rank, then by arrival.
+func (w *Wallet) compareWaiters(a, b *waiter) int {
+	if w.noPrecedence {
+		return cmp.Compare(a.arrival, b.arrival)
 	}
-	first := func(w *waiter) int {
-		if w.claim.Client {
+	originOrder := func(entry *waiter) int {
+		if entry.claim.FromClient {
 			return 0
 		}
 		return 1
 	}
-	return cmp.Or(cmp.Compare(first(a), first(b)), cmp.Compare(a.claim.Rank, b.claim.Rank), cmp.Compare(a.order, b.order))
+	return cmp.Or(cmp.Compare(originOrder(a), originOrder(b)), cmp.Compare(a.claim.Rank, b.claim.Rank), cmp.Compare(a.arrival, b.arrival))
 }
 
-func (k Claim) mark() ClaimID { return ClaimID{k.Tenant, k.ID} }
+// requestID returns the identity under which the claim is charged.
+func (claim Claim) requestID() ClaimID { return ClaimID{claim.Tenant, claim.ID} }
 
-// reserve takes a token for a claim, if there is one and its service has room.
-func (c *Wallet) reserve(k Claim, now int64) bool {
-	p := c.tenants[k.Tenant]
-	if p == nil || p.tokens < 1 || now >= p.usable && !c.noEnd {
+// reserve reserves a token for a claim, if one is free and the limit of its service allows it.
+func (w *Wallet) reserve(claim Claim, now int64) bool {
+	credit := w.tenants[claim.Tenant]
+	if credit == nil || credit.unreserved < 1 || now >= credit.usableUntil && !w.noEscrowTimeout {
 		return false
 	}
-	if !k.Client && !c.noPrecedence { // what clients are about to ask for is theirs
-		if p.tokens < 1+2*p.burstDemand(now) {
+	if !claim.FromClient && !w.noPrecedence { // keep enough tokens for the expected client requests
+		if credit.unreserved < 1+2*credit.burstDemand(now) {
 			return false
 		}
 	}
-	if !c.room(k.Service, now) {
+	if !w.hasServiceCapacity(claim.Service, now) {
 		return false
 	}
-	if q := c.services[k.Service]; q != nil {
-		q.has--
+	if bucket := w.services[claim.Service]; bucket != nil {
+		bucket.tokens--
 	}
-	p.tokens--
-	p.reserved++
-	m := k.mark()
-	if c.perTry { // each try for itself
-		m.ID += c.orders<<32 + uint64(len(c.holds))
+	credit.unreserved--
+	credit.reserved++
+	id := claim.requestID()
+	if w.chargePerTry { // a separate identity for each attempt
+		id.ID += w.arrivals<<32 + uint64(len(w.reservations))
 	}
-	c.holds[m] = &hold{Claim: k, tries: 1}
+	w.reservations[id] = &reservation{Claim: claim, activeAttempts: 1}
 	return true
 }
 
-// Turn serves those that wait, in their order, as far as there is something.
-func (c *Wallet) Turn(now int64) {
-	kept := c.line[:0]
-	var called []*waiter
-	for _, w := range c.line {
-		if h := c.holds[w.claim.mark()]; h != nil { // an earlier try was served meanwhile
-			h.tries++
-		} else if !c.reserve(w.claim, now) {
-			kept = append(kept, w)
+// ServeQueue serves queued claims in order, as far as tokens allow.
+func (w *Wallet) ServeQueue(now int64) {
+	remaining := w.queue[:0]
+	var served []*waiter
+	for _, entry := range w.queue {
+		if held := w.reservations[entry.claim.requestID()]; held != nil { // another attempt of the same request was served
+			held.activeAttempts++
+		} else if !w.reserve(entry.claim, now) {
+			remaining = append(remaining, entry)
 			continue
 		}
-		called = append(called, w)
+		served = append(served, entry)
 	}
-	clear(c.line[len(kept):])
-	c.line = kept
-	for _, w := range called {
-		c.unwait(w)
-		w.call(true)
+	clear(w.queue[len(remaining):])
+	w.queue = remaining
+	for _, entry := range served {
+		w.forgetWaiter(entry)
+		entry.notify(true)
 	}
 }
 
-func (c *Wallet) unwait(w *waiter) {
-	kind := 0
-	if w.claim.Client {
-		kind = 1
+// forgetWaiter updates the number of queued claims after one has left the queue.
+func (w *Wallet) forgetWaiter(entry *waiter) {
+	origin := 0
+	if entry.claim.FromClient {
+		origin = 1
 	}
-	if p := c.tenants[w.claim.Tenant]; p != nil && p.waiting[kind] > 0 {
-		p.waiting[kind]--
+	if credit := w.tenants[entry.claim.Tenant]; credit != nil && credit.waiting[origin] > 0 {
+		credit.waiting[origin]--
 	}
 }
 
-// Leave takes a claim out of the line; it reports whether it still stood there.
-func (c *Wallet) Leave(k Claim) bool {
-	for n, w := range c.line {
-		if w.claim == k {
-			c.line = slices.Delete(c.line, n, n+1)
-			c.unwait(w)
+// Cancel removes a claim from the queue and reports whether it was queued.
+func (w *Wallet) Cancel(target Claim) bool {
+	for i, entry := range w.queue {
+		if entry.claim == target {
+			w.queue = slices.Delete(w.queue, i, i+1)
+			w.forgetWaiter(entry)
 			return true
 		}
 	}
 	return false
 }
 
-// Done takes the end of a try that was drawn for. A token is spent once, by the first try that delivers, or that may have had an
-// effect; it is free again once the last try ends without.
-func (c *Wallet) Done(k Claim, end Outcome, now int64) {
-	m := k.mark()
-	h := c.holds[m]
-	if c.perTry {
-		for other, o := range c.holds {
-			if o.Claim == k && !o.charged {
-				m, h = other, o
+// Finish records the outcome of an attempt with a reservation. The token is charged once, by the first attempt that is
+// delivered or may have had an effect. If the last attempt ends without a charge, the token is free again.
+func (w *Wallet) Finish(claim Claim, outcome Outcome, now int64) {
+	id := claim.requestID()
+	held := w.reservations[id]
+	if w.chargePerTry {
+		for otherID, other := range w.reservations {
+			if other.Claim == claim && !other.charged {
+				id, held = otherID, other
 				break
 			}
 		}
 	}
-	if h == nil || h.tries == 0 {
+	if held == nil || held.activeAttempts == 0 {
 		return
 	}
-	h.tries--
-	p := c.tenants[k.Tenant]
-	if !h.charged && (end == Delivered || end == Unknown && h.Effect) {
-		h.charged, h.until = true, now+Window
-		if p != nil {
-			p.reserved--
+	held.activeAttempts--
+	credit := w.tenants[claim.Tenant]
+	if !held.charged && (outcome == Delivered || outcome == Unknown && held.HasEffect) {
+		held.charged, held.expiresAt = true, now+DedupWindow
+		if credit != nil {
+			credit.reserved--
 		}
-		c.settled = append(c.settled, ClaimID{m.Tenant, m.ID})
+		w.settled = append(w.settled, ClaimID{id.Tenant, id.ID})
 	}
-	if h.tries == 0 && !h.charged {
-		if delete(c.holds, m); p != nil {
-			if p.reserved--; !h.void {
-				p.tokens++
+	if held.activeAttempts == 0 && !held.charged {
+		if delete(w.reservations, id); credit != nil {
+			if credit.reserved--; !held.void {
+				credit.unreserved++
 			}
 		}
 	}
-	if now-c.swept > s {
-		c.swept = now
-		for m, h := range c.holds {
-			if h.charged && h.tries == 0 && now >= h.until {
-				delete(c.holds, m)
+	if now-w.lastSweep > second {
+		w.lastSweep = now
+		for id, held := range w.reservations {
+			if held.charged && held.activeAttempts == 0 && now >= held.expiresAt {
+				delete(w.reservations, id)
 			}
 		}
 	}
 }
 
-// rush is how many clients' claims are to be looked for within Ahead, by the last seconds: a lull is no end of a rush.
-func (p *tenantCredit) burstDemand(now int64) float64 {
-	return p.lately*math.Exp(-float64(now-p.at)/float64(burstWindow))*float64(Ahead)/float64(burstWindow) + float64(p.waiting[1])
+// burstDemand returns the expected number of client claims within PrefetchWindow. It averages over burstWindow, so that
+// a short lull does not count as the end of a burst.
+func (tc *tenantCredit) burstDemand(now int64) float64 {
+	return tc.recentClientClaims*math.Exp(-float64(now-tc.updatedAt)/float64(burstWindow))*
+		float64(PrefetchWindow)/float64(burstWindow) + float64(tc.waiting[1])
 }
 
-const burstWindow = 5 * s
+const burstWindow = 5 * second // nanoseconds
 
-// wish is what a balancer would hold for clients and for services.
-func (p *tenantCredit) wish(now int64) (client, inner float64) {
-	old := math.Exp(-float64(now-p.at) / float64(s))
-	ahead := float64(Ahead) / float64(s) / 2
-	return math.Ceil(p.demand[1]*old*ahead-0.05) + float64(p.waiting[1]), math.Ceil(p.demand[0]*old*ahead-0.05) + float64(p.waiting[0])
+// targetTokens returns how many tokens the balancer should hold for client requests and for calls of services.
+func (tc *tenantCredit) targetTokens(now int64) (client, service float64) {
+	decay := math.Exp(-float64(now-tc.updatedAt) / float64(second))
+	horizon := float64(PrefetchWindow) / float64(second) / 2
+	return math.Ceil(tc.demand[1]*decay*horizon-0.05) + float64(tc.waiting[1]),
+		math.Ceil(tc.demand[0]*decay*horizon-0.05) + float64(tc.waiting[0])
 }
 
-// Wants reports whether a report would be of use now.
-func (c *Wallet) Wants(now int64) bool {
-	if c.sent != nil || len(c.settled) > 0 || len(c.line) > 0 {
+// ShouldReport reports whether there is something to report or to request.
+func (w *Wallet) ShouldReport(now int64) bool {
+	if w.pendingReport != nil || len(w.settled) > 0 || len(w.queue) > 0 {
 		return true
 	}
-	for _, p := range c.tenants {
-		client, inner := p.wish(now)
-		held := p.tokens + p.reserved
-		if held > 0 || p.Extra > 0 && client+inner > held {
+	for _, credit := range w.tenants {
+		client, service := credit.targetTokens(now)
+		held := credit.unreserved + credit.reserved
+		if held > 0 || credit.ExtraRate > 0 && client+service > held {
 			return true
 		}
 	}
 	return false
 }
 
-// Report is the next word to the book, or the last again, if that was not answered.
-func (c *Wallet) Report(now int64) *Report {
-	if c.sent != nil {
-		return c.sent
-	}
-	c.seq++
-	r := &Report{Node: c.node, Life: c.life, Seq: c.seq, Asks: map[string]Ask{}, Settled: c.settled}
-	c.settled = nil
-	for m, h := range c.holds {
-		if h.Effect && !h.charged {
-			r.Open = append(r.Open, m)
+// Report returns the next report to the ledger, or the last one again if it has not been answered.
+func (w *Wallet) Report(now int64) *Report {
+	if w.pendingReport != nil {
+		return w.pendingReport
+	}
+	w.seq++
+	report := &Report{Node: w.node, Incarnation: w.incarnation, Seq: w.seq, Demands: map[string]Demand{}, Settled: w.settled}
+	w.settled = nil
+	for id, held := range w.reservations {
+		if held.HasEffect && !held.charged {
+			report.OpenEffects = append(report.OpenEffects, id)
 		}
 	}
-	slices.SortFunc(r.Open, func(a, b ClaimID) int { return cmp.Or(cmp.Compare(a.Tenant, b.Tenant), cmp.Compare(a.ID, b.ID)) })
-	for tenant, p := range c.tenants {
-		client, inner := p.wish(now)
-		if p.Extra <= 0 {
-			client, inner = 0, 0
+	slices.SortFunc(report.OpenEffects, func(a, b ClaimID) int {
+		return cmp.Or(cmp.Compare(a.Tenant, b.Tenant), cmp.Compare(a.ID, b.ID))
+	})
+	for tenant, credit := range w.tenants {
+		client, service := credit.targetTokens(now)
+		if credit.ExtraRate <= 0 {
+			client, service = 0, 0
 		}
-		a := Ask{Held: p.tokens + p.reserved}
-		if over := whole(p.tokens - 2*(client+inner)); over > 0 {
-			a.Return = over
-			p.tokens -= over
+		demand := Demand{Held: credit.unreserved + credit.reserved}
+		if surplus := floor(credit.unreserved - 2*(client+service)); surplus > 0 {
+			demand.Returned = surplus
+			credit.unreserved -= surplus
 		}
-		a.Want = math.Max(0, client-p.tokens)
-		a.Inner = math.Max(0, inner-math.Max(0, p.tokens-client))
-		if a != (Ask{}) {
-			r.Asks[tenant] = a
+		demand.WantedByClients = math.Max(0, client-credit.unreserved)
+		demand.WantedByServices = math.Max(0, service-math.Max(0, credit.unreserved-client))
+		if demand != (Demand{}) {
+			report.Demands[tenant] = demand
 		}
 	}
-	c.sent = r
-	return r
+	w.pendingReport = report
+	return report
 }
 
-// Given takes the answer to a report that was sent at a time.
-func (c *Wallet) ApplyGrant(g *Grant, sent, now int64) {
-	if g == nil || c.sent == nil || g.Seq != c.sent.Seq {
+// ApplyGrant applies the answer to a report that was sent at sentAt.
+func (w *Wallet) ApplyGrant(grant *Grant, sentAt, now int64) {
+	if grant == nil || w.pendingReport == nil || grant.Seq != w.pendingReport.Seq {
 		return
 	}
-	c.sent = nil
-	for _, p := range c.tenants {
-		p.usable = sent + Strand*9/10 // by its own clock, well before the book closes it
-		if g.Reset {
-			p.tokens = 0
+	w.pendingReport = nil
+	for _, credit := range w.tenants {
+		credit.usableUntil = sentAt + EscrowTimeout*9/10 // ends by the local clock well before the ledger writes the escrow off
+		if grant.Reset {
+			credit.unreserved = 0
 		}
 	}
-	for _, h := range c.holds {
-		h.void = h.void || g.Reset && !h.charged
+	for _, held := range w.reservations {
+		held.void = held.void || grant.Reset && !held.charged
 	}
-	for tenant, n := range g.Refunds {
-		if p := c.tenants[tenant]; p != nil {
-			p.tokens += n
+	for tenant, tokens := range grant.Refunds {
+		if credit := w.tenants[tenant]; credit != nil {
+			credit.unreserved += tokens
 		}
 	}
-	for tenant, n := range g.Tokens {
-		if p := c.tenants[tenant]; p != nil {
-			p.tokens += n
+	for tenant, tokens := range grant.Tokens {
+		if credit := w.tenants[tenant]; credit != nil {
+			credit.unreserved += tokens
 		}
 	}
-	c.Turn(now)
+	w.ServeQueue(now)
 }
 
-// Held is what is in escrow here.
-func (c *Wallet) Held(tenant string) (free, reserved float64) {
-	if p := c.tenants[tenant]; p != nil {
-		return p.tokens, p.reserved
+// Held returns a tenant's free and reserved tokens in escrow.
+func (w *Wallet) Held(tenant string) (free, reserved float64) {
+	if credit := w.tenants[tenant]; credit != nil {
+		return credit.unreserved, credit.reserved
 	}
 	return 0, 0
 }
--- a/internal/mesh/controller/burst_credit.go
+++ b/internal/mesh/controller/burst_credit.go
@@ -77,7 +77,7 @@
 		return
 	}
 	table, err := c.parsedConfiguration(s)
-	if err != nil || table == nil || len(burstcredit.TermsOf(table)) == 0 {
+	if err != nil || table == nil || len(burstcredit.TenantTerms(table)) == 0 {
 		return
 	}
 	t := &c.ledger
@@ -101,7 +101,7 @@
 	t.Unlock()
 	c.bank.Lock()
 	if c.bank.is != nil && c.bank.epoch == reign {
-		for tenant, n := range c.bank.is.Unused() {
+		for tenant, n := range c.bank.is.TakeUnused() {
 			unused[tenant] += n
 		}
 	}
@@ -122,11 +122,11 @@
 		if err != nil || table == nil {
 			return nil, apierror.New(apierror.Unclear, "no configuration: %v", err)
 		}
-		terms := burstcredit.TermsOf(table)
+		terms := burstcredit.TenantTerms(table)
 		return credit(newest, func(b *burstcredit.Ledger) {
-			b.Pass(elapsed, terms)
+			b.Advance(elapsed, terms)
 			b.Earn(unused, terms)
-			grants = b.Take(reports, terms)
+			grants = b.ProcessReports(reports, terms)
 		})
 	})
 	if err != nil {
@@ -149,12 +149,12 @@
 
 // credit is the state after something has been done to the book.
 func credit(s *consensus.State, do func(*burstcredit.Ledger)) (*consensus.State, error) {
-	b, err := burstcredit.Read(s.Credit)
+	b, err := burstcredit.DecodeLedger(s.Credit)
 	if err != nil {
 		return nil, apierror.New(apierror.Unclear, "the accounts can't be read: %v", err)
 	}
 	do(b)
-	raw, err := b.Write()
+	raw, err := b.Encode()
 	if err != nil {
 		return nil, apierror.New(apierror.Unclear, "the accounts can't be written: %v", err)
 	}
@@ -179,9 +179,9 @@
 		return credit(newest, func(b *burstcredit.Ledger) {
 			switch {
 			case o.Freeze || o.Thaw:
-				b.Freeze(o.Tenant, o.Freeze, o.Who, o.Why)
+				b.SetFrozen(o.Tenant, o.Freeze, o.Who, o.Why)
 			default:
-				b.Grant(o.Tenant, o.Tokens, o.Who, o.Why)
+				b.GrantTokens(o.Tenant, o.Tokens, o.Who, o.Why)
 			}
 		})
 	})
@@ -194,7 +194,7 @@
 
 // Account is a tenant's account as a book has it.
 func Account(raw json.RawMessage, tenant string) (*burstcredit.AccountStatus, error) {
-	b, err := burstcredit.Read(raw)
+	b, err := burstcredit.DecodeLedger(raw)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/mesh/controller/coordinator.go
+++ b/internal/mesh/controller/coordinator.go
@@ -70,7 +70,7 @@
 		if err != nil || t == nil {
 			return nil, apierror.New(apierror.Unclear, "no configuration: %v", err)
 		}
-		b.is.Set(ratelimit.LimitsOf(t, &c.settings.Bounds), s.Members, now)
+		b.is.SetLimits(ratelimit.TenantLimits(t, &c.settings.Bounds), s.Members, now)
 		b.index = s.Index
 	}
 	if now < b.from {
--- a/internal/mesh/controller/cut_off_test.go
+++ b/internal/mesh/controller/cut_off_test.go
@@ -224,10 +224,10 @@
 		ask("partner order", rpc.PathPartner, PartnerOrder{Partner: "zuid", Hold: true, Who: "me", Why: "test"}, &federation.Import{}, answered)
 	})
 	asked.Go(func() {
-		ask("token grant", rpc.PathTokens, ratelimit.TokenRequest{Node: "n", Life: "l", Seq: 1}, &map[string]ratelimit.TokenGrant{}, answered)
+		ask("token grant", rpc.PathTokens, ratelimit.TokenRequest{Node: "n", Incarnation: "l", Seq: 1}, &map[string]ratelimit.TokenGrant{}, answered)
 	})
 	asked.Go(func() {
-		ask("credit report", rpc.PathCredit, burstcredit.Report{Node: "n", Life: "l", Seq: 1}, &burstcredit.Grant{}, answered)
+		ask("credit report", rpc.PathCredit, burstcredit.Report{Node: "n", Incarnation: "l", Seq: 1}, &burstcredit.Grant{}, answered)
 	})
 	asked.Go(func() { ask("newest status", rpc.PathStatus, StatusRequest{Newest: true}, &Status{}, answered) })
 	asked.Go(func() {
@@ -412,7 +412,7 @@
 	m := startCutMesh(t, 3, 1)
 	m.put(0)
 	first := m.controllers[0]
-	request := &ratelimit.TokenRequest{Node: "n", Life: "l", Seq: 1, Wants: map[string]ratelimit.Demand{"acme": {More: 5}}}
+	request := &ratelimit.TokenRequest{Node: "n", Incarnation: "l", Seq: 1, Demands: map[string]ratelimit.Demand{"acme": {Wanted: 5}}}
 	m.until(10*time.Second, "the first controller is not coordinator", func() bool {
 		_, err := first.handleTokenRequest(m.ctx, request)
 		return err == nil
@@ -421,7 +421,7 @@
 	first.bank.Lock()
 	granted := make(chan error)
 	go func() {
-		_, err := first.handleTokenRequest(m.ctx, &ratelimit.TokenRequest{Node: "n", Life: "l", Seq: 2, Wants: map[string]ratelimit.Demand{"acme": {More: 5}}})
+		_, err := first.handleTokenRequest(m.ctx, &ratelimit.TokenRequest{Node: "n", Incarnation: "l", Seq: 2, Demands: map[string]ratelimit.Demand{"acme": {Wanted: 5}}})
 		granted <- err
 	}()
 	m.cut(testmesh.LinkSilent, testmesh.LinkSilent)
--- a/internal/mesh/controller/federation.go
+++ b/internal/mesh/controller/federation.go
@@ -36,20 +36,20 @@
 
 	doors map[string]uint64 // the word that balancers act on, of those that ask here
 
-	book *federation.ImportBook // as agreed
+	book *federation.ImportRegistry // as agreed
 	raw  []byte
 }
 
 // imports is what is agreed about partners.
-func (c *Controller) imports(s *consensus.State) *federation.ImportBook {
+func (c *Controller) imports(s *consensus.State) *federation.ImportRegistry {
 	b := &c.gateway
 	b.Lock()
 	defer b.Unlock()
 	if b.book == nil || !bytes.Equal(b.raw, s.Imports) {
-		book, err := federation.Read(s.Imports)
+		book, err := federation.DecodeImportRegistry(s.Imports)
 		if err != nil {
 			c.log.Error("partners", "err", err)
-			book = federation.NewImportBook()
+			book = federation.NewImportRegistry()
 		}
 		b.book, b.raw = book, s.Imports
 	}
@@ -124,22 +124,22 @@
 			}
 			go c.askPartner(p, t.Mesh, edition, s.Epoch)
 		}
-		if i != nil && i.Told > told {
+		if i != nil && i.AnnouncedEdition > told {
 			b.Lock()
-			b.told[p.Name] = i.Told
+			b.told[p.Name] = i.AnnouncedEdition
 			b.Unlock()
-			go c.tellPartner(p, i.Told)
+			go c.tellPartner(p, i.AnnouncedEdition)
 		}
 	}
-	gone := federation.NewImportBook()
-	if raw, err := book.Write(); err == nil {
-		gone, _ = federation.Read(raw)
+	gone := federation.NewImportRegistry()
+	if raw, err := book.Encode(); err == nil {
+		gone, _ = federation.DecodeImportRegistry(raw)
 	}
-	if len(due) > 0 || gone != nil && gone.Only(names) {
-		c.changeImports(ctx, s.Epoch, func(book *federation.ImportBook) error {
-			book.Only(names)
+	if len(due) > 0 || gone != nil && gone.RetainOnly(names) {
+		c.changeImports(ctx, s.Epoch, func(book *federation.ImportRegistry) error {
+			book.RetainOnly(names)
 			for partner, no := range due {
-				if book.Finish(partner, no) {
+				if book.CompleteNarrowing(partner, no) {
 					c.log.Info("partner", "name", partner, "narrowed", no, "done", true)
 				}
 			}
@@ -149,21 +149,21 @@
 }
 
 // bordered changes what is agreed about partners, under a epoch that later ones refuse.
-func (c *Controller) changeImports(ctx context.Context, reign uint64, do func(*federation.ImportBook) error) error {
+func (c *Controller) changeImports(ctx context.Context, reign uint64, do func(*federation.ImportRegistry) error) error {
 	ctx, end := context.WithTimeout(ctx, answerTimeout)
 	defer end()
 	_, err := c.replicator.change(ctx, c.otherControllers, func(newest *consensus.State) (*consensus.State, error) {
 		if reign > 0 && (newest.Epoch != reign || newest.Coordinator.Life != c.life) {
 			return nil, apierror.New(apierror.Unclear, "the duty is another's")
 		}
-		book, err := federation.Read(newest.Imports)
+		book, err := federation.DecodeImportRegistry(newest.Imports)
 		if err != nil {
 			return nil, err
 		}
 		if err := do(book); err != nil {
 			return nil, err
 		}
-		raw, err := book.Write()
+		raw, err := book.Encode()
 		if err != nil {
 			return nil, err
 		}
@@ -219,8 +219,8 @@
 		return err
 	}
 	changed := false
-	err = c.changeImports(context.Background(), reign, func(book *federation.ImportBook) (err error) {
-		changed, err = book.Take(t, routing.Digest("exports", raw))
+	err = c.changeImports(context.Background(), reign, func(book *federation.ImportRegistry) (err error) {
+		changed, err = book.ApplyTable(t, routing.Digest("exports", raw))
 		return err
 	})
 	if err != nil {
@@ -273,14 +273,14 @@
 		return nil, apierror.New(apierror.Invalid, "a partner, who orders it and why have to be said")
 	}
 	out := &federation.Import{}
-	err := c.changeImports(ctx, 0, func(book *federation.ImportBook) error {
+	err := c.changeImports(ctx, 0, func(book *federation.ImportRegistry) error {
 		switch {
 		case book.Partners[o.Partner] == nil:
 			return apierror.New(apierror.Invalid, "no partner is known as %q", o.Partner)
 		case o.Drop:
 			book.Drop(o.Partner, o.Who, o.Why)
 		default:
-			book.Close(o.Partner, o.Hold, o.Who, o.Why)
+			book.SetSuspended(o.Partner, o.Hold, o.Who, o.Why)
 		}
 		*out = *book.Partners[o.Partner]
 		return nil
--- a/internal/mesh/controller/replicator.go
+++ b/internal/mesh/controller/replicator.go
@@ -15,7 +15,7 @@
 const (
 	stepTimeout = 900 * time.Millisecond // for one step of an attempt at one member; a disk may take its time
 	readTimeout = 400 * time.Millisecond
-	fresh       = time.Duration(federation.Fresh) // for which a majority's word that this copy is current holds
+	fresh       = time.Duration(federation.QuorumFreshness) // for which a majority's word that this copy is current holds
 )
 
 // Disk is where a replica is kept: a storage.Store, or what a test puts in front of it.
--- a/internal/mesh/controller/watch.go
+++ b/internal/mesh/controller/watch.go
@@ -70,16 +70,16 @@
 	out.Starting, out.Coordinator, out.Epoch = c.now() < membership.Lease, s.Coordinator.At, s.Epoch
 	c.addConfiguration(out, a, s)
 	imports := c.imports(s)
-	if imports.No > 0 {
+	if imports.Revision > 0 {
 		c.recordImportsInUse(a.Node.Name, a.Position.Imports)
-		out.ImportsNo, out.Ages = imports.No, c.confirmationAges()
-		if a.Position.Imports != imports.No {
+		out.ImportsNo, out.Ages = imports.Revision, c.confirmationAges()
+		if a.Position.Imports != imports.Revision {
 			out.Imports = s.Imports
 		}
 	}
 	c.addRegistry(out, a)
 	out.Current = c.replicator.confirms(s)
-	out.Calm = out.Current && imports.No > 0
+	out.Calm = out.Current && imports.Revision > 0
 	return out
 }
 
--- a/internal/mesh/federation/export_policy.go
+++ b/internal/mesh/federation/export_policy.go
@@ -6,247 +6,261 @@
 	"strings"
 )
 
-// Verdict is why a request goes to a partner, or not.
+// Verdict is the decision whether a request may be sent to a partner.
 type Verdict uint8
 
-// The verdicts.
+// Verdicts of an ExportPolicy.
 const (
-	Open    Verdict = iota
-	NoRoute         // no partner exports this
-	Kept            // a partner does, and keeps this method to itself
-	NoLeave         // it may be allowed, but nobody current has said so of late: come back
-	Full            // the partner's limit
+	Open          Verdict = iota // the request may be sent
+	NoRoute                      // no partner exports the host and path
+	Withheld                     // exported, but suspended or not with this method
+	Unconfirmed                  // exported, but the authorization or the partner's lease has expired; retry later
+	LimitExceeded                // the rate limit of the export is reached
 )
 
+// String returns the name of the verdict in metrics and logs.
 func (v Verdict) String() string {
 	return [...]string{"open", "no_route", "kept", "no_leave", "full"}[v]
 }
 
-// Partner is what the configuration says of one.
+// Partner is the configuration of a partner mesh.
 type Partner struct {
 	Name       string
 	Gateway    string // address
-	ReadsStale bool   // reads go on when it has been silent beyond its lease; effects never do
+	ReadsStale bool   // read-only requests continue after its lease has expired
 }
 
-// Exporter is a partner that lets a request in, with the export that does.
+// Exporter is a partner to which a request may be sent, with the matching export.
 type Exporter struct {
 	Partner *Partner
 	Export  *Export
 	Edition int64
 }
 
-type known struct {
+// partnerState is the policy's state of one partner.
+type partnerState struct {
 	Partner
-	table *Table
-	held  bool
-	heard int64 // when the partner's word was last confirmed, by this balancer's clock
-	names map[string]*Export
-	rates map[*Export]*rate
+	table       *Table
+	suspended   bool
+	confirmedAt int64              // when the partner last confirmed its table, by the balancer's clock
+	exports     map[string]*Export // by host and path prefix
+	buckets     map[*Export]*tokenBucket
 }
 
-type rate struct {
-	has float64
-	at  int64
+// tokenBucket limits the rate of one export.
+type tokenBucket struct {
+	tokens    float64
+	updatedAt int64
 }
 
-// Door is one balancer's knowledge of what partners let in, and its leave to act on it. It begins closed.
+// ExportPolicy is one balancer's view of the partners' exports and its authorization to use them. It initially denies
+// everything.
 type ExportPolicy struct {
-	own     func(town, path string) bool // a route of ours takes it
-	order   []*known                     // as the configuration names them: the first goes first
-	no      uint64
-	leave   int64
-	members int
+	ownRoute        func(host, path string) bool // a route of this mesh matches
+	partners        []*partnerState              // in configured order of preference
+	revision        uint64
+	authorizedUntil int64 // nanoseconds, by the balancer's clock
+	balancerCount   int
 
-	openByDefault, noLeave bool // guards left out
+	openByDefault, ignoreAuthorization bool // disabled guards
 }
 
-// NewDoor makes one; own tells whether a route of ours takes a request: those go nowhere else.
-func NewExportPolicy(own func(town, path string) bool) *ExportPolicy {
-	return &ExportPolicy{own: own, members: 1}
+// NewExportPolicy returns an empty policy. ownRoute reports whether a route of this mesh matches a request; such
+// requests are never sent to partners.
+func NewExportPolicy(ownRoute func(host, path string) bool) *ExportPolicy {
+	return &ExportPolicy{ownRoute: ownRoute, balancerCount: 1}
 }
 
-// Names of guards that may be left out.
+// Names of guards that tests and simulations disable to verify that the checks detect their absence.
 const (
-	WithoutLeave  = "without-leave"
-	OneDoor       = "one-door"
-	OpenByDefault = "open-by-default"
-	RetryAfter    = "retry-after-narrowing"
+	WithoutAuthorization = "without-leave"
+	SinglePolicyCheck    = "one-door"
+	OpenByDefault        = "open-by-default"
+	RetryAfterNarrowing  = "retry-after-narrowing"
 )
 
-// Without leaves a guard out.
-func (d *ExportPolicy) Without(guard string) {
-	d.noLeave, d.openByDefault = guard == WithoutLeave, guard == OpenByDefault
+// DisableGuard disables one guard; an empty name enables all of them.
+func (ep *ExportPolicy) DisableGuard(guard string) {
+	ep.ignoreAuthorization, ep.openByDefault = guard == WithoutAuthorization, guard == OpenByDefault
 }
 
-// Without leaves a guard out.
-func (k *NarrowingTracker) Without(guard string) { k.early = guard == WithoutLeave }
+// DisableGuard disables one guard; an empty name enables all of them.
+func (t *NarrowingTracker) DisableGuard(guard string) {
+	t.completeAtOnce = guard == WithoutAuthorization
+}
 
-// Hear takes what is agreed: partners as the configuration orders them, and their words. ages are how long ago each partner
-// confirmed its word. An older number than was heard changes nothing.
-func (d *ExportPolicy) Hear(b *ImportBook, partners []Partner, ages map[string]int64, members int, now int64) {
-	if b.No < d.no {
+// Update applies a registry and the configured partners in their order. confirmationAges tells how long ago each
+// partner confirmed its table, in nanoseconds. A registry older than the current one is ignored.
+func (ep *ExportPolicy) Update(registry *ImportRegistry, configured []Partner, confirmationAges map[string]int64,
+	balancerCount int, now int64) {
+	if registry.Revision < ep.revision {
 		return
 	}
-	old := map[string]*known{}
-	for _, k := range d.order {
-		old[k.Name] = k
+	previous := map[string]*partnerState{}
+	for _, state := range ep.partners {
+		previous[state.Name] = state
 	}
-	d.no, d.members, d.order = b.No, max(members, 1), nil
-	for _, p := range partners {
-		i := b.Partners[p.Name]
-		if i == nil || i.Table == nil {
+	ep.revision, ep.balancerCount, ep.partners = registry.Revision, max(balancerCount, 1), nil
+	for _, partner := range configured {
+		imported := registry.Partners[partner.Name]
+		if imported == nil || imported.Table == nil {
 			continue
 		}
-		k := &known{Partner: p, table: i.Table, held: i.Held, heard: now - ages[p.Name], names: map[string]*Export{}, rates: map[*Export]*rate{}}
-		for n := range i.Table.Exports {
-			e := &i.Table.Exports[n]
-			k.names[e.Town+e.StreetPrefix] = e
-			if was := old[p.Name]; was != nil && e.PerS > 0 { // what was spent stays spent
-				if f := was.names[e.Town+e.StreetPrefix]; f != nil && was.rates[f] != nil {
-					k.rates[e] = was.rates[f]
+		state := &partnerState{Partner: partner, table: imported.Table, suspended: imported.Suspended,
+			confirmedAt: now - confirmationAges[partner.Name], exports: map[string]*Export{}, buckets: map[*Export]*tokenBucket{}}
+		for i := range imported.Table.Exports {
+			export := &imported.Table.Exports[i]
+			state.exports[export.Host+export.PathPrefix] = export
+			// Keep the bucket, so that an update does not refill it.
+			if before := previous[partner.Name]; before != nil && export.RatePerSecond > 0 {
+				if oldExport := before.exports[export.Host+export.PathPrefix]; oldExport != nil && before.buckets[oldExport] != nil {
+					state.buckets[export] = before.buckets[oldExport]
 				}
 			}
 		}
-		d.order = append(d.order, k)
+		ep.partners = append(ep.partners, state)
 	}
 }
 
-// Fresher notes that a partner has confirmed its word some time ago.
-func (d *ExportPolicy) Fresher(partner string, age, now int64) {
-	for _, k := range d.order {
-		if k.Name == partner {
-			k.heard = max(k.heard, now-age)
+// Confirm records that a partner confirmed its table age nanoseconds ago.
+func (ep *ExportPolicy) Confirm(partner string, age, now int64) {
+	for _, state := range ep.partners {
+		if state.Name == partner {
+			state.confirmedAt = max(state.confirmedAt, now-age)
 		}
 	}
 }
 
-// Renew takes the word of somebody current that number no is what is agreed; asked is when it was asked for.
-func (d *ExportPolicy) Renew(no uint64, asked int64) {
-	if no == d.no {
-		d.leave = max(d.leave, asked+LeaveFor)
+// Authorize records that a current controller confirmed a revision. requestedAt is when the confirmation was requested.
+// A confirmation of another revision than the one in use does not count.
+func (ep *ExportPolicy) Authorize(revision uint64, requestedAt int64) {
+	if revision == ep.revision {
+		ep.authorizedUntil = max(ep.authorizedUntil, requestedAt+AuthorizationTTL)
 	}
 }
 
-// No is the number that is acted on.
-func (d *ExportPolicy) No() uint64 { return d.no }
+// Revision returns the revision of the registry in use.
+func (ep *ExportPolicy) Revision() uint64 { return ep.revision }
 
-// export is the longest prefix of a partner's that takes a path.
-func (k *known) export(town, p string) *Export {
-	for end := strings.LastIndexByte(p, '/'); end >= 0; end = strings.LastIndexByte(p[:end], '/') {
-		if e := k.names[town+p[:end+1]]; e != nil {
-			return e
+// findExport returns the export with the longest prefix that matches a path, or nil.
+func (ps *partnerState) findExport(host, path string) *Export {
+	for end := strings.LastIndexByte(path, '/'); end >= 0; end = strings.LastIndexByte(path[:end], '/') {
+		if export := ps.exports[host+path[:end+1]]; export != nil {
+			return export
 		}
 	}
 	return nil
 }
 
-// may decides about one partner.
-func (d *ExportPolicy) may(k *known, method, town, p string, now int64) (*Export, Verdict) {
-	e := k.export(town, p)
+// evaluate decides for one partner, apart from the rate limit.
+func (ep *ExportPolicy) evaluate(state *partnerState, method, host, path string, now int64) (*Export, Verdict) {
+	export := state.findExport(host, path)
 	switch {
-	case e == nil:
+	case export == nil:
 		return nil, NoRoute
-	case k.held:
-		return e, Kept
-	case !slices.Contains(e.Methods, method) && !d.openByDefault:
-		return e, Kept
-	case now >= d.leave && !d.noLeave:
-		return e, NoLeave
-	case now-k.heard > int64(k.table.Lease) && !(Reads(method) && k.ReadsStale):
-		return e, NoLeave // silent beyond its lease
-	}
-	return e, Open
-}
-
-// Decide says who lets a request in, in the order of the configuration, or why nobody does. Ours go before all: what a route of
-// ours takes is never a partner's.
-func (d *ExportPolicy) Decide(method, town, p string, now int64) (all []Exporter, why Verdict) {
-	why = NoRoute
-	town = strings.ToLower(town)
-	if len(d.order) == 0 || !Plain(p) || d.own != nil && d.own(town, p) {
+	case state.suspended:
+		return export, Withheld
+	case !slices.Contains(export.Methods, method) && !ep.openByDefault:
+		return export, Withheld
+	case now >= ep.authorizedUntil && !ep.ignoreAuthorization:
+		return export, Unconfirmed
+	case now-state.confirmedAt > int64(state.table.Lease) && !(IsReadOnly(method) && state.ReadsStale):
+		return export, Unconfirmed // the partner's lease has expired
+	}
+	return export, Open
+}
+
+// Decide returns the partners to which a request may be sent, in configured order, or the reason why there is none.
+// Routes of this mesh take precedence over all partners.
+func (ep *ExportPolicy) Decide(method, host, path string, now int64) (exporters []Exporter, verdict Verdict) {
+	verdict = NoRoute
+	host = strings.ToLower(host)
+	if len(ep.partners) == 0 || !IsCanonicalPath(path) || ep.ownRoute != nil && ep.ownRoute(host, path) {
 		return nil, NoRoute
 	}
-	for _, k := range d.order {
-		e, v := d.may(k, method, town, p, now)
-		if v == Open {
-			all, why = append(all, Exporter{&k.Partner, e, k.table.Edition}), Open
-		} else if why != Open && v != NoRoute && (why == NoRoute || v == NoLeave) {
-			why = v
+	for _, state := range ep.partners {
+		export, partnerVerdict := ep.evaluate(state, method, host, path, now)
+		if partnerVerdict == Open {
+			exporters, verdict = append(exporters, Exporter{&state.Partner, export, state.table.Edition}), Open
+		} else if verdict != Open && partnerVerdict != NoRoute && (verdict == NoRoute || partnerVerdict == Unconfirmed) {
+			verdict = partnerVerdict
 		}
 	}
-	return all, why
+	return exporters, verdict
 }
 
-// Look says whether a request may go to one partner now, and spends nothing of its limit: the look before each try.
-func (d *ExportPolicy) Look(partner, method, town, p string, now int64) Verdict {
-	if !Plain(p) || d.own != nil && d.own(strings.ToLower(town), p) {
+// Check decides whether a request may be sent to one partner, without taking from its rate limit. It is called before
+// each attempt.
+func (ep *ExportPolicy) Check(partner, method, host, path string, now int64) Verdict {
+	if !IsCanonicalPath(path) || ep.ownRoute != nil && ep.ownRoute(strings.ToLower(host), path) {
 		return NoRoute
 	}
-	for _, k := range d.order {
-		if k.Name == partner {
-			_, v := d.may(k, method, strings.ToLower(town), p, now)
-			return v
+	for _, state := range ep.partners {
+		if state.Name == partner {
+			_, verdict := ep.evaluate(state, method, strings.ToLower(host), path, now)
+			return verdict
 		}
 	}
 	return NoRoute
 }
 
-// May says whether a request may leave for one partner now: the second look, and that before each further try and copy.
-func (d *ExportPolicy) May(partner, method, town, p string, now int64) (edition int64, why Verdict) {
-	if !Plain(p) || d.own != nil && d.own(strings.ToLower(town), p) {
+// Admit decides whether a request may be sent to one partner and takes from its rate limit. It is called immediately
+// before each attempt, retry or hedge is sent, as the table may have changed since Decide.
+func (ep *ExportPolicy) Admit(partner, method, host, path string, now int64) (edition int64, verdict Verdict) {
+	if !IsCanonicalPath(path) || ep.ownRoute != nil && ep.ownRoute(strings.ToLower(host), path) {
 		return 0, NoRoute
 	}
-	for _, k := range d.order {
-		if k.Name == partner {
-			e, v := d.may(k, method, strings.ToLower(town), p, now)
-			if v == Open && !k.spend(e, d.members, now) {
-				v = Full
+	for _, state := range ep.partners {
+		if state.Name == partner {
+			export, partnerVerdict := ep.evaluate(state, method, strings.ToLower(host), path, now)
+			if partnerVerdict == Open && !state.takeToken(export, ep.balancerCount, now) {
+				partnerVerdict = LimitExceeded
 			}
-			return k.table.Edition, v
+			return state.table.Edition, partnerVerdict
 		}
 	}
 	return 0, NoRoute
 }
 
-// spend takes one from this balancer's part of an export's limit.
-func (k *known) spend(e *Export, members int, now int64) bool {
-	if e.PerS <= 0 {
+// takeToken takes a token from this balancer's share of an export's rate limit, if there is one.
+func (ps *partnerState) takeToken(export *Export, balancerCount int, now int64) bool {
+	if export.RatePerSecond <= 0 {
 		return true
 	}
-	r := k.rates[e]
-	part := e.PerS / float64(members)
-	if r == nil {
-		r = &rate{has: math.Max(1, part/4), at: now}
-		k.rates[e] = r
+	bucket := ps.buckets[export]
+	share := export.RatePerSecond / float64(balancerCount)
+	if bucket == nil {
+		bucket = &tokenBucket{tokens: math.Max(1, share/4), updatedAt: now}
+		ps.buckets[export] = bucket
 	}
-	r.has = math.Min(math.Max(1, part/4), r.has+part*float64(max(0, now-r.at))/float64(s))
-	if r.at = now; r.has < 1 {
+	bucket.tokens = math.Min(math.Max(1, share/4), bucket.tokens+share*float64(max(0, now-bucket.updatedAt))/float64(second))
+	if bucket.updatedAt = now; bucket.tokens < 1 {
 		return false
 	}
-	r.has--
+	bucket.tokens--
 	return true
 }
 
-// Shadow names exports that nobody is sent to by this order: a route of ours takes their prefix, or an earlier partner has the same.
-func Shadow(b *ImportBook, partners []Partner, own func(town, path string) bool) (told []string) {
-	first := map[string]string{}
-	for _, p := range partners {
-		i := b.Partners[p.Name]
-		if i == nil || i.Table == nil {
+// ShadowedExports lists exports that are never used: a route of this mesh matches their prefix, or an earlier partner
+// exports the same prefix.
+func ShadowedExports(registry *ImportRegistry, partners []Partner, ownRoute func(host, path string) bool) (warnings []string) {
+	exportedBy := map[string]string{}
+	for _, partner := range partners {
+		imported := registry.Partners[partner.Name]
+		if imported == nil || imported.Table == nil {
 			continue
 		}
-		for _, e := range i.Table.Exports {
-			key := e.Town + e.StreetPrefix
-			switch earlier, is := first[key]; {
-			case own != nil && own(e.Town, e.StreetPrefix):
-				told = append(told, p.Name+": "+key+": a route of ours takes it")
-			case is:
-				told = append(told, p.Name+": "+key+": after "+earlier+", which exports the same")
+		for _, export := range imported.Table.Exports {
+			key := export.Host + export.PathPrefix
+			switch earlier, duplicate := exportedBy[key]; {
+			case ownRoute != nil && ownRoute(export.Host, export.PathPrefix):
+				warnings = append(warnings, partner.Name+": "+key+": shadowed by a route of this mesh")
+			case duplicate:
+				warnings = append(warnings, partner.Name+": "+key+": shadowed by "+earlier+", which exports the same prefix")
 			default:
-				first[key] = p.Name
+				exportedBy[key] = partner.Name
 			}
 		}
 	}
-	return told
+	return warnings
 }
--- a/internal/mesh/federation/federation_test.go
+++ b/internal/mesh/federation/federation_test.go
@@ -9,21 +9,22 @@
 	"github.com/shoenig/test/must"
 )
 
-func said(t *testing.T, edition int, exports string) *Table {
+// parseTable returns the table of partner p for mesh us.
+func parseTable(t *testing.T, edition int, exports string) *Table {
 	table, err := Parse(fmt.Appendf(nil, `{"Partner":"p","Edition":%d,"Lease":"20s","Exports":[%s]}`, edition, exports), "p", "us")
 	must.NoError(t, err)
 	return table
 }
 
-const scans = `{"Service":"scans","Town":"p.example","StreetPrefix":"/scans/","Methods":["GET","POST"]}`
-const reads = `{"Service":"scans","Town":"p.example","StreetPrefix":"/scans/","Methods":["GET"]}`
+const readWriteExport = `{"Service":"scans","Town":"p.example","StreetPrefix":"/scans/","Methods":["GET","POST"]}`
+const readOnlyExport = `{"Service":"scans","Town":"p.example","StreetPrefix":"/scans/","Methods":["GET"]}`
 
-// A bad table is refused whole, with the place.
-func TestTablesThatAreRefused(t *testing.T) {
-	whole := func(exports string) string {
+// An invalid table is rejected as a whole, and the error names the field.
+func TestInvalidTablesAreRejected(t *testing.T) {
+	tableWith := func(exports string) string {
 		return `{"Partner":"p","Edition":3,"Lease":"20s","Exports":[` + exports + `]}`
 	}
-	at := func(key, value string) string {
+	withField := func(key, value string) string {
 		fields := map[string]string{"Service": `"scans"`, "Town": `"p.example"`, "StreetPrefix": `"/scans/"`, "Methods": `["GET"]`}
 		fields[key] = value
 		raw := []string{}
@@ -32,51 +33,52 @@
 				raw = append(raw, fmt.Sprintf("%q:%s", k, fields[k]))
 			}
 		}
-		return whole("{" + strings.Join(raw, ",") + "}")
+		return tableWith("{" + strings.Join(raw, ",") + "}")
 	}
 	for raw, place := range map[string]string{
-		whole(scans)[:60]:                                            "can't be read whole",
-		whole(scans) + whole(scans):                                  "follows",
+		tableWith(readWriteExport)[:60]:                              "cannot decode table",
+		tableWith(readWriteExport) + tableWith(readWriteExport):      "follows",
 		`{"Partner":"q","Edition":3,"Lease":"20s"}`:                  "Partner",
 		`{"Partner":"p","Lease":"20s"}`:                              "Edition",
 		`{"Partner":"p","Edition":-1,"Lease":"20s"}`:                 "Edition",
-		`{"Partner":"p","Edition":1,"Lease":"20"}`:                   "no time",
+		`{"Partner":"p","Edition":1,"Lease":"20"}`:                   "not a duration",
 		`{"Partner":"p","Edition":1,"Lease":"1ms"}`:                  "Lease",
 		`{"Partner":"p","Edition":1,"Lease":"20s","Via":["q","us"]}`: "loop",
-		whole(scans + "," + reads):                                   "Exports[1].StreetPrefix",
-		at("Service", `""`):                                          "Exports[0].Service",
-		at("Town", `"P.example"`):                                    "Exports[0].Town",
-		at("Town", `"p.example:80"`):                                 "Exports[0].Town",
-		at("StreetPrefix", `"/scans"`):                               "Exports[0].StreetPrefix",
-		at("StreetPrefix", `"/a/../b/"`):                             "Exports[0].StreetPrefix",
-		at("StreetPrefix", `"/%73cans/"`):                            "Exports[0].StreetPrefix",
-		at("StreetPrefix", `"//scans/"`):                             "Exports[0].StreetPrefix",
-		at("Methods", `[]`):                                          "Exports[0].Methods",
-		at("Methods", `["*"]`):                                       "Exports[0].Methods",
-		at("Methods", `["post"]`):                                    "Exports[0].Methods",
-		at("PerS", `-1`):                                             "Exports[0].PerS",
+		tableWith(readWriteExport + "," + readOnlyExport):            "Exports[1].StreetPrefix",
+		withField("Service", `""`):                                   "Exports[0].Service",
+		withField("Town", `"P.example"`):                             "Exports[0].Town",
+		withField("Town", `"p.example:80"`):                          "Exports[0].Town",
+		withField("StreetPrefix", `"/scans"`):                        "Exports[0].StreetPrefix",
+		withField("StreetPrefix", `"/a/../b/"`):                      "Exports[0].StreetPrefix",
+		withField("StreetPrefix", `"/%73cans/"`):                     "Exports[0].StreetPrefix",
+		withField("StreetPrefix", `"//scans/"`):                      "Exports[0].StreetPrefix",
+		withField("Methods", `[]`):                                   "Exports[0].Methods",
+		withField("Methods", `["*"]`):                                "Exports[0].Methods",
+		withField("Methods", `["post"]`):                             "Exports[0].Methods",
+		withField("PerS", `-1`):                                      "Exports[0].PerS",
 	} {
 		_, err := Parse([]byte(raw), "p", "us")
 		must.Error(t, err, must.Sprint(raw))
 		must.StrContains(t, err.Error(), place, must.Sprint(raw))
 	}
-	many := make([]string, mostExports+1)
-	for n := range many {
-		many[n] = fmt.Sprintf(`{"Service":"s","Town":"p.example","StreetPrefix":"/r%d/","Methods":["GET"]}`, n)
+	many := make([]string, maxExports+1)
+	for i := range many {
+		many[i] = fmt.Sprintf(`{"Service":"s","Town":"p.example","StreetPrefix":"/r%d/","Methods":["GET"]}`, i)
 	}
-	_, err := Parse([]byte(whole(strings.Join(many, ","))), "p", "us")
+	_, err := Parse([]byte(tableWith(strings.Join(many, ","))), "p", "us")
 	must.StrContains(t, err.Error(), "10001")
-	table, err := Parse([]byte(whole(strings.Join(many[1:], ","))), "p", "us")
+	table, err := Parse([]byte(tableWith(strings.Join(many[1:], ","))), "p", "us")
 	must.NoError(t, err)
-	must.SliceLen(t, mostExports, table.Exports)
-	other, err := Parse([]byte(whole(`{"Service":"s","Town":"t","StreetPrefix":"/","Methods":["GET"],"To":["them"]}`)), "p", "us")
+	must.SliceLen(t, maxExports, table.Exports)
+	other, err := Parse([]byte(tableWith(`{"Service":"s","Town":"t","StreetPrefix":"/","Methods":["GET"],"To":["them"]}`)), "p", "us")
 	must.NoError(t, err)
-	must.SliceLen(t, 0, other.Exports) // for others
+	must.SliceLen(t, 0, other.Exports) // exported to another mesh only
 }
 
-func TestWhatNarrows(t *testing.T) {
-	export := func(town, prefix, methods, more string) string {
-		return fmt.Sprintf(`{"Service":"s","Town":%q,"StreetPrefix":%q,"Methods":[%s]%s}`, town, prefix, methods, more)
+// Each change of a table that removes a permission counts as a narrowing, other changes do not.
+func TestNarrowsDetectsRemovedPermissions(t *testing.T) {
+	export := func(host, prefix, methods, more string) string {
+		return fmt.Sprintf(`{"Service":"s","Town":%q,"StreetPrefix":%q,"Methods":[%s]%s}`, host, prefix, methods, more)
 	}
 	both := export("t", "/a/", `"GET","POST"`, "")
 	for _, c := range []struct {
@@ -85,166 +87,171 @@
 	}{
 		{both, both, false}, {both, "", true}, {"", both, false}, {both, export("t", "/a/", `"GET"`, ""), true},
 		{export("t", "/a/", `"GET"`, ""), both, false}, {both, both + "," + export("t", "/b/", `"GET"`, ""), false},
-		{both, both + "," + export("t", "/a/x/", `"GET"`, ""), true}, // a longer prefix takes effects away
+		{both, both + "," + export("t", "/a/x/", `"GET"`, ""), true}, // a longer prefix that denies POST
 		{both, both + "," + export("t", "/a/x/", `"GET","POST","PUT"`, ""), false},
-		{both, export("t", "/a/", `"GET","POST"`, `,"PerS":5`), true}, {export("t", "/a/", `"GET"`, `,"PerS":5`), export("t", "/a/", `"GET"`, `,"PerS":9`), false},
+		{both, export("t", "/a/", `"GET","POST"`, `,"PerS":5`), true},
+		{export("t", "/a/", `"GET"`, `,"PerS":5`), export("t", "/a/", `"GET"`, `,"PerS":9`), false},
 		{both, strings.Replace(both, `"s"`, `"other"`, 1), true},
 	} {
-		must.Eq(t, c.narrows, said(t, 2, c.to).Narrows(said(t, 1, c.from)), must.Sprint(c.from, " -> ", c.to))
+		must.Eq(t, c.narrows, parseTable(t, 2, c.to).Narrows(parseTable(t, 1, c.from)), must.Sprint(c.from, " -> ", c.to))
 	}
 }
 
 var partners = []Partner{{Name: "p", Gateway: "g", ReadsStale: true}, {Name: "q", Gateway: "h"}}
 
-// A trace at one door: what is open, kept, stale, ours.
-func TestADoor(t *testing.T) {
-	b := NewImportBook()
-	_, err := b.Take(said(t, 1, scans), "1")
+// A sequence of decisions at one balancer: before the first update, with and without authorization, after the partner's
+// lease has expired, for own routes, non-canonical paths and a suspended partner.
+func TestExportPolicyDecisions(t *testing.T) {
+	registry := NewImportRegistry()
+	_, err := registry.ApplyTable(parseTable(t, 1, readWriteExport), "1")
 	must.NoError(t, err)
-	d := NewExportPolicy(func(town, path string) bool { return town == "p.example" && strings.HasPrefix(path, "/scans/ours/") })
-	decide := func(method, town, path string, now int64) Verdict {
-		_, why := d.Decide(method, town, path, now)
-		return why
+	policy := NewExportPolicy(func(host, path string) bool { return host == "p.example" && strings.HasPrefix(path, "/scans/ours/") })
+	decide := func(method, host, path string, now int64) Verdict {
+		_, verdict := policy.Decide(method, host, path, now)
+		return verdict
 	}
 	must.Eq(t, NoRoute, decide("GET", "p.example", "/scans/1", 0))
-	d.Hear(b, partners, nil, 1, 0)
-	must.Eq(t, NoLeave, decide("GET", "p.example", "/scans/1", 0))
-	d.Renew(b.No, 0)
-	must.Eq(t, Open, decide("POST", "p.example", "/scans/1", s))
-	must.Eq(t, Open, decide("POST", "P.Example", "/scans/1", s)) // a host is one, however it is written
-	must.Eq(t, Kept, decide("DELETE", "p.example", "/scans/1", s))
-	must.Eq(t, NoRoute, decide("GET", "p.example", "/scans/ours/1", s))
-	must.Eq(t, NoRoute, decide("GET", "p.example", "/Scans/1", s))
+	policy.Update(registry, partners, nil, 1, 0)
+	must.Eq(t, Unconfirmed, decide("GET", "p.example", "/scans/1", 0))
+	policy.Authorize(registry.Revision, 0)
+	must.Eq(t, Open, decide("POST", "p.example", "/scans/1", second))
+	must.Eq(t, Open, decide("POST", "P.Example", "/scans/1", second)) // hosts are case-insensitive
+	must.Eq(t, Withheld, decide("DELETE", "p.example", "/scans/1", second))
+	must.Eq(t, NoRoute, decide("GET", "p.example", "/scans/ours/1", second))
+	must.Eq(t, NoRoute, decide("GET", "p.example", "/Scans/1", second))
 	for _, p := range []string{"/scans/../scans/1", "/%73cans/1", "//scans/1", "/scans/./1", "/scans/a%2fb", "/scans//1"} {
-		must.Eq(t, NoRoute, decide("GET", "p.example", p, s), must.Sprint(p))
+		must.Eq(t, NoRoute, decide("GET", "p.example", p, second), must.Sprint(p))
 	}
-	must.Eq(t, NoLeave, decide("POST", "p.example", "/scans/1", LeaveFor)) // cut off, or frozen
-	d.Renew(b.No, 30*s)
-	must.Eq(t, NoLeave, decide("POST", "p.example", "/scans/1", 31*s)) // the partner is silent beyond its lease: effects first
-	must.Eq(t, Open, decide("GET", "p.example", "/scans/1", 31*s))
-	d.Fresher("p", s, 31*s)
-	must.Eq(t, Open, decide("POST", "p.example", "/scans/1", 31*s))
-	b.Close("p", true, "ann", "a dispute")
-	d.Renew(b.No, 31*s) // of what it has not heard yet: no leave for what it acts on
-	must.Eq(t, NoLeave, decide("POST", "p.example", "/scans/1", 33*s))
-	d.Hear(b, partners, nil, 1, 33*s)
-	must.Eq(t, Kept, decide("GET", "p.example", "/scans/1", 33*s))
-	d.Hear(NewImportBook(), partners, nil, 1, 33*s) // older than what it acts on
-	must.Eq(t, b.No, d.No())
+	must.Eq(t, Unconfirmed, decide("POST", "p.example", "/scans/1", AuthorizationTTL)) // the authorization has expired
+	policy.Authorize(registry.Revision, 30*second)
+	// The partner's lease has expired: only read-only requests continue.
+	must.Eq(t, Unconfirmed, decide("POST", "p.example", "/scans/1", 31*second))
+	must.Eq(t, Open, decide("GET", "p.example", "/scans/1", 31*second))
+	policy.Confirm("p", second, 31*second)
+	must.Eq(t, Open, decide("POST", "p.example", "/scans/1", 31*second))
+	registry.SetSuspended("p", true, "ann", "a dispute")
+	policy.Authorize(registry.Revision, 31*second) // of a newer revision: does not authorize the one in use
+	must.Eq(t, Unconfirmed, decide("POST", "p.example", "/scans/1", 33*second))
+	policy.Update(registry, partners, nil, 1, 33*second)
+	must.Eq(t, Withheld, decide("GET", "p.example", "/scans/1", 33*second))
+	policy.Update(NewImportRegistry(), partners, nil, 1, 33*second) // an older registry is ignored
+	must.Eq(t, registry.Revision, policy.Revision())
 }
 
-// Two partners export one prefix: the first in our order goes first, reads have the other to turn to, and each is decided for
-// itself; limits are shared out among balancers.
+// Two partners export the same prefix: both are returned in configured order, methods are decided for each partner
+// separately, and the rate limit is divided among the balancers.
 func TestTwoPartnersAndLimits(t *testing.T) {
-	b := NewImportBook()
-	_, err := b.Take(said(t, 1, strings.Replace(reads, `"Methods"`, `"PerS":8,"Methods"`, 1)), "1")
+	registry := NewImportRegistry()
+	_, err := registry.ApplyTable(parseTable(t, 1, strings.Replace(readOnlyExport, `"Methods"`, `"PerS":8,"Methods"`, 1)), "1")
 	must.NoError(t, err)
-	other, err := Parse([]byte(`{"Partner":"q","Edition":1,"Lease":"20s","Via":["r"],"Exports":[`+scans+`]}`), "q", "us")
+	other, err := Parse([]byte(`{"Partner":"q","Edition":1,"Lease":"20s","Via":["r"],"Exports":[`+readWriteExport+`]}`), "q", "us")
 	must.NoError(t, err)
-	_, err = b.Take(other, "1")
+	_, err = registry.ApplyTable(other, "1")
 	must.NoError(t, err)
-	d := NewExportPolicy(nil)
-	d.Hear(b, partners, nil, 2, 0)
-	d.Renew(b.No, 0)
-	all, _ := d.Decide("GET", "p.example", "/scans/1", s)
+	policy := NewExportPolicy(nil)
+	policy.Update(registry, partners, nil, 2, 0)
+	policy.Authorize(registry.Revision, 0)
+	all, _ := policy.Decide("GET", "p.example", "/scans/1", second)
 	must.SliceLen(t, 2, all)
 	must.Eq(t, "p", all[0].Partner.Name)
-	all, _ = d.Decide("POST", "p.example", "/scans/1", s)
+	all, _ = policy.Decide("POST", "p.example", "/scans/1", second)
 	must.SliceLen(t, 1, all)
 	must.Eq(t, "q", all[0].Partner.Name)
-	ok := 0
+	admitted := 0
 	for n := range int64(1000) {
-		if _, why := d.May("p", "GET", "p.example", "/scans/1", s/10+n*ms); why == Open {
-			ok++
+		if _, why := policy.Admit("p", "GET", "p.example", "/scans/1", second/10+n*millisecond); why == Open {
+			admitted++
 		}
 	}
-	must.Between(t, 4, ok, 5) // 4 a second of 8 are this balancer's
-	told := Shadow(b, partners, nil)
-	must.SliceLen(t, 1, told)
-	must.StrContains(t, told[0], "q: p.example/scans/: after p")
+	must.Between(t, 4, admitted, 5) // this balancer's share is 4 per second of 8
+	warnings := ShadowedExports(registry, partners, nil)
+	must.SliceLen(t, 1, warnings)
+	must.StrContains(t, warnings[0], "q: p.example/scans/: shadowed by p")
 }
 
-// Words that go back or contradict themselves change nothing; what is dropped may begin again.
-func TestEditions(t *testing.T) {
-	b := NewImportBook()
-	take := func(edition int, exports, digest string) error {
-		_, err := b.Take(said(t, edition, exports), digest)
+// Lower editions, and equal ones with different content, are rejected. After Drop a partner may start with any edition.
+func TestEditionsMustIncrease(t *testing.T) {
+	registry := NewImportRegistry()
+	applyTable := func(edition int, exports, digest string) error {
+		_, err := registry.ApplyTable(parseTable(t, edition, exports), digest)
 		return err
 	}
-	must.NoError(t, take(5, scans, "a"))
-	must.NoError(t, take(5, scans, "a"))
-	must.ErrorContains(t, take(4, scans, "b"), "goes back")
-	must.ErrorContains(t, take(5, reads, "c"), "something else")
-	must.Eq(t, 1, b.No)
-	must.Eq(t, 5, b.Partners["p"].Told) // nothing was narrowed
-	must.True(t, b.Drop("p", "ann", "it was restored from a backup"))
-	must.NoError(t, take(2, reads, "d"))
-	must.Eq(t, 0, b.Partners["p"].Told-5) // the drop is not done yet
-	must.True(t, b.Only([]string{"q"}))
-	must.False(t, b.Only([]string{"q"}))
+	must.NoError(t, applyTable(5, readWriteExport, "a"))
+	must.NoError(t, applyTable(5, readWriteExport, "a"))
+	must.ErrorContains(t, applyTable(4, readWriteExport, "b"), "is lower than")
+	must.ErrorContains(t, applyTable(5, readOnlyExport, "c"), "different content")
+	must.Eq(t, 1, registry.Revision)
+	must.Eq(t, 5, registry.Partners["p"].AnnouncedEdition) // announced at once, as nothing was narrowed
+	must.True(t, registry.Drop("p", "ann", "it was restored from a backup"))
+	must.NoError(t, applyTable(2, readOnlyExport, "d"))
+	must.Eq(t, 0, registry.Partners["p"].AnnouncedEdition-5) // unchanged, as the narrowing by Drop is pending
+	must.True(t, registry.RetainOnly([]string{"q"}))
+	must.False(t, registry.RetainOnly([]string{"q"}))
 }
 
-// A narrowing is done once nobody can act on what was before; a taker that is new counts from when it finds it.
-func TestWhenANarrowingIsDone(t *testing.T) {
-	b, k := NewImportBook(), NewNarrowingTracker()
-	b.Take(said(t, 1, scans), "1")
-	must.MapEmpty(t, k.Due(b, 0))
-	b.Take(said(t, 2, reads), "2")
-	no := b.No
-	must.MapEmpty(t, k.Due(b, 10*s))
-	must.MapEmpty(t, k.Due(b, 10*s+LeaveFor+Fresh))
-	due := 10*s + (LeaveFor+Fresh)*102/100
-	b.Take(said(t, 3, scans), "3")
-	b.Take(said(t, 4, reads), "4") // narrowed again meanwhile
-	must.Eq(t, map[string]uint64{"p": no}, k.Due(b, due))
-	must.True(t, b.Finish("p", no))
-	must.Eq(t, 1, b.Partners["p"].Told)
-	must.False(t, b.Finish("p", no))
-	must.False(t, b.Finish("p", b.No+1))
-	late := NewNarrowingTracker() // the one before was killed
-	must.MapEmpty(t, late.Due(b, due))
-	must.Eq(t, map[string]uint64{"p": b.No}, late.Due(b, due+(LeaveFor+Fresh)*102/100))
-	b.Finish("p", b.No)
-	must.Eq(t, 4, b.Partners["p"].Told)
-	raw, err := b.Write()
+// A narrowing is complete when no balancer can be authorized for an earlier revision. A new coordinator counts from
+// when it first sees the narrowing.
+func TestNarrowingCompletesAfterAuthorizationsExpire(t *testing.T) {
+	registry, tracker := NewImportRegistry(), NewNarrowingTracker()
+	registry.ApplyTable(parseTable(t, 1, readWriteExport), "1")
+	must.MapEmpty(t, tracker.Due(registry, 0))
+	registry.ApplyTable(parseTable(t, 2, readOnlyExport), "2")
+	revision := registry.Revision
+	must.MapEmpty(t, tracker.Due(registry, 10*second))
+	must.MapEmpty(t, tracker.Due(registry, 10*second+AuthorizationTTL+QuorumFreshness))
+	due := 10*second + (AuthorizationTTL+QuorumFreshness)*102/100
+	registry.ApplyTable(parseTable(t, 3, readWriteExport), "3")
+	registry.ApplyTable(parseTable(t, 4, readOnlyExport), "4") // a second narrowing before the first is complete
+	must.Eq(t, map[string]uint64{"p": revision}, tracker.Due(registry, due))
+	must.True(t, registry.CompleteNarrowing("p", revision))
+	must.Eq(t, 1, registry.Partners["p"].AnnouncedEdition)
+	must.False(t, registry.CompleteNarrowing("p", revision))
+	must.False(t, registry.CompleteNarrowing("p", registry.Revision+1))
+	successor := NewNarrowingTracker() // of a new coordinator
+	must.MapEmpty(t, successor.Due(registry, due))
+	must.Eq(t, map[string]uint64{"p": registry.Revision}, successor.Due(registry, due+(AuthorizationTTL+QuorumFreshness)*102/100))
+	registry.CompleteNarrowing("p", registry.Revision)
+	must.Eq(t, 4, registry.Partners["p"].AnnouncedEdition)
+	raw, err := registry.Encode()
 	must.NoError(t, err)
-	again, err := Read(raw)
+	again, err := DecodeImportRegistry(raw)
 	must.NoError(t, err)
-	must.Eq(t, b.Partners["p"].Told, again.Partners["p"].Told)
+	must.Eq(t, registry.Partners["p"].AnnouncedEdition, again.Partners["p"].AnnouncedEdition)
 }
 
-// A table that readers may take for different things lets nothing in.
-func TestATableWithTwoMeaningsIsRefused(t *testing.T) {
-	whole := `{"Partner":"p","Edition":3,"Lease":"20s","Exports":[` + scans + `]}`
-	_, err := Parse([]byte(whole), "p", "us")
+// A table that parsers may interpret differently is rejected: duplicate keys, invalid UTF-8, trailing data.
+func TestAmbiguousTableIsRejected(t *testing.T) {
+	valid := `{"Partner":"p","Edition":3,"Lease":"20s","Exports":[` + readWriteExport + `]}`
+	_, err := Parse([]byte(valid), "p", "us")
 	must.NoError(t, err)
 	for _, twice := range []string{`"Edition":3,"Edition":4`, `"Edition":3,"edition":4`, `"Edition":3,"Exports":[]`} {
-		_, err := Parse([]byte(strings.Replace(whole, `"Edition":3`, twice, 1)), "p", "us")
+		_, err := Parse([]byte(strings.Replace(valid, `"Edition":3`, twice, 1)), "p", "us")
 		must.ErrorContains(t, err, "stands twice", must.Sprint(twice))
 	}
-	_, err = Parse([]byte(strings.Replace(whole, `"p"`, "\"p\xff\"", 1)), "p", "us")
+	_, err = Parse([]byte(strings.Replace(valid, `"p"`, "\"p\xff\"", 1)), "p", "us")
 	must.ErrorContains(t, err, "UTF-8")
-	_, err = Parse([]byte(whole+"]"), "p", "us")
-	must.ErrorContains(t, err, "read whole")
+	_, err = Parse([]byte(valid+"]"), "p", "us")
+	must.ErrorContains(t, err, "cannot decode table")
 }
 
+// Whatever table is accepted, only the listed methods are allowed, and the table can be encoded and parsed again.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(`{"Partner":"p","Edition":3,"Lease":"20s","Exports":[` + scans + `]}`))
+	f.Add([]byte(`{"Partner":"p","Edition":3,"Lease":"20s","Exports":[` + readWriteExport + `]}`))
 	f.Add([]byte(`{"Partner":"p","Edition":3,"Lease":"20s","Exports":[null,{}],"Via":null}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		table, err := Parse(raw, "p", "us")
 		if err != nil {
 			return
 		}
-		b := NewImportBook()
-		b.Take(table, "x")
-		d := NewExportPolicy(nil)
-		d.Hear(b, partners, nil, 1, 0)
-		d.Renew(b.No, 0)
-		for _, e := range table.Exports { // what is let in is just what is named
-			_, why := d.Decide(e.Methods[0], e.Town, e.StreetPrefix+"x", s)
+		registry := NewImportRegistry()
+		registry.ApplyTable(table, "x")
+		policy := NewExportPolicy(nil)
+		policy.Update(registry, partners, nil, 1, 0)
+		policy.Authorize(registry.Revision, 0)
+		for _, export := range table.Exports {
+			_, why := policy.Decide(export.Methods[0], export.Host, export.PathPrefix+"x", second)
 			must.Eq(t, Open, why)
-			_, why = d.Decide("BREW", e.Town, e.StreetPrefix+"x", s)
+			_, why = policy.Decide("BREW", export.Host, export.PathPrefix+"x", second)
 			if why == Open {
 				must.True(t, strings.Contains(string(raw), "BREW"))
 			}
--- a/internal/mesh/federation/import_book.go
+++ b/internal/mesh/federation/import_book.go
@@ -6,154 +6,159 @@
 	"slices"
 )
 
-// Import is one partner, as it is agreed.
+// Import is the replicated state of one partner.
 type Import struct {
-	Table  *Table `json:",omitempty"` // its last word, in force as far as nobody holds it
-	Digest string // of that word
-	No     uint64 // of the last change that narrowed it; 0 for none
-	Done   uint64 // of the last narrowing that is done
-	Told   int64  // the last edition whose narrowing is done: what the partner is told
-	Held   bool   `json:",omitempty"` // an operator has closed it
-	Who    string `json:",omitempty"`
-	Why    string `json:",omitempty"`
+	Table             *Table `json:",omitempty"` // last applied table; in force unless suspended
+	Digest            string // of the table
+	NarrowingRevision uint64 `json:"No"`             // revision of the last narrowing; 0 for none
+	CompletedRevision uint64 `json:"Done"`           // revision of the last completed narrowing
+	AnnouncedEdition  int64  `json:"Told"`           // last edition whose narrowing is complete, as announced to the partner
+	Suspended         bool   `json:"Held,omitempty"` // by an operator
+	Who               string `json:",omitempty"`
+	Why               string `json:",omitempty"`
 }
 
-// Book is all partners, a part of what the core agrees on.
-type ImportBook struct {
-	No       uint64 // rises with each change of anything that balancers act on
+// ImportRegistry holds the imports of all partners. It is part of the controllers' replicated state.
+type ImportRegistry struct {
+	Revision uint64 `json:"No"` // increases with each change that balancers act on
 	Partners map[string]*Import
 }
 
-// NewBook makes an empty one.
-func NewImportBook() *ImportBook { return &ImportBook{Partners: map[string]*Import{}} }
+// NewImportRegistry returns an empty registry.
+func NewImportRegistry() *ImportRegistry { return &ImportRegistry{Partners: map[string]*Import{}} }
 
-// Read reads a book as the core keeps it; nothing is an empty one.
-func Read(raw json.RawMessage) (*ImportBook, error) {
-	b := NewImportBook()
+// DecodeImportRegistry decodes a registry from the replicated state. Empty input is an empty registry.
+func DecodeImportRegistry(raw json.RawMessage) (*ImportRegistry, error) {
+	registry := NewImportRegistry()
 	if len(raw) == 0 {
-		return b, nil
+		return registry, nil
 	}
-	if err := json.Unmarshal(raw, b); err != nil {
+	if err := json.Unmarshal(raw, registry); err != nil {
 		return nil, Error.Wrap(err)
 	}
-	if b.Partners == nil {
-		b.Partners = map[string]*Import{}
+	if registry.Partners == nil {
+		registry.Partners = map[string]*Import{}
 	}
-	maps.DeleteFunc(b.Partners, func(_ string, i *Import) bool { return i == nil })
-	return b, nil
+	maps.DeleteFunc(registry.Partners, func(_ string, imported *Import) bool { return imported == nil })
+	return registry, nil
 }
 
-// Write lays it out.
-func (b *ImportBook) Write() (json.RawMessage, error) { return json.Marshal(b) }
+// Encode encodes the registry for the replicated state.
+func (r *ImportRegistry) Encode() (json.RawMessage, error) { return json.Marshal(r) }
 
-func (b *ImportBook) of(partner string) *Import {
-	i := b.Partners[partner]
-	if i == nil {
-		i = &Import{}
-		b.Partners[partner] = i
+// getOrCreate returns a partner's import, which it adds if necessary.
+func (r *ImportRegistry) getOrCreate(partner string) *Import {
+	imported := r.Partners[partner]
+	if imported == nil {
+		imported = &Import{}
+		r.Partners[partner] = imported
 	}
-	return i
+	return imported
 }
 
-// Take takes a partner's table; changed says whether there was anything to take. A word that goes back, or says something else
-// under the same edition, is refused.
-func (b *ImportBook) Take(t *Table, digest string) (changed bool, err error) {
-	i := b.of(t.Partner)
-	if i.Table != nil {
+// ApplyTable applies a partner's table and reports whether it changed anything. It rejects a table with a lower
+// edition, and one with the same edition and different content.
+func (r *ImportRegistry) ApplyTable(table *Table, digest string) (changed bool, err error) {
+	imported := r.getOrCreate(table.Partner)
+	if imported.Table != nil {
 		switch {
-		case t.Edition < i.Table.Edition:
-			return false, Error.New("Edition: %d goes back, %d was taken: let it say a higher one, or drop the partner", t.Edition, i.Table.Edition)
-		case t.Edition == i.Table.Edition && digest != i.Digest:
-			return false, Error.New("Edition: %d says something else than when it was taken", t.Edition)
-		case t.Edition == i.Table.Edition:
+		case table.Edition < imported.Table.Edition:
+			return false, Error.New("Edition: %d is lower than the applied edition %d; publish a higher one, or drop the partner",
+				table.Edition, imported.Table.Edition)
+		case table.Edition == imported.Table.Edition && digest != imported.Digest:
+			return false, Error.New("Edition: %d was already applied with different content", table.Edition)
+		case table.Edition == imported.Table.Edition:
 			return false, nil
 		}
 	}
-	b.No++
-	if t.Narrows(i.Table) {
-		i.No = b.No
-	} else if i.No == i.Done {
-		i.Told = t.Edition // nothing is forbidden that was allowed
+	r.Revision++
+	if table.Narrows(imported.Table) {
+		imported.NarrowingRevision = r.Revision
+	} else if imported.NarrowingRevision == imported.CompletedRevision {
+		imported.AnnouncedEdition = table.Edition // no narrowing is pending, so the edition can be announced at once
 	}
-	i.Table, i.Digest = t, digest
+	imported.Table, imported.Digest = table, digest
 	return true, nil
 }
 
-// Close closes a partner by an operator's word, or opens it again.
-func (b *ImportBook) Close(partner string, held bool, who, why string) {
-	i := b.of(partner)
-	if i.Held == held {
+// SetSuspended suspends or resumes a partner on behalf of an operator. Suspending is a narrowing.
+func (r *ImportRegistry) SetSuspended(partner string, suspended bool, who, why string) {
+	imported := r.getOrCreate(partner)
+	if imported.Suspended == suspended {
 		return
 	}
-	b.No++
-	if i.Held, i.Who, i.Why = held, who, why; held {
-		i.No = b.No
+	r.Revision++
+	if imported.Suspended, imported.Who, imported.Why = suspended, who, why; suspended {
+		imported.NarrowingRevision = r.Revision
 	}
 }
 
-// Drop forgets what a partner said, so that it may begin with any edition again. It is a narrowing: what it was is gone.
-func (b *ImportBook) Drop(partner, who, why string) bool {
-	i := b.Partners[partner]
-	if i == nil || i.Table == nil {
+// Drop removes a partner's table, so that the partner may start again with any edition. It is a narrowing. It reports
+// whether there was a table.
+func (r *ImportRegistry) Drop(partner, who, why string) bool {
+	imported := r.Partners[partner]
+	if imported == nil || imported.Table == nil {
 		return false
 	}
-	b.No++
-	i.Table, i.Digest, i.No, i.Who, i.Why = nil, "", b.No, who, why
+	r.Revision++
+	imported.Table, imported.Digest, imported.NarrowingRevision, imported.Who, imported.Why = nil, "", r.Revision, who, why
 	return true
 }
 
-// Only leaves out partners that the configuration names no more, as a narrowing.
-func (b *ImportBook) Only(named []string) (changed bool) {
-	for _, partner := range slices.Sorted(maps.Keys(b.Partners)) {
-		if !slices.Contains(named, partner) && b.Partners[partner].Table != nil {
-			changed = b.Drop(partner, "", "the timetable names it no more") || changed
+// RetainOnly drops partners that are no longer configured and reports whether there were any.
+func (r *ImportRegistry) RetainOnly(configured []string) (changed bool) {
+	for _, partner := range slices.Sorted(maps.Keys(r.Partners)) {
+		if !slices.Contains(configured, partner) && r.Partners[partner].Table != nil {
+			changed = r.Drop(partner, "", "the timetable names it no more") || changed
 		}
 	}
 	return changed
 }
 
-// Finish notes that a narrowing is done. Invariant: one that was begun meanwhile is not.
-func (b *ImportBook) Finish(partner string, no uint64) bool {
-	i := b.Partners[partner]
-	if i == nil || i.Done >= no || no > i.No {
+// CompleteNarrowing records that the narrowing of a revision is complete. A narrowing of a later revision stays
+// pending. It reports whether this changed anything.
+func (r *ImportRegistry) CompleteNarrowing(partner string, revision uint64) bool {
+	imported := r.Partners[partner]
+	if imported == nil || imported.CompletedRevision >= revision || revision > imported.NarrowingRevision {
 		return false
 	}
-	if i.Done = no; i.Done == i.No && i.Table != nil {
-		i.Told = i.Table.Edition
+	if imported.CompletedRevision = revision; imported.CompletedRevision == imported.NarrowingRevision && imported.Table != nil {
+		imported.AnnouncedEdition = imported.Table.Edition
 	}
 	return true
 }
 
-// Taker knows how long ago narrowings were agreed, by the steady clock of who has the duty. It knows nothing of what was before
-// its time: what it finds undone counts from when it finds it.
+// NarrowingTracker measures, by the coordinator's monotonic clock, how long ago narrowings were committed. A new
+// coordinator does not know that of earlier narrowings, so it counts the pending ones from when it first sees them.
 type NarrowingTracker struct {
-	since map[string]map[uint64]int64
+	firstSeen map[string]map[uint64]int64 // by partner and revision, in nanoseconds
 
-	early bool // without-leave: a narrowing is done at once
+	completeAtOnce bool // disabled guard: narrowings are complete at once
 }
 
-// NewTaker makes one for a epoch.
+// NewNarrowingTracker returns a tracker for one epoch of a coordinator.
 func NewNarrowingTracker() *NarrowingTracker {
-	return &NarrowingTracker{since: map[string]map[uint64]int64{}}
+	return &NarrowingTracker{firstSeen: map[string]map[uint64]int64{}}
 }
 
-// Due are the narrowings that are done by now, with the number of each partner's.
-func (k *NarrowingTracker) Due(b *ImportBook, now int64) map[string]uint64 {
+// Due returns, by partner, the revision of the latest narrowing that is complete by now.
+func (t *NarrowingTracker) Due(registry *ImportRegistry, now int64) map[string]uint64 {
 	due := map[string]uint64{}
-	for partner, i := range b.Partners {
-		if i.No == i.Done {
-			delete(k.since, partner)
+	for partner, imported := range registry.Partners {
+		if imported.NarrowingRevision == imported.CompletedRevision {
+			delete(t.firstSeen, partner)
 			continue
 		}
-		if k.since[partner] == nil {
-			k.since[partner] = map[uint64]int64{}
+		if t.firstSeen[partner] == nil {
+			t.firstSeen[partner] = map[uint64]int64{}
 		}
-		if _, is := k.since[partner][i.No]; !is {
-			k.since[partner][i.No] = now
+		if _, found := t.firstSeen[partner][imported.NarrowingRevision]; !found {
+			t.firstSeen[partner][imported.NarrowingRevision] = now
 		}
-		for no, at := range k.since[partner] {
-			if no > i.Done && (float64(now-at) >= float64(LeaveFor+Fresh)*(1+Drift) || k.early) {
-				due[partner] = max(due[partner], no)
+		for revision, seenAt := range t.firstSeen[partner] {
+			if revision > imported.CompletedRevision &&
+				(float64(now-seenAt) >= float64(AuthorizationTTL+QuorumFreshness)*(1+MaxClockDrift) || t.completeAtOnce) {
+				due[partner] = max(due[partner], revision)
 			}
 		}
 	}
--- a/internal/mesh/federation/table.go
+++ b/internal/mesh/federation/table.go
@@ -1,13 +1,16 @@
-// Package federation is what partners let in: their route tables, taken into what the core agrees on, and the doors at which each
-// request toward a partner is decided. What a partner keeps to itself is closed: nothing is sent there that its table does not
-// name. It does no I/O and reads no clock.
+// Package federation imports the exports of partner meshes: it validates partners' tables, keeps them in the
+// controllers' replicated state, and decides at each balancer whether a request may be sent to a partner. Nothing is
+// sent to a partner that its table does not name. The package does no I/O and reads no clock.
 //
-// A narrowing goes in two steps. First it is agreed (Book.Take): whoever hears of it sends nothing more that it forbids. A
-// balancer sends to partners only under a leave, which each word from a process of the core that a majority confirms renews for
-// LeaveFor of the balancer's own steady clock (Door). So LeaveFor and Fresh after the agreement, by the taker's clock and its
-// drift, nobody acts on what was before, in reach or not: then it is done (Taker), and the partner is told.
+// A table change that removes permissions (a narrowing) takes effect in two steps. First it is committed
+// (ImportRegistry.ApplyTable): a balancer that learns of it sends nothing more that it forbids. A balancer sends to
+// partners only while it is authorized. Each confirmation by a controller with a fresh quorum extends the authorization
+// to AuthorizationTTL after the confirmation was requested, by the balancer's monotonic clock (ExportPolicy). So after
+// AuthorizationTTL + QuorumFreshness, plus clock drift, no balancer acts on the old table, even an unreachable one.
+// Then the narrowing is complete (NarrowingTracker), and the new edition is announced to the partner.
 //
-//	from the agreement until the partner is told  <=  (LeaveFor + Fresh)·(1 + Drift) + 3·Every, and two agreed changes
+//	from the commit to the announcement  <=  (AuthorizationTTL + QuorumFreshness)·(1 + MaxClockDrift) + 3·CheckInterval,
+//	                                         and two commits
 package federation
 
 import (
@@ -25,81 +28,82 @@
 	"ottershift/internal/mesh/strictjson"
 )
 
-// Error is the class of faults in partners' tables.
+// Error is the class of errors in partners' tables.
 var Error = errs.Class("partner")
 
 const (
-	s  = int64(1e9)
-	ms = int64(1e6)
-
-	// LeaveFor is how long a balancer may send to partners after it has asked somebody who is current.
-	LeaveFor = 2 * s
-	// Fresh is how long a process of the core counts as current after a majority has said that nothing later is decided.
-	Fresh = 600 * ms
-	// Drift is by how much one steady clock may run faster than another.
-	Drift = 0.01
-	// Every is the pace at which the taker looks whether a narrowing is done.
-	Every = 250 * ms
-
-	mostExports = 10000
-	mostBytes   = 4 << 20
-	leastLease  = s
-	mostLease   = 24 * 3600 * s
+	second      = int64(1e9)
+	millisecond = int64(1e6)
+
+	// AuthorizationTTL is how long a balancer may send to partners after it requested a confirmation, in nanoseconds.
+	AuthorizationTTL = 2 * second
+	// QuorumFreshness is how long a controller counts as current after a quorum confirmed its revision, in nanoseconds.
+	QuorumFreshness = 600 * millisecond
+	// MaxClockDrift is the largest relative difference in speed of two monotonic clocks.
+	MaxClockDrift = 0.01
+	// CheckInterval is the interval at which the coordinator checks whether a narrowing is complete, in nanoseconds.
+	CheckInterval = 250 * millisecond
+
+	maxExports    = 10000
+	maxTableBytes = 4 << 20
+	minLease      = second // nanoseconds
+	maxLease      = 24 * 3600 * second
 )
 
-// Export is a service that a partner lets us use: a host and a prefix, with the methods that are let in. A method that is no
-// read needs to be named; nothing is let in by being left out.
+// Export is a service that a partner exports: a host and a path prefix with the allowed methods. Methods that are not
+// listed are denied.
 type Export struct {
-	Service      string
-	Town         string
-	StreetPrefix string
-	Methods      []string
-	To           []string `json:",omitempty"` // meshes that it is for, none for all of its partners
-	PerS         float64  `json:",omitempty"` // requests a second, 0 for no bound
+	Service       string
+	Host          string `json:"Town"`
+	PathPrefix    string `json:"StreetPrefix"`
+	Methods       []string
+	To            []string `json:",omitempty"`     // meshes that may use it; empty for all partners
+	RatePerSecond float64  `json:"PerS,omitempty"` // limit in requests per second; 0 for none
 }
 
-// Table is a partner's word.
+// Table is a partner's published table of exports.
 type Table struct {
 	Partner string
 	Edition int64
-	Lease   Span     // for which it holds without another word
-	Via     []string `json:",omitempty"` // through whom it came, the partner itself last
+	Lease   Duration // how long it is valid without confirmation
+	Via     []string `json:",omitempty"` // meshes that passed it on, the partner last
 	Exports []Export
 }
 
-// Span is a time as tables write it: a number with ms or s.
-type Span int64
+// Duration is a duration in nanoseconds, encoded as a string with a unit, such as "20s" or "500ms".
+type Duration int64
 
 // UnmarshalJSON implements json.Unmarshaler.
-func (d *Span) UnmarshalJSON(raw []byte) error {
+func (d *Duration) UnmarshalJSON(raw []byte) error {
 	var text string
 	if err := json.Unmarshal(raw, &text); err != nil {
-		return fmt.Errorf("%.40s is no time: text with a number and ms or s", raw)
+		return fmt.Errorf("%.40s is not a duration: must be a string with a number and ms or s", raw)
 	}
-	v, err := time.ParseDuration(text)
-	if err != nil || v < 0 {
-		return fmt.Errorf("%.40q is no time: a number with ms or s", text)
+	parsed, err := time.ParseDuration(text)
+	if err != nil || parsed < 0 {
+		return fmt.Errorf("%.40q is not a duration: must be a number with ms or s", text)
 	}
-	*d = Span(v)
+	*d = Duration(parsed)
 	return nil
 }
 
 // MarshalJSON implements json.Marshaler.
-func (d Span) MarshalJSON() ([]byte, error) {
-	return json.Marshal(fmt.Sprintf("%dms", int64(d)/ms))
+func (d Duration) MarshalJSON() ([]byte, error) {
+	return json.Marshal(fmt.Sprintf("%dms", int64(d)/millisecond))
 }
 
-// Reads reports whether a method has no effect.
-func Reads(method string) bool { return method == http.MethodGet || method == http.MethodHead }
+// IsReadOnly reports whether a method is read-only.
+func IsReadOnly(method string) bool { return method == http.MethodGet || method == http.MethodHead }
 
-// Parse reads a table whole, and names every fault with its place. A table with a fault changes nothing.
-func Parse(raw []byte, partner, own string) (*Table, error) {
-	if len(raw) > mostBytes {
-		return nil, Error.New("%d bytes; %d are taken", len(raw), mostBytes)
+// Parse decodes and validates the table of a partner, and normalizes its exports to ownMesh. The error lists the faults
+// with their fields; after more than 20 it is cut off.
+func Parse(raw []byte, partner, ownMesh string) (*Table, error) {
+	if len(raw) > maxTableBytes {
+		return nil, Error.New("table has %d bytes, the limit is %d", len(raw), maxTableBytes)
 	}
-	t := &Table{}
-	if err := strictjson.DecodeWhole(raw, t); err != nil {
-		return nil, Error.New("can't be read whole: %v", err)
+	table := &Table{}
+	if err := strictjson.DecodeWhole(raw, table); err != nil {
+		return nil, Error.New("cannot decode table: %v", err)
 	}
 	if err := strictjson.Check(raw); err != nil {
 		return nil, Error.Wrap(err)
@@ -110,138 +114,146 @@
 			faults.Add(Error.New("%s: %v", key, err))
 		}
 	}
-	check("Edition", t.Edition, validation.Required, validation.Min(int64(1)))
-	check("Lease", int64(t.Lease), validation.Required, validation.Min(leastLease), validation.Max(mostLease))
-	if t.Partner != partner {
-		faults.Add(Error.New("Partner: %.60q, of %q", t.Partner, partner))
+	check("Edition", table.Edition, validation.Required, validation.Min(int64(1)))
+	check("Lease", int64(table.Lease), validation.Required, validation.Min(minLease), validation.Max(maxLease))
+	if table.Partner != partner {
+		faults.Add(Error.New("Partner: is %.60q, must be %q", table.Partner, partner))
 	}
-	if slices.Contains(t.Via, own) {
-		faults.Add(Error.New("Via: it came through ourselves (%s): a loop", own))
+	if slices.Contains(table.Via, ownMesh) {
+		faults.Add(Error.New("Via: contains this mesh (%s): import loop", ownMesh))
 	}
-	if len(t.Exports) > mostExports {
-		faults.Add(Error.New("Exports: %d; %d are taken", len(t.Exports), mostExports))
+	if len(table.Exports) > maxExports {
+		faults.Add(Error.New("Exports: has %d entries, the limit is %d", len(table.Exports), maxExports))
 		return nil, faults.Err()
 	}
-	seen := map[string]int{}
-	for n := range t.Exports {
-		e := &t.Exports[n]
-		at := func(key string, format string, args ...any) {
-			faults.Add(Error.New("Exports[%d].%s: %s", n, key, fmt.Sprintf(format, args...)))
+	firstIndex := map[string]int{}
+	for i := range table.Exports {
+		export := &table.Exports[i]
+		addFault := func(key string, format string, args ...any) {
+			faults.Add(Error.New("Exports[%d].%s: %s", i, key, fmt.Sprintf(format, args...)))
 		}
-		if e.Service == "" {
-			at("Service", "cannot be blank")
+		if export.Service == "" {
+			addFault("Service", "cannot be blank")
 		}
-		if fault := normalHost(e.Town); fault != "" {
-			at("Town", "%.80q %s", e.Town, fault)
+		if fault := checkHost(export.Host); fault != "" {
+			addFault("Town", "%.80q %s", export.Host, fault)
 		}
-		if fault := normalPrefix(e.StreetPrefix); fault != "" {
-			at("StreetPrefix", "%.80q %s", e.StreetPrefix, fault)
+		if fault := checkPrefix(export.PathPrefix); fault != "" {
+			addFault("StreetPrefix", "%.80q %s", export.PathPrefix, fault)
 		}
-		if len(e.Methods) == 0 {
-			at("Methods", "names none: nothing is let in by being left out")
+		if len(export.Methods) == 0 {
+			addFault("Methods", "cannot be empty: methods that are not listed are denied")
 		}
-		for _, m := range e.Methods {
-			if m == "" || strings.ToUpper(m) != m || strings.ContainsAny(m, " \t,*") {
-				at("Methods", "%.40q is no method", m)
+		for _, method := range export.Methods {
+			if method == "" || strings.ToUpper(method) != method || strings.ContainsAny(method, " \t,*") {
+				addFault("Methods", "%.40q is not a method", method)
 			}
 		}
-		if !(e.PerS >= 0 && e.PerS < 1e9) {
-			at("PerS", "is no rate")
+		if !(export.RatePerSecond >= 0 && export.RatePerSecond < 1e9) {
+			addFault("PerS", "is not a valid rate")
 		}
-		key := e.Town + e.StreetPrefix
-		if first, twice := seen[key]; twice {
-			at("StreetPrefix", "%.80q stands in Exports[%d] already", key, first)
+		key := export.Host + export.PathPrefix
+		if first, duplicate := firstIndex[key]; duplicate {
+			addFault("StreetPrefix", "%.80q is already used by Exports[%d]", key, first)
 		}
-		seen[key] = n
+		firstIndex[key] = i
 		if len(faults) > 20 {
-			faults.Add(Error.New("and more"))
+			faults.Add(Error.New("further faults omitted"))
 			break
 		}
 	}
 	if err := faults.Err(); err != nil {
 		return nil, err
 	}
-	t.Exports = slices.DeleteFunc(t.Exports, func(e Export) bool { return len(e.To) > 0 && !slices.Contains(e.To, own) })
-	slices.SortFunc(t.Exports, func(a, b Export) int { return strings.Compare(a.Town+a.StreetPrefix, b.Town+b.StreetPrefix) })
-	for n := range t.Exports {
-		slices.Sort(t.Exports[n].Methods)
-		t.Exports[n].Methods = slices.Compact(t.Exports[n].Methods)
+	table.Exports = slices.DeleteFunc(table.Exports, func(export Export) bool {
+		return len(export.To) > 0 && !slices.Contains(export.To, ownMesh)
+	})
+	slices.SortFunc(table.Exports, func(a, b Export) int { return strings.Compare(a.Host+a.PathPrefix, b.Host+b.PathPrefix) })
+	for i := range table.Exports {
+		slices.Sort(table.Exports[i].Methods)
+		table.Exports[i].Methods = slices.Compact(table.Exports[i].Methods)
 	}
-	return t, nil
+	return table, nil
 }
 
-// plainTown says what is wrong with a host. Invariant: one that is written in two ways is decided in one and sent in the other.
-func normalHost(town string) string {
+// checkHost returns what is wrong with a host, or "". A host must be normalized: otherwise a request could be decided
+// for one spelling and sent with another.
+func checkHost(host string) string {
 	switch {
-	case town == "":
+	case host == "":
 		return "cannot be blank"
-	case town != strings.ToLower(town):
-		return "is not in small letters"
-	case strings.ContainsAny(town, " \t/\\?#@%:*") || strings.HasSuffix(town, "."):
-		return "is no plain host"
+	case host != strings.ToLower(host):
+		return "is not lower-case"
+	case strings.ContainsAny(host, " \t/\\?#@%:*") || strings.HasSuffix(host, "."):
+		return "is not a plain host name"
 	}
 	return ""
 }
 
-// plainPrefix says what is wrong with a prefix.
-func normalPrefix(p string) string {
+// checkPrefix returns what is wrong with a path prefix, or "".
+func checkPrefix(prefix string) string {
 	switch {
-	case !strings.HasPrefix(p, "/") || !strings.HasSuffix(p, "/"):
+	case !strings.HasPrefix(prefix, "/") || !strings.HasSuffix(prefix, "/"):
 		return "must begin and end with a slash"
-	case !Plain(p):
-		return "is not plain: no percent signs, dot segments, empty segments, backslashes or spaces"
+	case !IsCanonicalPath(prefix):
+		return "is not canonical: percent signs, dot segments, empty segments, backslashes and spaces are not allowed"
 	}
 	return ""
 }
 
-// Plain reports whether a path means the same to all who read it. Only such paths go to partners.
-func Plain(p string) bool {
-	if strings.ContainsAny(p, "%\\ \t\x00;?#") || strings.Contains(p, "//") || !strings.HasPrefix(p, "/") {
+// IsCanonicalPath reports whether a path is canonical, so that all servers interpret it alike. Only such paths are sent
+// to partners.
+func IsCanonicalPath(urlPath string) bool {
+	if strings.ContainsAny(urlPath, "%\\ \t\x00;?#") || strings.Contains(urlPath, "//") || !strings.HasPrefix(urlPath, "/") {
 		return false
 	}
-	clean := path.Clean(p)
-	if strings.HasSuffix(p, "/") && clean != "/" {
+	clean := path.Clean(urlPath)
+	if strings.HasSuffix(urlPath, "/") && clean != "/" {
 		clean += "/"
 	}
-	return clean == p
+	return clean == urlPath
 }
 
-func (t *Table) find(town, prefix string) *Export {
-	key := town + prefix
-	n, is := slices.BinarySearchFunc(t.Exports, key, func(e Export, key string) int { return strings.Compare(e.Town+e.StreetPrefix, key) })
-	if !is {
+// find returns the export with a host and prefix, or nil.
+func (t *Table) find(host, prefix string) *Export {
+	key := host + prefix
+	index, found := slices.BinarySearchFunc(t.Exports, key, func(export Export, key string) int {
+		return strings.Compare(export.Host+export.PathPrefix, key)
+	})
+	if !found {
 		return nil
 	}
-	return &t.Exports[n]
+	return &t.Exports[index]
 }
 
-// Narrows reports whether a table forbids something that another allows.
-func (t *Table) Narrows(from *Table) bool {
-	if from == nil {
+// Narrows reports whether the table forbids something that the old one allows.
+func (t *Table) Narrows(old *Table) bool {
+	if old == nil {
 		return false
 	}
-	for n := range from.Exports {
-		was := &from.Exports[n]
-		is := t.find(was.Town, was.StreetPrefix)
-		if is == nil || is.Service != was.Service || is.PerS > 0 && (was.PerS == 0 || is.PerS < was.PerS) {
+	for i := range old.Exports {
+		oldExport := &old.Exports[i]
+		newExport := t.find(oldExport.Host, oldExport.PathPrefix)
+		if newExport == nil || newExport.Service != oldExport.Service ||
+			newExport.RatePerSecond > 0 && (oldExport.RatePerSecond == 0 || newExport.RatePerSecond < oldExport.RatePerSecond) {
 			return true
 		}
-		for _, m := range was.Methods {
-			if !slices.Contains(is.Methods, m) {
+		for _, method := range oldExport.Methods {
+			if !slices.Contains(newExport.Methods, method) {
 				return true
 			}
 		}
 	}
-	for n := range t.Exports { // a longer prefix takes paths from a shorter one
-		is := &t.Exports[n]
-		if from.find(is.Town, is.StreetPrefix) != nil {
+	for i := range t.Exports { // a longer prefix overrides a shorter one for its paths
+		newExport := &t.Exports[i]
+		if old.find(newExport.Host, newExport.PathPrefix) != nil {
 			continue
 		}
-		for k := range from.Exports {
-			was := &from.Exports[k]
-			if was.Town == is.Town && strings.HasPrefix(is.StreetPrefix, was.StreetPrefix) {
-				for _, m := range was.Methods {
-					if !slices.Contains(is.Methods, m) {
+		for j := range old.Exports {
+			oldExport := &old.Exports[j]
+			if oldExport.Host == newExport.Host && strings.HasPrefix(newExport.PathPrefix, oldExport.PathPrefix) {
+				for _, method := range oldExport.Methods {
+					if !slices.Contains(newExport.Methods, method) {
 						return true
 					}
 				}
--- a/internal/mesh/frozen_test.go
+++ b/internal/mesh/frozen_test.go
@@ -92,7 +92,7 @@
 			return status == http.StatusOK
 		})
 		edition = before + 10
-		draw := ratelimit.TokenRequest{Node: "proxy-0", Life: "l", Seq: uint64(10 * (round + 1))}
+		draw := ratelimit.TokenRequest{Node: "proxy-0", Incarnation: "l", Seq: uint64(10 * (round + 1))}
 		coordinator := -1
 		m.until(func() bool { // whoever grants tokens is the one that is frozen
 			draw.Seq++
--- a/internal/mesh/meshctl/credit.go
+++ b/internal/mesh/meshctl/credit.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	b, err := burstcredit.Read(s.State.Credit)
+	b, err := burstcredit.DecodeLedger(s.State.Credit)
 	if err != nil {
 		return nil, nil, Error.Wrap(err)
 	}
@@ -50,7 +50,7 @@
 			if a.Frozen {
 				state = "frozen"
 			}
-			fmt.Fprintf(w, "%s\t%.1f\t%.1f\t%.1f\t%.1f\t%.0f\t%.1f\t%.3g\t%s\n", a.Tenant, a.Balance, a.Out, a.Earned, a.Granted, a.Spent, a.Expired, a.Gap, state)
+			fmt.Fprintf(w, "%s\t%.1f\t%.1f\t%.1f\t%.1f\t%.0f\t%.1f\t%.3g\t%s\n", a.Tenant, a.Balance, a.Outstanding, a.Earned, a.Granted, a.Spent, a.Expired, a.Gap, state)
 		}
 	})
 }
@@ -85,7 +85,7 @@
 	if err := k.order_(rpc.PathCreditOrder, o, a, "look at the account's history before it is ordered again"); err != nil {
 		return err
 	}
-	_, err := fmt.Fprintf(k.out, "%s: balance %.1f, out %.1f, spent %.0f\n", a.Tenant, a.Balance, a.Out, a.Spent)
+	_, err := fmt.Fprintf(k.out, "%s: balance %.1f, out %.1f, spent %.0f\n", a.Tenant, a.Balance, a.Outstanding, a.Spent)
 	return err
 }
 
--- a/internal/mesh/meshctl/partners.go
+++ b/internal/mesh/meshctl/partners.go
@@ -25,7 +25,7 @@
 			s = other
 		}
 	}
-	book, err := federation.Read(s.State.Imports)
+	book, err := federation.DecodeImportRegistry(s.State.Imports)
 	if err != nil {
 		return Error.Wrap(err)
 	}
@@ -41,12 +41,12 @@
 				edition, exports = i.Table.Edition, len(i.Table.Exports)
 			}
 			switch {
-			case i.Held:
+			case i.Suspended:
 				state = fmt.Sprintf("held by %s: %s", i.Who, i.Why)
 			case i.Table == nil:
 				state = "nothing taken"
-			case i.No != i.Done:
-				state = fmt.Sprintf("narrows, done up to edition %d", i.Told)
+			case i.NarrowingRevision != i.CompletedRevision:
+				state = fmt.Sprintf("narrows, done up to edition %d", i.AnnouncedEdition)
 			}
 			age := "never"
 			if a, is := s.Ages[name]; is {
@@ -60,11 +60,11 @@
 	}
 	behind := 0
 	for _, no := range s.Doors {
-		if no < book.No {
+		if no < book.Revision {
 			behind++
 		}
 	}
-	fmt.Fprintf(k.out, "%d of the balancers that ask %s act on word %d, %d on an earlier one\n", len(s.Doors)-behind, s.Node, book.No, behind)
+	fmt.Fprintf(k.out, "%d of the balancers that ask %s act on word %d, %d on an earlier one\n", len(s.Doors)-behind, s.Node, book.Revision, behind)
 	t, err := routing.Load(s.State.Configuration)
 	if err != nil {
 		return nil
@@ -73,7 +73,7 @@
 	for _, p := range t.Partners {
 		all = append(all, federation.Partner{Name: p.Name})
 	}
-	for _, line := range federation.Shadow(book, all, func(town, path string) bool { return t.Find(town, path) != nil }) {
+	for _, line := range federation.ShadowedExports(book, all, func(town, path string) bool { return t.Find(town, path) != nil }) {
 		fmt.Fprintln(k.out, "not used:", line)
 	}
 	return nil
@@ -85,7 +85,7 @@
 	if err != nil {
 		return err
 	}
-	book, err := federation.Read(s.State.Imports)
+	book, err := federation.DecodeImportRegistry(s.State.Imports)
 	if err != nil {
 		return Error.Wrap(err)
 	}
@@ -99,7 +99,7 @@
 	k.seen(s)
 	return k.table("HOST\tPREFIX\tSERVICE\tMETHODS\tPER S", func(w io.Writer) {
 		for _, e := range i.Table.Exports {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%g\n", e.Town, e.StreetPrefix, e.Service, strings.Join(e.Methods, ","), e.PerS)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%g\n", e.Host, e.PathPrefix, e.Service, strings.Join(e.Methods, ","), e.RatePerSecond)
 		}
 	})
 }
@@ -110,6 +110,6 @@
 	if err := k.order_(rpc.PathPartner, o, i, "the same order again is safe"); err != nil {
 		return err
 	}
-	_, err := fmt.Fprintf(k.out, "%s: word %d, done up to %d\n", o.Partner, i.No, i.Done)
+	_, err := fmt.Fprintf(k.out, "%s: word %d, done up to %d\n", o.Partner, i.NarrowingRevision, i.CompletedRevision)
 	return err
 }
--- a/internal/mesh/meshctl/status.go
+++ b/internal/mesh/meshctl/status.go
@@ -154,7 +154,7 @@
 	k.seen(s)
 	return k.table("TENANT\tRATE/S\tSURGE\tPOOL\tOUT\tRESERVE\tBOUND A WINDOW", func(w io.Writer) {
 		for _, a := range s.Quotas {
-			fmt.Fprintf(w, "%s\t%g\t%g\t%.1f\t%.1f\t%.1f\t%.0f\n", a.Tenant, a.Rate, a.Surge, a.Pool, a.Out, a.Reserve, a.Bound)
+			fmt.Fprintf(w, "%s\t%g\t%g\t%.1f\t%.1f\t%.1f\t%.0f\n", a.Tenant, a.Rate, a.Burst, a.Pool, a.Outstanding, a.Reserve, a.MaxPerWindow)
 		}
 	})
 }
--- a/internal/mesh/outlier/outlier.go
+++ b/internal/mesh/outlier/outlier.go
@@ -1,12 +1,12 @@
-// Package outlier judges upstreams that fail in part. The balancer beside an upstream is the only way to it and so sees all
-// that comes of it, from every caller: a Ward keeps that one upstream's evidence and says how ill it is, in few words that go
-// round with the news. Whoever sends work holds an upstream against the others of its service (Shares). Neither does I/O or
-// reads a clock.
+// Package outlier detects upstreams that fail part of their requests. The balancer beside an upstream is the only way
+// to it, so it sees the outcomes of all callers. Its Detector keeps the evidence about that upstream and reduces it to
+// a level, which is gossiped. Callers compare the levels of a service's upstreams and derive the share of its capacity
+// that each is sent (CapacityShares). The package does no I/O and reads no clock.
 //
-// It is gossip, and bounded as such: a level ends by itself as its evidence grows old; it is held against the service's
-// median, so that a service of which all fail alike (one that it calls may be the cause) is sent what it was; no more than
-// Most of a service's slots are lessened; and as each balancer tells only of the upstream beside it, one that says what is
-// not so changes nothing for the rest.
+// Levels are hearsay to the callers, so their effect is bounded. A level decays as its evidence ages. It counts
+// relative to the median of the service: a service whose upstreams all fail alike, for instance because of a common
+// dependency, keeps its shares. At most MaxReducedFraction of a service's slots is reduced. A balancer reports only the
+// upstream beside it, so a false report affects no other upstream.
 package outlier
 
 import (
@@ -15,104 +15,109 @@
 )
 
 const (
-	ms = int64(1e6)
+	millisecond = int64(1e6)
 
-	// Half is the time after which evidence counts half.
-	Half = 1500 * ms
-	// Calm is how long a level stays at least, so that news of it stays rare.
-	Calm = 400 * ms
-	// Levels are from 0, well, to the last.
-	Levels = 4
-	// Most of a service's slots may be lessened at once.
-	Most = 0.4
+	// EvidenceHalfLife is the half-life of evidence, in nanoseconds.
+	EvidenceHalfLife = 1500 * millisecond
+	// MinLevelDuration is the shortest time between two level changes, in nanoseconds. It limits the gossip traffic.
+	MinLevelDuration = 400 * millisecond
+	// LevelCount is the number of levels. Level 0 is healthy, LevelCount-1 is the most severe.
+	LevelCount = 4
+	// MaxReducedFraction is the largest fraction of a service's slots that may be reduced at once.
+	MaxReducedFraction = 0.4
 
-	least = 3.0 // outcomes that failed, below which nobody is ill
-	back  = 0.6 // of a bound, under which an upstream gets better again
+	minFailures    = 3.0 // decayed count of failures below which an upstream stays at level 0
+	recoveryFactor = 0.6 // fraction of a threshold below which a level is left; the hysteresis prevents flapping
 )
 
 var (
-	bounds = [Levels]float64{0, 0.15, 0.3, 0.5}   // of failed outcomes, from which on a level holds
-	parts  = [Levels]float64{1, 0.5, 0.25, 0.125} // of its slots, that an upstream is sent work for; never nothing, or no evidence would come
+	// failureThresholds are the failure ratios at which the levels begin.
+	failureThresholds = [LevelCount]float64{0, 0.15, 0.3, 0.5}
+	// shareByLevel is the share of its slots that an upstream keeps, by level above the median. It is never zero:
+	// without requests there would be no evidence of recovery.
+	shareByLevel = [LevelCount]float64{1, 0.5, 0.25, 0.125}
 )
 
-// Ward is what is seen of one upstream.
+// Detector holds the evidence about one upstream.
 type Detector struct {
-	good, bad float64
-	at, since int64
-	level     int
+	successes, failures   float64
+	updatedAt, levelSince int64
+	level                 int
 }
 
-// Saw takes an outcome and reports whether the level has changed.
-func (w *Detector) Observe(failed bool, now int64) bool {
-	w.age(now)
+// Observe records an outcome and reports whether the level has changed.
+func (d *Detector) Observe(failed bool, now int64) bool {
+	d.decay(now)
 	if failed {
-		w.bad++
+		d.failures++
 	} else {
-		w.good++
+		d.successes++
 	}
-	return w.refresh(now)
+	return d.updateLevel(now)
 }
 
-// Look lets time pass and reports whether the level has changed.
-func (w *Detector) Refresh(now int64) bool {
-	w.age(now)
-	return w.refresh(now)
+// Refresh decays the evidence up to now and reports whether the level has changed.
+func (d *Detector) Refresh(now int64) bool {
+	d.decay(now)
+	return d.updateLevel(now)
 }
 
-// Level is how ill the upstream is.
-func (w *Detector) Level() int { return w.level }
+// Level returns the current level, from 0 to LevelCount-1.
+func (d *Detector) Level() int { return d.level }
 
-func (w *Detector) age(now int64) {
-	if now > w.at {
-		f := math.Exp2(-float64(now-w.at) / float64(Half))
-		w.good, w.bad, w.at = w.good*f, w.bad*f, now
+func (d *Detector) decay(now int64) {
+	if now > d.updatedAt {
+		factor := math.Exp2(-float64(now-d.updatedAt) / float64(EvidenceHalfLife))
+		d.successes, d.failures, d.updatedAt = d.successes*factor, d.failures*factor, now
 	}
 }
 
-func (w *Detector) refresh(now int64) bool {
-	if w.since != 0 && now-w.since < Calm {
+func (d *Detector) updateLevel(now int64) bool {
+	if d.levelSince != 0 && now-d.levelSince < MinLevelDuration {
 		return false
 	}
-	share, level := 0.0, 0
-	if all := w.good + w.bad; all > 0 {
-		share = w.bad / (all + 1)
+	failureRatio, level := 0.0, 0
+	if total := d.successes + d.failures; total > 0 {
+		failureRatio = d.failures / (total + 1)
 	}
-	for l := 1; l < Levels; l++ {
-		if w.bad >= least && share >= bounds[l] || l <= w.level && w.bad >= least*back/2 && share >= bounds[l]*back {
-			level = l
+	for candidate := 1; candidate < LevelCount; candidate++ {
+		if d.failures >= minFailures && failureRatio >= failureThresholds[candidate] ||
+			candidate <= d.level && d.failures >= minFailures*recoveryFactor/2 && failureRatio >= failureThresholds[candidate]*recoveryFactor {
+			level = candidate
 		}
 	}
-	if level == w.level {
+	if level == d.level {
 		return false
 	}
-	w.level, w.since = level, now
+	d.level, d.levelSince = level, now
 	return true
 }
 
-// Shares are the parts of their slots that upstreams of one service are sent work for, by level and slots of each.
-func Shares(levels []int, slots []float64) []float64 {
-	out := make([]float64, len(levels))
-	order := make([]int, len(levels))
-	total := 0.0
-	for n := range levels {
-		out[n], order[n] = 1, n
-		total += slots[n]
+// CapacityShares returns, for each upstream of one service, the share of its slots that it is sent work for. Upstreams
+// above the median level are reduced, the most severe first, until MaxReducedFraction of all slots is reached.
+func CapacityShares(levels []int, slots []float64) []float64 {
+	shares := make([]float64, len(levels))
+	bySeverity := make([]int, len(levels))
+	totalSlots := 0.0
+	for i := range levels {
+		shares[i], bySeverity[i] = 1, i
+		totalSlots += slots[i]
 	}
 	if len(levels) < 2 {
-		return out
+		return shares
 	}
 	sorted := slices.Clone(levels)
 	slices.Sort(sorted)
-	usual := sorted[len(sorted)/2]
-	slices.SortStableFunc(order, func(a, b int) int { return levels[b] - levels[a] })
-	left := Most * total
-	for _, n := range order {
-		worse := min(max(levels[n], 0), Levels-1) - usual
-		if worse <= 0 || slots[n] > left {
+	median := sorted[len(sorted)/2]
+	slices.SortStableFunc(bySeverity, func(a, b int) int { return levels[b] - levels[a] })
+	reducibleSlots := MaxReducedFraction * totalSlots
+	for _, i := range bySeverity {
+		excess := min(max(levels[i], 0), LevelCount-1) - median
+		if excess <= 0 || slots[i] > reducibleSlots {
 			break
 		}
-		left -= slots[n]
-		out[n] = parts[worse]
+		reducibleSlots -= slots[i]
+		shares[i] = shareByLevel[excess]
 	}
-	return out
+	return shares
 }
--- a/internal/mesh/outlier/outlier_test.go
+++ b/internal/mesh/outlier/outlier_test.go
@@ -7,155 +7,161 @@
 	"github.com/shoenig/test/must"
 )
 
-// season plays one service: so many upstreams at so many requests a second each, of which the first fails a part of what it
-// is sent between two moments, and all fail a part throughout. shares may leave a guard out.
-type season struct {
-	upstreams        int
-	rate, usual, ill float64
-	from, to, length int64
-	without          string // a guard left out
+// scenario simulates one service. All upstreams fail baselineRatio of their requests, except that upstream 0 fails
+// outlierRatio between onset and recovery. Times are in nanoseconds.
+type scenario struct {
+	upstreams                                      int
+	requestsPerSecond, baselineRatio, outlierRatio float64
+	onset, recovery, duration                      int64
+	disabledGuard                                  string // "decay", "median" or none
 }
 
-// play tells when the first was lessened and when it was whole again, and for how long others were lessened, together.
-func (s season) play(seed uint64) (found, over int64, wrongly int64) {
-	chance := rand.New(rand.NewPCG(seed, 7))
-	wards := make([]Detector, s.upstreams)
-	levels, slots := make([]int, s.upstreams), make([]float64, s.upstreams)
-	shares := make([]float64, s.upstreams)
-	for n := range slots {
-		slots[n], shares[n] = 6, 1
+// run returns how long after the onset upstream 0 was reduced, how long after its recovery it had its full share again
+// (-1 for never), and the total time for which other upstreams were reduced.
+func (sc scenario) run(seed uint64) (detectedAfter, restoredAfter int64, falselyReduced int64) {
+	rng := rand.New(rand.NewPCG(seed, 7))
+	detectors := make([]Detector, sc.upstreams)
+	levels, slots := make([]int, sc.upstreams), make([]float64, sc.upstreams)
+	shares := make([]float64, sc.upstreams)
+	for i := range slots {
+		slots[i], shares[i] = 6, 1
 	}
-	const step = 10 * ms
-	found, over = -1, -1
-	for now := int64(ms); now < s.length; now += step {
-		for n := range wards {
-			if chance.Float64() < s.rate*float64(step)/1e9*shares[n] {
-				share := s.usual
-				if n == 0 && now >= s.from && now < s.to {
-					share = s.ill
+	const step = 10 * millisecond
+	detectedAfter, restoredAfter = -1, -1
+	for now := int64(millisecond); now < sc.duration; now += step {
+		for i := range detectors {
+			if rng.Float64() < sc.requestsPerSecond*float64(step)/1e9*shares[i] {
+				failureRatio := sc.baselineRatio
+				if i == 0 && now >= sc.onset && now < sc.recovery {
+					failureRatio = sc.outlierRatio
 				}
-				wards[n].Observe(chance.Float64() < share, now)
+				detectors[i].Observe(rng.Float64() < failureRatio, now)
 			}
-			if s.without != "ends" {
-				wards[n].Refresh(now)
+			if sc.disabledGuard != "decay" {
+				detectors[i].Refresh(now)
 			}
-			levels[n] = wards[n].Level()
+			levels[i] = detectors[i].Level()
 		}
-		shares = Shares(levels, slots)
-		if s.without == "peers" {
-			for n, l := range levels {
-				shares[n] = parts[l]
+		shares = CapacityShares(levels, slots)
+		if sc.disabledGuard == "median" {
+			for i, level := range levels {
+				shares[i] = shareByLevel[level]
 			}
 		}
 		switch {
-		case shares[0] < 1 && found < 0 && now >= s.from:
-			found = now - s.from
-		case shares[0] == 1 && found >= 0 && over < 0 && now >= s.to:
-			over = now - s.to
+		case shares[0] < 1 && detectedAfter < 0 && now >= sc.onset:
+			detectedAfter = now - sc.onset
+		case shares[0] == 1 && detectedAfter >= 0 && restoredAfter < 0 && now >= sc.recovery:
+			restoredAfter = now - sc.recovery
 		}
-		for _, part := range shares[1:] {
-			if part < 1 {
-				wrongly += step
+		for _, share := range shares[1:] {
+			if share < 1 {
+				falselyReduced += step
 			}
 		}
 	}
-	return found, over, wrongly
+	return detectedAfter, restoredAfter, falselyReduced
 }
 
-// Four hundred seasons: the ill one is found, ends by itself, and the well ones are left alone.
-func TestAnIllUpstreamIsFoundAndNoOther(t *testing.T) {
-	s := season{upstreams: 9, rate: 15, usual: 0.01, ill: 0.45, from: 2000 * ms, to: 8500 * ms, length: 20000 * ms}
-	var sum, worst, back, wrongly int64
+// The failing upstream is detected and gets its full share back after it recovers. Healthy upstreams keep their full
+// share.
+func TestFailingUpstreamIsDetectedAndOthersKeepFullShare(t *testing.T) {
+	sc := scenario{upstreams: 9, requestsPerSecond: 15, baselineRatio: 0.01, outlierRatio: 0.45,
+		onset: 2000 * millisecond, recovery: 8500 * millisecond, duration: 20000 * millisecond}
+	var detectionSum, slowestDetection, slowestRestore, falselyReduced int64
 	for seed := range uint64(400) {
-		found, over, others := s.play(seed)
-		must.NotEq(t, -1, found, must.Sprint("seed ", seed))
-		must.NotEq(t, -1, over, must.Sprint("seed ", seed))
-		sum, worst, back, wrongly = sum+found, max(worst, found), max(back, over), wrongly+others
+		detectedAfter, restoredAfter, othersReduced := sc.run(seed)
+		must.NotEq(t, -1, detectedAfter, must.Sprint("seed ", seed))
+		must.NotEq(t, -1, restoredAfter, must.Sprint("seed ", seed))
+		detectionSum, slowestDetection, slowestRestore, falselyReduced = detectionSum+detectedAfter,
+			max(slowestDetection, detectedAfter), max(slowestRestore, restoredAfter), falselyReduced+othersReduced
 	}
-	t.Logf("found after %d ms in the mean, %d at most; whole again %d ms after its end at most; others lessened %.5f of the time",
-		sum/400/ms, worst/ms, back/ms, float64(wrongly)/float64(8*400*s.length))
-	must.Less(t, 900*ms, sum/400)
-	must.Less(t, 7000*ms, back)
-	must.Less(t, 0.001, float64(wrongly)/float64(8*400*s.length))
+	t.Logf("detected after %d ms on average, %d ms at most; full share %d ms after recovery at most; others reduced for %.5f of the time",
+		detectionSum/400/millisecond, slowestDetection/millisecond, slowestRestore/millisecond, float64(falselyReduced)/float64(8*400*sc.duration))
+	must.Less(t, 900*millisecond, detectionSum/400)
+	must.Less(t, 7000*millisecond, slowestRestore)
+	must.Less(t, 0.001, float64(falselyReduced)/float64(8*400*sc.duration))
 }
 
-// What one balancer beside an upstream sees, against what each of fifteen that call it sees alone: the time until the ill one is
-// known to half of them.
-func TestWhoSeesAllFindsSooner(t *testing.T) {
-	const callers, rate, ill = 15, 15.0, 0.45
-	var shared, alone int64
+// Compares the detection time of one detector that sees the outcomes of all callers with the time until half of fifteen
+// callers have detected the failure from their own outcomes alone.
+func TestSharedDetectorIsFasterThanPerCallerDetectors(t *testing.T) {
+	const callers, rate, failureRatio = 15, 15.0, 0.45
+	var sharedTime, perCallerTime int64
 	for seed := range uint64(300) {
-		chance := rand.New(rand.NewPCG(seed, 9))
-		whole, each := &Detector{}, make([]Detector, callers)
-		knownAt, half := int64(0), int64(0)
-		for now := int64(ms); half == 0 || knownAt == 0; now += 10 * ms {
-			if now > 60000*ms {
-				half = now // never, as good as
+		rng := rand.New(rand.NewPCG(seed, 9))
+		sharedDetector, perCaller := &Detector{}, make([]Detector, callers)
+		sharedDetectedAt, halfDetectedAt := int64(0), int64(0)
+		for now := int64(millisecond); halfDetectedAt == 0 || sharedDetectedAt == 0; now += 10 * millisecond {
+			if now > 60000*millisecond {
+				halfDetectedAt = now // not detected within a minute
 				break
 			}
-			known := 0
-			for n := range each {
-				if chance.Float64() < rate/callers*0.01 {
-					failed := chance.Float64() < ill
-					whole.Observe(failed, now)
-					each[n].Observe(failed, now)
+			detectedCount := 0
+			for i := range perCaller {
+				if rng.Float64() < rate/callers*0.01 {
+					failed := rng.Float64() < failureRatio
+					sharedDetector.Observe(failed, now)
+					perCaller[i].Observe(failed, now)
 				}
-				if each[n].Level() > 0 {
-					known++
+				if perCaller[i].Level() > 0 {
+					detectedCount++
 				}
 			}
-			if knownAt == 0 && whole.Level() > 0 {
-				knownAt = now
+			if sharedDetectedAt == 0 && sharedDetector.Level() > 0 {
+				sharedDetectedAt = now
 			}
-			if half == 0 && 2*known > callers {
-				half = now
+			if halfDetectedAt == 0 && 2*detectedCount > callers {
+				halfDetectedAt = now
 			}
 		}
-		shared, alone = shared+knownAt/300, alone+half/300
+		sharedTime, perCallerTime = sharedTime+sharedDetectedAt/300, perCallerTime+halfDetectedAt/300
 	}
-	t.Logf("known after %d ms where all is seen in one place, %d ms at half of those that see for themselves", shared/ms, alone/ms)
-	must.Less(t, alone/3, shared)
+	t.Logf("detected after %d ms by the shared detector, after %d ms by half of the callers",
+		sharedTime/millisecond, perCallerTime/millisecond)
+	must.Less(t, perCallerTime/3, sharedTime)
 }
 
-// A service that fails as a whole, since one that it calls does, is sent what it was: the variant that holds nobody against
-// the others condemns all of it.
-func TestAServiceThatFailsAlikeIsLeftAlone(t *testing.T) {
-	s := season{upstreams: 9, rate: 15, usual: 0.5, ill: 0.5, to: 10000 * ms, length: 10000 * ms}
-	lessened := func(without string) (share float64) {
-		s.without = without
+// When all upstreams fail alike, for instance because of a common dependency, they mostly keep their shares. Without
+// the comparison with the median nearly all are reduced.
+func TestUniformlyFailingServiceKeepsItsShares(t *testing.T) {
+	sc := scenario{upstreams: 9, requestsPerSecond: 15, baselineRatio: 0.5, outlierRatio: 0.5,
+		recovery: 10000 * millisecond, duration: 10000 * millisecond}
+	reducedTime := func(disabledGuard string) (share float64) {
+		sc.disabledGuard = disabledGuard
 		for seed := range uint64(100) {
-			_, _, others := s.play(seed)
-			share += float64(others) / float64(8*100*s.length)
+			_, _, othersReduced := sc.run(seed)
+			share += float64(othersReduced) / float64(8*100*sc.duration)
 		}
 		return share
 	}
-	must.Less(t, 0.25, lessened(""))
-	must.Greater(t, 0.8, lessened("peers"))
+	must.Less(t, 0.25, reducedTime(""))
+	must.Greater(t, 0.8, reducedTime("median"))
 }
 
-// One that is asked nothing any more gets well by time alone; without that end it stays ill.
-func TestEvidenceEnds(t *testing.T) {
-	w := &Detector{}
-	now := int64(ms)
+// An upstream that gets no requests recovers by decay alone. Without Refresh its level stays.
+func TestEvidenceDecaysWithoutRequests(t *testing.T) {
+	detector := &Detector{}
+	now := int64(millisecond)
 	for range 6 {
-		w.Observe(true, now)
-		now += 10 * ms
+		detector.Observe(true, now)
+		now += 10 * millisecond
 	}
-	must.Eq(t, Levels-1, w.Level())
-	now += 20 * Half // nobody looks: the variant without an end
-	must.Eq(t, Levels-1, w.Level())
-	must.True(t, w.Refresh(now))
-	must.Eq(t, 0, w.Level())
+	must.Eq(t, LevelCount-1, detector.Level())
+	now += 20 * EvidenceHalfLife // no Refresh, so no decay
+	must.Eq(t, LevelCount-1, detector.Level())
+	must.True(t, detector.Refresh(now))
+	must.Eq(t, 0, detector.Level())
 }
 
-func TestSharesAreBounded(t *testing.T) {
-	six := []float64{6, 6, 6, 6, 6}
-	must.Eq(t, []float64{1, 1, 0.125, 1, 1}, Shares([]int{0, 0, 3, 0, 0}, six))     // one accused, or one that accuses itself
-	must.Eq(t, []float64{1, 1, 1, 1, 1}, Shares([]int{2, 2, 2, 2, 2}, six))         // all alike
-	must.Eq(t, []float64{1, 0.5, 1, 1, 1}, Shares([]int{2, 3, 2, 2, 1}, six))       // against the usual
-	must.Eq(t, []float64{0.125, 0.125, 1, 1, 1}, Shares([]int{3, 3, 0, 0, 0}, six)) // the worst first, and no more than Most
-	must.Eq(t, []float64{1, 1}, Shares([]int{0, 3}, []float64{6, 6}))               // one of two is more than that
-	must.Eq(t, []float64{1}, Shares([]int{3}, []float64{6}))                        // nobody else
-	must.Eq(t, []float64{1, 1, 0.125}, Shares([]int{0, 0, 99}, []float64{6, 6, 6})) // a level of a later version
-	must.Eq(t, []float64{1, 1, 1}, Shares([]int{-9, 0, 0}, []float64{6, 6, 6}))     // and what is none
+func TestCapacitySharesAreBounded(t *testing.T) {
+	slots := []float64{6, 6, 6, 6, 6}
+	must.Eq(t, []float64{1, 1, 0.125, 1, 1}, CapacityShares([]int{0, 0, 3, 0, 0}, slots))     // one outlier, reported by its own balancer
+	must.Eq(t, []float64{1, 1, 1, 1, 1}, CapacityShares([]int{2, 2, 2, 2, 2}, slots))         // all at the median
+	must.Eq(t, []float64{1, 0.5, 1, 1, 1}, CapacityShares([]int{2, 3, 2, 2, 1}, slots))       // relative to the median
+	must.Eq(t, []float64{0.125, 0.125, 1, 1, 1}, CapacityShares([]int{3, 3, 0, 0, 0}, slots)) // the most severe first, within the limit
+	must.Eq(t, []float64{1, 1}, CapacityShares([]int{0, 3}, []float64{6, 6}))                 // one of two exceeds MaxReducedFraction
+	must.Eq(t, []float64{1}, CapacityShares([]int{3}, []float64{6}))                          // a single upstream
+	must.Eq(t, []float64{1, 1, 0.125}, CapacityShares([]int{0, 0, 99}, []float64{6, 6, 6}))   // an unknown level, from a later version
+	must.Eq(t, []float64{1, 1, 1}, CapacityShares([]int{-9, 0, 0}, []float64{6, 6, 6}))       // a negative level
 }
--- a/internal/mesh/proxy/burst_credit.go
+++ b/internal/mesh/proxy/burst_credit.go
@@ -35,25 +35,25 @@
 	}
 	p.credit.Lock()
 	defer p.credit.Unlock()
-	p.credit.wallet.Set(burstcredit.TermsOf(t), services, p.members, p.now())
-	p.credit.on.Store(p.credit.wallet.On())
+	p.credit.wallet.SetTerms(burstcredit.TenantTerms(t), services, p.members, p.now())
+	p.credit.on.Store(p.credit.wallet.Enabled())
 }
 
 // claim is what a request beyond its tenant's rate would draw for, and under which name: the client's key for it where it has
 // one; else an effect is its own, and pages and downloads of one tenant are one for as long as settled names are known.
 func (p *Proxy) claim(r *http.Request, rule *routing.Route, tenant *routing.Tenant) burstcredit.Claim {
-	k := burstcredit.Claim{Tenant: tenant.Name, Service: rule.Parts[0].Service, Effect: !rule.MailClass.Repeats(),
+	k := burstcredit.Claim{Tenant: tenant.Name, Service: rule.Parts[0].Service, HasEffect: !rule.MailClass.Repeats(),
 		Rank: tenant.Precedence*1000 + rule.Precedence}
 	if host, _, err := net.SplitHostPort(r.RemoteAddr); err == nil {
-		k.Client = host != settings.Host(p.settings.App) // the upstream on this machine calls from its own address
+		k.FromClient = host != settings.Host(p.settings.App) // the upstream on this machine calls from its own address
 	}
 	switch key := r.Header.Get("Idempotency-Key"); {
 	case key != "":
-		k.ID = burstcredit.Identity("key", key, r.Method, r.Host, r.RequestURI)
-	case k.Effect:
-		k.ID = burstcredit.Identity("try", r.Header.Get(attemptID))
+		k.ID = burstcredit.RequestID("key", key, r.Method, r.Host, r.RequestURI)
+	case k.HasEffect:
+		k.ID = burstcredit.RequestID("try", r.Header.Get(attemptID))
 	default:
-		k.ID = burstcredit.Identity("page", r.Method, r.Host, r.RequestURI)
+		k.ID = burstcredit.RequestID("page", r.Method, r.Host, r.RequestURI)
 	}
 	return k
 }
@@ -67,10 +67,10 @@
 	c.Unlock()
 	p.wantCredit()
 	switch verdict {
-	case burstcredit.Drawn:
+	case burstcredit.Reserved:
 		p.counts.Add("credit_drawn")
 		return true
-	case burstcredit.None:
+	case burstcredit.NoCredit:
 		return false
 	}
 	late := time.NewTimer(creditWait)
@@ -83,12 +83,12 @@
 	case <-ctx.Done():
 	}
 	c.Lock()
-	left := c.wallet.Leave(k)
+	left := c.wallet.Cancel(k)
 	c.Unlock()
 	if !left { // its turn came meanwhile
 		<-called
 		if ctx.Err() != nil {
-			p.drawn(k, burstcredit.NeverRan)
+			p.drawn(k, burstcredit.NotDelivered)
 			return false
 		}
 		p.counts.Add("credit_drawn")
@@ -102,8 +102,8 @@
 func (p *Proxy) drawn(k burstcredit.Claim, end burstcredit.Outcome) {
 	c := &p.credit
 	c.Lock()
-	c.wallet.Done(k, end, p.now())
-	c.wallet.Turn(p.now())
+	c.wallet.Finish(k, end, p.now())
+	c.wallet.ServeQueue(p.now())
 	c.Unlock()
 	p.wantCredit()
 }
@@ -129,7 +129,7 @@
 			at := p.wallet.coordinator
 			p.wallet.Unlock()
 			c.Lock()
-			wants := c.wallet.Wants(p.now()) && at != ""
+			wants := c.wallet.ShouldReport(p.now()) && at != ""
 			var r *burstcredit.Report
 			if wants {
 				r = c.wallet.Report(p.now())
@@ -150,7 +150,7 @@
 				c.wallet.ApplyGrant(g, sent, p.now())
 				c.Unlock()
 			}
-			pause := time.NewTimer(time.Duration(burstcredit.Every))
+			pause := time.NewTimer(time.Duration(burstcredit.ReportInterval))
 			select {
 			case <-pause.C:
 			case <-ctx.Done():
@@ -166,7 +166,7 @@
 		return
 	}
 	q.mu.Lock()
-	end := burstcredit.NeverRan
+	end := burstcredit.NotDelivered
 	switch {
 	case q.delivered:
 		end = burstcredit.Delivered
--- a/internal/mesh/proxy/outbound.go
+++ b/internal/mesh/proxy/outbound.go
@@ -98,7 +98,7 @@
 	}
 	if why != goesOn {
 		if q.claim != nil { // it goes no further
-			p.drawn(*q.claim, burstcredit.NeverRan)
+			p.drawn(*q.claim, burstcredit.NotDelivered)
 		}
 		return nil, to, why
 	}
--- a/internal/mesh/proxy/partner.go
+++ b/internal/mesh/proxy/partner.go
@@ -27,7 +27,7 @@
 type exportPolicies struct {
 	sync.Mutex // never held while f.mu is taken
 	is         *federation.ExportPolicy
-	book       *federation.ImportBook
+	book       *federation.ImportRegistry
 	ages       map[string]int64
 	heard      int64
 	gateways   map[string]string // addresses
@@ -40,7 +40,7 @@
 		v := p.view.Load()
 		return v == nil || v.table.Find(town, path) != nil
 	})
-	p.exports.book, p.exports.gateways = federation.NewImportBook(), map[string]string{}
+	p.exports.book, p.exports.gateways = federation.NewImportRegistry(), map[string]string{}
 }
 
 // hear takes the core's word on partners; asked is when it was asked for. Ages count from then: the answer may have been long on
@@ -50,22 +50,22 @@
 	d.Lock()
 	defer d.Unlock()
 	if n.Imports != nil {
-		book, err := federation.Read(n.Imports)
+		book, err := federation.DecodeImportRegistry(n.Imports)
 		if err != nil {
 			p.log.Warn("partners", "err", err)
 			return
 		}
-		if book.No >= d.book.No {
+		if book.Revision >= d.book.Revision {
 			d.book, d.ages, d.heard = book, n.Ages, asked
 			p.partners()
-			p.log.Info("partners", "no", book.No)
+			p.log.Info("partners", "no", book.Revision)
 		}
 	}
 	for partner, age := range n.Ages {
-		d.is.Fresher(partner, age, asked)
+		d.is.Confirm(partner, age, asked)
 	}
 	if n.Calm {
-		d.is.Renew(n.ImportsNo, asked)
+		d.is.Authorize(n.ImportsNo, asked)
 	}
 }
 
@@ -87,7 +87,7 @@
 	for name, age := range d.ages {
 		ages[name] = age + p.now() - d.heard
 	}
-	d.is.Hear(d.book, all, ages, int(p.membersNow.Load()), p.now())
+	d.is.Update(d.book, all, ages, int(p.membersNow.Load()), p.now())
 }
 
 // toPartner finds a way for a request that no route of ours takes.
@@ -109,15 +109,15 @@
 	}
 	d.Unlock()
 	switch {
-	case why == federation.Kept:
+	case why == federation.Withheld:
 		return nil, t, apierror.Kept
-	case why == federation.NoLeave:
+	case why == federation.Unconfirmed:
 		return nil, t, apierror.Unready
 	case why != federation.Open || of == nil:
 		return nil, t, apierror.NoRoute
 	}
 	class := routing.OnceOnly
-	if federation.Reads(r.Method) {
+	if federation.IsReadOnly(r.Method) {
 		class = routing.Repeatable
 	}
 	rule = &routing.Route{Name: string(class), MailClass: class, Target: of.Target}
@@ -189,7 +189,7 @@
 func (p *Proxy) allowed(q *request, partner string) bool {
 	p.exports.Lock()
 	defer p.exports.Unlock()
-	return p.exports.is.Look(partner, q.method, hostOnly(q.host), pathOf(q.target), p.now()) == federation.Open
+	return p.exports.is.Check(partner, q.method, hostOnly(q.host), pathOf(q.target), p.now()) == federation.Open
 }
 
 func pathOf(target string) string {
@@ -201,7 +201,7 @@
 func (p *Proxy) sendToPartner(ctx context.Context, s *upstreamRequest, partner string) *upstreamResponse {
 	d := &p.exports
 	d.Lock()
-	edition, why := d.is.May(partner, s.method, hostOnly(s.host), pathOf(s.target), p.now())
+	edition, why := d.is.Admit(partner, s.method, hostOnly(s.host), pathOf(s.target), p.now())
 	gateway := d.gateways[partner]
 	d.Unlock()
 	if why != federation.Open || gateway == "" {
--- a/internal/mesh/proxy/pools.go
+++ b/internal/mesh/proxy/pools.go
@@ -52,13 +52,13 @@
 func (p *pool) first(now int64, rank priority.Rank) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.budget.First(now, rank)
+	p.budget.RecordFirstAttempt(now, rank)
 }
 
 func (p *pool) more(now int64, members int, rank priority.Rank) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.budget.Take(now, members, rank)
+	return p.budget.TakeExtraAttempt(now, members, rank)
 }
 
 // tariffKey is what is promised for the requests of a route. Routes that promise alike are one tariff of the module.
@@ -226,7 +226,7 @@
 	for k, n := range all {
 		levels[k], slots[k] = n.Upstream.Ill, float64(max(n.Upstream.Capacity, 1))
 	}
-	for k, share := range outlier.Shares(levels, slots) {
+	for k, share := range outlier.CapacityShares(levels, slots) {
 		n := all[k]
 		list = append(list, roster.Entry[string]{
 			Name: n.Upstream.ID, Zone: n.District, Address: n.Inbound, Ends: n.Upstream.Closing || n.Leaving,
--- a/internal/mesh/proxy/revocation.go
+++ b/internal/mesh/proxy/revocation.go
@@ -24,5 +24,5 @@
 	if t.bound == 0 {
 		return true
 	}
-	return time.Duration(now-t.confirmedAt.Load())+time.Duration(federation.Fresh) <= t.bound
+	return time.Duration(now-t.confirmedAt.Load())+time.Duration(federation.QuorumFreshness) <= t.bound
 }
--- a/internal/mesh/proxy/view.go
+++ b/internal/mesh/proxy/view.go
@@ -119,11 +119,11 @@
 func (p *Proxy) quota(t *routing.Configuration) {
 	p.wallet.Lock()
 	defer p.wallet.Unlock()
-	limits := ratelimit.LimitsOf(t, &p.settings.Bounds)
+	limits := ratelimit.TenantLimits(t, &p.settings.Bounds)
 	p.wallet.limited = false
 	for _, l := range limits {
 		p.wallet.limited = p.wallet.limited || l.Rate > 0
 	}
-	p.wallet.is.Set(limits, p.members, p.now())
+	p.wallet.is.SetLimits(limits, p.members, p.now())
 	p.creditTerms(t)
 }
