--- a/internal/mesh/proxy/wallet.go
+++ b/internal/mesh/proxy/wallet.go
@@ -51,13 +51,13 @@
 		w.Lock()
 		verdict, wait := w.is.Take(tenant, p.now(), round == drawRounds)
 		drawn := w.drawn
-		wants := verdict == ratelimit.Ask || w.is.Wants(p.now())
+		wants := verdict == ratelimit.RequestTokens || w.is.ShouldRequest(p.now())
 		w.Unlock()
 		if wants {
 			w.want()
 		}
-		if verdict != ratelimit.Ask {
-			return verdict == ratelimit.Pass, time.Duration(wait)
+		if verdict != ratelimit.RequestTokens {
+			return verdict == ratelimit.Allowed, time.Duration(wait)
 		}
 		p.counts.Add("draws_waited")
 		late := time.NewTimer(drawWait)
@@ -97,12 +97,12 @@
 		end()
 		w.Lock()
 		if err == nil {
-			w.is.ApplyGrant(given, sent, p.now())
-			if w.is.Wants(p.now()) {
+			w.is.ApplyGrants(given, sent, p.now())
+			if w.is.ShouldRequest(p.now()) {
 				w.want()
 			}
 		} else if refused {
-			w.is.GrantRefused(p.now())
+			w.is.RequestRefused(p.now())
 		}
 		close(w.drawn)
 		w.drawn = make(chan struct{})
--- a/internal/mesh/proxy/watch.go
+++ b/internal/mesh/proxy/watch.go
@@ -126,7 +126,7 @@
 	request = &membership.WatchRequest{Position: p.position, MaxWait: int64(watchWait), Packed: !p.unpackable.Load()}
 	p.mu.Unlock()
 	p.exports.Lock()
-	request.Position.Imports = p.exports.book.No
+	request.Position.Imports = p.exports.book.Revision
 	p.exports.Unlock()
 	upstream, seq, changed := p.local.snapshot()
 	request.Node = membership.Node{Name: p.settings.Node, Inbound: p.settings.Inbound, District: p.settings.District, Life: p.life, Seq: seq,
--- a/internal/mesh/ratelimit/quota.go
+++ b/internal/mesh/ratelimit/quota.go
@@ -7,53 +7,55 @@
 	"ottershift/internal/mesh/settings"
 )
 
-// A tenant's quota is one purse for all balancers. Whoever has the duty keeps the bank: a pool that fills at the tenant's
-// rate, out of which balancers draw tokens before they need them. A token is spent once, by who has it, without asking
-// anybody; a request for which there is none waits for one draw.
+// A tenant's quota is shared by all balancers. The coordinator keeps the TokenBank: one pool per tenant that fills at
+// the tenant's rate. Balancers prefetch tokens from it into their Wallets and spend them locally, without a call per
+// request. A request that finds no token waits for one token request to the bank.
 //
-// The bound. In any window W, what passes is what the pool gained (R·W), what lay in the pool (P) and what was out in
-// wallets (H) at its beginning: R·W + P + H. The bank keeps P + H within Reserve, so
+// Bound: the requests allowed in a window W spend tokens that the pool gained in the window (R·W), that were in the
+// pool at its start (P), or that were in wallets at its start (H). The bank keeps P + H within Reserve, so for a tenant
+// with rate R and burst S
 //
-//	passed(W) <= R·W + Reserve + R·(Silent - Standing)·k/n
-//	Reserve = X - max(0.3·X, R·(Silent - Standing)), X = S + over·(R·W + S) + slack
+//	allowed(W) <= R·W + Reserve + R·(AssumeFallbackAfter - FallbackAfter)·k/n
+//	Reserve = X - max(0.3·X, R·(AssumeFallbackAfter - FallbackAfter)), X = S + OverRatio·(R·W + S) + Slack
 //
-// A balancer that hears nothing from the bank has a standing rate R/n; the bank fills that much less for each that it
-// does not hear. k of n that lose the bank at once count double until it has noticed, which is what Reserve leaves free.
+// A balancer that cannot reach the bank spends a fallback rate of R/n. The bank fills its pools by that much less for
+// each balancer that it does not hear from. When k of n balancers lose the bank at once, their rate counts twice until
+// the bank notices; Reserve leaves room for this.
 
-// Times of the quota's protocol, in nanoseconds of whoever counts them.
+// Time constants of the quota protocol, in nanoseconds of the local clock.
 const (
-	Silent   = int64(900e6)  // after which the bank leaves a balancer that it does not hear its standing rate
-	Standing = int64(450e6)  // after which a balancer without a bank takes it
-	Expiry   = int64(2500e6) // after which a balancer without a bank drops its tokens
-	Forget   = int64(3000e6) // after which the bank counts them as gone
-	Ahead    = int64(600e6)  // of its demand that a balancer draws beforehand
-	dryLeast = int64(40e6)   // that a balancer does without asking for while the pool is dry
-	dryFirst = int64(10e6)   // the same for a pool that has just run dry, or has just been opened: it is waited for
+	AssumeFallbackAfter = int64(900e6)  // silence after which the bank assumes that a balancer spends its fallback rate
+	FallbackAfter       = int64(450e6)  // time without an answer after which a balancer spends its fallback rate
+	TokenExpiry         = int64(2500e6) // time without an answer after which a balancer drops its tokens
+	GrantExpiry         = int64(3000e6) // silence after which the bank counts a balancer's tokens as gone
+	PrefetchWindow      = int64(600e6)  // amount of demand that a balancer prefetches
+	minRetryAfter       = int64(40e6)   // shortest wait before the next request to an empty pool
+	firstRetryAfter     = int64(10e6)   // the same for a pool that has just run empty or been opened, as requests wait for it
 )
 
-// Limit is a tenant's quota and the rule's figures.
+// Limit is a tenant's quota and the tolerance with which it is enforced.
 type Limit struct {
-	Rate, Surge float64 // a second; beyond it
-	Window      int64
-	Over, Slack float64
+	Rate, Burst      float64 // requests per second, and requests beyond the rate
+	Window           int64   // nanoseconds
+	OverRatio, Slack float64 // tolerance per window, relative to the quota and in requests
 }
 
-// Reserve is the most that may lie in the pool and in wallets together.
+// Reserve returns the most tokens that the pool and all wallets may hold together.
 func (l Limit) Reserve() float64 {
-	x := l.Surge + l.Over*(l.Rate*float64(l.Window)/s+l.Surge) + l.Slack
-	return math.Max(0, x-math.Max(0.3*x, l.Rate*float64(Silent-Standing)/s))
+	tolerance := l.Burst + l.OverRatio*(l.Rate*float64(l.Window)/nanosPerSecond+l.Burst) + l.Slack
+	return math.Max(0, tolerance-math.Max(0.3*tolerance, l.Rate*float64(AssumeFallbackAfter-FallbackAfter)/nanosPerSecond))
 }
 
-// Bound is the most that may pass in a window, as the rule has it.
-func (l Limit) Bound() float64 {
-	return (l.Rate*float64(l.Window)/s+l.Surge)*(1+l.Over) + l.Slack
+// MaxPerWindow returns the most requests that may be allowed in a window.
+func (l Limit) MaxPerWindow() float64 {
+	return (l.Rate*float64(l.Window)/nanosPerSecond+l.Burst)*(1+l.OverRatio) + l.Slack
 }
 
-// LimitsOf is the limits of a configuration's tenants.
-func LimitsOf(t *routing.Configuration, b *settings.Bounds) map[string]Limit {
-	all := map[string]Limit{}
-	for _, s := range t.Tenants {
-		all[s.Name] = Limit{s.RatePerS, s.Surge, int64(b.QuotaWindow), b.QuotaOver, b.QuotaSlack}
+// TenantLimits returns the limits of a configuration's tenants by name.
+func TenantLimits(configuration *routing.Configuration, bounds *settings.Bounds) map[string]Limit {
+	limits := map[string]Limit{}
+	for _, tenant := range configuration.Tenants {
+		limits[tenant.Name] = Limit{tenant.RatePerS, tenant.Surge, int64(bounds.QuotaWindow), bounds.QuotaOver, bounds.QuotaSlack}
 	}
-	return all
+	return limits
 }
--- a/internal/mesh/ratelimit/ratelimit.go
+++ b/internal/mesh/ratelimit/ratelimit.go
@@ -1,8 +1,8 @@
-// Package ratelimit shares out what all balancers together may spend: tenants' quotas (quota.go) and the budget of repeats
-// of each service. It does no I/O and reads no clock.
+// Package ratelimit enforces limits that all balancers share: tenants' quotas (quota.go) and the retry budget of each
+// service. It does no I/O and reads no clock.
 //
-// Budget: of the window's slack each of n members has a part of 1/n, and a ratio of its own first sends; no request waits
-// for anybody.
+// Retry budget: each of n balancers may spend 1/n of the window's slack, and a ratio of its own first attempts. It
+// needs no coordination.
 package ratelimit
 
 import (
@@ -11,91 +11,95 @@
 	"ottershift/internal/mesh/priority"
 )
 
-const s = float64(1e9)
+const nanosPerSecond = float64(1e9)
 
-// Purse fills at a rate.
+// TokenBucket is a token bucket that refills at a constant rate.
 type TokenBucket struct {
-	rate, most float64 // a second, and held at most
-	has        float64
-	at         int64
+	rate, capacity float64 // tokens per second, and tokens
+	available      float64
+	updatedAt      int64
 }
 
-func (p *TokenBucket) fill(now int64) {
-	p.has = math.Min(p.most, p.has+p.rate*float64(max(0, now-p.at))/s)
-	p.at = now
+func (b *TokenBucket) refill(now int64) {
+	b.available = math.Min(b.capacity, b.available+b.rate*float64(max(0, now-b.updatedAt))/nanosPerSecond)
+	b.updatedAt = now
 }
 
-// Budget is what a balancer may send to one service beyond the first sends of its own requests, over a sliding window.
+// RetryBudget limits the extra attempts (retries and hedges) that a balancer sends to one service over a sliding
+// window.
 type RetryBudget struct {
-	window       int64
-	ratio, slack float64
-	firsts, more ring
+	window                       int64
+	ratio, slack                 float64
+	firstAttempts, extraAttempts slidingCounter
 
-	urgent     priority.Rank // the most urgent that was seen
-	urgentSlot int64         // when it was seen last
+	topRank     priority.Rank // most urgent rank seen within the window
+	topRankSlot int64         // slot in which it was last seen
 }
 
 const (
-	slots         = 20  // of a window
-	urgentReserve = 0.1 // of a budget that is kept for the most urgent rank of its service
+	windowSlots    = 20  // per window
+	topRankReserve = 0.1 // fraction of a budget that is kept for the most urgent rank of its service
 )
 
-type ring struct {
-	n  [slots + 1]float64
-	at int64 // slot number of the newest
+// slidingCounter counts events in the slots of a sliding window.
+type slidingCounter struct {
+	counts     [windowSlots + 1]float64
+	newestSlot int64 // number of the newest slot
 }
 
-func (r *ring) turn(slot int64) {
-	for ; r.at < slot; r.at++ {
-		if slot-r.at > slots {
-			r.n, r.at = [slots + 1]float64{}, slot
+func (c *slidingCounter) advance(slot int64) {
+	for ; c.newestSlot < slot; c.newestSlot++ {
+		if slot-c.newestSlot > windowSlots {
+			c.counts, c.newestSlot = [windowSlots + 1]float64{}, slot
 			return
 		}
-		r.n[(r.at+1)%(slots+1)] = 0
+		c.counts[(c.newestSlot+1)%(windowSlots+1)] = 0
 	}
 }
 
-func (r *ring) sum() (all float64) {
-	for _, n := range r.n {
-		all += n
+func (c *slidingCounter) sum() (total float64) {
+	for _, count := range c.counts {
+		total += count
 	}
-	return all
+	return total
 }
 
-// NewBudget makes one that has seen nothing. Ratio is of own first sends, slack what all members together have a window.
+// NewRetryBudget returns an empty budget for a window in nanoseconds. ratio applies to the balancer's own first
+// attempts; slack is the number of extra attempts per window that all balancers share.
 func NewRetryBudget(window int64, ratio, slack float64) *RetryBudget {
-	return &RetryBudget{window: window, ratio: ratio, slack: slack, urgent: priority.Lowest}
+	return &RetryBudget{window: window, ratio: ratio, slack: slack, topRank: priority.Lowest}
 }
 
-// First counts a first send.
-func (b *RetryBudget) First(now int64, rank priority.Rank) {
-	slot := now / (b.window / slots)
-	if !b.urgent.Before(rank) || slot-b.urgentSlot > slots {
-		b.urgent, b.urgentSlot = rank, slot
+// RecordFirstAttempt counts the first attempt of a request.
+func (b *RetryBudget) RecordFirstAttempt(now int64, rank priority.Rank) {
+	slot := now / (b.window / windowSlots)
+	if !b.topRank.Before(rank) || slot-b.topRankSlot > windowSlots {
+		b.topRank, b.topRankSlot = rank, slot
 	}
-	b.firsts.turn(slot)
-	b.firsts.n[slot%(slots+1)]++
+	b.firstAttempts.advance(slot)
+	b.firstAttempts.counts[slot%(windowSlots+1)]++
 }
 
-// Take spends one send beyond the first, if there is one to spend. Half of a part is what a balancer has by itself: the
-// other half is for the calls that repeated runs make, which nobody can tell from others. Who is not of the most urgent rank leaves
-// a part to those who are.
-func (b *RetryBudget) Take(now int64, members int, rank priority.Rank) bool {
-	slot := now / (b.window / slots)
-	b.firsts.turn(slot)
-	b.more.turn(slot)
-	bound := b.Bound(members)
-	if b.urgent.Before(rank) {
-		bound = math.Max(1, bound-urgentReserve*bound)
+// TakeExtraAttempt spends one extra attempt, if the budget allows it. Ranks below the most urgent one leave
+// topRankReserve of the budget to it.
+func (b *RetryBudget) TakeExtraAttempt(now int64, members int, rank priority.Rank) bool {
+	slot := now / (b.window / windowSlots)
+	b.firstAttempts.advance(slot)
+	b.extraAttempts.advance(slot)
+	allowed := b.MaxExtraAttempts(members)
+	if b.topRank.Before(rank) {
+		allowed = math.Max(1, allowed-topRankReserve*allowed)
 	}
-	if b.more.sum()+1 > bound {
+	if b.extraAttempts.sum()+1 > allowed {
 		return false
 	}
-	b.more.n[slot%(slots+1)]++
+	b.extraAttempts.counts[slot%(windowSlots+1)]++
 	return true
 }
 
-// Bound is how many sends beyond the first are allowed in the window that ends now.
-func (b *RetryBudget) Bound(members int) float64 {
-	return b.ratio/2*b.firsts.sum() + math.Max(1, b.slack/2/float64(max(members, 1)))
+// MaxExtraAttempts returns how many extra attempts are allowed in the window that ends now. A balancer uses half of its
+// share for its own extra attempts. The other half covers the downstream calls of repeated requests, which cannot be
+// told from first attempts.
+func (b *RetryBudget) MaxExtraAttempts(members int) float64 {
+	return b.ratio/2*b.firstAttempts.sum() + math.Max(1, b.slack/2/float64(max(members, 1)))
 }
--- a/internal/mesh/ratelimit/ratelimit_test.go
+++ b/internal/mesh/ratelimit/ratelimit_test.go
@@ -10,261 +10,272 @@
 	"github.com/shoenig/test/must"
 )
 
-const ms = int64(1e6)
+const millisecond = int64(1e6)
 
-// season is a schedule of a quota: balancers with wallets, a bank that changes hands, cuts both ways and one way, frozen
-// machines, restarts one by one and of all, demand of many times the limit that moves about.
+// quotaSimulation runs a random schedule: coordinator changes, messages lost in one or both directions, frozen
+// balancers, restarts of one or all balancers, and a load that changes up to many times the limit. Times are in
+// nanoseconds; slices have one element per balancer.
 type quotaSimulation struct {
-	rng      *rand.Rand
-	now      int64
-	limit    Limit
-	n        int
-	wallets  []*Wallet
-	lives    []int
-	cutTo    []int64 // until then nothing of it reaches the bank
-	cutFrom  []int64 // until then no answer reaches it
-	frozen   []int64
-	next     []int64 // when it draws
-	pending  []int64 // an answer on its way: due, -1 for none
-	answer   []map[string]TokenGrant
-	sent     []int64
-	bank     *TokenBank
-	old      *TokenBank // one that has lost the duty and doesn't know it
-	oldUntil int64
-	from     int64
-	passed   []int64
+	rng               *rand.Rand
+	now               int64
+	limit             Limit
+	balancerCount     int
+	wallets           []*Wallet
+	incarnations      []int
+	requestsLostUntil []int64 // until then its requests are lost
+	grantsLostUntil   []int64 // until then answers to it are lost
+	frozenUntil       []int64
+	nextRequestAt     []int64
+	grantDueAt        []int64 // when the answer in flight arrives, -1 for none
+	grantsInFlight    []map[string]TokenGrant
+	requestSentAt     []int64
+	bank              *TokenBank
+	staleBank         *TokenBank // bank of a coordinator that does not know yet that it was replaced
+	staleBankUntil    int64
+	bankFrom          int64
+	allowedAt         []int64
 
-	noRegency, fullPurse, keepTokens bool // guards left out
+	noHandover, startWithTokens, neverExpireTokens bool // disabled guards
 }
 
-func newQuotaSimulation(seed uint64, n int, l Limit) *quotaSimulation {
-	s := &quotaSimulation{rng: rand.New(rand.NewPCG(seed, 1)), limit: l, n: n, now: int64(5e9)}
-	for i := range n {
+func newQuotaSimulation(seed uint64, balancerCount int, quota Limit) *quotaSimulation {
+	s := &quotaSimulation{rng: rand.New(rand.NewPCG(seed, 1)), limit: quota, balancerCount: balancerCount, now: int64(5e9)}
+	for i := range balancerCount {
 		s.wallets = append(s.wallets, nil)
-		s.lives, s.cutTo, s.cutFrom = append(s.lives, 0), append(s.cutTo, 0), append(s.cutFrom, 0)
-		s.frozen, s.next, s.pending = append(s.frozen, 0), append(s.next, 0), append(s.pending, -1)
-		s.answer, s.sent = append(s.answer, nil), append(s.sent, 0)
+		s.incarnations, s.requestsLostUntil, s.grantsLostUntil = append(s.incarnations, 0), append(s.requestsLostUntil, 0), append(s.grantsLostUntil, 0)
+		s.frozenUntil, s.nextRequestAt, s.grantDueAt = append(s.frozenUntil, 0), append(s.nextRequestAt, 0), append(s.grantDueAt, -1)
+		s.grantsInFlight, s.requestSentAt = append(s.grantsInFlight, nil), append(s.requestSentAt, 0)
 		s.start(i)
 	}
 	s.appointCoordinator()
-	s.from = s.now
+	s.bankFrom = s.now
 	return s
 }
 
 func (s *quotaSimulation) limits() map[string]Limit { return map[string]Limit{"t": s.limit} }
 
 func (s *quotaSimulation) start(i int) {
-	s.lives[i]++
+	s.incarnations[i]++
 	s.wallets[i] = NewWallet(s.now)
-	s.wallets[i].Set(s.limits(), s.n, s.now)
-	s.pending[i] = -1
-	if s.fullPurse {
-		s.wallets[i].by["t"].tokens = s.limit.Surge / float64(s.n) * 4
+	s.wallets[i].SetLimits(s.limits(), s.balancerCount, s.now)
+	s.grantDueAt[i] = -1
+	if s.startWithTokens {
+		s.wallets[i].tenants["t"].tokens = s.limit.Burst / float64(s.balancerCount) * 4
 	}
 }
 
-// crown gives the duty to another; the one before may go on for as long as its last word of a majority holds.
+// appointCoordinator opens a bank at a new coordinator. The previous one may continue for as long as its last quorum
+// confirmation is valid.
 func (s *quotaSimulation) appointCoordinator() {
-	s.old, s.oldUntil = s.bank, s.now+700*ms
-	s.bank, s.from = NewTokenBank(s.now), s.now+1000*ms
-	if s.noRegency {
-		s.bank.opened, s.from, s.oldUntil = s.now-Forget, s.now, s.now+20e9
+	s.staleBank, s.staleBankUntil = s.bank, s.now+700*millisecond
+	s.bank, s.bankFrom = NewTokenBank(s.now), s.now+1000*millisecond
+	if s.noHandover {
+		s.bank.openedAt, s.bankFrom, s.staleBankUntil = s.now-GrantExpiry, s.now, s.now+20e9
 	}
-	s.bank.Set(s.limits(), s.n, s.now)
+	s.bank.SetLimits(s.limits(), s.balancerCount, s.now)
 }
 
-func (s *quotaSimulation) step(hot float64) {
-	const tick = 5 * ms
+func (s *quotaSimulation) step(load float64) {
+	const tick = 5 * millisecond
 	s.now += tick
-	for i := range s.n {
-		if s.now < s.frozen[i] {
+	for i := range s.balancerCount {
+		if s.now < s.frozenUntil[i] {
 			continue
 		}
-		w := s.wallets[i]
-		if s.pending[i] >= 0 && s.now >= s.pending[i] {
-			w.ApplyGrant(s.answer[i], s.sent[i], s.now)
-			s.pending[i] = -1
+		wallet := s.wallets[i]
+		if s.grantDueAt[i] >= 0 && s.now >= s.grantDueAt[i] {
+			wallet.ApplyGrants(s.grantsInFlight[i], s.requestSentAt[i], s.now)
+			s.grantDueAt[i] = -1
 		}
-		for k := s.rng.Float64() * hot * s.limit.Rate / float64(s.n) * float64(tick) / 1e9 * 2; k > s.rng.Float64(); k-- {
-			if verdict, _ := w.Take("t", s.now, false); verdict == Pass {
-				s.passed = append(s.passed, s.now)
-			} else if verdict == Ask {
-				s.next[i] = min(s.next[i], s.now)
+		for arrivals := s.rng.Float64() * load * s.limit.Rate / float64(s.balancerCount) * float64(tick) / 1e9 * 2; arrivals > s.rng.Float64(); arrivals-- {
+			if verdict, _ := wallet.Take("t", s.now, false); verdict == Allowed {
+				s.allowedAt = append(s.allowedAt, s.now)
+			} else if verdict == RequestTokens {
+				s.nextRequestAt[i] = min(s.nextRequestAt[i], s.now)
 			}
 		}
-		if s.keepTokens {
-			w.heard = max(w.heard, s.now-Expiry)
+		if s.neverExpireTokens {
+			wallet.answeredRequestAt = max(wallet.answeredRequestAt, s.now-TokenExpiry)
 		}
-		if s.now < s.next[i] {
+		if s.now < s.nextRequestAt[i] {
 			continue
 		}
-		s.next[i] = s.now + 350*ms
-		d := w.NewRequest(fmt.Sprint(i), fmt.Sprint(s.lives[i]), s.now)
-		if s.now < s.cutTo[i] {
+		s.nextRequestAt[i] = s.now + 350*millisecond
+		request := wallet.NewRequest(fmt.Sprint(i), fmt.Sprint(s.incarnations[i]), s.now)
+		if s.now < s.requestsLostUntil[i] {
 			continue
 		}
 		bank := s.bank
-		if s.old != nil && s.now < s.oldUntil && i%2 == 0 {
-			bank = s.old
-		} else if s.now < s.from {
+		if s.staleBank != nil && s.now < s.staleBankUntil && i%2 == 0 {
+			bank = s.staleBank
+		} else if s.now < s.bankFrom {
 			continue
 		}
-		given := bank.Grant(d, s.now)
-		if given != nil && s.now >= s.cutFrom[i] {
-			s.pending[i], s.answer[i], s.sent[i] = s.now+2*ms, given, s.now
+		grants := bank.Grant(request, s.now)
+		if grants != nil && s.now >= s.grantsLostUntil[i] {
+			s.grantDueAt[i], s.grantsInFlight[i], s.requestSentAt[i] = s.now+2*millisecond, grants, s.now
 		}
 	}
 }
 
-// play lets a season go by and returns the most that passed in a window.
-func (s *quotaSimulation) play(seconds int) (most float64) {
-	hot := 0.5
+// run simulates the given time and returns the most requests that were allowed in a window.
+func (s *quotaSimulation) run(seconds int) (maxAllowed float64) {
+	load := 0.5
 	for range seconds * 200 {
 		if s.rng.IntN(400) == 0 {
-			hot = []float64{0.3, 0.8, 1, 3, 10}[s.rng.IntN(5)]
+			load = []float64{0.3, 0.8, 1, 3, 10}[s.rng.IntN(5)]
 		}
-		i := s.rng.IntN(s.n)
+		i := s.rng.IntN(s.balancerCount)
 		switch s.rng.IntN(900) {
 		case 0:
-			s.cutTo[i] = s.now + int64(s.rng.IntN(6000))*ms
+			s.requestsLostUntil[i] = s.now + int64(s.rng.IntN(6000))*millisecond
 		case 1:
-			s.cutFrom[i] = s.now + int64(s.rng.IntN(6000))*ms
+			s.grantsLostUntil[i] = s.now + int64(s.rng.IntN(6000))*millisecond
 		case 2:
-			s.frozen[i] = s.now + int64(s.rng.IntN(5000))*ms
+			s.frozenUntil[i] = s.now + int64(s.rng.IntN(5000))*millisecond
 		case 3:
 			s.start(i)
 		case 4:
 			if s.rng.IntN(3) == 0 {
-				for i := range s.n {
+				for i := range s.balancerCount {
 					s.start(i)
 				}
 			}
 		case 5:
-			if s.now > s.from+4e9 {
+			if s.now > s.bankFrom+4e9 {
 				s.appointCoordinator()
 			}
 		}
-		s.step(hot)
+		s.step(load)
 	}
-	sort.Slice(s.passed, func(a, b int) bool { return s.passed[a] < s.passed[b] })
-	for a, b := 0, 0; b < len(s.passed); b++ {
-		for s.passed[b]-s.passed[a] > s.limit.Window {
-			a++
+	sort.Slice(s.allowedAt, func(first, last int) bool { return s.allowedAt[first] < s.allowedAt[last] })
+	for first, last := 0, 0; last < len(s.allowedAt); last++ {
+		for s.allowedAt[last]-s.allowedAt[first] > s.limit.Window {
+			first++
 		}
-		most = max(most, float64(b-a+1))
+		maxAllowed = max(maxAllowed, float64(last-first+1))
 	}
-	return most
+	return maxAllowed
 }
 
-var tenants = []struct {
-	n int
-	l Limit
+var quotaCases = []struct {
+	balancers int
+	quota     Limit
 }{
-	{14, Limit{324, 324, 5e9, 0.1, 20}}, {14, Limit{20, 20, 5e9, 0.1, 20}}, {65, Limit{7, 7, 5e9, 0.1, 20}}, {65, Limit{150, 150, 5e9, 0.1, 20}},
+	{14, Limit{324, 324, 5e9, 0.1, 20}},
+	{14, Limit{20, 20, 5e9, 0.1, 20}},
+	{65, Limit{7, 7, 5e9, 0.1, 20}},
+	{65, Limit{150, 150, 5e9, 0.1, 20}},
 	{3, Limit{50, 0, 5e9, 0.1, 20}},
 }
 
-func TestNoMorePassesThanTheQuotaAllows(t *testing.T) {
-	for _, c := range tenants {
+// No schedule allows more requests in a window than the quota does.
+func TestAllowedRequestsStayWithinQuota(t *testing.T) {
+	for _, c := range quotaCases {
 		worst := 0.0
 		for seed := range uint64(12) {
-			worst = max(worst, newQuotaSimulation(seed, c.n, c.l).play(60))
+			worst = max(worst, newQuotaSimulation(seed, c.balancers, c.quota).run(60))
 		}
-		t.Logf("%d balancers, %v/s and %v: bound R·W + Reserve = %.0f, allowed %.0f, measured %.0f", c.n, c.l.Rate, c.l.Surge,
-			c.l.Rate*5+c.l.Reserve(), c.l.Bound(), worst)
-		must.LessEq(t, c.l.Bound(), worst)
-		must.Greater(t, c.l.Rate*2.5, worst) // it was tried
+		t.Logf("%d balancers, rate %v/s, burst %v: bound R·W + Reserve = %.0f, allowed %.0f, measured %.0f",
+			c.balancers, c.quota.Rate, c.quota.Burst, c.quota.Rate*5+c.quota.Reserve(), c.quota.MaxPerWindow(), worst)
+		must.LessEq(t, c.quota.MaxPerWindow(), worst)
+		must.Greater(t, c.quota.Rate*2.5, worst) // the load was high enough to reach the limit
 	}
 }
 
-func TestWithoutItsGuardsTheQuotaIsBroken(t *testing.T) {
-	for name, leave := range map[string]func(*quotaSimulation){
-		"no-epoch":   func(s *quotaSimulation) { s.noRegency = true },
-		"full-purse": func(s *quotaSimulation) { s.fullPurse = true },
+// The simulation detects the loss of a guard: a bank that does not wait for its predecessor's grants to end, and
+// wallets that start with tokens, exceed the quota on some seeds.
+func TestDisabledGuardsExceedQuota(t *testing.T) {
+	for name, disable := range map[string]func(*quotaSimulation){
+		"no-handover":       func(s *quotaSimulation) { s.noHandover = true },
+		"start-with-tokens": func(s *quotaSimulation) { s.startWithTokens = true },
 	} {
-		broken := 0
+		exceeded := 0
 		for seed := range uint64(12) {
-			s := newQuotaSimulation(seed, 14, tenants[0].l)
-			leave(s)
-			if s.play(60) > s.limit.Bound() {
-				broken++
+			s := newQuotaSimulation(seed, 14, quotaCases[0].quota)
+			disable(s)
+			if s.run(60) > s.limit.MaxPerWindow() {
+				exceeded++
 			}
 		}
-		t.Logf("%s: convicted on %d of 12 seeds", name, broken)
-		must.Positive(t, broken, must.Sprint(name))
+		t.Logf("%s: quota exceeded on %d of 12 seeds", name, exceeded)
+		must.Positive(t, exceeded, must.Sprint(name))
 	}
 }
 
-// A tenant within its limit gets nearly all that it asks for, wherever its requests come.
-func TestWithinTheQuotaNextToNothingIsRefused(t *testing.T) {
+// At most 2 % of a tenant's requests are denied while its load, spread over many balancers, is below its rate.
+func TestLoadBelowQuotaIsRarelyDenied(t *testing.T) {
 	s := newQuotaSimulation(1, 65, Limit{7, 7, 5e9, 0.1, 20})
-	asked, refused := 0, 0
-	for range 60 * 1000 { // a millisecond each, two for a draw
-		s.now += ms
-		if s.now%(350*ms) == 0 {
-			for i, w := range s.wallets {
-				w.ApplyGrant(s.bank.Grant(w.NewRequest(fmt.Sprint(i), "1", s.now), s.now), s.now, s.now)
+	requests, denied := 0, 0
+	for range 60 * 1000 { // steps of 1 ms
+		s.now += millisecond
+		if s.now%(350*millisecond) == 0 {
+			for i, wallet := range s.wallets {
+				wallet.ApplyGrants(s.bank.Grant(wallet.NewRequest(fmt.Sprint(i), "1", s.now), s.now), s.now, s.now)
 			}
 		}
 		if s.rng.Float64() > 5.0/1000 {
 			continue
 		}
-		i := s.rng.IntN(s.n)
-		w := s.wallets[i]
-		asked++
-		verdict, _ := w.Take("t", s.now, false)
-		if verdict == Ask {
-			w.ApplyGrant(s.bank.Grant(w.NewRequest(fmt.Sprint(i), "1", s.now), s.now), s.now, s.now)
-			verdict, _ = w.Take("t", s.now, true)
+		i := s.rng.IntN(s.balancerCount)
+		wallet := s.wallets[i]
+		requests++
+		verdict, _ := wallet.Take("t", s.now, false)
+		if verdict == RequestTokens {
+			wallet.ApplyGrants(s.bank.Grant(wallet.NewRequest(fmt.Sprint(i), "1", s.now), s.now), s.now, s.now)
+			verdict, _ = wallet.Take("t", s.now, true)
 		}
-		if verdict != Pass {
-			refused++
+		if verdict != Allowed {
+			denied++
 		}
 	}
-	t.Logf("%d asked at 5/s of 7/s over 65 balancers, %d refused", asked, refused)
-	must.LessEq(t, asked/50, refused)
+	t.Logf("%d requests at 5/s of 7/s over 65 balancers, %d denied", requests, denied)
+	must.LessEq(t, requests/50, denied)
 }
 
-func TestABudgetSpendsItsRatioAndItsPartOfTheSlack(t *testing.T) {
-	b := NewRetryBudget(10e9, 0.2, 58)
+// A balancer spends no more extra attempts than the ratio of its first attempts plus its share of the slack.
+func TestRetryBudgetIsRatioPlusShareOfSlack(t *testing.T) {
+	budget := NewRetryBudget(10e9, 0.2, 58)
 	spent := 0
-	for now := int64(0); now < 10e9; now += 10 * ms {
-		b.First(now, priority.Rank{})
-		if b.Take(now, 14, priority.Rank{}) {
+	for now := int64(0); now < 10e9; now += 10 * millisecond {
+		budget.RecordFirstAttempt(now, priority.Rank{})
+		if budget.TakeExtraAttempt(now, 14, priority.Rank{}) {
 			spent++
 		}
 	}
-	t.Logf("bound %.1f, spent %d", b.Bound(14), spent)
-	must.LessEq(t, b.Bound(14), float64(spent))
+	t.Logf("bound %.1f, spent %d", budget.MaxExtraAttempts(14), spent)
+	must.LessEq(t, budget.MaxExtraAttempts(14), float64(spent))
 	must.Positive(t, spent)
-	must.True(t, NewRetryBudget(10e9, 0.2, 58).Take(0, 14, priority.Rank{})) // a start brings one, not a window's
+	// A new budget allows one extra attempt, not the slack of a window.
+	must.True(t, NewRetryBudget(10e9, 0.2, 58).TakeExtraAttempt(0, 14, priority.Rank{}))
 	fresh := NewRetryBudget(10e9, 0.2, 58)
 	for range 3 {
-		fresh.Take(0, 14, priority.Rank{})
+		fresh.TakeExtraAttempt(0, 14, priority.Rank{})
 	}
-	must.False(t, fresh.Take(1, 14, priority.Rank{}))
+	must.False(t, fresh.TakeExtraAttempt(1, 14, priority.Rank{}))
 }
 
-// The last tenth of a budget is for the most urgent rank that a service has; once that is gone for a window, it is for the next.
-func TestTheLastOfABudgetIsForTheMostUrgent(t *testing.T) {
+// The last tenth of a budget is reserved for the most urgent rank seen at a service. When that rank has not been seen
+// for a window, the next rank may use it.
+func TestRetryBudgetReservesTenthForTopRank(t *testing.T) {
 	urgent, usual := priority.Of(0, 0), priority.Of(0, 2)
-	spend := func(b *RetryBudget, now int64, rank priority.Rank) (n int) {
-		for b.Take(now, 14, rank) {
+	spend := func(budget *RetryBudget, now int64, rank priority.Rank) (n int) {
+		for budget.TakeExtraAttempt(now, 14, rank) {
 			n++
 		}
 		return n
 	}
-	b := NewRetryBudget(10e9, 0.2, 580)
-	b.First(0, usual)
+	budget := NewRetryBudget(10e9, 0.2, 580)
+	budget.RecordFirstAttempt(0, usual)
 	for range 99 {
-		b.First(ms, usual)
+		budget.RecordFirstAttempt(millisecond, usual)
 	}
-	b.First(2*ms, urgent)
-	must.Eq(t, 27, spend(b, 3*ms, usual)) // of 0.1 * 101 + 580/2/14 = 30.8
-	must.Eq(t, 3, spend(b, 3*ms, urgent))
-	for now := int64(3 * ms); now < 25e9; now += 100 * ms {
-		b.First(now, usual)
+	budget.RecordFirstAttempt(2*millisecond, urgent)
+	must.Eq(t, 27, spend(budget, 3*millisecond, usual)) // of 0.1 * 101 + 580/2/14 = 30.8
+	must.Eq(t, 3, spend(budget, 3*millisecond, urgent))
+	for now := int64(3 * millisecond); now < 25e9; now += 100 * millisecond {
+		budget.RecordFirstAttempt(now, usual)
 	}
-	spent := spend(b, 25e9, usual)
-	must.Eq(t, int(b.Bound(14)), spent)
+	spent := spend(budget, 25e9, usual)
+	must.Eq(t, int(budget.MaxExtraAttempts(14)), spent)
 }
--- a/internal/mesh/ratelimit/token_bank.go
+++ b/internal/mesh/ratelimit/token_bank.go
@@ -6,232 +6,243 @@
 	"slices"
 )
 
-type account struct {
+// tenantPool is one tenant's pool at the bank.
+type tenantPool struct {
 	Limit
-	pool  float64
-	share float64            // of the bank's, up to which the pool has gained
-	at    int64              // when that was
-	out   map[string]float64 // tokens by balancer
-	dried int64              // when it was dry last
+	tokens        float64
+	activeSeconds float64            // value of the bank's activeSeconds at the last refill
+	refilledAt    int64              // time of the last refill, in nanoseconds
+	outstanding   map[string]float64 // tokens in wallets, by balancer
+	emptyAt       int64              // when a request last found the pool empty
 
-	unused float64 // that the pool had no room for
+	unused float64 // tokens beyond what the reserve allows the pool to hold, since TakeUnused
 }
 
-type member struct {
-	life     string
-	seq      uint64
-	heard    int64
-	standing bool
+// balancerState is what the bank knows of a balancer from its last request.
+type balancerState struct {
+	incarnation string
+	seq         uint64
+	lastHeard   int64
+	fallback    bool
 }
 
-// Bank is the purses of all tenants, at who has the duty.
+// TokenBank holds the token pools of all tenants. The coordinator keeps it.
 type TokenBank struct {
-	opened   int64
-	members  map[string]*member
-	count    int // balancers, as agreed
-	accounts map[string]*account
+	openedAt      int64
+	balancers     map[string]*balancerState
+	balancerCount int // number of balancers, as agreed by the controllers
+	pools         map[string]*tenantPool
 
-	share float64 // seconds since the bank was opened, each times the part of the balancers that drew on it then
-	at    int64   // up to when share counts
+	activeSeconds float64 // time since the bank was opened, weighted with the fraction of balancers that drew on it
+	advancedTo    int64   // time up to which activeSeconds is integrated, in nanoseconds
 }
 
-// Want is what a balancer asks for one tenant.
+// Demand is what a balancer asks for one tenant, in tokens.
 type Demand struct {
-	Held float64 `json:",omitempty"` // that it has
-	More float64 `json:",omitempty"` // that it wants beyond
-	Back float64 `json:",omitempty"` // that it had, has not spent and gives back
+	Held     float64 `json:",omitempty"`     // tokens that it holds
+	Wanted   float64 `json:"More,omitempty"` // tokens that it wants in addition
+	Returned float64 `json:"Back,omitempty"` // unspent tokens that it gives back
 }
 
-// Draw is a balancer's call to the bank.
+// TokenRequest is a balancer's request to the bank.
 type TokenRequest struct {
-	Node, Life string
-	Seq        uint64 // rises with each
-	Standing   bool   // it spends its standing rate
-	Wants      map[string]Demand
+	Node        string
+	Incarnation string            `json:"Life"` // one run of the balancer's process
+	Seq         uint64            // increases with each request of an incarnation
+	Fallback    bool              `json:"Standing"` // it spends its fallback rate
+	Demands     map[string]Demand `json:"Wants"`    // by tenant
 }
 
-// Given is the answer for one tenant.
+// TokenGrant is the bank's answer for one tenant.
 type TokenGrant struct {
-	Tokens float64 `json:",omitempty"`
-	Dry    int64   `json:",omitempty"` // nanoseconds for which asking again is no use, 0 where there was enough
+	Tokens     float64 `json:",omitempty"`
+	RetryAfter int64   `json:"Dry,omitempty"` // nanoseconds to wait before the next request; 0 if there were enough tokens
 }
 
-// NewBank opens a bank. Tokens that an earlier one gave may be out until Forget is over.
+// NewTokenBank opens a bank. Tokens granted by its predecessor may be outstanding until GrantExpiry has passed.
 func NewTokenBank(now int64) *TokenBank {
-	return &TokenBank{opened: now, at: now, members: map[string]*member{}, accounts: map[string]*account{}}
+	return &TokenBank{openedAt: now, advancedTo: now, balancers: map[string]*balancerState{}, pools: map[string]*tenantPool{}}
 }
 
-// Set puts limits in force; members is how many balancers there are.
-func (b *TokenBank) Set(limits map[string]Limit, members int, now int64) {
-	b.count = members
-	for tenant := range b.accounts {
-		if l, is := limits[tenant]; !is || l.Rate <= 0 {
-			delete(b.accounts, tenant)
+// SetLimits applies the tenants' limits and the number of balancers.
+func (b *TokenBank) SetLimits(limits map[string]Limit, count int, now int64) {
+	b.balancerCount = count
+	for tenant := range b.pools {
+		if limit, found := limits[tenant]; !found || limit.Rate <= 0 {
+			delete(b.pools, tenant)
 		}
 	}
-	for tenant, l := range limits {
-		if l.Rate <= 0 {
+	for tenant, limit := range limits {
+		if limit.Rate <= 0 {
 			continue
 		}
-		a := b.accounts[tenant]
-		if a == nil {
+		pool := b.pools[tenant]
+		if pool == nil {
 			b.advance(now)
-			a = &account{share: b.share, at: now, out: map[string]float64{}}
-			b.accounts[tenant] = a
+			pool = &tenantPool{activeSeconds: b.activeSeconds, refilledAt: now, outstanding: map[string]float64{}}
+			b.pools[tenant] = pool
 		}
-		b.fill(a, now)
-		a.Limit = l
+		b.refill(pool, now)
+		pool.Limit = limit
 	}
 }
 
-// present is the part of the balancers that draw on the pool.
-func (b *TokenBank) present(now int64) float64 {
-	n := 0
-	for _, m := range b.members {
-		if !m.standing && now-m.heard < Silent {
-			n++
+// activeFraction returns the fraction of the balancers that draw on the bank.
+func (b *TokenBank) activeFraction(now int64) float64 {
+	active := 0
+	for _, balancer := range b.balancers {
+		if !balancer.fallback && now-balancer.lastHeard < AssumeFallbackAfter {
+			active++
 		}
 	}
-	return float64(n) / float64(max(b.count, len(b.members), 1))
+	return float64(active) / float64(max(b.balancerCount, len(b.balancers), 1))
 }
 
-// advance counts time, with who is there until now.
+// advance integrates activeSeconds up to now.
 func (b *TokenBank) advance(now int64) {
-	if now > b.at {
-		b.share += b.present(now) * float64(now-b.at) / s
-		b.at = now
+	if now > b.advancedTo {
+		b.activeSeconds += b.activeFraction(now) * float64(now-b.advancedTo) / nanosPerSecond
+		b.advancedTo = now
 	}
 }
 
-// fill lets a pool gain what time has brought, within what the reserve leaves.
-func (b *TokenBank) fill(a *account, now int64) {
+// refill adds the tokens gained since the last refill to a pool, within its reserve.
+func (b *TokenBank) refill(pool *tenantPool, now int64) {
 	b.advance(now)
-	a.pool += a.Rate * (b.share - a.share)
-	// Invariant: what the pool gained is bounded by what was out while it did, not by what is out now.
-	room := math.Max(0, a.Reserve()-b.given(a))
-	a.share, a.at = b.share, now
-	a.unused += math.Max(0, a.pool-room)
-	a.pool = math.Min(a.pool, room)
-}
-
-// Unused is what tenants have left of their rates since it was asked last.
-func (b *TokenBank) Unused() map[string]float64 {
-	all := map[string]float64{}
-	for tenant, a := range b.accounts {
-		b.fill(a, b.at)
-		if a.unused > 0 {
-			all[tenant], a.unused = a.unused, 0
+	pool.tokens += pool.Rate * (b.activeSeconds - pool.activeSeconds)
+	// The limit uses the tokens that were outstanding while the gain accrued. With those outstanding now, tokens that
+	// have been spent meanwhile would raise the limit in retrospect.
+	maxTokens := math.Max(0, pool.Reserve()-b.outstandingAtRefill(pool))
+	pool.activeSeconds, pool.refilledAt = b.activeSeconds, now
+	pool.unused += math.Max(0, pool.tokens-maxTokens)
+	pool.tokens = math.Min(pool.tokens, maxTokens)
+}
+
+// TakeUnused returns the tokens, by tenant, that overflowed the pools since the last call, and resets them.
+func (b *TokenBank) TakeUnused() map[string]float64 {
+	byTenant := map[string]float64{}
+	for tenant, pool := range b.pools {
+		b.refill(pool, b.advancedTo)
+		if pool.unused > 0 {
+			byTenant[tenant], pool.unused = pool.unused, 0
 		}
 	}
-	return all
+	return byTenant
 }
 
-// given is what may have been in wallets since the pool was filled last.
-func (b *TokenBank) given(a *account) (all float64) {
-	for _, n := range a.out {
-		all += n
+// outstandingAtRefill returns the tokens that may have been in wallets since the pool's last refill.
+func (b *TokenBank) outstandingAtRefill(pool *tenantPool) (total float64) {
+	for _, tokens := range pool.outstanding {
+		total += tokens
 	}
-	if a.at-b.opened < Forget {
-		all += a.Reserve() / 2
+	if pool.refilledAt-b.openedAt < GrantExpiry {
+		total += pool.Reserve() / 2
 	}
-	return all
+	return total
 }
 
-// out is what may be in wallets.
-func (b *TokenBank) out(a *account, now int64) (all float64) {
-	for node, n := range a.out {
-		if m := b.members[node]; m != nil && now-m.heard < Forget {
-			all += n
+// outstanding returns the tokens that may be in wallets now.
+func (b *TokenBank) outstanding(pool *tenantPool, now int64) (total float64) {
+	for node, tokens := range pool.outstanding {
+		if balancer := b.balancers[node]; balancer != nil && now-balancer.lastHeard < GrantExpiry {
+			total += tokens
 		} else {
-			delete(a.out, node)
+			delete(pool.outstanding, node)
 		}
 	}
-	if now-b.opened < Forget {
-		all += a.Reserve() / 2 // of who had the duty before
+	if now-b.openedAt < GrantExpiry {
+		total += pool.Reserve() / 2 // granted by the bank of the previous coordinator
 	}
-	return all
+	return total
 }
 
-// Draw gives tokens. What a balancer says that it holds is what it has been given and not spent: calls of one follow one
-// another, so what it never heard of counts as never given.
-func (b *TokenBank) Grant(d *TokenRequest, now int64) map[string]TokenGrant {
-	m := b.members[d.Node]
-	if m != nil && m.life == d.Life && d.Seq <= m.seq {
-		return nil // late
-	}
-	if m == nil || m.life != d.Life {
-		m = &member{life: d.Life}
-		b.members[d.Node] = m
-		for _, a := range b.accounts { // its former life spends nothing any more
-			if a.out[d.Node] != 0 {
-				b.fill(a, now)
-				delete(a.out, d.Node)
+// Grant answers a token request. It returns nil for a request that was overtaken by a later one. The tokens that a
+// balancer reports as held replace the bank's own count: a balancer's requests are sequential, so tokens of a lost
+// answer count as never granted.
+func (b *TokenBank) Grant(request *TokenRequest, now int64) map[string]TokenGrant {
+	balancer := b.balancers[request.Node]
+	if balancer != nil && balancer.incarnation == request.Incarnation && request.Seq <= balancer.seq {
+		return nil // overtaken by a later request
+	}
+	if balancer == nil || balancer.incarnation != request.Incarnation {
+		balancer = &balancerState{incarnation: request.Incarnation}
+		b.balancers[request.Node] = balancer
+		for _, pool := range b.pools { // the previous incarnation spends nothing any more
+			if pool.outstanding[request.Node] != 0 {
+				b.refill(pool, now)
+				delete(pool.outstanding, request.Node)
 			}
 		}
 	}
-	m.standing = m.standing && d.Standing // it has not stood alone since it was answered last
-	b.advance(now)                        // with who was there until now
-	m.seq, m.heard, m.standing = d.Seq, now, d.Standing
-	for node, other := range b.members {
-		if now-other.heard > 20*Forget {
-			delete(b.members, node)
+	balancer.fallback = balancer.fallback && request.Fallback // fallback only if both the last and this request say so
+	b.advance(now)                                            // with the state of the balancers before this request
+	balancer.seq, balancer.lastHeard, balancer.fallback = request.Seq, now, request.Fallback
+	for node, other := range b.balancers {
+		if now-other.lastHeard > 20*GrantExpiry {
+			delete(b.balancers, node)
 		}
 	}
-	given := map[string]TokenGrant{}
-	tenants := make([]string, 0, len(d.Wants))
-	for tenant := range d.Wants {
+	grants := map[string]TokenGrant{}
+	tenants := make([]string, 0, len(request.Demands))
+	for tenant := range request.Demands {
 		tenants = append(tenants, tenant)
 	}
 	slices.SortFunc(tenants, cmp.Compare[string])
-	for _, a := range b.accounts {
-		if a.out[d.Node] != 0 { // told below, or spent
-			b.fill(a, now)
-			delete(a.out, d.Node)
+	for _, pool := range b.pools {
+		if pool.outstanding[request.Node] != 0 { // reported again below, or spent
+			b.refill(pool, now)
+			delete(pool.outstanding, request.Node)
 		}
 	}
 	for _, tenant := range tenants {
-		a, w := b.accounts[tenant], d.Wants[tenant]
-		if a == nil {
+		pool, demand := b.pools[tenant], request.Demands[tenant]
+		if pool == nil {
 			continue
 		}
-		b.fill(a, now)
-		a.out[d.Node] = math.Max(w.Held, 0)
-		a.pool = math.Max(a.pool, math.Min(a.pool+math.Max(w.Back, 0), a.Reserve()-b.out(a, now)))
-		room := math.Min(a.pool, a.Reserve()*3/4-b.out(a, now))
-		give := math.Floor(math.Min(w.More, math.Max(math.Min(room, 1), room/2)))
-		if give > 0 {
-			a.pool -= give
-			a.out[d.Node] += give
+		b.refill(pool, now)
+		pool.outstanding[request.Node] = math.Max(demand.Held, 0)
+		pool.tokens = math.Max(pool.tokens,
+			math.Min(pool.tokens+math.Max(demand.Returned, 0), pool.Reserve()-b.outstanding(pool, now)))
+		grantable := math.Min(pool.tokens, pool.Reserve()*3/4-b.outstanding(pool, now))
+		granted := math.Floor(math.Min(demand.Wanted, math.Max(math.Min(grantable, 1), grantable/2)))
+		if granted > 0 {
+			pool.tokens -= granted
+			pool.outstanding[request.Node] += granted
 		}
-		g := TokenGrant{Tokens: math.Max(give, 0)}
-		if give < 1 && w.More >= 1 {
-			least := dryLeast
-			if d.Standing || now-a.dried > int64(s/2) {
-				least = dryFirst
+		grant := TokenGrant{Tokens: math.Max(granted, 0)}
+		if granted < 1 && demand.Wanted >= 1 {
+			minWait := minRetryAfter
+			if request.Fallback || now-pool.emptyAt > int64(nanosPerSecond/2) {
+				minWait = firstRetryAfter
 			}
-			if !d.Standing {
-				a.dried = now
+			if !request.Fallback {
+				pool.emptyAt = now
 			}
-			g.Dry = max(least, min(int64(s/4), int64((1-math.Min(room, 1))/(a.Rate*math.Max(b.present(now), 1/float64(max(b.count, 1))))*s)))
+			grant.RetryAfter = max(minWait, min(int64(nanosPerSecond/4), int64((1-math.Min(grantable, 1))/
+				(pool.Rate*math.Max(b.activeFraction(now), 1/float64(max(b.balancerCount, 1))))*nanosPerSecond)))
 		}
-		given[tenant] = g
+		grants[tenant] = grant
 	}
-	return given
+	return grants
 }
 
-// Stand is a tenant's account as it is now, beside its bound.
+// TenantStatus is the state of a tenant's pool and its bounds.
 type TenantStatus struct {
-	Tenant         string
-	Rate, Surge    float64
-	Pool, Out      float64 // tokens that lie in the pool, and that may be in wallets
-	Reserve, Bound float64 // the most that both may be, and that may pass in a window by the rule
+	Tenant       string
+	Rate         float64 // requests per second
+	Burst        float64 `json:"Surge"`
+	Pool         float64 // tokens in the pool
+	Outstanding  float64 `json:"Out"` // tokens that may be in wallets
+	Reserve      float64 // limit of Pool and Outstanding together
+	MaxPerWindow float64 `json:"Bound"` // requests that may be allowed in a window
 }
 
-// Stands are all accounts, by name.
+// Status returns the state of all tenants, sorted by name.
 func (b *TokenBank) Status(now int64) (all []TenantStatus) {
-	for tenant, a := range b.accounts {
-		b.fill(a, now)
-		all = append(all, TenantStatus{tenant, a.Rate, a.Surge, a.pool, b.out(a, now), a.Reserve(), a.Bound()})
+	for tenant, pool := range b.pools {
+		b.refill(pool, now)
+		all = append(all, TenantStatus{tenant, pool.Rate, pool.Burst, pool.tokens, b.outstanding(pool, now),
+			pool.Reserve(), pool.MaxPerWindow()})
 	}
 	slices.SortFunc(all, func(x, y TenantStatus) int { return cmp.Compare(x.Tenant, y.Tenant) })
 	return all
--- a/internal/mesh/ratelimit/wallet.go
+++ b/internal/mesh/ratelimit/wallet.go
@@ -4,153 +4,158 @@
 	"math"
 )
 
-// Passes is how a request within a quota, or beyond it, goes on.
-type Passes uint8
+// Verdict is the decision on a request of a tenant with a quota.
+type Verdict uint8
 
-// The verdicts.
+// Verdicts of Wallet.Take.
 const (
-	Pass Passes = iota // it has spent a token
-	Stop               // there is none
-	Ask                // one may be had by a draw
+	Allowed       Verdict = iota // a token was spent
+	Denied                       // no token is available
+	RequestTokens                // no token is held; the request waits for a token request to the bank
 )
 
+// tenantTokens is the wallet's state of one tenant.
 type tenantTokens struct {
 	Limit
-	tokens   float64
-	demand   float64 // a second
-	at       int64
-	dry      int64
-	waiting  int // requests that wait for a draw
-	standing TokenBucket
+	tokens     float64
+	demand     float64 // requests per second, exponentially decayed
+	updatedAt  int64   // when demand was last updated, in nanoseconds
+	emptyUntil int64   // until then the bank has no tokens, in nanoseconds
+	waiting    int     // requests that wait for a token request
+	fallback   TokenBucket
 }
 
-// Wallet is one balancer's tokens of all tenants. It begins empty: one that is started again, or a fleet of them, has
-// spent what it had for all that it knows.
+// Wallet holds one balancer's tokens of all tenants. It starts empty: a balancer cannot know what its previous
+// incarnation had left, so a restart, even of all balancers at once, grants nothing twice.
 type Wallet struct {
-	members int
-	by      map[string]*tenantTokens
-	seq     uint64
-	again   bool  // the bank has answered one that stood alone: it counts as there from its next draw on
-	heard   int64 // when the last draw was sent that was answered
+	balancerCount     int
+	tenants           map[string]*tenantTokens
+	seq               uint64
+	rejoin            bool  // the bank answered after a fallback and counts the balancer as active from its next request on
+	answeredRequestAt int64 // send time of the latest answered request, in nanoseconds
 }
 
-// NewWallet makes an empty one, that has its standing rate until it has heard of the bank.
+// NewWallet returns an empty wallet that spends its fallback rate until the bank answers.
 func NewWallet(now int64) *Wallet {
-	return &Wallet{by: map[string]*tenantTokens{}, heard: now - Standing - 1}
+	return &Wallet{tenants: map[string]*tenantTokens{}, answeredRequestAt: now - FallbackAfter - 1}
 }
 
-// Set puts limits in force; members is how many balancers there are, as far as is known.
-func (w *Wallet) Set(limits map[string]Limit, members int, now int64) {
-	w.members = max(members, 1)
-	for tenant := range w.by {
-		if l, is := limits[tenant]; !is || l.Rate <= 0 {
-			delete(w.by, tenant)
+// SetLimits applies the tenants' limits and the known number of balancers.
+func (w *Wallet) SetLimits(limits map[string]Limit, balancerCount int, now int64) {
+	w.balancerCount = max(balancerCount, 1)
+	for tenant := range w.tenants {
+		if limit, found := limits[tenant]; !found || limit.Rate <= 0 {
+			delete(w.tenants, tenant)
 		}
 	}
-	for tenant, l := range limits {
-		if l.Rate <= 0 {
+	for tenant, limit := range limits {
+		if limit.Rate <= 0 {
 			continue
 		}
-		p := w.by[tenant]
-		if p == nil {
-			p = &tenantTokens{at: now, standing: TokenBucket{at: now}}
-			w.by[tenant] = p
+		state := w.tenants[tenant]
+		if state == nil {
+			state = &tenantTokens{updatedAt: now, fallback: TokenBucket{updatedAt: now}}
+			w.tenants[tenant] = state
 		}
-		p.Limit = l
-		p.standing.rate, p.standing.most = l.Rate/float64(w.members), math.Max(1, l.Rate/float64(w.members)/4)
+		state.Limit = limit
+		state.fallback.rate, state.fallback.capacity = limit.Rate/float64(w.balancerCount), math.Max(1, limit.Rate/float64(w.balancerCount)/4)
 	}
 }
 
-// alone reports whether the bank has been silent for so long that the standing rate holds.
-func (w *Wallet) alone(now int64) bool { return now-w.heard > Standing }
+// useFallback reports whether the bank has been silent for so long that the fallback rate applies.
+func (w *Wallet) useFallback(now int64) bool { return now-w.answeredRequestAt > FallbackAfter }
 
-// Take decides on a request of a tenant; asked says that it has waited for a draw already. wait is when to come back.
-func (w *Wallet) Take(tenant string, now int64, asked bool) (verdict Passes, wait int64) {
-	p := w.by[tenant]
-	if p == nil {
-		return Pass, 0
+// Take decides on a request of a tenant. waited is set for a request that has already waited for a token request.
+// retryAfter, in nanoseconds, applies to a denied request.
+func (w *Wallet) Take(tenant string, now int64, waited bool) (verdict Verdict, retryAfter int64) {
+	state := w.tenants[tenant]
+	if state == nil {
+		return Allowed, 0
 	}
-	if !asked { // what has waited has been counted
-		p.demand *= math.Exp(-float64(now-p.at) / s)
-		p.demand++
-		p.at = now
+	if !waited { // a request that has waited was counted before
+		state.demand *= math.Exp(-float64(now-state.updatedAt) / nanosPerSecond)
+		state.demand++
+		state.updatedAt = now
 	}
-	if now-w.heard > Expiry {
-		p.tokens = 0
+	if now-w.answeredRequestAt > TokenExpiry {
+		state.tokens = 0
 	}
-	if p.tokens >= 1 {
-		p.tokens--
-		return Pass, 0
+	if state.tokens >= 1 {
+		state.tokens--
+		return Allowed, 0
 	}
-	if w.alone(now) {
-		if p.standing.fill(now); p.standing.has >= 1 {
-			p.standing.has--
-			return Pass, 0
+	if w.useFallback(now) {
+		if state.fallback.refill(now); state.fallback.available >= 1 {
+			state.fallback.available--
+			return Allowed, 0
 		}
-		return Stop, int64((1 - p.standing.has) / p.standing.rate * s)
+		return Denied, int64((1 - state.fallback.available) / state.fallback.rate * nanosPerSecond)
 	}
-	if asked || now < p.dry-dryFirst {
-		return Stop, max(p.dry-now, dryLeast)
+	if waited || now < state.emptyUntil-firstRetryAfter {
+		return Denied, max(state.emptyUntil-now, minRetryAfter)
 	}
-	p.waiting++
-	return Ask, 0
+	state.waiting++
+	return RequestTokens, 0
 }
 
-// wish is what a balancer would hold of a tenant's. Invariant: one token at each of many balancers, for a tenant that sends a
-// few requests a second, is all that there is, and none where the next request comes; of such a tenant none is held.
-func (p *tenantTokens) wish(now int64) float64 {
-	return math.Floor(p.demand * math.Exp(-float64(now-p.at)/s) * float64(Ahead) / s)
+// targetTokens returns how many tokens the balancer should hold. It rounds down: for a tenant with few requests per
+// second, one token at each of many balancers would use up the quota and leave none where the next request arrives.
+func (t *tenantTokens) targetTokens(now int64) float64 {
+	return math.Floor(t.demand * math.Exp(-float64(now-t.updatedAt)/nanosPerSecond) * float64(PrefetchWindow) / nanosPerSecond)
 }
 
-// Wants reports whether a draw would be of use before the next regular one.
-func (w *Wallet) Wants(now int64) bool {
-	if w.again {
+// ShouldRequest reports whether a token request is useful before the next regular one.
+func (w *Wallet) ShouldRequest(now int64) bool {
+	if w.rejoin {
 		return true
 	}
-	for _, p := range w.by {
-		if now >= p.dry && p.tokens < p.wish(now)/3 {
+	for _, state := range w.tenants {
+		if now >= state.emptyUntil && state.tokens < state.targetTokens(now)/3 {
 			return true
 		}
 	}
 	return false
 }
 
-// Draw is the call to the bank as things stand. What is held beyond need goes back with it.
-func (w *Wallet) NewRequest(node, life string, now int64) *TokenRequest {
+// NewRequest returns the next token request. It gives back tokens beyond twice the target and what waiting requests
+// need.
+func (w *Wallet) NewRequest(node, incarnation string, now int64) *TokenRequest {
 	w.seq++
-	w.again = false
-	d := &TokenRequest{Node: node, Life: life, Seq: w.seq, Standing: w.alone(now), Wants: map[string]Demand{}}
-	for tenant, p := range w.by {
-		wish := p.wish(now)
-		keep := math.Min(p.tokens, 2*wish+float64(p.waiting))
-		want := Demand{Held: keep, Back: p.tokens - keep}
-		p.tokens = keep
-		if now >= p.dry {
-			want.More = math.Max(0, wish-p.tokens) + float64(p.waiting)
+	w.rejoin = false
+	request := &TokenRequest{Node: node, Incarnation: incarnation, Seq: w.seq, Fallback: w.useFallback(now), Demands: map[string]Demand{}}
+	for tenant, state := range w.tenants {
+		targetTokens := state.targetTokens(now)
+		keep := math.Min(state.tokens, 2*targetTokens+float64(state.waiting))
+		demand := Demand{Held: keep, Returned: state.tokens - keep}
+		state.tokens = keep
+		if now >= state.emptyUntil {
+			demand.Wanted = math.Max(0, targetTokens-state.tokens) + float64(state.waiting)
 		}
-		if p.waiting = 0; want != (Demand{}) {
-			d.Wants[tenant] = want
+		if state.waiting = 0; demand != (Demand{}) {
+			request.Demands[tenant] = demand
 		}
 	}
-	return d
+	return request
 }
 
-// Refused takes that whoever was asked does not keep the bank, or not yet, or is not there: nothing is drawn meanwhile, and
-// the standing rate holds at once.
-func (w *Wallet) GrantRefused(now int64) { w.heard = min(w.heard, now-Standing-1) }
+// RequestRefused records that the bank was unreachable, or that the controller asked does not keep the bank (yet). The
+// fallback rate applies at once.
+func (w *Wallet) RequestRefused(now int64) {
+	w.answeredRequestAt = min(w.answeredRequestAt, now-FallbackAfter-1)
+}
 
-// Given takes the answer to a draw that was sent at a time.
-func (w *Wallet) ApplyGrant(given map[string]TokenGrant, sent, now int64) {
-	if sent < w.heard {
+// ApplyGrants applies the answer to a request that was sent at sentAt.
+func (w *Wallet) ApplyGrants(grants map[string]TokenGrant, sentAt, now int64) {
+	if sentAt < w.answeredRequestAt {
 		return
 	}
-	w.again = w.alone(now)
-	w.heard = sent
-	for tenant, g := range given {
-		if p := w.by[tenant]; p != nil {
-			p.tokens += g.Tokens
-			if g.Dry > 0 {
-				p.dry = now + g.Dry
+	w.rejoin = w.useFallback(now)
+	w.answeredRequestAt = sentAt
+	for tenant, grant := range grants {
+		if state := w.tenants[tenant]; state != nil {
+			state.tokens += grant.Tokens
+			if grant.RetryAfter > 0 {
+				state.emptyUntil = now + grant.RetryAfter
 			}
 		}
 	}
--- a/internal/mesh/simulation/core_readers.go
+++ b/internal/mesh/simulation/core_readers.go
@@ -31,11 +31,11 @@
 // answer is the process's: it is current as long as a majority's word is fresh, counted from before that was asked for.
 func (r *reader) answer() {
 	w, b := r.w, r.process
-	if w.Now-b.confirmedAt >= federation.Fresh {
+	if w.Now-b.confirmedAt >= federation.QuorumFreshness {
 		return
 	}
 	w.day.Watched++
-	floor := w.judge.newestAt(w.Now - federation.Fresh)
+	floor := w.judge.newestAt(w.Now - federation.QuorumFreshness)
 	if edition := b.memory.Decided.Edition; edition < floor {
 		w.broke("old while current: process %d says that version %d is current, %d was acknowledged", b.number, edition, floor)
 	}
--- a/internal/mesh/simulation/credit.go
+++ b/internal/mesh/simulation/credit.go
@@ -99,9 +99,9 @@
 func (c Credit) Play(seed uint64) *CreditDay {
 	w := &creditWorld{World: NewWorld(seed), Credit: c, book: burstcredit.NewLedger(), cut: map[int]int64{}, due: map[uint64]bool{}, may: map[uint64]bool{}, told: map[uint64]bool{}}
 	w.net = w.Chance("net")
-	w.terms = map[string]burstcredit.Terms{"t": {Earn: 0.5, Cap: 10 * c.Credit, Keep: 30 * 86400 * S, Extra: c.Extra}}
-	w.book.Without(c.Guard)
-	w.book.Grant("t", c.Credit, "operator", "the day's credit")
+	w.terms = map[string]burstcredit.Terms{"t": {EarnRatio: 0.5, MaxBalance: 10 * c.Credit, Retention: 30 * 86400 * S, ExtraRate: c.Extra}}
+	w.book.DisableGuard(c.Guard)
+	w.book.GrantTokens("t", c.Credit, "operator", "the day's credit")
 	for n := range c.Proxies {
 		b := &creditProxy{n: n, region: n % c.Regions}
 		w.proxies = append(w.proxies, b)
@@ -121,17 +121,17 @@
 	b.life++
 	life := b.life
 	b.crop = burstcredit.NewWallet(fmt.Sprint("n", b.n), fmt.Sprint(life))
-	b.crop.Without(w.Guard)
-	b.crop.Set(w.terms, nil, w.Proxies, w.Now)
+	b.crop.DisableGuard(w.Guard)
+	b.crop.SetTerms(w.terms, nil, w.Proxies, w.Now)
 	var tell func()
 	tell = func() {
 		if !b.up || b.life != life {
 			return
 		}
-		if !b.flying && b.crop.Wants(w.Now) {
+		if !b.flying && b.crop.ShouldReport(w.Now) {
 			w.report(b)
 		}
-		w.After(burstcredit.Every, tell)
+		w.After(burstcredit.ReportInterval, tell)
 	}
 	w.After(int64(w.net.IntN(250))*Ms, tell)
 }
@@ -149,7 +149,7 @@
 	b.flying = true
 	l := letter{b, b.life, b.crop.Report(w.Now), w.Now}
 	w.day.Reports++
-	w.day.Bytes += 120 + 40*len(l.r.Asks) + 24*(len(l.r.Settled)+len(l.r.Open))
+	w.day.Bytes += 120 + 40*len(l.r.Demands) + 24*(len(l.r.Settled)+len(l.r.OpenEffects))
 	w.After(S, func() {
 		if b.life == l.life {
 			b.flying = false
@@ -175,7 +175,7 @@
 	if len(w.inbox) == 0 && w.Now-w.passed < S {
 		return
 	}
-	w.book.Pass(w.Now-w.passed, w.terms)
+	w.book.Advance(w.Now-w.passed, w.terms)
 	w.passed = w.Now
 	reports := make([]*burstcredit.Report, len(w.inbox))
 	for n, l := range w.inbox {
@@ -185,16 +185,16 @@
 		}
 	}
 	// As the core keeps it: written and read again.
-	raw, err := w.book.Write()
+	raw, err := w.book.Encode()
 	if err == nil {
-		w.book, err = burstcredit.Read(raw)
+		w.book, err = burstcredit.DecodeLedger(raw)
 	}
 	if err != nil {
 		w.day.Broken = append(w.day.Broken, err.Error())
 		return
 	}
-	w.book.Without(w.Guard)
-	grants := w.book.Take(reports, w.terms)
+	w.book.DisableGuard(w.Guard)
+	grants := w.book.ProcessReports(reports, w.terms)
 	if gap := math.Abs(w.book.Gap("t")); gap > w.day.Gap {
 		w.day.Gap = gap
 	}
@@ -225,7 +225,7 @@
 			return
 		}
 		id++
-		k := burstcredit.Claim{Tenant: "t", ID: burstcredit.Identity(fmt.Sprint(client, id)), Effect: chance.Float64() < 0.3, Client: client}
+		k := burstcredit.Claim{Tenant: "t", ID: burstcredit.RequestID(fmt.Sprint(client, id)), HasEffect: chance.Float64() < 0.3, FromClient: client}
 		served := false
 		if client {
 			w.day.Asked++
@@ -254,31 +254,31 @@
 	run := func() {
 		w.day.Waited = append(w.day.Waited, w.Now-began)
 		ran, whole := chance.Float64() >= w.Fails, chance.Float64() >= w.Lost
-		if ran && k.Effect {
+		if ran && k.HasEffect {
 			w.After(int64(20+chance.IntN(100))*Ms, func() { w.owe(k) }) // at its upstream, whatever becomes of its balancer
 		}
 		w.After(int64(130+chance.IntN(400))*Ms, func() {
 			if !b.up || b.life != life {
-				w.may[k.ID] = w.may[k.ID] || k.Effect
+				w.may[k.ID] = w.may[k.ID] || k.HasEffect
 				return
 			}
-			end := burstcredit.NeverRan
+			end := burstcredit.NotDelivered
 			switch {
 			case ran && whole:
 				end = burstcredit.Delivered
 				w.owe(k)
 				if !*served {
 					*served = true
-					if k.Client {
+					if k.FromClient {
 						w.day.Served++
 					} else {
 						w.day.InnerServed++
 					}
 				}
-			case ran && k.Effect:
+			case ran && k.HasEffect:
 				end = burstcredit.Unknown
 			}
-			b.crop.Done(k, end, w.Now)
+			b.crop.Finish(k, end, w.Now)
 		})
 	}
 	switch b.crop.Claim(k, w.Now, func(bool) {
@@ -286,15 +286,15 @@
 			run()
 		}
 	}) {
-	case burstcredit.Drawn:
+	case burstcredit.Reserved:
 		run()
-	case burstcredit.Wait:
-		if !b.flying && b.crop.Wants(w.Now) {
+	case burstcredit.Queued:
+		if !b.flying && b.crop.ShouldReport(w.Now) {
 			w.report(b)
 		}
 		w.After(400*Ms, func() {
 			if b.life == life {
-				b.crop.Leave(k)
+				b.crop.Cancel(k)
 			}
 		})
 	}
--- a/internal/mesh/simulation/credit_judge.go
+++ b/internal/mesh/simulation/credit_judge.go
@@ -11,7 +11,7 @@
 func (w *creditWorld) owe(k burstcredit.Claim) {
 	if !w.due[k.ID] {
 		w.due[k.ID] = true
-		if k.Client {
+		if k.FromClient {
 			w.owed[1]++
 		} else {
 			w.owed[0]++
@@ -47,8 +47,8 @@
 			most++
 		}
 	}
-	if held > stand.Out+1e-6 {
-		fault("ESCROW: balancers hold %.0f tokens, and the book knows of %.0f", held, stand.Out)
+	if held > stand.Outstanding+1e-6 {
+		fault("ESCROW: balancers hold %.0f tokens, and the book knows of %.0f", held, stand.Outstanding)
 	}
 	if w.day.Spent > most+1e-6 {
 		fault("CHARGED: %.0f charges for %.0f requests that were due one, or may have been", w.day.Spent, most)
--- a/internal/mesh/simulation/mesh.go
+++ b/internal/mesh/simulation/mesh.go
@@ -74,7 +74,7 @@
 // Play plays one day.
 func (m Mesh) Play(seed uint64) *MeshDay {
 	w := &meshWorld{World: NewWorld(seed), Mesh: m, cutZ: map[int]int64{}, coordinator: -1,
-		limit: ratelimit.Limit{Rate: m.Rate, Surge: m.Surge, Window: 5 * S, Over: 0.1, Slack: 20}}
+		limit: ratelimit.Limit{Rate: m.Rate, Burst: m.Surge, Window: 5 * S, OverRatio: 0.1, Slack: 20}}
 	w.net = w.Chance("net")
 	for z := range m.Zones {
 		c := &controllerModel{n: z}
--- a/internal/mesh/simulation/mesh_judge.go
+++ b/internal/mesh/simulation/mesh_judge.go
@@ -15,7 +15,7 @@
 		}
 		w.day.Window = math.Max(w.day.Window, float64(b-a+1))
 	}
-	if w.day.Bound = w.limit.Bound(); w.day.Window > w.day.Bound {
+	if w.day.Bound = w.limit.MaxPerWindow(); w.day.Window > w.day.Bound {
 		w.day.Broken = append(w.day.Broken, fmt.Sprintf("QUOTA: %.0f passed in a window, %.0f are allowed", w.day.Window, w.day.Bound))
 	}
 	for _, c := range w.controllers {
--- a/internal/mesh/simulation/mesh_load.go
+++ b/internal/mesh/simulation/mesh_load.go
@@ -36,13 +36,13 @@
 func (w *meshWorld) take(b *proxyModel, round int, within bool) {
 	verdict, _ := b.wallet.Take("t", w.Now, round == 2)
 	switch verdict {
-	case ratelimit.Pass:
+	case ratelimit.Allowed:
 		w.pass = append(w.pass, w.Now)
 		w.day.Passed++
-		if b.wallet.Wants(w.Now) {
+		if b.wallet.ShouldRequest(w.Now) {
 			w.drawFrom(b, b.life)
 		}
-	case ratelimit.Ask:
+	case ratelimit.RequestTokens:
 		life, done := b.life, false
 		again := func() {
 			if !done && b.life == life {
--- a/internal/mesh/simulation/mesh_processes.go
+++ b/internal/mesh/simulation/mesh_processes.go
@@ -111,9 +111,9 @@
 				w.reign++
 				c.bank, c.from, c.reign = ratelimit.NewTokenBank(w.Now), w.Now+850*Ms, w.reign
 				if w.NoGracePeriod {
-					c.bank, c.from = ratelimit.NewTokenBank(w.Now-ratelimit.Forget), w.Now
+					c.bank, c.from = ratelimit.NewTokenBank(w.Now-ratelimit.GrantExpiry), w.Now
 				}
-				c.bank.Set(map[string]ratelimit.Limit{"t": w.limit}, w.Proxies, w.Now)
+				c.bank.SetLimits(map[string]ratelimit.Limit{"t": w.limit}, w.Proxies, w.Now)
 				return
 			}
 		}
@@ -126,9 +126,9 @@
 	life := b.life
 	b.up, b.drawing, b.have, b.saw, b.waiting = true, false, membership.Position{}, map[string]uint64{}, nil
 	b.wallet = ratelimit.NewWallet(w.Now)
-	b.wallet.Set(map[string]ratelimit.Limit{"t": w.limit}, w.Proxies, w.Now)
+	b.wallet.SetLimits(map[string]ratelimit.Limit{"t": w.limit}, w.Proxies, w.Now)
 	if w.FullBucket {
-		b.wallet.ApplyGrant(map[string]ratelimit.TokenGrant{"t": {Tokens: w.Surge / float64(w.Proxies) * 6}}, w.Now, w.Now)
+		b.wallet.ApplyGrants(map[string]ratelimit.TokenGrant{"t": {Tokens: w.Surge / float64(w.Proxies) * 6}}, w.Now, w.Now)
 	}
 	b.nest.Name, b.nest.Life, b.nest.District = fmt.Sprint("n", b.n), fmt.Sprint(b.life), fmt.Sprint(b.zone)
 	b.nest.Upstream = &membership.Upstream{ID: fmt.Sprint("i", b.n), Service: "s", Capacity: 6}
@@ -229,7 +229,7 @@
 		w.After(12*Ms, func() {
 			if b.life == life {
 				b.drawing = false
-				if b.need || b.wallet.Wants(w.Now) {
+				if b.need || b.wallet.ShouldRequest(w.Now) {
 					w.drawFrom(b, life)
 				}
 			}
@@ -250,7 +250,7 @@
 			if over || b.life != life || w.Now < b.cut {
 				return
 			}
-			b.wallet.ApplyGrant(given, sent, w.Now)
+			b.wallet.ApplyGrants(given, sent, w.Now)
 			end()
 		})
 	})
--- a/internal/mesh/simulation/partner.go
+++ b/internal/mesh/simulation/partner.go
@@ -62,7 +62,7 @@
 
 type partnerController struct {
 	up   bool
-	book *federation.ImportBook
+	book *federation.ImportRegistry
 }
 
 type partnerWorld struct {
@@ -70,7 +70,7 @@
 	Partner
 	day         PartnerDay
 	net         *rand.Rand
-	book        *federation.ImportBook // agreed
+	book        *federation.ImportRegistry // agreed
 	controllers []*partnerController
 	proxies     []*partnerProxy
 	taker       *federation.NarrowingTracker
@@ -88,15 +88,15 @@
 
 // Play plays one day.
 func (p Partner) Play(seed uint64) *PartnerDay {
-	w := &partnerWorld{World: NewWorld(seed), Partner: p, book: federation.NewImportBook(), saidAt: map[int64]int64{}, runs: map[int]int{}}
+	w := &partnerWorld{World: NewWorld(seed), Partner: p, book: federation.NewImportRegistry(), saidAt: map[int64]int64{}, runs: map[int]int{}}
 	w.net = w.Chance("net")
-	w.day.Bound = int64(float64(federation.LeaveFor+federation.Fresh)*(1+federation.Drift)) + federation.Every
+	w.day.Bound = int64(float64(federation.AuthorizationTTL+federation.QuorumFreshness)*(1+federation.MaxClockDrift)) + federation.CheckInterval
 	for range p.Controllers {
 		w.controllers = append(w.controllers, &partnerController{up: true, book: w.book})
 	}
 	for n := range p.Proxies {
 		b := &partnerProxy{up: true, door: federation.NewExportPolicy(nil), comb: n % p.Controllers}
-		b.door.Without(p.Guard)
+		b.door.DisableGuard(p.Guard)
 		w.proxies = append(w.proxies, b)
 		w.asks(b)
 	}
@@ -126,8 +126,8 @@
 		w.kept = edition
 		w.day.Narrowings++
 	}
-	w.table = &federation.Table{Partner: "p", Edition: edition, Lease: federation.Span(20 * S),
-		Exports: []federation.Export{{Service: "scans", Town: "p.example", StreetPrefix: "/scans/", Methods: methods}}}
+	w.table = &federation.Table{Partner: "p", Edition: edition, Lease: federation.Duration(20 * S),
+		Exports: []federation.Export{{Service: "scans", Host: "p.example", PathPrefix: "/scans/", Methods: methods}}}
 	w.saidAt[edition] = w.Now
 }
 
@@ -135,15 +135,15 @@
 func (w *partnerWorld) hold(n int) {
 	w.duty, w.from = n, w.Now
 	w.taker = federation.NewNarrowingTracker()
-	w.taker.Without(w.Guard)
+	w.taker.DisableGuard(w.Guard)
 }
 
 // agree puts a changed book in force: whoever is up learns of it, one after the other.
-func (w *partnerWorld) agree(change func(*federation.ImportBook)) {
-	raw, err := w.book.Write()
+func (w *partnerWorld) agree(change func(*federation.ImportRegistry)) {
+	raw, err := w.book.Encode()
 	next := w.book
 	if err == nil {
-		next, err = federation.Read(raw)
+		next, err = federation.DecodeImportRegistry(raw)
 	}
 	if err != nil {
 		w.day.Broken = append(w.day.Broken, err.Error())
@@ -153,7 +153,7 @@
 	w.book = next
 	for _, c := range w.controllers {
 		w.After(int64(w.net.Float64()*60)*Ms, func() {
-			if c.up && c.book.No <= next.No {
+			if c.up && c.book.Revision <= next.Revision {
 				c.book = next
 			}
 		})
@@ -162,7 +162,7 @@
 
 // takes is the taker's loop: the partner's word, and what is done.
 func (w *partnerWorld) takes() {
-	w.After(federation.Every, w.takes)
+	w.After(federation.CheckInterval, w.takes)
 	c := w.controllers[w.duty]
 	if !c.up {
 		return
@@ -172,13 +172,13 @@
 		if !c.up {
 			return
 		}
-		w.agree(func(b *federation.ImportBook) { b.Take(word, fmt.Sprint(word.Edition)) })
+		w.agree(func(b *federation.ImportRegistry) { b.ApplyTable(word, fmt.Sprint(word.Edition)) })
 	})
 	for partner, no := range w.taker.Due(w.book, w.Now) {
-		w.agree(func(b *federation.ImportBook) { b.Finish(partner, no) })
+		w.agree(func(b *federation.ImportRegistry) { b.CompleteNarrowing(partner, no) })
 	}
-	if i := w.book.Partners["p"]; i != nil && i.Told > w.told {
-		edition := i.Told
+	if i := w.book.Partners["p"]; i != nil && i.AnnouncedEdition > w.told {
+		edition := i.AnnouncedEdition
 		w.After(w.link(), func() {
 			for e := w.told + 1; e <= edition; e++ {
 				if at, is := w.saidAt[e]; is && e == w.kept {
@@ -211,8 +211,8 @@
 		book := c.book
 		w.After(w.link(), func() {
 			if b.up && w.Now >= b.frozen && w.Now >= b.cut {
-				b.door.Hear(book, thePartner, nil, len(w.proxies), w.Now)
-				b.door.Renew(book.No, asked)
+				b.door.Update(book, thePartner, nil, len(w.proxies), w.Now)
+				b.door.Authorize(book.Revision, asked)
 			}
 			again()
 		})
@@ -252,10 +252,10 @@
 	if !at.up || w.Now < at.frozen {
 		return
 	}
-	again := w.Guard == federation.RetryAfter && try > 0
+	again := w.Guard == federation.RetryAfterNarrowing && try > 0
 	if !again {
 		if _, why := at.door.Decide(method, "p.example", "/scans/1", w.Now); why != federation.Open {
-			if why == federation.NoLeave && (method == "GET" || w.kept == 0) {
+			if why == federation.Unconfirmed && (method == "GET" || w.kept == 0) {
 				w.day.Refused++
 			}
 			return
@@ -275,8 +275,8 @@
 		if !gate.up {
 			return
 		}
-		if !again && w.Guard != federation.OneDoor {
-			if _, why := gate.door.May("p", method, "p.example", "/scans/1", w.Now); why != federation.Open {
+		if !again && w.Guard != federation.SinglePolicyCheck {
+			if _, why := gate.door.Admit("p", method, "p.example", "/scans/1", w.Now); why != federation.Open {
 				return // turned away, with the proof that it has not run
 			}
 		}
--- a/internal/mesh/simulation/scale/hollow_quota.go
+++ b/internal/mesh/simulation/scale/hollow_quota.go
@@ -42,9 +42,9 @@
 	limits := map[string]ratelimit.Limit{}
 	for n := range p.Quota.Tenants {
 		rate := p.Quota.rate(h.fleet.size)
-		limits[tenantName(n)] = ratelimit.Limit{Rate: rate, Surge: rate, Window: int64(quotaWindow), Over: quotaOver, Slack: quotaSlack}
+		limits[tenantName(n)] = ratelimit.Limit{Rate: rate, Burst: rate, Window: int64(quotaWindow), OverRatio: quotaOver, Slack: quotaSlack}
 	}
-	q.wallet.Set(limits, h.fleet.size, 0)
+	q.wallet.SetLimits(limits, h.fleet.size, 0)
 	return q
 }
 
@@ -70,10 +70,10 @@
 	for pause(ctx, time.Duration(rand.ExpFloat64()/q.plan.Calls*float64(time.Second))) == nil {
 		q.mu.Lock()
 		verdict, _ := q.wallet.Take(tenantName(rand.IntN(q.plan.Tenants)), q.now(), false)
-		wants := verdict == ratelimit.Ask || q.wallet.Wants(q.now())
+		wants := verdict == ratelimit.RequestTokens || q.wallet.ShouldRequest(q.now())
 		q.mu.Unlock()
 		q.hollow.fleet.meter.QuotaCalls.Add(1)
-		if verdict == ratelimit.Ask {
+		if verdict == ratelimit.RequestTokens {
 			q.hollow.fleet.meter.QuotaWaited.Add(1)
 		}
 		if wants {
@@ -124,12 +124,12 @@
 	if err != nil {
 		meter.DrawsFailed.Add(1)
 		if call.Err() == nil {
-			q.wallet.GrantRefused(q.now())
+			q.wallet.RequestRefused(q.now())
 		}
 		return
 	}
-	q.wallet.ApplyGrant(given, sent, q.now())
-	if q.wallet.Wants(q.now()) {
+	q.wallet.ApplyGrants(given, sent, q.now())
+	if q.wallet.ShouldRequest(q.now()) {
 		q.want()
 	}
 }
--- a/internal/mesh/simulation/scale/token_bank_test.go
+++ b/internal/mesh/simulation/scale/token_bank_test.go
@@ -16,17 +16,17 @@
 		b.Run(fmt.Sprint(balancers), func(b *testing.B) {
 			limits := map[string]ratelimit.Limit{}
 			for n := range tenants {
-				limits[tenantName(n)] = ratelimit.Limit{Rate: 20, Surge: 20, Window: int64(5 * time.Second), Over: 0.1, Slack: 20}
+				limits[tenantName(n)] = ratelimit.Limit{Rate: 20, Burst: 20, Window: int64(5 * time.Second), OverRatio: 0.1, Slack: 20}
 			}
 			bank := ratelimit.NewTokenBank(0)
-			bank.Set(limits, balancers, 0)
+			bank.SetLimits(limits, balancers, 0)
 			draw := func(n int) {
 				wants := map[string]ratelimit.Demand{}
 				for k := range wanted {
-					wants[tenantName((n*7+k)%tenants)] = ratelimit.Demand{Held: 1, More: 1}
+					wants[tenantName((n*7+k)%tenants)] = ratelimit.Demand{Held: 1, Wanted: 1}
 				}
 				now := int64(n) * int64(drawEvery) / int64(balancers)
-				bank.Grant(&ratelimit.TokenRequest{Node: hollowName(n % balancers), Life: "l", Seq: uint64(n + 1), Wants: wants}, now)
+				bank.Grant(&ratelimit.TokenRequest{Node: hollowName(n % balancers), Incarnation: "l", Seq: uint64(n + 1), Demands: wants}, now)
 			}
 			warm := 3 * balancers
 			for n := range warm {
