--- a/internal/mesh/burstcredit/account.go
+++ b/internal/mesh/burstcredit/account.go
@@ -95,8 +95,8 @@
 func (l *Ledger) Status() (all []AccountStatus) {
 	for _, tenant := range slices.Sorted(maps.Keys(l.Accounts)) {
 		account := l.Accounts[tenant]
-		all = append(all, AccountStatus{tenant, account.Balance(), l.outstanding(tenant), account.Earned, account.Granted, account.Spent,
-			account.Expired, l.Gap(tenant), account.Frozen, account.History})
+		all = append(all, AccountStatus{tenant, account.Balance(), l.outstanding(tenant),
+			account.Earned, account.Granted, account.Spent, account.Expired, l.Gap(tenant), account.Frozen, account.History})
 	}
 	return all
 }
--- a/internal/mesh/burstcredit/burstcredit.go
+++ b/internal/mesh/burstcredit/burstcredit.go
@@ -13,7 +13,8 @@
 //
 //	spent above the rate in a window W   <=  ExtraRate·W + ExtraRate·PrefetchWindow
 //	held by unreachable balancers        <=  ExtraRate·PrefetchWindow, for at most EscrowTimeout
-//	spent beyond the credit              <=  what crashed balancers spent after their last report, ExtraRate·PrefetchWindow in all
+//	spent beyond the credit              <=  what crashed balancers spent after their last report,
+//	                                         ExtraRate·PrefetchWindow in all; otherwise 0
 //	identities kept for deduplication    <=  ExtraRate·DedupWindow
 //
 // A balancer that is silent for EscrowTimeout may have spent its whole escrow, so the escrow is written off as spent.
@@ -53,7 +54,8 @@
 	terms := map[string]Terms{}
 	for _, tenant := range configuration.Tenants {
 		if credit := tenant.BurstCredit; credit != nil && credit.Earn > 0 {
-			terms[tenant.Name] = Terms{EarnRatio: credit.Earn, MaxBalance: credit.Cap, Retention: int64(credit.Keep), ExtraRate: credit.Extra}
+			terms[tenant.Name] = Terms{EarnRatio: credit.Earn, MaxBalance: credit.Cap,
+				Retention: int64(credit.Keep), ExtraRate: credit.Extra}
 		}
 	}
 	return terms
--- a/internal/mesh/burstcredit/grants.go
+++ b/internal/mesh/burstcredit/grants.go
@@ -32,14 +32,16 @@
 		}
 		reset := wallet != nil && wallet.WrittenOff != nil // its escrow was written off
 		if wallet == nil {
-			wallet = &walletRecord{Incarnation: report.Incarnation, EndedIncarnations: ended[max(0, len(ended)-8):], Escrow: map[string]float64{}}
+			wallet = &walletRecord{Incarnation: report.Incarnation,
+				EndedIncarnations: ended[max(0, len(ended)-8):], Escrow: map[string]float64{}}
 			l.Wallets[report.Node] = wallet
 		}
 		wallet.Seq, wallet.ReportedAt, wallet.OpenEffects = report.Seq, l.Now, report.OpenEffects
 		if wallet.Escrow == nil {
 			wallet.Escrow = map[string]float64{}
 		}
-		grant := &Grant{Seq: report.Seq, Tokens: map[string]float64{}, Refunds: map[string]float64{}, Reset: reset && !l.noEscrowTimeout}
+		grant := &Grant{Seq: report.Seq, Tokens: map[string]float64{}, Refunds: map[string]float64{},
+			Reset: reset && !l.noEscrowTimeout}
 		wallet.LastGrant, grants[i], accepted[i] = grant, grant, true
 		for _, id := range report.Settled {
 			account := l.openAccount(id.Tenant)
--- a/internal/mesh/burstcredit/wallet.go
+++ b/internal/mesh/burstcredit/wallet.go
@@ -88,8 +88,8 @@
 
 // NewWallet returns an empty wallet for one incarnation of a balancer.
 func NewWallet(node, incarnation string) *Wallet {
-	return &Wallet{node: node, incarnation: incarnation, tenants: map[string]*tenantCredit{}, services: map[string]*serviceBucket{},
-		reservations: map[ClaimID]*reservation{}}
+	return &Wallet{node: node, incarnation: incarnation, tenants: map[string]*tenantCredit{},
+		services: map[string]*serviceBucket{}, reservations: map[ClaimID]*reservation{}}
 }
 
 // SetTerms applies the tenants' terms and the limits of services: the credit, in tokens per second, that all balancers
@@ -186,7 +186,8 @@
 		}
 		return 1
 	}
-	return cmp.Or(cmp.Compare(originOrder(a), originOrder(b)), cmp.Compare(a.claim.Rank, b.claim.Rank), cmp.Compare(a.arrival, b.arrival))
+	return cmp.Or(cmp.Compare(originOrder(a), originOrder(b)), cmp.Compare(a.claim.Rank, b.claim.Rank),
+		cmp.Compare(a.arrival, b.arrival))
 }
 
 // requestID returns the identity under which the claim is charged.
--- a/internal/mesh/federation/export_policy.go
+++ b/internal/mesh/federation/export_policy.go
@@ -190,7 +190,7 @@
 }
 
 // Check decides whether a request may be sent to one partner, without taking from its rate limit. It is called before
-// each attempt.
+// each attempt, including retries and hedges.
 func (ep *ExportPolicy) Check(partner, method, host, path string, now int64) Verdict {
 	if !IsCanonicalPath(path) || ep.ownRoute != nil && ep.ownRoute(strings.ToLower(host), path) {
 		return NoRoute
@@ -205,7 +205,7 @@
 }
 
 // Admit decides whether a request may be sent to one partner and takes from its rate limit. It is called immediately
-// before each attempt, retry or hedge is sent, as the table may have changed since Decide.
+// before an attempt is sent, as the table may have changed since Decide or Check.
 func (ep *ExportPolicy) Admit(partner, method, host, path string, now int64) (edition int64, verdict Verdict) {
 	if !IsCanonicalPath(path) || ep.ownRoute != nil && ep.ownRoute(strings.ToLower(host), path) {
 		return 0, NoRoute
--- a/internal/mesh/outlier/outlier.go
+++ b/internal/mesh/outlier/outlier.go
@@ -82,7 +82,8 @@
 	}
 	for candidate := 1; candidate < LevelCount; candidate++ {
 		if d.failures >= minFailures && failureRatio >= failureThresholds[candidate] ||
-			candidate <= d.level && d.failures >= minFailures*recoveryFactor/2 && failureRatio >= failureThresholds[candidate]*recoveryFactor {
+			candidate <= d.level && d.failures >= minFailures*recoveryFactor/2 &&
+				failureRatio >= failureThresholds[candidate]*recoveryFactor {
 			level = candidate
 		}
 	}
--- a/internal/mesh/outlier/outlier_test.go
+++ b/internal/mesh/outlier/outlier_test.go
@@ -77,7 +77,8 @@
 			max(slowestDetection, detectedAfter), max(slowestRestore, restoredAfter), falselyReduced+othersReduced
 	}
 	t.Logf("detected after %d ms on average, %d ms at most; full share %d ms after recovery at most; others reduced for %.5f of the time",
-		detectionSum/400/millisecond, slowestDetection/millisecond, slowestRestore/millisecond, float64(falselyReduced)/float64(8*400*sc.duration))
+		detectionSum/400/millisecond, slowestDetection/millisecond, slowestRestore/millisecond,
+		float64(falselyReduced)/float64(8*400*sc.duration))
 	must.Less(t, 900*millisecond, detectionSum/400)
 	must.Less(t, 7000*millisecond, slowestRestore)
 	must.Less(t, 0.001, float64(falselyReduced)/float64(8*400*sc.duration))
--- a/internal/mesh/ratelimit/ratelimit.go
+++ b/internal/mesh/ratelimit/ratelimit.go
@@ -37,7 +37,7 @@
 }
 
 const (
-	windowSlots    = 20  // per window
+	windowSlots    = 20  // slots per window
 	topRankReserve = 0.1 // fraction of a budget that is kept for the most urgent rank of its service
 )
 
--- a/internal/mesh/ratelimit/ratelimit_test.go
+++ b/internal/mesh/ratelimit/ratelimit_test.go
@@ -42,7 +42,8 @@
 	s := &quotaSimulation{rng: rand.New(rand.NewPCG(seed, 1)), limit: quota, balancerCount: balancerCount, now: int64(5e9)}
 	for i := range balancerCount {
 		s.wallets = append(s.wallets, nil)
-		s.incarnations, s.requestsLostUntil, s.grantsLostUntil = append(s.incarnations, 0), append(s.requestsLostUntil, 0), append(s.grantsLostUntil, 0)
+		s.incarnations, s.requestsLostUntil, s.grantsLostUntil = append(s.incarnations, 0),
+			append(s.requestsLostUntil, 0), append(s.grantsLostUntil, 0)
 		s.frozenUntil, s.nextRequestAt, s.grantDueAt = append(s.frozenUntil, 0), append(s.nextRequestAt, 0), append(s.grantDueAt, -1)
 		s.grantsInFlight, s.requestSentAt = append(s.grantsInFlight, nil), append(s.requestSentAt, 0)
 		s.start(i)
--- a/internal/mesh/ratelimit/wallet.go
+++ b/internal/mesh/ratelimit/wallet.go
@@ -19,7 +19,7 @@
 	Limit
 	tokens     float64
 	demand     float64 // requests per second, exponentially decayed
-	updatedAt  int64   // when demand was last updated, in nanoseconds
+	updatedAt  int64   // of demand, in nanoseconds
 	emptyUntil int64   // until then the bank has no tokens, in nanoseconds
 	waiting    int     // requests that wait for a token request
 	fallback   TokenBucket
@@ -58,7 +58,8 @@
 			w.tenants[tenant] = state
 		}
 		state.Limit = limit
-		state.fallback.rate, state.fallback.capacity = limit.Rate/float64(w.balancerCount), math.Max(1, limit.Rate/float64(w.balancerCount)/4)
+		state.fallback.rate, state.fallback.capacity =
+			limit.Rate/float64(w.balancerCount), math.Max(1, limit.Rate/float64(w.balancerCount)/4)
 	}
 }
 
@@ -122,7 +123,8 @@
 func (w *Wallet) NewRequest(node, incarnation string, now int64) *TokenRequest {
 	w.seq++
 	w.rejoin = false
-	request := &TokenRequest{Node: node, Incarnation: incarnation, Seq: w.seq, Fallback: w.useFallback(now), Demands: map[string]Demand{}}
+	request := &TokenRequest{Node: node, Incarnation: incarnation, Seq: w.seq,
+		Fallback: w.useFallback(now), Demands: map[string]Demand{}}
 	for tenant, state := range w.tenants {
 		targetTokens := state.targetTokens(now)
 		keep := math.Min(state.tokens, 2*targetTokens+float64(state.waiting))
