--- a/internal/mesh/controller/watch.go
+++ b/internal/mesh/controller/watch.go
@@ -70,16 +70,16 @@
 	out.Starting, out.Coordinator, out.Epoch = c.now() < membership.LeaseDuration, s.Coordinator.Address, s.Epoch
 	c.addConfiguration(out, a, s)
 	imports := c.imports(s)
-	if imports.No > 0 {
+	if imports.Revision > 0 {
 		c.recordImportsInUse(a.Node.Name, a.Position.KnownImports)
-		out.ImportsVersion, out.PartnerAges = imports.No, c.confirmationAges()
-		if a.Position.KnownImports != imports.No {
+		out.ImportsVersion, out.PartnerAges = imports.Revision, c.confirmationAges()
+		if a.Position.KnownImports != imports.Revision {
 			out.Imports = s.Imports
 		}
 	}
 	c.addRegistry(out, a)
 	out.Current = c.replicator.confirms(s)
-	out.ImportsCurrent = out.Current && imports.No > 0
+	out.ImportsCurrent = out.Current && imports.Revision > 0
 	return out
 }
 
--- a/internal/mesh/proxy/burst_credit.go
+++ b/internal/mesh/proxy/burst_credit.go
@@ -35,26 +35,26 @@
 	}
 	p.burstCredit.Lock()
 	defer p.burstCredit.Unlock()
-	p.burstCredit.tokenCache.Set(burstcredit.TermsOf(config), services, p.members, p.now())
-	p.burstCredit.enabled.Store(p.burstCredit.tokenCache.On())
+	p.burstCredit.tokenCache.SetTerms(burstcredit.TenantTerms(config), services, p.members, p.now())
+	p.burstCredit.enabled.Store(p.burstCredit.tokenCache.Enabled())
 }
 
 // creditClaim returns the claim of a request beyond its tenant's rate and the ID under which it is charged once. The
 // ID is the client's idempotency key if there is one. Otherwise each request with side effects has its own, and
 // repeatable requests of a tenant for the same URL share one while settled claims are remembered.
 func (p *Proxy) creditClaim(r *http.Request, route *routing.Route, tenant *routing.Tenant) burstcredit.Claim {
-	claim := burstcredit.Claim{Tenant: tenant.Name, Service: route.Services[0].Service, Effect: !route.Class.IsRepeatable(),
+	claim := burstcredit.Claim{Tenant: tenant.Name, Service: route.Services[0].Service, HasEffect: !route.Class.IsRepeatable(),
 		Rank: tenant.Priority*1000 + route.Priority}
 	if host, _, err := net.SplitHostPort(r.RemoteAddr); err == nil {
-		claim.Client = host != settings.Host(p.settings.App) // the upstream on this machine calls from its own address
+		claim.FromClient = host != settings.Host(p.settings.App) // the upstream on this machine calls from its own address
 	}
 	switch key := r.Header.Get("Idempotency-Key"); {
 	case key != "":
-		claim.ID = burstcredit.Identity("key", key, r.Method, r.Host, r.RequestURI)
-	case claim.Effect:
-		claim.ID = burstcredit.Identity("try", r.Header.Get(requestIDHeader))
+		claim.ID = burstcredit.RequestID("key", key, r.Method, r.Host, r.RequestURI)
+	case claim.HasEffect:
+		claim.ID = burstcredit.RequestID("try", r.Header.Get(requestIDHeader))
 	default:
-		claim.ID = burstcredit.Identity("page", r.Method, r.Host, r.RequestURI)
+		claim.ID = burstcredit.RequestID("page", r.Method, r.Host, r.RequestURI)
 	}
 	return claim
 }
@@ -68,10 +68,10 @@
 	credit.Unlock()
 	p.signalCreditDemand()
 	switch verdict {
-	case burstcredit.Drawn:
+	case burstcredit.Reserved:
 		p.counters.Add("credit_drawn")
 		return true
-	case burstcredit.None:
+	case burstcredit.NoCredit:
 		return false
 	}
 	timeout := time.NewTimer(maxCreditWait)
@@ -84,12 +84,12 @@
 	case <-ctx.Done():
 	}
 	credit.Lock()
-	removed := credit.tokenCache.Leave(claim)
+	removed := credit.tokenCache.Cancel(claim)
 	credit.Unlock()
 	if !removed { // the credit was granted meanwhile
 		<-granted
 		if ctx.Err() != nil {
-			p.finishClaim(claim, burstcredit.NeverRan)
+			p.finishClaim(claim, burstcredit.NotDelivered)
 			return false
 		}
 		p.counters.Add("credit_drawn")
@@ -103,8 +103,8 @@
 func (p *Proxy) finishClaim(claim burstcredit.Claim, outcome burstcredit.Outcome) {
 	credit := &p.burstCredit
 	credit.Lock()
-	credit.tokenCache.Done(claim, outcome, p.now())
-	credit.tokenCache.Turn(p.now())
+	credit.tokenCache.Finish(claim, outcome, p.now())
+	credit.tokenCache.ServeQueue(p.now())
 	credit.Unlock()
 	p.signalCreditDemand()
 }
@@ -132,7 +132,7 @@
 			address := p.tokenCache.coordinator
 			p.tokenCache.Unlock()
 			credit.Lock()
-			due := credit.tokenCache.Wants(p.now()) && address != ""
+			due := credit.tokenCache.ShouldReport(p.now()) && address != ""
 			var report *burstcredit.Report
 			if due {
 				report = credit.tokenCache.Report(p.now())
@@ -153,7 +153,7 @@
 				credit.tokenCache.ApplyGrant(grant, sentAt, p.now())
 				credit.Unlock()
 			}
-			pause := time.NewTimer(time.Duration(burstcredit.Every))
+			pause := time.NewTimer(time.Duration(burstcredit.ReportInterval))
 			select {
 			case <-pause.C:
 			case <-ctx.Done():
@@ -169,7 +169,7 @@
 		return
 	}
 	request.mu.Lock()
-	outcome := burstcredit.NeverRan
+	outcome := burstcredit.NotDelivered
 	switch {
 	case request.delivered:
 		outcome = burstcredit.Delivered
--- a/internal/mesh/proxy/key_validity.go
+++ b/internal/mesh/proxy/key_validity.go
@@ -24,5 +24,5 @@
 	if v.maxAge == 0 {
 		return true
 	}
-	return time.Duration(now-v.confirmedAt.Load())+time.Duration(federation.Fresh) <= v.maxAge
+	return time.Duration(now-v.confirmedAt.Load())+time.Duration(federation.QuorumFreshness) <= v.maxAge
 }
--- a/internal/mesh/proxy/outbound.go
+++ b/internal/mesh/proxy/outbound.go
@@ -102,7 +102,7 @@
 	}
 	if reason != notRefused {
 		if request.creditClaim != nil { // the credit was not used
-			p.finishClaim(*request.creditClaim, burstcredit.NeverRan)
+			p.finishClaim(*request.creditClaim, burstcredit.NotDelivered)
 		}
 		return nil, to, reason
 	}
--- a/internal/mesh/proxy/partner_policy.go
+++ b/internal/mesh/proxy/partner_policy.go
@@ -28,7 +28,7 @@
 type partnerPolicyState struct {
 	sync.Mutex     // locked after Proxy.mu, never before it
 	policy         *federation.ExportPolicy
-	imports        *federation.ImportBook
+	imports        *federation.ImportRegistry
 	ages           map[string]int64
 	agesAskedAt    int64
 	gateways       map[string]string // addresses by partner
@@ -42,7 +42,7 @@
 		v := p.view.Load()
 		return v == nil || v.configuration.Find(town, path) != nil
 	})
-	p.partnerPolicy.imports, p.partnerPolicy.gateways = federation.NewImportBook(), map[string]string{}
+	p.partnerPolicy.imports, p.partnerPolicy.gateways = federation.NewImportRegistry(), map[string]string{}
 }
 
 // applyPartnerUpdate applies the partner state in a controller's response; askedAt is when the request was sent. Ages
@@ -52,22 +52,22 @@
 	state.Lock()
 	defer state.Unlock()
 	if response.Imports != nil {
-		imports, err := federation.Read(response.Imports)
+		imports, err := federation.DecodeImportRegistry(response.Imports)
 		if err != nil {
 			p.log.Warn("partners", "err", err)
 			return
 		}
-		if imports.No >= state.imports.No {
+		if imports.Revision >= state.imports.Revision {
 			state.imports, state.ages, state.agesAskedAt = imports, response.PartnerAges, askedAt
 			p.applyPartners()
-			p.log.Info("partners", "no", imports.No)
+			p.log.Info("partners", "no", imports.Revision)
 		}
 	}
 	for partner, age := range response.PartnerAges {
-		state.policy.Fresher(partner, age, askedAt)
+		state.policy.Confirm(partner, age, askedAt)
 	}
 	if response.ImportsCurrent {
-		state.policy.Renew(response.ImportsVersion, askedAt)
+		state.policy.Authorize(response.ImportsVersion, askedAt)
 	}
 }
 
@@ -90,7 +90,7 @@
 	for name, age := range state.ages {
 		ages[name] = age + p.now() - state.agesAskedAt
 	}
-	state.policy.Hear(state.imports, federated, ages, int(p.lastMembers.Load()), p.now())
+	state.policy.Update(state.imports, federated, ages, int(p.lastMembers.Load()), p.now())
 }
 
 // routeToPartner finds a route to a partner for a request that no route of this mesh matches.
@@ -112,15 +112,15 @@
 	}
 	state.Unlock()
 	switch {
-	case verdict == federation.Kept:
+	case verdict == federation.Withheld:
 		return nil, to, apierror.Kept
-	case verdict == federation.NoLeave:
+	case verdict == federation.Unconfirmed:
 		return nil, to, apierror.Unready
 	case verdict != federation.Open || partner == nil:
 		return nil, to, apierror.NoRoute
 	}
 	class := routing.OnceOnly
-	if federation.Reads(r.Method) {
+	if federation.IsReadOnly(r.Method) {
 		class = routing.Repeatable
 	}
 	route = &routing.Route{Name: string(class), Class: class, TargetLatency: partner.TargetLatency}
@@ -196,7 +196,7 @@
 func (p *Proxy) partnerAllows(request *downstreamRequest, partner string) bool {
 	p.partnerPolicy.Lock()
 	defer p.partnerPolicy.Unlock()
-	return p.partnerPolicy.policy.Look(partner, request.method, hostOnly(request.host), pathOf(request.target), p.now()) == federation.Open
+	return p.partnerPolicy.policy.Check(partner, request.method, hostOnly(request.host), pathOf(request.target), p.now()) == federation.Open
 }
 
 // pathOf returns the path of a request target.
@@ -210,7 +210,7 @@
 func (p *Proxy) sendToPartner(ctx context.Context, request *upstreamRequest, partner string) *upstreamResponse {
 	state := &p.partnerPolicy
 	state.Lock()
-	edition, verdict := state.policy.May(partner, request.method, hostOnly(request.host), pathOf(request.target), p.now())
+	edition, verdict := state.policy.Admit(partner, request.method, hostOnly(request.host), pathOf(request.target), p.now())
 	gateway := state.gateways[partner]
 	state.Unlock()
 	if verdict != federation.Open || gateway == "" {
--- a/internal/mesh/proxy/quota.go
+++ b/internal/mesh/proxy/quota.go
@@ -54,13 +54,13 @@
 		cache.Lock()
 		verdict, wait := cache.quota.Take(tenant, p.now(), round == maxDrawWaits)
 		drawDone := cache.drawDone
-		due := verdict == ratelimit.Ask || cache.quota.Wants(p.now())
+		due := verdict == ratelimit.RequestTokens || cache.quota.ShouldRequest(p.now())
 		cache.Unlock()
 		if due {
 			cache.signalDemand()
 		}
-		if verdict != ratelimit.Ask {
-			return verdict == ratelimit.Pass, time.Duration(wait)
+		if verdict != ratelimit.RequestTokens {
+			return verdict == ratelimit.Allowed, time.Duration(wait)
 		}
 		p.counters.Add("draws_waited")
 		timeout := time.NewTimer(maxDrawWait)
@@ -100,12 +100,12 @@
 		cancel()
 		cache.Lock()
 		if err == nil {
-			cache.quota.ApplyGrant(grants, sentAt, p.now())
-			if cache.quota.Wants(p.now()) {
+			cache.quota.ApplyGrants(grants, sentAt, p.now())
+			if cache.quota.ShouldRequest(p.now()) {
 				cache.signalDemand()
 			}
 		} else if refused {
-			cache.quota.GrantRefused(p.now())
+			cache.quota.RequestRefused(p.now())
 		}
 		close(cache.drawDone)
 		cache.drawDone = make(chan struct{})
--- a/internal/mesh/proxy/service_pool.go
+++ b/internal/mesh/proxy/service_pool.go
@@ -53,14 +53,14 @@
 func (p *servicePool) recordFirst(now int64, rank priority.Rank) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.budget.First(now, rank)
+	p.budget.RecordFirstAttempt(now, rank)
 }
 
 // allowRetry takes a retry from the budget, if it allows one.
 func (p *servicePool) allowRetry(now int64, members int, rank priority.Rank) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.budget.Take(now, members, rank)
+	return p.budget.TakeExtraAttempt(now, members, rank)
 }
 
 // serviceLevel is the promise for the requests of a route. Routes with equal promises share one class in the load
@@ -240,7 +240,7 @@
 	for k, n := range nodes {
 		levels[k], slots[k] = n.Upstream.OutlierLevel, float64(max(n.Upstream.Capacity, 1))
 	}
-	for k, share := range outlier.Shares(levels, slots) {
+	for k, share := range outlier.CapacityShares(levels, slots) {
 		n := nodes[k]
 		entries = append(entries, roster.Entry[string]{
 			Name: n.Upstream.ID, Zone: n.Zone, Address: n.Inbound, Ends: n.Upstream.Draining || n.Leaving,
--- a/internal/mesh/proxy/view.go
+++ b/internal/mesh/proxy/view.go
@@ -122,11 +122,11 @@
 func (p *Proxy) applyQuotas(config *routing.Configuration) {
 	p.tokenCache.Lock()
 	defer p.tokenCache.Unlock()
-	limits := ratelimit.LimitsOf(config, &p.settings.Bounds)
+	limits := ratelimit.TenantLimits(config, &p.settings.Bounds)
 	p.tokenCache.limited = false
 	for _, limit := range limits {
 		p.tokenCache.limited = p.tokenCache.limited || limit.Rate > 0
 	}
-	p.tokenCache.quota.Set(limits, p.members, p.now())
+	p.tokenCache.quota.SetLimits(limits, p.members, p.now())
 	p.applyCreditTerms(config)
 }
--- a/internal/mesh/proxy/watch.go
+++ b/internal/mesh/proxy/watch.go
@@ -130,7 +130,7 @@
 	request = &membership.WatchRequest{Position: p.position, MaxWait: int64(watchHold), AcceptsPacked: !p.unpackFailed.Load()}
 	p.mu.Unlock()
 	p.partnerPolicy.Lock()
-	request.Position.KnownImports = p.partnerPolicy.imports.No
+	request.Position.KnownImports = p.partnerPolicy.imports.Revision
 	p.partnerPolicy.Unlock()
 	upstream, seq, changed := p.local.snapshot()
 	request.Node = membership.Node{Name: p.settings.Node, Inbound: p.settings.Inbound, Zone: p.settings.District,
