--- a/cmd/ottershift/ottershift_test.go
+++ b/cmd/ottershift/ottershift_test.go
@@ -1215,13 +1215,13 @@
 			return
 		}
 		pool := o.Pools[0]
-		d, err := desk.New(pool.Book, &figures.Pool{}, slog.New(slog.DiscardHandler), desk.Design)
+		d, err := desk.New(pool.Book, &figures.Pool{}, slog.New(slog.DiscardHandler), desk.NewBalancer)
 		if err != nil {
 			return
 		}
 		d.List(pool.List.Known.Entries, true)
 		for n := range pool.Book.Terms.Tariffs {
-			d.Vanish(d.Arrive(desk.Arrival{Tariff: n, Customer: -1, Left: time.Second}))
+			d.ClientGone(d.Arrive(desk.Arrival{Tariff: n, Customer: -1, Timeout: time.Second}))
 		}
 	})
 }
--- a/cmd/ottershift/serve.go
+++ b/cmd/ottershift/serve.go
@@ -95,7 +95,7 @@
 		own.Info("start", "name", p.Name, "listen", l.Address, "listener", l.Name)
 	}
 	for _, told := range p.Pools {
-		log.Info("start", "pool", told.Name, "name", p.Name, "discovery", told.List.Discovery, "tier", told.Book.Terms.Layer,
+		log.Info("start", "pool", told.Name, "name", p.Name, "discovery", told.List.Discovery, "tier", told.Book.Terms.Tier,
 			"known", len(told.List.Known.Entries)+len(told.List.Fixed), "index", told.List.Known.Index)
 	}
 	for {
--- a/internal/cluster/shared/core.go
+++ b/internal/cluster/shared/core.go
@@ -33,12 +33,12 @@
 }
 
 func of(e roster.Entry[string]) Entry {
-	return Entry{e.Name, e.Zone, e.Kind, e.Address, e.Up.Weight, e.Up.Cell, e.Up.Born, e.Ends, e.Gone}
+	return Entry{e.Name, e.Zone, e.Kind, e.Address, e.Up.Weight, e.Up.Cell, e.Up.StartedAt, e.Ends, e.Gone}
 }
 
 func (e Entry) entry() roster.Entry[string] {
 	r := roster.Entry[string]{Name: e.Name, Zone: e.Zone, Kind: e.Kind, Address: e.Address, Ends: e.Ends, Gone: e.Gone}
-	r.Up.Number, r.Up.Weight, r.Up.Cell, r.Up.Born = roster.Number(e.Name), e.Weight, e.Cell, e.Born
+	r.Up.ID, r.Up.Weight, r.Up.Cell, r.Up.StartedAt = roster.Number(e.Name), e.Weight, e.Cell, e.Born
 	return r
 }
 
--- a/internal/desk/desk.go
+++ b/internal/desk/desk.go
@@ -30,24 +30,24 @@
 // Answer is the one final answer of a transaction.
 type Answer struct {
 	Ending  figures.Ending
-	Push    int           // whose reply settled or rejected it
+	Attempt int           // whose reply settled or rejected it
 	Backoff time.Duration // advice to a deferred client, 0 for none
 }
 
-// Push is the order to send a transaction to an upstream. Its context ends when the push is called off or its
+// Attempt is the order to send a transaction to an upstream. Its context ends when the push is called off or its
 // time is up; who carries the push gives it back by Outcome, always once.
-type Push struct {
-	Context context.Context
-	Number  int
-	Place   roster.Place
-	Until   time.Time
-	Name    string // of its upstream, as are zone and cell
-	Zone    string
-	Cell    int
+type Attempt struct {
+	Context  context.Context
+	Number   int
+	Place    roster.Place
+	Deadline time.Time
+	Name     string // of its upstream, as are zone and cell
+	Zone     string
+	Cell     int
 
-	end   context.CancelCauseFunc
-	timer *time.Timer // which ends it at its time
-	sent  int64
+	cancel context.CancelCauseFunc
+	timer  *time.Timer // which ends it at its time
+	sentAt int64
 }
 
 // Probe is the order to probe an upstream; who carries it out tells by Probed how it ended.
@@ -56,120 +56,120 @@
 	Place    roster.Place
 }
 
-// Case is a transaction in the hands of a door.
-type Case struct {
-	Pushes <-chan *Push
-	Answer <-chan Answer
+// Handle is a transaction in the hands of a door.
+type Handle struct {
+	Attempts <-chan *Attempt
+	Answer   <-chan Answer
 
-	t      logic.Transaction
-	pushes chan *Push
-	answer chan Answer
-	sent   []*Push
-	out    int // of them, without an outcome
-	class  *figures.Class
-	over   bool // has its answer, or its client is gone
-	flows  bool // its answer has begun and goes on without the module
+	tx        logic.Transaction
+	attempts  chan *Attempt
+	answer    chan Answer
+	sent      []*Attempt
+	pending   int // of them, without an outcome
+	class     *figures.Class
+	done      bool // has its answer, or its client is gone
+	streaming bool // its answer has begun and goes on without the module
 }
 
 // Arrival is a transaction as a door takes it in.
 type Arrival struct {
-	Under    *logic.Terms // that its tariff and customer are numbers of; nil for those in force
-	Tariff   int
-	Customer int
-	Left     time.Duration
-	Again    bool
-	Unwhole  bool   // its last byte has yet to come, and what goes out of it can't be sent a second time
-	Waits    bool   // its pushes leave once Left says so
-	Bound    *Bound // where another try of it may have run, nil for nowhere
-}
-
-// Bound is a group of upstreams, as lists name it.
-type Bound struct {
+	Config       *logic.Config // that its tariff and customer are numbers of; nil for those in force
+	Tariff       int
+	Customer     int
+	Timeout      time.Duration
+	ClientRetry  bool
+	BodyPending  bool      // its last byte has yet to come, and what goes out of it can't be sent a second time
+	DelaySend    bool      // its pushes leave once Left says so
+	PriorAttempt *Location // where another try of it may have run, nil for nowhere
+}
+
+// Location is a group of upstreams, as lists name it.
+type Location struct {
 	Zone string
 	Cell int
 }
 
 const never = 1 << 62 // no clock gets there
 
-// Module decides: a Balancer, or what the lab sets in its place to compare it with.
-type Module interface {
+// Engine decides: a Balancer, or what the lab sets in its place to compare it with.
+type Engine interface {
 	roster.Module
 	Arrive(t *logic.Transaction, tariff, customer int, work, left int64, again bool, now int64)
-	Whole(t *logic.Transaction, left, now int64)
+	BodyReceived(t *logic.Transaction, left, now int64)
 	Outcome(t *logic.Transaction, n int, r logic.Result, took int64, final bool, now int64)
-	Vanish(t *logic.Transaction)
-	Probed(i int, ok bool)
-	Told(peer int, raw []byte, now int64)
+	ClientGone(t *logic.Transaction)
+	ProbeResult(i int, ok bool)
+	PeerReport(peer int, raw []byte, now int64)
 	Round(now int64, w logic.Writer)
 }
 
-// observed is a module that tells what it makes of things. Nothing is decided by it.
-type observed interface {
-	Seen() logic.Seen
-	Turns(take func(logic.Turn))
+// inspector is a module that tells what it makes of things. Nothing is decided by it.
+type inspector interface {
+	Stats() logic.Stats
+	TakeEvents(take func(logic.EjectionEvent))
 }
 
-// Make starts a module.
-type Make func(terms *logic.Terms, now int64) (Module, error)
+// EngineFactory starts a module.
+type EngineFactory func(terms *logic.Config, now int64) (Engine, error)
 
-// Design is the module of this project, the only one that serves.
-func Design(terms *logic.Terms, now int64) (Module, error) { return logic.New(terms, now) }
+// NewBalancer is the module of this project, the only one that serves.
+func NewBalancer(terms *logic.Config, now int64) (Engine, error) { return logic.New(terms, now) }
 
-const mostUnwhole = time.Hour // for a transaction's last byte; its door bounds how slow it may be
+const maxBodyTime = time.Hour // for a transaction's last byte; its door bounds how slow it may be
 
-// Desk serialises all that is said to one Balancer. Its lock's order settles races.
-type Desk struct {
-	mu     sync.Mutex
-	log    *slog.Logger
-	b      Module
-	roster *roster.Roster[string]
-	epoch  time.Time // with its monotonic reading, from which all times are taken
-	wake   *time.Timer
-	room   atomic.Int64 // pushes that a case's channel holds
-	open   map[*Case]struct{}
-	closed bool
-	tally  Tally
-	counts *figures.Pool
-	book   *terms.Book                // in force
-	say    func(peer int, raw []byte) // to another balancer; nil if there is no way
-	seen   observed                   // what the module makes of things; nil if it doesn't tell
-	watch  *watch.Module              // if what a newer shape would have changed is counted
+// Dispatcher serialises all that is said to one Balancer. Its lock's order settles races.
+type Dispatcher struct {
+	mu            sync.Mutex
+	log           *slog.Logger
+	engine        Engine
+	roster        *roster.Roster[string]
+	epoch         time.Time // with its monotonic reading, from which all times are taken
+	wake          *time.Timer
+	attemptBuffer atomic.Int64 // pushes that a case's channel holds
+	open          map[*Handle]struct{}
+	closed        bool
+	counters      Counters
+	metrics       *figures.Pool
+	book          *terms.Book                // in force
+	sendReport    func(peer int, raw []byte) // to another balancer; nil if there is no way
+	inspector     inspector                  // what the module makes of things; nil if it doesn't tell
+	watch         *watch.Module              // if what a newer shape would have changed is counted
 
 	follow chan struct{}
 	probes chan Probe
 }
 
 // New starts the module.
-func New(book *terms.Book, counts *figures.Pool, log *slog.Logger, module Make) (*Desk, error) {
-	d := &Desk{
-		log: log, counts: counts, book: book, epoch: time.Now(), follow: make(chan struct{}, 1), probes: make(chan Probe, 256),
-		open: map[*Case]struct{}{},
+func New(book *terms.Book, metrics *figures.Pool, log *slog.Logger, newEngine EngineFactory) (*Dispatcher, error) {
+	d := &Dispatcher{
+		log: log, metrics: metrics, book: book, epoch: time.Now(), follow: make(chan struct{}, 1), probes: make(chan Probe, 256),
+		open: map[*Handle]struct{}{},
 	}
-	d.room.Store(min(pushes(book.Terms), 64))
-	var b Module
+	d.attemptBuffer.Store(min(maxAttempts(book.Terms), 64))
+	var engine Engine
 	var err error
 	if book.Watch {
 		d.watch, err = watch.New(book.Before().Terms, book.Terms, d.now())
-		b = d.watch
+		engine = d.watch
 	} else {
-		b, err = module(book.Terms, d.now())
+		engine, err = newEngine(book.Terms, d.now())
 	}
 	if err != nil {
 		return nil, err
 	}
-	d.seen, _ = b.(observed)
-	d.b, d.roster = b, roster.New[string](b, book.Zones)
-	d.show(book)
-	d.wake = time.AfterFunc(time.Hour, func() { d.tell(func(int64) {}) }) // the module sets the time
+	d.inspector, _ = engine.(inspector)
+	d.engine, d.roster = engine, roster.New[string](engine, book.Zones)
+	d.attachClasses(book)
+	d.wake = time.AfterFunc(time.Hour, func() { d.update(func(int64) {}) }) // the module sets the time
 	return d, nil
 }
 
 // now is the time in Unix nanoseconds, and never runs backwards.
-func (d *Desk) now() int64 { return d.epoch.UnixNano() + int64(time.Since(d.epoch)) }
+func (d *Dispatcher) now() int64 { return d.epoch.UnixNano() + int64(time.Since(d.epoch)) }
 
-// tell is the one way to the module. Danger: a panic of the module would end the process, and with it all that
+// update is the one way to the module. Danger: a panic of the module would end the process, and with it all that
 // is open; it is logged, and reported to whom it concerns.
-func (d *Desk) tell(what func(now int64)) (ok bool) {
+func (d *Dispatcher) update(apply func(now int64)) (ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	defer func() {
@@ -178,231 +178,231 @@
 		}
 	}()
 	now := d.now()
-	what(now)
-	d.b.Round(now, writer{d})
-	if d.seen != nil {
-		d.seen.Turns(d.turn)
+	apply(now)
+	d.engine.Round(now, writer{d})
+	if d.inspector != nil {
+		d.inspector.TakeEvents(d.logEvent)
 	}
 	return true
 }
 
-// turn logs that an upstream was set aside or taken back, and why.
-func (d *Desk) turn(t logic.Turn) {
-	if t.Back {
-		d.log.Info("upstream", "step", "back", "upstream", d.roster.Name(t.Upstream), "cold", t.Cold)
+// logEvent logs that an upstream was set aside or taken back, and why.
+func (d *Dispatcher) logEvent(event logic.EjectionEvent) {
+	if event.Reinstated {
+		d.log.Info("upstream", "step", "back", "upstream", d.roster.Name(event.Upstream), "cold", event.Cold)
 	} else {
-		d.log.Info("upstream", "step", "aside", "upstream", d.roster.Name(t.Upstream), "why", t.Why)
+		d.log.Info("upstream", "step", "aside", "upstream", d.roster.Name(event.Upstream), "why", event.Cause)
 	}
 }
 
 // Probes are the orders to probe.
-func (d *Desk) Probes() <-chan Probe { return d.probes }
+func (d *Dispatcher) Probes() <-chan Probe { return d.probes }
 
 // Follow tells when the module wants the list followed.
-func (d *Desk) Follow() <-chan struct{} { return d.follow }
+func (d *Dispatcher) Follow() <-chan struct{} { return d.follow }
 
 // List takes a report of the list, and tells what has changed by it.
-func (d *Desk) List(entries []roster.Entry[string], whole bool) (c roster.Change) {
-	d.tell(func(now int64) { c = d.roster.Apply(entries, whole, now) })
+func (d *Dispatcher) List(entries []roster.Entry[string], whole bool) (c roster.Change) {
+	d.update(func(now int64) { c = d.roster.Apply(entries, whole, now) })
 	return c
 }
 
 // Entries is the list as it stands.
-func (d *Desk) Entries() []roster.Entry[string] {
+func (d *Dispatcher) Entries() []roster.Entry[string] {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.roster.Entries()
 }
 
 // Unlisted says that the list could not be had, or that following it has ended.
-func (d *Desk) Unlisted() {
-	d.tell(func(now int64) { d.b.Listed(false, now) })
+func (d *Dispatcher) Unlisted() {
+	d.update(func(now int64) { d.engine.Listed(false, now) })
 }
 
-// Speak has what the module says to other balancers carried.
-func (d *Desk) Speak(say func(peer int, raw []byte)) {
+// SetReportSender has what the module says to other balancers carried.
+func (d *Dispatcher) SetReportSender(send func(peer int, raw []byte)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.say = say
+	d.sendReport = send
 }
 
-// Told hands on what another balancer says.
-func (d *Desk) Told(peer int, raw []byte) {
-	d.tell(func(now int64) { d.b.Told(peer, raw, now) })
+// PeerReport hands on what another balancer says.
+func (d *Dispatcher) PeerReport(peer int, report []byte) {
+	d.update(func(now int64) { d.engine.PeerReport(peer, report, now) })
 }
 
-// Probed tells how a probe ended.
-func (d *Desk) Probed(upstream int, ok bool) {
-	d.tell(func(int64) {
+// ProbeResult tells how a probe ended.
+func (d *Dispatcher) ProbeResult(upstream int, ok bool) {
+	d.update(func(int64) {
 		if !ok {
-			d.tally.Unanswered++
+			d.counters.ProbesFailed++
 		}
-		d.b.Probed(upstream, ok)
+		d.engine.ProbeResult(upstream, ok)
 	})
 }
 
 // Arrive takes a transaction. Its answer will come; so will orders to push it.
-func (d *Desk) Arrive(a Arrival) *Case {
-	c := &Case{pushes: make(chan *Push, d.room.Load()), answer: make(chan Answer, 1)}
-	c.Pushes, c.Answer = c.pushes, c.answer
-	c.t.Mark, c.t.Under, c.t.Single, c.t.Unwhole = c, a.Under, a.Unwhole, a.Unwhole
-	ok := d.tell(func(now int64) {
-		d.open[c] = struct{}{}
-		d.tally.Arrived++
-		d.counts.Open.Add(1)
-		c.class = d.class(a)
-		if a.Waits {
-			c.t.Leaves = never
+func (d *Dispatcher) Arrive(a Arrival) *Handle {
+	h := &Handle{attempts: make(chan *Attempt, d.attemptBuffer.Load()), answer: make(chan Answer, 1)}
+	h.Attempts, h.Answer = h.attempts, h.answer
+	h.tx.UserData, h.tx.Config, h.tx.SendOnce, h.tx.BodyPending = h, a.Config, a.BodyPending, a.BodyPending
+	ok := d.update(func(now int64) {
+		d.open[h] = struct{}{}
+		d.counters.Arrived++
+		d.metrics.Open.Add(1)
+		h.class = d.class(a)
+		if a.DelaySend {
+			h.tx.EarliestSend = never
 		}
-		if a.Bound != nil {
-			c.t.Bound = &logic.Bound{Zone: d.roster.Zone(a.Bound.Zone), Cell: a.Bound.Cell}
+		if a.PriorAttempt != nil {
+			h.tx.PriorAttempt = &logic.Location{Zone: d.roster.Zone(a.PriorAttempt.Zone), Cell: a.PriorAttempt.Cell}
 		}
 		// How much work it is by itself nobody tells, so no contract time is stretched by that.
-		d.b.Arrive(&c.t, a.Tariff, a.Customer, 0, int64(a.Left), a.Again, now)
+		d.engine.Arrive(&h.tx, a.Tariff, a.Customer, 0, int64(a.Timeout), a.ClientRetry, now)
 		if d.closed {
-			d.forfeit(c)
+			d.forfeit(h)
 		}
 	})
 	if !ok { // the module may not know it at all
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		d.finish(c, Answer{Ending: Forfeited})
+		d.finish(h, Answer{Ending: Forfeited})
 	}
-	return c
+	return h
 }
 
 // class is where an arrival's ending is counted.
-func (d *Desk) class(a Arrival) *figures.Class {
-	under := a.Under
-	if under == nil {
-		under = d.book.Terms
+func (d *Dispatcher) class(a Arrival) *figures.Class {
+	config := a.Config
+	if config == nil {
+		config = d.book.Terms
 	}
-	return under.Tariffs[a.Tariff].Mark.(*figures.Class)
+	return config.Tariffs[a.Tariff].UserData.(*figures.Class)
 }
 
-// Whole says that the last byte of a transaction has come; left is what its client waits from now on.
-func (d *Desk) Whole(c *Case, left time.Duration) {
-	d.tell(func(now int64) {
-		if c.over {
+// BodyReceived says that the last byte of a transaction has come; left is what its client waits from now on.
+func (d *Dispatcher) BodyReceived(h *Handle, timeout time.Duration) {
+	d.update(func(now int64) {
+		if h.done {
 			return
 		}
-		d.b.Whole(&c.t, int64(left), now)
-		for _, p := range c.sent { // its time begins now
+		d.engine.BodyReceived(&h.tx, int64(timeout), now)
+		for _, p := range h.sent { // its time begins now
 			if p.timer.Stop() {
-				p.sent, p.Until = now, d.epoch.Add(time.Duration(now+int64(left)-d.epoch.UnixNano()))
-				p.timer.Reset(left)
+				p.sentAt, p.Deadline = now, d.epoch.Add(time.Duration(now+int64(timeout)-d.epoch.UnixNano()))
+				p.timer.Reset(timeout)
 			}
 		}
 	})
 }
 
 // Outcome tells how a push ended. The first that settles or rejects its transaction makes the answer.
-func (d *Desk) Outcome(c *Case, p *Push, r logic.Result) {
+func (d *Dispatcher) Outcome(h *Handle, p *Attempt, r logic.Result) {
 	p.timer.Stop()
-	p.end(context.Canceled)
-	d.tell(func(now int64) {
-		d.tally.Results[r]++
-		c.out--
-		d.b.Outcome(&c.t, p.Number, r, now-p.sent, c.over || r.Final(), now)
+	p.cancel(context.Canceled)
+	d.update(func(now int64) {
+		d.counters.Results[r]++
+		h.pending--
+		d.engine.Outcome(&h.tx, p.Number, r, now-p.sentAt, h.done || r.Final(), now)
 		switch r {
 		case logic.Settled:
-			d.finish(c, Answer{Ending: Settled, Push: p.Number})
+			d.finish(h, Answer{Ending: Settled, Attempt: p.Number})
 		case logic.Rejected:
-			d.finish(c, Answer{Ending: Rejected, Push: p.Number})
+			d.finish(h, Answer{Ending: Rejected, Attempt: p.Number})
 		}
 	})
 }
 
-// Flow says that a push's answer has begun and is too long to be held. With it the push has settled its transaction,
+// StreamStarted says that a push's answer has begun and is too long to be held. With it the push has settled its transaction,
 // unless that has ended already: the module is done with it, its time is up no more, and Flowed tells how the rest
 // went. Danger: without the module's knowledge a copy would go out after the client has had its first bytes.
-func (d *Desk) Flow(c *Case, p *Push) (won bool) {
-	d.tell(func(now int64) {
-		if c.over || p.Context.Err() != nil || !p.timer.Stop() {
+func (d *Dispatcher) StreamStarted(h *Handle, p *Attempt) (won bool) {
+	d.update(func(now int64) {
+		if h.done || p.Context.Err() != nil || !p.timer.Stop() {
 			return
 		}
-		won, c.flows = true, true
-		d.tally.Results[logic.Settled]++
-		c.out--
-		d.b.Outcome(&c.t, p.Number, logic.Settled, now-p.sent, true, now)
-		d.finish(c, Answer{Ending: Settled, Push: p.Number})
+		won, h.streaming = true, true
+		d.counters.Results[logic.Settled]++
+		h.pending--
+		d.engine.Outcome(&h.tx, p.Number, logic.Settled, now-p.sentAt, true, now)
+		d.finish(h, Answer{Ending: Settled, Attempt: p.Number})
 	})
 	return won
 }
 
-// Flowed tells how an answer that flowed has ended.
-func (d *Desk) Flowed(c *Case, p *Push, whole bool) {
-	p.end(context.Canceled)
-	d.counts.Open.Add(-1)
-	if whole {
-		c.class.End(Settled)
+// StreamEnded tells how an answer that flowed has ended.
+func (d *Dispatcher) StreamEnded(h *Handle, p *Attempt, complete bool) {
+	p.cancel(context.Canceled)
+	d.metrics.Open.Add(-1)
+	if complete {
+		h.class.End(Settled)
 	} else {
-		c.class.End(Forfeited)
+		h.class.End(Forfeited)
 	}
 }
 
-// Vanish says that the client is gone; after an answer it says nothing.
-func (d *Desk) Vanish(c *Case) {
-	d.tell(func(int64) {
-		if !c.over {
-			c.over = true
-			d.tally.Vanished++
-			d.counts.Open.Add(-1)
-			delete(d.open, c)
-			d.b.Vanish(&c.t)
+// ClientGone says that the client is gone; after an answer it says nothing.
+func (d *Dispatcher) ClientGone(h *Handle) {
+	d.update(func(int64) {
+		if !h.done {
+			h.done = true
+			d.counters.ClientsGone++
+			d.metrics.Open.Add(-1)
+			delete(d.open, h)
+			d.engine.ClientGone(&h.tx)
 		}
 	})
 }
 
-// Left says that a push of a transaction that waits has left.
-func (d *Desk) Left(c *Case, p *Push) {
-	d.tell(func(now int64) {
-		p.sent = now
-		if b, can := d.b.(interface {
-			Left(t *logic.Transaction, n int, now int64)
+// Sent says that a push of a transaction that waits has left.
+func (d *Dispatcher) Sent(h *Handle, p *Attempt) {
+	d.update(func(now int64) {
+		p.sentAt = now
+		if engine, can := d.engine.(interface {
+			Sent(tx *logic.Transaction, n int, now int64)
 		}); can {
-			b.Left(&c.t, p.Number, now)
+			engine.Sent(&h.tx, p.Number, now)
 		}
 	})
 }
 
-// Recall takes back a transaction that has no answer, as if it had not come; nothing of it may be out, or leave any more.
+// Withdraw takes back a transaction that has no answer, as if it had not come; nothing of it may be out, or leave any more.
 // It may come again.
-func (d *Desk) Recall(c *Case) (recalled bool) {
-	d.tell(func(int64) {
-		if recalled = !c.over; recalled {
-			c.over = true
-			d.tally.Arrived--
-			d.counts.Open.Add(-1)
-			delete(d.open, c)
-			d.b.Vanish(&c.t)
+func (d *Dispatcher) Withdraw(h *Handle) (withdrawn bool) {
+	d.update(func(int64) {
+		if withdrawn = !h.done; withdrawn {
+			h.done = true
+			d.counters.Arrived--
+			d.metrics.Open.Add(-1)
+			delete(d.open, h)
+			d.engine.ClientGone(&h.tx)
 		}
 	})
-	return recalled
+	return withdrawn
 }
 
-// Turn counts a transaction that was deferred before the module knew of it.
-func (d *Desk) Turn(a Arrival) {
+// CountDeferred counts a transaction that was deferred before the module knew of it.
+func (d *Dispatcher) CountDeferred(a Arrival) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.tally.Arrived++
-	d.tally.Edge++
+	d.counters.Arrived++
+	d.counters.DeferredAtEdge++
 	d.class(a).End(Deferred)
 }
 
-// Turned counts a transaction that was answered otherwise before the module knew of it.
-func (d *Desk) Turned(a Arrival, as figures.Ending) {
+// CountEnded counts a transaction that was answered otherwise before the module knew of it.
+func (d *Dispatcher) CountEnded(a Arrival, ending figures.Ending) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.tally.Arrived++
-	d.class(a).End(as)
+	d.counters.Arrived++
+	d.class(a).End(ending)
 }
 
-// Retune puts other terms in force, for what comes from now on; what is open keeps its own.
-func (d *Desk) Retune(book *terms.Book) (err error) {
-	ok := d.tell(func(now int64) {
-		b, can := d.b.(interface {
-			Retune(terms *logic.Terms, now int64) error
+// Reconfigure puts other terms in force, for what comes from now on; what is open keeps its own.
+func (d *Dispatcher) Reconfigure(book *terms.Book) (err error) {
+	ok := d.update(func(now int64) {
+		engine, can := d.engine.(interface {
+			Reconfigure(config *logic.Config, now int64) error
 		})
 		if !can {
 			err = errors.New("the module takes no other terms in service")
@@ -412,10 +412,10 @@
 			book.Keep(d.book)
 		}
 		book.Terms.Zone = d.roster.Zone(book.Zones[book.Terms.Zone]) // the list's numbers stay as they were
-		if err = b.Retune(book.Terms, now); err == nil {
-			d.show(book)
+		if err = engine.Reconfigure(book.Terms, now); err == nil {
+			d.attachClasses(book)
 			d.book = book
-			d.room.Store(min(max(pushes(book.Terms), d.room.Load()), 64))
+			d.attemptBuffer.Store(min(max(maxAttempts(book.Terms), d.attemptBuffer.Load()), 64))
 		}
 	})
 	if !ok {
@@ -424,182 +424,182 @@
 	return err
 }
 
-// show has the tariffs of a book counted, from now on.
-func (d *Desk) show(book *terms.Book) {
+// attachClasses has the tariffs of a book counted, from now on.
+func (d *Dispatcher) attachClasses(book *terms.Book) {
 	names := make([]string, len(book.Terms.Tariffs))
 	for name, n := range book.Tariffs {
 		names[n] = name
 	}
-	for n, f := range book.Terms.Tariffs {
-		f.Mark = d.counts.Class(names[n])
+	for n, tariff := range book.Terms.Tariffs {
+		tariff.UserData = d.metrics.Class(names[n])
 	}
 }
 
-// Beside says that so many processes are this balancer at present, this one included.
-func (d *Desk) Beside(processes int) {
-	d.tell(func(now int64) {
-		if b, can := d.b.(interface{ Beside(n int) }); can {
-			b.Beside(processes)
+// SetProcesses says that so many processes are this balancer at present, this one included.
+func (d *Dispatcher) SetProcesses(processes int) {
+	d.update(func(now int64) {
+		if engine, can := d.engine.(interface{ SetProcesses(n int) }); can {
+			engine.SetProcesses(processes)
 		}
 	})
 }
 
-// Cluster is how many upstreams are listed, and how many of them the module avoids now.
-func (d *Desk) Cluster() (listed, avoided int) {
+// UpstreamCounts is how many upstreams are listed, and how many of them the module avoids now.
+func (d *Dispatcher) UpstreamCounts() (listed, avoided int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if b, can := d.b.(interface{ Cluster() (listed, avoided int) }); can {
-		return b.Cluster()
+	if engine, can := d.engine.(interface{ UpstreamCounts() (listed, avoided int) }); can {
+		return engine.UpstreamCounts()
 	}
 	return len(d.roster.Entries()), 0
 }
 
-// Tally is what has happened since the last one was taken.
-type Tally struct {
-	Arrived, Vanished int
-	Edge              int                // deferred before the module knew of them
-	Ended             [2][logic.Whys]int // deferred and forfeited by the module, by reason
-	First             int                // pushes
-	Copies, Retries   int
-	Probes            int
-	Unanswered        int                     // probes
-	Results           [logic.Rejected + 1]int // of pushes
-	Seen              logic.Seen
-	Open              int // transactions now
-	Watched           watch.Counts
+// Counters is what has happened since the last one was taken.
+type Counters struct {
+	Arrived, ClientsGone int
+	DeferredAtEdge       int                       // deferred before the module knew of them
+	Ended                [2][logic.ReasonCount]int // deferred and forfeited by the module, by reason
+	FirstSends           int                       // pushes
+	Hedges, Retries      int
+	Probes               int
+	ProbesFailed         int                     // probes
+	Results              [logic.Rejected + 1]int // of pushes
+	Stats                logic.Stats
+	Open                 int // transactions now
+	Watched              watch.Counts
 }
 
 // Add adds another desk's.
-func (t *Tally) Add(o Tally) {
-	t.Watched.Add(o.Watched)
-	t.Arrived, t.Vanished, t.Edge, t.Open = t.Arrived+o.Arrived, t.Vanished+o.Vanished, t.Edge+o.Edge, t.Open+o.Open
-	t.Seen.Add(o.Seen)
-	t.First, t.Copies, t.Retries = t.First+o.First, t.Copies+o.Copies, t.Retries+o.Retries
-	t.Probes, t.Unanswered = t.Probes+o.Probes, t.Unanswered+o.Unanswered
-	for how := range t.Ended {
-		for why, n := range o.Ended[how] {
-			t.Ended[how][why] += n
+func (c *Counters) Add(other Counters) {
+	c.Watched.Add(other.Watched)
+	c.Arrived, c.ClientsGone, c.DeferredAtEdge, c.Open = c.Arrived+other.Arrived, c.ClientsGone+other.ClientsGone, c.DeferredAtEdge+other.DeferredAtEdge, c.Open+other.Open
+	c.Stats.Add(other.Stats)
+	c.FirstSends, c.Hedges, c.Retries = c.FirstSends+other.FirstSends, c.Hedges+other.Hedges, c.Retries+other.Retries
+	c.Probes, c.ProbesFailed = c.Probes+other.Probes, c.ProbesFailed+other.ProbesFailed
+	for how := range c.Ended {
+		for why, n := range other.Ended[how] {
+			c.Ended[how][why] += n
 		}
 	}
-	for i, n := range o.Results {
-		t.Results[i] += n
+	for i, n := range other.Results {
+		c.Results[i] += n
 	}
 }
 
-// Tally takes the tally and starts a new one.
-func (d *Desk) Tally() Tally {
+// TakeCounters takes the tally and starts a new one.
+func (d *Dispatcher) TakeCounters() Counters {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	t := d.tally
-	t.Open = len(d.open)
+	c := d.counters
+	c.Open = len(d.open)
 	if d.watch != nil {
-		t.Watched = d.watch.Counts()
+		c.Watched = d.watch.Counts()
 	}
-	if d.seen != nil {
-		t.Seen = d.seen.Seen()
+	if d.inspector != nil {
+		c.Stats = d.inspector.Stats()
 	}
-	d.tally = Tally{}
-	return t
+	d.counters = Counters{}
+	return c
 }
 
 // Close forfeits all that is still open and whatever comes after: the process is about to be killed, and an
 // answer without a promise is better than none.
-func (d *Desk) Close() (ended int) {
-	d.tell(func(int64) {
+func (d *Dispatcher) Close() (ended int) {
+	d.update(func(int64) {
 		d.closed = true
 		ended = len(d.open)
-		for c := range d.open {
-			d.forfeit(c)
+		for h := range d.open {
+			d.forfeit(h)
 		}
 	})
 	return ended
 }
 
 // Stop ends a desk at which nothing is open any more.
-func (d *Desk) Stop() {
+func (d *Dispatcher) Stop() {
 	d.Close()
 	d.wake.Stop()
 }
 
 // finish gives the answer, unless the case is over.
-func (d *Desk) finish(c *Case, a Answer) {
-	if c.over {
+func (d *Dispatcher) finish(h *Handle, a Answer) {
+	if h.done {
 		return
 	}
-	c.over = true
-	if !c.flows {
-		d.counts.Open.Add(-1)
-		if c.class != nil {
-			c.class.End(a.Ending)
+	h.done = true
+	if !h.streaming {
+		d.metrics.Open.Add(-1)
+		if h.class != nil {
+			h.class.End(a.Ending)
 		}
 	}
-	delete(d.open, c)
-	c.answer <- a // has room for the one
+	delete(d.open, h)
+	h.answer <- a // has room for the one
 }
 
 // forfeit ends a case that the module would go on with.
-func (d *Desk) forfeit(c *Case) {
-	d.finish(c, Answer{Ending: Forfeited})
-	d.b.Vanish(&c.t)
+func (d *Dispatcher) forfeit(h *Handle) {
+	d.finish(h, Answer{Ending: Forfeited})
+	d.engine.ClientGone(&h.tx)
 }
 
 // writer takes the decisions of a round, under the lock.
-type writer struct{ *Desk }
-
-// Push implements logic.Writer, as do the methods below.
-func (w writer) Push(t *logic.Transaction, upstream int, until int64) {
-	c := t.Mark.(*Case)
-	p := &Push{
-		Number: len(c.sent), Place: w.roster.Place(upstream), sent: w.now(),
-		Until: w.epoch.Add(time.Duration(until - w.epoch.UnixNano())),
+type writer struct{ *Dispatcher }
+
+// Send implements logic.Writer, as do the methods below.
+func (w writer) Send(tx *logic.Transaction, upstream int, until int64) {
+	h := tx.UserData.(*Handle)
+	p := &Attempt{
+		Number: len(h.sent), Place: w.roster.Place(upstream), sentAt: w.now(),
+		Deadline: w.epoch.Add(time.Duration(until - w.epoch.UnixNano())),
 	}
 	p.Name = w.roster.Name(upstream)
 	p.Zone, p.Cell = w.roster.Group(upstream)
-	if t.Unwhole {
-		p.Until = time.Now().Add(mostUnwhole) // Whole sets it
+	if tx.BodyPending {
+		p.Deadline = time.Now().Add(maxBodyTime) // Whole sets it
 	}
-	p.Context, p.end = context.WithCancelCause(context.Background())
-	p.timer = time.AfterFunc(time.Until(p.Until), func() { p.end(context.DeadlineExceeded) })
+	p.Context, p.cancel = context.WithCancelCause(context.Background())
+	p.timer = time.AfterFunc(time.Until(p.Deadline), func() { p.cancel(context.DeadlineExceeded) })
 	switch {
-	case len(c.sent) == 0:
-		w.tally.First++
-	case c.out > 0:
-		w.tally.Copies++
+	case len(h.sent) == 0:
+		w.counters.FirstSends++
+	case h.pending > 0:
+		w.counters.Hedges++
 	default:
-		w.tally.Retries++
+		w.counters.Retries++
 	}
-	c.out++
-	c.sent = append(c.sent, p)
+	h.pending++
+	h.sent = append(h.sent, p)
 	select {
-	case c.pushes <- p:
+	case h.attempts <- p:
 	default: // Danger: waiting here would stop every transaction; a push that finds no room never left
-		go w.Outcome(c, p, logic.Unsent)
+		go w.Outcome(h, p, logic.Unsent)
 	}
 }
 
-// Kept asks the place itself: whoever owns the connections counts them there.
-func (w writer) Kept(upstream int) bool { return w.roster.Place(upstream).Kept.Load() > 0 }
+// HasIdleConn asks the place itself: whoever owns the connections counts them there.
+func (w writer) HasIdleConn(upstream int) bool { return w.roster.Place(upstream).Kept.Load() > 0 }
 
-func (w writer) Cancel(t *logic.Transaction, push int) {
-	t.Mark.(*Case).sent[push].end(context.Canceled)
+func (w writer) Cancel(tx *logic.Transaction, attempt int) {
+	tx.UserData.(*Handle).sent[attempt].cancel(context.Canceled)
 }
 
-func (w writer) Defer(t *logic.Transaction, why logic.Why, backoff int64) {
-	w.tally.Ended[0][why]++
-	w.finish(t.Mark.(*Case), Answer{Ending: Deferred, Backoff: time.Duration(backoff)})
+func (w writer) Defer(tx *logic.Transaction, reason logic.Reason, backoff int64) {
+	w.counters.Ended[0][reason]++
+	w.finish(tx.UserData.(*Handle), Answer{Ending: Deferred, Backoff: time.Duration(backoff)})
 }
 
-func (w writer) Forfeit(t *logic.Transaction, why logic.Why) {
-	w.tally.Ended[1][why]++
-	w.finish(t.Mark.(*Case), Answer{Ending: Forfeited})
+func (w writer) Forfeit(tx *logic.Transaction, reason logic.Reason) {
+	w.counters.Ended[1][reason]++
+	w.finish(tx.UserData.(*Handle), Answer{Ending: Forfeited})
 }
 
 func (w writer) Probe(upstream int) {
-	w.tally.Probes++
+	w.counters.Probes++
 	select {
 	case w.probes <- Probe{upstream, w.roster.Place(upstream)}:
 	default: // Danger: as with pushes; a probe that is never answered would hold its upstream for good
-		go w.Probed(upstream, false)
+		go w.ProbeResult(upstream, false)
 	}
 }
 
@@ -610,9 +610,9 @@
 	}
 }
 
-func (w writer) Tell(peer int, raw []byte) {
-	if w.say != nil {
-		w.say(peer, raw)
+func (w writer) SendReport(peer int, report []byte) {
+	if w.sendReport != nil {
+		w.sendReport(peer, report)
 	}
 }
 
@@ -625,5 +625,5 @@
 
 func (w writer) Note(text string) { w.log.Info("note", "text", text) }
 
-// pushes is how many a transaction may have at most.
-func pushes(t *logic.Terms) int64 { return int64(t.MaxPushes + t.FreeRefusals) }
+// maxAttempts is how many a transaction may have at most.
+func maxAttempts(t *logic.Config) int64 { return int64(t.MaxAttempts + t.FreeRefusals) }
--- a/internal/desk/desk_test.go
+++ b/internal/desk/desk_test.go
@@ -14,26 +14,26 @@
 	"ottershift/logic"
 )
 
-func start(t *testing.T, tariffs ...*logic.Tariff) *Desk {
+func newTestDispatcher(t *testing.T, tariffs ...*logic.Tariff) *Dispatcher {
 	t.Helper()
-	d, err := New(&terms.Book{Zones: []string{"a"}, Terms: &logic.Terms{
-		Seed: 3, Balancers: 1, Layer: 1, Tariffs: tariffs, MaxPushes: 3, SecondCopies: true, Cancelling: true,
-		Probing: true, ColdShare: 0.2, WarmUp: int64(time.Second), FallMultiple: 3, FallSpan: int64(time.Second),
-	}}, &figures.Pool{}, slog.New(slog.DiscardHandler), Design)
+	d, err := New(&terms.Book{Zones: []string{"a"}, Terms: &logic.Config{
+		Seed: 3, Balancers: 1, Tier: 1, Tariffs: tariffs, MaxAttempts: 3, Hedging: true, Cancelling: true,
+		Probing: true, ColdShare: 0.2, WarmUp: int64(time.Second), OverloadFactor: 3, OverloadSpan: int64(time.Second),
+	}}, &figures.Pool{}, slog.New(slog.DiscardHandler), NewBalancer)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { d.wake.Stop() })
 	d.List([]roster.Entry[string]{
-		{Name: "u", Zone: "a", Address: "u:1", Up: logic.Upstream{Weight: 1, Number: 1}},
-		{Name: "v", Zone: "a", Address: "v:1", Up: logic.Upstream{Weight: 1, Number: 2}},
+		{Name: "u", Zone: "a", Address: "u:1", Up: logic.Upstream{Weight: 1, ID: 1}},
+		{Name: "v", Zone: "a", Address: "v:1", Up: logic.Upstream{Weight: 1, ID: 2}},
 	}, true)
 	return d
 }
 
-func tariff(repeat logic.Repeat) *logic.Tariff {
+func testTariff(repeat logic.Idempotency) *logic.Tariff {
 	return &logic.Tariff{
-		Repeat: repeat, ContractTime: int64(100 * time.Millisecond), HardStop: int64(200 * time.Millisecond),
+		Idempotency: repeat, ContractTime: int64(100 * time.Millisecond), HardStop: int64(200 * time.Millisecond),
 		Earnings: 1, LateEarnings: 1,
 	}
 }
@@ -44,24 +44,24 @@
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, seed uint64) {
-		d := start(t, tariff(logic.Repeatable), tariff(logic.OnceOnly))
-		var all sync.WaitGroup
+		d := newTestDispatcher(t, testTariff(logic.Idempotent), testTariff(logic.NonIdempotent))
+		var wait sync.WaitGroup
 		for n := range 200 {
-			chance := rand.New(rand.NewPCG(seed, uint64(n)))
-			all.Add(1)
+			random := rand.New(rand.NewPCG(seed, uint64(n)))
+			wait.Add(1)
 			go func() {
-				defer all.Done()
-				time.Sleep(time.Duration(chance.IntN(100)) * time.Millisecond)
-				c := d.Arrive(Arrival{Tariff: n % 2, Customer: -1, Left: time.Duration(20+chance.IntN(150)) * time.Millisecond})
-				leaves := time.After(time.Duration(chance.IntN(400)) * time.Millisecond)
+				defer wait.Done()
+				time.Sleep(time.Duration(random.IntN(100)) * time.Millisecond)
+				h := d.Arrive(Arrival{Tariff: n % 2, Customer: -1, Timeout: time.Duration(20+random.IntN(150)) * time.Millisecond})
+				clientGone := time.After(time.Duration(random.IntN(400)) * time.Millisecond)
 				for answers := 0; answers == 0; {
 					select {
-					case p := <-c.Pushes:
-						took := time.Duration(chance.IntN(60)) * time.Millisecond
-						r := logic.Result(chance.IntN(int(logic.Broken) + 1))
-						all.Add(1)
+					case p := <-h.Attempts:
+						took := time.Duration(random.IntN(60)) * time.Millisecond
+						r := logic.Result(random.IntN(int(logic.Disconnected) + 1))
+						wait.Add(1)
 						go func() {
-							defer all.Done()
+							defer wait.Done()
 							select {
 							case <-time.After(took):
 							case <-p.Context.Done():
@@ -69,52 +69,52 @@
 									r = logic.TimedOut
 								}
 							}
-							d.Outcome(c, p, r)
+							d.Outcome(h, p, r)
 						}()
-					case <-c.Answer:
+					case <-h.Answer:
 						answers++
-					case <-leaves:
-						d.Vanish(c)
-						if answers++; len(c.Answer) > 0 {
-							<-c.Answer // it had come before
+					case <-clientGone:
+						d.ClientGone(h)
+						if answers++; len(h.Answer) > 0 {
+							<-h.Answer // it had come before
 						}
 					}
 				}
-				for len(c.Pushes) > 0 {
-					d.Outcome(c, <-c.Pushes, logic.Unsent)
+				for len(h.Attempts) > 0 {
+					d.Outcome(h, <-h.Attempts, logic.Unsent)
 				}
 				time.Sleep(250 * time.Millisecond)
-				if len(c.Answer) > 0 || len(c.Pushes) > 0 {
+				if len(h.Answer) > 0 || len(h.Attempts) > 0 {
 					t.Error("a second answer, or a push after the answer")
 				}
 				d.mu.Lock()
 				defer d.mu.Unlock()
-				if !c.t.Closed() {
+				if !h.tx.Closed() {
 					t.Error("not closed")
 				}
 			}()
 		}
-		all.Wait()
-		sum, ended := d.Tally(), 0
-		for _, n := range d.counts.Ended() {
+		wait.Wait()
+		counters, ended := d.TakeCounters(), 0
+		for _, n := range d.metrics.Ended() {
 			ended += int(n)
 		}
-		if n := d.counts.Open.Load(); n != 0 {
+		if n := d.metrics.Open.Load(); n != 0 {
 			t.Errorf("%d counted as open", n)
 		}
-		if sum.Open != 0 || sum.Arrived != 200 || ended+sum.Vanished != 200 {
-			t.Errorf("%+v", sum)
+		if counters.Open != 0 || counters.Arrived != 200 || ended+counters.ClientsGone != 200 {
+			t.Errorf("%+v", counters)
 		}
 	})
 }
 
-func TestFirstToSettleMakesTheAnswer(t *testing.T) {
-	d := start(t, tariff(logic.Repeatable))
-	c := d.Arrive(Arrival{Tariff: 0, Customer: -1, Left: time.Second})
-	p := <-c.Pushes
-	d.Vanish(c)
-	d.Outcome(c, p, logic.Settled) // too late: the client has gone
-	if len(c.Answer) != 0 {
+func TestNoAnswerAfterClientIsGone(t *testing.T) {
+	d := newTestDispatcher(t, testTariff(logic.Idempotent))
+	h := d.Arrive(Arrival{Tariff: 0, Customer: -1, Timeout: time.Second})
+	p := <-h.Attempts
+	d.ClientGone(h)
+	d.Outcome(h, p, logic.Settled) // too late: the client has gone
+	if len(h.Answer) != 0 {
 		t.Error("an answer to a client that has gone")
 	}
 	if p.Context.Err() == nil {
@@ -122,24 +122,24 @@
 	}
 }
 
-func TestCloseForfeitsWhatIsOpenAndWhatComes(t *testing.T) {
-	d := start(t, tariff(logic.OnceOnly))
-	c := d.Arrive(Arrival{Tariff: 0, Customer: -1, Left: time.Minute})
-	p := <-c.Pushes
-	if n := d.Close(); n != 1 || (<-c.Answer).Ending != Forfeited || p.Context.Err() == nil {
+func TestCloseForfeitsOpenAndNewTransactions(t *testing.T) {
+	d := newTestDispatcher(t, testTariff(logic.NonIdempotent))
+	h := d.Arrive(Arrival{Tariff: 0, Customer: -1, Timeout: time.Minute})
+	p := <-h.Attempts
+	if n := d.Close(); n != 1 || (<-h.Answer).Ending != Forfeited || p.Context.Err() == nil {
 		t.Errorf("%d ended, push %v", n, p.Context.Err())
 	}
-	if a := <-d.Arrive(Arrival{Tariff: 0, Customer: -1, Left: time.Minute}).Answer; a.Ending != Forfeited {
+	if a := <-d.Arrive(Arrival{Tariff: 0, Customer: -1, Timeout: time.Minute}).Answer; a.Ending != Forfeited {
 		t.Errorf("%v", a)
 	}
 }
 
 // Danger: an order that nobody takes must not stop the rest.
-func TestOrdersNeverWait(t *testing.T) {
-	d := start(t, tariff(logic.OnceOnly))
-	d.room.Store(0)
-	c := d.Arrive(Arrival{Tariff: 0, Customer: -1, Left: time.Second})
-	if a := <-c.Answer; a.Ending != Deferred { // it never left
+func TestDispatchNeverBlocks(t *testing.T) {
+	d := newTestDispatcher(t, testTariff(logic.NonIdempotent))
+	d.attemptBuffer.Store(0)
+	h := d.Arrive(Arrival{Tariff: 0, Customer: -1, Timeout: time.Second})
+	if a := <-h.Answer; a.Ending != Deferred { // it never left
 		t.Errorf("%v", a)
 	}
 	for range cap(d.probes) + 10 {
@@ -149,14 +149,14 @@
 }
 
 // Danger: a panic of the module under the lock must neither hold the lock nor leave its transaction unanswered.
-func TestPanicOfTheModuleIsSurvived(t *testing.T) {
-	d := start(t, tariff(logic.OnceOnly))
-	if a := <-d.Arrive(Arrival{Tariff: 7, Customer: -1, Left: time.Second}).Answer; a.Ending != Forfeited { // there is no such tariff
+func TestEnginePanicIsRecovered(t *testing.T) {
+	d := newTestDispatcher(t, testTariff(logic.NonIdempotent))
+	if a := <-d.Arrive(Arrival{Tariff: 7, Customer: -1, Timeout: time.Second}).Answer; a.Ending != Forfeited { // there is no such tariff
 		t.Errorf("%v", a)
 	}
-	c := d.Arrive(Arrival{Tariff: 0, Customer: -1, Left: time.Second})
-	d.Outcome(c, <-c.Pushes, logic.Settled)
-	if a := <-c.Answer; a.Ending != Settled {
+	h := d.Arrive(Arrival{Tariff: 0, Customer: -1, Timeout: time.Second})
+	d.Outcome(h, <-h.Attempts, logic.Settled)
+	if a := <-h.Answer; a.Ending != Settled {
 		t.Errorf("%v", a)
 	}
 }
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -68,8 +68,8 @@
 		r.Entries = append(r.Entries, roster.Entry[string]{
 			Name: name, Zone: string(e.GetStringBytes("zone")), Kind: string(e.GetStringBytes("type")), Address: address,
 			Up: logic.Upstream{
-				Number: roster.Number(name), Weight: weight, Cell: e.GetInt("group"),
-				Born: e.GetInt64("since_ms") * millisec,
+				ID: roster.Number(name), Weight: weight, Cell: e.GetInt("group"),
+				StartedAt: e.GetInt64("since_ms") * millisec,
 			},
 			Gone: status == "DELETED", Ends: status == "DRAINING",
 		})
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -44,7 +44,7 @@
 	}
 	one, other := read("10.0.0.1:1"), read("10.0.0.2:2")
 	e := one.Entries[0]
-	if e.Up != other.Entries[0].Up || e.Up.Born != 1_500_000_000 || e.Up.Weight != 2 || e.Up.Cell != 3 || e.Zone != "b" ||
+	if e.Up != other.Entries[0].Up || e.Up.StartedAt != 1_500_000_000 || e.Up.Weight != 2 || e.Up.Cell != 3 || e.Zone != "b" ||
 		!e.Ends || e.Gone || !one.Whole || one.Index != 7 {
 		t.Errorf("%+v", one)
 	}
--- a/internal/httpwire/claims.go
+++ b/internal/httpwire/claims.go
@@ -31,9 +31,9 @@
 type Claim interface {
 	// Open says what it may do before it is taken, or taken again after Take refused. It may wait. fate is "" for go, to its
 	// group if that is not nil.
-	Open(ctx context.Context) (bound *desk.Bound, fate Fate)
+	Open(ctx context.Context) (bound *desk.Location, fate Fate)
 	// Take claims it for the group of a push's upstream, which may leave only if there is no error; moves says that no push of it ran.
-	Take(ctx context.Context, to *desk.Push, moves bool) error
+	Take(ctx context.Context, to *desk.Attempt, moves bool) error
 	End(how End)
 }
 
@@ -77,7 +77,7 @@
 
 	take  sync.Mutex // held while leave is asked for
 	mu    sync.Mutex
-	bound *desk.Bound
+	bound *desk.Location
 	times int // that it was opened
 	out   int // pushes that have left and not ended
 	ran   bool
@@ -93,7 +93,7 @@
 		return nil
 	}
 	t := q.book.Terms.Tariffs[q.tariff]
-	if t.Repeat == logic.Repeatable {
+	if t.Idempotency == logic.Idempotent {
 		return nil
 	}
 	c := Claimed{
@@ -127,10 +127,10 @@
 	case Defers:
 		f.turn(w, g.p, q)
 	case Forfeits:
-		g.p.desk.Turned(q.arrival(), desk.Forfeited)
+		g.p.desk.CountEnded(q.arrival(), desk.Forfeited)
 		f.say(w, http.StatusBadGateway, "it may have run already")
 	case Refuses:
-		g.p.desk.Turned(q.arrival(), desk.Rejected)
+		g.p.desk.CountEnded(q.arrival(), desk.Rejected)
 		f.say(w, http.StatusUnprocessableEntity, "this Idempotency-Key stands for another body")
 	}
 	return fate == Goes
@@ -140,13 +140,13 @@
 func (g *guard) arrival(q *transaction) desk.Arrival {
 	a := q.arrival()
 	if g != nil {
-		a.Waits, a.Bound = true, g.bound
+		a.DelaySend, a.PriorAttempt = true, g.bound
 	}
 	return a
 }
 
 // leave asks leave for a push. Danger: without it nothing of the push may leave.
-func (g *guard) leave(c *desk.Case, o *desk.Push) bool {
+func (g *guard) leave(c *desk.Handle, o *desk.Attempt) bool {
 	if g == nil {
 		return true
 	}
@@ -155,7 +155,7 @@
 	g.mu.Lock()
 	moves, over := !g.ran && g.out == 0, g.over
 	g.mu.Unlock()
-	if over || o.Context.Err() != nil || !time.Now().Before(o.Until) {
+	if over || o.Context.Err() != nil || !time.Now().Before(o.Deadline) {
 		return false
 	}
 	err := g.claim.Take(o.Context, o, moves)
@@ -163,11 +163,11 @@
 	defer g.mu.Unlock()
 	if err == nil && o.Context.Err() == nil && !g.over {
 		g.out++
-		g.p.desk.Left(c, o)
+		g.p.desk.Sent(c, o)
 		return true
 	}
 	// What was called off is the module's own doing; else the transaction is taken back, if nothing of it is out.
-	if err != nil && o.Context.Err() == nil && !g.ran && g.out == 0 && !g.over && g.p.desk.Recall(c) {
+	if err != nil && o.Context.Err() == nil && !g.ran && g.out == 0 && !g.over && g.p.desk.Withdraw(c) {
 		select {
 		case g.again <- struct{}{}:
 		default:
--- a/internal/httpwire/claims_test.go
+++ b/internal/httpwire/claims_test.go
@@ -15,12 +15,12 @@
 type slowClaims struct{ ended []End }
 
 func (s *slowClaims) Begin(Claimed) Claim { return s }
-func (s *slowClaims) Open(ctx context.Context) (*desk.Bound, Fate) {
+func (s *slowClaims) Open(ctx context.Context) (*desk.Location, Fate) {
 	<-ctx.Done()
 	return nil, Defers
 }
-func (s *slowClaims) Take(context.Context, *desk.Push, bool) error { return nil }
-func (s *slowClaims) End(how End)                                  { s.ended = append(s.ended, how) }
+func (s *slowClaims) Take(context.Context, *desk.Attempt, bool) error { return nil }
+func (s *slowClaims) End(how End)                                     { s.ended = append(s.ended, how) }
 
 // Whatever the ledger takes, a transaction has its answer before its hard stop; what may run any number of times never asks it.
 func TestTheLedgerIsAskedWithinTheTime(t *testing.T) {
--- a/internal/httpwire/flow.go
+++ b/internal/httpwire/flow.go
@@ -86,7 +86,7 @@
 
 // hold reads an answer. It is whole then, or it flows: won tells that it was the client's, and the desk has been told how
 // it went.
-func (p *shard) hold(c *desk.Case, o *desk.Push, answer *http.Response, into *reply, hand *inHand) (body []byte, flowed bool, err error) {
+func (p *shard) hold(c *desk.Handle, o *desk.Attempt, answer *http.Response, into *reply, hand *inHand) (body []byte, flowed bool, err error) {
 	f := newFlow()
 	var once sync.Once
 	won := false
@@ -99,7 +99,7 @@
 			into.flow = f
 			p.front.flows.Add(1)
 			hand.grow(inFlow)
-			if won = p.desk.Flow(c, o); !won {
+			if won = p.desk.StreamStarted(c, o); !won {
 				p.front.flows.Add(-1)
 				f.leave(false)
 			}
@@ -151,7 +151,7 @@
 	}
 	whole := f.end(err != io.EOF)
 	if won {
-		p.desk.Flowed(c, o, whole && err == io.EOF)
+		p.desk.StreamEnded(c, o, whole && err == io.EOF)
 		p.front.flows.Add(-1)
 	}
 	return nil, won, io.ErrClosedPipe
--- a/internal/httpwire/httpwire_test.go
+++ b/internal/httpwire/httpwire_test.go
@@ -28,7 +28,7 @@
 		"guarantees":{"cold_from":0.5},"tenants":[{"name":"acme","quota_rps":9}],
 		"tariffs":[{"name":"view","hard_stop":1000000,"effect":"idempotent"},
 		{"name":"load","hard_stop":1000000,"effect":"deduplicated"}]}`), 1)
-	f := New(slog.New(slog.DiscardHandler), desk.Design)
+	f := New(slog.New(slog.DiscardHandler), desk.NewBalancer)
 	f.Limit(100, 1)
 	p, err := f.NewPool("main", book)
 	if err != nil {
@@ -166,7 +166,7 @@
 	arrived := 0
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { arrived++ }))
 	_, pool := front(t)
-	p := &desk.Push{Context: t.Context(), Place: stay(server.Listener), Until: time.Now().Add(time.Second)}
+	p := &desk.Attempt{Context: t.Context(), Place: stay(server.Listener), Deadline: time.Now().Add(time.Second)}
 	for _, size := range []int{0, 10, mostBody} { // with the headers, and past the writer's buffer
 		q := &transaction{method: "POST", url: &url.URL{Path: "/load"}, header: http.Header{}, body: make([]byte, size), left: time.Second}
 		out := &gate{}
@@ -270,7 +270,7 @@
 		return dial(ctx, network, host)
 	}
 	carry := func(id string) (logic.Result, string) {
-		p := &desk.Push{Context: t.Context(), Until: time.Now().Add(time.Second),
+		p := &desk.Attempt{Context: t.Context(), Deadline: time.Now().Add(time.Second),
 			Place: stay(l)}
 		q := &transaction{method: "GET", url: &url.URL{Path: "/view"}, header: http.Header{"X-Txn": {id}}}
 		into := &reply{}
--- a/internal/httpwire/pool.go
+++ b/internal/httpwire/pool.go
@@ -40,7 +40,7 @@
 // the modules the shards of a process are as many balancers as there are; clients belong to one by their connection.
 type shard struct {
 	*Pool
-	desk *desk.Desk
+	desk *desk.Dispatcher
 	out  *outbound
 	told atomic.Pointer[told]
 }
@@ -98,7 +98,7 @@
 	for n, sh := range p.shards {
 		before := sh.told.Load().book
 		own := book.Part(n, len(p.shards))
-		if err := sh.desk.Retune(own); err != nil {
+		if err := sh.desk.Reconfigure(own); err != nil {
 			return err
 		}
 		sh.told.Store(&told{book: own, before: before, since: time.Now()})
@@ -110,13 +110,13 @@
 // Beside says how many processes are this balancer at present.
 func (p *Pool) Beside(n int) {
 	for _, sh := range p.shards {
-		sh.desk.Beside(n)
+		sh.desk.SetProcesses(n)
 	}
 }
 
 // View is the pool as the second address shows it.
 func (p *Pool) View() figures.View {
-	listed, avoided := p.shards[0].desk.Cluster()
+	listed, avoided := p.shards[0].desk.UpstreamCounts()
 	return figures.View{Name: p.Name, Counts: p.counts, Listed: listed, Unhealthy: avoided}
 }
 
@@ -132,14 +132,14 @@
 		if from := p.book.Load().Terms.Index*len(p.shards) + n; s != nil {
 			say = func(to int, raw []byte) { s.Tell(from, to, raw) }
 		}
-		sh.desk.Speak(say)
+		sh.desk.SetReportSender(say)
 	}
 }
 
 // Told implements peers.Sink.
 func (p *Pool) Told(from, to int, raw []byte) {
 	if n := to - p.book.Load().Terms.Index*len(p.shards); n >= 0 && n < len(p.shards) {
-		p.shards[n].desk.Told(from, raw)
+		p.shards[n].desk.PeerReport(from, raw)
 	}
 }
 
--- a/internal/httpwire/push.go
+++ b/internal/httpwire/push.go
@@ -28,14 +28,14 @@
 func (once) Close() error { return nil }
 
 // push carries one push to its outcome.
-func (p *shard) push(c *desk.Case, o *desk.Push, q *transaction, out *gate, hand *inHand, into *reply, guard *guard) {
-	result, flowed := logic.Broken, false // it may have run, unless it is known better
+func (p *shard) push(c *desk.Handle, o *desk.Attempt, q *transaction, out *gate, hand *inHand, into *reply, guard *guard) {
+	result, flowed := logic.Disconnected, false // it may have run, unless it is known better
 	if !guard.leave(c, o) {
 		p.desk.Outcome(c, o, logic.Unsent)
 		return
 	}
 	if guard != nil {
-		out.until(o.Until)
+		out.until(o.Deadline)
 	}
 	defer func() { guard.ended(result) }()
 	defer func() {
@@ -50,10 +50,10 @@
 }
 
 // strike gives back the pushes that were ordered and not begun when the transaction ended.
-func (p *shard) strike(c *desk.Case) {
+func (p *shard) strike(c *desk.Handle) {
 	for {
 		select {
-		case o := <-c.Pushes:
+		case o := <-c.Attempts:
 			p.desk.Outcome(c, o, logic.Unsent)
 		default:
 			return
@@ -63,12 +63,12 @@
 
 // carry sends the request once and takes what comes back. What flowed has been told the desk already.
 func (p *shard) carry(
-	c *desk.Case, o *desk.Push, q *transaction, out *gate, hand *inHand, into *reply,
+	c *desk.Handle, o *desk.Attempt, q *transaction, out *gate, hand *inHand, into *reply,
 ) (result logic.Result, flowed bool) {
 	on := &ride{gate: out}
 	defer on.alight()
 	var cut atomic.Bool // before its last byte was written
-	ctx := httptrace.WithClientTrace(toward(o.Context, o.Place, o.Until, false), &httptrace.ClientTrace{
+	ctx := httptrace.WithClientTrace(toward(o.Context, o.Place, o.Deadline, false), &httptrace.ClientTrace{
 		GotConn: on.board,
 		WroteRequest: func(i httptrace.WroteRequestInfo) {
 			if cut.Store(i.Err != nil); i.Err == nil {
@@ -77,7 +77,7 @@
 		},
 	})
 	header := maps.Clone(q.header)
-	header["X-Remaining"] = []string{strconv.FormatFloat(max(0, min(time.Until(o.Until), q.left).Seconds()), 'f', 6, 64)}
+	header["X-Remaining"] = []string{strconv.FormatFloat(max(0, min(time.Until(o.Deadline), q.left).Seconds()), 'f', 6, 64)}
 	if header["User-Agent"] == nil {
 		header["User-Agent"] = []string{""} // none, instead of the library's
 	}
@@ -128,7 +128,7 @@
 	case !settled:
 		turned := status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout
 		if turned && answer.Header.Get("X-Turned-Away") == "1" {
-			return logic.TurnedAway, false
+			return logic.Refused, false
 		}
 		return logic.Errored, false
 	case err == errLong:
@@ -174,7 +174,7 @@
 	case ctx.Err() != nil:
 		return logic.TimedOut
 	}
-	return logic.Broken
+	return logic.Disconnected
 }
 
 // probe carries out the module's probes until the pool ends.
@@ -184,7 +184,7 @@
 		case order := <-p.desk.Probes():
 			go func() {
 				ok := false
-				defer func() { p.desk.Probed(order.Upstream, ok) }()
+				defer func() { p.desk.ProbeResult(order.Upstream, ok) }()
 				ok = p.ping(ctx, order.Place)
 			}()
 		case <-ctx.Done():
--- a/internal/httpwire/reply.go
+++ b/internal/httpwire/reply.go
@@ -30,7 +30,7 @@
 func (f *Front) write(w http.ResponseWriter, a desk.Answer, replies map[int]*reply, method string) {
 	switch a.Ending {
 	case desk.Settled, desk.Rejected:
-		from := replies[a.Push]
+		from := replies[a.Attempt]
 		defer from.drop()
 		maps.Copy(w.Header(), from.header)
 		w.Header()["Content-Type"] = from.header["Content-Type"] // and none is guessed
--- a/internal/httpwire/request.go
+++ b/internal/httpwire/request.go
@@ -58,7 +58,7 @@
 // arrival is what the desk is told.
 func (q *transaction) arrival() desk.Arrival {
 	return desk.Arrival{
-		Under: q.book.Terms, Tariff: q.tariff, Customer: q.customer, Left: q.left, Again: q.again, Unwhole: q.rest != nil,
+		Config: q.book.Terms, Tariff: q.tariff, Customer: q.customer, Timeout: q.left, ClientRetry: q.again, BodyPending: q.rest != nil,
 	}
 }
 
@@ -94,7 +94,7 @@
 		return nil, no
 	}
 	f := book.Terms.Tariffs[q.tariff]
-	if f.Repeat == logic.Tagged && r.Header.Get("Idempotency-Key") == "" {
+	if f.Idempotency == logic.Keyed && r.Header.Get("Idempotency-Key") == "" {
 		return nil, bad("a tagged transaction without Idempotency-Key") // Danger: its repeats would be unknown
 	}
 	known := false
--- a/internal/httpwire/serve.go
+++ b/internal/httpwire/serve.go
@@ -26,7 +26,7 @@
 	sockets  *sockets
 	common   *common
 	server   *http.Server
-	module   desk.Make
+	module   desk.EngineFactory
 	cores    int
 	board    atomic.Pointer[Board]
 	claims   atomic.Pointer[Claims] // nil where nothing is claimed
@@ -53,7 +53,7 @@
 }
 
 // New makes a front, which serves nobody until it has a board; module decides for each of its pools.
-func New(log *slog.Logger, module desk.Make) *Front {
+func New(log *slog.Logger, module desk.EngineFactory) *Front {
 	f := &Front{module: module, cores: 1, log: logs.Own(log), base: log, sockets: newSockets(), common: newCommon()}
 	f.board.Store(&Board{})
 	f.server = &http.Server{
@@ -90,7 +90,7 @@
 // ServeHTTP is the life of one transaction.
 func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var p *shard
-	var c *desk.Case
+	var c *desk.Handle
 	client := clientOf(r.Context())
 	out := gateOf(client)
 	defer func() {
@@ -101,7 +101,7 @@
 		if what != nil {
 			f.log.Error("panic", "where", "serve", "fault", what, "stack", string(debug.Stack()))
 			if c != nil {
-				p.desk.Vanish(c)
+				p.desk.ClientGone(c)
 				out.close()
 				p.strike(c)
 			}
@@ -172,7 +172,7 @@
 
 // attend is a transaction's life from its arrival at the desk to its answer; again says that it was taken back instead.
 func (f *Front) attend(
-	w http.ResponseWriter, r *http.Request, p *shard, q *transaction, c *desk.Case, out *gate, hand *inHand, guard *guard,
+	w http.ResponseWriter, r *http.Request, p *shard, q *transaction, c *desk.Handle, out *gate, hand *inHand, guard *guard,
 ) (again bool) {
 	client := clientOf(r.Context())
 	defer p.strike(c)
@@ -180,26 +180,26 @@
 	defer func() {
 		select {
 		case a := <-c.Answer: // that its client did not wait for
-			replies[a.Push].drop()
+			replies[a.Attempt].drop()
 		default:
 		}
 	}()
 	for {
 		select {
-		case push := <-c.Pushes:
+		case push := <-c.Attempts:
 			replies[push.Number] = &reply{}
 			go p.push(c, push, q, out, hand, replies[push.Number], guard)
 		case <-guard.recalled():
 			return true
 		case err := <-q.rest.ended():
 			if err != nil { // its client sent no more
-				p.desk.Vanish(c)
+				p.desk.ClientGone(c)
 				out.close()
 				f.reject(w, bad("the body is cut, late or malformed"))
 				return false
 			}
 			f.sockets.awaits(client, false)
-			p.desk.Whole(c, q.left)
+			p.desk.BodyReceived(c, q.left)
 		case a := <-c.Answer:
 			out.close()
 			if client != nil && client.listener.gone.Load() || !q.rest.done() {
@@ -208,7 +208,7 @@
 			f.write(w, a, replies, r.Method)
 			return false
 		case <-r.Context().Done():
-			p.desk.Vanish(c)
+			p.desk.ClientGone(c)
 			out.close()
 			// Danger: a handler that ends without a word answers 200, and a client that has only stopped sending
 			// would take that for settled.
@@ -220,7 +220,7 @@
 
 // turn defers a transaction that the module has not heard of.
 func (f *Front) turn(w http.ResponseWriter, p *shard, q *transaction) {
-	p.desk.Turn(q.arrival())
+	p.desk.CountDeferred(q.arrival())
 	w.Header()["Connection"] = []string{"close"} // Danger: its body may be on its way yet
 	f.defers(w, time.Duration(q.book.Terms.Backoff(q.book.Terms.Tariffs[q.tariff])))
 }
--- a/internal/httpwire/tally.go
+++ b/internal/httpwire/tally.go
@@ -17,7 +17,7 @@
 
 // tally is what has been logged of a pool, under the lock of its looks.
 type tally struct {
-	sum      desk.Tally             // since the last tally in the log
+	sum      desk.Counters          // since the last tally in the log
 	ended    [figures.Endings]int64 // at that time
 	moved    [traffics]int64        // at the last look
 	sumMoved [traffics]int64
@@ -43,10 +43,10 @@
 func (p *Pool) look(whole bool) {
 	p.looks.Lock()
 	defer p.looks.Unlock()
-	var t desk.Tally
+	var t desk.Counters
 	var moved [traffics]int64
 	for _, sh := range p.shards {
-		t.Add(sh.desk.Tally())
+		t.Add(sh.desk.TakeCounters())
 		for k := range moved {
 			moved[k] += sh.out.traffic[k].Load()
 		}
@@ -57,9 +57,9 @@
 		p.tally.sumMoved[k] += now[k]
 	}
 	p.tally.moved = moved
-	seen := t.Seen
+	seen := t.Stats
 	p.logLosses(&t, now)
-	p.tally.sum.Seen = logic.Seen{Held: p.tally.sum.Seen.Held} // how things stand adds up to nothing over time
+	p.tally.sum.Stats = logic.Stats{Suppressed: p.tally.sum.Stats.Suppressed} // how things stand adds up to nothing over time
 	p.tally.sum.Add(t)
 	p.tally.sum.Open = t.Open
 	if whole {
@@ -76,26 +76,26 @@
 }
 
 // stands adds how things stand.
-func stands(to []any, s logic.Seen) []any {
+func stands(to []any, s logic.Stats) []any {
 	round := func(v float64) float64 { return math.Round(v*100) / 100 }
-	return append(to, "room", round(s.Room), "in_hand", round(s.InHand), "in_hand_mean", round(s.Mean), "line", s.Line,
-		"slow", round(s.Slow), "slow_base", round(s.Base), "strength", round(s.Strength), "best", round(s.Best),
-		"own", s.Own, "aside", s.Aside, "cold", s.Cold, "quantile", time.Duration(s.Trigger).Round(time.Millisecond), "bucket", round(s.Bucket))
+	return append(to, "room", round(s.Limit), "in_hand", round(s.Concurrency), "in_hand_mean", round(s.MeanConcurrency), "line", s.QueueLength,
+		"slow", round(s.LatencyRatio), "slow_base", round(s.BaseRatio), "strength", round(s.Capacity), "best", round(s.BestRate),
+		"own", s.Assigned, "aside", s.Ejected, "cold", s.Cold, "quantile", time.Duration(s.HedgeDelay).Round(time.Millisecond), "bucket", round(s.Budget))
 }
 
 // logLosses says what was lost in a second, if anything was.
-func (p *Pool) logLosses(t *desk.Tally, moved [traffics]int64) {
+func (p *Pool) logLosses(t *desk.Counters, moved [traffics]int64) {
 	var lost []any
 	for how, name := range [...]string{"deferred_", "forfeited_"} {
 		for why, n := range t.Ended[how] {
-			lost = some(lost, name+logic.Why(why).String(), n)
+			lost = some(lost, name+logic.Reason(why).String(), n)
 		}
 	}
-	lost = some(lost, "at_edge", t.Edge)
+	lost = some(lost, "at_edge", t.DeferredAtEdge)
 	lost = some(lost, "dial_failed", int(moved[dialFailed]))
 	lost = some(lost, "dial_short", int(moved[dialShort]))
-	for h, n := range t.Seen.Held {
-		lost = some(lost, logic.Held(h).String(), n)
+	for h, n := range t.Stats.Suppressed {
+		lost = some(lost, logic.Suppression(h).String(), n)
 	}
 	if len(lost) == 0 {
 		return
@@ -107,12 +107,12 @@
 		lost = some(lost, "push_"+logic.Result(r).String(), n)
 	}
 	lost = append(lost, "arrived", t.Arrived, "open", t.Open)
-	p.log.Info("losses", stands(lost, t.Seen)...)
+	p.log.Info("losses", stands(lost, t.Stats)...)
 }
 
-func (p *Pool) logTally(seen logic.Seen) {
+func (p *Pool) logTally(seen logic.Stats) {
 	t, moved := p.tally.sum, p.tally.sumMoved
-	p.tally.sum, p.tally.sumMoved = desk.Tally{}, [traffics]int64{}
+	p.tally.sum, p.tally.sumMoved = desk.Counters{}, [traffics]int64{}
 	if t.Arrived == 0 && t.Open == 0 {
 		return
 	}
@@ -130,16 +130,16 @@
 	s := p.front.sockets
 	_, out, bodies, owed := p.part.holds()
 	line := []any{"arrived", t.Arrived, "settled", now[desk.Settled], "deferred", now[desk.Deferred],
-		"forfeited", now[desk.Forfeited], "rejected", now[desk.Rejected], "vanished", t.Vanished,
-		"open", t.Open, "at_edge", t.Edge, "owed", owed}
+		"forfeited", now[desk.Forfeited], "rejected", now[desk.Rejected], "vanished", t.ClientsGone,
+		"open", t.Open, "at_edge", t.DeferredAtEdge, "owed", owed}
 	for r, n := range t.Results {
 		line = append(line, "push_"+logic.Result(r).String(), n)
 	}
-	line = append(line, "push_first", t.First, "copies", t.Copies, "retries", t.Retries)
-	for h, n := range t.Seen.Held {
-		line = some(line, logic.Held(h).String(), n)
+	line = append(line, "push_first", t.FirstSends, "copies", t.Hedges, "retries", t.Retries)
+	for h, n := range t.Stats.Suppressed {
+		line = some(line, logic.Suppression(h).String(), n)
 	}
-	line = some(some(line, "probes", t.Probes), "probes_unanswered", t.Unanswered)
+	line = some(some(line, "probes", t.Probes), "probes_unanswered", t.ProbesFailed)
 	for k, n := range moved {
 		line = some(line, trafficNames[k], int(n))
 	}
--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -38,7 +38,7 @@
 // Balancer is a plain one.
 type Balancer struct {
 	kind   string
-	terms  *logic.Terms
+	terms  *logic.Config
 	chance *rand.Rand
 	now    int64
 	w      logic.Writer
@@ -54,14 +54,14 @@
 }
 
 // Make says how to start a plain balancer of some kind.
-func Make(kind string) (desk.Make, error) {
+func Make(kind string) (desk.EngineFactory, error) {
 	switch kind {
 	case "random", "round-robin", "least-in-flight", "two-choices":
 	default:
 		return nil, errors.New("baseline: there is none called " + kind)
 	}
-	return func(terms *logic.Terms, now int64) (desk.Module, error) {
-		if len(terms.Tariffs) == 0 || terms.MaxPushes < 1 {
+	return func(terms *logic.Config, now int64) (desk.Engine, error) {
+		if len(terms.Tariffs) == 0 || terms.MaxAttempts < 1 {
 			return nil, errors.New("baseline: no tariffs or no pushes")
 		}
 		return &Balancer{
@@ -86,13 +86,13 @@
 	return len(b.known) - 1
 }
 
-func (b *Balancer) List(i int, u logic.Upstream, now int64) { b.ready[i], b.up[i] = true, u }
-func (b *Balancer) Drain(i int)                             { b.ready[i] = false }
-func (b *Balancer) Leave(i int)                             { b.ready[i], b.known[i] = false, false }
-func (b *Balancer) Listed(bool, int64)                      {}
-func (b *Balancer) Told(int, []byte, int64)                 {}
-func (b *Balancer) Probed(int, bool)                        {}
-func (b *Balancer) Whole(*logic.Transaction, int64, int64)  {} // the lab's transactions come whole
+func (b *Balancer) List(i int, u logic.Upstream, now int64)       { b.ready[i], b.up[i] = true, u }
+func (b *Balancer) Drain(i int)                                   { b.ready[i] = false }
+func (b *Balancer) Leave(i int)                                   { b.ready[i], b.known[i] = false, false }
+func (b *Balancer) Listed(bool, int64)                            {}
+func (b *Balancer) PeerReport(int, []byte, int64)                 {}
+func (b *Balancer) ProbeResult(int, bool)                         {}
+func (b *Balancer) BodyReceived(*logic.Transaction, int64, int64) {} // the lab's transactions come whole
 
 func (b *Balancer) Arrive(t *logic.Transaction, tariff, _ int, _, left int64, _ bool, now int64) {
 	s := &state{t: t, tariff: b.terms.Tariffs[tariff], stop: now + left, place: -1}
@@ -115,7 +115,7 @@
 	b.touch(s)
 }
 
-func (b *Balancer) Vanish(t *logic.Transaction) {
+func (b *Balancer) ClientGone(t *logic.Transaction) {
 	if s := b.all[t]; s != nil {
 		b.close(s)
 		b.touch(s)
@@ -174,7 +174,7 @@
 	}
 	if n := len(s.pushes); n == 0 {
 		b.bucket = min(bucketMost, b.bucket+bucketPart)
-	} else if n >= b.terms.MaxPushes || b.bucket < 1 || !s.mayRepeat() {
+	} else if n >= b.terms.MaxAttempts || b.bucket < 1 || !s.mayRepeat() {
 		b.end(s)
 		return
 	} else {
@@ -188,7 +188,7 @@
 	s.pushes = append(s.pushes, push{upstream: i, out: true})
 	s.out++
 	b.flying[i]++
-	b.w.Push(s.t, i, s.stop)
+	b.w.Send(s.t, i, s.stop)
 }
 
 // ran reports whether any push may have run.
@@ -201,15 +201,15 @@
 	return false
 }
 
-func (s *state) mayRepeat() bool { return s.tariff.Repeat == logic.Repeatable || !s.ran() }
+func (s *state) mayRepeat() bool { return s.tariff.Idempotency == logic.Idempotent || !s.ran() }
 
 func (b *Balancer) end(s *state) {
-	harmless := s.mayRepeat() || s.tariff.Repeat == logic.Tagged && s.tariff.Group == logic.Everywhere
+	harmless := s.mayRepeat() || s.tariff.Idempotency == logic.Keyed && s.tariff.DedupScope == logic.Everywhere
 	b.close(s)
 	if harmless {
-		b.w.Defer(s.t, logic.Failed, b.terms.Backoff(s.tariff))
+		b.w.Defer(s.t, logic.AttemptsFailed, b.terms.Backoff(s.tariff))
 	} else {
-		b.w.Forfeit(s.t, logic.Failed)
+		b.w.Forfeit(s.t, logic.AttemptsFailed)
 	}
 	b.decide(s)
 }
--- a/internal/lab/emulate/upstream.go
+++ b/internal/lab/emulate/upstream.go
@@ -306,7 +306,7 @@
 	place := len(u.arrived)
 	kind := u.meets()
 	var first, mine *effect
-	if kind == "" && tariff.Repeat == logic.Tagged { // what is turned away leaves no mark
+	if kind == "" && tariff.Idempotency == logic.Keyed { // what is turned away leaves no mark
 		first, mine = u.fleet.tag(u, tariff, r.Header.Get("Idempotency-Key"), now)
 	}
 	j := &work.Job{Mark: v, Work: tariff.Work(u.fleet.e.Seed, root, u.Upstream.Name, place)}
@@ -426,7 +426,7 @@
 // tag notes the first run of a tagged transaction within its group, or finds it.
 func (f *Fleet) tag(u *Upstream, t *spec.Tariff, key string, now int64) (first, mine *effect) {
 	scope := fmt.Sprintf("%s/%d", u.Group.Name, u.Cell)
-	switch t.Group {
+	switch t.DedupScope {
 	case logic.SameZone:
 		scope = u.Group.Zone
 	case logic.Everywhere:
@@ -435,7 +435,7 @@
 	scope = t.Name + "\n" + scope + "\n" + key
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if e := f.known[scope]; e != nil && now < e.began+t.Remembered {
+	if e := f.known[scope]; e != nil && now < e.began+t.DedupWindow {
 		return e, nil
 	}
 	e := &effect{began: now, over: make(chan struct{})}
--- a/internal/lab/judge/judge.go
+++ b/internal/lab/judge/judge.go
@@ -168,7 +168,7 @@
 			continue
 		}
 		f := j.e.Tariffs[t.Tariff]
-		if f.Repeat == logic.Repeatable {
+		if f.Idempotency == logic.Idempotent {
 			continue
 		}
 		runs, effects, first := 0, 0, int64(0)
@@ -178,19 +178,19 @@
 					first = a.At
 				}
 			}
-			if a.Effect != 0 && !a.Dropped && (effects == 0 || a.At < first+f.Remembered) {
+			if a.Effect != 0 && !a.Dropped && (effects == 0 || a.At < first+f.DedupWindow) {
 				effects++
 			}
 		}
 		switch {
-		case f.Repeat == logic.OnceOnly && runs > 1:
+		case f.Idempotency == logic.NonIdempotent && runs > 1:
 			j.breach(2, "%s, once-only, may have run %d times", t.ID, runs)
-		case f.Repeat == logic.Tagged && effects > 1:
+		case f.Idempotency == logic.Keyed && effects > 1:
 			j.breach(2, "%s, tagged, took effect %d times", t.ID, effects)
-		case (t.Status == 503 || t.Status == 429) && runs > 0 && !(f.Repeat == logic.Tagged && f.Group == logic.Everywhere):
+		case (t.Status == 503 || t.Status == 429) && runs > 0 && !(f.Idempotency == logic.Keyed && f.DedupScope == logic.Everywhere):
 			j.breach(2, "%s was answered %d, harmless to repeat, and may have run", t.ID, t.Status)
 		}
-		if f.Repeat == logic.OnceOnly && t.Group < len(j.e.Clients) {
+		if f.Idempotency == logic.NonIdempotent && t.Group < len(j.e.Clients) {
 			if before := ran[t.Root]; before > 0 && runs > 0 {
 				j.breach(2, "%016x, once-only, ran again after its client was told that it may ask again", t.Root)
 			}
--- a/internal/lab/judge/ledger.go
+++ b/internal/lab/judge/ledger.go
@@ -44,7 +44,7 @@
 	}
 	for _, a := range f.r.Arrived { // in order of time
 		// What a tagged transaction's upstream didn't do to its end it forgets as well; once-only work counts from its first step.
-		if w := roots[a.Root]; w != nil && a.Ran && !a.Dropped && (a.Effect != 0 || f.e.Tariffs[w.tariff].Repeat == logic.OnceOnly) {
+		if w := roots[a.Root]; w != nil && a.Ran && !a.Dropped && (a.Effect != 0 || f.e.Tariffs[w.tariff].Idempotency == logic.NonIdempotent) {
 			w.runs = append(w.runs, a)
 		}
 	}
@@ -58,14 +58,14 @@
 		w := roots[root]
 		tariff := f.e.Tariffs[w.tariff]
 		counts["repeats"] += w.tries - 1
-		window := tariff.Remembered
-		if tariff.Repeat == logic.OnceOnly {
+		window := tariff.DedupWindow
+		if tariff.Idempotency == logic.NonIdempotent {
 			window = int64(time.Hour)
 		}
 		for i, a := range w.runs {
 			if i > 0 && a.At < w.runs[0].At+window {
 				rule := "twice"
-				if tariff.Repeat == logic.OnceOnly {
+				if tariff.Idempotency == logic.NonIdempotent {
 					rule = "once_twice"
 				}
 				counts[rule]++
@@ -78,7 +78,9 @@
 			continue
 		}
 		_, some := written[tariff.Name+"/"+w.label]
-		young := func(t int64) bool { return t != 0 && (tariff.Repeat == logic.OnceOnly || f.r.Read < t+window) }
+		young := func(t int64) bool {
+			return t != 0 && (tariff.Idempotency == logic.NonIdempotent || f.r.Read < t+window)
+		}
 		if n := len(w.runs); n > 0 && young(w.runs[n-1].At) && !some {
 			counts["denied"]++
 			f.breach("ledger", "%s %s ran at %s at %s, and the ledger holds nothing of it", tariff.Name, w.label, f.e.Upstreams[w.runs[n-1].Upstream].Name, at(w.runs[n-1].At))
@@ -94,8 +96,8 @@
 			continue
 		}
 		counts["looks"]++
-		window := f.e.Tariffs[w.tariff].Remembered
-		if f.e.Tariffs[w.tariff].Repeat == logic.OnceOnly {
+		window := f.e.Tariffs[w.tariff].DedupWindow
+		if f.e.Tariffs[w.tariff].Idempotency == logic.NonIdempotent {
 			window = int64(time.Hour)
 		}
 		// Whoever has its answer before it asks reads of it, at whatever member.
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -52,7 +52,7 @@
 		l.targets = append(l.targets, all)
 	}
 	for _, f := range e.Tariffs {
-		l.post = append(l.post, f.Repeat != logic.Repeatable)
+		l.post = append(l.post, f.Idempotency != logic.Idempotent)
 	}
 	return l
 }
@@ -117,7 +117,7 @@
 	k := l.e.Clients[c.Clients]
 	f := l.e.Tariffs[k.Tariff]
 	key := ""
-	if f.Repeat == logic.Tagged || k.Keyed {
+	if f.Idempotency == logic.Keyed || k.Keyed {
 		key = fmt.Sprintf("%016x", c.Root)
 	}
 	if k.Repeats {
@@ -140,7 +140,7 @@
 		l.note(t)
 		again := a.Status == 503 || a.Status == 429 || a.Refused
 		// What failed may have run: only what may run again is asked for once more.
-		harmless := f.Repeat == logic.Repeatable || f.Repeat == logic.Tagged && f.Group == logic.Everywhere
+		harmless := f.Idempotency == logic.Idempotent || f.Idempotency == logic.Keyed && f.DedupScope == logic.Everywhere
 		again = again || harmless && (a.Closed || a.Status >= 500) || k.Repeats && a.Status != 200
 		if !again || try >= k.Retries {
 			return
@@ -219,7 +219,7 @@
 // Call is a transaction from an upstream to the next tier.
 func (l *Load) Call(ctx context.Context, from *spec.Group, root uint64, left time.Duration) bool {
 	k, key := len(l.e.Clients), ""
-	if l.e.Tariffs[from.Calls.Tariff].Repeat == logic.Tagged {
+	if l.e.Tariffs[from.Calls.Tariff].Idempotency == logic.Keyed {
 		key = fmt.Sprintf("%016x-%x", root, l.ids.Add(1))
 	}
 	a, t := l.try(k, from.Calls.Pool, from.Calls.Tariff, "", key, root, left, false, 0)
--- a/internal/listfile/listfile.go
+++ b/internal/listfile/listfile.go
@@ -30,10 +30,10 @@
 			Address: u.Address("address", "where it is reached, such as \"127.0.0.1:9001\""),
 			Zone:    u.Text("zone", ""), Kind: u.Text("kind", ""), Ends: u.Flag("draining", false),
 			Up: logic.Upstream{
-				Weight: u.Number("weight", 1, 1e-6, 1e6), Cell: u.Whole("group", 0, 0, 1e9), Born: u.Moment("since"),
+				Weight: u.Number("weight", 1, 1e-6, 1e6), Cell: u.Whole("group", 0, 0, 1e9), StartedAt: u.Moment("since"),
 			},
 		}
-		e.Up.Number = roster.Number(e.Name)
+		e.Up.ID = roster.Number(e.Name)
 		if seen[e.Name] && e.Name != "" {
 			u.F.Fault(settings.Join(u.Path, "name"), "%q is another's name in this list", e.Name)
 		}
--- a/internal/mesh/proxy/answer.go
+++ b/internal/mesh/proxy/answer.go
@@ -10,11 +10,11 @@
 )
 
 // follow carries a request from its arrival at the module to its answer.
-func (p *Proxy) follow(w http.ResponseWriter, r *http.Request, q *request, c *desk.Case) {
+func (p *Proxy) follow(w http.ResponseWriter, r *http.Request, q *request, c *desk.Handle) {
 	defer func() {
 		for { // what was ordered and not begun
 			select {
-			case o := <-c.Pushes:
+			case o := <-c.Attempts:
 				q.pool.desk.Outcome(c, o, logic.Unsent)
 			default:
 				return
@@ -23,7 +23,7 @@
 	}()
 	for {
 		select {
-		case o := <-c.Pushes:
+		case o := <-c.Attempts:
 			go p.push(q, c, o)
 		case a := <-c.Answer:
 			p.answer(w, r, q, a)
@@ -40,13 +40,13 @@
 
 // clientGone ends a request whose client sends no more. One that has closed its sending side alone still reads: the two can't be told
 // apart before something is written.
-func (p *Proxy) clientGone(w http.ResponseWriter, r *http.Request, q *request, c *desk.Case) {
+func (p *Proxy) clientGone(w http.ResponseWriter, r *http.Request, q *request, c *desk.Handle) {
 	ran, _, _ := q.close()
-	q.pool.desk.Vanish(c)
+	q.pool.desk.ClientGone(c)
 	p.noteClientGone(r)
 	select { // an answer that flows to nobody
 	case a := <-c.Answer:
-		q.drop(a.Push)
+		q.drop(a.Attempt)
 	default:
 	}
 	kind := apierror.Broke
@@ -58,9 +58,9 @@
 
 // answerAtEnd answers a request as it stands, as the process ends. Invariant: from close on nothing more of it goes out, and from Vanish
 // on no answer comes about that was not there before.
-func (p *Proxy) answerAtEnd(w http.ResponseWriter, r *http.Request, q *request, c *desk.Case) {
+func (p *Proxy) answerAtEnd(w http.ResponseWriter, r *http.Request, q *request, c *desk.Handle) {
 	ran, out, failed := q.close()
-	q.pool.desk.Vanish(c)
+	q.pool.desk.ClientGone(c)
 	select {
 	case a := <-c.Answer:
 		p.answer(w, r, q, a)
@@ -83,7 +83,7 @@
 	ran, out, failed := q.close()
 	if a.Ending == desk.Settled || a.Ending == desk.Rejected {
 		q.mu.Lock()
-		back := q.replies[a.Push]
+		back := q.replies[a.Attempt]
 		q.mu.Unlock()
 		p.write(w, back)
 		if q.claim != nil && back.status < 300 {
--- a/internal/mesh/proxy/configuration_test.go
+++ b/internal/mesh/proxy/configuration_test.go
@@ -37,7 +37,7 @@
 }
 
 // unchangeable is a module that takes no other terms in service.
-type unchangeable struct{ desk.Module }
+type unchangeable struct{ desk.Engine }
 
 // A module that refuses its terms, or has failed, is replaced; no version is kept from the other services by it.
 func TestAModuleThatRefusesItsTermsHoldsNoVersionBack(t *testing.T) {
@@ -45,7 +45,7 @@
 	p.adopt(1, twoServices(t, 1, 100))
 	old := p.pools["x"]
 	book, order := p.bookOf(p.rules["x"])
-	stuck, err := desk.New(book, &figures.Pool{}, slog.New(slog.DiscardHandler), func(terms *logic.Terms, now int64) (desk.Module, error) {
+	stuck, err := desk.New(book, &figures.Pool{}, slog.New(slog.DiscardHandler), func(terms *logic.Config, now int64) (desk.Engine, error) {
 		module, err := logic.New(terms, now)
 		return unchangeable{module}, err
 	})
--- a/internal/mesh/proxy/outbound.go
+++ b/internal/mesh/proxy/outbound.go
@@ -49,7 +49,7 @@
 	now := p.now()
 	t.pool.first(now, q.rank)
 	c := t.pool.desk.Arrive(desk.Arrival{
-		Under: t.under, Tariff: t.tariff, Customer: -1, Left: time.Until(q.stop), Unwhole: q.rest != nil,
+		Config: t.under, Tariff: t.tariff, Customer: -1, Timeout: time.Until(q.stop), BodyPending: q.rest != nil,
 	})
 	p.follow(w, r, q, c)
 }
--- a/internal/mesh/proxy/partner.go
+++ b/internal/mesh/proxy/partner.go
@@ -179,7 +179,7 @@
 				weight = laterShare
 			}
 			name := partner + gateMark + gateway.node
-			list = append(list, roster.Entry[string]{Name: name, Zone: gateway.zone, Address: gateway.address, Up: logic.Upstream{Number: roster.Number(name), Weight: weight}})
+			list = append(list, roster.Entry[string]{Name: name, Zone: gateway.zone, Address: gateway.address, Up: logic.Upstream{ID: roster.Number(name), Weight: weight}})
 		}
 	}
 	return list
--- a/internal/mesh/proxy/pools.go
+++ b/internal/mesh/proxy/pools.go
@@ -34,13 +34,13 @@
 // pool is the upstreams of one service, and the module that decides among them.
 type pool struct {
 	name    string
-	desk    *desk.Desk
+	desk    *desk.Dispatcher
 	counts  *figures.Pool
 	book    *terms.Book
-	order   []tariffKey          // of the book's tariffs
-	tariffs map[tariffKey]int    // of the book, by what is promised
-	under   map[int]*logic.Terms // the book's, by the number of upstreams that a route may be sent to
-	peers   *connectionPool      // hosts are named by the pool's own roster
+	order   []tariffKey           // of the book's tariffs
+	tariffs map[tariffKey]int     // of the book, by what is promised
+	under   map[int]*logic.Config // the book's, by the number of upstreams that a route may be sent to
+	peers   *connectionPool       // hosts are named by the pool's own roster
 
 	mu     sync.Mutex
 	budget *ratelimit.RetryBudget
@@ -86,7 +86,7 @@
 	under := p.under[tries]
 	if under == nil {
 		copied := *p.book.Terms
-		copied.MaxPushes = tries
+		copied.MaxAttempts = tries
 		under = &copied
 		p.under[tries] = under
 	}
@@ -95,7 +95,7 @@
 
 // take goes by another book from now on.
 func (p *pool) take(book *terms.Book, order []tariffKey) {
-	p.book, p.order, p.tariffs, p.under = book, order, make(map[tariffKey]int, len(order)), map[int]*logic.Terms{}
+	p.book, p.order, p.tariffs, p.under = book, order, make(map[tariffKey]int, len(order)), map[int]*logic.Config{}
 	for at, key := range order {
 		p.tariffs[key] = at
 	}
@@ -109,7 +109,7 @@
 		if sameTerms(present.book.Terms, book.Terms) && slices.Equal(present.order, order) {
 			return nil
 		}
-		err := present.desk.Retune(book)
+		err := present.desk.Reconfigure(book)
 		if err == nil {
 			present.take(book, order)
 			return nil
@@ -122,7 +122,7 @@
 		budget: ratelimit.NewRetryBudget(int64(bounds.RetryWindow), bounds.RetryRatio, bounds.RetrySlack)}
 	fresh.take(book, order)
 	var err error
-	if fresh.desk, err = desk.New(book, fresh.counts, p.log.With("service", service), desk.Design); err != nil {
+	if fresh.desk, err = desk.New(book, fresh.counts, p.log.With("service", service), desk.NewBalancer); err != nil {
 		return err
 	}
 	if present != nil {
@@ -134,17 +134,17 @@
 }
 
 // sameTerms reports whether terms are alike but for their tariffs, in which a module learns.
-func sameTerms(a, b *logic.Terms) bool {
-	return a.Balancers == b.Balancers && a.Index == b.Index && a.MaxPushes == b.MaxPushes && a.CrossZonePrice == b.CrossZonePrice
+func sameTerms(a, b *logic.Config) bool {
+	return a.Balancers == b.Balancers && a.Index == b.Index && a.MaxAttempts == b.MaxAttempts && a.CrossZonePrice == b.CrossZonePrice
 }
 
 // bookOf is what a service's module is told: of this balancer's place among all, and of what its routes promise. Under mu.
 func (p *Proxy) bookOf(routes []*routing.Route) (b *terms.Book, order []tariffKey) {
 	balancers, place := p.rank()
-	t := &logic.Terms{
-		Seed: rand.Uint64(), FreeRefusals: freeRefusals, Balancers: balancers, Index: place, Layer: 1, SecondCopies: true, Cancelling: true, Probing: true,
-		AdviseBackoff: true, MaxBackoff: int64(250 * time.Millisecond), CrossZonePrice: crossing, MaxPushes: 1,
-		ColdShare: 1, FallMultiple: 1, FallSpan: int64(time.Second), BeyondShare: 1, // nothing here falls over: see weight
+	t := &logic.Config{
+		Seed: rand.Uint64(), FreeRefusals: freeRefusals, Balancers: balancers, Index: place, Tier: 1, Hedging: true, Cancelling: true, Probing: true,
+		AdviseBackoff: true, MaxBackoff: int64(250 * time.Millisecond), CrossZonePrice: crossing, MaxAttempts: 1,
+		ColdShare: 1, OverloadFactor: 1, OverloadSpan: int64(time.Second), OverQuotaFactor: 1, // nothing here falls over: see weight
 	}
 	b = &terms.Book{Terms: t, Tariffs: map[string]int{}, Customers: map[string]int{}, Default: -1}
 	seen := map[tariffKey]bool{}
@@ -152,7 +152,7 @@
 		if r.MailClass == routing.Streamed {
 			t.CrossZonePrice = longCrossing
 		}
-		t.MaxPushes = max(t.MaxPushes, r.Dispatch.DeliveryTries)
+		t.MaxAttempts = max(t.MaxAttempts, r.Dispatch.DeliveryTries)
 		key := tariffKeyOf(r)
 		if seen[key] {
 			continue
@@ -170,7 +170,7 @@
 func (k tariffKey) tariff() *logic.Tariff {
 	t := &logic.Tariff{HardStop: int64(k.deadline), ContractTime: int64(k.target), Earnings: 1, LateEarnings: 0.3}
 	if k.repeats {
-		t.Repeat = logic.Repeatable
+		t.Idempotency = logic.Idempotent
 	}
 	return t
 }
@@ -230,7 +230,7 @@
 		n := all[k]
 		list = append(list, roster.Entry[string]{
 			Name: n.Upstream.ID, Zone: n.District, Address: n.Inbound, Ends: n.Upstream.Closing || n.Leaving,
-			Up: logic.Upstream{Number: roster.Number(n.Upstream.ID), Weight: n.weight(now) * share},
+			Up: logic.Upstream{ID: roster.Number(n.Upstream.ID), Weight: n.weight(now) * share},
 		})
 	}
 	return list
@@ -255,7 +255,7 @@
 			go func() {
 				ctx, end := context.WithTimeout(context.Background(), asideMost)
 				defer end()
-				service.desk.Probed(o.Upstream, p.probeUpstream(ctx, service, o.Place))
+				service.desk.ProbeResult(o.Upstream, p.probeUpstream(ctx, service, o.Place))
 			}()
 		case <-p.end:
 			return
--- a/internal/mesh/proxy/proxy_test.go
+++ b/internal/mesh/proxy/proxy_test.go
@@ -198,13 +198,13 @@
 	pay := func() bool { paid++; return paid < 3 }
 	q := &request{tries: 2, replies: map[int]*reply{}}
 	must.True(t, q.begin(free))
-	q.ended(logic.TurnedAway, true, nil) // by the balancer before it
+	q.ended(logic.Refused, true, nil) // by the balancer before it
 	must.True(t, q.begin(free))
-	q.ended(logic.TurnedAway, false, nil) // by the upstream: it has come there, and not run
+	q.ended(logic.Refused, false, nil) // by the upstream: it has come there, and not run
 	must.True(t, q.begin(pay))
 	q.ended(logic.Unreachable, true, nil)
 	must.True(t, q.begin(pay))
-	q.ended(logic.Broken, false, nil)
+	q.ended(logic.Disconnected, false, nil)
 	must.False(t, q.begin(pay)) // two upstreams have had it
 	ran, out, _ := q.close()
 	must.Eq(t, []int{1, 0, 2}, []int{ran, out, paid})
--- a/internal/mesh/proxy/push.go
+++ b/internal/mesh/proxy/push.go
@@ -23,12 +23,12 @@
 }
 
 // push carries one order of the module out.
-func (p *Proxy) push(q *request, c *desk.Case, o *desk.Push) {
+func (p *Proxy) push(q *request, c *desk.Handle, o *desk.Attempt) {
 	outcome := pushOutcome{result: logic.Unsent}
 	defer func() {
 		if fault := recover(); fault != nil {
 			p.log.Error("panic", "where", "push", "fault", fault, "stack", string(debug.Stack()))
-			outcome.result = logic.Broken
+			outcome.result = logic.Disconnected
 		}
 		if !outcome.flowed {
 			q.pool.desk.Outcome(c, o, outcome.result)
@@ -56,13 +56,13 @@
 }
 
 // partnerOf is the partner that a push is meant for, if it is for one.
-func (p *pool) partnerOf(o *desk.Push) (partner string, through bool) {
+func (p *pool) partnerOf(o *desk.Attempt) (partner string, through bool) {
 	partner, _, through = strings.Cut(o.Name, gateMark)
 	return partner, through && p.partners != nil
 }
 
 // carry sends a request to the balancer beside an upstream, or to the upstream if it is here, and takes what comes back.
-func (p *Proxy) carry(q *request, c *desk.Case, o *desk.Push) (outcome pushOutcome) {
+func (p *Proxy) carry(q *request, c *desk.Handle, o *desk.Attempt) (outcome pushOutcome) {
 	back := p.dispatch(q, c, o)
 	defer func() {
 		if !outcome.flowed {
@@ -71,7 +71,7 @@
 	}()
 	switch {
 	case back.kind == apierror.NoRoom || back.kind == apierror.NotHere:
-		return pushOutcome{result: logic.TurnedAway, early: true}
+		return pushOutcome{result: logic.Refused, early: true}
 	case back.kind != apierror.None:
 		result := p.broken(o.Context, back)
 		return pushOutcome{result: result, early: result.NeverRan()}
@@ -84,7 +84,7 @@
 }
 
 // dispatch sends a request on its way: through a partner's gateway, to the upstream here, or to the balancer beside another one.
-func (p *Proxy) dispatch(q *request, c *desk.Case, o *desk.Push) *upstreamResponse {
+func (p *Proxy) dispatch(q *request, c *desk.Handle, o *desk.Attempt) *upstreamResponse {
 	s := p.requestTo(q, c, o)
 	partner, through := q.pool.partnerOf(o)
 	if o.Place.Address != p.settings.Inbound {
@@ -104,10 +104,10 @@
 }
 
 // requestTo is a request as it goes out by an order.
-func (p *Proxy) requestTo(q *request, c *desk.Case, o *desk.Push) *upstreamRequest {
+func (p *Proxy) requestTo(q *request, c *desk.Handle, o *desk.Attempt) *upstreamRequest {
 	s := &upstreamRequest{
 		id: q.id, to: o.Name, method: q.method, target: q.target, host: q.host, header: make(http.Header, len(q.header)+3),
-		body: q.body, rest: q.rest, length: q.length, until: o.Until, urgency: urgency{q.aim, q.rank, o.Number > 0},
+		body: q.body, rest: q.rest, length: q.length, until: o.Deadline, urgency: urgency{q.aim, q.rank, o.Number > 0},
 	}
 	for name, values := range q.header {
 		s.header[name] = values
@@ -117,7 +117,7 @@
 	}
 	if q.rest != nil { // the module's time begins with its last byte, its client's does not
 		s.until = q.stop
-		s.rest = &lastByte{q.rest, func() { q.pool.desk.Whole(c, time.Until(q.stop)) }}
+		s.rest = &lastByte{q.rest, func() { q.pool.desk.BodyReceived(c, time.Until(q.stop)) }}
 	}
 	return s
 }
@@ -131,13 +131,13 @@
 	switch said := answer.Header.Get(meshHeader); {
 	case said == meshTurned, provesNotRun(answer):
 		back.finish()
-		return pushOutcome{result: logic.TurnedAway, early: said == meshTurned}, true
+		return pushOutcome{result: logic.Refused, early: said == meshTurned}, true
 	case said == meshBroke:
 		back.finish()
-		return pushOutcome{result: logic.Broken}, true
+		return pushOutcome{result: logic.Disconnected}, true
 	case good && answer.Header[notDelivered] != nil:
 		p.counts.Add("answers_contradictory")
-		return pushOutcome{result: logic.Broken}, true
+		return pushOutcome{result: logic.Disconnected}, true
 	case through:
 		return pushOutcome{}, false
 	case apierror.Promises(answer.StatusCode):
@@ -146,13 +146,13 @@
 		return pushOutcome{result: logic.Errored}, true
 	case good && answer.Header[postmark] == nil:
 		p.counts.Add("answers_unstamped")
-		return pushOutcome{result: logic.Broken}, true
+		return pushOutcome{result: logic.Disconnected}, true
 	}
 	return pushOutcome{}, false
 }
 
 // takeAnswer reads an answer that goes on to the client: whole if it is short, as it flows if it is long and good.
-func (p *Proxy) takeAnswer(q *request, c *desk.Case, o *desk.Push, back *upstreamResponse) pushOutcome {
+func (p *Proxy) takeAnswer(q *request, c *desk.Handle, o *desk.Attempt, back *upstreamResponse) pushOutcome {
 	answer := back.answer
 	good := answer.StatusCode < http.StatusMultipleChoices
 	into := &reply{status: answer.StatusCode, header: onward(answer.Header), length: answer.ContentLength, early: back.line.early}
@@ -181,16 +181,16 @@
 }
 
 // flowAnswer hands an answer to the client as it comes.
-func (p *Proxy) flowAnswer(q *request, c *desk.Case, o *desk.Push, back *upstreamResponse, into *reply) pushOutcome {
+func (p *Proxy) flowAnswer(q *request, c *desk.Handle, o *desk.Attempt, back *upstreamResponse, into *reply) pushOutcome {
 	into.flow, into.ended = back.answer.Body, make(chan bool, 1)
 	q.keep(o.Number, into)
-	if !q.pool.desk.Flow(c, o) {
+	if !q.pool.desk.StreamStarted(c, o) {
 		return pushOutcome{result: logic.Cancelled}
 	}
 	back.line.SetReadDeadline(q.stop.Add(time.Second)) // its client waits no longer
 	whole := <-into.ended
 	back.done(whole)
-	q.pool.desk.Flowed(c, o, whole)
+	q.pool.desk.StreamEnded(c, o, whole)
 	return pushOutcome{result: logic.Settled, flowed: true}
 }
 
@@ -208,7 +208,7 @@
 		return logic.TimedOut
 	}
 	p.counts.Add("push_cut")
-	return logic.Broken
+	return logic.Disconnected
 }
 
 // lastByte tells when a body has been read to its end.
--- a/internal/mesh/proxy/view.go
+++ b/internal/mesh/proxy/view.go
@@ -22,7 +22,7 @@
 type target struct {
 	pool   *pool
 	share  float64
-	under  *logic.Terms
+	under  *logic.Config
 	tariff int
 }
 
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -112,11 +112,11 @@
 	}
 	for _, pool := range p.Pools {
 		for n, f := range pool.Book.Terms.Tariffs {
-			if f.Repeat == logic.Repeatable {
+			if f.Idempotency == logic.Idempotent {
 				continue
 			}
-			window := time.Duration(f.Remembered)
-			if f.Repeat == logic.OnceOnly {
+			window := time.Duration(f.DedupWindow)
+			if f.Idempotency == logic.NonIdempotent {
 				window = max(window, s.Ledger.OnceFor)
 			}
 			stop := time.Duration(f.HardStop)
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -118,7 +118,7 @@
 	if p == nil {
 		t.Fatal(faults)
 	}
-	if p.Listeners[0].Address != "127.0.0.1:8123" || p.Pools[0].Share != 0.25 || p.Pools[0].Book.Terms.SecondCopies {
+	if p.Listeners[0].Address != "127.0.0.1:8123" || p.Pools[0].Share != 0.25 || p.Pools[0].Book.Terms.Hedging {
 		t.Errorf("%+v %+v", p.Listeners, p.Pools[0])
 	}
 }
--- a/internal/plan/pools.go
+++ b/internal/plan/pools.go
@@ -128,8 +128,8 @@
 	f := &logic.Tariff{
 		ContractTime: int64(t.Time("contract_time", 0, time.Millisecond)),
 		HardStop:     int64(t.Time("hard_stop", 0, time.Millisecond)),
-		Remembered:   int64(t.Time("remembered", 0, 0)),
-		Stretch:      t.Number("stretch", 0, 0, 1000),
+		DedupWindow:  int64(t.Time("remembered", 0, 0)),
+		WorkFactor:   t.Number("stretch", 0, 0, 1000),
 		Earnings:     t.Number("earnings", 1, 0, 1e9),
 		LateEarnings: t.Number("late_earnings", 0.5, 0, 1),
 	}
@@ -144,18 +144,18 @@
 	}
 	switch t.One("repeat", "once-only", "once-only", "tagged", "repeatable") {
 	case "tagged":
-		f.Repeat = logic.Tagged
-		if f.Remembered == 0 {
+		f.Idempotency = logic.Keyed
+		if f.DedupWindow == 0 {
 			t.F.Fault(t.Path, "remembered is missing: how long upstreams know the repeat of a tagged transaction")
 		}
 	case "repeatable":
-		f.Repeat = logic.Repeatable
+		f.Idempotency = logic.Idempotent
 	}
 	switch t.One("group", "cell", "cell", "zone", "all") {
 	case "zone":
-		f.Group = logic.SameZone
+		f.DedupScope = logic.SameZone
 	case "all":
-		f.Group = logic.Everywhere
+		f.DedupScope = logic.Everywhere
 	}
 	t.End()
 	return f
@@ -163,15 +163,15 @@
 
 // pool reads one pool.
 func (r *reader) pool(name string, t *settings.Table) {
-	m := &logic.Terms{
-		Balancers: t.Whole("balancers", 1, 1, 1e6), Index: t.Whole("index", 0, 0, 1e6), Layer: t.Whole("layer", 0, 0, 100),
-		MaxPushes: t.Whole("max_pushes", 3, 1, 64), SecondCopies: t.Flag("second_copies", true),
+	m := &logic.Config{
+		Balancers: t.Whole("balancers", 1, 1, 1e6), Index: t.Whole("index", 0, 0, 1e6), Tier: t.Whole("layer", 0, 0, 100),
+		MaxAttempts: t.Whole("max_pushes", 3, 1, 64), Hedging: t.Flag("second_copies", true),
 		Cancelling: t.Flag("cancelling", true), Probing: t.Flag("probes", true),
 		AdviseBackoff: t.Flag("advise_backoff", true), MaxBackoff: int64(t.Time("max_backoff", 2*time.Second, 0)),
 		CrossZonePrice: t.Number("cross_zone_price", 0, 0, 1e6),
 		ColdShare:      t.Number("cold_share", 0.2, 0.01, 1), WarmUp: int64(t.Time("warm_up", 10*time.Second, 0)),
-		FallMultiple: t.Number("fall_multiple", 3, 1, 1e3), FallSpan: int64(t.Time("fall_span", time.Second, time.Millisecond)),
-		BeyondShare: t.Number("beyond_share", 0.2, 0, 1),
+		OverloadFactor: t.Number("fall_multiple", 3, 1, 1e3), OverloadSpan: int64(t.Time("fall_span", time.Second, time.Millisecond)),
+		OverQuotaFactor: t.Number("beyond_share", 0.2, 0, 1),
 	}
 	b := &terms.Book{
 		Terms: m, Tariffs: map[string]int{}, Customers: map[string]int{}, Default: -1,
@@ -325,14 +325,14 @@
 	}
 	p.List.Every = t.Time("upstreams_every", 500*time.Millisecond, 10*time.Millisecond)
 	p.List.Discovery = t.Address("discovery", "")
-	p.Book.Terms.AskForList = t.One("discovery_mode", "push", "push", "ask") == "ask" && p.List.Discovery != ""
+	p.Book.Terms.FollowList = t.One("discovery_mode", "push", "push", "ask") == "ask" && p.List.Discovery != ""
 	p.List.Known.Index = discovery.Unknown
 	if p.List.Shared = t.Flag("share_list", false); p.List.Shared {
 		path := settings.Join(t.Path, "share_list")
 		switch {
 		case r.p.Cluster == nil || len(r.p.Cluster.Voters) == 0:
 			r.Fault(path, "one member asks for all under a token, which keepers give: there is no [cluster] with voters")
-		case p.List.Discovery == "" || p.Book.Terms.AskForList:
+		case p.List.Discovery == "" || p.Book.Terms.FollowList:
 			r.Fault(path, "only a list that discovery pushes can be shared; write discovery, and no discovery_mode = \"ask\"")
 		}
 	}
--- a/internal/process/ledger.go
+++ b/internal/process/ledger.go
@@ -35,10 +35,10 @@
 func (x *claims) Begin(q httpwire.Claimed) httpwire.Claim {
 	f := q.Kind
 	a := ledger.Ask{
-		Pool: q.Pool, Customer: q.Customer, Tariff: q.Tariff, Tag: q.Tag, ID: q.ID, Once: f.Repeat == logic.OnceOnly, Contract: time.Duration(f.ContractTime),
-		Body: q.Body, Again: q.Again, Binds: f.Repeat == logic.Tagged && f.Group != logic.Everywhere,
+		Pool: q.Pool, Customer: q.Customer, Tariff: q.Tariff, Tag: q.Tag, ID: q.ID, Once: f.Idempotency == logic.NonIdempotent, Contract: time.Duration(f.ContractTime),
+		Body: q.Body, Again: q.Again, Binds: f.Idempotency == logic.Keyed && f.DedupScope != logic.Everywhere,
 	}
-	window := time.Duration(f.Remembered)
+	window := time.Duration(f.DedupWindow)
 	if a.Once {
 		window = max(window, x.s.Ledger.OnceFor)
 	}
@@ -53,7 +53,7 @@
 }
 
 // Open implements httpwire.Claim, as do the methods below.
-func (h *held) Open(ctx context.Context) (*desk.Bound, httpwire.Fate) {
+func (h *held) Open(ctx context.Context) (*desk.Location, httpwire.Fate) {
 	w := h.Claim.Open(ctx)
 	switch w.Fate {
 	case ledger.Go:
@@ -72,24 +72,24 @@
 // group names the upstreams that know a transaction's repeats, "" where that binds nothing.
 func (h *held) group(zone string, cell int) string {
 	switch {
-	case h.f.Repeat != logic.Tagged || h.f.Group == logic.Everywhere:
+	case h.f.Idempotency != logic.Keyed || h.f.DedupScope == logic.Everywhere:
 		return ""
-	case h.f.Group == logic.SameZone:
+	case h.f.DedupScope == logic.SameZone:
 		return zone
 	}
 	return zone + "/" + strconv.Itoa(cell)
 }
 
-func (h *held) bound(group string) *desk.Bound {
-	if h.f.Group == logic.SameZone {
-		return &desk.Bound{Zone: group}
+func (h *held) bound(group string) *desk.Location {
+	if h.f.DedupScope == logic.SameZone {
+		return &desk.Location{Zone: group}
 	}
 	i := max(0, strings.LastIndexByte(group, '/'))
 	cell, _ := strconv.Atoi(group[min(i+1, len(group)):])
-	return &desk.Bound{Zone: group[:i], Cell: cell}
+	return &desk.Location{Zone: group[:i], Cell: cell}
 }
 
-func (h *held) Take(ctx context.Context, to *desk.Push, moves bool) error {
+func (h *held) Take(ctx context.Context, to *desk.Attempt, moves bool) error {
 	return h.Claim.Take(ctx, h.group(to.Zone, to.Cell), ledger.Clip(to.Name), moves)
 }
 
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -73,11 +73,11 @@
 
 // Start puts a plan to work. Nothing of it is left if that fails.
 func Start(p *plan.Plan, log *slog.Logger, level *slog.LevelVar) (*Process, error) {
-	return StartWith(p, log, level, desk.Design)
+	return StartWith(p, log, level, desk.NewBalancer)
 }
 
 // StartWith does so with another module, for the lab.
-func StartWith(p *plan.Plan, log *slog.Logger, level *slog.LevelVar, module desk.Make) (*Process, error) {
+func StartWith(p *plan.Plan, log *slog.Logger, level *slog.LevelVar, module desk.EngineFactory) (*Process, error) {
 	s := &Process{
 		log: log, own: logs.Own(log), level: level, seed: p.Seed, front: httpwire.New(log, module), plan: &plan.Plan{},
 		ended: make(chan error, 1), pools: map[string]*pool{}, listeners: map[string]*httpwire.Listener{}, links: map[string]*peers.Link{},
@@ -258,7 +258,7 @@
 		if err := now.Retune(told.Book); err != nil {
 			return err
 		}
-		s.own.Info("reload", "step", "terms", "tariffs", len(told.Book.Tariffs), "attempts", told.Book.Terms.MaxPushes)
+		s.own.Info("reload", "step", "terms", "tariffs", len(told.Book.Tariffs), "attempts", told.Book.Terms.MaxAttempts)
 	}
 	to := told.List.Discovery
 	s.own.Info("reload", "step", "list", "discovery", to, "moved", now.watch.Move(to))
@@ -326,7 +326,7 @@
 		}
 		// Danger: made anew it would know nothing of its upstreams, and feed cold ones beside its predecessor.
 		if now := s.pools[told.Name]; now != nil && now.Shards() == p.Limits.Cores && now.told.Book.Fits(told.Book) {
-			if err := told.Book.Terms.Check(); err != nil {
+			if err := told.Book.Terms.Validate(); err != nil {
 				return fmt.Errorf("pool %s: %w", told.Name, err)
 			}
 			pools[told.Name], retuned[told.Name] = now, true
@@ -508,7 +508,7 @@
 			})
 			break
 		}
-		n.watch = discovery.New(n, n.Log(), l.Discovery, n.Book().Terms.AskForList, index, n.Book().DialTimeout)
+		n.watch = discovery.New(n, n.Log(), l.Discovery, n.Book().Terms.FollowList, index, n.Book().DialTimeout)
 		from = n.watch
 	case l.File != "":
 		from = &listfile.File{Path: l.File, Every: l.Every, Sink: n, Log: n.Log()}
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -95,8 +95,8 @@
 		// stands; of two that started alike, who serves; of two that serve, who came last, unless one report tells both.
 		if j, taken := r.at[e.Address]; taken && r.names[j] != e.Name && r.b.Known(j) {
 			has := r.entry[j]
-			alike := e.Up.Born == has.Up.Born
-			if e.Up.Born < has.Up.Born || alike && e.Ends && !has.Ends || alike && e.Ends == has.Ends && stands[has.Name] {
+			alike := e.Up.StartedAt == has.Up.StartedAt
+			if e.Up.StartedAt < has.Up.StartedAt || alike && e.Ends && !has.Ends || alike && e.Ends == has.Ends && stands[has.Name] {
 				if c.Odd++; known && r.b.Known(i) {
 					r.leave(i, &c)
 				}
@@ -106,7 +106,7 @@
 		}
 		if !known || !r.b.Known(i) {
 			i = r.join(e.Name)
-			c.Joined, c.Born = c.Joined+1, max(c.Born, e.Up.Born)
+			c.Joined, c.Born = c.Joined+1, max(c.Born, e.Up.StartedAt)
 		}
 		if r.place[i].Address != e.Address {
 			r.move(i, e.Address, &c)
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -11,8 +11,8 @@
 
 func empty(t *testing.T) (*logic.Balancer, *Roster[string]) {
 	t.Helper()
-	b, err := logic.New(&logic.Terms{
-		Balancers: 1, MaxPushes: 1, ColdShare: 1, Tariffs: []*logic.Tariff{{ContractTime: 1}},
+	b, err := logic.New(&logic.Config{
+		Balancers: 1, MaxAttempts: 1, ColdShare: 1, Tariffs: []*logic.Tariff{{ContractTime: 1}},
 	}, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -78,7 +78,7 @@
 func TestEntriesThatContradictEachOther(t *testing.T) {
 	b, r := empty(t)
 	entry := func(name, address string, born int64, ends bool) Entry[string] {
-		return Entry[string]{Name: name, Zone: "a", Address: address, Up: logic.Upstream{Weight: 1, Born: born}, Ends: ends}
+		return Entry[string]{Name: name, Zone: "a", Address: address, Up: logic.Upstream{Weight: 1, StartedAt: born}, Ends: ends}
 	}
 	for n, c := range []struct {
 		told    []Entry[string]
--- a/internal/simwire/read.go
+++ b/internal/simwire/read.go
@@ -12,8 +12,8 @@
 )
 
 var results = map[string]logic.Result{
-	"served": logic.Settled, "server_error": logic.Errored, "turned_away": logic.TurnedAway,
-	"no_answer": logic.TimedOut, "no_connection": logic.Unreachable, "connection_lost": logic.Broken,
+	"served": logic.Settled, "server_error": logic.Errored, "turned_away": logic.Refused,
+	"no_answer": logic.TimedOut, "no_connection": logic.Unreachable, "connection_lost": logic.Disconnected,
 	"called_off": logic.Cancelled, "not_sent": logic.Unsent,
 }
 
@@ -80,7 +80,7 @@
 			s.fault("note_from with bytes %q", v.GetStringBytes("raw"))
 			return
 		}
-		b.Told(v.GetInt("who"), raw, s.now)
+		b.PeerReport(v.GetInt("who"), raw, s.now)
 	case "incoming":
 		id := string(v.GetStringBytes("call"))
 		tariff, known := in.book.Tariffs[string(v.GetStringBytes("band"))]
@@ -92,18 +92,18 @@
 		if !known {
 			customer = -1
 		}
-		t := &logic.Transaction{Mark: id}
+		t := &logic.Transaction{UserData: id}
 		in.calls[id] = t
 		b.Arrive(t, tariff, customer, v.GetInt64("expected")*microsecond, v.GetInt64("patience_left")*microsecond,
 			v.GetBool("is_retry"), s.now)
 	case "finished", "ack_first":
 		t, n := in.calls[string(v.GetStringBytes("call"))], v.GetInt("shot")
-		if t == nil || n < 0 || n >= t.Pushes() {
+		if t == nil || n < 0 || n >= t.AttemptCount() {
 			s.fault("%s for call %q, push %d, which is not out", kind, v.GetStringBytes("call"), n)
 			return
 		}
 		if kind == "ack_first" {
-			b.Began(t, n)
+			b.StreamStarted(t, n)
 			return
 		}
 		result, known := results[string(v.GetStringBytes("state_code"))]
@@ -115,13 +115,13 @@
 		in.drop(t)
 	case "vanished":
 		if t := in.calls[string(v.GetStringBytes("call"))]; t != nil {
-			b.Vanish(t)
+			b.ClientGone(t)
 			in.drop(t)
 		}
 	case "checked":
 		id := uint32(v.GetUint64("upstream"))
 		if i, known := in.roster.Index(id); known {
-			b.Probed(i, string(v.GetStringBytes("state_code")) == "served")
+			b.ProbeResult(i, string(v.GetStringBytes("state_code")) == "served")
 		} else {
 			s.fault("checked for upstream %d, which is on no list", id)
 		}
@@ -154,7 +154,7 @@
 		list = append(list, roster.Entry[uint32]{
 			Name: number, Zone: string(e.GetStringBytes("site")), Kind: string(e.GetStringBytes("family_type")),
 			Up: logic.Upstream{
-				Number: number, Weight: weight, Cell: e.GetInt("pod"), Born: e.GetInt64("born") * microsecond,
+				ID: number, Weight: weight, Cell: e.GetInt("pod"), StartedAt: e.GetInt64("born") * microsecond,
 			},
 			Gone: state == "Gone", Ends: state == "Terminating",
 		})
@@ -180,7 +180,7 @@
 // drop forgets a transaction once nothing can be said of it any more.
 func (in *instance) drop(t *logic.Transaction) {
 	if t.Closed() {
-		delete(in.calls, t.Mark.(string))
+		delete(in.calls, t.UserData.(string))
 	}
 }
 
--- a/internal/simwire/write.go
+++ b/internal/simwire/write.go
@@ -35,15 +35,15 @@
 func (in *instance) call(t *logic.Transaction) *instance {
 	out := &in.server.out
 	out.WriteString(`,"call":"`) // hex digits, as they came
-	out.WriteString(t.Mark.(string))
+	out.WriteString(t.UserData.(string))
 	out.WriteByte('"')
 	return in
 }
 
 func (in *instance) stop() { in.server.out.WriteString("}\n") }
 
-// Push implements logic.Writer, as do the methods below.
-func (in *instance) Push(t *logic.Transaction, upstream int, until int64) {
+// Send implements logic.Writer, as do the methods below.
+func (in *instance) Send(t *logic.Transaction, upstream int, until int64) {
 	in.start("call_out").call(t).field("upstream", int64(in.roster.Name(upstream))).field("not_past", until/microsecond).stop()
 }
 
@@ -51,12 +51,12 @@
 	in.start("abandon").call(t).field("shot", int64(push)).stop()
 }
 
-func (in *instance) Defer(t *logic.Transaction, _ logic.Why, backoff int64) {
+func (in *instance) Defer(t *logic.Transaction, _ logic.Reason, backoff int64) {
 	in.start("say_no").call(t).field("backoff", backoff/microsecond).stop()
 	in.drop(t)
 }
 
-func (in *instance) Forfeit(t *logic.Transaction, _ logic.Why) {
+func (in *instance) Forfeit(t *logic.Transaction, _ logic.Reason) {
 	in.start("lose").call(t).stop()
 	in.drop(t)
 }
@@ -65,7 +65,7 @@
 	in.start("ping").field("upstream", int64(in.roster.Name(upstream))).stop()
 }
 
-func (in *instance) Tell(peer int, raw []byte) {
+func (in *instance) SendReport(peer int, raw []byte) {
 	in.start("say").field("dst", int64(peer)).text("raw", hex.EncodeToString(raw)).stop()
 }
 
@@ -94,5 +94,5 @@
 	call()
 }
 
-// Kept is not told on this wire.
-func (in *instance) Kept(int) bool { return false }
+// HasIdleConn is not told on this wire.
+func (in *instance) HasIdleConn(int) bool { return false }
--- a/internal/terms/terms.go
+++ b/internal/terms/terms.go
@@ -22,7 +22,7 @@
 // Book is the settings as a balancer uses them: the module's terms, the names behind its numbers, and what only
 // a network is told.
 type Book struct {
-	Terms     *logic.Terms
+	Terms     *logic.Config
 	Tariffs   map[string]int
 	Customers map[string]int
 	Zones     []string // their places are the numbers in Terms
@@ -100,11 +100,11 @@
 func (b *Book) Fits(other *Book) bool {
 	s, t := b.Terms, other.Terms
 	if b.Fleet && other.Fleet { // who the balancers are changes in service there
-		s, t = &logic.Terms{Layer: s.Layer, LiveWeights: s.LiveWeights}, &logic.Terms{Layer: t.Layer, LiveWeights: t.LiveWeights}
+		s, t = &logic.Config{Tier: s.Tier, LiveWeights: s.LiveWeights}, &logic.Config{Tier: t.Tier, LiveWeights: t.LiveWeights}
 	}
 	return b.Fleet == other.Fleet && b.DialTimeout == other.DialTimeout && b.IdleClose == other.IdleClose && b.Plain == other.Plain && b.Probe == other.Probe &&
 		!b.Watch && !other.Watch && slices.Equal(b.Peers, other.Peers) && s.Peers == t.Peers && s.LiveWeights == t.LiveWeights &&
-		s.Balancers == t.Balancers && s.Index == t.Index && s.Layer == t.Layer
+		s.Balancers == t.Balancers && s.Index == t.Index && s.Tier == t.Tier
 }
 
 // Among is the book of one of so many balancers, of which this is the one at an index.
@@ -124,17 +124,17 @@
 // Read decodes the settings. What is absent stays zero: logic.New refuses what it can't work with.
 func Read(env *fastjson.Value, seed uint64) *Book {
 	limits, rules := env.Get("limits"), env.Get("guarantees")
-	t := &logic.Terms{
+	t := &logic.Config{
 		Seed: seed, Balancers: env.GetInt("fleet_size"), Index: env.GetInt("self_index"),
-		Layer:     env.GetInt("layer"),
-		MaxPushes: limits.GetInt("max_pushes"), SecondCopies: limits.GetBool("second_copies"),
+		Tier:        env.GetInt("layer"),
+		MaxAttempts: limits.GetInt("max_pushes"), Hedging: limits.GetBool("second_copies"),
 		Cancelling: limits.GetBool("cancelling"), Probing: limits.GetBool("probes"),
 		AdviseBackoff: limits.GetBool("retry_after"), MaxBackoff: limits.GetInt64("max_retry_after") * microsecond,
 		LiveWeights: string(env.GetStringBytes("weight_source")) == "live", Peers: limits.GetBool("peers"),
-		AskForList: string(env.GetStringBytes("registry_mode")) == "ask",
+		FollowList: string(env.GetStringBytes("registry_mode")) == "ask",
 		ColdShare:  rules.GetFloat64("cold_from"), WarmUp: rules.GetInt64("ramp_time") * microsecond,
-		FallMultiple: rules.GetFloat64("fall_multiple"), FallSpan: rules.GetInt64("overload_for") * microsecond,
-		CrossZonePrice: env.GetFloat64("fees", "cross_zone"), BeyondShare: env.GetFloat64("beyond_share_earnings"),
+		OverloadFactor: rules.GetFloat64("fall_multiple"), OverloadSpan: rules.GetInt64("overload_for") * microsecond,
+		CrossZonePrice: env.GetFloat64("fees", "cross_zone"), OverQuotaFactor: env.GetFloat64("beyond_share_earnings"),
 	}
 	b := &Book{
 		Terms: t, Tariffs: map[string]int{}, Customers: map[string]int{}, Default: -1,
@@ -158,22 +158,22 @@
 
 func tariff(c *fastjson.Value) *logic.Tariff {
 	f := &logic.Tariff{
-		Remembered: c.GetInt64("dedup_window") * microsecond, ContractTime: c.GetInt64("contract_time") * microsecond,
-		HardStop: c.GetInt64("hard_stop") * microsecond,
-		Stretch:  c.GetFloat64("aim_stretch"), Earnings: c.GetFloat64("earnings"),
+		DedupWindow: c.GetInt64("dedup_window") * microsecond, ContractTime: c.GetInt64("contract_time") * microsecond,
+		HardStop:   c.GetInt64("hard_stop") * microsecond,
+		WorkFactor: c.GetFloat64("aim_stretch"), Earnings: c.GetFloat64("earnings"),
 		LateEarnings: c.GetFloat64("late_earnings"),
 	}
 	switch string(c.GetStringBytes("effect")) {
 	case "idempotent":
-		f.Repeat = logic.Repeatable
+		f.Idempotency = logic.Idempotent
 	case "deduplicated":
-		f.Repeat = logic.Tagged
+		f.Idempotency = logic.Keyed
 	}
 	switch string(c.GetStringBytes("group")) {
 	case "all":
-		f.Group = logic.Everywhere
+		f.DedupScope = logic.Everywhere
 	case "zone":
-		f.Group = logic.SameZone
+		f.DedupScope = logic.SameZone
 	}
 	return f
 }
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -57,7 +57,7 @@
 }
 
 // New starts both, each with terms of its own.
-func New(before, after *logic.Terms, now int64) (*Module, error) {
+func New(before, after *logic.Config, now int64) (*Module, error) {
 	b, err := logic.New(before, now)
 	if err != nil {
 		return nil, err
@@ -111,33 +111,33 @@
 	m.after.Listed(ok, now)
 }
 
-func (m *Module) Told(peer int, raw []byte, now int64) { m.after.Told(peer, raw, now) }
+func (m *Module) PeerReport(peer int, raw []byte, now int64) { m.after.PeerReport(peer, raw, now) }
 
 func (m *Module) Arrive(t *logic.Transaction, tariff, customer int, work, left int64, again bool, now int64) {
 	p := &pair{t: t}
-	p.other.Mark, p.other.Single, p.other.Unwhole = p, t.Single, t.Unwhole
+	p.other.UserData, p.other.SendOnce, p.other.BodyPending = p, t.SendOnce, t.BodyPending
 	m.cases[t] = p
 	m.before.Arrive(t, tariff, customer, work, left, again, now)
 	m.after.Arrive(&p.other, tariff, customer, work, left, again, now)
 }
 
-func (m *Module) Whole(t *logic.Transaction, left, now int64) {
-	m.before.Whole(t, left, now)
+func (m *Module) BodyReceived(t *logic.Transaction, left, now int64) {
+	m.before.BodyReceived(t, left, now)
 	if p := m.cases[t]; p != nil {
-		m.after.Whole(&p.other, left, now)
+		m.after.BodyReceived(&p.other, left, now)
 	}
 }
 
-// Retune is not taken while shapes are compared: what the two would have done apart could not be told any more.
-func (m *Module) Retune(*logic.Terms, int64) error {
+// Reconfigure is not taken while shapes are compared: what the two would have done apart could not be told any more.
+func (m *Module) Reconfigure(*logic.Config, int64) error {
 	return errors.New("watch: other terms are not taken while it is on")
 }
 
-func (m *Module) Cluster() (listed, avoided int) { return m.before.Cluster() }
+func (m *Module) UpstreamCounts() (listed, avoided int) { return m.before.UpstreamCounts() }
 
-func (m *Module) Seen() logic.Seen { return m.before.Seen() }
+func (m *Module) Stats() logic.Stats { return m.before.Stats() }
 
-func (m *Module) Turns(take func(logic.Turn)) { m.before.Turns(take) }
+func (m *Module) TakeEvents(take func(logic.EjectionEvent)) { m.before.TakeEvents(take) }
 
 func (m *Module) Outcome(t *logic.Transaction, n int, r logic.Result, took int64, final bool, now int64) {
 	m.before.Outcome(t, n, r, took, final, now)
@@ -149,8 +149,8 @@
 	}
 }
 
-func (m *Module) Vanish(t *logic.Transaction) {
-	m.before.Vanish(t)
+func (m *Module) ClientGone(t *logic.Transaction) {
+	m.before.ClientGone(t)
 	if p := m.cases[t]; p != nil {
 		m.settle(p, m.now)
 	}
@@ -158,11 +158,11 @@
 
 // settle ends a transaction at the other once it has ended here, and forgets it once nothing of it is out.
 func (m *Module) settle(p *pair, now int64) {
-	if !p.t.Over() {
+	if !p.t.Answered() {
 		return
 	}
-	m.after.Vanish(&p.other)
-	for n := p.sent; n < p.other.Pushes(); n++ { // what only the other sent
+	m.after.ClientGone(&p.other)
+	for n := p.sent; n < p.other.AttemptCount(); n++ { // what only the other sent
 		m.after.Outcome(&p.other, n, logic.Unsent, 0, true, now)
 	}
 	if p.t.Closed() {
@@ -170,7 +170,7 @@
 	}
 }
 
-func (m *Module) Probed(i int, ok bool) { m.before.Probed(i, ok) }
+func (m *Module) ProbeResult(i int, ok bool) { m.before.ProbeResult(i, ok) }
 
 // Round has both decide and compares.
 func (m *Module) Round(now int64, w logic.Writer) {
@@ -183,7 +183,7 @@
 	}
 	m.round = m.round[:0]
 	for _, j := range m.probes { // it isn't sent a probe of its own: it returns as where none are allowed
-		m.after.Probed(j, true)
+		m.after.ProbeResult(j, true)
 	}
 	m.probes = m.probes[:0]
 	for k := range m.wakes {
@@ -200,7 +200,7 @@
 // compare looks at one transaction at the end of a round in which either decided on it.
 func (m *Module) compare(p *pair) {
 	// What both have sent: it went where it went here.
-	for ; p.sent < min(p.t.Pushes(), p.other.Pushes()); p.sent++ {
+	for ; p.sent < min(p.t.AttemptCount(), p.other.AttemptCount()); p.sent++ {
 		real := m.to[p.t.Upstream(p.sent)]
 		if p.sent == 0 {
 			m.counts.Compared++
@@ -208,22 +208,22 @@
 				m.counts.Elsewhere++
 			}
 		}
-		m.after.Correct(&p.other, p.sent, real)
+		m.after.Redirect(&p.other, p.sent, real)
 	}
-	mine, others := p.t.Pushes(), p.other.Pushes()
+	mine, others := p.t.AttemptCount(), p.other.AttemptCount()
 	switch {
 	case mine > 0 && others == 0:
 		count(&p.waited, &m.counts.Waiting)
-	case mine == 0 && others > 0 && !p.t.Over():
+	case mine == 0 && others > 0 && !p.t.Answered():
 		count(&p.sooner, &m.counts.Sooner)
 	case mine > others:
 		count(&p.copied, &m.counts.Fewer)
 	case others > mine && mine > 0:
 		count(&p.copied, &m.counts.Copies)
 	}
-	if p.refuse && !p.other.Over() {
+	if p.refuse && !p.other.Answered() {
 		count(&p.ended, &m.counts.Kept)
-	} else if p.other.Over() && !p.t.Over() && others > 0 {
+	} else if p.other.Answered() && !p.t.Answered() && others > 0 {
 		count(&p.ended, &m.counts.GivenUp)
 	}
 	m.settle(p, m.now)
@@ -247,17 +247,17 @@
 // here passes on what is decided, and takes note.
 type here struct{ *Module }
 
-func (h here) Kept(i int) bool { return h.w.Kept(i) }
-func (h here) Push(t *logic.Transaction, i int, until int64) {
+func (h here) HasIdleConn(i int) bool { return h.w.HasIdleConn(i) }
+func (h here) Send(t *logic.Transaction, i int, until int64) {
 	h.queue(h.cases[t])
-	h.w.Push(t, i, until)
+	h.w.Send(t, i, until)
 }
 func (h here) Cancel(t *logic.Transaction, n int) { h.w.Cancel(t, n) }
-func (h here) Defer(t *logic.Transaction, why logic.Why, backoff int64) {
+func (h here) Defer(t *logic.Transaction, why logic.Reason, backoff int64) {
 	h.refused(t)
 	h.w.Defer(t, why, backoff)
 }
-func (h here) Forfeit(t *logic.Transaction, why logic.Why) {
+func (h here) Forfeit(t *logic.Transaction, why logic.Reason) {
 	h.refused(t)
 	h.w.Forfeit(t, why)
 }
@@ -267,22 +267,22 @@
 		h.queue(p)
 	}
 }
-func (h here) Probe(i int)      { h.w.Probe(i) }
-func (h here) Tell(int, []byte) {}
-func (h here) Follow()          { h.w.Follow() }
-func (h here) Wake(at int64)    { h.wakes[0] = at }
-func (h here) Note(text string) { h.w.Note(text) }
+func (h here) Probe(i int)            { h.w.Probe(i) }
+func (h here) SendReport(int, []byte) {}
+func (h here) Follow()                { h.w.Follow() }
+func (h here) Wake(at int64)          { h.wakes[0] = at }
+func (h here) Note(text string)       { h.w.Note(text) }
 
 // there takes note of what the other would have done. None of it is done.
 type there struct{ *Module }
 
-func (o there) Kept(j int) bool                                  { return o.w.Kept(o.back[j]) }
-func (o there) Push(t *logic.Transaction, _ int, _ int64)        { o.queue(t.Mark.(*pair)) }
-func (o there) Cancel(*logic.Transaction, int)                   {}
-func (o there) Defer(t *logic.Transaction, _ logic.Why, _ int64) { o.queue(t.Mark.(*pair)) }
-func (o there) Forfeit(t *logic.Transaction, _ logic.Why)        { o.queue(t.Mark.(*pair)) }
-func (o there) Probe(j int)                                      { o.probes = append(o.probes, j) }
-func (o there) Tell(peer int, raw []byte)                        { o.w.Tell(peer, raw) }
-func (o there) Follow()                                          {} // the list is followed here
-func (o there) Wake(at int64)                                    { o.wakes[1] = at }
-func (o there) Note(string)                                      {}
+func (o there) HasIdleConn(j int) bool                              { return o.w.HasIdleConn(o.back[j]) }
+func (o there) Send(t *logic.Transaction, _ int, _ int64)           { o.queue(t.UserData.(*pair)) }
+func (o there) Cancel(*logic.Transaction, int)                      {}
+func (o there) Defer(t *logic.Transaction, _ logic.Reason, _ int64) { o.queue(t.UserData.(*pair)) }
+func (o there) Forfeit(t *logic.Transaction, _ logic.Reason)        { o.queue(t.UserData.(*pair)) }
+func (o there) Probe(j int)                                         { o.probes = append(o.probes, j) }
+func (o there) SendReport(peer int, raw []byte)                     { o.w.SendReport(peer, raw) }
+func (o there) Follow()                                             {} // the list is followed here
+func (o there) Wake(at int64)                                       { o.wakes[1] = at }
+func (o there) Note(string)                                         {}
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -12,11 +12,11 @@
 
 const ms = int64(1e6)
 
-func terms() *logic.Terms {
-	return &logic.Terms{
-		Seed: 7, Balancers: 4, MaxPushes: 3, SecondCopies: true, Cancelling: true, ColdShare: 0.2, WarmUp: 1e10,
-		FallMultiple: 3, FallSpan: 1e9, MaxBackoff: 1e9,
-		Tariffs: []*logic.Tariff{{Repeat: logic.Repeatable, ContractTime: 500 * ms, HardStop: 2000 * ms, Earnings: 1}},
+func terms() *logic.Config {
+	return &logic.Config{
+		Seed: 7, Balancers: 4, MaxAttempts: 3, Hedging: true, Cancelling: true, ColdShare: 0.2, WarmUp: 1e10,
+		OverloadFactor: 3, OverloadSpan: 1e9, MaxBackoff: 1e9,
+		Tariffs: []*logic.Tariff{{Idempotency: logic.Idempotent, ContractTime: 500 * ms, HardStop: 2000 * ms, Earnings: 1}},
 	}
 }
 
@@ -24,7 +24,7 @@
 	roster.Module
 	Arrive(t *logic.Transaction, tariff, customer int, work, left int64, again bool, now int64)
 	Outcome(t *logic.Transaction, n int, r logic.Result, took int64, final bool, now int64)
-	Told(peer int, raw []byte, now int64)
+	PeerReport(peer int, raw []byte, now int64)
 	Round(now int64, w logic.Writer)
 }
 
@@ -49,24 +49,24 @@
 func (w *world) note(text string, values ...any) {
 	w.out = append(w.out, fmt.Sprint(w.now, " ", fmt.Sprintf(text, values...)))
 }
-func (w *world) Push(t *logic.Transaction, i int, _ int64) {
+func (w *world) Send(t *logic.Transaction, i int, _ int64) {
 	w.note("push %d to %d", w.ids[t], i)
-	w.open = append(w.open, push{t, t.Pushes() - 1, i, w.now, w.now + 20*ms + int64(i)*40*ms})
+	w.open = append(w.open, push{t, t.AttemptCount() - 1, i, w.now, w.now + 20*ms + int64(i)*40*ms})
 	w.pushed = w.now
 }
-func (w *world) Cancel(t *logic.Transaction, n int)               { w.note("cancel %d.%d", w.ids[t], n) }
-func (w *world) Defer(t *logic.Transaction, _ logic.Why, _ int64) { w.note("defer %d", w.ids[t]) }
-func (w *world) Forfeit(t *logic.Transaction, _ logic.Why)        { w.note("forfeit %d", w.ids[t]) }
-func (w *world) Tell(_ int, raw []byte)                           { w.said = append(w.said, raw) }
-func (w *world) Kept(int) bool                                    { return false }
-func (w *world) Wake(int64)                                       {}
+func (w *world) Cancel(t *logic.Transaction, n int)                  { w.note("cancel %d.%d", w.ids[t], n) }
+func (w *world) Defer(t *logic.Transaction, _ logic.Reason, _ int64) { w.note("defer %d", w.ids[t]) }
+func (w *world) Forfeit(t *logic.Transaction, _ logic.Reason)        { w.note("forfeit %d", w.ids[t]) }
+func (w *world) SendReport(_ int, raw []byte)                        { w.said = append(w.said, raw) }
+func (w *world) HasIdleConn(int) bool                                { return false }
+func (w *world) Wake(int64)                                          {}
 
 // play has a module decide on seeded traffic that is too much for its upstreams now and then.
 func play(m module, said func(step int) []byte) *world {
 	w := &world{now: 1e12, ids: map[*logic.Transaction]int{}}
 	draw := rand.New(rand.NewPCG(3, 4))
 	for i := range 5 {
-		m.List(m.Join(), logic.Upstream{Number: uint32(i), Kind: 1, Weight: 1 / float64(1+i)}, w.now)
+		m.List(m.Join(), logic.Upstream{ID: uint32(i), Kind: 1, Weight: 1 / float64(1+i)}, w.now)
 	}
 	for step := range 4000 {
 		w.now += 5 * ms
@@ -79,7 +79,7 @@
 			m.Drain(4)
 		}
 		if raw := said(step); raw != nil {
-			m.Told(1+step%3, raw, w.now)
+			m.PeerReport(1+step%3, raw, w.now)
 		}
 		w.open = slices.DeleteFunc(w.open, func(p push) bool {
 			if p.due <= w.now {
--- a/logic/days_test.go
+++ b/logic/days_test.go
@@ -3,78 +3,78 @@
 import "testing"
 
 // Fewer attempts and other tariffs hold for what comes after; what is open keeps the terms that it came under.
-func TestOpenKeepsItsTerms(t *testing.T) {
-	first := terms(tariff(Repeatable, Everywhere))
-	w := newWorld(t, first, 4, 1)
-	w.feed(minSamples+20, 50*ms)
-	before, room, trigger := w.arrive(0, 3*s), w.b.room, w.b.trigger
-	w.round(ms)
-	next := terms(tariff(OnceOnly, Everywhere))
-	next.MaxPushes = 1
-	if err := w.b.Retune(next, w.now); err != nil {
+func TestReconfigureKeepsConfigOfOpenTransactions(t *testing.T) {
+	first := testConfig(testTariff(Idempotent, Everywhere))
+	h := newHarness(t, first, 4, 1)
+	h.settle(minSamples+20, 50*ms)
+	before, limit, trigger := h.arrive(0, 3*sec), h.b.limit, h.b.hedgeDelay
+	h.round(ms)
+	next := testConfig(testTariff(NonIdempotent, Everywhere))
+	next.MaxAttempts = 1
+	if err := h.b.Reconfigure(next, h.now); err != nil {
 		t.Fatal(err)
 	}
-	w.terms = next
-	after := w.arrive(0, 3*s)
-	w.round(ms)
-	if w.b.room != room || w.b.trigger != trigger || trigger == 0 {
-		t.Errorf("room %v of %v, trigger %v of %v", w.b.room, room, w.b.trigger, trigger)
+	h.config = next
+	after := h.arrive(0, 3*sec)
+	h.round(ms)
+	if h.b.limit != limit || h.b.hedgeDelay != trigger || trigger == 0 {
+		t.Errorf("room %v of %v, trigger %v of %v", h.b.limit, limit, h.b.hedgeDelay, trigger)
 	}
-	for _, o := range []*owed{before, after} {
-		w.result(o, 0, Errored)
-		w.round(ms)
+	for _, req := range []*testRequest{before, after} {
+		h.deliver(req, 0, Errored)
+		h.round(ms)
 	}
-	if len(before.pushes) != 2 || before.final {
-		t.Errorf("%d pushes of what may run again, final %t", len(before.pushes), before.final)
+	if len(before.attempts) != 2 || before.answered {
+		t.Errorf("%d pushes of what may run again, final %t", len(before.attempts), before.answered)
 	}
-	if len(after.pushes) != 1 || !after.final {
-		t.Errorf("%d pushes of what must not, final %t", len(after.pushes), after.final)
+	if len(after.attempts) != 1 || !after.answered {
+		t.Errorf("%d pushes of what must not, final %t", len(after.attempts), after.answered)
 	}
-	if w.b.Retune(&Terms{Balancers: 1}, w.now) == nil || w.b.terms != next {
+	if h.b.Reconfigure(&Config{Balancers: 1}, h.now) == nil || h.b.config != next {
 		t.Error("terms without tariffs were taken")
 	}
 }
 
 // Danger: the time that a slow client takes to send would be held against its upstream, end its transaction and pass
 // for a crowd.
-func TestTimeBeginsWithTheLastByte(t *testing.T) {
-	terms := terms(tariff(Repeatable, Everywhere))
-	terms.Tariffs[0].LateEarnings = 0
-	w := newWorld(t, terms, 4, 1)
-	w.feed(minSamples+20, 50*ms)
-	o := w.stream(0)
-	w.until(w.now + 10*s)
-	at := o.pushes[0].upstream
-	if o.final || len(o.pushes) != 1 || w.b.bad[at] != 0 || w.b.open != 0 {
-		t.Fatalf("final %t, %d pushes, %d against its upstream, %d in hand", o.final, len(o.pushes), w.b.bad[at], w.b.open)
+func TestTimeStartsWhenBodyIsReceived(t *testing.T) {
+	config := testConfig(testTariff(Idempotent, Everywhere))
+	config.Tariffs[0].LateEarnings = 0
+	h := newHarness(t, config, 4, 1)
+	h.settle(minSamples+20, 50*ms)
+	req := h.arriveStreaming(0)
+	h.runUntil(h.now + 10*sec)
+	at := req.attempts[0].upstream
+	if req.answered || len(req.attempts) != 1 || h.b.failures[at] != 0 || h.b.active != 0 {
+		t.Fatalf("final %t, %d pushes, %d against its upstream, %d in hand", req.answered, len(req.attempts), h.b.failures[at], h.b.active)
 	}
-	w.whole(1)
-	begin := w.now
-	w.round(ms)
-	if w.b.open != 1 {
+	h.receiveBodies(1)
+	begin := h.now
+	h.round(ms)
+	if h.b.active != 1 {
 		t.Error("not in hand though it is whole")
 	}
-	for !o.final {
-		w.round(5 * ms)
+	for !req.answered {
+		h.round(5 * ms)
 	}
-	if took := w.now - begin; took > s+10*ms || len(o.pushes) != 1 {
-		t.Errorf("ended after %d ms with %d pushes", took/ms, len(o.pushes))
+	if took := h.now - begin; took > sec+10*ms || len(req.attempts) != 1 {
+		t.Errorf("ended after %d ms with %d pushes", took/ms, len(req.attempts))
 	}
 }
 
 // Two processes of one balancer pay a cold upstream half each.
-func TestTwoProcessesPayHalfEach(t *testing.T) {
-	paid := [2]float64{}
-	for n := range paid {
-		w := newWorld(t, terms(tariff(Repeatable, Everywhere)), 4, 1)
-		w.b.Beside(n + 1)
-		w.list(0, Upstream{Weight: 1, Born: w.now})
-		w.b.Round(w.now, w)
-		w.b.pace, w.b.purse[0], w.b.filled[0] = 1e-9, 0, w.now
-		w.b.now += s / 4
-		paid[n] = w.b.fill(0)
+func TestProcessesSplitColdBudget(t *testing.T) {
+	tokens := [2]float64{}
+	for n := range tokens {
+		h := newHarness(t, testConfig(testTariff(Idempotent, Everywhere)), 4, 1)
+		h.b.SetProcesses(n + 1)
+		h.list(0, Upstream{Weight: 1, StartedAt: h.now})
+		h.b.Round(h.now, h)
+		h.b.warmRate, h.b.tokens[0], h.b.refilledAt[0] = 1e-9, 0, h.now
+		h.b.now += sec / 4
+		tokens[n] = h.b.refill(0)
 	}
-	if paid[0] == 0 || paid[1] != paid[0]/2 {
-		t.Errorf("paid %v", paid)
+	if tokens[0] == 0 || tokens[1] != tokens[0]/2 {
+		t.Errorf("paid %v", tokens)
 	}
 }
--- a/logic/helpers_test.go
+++ b/logic/helpers_test.go
@@ -5,170 +5,170 @@
 	"testing"
 )
 
-// world plays a legal caller of one balancer and checks the four rules at every decision. It is no simulator:
+// harness plays a legal caller of one balancer and checks the four rules at every decision. It is no simulator:
 // its answers are drawn, not served.
-type world struct {
-	t     *testing.T
-	b     *Balancer
-	terms *Terms
-	now   int64
-	rand  *rand.Rand
+type harness struct {
+	t      *testing.T
+	b      *Balancer
+	config *Config
+	now    int64
+	rand   *rand.Rand
 
-	owed   []*owed
-	of     map[*Transaction]*owed
-	told   map[int]int64 // since when an upstream is known not to take work
-	born   map[int]int64
-	sent   map[int][]int64
-	best   map[int]float64
-	probes map[int]int64
-	up     []Upstream
-	most   float64 // the largest bucket that recent first sends ever allowed
-	finals map[string]int
-	kept   map[int]bool
-	pushed []int // upstreams in the order of the pushes
-	said   [][]byte
-	wake   int64
+	requests     []*testRequest
+	byTx         map[*Transaction]*testRequest
+	notAccepting map[int]int64 // since when an upstream is known not to take work
+	startedAt    map[int]int64
+	sentAt       map[int][]int64
+	maxPerSpan   map[int]float64
+	probes       map[int]int64
+	upstreams    []Upstream
+	maxBudget    float64 // the largest bucket that recent first sends ever allowed
+	answers      map[string]int
+	idleConns    map[int]bool
+	sentTo       []int // upstreams in the order of the pushes
+	reports      [][]byte
+	wakeAt       int64
 }
 
-type owed struct {
-	t      *Transaction
-	tariff *Tariff
-	stop   int64
-	final  bool
-	pushes []*sending
+type testRequest struct {
+	tx       *Transaction
+	tariff   *Tariff
+	hardStop int64
+	answered bool
+	attempts []*testAttempt
 }
 
-type sending struct {
+type testAttempt struct {
 	upstream int
 	listed   Upstream // as it was when sent
-	at       int64
-	due      int64 // when its result comes
+	sentAt   int64
+	dueAt    int64 // when its result comes
 	result   Result
 	done     bool
 }
 
-func terms(tariffs ...*Tariff) *Terms {
-	return &Terms{
-		Seed: 7, Balancers: 2, Tariffs: tariffs, MaxPushes: 4, SecondCopies: true, Cancelling: true, Probing: true,
-		ColdShare: 0.2, WarmUp: 10 * s, FallMultiple: 3, FallSpan: 2 * s, MaxBackoff: s,
+func testConfig(tariffs ...*Tariff) *Config {
+	return &Config{
+		Seed: 7, Balancers: 2, Tariffs: tariffs, MaxAttempts: 4, Hedging: true, Cancelling: true, Probing: true,
+		ColdShare: 0.2, WarmUp: 10 * sec, OverloadFactor: 3, OverloadSpan: 2 * sec, MaxBackoff: sec,
 	}
 }
 
-func tariff(repeat Repeat, group Group) *Tariff {
+func testTariff(repeat Idempotency, group DedupScope) *Tariff {
 	return &Tariff{
-		Repeat: repeat, Group: group, Remembered: 200 * ms, ContractTime: s, Earnings: 1, LateEarnings: 0.5,
+		Idempotency: repeat, DedupScope: group, DedupWindow: 200 * ms, ContractTime: sec, Earnings: 1, LateEarnings: 0.5,
 	}
 }
 
-func newWorld(t *testing.T, terms *Terms, upstreams int, seed uint64) *world {
+func newHarness(t *testing.T, config *Config, upstreams int, seed uint64) *harness {
 	t.Helper()
-	w := &world{
-		t: t, terms: terms, now: 100 * s, rand: rand.New(rand.NewPCG(seed, 1)), of: map[*Transaction]*owed{},
-		told: map[int]int64{}, born: map[int]int64{}, sent: map[int][]int64{}, best: map[int]float64{},
-		probes: map[int]int64{},
-		finals: map[string]int{},
+	h := &harness{
+		t: t, config: config, now: 100 * sec, rand: rand.New(rand.NewPCG(seed, 1)), byTx: map[*Transaction]*testRequest{},
+		notAccepting: map[int]int64{}, startedAt: map[int]int64{}, sentAt: map[int][]int64{}, maxPerSpan: map[int]float64{},
+		probes:  map[int]int64{},
+		answers: map[string]int{},
 	}
-	b, err := New(terms, w.now)
+	b, err := New(config, h.now)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.b = b
+	h.b = b
 	for range upstreams {
-		w.list(b.Join(), Upstream{Weight: 1})
+		h.list(b.Join(), Upstream{Weight: 1})
 	}
-	return w
+	return h
 }
 
-func (w *world) list(i int, u Upstream) {
-	for len(w.up) <= i {
-		w.up = append(w.up, Upstream{})
+func (h *harness) list(i int, u Upstream) {
+	for len(h.upstreams) <= i {
+		h.upstreams = append(h.upstreams, Upstream{})
 	}
-	w.up[i] = u
-	if u.Born != w.born[i] {
-		w.born[i], w.sent[i] = u.Born, nil
+	h.upstreams[i] = u
+	if u.StartedAt != h.startedAt[i] {
+		h.startedAt[i], h.sentAt[i] = u.StartedAt, nil
 	}
-	delete(w.told, i)
-	w.b.List(i, u, w.now)
+	delete(h.notAccepting, i)
+	h.b.List(i, u, h.now)
 }
 
-func (w *world) arrive(tariff int, left int64) *owed {
-	o := &owed{t: &Transaction{}, tariff: w.terms.Tariffs[tariff], stop: w.now + left}
-	w.owed, w.of[o.t] = append(w.owed, o), o
-	w.b.Arrive(o.t, tariff, -1, 0, left, false, w.now)
-	return o
+func (h *harness) arrive(tariff int, left int64) *testRequest {
+	req := &testRequest{tx: &Transaction{}, tariff: h.config.Tariffs[tariff], hardStop: h.now + left}
+	h.requests, h.byTx[req.tx] = append(h.requests, req), req
+	h.b.Arrive(req.tx, tariff, -1, 0, left, false, h.now)
+	return req
 }
 
-// stream is a transaction whose last byte is still to come.
-func (w *world) stream(tariff int) *owed {
-	o := &owed{t: &Transaction{Single: true, Unwhole: true}, tariff: w.terms.Tariffs[tariff], stop: w.now + 1000*s}
-	w.owed, w.of[o.t] = append(w.owed, o), o
-	w.b.Arrive(o.t, tariff, -1, 0, 2*s, false, w.now)
-	return o
+// arriveStreaming is a transaction whose last byte is still to come.
+func (h *harness) arriveStreaming(tariff int) *testRequest {
+	req := &testRequest{tx: &Transaction{SendOnce: true, BodyPending: true}, tariff: h.config.Tariffs[tariff], hardStop: h.now + 1000*sec}
+	h.requests, h.byTx[req.tx] = append(h.requests, req), req
+	h.b.Arrive(req.tx, tariff, -1, 0, 2*sec, false, h.now)
+	return req
 }
 
-// whole has the last byte of one in so many come.
-func (w *world) whole(in int) {
-	for _, o := range w.owed {
-		if !o.final && o.t.Unwhole && w.rand.IntN(in) == 0 {
-			left := 100*ms + w.rand.Int64N(3*s)
-			o.stop = w.now + left
-			w.b.Whole(o.t, left, w.now)
+// receiveBodies has the last byte of one in so many come.
+func (h *harness) receiveBodies(in int) {
+	for _, req := range h.requests {
+		if !req.answered && req.tx.BodyPending && h.rand.IntN(in) == 0 {
+			left := 100*ms + h.rand.Int64N(3*sec)
+			req.hardStop = h.now + left
+			h.b.BodyReceived(req.tx, left, h.now)
 		}
 	}
 }
 
-// retune puts other terms in force: other attempts, some tariffs as they were, others new.
-func (w *world) retune() {
-	next := *w.terms
-	next.MaxPushes, next.Tariffs = 1+w.rand.IntN(5), nil
-	for _, f := range w.terms.Tariffs {
-		if w.rand.IntN(2) == 0 {
+// reconfigure puts other terms in force: other attempts, some tariffs as they were, others new.
+func (h *harness) reconfigure() {
+	next := *h.config
+	next.MaxAttempts, next.Tariffs = 1+h.rand.IntN(5), nil
+	for _, f := range h.config.Tariffs {
+		if h.rand.IntN(2) == 0 {
 			own := *f
-			own.Repeat, own.ContractTime = Repeat(w.rand.IntN(3)), 200*ms+w.rand.Int64N(s)
+			own.Idempotency, own.ContractTime = Idempotency(h.rand.IntN(3)), 200*ms+h.rand.Int64N(sec)
 			f = &own
 		}
 		next.Tariffs = append(next.Tariffs, f)
 	}
-	if err := w.b.Retune(&next, w.now); err != nil {
-		w.t.Fatal(err)
+	if err := h.b.Reconfigure(&next, h.now); err != nil {
+		h.t.Fatal(err)
 	}
-	w.terms = &next
-	w.b.Beside(1 + w.rand.IntN(2))
+	h.config = &next
+	h.b.SetProcesses(1 + h.rand.IntN(2))
 }
 
-// result delivers what became of a push.
-func (w *world) result(o *owed, n int, r Result) {
-	p := o.pushes[n]
+// deliver delivers what became of a push.
+func (h *harness) deliver(req *testRequest, n int, r Result) {
+	p := req.attempts[n]
 	p.done, p.result = true, r
 	if r.Final() {
-		o.final = true
+		req.answered = true
 	}
-	w.b.Outcome(o.t, n, r, w.now-p.at, o.final, w.now)
+	h.b.Outcome(req.tx, n, r, h.now-p.sentAt, req.answered, h.now)
 }
 
-func (w *world) round(step int64) {
-	w.now += step
-	w.b.Round(w.now, w)
-	w.most = max(w.most, 1, bucketPart*float64(sum(w.b.sends[:])))
-	for i := range w.up { // the pace may fall again while what it allowed is still within the span
-		w.best[i] = max(w.best[i], w.b.pace*w.b.part[i]*float64(w.terms.FallSpan))
+func (h *harness) round(step int64) {
+	h.now += step
+	h.b.Round(h.now, h)
+	h.maxBudget = max(h.maxBudget, 1, budgetRatio*float64(sum(h.b.firstSends[:])))
+	for i := range h.upstreams { // the pace may fall again while what it allowed is still within the span
+		h.maxPerSpan[i] = max(h.maxPerSpan[i], h.b.warmRate*h.b.share[i]*float64(h.config.OverloadSpan))
 	}
-	for _, o := range w.owed {
-		if !o.final && w.now >= o.stop {
-			w.t.Fatalf("no final answer at the hard stop")
+	for _, req := range h.requests {
+		if !req.answered && h.now >= req.hardStop {
+			h.t.Fatalf("no final answer at the hard stop")
 		}
 	}
 }
 
-// until runs rounds of 5 ms with nothing but the clock.
-func (w *world) until(at int64) {
-	for w.now < at {
-		w.round(5 * ms)
+// runUntil runs rounds of 5 ms with nothing but the clock.
+func (h *harness) runUntil(at int64) {
+	for h.now < at {
+		h.round(5 * ms)
 	}
 }
 
-func (o *owed) bound() *sending {
-	for _, p := range o.pushes {
+func (r *testRequest) firstEffect() *testAttempt {
+	for _, p := range r.attempts {
 		if !p.done || !p.result.NeverRan() {
 			return p
 		}
@@ -176,96 +176,96 @@
 	return nil
 }
 
-func (w *world) Push(t *Transaction, i int, until int64) {
-	o := w.of[t]
-	first := o.bound()
+func (h *harness) Send(tx *Transaction, i int, until int64) {
+	req := h.byTx[tx]
+	first := req.firstEffect()
 	switch {
-	case o.final:
-		w.t.Fatalf("a push after the final answer")
-	case until > o.stop:
-		w.t.Fatalf("a push may run past the hard stop")
-	case w.told[i] != 0:
-		w.t.Fatalf("new work for an upstream that was told to be leaving")
-	case len(o.pushes) >= t.Under.MaxPushes+t.Under.FreeRefusals || t.Single && len(o.pushes) > 0:
-		w.t.Fatalf("more pushes than allowed")
-	case first != nil && o.tariff.Repeat == OnceOnly:
-		w.t.Fatalf("once-only work sent again though it may have run")
-	case first != nil && o.tariff.Repeat == Tagged && w.now > first.at+o.tariff.Remembered:
-		w.t.Fatalf("tagged work sent again after its mark is forgotten")
-	case first != nil && o.tariff.Repeat == Tagged && !grouped(o.tariff.Group, first.listed, w.up[i]):
-		w.t.Fatalf("tagged work sent again outside its group")
+	case req.answered:
+		h.t.Fatalf("a push after the final answer")
+	case until > req.hardStop:
+		h.t.Fatalf("a push may run past the hard stop")
+	case h.notAccepting[i] != 0:
+		h.t.Fatalf("new work for an upstream that was told to be leaving")
+	case len(req.attempts) >= tx.Config.MaxAttempts+tx.Config.FreeRefusals || tx.SendOnce && len(req.attempts) > 0:
+		h.t.Fatalf("more pushes than allowed")
+	case first != nil && req.tariff.Idempotency == NonIdempotent:
+		h.t.Fatalf("once-only work sent again though it may have run")
+	case first != nil && req.tariff.Idempotency == Keyed && h.now > first.sentAt+req.tariff.DedupWindow:
+		h.t.Fatalf("tagged work sent again after its mark is forgotten")
+	case first != nil && req.tariff.Idempotency == Keyed && !inScope(req.tariff.DedupScope, first.listed, h.upstreams[i]):
+		h.t.Fatalf("tagged work sent again outside its group")
 	}
-	for _, p := range o.pushes {
+	for _, p := range req.attempts {
 		if !p.done {
-			if !w.terms.SecondCopies {
-				w.t.Fatalf("two pushes out though second copies are forbidden")
+			if !h.config.Hedging {
+				h.t.Fatalf("two pushes out though second copies are forbidden")
 			}
 			break
 		}
 	}
-	if age := w.now - w.born[i]; w.born[i] != 0 && age < w.terms.WarmUp {
-		w.cold(i, float64(age)/float64(w.terms.WarmUp))
+	if age := h.now - h.startedAt[i]; h.startedAt[i] != 0 && age < h.config.WarmUp {
+		h.checkColdBudget(i, float64(age)/float64(h.config.WarmUp))
 	}
-	o.pushes = append(o.pushes, &sending{upstream: i, listed: w.up[i], at: w.now, due: w.now + w.rand.Int64N(400*ms)})
-	w.pushed = append(w.pushed, i)
+	req.attempts = append(req.attempts, &testAttempt{upstream: i, listed: h.upstreams[i], sentAt: h.now, dueAt: h.now + h.rand.Int64N(400*ms)})
+	h.sentTo = append(h.sentTo, i)
 }
 
-func grouped(g Group, a, b Upstream) bool {
+func inScope(g DedupScope, a, b Upstream) bool {
 	return g == Everywhere || a.Zone == b.Zone && (g == SameZone || a.Cell == b.Cell)
 }
 
-// cold checks the budget of a cold upstream: half of what makes it fall, by its warmth's part of what warm ones of
+// checkColdBudget checks the budget of a cold upstream: half of what makes it fall, by its warmth's part of what warm ones of
 // its weight settle, with something for their chance.
-func (w *world) cold(i int, age float64) {
-	w.sent[i] = append(w.sent[i], w.now)
+func (h *harness) checkColdBudget(i int, age float64) {
+	h.sentAt[i] = append(h.sentAt[i], h.now)
 	recent := 0
-	for _, at := range w.sent[i] {
-		if at > w.now-w.terms.FallSpan {
+	for _, at := range h.sentAt[i] {
+		if at > h.now-h.config.OverloadSpan {
 			recent++
 		}
 	}
-	w.best[i] = max(w.best[i], w.b.pace*w.b.part[i]*float64(w.terms.FallSpan))
-	share := w.terms.ColdShare + (1-w.terms.ColdShare)*age
-	if limit := 0.6*w.terms.FallMultiple*share*w.best[i] + 2; float64(recent) > limit {
-		w.t.Fatalf("%d pushes to a cold upstream within the span, %.1f are bearable", recent, limit)
+	h.maxPerSpan[i] = max(h.maxPerSpan[i], h.b.warmRate*h.b.share[i]*float64(h.config.OverloadSpan))
+	share := h.config.ColdShare + (1-h.config.ColdShare)*age
+	if limit := 0.6*h.config.OverloadFactor*share*h.maxPerSpan[i] + 2; float64(recent) > limit {
+		h.t.Fatalf("%d pushes to a cold upstream within the span, %.1f are bearable", recent, limit)
 	}
 }
 
-func (w *world) Cancel(t *Transaction, n int) {
-	if o := w.of[t]; n >= len(o.pushes) || !w.terms.Cancelling {
-		w.t.Fatalf("a cancel that is not allowed")
-	} else if p := o.pushes[n]; !p.done {
-		p.due = w.now + ms
+func (h *harness) Cancel(tx *Transaction, n int) {
+	if req := h.byTx[tx]; n >= len(req.attempts) || !h.config.Cancelling {
+		h.t.Fatalf("a cancel that is not allowed")
+	} else if p := req.attempts[n]; !p.done {
+		p.dueAt = h.now + ms
 		p.result = Cancelled
 	}
 }
 
-func (w *world) end(t *Transaction, how string) *owed {
-	o := w.of[t]
-	if o.final {
-		w.t.Fatalf("two final answers")
+func (h *harness) answer(tx *Transaction, how string) *testRequest {
+	req := h.byTx[tx]
+	if req.answered {
+		h.t.Fatalf("two final answers")
 	}
-	o.final = true
-	w.finals[how]++
-	return o
+	req.answered = true
+	h.answers[how]++
+	return req
 }
 
-func (w *world) Defer(t *Transaction, _ Why, backoff int64) {
-	o := w.end(t, "deferred")
-	if f := o.tariff; o.bound() != nil && (f.Repeat == OnceOnly || f.Repeat == Tagged && f.Group != Everywhere) {
-		w.t.Fatalf("a deferral though the work may have run")
+func (h *harness) Defer(tx *Transaction, _ Reason, backoff int64) {
+	req := h.answer(tx, "deferred")
+	if f := req.tariff; req.firstEffect() != nil && (f.Idempotency == NonIdempotent || f.Idempotency == Keyed && f.DedupScope != Everywhere) {
+		h.t.Fatalf("a deferral though the work may have run")
 	}
 }
 
-func (w *world) Forfeit(t *Transaction, _ Why) { w.end(t, "forfeited") }
-func (w *world) Probe(i int)                   { w.probes[i] = w.now + 20*ms }
-func (w *world) Follow()                       { w.finals["followed"]++ }
-func (w *world) Wake(at int64)                 { w.wake = at }
-func (w *world) Tell(peer int, raw []byte) {
-	if peer < 0 || peer >= w.terms.Balancers || peer == w.terms.Index || len(raw) == 0 || len(raw) > 256 {
-		w.t.Fatalf("%d bytes for balancer %d", len(raw), peer)
+func (h *harness) Forfeit(tx *Transaction, _ Reason) { h.answer(tx, "forfeited") }
+func (h *harness) Probe(i int)                       { h.probes[i] = h.now + 20*ms }
+func (h *harness) Follow()                           { h.answers["followed"]++ }
+func (h *harness) Wake(at int64)                     { h.wakeAt = at }
+func (h *harness) SendReport(peer int, raw []byte) {
+	if peer < 0 || peer >= h.config.Balancers || peer == h.config.Index || len(raw) == 0 || len(raw) > 256 {
+		h.t.Fatalf("%d bytes for balancer %d", len(raw), peer)
 	}
-	w.said = append(w.said, raw)
+	h.reports = append(h.reports, raw)
 }
-func (w *world) Note(string)     {}
-func (w *world) Kept(i int) bool { return w.kept[i] }
+func (h *harness) Note(string)            {}
+func (h *harness) HasIdleConn(i int) bool { return h.idleConns[i] }
--- a/logic/seen.go
+++ b/logic/seen.go
@@ -1,70 +1,70 @@
 package logic
 
-// Why says what a transaction that its caller could not have settled ended by.
-type Why uint8
+// Reason says what a transaction that its caller could not have settled ended by.
+type Reason uint8
 
 const (
-	NoRoom     Why = iota // waited in line as long as it may
-	LineFull              // the line was longer than the wait that it may have
-	NoUpstream            // there was nobody to send it to
-	GivenUp               // its contract time or its hard stop came with a push out, or with none possible
-	Failed                // its last push failed, and no further one was allowed, paid for or had an upstream
-	Whys       = iota
+	QueueTimeout     Reason = iota // waited in line as long as it may
+	QueueFull                      // the line was longer than the wait that it may have
+	NoUpstream                     // there was nobody to send it to
+	DeadlineExceeded               // its contract time or its hard stop came with a push out, or with none possible
+	AttemptsFailed                 // its last push failed, and no further one was allowed, paid for or had an upstream
+	ReasonCount      = iota
 )
 
-func (w Why) String() string {
-	return [Whys]string{"no_room", "line_full", "no_upstream", "given_up", "failed"}[w]
+func (w Reason) String() string {
+	return [ReasonCount]string{"no_room", "line_full", "no_upstream", "given_up", "failed"}[w]
 }
 
-// Held is what kept a copy or a retry back.
-type Held uint8
+// Suppression is what kept a copy or a retry back.
+type Suppression uint8
 
 const (
-	CopyGated   Held = iota // outcomes are bad
-	CopyUnpaid              // the bucket is empty
-	CopyLoop                // copies seldom won
-	RetryUnpaid             // the bucket is empty
-	Helds       = iota
+	HedgingPaused    Suppression = iota // outcomes are bad
+	HedgeOverBudget                     // the bucket is empty
+	HedgeWinRateLow                     // copies seldom won
+	RetryOverBudget                     // the bucket is empty
+	SuppressionCount = iota
 )
 
-func (h Held) String() string {
-	return [Helds]string{"copy_gated", "copy_unpaid", "copy_loop", "retry_unpaid"}[h]
+func (h Suppression) String() string {
+	return [SuppressionCount]string{"copy_gated", "copy_unpaid", "copy_loop", "retry_unpaid"}[h]
 }
 
-// Turn is an upstream that was set aside or taken back. Nothing is decided by it.
-type Turn struct {
-	Upstream int
-	Back     bool
-	Why      Result // the last evidence, where it was set aside
-	Cold     bool   // taken back as one that may have started anew
+// EjectionEvent is an upstream that was set aside or taken back. Nothing is decided by it.
+type EjectionEvent struct {
+	Upstream   int
+	Reinstated bool
+	Cause      Result // the last evidence, where it was set aside
+	Cold       bool   // taken back as one that may have started anew
 }
 
-// Seen is what a balancer makes of things, for those who watch it. Nothing is decided by it.
-type Seen struct {
-	Held [Helds]int // since it was asked last
+// Stats is what a balancer makes of things, for those who watch it. Nothing is decided by it.
+type Stats struct {
+	Suppressed [SuppressionCount]int // since it was asked last
 
-	Room, InHand, Mean float64 // transactions: the bound (0 before the first), counted now, and their mean
-	Line               int     // transactions that wait
-	Slow, Base         float64 // shares of contract time that a transaction takes now, and at best
-	Strength, Best     float64 // weight in service, and the most ends a second for each unit of it
-	Own, Aside, Cold   int     // upstreams of its part, and how many of them are set aside and cold
-	Trigger            int64   // the live quantile, 0 for none
-	Bucket             float64 // pushes
+	Limit, Concurrency, MeanConcurrency float64 // transactions: the bound (0 before the first), counted now, and their mean
+	QueueLength                         int     // transactions that wait
+	LatencyRatio, BaseRatio             float64 // shares of contract time that a transaction takes now, and at best
+	Capacity, BestRate                  float64 // weight in service, and the most ends a second for each unit of it
+	Assigned, Ejected, Cold             int     // upstreams of its part, and how many of them are set aside and cold
+	HedgeDelay                          int64   // the live quantile, 0 for none
+	Budget                              float64 // pushes
 }
 
-// Seen tells how things stand.
-func (b *Balancer) Seen() Seen {
-	v := Seen{Held: b.held}
-	b.held = [Helds]int{}
-	v.Room, v.InHand, v.Mean, v.Line, v.Base = b.room, b.counted(), b.mean, len(b.line), b.base
-	if b.rate > 0 {
-		v.Slow = b.load / b.rate
+// Stats tells how things stand.
+func (b *Balancer) Stats() Stats {
+	v := Stats{Suppressed: b.suppressed}
+	b.suppressed = [SuppressionCount]int{}
+	v.Limit, v.Concurrency, v.MeanConcurrency, v.QueueLength, v.BaseRatio = b.limit, b.concurrency(), b.meanConcurrency, len(b.queue), b.baseRatio
+	if b.shortRate > 0 {
+		v.LatencyRatio = b.shortLoad / b.shortRate
 	}
-	v.Strength, v.Best, v.Trigger, v.Bucket = b.strength, b.best*float64(s), b.trigger, b.bucket-float64(b.losers)
-	v.Own = len(b.own)
-	for _, i := range b.own {
-		if b.aside[i] != 0 {
-			v.Aside++
+	v.Capacity, v.BestRate, v.HedgeDelay, v.Budget = b.capacity, b.bestRate*float64(sec), b.hedgeDelay, b.budget-float64(b.cancelledPending)
+	v.Assigned = len(b.assigned)
+	for _, i := range b.assigned {
+		if b.ejectedUntil[i] != 0 {
+			v.Ejected++
 		}
 		if b.warmth(i) < 1 {
 			v.Cold++
@@ -74,35 +74,35 @@
 }
 
 // Add adds another's; of the shares and the quantile the larger stays.
-func (v *Seen) Add(o Seen) {
-	for h, n := range o.Held {
-		v.Held[h] += n
+func (stats *Stats) Add(other Stats) {
+	for suppression, n := range other.Suppressed {
+		stats.Suppressed[suppression] += n
 	}
-	v.Room, v.InHand, v.Mean, v.Line = v.Room+o.Room, v.InHand+o.InHand, v.Mean+o.Mean, v.Line+o.Line
-	v.Slow, v.Base, v.Trigger = max(v.Slow, o.Slow), max(v.Base, o.Base), max(v.Trigger, o.Trigger)
-	v.Strength, v.Best, v.Bucket = v.Strength+o.Strength, max(v.Best, o.Best), v.Bucket+o.Bucket
-	v.Own, v.Aside, v.Cold = v.Own+o.Own, v.Aside+o.Aside, v.Cold+o.Cold
+	stats.Limit, stats.Concurrency, stats.MeanConcurrency, stats.QueueLength = stats.Limit+other.Limit, stats.Concurrency+other.Concurrency, stats.MeanConcurrency+other.MeanConcurrency, stats.QueueLength+other.QueueLength
+	stats.LatencyRatio, stats.BaseRatio, stats.HedgeDelay = max(stats.LatencyRatio, other.LatencyRatio), max(stats.BaseRatio, other.BaseRatio), max(stats.HedgeDelay, other.HedgeDelay)
+	stats.Capacity, stats.BestRate, stats.Budget = stats.Capacity+other.Capacity, max(stats.BestRate, other.BestRate), stats.Budget+other.Budget
+	stats.Assigned, stats.Ejected, stats.Cold = stats.Assigned+other.Assigned, stats.Ejected+other.Ejected, stats.Cold+other.Cold
 }
 
-// Turns takes what was set aside and taken back since the last call.
-func (b *Balancer) Turns(take func(Turn)) {
-	for _, t := range b.turns {
-		take(t)
+// TakeEvents takes what was set aside and taken back since the last call.
+func (b *Balancer) TakeEvents(take func(EjectionEvent)) {
+	for _, event := range b.events {
+		take(event)
 	}
-	b.turns = b.turns[:0]
+	b.events = b.events[:0]
 }
 
-// turned keeps a turn for who watches. Danger: nobody may, and memory would grow.
-func (b *Balancer) turned(t Turn) {
-	if len(b.turns) < 64 {
-		b.turns = append(b.turns, t)
+// recordEvent keeps a turn for who watches. Danger: nobody may, and memory would grow.
+func (b *Balancer) recordEvent(event EjectionEvent) {
+	if len(b.events) < 64 {
+		b.events = append(b.events, event)
 	}
 }
 
-// pass counts what keeps a copy or a retry back, and hands on whether nothing does.
-func (b *Balancer) pass(by Held, free bool) bool {
-	if !free {
-		b.held[by]++
+// allow counts what keeps a copy or a retry back, and hands on whether nothing does.
+func (b *Balancer) allow(cause Suppression, allowed bool) bool {
+	if !allowed {
+		b.suppressed[cause]++
 	}
-	return free
+	return allowed
 }
