--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -208,7 +208,7 @@
 				m.counts.Elsewhere++
 			}
 		}
-		m.after.Redirect(&p.other, p.sent, real)
+		m.after.SetUpstream(&p.other, p.sent, real)
 	}
 	mine, others := p.t.AttemptCount(), p.other.AttemptCount()
 	switch {
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -1,9 +1,8 @@
-// Package logic decides, for one balancer, where each transaction goes and how it ends.
+// Package logic decides, for one balancer, which upstream serves each transaction and how it ends.
 //
-// How it is called: New once with the Terms. Then, for each round, the calls that tell what came in, in order
-// (Join, List, Drain, Leave, Listed; Arrive, Whole, Outcome, Began, Vanish; Probed; Told; Retune, Beside),
-// and one Round(now, w), which writes all decisions into w. The interface, Writer, and all types and state
-// are in types.go; why it decides so is in docs/design.md.
+// The caller reports the events of a round in their order (Join, List, Drain, Leave, Listed; Arrive,
+// BodyReceived, Outcome, StreamStarted, ClientGone; ProbeResult; PeerReport; Reconfigure, SetProcesses), then
+// calls Round once, which writes all decisions to a Writer. docs/design.md gives the reasons for the design.
 package logic
 
 import (
@@ -15,79 +14,83 @@
 const (
 	ms, sec = int64(1e6), int64(1e9)
 
-	// The mechanism, as the design page gives it.
-	hedgeFraction                                        = 0.05 // of the pushes outrun the quantile of a balancer alone
-	minHedgeFraction                                     = 0.01 // and of one among many
-	manyBalancers                                        = 8    // so many beside it, and what each sends twice has to halve
-	statsWindow, minHedgeDelay, minSamples               = 30 * sec, 10 * ms, 20
-	budgetRatio                                          = 0.1 // copies and retries per recent first send
-	maxFaultRatio                                        = 0.2 // copying pauses above this share of bad outcomes
+	hedgeFraction    = 0.05 // of the attempts outlast the hedge delay where a balancer is alone
+	minHedgeFraction = 0.01 // the same, at the least, among many balancers
+	manyBalancers    = 8    // with this many others the hedge fraction is halved
+
+	statsWindow, minHedgeDelay, minSamples = 30 * sec, 10 * ms, 20
+
+	budgetRatio   = 0.1 // hedges and retries per recent first attempt
+	maxFaultRatio = 0.2 // hedging pauses above this share of upstream faults
+
 	winWindow, minWinRate, minWinSamples, minHedgeChance = 20 * sec, 0.2, 10, 0.05
 
-	statsSlots, latencyBuckets, winSlots = 6, 128, 4 // the windows move in steps of a sixth and a quarter
-
-	idleConnCredit     = 4.0    // turns that an upstream may be ahead of its due while a connection to it is kept
-	aboveMeanMargin    = 0.25   // skip an upstream with this many pushes more in flight than its part of the mean
-	aboveLeastMargin   = 0.1    // and where peers tell, what would hold this much more than the one with the least
-	usualRatio         = 0.35   // at most this share of its contract time is usual for an uncrowded transaction
-	initialConcurrency = 6.0    // transactions in hand for each upstream at first, where no customer's share tells more
-	minLimitFactor     = 2. / 3 // of these crowd nobody
-	peerCongestedRatio = 2.0    // and where peers tell, as many times what is ample
-	maxLimitFactor     = 1.6    // there room may grow to this multiple of the first
-	crossZonePenalty   = 10.0   // a crossing priced at a tenth of the earnings halves the turns
-	burstTokens        = 4      // transactions of a customer that may come at once by chance
+	statsSlots, latencyBuckets, winSlots = 6, 128, 4 // the two windows move in steps of a sixth and a quarter
+
+	idleConnCredit     = 4.0    // rotations by which an idle connection lets an upstream run ahead
+	aboveMeanMargin    = 0.25   // skips an upstream with this many attempts more than its share of the mean
+	aboveLeastMargin   = 0.1    // with peers: skips an upstream with this much more load than the least loaded
+	usualRatio         = 0.35   // share of its contract time that a transaction takes at most without congestion
+	initialConcurrency = 6.0    // transactions for each upstream at first, unless customer quotas give less
+	minLimitFactor     = 2. / 3 // lower bound of the limit, as a multiple of the initial limit
+	peerCongestedRatio = 2.0    // with peers: congestion begins at this multiple of usualRatio
+	maxLimitFactor     = 1.6    // with peers: the limit may always grow to this multiple of the initial limit
+	crossZonePenalty   = 10.0   // a crossing priced at a tenth of the earnings halves the cross-zone traffic
+	burstTokens        = 4      // transactions of a customer that may arrive at once by chance
 	tickInterval       = 200 * ms
-	congestedRatio     = 1.4 // room shrinks while answers take this many times longer than at best
+	congestedRatio     = 1.4 // the limit shrinks while answers take this many times the best time
 
-	reportsPerSend    = 28       // messages that a first push pays for
-	minReportInterval = 10 * ms  // peers are told no more often
-	reportRefresh     = 500 * ms // and no less while something is in flight
-	reportTTL         = 3 * reportRefresh
+	reportsPerSend = 28       // load reports that each first attempt allows
+	minReportGap   = 10 * ms  // between load reports
+	reportRefresh  = 500 * ms // reports are repeated this often while attempts are pending
+	reportTTL      = 3 * reportRefresh
 
-	minOverlap                                 = 6    // balancers, at the least, that meet an upstream
-	minUpstreams                               = 4    // upstreams, at the least, for one balancer
-	minOverlapWithPeers, minUpstreamsWithPeers = 4, 2 // the same two where peers tell: each more of them is told all
-	maxOverlapWithPeers                        = 12   // danger: told by many more, each would do little but listen
+	minOverlap                                 = 6    // balancers that use an upstream, at the least
+	minUpstreams                               = 4    // upstreams of one balancer, at the least
+	minOverlapWithPeers, minUpstreamsWithPeers = 4, 2 // fewer with peers, as each balancer more gets all reports
+	maxOverlapWithPeers                        = 12   // with more, reading reports would take most of the time
 	meanWindow                                 = 500 * ms
 
-	ejectLogOdds                = 4.5 // log odds at which an upstream is set aside
-	maxEjected                  = 0.4 // of the list's weight may be set aside
+	ejectLogOdds                = 4.5 // log odds at which an upstream is ejected
+	maxEjected                  = 0.4 // share of the assigned weight that may be ejected
 	ejectionTime, probeInterval = 4 * sec, 300 * ms
-	probesToReinstate           = 2 // answered probes before a return
+	probesToReinstate           = 2 // consecutive answered probes
 )
 
-// New starts a balancer; it refuses terms that it cannot work with.
+// New returns a balancer with the given configuration, or an error if that is invalid.
 func New(config *Config, now int64) (*Balancer, error) {
 	if err := config.Validate(); err != nil {
 		return nil, err
 	}
-	b := &Balancer{now: now, lastRoundAt: now, randState: config.Seed<<1 | 1, hedgeChance: 1, budget: 1, reportBudget: 4 * reportsPerSend}
-	b.nextSlotAt, b.nextWinSlotAt, b.nextTickAt, b.processes, b.shareCount = now+statsWindow/statsSlots, now+winWindow/winSlots, now+tickInterval, 1, 1
+	b := &Balancer{now: now, roundAt: now, randState: config.Seed<<1 | 1, hedgeChance: 1, budget: 1,
+		reportBudget: 4 * reportsPerSend}
+	b.nextSlotAt, b.nextWinSlotAt, b.nextTickAt, b.processes, b.shareCount =
+		now+statsWindow/statsSlots, now+winWindow/winSlots, now+tickInterval, 1, 1
 	b.applyConfig(config)
 	return b, nil
 }
 
-// applyConfig takes what terms say beforehand of room and purses.
+// applyConfig sets the configuration, with the expected load and the token buckets of its customers.
 func (b *Balancer) applyConfig(config *Config) {
 	b.config, b.quotaConcurrency, b.quotaRate = config, 0, 0
-	b.crossZoneFactor = 1 / (1 + crossZonePenalty*config.CrossZonePrice) // the dearer crossings are, the fewer turns go there
+	b.crossZoneFactor = 1 / (1 + crossZonePenalty*config.CrossZonePrice)
 	b.resetPeers()
-	time := 0.0
-	for _, f := range config.Tariffs {
-		time += usualRatio * float64(f.ContractTime) / float64(len(config.Tariffs))
-	}
-	for _, c := range config.Customers {
-		b.quotaRate += c.Rate / float64(sec) / float64(config.Balancers)
-		if b.quotaConcurrency += c.Rate / float64(sec) * time; c.refilledAt == 0 {
-			c.tokens, c.refilledAt = c.Rate/float64(config.Balancers)+burstTokens, b.now
+	usualTime := 0.0
+	for _, tariff := range config.Tariffs {
+		usualTime += usualRatio * float64(tariff.ContractTime) / float64(len(config.Tariffs))
+	}
+	for _, customer := range config.Customers {
+		b.quotaRate += customer.Rate / float64(sec) / float64(config.Balancers)
+		if b.quotaConcurrency += customer.Rate / float64(sec) * usualTime; customer.refilledAt == 0 {
+			customer.tokens, customer.refilledAt = customer.Rate/float64(config.Balancers)+burstTokens, b.now
 		}
 	}
 }
 
-// Join takes a new upstream and returns its index.
+// Join adds an upstream and returns its index.
 func (b *Balancer) Join() int {
-	for i, known := range b.inUse {
-		if !known && b.inFlight[i] == 0 && !b.probing[i] {
+	for i, used := range b.inUse {
+		if !used && b.inFlight[i] == 0 && !b.probing[i] {
 			b.inUse[i], b.startedAt[i] = true, 0
 			b.reset(i)
 			return i
@@ -97,92 +100,94 @@
 	return len(b.inUse) - 1
 }
 
-// reset forgets what was learnt of an upstream.
+// reset drops what was learnt about an upstream.
 func (b *Balancer) reset(i int) {
 	b.ejectedUntil[i], b.probesAnswered[i], b.unreachable[i] = 0, 0, false
 	b.logOdds[i], b.weight[i], b.successes[i], b.failures[i], b.kind[i], b.peerInFlight[i] = 0, 0, 0, 0, 0, 0
-	for peer, all := range b.peerAttempts {
-		b.peerAttempts[peer] = slices.DeleteFunc(all, func(j int) bool { return j == i })
+	for peer, upstreams := range b.peerAttempts {
+		b.peerAttempts[peer] = slices.DeleteFunc(upstreams, func(j int) bool { return j == i })
 	}
 	b.credit[i], b.tokens[i], b.refilledAt[i] = math.NaN(), b.random(), b.now
 }
 
-// List says that an upstream takes work, and how the list describes it.
+// List reports that an upstream accepts work, with its entry in the list.
 func (b *Balancer) List(i int, u Upstream, now int64) {
 	b.now = now
 	if u.StartedAt > b.startedAt[i] && b.ready[i] {
-		b.reset(i) // the same machine, started anew: nothing known of it holds, and it is cold
+		b.reset(i) // restarted: it is cold, and what was learnt about it no longer holds
 	}
 	u.Weight = math.Max(u.Weight, 1e-6)
 	if b.config.LiveWeights {
 		u.Weight = b.nominalWeight(i, u)
 	}
-	b.listChanged = b.listChanged || !b.ready[i] || u.Weight != b.weight[i] || u.Zone != b.zone[i] || u.ID != b.id[i]
-	// A later start than the one listed may have been guessed from a return after refused connections.
+	b.listDirty = b.listDirty || !b.ready[i] || u.Weight != b.weight[i] || u.Zone != b.zone[i] || u.ID != b.id[i]
+	// A start later than the listed one was inferred when the upstream came back after refused connections.
 	b.ready[i], b.weight[i], b.zone[i], b.cell[i], b.id[i] = true, u.Weight, u.Zone, u.Cell, u.ID
 	b.startedAt[i] = max(b.startedAt[i], u.StartedAt)
 }
 
-// nominalWeight is the size behind a live weight: the largest listed of its kind, or of it alone. Danger: taken
-// for sizes, live weights move the parts of all balancers with every list, and all open connections anew.
+// nominalWeight returns the size behind a live weight: the largest listed for its kind of machine, or for it
+// alone. Live weights taken as sizes would move all shares, and renew all connections, with every list.
 func (b *Balancer) nominalWeight(i int, u Upstream) float64 {
-	size := max(u.Weight, b.weight[i])
+	weight := max(u.Weight, b.weight[i])
 	b.kind[i] = u.Kind
 	sameKind := func(j int) bool { return b.ready[j] && u.Kind > 0 && b.kind[j] == u.Kind }
 	for j := range b.kind {
 		if sameKind(j) {
-			size = max(size, b.weight[j])
+			weight = max(weight, b.weight[j])
 		}
 	}
 	for j := range b.kind {
-		if sameKind(j) && b.weight[j] < size {
-			b.weight[j], b.listChanged = size, true
+		if sameKind(j) && b.weight[j] < weight {
+			b.weight[j], b.listDirty = weight, true
 		}
 	}
-	return size
+	return weight
 }
 
-// Drain says that an upstream drains: nothing new goes there from this round on, well within any grace.
-func (b *Balancer) Drain(i int) { b.ready[i], b.listChanged = false, true }
+// Drain reports that an upstream drains. It gets nothing new from this round on, within any grace period.
+func (b *Balancer) Drain(i int) { b.ready[i], b.listDirty = false, true }
 
-// Leave says that an upstream is gone; its index may be used again once nothing of it is out.
+// Leave reports that an upstream is gone. Its index may be reused once no attempt or probe is pending.
 func (b *Balancer) Leave(i int) {
-	b.ready[i], b.inUse[i], b.ejectedUntil[i], b.listChanged = false, false, 0, true
+	b.ready[i], b.inUse[i], b.ejectedUntil[i], b.listDirty = false, false, 0, true
 }
 
-// Listed says how a question to the list ended, or that a report of it came.
+// Listed reports whether the list could be read; it also follows each update of the list.
 func (b *Balancer) Listed(ok bool, now int64) {
 	if ok {
 		b.listFailures = 0
 		return
 	}
-	// The list is one small service for all: ask again later each time, and not all at once.
+	// All balancers share one small list service: back off exponentially, with jitter.
 	b.listFailures++
 	b.following = false
 	b.followAt = now + int64(float64(250*ms<<min(b.listFailures, 4))*(0.5+b.random()))
 }
 
-// Arrive takes a transaction; one final answer is owed for it from now on.
-func (b *Balancer) Arrive(tx *Transaction, tariff, customer int, work, left int64, clientRetry bool, now int64) {
+// Arrive takes a new transaction, which gets exactly one final answer. left is its client's remaining wait.
+func (b *Balancer) Arrive(tx *Transaction, tariffIndex, customerIndex int, work, left int64,
+	clientRetry bool, now int64) {
 	tx.Config = cmp.Or(tx.Config, b.config)
-	kind := tx.Config.Tariffs[tariff]
+	tariff := tx.Config.Tariffs[tariffIndex]
 	b.arrivals++
-	tx.tariff, tx.arrivedAt, tx.hardStop, tx.timerIndex, tx.firstEffect, tx.clientRetry = kind, now, now+left, -1, -1, clientRetry
-	tx.contractEnd = min(now+kind.ContractTime+int64(kind.WorkFactor*float64(work)), tx.hardStop)
+	tx.tariff, tx.arrivedAt, tx.hardStop, tx.timerIndex, tx.firstEffect, tx.clientRetry =
+		tariff, now, now+left, -1, -1, clientRetry
+	tx.contractEnd = min(now+tariff.ContractTime+int64(tariff.WorkFactor*float64(work)), tx.hardStop)
 	tx.load = 1 / float64(max(tx.contractEnd-now, 1))
 	if !clientRetry {
-		kind.longestWait = max(kind.longestWait, left)
-	} else if left < kind.longestWait {
-		tx.contractEnd = min(tx.contractEnd, tx.hardStop-kind.HardStop+kind.ContractTime) // what is left tells when its first try came
+		tariff.longestWait = max(tariff.longestWait, left)
+	} else if left < tariff.longestWait {
+		tx.contractEnd = min(tx.contractEnd, tx.hardStop-tariff.HardStop+tariff.ContractTime) // since the first try
 	}
-	if customer >= 0 {
-		tx.customer = tx.Config.Customers[customer]
+	if customerIndex >= 0 {
+		tx.customer = tx.Config.Customers[customerIndex]
 	}
 	b.mark(tx)
 }
 
-// BodyReceived says that a transaction's last byte has come. Danger: counted from its first, the time that a slow
-// client takes to send would be held against the upstream.
+// BodyReceived reports that the last byte of a transaction has arrived. Its times count from here: the time
+// that a slow client takes to send must not count against the upstream.
 func (b *Balancer) BodyReceived(tx *Transaction, left, now int64) {
 	tx.BodyPending, tx.contractEnd = false, now+min(left, tx.contractEnd-tx.arrivedAt)
 	tx.arrivedAt, tx.hardStop = now, now+left
@@ -193,7 +198,7 @@
 	b.mark(tx)
 }
 
-// Outcome tells how a push ended; final, that the transaction ended with it or before.
+// Outcome reports the result of attempt n. final tells that the transaction ended with it or before.
 func (b *Balancer) Outcome(tx *Transaction, n int, r Result, took int64, final bool, now int64) {
 	p := &tx.attempts[n]
 	if !p.pending {
@@ -222,13 +227,13 @@
 	b.mark(tx)
 }
 
-// StreamStarted says that a streamed answer has started: the client has it, and no time-out holds any more.
+// StreamStarted reports that attempt n began to stream its answer to the client. Time-outs no longer apply.
 func (b *Balancer) StreamStarted(tx *Transaction, n int) {
 	tx.streaming = &tx.attempts[n]
 	b.mark(tx)
 }
 
-// ClientGone says that the client has left; nothing is owed any more.
+// ClientGone reports that the client has disconnected. The transaction needs no answer any more.
 func (b *Balancer) ClientGone(tx *Transaction) {
 	if !tx.answered {
 		b.deactivate(tx)
@@ -236,7 +241,7 @@
 	}
 }
 
-// ProbeResult tells how a probe ended.
+// ProbeResult reports whether an upstream answered its probe.
 func (b *Balancer) ProbeResult(i int, ok bool) {
 	b.probing[i] = false
 	if !ok {
@@ -246,12 +251,12 @@
 	}
 }
 
-// Round decides on all that came in. Calls off losers, starts pushes and copies, and gives final answers.
+// Round decides on all events since the last round: it starts and cancels attempts and gives final answers.
 func (b *Balancer) Round(now int64, w Writer) {
-	smoothing := max(float64(meanWindow), min(10/b.longRate, b.ticks*float64(tickInterval)))
-	b.meanConcurrency += (1 - math.Exp(-float64(now-b.lastRoundAt)/smoothing)) * (b.lastConcurrency - b.meanConcurrency)
-	b.now, b.writer, b.lastRoundAt = now, w, now
-	if b.listChanged {
+	window := max(float64(meanWindow), min(10/b.longRate, b.ticks*float64(tickInterval)))
+	b.meanConcurrency += (1 - math.Exp(-float64(now-b.roundAt)/window)) * (b.lastConcurrency - b.meanConcurrency)
+	b.now, b.writer, b.roundAt = now, w, now
+	if b.listDirty {
 		b.assign()
 	}
 	if b.config.FollowList && !b.following && now >= b.followAt {
@@ -275,16 +280,16 @@
 	b.dequeue()
 	next := b.nextTickAt
 	if b.active == 0 && !slices.ContainsFunc(b.ejectedUntil, func(at int64) bool { return at != 0 }) {
-		next = math.MaxInt64 // nothing to watch over: sleep until something comes in
+		next = math.MaxInt64 // idle: sleep until the next event
 	}
 	if len(b.timers) > 0 {
 		next = min(next, b.timers[0].dueAt)
 	}
 	if len(b.peers) > 0 {
-		if now >= b.nextReportAt {
+		if now >= b.nextReport {
 			b.sendReports()
 		}
-		next = min(next, b.nextReportAt)
+		next = min(next, b.nextReport)
 	}
 	if b.config.FollowList && !b.following {
 		next = min(next, b.followAt)
@@ -296,7 +301,7 @@
 	b.writer, b.lastConcurrency = nil, b.concurrency()
 }
 
-// decide is the way of one transaction, from its arrival to its final answer.
+// decide moves one transaction on, from its arrival to its final answer.
 func (b *Balancer) decide(tx *Transaction) {
 	if tx.answered || tx.streaming != nil {
 		b.cancelPending(tx)
@@ -304,7 +309,7 @@
 		return
 	}
 	if b.now >= b.giveUpAt(tx) {
-		// Danger: with few samples, or a quantile beyond the contract time, nothing else tells of silence.
+		// With few samples, or a hedge delay beyond the contract time, only this detects a silent upstream.
 		for n := range tx.attempts {
 			if p := &tx.attempts[n]; b.now-p.sentAt > (b.now-tx.arrivedAt)/2 {
 				b.countSilence(p)
@@ -314,7 +319,7 @@
 		return
 	}
 
-	// The first push, to the next in turn.
+	// The first attempt.
 	if len(tx.attempts) == 0 {
 		if !tx.queued {
 			b.setValue(tx)
@@ -325,7 +330,7 @@
 		}
 		i := b.pick(tx)
 		if i < 0 {
-			b.finish(tx, NoUpstream) // nobody to send it to, and no news in sight: say so at once
+			b.finish(tx, NoUpstream) // no upstream will become available soon: answer at once
 			return
 		}
 		b.firstSends[b.slot]++
@@ -334,7 +339,7 @@
 		b.send(tx, i, false)
 	}
 
-	// A further push after a failure, if the tariff bears it and the bucket pays.
+	// A retry after a failure, if the tariff and the budget allow it.
 	if tx.pending == 0 {
 		i := -1
 		if b.retryAllowed(tx) && b.allow(RetryOverBudget, b.withinBudget()) {
@@ -348,14 +353,14 @@
 		b.send(tx, i, false)
 	}
 
-	// A copy, once the push outruns the live quantile.
+	// A hedge, once the last attempt has taken longer than the hedge delay.
 	latest := &tx.attempts[len(tx.attempts)-1]
 	hedgeAt := int64(math.MaxInt64)
 	if b.hedgeDelay > 0 && !tx.BodyPending {
 		if hedgeAt = latest.sentAt + b.hedgeDelay; b.now >= hedgeAt {
 			hedgeAt = math.MaxInt64
 			b.markLate(tx, latest)
-			if tx.pending == 1 && b.config.Hedging && b.retryAllowed(tx) && b.allow(HedgingPaused, !b.hedgingPaused()) &&
+			if tx.pending == 1 && b.config.Hedging && b.retryAllowed(tx) && b.allow(HedgePaused, !b.hedgePaused()) &&
 				b.allow(HedgeOverBudget, b.withinBudget()) && b.allow(HedgeWinRateLow, b.random() < b.hedgeChance) {
 				if i := b.pick(tx); i >= 0 {
 					b.budget--
@@ -369,8 +374,8 @@
 	b.schedule(tx, min(b.giveUpAt(tx), hedgeAt))
 }
 
-// giveUpAt is when waiting on is worth nothing: a client's answer after the contract time, where lateness earns
-// nothing, else at the hard stop. Within the service the caller judges, not the call.
+// giveUpAt returns when a transaction is given up: at the end of the contract time if a client's late answer
+// earns nothing, else at the hard stop. In inner tiers the caller decides whether a late answer is of use.
 func (b *Balancer) giveUpAt(tx *Transaction) int64 {
 	if tx.BodyPending {
 		return math.MaxInt64
@@ -381,12 +386,13 @@
 	return tx.hardStop
 }
 
-// finish gives the final answer: a deferral if it is certain that trying again is harmless, else a forfeit.
+// finish gives the final answer: deferred if the client can safely retry, else forfeited.
 func (b *Balancer) finish(tx *Transaction, reason Reason) {
 	b.unschedule(tx)
 	tx.findFirstEffect()
 	b.deactivate(tx)
-	if tariff := tx.tariff; tx.firstEffect < 0 || tariff.Idempotency == Idempotent || tariff.Idempotency == Keyed && tariff.DedupScope == Everywhere {
+	if tariff := tx.tariff; tx.firstEffect < 0 || tariff.Idempotency == Idempotent ||
+		tariff.Idempotency == Keyed && tariff.DedupScope == Everywhere {
 		b.writer.Defer(tx, reason, b.config.Backoff(tx.tariff))
 	} else {
 		b.writer.Forfeit(tx, reason)
@@ -394,7 +400,7 @@
 	b.cancelPending(tx)
 }
 
-// cancelPending cancels what is still out for a transaction that has its answer, but for the push that streams it.
+// cancelPending cancels the pending attempts of an answered transaction, but not one that streams the answer.
 func (b *Balancer) cancelPending(tx *Transaction) {
 	for n := range tx.attempts {
 		if p := &tx.attempts[n]; p.pending && !p.cancelled && p != tx.streaming && b.config.Cancelling {
@@ -407,7 +413,8 @@
 
 func (b *Balancer) send(tx *Transaction, i int, hedge bool) {
 	b.activate(tx)
-	p := Attempt{upstream: i, location: Location{b.zone[i], b.cell[i]}, sentAt: max(b.now, tx.EarliestSend), pending: true, hedge: hedge}
+	p := Attempt{upstream: i, location: Location{b.zone[i], b.cell[i]}, sentAt: max(b.now, tx.EarliestSend),
+		pending: true, hedge: hedge}
 	tx.attempts = append(tx.attempts, p)
 	tx.pending++
 	b.inFlight[i]++
@@ -418,7 +425,7 @@
 	b.writer.Send(tx, i, tx.hardStop)
 }
 
-// retryAllowed reports whether another push is allowed now. Danger: an effect that happens twice.
+// retryAllowed reports whether another attempt is allowed now. It keeps effects from happening twice.
 func (b *Balancer) retryAllowed(tx *Transaction) bool {
 	if tx.SendOnce || len(tx.attempts)-min(tx.refused, tx.Config.FreeRefusals) >= tx.Config.MaxAttempts {
 		return false
@@ -430,7 +437,7 @@
 	return tx.tariff.Idempotency == Keyed && b.now < tx.attempts[tx.firstEffect].sentAt+tx.tariff.DedupWindow
 }
 
-// inDedupScope reports whether an upstream drops repeats of what has been sent already.
+// inDedupScope reports whether an upstream would drop a repeat of the attempts sent so far.
 func (b *Balancer) inDedupScope(tx *Transaction, i int) bool {
 	location := tx.PriorAttempt
 	if tx.firstEffect >= 0 {
@@ -442,7 +449,7 @@
 	return b.zone[i] == location.Zone && (tx.tariff.DedupScope == SameZone || b.cell[i] == location.Cell)
 }
 
-// tick does what the clock asks for: window panes, the quantile, the win-rate loop, room, probes.
+// tick does the periodic work: statistics windows, hedge delay and chance, probes, concurrency limit.
 func (b *Balancer) tick() {
 	for b.now >= b.nextSlotAt {
 		b.nextSlotAt += statsWindow / statsSlots
@@ -455,8 +462,8 @@
 	}
 	for b.now >= b.nextWinSlotAt {
 		b.nextWinSlotAt += winWindow / winSlots
-		copies, won := sum(b.hedges[:]), sum(b.hedgeWins[:])
-		if copies >= minWinSamples && float64(won) < minWinRate*float64(copies) {
+		hedges, wins := sum(b.hedges[:]), sum(b.hedgeWins[:])
+		if hedges >= minWinSamples && float64(wins) < minWinRate*float64(hedges) {
 			b.hedgeChance = max(minHedgeChance, b.hedgeChance/2)
 		} else {
 			b.hedgeChance = min(1, b.hedgeChance+0.25)
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -225,11 +225,11 @@
 	h := newHarness(t, testConfig(testTariff(Idempotent, Everywhere)), 4, 1)
 	b := h.b
 	b.outcomes[b.slot], b.faults[b.slot] = 4, 1
-	if b.hedgingPaused() {
+	if b.hedgePaused() {
 		t.Error("the gate closes on a single failure")
 	}
 	b.faults[b.slot] = 2
-	if !b.hedgingPaused() {
+	if !b.hedgePaused() {
 		t.Error("the gate stays open at half")
 	}
 	if b.budget, b.cancelledPending = 1.5, 1; b.withinBudget() {
@@ -592,7 +592,7 @@
 			t.Fatalf("%d pushes, closed %t", len(req.attempts), req.tx.Closed())
 		}
 	}
-	if h.b.hedgingPaused() || h.b.ejectedUntil[0] != 0 || h.b.ejectedUntil[1] != 0 || sum(h.b.failures) != 0 {
+	if h.b.hedgePaused() || h.b.ejectedUntil[0] != 0 || h.b.ejectedUntil[1] != 0 || sum(h.b.failures) != 0 {
 		t.Errorf("aside %v, %d bad", h.b.ejectedUntil, sum(h.b.failures))
 	}
 }
--- a/logic/peers.go
+++ b/logic/peers.go
@@ -2,38 +2,36 @@
 
 import "math"
 
-// What balancers of a pool tell one another.
+// Load reports between the balancers of a pool.
 
-// sendReports says to peers how long transactions take, and for each push in flight its place and a check. Danger:
-// what many say to many adds up, so each first push pays for so many messages and no more.
+// sendReports sends peers the latency ratio and, per attempt in flight, the position of its upstream in the
+// assignment. Reports among many add up, so each first attempt pays for a fixed number of them.
 func (b *Balancer) sendReports() {
 	if b.reportBudget < len(b.peers) {
-		b.nextReportAt = math.MaxInt64 // the next push says it
+		b.nextReport = math.MaxInt64 // the next first attempt refills the budget
 		return
 	}
 	b.reportBudget -= len(b.peers)
 	report := []byte{byte(min(255, 100*b.shortLoad/max(b.shortRate, 1e-12)))}
 	for place, i := range b.assigned[:min(len(b.assigned), 32)] {
-		for range min(b.inFlight[i], 7) { // a message holds 256
+		for range min(b.inFlight[i], 7) { // a report holds 256 bytes
 			report = append(report, b.assignmentCheck<<5|byte(place))
 		}
 	}
-	b.lastReportAt, b.nextReportAt = b.now, b.now+reportRefresh
+	b.lastReport, b.nextReport = b.now, b.now+reportRefresh
 	if len(report) == 1 {
-		b.nextReportAt = math.MaxInt64 // nothing to say before something goes out
+		b.nextReport = math.MaxInt64 // idle: nothing to report until the next attempt
 	}
 	for _, peer := range b.peers {
 		b.writer.SendReport(peer, report)
 	}
 }
 
-// scheduleReport has peers told before long.
-func (b *Balancer) scheduleReport() {
-	b.nextReportAt = min(b.nextReportAt, b.lastReportAt+minReportInterval)
-}
+// scheduleReport makes the next report due as soon as the minimum interval allows.
+func (b *Balancer) scheduleReport() { b.nextReport = min(b.nextReport, b.lastReport+minReportGap) }
 
-// PeerReport takes what a peer says. Danger: it is late, may be lost, and its part may be another by now. It only
-// counts in the choice and in room, what doesn't fit is left out, and it is forgotten before long.
+// PeerReport takes a load report of a peer, which may be late or lost, or refer to another assignment. So it
+// affects only selection and limit, entries that do not match are dropped, and it expires after reportTTL.
 func (b *Balancer) PeerReport(peer int, report []byte, now int64) {
 	if peer < 0 || peer >= len(b.peerAttempts) || len(report) == 0 {
 		return
@@ -48,5 +46,5 @@
 	}
 }
 
-// totalInFlight is what an upstream holds of this balancer and its peers.
+// totalInFlight returns the attempts in flight to an upstream from this balancer and its peers.
 func (b *Balancer) totalInFlight(i int) float64 { return float64(b.inFlight[i] + b.peerInFlight[i]) }
--- a/logic/peers_test.go
+++ b/logic/peers_test.go
@@ -98,11 +98,11 @@
 	}
 	h.deliver(req, 0, Settled)
 	h.round(ms)
-	if len(h.reports) != before || h.wakeAt <= h.now || h.wakeAt > h.now+minReportInterval {
+	if len(h.reports) != before || h.wakeAt <= h.now || h.wakeAt > h.now+minReportGap {
 		t.Fatal("told sooner than it should be, or not woken")
 	}
 	h.round(h.wakeAt - h.now)
-	if len(h.reports) != before+3 || len(h.reports[before]) != 1 || h.b.nextReportAt != math.MaxInt64 {
+	if len(h.reports) != before+3 || len(h.reports[before]) != 1 || h.b.nextReport != math.MaxInt64 {
 		t.Errorf("%v was told to three peers after the last push had ended; then nothing is due", h.reports[before:])
 	}
 }
--- a/logic/rotation.go
+++ b/logic/rotation.go
@@ -6,9 +6,9 @@
 	"slices"
 )
 
-// Which upstream is next: rotation, parts of a long list, cold upstreams.
+// Selection of upstreams: weighted rotation, assignment of a long list, budget of cold upstreams.
 
-// pick takes the next upstream by smooth weighted round robin, skipping those well above the mean.
+// pick selects an upstream by smooth weighted round robin, skipping those with too much in flight, or -1.
 func (b *Balancer) pick(tx *Transaction) int {
 	inFlight, total, leastLoad := 0.0, 0.0, math.Inf(1)
 	for _, i := range b.assigned {
@@ -26,7 +26,7 @@
 		if b.ejectedUntil[i] != 0 || tx.tried(i) || !b.inDedupScope(tx, i) {
 			continue
 		}
-		// A start anywhere in the round. Danger: with a small part of it all pick the heavy ones first.
+		// A random start: with small shares, all balancers would otherwise pick the heaviest upstreams first.
 		if math.IsNaN(b.credit[i]) {
 			b.credit[i] = b.random() * total
 		}
@@ -46,7 +46,7 @@
 		}
 		b.credit[i] += share
 		sum += share
-		// Danger: where connections soon close, going round all means to pay for a new one with nearly every push.
+		// Where idle connections soon close, a strict rotation would open a new one for nearly every attempt.
 		credit := b.credit[i]
 		if b.writer.HasIdleConn(i) {
 			credit += idleConnCredit * total
@@ -62,11 +62,12 @@
 	if fallback >= 0 {
 		return fallback
 	}
-	// Another's, or one set aside, is better than none. Danger: all turn to the same; so look from anywhere on.
+	// An unassigned or ejected upstream is better than none. The random start spreads the balancers.
 	from := int(b.random() * float64(len(b.ready)))
 	for k := range b.ready {
 		i := (from + k) % len(b.ready)
-		if !b.ready[i] || tx.tried(i) || !b.inDedupScope(tx, i) || b.warmth(i) < 1 && (b.share[i] == 0 || b.refill(i) < 1) {
+		if !b.ready[i] || tx.tried(i) || !b.inDedupScope(tx, i) ||
+			b.warmth(i) < 1 && (b.share[i] == 0 || b.refill(i) < 1) {
 			continue
 		}
 		load := b.totalInFlight(i)
@@ -80,13 +81,13 @@
 	return fallback
 }
 
-// assign gives this balancer its part of a long list. Danger: hundreds that go round all of it seldom meet an
-// upstream. So they are dealt out to rounds, and those of one share out each zone in an order of their own.
+// assign sets this balancer's shares. If hundreds used the whole list, each would learn too little of each.
+// So they form partitions, whose members split each zone among them, in an order of each partition's own.
 func (b *Balancer) assign() {
-	b.listChanged, b.assigned = false, b.assigned[:0]
+	b.listDirty, b.assigned = false, b.assigned[:0]
 	zones := map[int]bool{}
 	for i, ready := range b.ready {
-		if b.share[i] == 0 { // Danger: what fell to another until now would bring a full purse
+		if b.share[i] == 0 { // a newly assigned upstream must not start with a full token bucket
 			b.tokens[i], b.refilledAt[i] = b.random(), b.now
 		}
 		b.share[i] = 0
@@ -94,29 +95,30 @@
 			b.assigned, zones[b.zone[i]] = append(b.assigned, i), true
 		}
 	}
-	// One balancer of each round meets an upstream. Where crossings are dear those of its zone must be enough.
+	// Each partition has one balancer per upstream. Where crossings cost much, those in its zone must suffice.
 	n := float64(len(zones))
 	perUpstream, perBalancer := minOverlap, minUpstreams
 	if b.config.Peers {
 		perUpstream, perBalancer = minOverlapWithPeers, minUpstreamsWithPeers
 	}
-	groups := max(1, int(float64(perUpstream)*n/(1+b.crossZoneFactor*(n-1))+0.5)) // with an empty list too
-	for len(b.assigned) > 0 && groups*len(b.assigned) < perBalancer*b.config.Balancers && (!b.config.Peers || groups < maxOverlapWithPeers) {
-		if groups++; !b.config.Peers {
-			groups += groups - 2
+	partitions := max(1, int(float64(perUpstream)*n/(1+b.crossZoneFactor*(n-1))+0.5)) // also for an empty list
+	for len(b.assigned) > 0 && partitions*len(b.assigned) < perBalancer*b.config.Balancers &&
+		(!b.config.Peers || partitions < maxOverlapWithPeers) {
+		if partitions++; !b.config.Peers {
+			partitions += partitions - 2
 		}
 	}
-	b.overlap = min(groups, b.config.Balancers)
-	index := b.config.Index % b.config.Balancers // one more than there should be shares another's part
-	group, from := index%groups, float64(index/groups)
-	members := float64((b.config.Balancers-1-group)/groups + 1)
+	b.overlap = min(partitions, b.config.Balancers)
+	index := b.config.Index % b.config.Balancers // a surplus balancer has the same share as another one
+	partition, from := index%partitions, float64(index/partitions)
+	members := float64((b.config.Balancers-1-partition)/partitions + 1)
 	width := min(b.shareCount, members)
 	if b.config.Peers {
-		group = 0
-		from, width, members = b.formCell(index)
+		partition = 0
+		from, width, members = b.groupPeers(index)
 	}
 	slices.SortStableFunc(b.assigned, func(i, j int) int {
-		return cmp.Or(b.zone[i]-b.zone[j], cmp.Compare(hashOrder(b.id[i], group), hashOrder(b.id[j], group)))
+		return cmp.Or(b.zone[i]-b.zone[j], cmp.Compare(sortKey(b.id[i], partition), sortKey(b.id[j], partition)))
 	})
 	for first := 0; first < len(b.assigned); {
 		next, total, at := first, 0.0, 0.0
@@ -126,7 +128,7 @@
 		for _, i := range b.assigned[first:next] {
 			to := at + b.weight[i]*members/total
 			b.share[i] = max(0, min(to, from+width)-max(at, from)) * total / members
-			b.share[i] += max(0, min(to, from+width-members)-at) * total / members // round its end
+			b.share[i] += max(0, min(to, from+width-members)-at) * total / members // wraps around the end
 			at = to
 		}
 		first = next
@@ -142,28 +144,28 @@
 	}
 }
 
-// formCell puts balancers in cells that share a part; it tells where that begins, its length and the whole's.
-func (b *Balancer) formCell(index int) (from, width, total float64) {
+// groupPeers sets the peers, which have the same assignment. It returns its start and width, and the total.
+func (b *Balancer) groupPeers(index int) (from, width, total float64) {
 	n := b.config.Balancers
-	cells := max(1, n/b.overlap)
-	cell := index % cells
+	peerGroups := max(1, n/b.overlap)
+	own := index % peerGroups
 	b.peers = b.peers[:0]
-	for other := cell; other < n; other += cells {
+	for other := own; other < n; other += peerGroups {
 		if other != index {
 			b.peers = append(b.peers, other)
 		}
 	}
 	b.overlap = len(b.peers) + 1
-	return float64(n/cells*cell + min(cell, n%cells)), float64(b.overlap), float64(n)
+	return float64(n/peerGroups*own + min(own, n%peerGroups)), float64(b.overlap), float64(n)
 }
 
-// hashOrder puts numbers in an order that is the same at every balancer and another one for each round.
-func hashOrder(id uint32, group int) uint64 {
-	x := (uint64(id)<<16 | uint64(group)) * 0x9e3779b97f4a7c15
+// sortKey returns a sort key that is the same at every balancer and differs between partitions.
+func sortKey(id uint32, partition int) uint64 {
+	x := (uint64(id)<<16 | uint64(partition)) * 0x9e3779b97f4a7c15
 	return (x ^ x>>29) * 0xbf58476d1ce4e5b9
 }
 
-// zoneFactor lessens the turns of upstreams in another zone.
+// zoneFactor reduces the traffic to upstreams in other zones.
 func (b *Balancer) zoneFactor(i int) float64 {
 	if b.zone[i] == b.config.Zone {
 		return 1
@@ -171,7 +173,7 @@
 	return b.crossZoneFactor
 }
 
-// warmth is the least share of its capacity that an upstream can have by now.
+// warmth returns the share of its capacity that an upstream has by now at the least.
 func (b *Balancer) warmth(i int) float64 {
 	age := b.now - b.startedAt[i]
 	if b.startedAt[i] == 0 || age >= b.config.WarmUp {
@@ -180,15 +182,15 @@
 	return b.config.ColdShare + (1-b.config.ColdShare)*float64(max(age, 0))/float64(b.config.WarmUp)
 }
 
-// expectedWarmth is the share of its capacity by which a cold upstream gets turns, between the least and all.
+// expectedWarmth weights a cold upstream in the rotation: an estimate between its warmth and 1.
 func (b *Balancer) expectedWarmth(i int) float64 { return math.Sqrt(b.warmth(i)) }
 
-// refill pays a cold upstream for what warm ones of its weight settle, cut to its least warmth, times half of
-// what makes it fall. Danger: overfed by all it falls for good; paid less, a new list jams its few warm ones.
+// refill adds and returns the tokens of a cold upstream: the warm rate times half the overload factor. More
+// from all balancers would overload it for good; less would jam the few warm upstreams of a new list.
 func (b *Balancer) refill(i int) float64 {
 	rate := b.warmRate * b.share[i] * b.warmth(i) * b.config.OverloadFactor / 2 / b.processes
 	if b.warmRate == 0 {
-		rate = min(1, 2/float64(b.overlap)) / b.processes / float64(b.config.OverloadSpan) // no warm one to learn from
+		rate = min(1, 2/float64(b.overlap)) / b.processes / float64(b.config.OverloadSpan) // no warm one
 	}
 	capacity := 1 + rate*float64(b.config.OverloadSpan)/4
 	b.tokens[i] = min(capacity, b.tokens[i]+rate*float64(b.now-b.refilledAt[i]))
--- a/logic/types.go
+++ b/logic/types.go
@@ -29,7 +29,7 @@
 type Tariff struct {
 	Idempotency  Idempotency `json:"Repeat"`
 	DedupScope   DedupScope  `json:"Group"`
-	DedupWindow  int64       `json:"Remembered"` // upstreams recognise a repeat this long after the first attempt that may have run
+	DedupWindow  int64       `json:"Remembered"` // how long a repeat is recognised after the first attempt that may have run
 	HardStop     int64       // total time that a client waits, over all of its own retries
 	ContractTime int64       // an answer within this time earns the full amount
 	WorkFactor   float64     `json:"Stretch"` // ContractTime grows by this multiple of the transaction's own work
@@ -67,7 +67,7 @@
 	Customers []*Customer
 
 	MaxAttempts     int     `json:"MaxPushes"`
-	FreeRefusals    int     // refused attempts that do not count towards MaxAttempts, where a proxy in front of an upstream refuses
+	FreeRefusals    int     // attempts refused by a proxy in front of an upstream, on top of MaxAttempts
 	Hedging         bool    `json:"SecondCopies"`
 	Cancelling      bool    // attempts can be cancelled
 	Probing         bool    // an ejected upstream is probed before it is reinstated
@@ -81,7 +81,7 @@
 	WarmUp          int64   // after this time, in nanoseconds, an upstream is warm at the latest
 	OverloadFactor  float64 `json:"FallMultiple"` // an upstream fails when sent this multiple of its present capacity
 	OverloadSpan    int64   `json:"FallSpan"`     // for this long, in nanoseconds
-	OverQuotaFactor float64 `json:"BeyondShare"`  // the value of a transaction beyond its customer's quota is multiplied by this
+	OverQuotaFactor float64 `json:"BeyondShare"`  // factor for the value of a transaction beyond its customer's quota
 }
 
 // Validate returns an error that names the first invalid setting.
@@ -107,29 +107,29 @@
 	return min(c.MaxBackoff, tariff.ContractTime/16)
 }
 
-// Upstream describes one entry of the list.
+// Upstream is one entry of the list of upstreams.
 type Upstream struct {
-	ID        uint32 // the same at every balancer; it tells nothing else
+	ID        uint32 // the same at every balancer, with no other meaning
 	Weight    float64
 	Zone      int
 	Cell      int
-	Kind      int   // of machine: those of a kind are of one size; 0 where it isn't told
-	StartedAt int64 // most recent start, 0 for long ago
+	Kind      int   // of machine; all of one kind have the same size; 0 if unknown
+	StartedAt int64 // latest start; 0 if it is long ago
 }
 
-// Result tells how one push ended.
+// Result tells how one attempt ended.
 type Result uint8
 
 const (
 	Settled      Result = iota
 	Errored             // the upstream answered with an error
-	Refused             // rejected without a look
+	Refused             // refused without processing
 	TimedOut            // no answer in time
-	Unreachable         // no connection came about
+	Unreachable         // no connection could be opened
 	Disconnected        // the connection broke
-	Cancelled           // called off by this balancer
-	Unsent              // never left
-	Rejected            // the upstream found the transaction itself at fault
+	Cancelled           // cancelled by this balancer
+	Unsent              // never sent
+	Rejected            // the upstream found the transaction itself invalid
 )
 
 func (r Result) String() string {
@@ -138,178 +138,179 @@
 	}[r]
 }
 
-// Final reports whether a push that ends so ends its transaction.
+// Final reports whether an attempt with this result ends its transaction.
 func (r Result) Final() bool { return r == Settled || r == Rejected }
 
-// NeverRan reports whether the result proves that the push had no effect.
+// NeverRan reports whether the result proves that the attempt had no effect.
 func (r Result) NeverRan() bool { return r == Refused || r == Unreachable || r == Unsent }
 
-// upstreamFault reports whether the result speaks against the upstream.
+// upstreamFault reports whether the result counts against the upstream.
 func (r Result) upstreamFault() bool { return r >= Errored && r <= Disconnected }
 
-// Attempt is one sending of a transaction to an upstream.
+// Attempt is one attempt to have a transaction served by an upstream.
 type Attempt struct {
 	upstream  int
-	location  Location // of the upstream when it was sent: its index may have a new owner since
+	location  Location // of the upstream at the time of sending, as its index may be reused later
 	sentAt    int64
 	result    Result
-	pending   bool // no result yet
+	pending   bool // has no result yet
 	hedge     bool
-	cancelled bool // cancelled, result not in yet
-	late      bool // late: evidence already counted
+	cancelled bool // cancelled, but without a result yet
+	late      bool // silence has been counted against the upstream
 }
 
-// Location is where repeats of a tagged transaction are known, and so where they have to stay.
+// Location is where the repeats of a keyed transaction are recognised, and so where retries have to stay.
 type Location struct{ Zone, Cell int }
 
-// Transaction is one piece of work for a client, owed exactly one final answer.
+// Transaction is one request of a client, which gets exactly one final answer.
 type Transaction struct {
-	UserData     any       // the caller's own, never read here
-	Config       *Config   // those that it comes under; nil for those in force
-	SendOnce     bool      // what goes out of it can't be sent a second time
-	BodyPending  bool      // its last byte has yet to come, and its time to begin
-	PriorAttempt *Location // where another try of it may have run, at whatever balancer; nil for nowhere
-	EarliestSend int64     // no push of it has left before this, or before Left tells so
+	UserData     any       // belongs to the caller, never read here
+	Config       *Config   // the configuration that applies to it; nil for the current one
+	SendOnce     bool      // its body can be sent only once
+	BodyPending  bool      // its last byte has not arrived; its times have not begun
+	PriorAttempt *Location // where an earlier try may have run, at any balancer; nil for none
+	EarliestSend int64     // no attempt is sent before this time, or before the call of Sent
 
 	tariff      *Tariff
 	customer    *Customer
 	arrivedAt   int64
-	load        float64 // what it adds to the load in hand: one over its contract time, so that unlike tariffs compare
-	contractEnd int64   // when the contract time is up
-	hardStop    int64   // when the hard stop is reached
-	dueAt       int64   // next moment to look at it
-	timerIndex  int     // place among the due times, -1 if none
+	load        float64 // its load: one over its contract time, which makes tariffs comparable
+	contractEnd int64   // end of the contract time
+	hardStop    int64
+	dueAt       int64 // time of the next decision
+	timerIndex  int   // index in Balancer.timers, -1 if none
 	attempts    []Attempt
-	pending     int      // pushes without a result
-	refused     int      // pushes that were turned away
-	firstEffect int      // first push that may have run, -1 if none
-	marked      bool     // among those to look at in this round
-	clientRetry bool     // a try repeated by its client
-	value       float64  // what it may earn, for its place in line
-	queued      bool     // waits for room
-	late        bool     // has had a late push
-	active      bool     // taken into the count of transactions in hand
-	streaming   *Attempt // whose answer has begun
-	answered    bool     // has had its final answer
+	pending     int      // attempts without a result
+	refused     int      // refused attempts
+	firstEffect int      // first attempt that may have had an effect, -1 if none
+	marked      bool     // in Balancer.marked
+	clientRetry bool     // the client has tried it before
+	value       float64  // expected earnings, which order the queue
+	queued      bool     // waits for the concurrency limit
+	late        bool     // has had a late attempt
+	active      bool     // counted in Balancer.active
+	streaming   *Attempt // the attempt whose answer is being streamed
+	answered    bool     // has its final answer
 }
 
-// Closed reports whether nothing more can come in for the transaction.
+// Closed reports whether no further event can come for the transaction.
 func (tx *Transaction) Closed() bool { return tx.answered && tx.pending == 0 }
 
-// Balancer is the decision logic of one instance. It is not safe for concurrent use.
+// Balancer is the decision logic of one instance. It is not safe for concurrent use. All times are in nanoseconds
+// and all rates per nanosecond.
 type Balancer struct {
 	config    *Config
-	writer    Writer
+	writer    Writer // set during Round
 	now       int64
 	randState uint64
 
-	// Upstreams under their index.
-	inUse           []bool // slot in use
+	// Upstreams, by index.
+	inUse           []bool // the index is taken
 	ready           []bool // listed and not draining
 	id              []uint32
-	weight          []float64 // nominal
+	weight          []float64 // without the effect of load
 	kind            []int
-	peerInFlight    []int     // pushes out to it from peers, as they say
-	share           []float64 // of its weight, that falls to this balancer
-	assigned        []int     // those with a part, by index
-	overlap         int       // balancers that meet an upstream
-	listChanged     bool      // the list has changed since they were chosen
+	peerInFlight    []int     // attempts in flight from peers, by their reports
+	share           []float64 // the part of its weight that is assigned to this balancer
+	assigned        []int     // indexes of the upstreams with a share
+	overlap         int       // number of balancers that use an upstream
+	listDirty       bool      // the list has changed since the last assignment
 	zone            []int
 	cell            []int
-	crossZoneFactor float64 // what turns in another zone are cut to
-	startedAt       []int64 // 0: warm since long ago
-	credit          []float64
-	inFlight        []int     // pushes out
-	logOdds         []float64 // log odds that it is bad
-	successes       []int     // outcomes
+	crossZoneFactor float64   // factor for the traffic to other zones
+	startedAt       []int64   // 0: warm for long
+	credit          []float64 // in the weighted rotation; NaN before the first turn
+	inFlight        []int     // pending attempts
+	logOdds         []float64 // log odds that it fails more often than the others
+	successes       []int     // recent outcomes
 	failures        []int
-	ejectedUntil    []int64 // set aside: next probe or return; 0 in service
-	probesAnswered  []int   // probes answered while aside
+	ejectedUntil    []int64 // ejected: time of the next probe or of the return; 0 in service
+	probesAnswered  []int   // consecutive probes answered while ejected
 	probing         []bool
-	unreachable     []bool // set aside as unreachable, so it may come back cold
-	tokens          []float64
+	unreachable     []bool    // the last evidence was Unreachable: it may be cold when it returns
+	tokens          []float64 // budget of attempts while it is cold
 	refilledAt      []int64
-	warmSettled     int // outcomes of warm upstreams since the last beat
-	warmRate        float64
-
-	peers            []int     // balancers with the same part
-	peerAttempts     [][]int   // by balancer: the upstreams to which it has pushes out
-	peerReportAt     []int64   // when it said so
-	peerLatencyRatio []float64 // the share of its contract time that a transaction takes there
-	lastReportAt     int64     // when peers were told last
-	nextReportAt     int64     // and when they are to be
-	reportBudget     int       // messages that are paid for
-	assignmentCheck  byte      // on the part, as places in it say which upstream is meant
-
-	marked    []*Transaction // to look at in this round
+	warmSettled     int     // attempts settled by warm upstreams since the last tick
+	warmRate        float64 // what warm upstreams settle per unit of share
+
+	peers            []int     // balancers with the same assignment
+	peerAttempts     [][]int   // by balancer: upstreams of its attempts in flight
+	peerReportAt     []int64   // by balancer: time of its last report
+	peerLatencyRatio []float64 // by balancer: the latency ratio that it reported
+	lastReport       int64     // time of the last report to peers
+	nextReport       int64     // time when the next one is due
+	reportBudget     int       // reports that may be sent
+	assignmentCheck  byte      // 3-bit checksum of the assignment, without which positions in it mean nothing
+
+	marked    []*Transaction // to be decided in this round
 	timers    timerHeap
-	processes float64 // processes that are this balancer at present, itself included
-	active    int     // transactions in hand
+	processes float64 // processes that act as this balancer at present, this one included
+	active    int     // transactions with an attempt and without a final answer
 
-	latency          [statsSlots][latencyBuckets]int32
+	latency          [statsSlots][latencyBuckets]int32 // histogram with a factor of 1.1 between buckets
 	samples          [statsSlots]int
-	firstSends       [statsSlots]int
+	firstSends       [statsSlots]int // first attempts
 	outcomes         [statsSlots]int
-	faults           [statsSlots]int
+	faults           [statsSlots]int // outcomes that count against an upstream
 	slot             int
 	nextSlotAt       int64
-	hedgeDelay       int64 // 0 while there are too few samples
-	budget           float64
-	cancelledPending int // cancelled pushes still running
+	hedgeDelay       int64   // 0 while there are too few samples
+	budget           float64 // hedges and retries that may be sent
+	cancelledPending int     // cancelled attempts without a result
 
 	hedges        [winSlots]int
 	hedgeWins     [winSlots]int
 	nextWinSlotAt int64
-	hedgeChance   float64
-
-	limit              float64        // transactions in hand at most
-	quotaConcurrency   float64        // in hand at all balancers, if all customers send their shares; 0 if none have any
-	initialPerUpstream float64        // for each upstream, in hand at all balancers, before more is known
-	lastConcurrency    float64        // transactions in hand at the end of the last round
-	lastRoundAt        int64          // when that was
-	meanConcurrency    float64        // of those in hand
-	queue              []*Transaction // waiting for room, what earns most first
-	departures         float64        // left the load since the last beat, settled or not
-	lateActive         int            // in hand with a late push
-	activeLoad         float64        // sum of one over the contract time of all others in hand
-	shortLoad          float64        // the same over the last second, or longer where few come in
-	shortRate          float64        // and what left it a nanosecond
-	longLoad           float64        // both over five times that
+	hedgeChance   float64 // probability of a hedge that is due, adapted to the win rate
+
+	limit              float64        // concurrency limit
+	quotaConcurrency   float64        // concurrency at all balancers if all customers use their quotas; 0 without quotas
+	initialPerUpstream float64        // initial concurrency per upstream, over all balancers
+	lastConcurrency    float64        // concurrency at the end of the last round
+	roundAt            int64          // time of the last round
+	meanConcurrency    float64        // exponential moving average
+	queue              []*Transaction // waits for the limit, in descending order of value
+	departures         float64        // transactions that left activeLoad since the last tick, settled or not
+	lateActive         int            // active transactions with a late attempt
+	activeLoad         float64        // sum of the loads of all other active transactions
+	shortLoad          float64        // mean of activeLoad over a second, or longer at low rates
+	shortRate          float64        // rate of departures over the same time
+	longLoad           float64        // both over five times as long
 	longRate           float64
-	longConcurrency    float64 // in hand, counted
-	baseRatio          float64 // the least share of its contract time that a transaction took
-	capacity           float64 // of what is in service, as long
-	bestRate           float64 // the most that left a nanosecond and unit of strength
+	longConcurrency    float64 // mean of active transactions that are not late
+	baseRatio          float64 // lowest latency ratio, without congestion
+	capacity           float64 // mean weight in service
+	bestRate           float64 // highest rate of departures per unit of capacity
 	ticks              float64 // since the start
-	arrivals           float64 // transactions since the last beat
-	arrivalRate        float64 // the same a nanosecond, over as long as longRate
-	quotaRate          float64 // and what customers send within their shares to each balancer in the mean
-	shareCount         float64 // parts of the list that this balancer has
+	arrivals           float64 // since the last tick
+	arrivalRate        float64 // mean, over as long as longRate
+	quotaRate          float64 // mean arrival rate per balancer if all customers use their quotas
+	shareCount         float64 // number of shares of the list that this balancer has
 	nextTickAt         int64
 
 	wakeAt       int64
 	following    bool
-	followAt     int64 // when to ask for the list again
+	followAt     int64 // when to subscribe to the list again
 	listFailures int
 
 	suppressed [SuppressionCount]int
-	events     []EjectionEvent // to be told
+	events     []EjectionEvent // not taken yet
 }
 
 // Known reports whether an index still belongs to a listed upstream.
 func (b *Balancer) Known(i int) bool { return b.inUse[i] }
 
-// Sent says that a push has left; it had to wait for leave from elsewhere. Danger: counted from the order, that wait would be
-// held against the upstream.
+// Sent reports that attempt n, which had to wait for a permission, was sent. That wait must not count against the
+// upstream.
 func (b *Balancer) Sent(tx *Transaction, n int, now int64) {
 	tx.attempts[n].sentAt = now
 	b.mark(tx)
 }
 
-// UpstreamCounts is how many upstreams are listed, and how many of them get nothing new now.
+// UpstreamCounts returns the number of listed upstreams, and how many of them get no new attempts at present.
 func (b *Balancer) UpstreamCounts() (listed, avoided int) {
-	for i, known := range b.inUse {
-		if known {
+	for i, inUse := range b.inUse {
+		if inUse {
 			listed++
 			if !b.ready[i] || b.ejectedUntil[i] != 0 {
 				avoided++
@@ -319,20 +320,20 @@
 	return listed, avoided
 }
 
-// SetProcesses says how many processes are this balancer at present, itself included.
+// SetProcesses sets how many processes act as this balancer at present, this one included.
 func (b *Balancer) SetProcesses(n int) { b.processes = float64(max(n, 1)) }
 
-// Reconfigure puts other terms in force: what is open keeps those that it came under, and what was learnt stays.
+// Reconfigure replaces the configuration. Open transactions keep the one that they came under, and learnt state stays.
 func (b *Balancer) Reconfigure(config *Config, now int64) error {
 	if err := config.Validate(); err != nil {
 		return err
 	}
-	b.now, b.listChanged = now, true
+	b.now, b.listDirty = now, true
 	b.applyConfig(config)
 	return nil
 }
 
-// resetPeers makes room for what peers will say, and forgets what they have said: their numbers may be others'.
+// resetPeers drops all load reports, as the numbers of the balancers may have changed, and makes room for new ones.
 func (b *Balancer) resetPeers() {
 	for peer := range b.peerAttempts {
 		b.forgetPeer(peer)
@@ -344,6 +345,7 @@
 	}
 }
 
+// forgetPeer drops the last load report of a peer.
 func (b *Balancer) forgetPeer(peer int) {
 	for _, i := range b.peerAttempts[peer] {
 		b.peerInFlight[i]--
@@ -360,23 +362,23 @@
 
 // Writer receives the decisions of one round, in order.
 type Writer interface {
-	HasIdleConn(upstream int) bool                  // no decision: does a connection to it wait for a push?
-	Send(t *Transaction, upstream int, until int64) // until: when the push is abandoned
-	Cancel(t *Transaction, push int)
-	Defer(t *Transaction, why Reason, backoff int64) // final: trying again is harmless
-	Forfeit(t *Transaction, why Reason)              // final: nothing is promised
+	HasIdleConn(upstream int) bool                   // a query: is there an idle connection to the upstream?
+	Send(tx *Transaction, upstream int, until int64) // until: when the attempt is abandoned
+	Cancel(tx *Transaction, attempt int)
+	Defer(tx *Transaction, reason Reason, backoff int64) // final answer: the client can safely retry
+	Forfeit(tx *Transaction, reason Reason)              // final answer: it is unknown whether the transaction ran
 	Probe(upstream int)
-	SendReport(peer int, raw []byte) // says something to another balancer
-	Follow()                         // subscribe to the list
-	Wake(at int64)
+	SendReport(peer int, report []byte) // sends a load report to another balancer
+	Follow()                            // subscribes to the list
+	Wake(at int64)                      // asks for a round at this time
 	Note(text string)
 }
 
-// AttemptCount is the number of pushes so far.
+// AttemptCount returns the number of attempts so far.
 func (tx *Transaction) AttemptCount() int { return len(tx.attempts) }
 
-// timerHeap is a heap (container/heap) of transactions by due time; each stands in it once and knows its
-// place.
+// timerHeap is a heap.Interface of transactions, ordered by due time. Each transaction is in it at most once and
+// knows its index.
 type timerHeap []*Transaction
 
 func (h timerHeap) Len() int           { return len(h) }
@@ -386,19 +388,19 @@
 	h[i].timerIndex, h[j].timerIndex = i, j
 }
 
-func (h *timerHeap) Push(t any) {
-	t.(*Transaction).timerIndex = len(*h)
-	*h = append(*h, t.(*Transaction))
+func (h *timerHeap) Push(tx any) {
+	tx.(*Transaction).timerIndex = len(*h)
+	*h = append(*h, tx.(*Transaction))
 }
 
 func (h *timerHeap) Pop() any {
 	last := len(*h) - 1
-	t := (*h)[last]
-	t.timerIndex, (*h)[last], *h = -1, nil, (*h)[:last]
-	return t
+	tx := (*h)[last]
+	tx.timerIndex, (*h)[last], *h = -1, nil, (*h)[:last]
+	return tx
 }
 
-// addUpstream makes room for one more upstream, and returns its index.
+// addUpstream adds the state of one more upstream and returns its index.
 func (b *Balancer) addUpstream() int {
 	i := len(b.inUse)
 	b.inUse, b.ready = append(b.inUse, true), append(b.ready, false)
@@ -409,12 +411,13 @@
 	b.inFlight = append(b.inFlight, 0)
 	b.successes, b.failures = append(b.successes, 0), append(b.failures, 0)
 	b.startedAt, b.ejectedUntil = append(b.startedAt, 0), append(b.ejectedUntil, 0)
-	b.probesAnswered, b.probing, b.unreachable = append(b.probesAnswered, 0), append(b.probing, false), append(b.unreachable, false)
+	b.probesAnswered, b.probing, b.unreachable =
+		append(b.probesAnswered, 0), append(b.probing, false), append(b.unreachable, false)
 	b.tokens, b.refilledAt = append(b.tokens, 0), append(b.refilledAt, 0)
 	return i
 }
 
-// schedule sets when a transaction is looked at again, unless something comes in for it before.
+// schedule sets when a transaction is decided on again, unless an event comes for it before.
 func (b *Balancer) schedule(tx *Transaction, due int64) {
 	tx.dueAt = due
 	if tx.timerIndex < 0 {
@@ -430,12 +433,13 @@
 	}
 }
 
-// random draws from [0, 1) by multiply with carry.
+// random returns a pseudo-random number in [0, 1), by multiply-with-carry.
 func (b *Balancer) random() float64 {
 	b.randState = (b.randState&0xffffffff)*4294957665 + b.randState>>32
 	return float64(uint32(b.randState)) / (1 << 32)
 }
 
+// mark has a transaction decided on in the next round.
 func (b *Balancer) mark(tx *Transaction) {
 	if !tx.marked {
 		tx.marked = true
@@ -443,7 +447,7 @@
 	}
 }
 
-// deactivate ends a transaction; from here on nothing may go out for it.
+// deactivate ends a transaction. No attempt may be sent for it from here on.
 func (b *Balancer) deactivate(tx *Transaction) {
 	tx.answered = true
 	if tx.active {
@@ -458,7 +462,7 @@
 	}
 }
 
-// activate takes a transaction into what is in hand, once all of it is there.
+// activate counts a transaction as active once its body has been received.
 func (b *Balancer) activate(tx *Transaction) {
 	if !tx.active && !tx.BodyPending {
 		tx.active = true
@@ -467,12 +471,12 @@
 	}
 }
 
-// tried reports whether a transaction went to an upstream already.
+// tried reports whether an attempt was already sent to an upstream.
 func (tx *Transaction) tried(i int) bool {
 	return slices.ContainsFunc(tx.attempts, func(p Attempt) bool { return p.upstream == i })
 }
 
-// findFirstEffect finds the first push that may have run: pushes that provably never ran bind nothing.
+// findFirstEffect sets firstEffect. Attempts that provably never ran do not restrict retries.
 func (tx *Transaction) findFirstEffect() {
 	tx.firstEffect = slices.IndexFunc(tx.attempts, func(p Attempt) bool { return p.pending || !p.result.NeverRan() })
 }
--- a/logic/verdicts.go
+++ b/logic/verdicts.go
@@ -2,12 +2,12 @@
 
 import "math"
 
-// What outcomes say of an upstream.
+// Outlier detection: ejection and reinstatement of upstreams by the outcomes of attempts.
 
-// recordOutcome takes what an outcome tells of the tier and of its upstream.
+// recordOutcome adds a result to the statistics of the tier and of its upstream.
 func (b *Balancer) recordOutcome(p *Attempt, r Result, took int64) {
 	i := p.upstream
-	if r == Unsent || r == Rejected { // danger: a bad client would have upstreams set aside
+	if r == Unsent || r == Rejected { // else a misbehaving client could have upstreams ejected
 		return
 	}
 	if r != Cancelled {
@@ -18,9 +18,9 @@
 	}
 	switch {
 	case r == Settled, r == Cancelled && !p.hedge, r == TimedOut:
-		// A loser or a time-out took at least this long; a copy called off early tells nothing.
-		k := min(latencyBuckets-1, int(math.Log(float64(max(took, ms))/float64(ms))/math.Log(1.1)))
-		b.latency[b.slot][k]++
+		// A cancelled or timed-out attempt took at least this long. A cancelled hedge says nothing.
+		bucket := min(latencyBuckets-1, int(math.Log(float64(max(took, ms))/float64(ms))/math.Log(1.1)))
+		b.latency[b.slot][bucket]++
 		b.samples[b.slot]++
 	}
 	if r == Settled && b.warmth(i) == 1 {
@@ -37,8 +37,8 @@
 	b.updateOdds(i, r)
 }
 
-// markLate counts silence as evidence before any time-out. Danger: an upstream that takes work and answers
-// none. What waits there is no sign of a crowd: it leaves the load, but not the count that is owed an answer.
+// markLate counts a late attempt against its upstream before it times out, to detect an upstream that accepts
+// work and answers nothing. Such a transaction is no sign of congestion: it leaves the load but stays active.
 func (b *Balancer) markLate(tx *Transaction, p *Attempt) {
 	b.countSilence(p)
 	if !tx.late {
@@ -49,7 +49,7 @@
 	}
 }
 
-// countSilence counts a push without an answer against its upstream, once.
+// countSilence counts an attempt without an answer against its upstream, once.
 func (b *Balancer) countSilence(p *Attempt) {
 	if !p.late && p.pending {
 		p.late = true
@@ -57,8 +57,8 @@
 	}
 }
 
-// updateOdds is a sequential test of one upstream against its peers: is it as bad as they are, or several times as
-// bad? Where all are alike, nobody stands out.
+// updateOdds is a sequential probability ratio test of one upstream against the others: does it fail as often
+// as they do, or several times as often? Faults that all have in common eject none.
 func (b *Balancer) updateOdds(i int, r Result) {
 	if r.upstreamFault() {
 		b.failures[i]++
@@ -80,22 +80,22 @@
 }
 
 func (b *Balancer) eject(i int, cause Result) {
-	ejected, total := b.share[i], 0.0
+	ejected, weight := b.share[i], 0.0
 	for _, j := range b.assigned {
-		if total += b.share[j]; b.ejectedUntil[j] != 0 {
+		if weight += b.share[j]; b.ejectedUntil[j] != 0 {
 			ejected += b.share[j]
 		}
 	}
-	// Danger: a cut between zones puts half out of reach; what can't be reached carries nothing.
-	if ejected > maxEjected*total && !b.unreachable[i] {
-		b.logOdds[i] = ejectLogOdds // the rest could not carry the work
+	// Unreachable upstreams carry nothing, so they may exceed the maximum, as when half are cut off by zone.
+	if ejected > maxEjected*weight && !b.unreachable[i] {
+		b.logOdds[i] = ejectLogOdds // the others could not carry the load
 		return
 	}
 	b.ejectedUntil[i], b.probesAnswered[i] = b.now+int64(float64(ejectionTime)*(0.75+b.random()/2)), 0
 	b.recordEvent(EjectionEvent{Upstream: i, Cause: cause})
 }
 
-// reinstate takes an upstream back under half the doubt. Danger: one that was dead may be cold, unannounced.
+// reinstate ends an ejection at half the log odds. An upstream that was unreachable may be cold by a restart.
 func (b *Balancer) reinstate(i int) {
 	b.ejectedUntil[i], b.logOdds[i] = 0, ejectLogOdds/2
 	b.recordEvent(EjectionEvent{Upstream: i, Reinstated: true, Cold: b.unreachable[i]})
