--- a/internal/desk/desk.go
+++ b/internal/desk/desk.go
@@ -1,6 +1,6 @@
-// Package desk is the sole owner of the module's Balancer in a real balancer. It is where the doors (transactions,
-// the list, probes) meet the decisions: each call takes the lock, tells the module what happened, has it decide,
-// and lets go. Decisions leave by channels with room for them, so nothing under the lock ever waits.
+// Package desk connects the front ends (transactions, the list of upstreams, probes) to the decision engine, of which
+// a Dispatcher is the sole owner. Each call takes the lock, reports an event to the engine and runs a round of
+// decisions. Decisions leave by buffered channels, so nothing blocks under the lock.
 package desk
 
 import (
@@ -19,7 +19,7 @@
 	"ottershift/logic"
 )
 
-// The endings of a transaction.
+// The ways in which a transaction ends.
 const (
 	Settled   = figures.Settled
 	Deferred  = figures.Deferred
@@ -30,33 +30,33 @@
 // Answer is the one final answer of a transaction.
 type Answer struct {
 	Ending  figures.Ending
-	Attempt int           // whose reply settled or rejected it
-	Backoff time.Duration // advice to a deferred client, 0 for none
+	Attempt int           // number of the attempt that settled or rejected it
+	Backoff time.Duration // how long a deferred client should wait, 0 for no advice
 }
 
-// Attempt is the order to send a transaction to an upstream. Its context ends when the push is called off or its
-// time is up; who carries the push gives it back by Outcome, always once.
+// Attempt is the order to send a transaction to an upstream. Its context ends when the attempt is cancelled or its
+// deadline has passed. The receiver reports its result with Outcome exactly once.
 type Attempt struct {
 	Context  context.Context
 	Number   int
 	Place    roster.Place
 	Deadline time.Time
-	Name     string // of its upstream, as are zone and cell
+	Name     string // name, zone and cell of the upstream
 	Zone     string
 	Cell     int
 
 	cancel context.CancelCauseFunc
-	timer  *time.Timer // which ends it at its time
+	timer  *time.Timer // cancels the context at the deadline
 	sentAt int64
 }
 
-// Probe is the order to probe an upstream; who carries it out tells by Probed how it ended.
+// Probe is the order to probe an upstream. The receiver reports its result with ProbeResult.
 type Probe struct {
 	Upstream int
 	Place    roster.Place
 }
 
-// Handle is a transaction in the hands of a door.
+// Handle gives a front end access to one transaction.
 type Handle struct {
 	Attempts <-chan *Attempt
 	Answer   <-chan Answer
@@ -65,81 +65,81 @@
 	attempts  chan *Attempt
 	answer    chan Answer
 	sent      []*Attempt
-	pending   int // of them, without an outcome
+	pending   int // number of attempts without a result
 	class     *figures.Class
-	done      bool // has its answer, or its client is gone
-	streaming bool // its answer has begun and goes on without the module
+	done      bool // has its answer, or the client is gone
+	streaming bool // its answer is being streamed, without the engine
 }
 
-// Arrival is a transaction as a door takes it in.
+// Arrival describes a new transaction.
 type Arrival struct {
-	Config       *logic.Config // that its tariff and customer are numbers of; nil for those in force
+	Config       *logic.Config // to which Tariff and Customer are indexes; nil for the current one
 	Tariff       int
 	Customer     int
-	Timeout      time.Duration
+	Timeout      time.Duration // how long the client still waits
 	ClientRetry  bool
-	BodyPending  bool      // its last byte has yet to come, and what goes out of it can't be sent a second time
-	DelaySend    bool      // its pushes leave once Left says so
-	PriorAttempt *Location // where another try of it may have run, nil for nowhere
+	BodyPending  bool      // its last byte has not arrived, and its body can be sent only once
+	DelaySend    bool      // its attempts are sent only after a permission, as reported by Sent
+	PriorAttempt *Location // where an earlier try may have run, nil for none
 }
 
-// Location is a group of upstreams, as lists name it.
+// Location is the zone and cell of an upstream, as named in the list.
 type Location struct {
 	Zone string
 	Cell int
 }
 
-const never = 1 << 62 // no clock gets there
+const never = 1 << 62 // a time that no clock reaches
 
-// Engine decides: a Balancer, or what the lab sets in its place to compare it with.
+// Engine makes the decisions: a logic.Balancer, or a substitute for comparisons in the lab.
 type Engine interface {
 	roster.Module
-	Arrive(t *logic.Transaction, tariff, customer int, work, left int64, again bool, now int64)
-	BodyReceived(t *logic.Transaction, left, now int64)
-	Outcome(t *logic.Transaction, n int, r logic.Result, took int64, final bool, now int64)
-	ClientGone(t *logic.Transaction)
+	Arrive(tx *logic.Transaction, tariffIndex, customerIndex int, work, left int64, clientRetry bool, now int64)
+	BodyReceived(tx *logic.Transaction, left, now int64)
+	Outcome(tx *logic.Transaction, n int, r logic.Result, took int64, final bool, now int64)
+	ClientGone(tx *logic.Transaction)
 	ProbeResult(i int, ok bool)
-	PeerReport(peer int, raw []byte, now int64)
+	PeerReport(peer int, report []byte, now int64)
 	Round(now int64, w logic.Writer)
 }
 
-// inspector is a module that tells what it makes of things. Nothing is decided by it.
+// inspector is an engine that exposes its state for observation.
 type inspector interface {
 	Stats() logic.Stats
 	TakeEvents(take func(logic.EjectionEvent))
 }
 
-// EngineFactory starts a module.
-type EngineFactory func(terms *logic.Config, now int64) (Engine, error)
+// EngineFactory creates an engine.
+type EngineFactory func(config *logic.Config, now int64) (Engine, error)
 
-// NewBalancer is the module of this project, the only one that serves.
-func NewBalancer(terms *logic.Config, now int64) (Engine, error) { return logic.New(terms, now) }
+// NewBalancer is the EngineFactory of logic.Balancer, the only engine used in production.
+func NewBalancer(config *logic.Config, now int64) (Engine, error) { return logic.New(config, now) }
 
-const maxBodyTime = time.Hour // for a transaction's last byte; its door bounds how slow it may be
+const maxBodyTime = time.Hour // until the last byte of a body; the front end limits how slowly it may arrive
 
-// Dispatcher serialises all that is said to one Balancer. Its lock's order settles races.
+// Dispatcher serialises all events of one engine. Races are decided by the order in which they take the lock.
 type Dispatcher struct {
 	mu            sync.Mutex
 	log           *slog.Logger
 	engine        Engine
 	roster        *roster.Roster[string]
-	epoch         time.Time // with its monotonic reading, from which all times are taken
+	epoch         time.Time // with a monotonic reading, on which all times are based
 	wake          *time.Timer
-	attemptBuffer atomic.Int64 // pushes that a case's channel holds
+	attemptBuffer atomic.Int64 // capacity of the channel of attempts of a Handle
 	open          map[*Handle]struct{}
 	closed        bool
 	counters      Counters
 	metrics       *figures.Pool
-	book          *terms.Book                // in force
-	sendReport    func(peer int, raw []byte) // to another balancer; nil if there is no way
-	inspector     inspector                  // what the module makes of things; nil if it doesn't tell
-	watch         *watch.Module              // if what a newer shape would have changed is counted
+	book          *terms.Book                // the current settings
+	sendReport    func(peer int, raw []byte) // to another balancer; nil if there is no transport
+	inspector     inspector                  // nil if the engine has none
+	watch         *watch.Module              // set if live weights and peers are only evaluated in shadow mode
 
 	follow chan struct{}
 	probes chan Probe
 }
 
-// New starts the module.
+// New returns a Dispatcher with a new engine.
 func New(book *terms.Book, metrics *figures.Pool, log *slog.Logger, newEngine EngineFactory) (*Dispatcher, error) {
 	d := &Dispatcher{
 		log: log, metrics: metrics, book: book, epoch: time.Now(), follow: make(chan struct{}, 1), probes: make(chan Probe, 256),
@@ -160,15 +160,15 @@
 	d.inspector, _ = engine.(inspector)
 	d.engine, d.roster = engine, roster.New[string](engine, book.Zones)
 	d.attachClasses(book)
-	d.wake = time.AfterFunc(time.Hour, func() { d.update(func(int64) {}) }) // the module sets the time
+	d.wake = time.AfterFunc(time.Hour, func() { d.update(func(int64) {}) }) // the engine sets the time
 	return d, nil
 }
 
-// now is the time in Unix nanoseconds, and never runs backwards.
+// now returns the time in Unix nanoseconds. It never runs backwards.
 func (d *Dispatcher) now() int64 { return d.epoch.UnixNano() + int64(time.Since(d.epoch)) }
 
-// update is the one way to the module. Danger: a panic of the module would end the process, and with it all that
-// is open; it is logged, and reported to whom it concerns.
+// update runs apply and a round of decisions under the lock; all calls of the engine go through it. A panic of the
+// engine would end the process with all open transactions, so it is logged and reported to the caller as false.
 func (d *Dispatcher) update(apply func(now int64)) (ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -186,7 +186,7 @@
 	return true
 }
 
-// logEvent logs that an upstream was set aside or taken back, and why.
+// logEvent logs the ejection or reinstatement of an upstream.
 func (d *Dispatcher) logEvent(event logic.EjectionEvent) {
 	if event.Reinstated {
 		d.log.Info("upstream", "step", "back", "upstream", d.roster.Name(event.Upstream), "cold", event.Cold)
@@ -195,43 +195,43 @@
 	}
 }
 
-// Probes are the orders to probe.
+// Probes returns the channel of probes to carry out.
 func (d *Dispatcher) Probes() <-chan Probe { return d.probes }
 
-// Follow tells when the module wants the list followed.
+// Follow returns a channel that receives when the engine wants to subscribe to the list.
 func (d *Dispatcher) Follow() <-chan struct{} { return d.follow }
 
-// List takes a report of the list, and tells what has changed by it.
+// List applies an update of the list and returns what it changed.
 func (d *Dispatcher) List(entries []roster.Entry[string], whole bool) (c roster.Change) {
 	d.update(func(now int64) { c = d.roster.Apply(entries, whole, now) })
 	return c
 }
 
-// Entries is the list as it stands.
+// Entries returns the current list.
 func (d *Dispatcher) Entries() []roster.Entry[string] {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.roster.Entries()
 }
 
-// Unlisted says that the list could not be had, or that following it has ended.
+// Unlisted reports that the list could not be read, or that the subscription has ended.
 func (d *Dispatcher) Unlisted() {
 	d.update(func(now int64) { d.engine.Listed(false, now) })
 }
 
-// SetReportSender has what the module says to other balancers carried.
+// SetReportSender sets the function that sends load reports to other balancers.
 func (d *Dispatcher) SetReportSender(send func(peer int, raw []byte)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.sendReport = send
 }
 
-// PeerReport hands on what another balancer says.
+// PeerReport passes on a load report of another balancer.
 func (d *Dispatcher) PeerReport(peer int, report []byte) {
 	d.update(func(now int64) { d.engine.PeerReport(peer, report, now) })
 }
 
-// ProbeResult tells how a probe ended.
+// ProbeResult reports whether an upstream answered its probe.
 func (d *Dispatcher) ProbeResult(upstream int, ok bool) {
 	d.update(func(int64) {
 		if !ok {
@@ -241,7 +241,7 @@
 	})
 }
 
-// Arrive takes a transaction. Its answer will come; so will orders to push it.
+// Arrive takes a new transaction. Its attempts and its answer come by the channels of the Handle.
 func (d *Dispatcher) Arrive(a Arrival) *Handle {
 	h := &Handle{attempts: make(chan *Attempt, d.attemptBuffer.Load()), answer: make(chan Answer, 1)}
 	h.Attempts, h.Answer = h.attempts, h.answer
@@ -257,13 +257,13 @@
 		if a.PriorAttempt != nil {
 			h.tx.PriorAttempt = &logic.Location{Zone: d.roster.Zone(a.PriorAttempt.Zone), Cell: a.PriorAttempt.Cell}
 		}
-		// How much work it is by itself nobody tells, so no contract time is stretched by that.
+		// The work of a transaction is unknown here, so its tariff's WorkFactor has no effect.
 		d.engine.Arrive(&h.tx, a.Tariff, a.Customer, 0, int64(a.Timeout), a.ClientRetry, now)
 		if d.closed {
 			d.forfeit(h)
 		}
 	})
-	if !ok { // the module may not know it at all
+	if !ok { // the engine may not know the transaction
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		d.finish(h, Answer{Ending: Forfeited})
@@ -271,7 +271,7 @@
 	return h
 }
 
-// class is where an arrival's ending is counted.
+// class returns the metrics class in which an arrival is counted.
 func (d *Dispatcher) class(a Arrival) *figures.Class {
 	config := a.Config
 	if config == nil {
@@ -280,14 +280,14 @@
 	return config.Tariffs[a.Tariff].UserData.(*figures.Class)
 }
 
-// BodyReceived says that the last byte of a transaction has come; left is what its client waits from now on.
+// BodyReceived reports that the last byte of a transaction has arrived. The client waits for the timeout from now on.
 func (d *Dispatcher) BodyReceived(h *Handle, timeout time.Duration) {
 	d.update(func(now int64) {
 		if h.done {
 			return
 		}
 		d.engine.BodyReceived(&h.tx, int64(timeout), now)
-		for _, p := range h.sent { // its time begins now
+		for _, p := range h.sent { // their time begins now
 			if p.timer.Stop() {
 				p.sentAt, p.Deadline = now, d.epoch.Add(time.Duration(now+int64(timeout)-d.epoch.UnixNano()))
 				p.timer.Reset(timeout)
@@ -296,7 +296,7 @@
 	})
 }
 
-// Outcome tells how a push ended. The first that settles or rejects its transaction makes the answer.
+// Outcome reports the result of an attempt. The first that settles or rejects the transaction gives the answer.
 func (d *Dispatcher) Outcome(h *Handle, p *Attempt, r logic.Result) {
 	p.timer.Stop()
 	p.cancel(context.Canceled)
@@ -313,9 +313,9 @@
 	})
 }
 
-// StreamStarted says that a push's answer has begun and is too long to be held. With it the push has settled its transaction,
-// unless that has ended already: the module is done with it, its time is up no more, and Flowed tells how the rest
-// went. Danger: without the module's knowledge a copy would go out after the client has had its first bytes.
+// StreamStarted reports that the answer of an attempt is too long to be buffered and is being streamed to the client.
+// Unless the transaction has ended already, the attempt settles it and its deadline is lifted, and StreamEnded has
+// to report the end of the stream. The engine has to know, or it would send a hedge after the client's first bytes.
 func (d *Dispatcher) StreamStarted(h *Handle, p *Attempt) (won bool) {
 	d.update(func(now int64) {
 		if h.done || p.Context.Err() != nil || !p.timer.Stop() {
@@ -330,7 +330,7 @@
 	return won
 }
 
-// StreamEnded tells how an answer that flowed has ended.
+// StreamEnded reports the end of a streamed answer.
 func (d *Dispatcher) StreamEnded(h *Handle, p *Attempt, complete bool) {
 	p.cancel(context.Canceled)
 	d.metrics.Open.Add(-1)
@@ -341,7 +341,7 @@
 	}
 }
 
-// ClientGone says that the client is gone; after an answer it says nothing.
+// ClientGone reports that the client has disconnected. It has no effect after the answer.
 func (d *Dispatcher) ClientGone(h *Handle) {
 	d.update(func(int64) {
 		if !h.done {
@@ -354,7 +354,7 @@
 	})
 }
 
-// Sent says that a push of a transaction that waits has left.
+// Sent reports that an attempt of a transaction with DelaySend has been sent.
 func (d *Dispatcher) Sent(h *Handle, p *Attempt) {
 	d.update(func(now int64) {
 		p.sentAt = now
@@ -366,8 +366,8 @@
 	})
 }
 
-// Withdraw takes back a transaction that has no answer, as if it had not come; nothing of it may be out, or leave any more.
-// It may come again.
+// Withdraw removes a transaction without an answer, as if it had never arrived, and reports whether it did. No attempt
+// may be under way or be sent later. The transaction may arrive again.
 func (d *Dispatcher) Withdraw(h *Handle) (withdrawn bool) {
 	d.update(func(int64) {
 		if withdrawn = !h.done; withdrawn {
@@ -381,7 +381,7 @@
 	return withdrawn
 }
 
-// CountDeferred counts a transaction that was deferred before the module knew of it.
+// CountDeferred counts a transaction that was deferred before it reached the engine.
 func (d *Dispatcher) CountDeferred(a Arrival) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -390,7 +390,7 @@
 	d.class(a).End(Deferred)
 }
 
-// CountEnded counts a transaction that was answered otherwise before the module knew of it.
+// CountEnded counts a transaction that ended in another way before it reached the engine.
 func (d *Dispatcher) CountEnded(a Arrival, ending figures.Ending) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -398,20 +398,20 @@
 	d.class(a).End(ending)
 }
 
-// Reconfigure puts other terms in force, for what comes from now on; what is open keeps its own.
+// Reconfigure replaces the settings for new transactions. Open ones keep the settings under which they arrived.
 func (d *Dispatcher) Reconfigure(book *terms.Book) (err error) {
 	ok := d.update(func(now int64) {
 		engine, can := d.engine.(interface {
 			Reconfigure(config *logic.Config, now int64) error
 		})
 		if !can {
-			err = errors.New("the module takes no other terms in service")
+			err = errors.New("the decision engine does not support a change of settings in service")
 			return
 		}
-		if d.book != nil { // under the module's lock: it goes on learning under the earlier book
+		if d.book != nil { // under the lock, as the engine keeps learning with the earlier book
 			book.Keep(d.book)
 		}
-		book.Terms.Zone = d.roster.Zone(book.Zones[book.Terms.Zone]) // the list's numbers stay as they were
+		book.Terms.Zone = d.roster.Zone(book.Zones[book.Terms.Zone]) // zone numbers of the list do not change
 		if err = engine.Reconfigure(book.Terms, now); err == nil {
 			d.attachClasses(book)
 			d.book = book
@@ -419,12 +419,12 @@
 		}
 	})
 	if !ok {
-		err = errors.New("the module fails at these terms")
+		err = errors.New("the decision engine panicked on these settings")
 	}
 	return err
 }
 
-// attachClasses has the tariffs of a book counted, from now on.
+// attachClasses attaches the metrics class of each tariff of a book.
 func (d *Dispatcher) attachClasses(book *terms.Book) {
 	names := make([]string, len(book.Terms.Tariffs))
 	for name, n := range book.Tariffs {
@@ -435,7 +435,7 @@
 	}
 }
 
-// SetProcesses says that so many processes are this balancer at present, this one included.
+// SetProcesses sets how many processes act as this balancer at present, this one included.
 func (d *Dispatcher) SetProcesses(processes int) {
 	d.update(func(now int64) {
 		if engine, can := d.engine.(interface{ SetProcesses(n int) }); can {
@@ -444,7 +444,7 @@
 	})
 }
 
-// UpstreamCounts is how many upstreams are listed, and how many of them the module avoids now.
+// UpstreamCounts returns the number of listed upstreams, and how many of them the engine avoids at present.
 func (d *Dispatcher) UpstreamCounts() (listed, avoided int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -454,31 +454,32 @@
 	return len(d.roster.Entries()), 0
 }
 
-// Counters is what has happened since the last one was taken.
+// Counters counts events since the last call of TakeCounters.
 type Counters struct {
 	Arrived, ClientsGone int
-	DeferredAtEdge       int                       // deferred before the module knew of them
-	Ended                [2][logic.ReasonCount]int // deferred and forfeited by the module, by reason
-	FirstSends           int                       // pushes
+	DeferredAtEdge       int                       // deferred before they reached the engine
+	Ended                [2][logic.ReasonCount]int // deferred and forfeited by the engine, by reason
+	FirstSends           int                       // first attempts
 	Hedges, Retries      int
 	Probes               int
-	ProbesFailed         int                     // probes
-	Results              [logic.Rejected + 1]int // of pushes
+	ProbesFailed         int
+	Results              [logic.Rejected + 1]int // of attempts
 	Stats                logic.Stats
-	Open                 int // transactions now
+	Open                 int // open transactions now
 	Watched              watch.Counts
 }
 
-// Add adds another desk's.
+// Add adds the counters of another Dispatcher.
 func (c *Counters) Add(other Counters) {
 	c.Watched.Add(other.Watched)
-	c.Arrived, c.ClientsGone, c.DeferredAtEdge, c.Open = c.Arrived+other.Arrived, c.ClientsGone+other.ClientsGone, c.DeferredAtEdge+other.DeferredAtEdge, c.Open+other.Open
+	c.Arrived, c.ClientsGone, c.DeferredAtEdge, c.Open =
+		c.Arrived+other.Arrived, c.ClientsGone+other.ClientsGone, c.DeferredAtEdge+other.DeferredAtEdge, c.Open+other.Open
 	c.Stats.Add(other.Stats)
 	c.FirstSends, c.Hedges, c.Retries = c.FirstSends+other.FirstSends, c.Hedges+other.Hedges, c.Retries+other.Retries
 	c.Probes, c.ProbesFailed = c.Probes+other.Probes, c.ProbesFailed+other.ProbesFailed
-	for how := range c.Ended {
-		for why, n := range other.Ended[how] {
-			c.Ended[how][why] += n
+	for ending := range c.Ended {
+		for reason, n := range other.Ended[ending] {
+			c.Ended[ending][reason] += n
 		}
 	}
 	for i, n := range other.Results {
@@ -486,7 +487,7 @@
 	}
 }
 
-// TakeCounters takes the tally and starts a new one.
+// TakeCounters returns the counters and resets them.
 func (d *Dispatcher) TakeCounters() Counters {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -502,8 +503,8 @@
 	return c
 }
 
-// Close forfeits all that is still open and whatever comes after: the process is about to be killed, and an
-// answer without a promise is better than none.
+// Close forfeits all open and all later transactions, and returns the number of open ones. The process is about to
+// be killed, and an answer that leaves the result open is better than none.
 func (d *Dispatcher) Close() (ended int) {
 	d.update(func(int64) {
 		d.closed = true
@@ -515,13 +516,13 @@
 	return ended
 }
 
-// Stop ends a desk at which nothing is open any more.
+// Stop ends a Dispatcher without open transactions.
 func (d *Dispatcher) Stop() {
 	d.Close()
 	d.wake.Stop()
 }
 
-// finish gives the answer, unless the case is over.
+// finish gives the answer, unless the transaction is done.
 func (d *Dispatcher) finish(h *Handle, a Answer) {
 	if h.done {
 		return
@@ -534,16 +535,16 @@
 		}
 	}
 	delete(d.open, h)
-	h.answer <- a // has room for the one
+	h.answer <- a // buffered, so it never blocks
 }
 
-// forfeit ends a case that the module would go on with.
+// forfeit ends a transaction that the engine still works on.
 func (d *Dispatcher) forfeit(h *Handle) {
 	d.finish(h, Answer{Ending: Forfeited})
 	d.engine.ClientGone(&h.tx)
 }
 
-// writer takes the decisions of a round, under the lock.
+// writer carries out the decisions of a round, under the lock.
 type writer struct{ *Dispatcher }
 
 // Send implements logic.Writer, as do the methods below.
@@ -556,7 +557,7 @@
 	p.Name = w.roster.Name(upstream)
 	p.Zone, p.Cell = w.roster.Group(upstream)
 	if tx.BodyPending {
-		p.Deadline = time.Now().Add(maxBodyTime) // Whole sets it
+		p.Deadline = time.Now().Add(maxBodyTime) // BodyReceived sets it
 	}
 	p.Context, p.cancel = context.WithCancelCause(context.Background())
 	p.timer = time.AfterFunc(time.Until(p.Deadline), func() { p.cancel(context.DeadlineExceeded) })
@@ -572,12 +573,12 @@
 	h.sent = append(h.sent, p)
 	select {
 	case h.attempts <- p:
-	default: // Danger: waiting here would stop every transaction; a push that finds no room never left
+	default: // blocking here would stop every transaction, so the attempt counts as never sent
 		go w.Outcome(h, p, logic.Unsent)
 	}
 }
 
-// HasIdleConn asks the place itself: whoever owns the connections counts them there.
+// HasIdleConn reads the count that the owner of the connections keeps in the Place.
 func (w writer) HasIdleConn(upstream int) bool { return w.roster.Place(upstream).Kept.Load() > 0 }
 
 func (w writer) Cancel(tx *logic.Transaction, attempt int) {
@@ -598,7 +599,7 @@
 	w.counters.Probes++
 	select {
 	case w.probes <- Probe{upstream, w.roster.Place(upstream)}:
-	default: // Danger: as with pushes; a probe that is never answered would hold its upstream for good
+	default: // must not block either; an unanswered probe would keep its upstream ejected for good
 		go w.ProbeResult(upstream, false)
 	}
 }
@@ -606,7 +607,7 @@
 func (w writer) Follow() {
 	select {
 	case w.follow <- struct{}{}:
-	default: // asked already
+	default: // already requested
 	}
 }
 
@@ -618,12 +619,12 @@
 
 func (w writer) Wake(at int64) {
 	if w.closed && len(w.open) == 0 {
-		return // Danger: a timer that goes on holds all of a pool that is gone
+		return // a running timer would keep the memory of a removed pool alive
 	}
 	w.wake.Reset(time.Duration(at - w.now()))
 }
 
 func (w writer) Note(text string) { w.log.Info("note", "text", text) }
 
-// maxAttempts is how many a transaction may have at most.
-func maxAttempts(t *logic.Config) int64 { return int64(t.MaxAttempts + t.FreeRefusals) }
+// maxAttempts returns the maximum number of attempts of a transaction.
+func maxAttempts(config *logic.Config) int64 { return int64(config.MaxAttempts + config.FreeRefusals) }
