--- a/internal/desk/desk.go
+++ b/internal/desk/desk.go
@@ -142,8 +142,8 @@
 // New returns a Dispatcher with a new engine.
 func New(book *terms.Book, metrics *figures.Pool, log *slog.Logger, newEngine EngineFactory) (*Dispatcher, error) {
 	d := &Dispatcher{
-		log: log, metrics: metrics, book: book, epoch: time.Now(), follow: make(chan struct{}, 1), probes: make(chan Probe, 256),
-		open: map[*Handle]struct{}{},
+		log: log, metrics: metrics, book: book, epoch: time.Now(),
+		follow: make(chan struct{}, 1), probes: make(chan Probe, 256), open: map[*Handle]struct{}{},
 	}
 	d.attemptBuffer.Store(min(maxAttempts(book.Terms), 64))
 	var engine Engine
--- a/internal/desk/desk_test.go
+++ b/internal/desk/desk_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// FuzzDesk: whatever comes in at once, each transaction has one answer and each push is given back once.
+// FuzzDesk runs random transactions concurrently. Each must have one answer, and each attempt one result.
 func FuzzDesk(f *testing.F) {
 	for seed := range uint64(4) {
 		f.Add(seed)
@@ -76,7 +76,7 @@
 					case <-clientGone:
 						d.ClientGone(h)
 						if answers++; len(h.Answer) > 0 {
-							<-h.Answer // it had come before
+							<-h.Answer // it was given before
 						}
 					}
 				}
@@ -85,12 +85,12 @@
 				}
 				time.Sleep(250 * time.Millisecond)
 				if len(h.Answer) > 0 || len(h.Attempts) > 0 {
-					t.Error("a second answer, or a push after the answer")
+					t.Error("a second answer, or an attempt after the answer")
 				}
 				d.mu.Lock()
 				defer d.mu.Unlock()
 				if !h.tx.Closed() {
-					t.Error("not closed")
+					t.Error("the transaction is not closed")
 				}
 			}()
 		}
@@ -100,7 +100,7 @@
 			ended += int(n)
 		}
 		if n := d.metrics.Open.Load(); n != 0 {
-			t.Errorf("%d counted as open", n)
+			t.Errorf("%d transactions counted as open", n)
 		}
 		if counters.Open != 0 || counters.Arrived != 200 || ended+counters.ClientsGone != 200 {
 			t.Errorf("%+v", counters)
@@ -113,12 +113,12 @@
 	h := d.Arrive(Arrival{Tariff: 0, Customer: -1, Timeout: time.Second})
 	p := <-h.Attempts
 	d.ClientGone(h)
-	d.Outcome(h, p, logic.Settled) // too late: the client has gone
+	d.Outcome(h, p, logic.Settled) // too late: the client has disconnected
 	if len(h.Answer) != 0 {
-		t.Error("an answer to a client that has gone")
+		t.Error("an answer to a client that has disconnected")
 	}
 	if p.Context.Err() == nil {
-		t.Error("the push holds on to its context")
+		t.Error("the context of the attempt has not ended")
 	}
 }
 
@@ -127,19 +127,19 @@
 	h := d.Arrive(Arrival{Tariff: 0, Customer: -1, Timeout: time.Minute})
 	p := <-h.Attempts
 	if n := d.Close(); n != 1 || (<-h.Answer).Ending != Forfeited || p.Context.Err() == nil {
-		t.Errorf("%d ended, push %v", n, p.Context.Err())
+		t.Errorf("%d ended, attempt %v", n, p.Context.Err())
 	}
 	if a := <-d.Arrive(Arrival{Tariff: 0, Customer: -1, Timeout: time.Minute}).Answer; a.Ending != Forfeited {
 		t.Errorf("%v", a)
 	}
 }
 
-// Danger: an order that nobody takes must not stop the rest.
+// Orders that nobody receives must not block other transactions.
 func TestDispatchNeverBlocks(t *testing.T) {
 	d := newTestDispatcher(t, testTariff(logic.NonIdempotent))
 	d.attemptBuffer.Store(0)
 	h := d.Arrive(Arrival{Tariff: 0, Customer: -1, Timeout: time.Second})
-	if a := <-h.Answer; a.Ending != Deferred { // it never left
+	if a := <-h.Answer; a.Ending != Deferred { // it was never sent
 		t.Errorf("%v", a)
 	}
 	for range cap(d.probes) + 10 {
@@ -148,10 +148,11 @@
 	}
 }
 
-// Danger: a panic of the module under the lock must neither hold the lock nor leave its transaction unanswered.
+// A panic of the engine must neither leave the lock held nor its transaction unanswered.
 func TestEnginePanicIsRecovered(t *testing.T) {
 	d := newTestDispatcher(t, testTariff(logic.NonIdempotent))
-	if a := <-d.Arrive(Arrival{Tariff: 7, Customer: -1, Timeout: time.Second}).Answer; a.Ending != Forfeited { // there is no such tariff
+	// There is no tariff 7.
+	if a := <-d.Arrive(Arrival{Tariff: 7, Customer: -1, Timeout: time.Second}).Answer; a.Ending != Forfeited {
 		t.Errorf("%v", a)
 	}
 	h := d.Arrive(Arrival{Tariff: 0, Customer: -1, Timeout: time.Second})
--- a/logic/config_test.go
+++ b/logic/config_test.go
@@ -2,12 +2,13 @@
 
 import "testing"
 
-// Fewer attempts and other tariffs hold for what comes after; what is open keeps the terms that it came under.
+// A new configuration with fewer attempts and another tariff applies to new transactions only. Open ones keep theirs,
+// and the learnt limit and hedge delay stay.
 func TestReconfigureKeepsConfigOfOpenTransactions(t *testing.T) {
 	first := testConfig(testTariff(Idempotent, Everywhere))
 	h := newHarness(t, first, 4, 1)
 	h.settle(minSamples+20, 50*ms)
-	before, limit, trigger := h.arrive(0, 3*sec), h.b.limit, h.b.hedgeDelay
+	before, limit, hedgeDelay := h.arrive(0, 3*sec), h.b.limit, h.b.hedgeDelay
 	h.round(ms)
 	next := testConfig(testTariff(NonIdempotent, Everywhere))
 	next.MaxAttempts = 1
@@ -17,26 +18,26 @@
 	h.config = next
 	after := h.arrive(0, 3*sec)
 	h.round(ms)
-	if h.b.limit != limit || h.b.hedgeDelay != trigger || trigger == 0 {
-		t.Errorf("room %v of %v, trigger %v of %v", h.b.limit, limit, h.b.hedgeDelay, trigger)
+	if h.b.limit != limit || h.b.hedgeDelay != hedgeDelay || hedgeDelay == 0 {
+		t.Errorf("limit %v, was %v; hedge delay %v, was %v", h.b.limit, limit, h.b.hedgeDelay, hedgeDelay)
 	}
 	for _, req := range []*testRequest{before, after} {
 		h.deliver(req, 0, Errored)
 		h.round(ms)
 	}
 	if len(before.attempts) != 2 || before.answered {
-		t.Errorf("%d pushes of what may run again, final %t", len(before.attempts), before.answered)
+		t.Errorf("idempotent transaction: %d attempts, answered %t", len(before.attempts), before.answered)
 	}
 	if len(after.attempts) != 1 || !after.answered {
-		t.Errorf("%d pushes of what must not, final %t", len(after.attempts), after.answered)
+		t.Errorf("non-idempotent transaction: %d attempts, answered %t", len(after.attempts), after.answered)
 	}
 	if h.b.Reconfigure(&Config{Balancers: 1}, h.now) == nil || h.b.config != next {
-		t.Error("terms without tariffs were taken")
+		t.Error("a configuration without tariffs was accepted")
 	}
 }
 
-// Danger: the time that a slow client takes to send would be held against its upstream, end its transaction and pass
-// for a crowd.
+// The time that a slow client takes to send its body must not count against the upstream, time out the transaction or
+// look like congestion.
 func TestTimeStartsWhenBodyIsReceived(t *testing.T) {
 	config := testConfig(testTariff(Idempotent, Everywhere))
 	config.Tariffs[0].LateEarnings = 0
@@ -44,25 +45,26 @@
 	h.settle(minSamples+20, 50*ms)
 	req := h.arriveStreaming(0)
 	h.runUntil(h.now + 10*sec)
-	at := req.attempts[0].upstream
-	if req.answered || len(req.attempts) != 1 || h.b.failures[at] != 0 || h.b.active != 0 {
-		t.Fatalf("final %t, %d pushes, %d against its upstream, %d in hand", req.answered, len(req.attempts), h.b.failures[at], h.b.active)
+	upstream := req.attempts[0].upstream
+	if req.answered || len(req.attempts) != 1 || h.b.failures[upstream] != 0 || h.b.active != 0 {
+		t.Fatalf("answered %t, %d attempts, %d failures of the upstream, %d active",
+			req.answered, len(req.attempts), h.b.failures[upstream], h.b.active)
 	}
 	h.receiveBodies(1)
 	begin := h.now
 	h.round(ms)
 	if h.b.active != 1 {
-		t.Error("not in hand though it is whole")
+		t.Error("not active after its body was received")
 	}
 	for !req.answered {
 		h.round(5 * ms)
 	}
 	if took := h.now - begin; took > sec+10*ms || len(req.attempts) != 1 {
-		t.Errorf("ended after %d ms with %d pushes", took/ms, len(req.attempts))
+		t.Errorf("ended after %d ms with %d attempts", took/ms, len(req.attempts))
 	}
 }
 
-// Two processes of one balancer pay a cold upstream half each.
+// Two processes of one balancer each give a cold upstream half of the tokens.
 func TestProcessesSplitColdBudget(t *testing.T) {
 	tokens := [2]float64{}
 	for n := range tokens {
@@ -75,6 +77,6 @@
 		tokens[n] = h.b.refill(0)
 	}
 	if tokens[0] == 0 || tokens[1] != tokens[0]/2 {
-		t.Errorf("paid %v", tokens)
+		t.Errorf("tokens %v", tokens)
 	}
 }
--- a/logic/fleet_test.go
+++ b/logic/fleet_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// fleetSim plays many balancers before the same upstreams in one seeded loop. Each upstream has one line and works
-// it off at its pace, slower while it is cold. Work is repeatable; checked are answers, hard stops, drains and cold ones.
+// fleetSim simulates many balancers with the same upstreams in one seeded loop. Each upstream works off a single queue,
+// more slowly while it is cold. Transactions are idempotent. It checks answers, hard stops, drains and cold upstreams.
 type fleetSim struct {
 	t         *testing.T
 	rand      *rand.Rand
@@ -15,52 +15,50 @@
 	balancers []*simBalancer
 	upstreams []*simUpstream
 	requests  []*simRequest
-	started   int // transactions
+	started   int // number of transactions
 	counts    map[string]int
 
-	randomWork   bool // work takes longer or shorter by chance
-	hotBalancers int  // so many balancers are sent five times as much as the others
+	randomWork   bool // service times are exponentially distributed
+	hotBalancers int  // number of balancers with five times the load of the others
 }
 
-// simBalancer is one balancer and takes its decisions.
+// simBalancer is one balancer and the Writer of its decisions.
 type simBalancer struct {
 	*Balancer
 	sim       *fleetSim
 	upstreams map[int]*simUpstream
-	attempts  []*simAttempt // pushes under way
-	probeEnds map[int]int64 // probes under way, by when they end
+	attempts  []*simAttempt // pending attempts
+	probeEnds map[int]int64 // end of each pending probe, by upstream
 }
 
-// simUpstream is one upstream.
 type simUpstream struct {
 	id           uint32
-	rate         float64 // answers a second when warm
-	startedAt    int64   // 0: warm
-	coldShare    float64 // what it can do at its birth, of what it does when warm
+	rate         float64 // answers per second when warm
+	startedAt    int64   // 0: warm for long
+	coldShare    float64 // share of its rate at its start
 	warmUp       int64
-	busyUntil    int64 // when it has worked off its line
+	busyUntil    int64 // when its queue is empty
 	draining     bool
-	unresponsive bool // takes all and answers nothing, probes neither
+	unresponsive bool // accepts everything and answers nothing, probes included
 	sentAt       []int64
 }
 
-// simAttempt is a push on its way.
 type simAttempt struct {
-	t         *Transaction
+	tx        *Transaction
 	number    int
 	sentAt    int64
 	dueAt     int64
-	cancelled bool // off
+	cancelled bool
 }
 
-// simRequest is a transaction as its client sees it.
+// simRequest is a transaction as seen by its client.
 type simRequest struct {
 	attempts []*simAttempt
 	hardStop int64
 	answered bool
 }
 
-func newFleetSim(t *testing.T, config Config, balancers, upstreams int, pace float64, seed uint64) *fleetSim {
+func newFleetSim(t *testing.T, config Config, balancers, upstreams int, rate float64, seed uint64) *fleetSim {
 	t.Helper()
 	f := &fleetSim{t: t, rand: rand.New(rand.NewPCG(seed, 2)), now: 100 * sec, counts: map[string]int{}}
 	for n := range balancers {
@@ -70,15 +68,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.balancers = append(f.balancers, &simBalancer{Balancer: b, sim: f, upstreams: map[int]*simUpstream{}, probeEnds: map[int]int64{}})
+		f.balancers = append(f.balancers, &simBalancer{
+			Balancer: b, sim: f, upstreams: map[int]*simUpstream{}, probeEnds: map[int]int64{}})
 	}
 	for range upstreams {
-		f.join(&simUpstream{rate: pace})
+		f.join(&simUpstream{rate: rate})
 	}
 	return f
 }
 
-// join has all balancers told of an upstream.
+// join lists an upstream at all balancers.
 func (f *fleetSim) join(u *simUpstream) {
 	u.id = uint32(len(f.upstreams)+1) * 2654435761
 	f.upstreams = append(f.upstreams, u)
@@ -89,19 +88,19 @@
 	}
 }
 
-// leave has all balancers told that an upstream drains; it finishes what it has.
+// leave drains an upstream at all balancers. It finishes its queue.
 func (f *fleetSim) leave(u *simUpstream) {
 	u.draining = true
 	for _, b := range f.balancers {
-		for i, req := range b.upstreams {
-			if req == u {
+		for i, other := range b.upstreams {
+			if other == u {
 				b.Drain(i)
 			}
 		}
 	}
 }
 
-// warmth is the share of its capacity that an upstream has.
+// warmth returns the share of its rate that an upstream has by now.
 func (u *simUpstream) warmth(now int64) float64 {
 	if u.startedAt == 0 {
 		return 1
@@ -109,7 +108,7 @@
 	return min(1, u.coldShare+(1-u.coldShare)*float64(now-u.startedAt)/float64(u.warmUp))
 }
 
-// run sends rate transactions a second for a while.
+// run simulates a span of time, with rate transactions per second.
 func (f *fleetSim) run(rate float64, span int64) {
 	const step = 5 * ms
 	for until := f.now + span; f.now < until; {
@@ -138,11 +137,11 @@
 	}
 }
 
-// deliverResults tells a balancer what has become of its pushes.
+// deliverResults reports the results of attempts and probes that are due.
 func (b *simBalancer) deliverResults() {
 	left := b.attempts[:0]
 	for _, attempt := range b.attempts {
-		req := attempt.t.UserData.(*simRequest)
+		req := attempt.tx.UserData.(*simRequest)
 		if !attempt.cancelled && attempt.dueAt > b.sim.now && b.sim.now < req.hardStop {
 			left = append(left, attempt)
 			continue
@@ -156,10 +155,10 @@
 			req.answered = true
 			b.sim.counts["settled"]++
 		}
-		b.Outcome(attempt.t, attempt.number, r, b.sim.now-attempt.sentAt, req.answered, b.sim.now)
+		b.Outcome(attempt.tx, attempt.number, r, b.sim.now-attempt.sentAt, req.answered, b.sim.now)
 	}
 	b.attempts = left
-	for i := range b.inUse { // in their order
+	for i := range b.inUse { // in a fixed order
 		if at, under := b.probeEnds[i]; under && b.sim.now >= at {
 			delete(b.probeEnds, i)
 			b.ProbeResult(i, !b.upstreams[i].unresponsive)
@@ -170,14 +169,14 @@
 func (b *simBalancer) Send(tx *Transaction, i int, until int64) {
 	f, u, req := b.sim, b.upstreams[i], tx.UserData.(*simRequest)
 	if req.answered || f.now > req.hardStop || u.draining {
-		f.t.Fatal("a push after the answer, the hard stop or the leaving of its upstream")
+		f.t.Fatal("an attempt after the answer, after the hard stop or at a draining upstream")
 	}
 	work := 1.0
 	if f.randomWork {
 		work = f.rand.ExpFloat64()
 	}
 	u.busyUntil = max(u.busyUntil, f.now) + int64(work*float64(sec)/(u.rate*u.warmth(f.now)))
-	attempt := &simAttempt{t: tx, number: len(req.attempts), sentAt: f.now, dueAt: u.busyUntil}
+	attempt := &simAttempt{tx: tx, number: len(req.attempts), sentAt: f.now, dueAt: u.busyUntil}
 	if u.unresponsive {
 		attempt.dueAt = math.MaxInt64
 	}
@@ -190,7 +189,7 @@
 		span++
 	}
 	if u.startedAt != 0 && float64(span) >= bears {
-		f.t.Fatalf("%d pushes to a cold upstream within the span, %.1f make it fall", span, bears)
+		f.t.Fatalf("%d attempts at a cold upstream within the span, %.1f overload it", span, bears)
 	}
 }
 
@@ -198,13 +197,13 @@
 	tx.UserData.(*simRequest).attempts[n].cancelled = true
 }
 
-func (b *simBalancer) answer(tx *Transaction, how string) {
+func (b *simBalancer) answer(tx *Transaction, ending string) {
 	req := tx.UserData.(*simRequest)
 	if req.answered || b.sim.now > req.hardStop+5*ms {
 		b.sim.t.Fatal("a second answer, or one after the hard stop")
 	}
 	req.answered = true
-	b.sim.counts[how]++
+	b.sim.counts[ending]++
 }
 
 func (b *simBalancer) Defer(tx *Transaction, _ Reason, _ int64) { b.answer(tx, "deferred") }
@@ -221,9 +220,10 @@
 	}
 }
 
-// A zone says nothing for five seconds and is back, cold, before the list tells of its new start. Danger: what is out on
-// connections that stay open times out, nothing is refused, and all that meet it take it for warm. What holds is the skip
-// of those well above the mean in flight; taken back as cold after unanswered probes it was fed no less (tried).
+// A zone does not answer for five seconds and returns cold, before the list shows its restart. As connections stay
+// open, attempts time out and none is refused, so all balancers take its upstreams for warm. Skipping upstreams far
+// above the mean in flight keeps them from overload. Reinstating them as cold after unanswered probes was tried, and
+// did not reduce what they were sent.
 func TestZoneReturningFromOutageIsCold(t *testing.T) {
 	config := *testConfig(testTariff(Idempotent, Everywhere))
 	config.ColdShare, config.WarmUp, config.OverloadFactor, config.OverloadSpan = 0.12, 24*sec, 4, sec
@@ -234,7 +234,7 @@
 			u.unresponsive = true
 		}
 		f.run(200, 5*sec)
-		for _, u := range f.upstreams[:5] { // its line is gone
+		for _, u := range f.upstreams[:5] { // its queue is lost
 			u.unresponsive, u.startedAt, u.coldShare, u.warmUp, u.busyUntil, u.sentAt = false, f.now, 0.12, 24*sec, 0, nil
 		}
 		f.run(200, 4*sec)
@@ -245,13 +245,13 @@
 			returned += len(u.sentAt)
 		}
 		if settled := float64(f.counts["settled"]) / float64(f.started); settled < 0.8 || returned < 20 {
-			t.Errorf("seed %d: %.2f settled, %d pushes to what is back", seed, settled, returned)
+			t.Errorf("seed %d: %.2f settled, %d attempts at the returned zone", seed, settled, returned)
 		}
 	}
 }
 
-// Most of the list is new at once: the few warm ones that are left can't carry the work, and what all balancers
-// together send to a cold one is still below what makes it fall.
+// Most of the list is replaced at once. The few warm upstreams cannot carry the load, while all balancers together
+// must not overload a cold one.
 func TestColdUpstreamsCarryLoadWhenMostOfListIsReplaced(t *testing.T) {
 	config := *testConfig(testTariff(Idempotent, Everywhere))
 	config.ColdShare, config.WarmUp, config.OverloadFactor, config.OverloadSpan = 0.12, 24*sec, 4, sec
@@ -272,26 +272,26 @@
 	}
 }
 
-// Nothing is wrong anywhere. What each balancer sends twice is little by itself; in a service of several tiers all
-// of that multiplies, and each loser costs its connection.
+// Without any fault, hedges must be rare: they multiply over the tiers of a service, and each cancelled attempt costs
+// its connection.
 func TestFleetSendsFewHedgesWithoutFaults(t *testing.T) {
 	for _, c := range []struct {
 		balancers   int
-		least, most int // copies in a thousand transactions
-	}{{40, 1, 20}, {2, 25, 80}} { // two may rescue what a few in a hundred lose
+		least, most int // hedges per thousand transactions
+	}{{40, 1, 20}, {2, 25, 80}} { // two balancers may hedge some per cent
 		f := newFleetSim(t, *testConfig(testTariff(Idempotent, Everywhere)), c.balancers, 40, 20, 1)
 		f.randomWork = true
 		f.run(300, 12*sec)
 		f.started, f.counts = 0, map[string]int{}
 		f.run(300, 12*sec)
 		if extra := (f.counts["pushes"] - f.started) * 1000 / f.started; extra > c.most || extra < c.least {
-			t.Errorf("%d balancers: %d copies in a thousand, want %d to %d", c.balancers, extra, c.least, c.most)
+			t.Errorf("%d balancers: %d hedges per thousand, want %d to %d", c.balancers, extra, c.least, c.most)
 		}
 	}
 }
 
-// Some are sent five times as much as the others. Danger: with a part of the list as large as theirs they fill it, and are
-// out of room, while the rest is idle.
+// Some balancers get five times the load of the others. With equal shares of the list they would fill theirs and reach
+// their limit while the other upstreams are idle.
 func TestOverloadedBalancerGetsLargerShareOfList(t *testing.T) {
 	for seed := range uint64(3) {
 		config := *testConfig(testTariff(Idempotent, Everywhere))
@@ -309,18 +309,18 @@
 			most = max(most, len(u.sentAt))
 		}
 		if ratio := float64(most) / (900 * 16 / 64); ratio > 1.4 || f.counts["deferred"] > f.started/200 {
-			t.Errorf("seed %d: one upstream has %.2f times the mean; %v of %d", seed, ratio, f.counts, f.started)
+			t.Errorf("seed %d: one upstream gets %.2f times the mean; %v of %d", seed, ratio, f.counts, f.started)
 		}
 		for n, b := range f.balancers {
 			if (b.shareCount > 1) != (n < f.hotBalancers) {
-				t.Errorf("seed %d: balancer %d has %.0f parts", seed, n, b.shareCount)
+				t.Errorf("seed %d: balancer %d has %.0f shares", seed, n, b.shareCount)
 			}
 		}
 	}
 }
 
-// Nothing is wrong and each balancer has seen little. Danger: the least of many means over few is far below what is usual,
-// and whatever is usual passes for a crowd from then on.
+// Without any fault, each balancer has few samples. The minimum of many means over few samples is far below the usual
+// value, which would then look like congestion.
 func TestBaseRatioIgnoresNoiseOfFewSamples(t *testing.T) {
 	low, total := 0, 0
 	for seed := range uint64(3) {
@@ -338,11 +338,11 @@
 		}
 	}
 	if low > total/20 {
-		t.Errorf("%d of %d balancers take the usual for a crowd", low, total)
+		t.Errorf("%d of %d balancers take the usual ratio for congestion", low, total)
 	}
 }
 
-// Each balancer of a fleet opens connections to all of its part, whatever it sends there.
+// Each balancer opens connections to all of its assigned upstreams, however little it sends, so there must be few.
 func TestSharesOfListNeedFewConnections(t *testing.T) {
 	f := newFleetSim(t, *testConfig(testTariff(Idempotent, Everywhere)), 40, 40, 20, 1)
 	f.run(0, 50*ms)
@@ -351,6 +351,6 @@
 		pairs += len(b.assigned)
 	}
 	if mean := float64(pairs) / float64(len(f.upstreams)); mean < minOverlap || mean > 7.5 {
-		t.Errorf("an upstream is met by %.1f balancers in the mean, want six and some edges", mean)
+		t.Errorf("%.1f balancers per upstream in the mean, want 6 to 7.5", mean)
 	}
 }
--- a/logic/helpers_test.go
+++ b/logic/helpers_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// harness plays a legal caller of one balancer and checks the four rules at every decision. It is no simulator:
-// its answers are drawn, not served.
+// harness is a correct caller of one balancer and checks the rules of the package at every decision: one final answer
+// in time, safe retries only, nothing new for leaving upstreams, no overload of cold ones. It does not simulate
+// upstreams; results are drawn at random.
 type harness struct {
 	t      *testing.T
 	b      *Balancer
@@ -16,16 +17,16 @@
 
 	requests     []*testRequest
 	byTx         map[*Transaction]*testRequest
-	notAccepting map[int]int64 // since when an upstream is known not to take work
+	notAccepting map[int]int64 // since when an upstream is known to accept nothing new
 	startedAt    map[int]int64
 	sentAt       map[int][]int64
 	maxPerSpan   map[int]float64
 	probes       map[int]int64
 	upstreams    []Upstream
-	maxBudget    float64 // the largest bucket that recent first sends ever allowed
+	maxBudget    float64 // the largest budget that recent first attempts ever allowed
 	answers      map[string]int
 	idleConns    map[int]bool
-	sentTo       []int // upstreams in the order of the pushes
+	sentTo       []int // upstreams in the order of the attempts
 	reports      [][]byte
 	wakeAt       int64
 }
@@ -40,9 +41,9 @@
 
 type testAttempt struct {
 	upstream int
-	listed   Upstream // as it was when sent
+	listed   Upstream // the list entry at the time of sending
 	sentAt   int64
-	dueAt    int64 // when its result comes
+	dueAt    int64 // when its result is delivered
 	result   Result
 	done     bool
 }
@@ -54,9 +55,9 @@
 	}
 }
 
-func testTariff(repeat Idempotency, group DedupScope) *Tariff {
+func testTariff(idempotency Idempotency, scope DedupScope) *Tariff {
 	return &Tariff{
-		Idempotency: repeat, DedupScope: group, DedupWindow: 200 * ms, ContractTime: sec, Earnings: 1, LateEarnings: 0.5,
+		Idempotency: idempotency, DedupScope: scope, DedupWindow: 200 * ms, ContractTime: sec, Earnings: 1, LateEarnings: 0.5,
 	}
 }
 
@@ -98,18 +99,19 @@
 	return req
 }
 
-// arriveStreaming is a transaction whose last byte is still to come.
+// arriveStreaming adds a transaction whose last byte has not arrived.
 func (h *harness) arriveStreaming(tariff int) *testRequest {
-	req := &testRequest{tx: &Transaction{SendOnce: true, BodyPending: true}, tariff: h.config.Tariffs[tariff], hardStop: h.now + 1000*sec}
+	req := &testRequest{
+		tx: &Transaction{SendOnce: true, BodyPending: true}, tariff: h.config.Tariffs[tariff], hardStop: h.now + 1000*sec}
 	h.requests, h.byTx[req.tx] = append(h.requests, req), req
 	h.b.Arrive(req.tx, tariff, -1, 0, 2*sec, false, h.now)
 	return req
 }
 
-// receiveBodies has the last byte of one in so many come.
-func (h *harness) receiveBodies(in int) {
+// receiveBodies delivers the last byte of one in oneIn pending bodies.
+func (h *harness) receiveBodies(oneIn int) {
 	for _, req := range h.requests {
-		if !req.answered && req.tx.BodyPending && h.rand.IntN(in) == 0 {
+		if !req.answered && req.tx.BodyPending && h.rand.IntN(oneIn) == 0 {
 			left := 100*ms + h.rand.Int64N(3*sec)
 			req.hardStop = h.now + left
 			h.b.BodyReceived(req.tx, left, h.now)
@@ -117,7 +119,7 @@
 	}
 }
 
-// reconfigure puts other terms in force: other attempts, some tariffs as they were, others new.
+// reconfigure sets another configuration: another number of attempts, with some tariffs kept and others new.
 func (h *harness) reconfigure() {
 	next := *h.config
 	next.MaxAttempts, next.Tariffs = 1+h.rand.IntN(5), nil
@@ -136,7 +138,7 @@
 	h.b.SetProcesses(1 + h.rand.IntN(2))
 }
 
-// deliver delivers what became of a push.
+// deliver reports the result of an attempt.
 func (h *harness) deliver(req *testRequest, n int, r Result) {
 	p := req.attempts[n]
 	p.done, p.result = true, r
@@ -150,7 +152,7 @@
 	h.now += step
 	h.b.Round(h.now, h)
 	h.maxBudget = max(h.maxBudget, 1, budgetRatio*float64(sum(h.b.firstSends[:])))
-	for i := range h.upstreams { // the pace may fall again while what it allowed is still within the span
+	for i := range h.upstreams { // the rate may fall again while the attempts that it allowed are still within the span
 		h.maxPerSpan[i] = max(h.maxPerSpan[i], h.b.warmRate*h.b.share[i]*float64(h.config.OverloadSpan))
 	}
 	for _, req := range h.requests {
@@ -160,7 +162,7 @@
 	}
 }
 
-// runUntil runs rounds of 5 ms with nothing but the clock.
+// runUntil runs rounds of 5 ms without events.
 func (h *harness) runUntil(at int64) {
 	for h.now < at {
 		h.round(5 * ms)
@@ -181,24 +183,24 @@
 	first := req.firstEffect()
 	switch {
 	case req.answered:
-		h.t.Fatalf("a push after the final answer")
+		h.t.Fatalf("an attempt after the final answer")
 	case until > req.hardStop:
-		h.t.Fatalf("a push may run past the hard stop")
+		h.t.Fatalf("an attempt may run past the hard stop")
 	case h.notAccepting[i] != 0:
-		h.t.Fatalf("new work for an upstream that was told to be leaving")
+		h.t.Fatalf("an attempt at an upstream that drains or has left")
 	case len(req.attempts) >= tx.Config.MaxAttempts+tx.Config.FreeRefusals || tx.SendOnce && len(req.attempts) > 0:
-		h.t.Fatalf("more pushes than allowed")
+		h.t.Fatalf("more attempts than allowed")
 	case first != nil && req.tariff.Idempotency == NonIdempotent:
-		h.t.Fatalf("once-only work sent again though it may have run")
+		h.t.Fatalf("a non-idempotent transaction is retried though it may have run")
 	case first != nil && req.tariff.Idempotency == Keyed && h.now > first.sentAt+req.tariff.DedupWindow:
-		h.t.Fatalf("tagged work sent again after its mark is forgotten")
+		h.t.Fatalf("a keyed transaction is retried after the deduplication window")
 	case first != nil && req.tariff.Idempotency == Keyed && !inScope(req.tariff.DedupScope, first.listed, h.upstreams[i]):
-		h.t.Fatalf("tagged work sent again outside its group")
+		h.t.Fatalf("a keyed transaction is retried outside its deduplication scope")
 	}
 	for _, p := range req.attempts {
 		if !p.done {
 			if !h.config.Hedging {
-				h.t.Fatalf("two pushes out though second copies are forbidden")
+				h.t.Fatalf("two pending attempts though hedging is off")
 			}
 			break
 		}
@@ -206,16 +208,17 @@
 	if age := h.now - h.startedAt[i]; h.startedAt[i] != 0 && age < h.config.WarmUp {
 		h.checkColdBudget(i, float64(age)/float64(h.config.WarmUp))
 	}
-	req.attempts = append(req.attempts, &testAttempt{upstream: i, listed: h.upstreams[i], sentAt: h.now, dueAt: h.now + h.rand.Int64N(400*ms)})
+	req.attempts = append(req.attempts, &testAttempt{
+		upstream: i, listed: h.upstreams[i], sentAt: h.now, dueAt: h.now + h.rand.Int64N(400*ms)})
 	h.sentTo = append(h.sentTo, i)
 }
 
-func inScope(g DedupScope, a, b Upstream) bool {
-	return g == Everywhere || a.Zone == b.Zone && (g == SameZone || a.Cell == b.Cell)
+func inScope(scope DedupScope, a, b Upstream) bool {
+	return scope == Everywhere || a.Zone == b.Zone && (scope == SameZone || a.Cell == b.Cell)
 }
 
-// checkColdBudget checks the budget of a cold upstream: half of what makes it fall, by its warmth's part of what warm ones of
-// its weight settle, with something for their chance.
+// checkColdBudget checks the attempts at a cold upstream within the overload span. They may be half of what overloads
+// it, scaled by its warmth to the rate of warm upstreams of its weight, with a margin for noise.
 func (h *harness) checkColdBudget(i int, age float64) {
 	h.sentAt[i] = append(h.sentAt[i], h.now)
 	recent := 0
@@ -227,33 +230,34 @@
 	h.maxPerSpan[i] = max(h.maxPerSpan[i], h.b.warmRate*h.b.share[i]*float64(h.config.OverloadSpan))
 	share := h.config.ColdShare + (1-h.config.ColdShare)*age
 	if limit := 0.6*h.config.OverloadFactor*share*h.maxPerSpan[i] + 2; float64(recent) > limit {
-		h.t.Fatalf("%d pushes to a cold upstream within the span, %.1f are bearable", recent, limit)
+		h.t.Fatalf("%d attempts at a cold upstream within the span, at most %.1f are allowed", recent, limit)
 	}
 }
 
 func (h *harness) Cancel(tx *Transaction, n int) {
 	if req := h.byTx[tx]; n >= len(req.attempts) || !h.config.Cancelling {
-		h.t.Fatalf("a cancel that is not allowed")
+		h.t.Fatalf("a cancellation that is not allowed")
 	} else if p := req.attempts[n]; !p.done {
 		p.dueAt = h.now + ms
 		p.result = Cancelled
 	}
 }
 
-func (h *harness) answer(tx *Transaction, how string) *testRequest {
+func (h *harness) answer(tx *Transaction, ending string) *testRequest {
 	req := h.byTx[tx]
 	if req.answered {
 		h.t.Fatalf("two final answers")
 	}
 	req.answered = true
-	h.answers[how]++
+	h.answers[ending]++
 	return req
 }
 
 func (h *harness) Defer(tx *Transaction, _ Reason, backoff int64) {
 	req := h.answer(tx, "deferred")
-	if f := req.tariff; req.firstEffect() != nil && (f.Idempotency == NonIdempotent || f.Idempotency == Keyed && f.DedupScope != Everywhere) {
-		h.t.Fatalf("a deferral though the work may have run")
+	if f := req.tariff; req.firstEffect() != nil &&
+		(f.Idempotency == NonIdempotent || f.Idempotency == Keyed && f.DedupScope != Everywhere) {
+		h.t.Fatalf("a deferral though the transaction may have run")
 	}
 }
 
@@ -261,11 +265,11 @@
 func (h *harness) Probe(i int)                       { h.probes[i] = h.now + 20*ms }
 func (h *harness) Follow()                           { h.answers["followed"]++ }
 func (h *harness) Wake(at int64)                     { h.wakeAt = at }
-func (h *harness) SendReport(peer int, raw []byte) {
-	if peer < 0 || peer >= h.config.Balancers || peer == h.config.Index || len(raw) == 0 || len(raw) > 256 {
-		h.t.Fatalf("%d bytes for balancer %d", len(raw), peer)
+func (h *harness) SendReport(peer int, report []byte) {
+	if peer < 0 || peer >= h.config.Balancers || peer == h.config.Index || len(report) == 0 || len(report) > 256 {
+		h.t.Fatalf("a report of %d bytes to balancer %d", len(report), peer)
 	}
-	h.reports = append(h.reports, raw)
+	h.reports = append(h.reports, report)
 }
 func (h *harness) Note(string)            {}
 func (h *harness) HasIdleConn(i int) bool { return h.idleConns[i] }
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -7,10 +7,10 @@
 	"testing"
 )
 
-// randomConfig sets up terms of any legal shape.
+// randomConfig returns a valid configuration that depends on the seed.
 func randomConfig(seed uint64) *Config {
-	config := testConfig(testTariff(Idempotent, Everywhere), testTariff(NonIdempotent, SameCell), testTariff(Keyed, Everywhere),
-		testTariff(Keyed, SameZone), testTariff(Keyed, SameCell))
+	config := testConfig(testTariff(Idempotent, Everywhere), testTariff(NonIdempotent, SameCell),
+		testTariff(Keyed, Everywhere), testTariff(Keyed, SameZone), testTariff(Keyed, SameCell))
 	config.Seed, config.Tier = seed, int(seed%3)
 	config.Hedging, config.Cancelling, config.Probing = seed%4 != 0, seed%5 != 0, seed%7 != 0
 	config.FollowList, config.MaxAttempts = seed%2 == 0, 1+int(seed%6)
@@ -20,8 +20,8 @@
 	return config
 }
 
-// FuzzRules plays random legal rounds; the world checks the rules at every decision, the end that all was
-// answered.
+// FuzzRules runs rounds of random valid events. The harness checks the rules at every decision; at the end, every
+// transaction must have its answer.
 func FuzzRules(f *testing.F) {
 	for seed := range uint64(24) {
 		f.Add(seed)
@@ -59,7 +59,7 @@
 	})
 }
 
-// deliverDue delivers what is due and now and then changes the list.
+// deliverDue delivers due results and sometimes changes the list.
 func (h *harness) deliverDue(unresponsive int) {
 	open := h.requests[:0]
 	for _, req := range h.requests {
@@ -97,7 +97,8 @@
 	if i := h.rand.IntN(len(h.upstreams)); h.rand.IntN(300) == 0 {
 		switch _, leaving := h.notAccepting[i]; {
 		case leaving && h.b.Known(i):
-			h.list(i, Upstream{Weight: 1, Zone: h.upstreams[i].Zone, Cell: h.upstreams[i].Cell, StartedAt: h.now - h.rand.Int64N(sec)})
+			h.list(i, Upstream{
+				Weight: 1, Zone: h.upstreams[i].Zone, Cell: h.upstreams[i].Cell, StartedAt: h.now - h.rand.Int64N(sec)})
 			h.sentAt[i] = nil
 		case leaving:
 			h.list(h.b.Join(), Upstream{Weight: 1, StartedAt: h.now})
@@ -114,25 +115,26 @@
 	}
 }
 
-// receiveReports tells what peers may say, true or not: also nonsense, from whoever there is or isn't.
+// receiveReports delivers random reports, some of them malformed or from balancers that do not exist, and live weights.
 func (h *harness) receiveReports() {
 	if h.rand.IntN(3) == 0 {
-		raw := make([]byte, h.rand.IntN(12))
-		for k := range raw {
-			raw[k] = byte(h.rand.Uint32())
+		report := make([]byte, h.rand.IntN(12))
+		for k := range report {
+			report[k] = byte(h.rand.Uint32())
 			if h.rand.IntN(2) == 0 {
-				raw[k] = h.b.assignmentCheck<<5 | raw[k]&7
+				report[k] = h.b.assignmentCheck<<5 | report[k]&7
 			}
 		}
-		h.b.PeerReport(h.rand.IntN(h.config.Balancers+2)-1, raw, h.now)
+		h.b.PeerReport(h.rand.IntN(h.config.Balancers+2)-1, report, h.now)
 	}
-	if i := h.rand.IntN(len(h.upstreams)); h.config.LiveWeights && h.notAccepting[i] == 0 && h.b.Known(i) && h.rand.IntN(20) == 0 {
+	if i := h.rand.IntN(len(h.upstreams)); h.config.LiveWeights && h.notAccepting[i] == 0 &&
+		h.b.Known(i) && h.rand.IntN(20) == 0 {
 		h.upstreams[i].Weight, h.upstreams[i].Kind = 2/(1+4*h.rand.Float64()), i%3
 		h.b.List(i, h.upstreams[i], h.now)
 	}
 }
 
-// checkInvariants checks the balancer's own books.
+// checkInvariants compares the balancer's counts with those of the harness.
 func (h *harness) checkInvariants() {
 	inFlight, active := make([]int, len(h.b.inFlight)), 0
 	for _, req := range h.requests {
@@ -149,25 +151,25 @@
 		h.t.Fatalf("in flight %v, counted %v", inFlight, h.b.inFlight)
 	}
 	if active != h.b.active {
-		h.t.Fatalf("in hand %d, counted %d", active, h.b.active)
+		h.t.Fatalf("active %d, counted %d", active, h.b.active)
 	}
 	if b := h.b.budget; b < 0 || b > h.maxBudget {
-		h.t.Fatalf("bucket %.1f, at most %.1f were ever allowed", b, h.maxBudget)
+		h.t.Fatalf("budget %.1f, at most %.1f were ever allowed", b, h.maxBudget)
 	}
 	for k, t := range h.b.timers {
 		if t.timerIndex != k || k > 0 && t.dueAt < h.b.timers[(k-1)/2].dueAt {
-			h.t.Fatalf("due times out of order at %d", k)
+			h.t.Fatalf("timers out of order at %d", k)
 		}
 	}
 }
 
-// settle settles n transactions, each in took, so that the window knows the tier.
+// settle settles n transactions, each after took, to fill the statistics window.
 func (h *harness) settle(n int, took int64) {
 	for range n {
 		req := h.arrive(0, 3*sec)
 		h.round(ms)
 		if len(req.attempts) == 0 {
-			h.t.Fatal("not pushed")
+			h.t.Fatal("no attempt")
 		}
 		h.now += took
 		h.deliver(req, 0, Settled)
@@ -181,7 +183,7 @@
 	req := h.arrive(0, 3*sec)
 	h.runUntil(h.now + 500*ms)
 	if len(req.attempts) != 1 {
-		t.Fatalf("a copy before the window has its samples: %d pushes", len(req.attempts))
+		t.Fatalf("a hedge before there are enough samples: %d attempts", len(req.attempts))
 	}
 	h.deliver(req, 0, Settled)
 	h.settle(20, 50*ms)
@@ -189,20 +191,20 @@
 	req = h.arrive(0, 3*sec)
 	h.runUntil(h.now + 45*ms)
 	if len(req.attempts) != 1 {
-		t.Fatal("a copy before the quantile")
+		t.Fatal("a hedge before the hedge delay")
 	}
 	h.runUntil(h.now + 3*sec/2)
 	if len(req.attempts) != 2 || req.attempts[0].upstream == req.attempts[1].upstream {
-		t.Fatalf("no copy on another upstream: %d pushes", len(req.attempts))
+		t.Fatalf("no hedge at another upstream: %d attempts", len(req.attempts))
 	}
 	h.deliver(req, 1, Settled)
 	h.round(ms)
 	if req.attempts[0].result != Cancelled {
-		t.Fatal("the loser is not cancelled")
+		t.Fatal("the slower attempt is not cancelled")
 	}
 }
 
-// A push that was turned away before an upstream is free where terms say so, and as many as they say.
+// Attempts refused in front of an upstream do not count towards the maximum, up to FreeRefusals.
 func TestFreeRefusals(t *testing.T) {
 	for free, want := range map[int]int{0: 1, 2: 3} {
 		one := testConfig(testTariff(Idempotent, Everywhere))
@@ -216,7 +218,7 @@
 			h.round(ms)
 		}
 		if len(req.attempts) != want || !req.answered {
-			t.Errorf("%d pushes of 1 and %d free, want %d", len(req.attempts), free, want)
+			t.Errorf("%d attempts with a maximum of 1 and %d free refusals, want %d", len(req.attempts), free, want)
 		}
 	}
 }
@@ -226,23 +228,23 @@
 	b := h.b
 	b.outcomes[b.slot], b.faults[b.slot] = 4, 1
 	if b.hedgePaused() {
-		t.Error("the gate closes on a single failure")
+		t.Error("hedging pauses after a single fault")
 	}
 	b.faults[b.slot] = 2
 	if !b.hedgePaused() {
-		t.Error("the gate stays open at half")
+		t.Error("hedging goes on with half of the outcomes faults")
 	}
 	if b.budget, b.cancelledPending = 1.5, 1; b.withinBudget() {
-		t.Error("a loser that still runs is not charged")
+		t.Error("a cancelled attempt that is still pending does not count towards the budget")
 	}
 	b.hedges[0], b.hedgeWins[0] = minWinSamples, 1
 	h.runUntil(h.now + winWindow/winSlots + tickInterval)
 	if b.hedgeChance != 0.5 {
-		t.Errorf("allowance %.2f after copies that don't win, want a half", b.hedgeChance)
+		t.Errorf("hedge chance %.2f after hedges that lose, want 0.5", b.hedgeChance)
 	}
 	h.runUntil(h.now + 2*winWindow)
 	if b.hedgeChance != 1 {
-		t.Errorf("allowance %.2f, want all back", b.hedgeChance)
+		t.Errorf("hedge chance %.2f, want 1 again", b.hedgeChance)
 	}
 }
 
@@ -255,14 +257,14 @@
 		counts[i]++
 	}
 	if counts[2] != 20 || counts[0] != 10 {
-		t.Errorf("turns %v, want 10, 10 and 20", counts)
+		t.Errorf("attempts %v, want 10, 10 and 20", counts)
 	}
 }
 
 func TestUnresponsiveUpstreamIsEjectedAndReinstatedAfterProbes(t *testing.T) {
 	h := newHarness(t, testConfig(testTariff(Idempotent, Everywhere)), 5, 1)
 	h.settle(60, 50*ms)
-	for range 400 { // upstream 3 takes work and answers nothing
+	for range 400 { // upstream 3 accepts work and answers nothing
 		req := h.arrive(0, 2*sec)
 		h.round(20 * ms)
 		h.round(30 * ms)
@@ -277,7 +279,7 @@
 		}
 	}
 	if h.b.ejectedUntil[3] == 0 {
-		t.Fatal("the silent upstream is still in service")
+		t.Fatal("the unresponsive upstream is still in service")
 	}
 	h.runUntil(h.now + 5*ejectionTime/4 + tickInterval)
 	if len(h.probes) == 0 {
@@ -288,7 +290,7 @@
 		h.runUntil(h.now + 2*probeInterval)
 	}
 	if h.b.ejectedUntil[3] != 0 || h.b.logOdds[3] == 0 {
-		t.Error("not back under doubt after it answered")
+		t.Error("not reinstated with remaining log odds after answered probes")
 	}
 }
 
@@ -313,14 +315,14 @@
 		}
 	}
 	if h.b.hedgeDelay != 0 {
-		t.Fatal("there is a quantile: the test shows nothing")
+		t.Fatal("there is a hedge delay, so the test is void")
 	}
 	if h.b.ejectedUntil[0] == 0 || h.b.ejectedUntil[1] != 0 {
-		t.Errorf("set aside: %v, want 0 alone", h.b.ejectedUntil)
+		t.Errorf("ejected: %v, want 0 alone", h.b.ejectedUntil)
 	}
 }
 
-// expireUnanswered lets time pass for the pushes that nobody answers.
+// expireUnanswered ends cancelled attempts and those close to the hard stop.
 func (h *harness) expireUnanswered(last *testRequest) {
 	for _, req := range h.requests {
 		for n, p := range req.attempts {
@@ -346,21 +348,21 @@
 		}
 	}
 	if n, _ := h.b.inService(); n < 4 {
-		t.Errorf("%d of 5 in service though all fail alike", n)
+		t.Errorf("%d of 5 in service though all fail equally often", n)
 	}
 }
 
 func TestWarmRateMatchesThroughput(t *testing.T) {
 	h := newHarness(t, testConfig(testTariff(Idempotent, Everywhere)), 4, 1)
-	h.settle(500, 18*ms) // 50 a second over four
-	if pace := h.b.warmRate * float64(sec); pace < 9 || pace > 14 {
-		t.Errorf("pace %.1f a second for each upstream, want 12.5", pace)
+	h.settle(500, 18*ms) // 50 per second over four
+	if rate := h.b.warmRate * float64(sec); rate < 9 || rate > 14 {
+		t.Errorf("warm rate %.1f per second and upstream, want 12.5", rate)
 	}
 }
 
 func TestUnreachableZoneIsEjectedWhole(t *testing.T) {
 	h := newHarness(t, testConfig(testTariff(Idempotent, Everywhere)), 4, 1)
-	for range 200 { // half of the upstreams can't be reached
+	for range 200 { // half of the upstreams are unreachable
 		req := h.arrive(0, 2*sec)
 		h.round(5 * ms)
 		for n := 0; n < len(req.attempts); n++ {
@@ -372,7 +374,7 @@
 		}
 	}
 	if h.b.ejectedUntil[0] == 0 || h.b.ejectedUntil[2] == 0 || h.b.ejectedUntil[1] != 0 {
-		t.Errorf("set aside: %v, want 0 and 2", h.b.ejectedUntil)
+		t.Errorf("ejected: %v, want 0 and 2", h.b.ejectedUntil)
 	}
 }
 
@@ -382,7 +384,7 @@
 	h.b.eject(1, Errored)
 	h.b.reinstate(1)
 	if h.b.warmth(1) >= 1 {
-		t.Error("taken for warm")
+		t.Error("counts as warm")
 	}
 }
 
@@ -397,7 +399,7 @@
 	}
 	h.round(ms)
 	if h.b.active != 5 {
-		t.Fatalf("%d in hand, room for 2 and what chance may bring", h.b.active)
+		t.Fatalf("%d active, want the limit of 2 and a burst of 3", h.b.active)
 	}
 	h.runUntil(h.now + sec/4)
 	if h.answers["deferred"] != 3 {
@@ -409,14 +411,14 @@
 	h.b.meanConcurrency = 2.1
 	h.arrive(0, 3*sec)
 	if h.round(ms); h.b.active != 3 {
-		t.Errorf("%d in hand, the mean was over room for 2", h.b.active)
+		t.Errorf("%d active, want 3, as the mean is above the limit of 2", h.b.active)
 	}
 }
 
 func TestLimitFollowsCapacityInService(t *testing.T) {
 	h := newHarness(t, testConfig(testTariff(Idempotent, Everywhere)), 8, 1)
 	b := h.b
-	step := func(ticks int) { // 100 a second in 0.3 s each
+	step := func(ticks int) { // 100 per second, 0.3 s each
 		for range ticks {
 			h.now += tickInterval
 			b.now, b.active, b.activeLoad, b.departures = h.now, 30, 30/float64(sec), 20
@@ -430,7 +432,7 @@
 	b.limit = 17
 	step(5)
 	if b.limit > 20 {
-		t.Errorf("room grows to %.0f for two upstreams of eight, which settled 100 a second together", b.limit)
+		t.Errorf("limit grows to %.0f for two of eight upstreams that settled 100 per second together", b.limit)
 	}
 }
 
@@ -446,19 +448,19 @@
 	h.list(h.b.Join(), Upstream{Weight: 1, Cell: 1})
 	h.round(ms)
 	if len(req.attempts) != 1 || h.answers["forfeited"] != 1 {
-		t.Errorf("%d pushes, answers %v: want one push and a forfeit", len(req.attempts), h.answers)
+		t.Errorf("%d attempts, answers %v: want one attempt and a forfeit", len(req.attempts), h.answers)
 	}
 }
 
 func TestInvalidConfigs(t *testing.T) {
-	for n, breakIt := range []func(*Config){
+	for n, invalidate := range []func(*Config){
 		func(t *Config) { t.Balancers = 0 }, func(t *Config) { t.Tariffs = nil },
 		func(t *Config) { t.MaxAttempts = 0 }, func(t *Config) { t.ColdShare = 0 },
 	} {
 		config := testConfig(testTariff(Idempotent, Everywhere))
-		breakIt(config)
+		invalidate(config)
 		if _, err := New(config, 0); err == nil {
-			t.Error(fmt.Sprint("spoilt terms accepted: ", n))
+			t.Error(fmt.Sprint("invalid configuration accepted: ", n))
 		}
 	}
 }
@@ -476,27 +478,27 @@
 		heavy += h.sentTo[0] % 2
 	}
 	if heavy < 195 || heavy > 255 {
-		t.Errorf("%d of 300 first pushes go to the heavy half, which has three quarters of the weight", heavy)
+		t.Errorf("%d of 300 first attempts go to the heavy half, which has three quarters of the weight", heavy)
 	}
 }
 
-// FuzzDivision deals lists of any make out to balancers of any number: each upstream's weight falls to them
-// in full, and a few balancers each have the whole list.
+// FuzzDivision assigns random lists to any number of balancers. The shares of an upstream must add up to its weight,
+// and a few balancers must each use the whole list.
 func FuzzDivision(f *testing.F) {
 	for _, n := range []uint16{1, 2, 7, 8, 9, 23, 64, 310, 1000} {
 		f.Add(n, uint8(n%90+1))
 	}
 	f.Fuzz(func(t *testing.T, balancers uint16, upstreams uint8) {
-		total, list := int(balancers%1024)+1, make([]Upstream, upstreams)
+		balancerCount, list := int(balancers%1024)+1, make([]Upstream, upstreams)
 		shares, overlap := make([]float64, len(list)), make([]int, len(list))
 		for i := range list {
 			list[i] = Upstream{ID: uint32(i * i * 977), Weight: float64(1 + i%3), Zone: i % 2, Cell: i / 4}
 		}
-		for index := range total {
+		for index := range balancerCount {
 			config := testConfig(testTariff(Idempotent, Everywhere))
-			config.Balancers, config.Index = total, index+index%2*total // a number beyond the last counts from the first
+			config.Balancers, config.Index = balancerCount, index+index%2*balancerCount // an index beyond the last wraps around
 			h := newHarness(t, config, 0, 1)
-			for k := range list { // the list comes to each in another order
+			for k := range list { // each balancer gets the list in another order
 				i := (k + index) % len(list)
 				h.list(h.b.Join(), list[i])
 			}
@@ -507,20 +509,20 @@
 				if part > 0 {
 					overlap[i]++
 				}
-				if total <= minOverlap && len(list)*minOverlap >= minUpstreams*total && part < list[i].Weight-1e-9 {
-					t.Errorf("%d of %d balancers has %.2f of weight %.0f", index, total, part, list[i].Weight)
+				if balancerCount <= minOverlap && len(list)*minOverlap >= minUpstreams*balancerCount && part < list[i].Weight-1e-9 {
+					t.Errorf("balancer %d of %d has a share of %.2f of weight %.0f", index, balancerCount, part, list[i].Weight)
 				}
 			}
 			if len(list) > 0 && len(h.b.assigned) == 0 {
-				t.Errorf("%d of %d balancers has no upstream of its own", index, total)
+				t.Errorf("balancer %d of %d has no upstream", index, balancerCount)
 			}
 		}
 		for i, u := range list {
 			if want := shares[0] / list[0].Weight * u.Weight; math.Abs(shares[i]-want) > 1e-6*want {
-				t.Errorf("%d balancers turn to upstream %d with %.3f in all, want %.3f", total, i, shares[i], want)
+				t.Errorf("%d balancers: shares of upstream %d add up to %.3f, want %.3f", balancerCount, i, shares[i], want)
 			}
-			if overlap[i] < min(minOverlap, total) {
-				t.Errorf("upstream %d is met by %d of %d balancers", i, overlap[i], total)
+			if overlap[i] < min(minOverlap, balancerCount) {
+				t.Errorf("upstream %d is used by %d of %d balancers", i, overlap[i], balancerCount)
 			}
 		}
 	})
@@ -539,19 +541,19 @@
 	h.b.Arrive(early, 0, -1, 0, 5*sec/2, true, h.now)
 	h.round(ms)
 	if len(h.byTx[late].attempts) != 0 || !h.byTx[late].answered {
-		t.Error("pushed though the contract time of its first try is over")
+		t.Error("an attempt though the contract time since its first try is over")
 	}
 	if len(h.byTx[early].attempts) != 1 || early.contractEnd != h.now-ms+sec/2 {
-		t.Error("half of the contract time was left")
+		t.Error("want one attempt with half of the contract time left")
 	}
 }
 
 func TestQuotasOverManyBalancers(t *testing.T) {
 	config := testConfig(testTariff(Idempotent, Everywhere))
-	config.Balancers, config.Customers = 300, []*Customer{{Rate: 90}} // 0.3 a second here
+	config.Balancers, config.Customers = 300, []*Customer{{Rate: 90}} // 0.3 per second here
 	h := newHarness(t, config, 20, 1)
 	within := 0
-	for range 60 { // a quarter a second, two at a time
+	for range 60 { // a quarter per second, two at a time
 		for range 2 {
 			req := &Transaction{tariff: config.Tariffs[0], customer: config.Customers[0]}
 			h.b.now = h.now
@@ -562,10 +564,10 @@
 		h.now += 8 * sec
 	}
 	if within < 110 {
-		t.Errorf("%d of 120 within a share that is not used up", within)
+		t.Errorf("%d of 120 within a quota that is not used up", within)
 	}
 	if h.b.initLimit(); h.b.limit*300 > 90*usualRatio+1e-6 {
-		t.Errorf("first room of all is %.1f, the shares come to %.1f", h.b.limit*300, 90*usualRatio)
+		t.Errorf("initial limit of all balancers is %.1f, the quotas allow %.1f", h.b.limit*300, 90*usualRatio)
 	}
 }
 
@@ -576,11 +578,11 @@
 	}
 	h.runUntil(h.now + 3*sec/2)
 	if h.b.meanConcurrency < 8 {
-		t.Errorf("a mean of %.1f after a second and a half with ten in hand", h.b.meanConcurrency)
+		t.Errorf("mean concurrency %.1f after 1.5 s with ten active", h.b.meanConcurrency)
 	}
 }
 
-// Danger: a client that sends nonsense would have every upstream set aside, and copying paused, by their answers.
+// A client that sends invalid transactions must not cause ejections or pause hedging by their rejection.
 func TestRejectionsAreNoEvidenceAgainstUpstream(t *testing.T) {
 	h := newHarness(t, testConfig(testTariff(Idempotent, Everywhere)), 2, 1)
 	for range 200 {
@@ -589,16 +591,16 @@
 		h.deliver(req, 0, Rejected)
 		h.round(ms)
 		if len(req.attempts) != 1 || !req.tx.Closed() {
-			t.Fatalf("%d pushes, closed %t", len(req.attempts), req.tx.Closed())
+			t.Fatalf("%d attempts, closed %t", len(req.attempts), req.tx.Closed())
 		}
 	}
 	if h.b.hedgePaused() || h.b.ejectedUntil[0] != 0 || h.b.ejectedUntil[1] != 0 || sum(h.b.failures) != 0 {
-		t.Errorf("aside %v, %d bad", h.b.ejectedUntil, sum(h.b.failures))
+		t.Errorf("ejected %v, %d failures", h.b.ejectedUntil, sum(h.b.failures))
 	}
 }
 
-// Danger: where connections soon close, going round all upstreams pays for a new one with nearly every push. What is
-// kept is used first, but in the long run the turns stay even.
+// Where idle connections soon close, a strict rotation opens a new one for nearly every attempt. Upstreams with an idle
+// connection are preferred, but in the long run all get the same number of attempts.
 func TestIdleConnectionsArePreferredAndRotationStaysEven(t *testing.T) {
 	repeats := func(keepAlive bool) (same int) {
 		h := newHarness(t, testConfig(testTariff(Idempotent, Everywhere)), 12, 1)
@@ -612,22 +614,23 @@
 			if turns[at]++; n > 0 && h.sentTo[n-1] == at {
 				same++
 			}
-			clear(h.idleConns) // all the others have closed by now
+			clear(h.idleConns) // all other connections have closed by now
 			h.idleConns[at] = keepAlive
 		}
 		for i, n := range turns {
 			if n < 95 || n > 105 {
-				t.Errorf("upstream %d had %d of 1200 turns", i, n)
+				t.Errorf("upstream %d got %d of 1200 attempts", i, n)
 			}
 		}
 		return same
 	}
-	if all, one := repeats(false), repeats(true); all > 60 || one < 700 {
-		t.Errorf("of 1200 pushes %d and, with a kept connection, %d followed another at their upstream", all, one)
+	if withoutIdle, withIdle := repeats(false), repeats(true); withoutIdle > 60 || withIdle < 700 {
+		t.Errorf("of 1200 attempts %d and, with idle connections, %d went to the same upstream as the one before",
+			withoutIdle, withIdle)
 	}
 }
 
-// An empty list is divided too: a mesh's balancer is told of others before it is told of upstreams.
+// A balancer of a mesh may learn of other balancers before it has any upstreams, so an empty list must be assignable.
 func TestReconfigureWithEmptyList(t *testing.T) {
 	config := &Config{Balancers: 1, Tariffs: []*Tariff{{HardStop: 1e9, ContractTime: 1e8}}, MaxAttempts: 2, ColdShare: 1}
 	b, err := New(config, 1)
