--- a/logic/fleet_test.go
+++ b/logic/fleet_test.go
@@ -181,7 +181,7 @@
 		attempt.dueAt = math.MaxInt64
 	}
 	req.attempts = append(req.attempts, attempt)
-	f.counts["pushes"]++
+	f.counts["attempts"]++
 	b.attempts = append(b.attempts, attempt)
 	u.sentAt = append(u.sentAt, f.now)
 	span, bears := 0, b.config.OverloadFactor*u.warmth(f.now)*u.rate*float64(b.config.OverloadSpan)/float64(sec)
@@ -284,7 +284,7 @@
 		f.run(300, 12*sec)
 		f.started, f.counts = 0, map[string]int{}
 		f.run(300, 12*sec)
-		if extra := (f.counts["pushes"] - f.started) * 1000 / f.started; extra > c.most || extra < c.least {
+		if extra := (f.counts["attempts"] - f.started) * 1000 / f.started; extra > c.most || extra < c.least {
 			t.Errorf("%d balancers: %d hedges per thousand, want %d to %d", c.balancers, extra, c.least, c.most)
 		}
 	}
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -503,14 +503,14 @@
 				h.list(h.b.Join(), list[i])
 			}
 			h.round(ms)
-			for k, part := range h.b.share {
+			for k, share := range h.b.share {
 				i := (k + index) % len(list)
-				shares[i] += part
-				if part > 0 {
+				shares[i] += share
+				if share > 0 {
 					overlap[i]++
 				}
-				if balancerCount <= minOverlap && len(list)*minOverlap >= minUpstreams*balancerCount && part < list[i].Weight-1e-9 {
-					t.Errorf("balancer %d of %d has a share of %.2f of weight %.0f", index, balancerCount, part, list[i].Weight)
+				if balancerCount <= minOverlap && len(list)*minOverlap >= minUpstreams*balancerCount && share < list[i].Weight-1e-9 {
+					t.Errorf("balancer %d of %d has a share of %.2f of weight %.0f", index, balancerCount, share, list[i].Weight)
 				}
 			}
 			if len(list) > 0 && len(h.b.assigned) == 0 {
@@ -605,19 +605,19 @@
 	repeats := func(keepAlive bool) (same int) {
 		h := newHarness(t, testConfig(testTariff(Idempotent, Everywhere)), 12, 1)
 		h.idleConns = map[int]bool{}
-		turns := map[int]int{}
+		counts := map[int]int{}
 		for n := range 1200 {
 			req := h.arrive(0, sec)
 			h.round(ms)
 			h.deliver(req, 0, Settled)
 			at := h.sentTo[n]
-			if turns[at]++; n > 0 && h.sentTo[n-1] == at {
+			if counts[at]++; n > 0 && h.sentTo[n-1] == at {
 				same++
 			}
 			clear(h.idleConns) // all other connections have closed by now
 			h.idleConns[at] = keepAlive
 		}
-		for i, n := range turns {
+		for i, n := range counts {
 			if n < 95 || n > 105 {
 				t.Errorf("upstream %d got %d of 1200 attempts", i, n)
 			}
--- a/logic/peers_test.go
+++ b/logic/peers_test.go
@@ -135,15 +135,15 @@
 }
 
 // Peers have the same assignment, each upstream has enough balancers, and all shares add up to the whole list.
-func TestCellsShareWholeAssignments(t *testing.T) {
+func TestPeersShareWholeAssignments(t *testing.T) {
 	for _, balancers := range []int{2, 17, 120, 471} {
-		overlap, members, shares := [13]int{}, map[string][]int{}, [13]float64{}
+		overlap, members, sums := [13]int{}, map[string][]int{}, [13]float64{}
 		for n := range balancers {
 			h := newPeer(t, balancers, n, 13)
 			key := ""
 			for _, i := range h.b.assigned {
 				overlap[i]++
-				shares[i] += h.b.share[i] / float64(h.b.overlap) // each peer counts for its part of the common share
+				sums[i] += h.b.share[i] / float64(h.b.overlap) // each peer counts for its part of the common share
 				key += string(rune('a' + i))
 			}
 			for _, peer := range h.b.peers {
@@ -153,10 +153,10 @@
 			}
 			members[key] = append(members[key], n)
 		}
-		for i, part := range shares {
-			if want := float64(1 + i%3); math.Abs(part-want) > 1e-6*want || overlap[i] < min(balancers, minOverlapWithPeers) {
+		for i, share := range sums {
+			if want := float64(1 + i%3); math.Abs(share-want) > 1e-6*want || overlap[i] < min(balancers, minOverlapWithPeers) {
 				t.Errorf("%d balancers: upstream %d has %d, whose shares add up to %v, want %v",
-					balancers, i, overlap[i], part, want)
+					balancers, i, overlap[i], share, want)
 			}
 		}
 	}
--- a/logic/rotation.go
+++ b/logic/rotation.go
@@ -21,7 +21,7 @@
 			}
 		}
 	}
-	chosen, fallback, sum, least, topCredit := -1, -1, 0.0, math.Inf(1), math.Inf(-1)
+	chosen, fallback, sum, fallbackLoad, topCredit := -1, -1, 0.0, math.Inf(1), math.Inf(-1)
 	for _, i := range b.assigned {
 		if b.ejectedUntil[i] != 0 || tx.tried(i) || !b.inDedupScope(tx, i) {
 			continue
@@ -37,8 +37,8 @@
 				continue
 			}
 		}
-		if load := (b.totalInFlight(i) + 1) / share; load < least {
-			least, fallback = load, i
+		if load := (b.totalInFlight(i) + 1) / share; load < fallbackLoad {
+			fallbackLoad, fallback = load, i
 		}
 		if len(b.peers) > 0 && b.totalInFlight(i)+1 > leastLoad*share*(1+aboveLeastMargin) ||
 			len(b.peers) == 0 && b.totalInFlight(i) > inFlight*share/total+aboveMeanMargin {
@@ -74,8 +74,8 @@
 		if b.ejectedUntil[i] != 0 {
 			load += 1e6
 		}
-		if load < least {
-			least, fallback = load, i
+		if load < fallbackLoad {
+			fallbackLoad, fallback = load, i
 		}
 	}
 	return fallback
--- a/logic/types.go
+++ b/logic/types.go
@@ -75,7 +75,7 @@
 	MaxBackoff      int64   // in nanoseconds
 	FollowList      bool    `json:"AskForList"` // the balancer subscribes to the list of upstreams by itself
 	Peers           bool    // balancers exchange load reports
-	LiveWeights     bool    // a listed weight is the upstream's size divided by one plus the load of each of its cores
+	LiveWeights     bool    // a listed weight is the upstream's size divided by one plus what each of its cores holds
 	CrossZonePrice  float64 // cost of a cross-zone attempt, in units of earnings
 	ColdShare       float64 // an upstream starts with at least this share of its capacity
 	WarmUp          int64   // after this time, in nanoseconds, an upstream is warm at the latest
@@ -227,7 +227,7 @@
 	ejectedUntil    []int64 // ejected: time of the next probe or of the return; 0 in service
 	probesAnswered  []int   // consecutive probes answered while ejected
 	probing         []bool
-	unreachable     []bool    // the last evidence was Unreachable: it may be cold when it returns
+	unreachable     []bool    // not reachable since it last settled an attempt: it may be cold when it returns
 	tokens          []float64 // budget of attempts while it is cold
 	refilledAt      []int64
 	warmSettled     int     // attempts settled by warm upstreams since the last tick
@@ -245,7 +245,7 @@
 	marked    []*Transaction // to be decided in this round
 	timers    timerHeap
 	processes float64 // processes that act as this balancer at present, this one included
-	active    int     // transactions with an attempt and without a final answer
+	active    int     // transactions that were sent in full and have no final answer
 
 	latency          [statsSlots][latencyBuckets]int32 // histogram with a factor of 1.1 between buckets
 	samples          [statsSlots]int
