--- a/logic/logic.go
+++ b/logic/logic.go
@@ -14,9 +14,9 @@
 const (
 	ms, sec = int64(1e6), int64(1e9)
 
-	hedgeFraction    = 0.05 // of the attempts outlast the hedge delay where a balancer is alone
-	minHedgeFraction = 0.01 // the same, at the least, among many balancers
-	manyBalancers    = 8    // with this many others the hedge fraction is halved
+	hedgeFraction    = 0.05 // share of the attempts that outlast the hedge delay, for a single balancer
+	minHedgeFraction = 0.01 // the same for many balancers, at the least
+	manyBalancers    = 8    // so many other balancers halve hedgeFraction
 
 	statsWindow, minHedgeDelay, minSamples = 30 * sec, 10 * ms, 20
 
@@ -153,7 +153,7 @@
 	b.ready[i], b.inUse[i], b.ejectedUntil[i], b.listDirty = false, false, 0, true
 }
 
-// Listed reports whether the list could be read; it also follows each update of the list.
+// Listed reports whether reading the list succeeded. Each update of the list counts as a success.
 func (b *Balancer) Listed(ok bool, now int64) {
 	if ok {
 		b.listFailures = 0
--- a/logic/rotation.go
+++ b/logic/rotation.go
@@ -8,7 +8,7 @@
 
 // Selection of upstreams: weighted rotation, assignment of a long list, budget of cold upstreams.
 
-// pick selects an upstream by smooth weighted round robin, skipping those with too much in flight, or -1.
+// pick selects an upstream by smooth weighted round robin and skips overloaded ones. It returns -1 for none.
 func (b *Balancer) pick(tx *Transaction) int {
 	inFlight, total, leastLoad := 0.0, 0.0, math.Inf(1)
 	for _, i := range b.assigned {
@@ -185,8 +185,8 @@
 // expectedWarmth weights a cold upstream in the rotation: an estimate between its warmth and 1.
 func (b *Balancer) expectedWarmth(i int) float64 { return math.Sqrt(b.warmth(i)) }
 
-// refill adds and returns the tokens of a cold upstream: the warm rate times half the overload factor. More
-// from all balancers would overload it for good; less would jam the few warm upstreams of a new list.
+// refill adds and returns the tokens of a cold upstream: the warm rate times warmth and half the overload
+// factor. More from all balancers would overload it for good; less would jam the few warm ones of a new list.
 func (b *Balancer) refill(i int) float64 {
 	rate := b.warmRate * b.share[i] * b.warmth(i) * b.config.OverloadFactor / 2 / b.processes
 	if b.warmRate == 0 {
--- a/logic/stats.go
+++ b/logic/stats.go
@@ -43,7 +43,7 @@
 type Stats struct {
 	Suppressed [SuppressionCount]int // since the last call
 
-	Limit, Concurrency, MeanConcurrency float64 // in transactions; the limit is 0 before the first
+	Limit, Concurrency, MeanConcurrency float64 // in transactions; the limit is 0 before the first arrival
 	QueueLength                         int     // waiting transactions
 	LatencyRatio, BaseRatio             float64 // share of its contract time that a transaction takes now, and at best
 	Capacity, BestRate                  float64 // weight in service, and the highest departures per second and unit of it
