--- a/internal/mesh/proxy/attempt.go
+++ b/internal/mesh/proxy/attempt.go
@@ -23,12 +23,12 @@
 }
 
 // runAttempt carries out one attempt that the load balancer has ordered.
-func (p *Proxy) runAttempt(request *downstreamRequest, call *desk.Case, attempt *desk.Push) {
+func (p *Proxy) runAttempt(request *downstreamRequest, call *desk.Handle, attempt *desk.Attempt) {
 	outcome := attemptOutcome{result: logic.Unsent}
 	defer func() {
 		if fault := recover(); fault != nil {
 			p.log.Error("panic", "where", "push", "fault", fault, "stack", string(debug.Stack()))
-			outcome.result = logic.Broken
+			outcome.result = logic.Disconnected
 		}
 		if !outcome.streamed {
 			request.servicePool.desk.Outcome(call, attempt, outcome.result)
@@ -56,14 +56,14 @@
 }
 
 // partnerOf returns the partner that an attempt is addressed to, if there is one.
-func (p *servicePool) partnerOf(attempt *desk.Push) (partner string, isPartner bool) {
+func (p *servicePool) partnerOf(attempt *desk.Attempt) (partner string, isPartner bool) {
 	partner, _, isPartner = strings.Cut(attempt.Name, gatewaySeparator)
 	return partner, isPartner && p.partners != nil
 }
 
 // sendAttempt sends a request to the proxy beside an upstream, or to the upstream if it is on this machine, and reads
 // the response.
-func (p *Proxy) sendAttempt(request *downstreamRequest, call *desk.Case, attempt *desk.Push) (outcome attemptOutcome) {
+func (p *Proxy) sendAttempt(request *downstreamRequest, call *desk.Handle, attempt *desk.Attempt) (outcome attemptOutcome) {
 	response := p.dispatch(request, call, attempt)
 	defer func() {
 		if !outcome.streamed {
@@ -72,7 +72,7 @@
 	}()
 	switch {
 	case response.kind == apierror.NoRoom || response.kind == apierror.NotHere:
-		return attemptOutcome{result: logic.TurnedAway, notReceived: true}
+		return attemptOutcome{result: logic.Refused, notReceived: true}
 	case response.kind != apierror.None:
 		result := p.classifyFailure(attempt.Context, response)
 		return attemptOutcome{result: result, notReceived: result.NeverRan()}
@@ -85,7 +85,7 @@
 }
 
 // dispatch sends a request through a partner's gateway, to the local upstream, or to the proxy beside another one.
-func (p *Proxy) dispatch(request *downstreamRequest, call *desk.Case, attempt *desk.Push) *upstreamResponse {
+func (p *Proxy) dispatch(request *downstreamRequest, call *desk.Handle, attempt *desk.Attempt) *upstreamResponse {
 	outgoing := p.newUpstreamRequest(request, call, attempt)
 	partner, isPartner := request.servicePool.partnerOf(attempt)
 	if attempt.Place.Address != p.settings.Inbound {
@@ -105,11 +105,11 @@
 }
 
 // newUpstreamRequest returns the request of an attempt as it is sent.
-func (p *Proxy) newUpstreamRequest(request *downstreamRequest, call *desk.Case, attempt *desk.Push) *upstreamRequest {
+func (p *Proxy) newUpstreamRequest(request *downstreamRequest, call *desk.Handle, attempt *desk.Attempt) *upstreamRequest {
 	outgoing := &upstreamRequest{
 		requestID: request.requestID, upstreamID: attempt.Name, method: request.method, target: request.target,
 		host: request.host, header: make(http.Header, len(request.header)+3),
-		body: request.body, bodyRest: request.bodyRest, length: request.length, deadline: attempt.Until,
+		body: request.body, bodyRest: request.bodyRest, length: request.length, deadline: attempt.Deadline,
 		requestPriority: requestPriority{request.latencyTarget, request.rank, attempt.Number > 0},
 	}
 	for name, values := range request.header {
@@ -120,7 +120,7 @@
 	}
 	if request.bodyRest != nil { // the load balancer counts time from the last byte, the client from the start
 		outgoing.deadline = request.clientDeadline
-		outgoing.bodyRest = &eofNotifier{request.bodyRest, func() { request.servicePool.desk.Whole(call, time.Until(request.clientDeadline)) }}
+		outgoing.bodyRest = &eofNotifier{request.bodyRest, func() { request.servicePool.desk.BodyReceived(call, time.Until(request.clientDeadline)) }}
 	}
 	return outgoing
 }
@@ -134,13 +134,13 @@
 	switch status := httpResponse.Header.Get(meshHeader); {
 	case status == meshNotExecuted, provesNotExecuted(httpResponse):
 		response.discard()
-		return attemptOutcome{result: logic.TurnedAway, notReceived: status == meshNotExecuted}, true
+		return attemptOutcome{result: logic.Refused, notReceived: status == meshNotExecuted}, true
 	case status == meshMayHaveRun:
 		response.discard()
-		return attemptOutcome{result: logic.Broken}, true
+		return attemptOutcome{result: logic.Disconnected}, true
 	case success && httpResponse.Header[notExecutedHeader] != nil:
 		p.counters.Add("answers_contradictory")
-		return attemptOutcome{result: logic.Broken}, true
+		return attemptOutcome{result: logic.Disconnected}, true
 	case isPartner:
 		return attemptOutcome{}, false
 	case apierror.Promises(httpResponse.StatusCode):
@@ -149,14 +149,14 @@
 		return attemptOutcome{result: logic.Errored}, true
 	case success && httpResponse.Header[upstreamStampHeader] == nil:
 		p.counters.Add("answers_unstamped")
-		return attemptOutcome{result: logic.Broken}, true
+		return attemptOutcome{result: logic.Disconnected}, true
 	}
 	return attemptOutcome{}, false
 }
 
 // readUpstreamResponse reads a response for the client: a short one is buffered completely, a long successful one is
 // streamed.
-func (p *Proxy) readUpstreamResponse(request *downstreamRequest, call *desk.Case, attempt *desk.Push,
+func (p *Proxy) readUpstreamResponse(request *downstreamRequest, call *desk.Handle, attempt *desk.Attempt,
 	response *upstreamResponse) attemptOutcome {
 	httpResponse := response.httpResponse
 	success := httpResponse.StatusCode < http.StatusMultipleChoices
@@ -187,17 +187,17 @@
 }
 
 // streamResponse passes a response to the client while it arrives.
-func (p *Proxy) streamResponse(request *downstreamRequest, call *desk.Case, attempt *desk.Push,
+func (p *Proxy) streamResponse(request *downstreamRequest, call *desk.Handle, attempt *desk.Attempt,
 	response *upstreamResponse, relayed *downstreamResponse) attemptOutcome {
 	relayed.remaining, relayed.written = response.httpResponse.Body, make(chan bool, 1)
 	request.storeResponse(attempt.Number, relayed)
-	if !request.servicePool.desk.Flow(call, attempt) {
+	if !request.servicePool.desk.StreamStarted(call, attempt) {
 		return attemptOutcome{result: logic.Cancelled}
 	}
 	response.conn.SetReadDeadline(request.clientDeadline.Add(time.Second)) // the client does not wait longer
 	complete := <-relayed.written
 	response.release(complete)
-	request.servicePool.desk.Flowed(call, attempt, complete)
+	request.servicePool.desk.StreamEnded(call, attempt, complete)
 	return attemptOutcome{result: logic.Settled, streamed: true}
 }
 
@@ -215,7 +215,7 @@
 		return logic.TimedOut
 	}
 	p.counters.Add("push_cut")
-	return logic.Broken
+	return logic.Disconnected
 }
 
 // eofNotifier calls notify once when its reader has been read to the end.
--- a/internal/mesh/proxy/configuration_test.go
+++ b/internal/mesh/proxy/configuration_test.go
@@ -38,7 +38,7 @@
 }
 
 // immutableBalancer is a load balancer that cannot change its terms.
-type immutableBalancer struct{ desk.Module }
+type immutableBalancer struct{ desk.Engine }
 
 // A load balancer that rejects new terms, or has failed, is replaced. It must not keep the new version from the other
 // services.
@@ -47,7 +47,7 @@
 	p.activate(1, twoServiceConfiguration(t, 1, 100))
 	old := p.pools["x"]
 	book, order := p.bookFor(p.routes["x"])
-	rejecting, err := desk.New(book, &figures.Pool{}, slog.New(slog.DiscardHandler), func(terms *logic.Terms, now int64) (desk.Module, error) {
+	rejecting, err := desk.New(book, &figures.Pool{}, slog.New(slog.DiscardHandler), func(terms *logic.Config, now int64) (desk.Engine, error) {
 		balancer, err := logic.New(terms, now)
 		return immutableBalancer{balancer}, err
 	})
--- a/internal/mesh/proxy/outbound.go
+++ b/internal/mesh/proxy/outbound.go
@@ -49,8 +49,8 @@
 	now := p.now()
 	routeTarget.servicePool.recordFirst(now, request.rank)
 	call := routeTarget.servicePool.desk.Arrive(desk.Arrival{
-		Under: routeTarget.limitedTerms, Tariff: routeTarget.tariff, Customer: -1,
-		Left: time.Until(request.clientDeadline), Unwhole: request.bodyRest != nil,
+		Config: routeTarget.limitedTerms, Tariff: routeTarget.tariff, Customer: -1,
+		Timeout: time.Until(request.clientDeadline), BodyPending: request.bodyRest != nil,
 	})
 	p.runRequest(w, r, request, call)
 }
--- a/internal/mesh/proxy/partner_policy.go
+++ b/internal/mesh/proxy/partner_policy.go
@@ -185,7 +185,7 @@
 			}
 			name := partner + gatewaySeparator + gateway.node
 			entries = append(entries, roster.Entry[string]{Name: name, Zone: gateway.zone, Address: gateway.address,
-				Up: logic.Upstream{Number: roster.Number(name), Weight: weight}})
+				Up: logic.Upstream{ID: roster.Number(name), Weight: weight}})
 		}
 	}
 	return entries
--- a/internal/mesh/proxy/proxy_test.go
+++ b/internal/mesh/proxy/proxy_test.go
@@ -206,13 +206,13 @@
 	takeRetry := func() bool { taken++; return taken < 3 }
 	request := &downstreamRequest{maxAttempts: 2, responses: map[int]*downstreamResponse{}}
 	must.True(t, request.beginAttempt(unexpectedRetry))
-	request.endAttempt(logic.TurnedAway, true, nil) // by the proxy beside the upstream
+	request.endAttempt(logic.Refused, true, nil) // by the proxy beside the upstream
 	must.True(t, request.beginAttempt(unexpectedRetry))
-	request.endAttempt(logic.TurnedAway, false, nil) // by the upstream: received, but not executed
+	request.endAttempt(logic.Refused, false, nil) // by the upstream: received, but not executed
 	must.True(t, request.beginAttempt(takeRetry))
 	request.endAttempt(logic.Unreachable, true, nil)
 	must.True(t, request.beginAttempt(takeRetry))
-	request.endAttempt(logic.Broken, false, nil)
+	request.endAttempt(logic.Disconnected, false, nil)
 	must.False(t, request.beginAttempt(takeRetry)) // two upstreams have received it
 	mayHaveRun, inFlight, _ := request.close()
 	must.Eq(t, []int{1, 0, 2}, []int{mayHaveRun, inFlight, taken})
--- a/internal/mesh/proxy/request_result.go
+++ b/internal/mesh/proxy/request_result.go
@@ -10,11 +10,11 @@
 )
 
 // runRequest carries out the attempts that the load balancer orders for a request, until the client has its response.
-func (p *Proxy) runRequest(w http.ResponseWriter, r *http.Request, request *downstreamRequest, call *desk.Case) {
+func (p *Proxy) runRequest(w http.ResponseWriter, r *http.Request, request *downstreamRequest, call *desk.Handle) {
 	defer func() {
 		for { // report attempts that were ordered but not started
 			select {
-			case attempt := <-call.Pushes:
+			case attempt := <-call.Attempts:
 				request.servicePool.desk.Outcome(call, attempt, logic.Unsent)
 			default:
 				return
@@ -23,7 +23,7 @@
 	}()
 	for {
 		select {
-		case attempt := <-call.Pushes:
+		case attempt := <-call.Attempts:
 			go p.runAttempt(request, call, attempt)
 		case result := <-call.Answer:
 			p.writeResult(w, r, request, result)
@@ -40,13 +40,13 @@
 
 // handleClientGone ends a request whose client has closed its sending side. The client may still read: a half-closed
 // connection can't be told from a closed one before something is written, so an error response is written.
-func (p *Proxy) handleClientGone(w http.ResponseWriter, r *http.Request, request *downstreamRequest, call *desk.Case) {
+func (p *Proxy) handleClientGone(w http.ResponseWriter, r *http.Request, request *downstreamRequest, call *desk.Handle) {
 	mayHaveRun, _, _ := request.close()
-	request.servicePool.desk.Vanish(call)
+	request.servicePool.desk.ClientGone(call)
 	p.recordClientGone(r)
 	select { // a streamed response has no reader any more
 	case result := <-call.Answer:
-		request.discardResponse(result.Push)
+		request.discardResponse(result.Attempt)
 	default:
 	}
 	kind := apierror.Broke
@@ -58,9 +58,9 @@
 
 // answerAtShutdown answers an open request according to its state when the process ends. After close no further
 // attempt starts, and after Vanish no new result arrives, so the state is final.
-func (p *Proxy) answerAtShutdown(w http.ResponseWriter, r *http.Request, request *downstreamRequest, call *desk.Case) {
+func (p *Proxy) answerAtShutdown(w http.ResponseWriter, r *http.Request, request *downstreamRequest, call *desk.Handle) {
 	mayHaveRun, inFlight, failedResponse := request.close()
-	request.servicePool.desk.Vanish(call)
+	request.servicePool.desk.ClientGone(call)
 	select {
 	case result := <-call.Answer:
 		p.writeResult(w, r, request, result)
@@ -83,7 +83,7 @@
 	mayHaveRun, inFlight, failedResponse := request.close()
 	if result.Ending == desk.Settled || result.Ending == desk.Rejected {
 		request.mu.Lock()
-		response := request.responses[result.Push]
+		response := request.responses[result.Attempt]
 		request.mu.Unlock()
 		p.writeResponse(w, response)
 		if request.creditClaim != nil && response.status < 300 {
--- a/internal/mesh/proxy/service_pool.go
+++ b/internal/mesh/proxy/service_pool.go
@@ -34,13 +34,13 @@
 // servicePool holds the upstreams of one service and the load balancer that selects among them.
 type servicePool struct {
 	name         string
-	desk         *desk.Desk
+	desk         *desk.Dispatcher
 	counters     *figures.Pool
 	book         *terms.Book
-	tariffOrder  []serviceLevel       // order of the service levels in book
-	tariffs      map[serviceLevel]int // index of each service level in book
-	limitedTerms map[int]*logic.Terms // the terms of book, by the maximum number of attempts
-	peers        *connectionPool      // hosts are named by the pool's own roster
+	tariffOrder  []serviceLevel        // order of the service levels in book
+	tariffs      map[serviceLevel]int  // index of each service level in book
+	limitedTerms map[int]*logic.Config // the terms of book, by the maximum number of attempts
+	peers        *connectionPool       // hosts are named by the pool's own roster
 
 	mu     sync.Mutex
 	budget *ratelimit.RetryBudget
@@ -93,7 +93,7 @@
 	limitedTerms := p.limitedTerms[tries]
 	if limitedTerms == nil {
 		copied := *p.book.Terms
-		copied.MaxPushes = tries
+		copied.MaxAttempts = tries
 		limitedTerms = &copied
 		p.limitedTerms[tries] = limitedTerms
 	}
@@ -103,7 +103,7 @@
 // setBook replaces the terms of the load balancer.
 func (p *servicePool) setBook(book *terms.Book, tariffOrder []serviceLevel) {
 	p.book, p.tariffOrder, p.tariffs, p.limitedTerms = book, tariffOrder,
-		make(map[serviceLevel]int, len(tariffOrder)), map[int]*logic.Terms{}
+		make(map[serviceLevel]int, len(tariffOrder)), map[int]*logic.Config{}
 	for at, key := range tariffOrder {
 		p.tariffs[key] = at
 	}
@@ -118,7 +118,7 @@
 		if sameTerms(existing.book.Terms, book.Terms) && slices.Equal(existing.tariffOrder, tariffOrder) {
 			return nil
 		}
-		err := existing.desk.Retune(book)
+		err := existing.desk.Reconfigure(book)
 		if err == nil {
 			existing.setBook(book, tariffOrder)
 			return nil
@@ -131,7 +131,7 @@
 		budget: ratelimit.NewRetryBudget(int64(bounds.RetryWindow), bounds.RetryRatio, bounds.RetrySlack)}
 	created.setBook(book, tariffOrder)
 	var err error
-	if created.desk, err = desk.New(book, created.counters, p.log.With("service", service), desk.Design); err != nil {
+	if created.desk, err = desk.New(book, created.counters, p.log.With("service", service), desk.NewBalancer); err != nil {
 		return err
 	}
 	if existing != nil {
@@ -144,20 +144,20 @@
 
 // sameTerms reports whether two sets of terms are equal apart from their classes. The load balancer stores what it
 // learns in the classes, so they are not compared by value; the caller compares tariffOrder instead.
-func sameTerms(a, b *logic.Terms) bool {
-	return a.Balancers == b.Balancers && a.Index == b.Index && a.MaxPushes == b.MaxPushes && a.CrossZonePrice == b.CrossZonePrice
+func sameTerms(a, b *logic.Config) bool {
+	return a.Balancers == b.Balancers && a.Index == b.Index && a.MaxAttempts == b.MaxAttempts && a.CrossZonePrice == b.CrossZonePrice
 }
 
 // bookFor returns the terms of a service's load balancer: this proxy's rank among all proxies, and the service levels
 // of the routes. The caller holds mu.
 func (p *Proxy) bookFor(routes []*routing.Route) (book *terms.Book, tariffOrder []serviceLevel) {
 	balancers, ordinal := p.nodeRank()
-	moduleTerms := &logic.Terms{
-		Seed: rand.Uint64(), FreeRefusals: freeRefusals, Balancers: balancers, Index: ordinal, Layer: 1,
-		SecondCopies: true, Cancelling: true, Probing: true,
-		AdviseBackoff: true, MaxBackoff: int64(250 * time.Millisecond), CrossZonePrice: crossZonePrice, MaxPushes: 1,
+	moduleTerms := &logic.Config{
+		Seed: rand.Uint64(), FreeRefusals: freeRefusals, Balancers: balancers, Index: ordinal, Tier: 1,
+		Hedging: true, Cancelling: true, Probing: true,
+		AdviseBackoff: true, MaxBackoff: int64(250 * time.Millisecond), CrossZonePrice: crossZonePrice, MaxAttempts: 1,
 		// no limits for cold upstreams: see weight
-		ColdShare: 1, FallMultiple: 1, FallSpan: int64(time.Second), BeyondShare: 1,
+		ColdShare: 1, OverloadFactor: 1, OverloadSpan: int64(time.Second), OverQuotaFactor: 1,
 	}
 	book = &terms.Book{Terms: moduleTerms, Tariffs: map[string]int{}, Customers: map[string]int{}, Default: -1}
 	seen := map[serviceLevel]bool{}
@@ -165,7 +165,7 @@
 		if route.Class == routing.Streamed {
 			moduleTerms.CrossZonePrice = longCrossZonePrice
 		}
-		moduleTerms.MaxPushes = max(moduleTerms.MaxPushes, route.Forwarding.MaxAttempts)
+		moduleTerms.MaxAttempts = max(moduleTerms.MaxAttempts, route.Forwarding.MaxAttempts)
 		key := serviceLevelOf(route)
 		if seen[key] {
 			continue
@@ -184,7 +184,7 @@
 func (l serviceLevel) tariff() *logic.Tariff {
 	t := &logic.Tariff{HardStop: int64(l.deadline), ContractTime: int64(l.target), Earnings: 1, LateEarnings: 0.3}
 	if l.repeats {
-		t.Repeat = logic.Repeatable
+		t.Idempotency = logic.Idempotent
 	}
 	return t
 }
@@ -244,7 +244,7 @@
 		n := nodes[k]
 		entries = append(entries, roster.Entry[string]{
 			Name: n.Upstream.ID, Zone: n.Zone, Address: n.Inbound, Ends: n.Upstream.Draining || n.Leaving,
-			Up: logic.Upstream{Number: roster.Number(n.Upstream.ID), Weight: n.weight(now) * share},
+			Up: logic.Upstream{ID: roster.Number(n.Upstream.ID), Weight: n.weight(now) * share},
 		})
 	}
 	return entries
@@ -271,7 +271,7 @@
 			go func() {
 				ctx, done := context.WithTimeout(context.Background(), probeTimeout)
 				defer done()
-				service.desk.Probed(probe.Upstream, p.probeUpstream(ctx, service, probe.Place))
+				service.desk.ProbeResult(probe.Upstream, p.probeUpstream(ctx, service, probe.Place))
 			}()
 		case <-p.done:
 			return
--- a/internal/mesh/proxy/view.go
+++ b/internal/mesh/proxy/view.go
@@ -22,7 +22,7 @@
 type target struct {
 	servicePool  *servicePool
 	share        float64
-	limitedTerms *logic.Terms
+	limitedTerms *logic.Config
 	tariff       int
 }
 
--- a/logic/copies.go
+++ b/logic/copies.go
@@ -2,36 +2,36 @@
 
 import "math"
 
-// When a second copy is due, and what pays for it.
+// Hedging: the delay, the budget and the conditions under which it pauses.
 
-// funded reports whether the bucket pays for a push; losers that still run stay charged to it.
-func (b *Balancer) funded() bool { return b.bucket-float64(b.losers) >= 1 }
+// withinBudget reports whether the budget allows a hedge or retry. Cancelled attempts count until they end.
+func (b *Balancer) withinBudget() bool { return b.budget-float64(b.cancelledPending) >= 1 }
 
-// gated reports whether copying pauses because outcomes are bad.
-func (b *Balancer) gated() bool {
-	bad := sum(b.faults[:])
-	return bad >= 2 && float64(bad) > gateAt*float64(sum(b.results[:]))
+// hedgePaused reports whether hedging pauses because of too many faults.
+func (b *Balancer) hedgePaused() bool {
+	faults := sum(b.faults[:])
+	return faults >= 2 && float64(faults) > maxFaultRatio*float64(sum(b.outcomes[:]))
 }
 
-// estimate reads the live quantile off the window.
-func (b *Balancer) estimate() {
-	if b.trigger = 0; sum(b.samples[:]) < minSamples {
+// updateHedgeDelay sets the hedge delay to a quantile of the recent latencies, 0 for too few samples.
+func (b *Balancer) updateHedgeDelay() {
+	if b.hedgeDelay = 0; sum(b.samples[:]) < minSamples {
 		return
 	}
-	// Danger: a copy costs its loser's connection; what each of many sends twice adds up, tier by tier.
-	others := float64(b.terms.Balancers-1) / many
-	b.trigger = max(minDelay, b.reach(1-max(copiedMany, copied/(1+others*others))))
+	// Hedges of many balancers multiply over the tiers, and each cancelled attempt costs its connection.
+	scale := float64(b.config.Balancers-1) / manyBalancers
+	b.hedgeDelay = max(minHedgeDelay, b.latencyQuantile(1-max(minHedgeFraction, hedgeFraction/(1+scale*scale))))
 }
 
-// reach is the time within which a part of the window's pushes was answered.
-func (b *Balancer) reach(part float64) int64 {
-	above := int(float64(sum(b.samples[:])) * (1 - part))
-	for k := buckets - 1; k >= 0; k-- {
-		for p := range b.latency {
-			above -= int(b.latency[p][k])
+// latencyQuantile returns a quantile of the latencies in the window, in nanoseconds.
+func (b *Balancer) latencyQuantile(quantile float64) int64 {
+	remaining := int(float64(sum(b.samples[:])) * (1 - quantile))
+	for bucket := latencyBuckets - 1; bucket >= 0; bucket-- {
+		for slot := range b.latency {
+			remaining -= int(b.latency[slot][bucket])
 		}
-		if above < 0 {
-			return int64(float64(ms) * math.Pow(1.1, float64(k+1)))
+		if remaining < 0 {
+			return int64(float64(ms) * math.Pow(1.1, float64(bucket+1)))
 		}
 	}
 	return 0
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -1,9 +1,8 @@
-// Package logic decides, for one balancer, where each transaction goes and how it ends.
+// Package logic decides, for one balancer, which upstream serves each transaction and how it ends.
 //
-// How it is called: New once with the Terms. Then, for each round, the calls that tell what came in, in order
-// (Join, List, Drain, Leave, Listed; Arrive, Whole, Outcome, Began, Vanish; Probed; Told; Retune, Beside),
-// and one Round(now, w), which writes all decisions into w. The interface, Writer, and all types and state
-// are in types.go; why it decides so is in docs/design.md.
+// The caller reports the events of a round in their order (Join, List, Drain, Leave, Listed; Arrive,
+// BodyReceived, Outcome, StreamStarted, ClientGone; ProbeResult; PeerReport; Reconfigure, SetProcesses), then
+// calls Round once, which writes all decisions to a Writer. docs/design.md gives the reasons for the design.
 package logic
 
 import (
@@ -13,484 +12,494 @@
 )
 
 const (
-	ms, s = int64(1e6), int64(1e9)
-
-	// The mechanism, as the design page gives it.
-	copied                                    = 0.05 // of the pushes outrun the quantile of a balancer alone
-	copiedMany                                = 0.01 // and of one among many
-	many                                      = 8    // so many beside it, and what each sends twice has to halve
-	window, minDelay, minSamples              = 30 * s, 10 * ms, 20
-	bucketPart                                = 0.1 // copies and retries per recent first send
-	gateAt                                    = 0.2 // copying pauses above this share of bad outcomes
-	winWindow, winFloor, winSamples, winLeast = 20 * s, 0.2, 10, 0.05
-
-	panes, buckets, wins = 6, 128, 4 // the windows move in steps of a sixth and a quarter
-
-	ahead      = 4.0    // turns that an upstream may be ahead of its due while a connection to it is kept
-	wellAbove  = 0.25   // skip an upstream with this many pushes more in flight than its part of the mean
-	aboveLeast = 0.1    // and where peers tell, what would hold this much more than the one with the least
-	ample      = 0.35   // at most this share of its contract time is usual for an uncrowded transaction
-	firstHeld  = 6.0    // transactions in hand for each upstream at first, where no customer's share tells more
-	fewHeld    = 2. / 3 // of these crowd nobody
-	crowdedAll = 2.0    // and where peers tell, as many times what is ample
-	mostHeld   = 1.6    // there room may grow to this multiple of the first
-	zoneCare   = 10.0   // a crossing priced at a tenth of the earnings halves the turns
-	chanceCome = 4      // transactions of a customer that may come at once by chance
-	beat       = 200 * ms
-	crowded    = 1.4 // room shrinks while answers take this many times longer than at best
-
-	mostTold  = 28       // messages that a first push pays for
-	tellEvery = 10 * ms  // peers are told no more often
-	tellAgain = 500 * ms // and no less while something is in flight
-	heardFor  = 3 * tellAgain
-
-	metBy              = 6    // balancers, at the least, that meet an upstream
-	fewOwn             = 4    // upstreams, at the least, for one balancer
-	metBySaid, fewSaid = 4, 2 // the same two where peers tell: each more of them is told all
-	mostSaid           = 12   // danger: told by many more, each would do little but listen
-	meanOver           = 500 * ms
-
-	setAsideAt           = 4.5 // log odds at which an upstream is set aside
-	mostAside            = 0.4 // of the list's weight may be set aside
-	asideFor, probeEvery = 4 * s, 300 * ms
-	probesDue            = 2 // answered probes before a return
+	ms, sec = int64(1e6), int64(1e9)
+
+	hedgeFraction    = 0.05 // share of the attempts that outlast the hedge delay, for a single balancer
+	minHedgeFraction = 0.01 // the same for many balancers, at the least
+	manyBalancers    = 8    // so many other balancers halve hedgeFraction
+
+	statsWindow, minHedgeDelay, minSamples = 30 * sec, 10 * ms, 20
+
+	budgetRatio   = 0.1 // hedges and retries per recent first attempt
+	maxFaultRatio = 0.2 // hedging pauses above this share of upstream faults
+
+	winWindow, minWinRate, minWinSamples, minHedgeChance = 20 * sec, 0.2, 10, 0.05
+
+	statsSlots, latencyBuckets, winSlots = 6, 128, 4 // the two windows move in steps of a sixth and a quarter
+
+	idleConnCredit     = 4.0    // rotations by which an idle connection lets an upstream run ahead
+	aboveMeanMargin    = 0.25   // skips an upstream with this many attempts more than its share of the mean
+	aboveLeastMargin   = 0.1    // with peers: skips an upstream with this much more load than the least loaded
+	usualRatio         = 0.35   // share of its contract time that a transaction takes at most without congestion
+	initialConcurrency = 6.0    // transactions for each upstream at first, unless customer quotas give less
+	minLimitFactor     = 2. / 3 // lower bound of the limit, as a multiple of the initial limit
+	peerCongestedRatio = 2.0    // with peers: congestion begins at this multiple of usualRatio
+	maxLimitFactor     = 1.6    // with peers: the limit may always grow to this multiple of the initial limit
+	crossZonePenalty   = 10.0   // a crossing priced at a tenth of the earnings halves the cross-zone traffic
+	burstTokens        = 4      // transactions of a customer that may arrive at once by chance
+	tickInterval       = 200 * ms
+	congestedRatio     = 1.4 // the limit shrinks while answers take this many times the best time
+
+	reportsPerSend = 28       // load reports that each first attempt allows
+	minReportGap   = 10 * ms  // between load reports
+	reportRefresh  = 500 * ms // reports are repeated this often while attempts are pending
+	reportTTL      = 3 * reportRefresh
+
+	minOverlap                                 = 6    // balancers that use an upstream, at the least
+	minUpstreams                               = 4    // upstreams of one balancer, at the least
+	minOverlapWithPeers, minUpstreamsWithPeers = 4, 2 // fewer with peers, as each balancer more gets all reports
+	maxOverlapWithPeers                        = 12   // with more, reading reports would take most of the time
+	meanWindow                                 = 500 * ms
+
+	ejectLogOdds                = 4.5 // log odds at which an upstream is ejected
+	maxEjected                  = 0.4 // share of the assigned weight that may be ejected
+	ejectionTime, probeInterval = 4 * sec, 300 * ms
+	probesToReinstate           = 2 // consecutive answered probes
 )
 
-// New starts a balancer; it refuses terms that it cannot work with.
-func New(terms *Terms, now int64) (*Balancer, error) {
-	if err := terms.Check(); err != nil {
+// New returns a balancer with the given configuration, or an error if that is invalid.
+func New(config *Config, now int64) (*Balancer, error) {
+	if err := config.Validate(); err != nil {
 		return nil, err
 	}
-	b := &Balancer{now: now, last: now, carry: terms.Seed<<1 | 1, allowance: 1, bucket: 1, words: 4 * mostTold}
-	b.turnsAt, b.winTurn, b.nextBit, b.beside, b.wide = now+window/panes, now+winWindow/wins, now+beat, 1, 1
-	b.adopt(terms)
+	b := &Balancer{now: now, roundAt: now, randState: config.Seed<<1 | 1, hedgeChance: 1, budget: 1,
+		reportBudget: 4 * reportsPerSend}
+	b.nextSlotAt, b.nextWinSlotAt, b.nextTickAt, b.processes, b.shareCount =
+		now+statsWindow/statsSlots, now+winWindow/winSlots, now+tickInterval, 1, 1
+	b.applyConfig(config)
 	return b, nil
 }
 
-// adopt takes what terms say beforehand of room and purses.
-func (b *Balancer) adopt(terms *Terms) {
-	b.terms, b.shares, b.fair = terms, 0, 0
-	b.away = 1 / (1 + zoneCare*terms.CrossZonePrice) // the dearer crossings are, the fewer turns go there
-	b.listen()
-	time := 0.0
-	for _, f := range terms.Tariffs {
-		time += ample * float64(f.ContractTime) / float64(len(terms.Tariffs))
-	}
-	for _, c := range terms.Customers {
-		b.fair += c.Rate / float64(s) / float64(terms.Balancers)
-		if b.shares += c.Rate / float64(s) * time; c.filled == 0 {
-			c.purse, c.filled = c.Rate/float64(terms.Balancers)+chanceCome, b.now
+// applyConfig sets the configuration, with the expected load and the token buckets of its customers.
+func (b *Balancer) applyConfig(config *Config) {
+	b.config, b.quotaConcurrency, b.quotaRate = config, 0, 0
+	b.crossZoneFactor = 1 / (1 + crossZonePenalty*config.CrossZonePrice)
+	b.resetPeers()
+	usualTime := 0.0
+	for _, tariff := range config.Tariffs {
+		usualTime += usualRatio * float64(tariff.ContractTime) / float64(len(config.Tariffs))
+	}
+	for _, customer := range config.Customers {
+		b.quotaRate += customer.Rate / float64(sec) / float64(config.Balancers)
+		if b.quotaConcurrency += customer.Rate / float64(sec) * usualTime; customer.refilledAt == 0 {
+			customer.tokens, customer.refilledAt = customer.Rate/float64(config.Balancers)+burstTokens, b.now
 		}
 	}
 }
 
-// Join takes a new upstream and returns its index.
+// Join adds an upstream and returns its index.
 func (b *Balancer) Join() int {
-	for i, known := range b.known {
-		if !known && b.flying[i] == 0 && !b.probing[i] {
-			b.known[i], b.born[i] = true, 0
+	for i, used := range b.inUse {
+		if !used && b.inFlight[i] == 0 && !b.probing[i] {
+			b.inUse[i], b.startedAt[i] = true, 0
 			b.reset(i)
 			return i
 		}
 	}
-	b.reset(b.grow())
-	return len(b.known) - 1
+	b.reset(b.addUpstream())
+	return len(b.inUse) - 1
 }
 
-// reset forgets what was learnt of an upstream.
+// reset drops what was learnt about an upstream.
 func (b *Balancer) reset(i int) {
-	b.aside[i], b.answered[i], b.dead[i] = 0, 0, false
-	b.doubt[i], b.weight[i], b.good[i], b.bad[i], b.kind[i], b.others[i] = 0, 0, 0, 0, 0, 0
-	for peer, all := range b.said {
-		b.said[peer] = slices.DeleteFunc(all, func(j int) bool { return j == i })
+	b.ejectedUntil[i], b.probesAnswered[i], b.unreachable[i] = 0, 0, false
+	b.logOdds[i], b.weight[i], b.successes[i], b.failures[i], b.kind[i], b.peerInFlight[i] = 0, 0, 0, 0, 0, 0
+	for peer, upstreams := range b.peerAttempts {
+		b.peerAttempts[peer] = slices.DeleteFunc(upstreams, func(j int) bool { return j == i })
 	}
-	b.turn[i], b.purse[i], b.filled[i] = math.NaN(), b.chance(), b.now
+	b.credit[i], b.tokens[i], b.refilledAt[i] = math.NaN(), b.random(), b.now
 }
 
-// List says that an upstream takes work, and how the list describes it.
+// List reports that an upstream accepts work, with its entry in the list.
 func (b *Balancer) List(i int, u Upstream, now int64) {
 	b.now = now
-	if u.Born > b.born[i] && b.ready[i] {
-		b.reset(i) // the same machine, started anew: nothing known of it holds, and it is cold
+	if u.StartedAt > b.startedAt[i] && b.ready[i] {
+		b.reset(i) // restarted: it is cold, and what was learnt about it no longer holds
 	}
 	u.Weight = math.Max(u.Weight, 1e-6)
-	if b.terms.LiveWeights {
-		u.Weight = b.unloaded(i, u)
+	if b.config.LiveWeights {
+		u.Weight = b.nominalWeight(i, u)
 	}
-	b.moved = b.moved || !b.ready[i] || u.Weight != b.weight[i] || u.Zone != b.zone[i] || u.Number != b.number[i]
-	// A later start than the one listed may have been guessed from a return after refused connections.
-	b.ready[i], b.weight[i], b.zone[i], b.cell[i], b.number[i] = true, u.Weight, u.Zone, u.Cell, u.Number
-	b.born[i] = max(b.born[i], u.Born)
+	b.listDirty = b.listDirty || !b.ready[i] || u.Weight != b.weight[i] || u.Zone != b.zone[i] || u.ID != b.id[i]
+	// A start later than the listed one was inferred when the upstream came back after refused connections.
+	b.ready[i], b.weight[i], b.zone[i], b.cell[i], b.id[i] = true, u.Weight, u.Zone, u.Cell, u.ID
+	b.startedAt[i] = max(b.startedAt[i], u.StartedAt)
 }
 
-// unloaded is the size behind a live weight: the largest listed of its kind, or of it alone. Danger: taken
-// for sizes, live weights move the parts of all balancers with every list, and all open connections anew.
-func (b *Balancer) unloaded(i int, u Upstream) float64 {
-	size := max(u.Weight, b.weight[i])
+// nominalWeight returns the size behind a live weight: the largest listed for its kind of machine, or for it
+// alone. Live weights taken as sizes would move all shares, and renew all connections, with every list.
+func (b *Balancer) nominalWeight(i int, u Upstream) float64 {
+	weight := max(u.Weight, b.weight[i])
 	b.kind[i] = u.Kind
-	alike := func(j int) bool { return b.ready[j] && u.Kind > 0 && b.kind[j] == u.Kind }
+	sameKind := func(j int) bool { return b.ready[j] && u.Kind > 0 && b.kind[j] == u.Kind }
 	for j := range b.kind {
-		if alike(j) {
-			size = max(size, b.weight[j])
+		if sameKind(j) {
+			weight = max(weight, b.weight[j])
 		}
 	}
 	for j := range b.kind {
-		if alike(j) && b.weight[j] < size {
-			b.weight[j], b.moved = size, true
+		if sameKind(j) && b.weight[j] < weight {
+			b.weight[j], b.listDirty = weight, true
 		}
 	}
-	return size
+	return weight
 }
 
-// Drain says that an upstream drains: nothing new goes there from this round on, well within any grace.
-func (b *Balancer) Drain(i int) { b.ready[i], b.moved = false, true }
+// Drain reports that an upstream drains. It gets nothing new from this round on, within any grace period.
+func (b *Balancer) Drain(i int) { b.ready[i], b.listDirty = false, true }
 
-// Leave says that an upstream is gone; its index may be used again once nothing of it is out.
-func (b *Balancer) Leave(i int) { b.ready[i], b.known[i], b.aside[i], b.moved = false, false, 0, true }
+// Leave reports that an upstream is gone. Its index may be reused once no attempt or probe is pending.
+func (b *Balancer) Leave(i int) {
+	b.ready[i], b.inUse[i], b.ejectedUntil[i], b.listDirty = false, false, 0, true
+}
 
-// Listed says how a question to the list ended, or that a report of it came.
+// Listed reports whether reading the list succeeded. Each update of the list counts as a success.
 func (b *Balancer) Listed(ok bool, now int64) {
 	if ok {
-		b.refusals = 0
+		b.listFailures = 0
 		return
 	}
-	// The list is one small service for all: ask again later each time, and not all at once.
-	b.refusals++
+	// All balancers share one small list service: back off exponentially, with jitter.
+	b.listFailures++
 	b.following = false
-	b.follow = now + int64(float64(250*ms<<min(b.refusals, 4))*(0.5+b.chance()))
+	b.followAt = now + int64(float64(250*ms<<min(b.listFailures, 4))*(0.5+b.random()))
 }
 
-// Arrive takes a transaction; one final answer is owed for it from now on.
-func (b *Balancer) Arrive(t *Transaction, tariff, customer int, work, left int64, again bool, now int64) {
-	t.Under = cmp.Or(t.Under, b.terms)
-	f := t.Under.Tariffs[tariff]
-	b.came++
-	t.tariff, t.arrived, t.stop, t.slot, t.anchor, t.again = f, now, now+left, -1, -1, again
-	t.contract = min(now+f.ContractTime+int64(f.Stretch*float64(work)), t.stop)
-	t.load = 1 / float64(max(t.contract-now, 1))
-	if !again {
-		f.longest = max(f.longest, left)
-	} else if left < f.longest {
-		t.contract = min(t.contract, t.stop-f.HardStop+f.ContractTime) // what is left tells when its first try came
-	}
-	if customer >= 0 {
-		t.customer = t.Under.Customers[customer]
-	}
-	b.touch(t)
+// Arrive takes a new transaction, which gets exactly one final answer. left is its client's remaining wait.
+func (b *Balancer) Arrive(tx *Transaction, tariffIndex, customerIndex int, work, left int64,
+	clientRetry bool, now int64) {
+	tx.Config = cmp.Or(tx.Config, b.config)
+	tariff := tx.Config.Tariffs[tariffIndex]
+	b.arrivals++
+	tx.tariff, tx.arrivedAt, tx.hardStop, tx.timerIndex, tx.firstEffect, tx.clientRetry =
+		tariff, now, now+left, -1, -1, clientRetry
+	tx.contractEnd = min(now+tariff.ContractTime+int64(tariff.WorkFactor*float64(work)), tx.hardStop)
+	tx.load = 1 / float64(max(tx.contractEnd-now, 1))
+	if !clientRetry {
+		tariff.longestWait = max(tariff.longestWait, left)
+	} else if left < tariff.longestWait {
+		tx.contractEnd = min(tx.contractEnd, tx.hardStop-tariff.HardStop+tariff.ContractTime) // since the first try
+	}
+	if customerIndex >= 0 {
+		tx.customer = tx.Config.Customers[customerIndex]
+	}
+	b.mark(tx)
 }
 
-// Whole says that a transaction's last byte has come. Danger: counted from its first, the time that a slow
-// client takes to send would be held against the upstream.
-func (b *Balancer) Whole(t *Transaction, left, now int64) {
-	t.Unwhole, t.contract = false, now+min(left, t.contract-t.arrived)
-	t.arrived, t.stop = now, now+left
-	if t.out > 0 {
-		t.pushes[0].sent = max(now, t.pushes[0].sent)
-		b.hold(t)
+// BodyReceived reports that the last byte of a transaction has arrived. Its times count from here: the time
+// that a slow client takes to send must not count against the upstream.
+func (b *Balancer) BodyReceived(tx *Transaction, left, now int64) {
+	tx.BodyPending, tx.contractEnd = false, now+min(left, tx.contractEnd-tx.arrivedAt)
+	tx.arrivedAt, tx.hardStop = now, now+left
+	if tx.pending > 0 {
+		tx.attempts[0].sentAt = max(now, tx.attempts[0].sentAt)
+		b.activate(tx)
 	}
-	b.touch(t)
+	b.mark(tx)
 }
 
-// Outcome tells how a push ended; final, that the transaction ended with it or before.
-func (b *Balancer) Outcome(t *Transaction, n int, r Result, took int64, final bool, now int64) {
-	p := &t.pushes[n]
-	if !p.out {
+// Outcome reports the result of attempt n. final tells that the transaction ended with it or before.
+func (b *Balancer) Outcome(tx *Transaction, n int, r Result, took int64, final bool, now int64) {
+	p := &tx.attempts[n]
+	if !p.pending {
 		return
 	}
 	b.now = now
-	p.out, p.result = false, r
-	t.out--
-	if r == TurnedAway {
-		t.refused++
-	}
-	b.flying[p.upstream]--
-	b.news()
-	if p.lost {
-		p.lost = false
-		b.losers--
-	}
-	b.learn(p, r, took)
-	if final && !t.over {
-		t.streams = nil
-		b.close(t)
-		if p.copy && r == Settled {
-			b.won[0]++
+	p.pending, p.result = false, r
+	tx.pending--
+	if r == Refused {
+		tx.refused++
+	}
+	b.inFlight[p.upstream]--
+	b.scheduleReport()
+	if p.cancelled {
+		p.cancelled = false
+		b.cancelledPending--
+	}
+	b.recordOutcome(p, r, took)
+	if final && !tx.answered {
+		tx.streaming = nil
+		b.deactivate(tx)
+		if p.hedge && r == Settled {
+			b.hedgeWins[0]++
 		}
 	}
-	b.touch(t)
+	b.mark(tx)
 }
 
-// Began says that a streamed answer has started: the client has it, and no time-out holds any more.
-func (b *Balancer) Began(t *Transaction, n int) {
-	t.streams = &t.pushes[n]
-	b.touch(t)
+// StreamStarted reports that attempt n began to stream its answer to the client. Time-outs no longer apply.
+func (b *Balancer) StreamStarted(tx *Transaction, n int) {
+	tx.streaming = &tx.attempts[n]
+	b.mark(tx)
 }
 
-// Vanish says that the client has left; nothing is owed any more.
-func (b *Balancer) Vanish(t *Transaction) {
-	if !t.over {
-		b.close(t)
-		b.touch(t)
+// ClientGone reports that the client has disconnected. The transaction needs no answer any more.
+func (b *Balancer) ClientGone(tx *Transaction) {
+	if !tx.answered {
+		b.deactivate(tx)
+		b.mark(tx)
 	}
 }
 
-// Probed tells how a probe ended.
-func (b *Balancer) Probed(i int, ok bool) {
+// ProbeResult reports whether an upstream answered its probe.
+func (b *Balancer) ProbeResult(i int, ok bool) {
 	b.probing[i] = false
 	if !ok {
-		b.answered[i] = 0
-	} else if b.answered[i]++; b.aside[i] != 0 && b.answered[i] >= probesDue {
-		b.restore(i)
+		b.probesAnswered[i] = 0
+	} else if b.probesAnswered[i]++; b.ejectedUntil[i] != 0 && b.probesAnswered[i] >= probesToReinstate {
+		b.reinstate(i)
 	}
 }
 
-// Round decides on all that came in. Calls off losers, starts pushes and copies, and gives final answers.
+// Round decides on all events since the last round: it starts and cancels attempts and gives final answers.
 func (b *Balancer) Round(now int64, w Writer) {
-	over := max(float64(meanOver), min(10/b.longRate, b.beats*float64(beat)))
-	b.mean += (1 - math.Exp(-float64(now-b.last)/over)) * (b.stood - b.mean)
-	b.now, b.w, b.last = now, w, now
-	if b.moved {
-		b.divide()
+	window := max(float64(meanWindow), min(10/b.longRate, b.ticks*float64(tickInterval)))
+	b.meanConcurrency += (1 - math.Exp(-float64(now-b.roundAt)/window)) * (b.lastConcurrency - b.meanConcurrency)
+	b.now, b.writer, b.roundAt = now, w, now
+	if b.listDirty {
+		b.assign()
 	}
-	if b.terms.AskForList && !b.following && now >= b.follow {
+	if b.config.FollowList && !b.following && now >= b.followAt {
 		b.following = true
 		w.Follow()
 	}
-	if now >= b.nextBit {
+	if now >= b.nextTickAt {
 		b.tick()
 	}
-	for len(b.dues) > 0 && b.dues[0].due <= now {
-		t := b.dues[0]
-		b.unschedule(t)
-		b.touch(t)
+	for len(b.timers) > 0 && b.timers[0].dueAt <= now {
+		tx := b.timers[0]
+		b.unschedule(tx)
+		b.mark(tx)
 	}
-	for k := 0; k < len(b.touched); k++ {
-		t := b.touched[k]
-		t.queued = false
-		b.decide(t)
+	for k := 0; k < len(b.marked); k++ {
+		tx := b.marked[k]
+		tx.marked = false
+		b.decide(tx)
 	}
-	b.touched = b.touched[:0]
-	b.serve()
-	next := b.nextBit
-	if b.open == 0 && !slices.ContainsFunc(b.aside, func(at int64) bool { return at != 0 }) {
-		next = math.MaxInt64 // nothing to watch over: sleep until something comes in
+	b.marked = b.marked[:0]
+	b.dequeue()
+	next := b.nextTickAt
+	if b.active == 0 && !slices.ContainsFunc(b.ejectedUntil, func(at int64) bool { return at != 0 }) {
+		next = math.MaxInt64 // idle: sleep until the next event
 	}
-	if len(b.dues) > 0 {
-		next = min(next, b.dues[0].due)
+	if len(b.timers) > 0 {
+		next = min(next, b.timers[0].dueAt)
 	}
 	if len(b.peers) > 0 {
-		if now >= b.tellAt {
-			b.tell()
+		if now >= b.nextReport {
+			b.sendReports()
 		}
-		next = min(next, b.tellAt)
+		next = min(next, b.nextReport)
 	}
-	if b.terms.AskForList && !b.following {
-		next = min(next, b.follow)
+	if b.config.FollowList && !b.following {
+		next = min(next, b.followAt)
 	}
-	if next != math.MaxInt64 && (b.wake <= now || next < b.wake) {
-		b.wake = max(next, now+1)
-		w.Wake(b.wake)
+	if next != math.MaxInt64 && (b.wakeAt <= now || next < b.wakeAt) {
+		b.wakeAt = max(next, now+1)
+		w.Wake(b.wakeAt)
 	}
-	b.w, b.stood = nil, b.counted()
+	b.writer, b.lastConcurrency = nil, b.concurrency()
 }
 
-// decide is the way of one transaction, from its arrival to its final answer.
-func (b *Balancer) decide(t *Transaction) {
-	if t.over || t.streams != nil {
-		b.callOff(t)
-		b.unschedule(t)
+// decide moves one transaction on, from its arrival to its final answer.
+func (b *Balancer) decide(tx *Transaction) {
+	if tx.answered || tx.streaming != nil {
+		b.cancelPending(tx)
+		b.unschedule(tx)
 		return
 	}
-	if b.now >= b.giveUp(t) {
-		// Danger: with few samples, or a quantile beyond the contract time, nothing else tells of silence.
-		for n := range t.pushes {
-			if p := &t.pushes[n]; b.now-p.sent > (b.now-t.arrived)/2 {
-				b.silent(p)
+	if b.now >= b.giveUpAt(tx) {
+		// With few samples, or a hedge delay beyond the contract time, only this detects a silent upstream.
+		for n := range tx.attempts {
+			if p := &tx.attempts[n]; b.now-p.sentAt > (b.now-tx.arrivedAt)/2 {
+				b.countSilence(p)
 			}
 		}
-		b.end(t, GivenUp)
+		b.finish(tx, DeadlineExceeded)
 		return
 	}
 
-	// The first push, to the next in turn.
-	if len(t.pushes) == 0 {
-		if !t.inLine {
-			b.appraise(t)
+	// The first attempt.
+	if len(tx.attempts) == 0 {
+		if !tx.queued {
+			b.setValue(tx)
 		}
-		if !b.admit(t) {
-			b.queue(t)
+		if !b.admit(tx) {
+			b.enqueue(tx)
 			return
 		}
-		i := b.next(t)
+		i := b.pick(tx)
 		if i < 0 {
-			b.end(t, NoUpstream) // nobody to send it to, and no news in sight: say so at once
+			b.finish(tx, NoUpstream) // no upstream will become available soon: answer at once
 			return
 		}
-		b.sends[b.pane]++
-		b.words = min(b.words+mostTold, 4*mostTold)
-		b.bucket = min(b.bucket+bucketPart, max(1, bucketPart*float64(sum(b.sends[:]))))
-		b.push(t, i, false)
+		b.firstSends[b.slot]++
+		b.reportBudget = min(b.reportBudget+reportsPerSend, 4*reportsPerSend)
+		b.budget = min(b.budget+budgetRatio, max(1, budgetRatio*float64(sum(b.firstSends[:]))))
+		b.send(tx, i, false)
 	}
 
-	// A further push after a failure, if the tariff bears it and the bucket pays.
-	if t.out == 0 {
+	// A retry after a failure, if the tariff and the budget allow it.
+	if tx.pending == 0 {
 		i := -1
-		if b.repeatable(t) && b.pass(RetryUnpaid, b.funded()) {
-			i = b.next(t)
+		if b.retryAllowed(tx) && b.allow(RetryOverBudget, b.withinBudget()) {
+			i = b.pick(tx)
 		}
 		if i < 0 {
-			b.end(t, Failed)
+			b.finish(tx, AttemptsFailed)
 			return
 		}
-		b.bucket--
-		b.push(t, i, false)
-	}
-
-	// A copy, once the push outruns the live quantile.
-	last := &t.pushes[len(t.pushes)-1]
-	outrun := int64(math.MaxInt64)
-	if b.trigger > 0 && !t.Unwhole {
-		if outrun = last.sent + b.trigger; b.now >= outrun {
-			outrun = math.MaxInt64
-			b.overdue(t, last)
-			if t.out == 1 && b.terms.SecondCopies && b.repeatable(t) && b.pass(CopyGated, !b.gated()) &&
-				b.pass(CopyUnpaid, b.funded()) && b.pass(CopyLoop, b.chance() < b.allowance) {
-				if i := b.next(t); i >= 0 {
-					b.bucket--
-					b.copies[0]++
-					b.push(t, i, true)
+		b.budget--
+		b.send(tx, i, false)
+	}
+
+	// A hedge, once the last attempt has taken longer than the hedge delay.
+	latest := &tx.attempts[len(tx.attempts)-1]
+	hedgeAt := int64(math.MaxInt64)
+	if b.hedgeDelay > 0 && !tx.BodyPending {
+		if hedgeAt = latest.sentAt + b.hedgeDelay; b.now >= hedgeAt {
+			hedgeAt = math.MaxInt64
+			b.markLate(tx, latest)
+			if tx.pending == 1 && b.config.Hedging && b.retryAllowed(tx) && b.allow(HedgePaused, !b.hedgePaused()) &&
+				b.allow(HedgeOverBudget, b.withinBudget()) && b.allow(HedgeWinRateLow, b.random() < b.hedgeChance) {
+				if i := b.pick(tx); i >= 0 {
+					b.budget--
+					b.hedges[0]++
+					b.send(tx, i, true)
 				}
 			}
 		}
 	}
 
-	b.schedule(t, min(b.giveUp(t), outrun))
+	b.schedule(tx, min(b.giveUpAt(tx), hedgeAt))
 }
 
-// giveUp is when waiting on is worth nothing: a client's answer after the contract time, where lateness earns
-// nothing, else at the hard stop. Within the service the caller judges, not the call.
-func (b *Balancer) giveUp(t *Transaction) int64 {
-	if t.Unwhole {
+// giveUpAt returns when a transaction is given up: at the end of the contract time if a client's late answer
+// earns nothing, else at the hard stop. In inner tiers the caller decides whether a late answer is of use.
+func (b *Balancer) giveUpAt(tx *Transaction) int64 {
+	if tx.BodyPending {
 		return math.MaxInt64
 	}
-	if b.terms.Layer == 0 && t.tariff.LateEarnings == 0 {
-		return t.contract
+	if b.config.Tier == 0 && tx.tariff.LateEarnings == 0 {
+		return tx.contractEnd
 	}
-	return t.stop
+	return tx.hardStop
 }
 
-// end gives the final answer: a deferral if it is certain that trying again is harmless, else a forfeit.
-func (b *Balancer) end(t *Transaction, why Why) {
-	b.unschedule(t)
-	t.recall()
-	b.close(t)
-	if f := t.tariff; t.anchor < 0 || f.Repeat == Repeatable || f.Repeat == Tagged && f.Group == Everywhere {
-		b.w.Defer(t, why, b.terms.Backoff(t.tariff))
+// finish gives the final answer: deferred if the client can safely retry, else forfeited.
+func (b *Balancer) finish(tx *Transaction, reason Reason) {
+	b.unschedule(tx)
+	tx.findFirstEffect()
+	b.deactivate(tx)
+	if tariff := tx.tariff; tx.firstEffect < 0 || tariff.Idempotency == Idempotent ||
+		tariff.Idempotency == Keyed && tariff.DedupScope == Everywhere {
+		b.writer.Defer(tx, reason, b.config.Backoff(tx.tariff))
 	} else {
-		b.w.Forfeit(t, why)
+		b.writer.Forfeit(tx, reason)
 	}
-	b.callOff(t)
+	b.cancelPending(tx)
 }
 
-// callOff cancels what is still out for a transaction that has its answer, but for the push that streams it.
-func (b *Balancer) callOff(t *Transaction) {
-	for n := range t.pushes {
-		if p := &t.pushes[n]; p.out && !p.lost && p != t.streams && b.terms.Cancelling {
-			p.lost = true
-			b.losers++
-			b.w.Cancel(t, n)
+// cancelPending cancels the pending attempts of an answered transaction, but not one that streams the answer.
+func (b *Balancer) cancelPending(tx *Transaction) {
+	for n := range tx.attempts {
+		if p := &tx.attempts[n]; p.pending && !p.cancelled && p != tx.streaming && b.config.Cancelling {
+			p.cancelled = true
+			b.cancelledPending++
+			b.writer.Cancel(tx, n)
 		}
 	}
 }
 
-func (b *Balancer) push(t *Transaction, i int, copied bool) {
-	b.hold(t)
-	p := Push{upstream: i, at: Bound{b.zone[i], b.cell[i]}, sent: max(b.now, t.Leaves), out: true, copy: copied}
-	t.pushes = append(t.pushes, p)
-	t.out++
-	b.flying[i]++
-	b.news()
+func (b *Balancer) send(tx *Transaction, i int, hedge bool) {
+	b.activate(tx)
+	p := Attempt{upstream: i, location: Location{b.zone[i], b.cell[i]}, sentAt: max(b.now, tx.EarliestSend),
+		pending: true, hedge: hedge}
+	tx.attempts = append(tx.attempts, p)
+	tx.pending++
+	b.inFlight[i]++
+	b.scheduleReport()
 	if b.warmth(i) < 1 {
-		b.purse[i]--
+		b.tokens[i]--
 	}
-	b.w.Push(t, i, t.stop)
+	b.writer.Send(tx, i, tx.hardStop)
 }
 
-// repeatable reports whether another push is allowed now. Danger: an effect that happens twice.
-func (b *Balancer) repeatable(t *Transaction) bool {
-	if t.Single || len(t.pushes)-min(t.refused, t.Under.FreeRefusals) >= t.Under.MaxPushes {
+// retryAllowed reports whether another attempt is allowed now. It keeps effects from happening twice.
+func (b *Balancer) retryAllowed(tx *Transaction) bool {
+	if tx.SendOnce || len(tx.attempts)-min(tx.refused, tx.Config.FreeRefusals) >= tx.Config.MaxAttempts {
 		return false
 	}
-	t.recall()
-	if t.anchor < 0 || t.tariff.Repeat == Repeatable {
+	tx.findFirstEffect()
+	if tx.firstEffect < 0 || tx.tariff.Idempotency == Idempotent {
 		return true
 	}
-	return t.tariff.Repeat == Tagged && b.now < t.pushes[t.anchor].sent+t.tariff.Remembered
+	return tx.tariff.Idempotency == Keyed && b.now < tx.attempts[tx.firstEffect].sentAt+tx.tariff.DedupWindow
 }
 
-// within reports whether an upstream drops repeats of what has been sent already.
-func (b *Balancer) within(t *Transaction, i int) bool {
-	bound := t.Bound
-	if t.anchor >= 0 {
-		bound = &t.pushes[t.anchor].at
+// inDedupScope reports whether an upstream would drop a repeat of the attempts sent so far.
+func (b *Balancer) inDedupScope(tx *Transaction, i int) bool {
+	location := tx.PriorAttempt
+	if tx.firstEffect >= 0 {
+		location = &tx.attempts[tx.firstEffect].location
 	}
-	if bound == nil || t.tariff.Repeat != Tagged || t.tariff.Group == Everywhere {
+	if location == nil || tx.tariff.Idempotency != Keyed || tx.tariff.DedupScope == Everywhere {
 		return true
 	}
-	return b.zone[i] == bound.Zone && (t.tariff.Group == SameZone || b.cell[i] == bound.Cell)
+	return b.zone[i] == location.Zone && (tx.tariff.DedupScope == SameZone || b.cell[i] == location.Cell)
 }
 
-// tick does what the clock asks for: window panes, the quantile, the win-rate loop, room, probes.
+// tick does the periodic work: statistics windows, hedge delay and chance, probes, concurrency limit.
 func (b *Balancer) tick() {
-	for b.now >= b.turnsAt {
-		b.turnsAt += window / panes
-		b.pane = (b.pane + 1) % panes
-		b.latency[b.pane], b.samples[b.pane] = [buckets]int32{}, 0
-		b.sends[b.pane], b.results[b.pane], b.faults[b.pane] = 0, 0, 0
-		for i := range b.good {
-			b.good[i], b.bad[i] = b.good[i]*3/4, b.bad[i]*3/4
+	for b.now >= b.nextSlotAt {
+		b.nextSlotAt += statsWindow / statsSlots
+		b.slot = (b.slot + 1) % statsSlots
+		b.latency[b.slot], b.samples[b.slot] = [latencyBuckets]int32{}, 0
+		b.firstSends[b.slot], b.outcomes[b.slot], b.faults[b.slot] = 0, 0, 0
+		for i := range b.successes {
+			b.successes[i], b.failures[i] = b.successes[i]*3/4, b.failures[i]*3/4
 		}
 	}
-	for b.now >= b.winTurn {
-		b.winTurn += winWindow / wins
-		copies, won := sum(b.copies[:]), sum(b.won[:])
-		if copies >= winSamples && float64(won) < winFloor*float64(copies) {
-			b.allowance = max(winLeast, b.allowance/2)
+	for b.now >= b.nextWinSlotAt {
+		b.nextWinSlotAt += winWindow / winSlots
+		hedges, wins := sum(b.hedges[:]), sum(b.hedgeWins[:])
+		if hedges >= minWinSamples && float64(wins) < minWinRate*float64(hedges) {
+			b.hedgeChance = max(minHedgeChance, b.hedgeChance/2)
 		} else {
-			b.allowance = min(1, b.allowance+0.25)
+			b.hedgeChance = min(1, b.hedgeChance+0.25)
 		}
-		copy(b.copies[1:], b.copies[:wins-1])
-		copy(b.won[1:], b.won[:wins-1])
-		b.copies[0], b.won[0] = 0, 0
-	}
-	b.estimate()
-	for peer, at := range b.saidAt {
-		if b.now > at+heardFor {
-			b.forget(peer)
+		copy(b.hedges[1:], b.hedges[:winSlots-1])
+		copy(b.hedgeWins[1:], b.hedgeWins[:winSlots-1])
+		b.hedges[0], b.hedgeWins[0] = 0, 0
+	}
+	b.updateHedgeDelay()
+	for peer, at := range b.peerReportAt {
+		if b.now > at+reportTTL {
+			b.forgetPeer(peer)
 		}
 	}
 	total := 0.0
 	for i, ready := range b.ready {
-		if ready && b.aside[i] == 0 && b.warmth(i) == 1 {
-			total += b.part[i]
+		if ready && b.ejectedUntil[i] == 0 && b.warmth(i) == 1 {
+			total += b.share[i]
 		}
-		if ready && b.aside[i] != 0 && b.now >= b.aside[i] {
-			if !b.terms.Probing {
-				b.restore(i)
+		if ready && b.ejectedUntil[i] != 0 && b.now >= b.ejectedUntil[i] {
+			if !b.config.Probing {
+				b.reinstate(i)
 			} else if !b.probing[i] {
 				b.probing[i] = true
-				b.aside[i] = b.now + probeEvery
-				b.w.Probe(i)
+				b.ejectedUntil[i] = b.now + probeInterval
+				b.writer.Probe(i)
 			}
 		}
 	}
-	span := float64(b.now - b.nextBit + beat)
+	span := float64(b.now - b.nextTickAt + tickInterval)
 	if total > 0 {
-		b.pace += min(1, span/float64(4*s)) * (float64(b.settled)/span/total - b.pace)
+		b.warmRate += min(1, span/float64(4*sec)) * (float64(b.warmSettled)/span/total - b.warmRate)
 	}
-	b.settled = 0
-	if b.terms.Layer == 0 {
-		b.makeRoom(span)
+	b.warmSettled = 0
+	if b.config.Tier == 0 {
+		b.adjustLimit(span)
 	}
-	b.nextBit = b.now + beat
+	b.nextTickAt = b.now + tickInterval
 }
--- a/logic/peers.go
+++ b/logic/peers.go
@@ -2,49 +2,49 @@
 
 import "math"
 
-// What balancers of a pool tell one another.
+// Load reports between the balancers of a pool.
 
-// tell says to peers how long transactions take, and for each push in flight its place and a check. Danger:
-// what many say to many adds up, so each first push pays for so many messages and no more.
-func (b *Balancer) tell() {
-	if b.words < len(b.peers) {
-		b.tellAt = math.MaxInt64 // the next push says it
+// sendReports sends peers the latency ratio and, per attempt in flight, the position of its upstream in the
+// assignment. Reports among many add up, so each first attempt pays for a fixed number of them.
+func (b *Balancer) sendReports() {
+	if b.reportBudget < len(b.peers) {
+		b.nextReport = math.MaxInt64 // the next first attempt refills the budget
 		return
 	}
-	b.words -= len(b.peers)
-	raw := []byte{byte(min(255, 100*b.load/max(b.rate, 1e-12)))}
-	for place, i := range b.own[:min(len(b.own), 32)] {
-		for range min(b.flying[i], 7) { // a message holds 256
-			raw = append(raw, b.check<<5|byte(place))
+	b.reportBudget -= len(b.peers)
+	report := []byte{byte(min(255, 100*b.shortLoad/max(b.shortRate, 1e-12)))}
+	for place, i := range b.assigned[:min(len(b.assigned), 32)] {
+		for range min(b.inFlight[i], 7) { // a report holds 256 bytes
+			report = append(report, b.assignmentCheck<<5|byte(place))
 		}
 	}
-	b.toldAt, b.tellAt = b.now, b.now+tellAgain
-	if len(raw) == 1 {
-		b.tellAt = math.MaxInt64 // nothing to say before something goes out
+	b.lastReport, b.nextReport = b.now, b.now+reportRefresh
+	if len(report) == 1 {
+		b.nextReport = math.MaxInt64 // idle: nothing to report until the next attempt
 	}
 	for _, peer := range b.peers {
-		b.w.Tell(peer, raw)
+		b.writer.SendReport(peer, report)
 	}
 }
 
-// news has peers told before long.
-func (b *Balancer) news() { b.tellAt = min(b.tellAt, b.toldAt+tellEvery) }
+// scheduleReport makes the next report due as soon as the minimum interval allows.
+func (b *Balancer) scheduleReport() { b.nextReport = min(b.nextReport, b.lastReport+minReportGap) }
 
-// Told takes what a peer says. Danger: it is late, may be lost, and its part may be another by now. It only
-// counts in the choice and in room, what doesn't fit is left out, and it is forgotten before long.
-func (b *Balancer) Told(peer int, raw []byte, now int64) {
-	if peer < 0 || peer >= len(b.said) || len(raw) == 0 {
+// PeerReport takes a load report of a peer, which may be late or lost, or refer to another assignment. So it
+// affects only selection and limit, entries that do not match are dropped, and it expires after reportTTL.
+func (b *Balancer) PeerReport(peer int, report []byte, now int64) {
+	if peer < 0 || peer >= len(b.peerAttempts) || len(report) == 0 {
 		return
 	}
-	b.forget(peer)
-	b.saidAt[peer], b.saidSlow[peer] = now, float64(raw[0])/100
-	for _, x := range raw[1:] {
-		if place := int(x & 31); x>>5 == b.check && place < len(b.own) {
-			b.said[peer] = append(b.said[peer], b.own[place])
-			b.others[b.own[place]]++
+	b.forgetPeer(peer)
+	b.peerReportAt[peer], b.peerLatencyRatio[peer] = now, float64(report[0])/100
+	for _, entry := range report[1:] {
+		if place := int(entry & 31); entry>>5 == b.assignmentCheck && place < len(b.assigned) {
+			b.peerAttempts[peer] = append(b.peerAttempts[peer], b.assigned[place])
+			b.peerInFlight[b.assigned[place]]++
 		}
 	}
 }
 
-// holds is what an upstream holds of this balancer and its peers.
-func (b *Balancer) holds(i int) float64 { return float64(b.flying[i] + b.others[i]) }
+// totalInFlight returns the attempts in flight to an upstream from this balancer and its peers.
+func (b *Balancer) totalInFlight(i int) float64 { return float64(b.inFlight[i] + b.peerInFlight[i]) }
