--- a/internal/mesh/controller/replicator.go
+++ b/internal/mesh/controller/replicator.go
@@ -13,59 +13,63 @@
 )
 
 const (
-	stepTimeout = 900 * time.Millisecond // for one step of an attempt at one member; a disk may take its time
+	// For one step of an attempt at one member, which may include a slow disk sync.
+	stepTimeout = 900 * time.Millisecond
 	readTimeout = 400 * time.Millisecond
-	fresh       = time.Duration(federation.Fresh) // for which a majority's word that this copy is current holds
+	// How long a majority's confirmation that this replica is current remains valid.
+	readLeaseDuration = time.Duration(federation.Fresh)
 )
 
-// Disk is where a replica is kept: a storage.Store, or what a test puts in front of it.
+// Disk stores a replica. It is a storage.Store, or a test's wrapper around one.
 type Disk interface {
 	Save(*consensus.Replica) error
 }
 
-// replicator owns this process's replica and carries out attempts at changes. Invariant: a disk may hang for seconds, so reads
-// and everything else that needs no sync go past it: written guards the order on disk, mu only the memory. Each save writes
-// the replica as it is in memory at that moment, in one batch: a vote for a slot reaches the disk only together with the
-// decision before it.
+// replicator owns this controller's replica and carries out attempts at changes. A disk may hang for seconds, so
+// reads and everything else that needs no sync must not wait for it: diskMu orders the saves, and mu guards only the
+// memory. Each save writes the replica as it is in memory at that moment in one batch, so that a vote for a slot
+// reaches the disk only together with the decision before it.
 type replicator struct {
-	disk     Disk
-	caller   *rpc.Caller
-	counts   *telemetry.Counters
-	self     string // inner address
-	proposer string // this life, as ballots name it
+	disk        Disk
+	caller      *rpc.Caller
+	counts      *telemetry.Counters
+	selfAddress string // mesh address of this controller
+	proposer    string // this controller's incarnation, as used in ballots
 
-	written sync.Mutex
-	mu      sync.Mutex
-	replica consensus.Replica
-	round   uint64
-	news    chan struct{} // closed when something is decided
-	saved   uint64        // slot of the newest decision on disk
-	saving  atomic.Bool   // a decision is on its way to the disk
-	digests consensus.DigestCache
-	held    map[string]consensus.Documents // by address, large documents that the process there holds
+	diskMu        sync.Mutex
+	mu            sync.Mutex
+	replica       consensus.Replica
+	round         uint64
+	decided       chan struct{} // closed on each decision
+	saved         uint64        // slot of the newest decision on disk
+	savingDecided atomic.Bool   // saveDecided is running
+	digests       consensus.DigestCache
+	heldDocuments map[string]consensus.Documents // by address, the large documents that the controller there holds
 
-	vouching vouching
+	diskVerification diskVerification
 
 	lease   sharedReadLease
-	epoch   time.Time
-	changes changeQueue // one change at a time from here
-	steps   stepClock   // how long the core takes to grant something
+	started time.Time
+	changes changeQueue // admits one change of this controller at a time
+	latency stepLatency // how long the core takes to grant a request
 }
 
-func newReplicator(c *consensus.Replica, d Disk, caller *rpc.Caller, counts *telemetry.Counters, self, by string) *replicator {
+func newReplicator(opened *consensus.Replica, backing Disk, caller *rpc.Caller, counts *telemetry.Counters, selfAddress, by string) *replicator {
 	return &replicator{
-		disk: d, caller: caller, counts: counts, self: self, proposer: by, replica: *c, news: make(chan struct{}),
-		saved: c.Decided.Index, held: map[string]consensus.Documents{},
-		vouching: vouching{lives: map[string]consensus.DiskLife{}, by: map[string]bool{}}, epoch: time.Now(),
-		lease: sharedReadLease{lease: consensus.NewReadLease(int64(fresh))},
+		disk: backing, caller: caller, counts: counts, selfAddress: selfAddress, proposer: by, replica: *opened,
+		decided: make(chan struct{}),
+		saved:   opened.Decided.Index, heldDocuments: map[string]consensus.Documents{},
+		diskVerification: diskVerification{latestLives: map[string]consensus.DiskLife{}, by: map[string]bool{}},
+		started:          time.Now(),
+		lease:            sharedReadLease{lease: consensus.NewReadLease(int64(readLeaseDuration))},
 	}
 }
 
-// state is what is decided as far as this copy knows, and a channel that ends when there is more.
-func (r *replicator) state() (*consensus.State, <-chan struct{}) {
+// knownState returns the newest decision that this replica knows, and a channel that is closed when there is a later one.
+func (r *replicator) knownState() (*consensus.State, <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.replica.Decided, r.news
+	return r.replica.Decided, r.decided
 }
 
 func (r *replicator) identity() string {
@@ -74,42 +78,44 @@
 	return r.replica.ID
 }
 
-// handle answers another process's request, after the sync that it needs. A Learn that is answered with OK is on disk.
-func (r *replicator) handle(_ context.Context, a *consensus.Request) (*consensus.Response, error) {
-	request, lacking := r.expand(*a)
+// handle processes a request from another controller, including the disk sync that it needs. If a Learn request is
+// answered with OK, the decision is on disk.
+func (r *replicator) handle(_ context.Context, request *consensus.Request) (*consensus.Response, error) {
+	expanded, lacking := r.expand(*request)
 	if lacking != nil {
 		return lacking, nil
 	}
-	if request.Kind == consensus.ReadState {
-		return r.handleRead(request), nil
+	if expanded.Kind == consensus.ReadState {
+		return r.handleRead(expanded), nil
 	}
-	if request.Kind == consensus.Learn && request.Value != nil { // Invariant: behind a disk that hangs, news would wait for nothing
-		if out := r.learnInMemory(request); out != nil {
-			return out, nil
+	// Learn in memory first, or decisions would be delayed by a hanging disk.
+	if expanded.Kind == consensus.Learn && expanded.Value != nil {
+		if response := r.learnInMemory(expanded); response != nil {
+			return response, nil
 		}
 	}
-	r.written.Lock()
-	defer r.written.Unlock()
+	r.diskMu.Lock()
+	defer r.diskMu.Unlock()
 	r.mu.Lock()
-	if request.Kind != consensus.Learn && !r.mayVote() {
+	if expanded.Kind != consensus.Learn && !r.mayVote() {
 		defer r.mu.Unlock()
-		return r.withoutVote(request), nil
+		return r.refuseVote(expanded), nil
 	}
-	out, keep := r.replica.Handle(request)
-	out.Compact = true
-	now := r.replica
-	unsaved := request.Kind == consensus.Learn && r.saved < now.Decided.Index
+	response, mustSave := r.replica.Handle(expanded)
+	response.Compact = true
+	snapshot := r.replica
+	unsaved := expanded.Kind == consensus.Learn && r.saved < snapshot.Decided.Index
 	r.mu.Unlock()
-	if !keep && !unsaved {
-		return &out, nil
+	if !mustSave && !unsaved {
+		return &response, nil
 	}
-	if err := r.save(&now); err != nil {
+	if err := r.save(&snapshot); err != nil {
 		return nil, err
 	}
-	return &out, nil
+	return &response, nil
 }
 
-// save writes a replica to the disk. Under written.
+// save writes a replica to the disk. r.diskMu must be held.
 func (r *replicator) save(replica *consensus.Replica) error {
 	if err := r.disk.Save(replica); err != nil {
 		r.counts.Add("disk_refused")
@@ -122,145 +128,149 @@
 	return nil
 }
 
-// learnInMemory takes a decision before the disk has it; the response is nil while the disk has still to take it.
+// learnInMemory learns a decision before it is on disk. The response is nil if the decision still has to be saved.
 func (r *replicator) learnInMemory(request consensus.Request) *consensus.Response {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out, news := r.replica.Handle(request)
-	if news {
-		close(r.news)
-		r.news = make(chan struct{})
+	response, decided := r.replica.Handle(request)
+	if decided {
+		close(r.decided)
+		r.decided = make(chan struct{})
 	}
 	if r.saved < request.Value.Index {
 		return nil
 	}
-	out.Compact = true
-	return &out
+	response.Compact = true
+	return &response
 }
 
-// expand puts into a compact request what it left out; the response is nil unless this replica lacks that.
-func (r *replicator) expand(a consensus.Request) (whole consensus.Request, lacking *consensus.Response) {
-	if !a.IsCompact() {
-		return a, nil
+// expand restores the documents that a compact request omits. The response is nil unless this replica lacks them.
+func (r *replicator) expand(request consensus.Request) (expanded consensus.Request, lacking *consensus.Response) {
+	if !request.IsCompact() {
+		return request, nil
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	whole, ok := r.replica.Expand(a, r.digests.Of)
+	expanded, ok := r.replica.Expand(request, r.digests.Of)
 	if !ok {
-		return a, &consensus.Response{Kind: a.Kind, Slot: a.Slot, ID: r.replica.ID, Index: r.replica.Decided.Index, Compact: true, Lacking: true}
+		return request, &consensus.Response{Kind: request.Kind, Slot: request.Slot, ID: r.replica.ID,
+			Index: r.replica.Decided.Index, Compact: true, Lacking: true}
 	}
-	return whole, nil
+	return expanded, nil
 }
 
-// broadcast puts the same question to all members of a core; the answers come as they do, nil for none.
-func (r *replicator) broadcast(ctx context.Context, of *consensus.State, a consensus.Request, within time.Duration) <-chan *consensus.Response {
-	ctx, end := context.WithTimeout(ctx, within)
-	answers := make(chan *consensus.Response, len(of.Core))
-	var wait sync.WaitGroup
-	for _, m := range of.Core {
-		wait.Add(1)
+// broadcast sends a request to all members of a core. Responses are delivered as they arrive, nil for a member that
+// does not answer.
+func (r *replicator) broadcast(ctx context.Context, state *consensus.State, request consensus.Request, timeout time.Duration) <-chan *consensus.Response {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	answers := make(chan *consensus.Response, len(state.Core))
+	var sends sync.WaitGroup
+	for _, member := range state.Core {
+		sends.Add(1)
 		go func() {
-			defer wait.Done()
-			answers <- r.send(ctx, m.At, a)
+			defer sends.Done()
+			answers <- r.send(ctx, member.At, request)
 		}()
 	}
-	go func() { wait.Wait(); end() }() // the slower ones go on: what they keep counts too
+	go func() { sends.Wait(); cancel() }() // slow requests continue, as their effect on the receiver still counts
 	return answers
 }
 
-// send puts a request to the process at an address; nil for no answer. The request goes without the large
-// documents that the process there holds.
-func (r *replicator) send(ctx context.Context, at string, a consensus.Request) *consensus.Response {
-	if at == r.self {
-		answer, err := r.handle(ctx, &a)
+// send sends a request to the controller at an address and returns its response, or nil. Large documents that the
+// receiver already holds are omitted.
+func (r *replicator) send(ctx context.Context, address string, request consensus.Request) *consensus.Response {
+	if address == r.selfAddress {
+		answer, err := r.handle(ctx, &request)
 		if err != nil {
 			return nil
 		}
 		return answer
 	}
-	if a.Kind == consensus.ReadState {
+	if request.Kind == consensus.ReadState {
 		r.mu.Lock()
-		life := r.replica.Life
+		diskLife := r.replica.Life
 		r.mu.Unlock()
-		a.Life = &life
-		answer := r.call(ctx, at, a)
+		request.Life = &diskLife
+		answer := r.call(ctx, address, request)
 		if answer != nil {
-			r.noteVouched(life, answer)
+			r.recordVerification(diskLife, answer)
 		}
 		return answer
 	}
-	compact, large := r.compactFor(at, a)
-	answer := r.call(ctx, at, compact)
+	compact, large := r.compactFor(address, request)
+	answer := r.call(ctx, address, compact)
 	if compact.IsCompact() && answer != nil && (!answer.Compact || answer.Lacking) {
 		r.counts.Add("compact_lacking")
-		r.forgetHeld(at)
-		answer = r.call(ctx, at, a)
+		r.forgetHeldDocuments(address)
+		answer = r.call(ctx, address, request)
 	}
 	if answer != nil && len(large) > 0 {
-		r.noteHeld(at, large, answer)
+		r.recordHeldDocuments(address, large, answer)
 	}
 	return answer
 }
 
-func (r *replicator) call(ctx context.Context, at string, a consensus.Request) *consensus.Response {
+func (r *replicator) call(ctx context.Context, address string, request consensus.Request) *consensus.Response {
 	answer := &consensus.Response{}
-	if err := r.caller.Call(ctx, at, rpc.PathConsensus, a, answer); err != nil {
+	if err := r.caller.Call(ctx, address, rpc.PathConsensus, request, answer); err != nil {
 		return nil
 	}
 	return answer
 }
 
-// compactFor is a request without what the process at an address holds of it, and the large documents of its value.
-func (r *replicator) compactFor(at string, a consensus.Request) (compact consensus.Request, large consensus.Documents) {
-	if a.Value == nil {
-		return a, nil
+// compactFor returns a request without the documents that the controller at an address holds, and the large documents
+// of its value.
+func (r *replicator) compactFor(address string, request consensus.Request) (compact consensus.Request, large consensus.Documents) {
+	if request.Value == nil {
+		return request, nil
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return a.Compact(r.digests.Of, r.held[at]), a.Value.LargeParts(r.digests.Of)
+	return request.Compact(r.digests.Of, r.heldDocuments[address]), request.Value.LargeParts(r.digests.Of)
 }
 
-// noteHeld notes which documents the process at an address holds: those of the value that it took last. One that refuses a value
-// holds what it held before, so that proposals which overtake one another don't carry whole documents.
-func (r *replicator) noteHeld(at string, large consensus.Documents, answer *consensus.Response) {
+// recordHeldDocuments records which documents the controller at an address holds: those of the last value that it
+// accepted. A refusal leaves the record unchanged, so that competing proposals do not resend complete documents.
+func (r *replicator) recordHeldDocuments(address string, large consensus.Documents, answer *consensus.Response) {
 	if !answer.Compact {
-		r.forgetHeld(at)
+		r.forgetHeldDocuments(address)
 		return
 	}
 	if answer.OK {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.held[at] = large
+		r.heldDocuments[address] = large
 	}
 }
 
-// forgetHeld has the next request to an address carry all of its value.
-func (r *replicator) forgetHeld(at string) {
+// forgetHeldDocuments makes the next request to an address carry the complete value.
+func (r *replicator) forgetHeldDocuments(address string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.held, at)
+	delete(r.heldDocuments, address)
 }
 
-// learn takes what is known to be decided. The disk takes it after that: nothing is answered on the ground of it.
-func (r *replicator) learn(s *consensus.State) {
-	request := consensus.Request{Kind: consensus.Learn, Value: s}
-	if r.learnInMemory(request) == nil && r.saving.CompareAndSwap(false, true) {
+// learn records a decision in memory and then saves it in the background. No request is answered on the basis of the
+// unsaved decision.
+func (r *replicator) learn(state *consensus.State) {
+	request := consensus.Request{Kind: consensus.Learn, Value: state}
+	if r.learnInMemory(request) == nil && r.savingDecided.CompareAndSwap(false, true) {
 		go r.saveDecided()
 	}
 }
 
-// saveDecided saves until the disk has the newest decision, or refuses; the next vote or decision then saves it, too.
+// saveDecided saves until the newest decision is on disk. If a save fails, the next vote or decision saves it.
 func (r *replicator) saveDecided() {
-	defer r.saving.Store(false)
+	defer r.savingDecided.Store(false)
 	for saved := false; !saved; {
-		r.written.Lock()
+		r.diskMu.Lock()
 		r.mu.Lock()
-		now := r.replica
-		saved = r.saved >= now.Decided.Index
+		snapshot := r.replica
+		saved = r.saved >= snapshot.Decided.Index
 		r.mu.Unlock()
-		if !saved && r.save(&now) != nil {
+		if !saved && r.save(&snapshot) != nil {
 			saved = true
 		}
-		r.written.Unlock()
+		r.diskMu.Unlock()
 	}
 }
--- a/internal/mesh/controller/replicator_save_test.go
+++ b/internal/mesh/controller/replicator_save_test.go
@@ -14,17 +14,18 @@
 	"ottershift/internal/mesh/telemetry"
 )
 
-// savedDisk remembers what it took last, as a loss of power would leave it. It waits and refuses now and then.
-type savedDisk struct {
-	mu     sync.Mutex
-	random *rand.Rand
-	last   consensus.Replica
-	lies   bool // it says of some saves that it has them, and has not
+// unreliableDisk records the last saved replica, as it would be found after a power loss. Saves are delayed and
+// sometimes refused.
+type unreliableDisk struct {
+	mu         sync.Mutex
+	random     *rand.Rand
+	last       consensus.Replica
+	losesSaves bool // some saves report success without saving
 }
 
-var errSavedDisk = errors.New("refused")
+var errDiskRefused = errors.New("refused")
 
-func (d *savedDisk) Save(replica *consensus.Replica) error {
+func (d *unreliableDisk) Save(replica *consensus.Replica) error {
 	d.mu.Lock()
 	kind := d.random.IntN(10)
 	d.mu.Unlock()
@@ -33,60 +34,60 @@
 	defer d.mu.Unlock()
 	switch {
 	case kind == 0:
-		return errSavedDisk
-	case kind == 1 && d.lies:
+		return errDiskRefused
+	case kind == 1 && d.losesSaves:
 		return nil
 	}
 	d.last = *replica
 	return nil
 }
 
-// holds reports whether what a disk has keeps the word that a response has given.
-func (d *savedDisk) holds(a consensus.Request, out *consensus.Response) bool {
+// fulfills reports whether the disk contents are sufficient for what a response has promised.
+func (d *unreliableDisk) fulfills(request consensus.Request, response *consensus.Response) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	decided := d.last.Decided.Index
 	switch {
-	case !out.OK:
+	case !response.OK:
 		return true
-	case a.Kind == consensus.Learn:
-		return decided >= a.Value.Index
-	case decided >= a.Slot:
+	case request.Kind == consensus.Learn:
+		return decided >= request.Value.Index
+	case decided >= request.Slot:
 		return true
-	case decided+1 != a.Slot:
+	case decided+1 != request.Slot:
 		return false
-	case a.Kind == consensus.Accept:
-		return d.last.Accepted != nil && !d.last.Accepted.Ballot.Below(a.Ballot) && !d.last.Promised.Below(a.Ballot)
+	case request.Kind == consensus.Accept:
+		return d.last.Accepted != nil && !d.last.Accepted.Ballot.Below(request.Ballot) && !d.last.Promised.Below(request.Ballot)
 	}
-	return !d.last.Promised.Below(a.Ballot)
+	return !d.last.Promised.Below(request.Ballot)
 }
 
-// brokenWords has several processes ask one replica for promises, votes and decisions, and counts the responses that a loss of
-// power just after them would break.
-func brokenWords(seed uint64, lies bool) (words, broken int) {
+// countBrokenResponses sends concurrent prepare, accept and learn requests to one replica, and counts the granted
+// responses and those that would not survive a power loss right after them.
+func countBrokenResponses(seed uint64, losesSaves bool) (granted, broken int) {
 	first := consensus.Replica{ID: "one", Decided: &consensus.State{Index: 1}}
-	disk := &savedDisk{random: rand.New(rand.NewPCG(seed, 0)), last: first, lies: lies}
-	k := newReplicator(&first, disk, nil, telemetry.NewCounters(), "here", "life")
+	disk := &unreliableDisk{random: rand.New(rand.NewPCG(seed, 0)), last: first, losesSaves: losesSaves}
+	r := newReplicator(&first, disk, nil, telemetry.NewCounters(), "here", "life")
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	for worker := range 6 {
 		all.Go(func() {
 			random := rand.New(rand.NewPCG(seed, uint64(worker+1)))
 			for range 40 {
-				request := randomRequest(k, random)
+				request := randomRequest(r, random)
 				if request.Kind == consensus.Learn && random.IntN(4) == 0 {
-					k.learn(request.Value) // the replica's own
+					r.learn(request.Value) // as the replica does with decisions of its own proposals
 					continue
 				}
-				out, err := k.handle(context.Background(), &request)
+				response, err := r.handle(context.Background(), &request)
 				if err != nil {
 					continue
 				}
 				mu.Lock()
-				if out.OK {
-					words++
+				if response.OK {
+					granted++
 				}
-				if !disk.holds(request, out) {
+				if !disk.fulfills(request, response) {
 					broken++
 				}
 				mu.Unlock()
@@ -94,13 +95,14 @@
 		})
 	}
 	all.Wait()
-	return words, broken
+	return granted, broken
 }
 
-// randomRequest is one about the slot after the newest decision, or near it. Of a slot there is one decision.
-func randomRequest(k *replicator, random *rand.Rand) consensus.Request {
-	s, _ := k.state()
-	slot := s.Index + 1 + uint64(random.IntN(6)/5)
+// randomRequest returns a request for the slot after the newest decision or the one after it. All decisions for a
+// slot are the same.
+func randomRequest(r *replicator, random *rand.Rand) consensus.Request {
+	state, _ := r.knownState()
+	slot := state.Index + 1 + uint64(random.IntN(6)/5)
 	ballot := consensus.Ballot{Round: uint64(random.IntN(50)), By: "a"}
 	value := &consensus.State{Index: slot, Members: int(slot)}
 	switch random.IntN(5) {
@@ -112,57 +114,59 @@
 	return consensus.Request{Kind: consensus.Learn, Value: value}
 }
 
-// Whatever a replica has answered for is on its disk by then: no vote or promise for a slot leaves before the decision
-// under it is saved, and a decision that is confirmed is saved, also the second time and after a refusal.
-func TestEveryWordIsOnDiskBeforeItIsGiven(t *testing.T) {
-	words := 0
+// A replica's grants must be on disk when it sends them. No promise or vote for a slot may be sent before the
+// preceding decision is saved. A confirmed decision must be saved, also if it was confirmed before or if a save has
+// failed.
+func TestGrantsAreOnDiskBeforeTheyAreSent(t *testing.T) {
+	granted := 0
 	for seed := range uint64(40) {
-		given, broken := brokenWords(seed, false)
+		some, broken := countBrokenResponses(seed, false)
 		must.Zero(t, broken, must.Sprint("seed", seed))
-		words += given
+		granted += some
 	}
-	t.Logf("%d words, none broken", words)
-	must.Greater(t, 1000, words)
+	t.Logf("%d grants, all of them durable", granted)
+	must.Greater(t, 1000, granted)
 }
 
-// The judge convicts a disk that says what is not so.
-func TestALyingDiskBreaksWords(t *testing.T) {
+// The check must detect a disk that loses saves.
+func TestLostSavesAreDetected(t *testing.T) {
 	broken := 0
 	for seed := range uint64(10) {
-		_, some := brokenWords(seed, true)
+		_, some := countBrokenResponses(seed, true)
 		broken += some
 	}
-	t.Logf("%d words broken", broken)
+	t.Logf("%d grants were not durable", broken)
 	must.Positive(t, broken)
 }
 
-// While the disk hangs, decisions are known and reads are answered; votes wait.
-func TestADiskThatHangsHoldsUpVotesOnly(t *testing.T) {
+// While the disk hangs, decisions are learned and reads are answered, but votes wait.
+func TestHangingDiskDelaysOnlyVotes(t *testing.T) {
 	first := consensus.Replica{ID: "one", Decided: &consensus.State{Index: 1}}
 	disk := &hangingDisk{release: make(chan struct{})}
-	k := newReplicator(&first, disk, nil, telemetry.NewCounters(), "here", "life")
+	r := newReplicator(&first, disk, nil, telemetry.NewCounters(), "here", "life")
 	ctx := context.Background()
 	learned := make(chan struct{})
 	go func() {
 		defer close(learned)
-		k.handle(ctx, &consensus.Request{Kind: consensus.Learn, Value: &consensus.State{Index: 2}})
+		r.handle(ctx, &consensus.Request{Kind: consensus.Learn, Value: &consensus.State{Index: 2}})
 	}()
-	k.learn(&consensus.State{Index: 3}) // returns at once
-	s, _ := k.state()
-	must.Eq(t, 3, s.Index)
-	out, err := k.handle(ctx, &consensus.Request{Kind: consensus.ReadState, Slot: 3})
+	r.learn(&consensus.State{Index: 3}) // returns at once
+	state, _ := r.knownState()
+	must.Eq(t, 3, state.Index)
+	response, err := r.handle(ctx, &consensus.Request{Kind: consensus.ReadState, Slot: 3})
 	must.NoError(t, err)
-	must.True(t, out.OK)
+	must.True(t, response.OK)
 	promised := make(chan *consensus.Response, 1)
 	go func() {
-		out, _ := k.handle(ctx, &consensus.Request{Kind: consensus.Prepare, Slot: 4, Ballot: consensus.Ballot{Round: 1, By: "a"}})
-		promised <- out
+		response, _ := r.handle(ctx, &consensus.Request{Kind: consensus.Prepare, Slot: 4,
+			Ballot: consensus.Ballot{Round: 1, By: "a"}})
+		promised <- response
 	}()
 	select {
 	case <-promised:
-		t.Fatal("a promise has left before its save")
+		t.Fatal("a promise was sent before it was saved")
 	case <-learned:
-		t.Fatal("a decision was confirmed before its save")
+		t.Fatal("a decision was confirmed before it was saved")
 	case <-time.After(50 * time.Millisecond):
 	}
 	close(disk.release)
--- a/internal/mesh/controller/status.go
+++ b/internal/mesh/controller/status.go
@@ -15,92 +15,99 @@
 	"ottershift/internal/mesh/telemetry"
 )
 
-// StatusRequest is what an operator asks for; Newest has the core make sure that what is agreed is shown as it is now.
+// StatusRequest is an operator's request for the status. With Newest, the state is read from a majority.
 type StatusRequest struct{ Newest bool }
 
-// Status is what one process of the core knows, each part with its age.
+// Status is what one controller knows, with the age of each part.
 type Status struct {
-	Node, At, Zone string
-	Up             time.Duration
-	Current        bool          // a majority has said of late that nothing was decided after State
-	Confirmed      time.Duration // since that majority was asked
-	State          *consensus.State
-	Core           []CoreMember
-	Nodes          []membership.Record `json:"Nests"`
-	Quotas         []ratelimit.TenantStatus
-	Counts         map[string]int64
-	Ages           map[string]int64  `json:",omitempty"` // nanoseconds since partners confirmed their words
-	Faults         map[string]string `json:",omitempty"` // what was wrong with a partner's last word, where this process asks
-	Doors          map[string]uint64 `json:",omitempty"` // the word on partners that balancers act on, of those that ask this process
+	Node, At, Zone   string
+	Up               time.Duration
+	Current          bool          // a majority has recently confirmed that nothing was decided after State
+	Confirmed        time.Duration // time since that majority was asked
+	State            *consensus.State
+	Core             []CoreMember
+	Nodes            []membership.Record `json:"Nests"`
+	Quotas           []ratelimit.TenantStatus
+	Counts           map[string]int64
+	ConfirmationAges map[string]int64 `json:"Ages,omitempty"` // nanoseconds since partners confirmed their exports
+	// Errors of the last polls, on the controller that polls partners.
+	PartnerErrors map[string]string `json:"Faults,omitempty"`
+	// The import version in use at each proxy that watches this controller.
+	ImportsInUse map[string]uint64 `json:"Doors,omitempty"`
 }
 
-// CoreMember is a process of the core as this one hears of it.
+// CoreMember is a member of the core or another controller, as known to this one.
 type CoreMember struct {
 	consensus.Member
 	Votes bool
 	Index uint64
-	Quiet time.Duration // since it was heard of; below 0 for never
+	Quiet time.Duration // since the last contact, negative if there was none
 }
 
-// status answers operators.
-func (c *Controller) status(ctx context.Context, l *StatusRequest) (*Status, error) {
-	s, _ := c.replicator.state()
-	if l.Newest {
-		within, end := context.WithTimeout(ctx, answerTimeout)
-		defer end()
+// status serves the status to operators.
+func (c *Controller) status(ctx context.Context, request *StatusRequest) (*Status, error) {
+	state, _ := c.replicator.knownState()
+	if request.Newest {
+		readContext, cancel := context.WithTimeout(ctx, answerTimeout)
+		defer cancel()
 		var err error
-		if s, err = c.replicator.newest(within, c.otherControllers); err != nil {
+		if state, err = c.replicator.linearizableRead(readContext, c.otherControllers); err != nil {
 			return nil, err
 		}
 	}
-	out := &Status{Node: c.settings.Node, At: c.settings.Inner(), Zone: c.settings.District, Up: time.Since(c.epoch), State: s, Counts: map[string]int64{}}
-	out.Ages = c.confirmationAges()
-	c.gateway.Lock()
-	out.Faults, out.Doors = maps.Clone(c.gateway.faults), maps.Clone(c.gateway.doors)
-	c.gateway.Unlock()
-	c.counts.Each(func(name string, n int64) { out.Counts[name] = n })
+	report := &Status{Node: c.settings.Node, At: c.settings.Inner(), Zone: c.settings.District,
+		Up: time.Since(c.started), State: state, Counts: map[string]int64{}}
+	report.ConfirmationAges = c.confirmationAges()
+	c.partnerState.Lock()
+	report.PartnerErrors, report.ImportsInUse = maps.Clone(c.partnerState.pollErrors), maps.Clone(c.partnerState.importsInUse)
+	c.partnerState.Unlock()
+	c.counts.Each(func(name string, n int64) { report.Counts[name] = n })
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	out.Nodes, _, _ = c.registry.ChangesSince(0, c.now())
-	for _, m := range s.Core {
+	report.Nodes, _, _ = c.registry.ChangesSince(0, c.now())
+	for _, m := range state.Core {
 		member := CoreMember{Member: m, Votes: true, Quiet: -1}
 		if m.ID == c.replicator.identity() {
-			member.Quiet, member.Index = 0, s.Index
-		} else if h, is := c.peers[m.At]; is && h.ID == m.ID && c.lastHeard[m.At] > 0 {
-			member.Quiet, member.Index = time.Duration(c.now()-c.lastHeard[m.At]), h.Index
+			member.Quiet, member.Index = 0, state.Index
+		} else if peer, active := c.peers[m.At]; active && peer.ID == m.ID && c.lastHeard[m.At] > 0 {
+			member.Quiet, member.Index = time.Duration(c.now()-c.lastHeard[m.At]), peer.Index
 		}
-		out.Core = append(out.Core, member)
+		report.Core = append(report.Core, member)
 	}
-	for at, h := range c.peers {
-		if h.ID != "" && !s.HasMember(h.ID) && c.lastHeard[at] > 0 {
-			out.Core = append(out.Core, CoreMember{Member: consensus.Member{ID: h.ID, At: at, Zone: h.Zone}, Index: h.Index, Quiet: time.Duration(c.now() - c.lastHeard[at])})
+	for at, peer := range c.peers {
+		if peer.ID != "" && !state.HasMember(peer.ID) && c.lastHeard[at] > 0 {
+			report.Core = append(report.Core, CoreMember{
+				Member: consensus.Member{ID: peer.ID, At: at, Zone: peer.Zone},
+				Index:  peer.Index, Quiet: time.Duration(c.now() - c.lastHeard[at]),
+			})
 		}
 	}
-	slices.SortFunc(out.Core, func(a, b CoreMember) int { return strings.Compare(a.At, b.At) })
-	c.bank.Lock()
-	defer c.bank.Unlock()
-	out.Current, out.Confirmed = c.replicator.confirms(s), c.replicator.sinceConfirmed(s) // last: what is above may have taken time
-	if c.bank.is != nil && s.Coordinator.Life == c.life && out.Current {
-		out.Quotas = c.bank.is.Status(c.now())
+	slices.SortFunc(report.Core, func(a, b CoreMember) int { return strings.Compare(a.At, b.At) })
+	c.tokenGranter.Lock()
+	defer c.tokenGranter.Unlock()
+	// Last, because the steps above may have taken time.
+	report.Current, report.Confirmed = c.replicator.isCurrent(state), c.replicator.confirmationAge(state)
+	if c.tokenGranter.active != nil && state.Coordinator.Life == c.incarnation && report.Current {
+		report.Quotas = c.tokenGranter.active.Status(c.now())
 	}
-	return out, nil
+	return report, nil
 }
 
-// figures are the counters as Prometheus reads them.
-func (c *Controller) figures(w http.ResponseWriter, _ *http.Request) {
-	s, _ := c.replicator.state()
+// writeMetrics writes the metrics in the Prometheus format.
+func (c *Controller) writeMetrics(w http.ResponseWriter, _ *http.Request) {
+	state, _ := c.replicator.knownState()
 	c.mu.Lock()
 	known := c.registry.Known()
 	c.mu.Unlock()
 	current := 0
-	if c.replicator.confirms(s) {
+	if c.replicator.isCurrent(state) {
 		current = 1
 	}
 	telemetry.WriteFigures(w, "ottershift_comb", []telemetry.Gauge{
-		{Name: "index", Help: "Slot of the newest decision known here.", Value: s.Index},
-		{Name: "edition", Help: "Version of the timetable known here.", Value: s.Edition},
+		{Name: "index", Help: "Slot of the newest decision known here.", Value: state.Index},
+		{Name: "edition", Help: "Version of the timetable known here.", Value: state.Edition},
 		{Name: "current", Help: "1 while a majority has confirmed the copy a moment ago.", Value: current},
-		{Name: "core_members", Help: "Members of the core.", Value: len(s.Core)},
+		{Name: "core_members", Help: "Members of the core.", Value: len(state.Core)},
 		{Name: "balancers", Help: "Balancers heard of.", Value: known},
 		{Name: "goroutines", Help: "Goroutines.", Value: runtime.NumGoroutine()},
 	}, c.counts)
--- a/internal/mesh/controller/orders_test.go
+++ b/internal/mesh/controller/updates_test.go
@@ -19,11 +19,11 @@
 	"ottershift/internal/mesh/testmesh/history"
 )
 
-// silence is after what time a caller moves on.
-const silence = time.Second
+// callerTimeout is the time after which a caller tries another controller.
+const callerTimeout = time.Second
 
-// raceAt sends orders at once, each to the machine of its number, and returns the answers.
-func (c *core) raceAt(orders []*testmesh.Order, at func(n int) int) []testmesh.Answer {
+// sendConcurrently sends orders concurrently, each to the controller given by at, and returns the answers.
+func (c *cluster) sendConcurrently(orders []*testmesh.Order, at func(n int) int) []testmesh.Answer {
 	answers := make([]testmesh.Answer, len(orders))
 	var all sync.WaitGroup
 	for n, order := range orders {
@@ -33,19 +33,19 @@
 	return answers
 }
 
-func TestTwoOrdersWithOneNumberHaveOneWinner(t *testing.T) {
+func TestOneOfTwoConcurrentUpdatesToTheSameVersionWins(t *testing.T) {
 	t.Parallel()
-	c := startCore(t, 3, nil)
-	c.put(0, testmesh.NewOrder(1, 0, 1))
+	c := startCluster(t, 3, nil)
+	c.mustPut(0, testmesh.NewOrder(1, 0, 1))
 	base := int64(1)
 	for round := range 8 {
 		edition := base + 3
 		rivals := []*testmesh.Order{testmesh.NewOrder(10+2*round, base, edition), testmesh.NewOrder(11+2*round, base, edition)}
-		c.raceAt(rivals, func(n int) int { return (round + n) % 3 })
+		c.sendConcurrently(rivals, func(n int) int { return (round + n) % 3 })
 		var winner *testmesh.Order
-		for _, order := range rivals { // whatever the first answers were, the same again tells for each
+		for _, order := range rivals { // whatever the first answers were, repeating the order reveals its outcome
 			var outcome testmesh.Outcome
-			c.until(func() bool {
+			c.eventually(func() bool {
 				outcome = c.send((round+2)%3, order).Outcome()
 				return outcome != testmesh.OutcomeUnclear
 			})
@@ -60,28 +60,28 @@
 	}
 }
 
-func TestEightOrdersAtOnceHaveOneWinner(t *testing.T) { // not beside others: it measures times
-	c := startCoreInMemory(t)
-	c.put(0, testmesh.NewOrder(1, 0, 1))
+func TestOneOfEightConcurrentUpdatesWins(t *testing.T) { // not parallel, because it measures time
+	c := startInMemoryCluster(t)
+	c.mustPut(0, testmesh.NewOrder(1, 0, 1))
 	for round, at := range []func(int) int{
-		func(int) int { return 1 },       // all at one machine
-		func(n int) int { return n % 3 }, // spread
+		func(int) int { return 1 },       // all at one controller
+		func(n int) int { return n % 3 }, // distributed
 	} {
 		base, orders := int64(round+1), []*testmesh.Order(nil)
 		for n := range 8 {
 			orders = append(orders, testmesh.NewOrder(100*(round+1)+n, base, base+1))
 		}
 		confirmed := map[int]bool{}
-		for n, answer := range c.raceAt(orders, at) {
+		for n, answer := range c.sendConcurrently(orders, at) {
 			must.SliceContains(t, []int{200, 412, 503}, answer.Status, must.Sprint(answer))
-			must.Less(t, silence, answer.Took)
+			must.Less(t, callerTimeout, answer.Took)
 			if answer.Status == 200 {
 				confirmed[n] = true
 			}
 		}
 		must.LessEq(t, 1, len(confirmed))
 		for n, order := range orders {
-			c.until(func() bool {
+			c.eventually(func() bool {
 				outcome := c.send((at(n)+1)%3, order).Outcome()
 				if outcome == testmesh.OutcomeConfirmed {
 					confirmed[n] = true
@@ -93,15 +93,16 @@
 	}
 }
 
-// A hundred orders, one after the other; each is acknowledged again at every machine, across the loss of all processes, the
-// replacement of a core machine and a restore. With 64 remembered, those up to version 36 were refused.
-func TestAllOrdersOfADayAreAcknowledgedAgain(t *testing.T) {
+// Applies one hundred updates one after the other. Each must be confirmed again by every controller, also after a
+// restart of all processes, the replacement of a member, and a restore. With only 64 recorded changes, updates up to
+// version 36 were rejected.
+func TestRepeatedUpdatesAreConfirmedAfterRestartReplacementAndRestore(t *testing.T) {
 	t.Parallel()
-	c := startCore(t, 4, nil)
+	c := startCluster(t, 4, nil)
 	var orders []*testmesh.Order
 	for n := range 100 {
 		order := testmesh.NewOrder(n, int64(n), int64(n+1))
-		c.put(n%3, order)
+		c.mustPut(n%3, order)
 		orders = append(orders, order)
 	}
 	sample := []*testmesh.Order{orders[0], orders[35], orders[36], orders[99]}
@@ -115,9 +116,9 @@
 
 	c.stop(2)
 	c.start(3)
-	c.until(func() bool {
+	c.eventually(func() bool {
 		s := c.nodes[0].State()
-		return len(s.Core) == 3 && strings.Contains(membersText(s), c.host(3))
+		return len(s.Core) == 3 && strings.Contains(formatAddresses(s), c.host(3))
 	})
 	c.mustConfirm(sample...)
 
@@ -133,62 +134,65 @@
 	c.start(1)
 	c.mustConfirm(sample...)
 	c.mustFetch(history.Version{Edition: 100, Order: 99})
-	must.Eq(t, testmesh.OutcomeStale, c.send(1, testmesh.NewOrder(500, 7, 8)).Outcome()) // never applied, and ruled out
+	// Never applied, and ruled out by the record of applied changes.
+	must.Eq(t, testmesh.OutcomeStale, c.send(1, testmesh.NewOrder(500, 7, 8)).Outcome())
 }
 
-func membersText(s *consensus.State) string {
-	var all []string
-	for _, m := range s.Core {
-		all = append(all, m.At)
+func formatAddresses(state *consensus.State) string {
+	var addresses []string
+	for _, m := range state.Core {
+		addresses = append(addresses, m.At)
 	}
-	return strings.Join(all, " ")
+	return strings.Join(addresses, " ")
 }
 
-func TestAnOrderWhoseAnswerIsLostIsAcknowledgedAgain(t *testing.T) {
+func TestUpdateWithLostResponseIsConfirmedWhenRepeated(t *testing.T) {
 	t.Parallel()
-	c := startCore(t, 3, nil)
-	c.put(0, testmesh.NewOrder(1, 0, 1))
+	c := startCluster(t, 3, nil)
+	c.mustPut(0, testmesh.NewOrder(1, 0, 1))
 	for round, fault := range []testmesh.LinkFault{testmesh.LinkLostResponse, testmesh.LinkReset, testmesh.LinkLate} {
 		base := int64(round + 1)
 		order := testmesh.NewOrder(10+round, base, base+1)
 		c.links.Set(testmesh.OperatorHost, c.host(0), fault)
 		must.Eq(t, testmesh.OutcomeUnclear, c.send(0, order).Outcome())
 		c.links.Heal()
-		c.until(func() bool { return c.nodes[1].State().Edition == order.Edition }) // it has been applied
+		c.eventually(func() bool { return c.nodes[1].State().Edition == order.Edition }) // it has been applied
 		c.mustConfirm(order)
 	}
 }
 
-func TestABadOrderIsRefusedEachTime(t *testing.T) {
+func TestInvalidUpdateIsRejectedEachTime(t *testing.T) {
 	t.Parallel()
-	c := startCore(t, 3, nil)
-	c.put(0, testmesh.NewOrder(1, 0, 4))
+	c := startCluster(t, 3, nil)
+	c.mustPut(0, testmesh.NewOrder(1, 0, 4))
 	bad := testmesh.NewOrder(2, 4, 6)
 	bad.Body = strings.ReplaceAll(bad.Body, `"DeliveryTries":2`, `"DeliveryTries":0`)
 	notAbove := testmesh.NewOrder(3, 4, 4)
 	for _, next := range []*testmesh.Order{nil, testmesh.NewOrder(4, 4, 5)} {
 		if next != nil {
-			c.put(1, next)
+			c.mustPut(1, next)
 		}
 		for at := range 3 {
 			for range 2 {
 				must.Eq(t, testmesh.OutcomeInvalid, c.send(at, bad).Outcome())
-				must.SliceContains(t, []testmesh.Outcome{testmesh.OutcomeInvalid, testmesh.OutcomeStale}, c.send(at, notAbove).Outcome())
+				must.SliceContains(t, []testmesh.Outcome{testmesh.OutcomeInvalid, testmesh.OutcomeStale},
+					c.send(at, notAbove).Outcome())
 			}
 		}
 	}
 	c.mustFetch(history.Version{Edition: 5, Order: 4})
 }
 
-// The proposer is gone after its accepts were taken and before anybody heard of a decision: another process settles the
-// order, and the same again is confirmed; or, where no other took it, any one outcome holds for good.
-func TestAnOrderInDoubtIsSettledWhenItsProposerDies(t *testing.T) {
+// The proposer fails after other members have accepted its proposal and before any of them learns a decision. Another
+// controller must settle the update, and a repetition must be confirmed. If no other member has accepted the
+// proposal, either outcome is allowed, but it must be final.
+func TestInDoubtUpdateIsSettledAfterProposerFails(t *testing.T) {
 	t.Parallel()
 	for name, reached := range map[string]int{"accepted by all": 2, "accepted by one other": 1, "accepted by no other": 0} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			c := startCore(t, 3, nil)
-			c.put(0, testmesh.NewOrder(1, 0, 1))
+			c := startCluster(t, 3, nil)
+			c.mustPut(0, testmesh.NewOrder(1, 0, 1))
 			for n := 1; n < 3; n++ {
 				fault := testmesh.LinkSilent
 				if n <= reached {
@@ -198,14 +202,14 @@
 				c.learns.Set(c.host(0), c.host(n), testmesh.LinkSilent)
 			}
 			order := testmesh.NewOrder(2, 1, 2)
-			went := make(chan testmesh.Answer)
-			go func() { went <- c.send(0, order) }()
+			answered := make(chan testmesh.Answer)
+			go func() { answered <- c.send(0, order) }()
 			time.Sleep(200 * time.Millisecond)
-			c.cutOff(0)
-			must.Eq(t, testmesh.OutcomeUnclear, (<-went).Outcome())
+			c.isolate(0)
+			must.Eq(t, testmesh.OutcomeUnclear, (<-answered).Outcome())
 			c.stop(0)
 			c.heal()
-			c.put(1, order)
+			c.mustPut(1, order)
 			c.mustConfirm(order)
 			c.start(0)
 			c.mustConfirm(order)
@@ -214,17 +218,17 @@
 	}
 }
 
-// Accepts and learns that arrive a second late, after others have gone on, change nothing.
-func TestLateMessagesChangeNothing(t *testing.T) {
+// Accept and Learn messages that arrive 1.2 s late, after other updates have been decided, must have no effect.
+func TestDelayedMessagesHaveNoEffect(t *testing.T) {
 	t.Parallel()
-	for name, late := range map[string]func(*core) *testmesh.Links{
-		"accepts": func(c *core) *testmesh.Links { return &c.accepts },
-		"learns":  func(c *core) *testmesh.Links { return &c.learns },
+	for name, late := range map[string]func(*cluster) *testmesh.Links{
+		"accepts": func(c *cluster) *testmesh.Links { return &c.accepts },
+		"learns":  func(c *cluster) *testmesh.Links { return &c.learns },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			c := startCore(t, 3, nil)
-			c.put(0, testmesh.NewOrder(1, 0, 1))
+			c := startCluster(t, 3, nil)
+			c.mustPut(0, testmesh.NewOrder(1, 0, 1))
 			for n := 1; n < 3; n++ {
 				late(c).Set(c.host(0), c.host(n), testmesh.LinkLate)
 				late(c).SetDelay(c.host(0), c.host(n), 1200*time.Millisecond)
@@ -232,14 +236,14 @@
 			delayed := testmesh.NewOrder(2, 1, 2)
 			c.send(0, delayed)
 			outcome := testmesh.OutcomeUnclear
-			c.until(func() bool { // the same again at another machine
+			c.eventually(func() bool { // repeated at another controller
 				outcome = c.send(1, delayed).Outcome()
 				return outcome != testmesh.OutcomeUnclear
 			})
 			must.Eq(t, testmesh.OutcomeConfirmed, outcome)
 			rest := []*testmesh.Order{testmesh.NewOrder(3, 2, 3), testmesh.NewOrder(4, 3, 4)}
-			c.put(1, rest[0])
-			c.put(2, rest[1])
+			c.mustPut(1, rest[0])
+			c.mustPut(2, rest[1])
 			time.Sleep(1300 * time.Millisecond)
 			c.heal()
 			c.mustFetch(history.Version{Edition: 4, Order: 4})
@@ -248,28 +252,28 @@
 	}
 }
 
-// Eight orders queue at a machine that is cut off, or whose disk stands still: each is answered within its caller's second,
-// and none is refused.
-func TestOrdersThatQueueAreAnsweredWithinASecond(t *testing.T) { // not beside others: it measures times
-	c := startCoreInMemory(t)
-	c.put(0, testmesh.NewOrder(1, 0, 1))
+// Eight updates queue at an isolated controller, or at one whose disk hangs. Each must be answered within the
+// caller's timeout of one second. An isolated controller must not reject any of them.
+func TestQueuedUpdatesAreAnsweredWithinASecond(t *testing.T) { // not parallel, because it measures time
+	c := startInMemoryCluster(t)
+	c.mustPut(0, testmesh.NewOrder(1, 0, 1))
 	var orders []*testmesh.Order
 	for n := range 8 {
 		orders = append(orders, testmesh.NewOrder(10+n, 1, int64(2+n%2)))
 	}
-	c.cutOff(0)
+	c.isolate(0)
 	longest := time.Duration(0)
-	for range 2 { // and once more, while nothing of the first eight is left in the queue
-		for _, answer := range c.raceAt(orders, func(int) int { return 0 }) {
+	for range 2 { // the second round must not find leftovers of the first one in the queue
+		for _, answer := range c.sendConcurrently(orders, func(int) int { return 0 }) {
 			must.Eq(t, 503, answer.Status, must.Sprint(answer))
-			must.Less(t, silence, answer.Took)
+			must.Less(t, callerTimeout, answer.Took)
 			longest = max(longest, answer.Took)
 		}
-		must.Zero(t, c.nodes[0].ChangesWaiting())
+		must.Zero(t, c.nodes[0].QueuedChanges())
 	}
-	t.Logf("cut off: the last of eight is answered after %v", longest)
+	t.Logf("isolated controller: last of eight answers after %v", longest)
 	c.heal()
-	c.until(func() bool { return c.send(0, orders[0]).Outcome() != testmesh.OutcomeUnclear })
+	c.eventually(func() bool { return c.send(0, orders[0]).Outcome() != testmesh.OutcomeUnclear })
 
 	c.nodes[0].disk.Stall()
 	defer c.nodes[0].disk.Resume()
@@ -280,23 +284,23 @@
 	}
 	confirmed := 0
 	longest = 0
-	for _, answer := range c.raceAt(orders, func(int) int { return 0 }) {
+	for _, answer := range c.sendConcurrently(orders, func(int) int { return 0 }) {
 		must.SliceContains(t, []int{200, 412, 503}, answer.Status, must.Sprint(answer))
-		must.Less(t, silence, answer.Took)
+		must.Less(t, callerTimeout, answer.Took)
 		longest = max(longest, answer.Took)
 		if answer.Status == 200 {
 			confirmed++
 		}
 	}
 	must.LessEq(t, 1, confirmed)
-	t.Logf("the disk stands still: %d confirmed, the last of eight is answered after %v", confirmed, longest)
+	t.Logf("stalled disk: %d confirmed, last of eight answers after %v", confirmed, longest)
 }
 
-// A repair of the core does not wait for orders that queue at its process, even where none of them can end.
-func TestARepairOfTheCoreOvertakesOrders(t *testing.T) { // not beside others: it measures times
-	c := startCoreInMemory(t)
-	c.put(0, testmesh.NewOrder(1, 0, 1))
-	c.cutOff(0)
+// A membership change must not wait for updates that are queued at its controller, even if none of them can complete.
+func TestMembershipChangePrecedesQueuedUpdates(t *testing.T) { // not parallel, because it measures time
+	c := startInMemoryCluster(t)
+	c.mustPut(0, testmesh.NewOrder(1, 0, 1))
+	c.isolate(0)
 	answered := make(chan struct{})
 	go func() {
 		defer close(answered)
@@ -305,24 +309,25 @@
 		}
 	}()
 	<-answered
-	c.until(func() bool { return c.nodes[0].ChangesWaiting() >= 6 })
+	c.eventually(func() bool { return c.nodes[0].QueuedChanges() >= 6 })
 	c.heal()
-	ctx, end := context.WithTimeout(t.Context(), 2*time.Second)
-	defer end()
+	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
+	defer cancel()
 	began := time.Now()
 	must.NoError(t, c.nodes[0].ChangeMembership(ctx, func(*consensus.State) (*consensus.State, error) { return nil, nil }))
-	t.Logf("beside eight orders a repair took %v", time.Since(began))
+	t.Logf("with eight queued updates, the membership change took %v", time.Since(began))
 	must.Less(t, 500*time.Millisecond, time.Since(began))
 }
 
-// With one of three members silent, the two others promise against one another when orders race: whoever is refused must try
-// again, and not wait for the silent one; and not so soon that neither gets through, however slow the disks are.
-func TestRacingOrdersAreAnsweredWhileAMemberIsSilent(t *testing.T) { // not beside others: it measures times
+// If one of three members is silent, concurrent updates make the other two promise to competing proposers. A refused
+// proposer must retry without waiting for the silent member, but not so early that no proposer succeeds, however slow
+// the disks are.
+func TestConcurrentUpdatesAreAnsweredWhileAMemberIsSilent(t *testing.T) { // not parallel, because it measures time
 	for _, sync := range []time.Duration{0, 30 * time.Millisecond, 60 * time.Millisecond} {
 		t.Run(sync.String(), func(t *testing.T) {
-			c := startCoreInMemory(t)
-			c.put(0, testmesh.NewOrder(1, 0, 1))
-			c.cutOff(2)
+			c := startInMemoryCluster(t)
+			c.mustPut(0, testmesh.NewOrder(1, 0, 1))
+			c.isolate(2)
 			c.nodes[0].disk.Slow(sync)
 			c.nodes[1].disk.Slow(sync)
 			base, unclear := int64(1), 0
@@ -331,31 +336,33 @@
 				for n := range 8 {
 					orders = append(orders, testmesh.NewOrder(100*(round+1)+n, base, base+1))
 				}
-				for _, answer := range c.raceAt(orders, func(n int) int { return n % 2 }) {
+				for _, answer := range c.sendConcurrently(orders, func(n int) int { return n % 2 }) {
 					if answer.Outcome() == testmesh.OutcomeUnclear {
 						unclear++
 					}
 				}
-				c.until(func() bool {
+				c.eventually(func() bool {
 					newest, known := fetch(t.Context(), c.operator, 0)
 					base = newest.Edition
 					return known
 				})
 			}
-			t.Logf("%d of 48 orders had no clear answer at their first try, version %d is in force", unclear, base)
+			t.Logf("%d of 48 updates had an unclear outcome at the first attempt; version %d is current", unclear, base)
 			must.LessEq(t, 5, unclear)
 		})
 	}
 }
 
-// A change that can't tell by the state whether it was made is not made twice where the answers to its accepts are lost.
-func TestAGrantOfCreditIsMadeOnce(t *testing.T) {
+// A change that cannot tell from the state whether it was applied must not be applied twice if the responses to its
+// accept requests are lost.
+func TestCreditGrantIsAppliedOnce(t *testing.T) {
 	t.Parallel()
-	for name, fault := range map[string]testmesh.LinkFault{"reset": testmesh.LinkReset, "lost": testmesh.LinkLostResponse, "late": testmesh.LinkLate} {
+	for name, fault := range map[string]testmesh.LinkFault{"reset": testmesh.LinkReset,
+		"lost": testmesh.LinkLostResponse, "late": testmesh.LinkLate} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			c := startCore(t, 3, nil)
-			c.put(0, testmesh.NewOrder(1, 0, 1))
+			c := startCluster(t, 3, nil)
+			c.mustPut(0, testmesh.NewOrder(1, 0, 1))
 			caller := rpc.NewCaller(nil)
 			defer caller.Close()
 			granted := 0.0
@@ -364,17 +371,18 @@
 				c.accepts.Set(c.host(0), c.host(2), fault)
 				heal := time.AfterFunc(time.Duration(n*60)*time.Millisecond, c.accepts.Heal)
 				grant := &controller.Order{Tenant: "acme", Tokens: 100, Who: "operator", Why: "test"}
-				err := caller.Call(t.Context(), c.nodes[0].settings.Inner(), rpc.PathCreditOrder, grant, &burstcredit.AccountStatus{})
+				err := caller.Call(t.Context(), c.nodes[0].settings.Inner(), rpc.PathCreditOrder, grant,
+					&burstcredit.AccountStatus{})
 				heal.Stop()
 				c.heal()
-				c.mustFetch(history.Version{Edition: 1, Order: 1}) // whatever stood undecided is settled
-				account, readErr := controller.Account(c.nodes[0].State().Credit, "acme")
+				c.mustFetch(history.Version{Edition: 1, Order: 1}) // this read settles pending values
+				account, readErr := controller.FindAccount(c.nodes[0].State().Credit, "acme")
 				must.NoError(t, readErr)
-				made := account.Balance - granted
+				applied := account.Balance - granted
 				if err == nil {
-					must.Eq(t, 100, made)
+					must.Eq(t, 100, applied)
 				} else {
-					must.SliceContains(t, []float64{0, 100}, made, must.Sprint(err))
+					must.SliceContains(t, []float64{0, 100}, applied, must.Sprint(err))
 				}
 				granted = account.Balance
 			}
--- a/internal/mesh/controller/watch.go
+++ b/internal/mesh/controller/watch.go
@@ -9,51 +9,52 @@
 	"ottershift/internal/mesh/membership"
 )
 
-// notifyWatchers wakes who waits for news of the registry. Under mu.
+// notifyWatchers wakes all watches that wait for changes of the registry. c.mu must be held.
 func (c *Controller) notifyWatchers() {
-	close(c.changed)
-	c.changed = make(chan struct{})
+	close(c.registryChanged)
+	c.registryChanged = make(chan struct{})
 }
 
-// handleWatch renews a balancer's lease and answers once there is news, or when its wait is over.
-func (c *Controller) handleWatch(ctx context.Context, a *membership.WatchRequest) (*membership.WatchResponse, error) {
+// handleWatch renews a proxy's lease and answers when something has changed or the maximum wait is over.
+func (c *Controller) handleWatch(ctx context.Context, request *membership.WatchRequest) (*membership.WatchResponse, error) {
 	c.counts.Add("asks")
-	c.observeNode(a.Node)
-	until := time.NewTimer(time.Duration(a.MaxWait))
-	defer until.Stop()
+	c.observeNode(request.Node)
+	timeout := time.NewTimer(time.Duration(request.MaxWait))
+	defer timeout.Stop()
 	for {
-		s, decided := c.replicator.state()
+		state, decided := c.replicator.knownState()
 		c.mu.Lock()
-		told := c.changed
-		there := a.Position.Controller == c.life && a.Position.Seq == c.registry.Seq()
+		changed := c.registryChanged
+		upToDate := request.Position.Controller == c.incarnation && request.Position.Seq == c.registry.Seq()
 		c.mu.Unlock()
-		if !there || s.Index > a.Position.Index || !c.replicator.confirms(s) {
-			return c.watchResponse(a), nil
+		if !upToDate || state.Index > request.Position.Index || !c.replicator.isCurrent(state) {
+			return c.buildWatchResponse(request), nil
 		}
 		select {
 		case <-decided:
-		case <-told:
-			select { // what changes together is told together
+		case <-changed:
+			select { // collects changes that occur together into one response
 			case <-time.After(15 * time.Millisecond):
 			case <-ctx.Done():
 			}
-		case <-until.C:
-			return c.watchResponse(a), nil
+		case <-timeout.C:
+			return c.buildWatchResponse(request), nil
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
 	}
 }
 
-// observeNode takes a balancer's word about itself; where that is news, others hear of it now, not at the next turn.
+// observeNode records a proxy's description of itself. If it has changed, the maintenance loop is woken to spread it
+// at once.
 func (c *Controller) observeNode(node membership.Node) {
 	c.mu.Lock()
-	news := c.registry.Observe(node, 0, c.now(), true)
-	if news {
+	changed := c.registry.Observe(node, 0, c.now(), true)
+	if changed {
 		c.notifyWatchers()
 	}
 	c.mu.Unlock()
-	if !news {
+	if !changed {
 		return
 	}
 	select {
@@ -62,42 +63,43 @@
 	}
 }
 
-// watchResponse is what a balancer has not got yet. Invariant: the lease is looked at last, and for the very state that is told:
-// time may pass while the rest is put together, and a later state may be learned and confirmed meanwhile.
-func (c *Controller) watchResponse(a *membership.WatchRequest) *membership.WatchResponse {
-	s, _ := c.replicator.state()
-	out := &membership.WatchResponse{Position: membership.Position{Controller: c.life, Index: s.Index, Edition: s.Edition}, Members: s.Members}
-	out.Starting, out.Coordinator, out.Epoch = c.now() < membership.Lease, s.Coordinator.At, s.Epoch
-	c.addConfiguration(out, a, s)
-	imports := c.imports(s)
-	if imports.No > 0 {
-		c.recordImportsInUse(a.Node.Name, a.Position.Imports)
-		out.ImportsNo, out.Ages = imports.No, c.confirmationAges()
-		if a.Position.Imports != imports.No {
-			out.Imports = s.Imports
+// buildWatchResponse returns what a proxy has not received yet. The lease is checked last, and for the state in the
+// response: building the rest takes time, in which a later state may be learned and confirmed.
+func (c *Controller) buildWatchResponse(request *membership.WatchRequest) *membership.WatchResponse {
+	state, _ := c.replicator.knownState()
+	response := &membership.WatchResponse{Position: membership.Position{Controller: c.incarnation,
+		Index: state.Index, Edition: state.Edition}, Members: state.Members}
+	response.Starting, response.Coordinator, response.Epoch = c.now() < membership.Lease, state.Coordinator.At, state.Epoch
+	c.addConfiguration(response, request, state)
+	importBook := c.importBook(state)
+	if importBook.No > 0 {
+		c.recordImportsInUse(request.Node.Name, request.Position.Imports)
+		response.ImportsNo, response.Ages = importBook.No, c.confirmationAges()
+		if request.Position.Imports != importBook.No {
+			response.Imports = state.Imports
 		}
 	}
-	c.addRegistry(out, a)
-	out.Current = c.replicator.confirms(s)
-	out.Calm = out.Current && imports.No > 0
-	return out
+	c.addRegistry(response, request)
+	response.Current = c.replicator.isCurrent(state)
+	response.Calm = response.Current && importBook.No > 0
+	return response
 }
 
-// addRegistry adds the nodes and controllers that a balancer has not been told of yet.
-func (c *Controller) addRegistry(out *membership.WatchResponse, a *membership.WatchRequest) {
+// addRegistry adds the nodes and controllers that a proxy has not received yet.
+func (c *Controller) addRegistry(response *membership.WatchResponse, a *membership.WatchRequest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	seq := a.Position.Seq
-	if a.Position.Controller != c.life {
+	if a.Position.Controller != c.incarnation {
 		seq = 0
 	}
-	out.Nodes, out.Gone, out.Whole = c.registry.ChangesSince(seq, c.now())
-	out.Seq = c.registry.Seq()
-	out.Controllers = []membership.ControllerAddress{{At: c.settings.Inner(), Zone: c.settings.District}}
-	for at, h := range c.peers {
-		if c.now()-c.lastHeard[at] < int64(peerTimeout) && c.lastHeard[at] > 0 {
-			out.Controllers = append(out.Controllers, membership.ControllerAddress{At: at, Zone: h.Zone})
+	response.Nodes, response.Gone, response.Whole = c.registry.ChangesSince(seq, c.now())
+	response.Seq = c.registry.Seq()
+	response.Controllers = []membership.ControllerAddress{{At: c.settings.Inner(), Zone: c.settings.District}}
+	for address, peer := range c.peers {
+		if c.now()-c.lastHeard[address] < int64(peerTimeout) && c.lastHeard[address] > 0 {
+			response.Controllers = append(response.Controllers, membership.ControllerAddress{At: address, Zone: peer.Zone})
 		}
 	}
-	slices.SortFunc(out.Controllers[1:], func(a, b membership.ControllerAddress) int { return strings.Compare(a.At, b.At) })
+	slices.SortFunc(response.Controllers[1:], func(a, b membership.ControllerAddress) int { return strings.Compare(a.At, b.At) })
 }
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -359,7 +359,7 @@
 	account := func() *burstcredit.AccountStatus {
 		s := &controller.Status{}
 		must.NoError(t, c.Call(context.Background(), at, rpc.PathStatus, &controller.StatusRequest{}, s))
-		a, err := controller.Account(s.State.Credit, "acme")
+		a, err := controller.FindAccount(s.State.Credit, "acme")
 		must.NoError(t, err)
 		return a
 	}
--- a/internal/mesh/meshctl/partners.go
+++ b/internal/mesh/meshctl/partners.go
@@ -30,7 +30,7 @@
 		return Error.Wrap(err)
 	}
 	if k.json {
-		return k.raw(map[string]any{"Book": book, "Ages": s.Ages, "Faults": s.Faults, "Doors": s.Doors})
+		return k.raw(map[string]any{"Book": book, "Ages": s.ConfirmationAges, "Faults": s.PartnerErrors, "Doors": s.ImportsInUse})
 	}
 	k.seen(s)
 	err = k.table("PARTNER\tEDITION\tEXPORTS\tSTATE\tCONFIRMED\tFAULT", func(w io.Writer) {
@@ -49,22 +49,22 @@
 				state = fmt.Sprintf("narrows, done up to edition %d", i.Told)
 			}
 			age := "never"
-			if a, is := s.Ages[name]; is {
+			if a, is := s.ConfirmationAges[name]; is {
 				age = ago(time.Duration(a))
 			}
-			fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%s\t%s\n", name, edition, exports, state, age, s.Faults[name])
+			fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%s\t%s\n", name, edition, exports, state, age, s.PartnerErrors[name])
 		}
 	})
 	if err != nil {
 		return err
 	}
 	behind := 0
-	for _, no := range s.Doors {
+	for _, no := range s.ImportsInUse {
 		if no < book.No {
 			behind++
 		}
 	}
-	fmt.Fprintf(k.out, "%d of the balancers that ask %s act on word %d, %d on an earlier one\n", len(s.Doors)-behind, s.Node, book.No, behind)
+	fmt.Fprintf(k.out, "%d of the balancers that ask %s act on word %d, %d on an earlier one\n", len(s.ImportsInUse)-behind, s.Node, book.No, behind)
 	t, err := routing.Load(s.State.Configuration)
 	if err != nil {
 		return nil
--- a/internal/mesh/simulation/processes/start.go
+++ b/internal/mesh/simulation/processes/start.go
@@ -175,7 +175,7 @@
 	for _, b := range w.plan.Controllers {
 		s := &controller.Status{}
 		if last = c.Call(ctx, b.Inner(), rpc.PathStatus, controller.StatusRequest{Newest: true}, s); last == nil {
-			return controller.Account(s.State.Credit, tenant)
+			return controller.FindAccount(s.State.Credit, tenant)
 		}
 	}
 	return nil, last
