--- a/internal/httpwire/sockets.go
+++ b/internal/httpwire/sockets.go
@@ -71,10 +71,10 @@
 	c.idle, c.moved = now == http.StateIdle, time.Now()
 	switch now {
 	case http.StateActive:
-		c.guard.Begin(c.TCPConn)
+		c.guard.MarkActive(c.TCPConn)
 	case http.StateIdle:
 		c.head.next()
-		c.guard.Rest()
+		c.guard.MarkIdle()
 	}
 	switch {
 	case now == http.StateClosed || now == http.StateHijacked:
@@ -299,7 +299,7 @@
 	}
 	s.mu.Unlock()
 	for _, c := range idle {
-		c.guard.EndIfIdle(c.TCPConn)
+		c.guard.CloseIfIdle(c.TCPConn)
 	}
 }
 
@@ -315,7 +315,7 @@
 	}
 	s.mu.Unlock()
 	for _, c := range idle {
-		if !c.guard.EndIfIdle(c.TCPConn) && all && now.Sub(time.Unix(0, c.heard.Load())) >= stuckFor {
+		if !c.guard.CloseIfIdle(c.TCPConn) && all && now.Sub(time.Unix(0, c.heard.Load())) >= stuckFor {
 			c.Close()
 		}
 	}
--- a/internal/keptconn/keptconn.go
+++ b/internal/keptconn/keptconn.go
@@ -19,15 +19,15 @@
 	"ottershift/internal/rawconn"
 )
 
-// past is a deadline that ends a read at once.
-var past = time.Unix(1, 0)
+// pastDeadline is a deadline that ends a read at once.
+var pastDeadline = time.Unix(1, 0)
 
 // Guard says whether a connection may end. It is told of requests by its connection's reads and by the server's word of its state. Its
 // zero value is that of a connection on which nothing has come yet.
 type Guard struct {
 	mu       sync.Mutex
 	active   bool      // a request is on the connection, or the first bytes of one
-	ending   bool      // its reader has been woken to end it, unless a request has come
+	closing  bool      // its reader has been woken to end it, unless a request has come
 	deadline time.Time // of reads, as the server set it
 }
 
@@ -36,39 +36,39 @@
 	for {
 		n, err := conn.Read(b)
 		if n > 0 {
-			g.Begin(conn)
+			g.MarkActive(conn)
 			return n, err
 		}
-		if !g.woken(err) {
+		if !g.wokenToClose(err) {
 			return n, err
 		}
 		if unread, _ := Peek(conn); !unread {
 			return 0, io.EOF
 		}
-		g.Begin(conn) // a request has come meanwhile: it is served
+		g.MarkActive(conn) // a request has come meanwhile: it is served
 	}
 }
 
-// woken reports whether a read has ended for its connection to be closed.
-func (g *Guard) woken(err error) bool {
+// wokenToClose reports whether a read has ended for its connection to be closed.
+func (g *Guard) wokenToClose(err error) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.ending && errors.Is(err, os.ErrDeadlineExceeded)
+	return g.closing && errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// Begin notes that a request is on the connection, which does not end under it.
-func (g *Guard) Begin(conn net.Conn) {
+// MarkActive notes that a request is on the connection, which does not end under it.
+func (g *Guard) MarkActive(conn net.Conn) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.active = true
-	if g.ending {
-		g.ending = false
+	if g.closing {
+		g.closing = false
 		conn.SetReadDeadline(g.deadline)
 	}
 }
 
-// Rest notes that the last request has been answered.
-func (g *Guard) Rest() {
+// MarkIdle notes that the last request has been answered.
+func (g *Guard) MarkIdle() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.active = false
@@ -81,15 +81,15 @@
 	return g.active
 }
 
-// EndIfIdle has the connection's own goroutine close it, unless a request is on it, and reports whether it does.
-func (g *Guard) EndIfIdle(conn net.Conn) bool {
+// CloseIfIdle has the connection's own goroutine close it, unless a request is on it, and reports whether it does.
+func (g *Guard) CloseIfIdle(conn net.Conn) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.active || g.ending {
-		return g.ending
+	if g.active || g.closing {
+		return g.closing
 	}
-	g.ending = true
-	conn.SetReadDeadline(past)
+	g.closing = true
+	conn.SetReadDeadline(pastDeadline)
 	return true
 }
 
@@ -98,7 +98,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.deadline = t
-	if g.ending {
+	if g.closing {
 		return nil
 	}
 	return conn.SetReadDeadline(t)
--- a/internal/mesh/answers_test.go
+++ b/internal/mesh/answers_test.go
@@ -90,7 +90,7 @@
 		upstreams:  1,
 		called:     2,
 		startProxy: (*mesh).proxy,
-		upstreamAt: func(b *settings.Settings) string { return b.App },
+		upstreamAt: func(b *settings.Settings) string { return b.UpstreamAddress },
 	}
 }
 
@@ -108,7 +108,7 @@
 	}
 	a := &answersMesh{mesh: m, classOf: map[string]requestClass{}}
 	for n, b := range plan.Proxies[1:] {
-		u, err := testmesh.NewUpstream(fmt.Sprintf("i-%d", n), b.Destination, p.upstreamAt(b), b.Control, 8, p.work, smallAnswer)
+		u, err := testmesh.NewUpstream(fmt.Sprintf("i-%d", n), b.Service, p.upstreamAt(b), b.ControlAddress, 8, p.work, smallAnswer)
 		must.NoError(t, err)
 		u.SetSize("/stream/", streamAnswer)
 		m.apps = append(m.apps, u)
@@ -196,7 +196,7 @@
 	a.ids++
 	t := told{id: fmt.Sprintf("a%d", a.ids)}
 	a.classOf[t.id] = class
-	r, err := http.NewRequest(class.method, "http://"+a.plan.Proxies[at].Outbound+class.path, body)
+	r, err := http.NewRequest(class.method, "http://"+a.plan.Proxies[at].OutboundAddress+class.path, body)
 	must.NoError(a.t, err)
 	r.Host = "a.example"
 	r.Header = http.Header{"X-Attempt-Id": {t.id}, "X-Time-Left-Ms": {fmt.Sprint(left.Milliseconds())}}
@@ -386,24 +386,24 @@
 func peerPlan() answersPlan {
 	p := defaultAnswersPlan()
 	p.called = 1
-	p.upstreamAt = func(b *settings.Settings) string { return b.Inbound }
+	p.upstreamAt = func(b *settings.Settings) string { return b.InboundAddress }
 	p.startProxy = func(m *mesh, b *settings.Settings) {
 		if b != m.plan.Proxies[1] {
 			m.proxy(b)
 			return
 		}
-		m.run(b.Node, func(ctx context.Context) error { return keepLease(ctx, m.plan.Controllers[0].Inner(), b) })
+		m.run(b.Node, func(ctx context.Context) error { return keepLease(ctx, m.plan.Controllers[0].InternalAddress(), b) })
 	}
 	return p
 }
 
 // keepLease tells the core of a proxy and the upstream i-0 beside it, again and again.
 func keepLease(ctx context.Context, controller string, b *settings.Settings) error {
-	caller := rpc.NewCaller(nil)
+	caller := rpc.NewClient(nil)
 	defer caller.Close()
 	request := &membership.WatchRequest{Node: membership.Node{
-		Name: b.Node, Inbound: b.Inbound, District: b.District, Life: "life", Seq: 1,
-		Upstream: &membership.Upstream{ID: "i-0", Service: b.Destination, Edition: "v1", Capacity: 8},
+		Name: b.Node, Inbound: b.InboundAddress, District: b.Zone, Life: "life", Seq: 1,
+		Upstream: &membership.Upstream{ID: "i-0", Service: b.Service, Edition: "v1", Capacity: 8},
 	}}
 	for ctx.Err() == nil {
 		call, end := context.WithTimeout(ctx, time.Second)
@@ -477,7 +477,7 @@
 	o := &outcome{told: map[string]int{}}
 	for n := range 5 {
 		a.apps[n].Stop()
-		next, err := testmesh.NewUpstream(fmt.Sprintf("i-next-%d", n), b.Destination, b.App, b.Control, 8, 0, smallAnswer)
+		next, err := testmesh.NewUpstream(fmt.Sprintf("i-next-%d", n), b.Service, b.UpstreamAddress, b.ControlAddress, 8, 0, smallAnswer)
 		must.NoError(t, err)
 		a.apps = append(a.apps, next)
 		for at := range 40 {
--- a/internal/mesh/balancer_faults_test.go
+++ b/internal/mesh/balancer_faults_test.go
@@ -61,7 +61,7 @@
 // listens waits until other balancers can connect.
 func (p *proxyProcess) listens() {
 	must.Wait(p.t, wait.InitialSuccess(wait.Timeout(5*time.Second), wait.Gap(time.Millisecond), wait.ErrorFunc(func() error {
-		conn, err := net.Dial("tcp4", p.settings.Inbound)
+		conn, err := net.Dial("tcp4", p.settings.InboundAddress)
 		if err == nil {
 			conn.Close()
 		}
--- a/internal/mesh/catch_up_test.go
+++ b/internal/mesh/catch_up_test.go
@@ -34,7 +34,7 @@
 	plan    *testmesh.Mesh
 	links   testmesh.Links
 	meter   testmesh.Meter
-	caller  *rpc.Caller
+	caller  *rpc.Client
 	disks   []*testmesh.Disk
 	stops   []func()
 	edition atomic.Int64 // the newest that was acknowledged
@@ -44,7 +44,7 @@
 func startCatchUpCore(t *testing.T, routes int) *catchUpCore {
 	plan, err := testmesh.Plan(3, 0, []string{"east", "west", "north"}, nil, t.TempDir())
 	must.NoError(t, err)
-	c := &catchUpCore{t: t, plan: plan, caller: rpc.NewCaller(nil), disks: make([]*testmesh.Disk, 3), stops: make([]func(), 3), routes: routes}
+	c := &catchUpCore{t: t, plan: plan, caller: rpc.NewClient(nil), disks: make([]*testmesh.Disk, 3), stops: make([]func(), 3), routes: routes}
 	t.Cleanup(func() {
 		c.caller.Close()
 		for n := range c.stops {
@@ -67,7 +67,7 @@
 func (c *catchUpCore) start(n int, slower time.Duration) {
 	b := c.plan.Controllers[n]
 	must.NoError(c.t, os.MkdirAll(b.DataDir, 0o755))
-	faulty := c.links.Transport(b.Ip)
+	faulty := c.links.Transport(b.IP)
 	opened, err := controller.Open(b, quiet,
 		controller.WithTransport(func(next http.RoundTripper) http.RoundTripper { return c.meter.Transport(faulty(next)) }),
 		controller.WithDisk(func(next controller.Disk) controller.Disk {
@@ -89,7 +89,7 @@
 }
 
 func (c *catchUpCore) call(at int, call string, match int64, body string) (int, string) {
-	url := "http://" + c.plan.Controllers[at].Control + "/-/rpc?call=" + call
+	url := "http://" + c.plan.Controllers[at].ControlAddress + "/-/rpc?call=" + call
 	r, err := http.NewRequest(http.MethodPost, url, strings.NewReader(body))
 	must.NoError(c.t, err)
 	r.Header.Set("If-Match", strconv.FormatInt(match, 10))
@@ -125,7 +125,7 @@
 	ctx, end := context.WithTimeout(context.Background(), time.Second)
 	defer end()
 	s := &controller.Status{}
-	err := c.caller.Call(ctx, c.plan.Controllers[at].Inner(), rpc.PathStatus, &controller.StatusRequest{}, s)
+	err := c.caller.Call(ctx, c.plan.Controllers[at].InternalAddress(), rpc.PathStatus, &controller.StatusRequest{}, s)
 	return s, err
 }
 
@@ -171,7 +171,7 @@
 // Its vote is another one than gone.
 func (c *catchUpCore) observe(n int, cutFor time.Duration, gone string) (o observation) {
 	began := time.Now()
-	self := c.plan.Controllers[n].Ip
+	self := c.plan.Controllers[n].IP
 	cut := cutFor > 0
 	for time.Since(began) < 20*time.Second {
 		if cut && time.Since(began) > cutFor {
@@ -217,7 +217,7 @@
 func (c *catchUpCore) cutOff(n int) {
 	for other, b := range c.plan.Controllers {
 		if other != n {
-			c.links.SetBoth(c.plan.Controllers[n].Ip, b.Ip, testmesh.LinkSilent)
+			c.links.SetBoth(c.plan.Controllers[n].IP, b.IP, testmesh.LinkSilent)
 		}
 	}
 }
@@ -258,7 +258,7 @@
 			if come.name == emptyDisk || come.name == oldCopy { // it comes back as a stranger
 				s, err := c.status(0)
 				must.NoError(t, err)
-				gone = identityAt(s.State.Core, c.plan.Controllers[member].Ip)
+				gone = identityAt(s.State.Core, c.plan.Controllers[member].IP)
 			}
 			come.prepare()
 			c.start(member, come.slower)
@@ -295,7 +295,7 @@
 			must.Wait(t, wait.InitialSuccess(wait.ErrorFunc(func() error { // its answer carries the whole configuration
 				ctx, end := context.WithTimeout(context.Background(), time.Second)
 				defer end()
-				return c.caller.Call(ctx, c.plan.Controllers[0].Inner(), rpc.PathWatch, &membership.WatchRequest{Node: node}, &membership.WatchResponse{})
+				return c.caller.Call(ctx, c.plan.Controllers[0].InternalAddress(), rpc.PathWatch, &membership.WatchRequest{Node: node}, &membership.WatchResponse{})
 			}), wait.Timeout(10*time.Second), wait.Gap(2*time.Millisecond)))
 			must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool {
 				s, err := c.status(0)
--- a/internal/mesh/changes_under_requests_test.go
+++ b/internal/mesh/changes_under_requests_test.go
@@ -65,7 +65,7 @@
 	t.Logf("answers under 59 changes: %v", counts)
 	must.Positive(t, counts[http.StatusOK])
 	must.Positive(t, counts[http.StatusNotFound])
-	figures, err := http.Get("http://" + m.plan.Proxies[0].Inner() + rpc.PathFigures)
+	figures, err := http.Get("http://" + m.plan.Proxies[0].InternalAddress() + rpc.PathMetrics)
 	must.NoError(t, err)
 	defer figures.Body.Close()
 	text, err := io.ReadAll(figures.Body)
--- a/internal/mesh/chunked_body_test.go
+++ b/internal/mesh/chunked_body_test.go
@@ -21,7 +21,7 @@
 	})
 	m.until(func() bool { status, _, _, _ := m.send(0, "GET", "/read/x"); return status == http.StatusOK })
 	const long = 1 << 20
-	r, err := http.NewRequest(http.MethodPost, "http://"+m.plan.Proxies[0].Outbound+"/read/x", io.LimitReader(endless{}, long))
+	r, err := http.NewRequest(http.MethodPost, "http://"+m.plan.Proxies[0].OutboundAddress+"/read/x", io.LimitReader(endless{}, long))
 	must.NoError(t, err)
 	r.ContentLength = -1
 	r.Host, r.Header = "a.example", http.Header{"X-Attempt-Id": {"long"}, "X-Time-Left-Ms": {"2000"}, "X-Key": {"k1"}}
@@ -42,7 +42,7 @@
 	m.put(1)
 	const long, left = 1 << 20, 2000
 	for n := range 8 { // at this machine and by way of the other
-		r, err := http.NewRequest(http.MethodPost, "http://"+m.plan.Proxies[0].Outbound+"/read/x", io.LimitReader(endless{}, long))
+		r, err := http.NewRequest(http.MethodPost, "http://"+m.plan.Proxies[0].OutboundAddress+"/read/x", io.LimitReader(endless{}, long))
 		must.NoError(t, err)
 		r.ContentLength = long
 		r.Host, r.Header = "a.example", http.Header{"X-Attempt-Id": {fmt.Sprint("long", n)}, "X-Time-Left-Ms": {fmt.Sprint(left)}, "X-Key": {"k1"}}
--- a/internal/mesh/controller/burst_credit.go
+++ b/internal/mesh/controller/burst_credit.go
@@ -36,14 +36,14 @@
 func (c *Controller) handleCreditReport(ctx context.Context, r *burstcredit.Report) (*burstcredit.Grant, error) {
 	s, _ := c.replicator.state()
 	if s.Coordinator.Life != c.life || !c.replicator.confirms(s) {
-		return nil, apierror.New(apierror.Unclear, "the duty is another's")
+		return nil, apierror.New(apierror.OutcomeUnknown, "the duty is another's")
 	}
 	t := &c.ledger
 	t.Lock()
 	c.recordCredit(s)
 	if c.now() < t.from {
 		t.Unlock()
-		return nil, apierror.New(apierror.Unclear, "the duty is new")
+		return nil, apierror.New(apierror.OutcomeUnknown, "the duty is new")
 	}
 	mine := slip{r, make(chan *burstcredit.Grant, 1)}
 	t.waiting = append(t.waiting, mine)
@@ -52,13 +52,13 @@
 		time.AfterFunc(gather, c.settle)
 	}
 	t.Unlock()
-	c.counts.Add("credit_reports")
+	c.counts.Increment("credit_reports")
 	select {
 	case g := <-mine.back:
 		if g != nil {
 			return g, nil
 		}
-		return nil, apierror.New(apierror.Unclear, "not settled: report it again")
+		return nil, apierror.New(apierror.OutcomeUnknown, "not settled: report it again")
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
@@ -116,11 +116,11 @@
 	_, err := c.replicator.change(ctx, c.otherControllers, func(newest *consensus.State) (*consensus.State, error) {
 		grants = nil
 		if newest.Epoch != reign || newest.Coordinator.Life != c.life { // a late doer does nothing
-			return nil, apierror.New(apierror.Unclear, "the duty is another's")
+			return nil, apierror.New(apierror.OutcomeUnknown, "the duty is another's")
 		}
 		table, err := c.parsedConfiguration(newest)
 		if err != nil || table == nil {
-			return nil, apierror.New(apierror.Unclear, "no configuration: %v", err)
+			return nil, apierror.New(apierror.OutcomeUnknown, "no configuration: %v", err)
 		}
 		terms := burstcredit.TermsOf(table)
 		return credit(newest, func(b *burstcredit.Ledger) {
@@ -131,7 +131,7 @@
 	})
 	if err != nil {
 		grants = nil
-		c.counts.Add("credit_unsettled")
+		c.counts.Increment("credit_unsettled")
 	}
 	for n := range slips {
 		var g *burstcredit.Grant
@@ -151,12 +151,12 @@
 func credit(s *consensus.State, do func(*burstcredit.Ledger)) (*consensus.State, error) {
 	b, err := burstcredit.Read(s.Credit)
 	if err != nil {
-		return nil, apierror.New(apierror.Unclear, "the accounts can't be read: %v", err)
+		return nil, apierror.New(apierror.OutcomeUnknown, "the accounts can't be read: %v", err)
 	}
 	do(b)
 	raw, err := b.Write()
 	if err != nil {
-		return nil, apierror.New(apierror.Unclear, "the accounts can't be written: %v", err)
+		return nil, apierror.New(apierror.OutcomeUnknown, "the accounts can't be written: %v", err)
 	}
 	return s.WithCredit(raw), nil
 }
@@ -171,7 +171,7 @@
 // ordered carries it out, by agreement.
 func (c *Controller) handleCreditOrder(ctx context.Context, o *Order) (*burstcredit.AccountStatus, error) {
 	if o.Tenant == "" || o.Who == "" || o.Why == "" {
-		return nil, apierror.New(apierror.Invalid, "a tenant, who orders it and why have to be said")
+		return nil, apierror.New(apierror.InvalidConfiguration, "a tenant, who orders it and why have to be said")
 	}
 	ctx, end := context.WithTimeout(ctx, answerTimeout)
 	defer end()
--- a/internal/mesh/controller/change.go
+++ b/internal/mesh/controller/change.go
@@ -10,8 +10,8 @@
 
 // Ends of a change of which nobody knows whether it counts.
 var (
-	errNoMajority = apierror.New(apierror.Unclear, "no majority of the core has agreed in time")
-	errInDoubt    = apierror.New(apierror.Unclear, "the core has gone on, and whether this change was decided is not known")
+	errNoMajority = apierror.New(apierror.OutcomeUnknown, "no majority of the core has agreed in time")
+	errInDoubt    = apierror.New(apierror.OutcomeUnknown, "the core has gone on, and whether this change was decided is not known")
 )
 
 // transform makes the state that is wanted of the newest one; nil where nothing more is wanted of it.
@@ -56,7 +56,7 @@
 	for ctx.Err() == nil {
 		turn, leave, err := r.changes.enter(ctx, change.priority)
 		if err != nil {
-			r.counts.Add("changes_left_queue")
+			r.counts.Increment("changes_left_queue")
 			break
 		}
 		s, ended, err := r.runTurn(turn, change)
@@ -65,7 +65,7 @@
 			return s, err
 		}
 		if ctx.Err() == nil {
-			r.counts.Add("changes_interrupted")
+			r.counts.Increment("changes_interrupted")
 		}
 	}
 	return nil, errNoMajority
@@ -136,7 +136,7 @@
 
 // spread has this process and all others learn what it has seen decided.
 func (r *replicator) spread(turn context.Context, base, decided *consensus.State, also []string) {
-	r.counts.Add("decided")
+	r.counts.Increment("decided")
 	go r.learn(decided)
 	announced := r.announce(decided, also)
 	if !sameCore(base, decided) { // a new core should hold what it begins with before the old one's disks may go
--- a/internal/mesh/controller/cluster_test.go
+++ b/internal/mesh/controller/cluster_test.go
@@ -65,7 +65,7 @@
 	must.NoError(c.t, os.MkdirAll(node.settings.DataDir, 0o755))
 	made, err := Open(node.settings, slog.New(slog.NewTextHandler(c.output(), nil)).With("node", n),
 		WithTransport(func(next http.RoundTripper) http.RoundTripper {
-			return node.filter.Transport(c.links.Transport(node.settings.Ip)(next))
+			return node.filter.Transport(c.links.Transport(node.settings.IP)(next))
 		}),
 		WithDisk(func(d Disk) Disk { node.disk = testmesh.NewDisk(d); return node.disk }),
 		func(o *options) { o.variant = c.variant })
@@ -101,7 +101,7 @@
 func (c *cluster) lose(n int) {
 	for _, other := range c.nodes {
 		if other != c.nodes[n] {
-			c.links.SetBoth(c.nodes[n].settings.Ip, other.settings.Ip, testmesh.LinkSilent)
+			c.links.SetBoth(c.nodes[n].settings.IP, other.settings.IP, testmesh.LinkSilent)
 		}
 	}
 }
--- a/internal/mesh/controller/configuration_order.go
+++ b/internal/mesh/controller/configuration_order.go
@@ -72,19 +72,19 @@
 	case newest.AppliedChanges.Contains(o.digest):
 		return nil, nil
 	case o.invalid != nil:
-		return nil, apierror.New(apierror.Invalid, "%v", o.invalid)
+		return nil, apierror.New(apierror.InvalidConfiguration, "%v", o.invalid)
 	case newest.Edition != o.base && !newest.AppliedChanges.RulesOut(o.edition, o.base):
-		return nil, apierror.New(apierror.Unclear, "version %d is older than what is remembered of changes (from %d on): whether this one was applied is not known; version %d is current",
+		return nil, apierror.New(apierror.OutcomeUnknown, "version %d is older than what is remembered of changes (from %d on): whether this one was applied is not known; version %d is current",
 			o.base, newest.AppliedChanges[0].Edition, newest.Edition)
 	case newest.Edition != o.base:
-		return nil, apierror.New(apierror.Stale, "version %d is current, not %d", newest.Edition, o.base)
+		return nil, apierror.New(apierror.VersionConflict, "version %d is current, not %d", newest.Edition, o.base)
 	}
 	next, err := o.configuration(current)
 	if err != nil {
 		return nil, err
 	}
 	if next.Edition <= newest.Edition {
-		return nil, apierror.New(apierror.Invalid, "Edition: %d is not above %d", next.Edition, newest.Edition)
+		return nil, apierror.New(apierror.InvalidConfiguration, "Edition: %d is not above %d", next.Edition, newest.Edition)
 	}
 	return newest.WithConfiguration(next.Edition, next.Document(), o.digest), nil
 }
@@ -99,11 +99,11 @@
 		return nil, err
 	}
 	if base == nil {
-		return nil, apierror.New(apierror.Stale, "there is nothing yet to amend")
+		return nil, apierror.New(apierror.VersionConflict, "there is nothing yet to amend")
 	}
 	next, err := base.Amend(o.body)
 	if err != nil {
-		return nil, apierror.New(apierror.Invalid, "%v", err)
+		return nil, apierror.New(apierror.InvalidConfiguration, "%v", err)
 	}
 	return next, nil
 }
--- a/internal/mesh/controller/configuration_order_test.go
+++ b/internal/mesh/controller/configuration_order_test.go
@@ -41,15 +41,15 @@
 	for n := range changes {
 		next, err := decideAlone(replacement(n), s)
 		must.Nil(t, next)
-		switch apierror.Of(err) {
+		switch apierror.KindOf(err) {
 		case apierror.None:
 			confirmed++
-		case apierror.Unclear:
+		case apierror.OutcomeUnknown:
 			unclear++
 		default:
 			t.Fatal(n, err)
 		}
-		if _, err := replacement(n).decideForgetting(s, consensus.MaxAppliedChanges); apierror.Of(err) == apierror.Stale {
+		if _, err := replacement(n).decideForgetting(s, consensus.MaxAppliedChanges); apierror.KindOf(err) == apierror.VersionConflict {
 			refusedByVariant++
 		}
 	}
@@ -62,10 +62,10 @@
 		_, err := decideAlone(newConfigurationOrder(callReplace, base, []byte(order.Body)), s)
 		return err
 	}
-	must.Eq(t, apierror.Unclear, apierror.Of(never(4, 6)))                 // might be one of those that are forgotten
-	must.Eq(t, apierror.Stale, apierror.Of(never(4, 2*changes+1)))         // sets an edition that nobody has set
-	must.Eq(t, apierror.Stale, apierror.Of(never(2*changes-2, 2*changes))) // builds on what is remembered
-	must.Eq(t, apierror.Invalid, apierror.Of(never(2*changes, 2*changes)))
+	must.Eq(t, apierror.OutcomeUnknown, apierror.KindOf(never(4, 6)))                    // might be one of those that are forgotten
+	must.Eq(t, apierror.VersionConflict, apierror.KindOf(never(4, 2*changes+1)))         // sets an edition that nobody has set
+	must.Eq(t, apierror.VersionConflict, apierror.KindOf(never(2*changes-2, 2*changes))) // builds on what is remembered
+	must.Eq(t, apierror.InvalidConfiguration, apierror.KindOf(never(2*changes, 2*changes)))
 }
 
 func TestAnAmendmentThatWasAppliedIsConfirmedThoughItReadsAsInvalid(t *testing.T) {
@@ -98,13 +98,13 @@
 	} {
 		for _, s := range []*consensus.State{{Index: 1}, applyReplacements(t, 1), applyReplacements(t, 5), long} {
 			_, err := decideAlone(bad, s)
-			must.Eq(t, apierror.Invalid, apierror.Of(err), must.Sprint(bad.call, string(bad.body), s.Edition))
+			must.Eq(t, apierror.InvalidConfiguration, apierror.KindOf(err), must.Sprint(bad.call, string(bad.body), s.Edition))
 		}
 	}
 	_, err := decideAlone(newConfigurationOrder(callAmend, 2, []byte(`{"Edition":4,"Withdraw":{"Depots":["album"]}}`)), applyReplacements(t, 1))
-	must.Eq(t, apierror.Invalid, apierror.Of(err)) // a route goes there
+	must.Eq(t, apierror.InvalidConfiguration, apierror.KindOf(err)) // a route goes there
 	_, err = decideAlone(newConfigurationOrder(callAmend, 0, []byte(`{"Edition":4}`)), &consensus.State{Index: 1})
-	must.Eq(t, apierror.Stale, apierror.Of(err))
+	must.Eq(t, apierror.VersionConflict, apierror.KindOf(err))
 }
 
 // After a restore another configuration may bear an edition that the process has parsed before.
--- a/internal/mesh/controller/configurations.go
+++ b/internal/mesh/controller/configurations.go
@@ -48,7 +48,7 @@
 	}
 	table, err := routing.LoadAfter(before, document)
 	if err != nil {
-		return nil, apierror.New(apierror.Unclear, "what is agreed can't be read: %v", err)
+		return nil, apierror.New(apierror.OutcomeUnknown, "what is agreed can't be read: %v", err)
 	}
 	onRead(table)
 	v := &configurationVersion{document: document, table: table, packed: map[string]*routing.Packed{}}
@@ -164,7 +164,7 @@
 // handleConfiguration gives a balancer a piece of the configuration: the next one of what it has begun to fetch, while that is kept, or
 // the first one of the newest.
 func (c *Controller) handleConfiguration(_ context.Context, a *membership.ConfigurationRequest) (*membership.ConfigurationResponse, error) {
-	c.counts.Add("configuration_pieces")
+	c.counts.Increment("configuration_pieces")
 	if a.Offset > 0 {
 		if p := c.configurations.packedAs(a.Result, a.Base); p != nil && a.Offset < len(p.Data) {
 			return piece(p, a.Offset), nil
@@ -176,7 +176,7 @@
 		return nil, err
 	}
 	if v == nil {
-		return nil, apierror.New(apierror.Absent, "no configuration has been put")
+		return nil, apierror.New(apierror.NoConfiguration, "no configuration has been put")
 	}
 	out := &membership.ConfigurationResponse{Packed: routing.Packed{Result: v.table.Digest()}}
 	if out.Packed.Result != a.Held {
--- a/internal/mesh/controller/confirmation.go
+++ b/internal/mesh/controller/confirmation.go
@@ -52,7 +52,7 @@
 func (c *Controller) heldBy(ctx context.Context, s *consensus.State, m consensus.Member) string {
 	request := consensus.Request{Kind: consensus.Learn, Value: s}
 	var response *consensus.Response
-	if m.At == c.settings.Inner() {
+	if m.At == c.settings.InternalAddress() {
 		response, _ = c.replicator.handle(ctx, &request)
 	} else {
 		response = c.replicator.send(ctx, m.At, request)
--- a/internal/mesh/controller/control_api.go
+++ b/internal/mesh/controller/control_api.go
@@ -24,11 +24,11 @@
 // serveControl answers the operator: one dispatch on method, path and call.
 func (c *Controller) serveControl(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodPost || r.URL.Path != "/-/rpc" {
-		apierror.Write(w, apierror.NoCall, 0, "")
+		apierror.Write(w, apierror.UnknownCall, 0, "")
 		return
 	}
 	call := r.URL.Query().Get("call")
-	c.counts.Add("call_" + strings.ReplaceAll(call, ".", "_"))
+	c.counts.Increment("call_" + strings.ReplaceAll(call, ".", "_"))
 	var err error
 	var body []byte
 	switch call {
@@ -40,10 +40,10 @@
 	case callReplace, callAmend:
 		err = c.changeConfiguration(w, r, call)
 	default:
-		err = apierror.New(apierror.NoCall, "no call is named %q", call)
+		err = apierror.New(apierror.UnknownCall, "no call is named %q", call)
 	}
-	kind := apierror.Of(err)
-	c.counts.Add("answer_" + kind.String())
+	kind := apierror.KindOf(err)
+	c.counts.Increment("answer_" + kind.String())
 	if kind != apierror.None {
 		c.log.Info("call", "call", call, "kind", kind.String(), "err", err)
 		apierror.Write(w, kind, 0, err.Error())
@@ -65,7 +65,7 @@
 		return nil, unclear(err)
 	}
 	if s.Edition == 0 {
-		return nil, apierror.New(apierror.Absent, "no configuration has been put")
+		return nil, apierror.New(apierror.NoConfiguration, "no configuration has been put")
 	}
 	return s, nil
 }
@@ -75,7 +75,7 @@
 	if errors.As(err, &known) {
 		return known
 	}
-	return apierror.New(apierror.Unclear, "%v", err)
+	return apierror.New(apierror.OutcomeUnknown, "%v", err)
 }
 
 // changeConfiguration takes an order to change the configuration: compare and set at the agreed state.
@@ -104,15 +104,15 @@
 	http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyTimeout))
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxConfigurationBytes+1))
 	if err != nil {
-		return nil, apierror.New(apierror.Unreadable, "the body is cut: %v", err)
+		return nil, apierror.New(apierror.UnreadableBody, "the body is cut: %v", err)
 	}
 	if len(body) > maxConfigurationBytes {
-		return nil, apierror.New(apierror.TooLong, "more than %d bytes", maxConfigurationBytes)
+		return nil, apierror.New(apierror.TooLarge, "more than %d bytes", maxConfigurationBytes)
 	}
 	match := r.Header.Get("If-Match")
 	base, err := strconv.ParseInt(strings.Trim(strings.TrimSpace(match), `"`), 10, 64)
 	if err != nil {
-		return nil, apierror.New(apierror.Invalid, "If-Match: %q is no version", match)
+		return nil, apierror.New(apierror.InvalidConfiguration, "If-Match: %q is no version", match)
 	}
 	return newConfigurationOrder(call, base, body), nil
 }
--- a/internal/mesh/controller/controller.go
+++ b/internal/mesh/controller/controller.go
@@ -40,7 +40,7 @@
 	settings   *settings.Settings
 	log        *slog.Logger
 	counts     *telemetry.Counters
-	caller     *rpc.Caller
+	caller     *rpc.Client
 	replicator *replicator
 	store      *storage.Store
 	disk       *durableDisk
@@ -105,13 +105,13 @@
 		option(&chosen)
 	}
 	c := &Controller{
-		settings: b, log: log, counts: telemetry.NewCounters(), caller: rpc.NewCaller(chosen.wrapTransport), life: storage.NewIdentity(), epoch: time.Now(),
+		settings: b, log: log, counts: telemetry.NewCounters(), caller: rpc.NewClient(chosen.wrapTransport), life: storage.NewDiskID(), epoch: time.Now(),
 		registry: membership.NewRegistry(), changed: make(chan struct{}), peers: map[string]PeerInfo{}, lastHeard: map[string]int64{},
 		gateway: federationGateway{asking: map[string]bool{}, heard: map[string]int64{}, faults: map[string]string{}, told: map[string]int64{}, doors: map[string]uint64{}},
 		sent:    map[string]uint64{}, wake: make(chan struct{}, 1),
 		membership: coreMembership{setAside: map[string]int64{}, unheld: map[string]int64{}, variant: chosen.variant},
 	}
-	self := b.Inner()
+	self := b.InternalAddress()
 	c.seeds = inner(b, b.Seeds)
 	dir := b.DataDir
 	if dir == "" {
@@ -126,7 +126,7 @@
 		if b.FirstStart && slices.Contains(founders, self) {
 			return consensus.FounderID(self), consensus.Founders(founders, func(string) string { return "" }, tolerated(b.Tolerate))
 		}
-		return storage.NewIdentity(), &consensus.State{} // a stranger: no core that it knows of, so nothing that it could decide
+		return storage.NewDiskID(), &consensus.State{} // a stranger: no core that it knows of, so nothing that it could decide
 	}
 	w, copied, fresh, err := storage.Open(dir, first)
 	for n := 0; err != nil && n < maxDiskAttempts; n++ { // a disk in trouble refuses for seconds
@@ -153,7 +153,7 @@
 // inner turns addresses of seeds into those of the mesh's own port.
 func inner(b *settings.Settings, seeds []string) (all []string) {
 	for _, at := range seeds {
-		all = append(all, settings.InnerOf(settings.Host(at), b.InnerFirst))
+		all = append(all, settings.InternalAddressOf(settings.Host(at), b.FirstInternalPort))
 	}
 	return all
 }
@@ -168,7 +168,7 @@
 }
 
 // tolerated is how many members' disks the core has to bear the loss of: of zones and regions it has one member in each.
-func tolerated(t settings.Tolerate) int { return max(t.Machines, t.Districts, t.Provinces) }
+func tolerated(t settings.Tolerate) int { return max(t.Machines, t.Zones, t.Regions) }
 
 // Run serves until the context ends, and then until this controller has handed over what it holds.
 func (c *Controller) Run(ctx context.Context) error {
@@ -181,7 +181,7 @@
 	}
 	serving, stopServing := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopServing()
-	go c.counts.Say(c.log, 5*time.Second, serving.Done())
+	go c.counts.LogPeriodically(c.log, 5*time.Second, serving.Done())
 	go c.runLoop(serving)
 	<-ctx.Done()
 	c.leave(serving)
@@ -205,15 +205,15 @@
 
 // listen makes the servers for the operator and for the mesh's own processes, or none.
 func (c *Controller) listen() (servers []*httpserver.Server, err error) {
-	control, err := httpserver.Listen(c.settings.Control, httpserver.Options{
-		Name: "control", Handler: http.HandlerFunc(c.serveControl), Failed: answerFailed, ReadHeaderTimeout: controlHeaderTimeout,
-		Counts: c.counts, Log: c.log,
+	control, err := httpserver.Listen(c.settings.ControlAddress, httpserver.Options{
+		Name: "control", Handler: http.HandlerFunc(c.serveControl), HandlePanic: answerFailed, ReadHeaderTimeout: controlHeaderTimeout,
+		Counters: c.counts, Log: c.log,
 	})
 	if err != nil {
 		return nil, err
 	}
-	mesh, err := httpserver.Listen(c.settings.Inner(), httpserver.Options{
-		Name: "mesh", Handler: c.meshCalls(), Failed: answerFailed, Counts: c.counts, Log: c.log,
+	mesh, err := httpserver.Listen(c.settings.InternalAddress(), httpserver.Options{
+		Name: "mesh", Handler: c.meshCalls(), HandlePanic: answerFailed, Counters: c.counts, Log: c.log,
 	})
 	if err != nil {
 		control.Close()
@@ -230,13 +230,15 @@
 	mux.HandleFunc(rpc.PathWatch, rpc.Handle(c.handleWatch))
 	mux.HandleFunc(rpc.PathConfiguration, rpc.Handle(c.handleConfiguration))
 	mux.HandleFunc(rpc.PathTokens, rpc.Handle(c.handleTokenRequest))
-	mux.HandleFunc(rpc.PathPartner, rpc.Handle(c.handlePartnerOrder))
-	mux.HandleFunc(rpc.PathCredit, rpc.Handle(c.handleCreditReport))
+	mux.HandleFunc(rpc.PathPartnerOrder, rpc.Handle(c.handlePartnerOrder))
+	mux.HandleFunc(rpc.PathCreditReport, rpc.Handle(c.handleCreditReport))
 	mux.HandleFunc(rpc.PathCreditOrder, rpc.Handle(c.handleCreditOrder))
 	mux.HandleFunc(rpc.PathStatus, rpc.Handle(c.status))
-	mux.HandleFunc(rpc.PathFigures, c.figures)
+	mux.HandleFunc(rpc.PathMetrics, c.figures)
 	return mux
 }
 
 // answerFailed answers a call that has met a fault of this process. What it asked for may have been done.
-func answerFailed(w http.ResponseWriter, _ *http.Request) { apierror.Write(w, apierror.Unclear, 0, "") }
+func answerFailed(w http.ResponseWriter, _ *http.Request) {
+	apierror.Write(w, apierror.OutcomeUnknown, 0, "")
+}
--- a/internal/mesh/controller/coordinator.go
+++ b/internal/mesh/controller/coordinator.go
@@ -42,7 +42,7 @@
 	}
 	within, end := context.WithTimeout(ctx, 2*time.Second)
 	defer end()
-	q := consensus.Coordinator{ID: c.replicator.identity(), Life: c.life, At: c.settings.Inner()}
+	q := consensus.Coordinator{ID: c.replicator.identity(), Life: c.life, At: c.settings.InternalAddress()}
 	_, err := c.replicator.change(within, c.otherControllers, func(newest *consensus.State) (*consensus.State, error) {
 		if newest.Epoch != s.Epoch { // somebody else has
 			return nil, nil
@@ -59,7 +59,7 @@
 	defer b.Unlock()
 	s, _ := c.replicator.state()
 	if s.Coordinator.Life != c.life || !c.replicator.confirms(s) {
-		return nil, apierror.New(apierror.Unclear, "the duty is another's")
+		return nil, apierror.New(apierror.OutcomeUnknown, "the duty is another's")
 	}
 	now := c.now()
 	if b.is == nil || b.epoch != s.Epoch {
@@ -68,15 +68,15 @@
 	if b.index != s.Index {
 		t, err := c.parsedConfiguration(s)
 		if err != nil || t == nil {
-			return nil, apierror.New(apierror.Unclear, "no configuration: %v", err)
+			return nil, apierror.New(apierror.OutcomeUnknown, "no configuration: %v", err)
 		}
 		b.is.Set(ratelimit.LimitsOf(t, &c.settings.Bounds), s.Members, now)
 		b.index = s.Index
 	}
 	if now < b.from {
-		return nil, apierror.New(apierror.Unclear, "the duty is new")
+		return nil, apierror.New(apierror.OutcomeUnknown, "the duty is new")
 	}
-	c.counts.Add("draws")
+	c.counts.Increment("draws")
 	given := b.is.Grant(d, now)
 	return &given, nil
 }
--- a/internal/mesh/controller/core_membership.go
+++ b/internal/mesh/controller/core_membership.go
@@ -57,12 +57,12 @@
 }
 
 func (c *Controller) self() consensus.Member {
-	return consensus.Member{ID: c.replicator.identity(), At: c.settings.Inner(), Zone: c.settings.District}
+	return consensus.Member{ID: c.replicator.identity(), At: c.settings.InternalAddress(), Zone: c.settings.Zone}
 }
 
 func (c *Controller) placement() consensus.Placement {
 	t := c.settings.Tolerate
-	return consensus.Placement{Zones: t.Districts, Regions: t.Provinces, RegionOf: c.settings.Districts}
+	return consensus.Placement{Zones: t.Zones, Regions: t.Regions, RegionOf: c.settings.RegionOfZone}
 }
 
 // candidates is the other controllers without the spares that did not catch up a moment ago. Under mu.
@@ -93,7 +93,7 @@
 		needed.members = []string{change.Add.ID}
 	}
 	if !c.confirmMembership(ctx, decided, needed, confirmFor) {
-		c.counts.Add("membership_unconfirmed")
+		c.counts.Increment("membership_unconfirmed")
 		c.log.Warn("membership not confirmed", "index", decided.Index, "members", coreText(decided))
 	}
 }
@@ -106,7 +106,7 @@
 	if !c.holdMembership(within, s, needed) {
 		return false
 	}
-	c.counts.Add("membership_held")
+	c.counts.Increment("membership_held")
 	c.log.Info("membership held", "index", s.Index, "members", coreText(s))
 	c.mu.Lock()
 	c.membership.heldCore = coreText(s)
@@ -144,7 +144,7 @@
 	held := c.confirmHeld(within, base, next.Core, needed.met)
 	c.noteUnheld(next, added, held, began)
 	if !needed.met(held) {
-		c.counts.Add("membership_not_ready")
+		c.counts.Increment("membership_not_ready")
 		c.log.Info("core not ready for a change", "index", base.Index, "in", added.ID, "held", len(held), "of", len(next.Core))
 		return false
 	}
--- a/internal/mesh/controller/core_test.go
+++ b/internal/mesh/controller/core_test.go
@@ -75,7 +75,7 @@
 	for _, s := range plan.Controllers {
 		must.NoError(t, os.MkdirAll(s.DataDir, 0o755))
 		c.nodes = append(c.nodes, &node{settings: s})
-		controls = append(controls, s.Control)
+		controls = append(controls, s.ControlAddress)
 	}
 	c.operator = testmesh.NewOperator(&c.links, controls)
 	t.Cleanup(func() {
@@ -97,15 +97,15 @@
 	}
 }
 
-func (c *core) host(n int) string { return c.nodes[n].settings.Ip }
+func (c *core) host(n int) string { return c.nodes[n].settings.IP }
 
 func (c *core) start(n int) {
 	b := c.nodes[n]
 	opened, err := controller.Open(b.settings, quiet,
 		controller.WithTransport(func(next http.RoundTripper) http.RoundTripper {
-			next = c.links.Transport(b.settings.Ip)(next)
-			next = c.accepts.TransportForKind(b.settings.Ip, consensus.Accept)(next)
-			return c.learns.TransportForKind(b.settings.Ip, consensus.Learn)(next)
+			next = c.links.Transport(b.settings.IP)(next)
+			next = c.accepts.TransportForKind(b.settings.IP, consensus.Accept)(next)
+			return c.learns.TransportForKind(b.settings.IP, consensus.Learn)(next)
 		}),
 		controller.WithDisk(func(d controller.Disk) controller.Disk {
 			if c.inMemory {
--- a/internal/mesh/controller/cut_off_test.go
+++ b/internal/mesh/controller/cut_off_test.go
@@ -56,9 +56,9 @@
 	plan, err := testmesh.Plan(controllers, proxies, []string{"east", "west"}, []string{"album"}, t.TempDir())
 	must.NoError(t, err)
 	for _, b := range plan.Controllers[1:] {
-		b.District = "west"
+		b.Zone = "west"
 	}
-	plan.Proxies[0].District = plan.Controllers[0].District // so that this proxy asks this controller
+	plan.Proxies[0].Zone = plan.Controllers[0].Zone // so that this proxy asks this controller
 	m := &cutMesh{t: t, plan: plan}
 	m.ctx, m.stop = context.WithCancel(context.Background())
 	t.Cleanup(func() { m.stop(); m.running.Wait() })
@@ -69,7 +69,7 @@
 	}
 	for n, b := range plan.Proxies[:len(plan.Proxies)-1] { // the last is started while the first controller is cut off
 		m.proxy(b)
-		app, err := testmesh.NewUpstream(fmt.Sprint("i-", n), b.Destination, b.App, b.Control, 8, 0, 10)
+		app, err := testmesh.NewUpstream(fmt.Sprint("i-", n), b.Service, b.UpstreamAddress, b.ControlAddress, 8, 0, 10)
 		must.NoError(t, err)
 		t.Cleanup(app.Stop)
 	}
@@ -78,7 +78,7 @@
 
 func (m *cutMesh) startController(n int) {
 	b := m.plan.Controllers[n]
-	c, err := Open(b, slog.New(slog.DiscardHandler), WithTransport(m.links.Transport(b.Ip)))
+	c, err := Open(b, slog.New(slog.DiscardHandler), WithTransport(m.links.Transport(b.IP)))
 	must.NoError(m.t, err)
 	b.FirstStart = false // from now on
 	m.controllers[n] = c
@@ -96,7 +96,7 @@
 func (m *cutMesh) proxy(b *settings.Settings) {
 	b.Bounds.Grace = time.Second
 	m.running.Go(func() {
-		proxy.New(b, slog.New(slog.DiscardHandler), proxy.WithTransport(m.links.Transport(b.Ip))).Run(m.ctx)
+		proxy.New(b, slog.New(slog.DiscardHandler), proxy.WithTransport(m.links.Transport(b.IP))).Run(m.ctx)
 	})
 }
 
@@ -120,7 +120,7 @@
 
 // call is an operator's call.
 func (m *cutMesh) call(at int, call string, match int, body string) (status int, text string) {
-	r, err := http.NewRequest(http.MethodPost, "http://"+m.plan.Controllers[at].Control+"/-/rpc?call="+call, strings.NewReader(body))
+	r, err := http.NewRequest(http.MethodPost, "http://"+m.plan.Controllers[at].ControlAddress+"/-/rpc?call="+call, strings.NewReader(body))
 	must.NoError(m.t, err)
 	r.Header.Set("If-Match", fmt.Sprint(match))
 	w, err := client.Do(r)
@@ -164,7 +164,7 @@
 
 // serves is the status with which a proxy answers on the route of a version.
 func (m *cutMesh) serves(b *settings.Settings, edition int) int {
-	r, err := http.NewRequest(http.MethodGet, fmt.Sprintf("http://%s/v%d/x", b.Outbound, edition), nil)
+	r, err := http.NewRequest(http.MethodGet, fmt.Sprintf("http://%s/v%d/x", b.OutboundAddress, edition), nil)
 	must.NoError(m.t, err)
 	r.Host = "a.example"
 	r.Header = http.Header{"X-Attempt-Id": {fmt.Sprint(time.Now().UnixNano())}, "X-Time-Left-Ms": {"1000"}, "X-Key": {"k1"}}
@@ -177,7 +177,7 @@
 }
 
 func (m *cutMesh) ready(b *settings.Settings) bool {
-	w, err := client.Get("http://" + b.Ready + "/")
+	w, err := client.Get("http://" + b.ReadinessAddress + "/")
 	if err != nil {
 		return false
 	}
@@ -203,9 +203,9 @@
 		status, text := m.call(at, call, match, configuration(edition))
 		say(call, began, status != http.StatusServiceUnavailable, fmt.Sprint(status, " ", text))
 	}
-	caller := rpc.NewCaller(nil)
+	caller := rpc.NewClient(nil)
 	defer caller.Close()
-	inner := m.plan.Controllers[at].Inner()
+	inner := m.plan.Controllers[at].InternalAddress()
 	ask := func(what, path string, message, answer any, unproven func(error) bool) {
 		began := time.Now()
 		ctx, end := context.WithTimeout(m.ctx, 3*time.Second)
@@ -221,13 +221,13 @@
 		order("timetable.replace", m.edition-10, m.edition+1)
 		order("timetable.amend", m.edition, m.edition+2)
 		ask("credit order", rpc.PathCreditOrder, Order{Tenant: "acme", Tokens: 1, Who: "me", Why: "test"}, &burstcredit.AccountStatus{}, answered)
-		ask("partner order", rpc.PathPartner, PartnerOrder{Partner: "zuid", Hold: true, Who: "me", Why: "test"}, &federation.Import{}, answered)
+		ask("partner order", rpc.PathPartnerOrder, PartnerOrder{Partner: "zuid", Hold: true, Who: "me", Why: "test"}, &federation.Import{}, answered)
 	})
 	asked.Go(func() {
 		ask("token grant", rpc.PathTokens, ratelimit.TokenRequest{Node: "n", Life: "l", Seq: 1}, &map[string]ratelimit.TokenGrant{}, answered)
 	})
 	asked.Go(func() {
-		ask("credit report", rpc.PathCredit, burstcredit.Report{Node: "n", Life: "l", Seq: 1}, &burstcredit.Grant{}, answered)
+		ask("credit report", rpc.PathCreditReport, burstcredit.Report{Node: "n", Life: "l", Seq: 1}, &burstcredit.Grant{}, answered)
 	})
 	asked.Go(func() { ask("newest status", rpc.PathStatus, StatusRequest{Newest: true}, &Status{}, answered) })
 	asked.Go(func() {
@@ -244,7 +244,7 @@
 	asked.Go(func() {
 		began := time.Now()
 		text := ""
-		if w, err := client.Get("http://" + inner + rpc.PathFigures); err == nil {
+		if w, err := client.Get("http://" + inner + rpc.PathMetrics); err == nil {
 			raw, _ := io.ReadAll(w.Body)
 			w.Body.Close()
 			text = string(raw)
@@ -273,8 +273,8 @@
 
 func (m *cutMesh) cut(out, in testmesh.LinkFault) {
 	for _, other := range m.plan.Controllers[1:] {
-		m.links.Set(m.plan.Controllers[0].Ip, other.Ip, out)
-		m.links.Set(other.Ip, m.plan.Controllers[0].Ip, in)
+		m.links.Set(m.plan.Controllers[0].IP, other.IP, out)
+		m.links.Set(other.IP, m.plan.Controllers[0].IP, in)
 	}
 }
 
@@ -345,7 +345,7 @@
 			m.leaveOut(guard)
 			m.cut(testmesh.LinkSilent, testmesh.LinkSilent)
 			for _, other := range m.plan.Controllers[1:] {
-				m.links.SetBoth(late.Ip, other.Ip, testmesh.LinkSilent)
+				m.links.SetBoth(late.IP, other.IP, testmesh.LinkSilent)
 			}
 			m.put(1)
 			time.Sleep(fresh + slack)
@@ -377,7 +377,7 @@
 	for round := 0; round < 15 || len(outcomes) < 2 && round < 60; round++ { // longer and longer, until some were decided in time
 		c := cuts[round%5]
 		for _, other := range m.plan.Controllers[1:] {
-			m.links.SetDelay(m.plan.Controllers[0].Ip, other.Ip, time.Millisecond)
+			m.links.SetDelay(m.plan.Controllers[0].IP, other.IP, time.Millisecond)
 		}
 		told := make(chan int)
 		body := configuration(m.edition + 10)
--- a/internal/mesh/controller/export_test.go
+++ b/internal/mesh/controller/export_test.go
@@ -61,7 +61,7 @@
 func (o *configurationOrder) decideForgetting(newest *consensus.State, limit int) (*consensus.State, error) {
 	remembered := newest.AppliedChanges[max(0, len(newest.AppliedChanges)-limit):]
 	if !remembered.Contains(o.digest) && newest.Edition != o.base {
-		return nil, apierror.New(apierror.Stale, "version %d is current, not %d", newest.Edition, o.base)
+		return nil, apierror.New(apierror.VersionConflict, "version %d is current, not %d", newest.Edition, o.base)
 	}
 	return o.decide(newest, func() (*routing.Configuration, error) { return nil, nil })
 }
--- a/internal/mesh/controller/federation.go
+++ b/internal/mesh/controller/federation.go
@@ -154,7 +154,7 @@
 	defer end()
 	_, err := c.replicator.change(ctx, c.otherControllers, func(newest *consensus.State) (*consensus.State, error) {
 		if reign > 0 && (newest.Epoch != reign || newest.Coordinator.Life != c.life) {
-			return nil, apierror.New(apierror.Unclear, "the duty is another's")
+			return nil, apierror.New(apierror.OutcomeUnknown, "the duty is another's")
 		}
 		book, err := federation.Read(newest.Imports)
 		if err != nil {
@@ -270,13 +270,13 @@
 // partnered carries it out, by agreement.
 func (c *Controller) handlePartnerOrder(ctx context.Context, o *PartnerOrder) (*federation.Import, error) {
 	if o.Partner == "" || o.Who == "" || o.Why == "" {
-		return nil, apierror.New(apierror.Invalid, "a partner, who orders it and why have to be said")
+		return nil, apierror.New(apierror.InvalidConfiguration, "a partner, who orders it and why have to be said")
 	}
 	out := &federation.Import{}
 	err := c.changeImports(ctx, 0, func(book *federation.ImportBook) error {
 		switch {
 		case book.Partners[o.Partner] == nil:
-			return apierror.New(apierror.Invalid, "no partner is known as %q", o.Partner)
+			return apierror.New(apierror.InvalidConfiguration, "no partner is known as %q", o.Partner)
 		case o.Drop:
 			book.Drop(o.Partner, o.Who, o.Why)
 		default:
--- a/internal/mesh/controller/gossip.go
+++ b/internal/mesh/controller/gossip.go
@@ -24,7 +24,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	add := func(at string) {
-		if at != c.settings.Inner() && !slices.Contains(all, at) {
+		if at != c.settings.InternalAddress() && !slices.Contains(all, at) {
 			all = append(all, at)
 		}
 	}
@@ -73,7 +73,7 @@
 func (c *Controller) peerInfo() PeerInfo {
 	s, _ := c.replicator.state()
 	return PeerInfo{
-		ID: c.replicator.identity(), At: c.settings.Inner(), Zone: c.settings.District,
+		ID: c.replicator.identity(), At: c.settings.InternalAddress(), Zone: c.settings.Zone,
 		Index: s.Index, Held: c.disk.held.Load(), Leaving: c.leaving.Load(),
 	}
 }
@@ -102,7 +102,7 @@
 	}
 	if s, _ := c.replicator.state(); back.Peer.Index > s.Index {
 		if told := c.replicator.send(ctx, at, consensus.Request{Kind: consensus.ReadState, Slot: s.Index}); told != nil && told.Decided != nil {
-			c.counts.Add("copies_mended")
+			c.counts.Increment("copies_mended")
 			c.replicator.learn(told.Decided)
 		}
 	}
@@ -113,7 +113,7 @@
 	}
 	c.recordPeer(back.Peer)
 	for _, h := range back.Peers {
-		if _, is := c.peers[h.At]; !is && h.At != c.settings.Inner() {
+		if _, is := c.peers[h.At]; !is && h.At != c.settings.InternalAddress() {
 			c.peers[h.At] = h
 		}
 	}
@@ -122,7 +122,7 @@
 // recordPeer notes that another controller was heard of. One that leaves is replaced, and one that is new taken in, now and
 // not at the next turn. Under mu.
 func (c *Controller) recordPeer(h PeerInfo) {
-	if h.At == c.settings.Inner() || h.At == "" {
+	if h.At == c.settings.InternalAddress() || h.At == "" {
 		return
 	}
 	if before := c.peers[h.At]; h.ID != before.ID || h.Leaving && !before.Leaving {
--- a/internal/mesh/controller/leave.go
+++ b/internal/mesh/controller/leave.go
@@ -36,7 +36,7 @@
 		}
 		time.Sleep(leavePause)
 	}
-	c.counts.Add("left_without_handover")
+	c.counts.Increment("left_without_handover")
 	c.log.Warn("left without a hand-over: no quorum of the others holds what this disk holds", "after", time.Since(started).Round(time.Millisecond))
 }
 
--- a/internal/mesh/controller/maintenance.go
+++ b/internal/mesh/controller/maintenance.go
@@ -75,7 +75,7 @@
 		return
 	}
 	defer c.settling.Store(false)
-	c.counts.Add("settled_for_others")
+	c.counts.Increment("settled_for_others")
 	within, end := context.WithTimeout(ctx, 2*time.Second)
 	defer end()
 	c.replicator.change(within, c.otherControllers, func(*consensus.State) (*consensus.State, error) { return nil, nil })
--- a/internal/mesh/controller/majority_read.go
+++ b/internal/mesh/controller/majority_read.go
@@ -61,7 +61,7 @@
 		}
 	}
 	if ahead := reading.Ahead(); ahead != nil {
-		r.counts.Add("copies_mended")
+		r.counts.Increment("copies_mended")
 		go r.learn(ahead) // in memory at once; the disk may take its time
 		r.waitForIndex(ctx, ahead.Index)
 	}
@@ -113,10 +113,10 @@
 		select {
 		case <-time.After(readPause):
 		case <-ctx.Done():
-			return nil, apierror.New(apierror.Unclear, "no majority of the core has answered in time")
+			return nil, apierror.New(apierror.OutcomeUnknown, "no majority of the core has answered in time")
 		}
 	}
-	r.counts.Add("reads_settled")
+	r.counts.Increment("reads_settled")
 	return r.change(ctx, also, func(*consensus.State) (*consensus.State, error) { return nil, nil })
 }
 
--- a/internal/mesh/controller/membership_test.go
+++ b/internal/mesh/controller/membership_test.go
@@ -160,7 +160,7 @@
 	behind := c.nodes[2]
 	for _, n := range c.nodes { // one is heard of and hears no decision
 		n.filter.Drop(func(to, path string, _ []byte) bool {
-			return path == rpc.PathConsensus && (n == behind || to == behind.settings.Ip)
+			return path == rpc.PathConsensus && (n == behind || to == behind.settings.IP)
 		})
 	}
 	c.until("an order on two disks", func() bool { return c.put(0, 2) })
@@ -192,7 +192,7 @@
 	silent := c.nodes[2] // so that the leaving member is in each majority
 	for _, n := range c.nodes {
 		n.filter.Drop(func(to, path string, body []byte) bool {
-			isolated := path == rpc.PathConsensus && (n == silent || to == silent.settings.Ip)
+			isolated := path == rpc.PathConsensus && (n == silent || to == silent.settings.IP)
 			return isolated || n == c.nodes[0] && !going.Load() && bytes.Contains(body, []byte(`"accept"`))
 		})
 	}
--- a/internal/mesh/controller/orders_test.go
+++ b/internal/mesh/controller/orders_test.go
@@ -128,7 +128,7 @@
 	must.NoError(t, err)
 	s := c.nodes[1].settings
 	s.DataDir, s.FirstStart = filepath.Join(t.TempDir(), "restored"), false
-	_, err = storage.Restore(s.DataDir, restored, s.Inner(), s.District)
+	_, err = storage.Restore(s.DataDir, restored, s.InternalAddress(), s.Zone)
 	must.NoError(t, err)
 	c.start(1)
 	c.mustConfirm(sample...)
@@ -356,7 +356,7 @@
 			t.Parallel()
 			c := startCore(t, 3, nil)
 			c.put(0, testmesh.NewOrder(1, 0, 1))
-			caller := rpc.NewCaller(nil)
+			caller := rpc.NewClient(nil)
 			defer caller.Close()
 			granted := 0.0
 			for n := range 6 {
@@ -364,7 +364,7 @@
 				c.accepts.Set(c.host(0), c.host(2), fault)
 				heal := time.AfterFunc(time.Duration(n*60)*time.Millisecond, c.accepts.Heal)
 				grant := &controller.Order{Tenant: "acme", Tokens: 100, Who: "operator", Why: "test"}
-				err := caller.Call(t.Context(), c.nodes[0].settings.Inner(), rpc.PathCreditOrder, grant, &burstcredit.AccountStatus{})
+				err := caller.Call(t.Context(), c.nodes[0].settings.InternalAddress(), rpc.PathCreditOrder, grant, &burstcredit.AccountStatus{})
 				heal.Stop()
 				c.heal()
 				c.mustFetch(history.Version{Edition: 1, Order: 1}) // whatever stood undecided is settled
--- a/internal/mesh/controller/repair_test.go
+++ b/internal/mesh/controller/repair_test.go
@@ -35,7 +35,7 @@
 		for _, n := range c.nodes {
 			n.disk.Slow(10 * time.Millisecond)
 			for _, to := range c.nodes {
-				c.links.SetDelay(n.settings.Ip, to.settings.Ip, 40*time.Millisecond)
+				c.links.SetDelay(n.settings.IP, to.settings.IP, 40*time.Millisecond)
 			}
 		}
 	}},
--- a/internal/mesh/controller/replicator.go
+++ b/internal/mesh/controller/replicator.go
@@ -29,7 +29,7 @@
 // decision before it.
 type replicator struct {
 	disk     Disk
-	caller   *rpc.Caller
+	caller   *rpc.Client
 	counts   *telemetry.Counters
 	self     string // inner address
 	proposer string // this life, as ballots name it
@@ -52,7 +52,7 @@
 	steps   stepClock   // how long the core takes to grant something
 }
 
-func newReplicator(c *consensus.Replica, d Disk, caller *rpc.Caller, counts *telemetry.Counters, self, by string) *replicator {
+func newReplicator(c *consensus.Replica, d Disk, caller *rpc.Client, counts *telemetry.Counters, self, by string) *replicator {
 	return &replicator{
 		disk: d, caller: caller, counts: counts, self: self, proposer: by, replica: *c, news: make(chan struct{}),
 		saved: c.Decided.Index, held: map[string]consensus.Documents{},
@@ -112,10 +112,10 @@
 // save writes a replica to the disk. Under written.
 func (r *replicator) save(replica *consensus.Replica) error {
 	if err := r.disk.Save(replica); err != nil {
-		r.counts.Add("disk_refused")
+		r.counts.Increment("disk_refused")
 		return err
 	}
-	r.counts.Add("syncs")
+	r.counts.Increment("syncs")
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.saved = replica.Decided.Index
@@ -192,7 +192,7 @@
 	compact, large := r.compactFor(at, a)
 	answer := r.call(ctx, at, compact)
 	if compact.IsCompact() && answer != nil && (!answer.Compact || answer.Lacking) {
-		r.counts.Add("compact_lacking")
+		r.counts.Increment("compact_lacking")
 		r.forgetHeld(at)
 		answer = r.call(ctx, at, a)
 	}
--- a/internal/mesh/controller/status.go
+++ b/internal/mesh/controller/status.go
@@ -53,7 +53,7 @@
 			return nil, err
 		}
 	}
-	out := &Status{Node: c.settings.Node, At: c.settings.Inner(), Zone: c.settings.District, Up: time.Since(c.epoch), State: s, Counts: map[string]int64{}}
+	out := &Status{Node: c.settings.Node, At: c.settings.InternalAddress(), Zone: c.settings.Zone, Up: time.Since(c.epoch), State: s, Counts: map[string]int64{}}
 	out.Ages = c.confirmationAges()
 	c.gateway.Lock()
 	out.Faults, out.Doors = maps.Clone(c.gateway.faults), maps.Clone(c.gateway.doors)
@@ -96,7 +96,7 @@
 	if c.replicator.confirms(s) {
 		current = 1
 	}
-	telemetry.WriteFigures(w, "ottershift_comb", []telemetry.Gauge{
+	telemetry.WriteMetrics(w, "ottershift_comb", []telemetry.Gauge{
 		{Name: "index", Help: "Slot of the newest decision known here.", Value: s.Index},
 		{Name: "edition", Help: "Version of the timetable known here.", Value: s.Edition},
 		{Name: "current", Help: "1 while a majority has confirmed the copy a moment ago.", Value: current},
--- a/internal/mesh/controller/vouching.go
+++ b/internal/mesh/controller/vouching.go
@@ -58,7 +58,7 @@
 		r.vouching.superseded = true
 		if !r.vouching.drawing {
 			r.vouching.drawing = true
-			r.counts.Add("disk_superseded")
+			r.counts.Increment("disk_superseded")
 			go r.drawIdentity()
 		}
 	case r.replica.Decided.HasMember(answer.ID):
@@ -71,9 +71,9 @@
 func (r *replicator) drawIdentity() {
 	r.written.Lock()
 	defer r.written.Unlock()
-	id := storage.NewIdentity()
+	id := storage.NewDiskID()
 	r.mu.Lock()
-	stranger := consensus.Replica{ID: id, Decided: r.replica.Decided, Life: consensus.DiskLife{ID: id, Number: 1, Token: storage.NewIdentity()}}
+	stranger := consensus.Replica{ID: id, Decided: r.replica.Decided, Life: consensus.DiskLife{ID: id, Number: 1, Token: storage.NewDiskID()}}
 	r.mu.Unlock()
 	err := r.save(&stranger)
 	r.mu.Lock()
--- a/internal/mesh/controller/watch.go
+++ b/internal/mesh/controller/watch.go
@@ -17,7 +17,7 @@
 
 // handleWatch renews a balancer's lease and answers once there is news, or when its wait is over.
 func (c *Controller) handleWatch(ctx context.Context, a *membership.WatchRequest) (*membership.WatchResponse, error) {
-	c.counts.Add("asks")
+	c.counts.Increment("asks")
 	c.observeNode(a.Node)
 	until := time.NewTimer(time.Duration(a.MaxWait))
 	defer until.Stop()
@@ -93,7 +93,7 @@
 	}
 	out.Nodes, out.Gone, out.Whole = c.registry.ChangesSince(seq, c.now())
 	out.Seq = c.registry.Seq()
-	out.Controllers = []membership.ControllerAddress{{At: c.settings.Inner(), Zone: c.settings.District}}
+	out.Controllers = []membership.ControllerAddress{{At: c.settings.InternalAddress(), Zone: c.settings.Zone}}
 	for at, h := range c.peers {
 		if c.now()-c.lastHeard[at] < int64(peerTimeout) && c.lastHeard[at] > 0 {
 			out.Controllers = append(out.Controllers, membership.ControllerAddress{At: at, Zone: h.Zone})
--- a/internal/mesh/crossing_test.go
+++ b/internal/mesh/crossing_test.go
@@ -152,7 +152,7 @@
 	t.Cleanup(listener.release)
 	m.run(b.Node, heldProxy(b, listener))
 	m.proxy(beside)
-	u, err := testmesh.NewUpstream("i-0", beside.Destination, beside.App, beside.Control, 8, 150*time.Millisecond, smallAnswer)
+	u, err := testmesh.NewUpstream("i-0", beside.Service, beside.UpstreamAddress, beside.ControlAddress, 8, 150*time.Millisecond, smallAnswer)
 	must.NoError(t, err)
 	m.apps = append(m.apps, u)
 	m.until(func() bool {
@@ -165,7 +165,7 @@
 
 func heldProxy(b *settings.Settings, listener *heldListener) func(context.Context) error {
 	return proxy.New(b, quiet, proxy.WithListener(func(l net.Listener) net.Listener {
-		if strings.HasSuffix(l.Addr().String(), portOf(b.Outbound)) {
+		if strings.HasSuffix(l.Addr().String(), portOf(b.OutboundAddress)) {
 			listener.Listener = l
 			return listener
 		}
@@ -176,7 +176,7 @@
 func portOf(address string) string { return address[strings.LastIndexByte(address, ':'):] }
 
 func dialKept(t *testing.T, m *mesh) *keptClient {
-	conn, err := net.Dial("tcp4", m.plan.Proxies[0].Outbound)
+	conn, err := net.Dial("tcp4", m.plan.Proxies[0].OutboundAddress)
 	must.NoError(t, err)
 	t.Cleanup(func() { conn.Close() })
 	return &keptClient{conn, bufio.NewReader(conn)}
--- a/internal/mesh/fast_versions_test.go
+++ b/internal/mesh/fast_versions_test.go
@@ -91,7 +91,7 @@
 					startProxy(late)
 				}
 				if restarted && ready == 0 {
-					w, err := http.Get("http://" + late.Ready + "/-/ready")
+					w, err := http.Get("http://" + late.ReadinessAddress + "/-/ready")
 					if err == nil {
 						if w.Body.Close(); w.StatusCode == http.StatusOK {
 							ready = time.Since(began) - lasts/4
--- a/internal/mesh/federation/table.go
+++ b/internal/mesh/federation/table.go
@@ -98,7 +98,7 @@
 		return nil, Error.New("%d bytes; %d are taken", len(raw), mostBytes)
 	}
 	t := &Table{}
-	if err := strictjson.DecodeWhole(raw, t); err != nil {
+	if err := strictjson.DecodeSingle(raw, t); err != nil {
 		return nil, Error.New("can't be read whole: %v", err)
 	}
 	if err := strictjson.Check(raw); err != nil {
--- a/internal/mesh/frozen_test.go
+++ b/internal/mesh/frozen_test.go
@@ -37,7 +37,7 @@
 	t         *testing.T
 	plan      *testmesh.Mesh
 	processes []*testmesh.Process
-	caller    *rpc.Caller
+	caller    *rpc.Client
 }
 
 func startFrozenMesh(t *testing.T) *frozenMesh {
@@ -45,7 +45,7 @@
 	must.NoError(t, testmesh.Build(dir, "controller"))
 	plan, err := testmesh.Plan(3, 0, []string{"east", "west"}, nil, dir)
 	must.NoError(t, err)
-	m := &frozenMesh{t: t, plan: plan, caller: rpc.NewCaller(nil)}
+	m := &frozenMesh{t: t, plan: plan, caller: rpc.NewClient(nil)}
 	for _, b := range plan.Controllers {
 		must.NoError(t, os.MkdirAll(b.DataDir, 0o755))
 		p, err := testmesh.StartProcess(dir, "controller", b)
@@ -57,7 +57,7 @@
 }
 
 func (m *frozenMesh) call(at int, call string, match int, body string) (status int, text string) {
-	r, err := http.NewRequest(http.MethodPost, "http://"+m.plan.Controllers[at].Control+"/-/rpc?call="+call, strings.NewReader(body))
+	r, err := http.NewRequest(http.MethodPost, "http://"+m.plan.Controllers[at].ControlAddress+"/-/rpc?call="+call, strings.NewReader(body))
 	must.NoError(m.t, err)
 	r.Header.Set("If-Match", fmt.Sprint(match))
 	w, err := (&http.Client{Timeout: patience}).Do(r)
@@ -72,7 +72,7 @@
 func (m *frozenMesh) ask(at int, path string, message, answer any) error {
 	ctx, end := context.WithTimeout(context.Background(), patience)
 	defer end()
-	return m.caller.Call(ctx, m.plan.Controllers[at].Inner(), path, message, answer)
+	return m.caller.Call(ctx, m.plan.Controllers[at].InternalAddress(), path, message, answer)
 }
 
 func (m *frozenMesh) until(is func() bool) {
--- a/internal/mesh/grace_end_test.go
+++ b/internal/mesh/grace_end_test.go
@@ -82,14 +82,14 @@
 }
 
 func (m *mesh) slowUpstream(beside *settings.Settings) *testmesh.Upstream {
-	u, err := testmesh.NewUpstream("i-0", beside.Destination, beside.App, beside.Control, 1, 0, smallAnswer)
+	u, err := testmesh.NewUpstream("i-0", beside.Service, beside.UpstreamAddress, beside.ControlAddress, 1, 0, smallAnswer)
 	must.NoError(m.t, err)
 	return u
 }
 
 // askOnce sends a request over a connection of its own.
 func (m *mesh) askOnce(id string) told {
-	r, err := http.NewRequest("POST", "http://"+m.plan.Proxies[0].Outbound+"/once/x", nil)
+	r, err := http.NewRequest("POST", "http://"+m.plan.Proxies[0].OutboundAddress+"/once/x", nil)
 	must.NoError(m.t, err)
 	r.Host = "a.example"
 	r.Header = http.Header{"X-Attempt-Id": {id}, "X-Time-Left-Ms": {"30000"}}
--- a/internal/mesh/httpserver/connection.go
+++ b/internal/mesh/httpserver/connection.go
@@ -18,10 +18,10 @@
 	net.Conn
 	guard keptconn.Guard
 
-	mu        sync.Mutex
-	idleSince time.Time     // where it is not active
-	keepAlive time.Duration // that it may be idle, 0 for as long as it likes
-	cutHere   bool          // this process has ended it under a request
+	mu             sync.Mutex
+	idleSince      time.Time     // where it is not active
+	keepAlive      time.Duration // that it may be idle, 0 for as long as it likes
+	abortedLocally bool          // this process has ended it under a request
 }
 
 type connectionKey struct{}
@@ -40,55 +40,55 @@
 	return &Connection{Conn: accepted, idleSince: time.Now(), keepAlive: keepAlive}
 }
 
-// KeepAlive says how long the connection may be idle from its next answer on.
-func (c *Connection) KeepAlive(longest time.Duration) {
+// SetKeepAlive says how long the connection may be idle from its next answer on.
+func (c *Connection) SetKeepAlive(timeout time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.keepAlive = longest
+	c.keepAlive = timeout
 }
 
-// CutHere reports whether this process has ended the connection under a request.
-func (c *Connection) CutHere() bool {
+// AbortedLocally reports whether this process has ended the connection under a request.
+func (c *Connection) AbortedLocally() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.cutHere
+	return c.abortedLocally
 }
 
-// Gone reports whether the other side has ended the connection, without reading from it.
-func (c *Connection) Gone() bool {
+// ClosedByPeer reports whether the other side has ended the connection, without reading from it.
+func (c *Connection) ClosedByPeer() bool {
 	_, ended := keptconn.Peek(c.Conn)
 	return ended
 }
 
-// begin notes that a request is on the connection.
-func (c *Connection) begin() { c.guard.Begin(c.Conn) }
+// markActive notes that a request is on the connection.
+func (c *Connection) markActive() { c.guard.MarkActive(c.Conn) }
 
-// rest notes that the last request has been answered.
-func (c *Connection) rest(now time.Time) {
+// markIdle notes that the last request has been answered.
+func (c *Connection) markIdle(now time.Time) {
 	c.mu.Lock()
 	c.idleSince = now
 	c.mu.Unlock()
-	c.guard.Rest()
+	c.guard.MarkIdle()
 }
 
-// endIfOverdue ends the connection if it has been idle for longer than it may be.
-func (c *Connection) endIfOverdue(now time.Time) (ended bool) {
+// closeIfExpired ends the connection if it has been idle for longer than it may be.
+func (c *Connection) closeIfExpired(now time.Time) (closing bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.keepAlive <= 0 || now.Sub(c.idleSince) <= c.keepAlive+keepAliveMargin {
 		return false
 	}
-	return c.endIfIdle()
+	return c.closeIfIdle()
 }
 
-func (c *Connection) endIfIdle() (ended bool) { return c.guard.EndIfIdle(c.Conn) }
+func (c *Connection) closeIfIdle() (closing bool) { return c.guard.CloseIfIdle(c.Conn) }
 
-// cut notes that the connection is ended whatever is on it, and reports whether a request was.
-func (c *Connection) cut() (active bool) {
+// markAborted notes that the connection is ended whatever is on it, and reports whether a request was.
+func (c *Connection) markAborted() (active bool) {
 	active = c.guard.Active()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.cutHere = active
+	c.abortedLocally = active
 	return active
 }
 
--- a/internal/mesh/httpserver/httpserver.go
+++ b/internal/mesh/httpserver/httpserver.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	shutdownPause = 5 * time.Millisecond   // between two looks at the connections that are left
-	drainBytes    = 256 << 10              // of a body that nobody wanted, which is read for its answer to arrive
-	drainFor      = 500 * time.Millisecond // at most
+	shutdownPollInterval = 5 * time.Millisecond   // between two looks at the connections that are left
+	maxDrainBytes        = 256 << 10              // of a body that nobody wanted, which is read for its answer to arrive
+	drainTimeout         = 500 * time.Millisecond // at most
 )
 
 // Options are how a server is made.
@@ -29,9 +29,9 @@
 	ReadHeaderTimeout time.Duration
 	MaxHeaderBytes    int
 	KeepAlive         time.Duration // how long a connection may be idle unless it is promised otherwise; 0 for as long as it likes
-	Counts            *telemetry.Counters
+	Counters          *telemetry.Counters
 	Log               *slog.Logger
-	Failed            http.HandlerFunc // answers a request whose handler has panicked before it answered
+	HandlePanic       http.HandlerFunc // answers a request whose handler has panicked before it answered
 	WrapListener      WrapListener
 }
 
@@ -40,13 +40,13 @@
 
 // Server is one HTTP server.
 type Server struct {
-	options  Options
-	http     http.Server
-	listener net.Listener
-	panics   *atomic.Int64
-	idled    *atomic.Int64
-	cut      *atomic.Int64
-	closing  atomic.Bool // each answer is the last one on its connection
+	options    Options
+	http       http.Server
+	listener   net.Listener
+	panics     *atomic.Int64
+	idleClosed *atomic.Int64
+	aborted    *atomic.Int64
+	closing    atomic.Bool // each answer is the last one on its connection
 
 	accepting sync.Mutex // held while connections are accepted
 
@@ -66,9 +66,9 @@
 	s := &Server{
 		options:     options,
 		listener:    listener,
-		panics:      options.Counts.Of("panics_" + options.Name),
-		idled:       options.Counts.Of("idle_closed_" + options.Name),
-		cut:         options.Counts.Of("connections_cut_" + options.Name),
+		panics:      options.Counters.Counter("panics_" + options.Name),
+		idleClosed:  options.Counters.Counter("idle_closed_" + options.Name),
+		aborted:     options.Counters.Counter("connections_cut_" + options.Name),
 		connections: map[*Connection]struct{}{},
 	}
 	s.http = http.Server{
@@ -76,7 +76,7 @@
 		ReadHeaderTimeout:            options.ReadHeaderTimeout,
 		MaxHeaderBytes:               options.MaxHeaderBytes,
 		ErrorLog:                     slog.NewLogLogger(options.Log.Handler(), slog.LevelDebug),
-		ConnState:                    s.noteState,
+		ConnState:                    s.trackState,
 		ConnContext:                  withConnection,
 		DisableGeneralOptionsHandler: true,
 	}
@@ -101,50 +101,50 @@
 
 // CloseIdle closes the connections that have been idle for longer than they may.
 func (s *Server) CloseIdle(now time.Time) {
-	for _, c := range s.all() {
-		if c.endIfOverdue(now) {
-			s.idled.Add(1)
+	for _, c := range s.trackedConnections() {
+		if c.closeIfExpired(now) {
+			s.idleClosed.Add(1)
 		}
 	}
 }
 
 // Shutdown accepts nothing more, closes idle connections, and waits until the others have had their answer or the context ends.
 // Those that are left then are cut, and counted: cut is how many of them had a request.
-func (s *Server) Shutdown(ctx context.Context) (cut int) {
+func (s *Server) Shutdown(ctx context.Context) (aborted int) {
 	s.CloseConnections()
 	s.listener.Close()
 	s.accepting.Lock() // what has been accepted is known from here on
 	defer s.accepting.Unlock()
-	pause := time.NewTicker(shutdownPause)
-	defer pause.Stop()
+	poll := time.NewTicker(shutdownPollInterval)
+	defer poll.Stop()
 	for {
-		left := s.all()
-		for _, c := range left {
-			c.endIfIdle()
+		remaining := s.trackedConnections()
+		for _, c := range remaining {
+			c.closeIfIdle()
 		}
-		if len(left) == 0 {
+		if len(remaining) == 0 {
 			return 0
 		}
 		select {
-		case <-pause.C:
+		case <-poll.C:
 		case <-ctx.Done():
-			return s.cutAll()
+			return s.abortAll()
 		}
 	}
 }
 
-func (s *Server) cutAll() (cut int) {
-	for _, c := range s.all() {
-		if c.cut() {
-			cut++
+func (s *Server) abortAll() (aborted int) {
+	for _, c := range s.trackedConnections() {
+		if c.markAborted() {
+			aborted++
 		}
 	}
-	s.cut.Add(int64(cut))
+	s.aborted.Add(int64(aborted))
 	s.http.Close()
-	return cut
+	return aborted
 }
 
-func (s *Server) all() []*Connection {
+func (s *Server) trackedConnections() []*Connection {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all := make([]*Connection, 0, len(s.connections))
@@ -157,68 +157,68 @@
 // handle serves one request. A handler that fails is seen, and its client gets an answer if it has had nothing yet: net/http would end
 // the connection and tell nobody.
 func (s *Server) handle(w http.ResponseWriter, r *http.Request) {
-	started := &startedWriter{ResponseWriter: w, server: s}
+	tracked := &trackingWriter{ResponseWriter: w, server: s}
 	defer func() {
-		fault := recover()
-		if fault == nil {
+		panicked := recover()
+		if panicked == nil {
 			return
 		}
-		if fault != http.ErrAbortHandler {
+		if panicked != http.ErrAbortHandler {
 			s.panics.Add(1)
-			s.options.Log.Error("panic", "server", s.options.Name, "path", r.URL.Path, "fault", fault, "stack", string(debug.Stack()))
-			if !started.begun && s.options.Failed != nil {
-				s.options.Failed(started, r)
+			s.options.Log.Error("panic", "server", s.options.Name, "path", r.URL.Path, "fault", panicked, "stack", string(debug.Stack()))
+			if !tracked.started && s.options.HandlePanic != nil {
+				s.options.HandlePanic(tracked, r)
 				return
 			}
 		}
 		panic(http.ErrAbortHandler)
 	}()
-	s.options.Handler.ServeHTTP(started, r)
-	started.begin()
-	drainLast(w, r)
+	s.options.Handler.ServeHTTP(tracked, r)
+	tracked.start()
+	drainLastRequest(w, r)
 }
 
-// drainLast reads what is left of the last request on a connection, once its answer is on its way. Invariant: a close with unread bytes
+// drainLastRequest reads what is left of the last request on a connection, once its answer is on its way. Invariant: a close with unread bytes
 // resets the connection, and its client may lose the answer that it has not read yet. net/http sees to it for all but requests that
 // themselves say that they are the last.
-func drainLast(w http.ResponseWriter, r *http.Request) {
+func drainLastRequest(w http.ResponseWriter, r *http.Request) {
 	if !r.Close || r.ContentLength == 0 {
 		return
 	}
 	control := http.NewResponseController(w)
 	control.Flush()
-	control.SetReadDeadline(time.Now().Add(drainFor))
-	io.CopyN(io.Discard, r.Body, drainBytes)
+	control.SetReadDeadline(time.Now().Add(drainTimeout))
+	io.CopyN(io.Discard, r.Body, maxDrainBytes)
 }
 
-// startedWriter knows whether an answer has begun, and has it say whether it is the last one on its connection.
-type startedWriter struct {
+// trackingWriter knows whether an answer has begun, and has it say whether it is the last one on its connection.
+type trackingWriter struct {
 	http.ResponseWriter
-	server *Server
-	begun  bool
+	server  *Server
+	started bool
 }
 
-func (w *startedWriter) begin() {
-	if !w.begun && w.server.closing.Load() {
+func (w *trackingWriter) start() {
+	if !w.started && w.server.closing.Load() {
 		w.Header()["Connection"] = []string{"close"}
 	}
-	w.begun = true
+	w.started = true
 }
 
 // WriteHeader implements http.ResponseWriter.
-func (w *startedWriter) WriteHeader(status int) {
-	w.begin()
+func (w *trackingWriter) WriteHeader(status int) {
+	w.start()
 	w.ResponseWriter.WriteHeader(status)
 }
 
 // Write implements http.ResponseWriter.
-func (w *startedWriter) Write(b []byte) (int, error) {
-	w.begin()
+func (w *trackingWriter) Write(b []byte) (int, error) {
+	w.start()
 	return w.ResponseWriter.Write(b)
 }
 
 // Unwrap lets http.ResponseController reach the connection.
-func (w *startedWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
+func (w *trackingWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
 // trackingListener accepts connections that the server knows.
 type trackingListener struct {
@@ -239,14 +239,14 @@
 	return c, nil
 }
 
-// noteState takes net/http's word about a connection.
-func (s *Server) noteState(conn net.Conn, state http.ConnState) {
+// trackState takes net/http's word about a connection.
+func (s *Server) trackState(conn net.Conn, state http.ConnState) {
 	c := conn.(*Connection)
 	switch state {
 	case http.StateActive:
-		c.begin()
+		c.markActive()
 	case http.StateIdle:
-		c.rest(time.Now())
+		c.markIdle(time.Now())
 	case http.StateClosed, http.StateHijacked:
 		s.mu.Lock()
 		defer s.mu.Unlock()
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -30,7 +30,7 @@
 // Main is a program of the mesh: it serves, or checks a settings file.
 func Main(name, help string, make func(*settings.Settings, *slog.Logger) (Process, error)) {
 	app := kingpin.New(name, help)
-	path := app.Flag("config", "Settings file.").Envar(settings.Variable).String()
+	path := app.Flag("config", "Settings file.").Envar(settings.FileVariable).String()
 	serve := app.Command("serve", "Serve until SIGTERM; SIGHUP, or a change of the file, puts other seeds in force.").Default()
 	check := app.Command("check", "Read the settings and name every fault with line and key.")
 	switch command, err := app.Parse(os.Args[1:]); {
@@ -39,7 +39,7 @@
 	case command == check.FullCommand():
 		b, err := settings.Load(*path)
 		app.FatalIfError(err, "")
-		fmt.Printf("%s: %s in %s, %d seeds\n", *path, b.Node, b.District, len(b.Seeds))
+		fmt.Printf("%s: %s in %s, %d seeds\n", *path, b.Node, b.Zone, len(b.Seeds))
 	case command == serve.FullCommand():
 		hangUp := watch(syscall.SIGHUP) // first of all: one that nobody waits for ends the process
 		b, err := settings.Load(*path)
@@ -54,9 +54,9 @@
 // run holds the process to its machine, and tells it what changes.
 func run(b *settings.Settings, path string, hangUp <-chan os.Signal, make func(*settings.Settings, *slog.Logger) (Process, error)) error {
 	runtime.GOMAXPROCS(1) // a part of one core: threads beside one another only wait
-	debug.SetMemoryLimit(b.MemoryMb << 20 / 2)
+	debug.SetMemoryLimit(b.MemoryMB << 20 / 2)
 	debug.SetGCPercent(50) // memory is scarcer here than time
-	log := telemetry.New(os.Stderr, b.Node)
+	log := telemetry.NewLogger(os.Stderr, b.Node)
 	ctx, end := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer end()
 	p, err := make(b, log)
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -62,7 +62,7 @@
 	for n, b := range plan.Proxies {
 		b.Bounds.Grace = 2 * time.Second
 		startProxy(b)
-		a, err := testmesh.NewUpstream(fmt.Sprintf("i-%d", n), b.Destination, b.App, b.Control, 8, work, size)
+		a, err := testmesh.NewUpstream(fmt.Sprintf("i-%d", n), b.Service, b.UpstreamAddress, b.ControlAddress, 8, work, size)
 		must.NoError(t, err)
 		m.apps = append(m.apps, a)
 	}
@@ -98,7 +98,7 @@
 
 // call is an operator's call at one of the core's processes.
 func (m *mesh) call(at int, call, match, body string) (int, string) {
-	r, err := http.NewRequest(http.MethodPost, "http://"+m.plan.Controllers[at].Control+"/-/rpc?call="+call, strings.NewReader(body))
+	r, err := http.NewRequest(http.MethodPost, "http://"+m.plan.Controllers[at].ControlAddress+"/-/rpc?call="+call, strings.NewReader(body))
 	must.NoError(m.t, err)
 	r.Header.Set("If-Match", match)
 	w, err := (&http.Client{Timeout: 3 * time.Second}).Do(r)
@@ -124,7 +124,7 @@
 }
 
 func (m *mesh) sendAs(proxy int, method, path, id string) (int, *http.Response, string) {
-	r, err := http.NewRequest(method, "http://"+m.plan.Proxies[proxy].Outbound+path, nil)
+	r, err := http.NewRequest(method, "http://"+m.plan.Proxies[proxy].OutboundAddress+path, nil)
 	must.NoError(m.t, err)
 	r.Host = "a.example"
 	r.Header = http.Header{"X-Attempt-Id": {id}, "X-Time-Left-Ms": {"2000"}, "X-Key": {"k1"}, "X-Sender": {"forged"}, "X-Return-Address": {"forged"}}
@@ -172,7 +172,7 @@
 	for _, a := range m.apps {
 		if a.Runs(id) == 1 {
 			must.Eq(t, "acme", a.Saw("X-Sender"))
-			must.Eq(t, m.plan.Proxies[1].Destination, a.Saw("X-Return-Address"))
+			must.Eq(t, m.plan.Proxies[1].Service, a.Saw("X-Return-Address"))
 			must.Eq(t, "", a.Saw("X-Key"))
 			must.Eq(t, a.ID, a.Saw("X-Addressee"))
 		}
@@ -336,9 +336,9 @@
 		return status == http.StatusOK
 	}
 	m.until(func() bool { return page(0, 0) && page(0, 1) })
-	c := rpc.NewCaller(nil)
+	c := rpc.NewClient(nil)
 	defer c.Close()
-	at := m.plan.Controllers[0].Inner()
+	at := m.plan.Controllers[0].InternalAddress()
 	stand := &burstcredit.AccountStatus{}
 	must.NoError(t, c.Call(context.Background(), at, rpc.PathCreditOrder, &controller.Order{Tenant: "acme", Tokens: 150, Who: "me", Why: "a rush"}, stand))
 	must.Eq(t, 150, stand.Balance)
@@ -401,7 +401,7 @@
 	must.StrContains(t, text, "Mesh")
 	var mu sync.Mutex
 	ask := func(at int, method, path, id string) (int, string) {
-		r, err := http.NewRequest(method, "http://"+m.plan.Proxies[at].Outbound+path, nil)
+		r, err := http.NewRequest(method, "http://"+m.plan.Proxies[at].OutboundAddress+path, nil)
 		must.NoError(t, err)
 		r.Host = "zuid.example"
 		r.Header = http.Header{"X-Attempt-Id": {id}, "X-Time-Left-Ms": {"1000"}, "X-Key": {"k1"}, "X-Hive-Gate": {"zuid"}, "X-Import-Edition": {"99"}}
@@ -456,7 +456,7 @@
 		must.Eq(t, 200, status)
 		must.Eq(t, "of a partner", body)
 		var out, faults bytes.Buffer
-		args := []string{"--core", m.plan.Controllers[0].Control, "--inner", fmt.Sprint(m.plan.Controllers[0].InnerFirst), "partners"}
+		args := []string{"--core", m.plan.Controllers[0].ControlAddress, "--inner", fmt.Sprint(m.plan.Controllers[0].FirstInternalPort), "partners"}
 		must.Eq(t, meshctl.OK, meshctl.Run(args, &out, &faults), must.Sprint(faults.String()))
 		must.StrContains(t, out.String(), "3 of the balancers that ask controller-0 act on word")
 		must.Eq(t, meshctl.OK, meshctl.Run(append(args, "show", "zuid"), &out, &faults))
--- a/internal/mesh/meshctl/bounds.go
+++ b/internal/mesh/meshctl/bounds.go
@@ -16,24 +16,24 @@
 
 type nodeRecord = membership.Record
 
-// Bounds are the promises that follow from settings, each with its formula.
-func Bounds(b *settings.Settings) (lines []string) {
-	say := func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) }
-	say("%s in %s: settings read", b.Node, b.District)
-	n := 2*b.Tolerate.Machines + 1
-	s := consensus.State{Core: make([]consensus.Member, n), Tolerate: b.Tolerate.Machines}
-	say("core: %d members bear the loss of %d disks; a change is synced on max(majority, Tolerate+1) = %d before it is acknowledged", n, b.Tolerate.Machines, s.Quorum())
-	say("repair: the place of a member that is gone is a spare's, and its disk holds the state, within ReplaceAfter + 2·turn + step timeout + 4·(sync + round trip) = %v + 4·(sync + round trip), of CatchUp %v: up to %v for a sync and a round trip", controller.RepairBound(0), b.Bounds.CatchUp, controller.LongestRepairStep(b.Bounds.CatchUp))
-	ask := proxy.WatchTimeout
-	say("news: a silent core process is left after %v; two in a row %v, of Config %v", ask, 2*ask, b.Bounds.Config)
-	say("closing: nothing passes to an upstream later than 3/4 of Drain = %v after its acknowledgement, of Drain %v", b.Bounds.Drain*3/4, b.Bounds.Drain)
-	say("duties: another process has them after %v of silence, and acts after %v more", time.Duration(consensus.DutyAfter), controller.GracePeriod)
-	l := ratelimit.Limit{Rate: 100, Surge: 100, Window: int64(b.Bounds.QuotaWindow), Over: b.Bounds.QuotaOver, Slack: b.Bounds.QuotaSlack}
-	say("quota, for 100 a second and a surge of 100: R·W + Reserve = %.0f in %v, allowed (R·W + S)·(1 + over) + slack = %.0f", l.Rate*b.Bounds.QuotaWindow.Seconds()+l.Reserve(), b.Bounds.QuotaWindow, l.Bound())
-	n2 := burstcredit.Terms{Extra: 100}
-	spent, stranded, known := n2.Bounds(int64(b.Bounds.QuotaWindow))
-	say("burst credit, for 100 a second beyond the rate: Extra·W + Extra·Ahead = %.0f in %v; stranded by balancers cut off Extra·Ahead = %.0f, for %v at most; identities kept Extra·Window = %.0f", spent, b.Bounds.QuotaWindow, stranded, time.Duration(burstcredit.Strand), known)
-	say("partners: a narrowing is done (LeaveFor + Fresh)·(1 + Drift) + 3·Every = %v after it was agreed, and two agreed changes", (time.Duration(float64(federation.LeaveFor+federation.Fresh)*(1+federation.Drift)) + 3*time.Duration(federation.Every)).Round(time.Millisecond))
-	say("repeats: of n balancers each sends %.3g of its first sends and %.3g/n beyond them in %v; allowed %.3g and %.3g over all", b.Bounds.RetryRatio/2, b.Bounds.RetrySlack/2, b.Bounds.RetryWindow, b.Bounds.RetryRatio, b.Bounds.RetrySlack)
+// DescribeBounds are the promises that follow from settings, each with its formula.
+func DescribeBounds(meshSettings *settings.Settings) (lines []string) {
+	add := func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) }
+	add("%s in %s: settings read", meshSettings.Node, meshSettings.Zone)
+	coreSize := 2*meshSettings.Tolerate.Machines + 1
+	state := consensus.State{Core: make([]consensus.Member, coreSize), Tolerate: meshSettings.Tolerate.Machines}
+	add("core: %d members bear the loss of %d disks; a change is synced on max(majority, Tolerate+1) = %d before it is acknowledged", coreSize, meshSettings.Tolerate.Machines, state.Quorum())
+	add("repair: the place of a member that is gone is a spare's, and its disk holds the state, within ReplaceAfter + 2·turn + step timeout + 4·(sync + round trip) = %v + 4·(sync + round trip), of CatchUp %v: up to %v for a sync and a round trip", controller.RepairBound(0), meshSettings.Bounds.CatchUp, controller.LongestRepairStep(meshSettings.Bounds.CatchUp))
+	watchTimeout := proxy.WatchTimeout
+	add("news: a silent core process is left after %v; two in a row %v, of Config %v", watchTimeout, 2*watchTimeout, meshSettings.Bounds.Config)
+	add("closing: nothing passes to an upstream later than 3/4 of Drain = %v after its acknowledgement, of Drain %v", meshSettings.Bounds.Drain*3/4, meshSettings.Bounds.Drain)
+	add("duties: another process has them after %v of silence, and acts after %v more", time.Duration(consensus.DutyAfter), controller.GracePeriod)
+	limit := ratelimit.Limit{Rate: 100, Surge: 100, Window: int64(meshSettings.Bounds.QuotaWindow), Over: meshSettings.Bounds.QuotaOver, Slack: meshSettings.Bounds.QuotaSlack}
+	add("quota, for 100 a second and a surge of 100: R·W + Reserve = %.0f in %v, allowed (R·W + S)·(1 + over) + slack = %.0f", limit.Rate*meshSettings.Bounds.QuotaWindow.Seconds()+limit.Reserve(), meshSettings.Bounds.QuotaWindow, limit.Bound())
+	credit := burstcredit.Terms{Extra: 100}
+	spent, stranded, known := credit.Bounds(int64(meshSettings.Bounds.QuotaWindow))
+	add("burst credit, for 100 a second beyond the rate: Extra·W + Extra·Ahead = %.0f in %v; stranded by balancers cut off Extra·Ahead = %.0f, for %v at most; identities kept Extra·Window = %.0f", spent, meshSettings.Bounds.QuotaWindow, stranded, time.Duration(burstcredit.Strand), known)
+	add("partners: a narrowing is done (LeaveFor + Fresh)·(1 + Drift) + 3·Every = %v after it was agreed, and two agreed changes", (time.Duration(float64(federation.LeaveFor+federation.Fresh)*(1+federation.Drift)) + 3*time.Duration(federation.Every)).Round(time.Millisecond))
+	add("repeats: of n balancers each sends %.3g of its first sends and %.3g/n beyond them in %v; allowed %.3g and %.3g over all", meshSettings.Bounds.RetryRatio/2, meshSettings.Bounds.RetrySlack/2, meshSettings.Bounds.RetryWindow, meshSettings.Bounds.RetryRatio, meshSettings.Bounds.RetrySlack)
 	return lines
 }
--- a/internal/mesh/meshctl/configuration.go
+++ b/internal/mesh/meshctl/configuration.go
@@ -13,132 +13,132 @@
 	"ottershift/internal/mesh/routing"
 )
 
-// call is an operator's call, at one process after the other as long as the answer is unclear.
-func (k *client) call(call string, on int64, body []byte) ([]byte, error) {
-	if err := k.need(); err != nil {
+// callAPI is an operator's call, at one process after the other as long as the answer is unclear.
+func (c *client) callAPI(call string, baseVersion int64, body []byte) ([]byte, error) {
+	if err := c.requireAddresses(); err != nil {
 		return nil, err
 	}
-	var all errs.Group
+	var failures errs.Group
 	for range 3 {
-		for _, at := range k.seeds {
-			r, err := http.NewRequest(http.MethodPost, "http://"+at+"/-/rpc?call="+call, strings.NewReader(string(body)))
+		for _, address := range c.seeds {
+			request, err := http.NewRequest(http.MethodPost, "http://"+address+"/-/rpc?call="+call, strings.NewReader(string(body)))
 			if err != nil {
 				return nil, Error.Wrap(err)
 			}
-			r.Header.Set("Content-Type", "application/json")
-			if on >= 0 {
-				r.Header.Set("If-Match", strconv.FormatInt(on, 10))
+			request.Header.Set("Content-Type", "application/json")
+			if baseVersion >= 0 {
+				request.Header.Set("If-Match", strconv.FormatInt(baseVersion, 10))
 			}
-			w, err := (&http.Client{Timeout: k.wait}).Do(r)
+			response, err := (&http.Client{Timeout: c.timeout}).Do(request)
 			if err != nil {
-				all.Add(Error.New("%s: %v", at, err))
+				failures.Add(Error.New("%s: %v", address, err))
 				continue
 			}
-			text, err := io.ReadAll(w.Body)
-			w.Body.Close()
+			text, err := io.ReadAll(response.Body)
+			response.Body.Close()
 			switch {
-			case err == nil && w.StatusCode == http.StatusOK:
+			case err == nil && response.StatusCode == http.StatusOK:
 				return text, nil
-			case err == nil && w.StatusCode < 500:
-				return nil, &coded{Error.New("%s: %s", at, strings.TrimSpace(string(text))), Refused}
+			case err == nil && response.StatusCode < 500:
+				return nil, &exitError{Error.New("%s: %s", address, strings.TrimSpace(string(text))), Refused}
 			}
-			all.Add(Error.New("%s: %d %s", at, w.StatusCode, strings.TrimSpace(string(text))))
+			failures.Add(Error.New("%s: %d %s", address, response.StatusCode, strings.TrimSpace(string(text))))
 		}
 	}
-	return nil, &coded{Error.New("nobody gave a clear answer; it may or may not count: %v", all.Err()), Unclear}
+	return nil, &exitError{Error.New("nobody gave a clear answer; it may or may not count: %v", failures.Err()), OutcomeUnknown}
 }
 
-func (k *client) fetch() error {
-	text, err := k.call("timetable.fetch", -1, nil)
+func (c *client) fetch() error {
+	text, err := c.callAPI("timetable.fetch", -1, nil)
 	if err != nil {
 		return err
 	}
-	if t, err := routing.Load(text); err == nil && t.Ambiguous() != nil {
-		fmt.Fprintf(os.Stderr, "in force, and refused as the next change, since it means two things:\n%v\n", t.Ambiguous())
+	if configuration, err := routing.Load(text); err == nil && configuration.Ambiguous() != nil {
+		fmt.Fprintf(os.Stderr, "in force, and refused as the next change, since it means two things:\n%v\n", configuration.Ambiguous())
 	}
-	_, err = fmt.Fprintln(k.out, string(text))
+	_, err = fmt.Fprintln(c.out, string(text))
 	return err
 }
 
-func read(file string) ([]byte, error) {
+func readInput(file string) ([]byte, error) {
 	if file == "-" {
 		return io.ReadAll(os.Stdin)
 	}
 	return os.ReadFile(file)
 }
 
-func (k *client) put(call, file string, on int64) error {
-	body, err := read(file)
+func (c *client) put(call, file string, baseVersion int64) error {
+	body, err := readInput(file)
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	if on < 0 {
-		now, err := k.current()
+	if baseVersion < 0 {
+		current, err := c.currentVersion()
 		if err != nil {
 			return err
 		}
-		on = now
+		baseVersion = current
 	}
-	if _, err := k.call(call, on, body); err != nil {
+	if _, err := c.callAPI(call, baseVersion, body); err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(k.out, "taken on top of version %d\n", on)
+	_, err = fmt.Fprintf(c.out, "taken on top of version %d\n", baseVersion)
 	return err
 }
 
-// current is the version that is, 0 for none yet.
-func (k *client) current() (int64, error) {
-	text, err := k.call("timetable.fetch", -1, nil)
-	if c, is := err.(*coded); is && c.code == Refused {
+// currentVersion is the version that is, 0 for none yet.
+func (c *client) currentVersion() (int64, error) {
+	text, err := c.callAPI("timetable.fetch", -1, nil)
+	if refusal, is := err.(*exitError); is && refusal.code == Refused {
 		return 0, nil // nothing has been put yet
 	}
 	if err != nil {
 		return 0, err
 	}
-	t, err := routing.Load(text)
+	configuration, err := routing.Load(text)
 	if err != nil {
 		return 0, err
 	}
-	return t.Edition, nil
+	return configuration.Edition, nil
 }
 
-func (k *client) check(file string) error {
-	body, err := read(file)
+func (c *client) checkConfiguration(file string) error {
+	body, err := readInput(file)
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	t, err := routing.Parse(body)
+	configuration, err := routing.Parse(body)
 	if err != nil {
-		return &coded{err, Refused}
+		return &exitError{err, Refused}
 	}
-	_, err = fmt.Fprintf(k.out, "%s: version %d, %d routes, %d services, %d tenants\n", file, t.Edition, len(t.Routes), len(t.Services), len(t.Tenants))
+	_, err = fmt.Fprintf(c.out, "%s: version %d, %d routes, %d services, %d tenants\n", file, configuration.Edition, len(configuration.Routes), len(configuration.Services), len(configuration.Tenants))
 	return err
 }
 
 // diff names what a file would add, alter and take away.
-func (k *client) diff(file string) error {
-	body, err := read(file)
+func (c *client) diff(file string) error {
+	body, err := readInput(file)
 	if err != nil {
 		return Error.Wrap(err)
 	}
 	next, err := routing.Parse(body)
 	if err != nil {
-		return &coded{err, Refused}
+		return &exitError{err, Refused}
 	}
-	text, err := k.call("timetable.fetch", -1, nil)
+	text, err := c.callAPI("timetable.fetch", -1, nil)
 	if err != nil {
 		return err
 	}
-	now, err := routing.Load(text)
+	current, err := routing.Load(text)
 	if err != nil {
 		return err
 	}
-	lines := routing.Diff(now, next)
-	if k.json {
-		return k.raw(lines)
+	lines := routing.Diff(current, next)
+	if c.json {
+		return c.printJSON(lines)
 	}
 	for _, l := range lines {
-		fmt.Fprintln(k.out, l)
+		fmt.Fprintln(c.out, l)
 	}
 	return nil
 }
--- a/internal/mesh/meshctl/credit.go
+++ b/internal/mesh/meshctl/credit.go
@@ -12,9 +12,9 @@
 	"ottershift/internal/mesh/settings"
 )
 
-// accounts are all tenants' burst credit, as the core has agreed on it.
-func (k *client) accounts() ([]burstcredit.AccountStatus, *controller.Status, error) {
-	s, err := k.ask()
+// creditAccounts are all tenants' burst credit, as the core has agreed on it.
+func (c *client) creditAccounts() ([]burstcredit.AccountStatus, *controller.Status, error) {
+	s, err := c.queryStatus()
 	if err != nil {
 		return nil, nil, err
 	}
@@ -25,9 +25,9 @@
 	return b.Status(), s, nil
 }
 
-// credit shows accounts, of one tenant where it is named.
-func (k *client) credit(tenant string) error {
-	all, s, err := k.accounts()
+// showCredit shows accounts, of one tenant where it is named.
+func (c *client) showCredit(tenant string) error {
+	all, s, err := c.creditAccounts()
 	if err != nil {
 		return err
 	}
@@ -38,13 +38,13 @@
 		}
 	}
 	if tenant != "" && len(shown) == 0 {
-		return &coded{Error.New("%q has no account", tenant), Refused}
+		return &exitError{Error.New("%q has no account", tenant), Refused}
 	}
-	if k.json {
-		return k.raw(shown)
+	if c.json {
+		return c.printJSON(shown)
 	}
-	k.seen(s)
-	return k.table("TENANT\tBALANCE\tOUT\tEARNED\tGRANTED\tSPENT\tEXPIRED\tGAP\tSTATE", func(w io.Writer) {
+	c.printSource(s)
+	return c.printTable("TENANT\tBALANCE\tOUT\tEARNED\tGRANTED\tSPENT\tEXPIRED\tGAP\tSTATE", func(w io.Writer) {
 		for _, a := range shown {
 			state := "open"
 			if a.Frozen {
@@ -55,9 +55,9 @@
 	})
 }
 
-// history is the last lines of an account; their times are of the book, which runs while somebody keeps it.
-func (k *client) history(tenant string) error {
-	all, s, err := k.accounts()
+// showCreditHistory is the last lines of an account; their times are of the book, which runs while somebody keeps it.
+func (c *client) showCreditHistory(tenant string) error {
+	all, s, err := c.creditAccounts()
 	if err != nil {
 		return err
 	}
@@ -65,44 +65,44 @@
 		if a.Tenant != tenant {
 			continue
 		}
-		if k.json {
-			return k.raw(a.History)
+		if c.json {
+			return c.printJSON(a.History)
 		}
-		k.seen(s)
-		return k.table("AT\tWHAT\tTOKENS\tWHO\tWHY", func(w io.Writer) {
+		c.printSource(s)
+		return c.printTable("AT\tWHAT\tTOKENS\tWHO\tWHY", func(w io.Writer) {
 			for _, e := range a.History {
 				fmt.Fprintf(w, "%s\t%s\t%.1f\t%s\t%s\n", time.Duration(e.At).Round(time.Second), e.What, e.Tokens, e.Who, e.Why)
 			}
 		})
 	}
-	return &coded{Error.New("%q has no account", tenant), Refused}
+	return &exitError{Error.New("%q has no account", tenant), Refused}
 }
 
-// order has the core carry out an operator's word on an account. Invariant: asked again elsewhere, a grant of which nobody knows
+// orderCredit has the core carry out an operator's word on an account. Invariant: asked again elsewhere, a grant of which nobody knows
 // whether it was agreed would count twice.
-func (k *client) order(o *controller.Order) error {
-	a := &burstcredit.AccountStatus{}
-	if err := k.order_(rpc.PathCreditOrder, o, a, "look at the account's history before it is ordered again"); err != nil {
+func (c *client) orderCredit(order *controller.Order) error {
+	account := &burstcredit.AccountStatus{}
+	if err := c.sendOrder(rpc.PathCreditOrder, order, account, "look at the account's history before it is ordered again"); err != nil {
 		return err
 	}
-	_, err := fmt.Fprintf(k.out, "%s: balance %.1f, out %.1f, spent %.0f\n", a.Tenant, a.Balance, a.Out, a.Spent)
+	_, err := fmt.Fprintf(c.out, "%s: balance %.1f, out %.1f, spent %.0f\n", account.Tenant, account.Balance, account.Out, account.Spent)
 	return err
 }
 
 // have gives one process of the core an order, once; advice is for when nobody knows what came of it.
-func (k *client) order_(path string, order, answer any, advice string) error {
-	if err := k.need(); err != nil {
+func (c *client) sendOrder(path string, order, response any, advice string) error {
+	if err := c.requireAddresses(); err != nil {
 		return err
 	}
-	if k.inner == 0 {
-		return &coded{Error.New("the inner port is not known: --inner PORT, or a settings file for --core"), Usage}
+	if c.internalPort == 0 {
+		return &exitError{Error.New("the inner port is not known: --inner PORT, or a settings file for --core"), Usage}
 	}
-	c := rpc.NewCaller(nil)
-	defer c.Close()
-	ctx, end := context.WithTimeout(context.Background(), 2*k.wait)
-	defer end()
-	if err := c.Call(ctx, settings.InnerOf(settings.Host(k.seeds[0]), k.inner), path, order, answer); err != nil {
-		return &coded{Error.New("%v; %s", err, advice), Unclear}
+	rpcClient := rpc.NewClient(nil)
+	defer rpcClient.Close()
+	ctx, cancel := context.WithTimeout(context.Background(), 2*c.timeout)
+	defer cancel()
+	if err := rpcClient.Call(ctx, settings.InternalAddressOf(settings.Host(c.seeds[0]), c.internalPort), path, order, response); err != nil {
+		return &exitError{Error.New("%v; %s", err, advice), OutcomeUnknown}
 	}
 	return nil
 }
--- a/internal/mesh/meshctl/meshctl.go
+++ b/internal/mesh/meshctl/meshctl.go
@@ -21,44 +21,44 @@
 
 // Exit codes.
 const (
-	OK      = 0
-	Failed  = 1 // nobody answered, or a file could not be had
-	Refused = 2 // the core refuses: invalid, or another version is current
-	Unclear = 3 // no majority answered in time: it may or may not count
-	Usage   = 64
+	OK             = 0
+	Failed         = 1 // nobody answered, or a file could not be had
+	Refused        = 2 // the core refuses: invalid, or another version is current
+	OutcomeUnknown = 3 // no majority answered in time: it may or may not count
+	Usage          = 64
 )
 
 // Error is the class of what is told to operators.
 var Error = errs.Class("meshctl")
 
-type coded struct {
+type exitError struct {
 	error
 	code int
 }
 
 type client struct {
-	out   io.Writer
-	seeds []string // control addresses
-	inner int
-	json  bool
-	newst bool
-	wait  time.Duration
+	out          io.Writer
+	seeds        []string // control addresses
+	internalPort int
+	json         bool
+	newest       bool
+	timeout      time.Duration
 }
 
 // Run carries a command line out and returns the exit code.
-func Run(args []string, out, faults io.Writer) int {
-	k := &client{out: out}
+func Run(args []string, out, errors io.Writer) int {
+	controlClient := &client{out: out}
 	app := kingpin.New("meshctl", "Looks after a mesh's core: asks it, changes its timetable, saves and restores what it has agreed.")
 	app.Terminate(nil)
-	app.UsageWriter(faults)
-	app.ErrorWriter(faults)
+	app.UsageWriter(errors)
+	app.ErrorWriter(errors)
 	var ended bool
 	app.Terminate(func(int) { ended = true })
 	core := app.Flag("core", "Control addresses of the core, with commas; or a settings file of the mesh.").Envar("BEEKEEPER_CORE").String()
 	inner := app.Flag("inner", "First inner port of the core.").Envar("BEEKEEPER_INNER").Int()
-	app.Flag("json", "Answer as JSON.").BoolVar(&k.json)
-	app.Flag("timeout", "For each process that is asked.").Default("2s").DurationVar(&k.wait)
-	app.Flag("newest", "Have the core make sure that what is shown is the newest.").BoolVar(&k.newst)
+	app.Flag("json", "Answer as JSON.").BoolVar(&controlClient.json)
+	app.Flag("timeout", "For each process that is asked.").Default("2s").DurationVar(&controlClient.timeout)
+	app.Flag("newest", "Have the core make sure that what is shown is the newest.").BoolVar(&controlClient.newest)
 
 	status := app.Command("status", "One line for each process of the core.")
 	coreCmd := app.Command("core", "Who is the core, who votes, how far each is.")
@@ -71,29 +71,29 @@
 	creditOf := creditShow.Arg("tenant", "Of this one alone.").String()
 	creditHistory := credit.Command("history", "The last lines of an account.")
 	historyOf := creditHistory.Arg("tenant", "Whose.").Required().String()
-	order := &controller.Order{}
+	creditOrder := &controller.Order{}
 	creditGrant := credit.Command("grant", "Give a tenant credit, or with a number below 0 take some away.")
-	creditGrant.Arg("tenant", "Whom.").Required().StringVar(&order.Tenant)
-	creditGrant.Arg("tokens", "Requests.").Required().Float64Var(&order.Tokens)
+	creditGrant.Arg("tenant", "Whom.").Required().StringVar(&creditOrder.Tenant)
+	creditGrant.Arg("tokens", "Requests.").Required().Float64Var(&creditOrder.Tokens)
 	creditFreeze := credit.Command("freeze", "Stop what an account earns and gives out.")
-	creditFreeze.Arg("tenant", "Whose.").Required().StringVar(&order.Tenant)
-	creditFreeze.Flag("thaw", "Let it go on.").BoolVar(&order.Thaw)
+	creditFreeze.Arg("tenant", "Whose.").Required().StringVar(&creditOrder.Tenant)
+	creditFreeze.Flag("thaw", "Let it go on.").BoolVar(&creditOrder.Thaw)
 	for _, c := range []*kingpin.CmdClause{creditGrant, creditFreeze} {
-		c.Flag("who", "Who orders it.").Required().StringVar(&order.Who)
-		c.Flag("why", "Why.").Required().StringVar(&order.Why)
+		c.Flag("who", "Who orders it.").Required().StringVar(&creditOrder.Who)
+		c.Flag("why", "Why.").Required().StringVar(&creditOrder.Why)
 	}
 	partners := app.Command("partners", "Other meshes whose exports are used.")
 	partnersList := partners.Command("list", "Who exports what, what narrows, and how many balancers act on it.").Default()
 	partnersShow := partners.Command("show", "One partner's table, as it is in force.")
 	partnerOf := partnersShow.Arg("partner", "Whose.").Required().String()
-	word := &controller.PartnerOrder{}
+	partnerOrder := &controller.PartnerOrder{}
 	partnersHold := partners.Command("hold", "Close a partner: nothing is sent there.")
-	partnersHold.Flag("release", "Open it again.").BoolVar(&word.Release)
+	partnersHold.Flag("release", "Open it again.").BoolVar(&partnerOrder.Release)
 	partnersDrop := partners.Command("drop", "Forget what a partner said, so that it may begin with any edition again.")
 	for _, c := range []*kingpin.CmdClause{partnersHold, partnersDrop} {
-		c.Arg("partner", "Which.").Required().StringVar(&word.Partner)
-		c.Flag("who", "Who orders it.").Required().StringVar(&word.Who)
-		c.Flag("why", "Why.").Required().StringVar(&word.Why)
+		c.Arg("partner", "Which.").Required().StringVar(&partnerOrder.Partner)
+		c.Flag("who", "Who orders it.").Required().StringVar(&partnerOrder.Who)
+		c.Flag("why", "Why.").Required().StringVar(&partnerOrder.Why)
 	}
 	watch := app.Command("watch", "Tell changes of version, core, duties and balancers as they come.")
 	watchFor := watch.Flag("for", "How long.").Default("1h").Duration()
@@ -125,145 +125,145 @@
 		return OK
 	}
 	if err != nil {
-		fmt.Fprintf(faults, "meshctl: %v\n", err)
+		fmt.Fprintf(errors, "meshctl: %v\n", err)
 		return Usage
 	}
-	if err = k.reach(*core, *inner); err == nil {
+	if err = controlClient.resolveAddresses(*core, *inner); err == nil {
 		switch command {
 		case status.FullCommand():
-			err = k.status()
+			err = controlClient.showStatuses()
 		case coreCmd.FullCommand():
-			err = k.show((*client).core)
+			err = controlClient.show((*client).showCore)
 		case nodes.FullCommand():
-			err = k.show((*client).nodes)
+			err = controlClient.show((*client).showNodes)
 		case upstreams.FullCommand():
-			err = k.show((*client).upstreams)
+			err = controlClient.show((*client).showUpstreams)
 		case duties.FullCommand():
-			err = k.show((*client).duties)
+			err = controlClient.show((*client).showDuties)
 		case quotas.FullCommand():
-			err = k.quotas()
+			err = controlClient.showQuotas()
 		case creditShow.FullCommand():
-			err = k.credit(*creditOf)
+			err = controlClient.showCredit(*creditOf)
 		case creditHistory.FullCommand():
-			err = k.history(*historyOf)
+			err = controlClient.showCreditHistory(*historyOf)
 		case creditGrant.FullCommand():
-			err = k.order(order)
+			err = controlClient.orderCredit(creditOrder)
 		case creditFreeze.FullCommand():
-			order.Freeze = !order.Thaw
-			err = k.order(order)
+			creditOrder.Freeze = !creditOrder.Thaw
+			err = controlClient.orderCredit(creditOrder)
 		case partnersList.FullCommand():
-			err = k.partners()
+			err = controlClient.showPartners()
 		case partnersShow.FullCommand():
-			err = k.exports(*partnerOf)
+			err = controlClient.showExports(*partnerOf)
 		case partnersHold.FullCommand():
-			word.Hold = !word.Release
-			err = k.partner(word)
+			partnerOrder.Hold = !partnerOrder.Release
+			err = controlClient.orderPartner(partnerOrder)
 		case partnersDrop.FullCommand():
-			word.Drop = true
-			err = k.partner(word)
+			partnerOrder.Drop = true
+			err = controlClient.orderPartner(partnerOrder)
 		case watch.FullCommand():
-			err = k.watch(*watchFor)
+			err = controlClient.watch(*watchFor)
 		case fetch.FullCommand():
-			err = k.fetch()
+			err = controlClient.fetch()
 		case replace.FullCommand():
-			err = k.put("timetable.replace", *replaceFile, *replaceOn)
+			err = controlClient.put("timetable.replace", *replaceFile, *replaceOn)
 		case amend.FullCommand():
-			err = k.put("timetable.amend", *amendFile, *amendOn)
+			err = controlClient.put("timetable.amend", *amendFile, *amendOn)
 		case diff.FullCommand():
-			err = k.diff(*diffFile)
+			err = controlClient.diff(*diffFile)
 		case check.FullCommand():
-			err = k.check(*checkFile)
+			err = controlClient.checkConfiguration(*checkFile)
 		case backup.FullCommand():
-			err = k.backup(*backupFile, *backupDir)
+			err = controlClient.backup(*backupFile, *backupDir)
 		case restore.FullCommand():
-			err = k.restore(*restoreFile, *restoreDir, *restoreAt, *restoreZone)
+			err = controlClient.restore(*restoreFile, *restoreDir, *restoreAt, *restoreZone)
 		case settings.FullCommand():
-			err = k.bounds(*settingsFile)
+			err = controlClient.printBounds(*settingsFile)
 		}
 	}
 	if err == nil {
 		return OK
 	}
-	fmt.Fprintf(faults, "meshctl: %v\n", err)
-	if c, is := err.(*coded); is {
+	fmt.Fprintf(errors, "meshctl: %v\n", err)
+	if c, is := err.(*exitError); is {
 		return c.code
 	}
 	return Failed
 }
 
-// reach finds whom to ask: addresses, or the seeds of a settings file.
-func (k *client) reach(core string, inner int) error {
-	k.inner = inner
+// resolveAddresses finds whom to ask: addresses, or the seeds of a settings file.
+func (c *client) resolveAddresses(core string, internalPort int) error {
+	c.internalPort = internalPort
 	if core == "" {
 		return nil
 	}
 	if _, err := os.Stat(core); err == nil {
-		b, err := settings.Load(core)
+		meshSettings, err := settings.Load(core)
 		if err != nil {
 			return err
 		}
-		k.seeds = b.Seeds
-		if k.inner == 0 {
-			k.inner = b.InnerFirst
+		c.seeds = meshSettings.Seeds
+		if c.internalPort == 0 {
+			c.internalPort = meshSettings.FirstInternalPort
 		}
 		return nil
 	}
-	k.seeds = strings.Split(core, ",")
+	c.seeds = strings.Split(core, ",")
 	return nil
 }
 
-func (k *client) need() error {
-	if len(k.seeds) == 0 {
-		return &coded{Error.New("whom to ask: --core ADDRESS,... or a settings file, or BEEKEEPER_CORE"), Usage}
+func (c *client) requireAddresses() error {
+	if len(c.seeds) == 0 {
+		return &exitError{Error.New("whom to ask: --core ADDRESS,... or a settings file, or BEEKEEPER_CORE"), Usage}
 	}
 	return nil
 }
 
-// ask has the first process that answers tell its status.
-func (k *client) ask() (*controller.Status, error) {
-	if err := k.need(); err != nil {
+// queryStatus has the first process that answers tell its status.
+func (c *client) queryStatus() (*controller.Status, error) {
+	if err := c.requireAddresses(); err != nil {
 		return nil, err
 	}
-	var all errs.Group
-	for _, at := range k.seeds {
-		s, err := k.one(at)
+	var failures errs.Group
+	for _, address := range c.seeds {
+		status, err := c.statusOf(address)
 		if err == nil {
-			return s, nil
+			return status, nil
 		}
-		all.Add(Error.New("%s: %v", at, err))
+		failures.Add(Error.New("%s: %v", address, err))
 	}
-	return nil, all.Err()
+	return nil, failures.Err()
 }
 
-func (k *client) one(at string) (*controller.Status, error) {
-	if k.inner == 0 {
-		return nil, &coded{Error.New("the inner port is not known: --inner PORT, or a settings file for --core"), Usage}
+func (c *client) statusOf(address string) (*controller.Status, error) {
+	if c.internalPort == 0 {
+		return nil, &exitError{Error.New("the inner port is not known: --inner PORT, or a settings file for --core"), Usage}
 	}
-	ctx, end := context.WithTimeout(context.Background(), k.wait)
-	defer end()
-	c := rpc.NewCaller(nil)
-	defer c.Close()
-	s := &controller.Status{}
-	return s, c.Call(ctx, settings.InnerOf(settings.Host(at), k.inner), rpc.PathStatus, controller.StatusRequest{Newest: k.newst}, s)
+	ctx, cancel := context.WithTimeout(context.Background(), c.timeout)
+	defer cancel()
+	rpcClient := rpc.NewClient(nil)
+	defer rpcClient.Close()
+	status := &controller.Status{}
+	return status, rpcClient.Call(ctx, settings.InternalAddressOf(settings.Host(address), c.internalPort), rpc.PathStatus, controller.StatusRequest{Newest: c.newest}, status)
 }
 
-func (k *client) table(head string, rows func(w io.Writer)) error {
-	w := tabwriter.NewWriter(k.out, 2, 8, 2, ' ', 0)
-	fmt.Fprintln(w, head)
-	rows(w)
-	return w.Flush()
+func (c *client) printTable(head string, rows func(writer io.Writer)) error {
+	writer := tabwriter.NewWriter(c.out, 2, 8, 2, ' ', 0)
+	fmt.Fprintln(writer, head)
+	rows(writer)
+	return writer.Flush()
 }
 
-func (k *client) raw(v any) error {
-	e := json.NewEncoder(k.out)
-	e.SetIndent("", "  ")
-	return e.Encode(v)
+func (c *client) printJSON(v any) error {
+	encoder := json.NewEncoder(c.out)
+	encoder.SetIndent("", "  ")
+	return encoder.Encode(v)
 }
 
-func (k *client) show(how func(*client, *controller.Status) error) error {
-	s, err := k.ask()
+func (c *client) show(print func(*client, *controller.Status) error) error {
+	status, err := c.queryStatus()
 	if err != nil {
 		return err
 	}
-	return how(k, s)
+	return print(c, status)
 }
--- a/internal/mesh/meshctl/meshctl_test.go
+++ b/internal/mesh/meshctl/meshctl_test.go
@@ -28,7 +28,7 @@
 const table = `{"Edition":%d,"SizeLimits":{},"PostOffices":[{"Town":"a","Regulations":[{"Name":"r","MailClass":"repeatable","Target":"1s","Sorting":{"StreetPrefix":"/"},"Dispatch":{"Destination":"d","Deadline":"%s","DeliveryTries":1}}]}],"Depots":[{"Name":"d"}]}`
 
 // An operator's day: a core of one is watched, changed, saved, lost, and begun again from what was saved.
-func TestAnOperatorsDay(t *testing.T) {
+func TestBackupRestoreAndConfigurationCommands(t *testing.T) {
 	dir := t.TempDir()
 	plan, err := testmesh.Plan(1, 0, []string{"east"}, nil, dir)
 	must.NoError(t, err)
@@ -44,7 +44,7 @@
 		return func() { end(); <-over }
 	}
 	stop := start()
-	core := []string{"--core", b.Control, "--inner", fmt.Sprint(b.InnerFirst)}
+	core := []string{"--core", b.ControlAddress, "--inner", fmt.Sprint(b.FirstInternalPort)}
 	do := func(args ...string) (int, string, string) {
 		return run(append(append([]string{}, core...), args...)...)
 	}
@@ -80,17 +80,17 @@
 	must.Eq(t, OK, code, must.Sprint(faults))
 	stop()
 	code, _, _ = do("--timeout", "200ms", "timetable", "fetch")
-	must.Eq(t, Unclear, code)
+	must.Eq(t, OutcomeUnknown, code)
 
 	// The disk is gone; a backup begins a core of one anew, and says what may be lost.
-	code, _, faults = run("restore", saved, "--dir", b.DataDir, "--at", b.Inner(), "--zone", "east")
+	code, _, faults = run("restore", saved, "--dir", b.DataDir, "--at", b.InternalAddress(), "--zone", "east")
 	must.Eq(t, Failed, code) // not over what is there
 	must.StrContains(t, faults, "holds a copy already")
 	from := filepath.Join(dir, "from-disk")
 	code, _, _ = run("backup", from, "--from", b.DataDir)
 	must.Eq(t, OK, code, must.Sprint(out, faults))
 	must.NoError(t, os.RemoveAll(b.DataDir))
-	code, out, faults = run("restore", saved, "--dir", b.DataDir, "--at", b.Inner(), "--zone", "east")
+	code, out, faults = run("restore", saved, "--dir", b.DataDir, "--at", b.InternalAddress(), "--zone", "east")
 	must.Eq(t, OK, code, must.Sprint(faults))
 	must.StrContains(t, out, "Lost, if they were acknowledged: all changes after slot")
 	b.FirstStart = false
@@ -100,19 +100,19 @@
 		return code == OK
 	}), wait.Timeout(5*time.Second), wait.Gap(20*time.Millisecond)))
 	must.StrContains(t, out, `"Edition":3`)
-	must.NoError(t, os.WriteFile(saved, []byte(strings.Replace(fmt.Sprint(read2(t, saved)), `"Edition": 3`, `"Edition": 4`, 1)), 0o600))
+	must.NoError(t, os.WriteFile(saved, []byte(strings.Replace(fmt.Sprint(readFile(t, saved)), `"Edition": 3`, `"Edition": 4`, 1)), 0o600))
 	code, _, faults = run("restore", saved, "--dir", filepath.Join(dir, "other"), "--at", "10.0.0.1:1", "--zone", "east")
 	must.Eq(t, Failed, code)
 	must.StrContains(t, faults, "checksum")
 }
 
-func read2(t *testing.T, path string) string {
+func readFile(t *testing.T, path string) string {
 	raw, err := os.ReadFile(path)
 	must.NoError(t, err)
 	return string(raw)
 }
 
-func TestWhatIsMissingIsSaid(t *testing.T) {
+func TestUsageErrors(t *testing.T) {
 	code, _, faults := run("status")
 	must.Eq(t, Usage, code)
 	must.StrContains(t, faults, "BEEKEEPER_CORE")
@@ -122,7 +122,7 @@
 }
 
 // Credit by an operator's hand: who and why are asked for, each word is in the history, an account that is frozen says so.
-func TestCreditByHand(t *testing.T) {
+func TestCreditOrders(t *testing.T) {
 	plan, err := testmesh.Plan(1, 0, []string{"east"}, nil, t.TempDir())
 	must.NoError(t, err)
 	b := plan.Controllers[0]
@@ -135,7 +135,7 @@
 	go func() { defer close(over); c.Run(ctx) }()
 	defer func() { end(); <-over }()
 	do := func(args ...string) (int, string, string) {
-		return run(append([]string{"--newest", "--core", b.Control, "--inner", fmt.Sprint(b.InnerFirst)}, args...)...)
+		return run(append([]string{"--newest", "--core", b.ControlAddress, "--inner", fmt.Sprint(b.FirstInternalPort)}, args...)...)
 	}
 	grant := []string{"credit", "grant", "acme", "120", "--who", "ann", "--why", "the fair"}
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { code, _, _ := do(grant...); return code == OK }), wait.Timeout(5*time.Second), wait.Gap(20*time.Millisecond)))
@@ -153,7 +153,7 @@
 		{[]string{"credit", "history", "acme"}, OK, "a bill"},
 		{[]string{"partners"}, OK, "act on word 0"},
 		{[]string{"partners", "show", "zuid"}, Refused, ""},
-		{[]string{"partners", "hold", "zuid", "--who", "bo", "--why", "x"}, Unclear, ""}, // nobody knows it
+		{[]string{"partners", "hold", "zuid", "--who", "bo", "--why", "x"}, OutcomeUnknown, ""}, // nobody knows it
 		{[]string{"credit", "freeze", "acme", "--thaw", "--who", "bo", "--why", "paid"}, OK, ""},
 		{[]string{"credit", "show", "acme"}, OK, "open"},
 	} {
--- a/internal/mesh/meshctl/partners.go
+++ b/internal/mesh/meshctl/partners.go
@@ -14,102 +14,102 @@
 	"ottershift/internal/mesh/rpc"
 )
 
-// partners shows who exports what, since when, and who acts on it.
-func (k *client) partners() error {
-	s, err := k.ask()
+// showPartners shows who exports what, since when, and who acts on it.
+func (c *client) showPartners() error {
+	status, err := c.queryStatus()
 	if err != nil {
 		return err
 	}
-	if q := s.State.Coordinator.At; q != "" && s.At != q { // who asks partners knows what was wrong with their words
-		if other, err := k.one(q); err == nil {
-			s = other
+	if coordinator := status.State.Coordinator.At; coordinator != "" && status.At != coordinator { // who asks partners knows what was wrong with their words
+		if other, err := c.statusOf(coordinator); err == nil {
+			status = other
 		}
 	}
-	book, err := federation.Read(s.State.Imports)
+	book, err := federation.Read(status.State.Imports)
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	if k.json {
-		return k.raw(map[string]any{"Book": book, "Ages": s.Ages, "Faults": s.Faults, "Doors": s.Doors})
+	if c.json {
+		return c.printJSON(map[string]any{"Book": book, "Ages": status.Ages, "Faults": status.Faults, "Doors": status.Doors})
 	}
-	k.seen(s)
-	err = k.table("PARTNER\tEDITION\tEXPORTS\tSTATE\tCONFIRMED\tFAULT", func(w io.Writer) {
+	c.printSource(status)
+	err = c.printTable("PARTNER\tEDITION\tEXPORTS\tSTATE\tCONFIRMED\tFAULT", func(w io.Writer) {
 		for _, name := range slices.Sorted(maps.Keys(book.Partners)) {
-			i := book.Partners[name]
+			partner := book.Partners[name]
 			edition, exports, state := int64(0), 0, "open"
-			if i.Table != nil {
-				edition, exports = i.Table.Edition, len(i.Table.Exports)
+			if partner.Table != nil {
+				edition, exports = partner.Table.Edition, len(partner.Table.Exports)
 			}
 			switch {
-			case i.Held:
-				state = fmt.Sprintf("held by %s: %s", i.Who, i.Why)
-			case i.Table == nil:
+			case partner.Held:
+				state = fmt.Sprintf("held by %s: %s", partner.Who, partner.Why)
+			case partner.Table == nil:
 				state = "nothing taken"
-			case i.No != i.Done:
-				state = fmt.Sprintf("narrows, done up to edition %d", i.Told)
+			case partner.No != partner.Done:
+				state = fmt.Sprintf("narrows, done up to edition %d", partner.Told)
 			}
 			age := "never"
-			if a, is := s.Ages[name]; is {
+			if a, is := status.Ages[name]; is {
 				age = ago(time.Duration(a))
 			}
-			fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%s\t%s\n", name, edition, exports, state, age, s.Faults[name])
+			fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%s\t%s\n", name, edition, exports, state, age, status.Faults[name])
 		}
 	})
 	if err != nil {
 		return err
 	}
 	behind := 0
-	for _, no := range s.Doors {
+	for _, no := range status.Doors {
 		if no < book.No {
 			behind++
 		}
 	}
-	fmt.Fprintf(k.out, "%d of the balancers that ask %s act on word %d, %d on an earlier one\n", len(s.Doors)-behind, s.Node, book.No, behind)
-	t, err := routing.Load(s.State.Configuration)
+	fmt.Fprintf(c.out, "%d of the balancers that ask %s act on word %d, %d on an earlier one\n", len(status.Doors)-behind, status.Node, book.No, behind)
+	configuration, err := routing.Load(status.State.Configuration)
 	if err != nil {
 		return nil
 	}
 	var all []federation.Partner
-	for _, p := range t.Partners {
+	for _, p := range configuration.Partners {
 		all = append(all, federation.Partner{Name: p.Name})
 	}
-	for _, line := range federation.Shadow(book, all, func(town, path string) bool { return t.Find(town, path) != nil }) {
-		fmt.Fprintln(k.out, "not used:", line)
+	for _, line := range federation.Shadow(book, all, func(town, path string) bool { return configuration.Find(town, path) != nil }) {
+		fmt.Fprintln(c.out, "not used:", line)
 	}
 	return nil
 }
 
-// exports shows one partner's table.
-func (k *client) exports(partner string) error {
-	s, err := k.ask()
+// showExports shows one partner's table.
+func (c *client) showExports(partner string) error {
+	status, err := c.queryStatus()
 	if err != nil {
 		return err
 	}
-	book, err := federation.Read(s.State.Imports)
+	book, err := federation.Read(status.State.Imports)
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	i := book.Partners[partner]
-	if i == nil || i.Table == nil {
-		return &coded{Error.New("nothing is taken of %q", partner), Refused}
+	imported := book.Partners[partner]
+	if imported == nil || imported.Table == nil {
+		return &exitError{Error.New("nothing is taken of %q", partner), Refused}
 	}
-	if k.json {
-		return k.raw(i)
+	if c.json {
+		return c.printJSON(imported)
 	}
-	k.seen(s)
-	return k.table("HOST\tPREFIX\tSERVICE\tMETHODS\tPER S", func(w io.Writer) {
-		for _, e := range i.Table.Exports {
+	c.printSource(status)
+	return c.printTable("HOST\tPREFIX\tSERVICE\tMETHODS\tPER S", func(w io.Writer) {
+		for _, e := range imported.Table.Exports {
 			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%g\n", e.Town, e.StreetPrefix, e.Service, strings.Join(e.Methods, ","), e.PerS)
 		}
 	})
 }
 
-// partner has the core carry out an operator's word on a partner.
-func (k *client) partner(o *controller.PartnerOrder) error {
-	i := &federation.Import{}
-	if err := k.order_(rpc.PathPartner, o, i, "the same order again is safe"); err != nil {
+// orderPartner has the core carry out an operator's word on a partner.
+func (c *client) orderPartner(order *controller.PartnerOrder) error {
+	partner := &federation.Import{}
+	if err := c.sendOrder(rpc.PathPartnerOrder, order, partner, "the same order again is safe"); err != nil {
 		return err
 	}
-	_, err := fmt.Fprintf(k.out, "%s: word %d, done up to %d\n", o.Partner, i.No, i.Done)
+	_, err := fmt.Fprintf(c.out, "%s: word %d, done up to %d\n", order.Partner, partner.No, partner.Done)
 	return err
 }
--- a/internal/mesh/meshctl/status.go
+++ b/internal/mesh/meshctl/status.go
@@ -12,13 +12,13 @@
 	"ottershift/internal/mesh/controller"
 )
 
-// seen is the line that says whose word it is and how old.
-func (k *client) seen(s *controller.Status) {
+// printSource is the line that says whose word it is and how old.
+func (c *client) printSource(s *controller.Status) {
 	state := "confirmed by a majority " + ago(s.Confirmed)
 	if !s.Current {
 		state = "NOT CURRENT: no majority has confirmed it since " + ago(s.Confirmed)
 	}
-	fmt.Fprintf(k.out, "as %s sees it, %s\n", s.Node, state)
+	fmt.Fprintf(c.out, "as %s sees it, %s\n", s.Node, state)
 }
 
 func ago(d time.Duration) string {
@@ -31,8 +31,8 @@
 	return d.Round(time.Millisecond).String() + " ago"
 }
 
-func (k *client) status() error {
-	if err := k.need(); err != nil {
+func (c *client) showStatuses() error {
+	if err := c.requireAddresses(); err != nil {
 		return err
 	}
 	type line struct {
@@ -40,27 +40,27 @@
 		Fault  string             `json:",omitempty"`
 		Status *controller.Status `json:",omitempty"`
 	}
-	var all []line
+	var lines []line
 	answered := false
-	for _, at := range k.seeds {
-		s, err := k.one(at)
-		l := line{At: at, Status: s}
+	for _, address := range c.seeds {
+		status, err := c.statusOf(address)
+		entry := line{At: address, Status: status}
 		if err != nil {
-			l.Fault, l.Status = err.Error(), nil
+			entry.Fault, entry.Status = err.Error(), nil
 		}
 		answered = answered || err == nil
-		all = append(all, l)
+		lines = append(lines, entry)
 	}
 	var err error
-	if k.json {
-		err = k.raw(all)
+	if c.json {
+		err = c.printJSON(lines)
 	} else {
-		err = k.table("ADDRESS\tNODE\tUP\tCURRENT\tINDEX\tVERSION\tCORE\tBALANCERS", func(w io.Writer) {
-			for _, l := range all {
-				if s := l.Status; s != nil {
-					fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%d\t%d\t%d\t%d\n", l.At, s.Node, s.Up.Round(time.Second), s.Current, s.State.Index, s.State.Edition, len(s.State.Core), len(s.Nodes))
+		err = c.printTable("ADDRESS\tNODE\tUP\tCURRENT\tINDEX\tVERSION\tCORE\tBALANCERS", func(w io.Writer) {
+			for _, entry := range lines {
+				if status := entry.Status; status != nil {
+					fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%d\t%d\t%d\t%d\n", entry.At, status.Node, status.Up.Round(time.Second), status.Current, status.State.Index, status.State.Edition, len(status.State.Core), len(status.Nodes))
 				} else {
-					fmt.Fprintf(w, "%s\tno answer: %s\n", l.At, l.Fault)
+					fmt.Fprintf(w, "%s\tno answer: %s\n", entry.At, entry.Fault)
 				}
 			}
 		})
@@ -71,49 +71,49 @@
 	return err
 }
 
-func (k *client) core(s *controller.Status) error {
-	if k.json {
-		return k.raw(s.Core)
+func (c *client) showCore(s *controller.Status) error {
+	if c.json {
+		return c.printJSON(s.Core)
 	}
-	k.seen(s)
-	return k.table("ADDRESS\tZONE\tDISK\tVOTES\tINDEX\tHEARD", func(w io.Writer) {
+	c.printSource(s)
+	return c.printTable("ADDRESS\tZONE\tDISK\tVOTES\tINDEX\tHEARD", func(w io.Writer) {
 		for _, m := range s.Core {
 			fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%d\t%s\n", m.At, m.Zone, m.ID, m.Votes, m.Index, ago(m.Quiet))
 		}
 	})
 }
 
-func (k *client) nodes(s *controller.Status) error {
-	if k.json {
-		return k.raw(s.Nodes)
+func (c *client) showNodes(s *controller.Status) error {
+	if c.json {
+		return c.printJSON(s.Nodes)
 	}
-	k.seen(s)
-	return k.table("NODE\tZONE\tINBOUND\tLEASE\tHEARD\tUPSTREAM", func(w io.Writer) {
+	c.printSource(s)
+	return c.printTable("NODE\tZONE\tINBOUND\tLEASE\tHEARD\tUPSTREAM", func(w io.Writer) {
 		for _, n := range s.Nodes {
-			lease, up := "holds", "none"
+			lease, upstream := "holds", "none"
 			if n.Lost {
 				lease = "ran out"
 			}
 			if n.Upstream != nil {
-				up = n.Upstream.ID
+				upstream = n.Upstream.ID
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", n.Name, n.District, n.Inbound, lease, ago(time.Duration(n.Age)), up)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", n.Name, n.District, n.Inbound, lease, ago(time.Duration(n.Age)), upstream)
 		}
 	})
 }
 
-func (k *client) upstreams(s *controller.Status) error {
-	nests := slices.Clone(s.Nodes)
-	nests = slices.DeleteFunc(nests, func(n nodeRecord) bool { return n.Upstream == nil })
-	slices.SortFunc(nests, func(a, b nodeRecord) int {
+func (c *client) showUpstreams(s *controller.Status) error {
+	nodes := slices.Clone(s.Nodes)
+	nodes = slices.DeleteFunc(nodes, func(n nodeRecord) bool { return n.Upstream == nil })
+	slices.SortFunc(nodes, func(a, b nodeRecord) int {
 		return strings.Compare(a.Upstream.Service+" "+a.Name, b.Upstream.Service+" "+b.Name)
 	})
-	if k.json {
-		return k.raw(nests)
+	if c.json {
+		return c.printJSON(nodes)
 	}
-	k.seen(s)
-	return k.table("SERVICE\tUPSTREAM\tVERSION\tZONE\tNODE\tSLOTS\tSTATE\tHEARD", func(w io.Writer) {
-		for _, n := range nests {
+	c.printSource(s)
+	return c.printTable("SERVICE\tUPSTREAM\tVERSION\tZONE\tNODE\tSLOTS\tSTATE\tHEARD", func(w io.Writer) {
+		for _, n := range nodes {
 			state := "accepting"
 			switch {
 			case n.Upstream.Closing:
@@ -126,55 +126,55 @@
 	})
 }
 
-func (k *client) duties(s *controller.Status) error {
-	if k.json {
-		return k.raw(map[string]any{"Coordinator": s.State.Coordinator, "Epoch": s.State.Epoch, "Members": s.State.Members})
+func (c *client) showDuties(s *controller.Status) error {
+	if c.json {
+		return c.printJSON(map[string]any{"Coordinator": s.State.Coordinator, "Epoch": s.State.Epoch, "Members": s.State.Members})
 	}
-	k.seen(s)
-	return k.table("DUTY\tDONE BY\tREIGN", func(w io.Writer) {
+	c.printSource(s)
+	return c.printTable("DUTY\tDONE BY\tREIGN", func(w io.Writer) {
 		fmt.Fprintf(w, "bank of quotas\t%s\t%d\n", s.State.Coordinator.At, s.State.Epoch)
 		fmt.Fprintf(w, "core kept whole, census of %d balancers, settling\tfirst of the core in order\t\n", s.State.Members)
 	})
 }
 
-// quotas asks whoever keeps the bank.
-func (k *client) quotas() error {
-	s, err := k.ask()
+// showQuotas asks whoever keeps the bank.
+func (c *client) showQuotas() error {
+	status, err := c.queryStatus()
 	if err != nil {
 		return err
 	}
-	if q := s.State.Coordinator.At; q != "" && s.At != q {
-		if s, err = k.one(q); err != nil {
-			return Error.New("%s, which keeps the bank: %v", q, err)
+	if coordinator := status.State.Coordinator.At; coordinator != "" && status.At != coordinator {
+		if status, err = c.statusOf(coordinator); err != nil {
+			return Error.New("%s, which keeps the bank: %v", coordinator, err)
 		}
 	}
-	if k.json {
-		return k.raw(s.Quotas)
+	if c.json {
+		return c.printJSON(status.Quotas)
 	}
-	k.seen(s)
-	return k.table("TENANT\tRATE/S\tSURGE\tPOOL\tOUT\tRESERVE\tBOUND A WINDOW", func(w io.Writer) {
-		for _, a := range s.Quotas {
+	c.printSource(status)
+	return c.printTable("TENANT\tRATE/S\tSURGE\tPOOL\tOUT\tRESERVE\tBOUND A WINDOW", func(w io.Writer) {
+		for _, a := range status.Quotas {
 			fmt.Fprintf(w, "%s\t%g\t%g\t%.1f\t%.1f\t%.1f\t%.0f\n", a.Tenant, a.Rate, a.Surge, a.Pool, a.Out, a.Reserve, a.Bound)
 		}
 	})
 }
 
 // watch tells what changes.
-func (k *client) watch(long time.Duration) error {
-	if err := k.need(); err != nil {
+func (c *client) watch(duration time.Duration) error {
+	if err := c.requireAddresses(); err != nil {
 		return err
 	}
 	last := map[string]string{}
-	t := time.NewTicker(500 * time.Millisecond)
-	defer t.Stop()
-	for end := time.Now().Add(long); time.Now().Before(end); <-t.C {
+	ticker := time.NewTicker(500 * time.Millisecond)
+	defer ticker.Stop()
+	for deadline := time.Now().Add(duration); time.Now().Before(deadline); <-ticker.C {
 		now := map[string]string{}
-		s, err := k.ask()
+		status, err := c.queryStatus()
 		if err != nil {
 			now["core"] = "nobody answers: " + err.Error()
 		} else {
-			now["core"], now["version"], now["coordinator"] = coreText(s.State), strconv.FormatInt(s.State.Edition, 10), s.State.Coordinator.At
-			for _, n := range s.Nodes {
+			now["core"], now["version"], now["coordinator"] = coreText(status.State), strconv.FormatInt(status.State.Edition, 10), status.State.Coordinator.At
+			for _, n := range status.Nodes {
 				text := "lease holds"
 				if n.Lost {
 					text = "lease ran out"
@@ -201,7 +201,7 @@
 		slices.Sort(names)
 		for _, name := range names {
 			if now[name] != last[name] {
-				fmt.Fprintf(k.out, "%s %s: %s\n", time.Now().Format("15:04:05.000"), name, now[name])
+				fmt.Fprintf(c.out, "%s %s: %s\n", time.Now().Format("15:04:05.000"), name, now[name])
 			}
 			if last[name] = now[name]; now[name] == "gone" {
 				delete(last, name)
--- a/internal/mesh/proxy/admission.go
+++ b/internal/mesh/proxy/admission.go
@@ -41,7 +41,7 @@
 	if joined && u.wait(ctx, request, waiter) {
 		return address, apierror.None
 	}
-	return "", apierror.NoRoom
+	return "", apierror.NoCapacity
 }
 
 // maxQueuedPerSlot bounds how many requests may be ahead of another one in the queue, for each slot of the upstream.
--- a/internal/mesh/proxy/attempt.go
+++ b/internal/mesh/proxy/attempt.go
@@ -38,11 +38,11 @@
 		if request.servicePool.allowRetry(p.now(), int(p.lastMembers.Load()), request.rank) {
 			return true
 		}
-		p.counters.Add("budget_spent")
+		p.counters.Increment("budget_spent")
 		return false
 	}
 	if partner, isPartner := request.servicePool.partnerOf(attempt); isPartner && !p.partnerAllows(request, partner) {
-		p.counters.Add("kept_back")
+		p.counters.Increment("kept_back")
 		return
 	}
 	if !request.beginAttempt(takeRetry) {
@@ -51,7 +51,7 @@
 	outcome = p.sendAttempt(request, call, attempt)
 	request.endAttempt(outcome.result, outcome.notReceived, outcome.failedResponse)
 	if outcome.result != logic.Settled {
-		p.counters.Add("push_" + outcome.result.String())
+		p.counters.Increment("push_" + outcome.result.String())
 	}
 }
 
@@ -71,7 +71,7 @@
 		}
 	}()
 	switch {
-	case response.kind == apierror.NoRoom || response.kind == apierror.NotHere:
+	case response.kind == apierror.NoCapacity || response.kind == apierror.Misdirected:
 		return attemptOutcome{result: logic.TurnedAway, notReceived: true}
 	case response.kind != apierror.None:
 		result := p.classifyFailure(attempt.Context, response)
@@ -88,7 +88,7 @@
 func (p *Proxy) dispatch(request *downstreamRequest, call *desk.Case, attempt *desk.Push) *upstreamResponse {
 	outgoing := p.newUpstreamRequest(request, call, attempt)
 	partner, isPartner := request.servicePool.partnerOf(attempt)
-	if attempt.Place.Address != p.settings.Inbound {
+	if attempt.Place.Address != p.settings.InboundAddress {
 		outgoing.header[meshPriorityHeader] = outgoing.requestPriority.encode()
 		if request.longResponse {
 			outgoing.header[meshLongResponseHeader] = []string{"1"}
@@ -139,16 +139,16 @@
 		response.discard()
 		return attemptOutcome{result: logic.Broken}, true
 	case success && httpResponse.Header[notExecutedHeader] != nil:
-		p.counters.Add("answers_contradictory")
+		p.counters.Increment("answers_contradictory")
 		return attemptOutcome{result: logic.Broken}, true
 	case isPartner:
 		return attemptOutcome{}, false
-	case apierror.Promises(httpResponse.StatusCode):
-		p.counters.Add("promises_unproven")
+	case apierror.StatusNotExecuted(httpResponse.StatusCode):
+		p.counters.Increment("promises_unproven")
 		response.discard()
 		return attemptOutcome{result: logic.Errored}, true
 	case success && httpResponse.Header[upstreamStampHeader] == nil:
-		p.counters.Add("answers_unstamped")
+		p.counters.Increment("answers_unstamped")
 		return attemptOutcome{result: logic.Broken}, true
 	}
 	return attemptOutcome{}, false
@@ -166,7 +166,7 @@
 	relayed.body = body
 	switch {
 	case err != nil:
-		return attemptOutcome{result: p.classifyFailure(attempt.Context, &upstreamResponse{kind: apierror.Broke, err: err})}
+		return attemptOutcome{result: p.classifyFailure(attempt.Context, &upstreamResponse{kind: apierror.IncompleteResponse, err: err})}
 	case len(body) > maxBufferedResponse && success:
 		return p.streamResponse(request, call, attempt, response, relayed)
 	case len(body) > maxBufferedResponse:
@@ -205,16 +205,16 @@
 func (p *Proxy) classifyFailure(ctx context.Context, response *upstreamResponse) logic.Result {
 	cause := context.Cause(ctx)
 	switch {
-	case !response.wrote && response.kind == apierror.Unready && (ctx.Err() != nil || notSent(response.err)):
+	case !response.wrote && response.kind == apierror.NotReady && (ctx.Err() != nil || notSent(response.err)):
 		return logic.Unsent // cancelled, or past its deadline, before it was sent
-	case !response.wrote && response.kind == apierror.Unready:
+	case !response.wrote && response.kind == apierror.NotReady:
 		return logic.Unreachable
 	case errors.Is(cause, context.Canceled):
 		return logic.Cancelled
 	case errors.Is(cause, context.DeadlineExceeded):
 		return logic.TimedOut
 	}
-	p.counters.Add("push_cut")
+	p.counters.Increment("push_cut")
 	return logic.Broken
 }
 
--- a/internal/mesh/proxy/burst_credit.go
+++ b/internal/mesh/proxy/burst_credit.go
@@ -46,7 +46,7 @@
 	claim := burstcredit.Claim{Tenant: tenant.Name, Service: route.Parts[0].Service, Effect: !route.MailClass.Repeats(),
 		Rank: tenant.Precedence*1000 + route.Precedence}
 	if host, _, err := net.SplitHostPort(r.RemoteAddr); err == nil {
-		claim.Client = host != settings.Host(p.settings.App) // the upstream on this machine calls from its own address
+		claim.Client = host != settings.Host(p.settings.UpstreamAddress) // the upstream on this machine calls from its own address
 	}
 	switch key := r.Header.Get("Idempotency-Key"); {
 	case key != "":
@@ -69,7 +69,7 @@
 	p.signalCreditDemand()
 	switch verdict {
 	case burstcredit.Drawn:
-		p.counters.Add("credit_drawn")
+		p.counters.Increment("credit_drawn")
 		return true
 	case burstcredit.None:
 		return false
@@ -78,7 +78,7 @@
 	defer timeout.Stop()
 	select {
 	case <-granted:
-		p.counters.Add("credit_drawn")
+		p.counters.Increment("credit_drawn")
 		return true
 	case <-timeout.C:
 	case <-ctx.Done():
@@ -92,10 +92,10 @@
 			p.finishClaim(claim, burstcredit.NeverRan)
 			return false
 		}
-		p.counters.Add("credit_drawn")
+		p.counters.Increment("credit_drawn")
 		return true
 	}
-	p.counters.Add("credit_none")
+	p.counters.Increment("credit_none")
 	return false
 }
 
@@ -144,10 +144,10 @@
 			sentAt := p.now()
 			callContext, cancel := context.WithTimeout(ctx, creditReportTimeout)
 			grant := &burstcredit.Grant{}
-			err := p.caller.Call(callContext, address, rpc.PathCredit, report, grant)
+			err := p.caller.Call(callContext, address, rpc.PathCreditReport, report, grant)
 			cancel()
-			if p.counters.Add("credit_reports"); err != nil {
-				p.counters.Add("credit_reports_failed")
+			if p.counters.Increment("credit_reports"); err != nil {
+				p.counters.Increment("credit_reports_failed")
 			} else {
 				credit.Lock()
 				credit.tokenCache.ApplyGrant(grant, sentAt, p.now())
--- a/internal/mesh/proxy/configuration.go
+++ b/internal/mesh/proxy/configuration.go
@@ -69,7 +69,7 @@
 	config, err := packed.Unpack(held)
 	p.unpackFailed.Store(err != nil)
 	if err != nil {
-		p.counters.Add("configurations_not_unpacked")
+		p.counters.Increment("configurations_not_unpacked")
 		p.log.Error("configuration", "index", index, "unpacking", err)
 		p.resetWatchIndex()
 		return err
@@ -173,7 +173,7 @@
 				tries = -1
 				continue
 			}
-			p.counters.Add("configuration_fetches_failed")
+			p.counters.Increment("configuration_fetches_failed")
 			p.log.Debug("configuration", "from", controller, "err", err)
 			select {
 			case <-time.After(fetchRetryDelay):
@@ -207,7 +207,7 @@
 	var data []byte
 	for last == nil || len(data) < first.Total {
 		last = &membership.ConfigurationResponse{}
-		if err := p.caller.CallPatiently(ctx, rpc.Patience{Silence: fetchSilenceTimeout}, controller, rpc.PathConfiguration, request, last); err != nil {
+		if err := p.caller.CallUntilStalled(ctx, rpc.StallPolicy{Timeout: fetchSilenceTimeout}, controller, rpc.PathConfiguration, request, last); err != nil {
 			return err
 		}
 		if last.Packed.Result == request.Held {
@@ -218,7 +218,7 @@
 		}
 		data = append(data, last.Packed.Data...)
 		request.Result, request.Base, request.Offset = first.Packed.Result, first.Packed.Base, len(data)
-		p.counters.Add("configuration_pieces")
+		p.counters.Increment("configuration_pieces")
 		if len(last.Packed.Data) == 0 {
 			return errEmptyChunk
 		}
--- a/internal/mesh/proxy/configuration_test.go
+++ b/internal/mesh/proxy/configuration_test.go
@@ -66,7 +66,7 @@
 		must.Eq(t, int64(200*time.Millisecond), to.limitedTerms.Tariffs[to.tariff].ContractTime)
 	}
 	must.True(t, p.pools["x"] != old)
-	must.Eq(t, 1, p.counters.Of("modules_replaced").Load())
+	must.Eq(t, 1, p.counters.Counter("modules_replaced").Load())
 }
 
 // No later event may bring an older version back: neither a response of a lagging controller (plain, packed or as a
@@ -83,7 +83,7 @@
 	}
 	var fetched *membership.ConfigurationResponse
 	p := newTestProxy(nil)
-	p.caller = rpc.NewCaller(func(http.RoundTripper) http.RoundTripper {
+	p.caller = rpc.NewClient(func(http.RoundTripper) http.RoundTripper {
 		return roundTripFunc(func(r *http.Request) (*http.Response, error) {
 			raw, err := json.Marshal(fetched)
 			return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(bytes.NewReader(raw)), Request: r}, err
@@ -134,7 +134,7 @@
 	var asked []string
 	newProxy := func(corrupt bool) *Proxy {
 		proxySettings := settings.Default()
-		proxySettings.Node, proxySettings.District = "self", "z"
+		proxySettings.Node, proxySettings.Zone = "self", "z"
 		p := New(proxySettings, slog.New(slog.DiscardHandler), WithTransport(func(http.RoundTripper) http.RoundTripper {
 			return roundTripFunc(func(r *http.Request) (*http.Response, error) {
 				request := &membership.ConfigurationRequest{}
--- a/internal/mesh/proxy/connection_pool.go
+++ b/internal/mesh/proxy/connection_pool.go
@@ -34,10 +34,10 @@
 // newConnectionPool creates a pool whose counters start with name.
 func newConnectionPool(dialTimeout time.Duration, counters *telemetry.Counters, name string) *connectionPool {
 	return &connectionPool{
-		dials:   counters.Of(name + "_dials"),
-		failed:  counters.Of(name + "_dials_failed"),
-		stale:   counters.Of(name + "_stale"),
-		foreign: counters.Of(name + "_foreign_answers"),
+		dials:   counters.Counter(name + "_dials"),
+		failed:  counters.Counter(name + "_dials_failed"),
+		stale:   counters.Counter(name + "_stale"),
+		foreign: counters.Counter(name + "_foreign_answers"),
 		matches: matchesRequestID,
 		dialer:  net.Dialer{Timeout: dialTimeout, KeepAlive: -1, Control: rpc.UserTimeout(tcpUserTimeout)},
 		idle:    map[string][]*connection{},
--- a/internal/mesh/proxy/control.go
+++ b/internal/mesh/proxy/control.go
@@ -28,7 +28,7 @@
 	query := r.URL.Query()
 	id := query.Get("of")
 	if r.Method != http.MethodPost || r.URL.Path != "/-/rpc" || id == "" {
-		apierror.Write(w, apierror.NoCall, 0, "")
+		apierror.Write(w, apierror.UnknownCall, 0, "")
 		return
 	}
 	switch query.Get("call") {
@@ -39,15 +39,15 @@
 			err = json.Unmarshal(body, message)
 		}
 		if err != nil {
-			apierror.Write(w, apierror.Unreadable, 0, err.Error())
+			apierror.Write(w, apierror.UnreadableBody, 0, err.Error())
 			return
 		}
-		p.counters.Add("beats")
+		p.counters.Increment("beats")
 		p.local.heartbeat(id, message, time.Now())
 	case "servers.sign_off":
 		p.local.signOff(id)
 	default:
-		apierror.Write(w, apierror.NoCall, 0, "")
+		apierror.Write(w, apierror.UnknownCall, 0, "")
 		return
 	}
 	w.Header()["Content-Type"] = []string{"application/json"}
--- a/internal/mesh/proxy/downstream_response.go
+++ b/internal/mesh/proxy/downstream_response.go
@@ -83,7 +83,7 @@
 // abortUnless aborts the connection of a response that was not passed on completely, and counts the reason.
 func (p *Proxy) abortUnless(complete bool, counter string) {
 	if !complete {
-		p.counters.Add(counter)
+		p.counters.Increment(counter)
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/internal/mesh/proxy/inbound.go
+++ b/internal/mesh/proxy/inbound.go
@@ -22,7 +22,7 @@
 		if reported, _, _ := p.local.snapshot(); reported != nil && !reported.Closing && reported.ID == r.Header.Get(upstreamIDHeader) {
 			w.WriteHeader(http.StatusOK)
 		} else {
-			apierror.Write(w, apierror.NotHere, 0, "")
+			apierror.Write(w, apierror.Misdirected, 0, "")
 		}
 		return
 	}
@@ -30,7 +30,7 @@
 	defer p.openRequests.Add(-1)
 	p.inboundRequests.Add(1)
 	if p.refusing.Load() {
-		p.rejectNotExecuted(w, r, apierror.NotHere)
+		p.rejectNotExecuted(w, r, apierror.Misdirected)
 		return
 	}
 	request, kind := p.readInboundRequest(r)
@@ -40,13 +40,13 @@
 	}
 	if r.Header[meshLongResponseHeader] != nil {
 		if p.draining.Load() { // its response may take longer than the drain leaves; another proxy can serve it
-			p.counters.Add("turned_leaving")
-			p.rejectNotExecuted(w, r, apierror.NotHere)
+			p.counters.Increment("turned_leaving")
+			p.rejectNotExecuted(w, r, apierror.Misdirected)
 			return
 		}
 		if !p.pacer.admit(request.requestPriority) {
-			p.counters.Add("turned_line_full")
-			p.rejectNotExecuted(w, r, apierror.NoRoom)
+			p.counters.Increment("turned_line_full")
+			p.rejectNotExecuted(w, r, apierror.NoCapacity)
 			return
 		}
 		defer p.pacer.done(request.rank)
@@ -63,7 +63,7 @@
 	switch response.kind {
 	case apierror.None:
 		p.relayResponse(w, r, request, response)
-	case apierror.NoRoom, apierror.NotHere, apierror.Unready:
+	case apierror.NoCapacity, apierror.Misdirected, apierror.NotReady:
 		p.rejectNotExecuted(w, r, response.kind)
 	default:
 		p.rejectMayHaveRun(w, r, response.err)
@@ -118,9 +118,9 @@
 
 // rejectMayHaveRun responds that a request may have run but has no usable response.
 func (p *Proxy) rejectMayHaveRun(w http.ResponseWriter, r *http.Request, err error) {
-	p.counters.Add("app_" + failureReason(err))
+	p.counters.Increment("app_" + failureReason(err))
 	w.Header()[meshHeader] = []string{meshMayHaveRun}
-	p.refuse(w, r, apierror.Broke, 0)
+	p.refuse(w, r, apierror.IncompleteResponse, 0)
 }
 
 // callerGone returns a function that checks whether the other proxy has closed the request's connection. After a pause
@@ -129,7 +129,7 @@
 // which is too late for a request that is forwarded at once.
 func callerGone(r *http.Request) func() bool {
 	if c := httpserver.ConnectionOf(r); c != nil {
-		return c.Gone
+		return c.ClosedByPeer
 	}
 	return nil
 }
@@ -169,7 +169,7 @@
 	p.mu.Unlock()
 	request := &upstreamRequest{method: http.MethodGet, target: "/", host: "hive", deadline: time.Now().Add(probeTimeout),
 		header: http.Header{meshHeader: {meshProbe}, upstreamIDHeader: {name}}}
-	if at.Address == p.settings.Inbound {
+	if at.Address == p.settings.InboundAddress {
 		reported, _, _ := p.local.snapshot()
 		return reported != nil && reported.ID == name
 	}
--- a/internal/mesh/proxy/inbound_test.go
+++ b/internal/mesh/proxy/inbound_test.go
@@ -42,12 +42,12 @@
 	plan, err := testmesh.Plan(0, 1, []string{"east"}, []string{"album"}, t.TempDir())
 	must.NoError(t, err)
 	proxySettings := plan.Proxies[0]
-	upstream, err := testmesh.NewUpstream("i-0", proxySettings.Destination, proxySettings.App, proxySettings.Control, 8, upstreamServiceTime, 100)
+	upstream, err := testmesh.NewUpstream("i-0", proxySettings.Service, proxySettings.UpstreamAddress, proxySettings.ControlAddress, 8, upstreamServiceTime, 100)
 	must.NoError(t, err)
 	t.Cleanup(upstream.Stop)
 	p := New(proxySettings, slog.New(slog.DiscardHandler))
 	accepting := newHeartbeat(1, 8, "accepting")
-	accepting.Address = proxySettings.App
+	accepting.Address = proxySettings.UpstreamAddress
 	p.local.heartbeat("i-0", accepting, time.Now())
 	hop := &inboundHop{t: t, proxy: p, upstream: upstream}
 	hop.serve(p.serveInbound)
@@ -57,7 +57,7 @@
 // serve starts another inbound server with the handler.
 func (h *inboundHop) serve(handler http.HandlerFunc) {
 	server, err := httpserver.Listen("127.0.0.1:0", httpserver.Options{
-		Name: "inbound", Handler: handler, Counts: telemetry.NewCounters(), Log: slog.New(slog.DiscardHandler)})
+		Name: "inbound", Handler: handler, Counters: telemetry.NewCounters(), Log: slog.New(slog.DiscardHandler)})
 	must.NoError(h.t, err)
 	go server.Serve()
 	transport := &http.Transport{}
--- a/internal/mesh/proxy/lifecycle.go
+++ b/internal/mesh/proxy/lifecycle.go
@@ -45,17 +45,17 @@
 		address string
 		options httpserver.Options
 	}{
-		{&opened.outbound, p.settings.Outbound, httpserver.Options{
-			Name: "outbound", Handler: http.HandlerFunc(p.serveOutbound), Failed: p.handleOutboundPanic, ReadHeaderTimeout: headerTimeout,
+		{&opened.outbound, p.settings.OutboundAddress, httpserver.Options{
+			Name: "outbound", Handler: http.HandlerFunc(p.serveOutbound), HandlePanic: p.handleOutboundPanic, ReadHeaderTimeout: headerTimeout,
 			KeepAlive: defaultClientIdle, WrapListener: p.wrapListener}},
-		{&opened.inbound, p.settings.Inbound, httpserver.Options{
-			Name: "inbound", Handler: http.HandlerFunc(p.serveInbound), Failed: p.handleInboundPanic, WrapListener: p.wrapListener}},
-		{&opened.ready, p.settings.Ready, httpserver.Options{Name: "ready", Handler: http.HandlerFunc(p.ready)}},
-		{&opened.control, p.settings.Control, httpserver.Options{Name: "control", Handler: http.HandlerFunc(p.control)}},
-		{&opened.metrics, p.settings.Inner(), httpserver.Options{Name: "figures", Handler: p.metricsHandler()}},
+		{&opened.inbound, p.settings.InboundAddress, httpserver.Options{
+			Name: "inbound", Handler: http.HandlerFunc(p.serveInbound), HandlePanic: p.handleInboundPanic, WrapListener: p.wrapListener}},
+		{&opened.ready, p.settings.ReadinessAddress, httpserver.Options{Name: "ready", Handler: http.HandlerFunc(p.ready)}},
+		{&opened.control, p.settings.ControlAddress, httpserver.Options{Name: "control", Handler: http.HandlerFunc(p.control)}},
+		{&opened.metrics, p.settings.InternalAddress(), httpserver.Options{Name: "figures", Handler: p.metricsHandler()}},
 	} {
 		options := server.options
-		options.MaxHeaderBytes, options.Counts, options.Log = maxHeaderBytes, p.counters, p.log
+		options.MaxHeaderBytes, options.Counters, options.Log = maxHeaderBytes, p.counters, p.log
 		listening, err := httpserver.Listen(server.address, options)
 		if err != nil {
 			opened.close()
@@ -101,7 +101,7 @@
 	for _, server := range running.all() {
 		go server.Serve()
 	}
-	go p.counters.Say(p.log, countersInterval, p.done)
+	go p.counters.LogPeriodically(p.log, countersInterval, p.done)
 	watchContext, cancelWatch := context.WithCancel(context.Background())
 	go p.watch(watchContext)
 	go p.fetchConfigurations(watchContext)
@@ -117,7 +117,7 @@
 	openRequests := p.openRequests.Load()
 	p.cancelOpen()
 	aborted := running.shutDown(deadline.Add(-forcedCloseLead))
-	p.log.Info("left", append([]any{"open", openRequests, "cut", aborted}, p.counters.Changed()...)...)
+	p.log.Info("left", append([]any{"open", openRequests, "cut", aborted}, p.counters.TakeDeltas()...)...)
 	return nil
 }
 
@@ -158,12 +158,12 @@
 // metricsHandler serves the counters in the Prometheus text format.
 func (p *Proxy) metricsHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc(rpc.PathFigures, func(w http.ResponseWriter, _ *http.Request) {
+	mux.HandleFunc(rpc.PathMetrics, func(w http.ResponseWriter, _ *http.Request) {
 		edition := int64(0)
 		if v := p.view.Load(); v != nil {
 			edition = v.configuration.Edition
 		}
-		telemetry.WriteFigures(w, "ottershift_proxy", []telemetry.Gauge{
+		telemetry.WriteMetrics(w, "ottershift_proxy", []telemetry.Gauge{
 			{Name: "edition", Help: "Version of the configuration in force, 0 for none.", Value: edition},
 			{Name: "open", Help: "Requests open here.", Value: p.openRequests.Load()},
 			{Name: "goroutines", Help: "Goroutines.", Value: runtime.NumGoroutine()},
@@ -183,7 +183,7 @@
 			p.upstreamConnections.closeExpired(now)
 			p.partnerConnections.closeExpired(now)
 			outbound.CloseIdle(now)
-			p.local.checkHeartbeat(now, maxMissedHeartbeats*p.settings.Beat)
+			p.local.checkHeartbeat(now, maxMissedHeartbeats*p.settings.HeartbeatInterval)
 		case <-p.done:
 			return
 		}
@@ -209,7 +209,7 @@
 		idle = defaultClientIdle
 	}
 	if c := httpserver.ConnectionOf(r); c != nil {
-		c.KeepAlive(idle)
+		c.SetKeepAlive(idle)
 	}
 	if idle >= time.Second {
 		w.Header()["Keep-Alive"] = []string{"timeout=" + strconv.Itoa(int(idle/time.Second))}
--- a/internal/mesh/proxy/local_upstream.go
+++ b/internal/mesh/proxy/local_upstream.go
@@ -51,7 +51,7 @@
 	if slices.Contains(u.endedIDs, id) || id == u.id && message.Status.PostmarkNo <= u.revision {
 		return
 	}
-	cold, _ := settings.Span(message.Status.Cold_time)
+	cold, _ := settings.ParseDuration(message.Status.Cold_time)
 	reported := membership.Upstream{
 		ID: id, Service: message.Notice.Destination, Edition: message.Notice.Edition, Capacity: message.Notice.Capacity,
 		Closing: message.Status.Condition == "closing", Cold: int64(cold),
@@ -187,13 +187,13 @@
 func (u *localUpstream) addressOf(id string, now time.Time) (address string, kind apierror.Kind) {
 	switch {
 	case u.id != "" && id != u.id:
-		return "", apierror.NotHere
+		return "", apierror.Misdirected
 	case u.id == "" && slices.Contains(u.endedIDs, id):
-		return "", apierror.NotHere
+		return "", apierror.Misdirected
 	case !u.closingAt.IsZero() && now.Sub(u.closingAt) > u.drain*3/4: // the last quarter of Drain is for requests under way
-		return "", apierror.NotHere
+		return "", apierror.Misdirected
 	case u.unreachable:
-		return "", apierror.NoRoom
+		return "", apierror.NoCapacity
 	}
 	return u.address, apierror.None
 }
--- a/internal/mesh/proxy/outbound.go
+++ b/internal/mesh/proxy/outbound.go
@@ -30,11 +30,11 @@
 	defer p.openRequests.Add(-1)
 	active := p.view.Load()
 	if p.refusing.Load() {
-		p.refuse(w, r, apierror.NoRoom, 0)
+		p.refuse(w, r, apierror.NoCapacity, 0)
 		return
 	}
 	if active == nil {
-		p.refuse(w, r, apierror.Unready, 0)
+		p.refuse(w, r, apierror.NotReady, 0)
 		return
 	}
 	if !p.draining.Load() {
@@ -90,14 +90,14 @@
 	for _, name := range meshOwnedHeaders {
 		delete(request.header, name)
 	}
-	request.header[callerServiceHeader] = []string{p.settings.Destination}
+	request.header[callerServiceHeader] = []string{p.settings.Service}
 	if reason := p.authorize(active, r, route, request); reason != notRefused {
 		return nil, to, reason
 	}
 	reason := p.readDeadlineAndBody(active, r, route, request)
 	if reason == notRefused && to.servicePool == nil {
 		if to = active.pick(route); to.servicePool == nil { // the service has no load balancer: its terms were rejected
-			reason = refused(apierror.NoRoom)
+			reason = refused(apierror.NoCapacity)
 		}
 	}
 	if reason != notRefused {
@@ -125,10 +125,10 @@
 	}
 	tenant := active.configuration.Tenant(r.Header.Get(apiKeyHeader))
 	if tenant == nil {
-		return refused(apierror.NoKey)
+		return refused(apierror.Unauthenticated)
 	}
 	if !p.keys.valid(p.now()) {
-		return refused(apierror.Unready)
+		return refused(apierror.NotReady)
 	}
 	request.header[tenantHeader] = []string{tenant.Name}
 	request.rank = rankOf(route, tenant)
@@ -137,11 +137,11 @@
 		return notRefused
 	}
 	if !p.burstCredit.enabled.Load() {
-		return refusal{apierror.Beyond, retryAfter}
+		return refusal{apierror.LimitExceeded, retryAfter}
 	}
 	creditClaim := p.creditClaim(r, route, tenant)
 	if !p.drawCredit(r.Context(), creditClaim) {
-		return refusal{apierror.Beyond, retryAfter}
+		return refusal{apierror.LimitExceeded, retryAfter}
 	}
 	request.creditClaim = &creditClaim
 	return notRefused
@@ -160,7 +160,7 @@
 	}
 	limit := active.configuration.Limits.ContentsBytes
 	if limit > 0 && r.ContentLength > limit {
-		return refused(apierror.TooLong)
+		return refused(apierror.TooLarge)
 	}
 	request.clientDeadline = time.Now().Add(remaining)
 	if r.ContentLength == 0 {
@@ -187,7 +187,7 @@
 			return refused(apierror.Malformed)
 		}
 		if body = append(body, more...); int64(len(body)) > limit {
-			return refused(apierror.TooLong)
+			return refused(apierror.TooLarge)
 		}
 	}
 	r.body, r.length = body, int64(len(body))
@@ -196,7 +196,7 @@
 
 // refuse responds to a request that is not served, and counts the reason.
 func (p *Proxy) refuse(w http.ResponseWriter, r *http.Request, kind apierror.Kind, retryAfter time.Duration) {
-	p.counters.Add("answer_" + kind.String())
+	p.counters.Increment("answer_" + kind.String())
 	p.writeError(w, r, kind, retryAfter)
 }
 
--- a/internal/mesh/proxy/partner_policy.go
+++ b/internal/mesh/proxy/partner_policy.go
@@ -113,9 +113,9 @@
 	state.Unlock()
 	switch {
 	case verdict == federation.Kept:
-		return nil, to, apierror.Kept
+		return nil, to, apierror.NotExported
 	case verdict == federation.NoLeave:
-		return nil, to, apierror.Unready
+		return nil, to, apierror.NotReady
 	case verdict != federation.Open || partner == nil:
 		return nil, to, apierror.NoRoute
 	}
@@ -137,7 +137,7 @@
 		routes := []*routing.Route{&repeatable, &onceOnly}
 		if err := p.updateRoutes(name, routes); err != nil {
 			p.log.Error("retune", "service", name, "err", err)
-			return nil, to, apierror.NoRoom
+			return nil, to, apierror.NoCapacity
 		}
 		service = p.pools[name]
 		service.partners, service.routes = names, routes
@@ -145,7 +145,7 @@
 	}
 	to, known := service.target(route, 1)
 	if !known {
-		return nil, to, apierror.NoRoom
+		return nil, to, apierror.NoCapacity
 	}
 	return route, to, apierror.None
 }
@@ -175,7 +175,7 @@
 		gateways = append(gateways, gatewayAddress{n.Name, n.District, n.Inbound})
 	}
 	if len(gateways) == 0 {
-		gateways = append(gateways, gatewayAddress{p.settings.Node, p.settings.District, p.settings.Inbound})
+		gateways = append(gateways, gatewayAddress{p.settings.Node, p.settings.Zone, p.settings.InboundAddress})
 	}
 	for k, partner := range partners {
 		for _, gateway := range gateways {
@@ -214,16 +214,16 @@
 	gateway := state.gateways[partner]
 	state.Unlock()
 	if verdict != federation.Open || gateway == "" {
-		p.counters.Add("gate_" + verdict.String())
-		return &upstreamResponse{kind: apierror.NotHere}
+		p.counters.Increment("gate_" + verdict.String())
+		return &upstreamResponse{kind: apierror.Misdirected}
 	}
 	delete(request.header, upstreamIDHeader)
 	request.header[importEditionHeader] = []string{strconv.FormatInt(edition, 10)}
 	response := p.send(ctx, request, p.partnerConnections, roster.Place{Host: partner, Address: gateway})
-	if response.kind == apierror.Unready && ctx.Err() == nil {
-		response.kind = apierror.NoRoom // it did not reach the partner
+	if response.kind == apierror.NotReady && ctx.Err() == nil {
+		response.kind = apierror.NoCapacity // it did not reach the partner
 	}
 	response.maxIdle = upstreamIdleTimeout
-	p.counters.Add("gate_left")
+	p.counters.Increment("gate_left")
 	return response
 }
--- a/internal/mesh/proxy/proxy.go
+++ b/internal/mesh/proxy/proxy.go
@@ -36,7 +36,7 @@
 	settings            *settings.Settings
 	log                 *slog.Logger
 	counters            *telemetry.Counters
-	caller              *rpc.Caller
+	caller              *rpc.Client
 	instanceID          string // identifies this process, which gets a new one at each start
 	epoch               time.Time
 	local               *localUpstream
@@ -107,8 +107,8 @@
 	}
 	p := &Proxy{
 		settings: proxySettings, log: log, counters: telemetry.NewCounters(),
-		caller: rpc.NewCaller(selected.wrapTransport), instanceID: storage.NewIdentity(), epoch: time.Now(),
-		local: newLocalUpstream(proxySettings.Bounds.Drain, proxySettings.App), done: make(chan struct{}), wrapListener: selected.wrapListener,
+		caller: rpc.NewClient(selected.wrapTransport), instanceID: storage.NewDiskID(), epoch: time.Now(),
+		local: newLocalUpstream(proxySettings.Bounds.Drain, proxySettings.UpstreamAddress), done: make(chan struct{}), wrapListener: selected.wrapListener,
 		pools: map[string]*servicePool{}, nodes: map[string]*knownNode{}, members: 1,
 		fetch: configurationFetch{trigger: make(chan struct{}, 1)},
 	}
@@ -116,15 +116,15 @@
 		p.keys.maxAge = proxySettings.Bounds.Revoke
 	}
 	p.shutdownContext, p.cancelOpen = context.WithCancel(context.Background())
-	p.pacer = newLinePacer(proxySettings.LineMbps)
+	p.pacer = newLinePacer(proxySettings.LinkMbps)
 	p.upstreamConnections = newConnectionPool(upstreamDialTimeout, p.counters, "app")
 	p.partnerConnections = newConnectionPool(upstreamDialTimeout, p.counters, "outside")
 	p.initPartnerPolicy()
-	p.outboundRequests, p.inboundRequests = p.counters.Of("requests"), p.counters.Of("inbound")
+	p.outboundRequests, p.inboundRequests = p.counters.Counter("requests"), p.counters.Counter("inbound")
 	p.tokenCache = tokenCache{quota: ratelimit.NewWallet(0), wake: make(chan struct{}, 1), drawDone: make(chan struct{})}
 	p.burstCredit.tokenCache, p.burstCredit.wake = burstcredit.NewWallet(proxySettings.Node, p.instanceID), make(chan struct{}, 1)
 	p.seeds = seedAddresses(proxySettings)
-	for zone := range proxySettings.Districts {
+	for zone := range proxySettings.RegionOfZone {
 		p.zones = append(p.zones, zone)
 	}
 	slices.Sort(p.zones)
@@ -134,7 +134,7 @@
 // seedAddresses returns the internal addresses of the seed controllers.
 func seedAddresses(proxySettings *settings.Settings) (addresses []string) {
 	for _, seed := range proxySettings.Seeds {
-		addresses = append(addresses, settings.InnerOf(settings.Host(seed), proxySettings.InnerFirst))
+		addresses = append(addresses, settings.InternalAddressOf(settings.Host(seed), proxySettings.FirstInternalPort))
 	}
 	return addresses
 }
--- a/internal/mesh/proxy/proxy_test.go
+++ b/internal/mesh/proxy/proxy_test.go
@@ -34,7 +34,7 @@
 	for _, test := range []struct {
 		before string
 		kind   apierror.Kind
-	}{{"", apierror.NotHere}, {"accepting", apierror.None}} {
+	}{{"", apierror.Misdirected}, {"accepting", apierror.None}} {
 		upstream := newLocalUpstream(2*time.Second, "127.0.0.1:1")
 		now := time.Now()
 		if test.before != "" {
@@ -71,18 +71,18 @@
 	}
 	upstream.heartbeat("i1", newHeartbeat(2, 6, "accepting"), now)
 	must.Eq(t, apierror.None, admitAt("i1", now))
-	must.Eq(t, apierror.NotHere, admitAt("i0", now)) // another instance is addressed
+	must.Eq(t, apierror.Misdirected, admitAt("i0", now)) // another instance is addressed
 	upstream.heartbeat("i1", newHeartbeat(3, 6, "closing"), now)
 	upstream.heartbeat("i1", newHeartbeat(1, 6, "accepting"), now) // out of order: the upstream stays closing
 	must.Eq(t, apierror.None, admitAt("i1", now.Add(1800*time.Millisecond)))
-	must.Eq(t, apierror.NotHere, admitAt("i1", now.Add(1900*time.Millisecond))) // three quarters of Drain have passed
+	must.Eq(t, apierror.Misdirected, admitAt("i1", now.Add(1900*time.Millisecond))) // three quarters of Drain have passed
 	upstream.signOff("i1")
-	must.Eq(t, apierror.NotHere, admitAt("i1", now))
+	must.Eq(t, apierror.Misdirected, admitAt("i1", now))
 	upstream.heartbeat("i2", newHeartbeat(1, 6, "accepting"), now)
 	upstream.heartbeat("i1", newHeartbeat(9, 6, "accepting"), now) // of an ended instance
 	must.Eq(t, apierror.None, admitAt("i2", now.Add(time.Hour)))
 	upstream.recordRefused("i2")
-	must.Eq(t, apierror.NoRoom, admitAt("i2", now))
+	must.Eq(t, apierror.NoCapacity, admitAt("i2", now))
 	reported, _, changed := upstream.snapshot()
 	must.Nil(t, reported) // reported as absent
 	upstream.heartbeat("i2", newHeartbeat(2, 6, "accepting"), now)
@@ -91,7 +91,7 @@
 	upstream.recordNoAnswer("i2")
 	must.Eq(t, apierror.None, admitAt("i2", now))
 	upstream.recordNoAnswer("i2") // second connection attempt without an answer: unreachable
-	must.Eq(t, apierror.NoRoom, admitAt("i2", now))
+	must.Eq(t, apierror.NoCapacity, admitAt("i2", now))
 	upstream.heartbeat("i2", newHeartbeat(3, 6, "accepting"), now)
 	must.Eq(t, apierror.None, admitAt("i2", now))
 	for range 6 {
@@ -168,13 +168,13 @@
 	enqueue("long", 2*time.Hour, 0)
 	enqueue("short", time.Hour, 1)
 	_, kind := upstream.admit(context.Background(), newRequestTo("i", 3*time.Hour), now) // the queue is full, and this request is due last
-	must.Eq(t, apierror.NoRoom, kind)
+	must.Eq(t, apierror.NoCapacity, kind)
 	upstream.release("i")
 	must.Eq(t, "short", <-order)
 	upstream.release("i")
 	must.Eq(t, "long", <-order)
 	_, kind = upstream.admit(context.Background(), newRequestTo("i", time.Nanosecond), now) // its wait time is over at once
-	must.Eq(t, apierror.NoRoom, kind)
+	must.Eq(t, apierror.NoCapacity, kind)
 }
 
 // A request whose long response could not start within half of its latency target is refused before it is executed.
--- a/internal/mesh/proxy/quota.go
+++ b/internal/mesh/proxy/quota.go
@@ -62,7 +62,7 @@
 		if verdict != ratelimit.Ask {
 			return verdict == ratelimit.Pass, time.Duration(wait)
 		}
-		p.counters.Add("draws_waited")
+		p.counters.Increment("draws_waited")
 		timeout := time.NewTimer(maxDrawWait)
 		select {
 		case <-drawDone:
@@ -110,9 +110,9 @@
 		close(cache.drawDone)
 		cache.drawDone = make(chan struct{})
 		cache.Unlock()
-		p.counters.Add("draws")
+		p.counters.Increment("draws")
 		if err != nil {
-			p.counters.Add("draws_failed")
+			p.counters.Increment("draws_failed")
 		}
 		select {
 		case <-time.After(minDrawInterval):
--- a/internal/mesh/proxy/request_result.go
+++ b/internal/mesh/proxy/request_result.go
@@ -49,9 +49,9 @@
 		request.discardResponse(result.Push)
 	default:
 	}
-	kind := apierror.Broke
+	kind := apierror.IncompleteResponse
 	if mayHaveRun == 0 {
-		kind = apierror.NoRoom
+		kind = apierror.NoCapacity
 	}
 	p.writeError(w, r, kind, 0)
 }
@@ -72,9 +72,9 @@
 	case failedResponse != nil:
 		p.writeResponse(w, failedResponse)
 	case mayHaveRun == 0:
-		p.refuse(w, r, apierror.NoRoom, 0)
+		p.refuse(w, r, apierror.NoCapacity, 0)
 	default:
-		p.refuse(w, r, apierror.Leaving, 0)
+		p.refuse(w, r, apierror.ShuttingDown, 0)
 	}
 }
 
@@ -97,10 +97,10 @@
 	case failedResponse != nil: // an upstream's own error response is passed on unchanged
 		p.writeResponse(w, failedResponse)
 	case mayHaveRun == 0:
-		p.refuse(w, r, apierror.NoRoom, result.Backoff)
+		p.refuse(w, r, apierror.NoCapacity, result.Backoff)
 	case inFlight > 0 || time.Until(request.clientDeadline) <= 0:
-		p.refuse(w, r, apierror.Late, 0)
+		p.refuse(w, r, apierror.DeadlineExceeded, 0)
 	default:
-		p.refuse(w, r, apierror.Broke, 0)
+		p.refuse(w, r, apierror.IncompleteResponse, 0)
 	}
 }
--- a/internal/mesh/proxy/service_pool.go
+++ b/internal/mesh/proxy/service_pool.go
@@ -123,7 +123,7 @@
 			existing.setBook(book, tariffOrder)
 			return nil
 		}
-		p.counters.Add("modules_replaced")
+		p.counters.Increment("modules_replaced")
 		p.log.Error("retune", "service", service, "err", err)
 	}
 	bounds := &p.settings.Bounds
@@ -176,7 +176,7 @@
 		moduleTerms.Tariffs = append(moduleTerms.Tariffs, key.tariff())
 	}
 	book.Zones = append(book.Zones, p.zones...)
-	book.Complete(p.settings.District)
+	book.Complete(p.settings.Zone)
 	return book, tariffOrder
 }
 
--- a/internal/mesh/proxy/unanswered.go
+++ b/internal/mesh/proxy/unanswered.go
@@ -19,21 +19,21 @@
 
 // recordClientGone counts a request whose connection ended before its response.
 func (p *Proxy) recordClientGone(r *http.Request) {
-	if c := httpserver.ConnectionOf(r); c == nil || !c.CutHere() {
-		p.counters.Add(counterClientGone)
+	if c := httpserver.ConnectionOf(r); c == nil || !c.AbortedLocally() {
+		p.counters.Increment(counterClientGone)
 		return
 	}
-	p.counters.Add(counterClosedHere)
+	p.counters.Increment(counterClosedHere)
 	p.log.Warn("unanswered", "why", "closed here", "attempt", r.Header.Get(requestIDHeader))
 }
 
 // handleOutboundPanic responds to a client whose request made the handler panic. The request may have run.
 func (p *Proxy) handleOutboundPanic(w http.ResponseWriter, r *http.Request) {
-	p.refuse(w, r, apierror.Broke, 0)
+	p.refuse(w, r, apierror.IncompleteResponse, 0)
 }
 
 // handleInboundPanic does the same for a request from another proxy.
 func (p *Proxy) handleInboundPanic(w http.ResponseWriter, r *http.Request) {
 	w.Header()[meshHeader] = []string{meshMayHaveRun}
-	p.refuse(w, r, apierror.Broke, 0)
+	p.refuse(w, r, apierror.IncompleteResponse, 0)
 }
--- a/internal/mesh/proxy/upstream_request.go
+++ b/internal/mesh/proxy/upstream_request.go
@@ -71,18 +71,18 @@
 // send sends a request over a connection of a pool, an idle one if one may carry the request.
 func (p *Proxy) send(ctx context.Context, request *upstreamRequest, pool *connectionPool, at roster.Place) *upstreamResponse {
 	if err := checkSendable(ctx, request); err != nil {
-		return &upstreamResponse{kind: apierror.Unready, err: err}
+		return &upstreamResponse{kind: apierror.NotReady, err: err}
 	}
 	to := destination{host: at.Host, address: at.Address, idleCount: at.Kept}
 	for c := pool.get(to, request.requestID); c != nil; c = nil {
 		response := p.sendOver(ctx, request, pool, c)
-		if response.kind != apierror.Unready || response.wrote || ctx.Err() != nil || notSent(response.err) {
+		if response.kind != apierror.NotReady || response.wrote || ctx.Err() != nil || notSent(response.err) {
 			return response
 		} // the idle connection was closed before any byte of the request was sent
 	}
 	c, err := pool.dial(ctx, to)
 	if err != nil {
-		return &upstreamResponse{kind: apierror.Unready, err: err}
+		return &upstreamResponse{kind: apierror.NotReady, err: err}
 	}
 	return p.sendOver(ctx, request, pool, c)
 }
@@ -117,7 +117,7 @@
 func (p *Proxy) sendOver(ctx context.Context, request *upstreamRequest, pool *connectionPool, c *connection) *upstreamResponse {
 	if err := checkSendable(ctx, request); err != nil {
 		c.Close()
-		return &upstreamResponse{kind: apierror.Unready, err: err}
+		return &upstreamResponse{kind: apierror.NotReady, err: err}
 	}
 	var buffer bytes.Buffer
 	request.header[timeLeftHeader] = []string{strconv.FormatInt(max(1, time.Until(request.deadline).Milliseconds()), 10)}
@@ -128,9 +128,9 @@
 	if err != nil {
 		detach()
 		c.reset()
-		kind := apierror.Broke
+		kind := apierror.IncompleteResponse
 		if !wrote {
-			kind = apierror.Unready
+			kind = apierror.NotReady
 		}
 		return &upstreamResponse{kind: kind, err: err, wrote: wrote}
 	}
@@ -144,7 +144,7 @@
 func (p *Proxy) sendToLocalUpstream(ctx context.Context, request *upstreamRequest) *upstreamResponse {
 	address, kind := p.local.admit(ctx, request, time.Now())
 	if kind != apierror.None {
-		p.counters.Add("turned_" + kind.String())
+		p.counters.Increment("turned_" + kind.String())
 		return &upstreamResponse{kind: kind}
 	}
 	began := time.Now()
@@ -152,7 +152,7 @@
 	if failed, known := assessUpstream(ctx, request, response, time.Since(began)); known {
 		p.local.observe(request.upstreamID, failed, time.Now())
 	}
-	if response.kind == apierror.Unready {
+	if response.kind == apierror.NotReady {
 		switch {
 		case errors.Is(response.err, syscall.ECONNREFUSED):
 			p.local.recordRefused(request.upstreamID)
@@ -161,7 +161,7 @@
 		}
 		p.local.release(request.upstreamID)
 		if ctx.Err() == nil {
-			response.kind = apierror.NoRoom // it did not reach the upstream
+			response.kind = apierror.NoCapacity // it did not reach the upstream
 		}
 		return response
 	}
@@ -181,7 +181,7 @@
 	switch {
 	case notSent(response.err):
 		return false, false
-	case response.kind == apierror.Unready:
+	case response.kind == apierror.NotReady:
 		return true, ctx.Err() == nil
 	case response.kind != apierror.None:
 		return true, slow || !errors.Is(context.Cause(ctx), context.Canceled)
--- a/internal/mesh/proxy/view.go
+++ b/internal/mesh/proxy/view.go
@@ -92,7 +92,7 @@
 		}
 		changed++
 		if err := p.updateRoutes(service, newRoutes); err != nil {
-			p.counters.Add("retunes_failed")
+			p.counters.Increment("retunes_failed")
 			p.log.Error("retune", "service", service, "err", err)
 			delete(byService, service) // retried with the next version, even if these routes do not change
 		}
--- a/internal/mesh/proxy/watch.go
+++ b/internal/mesh/proxy/watch.go
@@ -41,11 +41,11 @@
 		switch {
 		case errors.Is(err, rpc.ErrInterrupted) && !silent, errors.Is(err, errLateResponse) && !silent:
 		case err != nil:
-			p.counters.Add("asks_failed")
+			p.counters.Increment("asks_failed")
 			selector.failed(controller, p.now())
 			failed++
 		case !current:
-			p.counters.Add("asks_not_current")
+			p.counters.Increment("asks_not_current")
 			selector.notCurrent(controller, p.now())
 			failed++
 		default:
@@ -97,8 +97,8 @@
 func (p *Proxy) watchOnce(ctx context.Context, controller string) (current bool, err error) {
 	request, changed := p.watchRequest()
 	response, askedAt := &membership.WatchResponse{}, p.now()
-	limits := rpc.Patience{Silence: WatchTimeout, Interrupt: changed}
-	if err := p.caller.CallPatiently(ctx, limits, controller, rpc.PathWatch, request, response); err != nil {
+	limits := rpc.StallPolicy{Timeout: WatchTimeout, Interrupt: changed}
+	if err := p.caller.CallUntilStalled(ctx, limits, controller, rpc.PathWatch, request, response); err != nil {
 		return false, err
 	}
 	late := p.now()-askedAt > int64(WatchTimeout) && !p.skipResponseAgeCheck
@@ -133,7 +133,7 @@
 	request.Position.Imports = p.partnerPolicy.imports.No
 	p.partnerPolicy.Unlock()
 	upstream, seq, changed := p.local.snapshot()
-	request.Node = membership.Node{Name: p.settings.Node, Inbound: p.settings.Inbound, District: p.settings.District,
+	request.Node = membership.Node{Name: p.settings.Node, Inbound: p.settings.InboundAddress, District: p.settings.Zone,
 		Life: p.instanceID, Seq: seq, Upstream: upstream, Leaving: p.draining.Load()}
 	if request.Node.Leaving {
 		request.Node.Seq += 1 << 32
@@ -158,7 +158,7 @@
 		}
 	}
 	for _, c := range p.controllers {
-		if c.Zone == p.settings.District {
+		if c.Zone == p.settings.Zone {
 			add(c.At)
 		}
 	}
--- a/internal/mesh/proxy/watch_test.go
+++ b/internal/mesh/proxy/watch_test.go
@@ -39,7 +39,7 @@
 // newTestProxy returns a proxy whose calls to controllers go to the stub.
 func newTestProxy(stub controllerStub) *Proxy {
 	proxySettings := settings.Default()
-	proxySettings.Node, proxySettings.District = "self", "z"
+	proxySettings.Node, proxySettings.Zone = "self", "z"
 	return New(proxySettings, slog.New(slog.DiscardHandler), WithTransport(func(http.RoundTripper) http.RoundTripper { return stub }))
 }
 
@@ -254,7 +254,7 @@
 	}
 	must.Eq(t, int64(WatchTimeout), timeToFailure(func(int64) error { return interrupted }))
 	must.Eq(t, maxLateTimeouts*int64(WatchTimeout), timeToFailure(func(int64) error { return late }))
-	must.Eq(t, step, timeToFailure(func(int64) error { return rpc.ErrSilent }))
+	must.Eq(t, step, timeToFailure(func(int64) error { return rpc.ErrStalled }))
 	must.Eq(t, -1, timeToFailure(func(now int64) error {
 		if now%(5*step) == 0 {
 			return nil // a response in between
@@ -274,7 +274,7 @@
 	var mu sync.Mutex
 	asked := map[string]int{}
 	proxySettings := settings.Default()
-	proxySettings.Node, proxySettings.District = "self", "z"
+	proxySettings.Node, proxySettings.Zone = "self", "z"
 	p := New(proxySettings, slog.New(slog.DiscardHandler), WithTransport(func(http.RoundTripper) http.RoundTripper {
 		return roundTripFunc(func(r *http.Request) (*http.Response, error) {
 			mu.Lock()
--- a/internal/mesh/routing/amend.go
+++ b/internal/mesh/routing/amend.go
@@ -21,7 +21,7 @@
 // Amend makes the version that an amendment asks for.
 func (t *Configuration) Amend(body []byte) (*Configuration, error) {
 	var a amendment
-	if err := strictjson.DecodeWhole(body, &a); err != nil {
+	if err := strictjson.DecodeSingle(body, &a); err != nil {
 		return nil, Error.New("can't be read whole: %v", err)
 	}
 	if err := strictjson.Check(body); err != nil {
--- a/internal/mesh/routing/parse.go
+++ b/internal/mesh/routing/parse.go
@@ -168,7 +168,7 @@
 	json.HTMLEscape(&document, compact.Bytes())
 	t := &Configuration{other: map[string]json.RawMessage{}, document: document.Bytes()}
 	var top map[string]json.RawMessage
-	if err := strictjson.DecodeWhole(t.document, &top); err != nil {
+	if err := strictjson.DecodeSingle(t.document, &top); err != nil {
 		return nil, Error.New("can't be read whole: %v", err)
 	}
 	if err := json.Unmarshal(top["Edition"], &t.Edition); err != nil {
--- a/internal/mesh/routing/types.go
+++ b/internal/mesh/routing/types.go
@@ -20,7 +20,7 @@
 	if err := json.Unmarshal(raw, &text); err != nil {
 		return fmt.Errorf("%s is no time: text with a number and ms or s", raw)
 	}
-	d, err := settings.Span(text)
+	d, err := settings.ParseDuration(text)
 	*s = Span(d)
 	return err
 }
--- a/internal/mesh/rpc/paths.go
+++ b/internal/mesh/rpc/paths.go
@@ -8,9 +8,9 @@
 	PathWatch         = "/hive/ask"           // a proxy's watch of its controller
 	PathConfiguration = "/mesh/configuration" // pieces of the configuration for a proxy
 	PathTokens        = "/hive/draw"          // quota tokens for a proxy
-	PathPartner       = "/hive/partner"       // an operator's order about a partner
-	PathCredit        = "/hive/nectar"        // a proxy's report on burst credit
+	PathPartnerOrder  = "/hive/partner"       // an operator's order about a partner
+	PathCreditReport  = "/hive/nectar"        // a proxy's report on burst credit
 	PathCreditOrder   = "/hive/credit"        // an operator's order about an account
 	PathStatus        = "/hive/status"        // status for operators
-	PathFigures       = "/hive/figures"       // counters as text
+	PathMetrics       = "/hive/figures"       // counters as text
 )
--- a/internal/mesh/rpc/rpc.go
+++ b/internal/mesh/rpc/rpc.go
@@ -22,22 +22,22 @@
 var Error = errs.Class("rpc")
 
 const (
-	mostBytes = 64 << 20
-	silent    = time.Second // after which a peer that confirms nothing counts as gone
+	maxBodyBytes = 64 << 20
+	peerTimeout  = time.Second // after which a peer that confirms nothing counts as gone
 
-	compressed   = "gzip"  // how long answers travel to who accepts it
-	compressFrom = 4 << 10 // bytes of an answer
+	gzipEncoding       = "gzip"  // how long answers travel to who accepts it
+	minCompressedBytes = 4 << 10 // bytes of an answer
 )
 
-// Caller calls other processes.
-type Caller struct{ client *http.Client }
+// Client calls other processes.
+type Client struct{ http *http.Client }
 
 // WrapTransport puts something between a caller and its connections; nil for nothing. Tests inject faults with it.
 type WrapTransport func(http.RoundTripper) http.RoundTripper
 
-// NewCaller makes a caller.
-func NewCaller(wrap WrapTransport) *Caller {
-	dialer := &net.Dialer{Timeout: 400 * time.Millisecond, KeepAlive: -1, Control: UserTimeout(silent)}
+// NewClient makes a caller.
+func NewClient(wrap WrapTransport) *Client {
+	dialer := &net.Dialer{Timeout: 400 * time.Millisecond, KeepAlive: -1, Control: UserTimeout(peerTimeout)}
 	var transport http.RoundTripper = &http.Transport{
 		DialContext: dialer.DialContext, MaxIdleConnsPerHost: 4, IdleConnTimeout: 30 * time.Second,
 		DisableCompression: true,
@@ -45,72 +45,72 @@
 	if wrap != nil {
 		transport = wrap(transport)
 	}
-	return &Caller{&http.Client{Transport: transport}}
+	return &Client{&http.Client{Transport: transport}}
 }
 
 // UserTimeout bounds how long a connection waits for a peer that confirms nothing. Invariant: without it one to a machine
 // that is cut off hangs for minutes.
-func UserTimeout(after time.Duration) func(network, address string, raw syscall.RawConn) error {
+func UserTimeout(timeout time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
-			unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(after/time.Millisecond))
+			unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout/time.Millisecond))
 		})
 	}
 }
 
 // Call posts a message to a path of the process at an address and takes its answer.
-func (c *Caller) Call(ctx context.Context, at, path string, message, answer any) error {
-	w, err := c.post(ctx, at, path, message)
+func (c *Client) Call(ctx context.Context, address, path string, request, response any) error {
+	httpResponse, err := c.post(ctx, address, path, request)
 	if err != nil {
 		return err
 	}
-	defer w.Body.Close()
-	return readAnswer(w, w.Body, at+path, answer)
+	defer httpResponse.Body.Close()
+	return readResponse(httpResponse, httpResponse.Body, address+path, response)
 }
 
-func (c *Caller) post(ctx context.Context, at, path string, message any) (*http.Response, error) {
-	raw, err := json.Marshal(message)
+func (c *Client) post(ctx context.Context, address, path string, request any) (*http.Response, error) {
+	raw, err := json.Marshal(request)
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+at+path, bytes.NewReader(raw))
+	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, bytes.NewReader(raw))
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	r.GetBody = nil // never a second time by itself
-	r.Header["Content-Type"] = []string{"application/json"}
-	r.Header["User-Agent"] = []string{""}
-	r.Header["Accept-Encoding"] = []string{compressed}
-	w, err := c.client.Do(r)
-	return w, Error.Wrap(err)
+	httpRequest.GetBody = nil // never a second time by itself
+	httpRequest.Header["Content-Type"] = []string{"application/json"}
+	httpRequest.Header["User-Agent"] = []string{""}
+	httpRequest.Header["Accept-Encoding"] = []string{gzipEncoding}
+	httpResponse, err := c.http.Do(httpRequest)
+	return httpResponse, Error.Wrap(err)
 }
 
-func readAnswer(w *http.Response, from io.Reader, name string, answer any) error {
-	if w.Header.Get("Content-Encoding") == compressed {
-		unpacked, err := gzip.NewReader(from)
+func readResponse(httpResponse *http.Response, body io.Reader, name string, response any) error {
+	if httpResponse.Header.Get("Content-Encoding") == gzipEncoding {
+		unpacked, err := gzip.NewReader(body)
 		if err != nil {
 			return Error.Wrap(err)
 		}
-		from = unpacked
+		body = unpacked
 	}
-	body, err := io.ReadAll(io.LimitReader(from, mostBytes))
+	raw, err := io.ReadAll(io.LimitReader(body, maxBodyBytes))
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	if w.StatusCode != http.StatusOK {
-		return Error.New("%s answers %d: %.200s", name, w.StatusCode, body)
+	if httpResponse.StatusCode != http.StatusOK {
+		return Error.New("%s answers %d: %.200s", name, httpResponse.StatusCode, raw)
 	}
-	return Error.Wrap(json.Unmarshal(body, answer))
+	return Error.Wrap(json.Unmarshal(raw, response))
 }
 
 // Close closes what is kept.
-func (c *Caller) Close() { c.client.CloseIdleConnections() }
+func (c *Client) Close() { c.http.CloseIdleConnections() }
 
 // Handle serves one kind of call.
-func Handle[In, Out any](f func(ctx context.Context, in *In) (*Out, error)) http.HandlerFunc {
+func Handle[In, Out any](handler func(ctx context.Context, in *In) (*Out, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		in := new(In)
-		body, err := io.ReadAll(io.LimitReader(r.Body, mostBytes))
+		body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 		if err == nil {
 			err = json.Unmarshal(body, in)
 		}
@@ -118,7 +118,7 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		out, err := f(r.Context(), in)
+		out, err := handler(r.Context(), in)
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
 			return
@@ -129,21 +129,21 @@
 			return
 		}
 		w.Header()["Content-Type"] = []string{"application/json"}
-		if len(raw) < compressFrom || r.Header.Get("Accept-Encoding") != compressed {
+		if len(raw) < minCompressedBytes || r.Header.Get("Accept-Encoding") != gzipEncoding {
 			w.Write(raw)
 			return
 		}
-		w.Header()["Content-Encoding"] = []string{compressed}
-		packed := compressors.Get().(*gzip.Writer)
-		defer compressors.Put(packed)
-		packed.Reset(w)
-		packed.Write(raw)
-		packed.Close()
+		w.Header()["Content-Encoding"] = []string{gzipEncoding}
+		writer := gzipWriters.Get().(*gzip.Writer)
+		defer gzipWriters.Put(writer)
+		writer.Reset(w)
+		writer.Write(raw)
+		writer.Close()
 	}
 }
 
-// compressors are kept: one is much larger than most answers.
-var compressors = sync.Pool{New: func() any {
+// gzipWriters are kept: one is much larger than most answers.
+var gzipWriters = sync.Pool{New: func() any {
 	w, _ := gzip.NewWriterLevel(io.Discard, gzip.BestSpeed) // the level is known
 	return w
 }}
--- a/internal/mesh/settings/settings.go
+++ b/internal/mesh/settings/settings.go
@@ -20,34 +20,34 @@
 // Error is the class of faults in settings.
 var Error = errs.Class("settings")
 
-// Variable names the file.
-const Variable = "OTTERSHIFT_CONFIG"
+// FileVariable names the file.
+const FileVariable = "OTTERSHIFT_CONFIG"
 
 // Box is what a process is told about itself, its machine and the mesh.
 type Settings struct {
-	Node, Role, Class, District, Province string
-	Serves                                []string
-	Ip                                    string
-	Counted, FirstStart                   bool
-	DataDir                               string
-	App, Destination                      string // the upstream on this machine, and its service
+	Node, Role, MachineClass, Zone, Region string
+	Serves                                 []string
+	IP                                     string
+	Counted, FirstStart                    bool
+	DataDir                                string
+	UpstreamAddress, Service               string // the upstream on this machine, and its service
 
-	CpuShare, LineMbps float64
-	MemoryMb, Fds      int64
-	DiskMb             int64
+	CpuShare, LinkMbps        float64
+	MemoryMB, FileDescriptors int64
+	DiskMB                    int64
 
-	Inbound, Outbound, Ready, Control string // addresses of ours
-	InnerFirst, InnerLast             int    // ports between our own processes
-	Seeds                             []string
-	Districts                         map[string]string // province of each
+	InboundAddress, OutboundAddress, ReadinessAddress, ControlAddress string // addresses of ours
+	FirstInternalPort, LastInternalPort                               int    // ports between our own processes
+	Seeds                                                             []string
+	RegionOfZone                                                      map[string]string // province of each
 
-	Beat     time.Duration
-	Tolerate Tolerate
-	Bounds   Bounds
+	HeartbeatInterval time.Duration
+	Tolerate          Tolerate
+	Bounds            Bounds
 }
 
 // Tolerate is what may be lost at once.
-type Tolerate struct{ Machines, Districts, Provinces int }
+type Tolerate struct{ Machines, Zones, Regions int }
 
 // Bounds are the figures of the rules in force.
 type Bounds struct {
@@ -58,11 +58,11 @@
 	RevokedEverywhere                                                                         bool
 }
 
-// Inner is where other processes of the mesh reach this one.
-func (b *Settings) Inner() string { return InnerOf(b.Ip, b.InnerFirst) }
+// InternalAddress is where other processes of the mesh reach this one.
+func (s *Settings) InternalAddress() string { return InternalAddressOf(s.IP, s.FirstInternalPort) }
 
-// InnerOf is the same of any machine: all use the same ports.
-func InnerOf(ip string, port int) string { return ip + ":" + strconv.Itoa(port) }
+// InternalAddressOf is the same of any machine: all use the same ports.
+func InternalAddressOf(ip string, port int) string { return ip + ":" + strconv.Itoa(port) }
 
 // Host is the part of an address before its port.
 func Host(address string) string {
@@ -75,7 +75,7 @@
 // Default is what holds where nothing is said: the figures of the users' pages.
 func Default() *Settings {
 	return &Settings{
-		MemoryMb: 256, Fds: 4096, CpuShare: 1, Beat: 1500 * time.Millisecond, Districts: map[string]string{},
+		MemoryMB: 256, FileDescriptors: 4096, CpuShare: 1, HeartbeatInterval: 1500 * time.Millisecond, RegionOfZone: map[string]string{},
 		Bounds: Bounds{
 			SeedLag: 3 * time.Second, ReuseAfter: 2 * time.Second, Touch: 3 * time.Second, Ack: 5 * time.Second,
 			CatchUp: 4 * time.Second, Drain: 2500 * time.Millisecond, Grace: 6 * time.Second, Lost: 200 * time.Millisecond,
@@ -89,7 +89,7 @@
 // Load reads a file.
 func Load(path string) (*Settings, error) {
 	if path == "" {
-		return nil, Error.New("%s names no file", Variable)
+		return nil, Error.New("%s names no file", FileVariable)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -100,12 +100,12 @@
 
 // Parse reads settings; all faults are told at once.
 func Parse(text string) (*Settings, error) {
-	b := Default()
+	settings := Default()
 	var faults errs.Group
-	known := b.fields()
+	setters := settings.setters()
 	lines := bufio.NewScanner(strings.NewReader(text))
 	lines.Buffer(make([]byte, 0, 4096), 1<<20)
-	at := map[string]int{}
+	lineOf := map[string]int{}
 	for n := 1; lines.Scan(); n++ {
 		line := strings.TrimSpace(lines.Text())
 		if line == "" || strings.HasPrefix(line, "#") {
@@ -117,16 +117,16 @@
 			continue
 		}
 		key, value = strings.TrimSpace(key), strings.TrimSpace(value)
-		if earlier, twice := at[key]; twice {
-			faults.Add(Error.New("line %d: %s stands on line %d already", n, key, earlier))
+		if firstLine, repeated := lineOf[key]; repeated {
+			faults.Add(Error.New("line %d: %s stands on line %d already", n, key, firstLine))
 			continue
 		}
-		at[key] = n
-		if district, is := strings.CutPrefix(key, "Network.Districts."); is {
-			b.Districts[district] = value
+		lineOf[key] = n
+		if zone, is := strings.CutPrefix(key, "Network.Districts."); is {
+			settings.RegionOfZone[zone] = value
 			continue
 		}
-		if set, is := known[key]; is {
+		if set, is := setters[key]; is {
 			if err := set(value); err != nil {
 				faults.Add(Error.New("line %d: %s: %v", n, key, err))
 			}
@@ -135,22 +135,22 @@
 	if err := lines.Err(); err != nil {
 		faults.Add(Error.Wrap(err))
 	}
-	if err := b.check(at); err != nil {
+	if err := settings.validate(lineOf); err != nil {
 		faults.Add(err)
 	}
 	if err := faults.Err(); err != nil {
 		return nil, err
 	}
-	return b, nil
+	return settings, nil
 }
 
-// check holds the settings against one another, and names the key and its line.
-func (b *Settings) check(at map[string]int) error {
-	named := func(key string, err error) error {
+// validate holds the settings against one another, and names the key and its line.
+func (s *Settings) validate(lineOf map[string]int) error {
+	withKey := func(key string, err error) error {
 		if err == nil {
 			return nil
 		}
-		if n := at[key]; n > 0 {
+		if n := lineOf[key]; n > 0 {
 			return Error.New("line %d: %s: %v", n, key, err)
 		}
 		return Error.New("%s: %v", key, err)
@@ -170,66 +170,69 @@
 		value any
 		rules []validation.Rule
 	}{
-		{"Self.Node", b.Node, []validation.Rule{validation.Required}},
-		{"Self.Ip", b.Ip, []validation.Rule{validation.Required, validation.By(func(v any) error {
+		{"Self.Node", s.Node, []validation.Rule{validation.Required}},
+		{"Self.Ip", s.IP, []validation.Rule{validation.Required, validation.By(func(v any) error {
 			_, err := netip.ParseAddr(v.(string))
 			return err
 		})}},
-		{"Self.District", b.District, []validation.Rule{validation.Required}},
-		{"Self.App", b.App, []validation.Rule{address}},
-		{"Self.SizeLimits.MemoryMb", b.MemoryMb, []validation.Rule{validation.Min(int64(16))}},
-		{"Self.SizeLimits.Fds", b.Fds, []validation.Rule{validation.Min(int64(300))}},
-		{"Network.InnerPorts", b.InnerFirst, []validation.Rule{validation.Required, validation.Min(1), validation.Max(65535)}},
-		{"Network.Counters.Control", b.Control, []validation.Rule{address}},
-		{"Network.Counters.Inbound", b.Inbound, []validation.Rule{address}},
-		{"Network.Counters.Outbound", b.Outbound, []validation.Rule{address}},
-		{"Network.Counters.Ready", b.Ready, []validation.Rule{address}},
-		{"Network.SeedOffices", b.Seeds, []validation.Rule{validation.Each(address)}},
-		{"Carrier.Beat", b.Beat, []validation.Rule{positive}},
-		{"Tariff.Tolerate.Machines", b.Tolerate.Machines, []validation.Rule{validation.Min(0), validation.Max(8)}},
-		{"Tariff.Bounds.Drain", b.Bounds.Drain, []validation.Rule{positive}},
-		{"Tariff.Bounds.Config", b.Bounds.Config, []validation.Rule{positive}},
-		{"Tariff.Bounds.Grace", b.Bounds.Grace, []validation.Rule{positive}},
-		{"Tariff.Bounds.RetryWindow", b.Bounds.RetryWindow, []validation.Rule{positive}},
-		{"Tariff.Bounds.QuotaWindow", b.Bounds.QuotaWindow, []validation.Rule{positive}},
-		{"Tariff.Bounds.RetryRatio", b.Bounds.RetryRatio, []validation.Rule{validation.Min(0.0)}},
+		{"Self.District", s.Zone, []validation.Rule{validation.Required}},
+		{"Self.App", s.UpstreamAddress, []validation.Rule{address}},
+		{"Self.SizeLimits.MemoryMb", s.MemoryMB, []validation.Rule{validation.Min(int64(16))}},
+		{"Self.SizeLimits.Fds", s.FileDescriptors, []validation.Rule{validation.Min(int64(300))}},
+		{"Network.InnerPorts", s.FirstInternalPort, []validation.Rule{validation.Required, validation.Min(1), validation.Max(65535)}},
+		{"Network.Counters.Control", s.ControlAddress, []validation.Rule{address}},
+		{"Network.Counters.Inbound", s.InboundAddress, []validation.Rule{address}},
+		{"Network.Counters.Outbound", s.OutboundAddress, []validation.Rule{address}},
+		{"Network.Counters.Ready", s.ReadinessAddress, []validation.Rule{address}},
+		{"Network.SeedOffices", s.Seeds, []validation.Rule{validation.Each(address)}},
+		{"Carrier.Beat", s.HeartbeatInterval, []validation.Rule{positive}},
+		{"Tariff.Tolerate.Machines", s.Tolerate.Machines, []validation.Rule{validation.Min(0), validation.Max(8)}},
+		{"Tariff.Bounds.Drain", s.Bounds.Drain, []validation.Rule{positive}},
+		{"Tariff.Bounds.Config", s.Bounds.Config, []validation.Rule{positive}},
+		{"Tariff.Bounds.Grace", s.Bounds.Grace, []validation.Rule{positive}},
+		{"Tariff.Bounds.RetryWindow", s.Bounds.RetryWindow, []validation.Rule{positive}},
+		{"Tariff.Bounds.QuotaWindow", s.Bounds.QuotaWindow, []validation.Rule{positive}},
+		{"Tariff.Bounds.RetryRatio", s.Bounds.RetryRatio, []validation.Rule{validation.Min(0.0)}},
 	} {
-		faults.Add(named(rule.key, validation.Validate(rule.value, rule.rules...)))
+		faults.Add(withKey(rule.key, validation.Validate(rule.value, rule.rules...)))
 	}
 	return faults.Err()
 }
 
-// fields is how each known line is taken.
-func (b *Settings) fields() map[string]func(string) error {
-	text := func(to *string) func(string) error {
-		return func(v string) error { *to = v; return nil }
+// setters is how each known line is taken.
+func (s *Settings) setters() map[string]func(string) error {
+	text := func(target *string) func(string) error {
+		return func(v string) error { *target = v; return nil }
 	}
-	list := func(to *[]string) func(string) error {
+	list := func(target *[]string) func(string) error {
 		return func(v string) error {
-			*to = slices.DeleteFunc(strings.Split(v, ","), func(s string) bool { return s == "" })
+			*target = slices.DeleteFunc(strings.Split(v, ","), func(s string) bool { return s == "" })
 			return nil
 		}
 	}
-	whole := func(to *int64) func(string) error {
-		return func(v string) (err error) { *to, err = strconv.ParseInt(v, 10, 64); return plain(err) }
+	int64Value := func(target *int64) func(string) error {
+		return func(v string) (err error) {
+			*target, err = strconv.ParseInt(v, 10, 64)
+			return simplifyNumberError(err)
+		}
 	}
-	small := func(to *int) func(string) error {
-		return func(v string) (err error) { *to, err = strconv.Atoi(v); return plain(err) }
+	intValue := func(target *int) func(string) error {
+		return func(v string) (err error) { *target, err = strconv.Atoi(v); return simplifyNumberError(err) }
 	}
-	real := func(to *float64) func(string) error {
-		return func(v string) (err error) { *to, err = strconv.ParseFloat(v, 64); return plain(err) }
+	floatValue := func(target *float64) func(string) error {
+		return func(v string) (err error) { *target, err = strconv.ParseFloat(v, 64); return simplifyNumberError(err) }
 	}
-	yes := func(to *bool) func(string) error {
+	boolValue := func(target *bool) func(string) error {
 		return func(v string) error {
 			if v != "true" && v != "false" {
 				return fmt.Errorf("%q is neither true nor false", v)
 			}
-			*to = v == "true"
+			*target = v == "true"
 			return nil
 		}
 	}
-	span := func(to *time.Duration) func(string) error {
-		return func(v string) (err error) { *to, err = Span(v); return err }
+	duration := func(target *time.Duration) func(string) error {
+		return func(v string) (err error) { *target, err = ParseDuration(v); return err }
 	}
 	ports := func(v string) error {
 		first, last, _ := strings.Cut(v, ",")
@@ -237,41 +240,41 @@
 			last = first
 		}
 		var err error
-		if b.InnerFirst, err = strconv.Atoi(first); err == nil {
-			b.InnerLast, err = strconv.Atoi(last)
+		if s.FirstInternalPort, err = strconv.Atoi(first); err == nil {
+			s.LastInternalPort, err = strconv.Atoi(last)
 		}
-		if err == nil && b.InnerLast < b.InnerFirst {
+		if err == nil && s.LastInternalPort < s.FirstInternalPort {
 			err = errs.New("the last port is below the first")
 		}
-		return plain(err)
+		return simplifyNumberError(err)
 	}
-	r, l, n, t := "Self.", "Self.SizeLimits.", "Network.", "Tariff."
-	w := t + "Bounds."
-	k := &b.Bounds
+	self, limits, network, tariff := "Self.", "Self.SizeLimits.", "Network.", "Tariff."
+	boundsPrefix := tariff + "Bounds."
+	bounds := &s.Bounds
 	return map[string]func(string) error{
-		r + "Node": text(&b.Node), r + "Role": text(&b.Role), r + "MachineClass": text(&b.Class),
-		r + "Serves": list(&b.Serves), r + "Ip": text(&b.Ip), r + "District": text(&b.District),
-		r + "Province": text(&b.Province), r + "Counted": yes(&b.Counted), r + "FirstStart": yes(&b.FirstStart),
-		r + "DataDir": text(&b.DataDir), r + "App": text(&b.App), r + "Destination": text(&b.Destination),
-		l + "CpuShare": real(&b.CpuShare), l + "LineMbps": real(&b.LineMbps), l + "MemoryMb": whole(&b.MemoryMb),
-		l + "Fds": whole(&b.Fds), l + "DiskMb": whole(&b.DiskMb),
-		n + "Counters.Inbound": text(&b.Inbound), n + "Counters.Outbound": text(&b.Outbound),
-		n + "Counters.Ready": text(&b.Ready), n + "Counters.Control": text(&b.Control),
-		n + "InnerPorts": ports, n + "SeedOffices": list(&b.Seeds), "Carrier.Beat": span(&b.Beat),
-		t + "Tolerate.Machines": small(&b.Tolerate.Machines), t + "Tolerate.Districts": small(&b.Tolerate.Districts),
-		t + "Tolerate.Provinces": small(&b.Tolerate.Provinces),
-		w + "SeedLag":            span(&k.SeedLag), w + "ReuseAfter": span(&k.ReuseAfter), w + "Touch": span(&k.Touch),
-		w + "Ack": span(&k.Ack), w + "CatchUp": span(&k.CatchUp), w + "Drain": span(&k.Drain), w + "Grace": span(&k.Grace),
-		w + "Lost": span(&k.Lost), w + "Config": span(&k.Config), w + "Back": span(&k.Back), w + "Outer": span(&k.Outer),
-		w + "RevokedEverywhere": yes(&k.RevokedEverywhere), w + "Revoke": span(&k.Revoke),
-		w + "RetryRatio": real(&k.RetryRatio), w + "RetryWindow": span(&k.RetryWindow), w + "RetrySlack": real(&k.RetrySlack),
-		w + "QuotaWindow": span(&k.QuotaWindow), w + "QuotaOver": real(&k.QuotaOver), w + "QuotaSlack": real(&k.QuotaSlack),
-		w + "Recover": span(&k.Recover),
+		self + "Node": text(&s.Node), self + "Role": text(&s.Role), self + "MachineClass": text(&s.MachineClass),
+		self + "Serves": list(&s.Serves), self + "Ip": text(&s.IP), self + "District": text(&s.Zone),
+		self + "Province": text(&s.Region), self + "Counted": boolValue(&s.Counted), self + "FirstStart": boolValue(&s.FirstStart),
+		self + "DataDir": text(&s.DataDir), self + "App": text(&s.UpstreamAddress), self + "Destination": text(&s.Service),
+		limits + "CpuShare": floatValue(&s.CpuShare), limits + "LineMbps": floatValue(&s.LinkMbps), limits + "MemoryMb": int64Value(&s.MemoryMB),
+		limits + "Fds": int64Value(&s.FileDescriptors), limits + "DiskMb": int64Value(&s.DiskMB),
+		network + "Counters.Inbound": text(&s.InboundAddress), network + "Counters.Outbound": text(&s.OutboundAddress),
+		network + "Counters.Ready": text(&s.ReadinessAddress), network + "Counters.Control": text(&s.ControlAddress),
+		network + "InnerPorts": ports, network + "SeedOffices": list(&s.Seeds), "Carrier.Beat": duration(&s.HeartbeatInterval),
+		tariff + "Tolerate.Machines": intValue(&s.Tolerate.Machines), tariff + "Tolerate.Districts": intValue(&s.Tolerate.Zones),
+		tariff + "Tolerate.Provinces": intValue(&s.Tolerate.Regions),
+		boundsPrefix + "SeedLag":      duration(&bounds.SeedLag), boundsPrefix + "ReuseAfter": duration(&bounds.ReuseAfter), boundsPrefix + "Touch": duration(&bounds.Touch),
+		boundsPrefix + "Ack": duration(&bounds.Ack), boundsPrefix + "CatchUp": duration(&bounds.CatchUp), boundsPrefix + "Drain": duration(&bounds.Drain), boundsPrefix + "Grace": duration(&bounds.Grace),
+		boundsPrefix + "Lost": duration(&bounds.Lost), boundsPrefix + "Config": duration(&bounds.Config), boundsPrefix + "Back": duration(&bounds.Back), boundsPrefix + "Outer": duration(&bounds.Outer),
+		boundsPrefix + "RevokedEverywhere": boolValue(&bounds.RevokedEverywhere), boundsPrefix + "Revoke": duration(&bounds.Revoke),
+		boundsPrefix + "RetryRatio": floatValue(&bounds.RetryRatio), boundsPrefix + "RetryWindow": duration(&bounds.RetryWindow), boundsPrefix + "RetrySlack": floatValue(&bounds.RetrySlack),
+		boundsPrefix + "QuotaWindow": duration(&bounds.QuotaWindow), boundsPrefix + "QuotaOver": floatValue(&bounds.QuotaOver), boundsPrefix + "QuotaSlack": floatValue(&bounds.QuotaSlack),
+		boundsPrefix + "Recover": duration(&bounds.Recover),
 	}
 }
 
-// plain leaves out what a number's fault says of the function that found it.
-func plain(err error) error {
+// simplifyNumberError leaves out what a number's fault says of the function that found it.
+func simplifyNumberError(err error) error {
 	var number *strconv.NumError
 	if errors.As(err, &number) {
 		return fmt.Errorf("%q is no number that fits", number.Num)
@@ -279,8 +282,8 @@
 	return err
 }
 
-// Span reads a time as the mesh writes it: a number and ms or s.
-func Span(text string) (time.Duration, error) {
+// ParseDuration reads a time as the mesh writes it: a number and ms or s.
+func ParseDuration(text string) (time.Duration, error) {
 	number, unit := text, time.Duration(0)
 	switch {
 	case strings.HasSuffix(text, "ms"):
--- a/internal/mesh/settings/settings_test.go
+++ b/internal/mesh/settings/settings_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 )
 
-const good = `Self.Node=n
+const validSettings = `Self.Node=n
 Self.Ip=10.1.0.40
 Self.District=east
 Network.InnerPorts=7640,7655
@@ -19,17 +19,17 @@
 Self.FirstStart=true
 `
 
-func TestSettingsAreReadAndUnknownOnesLeftAlone(t *testing.T) {
-	b, err := Parse(good)
+func TestParseIgnoresUnknownSettings(t *testing.T) {
+	settings, err := Parse(validSettings)
 	must.NoError(t, err)
-	must.Eq(t, 2500*time.Millisecond, b.Bounds.Drain)
-	must.Eq(t, []string{"10.1.0.44:8105", "10.2.0.35:8105"}, b.Seeds)
-	must.Eq(t, "10.1.0.40:7640", b.Inner())
-	must.True(t, b.FirstStart)
+	must.Eq(t, 2500*time.Millisecond, settings.Bounds.Drain)
+	must.Eq(t, []string{"10.1.0.44:8105", "10.2.0.35:8105"}, settings.Seeds)
+	must.Eq(t, "10.1.0.40:7640", settings.InternalAddress())
+	must.True(t, settings.FirstStart)
 }
 
-func TestFaultsAreNamedWithLineAndKeyAllAtOnce(t *testing.T) {
-	_, err := Parse(good + "Self.App=nowhere\nTariff.Bounds.Grace=6\nno equals sign\nSelf.Counted=yes\nSelf.Node=again\nSelf.SizeLimits.Fds=many\n")
+func TestParseReportsAllErrorsWithLineAndKey(t *testing.T) {
+	_, err := Parse(validSettings + "Self.App=nowhere\nTariff.Bounds.Grace=6\nno equals sign\nSelf.Counted=yes\nSelf.Node=again\nSelf.SizeLimits.Fds=many\n")
 	for _, says := range []string{
 		`line 11: Self.App: is no address with a port: "nowhere"`, `line 12: Tariff.Bounds.Grace: "6" is no time`, `line 13`,
 		`line 14: Self.Counted: "yes" is neither true nor false`, `line 15: Self.Node stands on line 1 already`,
