--- a/internal/mesh/simulation/processes/processes.go
+++ b/internal/mesh/simulation/processes/processes.go
@@ -119,7 +119,7 @@
 	}
 	defer w.stop()
 	if m.Partner > 0 {
-		if w.side, err = testmesh.NewPartner("zuid", settings.Host(w.plan.Controllers[0].Control)+":0"); err != nil {
+		if w.side, err = testmesh.NewPartner("zuid", settings.Host(w.plan.Controllers[0].ControlAddress)+":0"); err != nil {
 			return nil, Error.Wrap(err)
 		}
 		defer w.side.Stop()
--- a/internal/mesh/simulation/processes/start.go
+++ b/internal/mesh/simulation/processes/start.go
@@ -42,7 +42,7 @@
 		if err := add("proxy", b); err != nil {
 			return err
 		}
-		a, err := testmesh.NewUpstream(fmt.Sprintf("i-%d", n), b.Destination, b.App, b.Control, 8, w.Work, w.Size)
+		a, err := testmesh.NewUpstream(fmt.Sprintf("i-%d", n), b.Service, b.UpstreamAddress, b.ControlAddress, 8, w.Work, w.Size)
 		if err != nil {
 			return Error.Wrap(err)
 		}
@@ -59,7 +59,7 @@
 	}
 	p.settings.FirstStart = false // from now on
 	cmd := exec.Command(p.program, "serve")
-	cmd.Env = []string{settings.Variable + "=" + p.settingsFile, "PATH=" + os.Getenv("PATH")}
+	cmd.Env = []string{settings.FileVariable + "=" + p.settingsFile, "PATH=" + os.Getenv("PATH")}
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // none outlives this one
 	if w.Logs != "" {
 		f, err := os.OpenFile(filepath.Join(w.Logs, p.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
@@ -158,9 +158,9 @@
 		}
 	}
 	if w.Credit > 0 { // by an operator's hand
-		c := rpc.NewCaller(nil)
+		c := rpc.NewClient(nil)
 		defer c.Close()
-		if err := c.Call(patience, w.plan.Controllers[0].Inner(), rpc.PathCreditOrder, &controller.Order{Tenant: tenant, Tokens: w.Credit, Who: "meshsim", Why: "the rush"}, &burstcredit.AccountStatus{}); err != nil {
+		if err := c.Call(patience, w.plan.Controllers[0].InternalAddress(), rpc.PathCreditOrder, &controller.Order{Tenant: tenant, Tokens: w.Credit, Who: "meshsim", Why: "the rush"}, &burstcredit.AccountStatus{}); err != nil {
 			return Error.Wrap(err)
 		}
 	}
@@ -169,12 +169,12 @@
 
 // account is what the core has agreed on of the tenant's credit.
 func (w *world) account(ctx context.Context) (*burstcredit.AccountStatus, error) {
-	c := rpc.NewCaller(nil)
+	c := rpc.NewClient(nil)
 	defer c.Close()
 	var last error
 	for _, b := range w.plan.Controllers {
 		s := &controller.Status{}
-		if last = c.Call(ctx, b.Inner(), rpc.PathStatus, controller.StatusRequest{Newest: true}, s); last == nil {
+		if last = c.Call(ctx, b.InternalAddress(), rpc.PathStatus, controller.StatusRequest{Newest: true}, s); last == nil {
 			return controller.Account(s.State.Credit, tenant)
 		}
 	}
--- a/internal/mesh/simulation/processes/traffic.go
+++ b/internal/mesh/simulation/processes/traffic.go
@@ -14,7 +14,7 @@
 func (w *world) call(ctx context.Context, comb int, call, match, body string) (int, string, error) {
 	ctx, end := context.WithTimeout(ctx, time.Second)
 	defer end()
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+w.plan.Controllers[comb%w.Controllers].Control+"/-/rpc?call="+call, strings.NewReader(body))
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+w.plan.Controllers[comb%w.Controllers].ControlAddress+"/-/rpc?call="+call, strings.NewReader(body))
 	if err != nil {
 		return 0, "", err
 	}
@@ -31,7 +31,7 @@
 // send has a client on a proxy's machine ask for something; -1 is an answer that is not what an upstream sent.
 func (w *world) send(ctx context.Context, c *http.Client, forager int, method, path, id string) (int, time.Duration) {
 	began := time.Now()
-	r, err := http.NewRequestWithContext(ctx, method, "http://"+w.plan.Proxies[forager].Outbound+path, nil)
+	r, err := http.NewRequestWithContext(ctx, method, "http://"+w.plan.Proxies[forager].OutboundAddress+path, nil)
 	if err != nil {
 		return 0, 0
 	}
--- a/internal/mesh/simulation/processes/versions.go
+++ b/internal/mesh/simulation/processes/versions.go
@@ -164,7 +164,7 @@
 	case p.edition == firstEdition:
 		path = "/read/" + w.Services[0] + "/"
 	}
-	r, err := http.NewRequest(http.MethodGet, "http://"+w.plan.Proxies[p.proxy].Outbound+path, nil)
+	r, err := http.NewRequest(http.MethodGet, "http://"+w.plan.Proxies[p.proxy].OutboundAddress+path, nil)
 	if err != nil {
 		return p
 	}
--- a/internal/mesh/simulation/scale/hollow.go
+++ b/internal/mesh/simulation/scale/hollow.go
@@ -26,7 +26,7 @@
 type hollow struct {
 	number int
 	fleet  *fleet
-	caller *rpc.Caller
+	caller *rpc.Client
 
 	mu            sync.Mutex
 	node          membership.Node
@@ -43,7 +43,7 @@
 
 func newHollow(f *fleet, number int, zone, service string) *hollow {
 	return &hollow{
-		number: number, fleet: f, caller: rpc.NewCaller(f.meter.wrap), changed: make(chan struct{}), known: make([]uint64, f.size),
+		number: number, fleet: f, caller: rpc.NewClient(f.meter.wrap), changed: make(chan struct{}), known: make([]uint64, f.size),
 		node: membership.Node{
 			Name: hollowName(number), Inbound: fmt.Sprintf("10.%d.%d.%d:8109", 100+number>>16, number>>8&255, number&255), District: zone,
 			Upstream: &membership.Upstream{ID: fmt.Sprintf("i-%08x", number*2654435761&0xffffffff), Service: service, Edition: "v1", Capacity: 8},
@@ -56,7 +56,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if newLife {
-		h.node.Life, h.position, h.controllers = storage.NewIdentity(), membership.Position{}, nil
+		h.node.Life, h.position, h.controllers = storage.NewDiskID(), membership.Position{}, nil
 		h.node.Seq = h.fleet.next(h.number)
 		clear(h.known)
 	}
@@ -124,8 +124,8 @@
 	h.mu.Unlock()
 	h.fleet.meter.Requests.Add(1)
 	response = &membership.WatchResponse{}
-	patience := rpc.Patience{Silence: proxy.WatchTimeout, Interrupt: changed}
-	err = h.caller.CallPatiently(ctx, patience, controller, rpc.PathWatch, request, response)
+	patience := rpc.StallPolicy{Timeout: proxy.WatchTimeout, Interrupt: changed}
+	err = h.caller.CallUntilStalled(ctx, patience, controller, rpc.PathWatch, request, response)
 	if err == nil && response.Packed == nil && response.Digest != "" && response.Digest != request.Position.Digest {
 		err = h.fetchConfiguration(ctx, controller, request.Position.Digest)
 	}
@@ -137,7 +137,7 @@
 	request := &membership.ConfigurationRequest{Held: held}
 	for {
 		piece := &membership.ConfigurationResponse{}
-		err := h.caller.CallPatiently(ctx, rpc.Patience{Silence: proxy.WatchTimeout}, controller, rpc.PathConfiguration, request, piece)
+		err := h.caller.CallUntilStalled(ctx, rpc.StallPolicy{Timeout: proxy.WatchTimeout}, controller, rpc.PathConfiguration, request, piece)
 		if err != nil {
 			return err
 		}
--- a/internal/mesh/simulation/scale/process.go
+++ b/internal/mesh/simulation/scale/process.go
@@ -35,7 +35,7 @@
 	}
 	b.FirstStart = false // from now on
 	cmd := exec.Command(filepath.Join(p.folder, program), "serve")
-	cmd.Env = []string{settings.Variable + "=" + file, "PATH=" + os.Getenv("PATH")}
+	cmd.Env = []string{settings.FileVariable + "=" + file, "PATH=" + os.Getenv("PATH")}
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // none outlives this one
 	if p.logs != "" {
 		log, err := os.OpenFile(filepath.Join(p.logs, b.Node+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
--- a/internal/mesh/simulation/scale/run.go
+++ b/internal/mesh/simulation/scale/run.go
@@ -124,10 +124,10 @@
 			return err
 		}
 		x.controllers = append(x.controllers, controller)
-		controls = append(controls, b.Control)
+		controls = append(controls, b.ControlAddress)
 	}
 	for _, seed := range mesh.Controllers[0].Seeds {
-		seeds = append(seeds, settings.InnerOf(settings.Host(seed), mesh.Controllers[0].InnerFirst))
+		seeds = append(seeds, settings.InternalAddressOf(settings.Host(seed), mesh.Controllers[0].FirstInternalPort))
 	}
 	x.fleet = newFleet(size, seeds, x.plan.zoneNames(), x.plan.Services)
 	x.fleet.stableOrder = x.plan.StableOrder
@@ -153,12 +153,12 @@
 			return err
 		}
 		x.proxies = append(x.proxies, proxy)
-		upstream, err := testmesh.NewUpstream(fmt.Sprintf("served-%d", n), b.Destination, b.App, b.Control, 64, time.Duration(x.plan.Serve.Work), x.plan.Serve.Bytes)
+		upstream, err := testmesh.NewUpstream(fmt.Sprintf("served-%d", n), b.Service, b.UpstreamAddress, b.ControlAddress, 64, time.Duration(x.plan.Serve.Work), x.plan.Serve.Bytes)
 		if err != nil {
 			return Error.Wrap(err)
 		}
 		x.upstreams = append(x.upstreams, upstream)
-		outbounds, upstreams = append(outbounds, b.Outbound), append(upstreams, b.App)
+		outbounds, upstreams = append(outbounds, b.OutboundAddress), append(upstreams, b.UpstreamAddress)
 	}
 	x.load = newLoad(outbounds, upstreams)
 	return x.waitServed(ctx)
--- a/internal/mesh/storage/durable.go
+++ b/internal/mesh/storage/durable.go
@@ -10,8 +10,8 @@
 // names may be there without its content.
 type durableStorage struct {
 	storage.Storage
-	system FileSystem
-	folder string
+	fileSystem FileSystem
+	directory  string
 }
 
 // Create makes a file whose first sync syncs the folder as well.
@@ -25,10 +25,10 @@
 
 // SetMeta makes a manifest the current one, once it and its name are on disk.
 func (s durableStorage) SetMeta(fd storage.FileDesc) error {
-	if err := s.system.SyncFile(s.folder, fd); err != nil {
+	if err := s.fileSystem.SyncFile(s.directory, fd); err != nil {
 		return err
 	}
-	if err := s.system.SyncFolder(s.folder); err != nil {
+	if err := s.fileSystem.SyncDirectory(s.directory); err != nil {
 		return err
 	}
 	return s.Storage.SetMeta(fd)
@@ -36,8 +36,8 @@
 
 type durableWriter struct {
 	storage.Writer
-	storage durableStorage
-	named   bool // the file's name is on disk
+	storage         durableStorage
+	directorySynced bool // the file's name is on disk
 }
 
 // Sync syncs the file, and its name at the first time.
@@ -45,12 +45,12 @@
 	if err := w.Writer.Sync(); err != nil {
 		return err
 	}
-	if w.named {
+	if w.directorySynced {
 		return nil
 	}
-	if err := w.storage.system.SyncFolder(w.storage.folder); err != nil {
+	if err := w.storage.fileSystem.SyncDirectory(w.storage.directory); err != nil {
 		return err
 	}
-	w.named = true
+	w.directorySynced = true
 	return nil
 }
--- a/internal/mesh/storage/encoding.go
+++ b/internal/mesh/storage/encoding.go
@@ -12,34 +12,34 @@
 
 // Formats of a value.
 const (
-	formatWhole = 1 // a value with all that belongs to it
-	formatSplit = 2 // a value whose large documents stand under keys of their own
+	formatInline = 1 // a value with all that belongs to it
+	formatSplit  = 2 // a value whose large documents stand under keys of their own
 )
 
 const headerBytes = 5 // the format and a checksum
 
 // encode puts the format and a checksum before a value.
-func encode(format byte, v any) ([]byte, error) {
-	raw, err := json.Marshal(v)
+func encode(format byte, value any) ([]byte, error) {
+	raw, err := json.Marshal(value)
 	if err != nil {
 		return nil, err
 	}
-	return seal(format, raw), nil
+	return addHeader(format, raw), nil
 }
 
-func seal(format byte, raw []byte) []byte {
-	out := append(make([]byte, headerBytes, headerBytes+len(raw)), raw...)
-	out[0] = format
-	binary.BigEndian.PutUint32(out[1:], crc32.ChecksumIEEE(raw))
-	return out
+func addHeader(format byte, raw []byte) []byte {
+	encoded := append(make([]byte, headerBytes, headerBytes+len(raw)), raw...)
+	encoded[0] = format
+	binary.BigEndian.PutUint32(encoded[1:], crc32.ChecksumIEEE(raw))
+	return encoded
 }
 
-// unseal checks a value's header and returns what stands behind it.
-func unseal(raw []byte) (body []byte, err error) {
+// stripHeader checks a value's header and returns what stands behind it.
+func stripHeader(raw []byte) (body []byte, err error) {
 	switch {
 	case len(raw) < headerBytes:
 		return nil, errs.New("a value is cut short")
-	case raw[0] != formatWhole && raw[0] != formatSplit:
+	case raw[0] != formatInline && raw[0] != formatSplit:
 		return nil, errs.New("format %d is not known here", raw[0])
 	case binary.BigEndian.Uint32(raw[1:]) != crc32.ChecksumIEEE(raw[headerBytes:]):
 		return nil, errs.New("a checksum is wrong")
@@ -47,12 +47,12 @@
 	return raw[headerBytes:], nil
 }
 
-func decode(raw []byte, to any) error {
-	body, err := unseal(raw)
+func decode(raw []byte, target any) error {
+	body, err := stripHeader(raw)
 	if err != nil {
 		return err
 	}
-	return json.Unmarshal(body, to)
+	return json.Unmarshal(body, target)
 }
 
 // storedState is a state whose large documents stand under their digests. A state without any is stored as the version before
@@ -70,16 +70,16 @@
 
 func (s *storedState) format() byte {
 	if len(s.Parts) == 0 {
-		return formatWhole
+		return formatInline
 	}
 	return formatSplit
 }
 
-func (a *storedAccepted) format() byte {
-	if a == nil {
-		return formatWhole
+func (s *storedAccepted) format() byte {
+	if s == nil {
+		return formatInline
 	}
-	return a.Value.format()
+	return s.Value.format()
 }
 
 // join puts a state's documents back into it.
--- a/internal/mesh/storage/filesystem.go
+++ b/internal/mesh/storage/filesystem.go
@@ -11,36 +11,36 @@
 
 // FileSystem is the folder of a process's disk that its store lies in: what a store needs besides goleveldb's own files.
 type FileSystem interface {
-	// MakeFolder makes a folder, unless it is there.
-	MakeFolder(name string) error
+	// MakeDirectory makes a folder, unless it is there.
+	MakeDirectory(name string) error
 	Rename(from, to string) error
-	// SyncFolder brings the names in a folder to the disk; the empty name is that of the outer one.
-	SyncFolder(name string) error
+	// SyncDirectory brings the names in a folder to the disk; the empty name is that of the outer one.
+	SyncDirectory(name string) error
 	// SyncFile brings one of goleveldb's files to the disk.
 	SyncFile(folder string, file storage.FileDesc) error
 	// OpenStorage opens goleveldb's files in a folder.
 	OpenStorage(folder string) (storage.Storage, error)
 }
 
-// directory is a folder of the machine's disk.
-type directory string
+// osFileSystem is a folder of the machine's disk.
+type osFileSystem string
 
-func (d directory) path(names ...string) string {
-	return filepath.Join(append([]string{string(d)}, names...)...)
+func (f osFileSystem) path(names ...string) string {
+	return filepath.Join(append([]string{string(f)}, names...)...)
 }
 
-func (d directory) MakeFolder(name string) error { return os.MkdirAll(d.path(name), 0o755) }
+func (f osFileSystem) MakeDirectory(name string) error { return os.MkdirAll(f.path(name), 0o755) }
 
-func (d directory) Rename(from, to string) error { return os.Rename(d.path(from), d.path(to)) }
+func (f osFileSystem) Rename(from, to string) error { return os.Rename(f.path(from), f.path(to)) }
 
-func (d directory) SyncFolder(name string) error { return syncPath(d.path(name)) }
+func (f osFileSystem) SyncDirectory(name string) error { return syncPath(f.path(name)) }
 
-func (d directory) SyncFile(folder string, file storage.FileDesc) error {
-	return syncPath(d.path(folder, file.String()))
+func (f osFileSystem) SyncFile(directory string, file storage.FileDesc) error {
+	return syncPath(f.path(directory, file.String()))
 }
 
-func (d directory) OpenStorage(folder string) (storage.Storage, error) {
-	return storage.OpenFile(d.path(folder), false)
+func (f osFileSystem) OpenStorage(directory string) (storage.Storage, error) {
+	return storage.OpenFile(f.path(directory), false)
 }
 
 func syncPath(path string) error {
--- a/internal/mesh/storage/format_test.go
+++ b/internal/mesh/storage/format_test.go
@@ -12,48 +12,48 @@
 )
 
 // A disk of the version before has each state with its configuration in one value.
-func TestADiskOfTheVersionBeforeIsRead(t *testing.T) {
+func TestReadsFormatOfPreviousVersion(t *testing.T) {
 	dir := t.TempDir()
 	must.NoError(t, os.MkdirAll(dir, 0o755))
 	decided := &consensus.State{Index: 7, Edition: 3, Configuration: configurationOf(400, 3)}
 	accepted := &consensus.AcceptedValue{Ballot: consensus.Ballot{Round: 9, By: "a"}, Value: decided.WithMembers(5)}
 	old := &consensus.Replica{ID: "one", Decided: decided, Promised: accepted.Ballot, Accepted: accepted}
-	db, err := leveldb.OpenFile(filepath.Join(dir, storeFolder), nil)
+	db, err := leveldb.OpenFile(filepath.Join(dir, storeDirectory), nil)
 	must.NoError(t, err)
 	for key, value := range map[string]any{keyID: old.ID, keyDecided: old.Decided, keyPromised: old.Promised, keyAccepted: old.Accepted} {
-		raw, err := encode(formatWhole, value)
+		raw, err := encode(formatInline, value)
 		must.NoError(t, err)
 		must.NoError(t, db.Put([]byte(key), raw, nil))
 	}
 	must.NoError(t, db.Close())
 	reopen := func() (*Store, *consensus.Replica) {
-		store, replica, fresh, err := Open(dir, func() (string, *consensus.State) { t.Fatal("it counts as empty"); return "", nil })
+		store, replica, initReason, err := Open(dir, func() (string, *consensus.State) { t.Fatal("it counts as empty"); return "", nil })
 		must.NoError(t, err)
-		must.NoError(t, fresh)
+		must.NoError(t, initReason)
 		return store, replica
 	}
 	store, replica := reopen()
-	must.Eq(t, textOf(old), textOf(replica))
+	must.Eq(t, replicaJSON(old), replicaJSON(replica))
 	replica.Decided, replica.Accepted = replica.Accepted.Value, nil
 	must.NoError(t, store.Save(replica))
 	must.NoError(t, store.Close())
 	store, again := reopen()
-	must.Eq(t, textOf(replica), textOf(again))
+	must.Eq(t, replicaJSON(replica), replicaJSON(again))
 	must.MapLen(t, 1, store.documents)
 	must.NoError(t, store.Close())
 }
 
 // A document that a state refers to and that is not there makes the disk unreadable, never a state without one.
-func TestAStateWithoutItsDocumentIsUnreadable(t *testing.T) {
+func TestMissingDocumentMakesStoreUnreadable(t *testing.T) {
 	dir := t.TempDir()
 	state := &consensus.State{Index: 7, Edition: 3, Configuration: configurationOf(400, 3)}
 	store, _, _, err := Open(dir, func() (string, *consensus.State) { return "one", state })
 	must.NoError(t, err)
 	must.NoError(t, store.db.Delete([]byte(prefixDocument+consensus.DigestOf(state.Configuration)), nil))
 	must.NoError(t, store.Close())
-	store, replica, fresh, err := Open(dir, func() (string, *consensus.State) { return "another", &consensus.State{} })
+	store, replica, initReason, err := Open(dir, func() (string, *consensus.State) { return "another", &consensus.State{} })
 	must.NoError(t, err)
-	must.ErrorContains(t, fresh, "is missing")
+	must.ErrorContains(t, initReason, "is missing")
 	must.Eq(t, "another", replica.ID)
 	must.NoError(t, store.Close())
 }
--- a/internal/mesh/storage/size_test.go
+++ b/internal/mesh/storage/size_test.go
@@ -17,27 +17,27 @@
 )
 
 const (
-	coreDiskLimit = 256 << 20 // of a core's machine
-	routeBytes    = 193       // of a route in a configuration of 4,000: 774 KB
+	controllerDiskBytes = 256 << 20 // of a core's machine
+	routeBytes          = 193       // of a route in a configuration of 4,000: 774 KB
 )
 
 // configurationOf is a document as large as one of so many routes, different for each edition.
-func configurationOf(routes int, edition int64) json.RawMessage {
+func configurationOf(routes int, version int64) json.RawMessage {
 	var doc bytes.Buffer
-	fmt.Fprintf(&doc, `{"Edition":%d,"Routes":[`, edition)
+	fmt.Fprintf(&doc, `{"Edition":%d,"Routes":[`, version)
 	for n := range routes {
 		if n > 0 {
 			doc.WriteByte(',')
 		}
-		route := fmt.Sprintf(`{"Name":"route-%d","Prefix":"/r%d/","Service":"s%d"`, n, n, (int64(n)+edition)%97)
+		route := fmt.Sprintf(`{"Name":"route-%d","Prefix":"/r%d/","Service":"s%d"`, n, n, (int64(n)+version)%97)
 		fmt.Fprintf(&doc, `%s,"Padding":"%0*d"}`, route, routeBytes-len(route)-len(`,"Padding":""},`), n)
 	}
 	doc.WriteString("]}")
 	return doc.Bytes()
 }
 
-// usage is what a store's folder takes.
-func usage(t *testing.T, dir string) (bytes int64, files int) {
+// directorySize is what a store's folder takes.
+func directorySize(t *testing.T, dir string) (bytes int64, files int) {
 	err := filepath.WalkDir(dir, func(_ string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() {
 			return nil // removed by a compaction meanwhile
@@ -51,14 +51,14 @@
 	return bytes, files
 }
 
-// figures of a run of changes.
-type figures struct {
-	largest     int64 // bytes of the folder
-	mostFiles   int
-	perSave     time.Duration
-	slowest     time.Duration
-	restart     time.Duration
-	writtenEach int64 // bytes that the process wrote for each change
+// diskMeasurements of a run of changes.
+type diskMeasurements struct {
+	largestBytes     int64 // bytes of the folder
+	mostFiles        int
+	perSave          time.Duration
+	slowest          time.Duration
+	restart          time.Duration
+	writtenPerChange int64 // bytes that the process wrote for each change
 }
 
 // writtenBytes is what this process has written so far, through all its files.
@@ -74,7 +74,7 @@
 
 // runChanges takes a store through so many changes, each with the three saves of an acceptor; every so-manieth changes the
 // configuration and the others the number of members.
-func runChanges(t *testing.T, changes, routes, configurationEvery int) (f figures) {
+func runChanges(t *testing.T, changes, routes, configurationEvery int) (result diskMeasurements) {
 	dir := t.TempDir()
 	first := &consensus.State{Index: 1, Edition: 1, Configuration: configurationOf(routes, 1)}
 	store, replica, _, err := Open(dir, func() (string, *consensus.State) { return "one", first })
@@ -84,7 +84,7 @@
 		began := time.Now()
 		must.NoError(t, store.Save(replica))
 		took := time.Since(began)
-		total, f.slowest = total+took, max(f.slowest, took)
+		total, result.slowest = total+took, max(result.slowest, took)
 	}
 	before := writtenBytes()
 	for n := range changes {
@@ -92,29 +92,29 @@
 		save()
 		next := replica.Decided.WithMembers(n)
 		if n%configurationEvery == 0 {
-			edition := next.Edition + 1
-			next = replica.Decided.WithConfiguration(edition, configurationOf(routes, edition), fmt.Sprint(edition))
+			version := next.Edition + 1
+			next = replica.Decided.WithConfiguration(version, configurationOf(routes, version), fmt.Sprint(version))
 		}
 		replica.Accepted = &consensus.AcceptedValue{Ballot: replica.Promised, Value: next}
 		save()
 		replica.Decided, replica.Promised, replica.Accepted = next, consensus.Ballot{}, nil
 		save()
 		if n%10 == 0 {
-			bytes, files := usage(t, dir)
-			f.largest, f.mostFiles = max(f.largest, bytes), max(f.mostFiles, files)
+			bytes, files := directorySize(t, dir)
+			result.largestBytes, result.mostFiles = max(result.largestBytes, bytes), max(result.mostFiles, files)
 		}
 	}
-	f.perSave, f.writtenEach = total/time.Duration(3*changes), (writtenBytes()-before)/int64(changes)
+	result.perSave, result.writtenPerChange = total/time.Duration(3*changes), (writtenBytes()-before)/int64(changes)
 	must.NoError(t, store.Close())
 	began := time.Now()
-	store, again, fresh, err := Open(dir, func() (string, *consensus.State) { return "", nil })
+	store, again, initReason, err := Open(dir, func() (string, *consensus.State) { return "", nil })
 	must.NoError(t, err)
-	f.restart = time.Since(began)
-	must.NoError(t, fresh)
+	result.restart = time.Since(began)
+	must.NoError(t, initReason)
 	must.Eq(t, replica.Decided.Index, again.Decided.Index)
 	must.Eq(t, string(replica.Decided.Configuration), string(again.Decided.Configuration))
 	must.NoError(t, store.Close())
-	return f
+	return result
 }
 
 // TestDiskUseIsBounded prints what changes cost a disk, and holds them to the limit of a core's machine. More changes by
@@ -128,10 +128,10 @@
 		for _, every := range []int{1, 10, largest + 1} {
 			for _, changes := range []int{10, 300, 3000} {
 				changes = min(changes, largest)
-				f := runChanges(t, changes, routes, every)
+				result := runChanges(t, changes, routes, every)
 				t.Logf("%d routes, %d changes, configuration every %d: %.1f MB in %d files at most, a save %v (slowest %v), %d KB written a change, restart %v",
-					routes, changes, every, float64(f.largest)/1e6, f.mostFiles, f.perSave.Round(time.Microsecond), f.slowest.Round(time.Microsecond), f.writtenEach/1000, f.restart.Round(time.Microsecond))
-				must.Less(t, coreDiskLimit/4, f.largest)
+					routes, changes, every, float64(result.largestBytes)/1e6, result.mostFiles, result.perSave.Round(time.Microsecond), result.slowest.Round(time.Microsecond), result.writtenPerChange/1000, result.restart.Round(time.Microsecond))
+				must.Less(t, controllerDiskBytes/4, result.largestBytes)
 				if changes == largest {
 					break
 				}
--- a/internal/mesh/storage/storage.go
+++ b/internal/mesh/storage/storage.go
@@ -28,14 +28,14 @@
 	keyDecided     = "decided"
 	keyPromised    = "promised"
 	keyAccepted    = "accepted"
-	keyLife        = "life"      // the last start's
+	keyInstance    = "life"      // the last start's
 	prefixDocument = "document-" // and the document's digest
 )
 
 // Names in the process's folder. Disks of the versions before this one have them, too.
 const (
-	storeFolder      = "wax"
-	unreadableFolder = "unreadable-" // and a random part: a store that could not be read
+	storeDirectory   = "wax"
+	quarantinePrefix = "unreadable-" // and a random part: a store that could not be read
 )
 
 // unreadableError says that what the disk holds can't be read, and won't be by waiting.
@@ -44,8 +44,8 @@
 func (e *unreadableError) Error() string { return e.cause.Error() }
 func (e *unreadableError) Unwrap() error { return e.cause }
 
-// First makes the replica of an empty disk.
-type First func() (id string, state *consensus.State)
+// InitialReplica makes the replica of an empty disk.
+type InitialReplica func() (id string, state *consensus.State)
 
 // Store is one process's disk.
 type Store struct {
@@ -72,89 +72,89 @@
 // Open opens a directory. A disk without an identity gets the one that first says, which is called then only, and fresh
 // says why there was none; an unreadable one is put aside whole and counts as empty. A disk that refuses is an error, and
 // stays as it is: the caller tries again.
-func Open(dir string, first First) (store *Store, replica *consensus.Replica, fresh error, err error) {
+func Open(dir string, initial InitialReplica) (store *Store, replica *consensus.Replica, initReason error, err error) {
 	if err := makeDirectory(dir); err != nil {
 		return nil, nil, nil, Error.Wrap(err)
 	}
-	return OpenOn(directory(dir), defaultOptions, first)
+	return OpenOn(osFileSystem(dir), defaultOptions, initial)
 }
 
 // OpenOn opens a store in a file system.
-func OpenOn(system FileSystem, options *opt.Options, first First) (store *Store, replica *consensus.Replica, fresh error, err error) {
-	store, replica, fresh, err = openStore(system, options, first)
+func OpenOn(fileSystem FileSystem, options *opt.Options, initial InitialReplica) (store *Store, replica *consensus.Replica, initReason error, err error) {
+	store, replica, initReason, err = openStore(fileSystem, options, initial)
 	var unreadable *unreadableError
 	if !errors.As(err, &unreadable) {
-		return store, replica, fresh, err
+		return store, replica, initReason, err
 	}
-	aside := unreadableFolder + NewIdentity()
-	if err := system.Rename(storeFolder, aside); err != nil {
+	quarantined := quarantinePrefix + NewDiskID()
+	if err := fileSystem.Rename(storeDirectory, quarantined); err != nil {
 		return nil, nil, nil, Error.Wrap(err)
 	}
-	store, replica, fresh, err = openStore(system, options, first)
-	return store, replica, errs.Combine(Error.New("put aside as %s: %v", aside, unreadable), fresh), err
+	store, replica, initReason, err = openStore(fileSystem, options, initial)
+	return store, replica, errs.Combine(Error.New("put aside as %s: %v", quarantined, unreadable), initReason), err
 }
 
-func openStore(system FileSystem, options *opt.Options, first First) (store *Store, replica *consensus.Replica, fresh error, err error) {
-	if err := system.MakeFolder(storeFolder); err != nil {
+func openStore(fileSystem FileSystem, options *opt.Options, initial InitialReplica) (store *Store, replica *consensus.Replica, initReason error, err error) {
+	if err := fileSystem.MakeDirectory(storeDirectory); err != nil {
 		return nil, nil, nil, Error.Wrap(err)
 	}
-	if err := system.SyncFolder(""); err != nil {
+	if err := fileSystem.SyncDirectory(""); err != nil {
 		return nil, nil, nil, Error.Wrap(err)
 	}
-	files, err := system.OpenStorage(storeFolder)
+	files, err := fileSystem.OpenStorage(storeDirectory)
 	if err != nil {
 		return nil, nil, nil, Error.Wrap(err)
 	}
-	store = &Store{files: durableStorage{files, system, storeFolder}, options: options}
-	replica, fresh, err = store.load(first)
+	store = &Store{files: durableStorage{files, fileSystem, storeDirectory}, options: options}
+	replica, initReason, err = store.load(initial)
 	if err != nil {
 		return nil, nil, nil, errs.Combine(Error.Wrap(err), store.Close())
 	}
-	return store, replica, fresh, nil
+	return store, replica, initReason, nil
 }
 
 // load opens the database and reads the replica, or lays the first one on an empty disk.
-func (s *Store) load(first First) (replica *consensus.Replica, fresh error, err error) {
+func (s *Store) load(initial InitialReplica) (replica *consensus.Replica, initReason error, err error) {
 	if err := s.openDatabase(); err != nil {
 		return nil, nil, err
 	}
-	replica, empty, err := s.read()
+	replica, empty, err := s.readReplica()
 	if err != nil {
 		return nil, nil, err
 	}
 	if empty {
-		fresh = Error.New("an empty disk")
-		id, state := first()
+		initReason = Error.New("an empty disk")
+		id, state := initial()
 		replica = &consensus.Replica{ID: id, Decided: state}
-		if err := s.write(replica, true); err != nil {
+		if err := s.writeReplica(replica, true); err != nil {
 			return nil, nil, err
 		}
 	} else if replica.ID == "" || replica.Decided == nil {
 		return nil, nil, &unreadableError{errs.New("a replica without an identity or a state")}
 	}
-	if err := s.beginLife(replica); err != nil {
+	if err := s.recordInstance(replica); err != nil {
 		return nil, nil, err
 	}
 	s.saved = *replica
-	return replica, fresh, nil
+	return replica, initReason, nil
 }
 
-// beginLife numbers this start of the disk.
-func (s *Store) beginLife(replica *consensus.Replica) error {
+// recordInstance numbers this start of the disk.
+func (s *Store) recordInstance(replica *consensus.Replica) error {
 	var last consensus.DiskLife
-	if raw, err := s.get(keyLife); err == nil {
+	if raw, err := s.get(keyInstance); err == nil {
 		if err := decode(raw, &last); err != nil {
-			return &unreadableError{errs.New("%s: %v", keyLife, err)}
+			return &unreadableError{errs.New("%s: %v", keyInstance, err)}
 		}
 	} else if err != leveldb.ErrNotFound {
 		return err
 	}
-	replica.Life = consensus.DiskLife{ID: replica.ID, Number: last.Number + 1, Token: NewIdentity()}
-	raw, err := encode(formatWhole, replica.Life)
+	replica.Life = consensus.DiskLife{ID: replica.ID, Number: last.Number + 1, Token: NewDiskID()}
+	raw, err := encode(formatInline, replica.Life)
 	if err != nil {
 		return err
 	}
-	return s.db.Put([]byte(keyLife), raw, &opt.WriteOptions{Sync: true})
+	return s.db.Put([]byte(keyInstance), raw, &opt.WriteOptions{Sync: true})
 }
 
 // openDatabase opens goleveldb's database. A manifest may end in a torn record, or, at the first start, not be named yet; the
@@ -176,11 +176,11 @@
 	return nil
 }
 
-// read reads the replica; empty says that nothing of it is there.
-func (s *Store) read() (replica *consensus.Replica, empty bool, err error) {
+// readReplica reads the replica; empty says that nothing of it is there.
+func (s *Store) readReplica() (replica *consensus.Replica, empty bool, err error) {
 	replica, empty = &consensus.Replica{}, true
 	decided, accepted := &storedState{}, (*storedAccepted)(nil)
-	for key, to := range map[string]any{keyID: &replica.ID, keyDecided: &decided, keyPromised: &replica.Promised, keyAccepted: &accepted} {
+	for key, target := range map[string]any{keyID: &replica.ID, keyDecided: &decided, keyPromised: &replica.Promised, keyAccepted: &accepted} {
 		raw, err := s.get(key)
 		if err == leveldb.ErrNotFound {
 			continue
@@ -189,20 +189,20 @@
 			return nil, false, err
 		}
 		empty = false
-		if err := decode(raw, to); err != nil {
+		if err := decode(raw, target); err != nil {
 			return nil, false, &unreadableError{errs.New("%s: %v", key, err)}
 		}
 	}
 	if err := s.listDocuments(); err != nil {
 		return nil, false, err
 	}
-	if replica.Decided, err = decided.join(s.document); err != nil {
+	if replica.Decided, err = decided.join(s.loadDocument); err != nil {
 		return nil, false, err
 	}
 	if accepted == nil {
 		return replica, empty, nil
 	}
-	value, err := accepted.Value.join(s.document)
+	value, err := accepted.Value.join(s.loadDocument)
 	if err != nil {
 		return nil, false, err
 	}
@@ -218,7 +218,7 @@
 	return raw, err
 }
 
-func (s *Store) document(digest string) (json.RawMessage, error) {
+func (s *Store) loadDocument(digest string) (json.RawMessage, error) {
 	raw, err := s.get(prefixDocument + digest)
 	if err == leveldb.ErrNotFound {
 		return nil, &unreadableError{errs.New("the document %s is missing", digest)}
@@ -226,7 +226,7 @@
 	if err != nil {
 		return nil, err
 	}
-	body, err := unseal(raw)
+	body, err := stripHeader(raw)
 	if err == nil && consensus.DigestOf(body) != digest {
 		err = errs.New("it has another digest")
 	}
@@ -238,16 +238,16 @@
 
 func (s *Store) listDocuments() error {
 	s.documents = map[string]bool{}
-	all := s.db.NewIterator(util.BytesPrefix([]byte(prefixDocument)), nil)
-	defer all.Release()
-	for all.Next() {
-		s.documents[string(all.Key()[len(prefixDocument):])] = true
+	documents := s.db.NewIterator(util.BytesPrefix([]byte(prefixDocument)), nil)
+	defer documents.Release()
+	for documents.Next() {
+		s.documents[string(documents.Key()[len(prefixDocument):])] = true
 	}
-	return all.Error()
+	return documents.Error()
 }
 
-// NewIdentity makes an identity that no other disk has.
-func NewIdentity() string {
+// NewDiskID makes an identity that no other disk has.
+func NewDiskID() string {
 	var raw [12]byte
 	rand.Read(raw[:])
 	return "disk-" + hex.EncodeToString(raw[:])
@@ -262,7 +262,7 @@
 			return Error.Wrap(err)
 		}
 	}
-	if err := s.write(replica, s.failed); err != nil {
+	if err := s.writeReplica(replica, s.failed); err != nil {
 		s.failed = true
 		return Error.Wrap(err)
 	}
@@ -283,8 +283,8 @@
 	return s.listDocuments()
 }
 
-// write puts what has changed since the last save, or all, into one synced batch.
-func (s *Store) write(replica *consensus.Replica, all bool) error {
+// writeReplica puts what has changed since the last save, or all, into one synced batch.
+func (s *Store) writeReplica(replica *consensus.Replica, all bool) error {
 	batch := &leveldb.Batch{}
 	var failed errs.Group
 	put := func(key string, changed bool, format byte, value any) {
@@ -294,8 +294,8 @@
 			failed.Add(err)
 		}
 	}
-	put(keyID, s.saved.ID != replica.ID, formatWhole, replica.ID)
-	put(keyPromised, s.saved.Promised != replica.Promised, formatWhole, replica.Promised)
+	put(keyID, s.saved.ID != replica.ID, formatInline, replica.ID)
+	put(keyPromised, s.saved.Promised != replica.Promised, formatInline, replica.Promised)
 	documents := consensus.Documents{}
 	decided := s.split(replica.Decided, documents)
 	put(keyDecided, s.saved.Decided != replica.Decided, decided.format(), decided)
@@ -306,7 +306,7 @@
 	put(keyAccepted, s.saved.Accepted != replica.Accepted, accepted.format(), accepted)
 	for digest, document := range documents {
 		if !s.documents[digest] || all {
-			batch.Put([]byte(prefixDocument+digest), seal(formatWhole, document))
+			batch.Put([]byte(prefixDocument+digest), addHeader(formatInline, document))
 		}
 	}
 	for digest := range s.documents {
--- a/internal/mesh/strictjson/fields.go
+++ b/internal/mesh/strictjson/fields.go
@@ -5,101 +5,101 @@
 	"encoding/json"
 )
 
-// namesCompared is how many names of an object are compared one by one; beyond it a set is kept.
-const namesCompared = 16
+// maxLinearNames is how many names of an object are compared one by one; beyond it a set is kept.
+const maxLinearNames = 16
 
 // fieldScanner looks for fields that stand twice in valid JSON. It copies no text that has no escapes, since configurations are
 // long and each controller reads each of their versions.
 type fieldScanner struct {
-	text  []byte
-	at    int      // of the next byte
-	names [][]byte // of the objects that are open, the innermost last
+	input    []byte
+	position int      // of the next byte
+	names    [][]byte // of the objects that are open, the innermost last
 }
 
-// value passes over one value. It returns the path of the first field in it that stands twice.
-func (f *fieldScanner) value() (path string, repeated bool) {
-	f.space()
-	switch f.text[f.at] {
+// scanValue passes over one value. It returns the path of the first field in it that stands twice.
+func (s *fieldScanner) scanValue() (path string, repeated bool) {
+	s.skipSpace()
+	switch s.input[s.position] {
 	case '{':
-		return f.object()
+		return s.scanObject()
 	case '[':
-		return f.list()
+		return s.scanArray()
 	case '"':
-		f.quoted()
+		s.scanString()
 	default:
-		f.literal()
+		s.skipLiteral()
 	}
 	return "", false
 }
 
-func (f *fieldScanner) list() (path string, repeated bool) {
-	f.at++
-	for !f.closed(']') {
-		if path, repeated = f.value(); repeated {
+func (s *fieldScanner) scanArray() (path string, repeated bool) {
+	s.position++
+	for !s.atEnd(']') {
+		if path, repeated = s.scanValue(); repeated {
 			return path, true
 		}
 	}
 	return "", false
 }
 
-func (f *fieldScanner) object() (path string, repeated bool) {
-	f.at++
-	seen := objectNames{outer: len(f.names)}
-	defer func() { f.names = f.names[:seen.outer] }()
-	for !f.closed('}') {
-		name := fieldName(f.quoted())
-		if seen.has(f.names, name) {
+func (s *fieldScanner) scanObject() (path string, repeated bool) {
+	s.position++
+	seen := objectNames{start: len(s.names)}
+	defer func() { s.names = s.names[:seen.start] }()
+	for !s.atEnd('}') {
+		name := fieldName(s.scanString())
+		if seen.has(s.names, name) {
 			return string(name), true
 		}
-		f.names = seen.add(f.names, name)
-		f.space()
-		f.at++ // the colon
-		if path, repeated = f.value(); repeated {
+		s.names = seen.add(s.names, name)
+		s.skipSpace()
+		s.position++ // the colon
+		if path, repeated = s.scanValue(); repeated {
 			return string(name) + "." + path, true
 		}
 	}
 	return "", false
 }
 
-// closed passes over the end of a list or object, or to its next item, and reports whether it was the end.
-func (f *fieldScanner) closed(end byte) bool {
-	f.space()
-	if f.text[f.at] == ',' {
-		f.at++
-		f.space()
+// atEnd passes over the end of a list or object, or to its next item, and reports whether it was the end.
+func (s *fieldScanner) atEnd(end byte) bool {
+	s.skipSpace()
+	if s.input[s.position] == ',' {
+		s.position++
+		s.skipSpace()
 	}
-	if f.text[f.at] != end {
+	if s.input[s.position] != end {
 		return false
 	}
-	f.at++
+	s.position++
 	return true
 }
 
-func (f *fieldScanner) space() {
-	for f.text[f.at] == ' ' || f.text[f.at] == '\t' || f.text[f.at] == '\n' || f.text[f.at] == '\r' {
-		f.at++
+func (s *fieldScanner) skipSpace() {
+	for s.input[s.position] == ' ' || s.input[s.position] == '\t' || s.input[s.position] == '\n' || s.input[s.position] == '\r' {
+		s.position++
 	}
 }
 
-// quoted passes over a string and returns it with its quotes.
-func (f *fieldScanner) quoted() []byte {
-	began := f.at
-	for f.at++; f.text[f.at] != '"'; f.at++ {
-		if f.text[f.at] == '\\' {
-			f.at++
+// scanString passes over a string and returns it with its quotes.
+func (s *fieldScanner) scanString() []byte {
+	start := s.position
+	for s.position++; s.input[s.position] != '"'; s.position++ {
+		if s.input[s.position] == '\\' {
+			s.position++
 		}
 	}
-	f.at++
-	return f.text[began:f.at]
+	s.position++
+	return s.input[start:s.position]
 }
 
-// literal passes over a number, true, false or null.
-func (f *fieldScanner) literal() {
-	length := bytes.IndexAny(f.text[f.at:], ",]} \t\n\r")
+// skipLiteral passes over a number, true, false or null.
+func (s *fieldScanner) skipLiteral() {
+	length := bytes.IndexAny(s.input[s.position:], ",]} \t\n\r")
 	if length < 0 {
-		length = len(f.text) - f.at
+		length = len(s.input) - s.position
 	}
-	f.at += length
+	s.position += length
 }
 
 // fieldName is what a quoted string says.
@@ -118,7 +118,7 @@
 // objectNames tells whether a name stands in an object already, in the same or other capitals. The names themselves are the
 // scanner's, from outer on.
 type objectNames struct {
-	outer  int
+	start  int
 	folded map[string]bool // of an object of many names
 }
 
@@ -126,7 +126,7 @@
 	if o.folded != nil {
 		return o.folded[FoldCase(string(name))]
 	}
-	for _, other := range names[o.outer:] {
+	for _, other := range names[o.start:] {
 		if bytes.EqualFold(other, name) {
 			return true
 		}
@@ -136,10 +136,10 @@
 
 func (o *objectNames) add(names [][]byte, name []byte) [][]byte {
 	names = append(names, name)
-	switch own := names[o.outer:]; {
+	switch own := names[o.start:]; {
 	case o.folded != nil:
 		o.folded[FoldCase(string(name))] = true
-	case len(own) > namesCompared:
+	case len(own) > maxLinearNames:
 		o.folded = make(map[string]bool, len(own))
 		for _, other := range own {
 			o.folded[FoldCase(string(other))] = true
--- a/internal/mesh/strictjson/fields_test.go
+++ b/internal/mesh/strictjson/fields_test.go
@@ -11,33 +11,33 @@
 	"github.com/shoenig/test/must"
 )
 
-// repeatedByTokens is the first field that stands twice, by the tokens of encoding/json: slow, and plain.
-func repeatedByTokens(d *json.Decoder, where string) (path string, repeated bool) {
-	token, _ := d.Token()
+// duplicateByTokens is the first field that stands twice, by the tokens of encoding/json: slow, and plain.
+func duplicateByTokens(decoder *json.Decoder, prefix string) (path string, repeated bool) {
+	token, _ := decoder.Token()
 	seen := map[string]bool{}
 	switch token {
 	case json.Delim('['):
-		for d.More() {
-			if path, repeated = repeatedByTokens(d, where); repeated {
+		for decoder.More() {
+			if path, repeated = duplicateByTokens(decoder, prefix); repeated {
 				return path, true
 			}
 		}
 	case json.Delim('{'):
-		for d.More() {
-			token, _ := d.Token()
+		for decoder.More() {
+			token, _ := decoder.Token()
 			name := token.(string)
 			if seen[FoldCase(name)] {
-				return where + name, true
+				return prefix + name, true
 			}
 			seen[FoldCase(name)] = true
-			if path, repeated = repeatedByTokens(d, where+name+"."); repeated {
+			if path, repeated = duplicateByTokens(decoder, prefix+name+"."); repeated {
 				return path, true
 			}
 		}
 	default:
 		return "", false
 	}
-	d.Token() // the end of the list or object
+	decoder.Token() // the end of the list or object
 	return "", false
 }
 
@@ -50,11 +50,11 @@
 	return "{" + strings.Join(fields, ",") + `,"FIELD0":1}`
 }
 
-func FuzzFieldsThatStandTwice(f *testing.F) {
+func FuzzDuplicateFields(f *testing.F) {
 	for _, text := range []string{
 		`null`, ` [ ] `, `{}`, `"a"`, `-1.5e3`, `{"a":1,"b":{"a":2}}`, `{"a":1,"A":2}`, `{"a":[{"k":1},{"k":1,"\u004b":2}]}`,
 		`{"k":1,"\u212a":2}`, `{"a\"b":1,"a\"b":2}`, `{"":1,"":2}`, `{"":{"a":1,"a":1}}`, `{"a":"}","b":"\\","a":1}`, "\t{ \"a\" :\n[ 1 , true ,null ]\r}",
-		manyNames(namesCompared - 1), manyNames(namesCompared), manyNames(namesCompared + 1), `{"x":` + manyNames(40) + `}`,
+		manyNames(maxLinearNames - 1), manyNames(maxLinearNames), manyNames(maxLinearNames + 1), `{"x":` + manyNames(40) + `}`,
 	} {
 		f.Add([]byte(text))
 	}
@@ -63,9 +63,9 @@
 			must.Error(t, Check(text))
 			return
 		}
-		want, repeated := repeatedByTokens(json.NewDecoder(bytes.NewReader(text)), "")
-		s := fieldScanner{text: text}
-		path, found := s.value()
+		want, repeated := duplicateByTokens(json.NewDecoder(bytes.NewReader(text)), "")
+		s := fieldScanner{input: text}
+		path, found := s.scanValue()
 		must.Eq(t, repeated, found)
 		must.Eq(t, want, path)
 		must.SliceEmpty(t, s.names)
--- a/internal/mesh/strictjson/strictjson.go
+++ b/internal/mesh/strictjson/strictjson.go
@@ -16,13 +16,13 @@
 // Error is the class of what can't be read, or not in one way.
 var Error = errs.Class("json")
 
-// DecodeWhole decodes one JSON value with nothing behind it.
-func DecodeWhole(body []byte, to any) error {
-	d := json.NewDecoder(bytes.NewReader(body))
-	if err := d.Decode(to); err != nil {
+// DecodeSingle decodes one JSON value with nothing behind it.
+func DecodeSingle(body []byte, target any) error {
+	decoder := json.NewDecoder(bytes.NewReader(body))
+	if err := decoder.Decode(target); err != nil {
 		return err
 	}
-	if _, err := d.Token(); err != io.EOF {
+	if _, err := decoder.Token(); err != io.EOF {
 		return Error.New("something follows the value")
 	}
 	return nil
@@ -37,12 +37,12 @@
 	if hasLoneSurrogate(body) {
 		return Error.New("a \\u escape is half of a surrogate pair")
 	}
-	var whole json.RawMessage
-	if err := json.Unmarshal(body, &whole); err != nil {
+	var value json.RawMessage
+	if err := json.Unmarshal(body, &value); err != nil {
 		return Error.Wrap(err)
 	}
-	f := fieldScanner{text: whole}
-	if path, repeated := f.value(); repeated {
+	scanner := fieldScanner{input: value}
+	if path, repeated := scanner.scanValue(); repeated {
 		return Error.New("%s: stands twice", path)
 	}
 	return nil
--- a/internal/mesh/telemetry/figures.go
+++ b/internal/mesh/telemetry/metrics.go
@@ -12,8 +12,8 @@
 	Value      any
 }
 
-// WriteFigures writes gauges and all counters as Prometheus reads them; prefix begins each name.
-func WriteFigures(w http.ResponseWriter, prefix string, gauges []Gauge, counts *Counters) {
+// WriteMetrics writes gauges and all counters as Prometheus reads them; prefix begins each name.
+func WriteMetrics(w http.ResponseWriter, prefix string, gauges []Gauge, counters *Counters) {
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4")
 	for _, g := range gauges {
 		name := prefix + "_" + g.Name
@@ -21,7 +21,7 @@
 	}
 	total := prefix + "_total"
 	fmt.Fprintf(w, "# HELP %s Events since the start, by kind.\n# TYPE %s counter\n", total, total)
-	counts.Each(func(kind string, n int64) { writeCounter(w, total, kind, n) })
+	counters.Each(func(kind string, n int64) { writeCounter(w, total, kind, n) })
 }
 
 func writeCounter(w io.Writer, name, kind string, n int64) {
--- a/internal/mesh/telemetry/telemetry.go
+++ b/internal/mesh/telemetry/telemetry.go
@@ -14,77 +14,77 @@
 	"github.com/charmbracelet/log"
 )
 
-// New makes a logger that writes logfmt lines.
-func New(w io.Writer, node string) *slog.Logger {
-	l := log.NewWithOptions(w, log.Options{
+// NewLogger makes a logger that writes logfmt lines.
+func NewLogger(w io.Writer, node string) *slog.Logger {
+	logger := log.NewWithOptions(w, log.Options{
 		Formatter: log.LogfmtFormatter, ReportTimestamp: true, TimeFormat: "15:04:05.000",
 	})
-	return slog.New(l).With("node", node)
+	return slog.New(logger).With("node", node)
 }
 
 // Counters are named counts since the start.
 type Counters struct {
-	mu    sync.Mutex
-	names []string
-	by    map[string]*atomic.Int64
-	said  map[string]int64
+	mu       sync.Mutex
+	names    []string
+	values   map[string]*atomic.Int64
+	reported map[string]int64
 }
 
 // NewCounters makes an empty set.
 func NewCounters() *Counters {
-	return &Counters{by: map[string]*atomic.Int64{}, said: map[string]int64{}}
+	return &Counters{values: map[string]*atomic.Int64{}, reported: map[string]int64{}}
 }
 
-// Of is a counter; whoever counts often keeps it.
-func (c *Counters) Of(name string) *atomic.Int64 {
+// Counter is a counter; whoever counts often keeps it.
+func (c *Counters) Counter(name string) *atomic.Int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n := c.by[name]
-	if n == nil {
-		n = &atomic.Int64{}
-		c.by[name] = n
+	counter := c.values[name]
+	if counter == nil {
+		counter = &atomic.Int64{}
+		c.values[name] = counter
 		c.names = append(c.names, name)
 		slices.Sort(c.names)
 	}
-	return n
+	return counter
 }
 
-// Add counts one.
-func (c *Counters) Add(name string) { c.Of(name).Add(1) }
+// Increment counts one.
+func (c *Counters) Increment(name string) { c.Counter(name).Add(1) }
 
 // Each shows all counts in order of name.
-func (c *Counters) Each(take func(name string, n int64)) {
+func (c *Counters) Each(visit func(name string, n int64)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, name := range c.names {
-		take(name, c.by[name].Load())
+		visit(name, c.values[name].Load())
 	}
 }
 
-// Changed is what has moved since it was asked last, as arguments of a line.
-func (c *Counters) Changed() (args []any) {
+// TakeDeltas is what has moved since it was asked last, as arguments of a line.
+func (c *Counters) TakeDeltas() (args []any) {
 	c.Each(func(name string, n int64) {
-		if d := n - c.said[name]; d != 0 {
+		if d := n - c.reported[name]; d != 0 {
 			args = append(args, name, d)
-			c.said[name] = n
+			c.reported[name] = n
 		}
 	})
 	return args
 }
 
-// Say writes counters that moved on an interval until it is told to end.
-func (c *Counters) Say(l *slog.Logger, every time.Duration, end <-chan struct{}) {
-	t := time.NewTicker(every)
-	defer t.Stop()
+// LogPeriodically writes counters that moved on an interval until it is told to end.
+func (c *Counters) LogPeriodically(logger *slog.Logger, interval time.Duration, stop <-chan struct{}) {
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-t.C:
-			if args := c.Changed(); len(args) > 0 {
-				var m runtime.MemStats
-				runtime.ReadMemStats(&m)
-				l.Info("counts", append(args, "heap_kb", m.HeapInuse>>10, "sys_kb", m.Sys>>10, "goroutines", runtime.NumGoroutine())...)
+		case <-ticker.C:
+			if args := c.TakeDeltas(); len(args) > 0 {
+				var memory runtime.MemStats
+				runtime.ReadMemStats(&memory)
+				logger.Info("counts", append(args, "heap_kb", memory.HeapInuse>>10, "sys_kb", memory.Sys>>10, "goroutines", runtime.NumGoroutine())...)
 			}
-		case <-end:
+		case <-stop:
 			return
 		}
 	}
--- a/internal/mesh/testmesh/memory_disk.go
+++ b/internal/mesh/testmesh/memory_disk.go
@@ -172,8 +172,8 @@
 	return key, d.live[key], nil
 }
 
-// MakeFolder makes a folder, unless it is there.
-func (d *MemoryDisk) MakeFolder(name string) error {
+// MakeDirectory makes a folder, unless it is there.
+func (d *MemoryDisk) MakeDirectory(name string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	key := nameKey{d.root, name}
@@ -206,8 +206,8 @@
 	return nil
 }
 
-// SyncFolder brings the names in a folder to the disk; the empty name is that of the outer folder.
-func (d *MemoryDisk) SyncFolder(name string) error {
+// SyncDirectory brings the names in a folder to the disk; the empty name is that of the outer folder.
+func (d *MemoryDisk) SyncDirectory(name string) error {
 	d.mu.Lock()
 	ignore := d.ignoreFolderSync
 	d.mu.Unlock()
--- a/internal/mesh/testmesh/plan.go
+++ b/internal/mesh/testmesh/plan.go
@@ -45,10 +45,10 @@
 	m := &Mesh{}
 	base := func(n int) *settings.Settings {
 		b := settings.Default()
-		b.Ip, b.District, b.Seeds, b.InnerFirst, b.InnerLast = host(n), zones[n%len(zones)], seeds, p[1], p[1]
-		b.FirstStart, b.Tolerate.Machines, b.Control = true, 1, at(n, 0)
+		b.IP, b.Zone, b.Seeds, b.FirstInternalPort, b.LastInternalPort = host(n), zones[n%len(zones)], seeds, p[1], p[1]
+		b.FirstStart, b.Tolerate.Machines, b.ControlAddress = true, 1, at(n, 0)
 		for _, z := range zones {
-			b.Districts[z] = "p"
+			b.RegionOfZone[z] = "p"
 		}
 		return b
 	}
@@ -59,8 +59,8 @@
 	}
 	for n := range proxies {
 		b := base(controllers + n)
-		b.Node, b.Destination = fmt.Sprintf("proxy-%d", n), services[n%len(services)]
-		b.Inbound, b.Outbound, b.Ready, b.App = at(controllers+n, 2), at(controllers+n, 3), at(controllers+n, 4), at(controllers+n, 5)
+		b.Node, b.Service = fmt.Sprintf("proxy-%d", n), services[n%len(services)]
+		b.InboundAddress, b.OutboundAddress, b.ReadinessAddress, b.UpstreamAddress = at(controllers+n, 2), at(controllers+n, 3), at(controllers+n, 4), at(controllers+n, 5)
 		m.Proxies = append(m.Proxies, b)
 	}
 	return m, nil
--- a/internal/mesh/testmesh/process.go
+++ b/internal/mesh/testmesh/process.go
@@ -34,7 +34,7 @@
 		return nil, err
 	}
 	command := exec.Command(filepath.Join(dir, program), "serve")
-	command.Env = []string{settings.Variable + "=" + file, "PATH=" + os.Getenv("PATH")}
+	command.Env = []string{settings.FileVariable + "=" + file, "PATH=" + os.Getenv("PATH")}
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	return &Process{command}, command.Start()
 }
