--- a/internal/keptconn/keptconn.go
+++ b/internal/keptconn/keptconn.go
@@ -1,10 +1,10 @@
-// Package keptconn ends kept connections between two requests only, whoever wants them ended.
+// Package keptconn closes persistent server connections only between two requests.
 //
-// A server of net/http calls a connection idle until the whole head of its next request has been read. Who closes one by that word may
-// close it under a request: it is dropped, or it runs and its answer has nowhere to go.
+// net/http considers a connection idle until it has read the whole header of the next request. A caller that closes connections by
+// this state may close one during a request: the request is dropped, or it runs and its response can't be sent.
 //
-// Invariant: a connection that is wanted no more is closed by the goroutine that serves it, when that asks for the next request and
-// finds that no byte of one has come. What arrives later than that look has been read by nobody, and the reset that it meets says so.
+// Therefore a connection is closed by the goroutine that serves it, when this goroutine reads the next request and finds no byte of
+// one. Data that arrives after this check has not been read by anybody, and the resulting connection reset tells the client so.
 package keptconn
 
 import (
@@ -19,19 +19,20 @@
 	"ottershift/internal/rawconn"
 )
 
-// pastDeadline is a deadline that ends a read at once.
+// pastDeadline is a read deadline that makes a read return at once.
 var pastDeadline = time.Unix(1, 0)
 
-// Guard says whether a connection may end. It is told of requests by its connection's reads and by the server's word of its state. Its
-// zero value is that of a connection on which nothing has come yet.
+// Guard tracks whether a connection may be closed. It learns of requests from the connection's reads and from the states that the
+// server reports. The zero value is for a connection on which nothing has been received.
 type Guard struct {
 	mu       sync.Mutex
-	active   bool      // a request is on the connection, or the first bytes of one
-	closing  bool      // its reader has been woken to end it, unless a request has come
-	deadline time.Time // of reads, as the server set it
+	active   bool      // a request, or a part of one, has been received and not been responded to
+	closing  bool      // the reader has been woken to close the connection unless a request has arrived
+	deadline time.Time // read deadline that the server has set
 }
 
-// Read is a server's read of its connection: the one moment at which the connection's own goroutine holds no part of a request.
+// Read reads from a server's connection. If it returns no data, the serving goroutine holds no part of a request, so that the
+// connection can be closed.
 func (g *Guard) Read(conn net.Conn, b []byte) (int, error) {
 	for {
 		n, err := conn.Read(b)
@@ -45,18 +46,18 @@
 		if unread, _ := Peek(conn); !unread {
 			return 0, io.EOF
 		}
-		g.MarkActive(conn) // a request has come meanwhile: it is served
+		g.MarkActive(conn) // a request has arrived in the meantime and is served
 	}
 }
 
-// wokenToClose reports whether a read has ended for its connection to be closed.
+// wokenToClose reports whether a read has ended because CloseIfIdle has woken it.
 func (g *Guard) wokenToClose(err error) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.closing && errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// MarkActive notes that a request is on the connection, which does not end under it.
+// MarkActive records that a request has begun, and cancels a pending close.
 func (g *Guard) MarkActive(conn net.Conn) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -67,21 +68,22 @@
 	}
 }
 
-// MarkIdle notes that the last request has been answered.
+// MarkIdle records that the response to the last request is complete.
 func (g *Guard) MarkIdle() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.active = false
 }
 
-// Active reports whether a request is on the connection, or a part of one.
+// Active reports whether a request, or a part of one, has been received and not been responded to.
 func (g *Guard) Active() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.active
 }
 
-// CloseIfIdle has the connection's own goroutine close it, unless a request is on it, and reports whether it does.
+// CloseIfIdle wakes the serving goroutine to close the connection, unless a request is active. It reports whether the connection
+// is closing.
 func (g *Guard) CloseIfIdle(conn net.Conn) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -93,7 +95,7 @@
 	return true
 }
 
-// SetReadDeadline sets the deadline of reads, as the server wants it. A reader that has been woken stays so.
+// SetReadDeadline sets the server's read deadline. It does not apply while the connection is closing.
 func (g *Guard) SetReadDeadline(conn net.Conn, t time.Time) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -104,7 +106,8 @@
 	return conn.SetReadDeadline(t)
 }
 
-// Peek looks at a connection without reading it. One that can't be looked at has nothing unread and goes on.
+// Peek reports whether a connection has unread data and whether the peer has closed it, without reading. For a connection that does
+// not support this, it reports neither.
 func Peek(conn net.Conn) (unread, ended bool) {
 	source, can := conn.(syscall.Conn)
 	if !can {
--- a/internal/mesh/apierror/apierror.go
+++ b/internal/mesh/apierror/apierror.go
@@ -1,5 +1,5 @@
-// Package apierror is the closed list of what can go wrong towards those who call the mesh, and the table from kind to
-// answer. Nothing else makes an answer of ours.
+// Package apierror defines the closed list of errors that the mesh reports to its callers, and the response for each. The mesh
+// generates no other error responses.
 package apierror
 
 import (
@@ -10,42 +10,43 @@
 	"github.com/zeebo/errs"
 )
 
-// Kind is one way in which a call ends without what was asked for.
+// Kind is the kind of an error.
 type Kind uint8
 
-// The kinds. Those of requests first, then those of the operator and of upstreams.
+// Kinds of errors: first those of requests, then those of calls to the control API by operators and upstreams.
 const (
-	None               Kind = iota
-	Malformed               // no request that could be sent on
-	NoRoute                 // no route takes this host and path
-	Unauthenticated         // a key is missing or unknown
-	NotExported             // a partner keeps this to itself
-	TooLarge                // more bytes than the size limits let in
-	LimitExceeded           // a tenant asks beyond its limit
-	NotReady                // no configuration is known yet
-	NoCapacity              // no upstream can take it now; it has not run
-	Misdirected             // the upstream meant is not, or no longer, at this machine; it has not run
-	IncompleteResponse      // a push ended without a whole answer; it may have run
-	DeadlineExceeded        // the deadline came with a push out; it may run yet
-	ShuttingDown            // the process ends with a push out; it may have run
-
-	UnknownCall          // no such call
-	UnreadableBody       // a body that can't be read whole
-	InvalidConfiguration // a configuration that breaks a rule of its own
-	VersionConflict      // another version is current
-	OutcomeUnknown       // no majority answered in time; it may or may not count
-	NoConfiguration      // nothing has been put yet
-	KindCount            = iota
+	None               Kind = iota // no error
+	Malformed                      // the request is malformed and can't be forwarded
+	NoRoute                        // no route matches the host and path
+	Unauthenticated                // the API key is missing or unknown
+	NotExported                    // the partner mesh does not export the target
+	TooLarge                       // the request exceeds a size limit
+	LimitExceeded                  // the tenant exceeds its rate limit
+	NotReady                       // no configuration is known yet
+	NoCapacity                     // no upstream can accept the request now; it has not run
+	Misdirected                    // the addressed upstream instance is not on this machine, or no longer; the request has not run
+	IncompleteResponse             // an attempt ended without a complete response; the request may have run
+	DeadlineExceeded               // the deadline passed during an attempt; the request may still run
+	ShuttingDown                   // the process shuts down during an attempt; the request may have run
+
+	UnknownCall                 // the control API has no such call
+	UnreadableBody              // the request body can't be read completely
+	InvalidConfiguration        // the configuration is invalid
+	VersionConflict             // the change builds on a version that is not current
+	OutcomeUnknown              // no majority responded in time; the change may or may not take effect
+	NoConfiguration             // no configuration has been stored yet
+	KindCount            = iota // the number of kinds
 )
 
-// Row is what a kind is answered with.
+// ErrorResponse is the response to a call that failed with an error of a kind.
 type ErrorResponse struct {
 	Status          int
 	Name            string
-	RetryAfter      time.Duration // when to come back, 0 for no advice; only where nothing has run
-	CloseConnection bool          // the connection is closed after it: what follows may be out of step
+	RetryAfter      time.Duration // value of the Retry-After header, 0 for none; only for requests that have not run
+	CloseConnection bool          // the connection is closed, since the next request on it may be out of sync
 }
 
+// responses holds the response of each kind.
 var responses = [KindCount]ErrorResponse{
 	None:                 {http.StatusOK, "none", 0, false},
 	Malformed:            {http.StatusBadRequest, "malformed", 0, true},
@@ -68,15 +69,17 @@
 	NoConfiguration:      {http.StatusNotFound, "absent", 0, false},
 }
 
-// Row is the answer of a kind.
+// Response returns the response of a kind.
 func (k Kind) Response() ErrorResponse { return responses[k] }
 
+// String returns the kind's name.
 func (k Kind) String() string { return responses[k].Name }
 
-// NotExecuted reports whether the answer promises that the request has not run and never will.
+// NotExecuted reports whether the response states that the request has not run and never will.
 func (k Kind) NotExecuted() bool { return StatusNotExecuted(responses[k].Status) }
 
-// StatusNotExecuted reports whether whoever gets an answer of a status takes it for a promise that the request has not run and never will.
+// StatusNotExecuted reports whether the mesh takes a response with a status as a statement that the request has not run and
+// never will.
 func StatusNotExecuted(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusMisdirectedRequest, http.StatusRequestTimeout:
@@ -85,21 +88,22 @@
 	return false
 }
 
-// Error is an error of a kind.
+// Error is an error with a kind.
 type Error struct {
 	Kind Kind
 	Err  error
 }
 
+// Error implements error.
 func (e *Error) Error() string { return e.Kind.String() + ": " + e.Err.Error() }
 
-// Unwrap implements errors' interface.
+// Unwrap returns the wrapped error.
 func (e *Error) Unwrap() error { return e.Err }
 
-// New makes an error of a kind.
+// New returns an error of a kind.
 func New(k Kind, format string, args ...any) *Error { return &Error{k, errs.New(format, args...)} }
 
-// KindOf is the kind of an error; what has none is unclear.
+// KindOf returns the kind of an error: None for nil, and OutcomeUnknown for an error that is not an *Error.
 func KindOf(err error) Kind {
 	if err == nil {
 		return None
@@ -110,7 +114,8 @@
 	return OutcomeUnknown
 }
 
-// Write answers with a kind; again replaces the table's advice where it is above 0.
+// Write writes the response of a kind. The Retry-After value is the larger of retryAfter and the kind's own. An empty text stands for
+// the kind's name.
 func Write(w http.ResponseWriter, k Kind, retryAfter time.Duration, text string) {
 	response := responses[k]
 	header := w.Header()
--- a/internal/mesh/apierror/apierror_test.go
+++ b/internal/mesh/apierror/apierror_test.go
@@ -7,6 +7,7 @@
 	"github.com/shoenig/test/must"
 )
 
+// Each kind needs a response with a name of its own. Kinds of requests that may have run must not be reported as not executed.
 func TestEveryKindHasAResponse(t *testing.T) {
 	names := map[string]bool{}
 	for k := Kind(0); k < KindCount; k++ {
@@ -18,7 +19,7 @@
 		w := httptest.NewRecorder()
 		Write(w, k, 0, "")
 		must.Eq(t, response.Status, w.Code)
-		// Only where nothing has run is there advice to come back, and an answer that nothing has run.
+		// A Retry-After header is sent only for a request that has not run.
 		if response.RetryAfter > 0 {
 			must.True(t, k.NotExecuted(), must.Sprint(k))
 			must.NotEq(t, "", w.Header().Get("Retry-After"))
--- a/internal/mesh/httpserver/connection.go
+++ b/internal/mesh/httpserver/connection.go
@@ -10,27 +10,28 @@
 	"ottershift/internal/keptconn"
 )
 
-// keepAliveMargin is how much longer than it may be idle a connection is kept: what its client sends at the last moment is on its way.
+// keepAliveMargin is added to a connection's keep-alive timeout: a request that the client sent at the last moment may be in transit.
 const keepAliveMargin = time.Second
 
-// Connection is a connection of a client.
+// Connection is a client's connection to a Server.
 type Connection struct {
 	net.Conn
 	guard keptconn.Guard
 
 	mu             sync.Mutex
-	idleSince      time.Time     // where it is not active
-	keepAlive      time.Duration // that it may be idle, 0 for as long as it likes
-	abortedLocally bool          // this process has ended it under a request
+	idleSince      time.Time     // valid while the connection is idle
+	keepAlive      time.Duration // longest idle time, 0 for no limit
+	abortedLocally bool          // this process closed it during a request
 }
 
+// connectionKey is the context key of a request's Connection.
 type connectionKey struct{}
 
 func withConnection(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connectionKey{}, c)
 }
 
-// ConnectionOf is the connection that a request came over, nil where no Server serves it.
+// ConnectionOf returns the connection of a request, or nil if the request is not served by a Server.
 func ConnectionOf(r *http.Request) *Connection {
 	c, _ := r.Context().Value(connectionKey{}).(*Connection)
 	return c
@@ -40,30 +41,30 @@
 	return &Connection{Conn: accepted, idleSince: time.Now(), keepAlive: keepAlive}
 }
 
-// SetKeepAlive says how long the connection may be idle from its next answer on.
+// SetKeepAlive sets how long the connection may be idle after its next response.
 func (c *Connection) SetKeepAlive(timeout time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.keepAlive = timeout
 }
 
-// AbortedLocally reports whether this process has ended the connection under a request.
+// AbortedLocally reports whether this process closed the connection during a request.
 func (c *Connection) AbortedLocally() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.abortedLocally
 }
 
-// ClosedByPeer reports whether the other side has ended the connection, without reading from it.
+// ClosedByPeer reports whether the client has closed the connection. It does not read from it.
 func (c *Connection) ClosedByPeer() bool {
 	_, ended := keptconn.Peek(c.Conn)
 	return ended
 }
 
-// markActive notes that a request is on the connection.
+// markActive records that a request has begun.
 func (c *Connection) markActive() { c.guard.MarkActive(c.Conn) }
 
-// markIdle notes that the last request has been answered.
+// markIdle records that the response to the last request is complete.
 func (c *Connection) markIdle(now time.Time) {
 	c.mu.Lock()
 	c.idleSince = now
@@ -71,7 +72,7 @@
 	c.guard.MarkIdle()
 }
 
-// closeIfExpired ends the connection if it has been idle for longer than it may be.
+// closeIfExpired closes the connection if it has been idle for longer than its keep-alive timeout and margin.
 func (c *Connection) closeIfExpired(now time.Time) (closing bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -81,9 +82,10 @@
 	return c.closeIfIdle()
 }
 
+// closeIfIdle closes the connection if no request is active, and reports whether it is closing.
 func (c *Connection) closeIfIdle() (closing bool) { return c.guard.CloseIfIdle(c.Conn) }
 
-// markAborted notes that the connection is ended whatever is on it, and reports whether a request was.
+// markAborted records that the connection is about to be closed by force, and reports whether a request was active.
 func (c *Connection) markAborted() (active bool) {
 	active = c.guard.Active()
 	c.mu.Lock()
@@ -106,7 +108,7 @@
 	return c.SetReadDeadline(t)
 }
 
-// CloseWrite closes the sending side, where the connection can.
+// CloseWrite closes the write side if the connection supports it.
 func (c *Connection) CloseWrite() error {
 	if half, can := c.Conn.(interface{ CloseWrite() error }); can {
 		return half.CloseWrite()
--- a/internal/mesh/httpserver/httpserver.go
+++ b/internal/mesh/httpserver/httpserver.go
@@ -1,5 +1,5 @@
-// Package httpserver serves HTTP/1.1 on connections that are closed between requests only (keptconn), answers for handlers that fail,
-// and counts what it has to cut.
+// Package httpserver serves HTTP/1.1. It closes idle connections only between requests (see package keptconn), responds to requests
+// whose handler panics, and counts the requests that a shutdown aborts.
 package httpserver
 
 import (
@@ -17,28 +17,28 @@
 )
 
 const (
-	shutdownPollInterval = 5 * time.Millisecond   // between two looks at the connections that are left
-	maxDrainBytes        = 256 << 10              // of a body that nobody wanted, which is read for its answer to arrive
-	drainTimeout         = 500 * time.Millisecond // at most
+	shutdownPollInterval = 5 * time.Millisecond   // between two checks for remaining connections
+	maxDrainBytes        = 256 << 10              // of an unread request body, read so that the response arrives
+	drainTimeout         = 500 * time.Millisecond // for reading an unread request body
 )
 
-// Options are how a server is made.
+// Options configures a Server.
 type Options struct {
-	Name              string // in counters and lines
+	Name              string // in counters and log lines
 	Handler           http.Handler
 	ReadHeaderTimeout time.Duration
 	MaxHeaderBytes    int
-	KeepAlive         time.Duration // how long a connection may be idle unless it is promised otherwise; 0 for as long as it likes
+	KeepAlive         time.Duration // how long a connection may be idle unless SetKeepAlive changes it; 0 for no limit
 	Counters          *telemetry.Counters
 	Log               *slog.Logger
-	HandlePanic       http.HandlerFunc // answers a request whose handler has panicked before it answered
+	HandlePanic       http.HandlerFunc // responds to a request whose handler panicked before it responded
 	WrapListener      WrapListener
 }
 
-// WrapListener puts something between a server and the connections that it accepts; nil for nothing. Tests inject faults with it.
+// WrapListener wraps a server's listener. It may be nil. Tests use it to inject faults.
 type WrapListener func(net.Listener) net.Listener
 
-// Server is one HTTP server.
+// Server is an HTTP server on one address.
 type Server struct {
 	options    Options
 	http       http.Server
@@ -46,7 +46,7 @@
 	panics     *atomic.Int64
 	idleClosed *atomic.Int64
 	aborted    *atomic.Int64
-	closing    atomic.Bool // each answer is the last one on its connection
+	closing    atomic.Bool // each response is the last one on its connection
 
 	accepting sync.Mutex // held while connections are accepted
 
@@ -54,7 +54,7 @@
 	connections map[*Connection]struct{}
 }
 
-// Listen makes a server that listens at an address; Serve has it accept.
+// Listen returns a server that listens on an address. Serve accepts its connections.
 func Listen(address string, options Options) (*Server, error) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -83,7 +83,7 @@
 	return s, nil
 }
 
-// Address is where the server listens.
+// Address returns the address that the server listens on.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
 // Serve accepts connections until the server is shut down.
@@ -93,13 +93,13 @@
 	s.http.Serve(trackingListener{s.listener, s})
 }
 
-// Close ends a server that has not served.
+// Close closes the listener of a server that has not been served.
 func (s *Server) Close() { s.listener.Close() }
 
-// CloseConnections has each answer from now on be the last one on its connection, and say so.
+// CloseConnections makes each later response the last one on its connection, with a Connection: close header.
 func (s *Server) CloseConnections() { s.closing.Store(true) }
 
-// CloseIdle closes the connections that have been idle for longer than they may.
+// CloseIdle closes the connections that have been idle for longer than their keep-alive timeout.
 func (s *Server) CloseIdle(now time.Time) {
 	for _, c := range s.trackedConnections() {
 		if c.closeIfExpired(now) {
@@ -108,12 +108,12 @@
 	}
 }
 
-// Shutdown accepts nothing more, closes idle connections, and waits until the others have had their answer or the context ends.
-// Those that are left then are cut, and counted: cut is how many of them had a request.
+// Shutdown stops accepting connections, closes the idle ones, and waits until the others have received their response or the
+// context ends. It then closes the remaining connections and returns how many of them had an active request.
 func (s *Server) Shutdown(ctx context.Context) (aborted int) {
 	s.CloseConnections()
 	s.listener.Close()
-	s.accepting.Lock() // what has been accepted is known from here on
+	s.accepting.Lock() // from here on, all accepted connections are tracked
 	defer s.accepting.Unlock()
 	poll := time.NewTicker(shutdownPollInterval)
 	defer poll.Stop()
@@ -133,6 +133,7 @@
 	}
 }
 
+// abortAll closes all connections and returns how many of them had an active request.
 func (s *Server) abortAll() (aborted int) {
 	for _, c := range s.trackedConnections() {
 		if c.markAborted() {
@@ -144,6 +145,7 @@
 	return aborted
 }
 
+// trackedConnections returns the open connections.
 func (s *Server) trackedConnections() []*Connection {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -154,8 +156,8 @@
 	return all
 }
 
-// handle serves one request. A handler that fails is seen, and its client gets an answer if it has had nothing yet: net/http would end
-// the connection and tell nobody.
+// handle serves one request. It logs and counts a panic of the handler, and responds to the client if no response has begun.
+// net/http would only close the connection.
 func (s *Server) handle(w http.ResponseWriter, r *http.Request) {
 	tracked := &trackingWriter{ResponseWriter: w, server: s}
 	defer func() {
@@ -178,9 +180,9 @@
 	drainLastRequest(w, r)
 }
 
-// drainLastRequest reads what is left of the last request on a connection, once its answer is on its way. Invariant: a close with unread bytes
-// resets the connection, and its client may lose the answer that it has not read yet. net/http sees to it for all but requests that
-// themselves say that they are the last.
+// drainLastRequest reads the rest of the last request on a connection, after it has flushed the response. A close with unread bytes
+// resets the connection, and the client may lose a response that it has not read yet. net/http does this by itself, except for
+// requests with a Connection: close header.
 func drainLastRequest(w http.ResponseWriter, r *http.Request) {
 	if !r.Close || r.ContentLength == 0 {
 		return
@@ -191,13 +193,14 @@
 	io.CopyN(io.Discard, r.Body, maxDrainBytes)
 }
 
-// trackingWriter knows whether an answer has begun, and has it say whether it is the last one on its connection.
+// trackingWriter records whether the response has begun, and adds a Connection: close header while the server is closing.
 type trackingWriter struct {
 	http.ResponseWriter
 	server  *Server
 	started bool
 }
 
+// start records that the response begins.
 func (w *trackingWriter) start() {
 	if !w.started && w.server.closing.Load() {
 		w.Header()["Connection"] = []string{"close"}
@@ -220,7 +223,7 @@
 // Unwrap lets http.ResponseController reach the connection.
 func (w *trackingWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// trackingListener accepts connections that the server knows.
+// trackingListener adds each accepted connection to its server's connections.
 type trackingListener struct {
 	net.Listener
 	server *Server
@@ -239,7 +242,7 @@
 	return c, nil
 }
 
-// trackState takes net/http's word about a connection.
+// trackState updates a connection when net/http reports its state.
 func (s *Server) trackState(conn net.Conn, state http.ConnState) {
 	c := conn.(*Connection)
 	switch state {
--- a/internal/mesh/httpserver/httpserver_test.go
+++ b/internal/mesh/httpserver/httpserver_test.go
@@ -38,7 +38,7 @@
 
 func writeResponse(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, responseBody) }
 
-// testClient is a client's kept connection.
+// testClient is a client on one persistent connection.
 type testClient struct {
 	net.Conn
 	reader *bufio.Reader
@@ -53,7 +53,7 @@
 
 func (c *testClient) write(text string) error { _, err := io.WriteString(c, text); return err }
 
-// receive reads a whole answer.
+// receive reads a complete response.
 func (c *testClient) receive() (*http.Response, error) {
 	c.SetReadDeadline(time.Now().Add(5 * time.Second))
 	response, err := http.ReadResponse(c.reader, nil)
@@ -73,10 +73,10 @@
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(condition), wait.Timeout(5*time.Second), wait.Gap(time.Millisecond)))
 }
 
-// farFuture is when every idle connection has been idle for too long.
+// farFuture returns a time at which every idle connection has exceeded its keep-alive timeout.
 func farFuture() time.Time { return time.Now().Add(time.Hour) }
 
-// A connection that holds the first bytes of a request is not closed, whether it is its first request or a later one.
+// A connection on which a part of a request has arrived must not be closed as idle, neither at its first request nor at a later one.
 func TestConnectionWithPartialRequestIsNotClosed(t *testing.T) {
 	for _, before := range []int{0, 1} {
 		s := start(t, Options{Handler: http.HandlerFunc(writeResponse), KeepAlive: time.Second})
@@ -96,6 +96,7 @@
 	}
 }
 
+// SetKeepAlive overrides the server's keep-alive timeout.
 func TestIdleConnectionIsClosedAfterItsKeepAlive(t *testing.T) {
 	s := start(t, Options{KeepAlive: time.Second, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		ConnectionOf(r).SetKeepAlive(time.Minute)
@@ -117,8 +118,8 @@
 	eventually(t, func() bool { return len(s.trackedConnections()) == 0 })
 }
 
-// sendDuringCloses has clients send over kept connections while those are closed again and again as idle, and counts the requests that were
-// handled and got no whole answer.
+// sendDuringCloses sends requests over persistent connections while closeIdle keeps closing the idle ones. It counts the requests that
+// were handled, and those of them without a complete response.
 func sendDuringCloses(t *testing.T, address string, handledPaths *sync.Map, closeIdle func()) (handled, lost int64) {
 	const clients, requestsPerClient = 8, 300
 	var next, lostCount, handledCount atomic.Int64
@@ -164,8 +165,8 @@
 	return handledCount.Load(), lostCount.Load()
 }
 
-// Requests come at any moment of a close. Variant: connections are picked by net/http's state, and closed a moment later by who does not
-// serve them.
+// A request may arrive at any moment while its connection is closed as idle; if it is handled, its response must arrive. A server
+// that picks idle connections by net/http's state, and closes them from another goroutine a moment later, loses responses.
 func TestIdleCloseLosesNoHandledRequest(t *testing.T) {
 	var handledPaths, stateHandledPaths sync.Map
 	handler := func(handledPaths *sync.Map) http.HandlerFunc {
@@ -177,7 +178,7 @@
 	}
 	s := start(t, Options{Handler: handler(&handledPaths), KeepAlive: time.Nanosecond})
 	handled, lost := sendDuringCloses(t, s.Address(), &handledPaths, func() { s.CloseIdle(farFuture()) })
-	t.Logf("closed by its own goroutine: %d handled, %d without an answer, %d connections closed", handled, lost, s.idleClosed.Load())
+	t.Logf("closed by the serving goroutine: %d handled, %d without a response, %d connections closed", handled, lost, s.idleClosed.Load())
 	must.Eq(t, 0, lost)
 	must.Positive(t, s.idleClosed.Load())
 
@@ -188,10 +189,11 @@
 	go stateServer.Serve(listener)
 	defer stateServer.Close()
 	handled, lost = sendDuringCloses(t, listener.Addr().String(), &stateHandledPaths, closer.closeAll)
-	t.Logf("variant that closes by the state: %d handled, %d without an answer", handled, lost)
+	t.Logf("closed by net/http's state: %d handled, %d without a response", handled, lost)
 	must.Positive(t, lost)
 }
 
+// stateCloser closes connections that net/http reports as idle.
 type stateCloser struct {
 	mu    sync.Mutex
 	conns map[net.Conn]bool
@@ -220,7 +222,7 @@
 	}
 }
 
-// A shutdown answers what has been read, and says what it had to cut.
+// A shutdown completes active requests until its context ends, and counts those that it aborts then.
 func TestShutdownCompletesRequestsAndCountsAborted(t *testing.T) {
 	release, working := make(chan struct{}), make(chan *Connection, 2)
 	s := start(t, Options{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -259,7 +261,7 @@
 	must.Eq(t, 1, abortedLocally)
 }
 
-// A handler that fails before it has answered is answered for; one that fails later ends its connection. Both are counted.
+// If a handler panics before it has responded, HandlePanic responds. After that, the connection is closed. Both panics are counted.
 func TestHandlerPanicIsAnsweredAndCounted(t *testing.T) {
 	s := start(t, Options{
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -282,8 +284,8 @@
 	must.Eq(t, 2, s.panics.Load())
 }
 
-// A request that is refused before its body has been read says that it is the last one on its connection. Its client has sent all of it,
-// and reads the answer later.
+// If a response is sent before the request's body has been read, and the connection is then closed, the client must still be able to
+// read the response after it has sent the whole body.
 func TestErrorResponseArrivesDespiteUnreadBody(t *testing.T) {
 	refuse := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "0")
@@ -301,7 +303,7 @@
 			response, err := client.receive()
 			must.NoError(t, err, must.Sprint(size, connection))
 			must.Eq(t, http.StatusServiceUnavailable, response.StatusCode)
-			if connection == "close" { // reset, a client may lose what it has not read yet
+			if connection == "close" { // after a reset, a client may lose data that it has not read yet
 				_, err = client.reader.ReadByte()
 				must.ErrorIs(t, err, io.EOF, must.Sprint(size))
 			}
--- a/internal/mesh/rpc/rpc.go
+++ b/internal/mesh/rpc/rpc.go
@@ -1,5 +1,5 @@
-// Package rpc is how the mesh's own processes call one another: HTTP/1.1 with JSON on connections that are kept, each
-// call with an end of its own.
+// Package rpc implements calls between the mesh's own processes: JSON over HTTP/1.1 on persistent connections. The caller sets
+// the deadline of each call.
 package rpc
 
 import (
@@ -18,24 +18,24 @@
 	"golang.org/x/sys/unix"
 )
 
-// Error is the class of calls that failed.
+// Error is the class of errors of failed calls.
 var Error = errs.Class("rpc")
 
 const (
 	maxBodyBytes = 64 << 20
-	peerTimeout  = time.Second // after which a peer that confirms nothing counts as gone
+	peerTimeout  = time.Second // after which a peer that acknowledges no data is considered unreachable
 
-	gzipEncoding       = "gzip"  // how long answers travel to who accepts it
-	minCompressedBytes = 4 << 10 // bytes of an answer
+	gzipEncoding       = "gzip"  // of long responses to callers that accept it
+	minCompressedBytes = 4 << 10 // smallest response that is compressed
 )
 
-// Client calls other processes.
+// Client makes calls to other processes.
 type Client struct{ http *http.Client }
 
-// WrapTransport puts something between a caller and its connections; nil for nothing. Tests inject faults with it.
+// WrapTransport wraps a client's transport. It may be nil. Tests use it to inject faults.
 type WrapTransport func(http.RoundTripper) http.RoundTripper
 
-// NewClient makes a caller.
+// NewClient returns a client. wrap may be nil.
 func NewClient(wrap WrapTransport) *Client {
 	dialer := &net.Dialer{Timeout: 400 * time.Millisecond, KeepAlive: -1, Control: UserTimeout(peerTimeout)}
 	var transport http.RoundTripper = &http.Transport{
@@ -48,8 +48,8 @@
 	return &Client{&http.Client{Transport: transport}}
 }
 
-// UserTimeout bounds how long a connection waits for a peer that confirms nothing. Invariant: without it one to a machine
-// that is cut off hangs for minutes.
+// UserTimeout returns a net.Dialer.Control function that sets TCP_USER_TIMEOUT, which bounds how long a connection waits for the
+// peer to acknowledge data. Without it, a connection to an unreachable machine hangs for minutes.
 func UserTimeout(timeout time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
@@ -58,7 +58,7 @@
 	}
 }
 
-// Call posts a message to a path of the process at an address and takes its answer.
+// Call posts a request to a path of the process at an address and decodes the response.
 func (c *Client) Call(ctx context.Context, address, path string, request, response any) error {
 	httpResponse, err := c.post(ctx, address, path, request)
 	if err != nil {
@@ -68,6 +68,7 @@
 	return readResponse(httpResponse, httpResponse.Body, address+path, response)
 }
 
+// post sends a request and returns the response, whose body the caller closes.
 func (c *Client) post(ctx context.Context, address, path string, request any) (*http.Response, error) {
 	raw, err := json.Marshal(request)
 	if err != nil {
@@ -77,7 +78,7 @@
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	httpRequest.GetBody = nil // never a second time by itself
+	httpRequest.GetBody = nil // prevents the transport from resending the request by itself
 	httpRequest.Header["Content-Type"] = []string{"application/json"}
 	httpRequest.Header["User-Agent"] = []string{""}
 	httpRequest.Header["Accept-Encoding"] = []string{gzipEncoding}
@@ -85,6 +86,7 @@
 	return httpResponse, Error.Wrap(err)
 }
 
+// readResponse decodes a response from its body; name stands for the call in errors.
 func readResponse(httpResponse *http.Response, body io.Reader, name string, response any) error {
 	if httpResponse.Header.Get("Content-Encoding") == gzipEncoding {
 		unpacked, err := gzip.NewReader(body)
@@ -98,15 +100,15 @@
 		return Error.Wrap(err)
 	}
 	if httpResponse.StatusCode != http.StatusOK {
-		return Error.New("%s answers %d: %.200s", name, httpResponse.StatusCode, raw)
+		return Error.New("%s returned status %d: %.200s", name, httpResponse.StatusCode, raw)
 	}
 	return Error.Wrap(json.Unmarshal(raw, response))
 }
 
-// Close closes what is kept.
+// Close closes the idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Handle serves one kind of call.
+// Handle returns an HTTP handler that decodes a request, calls handler, and encodes its response.
 func Handle[In, Out any](handler func(ctx context.Context, in *In) (*Out, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		in := new(In)
@@ -142,8 +144,8 @@
 	}
 }
 
-// gzipWriters are kept: one is much larger than most answers.
+// gzipWriters are reused, since a writer is much larger than most responses.
 var gzipWriters = sync.Pool{New: func() any {
-	w, _ := gzip.NewWriterLevel(io.Discard, gzip.BestSpeed) // the level is known
+	w, _ := gzip.NewWriterLevel(io.Discard, gzip.BestSpeed) // can't fail: the level is valid
 	return w
 }}
--- a/internal/mesh/rpc/stall.go
+++ b/internal/mesh/rpc/stall.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// Errors of a call that was made with patience.
+// Errors of CallUntilStalled.
 var (
-	ErrStalled     = errors.New("nothing has come for too long")
-	ErrInterrupted = errors.New("the call was given up for another one")
+	ErrStalled     = errors.New("no data received within the stall timeout")
+	ErrInterrupted = errors.New("call interrupted before a response began")
 )
 
-// StallPolicy says how long a call is waited for: as long as bytes come. Invariant: with a fixed time for all of it, an answer that takes
-// longer on a narrow or busy line never arrives, however often it is asked for.
+// StallPolicy says when a call is canceled. A call may take as long as data keeps arriving: with a fixed timeout for the whole
+// call, a response that takes longer on a slow or busy link would never arrive, however often the call is retried.
 type StallPolicy struct {
-	Timeout   time.Duration   // without a byte, after which the call has failed
-	Interrupt <-chan struct{} // ends the call for as long as no answer has begun; nil for never
+	Timeout   time.Duration   // time without a received byte after which the call fails
+	Interrupt <-chan struct{} // cancels the call if no response has begun yet; nil for never
 }
 
-// CallUntilStalled is Call, given up for want of progress alone.
+// CallUntilStalled is Call with a policy in place of a deadline.
 func (c *Client) CallUntilStalled(ctx context.Context, policy StallPolicy, address, path string, request, response any) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -47,7 +47,7 @@
 	return cancelCause(ctx, readResponse(httpResponse, body, address+path, response))
 }
 
-// cancelCause is why a call ended, where that was its patience.
+// cancelCause returns the cause of the context's cancellation in place of err, if there is one.
 func cancelCause(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); err != nil && cause != nil {
 		return Error.Wrap(cause)
@@ -55,12 +55,13 @@
 	return err
 }
 
-// progressReader tells of each part that is read.
+// progressReader calls onProgress after each read that returns data.
 type progressReader struct {
 	io.Reader
 	onProgress func()
 }
 
+// Read implements io.Reader.
 func (p *progressReader) Read(b []byte) (int, error) {
 	n, err := p.Reader.Read(b)
 	if n > 0 {
--- a/internal/mesh/settings/settings.go
+++ b/internal/mesh/settings/settings.go
@@ -1,5 +1,5 @@
-// Package box reads the settings that a process of the mesh is given: lines of a.b=value, of which unknown ones are
-// left alone and bad ones are named with line and key.
+// Package settings reads the settings file of a process of the mesh. The file consists of lines of the form a.b=value. Unknown keys
+// are ignored, and invalid lines are reported with their line number and key.
 package settings
 
 import (
@@ -17,39 +17,39 @@
 	"github.com/zeebo/errs"
 )
 
-// Error is the class of faults in settings.
+// Error is the class of errors in settings.
 var Error = errs.Class("settings")
 
-// FileVariable names the file.
+// FileVariable is the environment variable that holds the path of the settings file.
 const FileVariable = "OTTERSHIFT_CONFIG"
 
-// Box is what a process is told about itself, its machine and the mesh.
+// Settings describe a process, its machine and the mesh.
 type Settings struct {
 	Node, Role, MachineClass, Zone, Region string
 	Serves                                 []string
 	IP                                     string
 	Counted, FirstStart                    bool
 	DataDir                                string
-	UpstreamAddress, Service               string // the upstream on this machine, and its service
+	UpstreamAddress, Service               string // of the upstream on this machine
 
 	CpuShare, LinkMbps        float64
 	MemoryMB, FileDescriptors int64
 	DiskMB                    int64
 
-	InboundAddress, OutboundAddress, ReadinessAddress, ControlAddress string // addresses of ours
-	FirstInternalPort, LastInternalPort                               int    // ports between our own processes
-	Seeds                                                             []string
-	RegionOfZone                                                      map[string]string // province of each
+	InboundAddress, OutboundAddress, ReadinessAddress, ControlAddress string            // that the process listens on
+	FirstInternalPort, LastInternalPort                               int               // ports for calls between the mesh's processes
+	Seeds                                                             []string          // control addresses of the seed controllers
+	RegionOfZone                                                      map[string]string // keys are zones
 
 	HeartbeatInterval time.Duration
 	Tolerate          Tolerate
 	Bounds            Bounds
 }
 
-// Tolerate is what may be lost at once.
+// Tolerate holds the numbers of failures at a time that the mesh has to survive.
 type Tolerate struct{ Machines, Zones, Regions int }
 
-// Bounds are the figures of the rules in force.
+// Bounds are the limits that the mesh has to keep. Each field has the name of its setting.
 type Bounds struct {
 	SeedLag, ReuseAfter, Touch, Ack, CatchUp, Drain, Grace, Lost, Config, Back, Outer, Revoke time.Duration
 	RetryWindow, QuotaWindow, Recover                                                         time.Duration
@@ -58,13 +58,13 @@
 	RevokedEverywhere                                                                         bool
 }
 
-// InternalAddress is where other processes of the mesh reach this one.
+// InternalAddress returns the address at which other processes of the mesh reach this one.
 func (s *Settings) InternalAddress() string { return InternalAddressOf(s.IP, s.FirstInternalPort) }
 
-// InternalAddressOf is the same of any machine: all use the same ports.
+// InternalAddressOf returns the internal address on a machine. All machines use the same port.
 func InternalAddressOf(ip string, port int) string { return ip + ":" + strconv.Itoa(port) }
 
-// Host is the part of an address before its port.
+// Host returns the IP address of an address with a port.
 func Host(address string) string {
 	if at, err := netip.ParseAddrPort(address); err == nil {
 		return at.Addr().String()
@@ -72,7 +72,7 @@
 	return address
 }
 
-// Default is what holds where nothing is said: the figures of the users' pages.
+// Default returns the default settings, which are those of the user documentation.
 func Default() *Settings {
 	return &Settings{
 		MemoryMB: 256, FileDescriptors: 4096, CpuShare: 1, HeartbeatInterval: 1500 * time.Millisecond, RegionOfZone: map[string]string{},
@@ -86,10 +86,10 @@
 	}
 }
 
-// Load reads a file.
+// Load reads a settings file.
 func Load(path string) (*Settings, error) {
 	if path == "" {
-		return nil, Error.New("%s names no file", FileVariable)
+		return nil, Error.New("no settings file: %s is not set", FileVariable)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -98,7 +98,7 @@
 	return Parse(string(text))
 }
 
-// Parse reads settings; all faults are told at once.
+// Parse parses settings. Its error reports all invalid lines.
 func Parse(text string) (*Settings, error) {
 	settings := Default()
 	var faults errs.Group
@@ -118,7 +118,7 @@
 		}
 		key, value = strings.TrimSpace(key), strings.TrimSpace(value)
 		if firstLine, repeated := lineOf[key]; repeated {
-			faults.Add(Error.New("line %d: %s stands on line %d already", n, key, firstLine))
+			faults.Add(Error.New("line %d: %s is set on line %d already", n, key, firstLine))
 			continue
 		}
 		lineOf[key] = n
@@ -144,7 +144,7 @@
 	return settings, nil
 }
 
-// validate holds the settings against one another, and names the key and its line.
+// validate checks the values of the settings. Its error names the key and line of each invalid one.
 func (s *Settings) validate(lineOf map[string]int) error {
 	withKey := func(key string, err error) error {
 		if err == nil {
@@ -158,7 +158,7 @@
 	address := validation.By(func(v any) error {
 		if text, _ := v.(string); text != "" {
 			if _, err := netip.ParseAddrPort(text); err != nil {
-				return errs.New("is no address with a port: %q", text)
+				return errs.New("not an address with a port: %q", text)
 			}
 		}
 		return nil
@@ -199,7 +199,7 @@
 	return faults.Err()
 }
 
-// setters is how each known line is taken.
+// setters returns a function for each known key that parses and sets its value.
 func (s *Settings) setters() map[string]func(string) error {
 	text := func(target *string) func(string) error {
 		return func(v string) error { *target = v; return nil }
@@ -273,16 +273,16 @@
 	}
 }
 
-// simplifyNumberError leaves out what a number's fault says of the function that found it.
+// simplifyNumberError replaces an error of strconv by one that does not name the strconv function.
 func simplifyNumberError(err error) error {
 	var number *strconv.NumError
 	if errors.As(err, &number) {
-		return fmt.Errorf("%q is no number that fits", number.Num)
+		return fmt.Errorf("%q is not a number in range", number.Num)
 	}
 	return err
 }
 
-// ParseDuration reads a time as the mesh writes it: a number and ms or s.
+// ParseDuration parses a duration in the mesh's notation: a number followed by ms or s.
 func ParseDuration(text string) (time.Duration, error) {
 	number, unit := text, time.Duration(0)
 	switch {
--- a/internal/mesh/settings/settings_test.go
+++ b/internal/mesh/settings/settings_test.go
@@ -31,9 +31,9 @@
 func TestParseReportsAllErrorsWithLineAndKey(t *testing.T) {
 	_, err := Parse(validSettings + "Self.App=nowhere\nTariff.Bounds.Grace=6\nno equals sign\nSelf.Counted=yes\nSelf.Node=again\nSelf.SizeLimits.Fds=many\n")
 	for _, says := range []string{
-		`line 11: Self.App: is no address with a port: "nowhere"`, `line 12: Tariff.Bounds.Grace: "6" is no time`, `line 13`,
-		`line 14: Self.Counted: "yes" is neither true nor false`, `line 15: Self.Node stands on line 1 already`,
-		`line 16: Self.SizeLimits.Fds: "many" is no number`,
+		`line 11: Self.App: not an address with a port: "nowhere"`, `line 12: Tariff.Bounds.Grace: "6" is no time`, `line 13`,
+		`line 14: Self.Counted: "yes" is neither true nor false`, `line 15: Self.Node is set on line 1 already`,
+		`line 16: Self.SizeLimits.Fds: "many" is not a number in range`,
 	} {
 		must.ErrorContains(t, err, says)
 	}
--- a/internal/mesh/storage/backup.go
+++ b/internal/mesh/storage/backup.go
@@ -9,16 +9,17 @@
 	"ottershift/internal/mesh/consensus"
 )
 
+// backupFormat is the version of the backup's encoding.
 const backupFormat = 1
 
-// Backup is an agreed state out of a core, to begin another one with.
+// Backup holds a decided state of the controllers' consensus group, from which a new group can be started.
 type Backup struct {
 	Format int
 	State  *consensus.State
-	Sum    uint32 // of the state
+	Sum    uint32 // CRC-32 (IEEE) of the JSON encoding of State
 }
 
-// EncodeBackup makes a backup of a state.
+// EncodeBackup encodes a backup of a state.
 func EncodeBackup(state *consensus.State) ([]byte, error) {
 	raw, err := json.Marshal(state)
 	if err != nil {
@@ -27,34 +28,34 @@
 	return json.MarshalIndent(&Backup{backupFormat, state, crc32.ChecksumIEEE(raw)}, "", " ")
 }
 
-// DecodeBackup reads a backup; one that is not whole is refused.
+// DecodeBackup decodes a backup. It rejects a backup of an unknown format or with a wrong checksum.
 func DecodeBackup(raw []byte) (*consensus.State, error) {
 	backup := &Backup{}
 	if err := json.Unmarshal(raw, backup); err != nil {
-		return nil, Error.New("the backup can't be read: %v", err)
+		return nil, Error.New("decoding the backup: %v", err)
 	}
 	if backup.Format != backupFormat || backup.State == nil {
-		return nil, Error.New("format %d is not known here", backup.Format)
+		return nil, Error.New("unsupported backup format %d, or no state in the backup", backup.Format)
 	}
 	reencoded, err := json.Marshal(backup.State)
 	if err != nil || crc32.ChecksumIEEE(reencoded) != backup.Sum {
-		return nil, Error.New("the backup's checksum is wrong")
+		return nil, Error.New("backup checksum mismatch")
 	}
 	return backup.State, nil
 }
 
-// Restore lays a state on an empty disk, as that of a core of one, whose identity is new: no disk of the core that was
-// counts there any more. Others join it as strangers do.
+// Restore writes a state to an empty directory, as the replica of a consensus group with a single member. The member gets a new
+// disk ID, so that no disk of the former group counts as a member; its controllers join the new group like new ones.
 func Restore(dir string, state *consensus.State, address, zone string) (id string, err error) {
 	if _, err := os.Stat(filepath.Join(dir, storeDirectory)); err == nil {
-		return "", Error.New("%s holds a copy already: restore lays one on an empty disk only", dir)
+		return "", Error.New("%s holds a copy already: restore needs an empty directory", dir)
 	}
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return "", Error.Wrap(err)
 	}
 	id = NewDiskID()
 	restored := *state
-	restored.Index += 1 << 20 // beyond whatever the lost core may have decided
+	restored.Index += 1 << 20 // beyond any index that the lost group may have decided
 	restored.Core, restored.Coordinator = []consensus.Member{{ID: id, At: address, Zone: zone}}, consensus.Coordinator{}
 	store, _, initReason, err := Open(dir, func() (string, *consensus.State) { return id, &restored })
 	if err != nil {
@@ -62,12 +63,13 @@
 	}
 	if initReason == nil {
 		store.Close()
-		return "", Error.New("%s was not empty", dir)
+		return "", Error.New("%s is not empty", dir)
 	}
 	return id, store.Close()
 }
 
-// ReadReplica reads the copy of a disk that no process uses.
+// ReadReplica reads the replica in the directory of a stopped process. It fails if there is no store. Like Open, it
+// replaces an unreadable store by an empty one, and then returns an error together with an empty replica.
 func ReadReplica(dir string) (*consensus.Replica, error) {
 	if _, err := os.Stat(filepath.Join(dir, storeDirectory)); err != nil {
 		return nil, Error.Wrap(err)
--- a/internal/mesh/storage/crash_test.go
+++ b/internal/mesh/storage/crash_test.go
@@ -16,7 +16,7 @@
 	"ottershift/internal/mesh/testmesh"
 )
 
-// smallOptions have goleveldb begin new journals, write tables and compact them every few saves.
+// smallOptions returns options with which goleveldb starts new journals, writes tables and compacts them every few saves.
 func smallOptions() *opt.Options {
 	small := *defaultOptions
 	small.WriteBuffer, small.CompactionTableSize, small.CompactionTotalSize = 8<<10, 8<<10, 32<<10
@@ -28,17 +28,17 @@
 	return store, replica, err
 }
 
-// openWithLargeBuffer opens with a write buffer that nothing outgrows here. goleveldb reads a file's number without its lock when a file
-// can't be made beside a compaction, which the race detector sees.
+// openWithLargeBuffer opens a store with a write buffer that these tests don't fill, which avoids compactions. If goleveldb can't
+// create a file during a compaction, it reads the file's number without its lock, which the race detector reports.
 func openWithLargeBuffer(disk *testmesh.MemoryDisk) (*Store, *consensus.Replica, error) {
 	store, replica, _, err := OpenOn(disk, defaultOptions, func() (string, *consensus.State) { return "one", &consensus.State{Index: 1} })
 	return store, replica, err
 }
 
-// workload is what a process of the core does with its disk: lives, each with so many changes of three saves.
+// workload is a sequence of controller instances on one disk, each of which makes a number of changes of three saves.
 type workload struct{ instances, changes int }
 
-// run takes a disk through it, until an error; saving is called with what is about to be saved, saved once that is done.
+// run runs the workload on a disk until an error. It calls beforeSave with the replica before each save, and afterSave after it.
 func (w workload) run(disk *testmesh.MemoryDisk, beforeSave, afterSave func(*consensus.Replica)) error {
 	version := int64(0)
 	for range w.instances {
@@ -53,7 +53,7 @@
 				return err
 			}
 			if disk.PowerLost() {
-				return testmesh.ErrPowerLoss // nobody was answered
+				return testmesh.ErrPowerLoss // the save has not been acknowledged to anybody
 			}
 			afterSave(&current)
 			return nil
@@ -77,7 +77,8 @@
 	return nil
 }
 
-// saveOneChange is a promise, a vote and a decision; every fifth time of another configuration, larger than the write buffer.
+// saveOneChange saves a promise, an accepted value and a decision. Every fifth change is a new configuration, which is larger than
+// the write buffer.
 func saveOneChange(replica *consensus.Replica, n int, version *int64, save func() error) error {
 	replica.Promised = consensus.Ballot{Round: replica.Decided.Index*10 + 1, By: "a"}
 	if err := save(); err != nil {
@@ -107,10 +108,10 @@
 	return string(raw)
 }
 
-// diskCheck says what is wrong with what is left of a disk.
+// diskCheck returns an error if the disk's state after a power loss is wrong. last is the last saved replica, next the one being saved.
 type diskCheck func(left *testmesh.MemoryDisk, last, next string) error
 
-// checkHoldsReplica is the judge of a store: it has what was last saved, or what was being saved.
+// checkHoldsReplica requires that the store holds the last saved replica or the one that was being saved.
 func checkHoldsReplica(left *testmesh.MemoryDisk, last, next string) error {
 	store, replica, err := openMemory(left)
 	if err != nil {
@@ -118,12 +119,12 @@
 	}
 	defer store.Close()
 	if got := replicaJSON(replica); got != last && got != next {
-		return fmt.Errorf("it holds %.200s", got)
+		return fmt.Errorf("store holds %.200s", got)
 	}
 	return nil
 }
 
-// checkOpensWithoutRecovery is the judge of goleveldb alone: its database opens without being put together again.
+// checkOpensWithoutRecovery requires that goleveldb opens the database without a recovery.
 func checkOpensWithoutRecovery(left *testmesh.MemoryDisk, _, _ string) error {
 	files, err := left.OpenStorage(storeDirectory)
 	if err != nil {
@@ -136,16 +137,16 @@
 	return db.Close()
 }
 
-// crashResult is what a run of crash points has met.
+// crashResult counts what a series of simulated crashes found.
 type crashResult struct {
 	points, states int
-	lossExamples   []string // the first few states in which something that was saved was not there
+	lossExamples   []string // descriptions of the first three states with a loss
 	losses         int
-	files          int // that goleveldb has made by the end of the undisturbed run, by their numbers
+	files          int // files that goleveldb has created by the end of the run without a crash: its highest file number
 }
 
-// simulateCrashes loses power at every so-manieth operation of a journey, in the states that may be left, and counts those in which the
-// disk holds neither what was last saved nor what was being saved.
+// simulateCrashes cuts the power after every stride-th disk operation of a workload and checks up to maxStates of the states that the
+// disk may be left in. It counts the states that fail the check.
 func simulateCrashes(load workload, stride, maxStates int, prepare func(*testmesh.MemoryDisk), check diskCheck) (result crashResult) {
 	clean := testmesh.NewMemoryDisk()
 	prepare(clean)
@@ -166,7 +167,7 @@
 		var last, next *consensus.Replica
 		load.run(disk, func(r *consensus.Replica) { next = r }, func(r *consensus.Replica) { copied := *r; last = &copied })
 		if last == nil {
-			continue // nothing has been promised to anyone yet
+			continue // nothing has been saved yet
 		}
 		result.points++
 		lastText, nextText := replicaJSON(last), replicaJSON(next)
@@ -182,9 +183,10 @@
 	return result
 }
 
+// noPreparation leaves a disk as it is.
 func noPreparation(*testmesh.MemoryDisk) {}
 
-// crashScale is how many times as much is played; more by OTTERSHIFT_CRASHES.
+// crashScale is the factor by which the environment variable OTTERSHIFT_CRASHES increases the number of simulated crashes, 1 if unset.
 func crashScale() int {
 	if n, err := strconv.Atoi(os.Getenv("OTTERSHIFT_CRASHES")); err == nil && n > 0 {
 		return n
@@ -192,39 +194,41 @@
 	return 1
 }
 
+// A saved replica must be readable after a power loss at any disk operation.
 func TestSavedReplicaSurvivesPowerLoss(t *testing.T) {
 	for _, run := range []struct {
 		workload
 		stride, bound, files int
 	}{
 		{workload{2, 2}, 1, 12 * crashScale(), 4},
-		{workload{2, 120}, max(1, 90/crashScale()), 16 * crashScale(), 100}, // 720 saves, with journals begun anew and compactions
+		{workload{2, 120}, max(1, 90/crashScale()), 16 * crashScale(), 100}, // 720 saves, with new journals and compactions
 	} {
 		result := simulateCrashes(run.workload, run.stride, run.bound, noPreparation, checkHoldsReplica)
-		t.Logf("%d lives of %d changes: %d crash points, %d states of the disk, %d with a loss; %d files made", run.instances, run.changes, result.points, result.states, result.losses, result.files)
+		t.Logf("%d instances of %d changes: %d crash points, %d disk states, %d with a loss; %d files created", run.instances, run.changes, result.points, result.states, result.losses, result.files)
 		must.GreaterEq(t, run.files, result.files)
 		must.Zero(t, result.losses, must.Sprint(result.lossExamples))
 		must.Greater(t, 200, result.states)
 	}
 }
 
-// Without its syncs of folders the same run loses what was saved.
+// Without directory syncs, the same workload loses saves. This shows that the simulation detects their absence.
 func TestSavesAreLostWithoutDirectorySync(t *testing.T) {
 	result := simulateCrashes(workload{2, 2}, 2, 12, func(d *testmesh.MemoryDisk) { d.IgnoreFolderSyncs(true) }, checkHoldsReplica)
 	t.Logf("%d of %d states with a loss, as %v", result.losses, result.states, result.lossExamples)
 	must.Positive(t, result.losses)
 }
 
-// Without the sync of a manifest before it counts, each start leaves states that goleveldb can't open by itself.
+// If a manifest is not synced before CURRENT names it, each start leaves disk states that goleveldb can't open without a recovery.
 func TestManifestIsLostWithoutItsSync(t *testing.T) {
 	with := simulateCrashes(workload{2, 2}, 2, 12, noPreparation, checkOpensWithoutRecovery)
 	without := simulateCrashes(workload{2, 2}, 2, 12, func(d *testmesh.MemoryDisk) { d.IgnoreSyncFile = true }, checkOpensWithoutRecovery)
-	t.Logf("goleveldb can't open by itself %d of %d states with it, %d of %d without", with.losses, with.states, without.losses, without.states)
+	t.Logf("goleveldb needs a recovery in %d of %d states with the sync, in %d of %d without", with.losses, with.states, without.losses, without.states)
 	must.Greater(t, 4*with.losses, without.losses)
 	must.Positive(t, without.losses)
 }
 
-// A journal that is begun in the middle of a life holds saves that were answered for before goleveldb syncs the folder again.
+// A journal that is started while a store is open holds acknowledged saves before goleveldb next syncs the directory. Without
+// directory syncs of our own, these saves are lost.
 func TestLaterJournalIsLostWithoutDirectorySync(t *testing.T) {
 	lost, states := 0, 0
 	disk := testmesh.NewMemoryDisk()
@@ -232,7 +236,7 @@
 		if saved.Decided.Index <= 2 {
 			return
 		}
-		disk.IgnoreFolderSyncs(true) // the store has long been opened
+		disk.IgnoreFolderSyncs(true) // only after the store has been opened
 		text := replicaJSON(saved)
 		states += disk.AfterPowerLoss(4, 1, func(left *testmesh.MemoryDisk) {
 			store, replica, err := openMemory(left)
@@ -249,7 +253,7 @@
 	must.Positive(t, lost)
 }
 
-// An unreadable store is put aside; a loss of power at any step of that leaves it where it was or a new one in its place.
+// An unreadable store is renamed and replaced by an empty one. A power loss at any step must leave either of the two in place.
 func TestQuarantineSurvivesPowerLoss(t *testing.T) {
 	damaged := func() *testmesh.MemoryDisk {
 		disk := testmesh.NewMemoryDisk()
@@ -275,7 +279,7 @@
 		disk := damaged()
 		disk.StopAfter = stop
 		opened, replica, _, err := OpenOn(disk, smallOptions(), initial)
-		acknowledged := err == nil && opened.Save(replica) == nil && !disk.PowerLost() // what was opened may be answered for
+		acknowledged := err == nil && opened.Save(replica) == nil && !disk.PowerLost() // saves to the new store may have been acknowledged
 		if opened != nil {
 			opened.Close()
 		}
@@ -289,11 +293,11 @@
 			again.Close()
 		})
 	}
-	t.Logf("%d crash points, %d states of the disk", points, states)
+	t.Logf("%d crash points, %d disk states", points, states)
 	must.Greater(t, 20, points)
 }
 
-// A disk in trouble refuses for a while. That is no reason to give its store up, neither at the start nor later.
+// A disk that returns errors for a while must not cost the store its content, neither when it is opened nor when it is saved to.
 func TestStoreRecoversFromDiskErrors(t *testing.T) {
 	disk := testmesh.NewMemoryDisk()
 	store, replica, err := openWithLargeBuffer(disk)
@@ -306,7 +310,7 @@
 		err := saveOneChange(replica, n, &version, func() error { return store.Save(replica) })
 		if refuses {
 			must.Error(t, err)
-			*replica = saved // nobody was answered
+			*replica = saved // the change has not been acknowledged to anybody
 			continue
 		}
 		must.NoError(t, err)
--- a/internal/mesh/storage/durable.go
+++ b/internal/mesh/storage/durable.go
@@ -4,17 +4,17 @@
 	"github.com/syndtr/goleveldb/leveldb/storage"
 )
 
-// durableStorage is a goleveldb storage in which a file's name is on disk before anything depends on the file. Invariant: goleveldb
-// syncs the folder only when it replaces CURRENT. Without this, a journal that it begins later, with each save in it synced, or a
-// table that takes the place of a removed journal, may be gone by name after a loss of power; and a manifest that CURRENT
-// names may be there without its content.
+// durableStorage is a goleveldb storage that syncs a file's directory entry before anything depends on the file. goleveldb itself
+// syncs the directory only when it replaces CURRENT. After a power loss, the directory entry of a later journal could be missing
+// although each save in it was synced, and so could that of a table that replaces a removed journal. CURRENT could also name a
+// manifest whose content was never written.
 type durableStorage struct {
 	storage.Storage
 	fileSystem FileSystem
 	directory  string
 }
 
-// Create makes a file whose first sync syncs the folder as well.
+// Create creates a file whose first sync also syncs the directory.
 func (s durableStorage) Create(fd storage.FileDesc) (storage.Writer, error) {
 	writer, err := s.Storage.Create(fd)
 	if err != nil {
@@ -23,7 +23,7 @@
 	return &durableWriter{Writer: writer, storage: s}, nil
 }
 
-// SetMeta makes a manifest the current one, once it and its name are on disk.
+// SetMeta makes a manifest the current one, after it has synced the manifest and its directory entry.
 func (s durableStorage) SetMeta(fd storage.FileDesc) error {
 	if err := s.fileSystem.SyncFile(s.directory, fd); err != nil {
 		return err
@@ -34,13 +34,14 @@
 	return s.Storage.SetMeta(fd)
 }
 
+// durableWriter is a writer of a file in a durableStorage.
 type durableWriter struct {
 	storage.Writer
 	storage         durableStorage
-	directorySynced bool // the file's name is on disk
+	directorySynced bool // the file's directory entry is on disk
 }
 
-// Sync syncs the file, and its name at the first time.
+// Sync syncs the file. The first call also syncs its directory.
 func (w *durableWriter) Sync() error {
 	if err := w.Writer.Sync(); err != nil {
 		return err
--- a/internal/mesh/storage/filesystem.go
+++ b/internal/mesh/storage/filesystem.go
@@ -9,20 +9,21 @@
 	"github.com/syndtr/goleveldb/leveldb/storage"
 )
 
-// FileSystem is the folder of a process's disk that its store lies in: what a store needs besides goleveldb's own files.
+// FileSystem is the data directory of a process: the operations that a store needs besides those of goleveldb's storage.
 type FileSystem interface {
-	// MakeDirectory makes a folder, unless it is there.
+	// MakeDirectory creates a directory in the data directory, unless it exists.
 	MakeDirectory(name string) error
+	// Rename renames a directory in the data directory.
 	Rename(from, to string) error
-	// SyncDirectory brings the names in a folder to the disk; the empty name is that of the outer one.
+	// SyncDirectory syncs the entries of a directory. An empty name stands for the data directory itself.
 	SyncDirectory(name string) error
-	// SyncFile brings one of goleveldb's files to the disk.
-	SyncFile(folder string, file storage.FileDesc) error
-	// OpenStorage opens goleveldb's files in a folder.
-	OpenStorage(folder string) (storage.Storage, error)
+	// SyncFile syncs one of goleveldb's files.
+	SyncFile(directory string, file storage.FileDesc) error
+	// OpenStorage opens the goleveldb storage in a directory.
+	OpenStorage(directory string) (storage.Storage, error)
 }
 
-// osFileSystem is a folder of the machine's disk.
+// osFileSystem is a FileSystem in a directory of the operating system's file system.
 type osFileSystem string
 
 func (f osFileSystem) path(names ...string) string {
@@ -43,6 +44,7 @@
 	return storage.OpenFile(f.path(directory), false)
 }
 
+// syncPath syncs a file or directory.
 func syncPath(path string) error {
 	file, err := os.Open(path)
 	if err != nil {
@@ -51,7 +53,7 @@
 	return errors.Join(file.Sync(), file.Close())
 }
 
-// makeDirectory makes a directory and brings its name, and those of its parents that are made with it, to the disk.
+// makeDirectory creates a directory with its missing parents, and syncs the parent of each directory that it creates.
 func makeDirectory(path string) error {
 	if info, err := os.Stat(path); err == nil && info.IsDir() {
 		return nil
--- a/internal/mesh/storage/format_test.go
+++ b/internal/mesh/storage/format_test.go
@@ -11,7 +11,7 @@
 	"ottershift/internal/mesh/consensus"
 )
 
-// A disk of the version before has each state with its configuration in one value.
+// The previous version stored each state together with its configuration in one value.
 func TestReadsFormatOfPreviousVersion(t *testing.T) {
 	dir := t.TempDir()
 	must.NoError(t, os.MkdirAll(dir, 0o755))
@@ -27,7 +27,7 @@
 	}
 	must.NoError(t, db.Close())
 	reopen := func() (*Store, *consensus.Replica) {
-		store, replica, initReason, err := Open(dir, func() (string, *consensus.State) { t.Fatal("it counts as empty"); return "", nil })
+		store, replica, initReason, err := Open(dir, func() (string, *consensus.State) { t.Fatal("the store is treated as empty"); return "", nil })
 		must.NoError(t, err)
 		must.NoError(t, initReason)
 		return store, replica
@@ -43,7 +43,7 @@
 	must.NoError(t, store.Close())
 }
 
-// A document that a state refers to and that is not there makes the disk unreadable, never a state without one.
+// A missing document must make the store unreadable, rather than give a state without its configuration.
 func TestMissingDocumentMakesStoreUnreadable(t *testing.T) {
 	dir := t.TempDir()
 	state := &consensus.State{Index: 7, Edition: 3, Configuration: configurationOf(400, 3)}
--- a/internal/mesh/storage/size_test.go
+++ b/internal/mesh/storage/size_test.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	controllerDiskBytes = 256 << 20 // of a core's machine
-	routeBytes          = 193       // of a route in a configuration of 4,000: 774 KB
+	controllerDiskBytes = 256 << 20 // disk size of a controller's machine
+	routeBytes          = 193       // size of a route in a configuration of 4,000 routes: 774 KB in all
 )
 
-// configurationOf is a document as large as one of so many routes, different for each edition.
+// configurationOf returns a document as large as a configuration of that many routes, different for each version.
 func configurationOf(routes int, version int64) json.RawMessage {
 	var doc bytes.Buffer
 	fmt.Fprintf(&doc, `{"Edition":%d,"Routes":[`, version)
@@ -36,7 +36,7 @@
 	return doc.Bytes()
 }
 
-// directorySize is what a store's folder takes.
+// directorySize returns the total size and the number of the files in a directory.
 func directorySize(t *testing.T, dir string) (bytes int64, files int) {
 	err := filepath.WalkDir(dir, func(_ string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() {
@@ -51,17 +51,17 @@
 	return bytes, files
 }
 
-// diskMeasurements of a run of changes.
+// diskMeasurements are the results of runChanges.
 type diskMeasurements struct {
-	largestBytes     int64 // bytes of the folder
+	largestBytes     int64 // largest size of the directory
 	mostFiles        int
 	perSave          time.Duration
 	slowest          time.Duration
 	restart          time.Duration
-	writtenPerChange int64 // bytes that the process wrote for each change
+	writtenPerChange int64 // bytes that the process wrote per change
 }
 
-// writtenBytes is what this process has written so far, through all its files.
+// writtenBytes returns the number of bytes that this process has written so far, to all its files.
 func writtenBytes() (n int64) {
 	raw, _ := os.ReadFile("/proc/self/io")
 	for _, line := range bytes.Split(raw, []byte("\n")) {
@@ -72,8 +72,8 @@
 	return n
 }
 
-// runChanges takes a store through so many changes, each with the three saves of an acceptor; every so-manieth changes the
-// configuration and the others the number of members.
+// runChanges makes changes to a store, each with the three saves of a consensus acceptor. Every configurationEvery-th change
+// replaces the configuration; the others change the number of members.
 func runChanges(t *testing.T, changes, routes, configurationEvery int) (result diskMeasurements) {
 	dir := t.TempDir()
 	first := &consensus.State{Index: 1, Edition: 1, Configuration: configurationOf(routes, 1)}
@@ -117,8 +117,8 @@
 	return result
 }
 
-// TestDiskUseIsBounded prints what changes cost a disk, and holds them to the limit of a core's machine. More changes by
-// OTTERSHIFT_CHANGES.
+// TestDiskUseIsBounded logs the disk use of a store and requires that it stays below a quarter of the disk of a controller's
+// machine. OTTERSHIFT_CHANGES sets the largest number of changes, 60 by default.
 func TestDiskUseIsBounded(t *testing.T) {
 	largest := 60
 	if n, err := strconv.Atoi(os.Getenv("OTTERSHIFT_CHANGES")); err == nil {
@@ -129,7 +129,7 @@
 			for _, changes := range []int{10, 300, 3000} {
 				changes = min(changes, largest)
 				result := runChanges(t, changes, routes, every)
-				t.Logf("%d routes, %d changes, configuration every %d: %.1f MB in %d files at most, a save %v (slowest %v), %d KB written a change, restart %v",
+				t.Logf("%d routes, %d changes, configuration every %d: at most %.1f MB in %d files, %v per save (slowest %v), %d KB written per change, restart %v",
 					routes, changes, every, float64(result.largestBytes)/1e6, result.mostFiles, result.perSave.Round(time.Microsecond), result.slowest.Round(time.Microsecond), result.writtenPerChange/1000, result.restart.Round(time.Microsecond))
 				must.Less(t, controllerDiskBytes/4, result.largestBytes)
 				if changes == largest {
--- a/internal/mesh/storage/storage.go
+++ b/internal/mesh/storage/storage.go
@@ -1,5 +1,5 @@
-// Package storage keeps a controller's replica on its disk: goleveldb, each value with its format and a checksum, each save
-// one synced batch that is there whole or not at all.
+// Package storage keeps a controller's consensus replica on disk in goleveldb. Each value has a header of its format and
+// checksum. Each save is one synced batch, which is atomic.
 package storage
 
 import (
@@ -19,59 +19,60 @@
 	"ottershift/internal/mesh/consensus"
 )
 
-// Error is the class of faults of the disk.
+// Error is the class of storage errors.
 var Error = errs.Class("storage")
 
-// Keys of the values.
+// Keys in the database.
 const (
 	keyID          = "id"
 	keyDecided     = "decided"
 	keyPromised    = "promised"
 	keyAccepted    = "accepted"
-	keyInstance    = "life"      // the last start's
-	prefixDocument = "document-" // and the document's digest
+	keyInstance    = "life"      // of the last start
+	prefixDocument = "document-" // followed by the document's digest
 )
 
-// Names in the process's folder. Disks of the versions before this one have them, too.
+// Names in the data directory. They are the same as in earlier versions.
 const (
 	storeDirectory   = "wax"
-	quarantinePrefix = "unreadable-" // and a random part: a store that could not be read
+	quarantinePrefix = "unreadable-" // followed by a random ID: a store that could not be read
 )
 
-// unreadableError says that what the disk holds can't be read, and won't be by waiting.
+// unreadableError reports that the store's content is damaged. A retry does not help, unlike after an I/O error.
 type unreadableError struct{ cause error }
 
 func (e *unreadableError) Error() string { return e.cause.Error() }
 func (e *unreadableError) Unwrap() error { return e.cause }
 
-// InitialReplica makes the replica of an empty disk.
+// InitialReplica returns the disk ID and state of the replica that is written to an empty store.
 type InitialReplica func() (id string, state *consensus.State)
 
-// Store is one process's disk.
+// Store holds the replica of one controller on disk. It is safe for concurrent use.
 type Store struct {
 	mu      sync.Mutex
 	files   durableStorage
 	options *opt.Options
 	db      *leveldb.DB
-	saved   consensus.Replica // as it is on disk
-	// documents on disk under keys of their own, by digest
+	saved   consensus.Replica // the replica that is on disk
+	// documents holds the digests of the documents that are stored under separate keys.
 	documents map[string]bool
 	digests   consensus.DigestCache
-	// failed says that a save failed, so that nobody knows what of it is on disk: the next one opens the database again
+	// failed reports that the last save failed. It is unknown how much of it is on disk, so the next save reopens the database.
 	failed bool
 }
 
+// defaultOptions are the goleveldb options of a controller's store.
 var defaultOptions = &opt.Options{
 	WriteBuffer: 1 << 20, BlockCacheCapacity: 128 << 10, OpenFilesCacheCapacity: 16, Compression: opt.NoCompression,
 	Strict: opt.StrictJournalChecksum | opt.StrictBlockChecksum | opt.StrictManifest,
-	// Invariant: goleveldb's transactions, which a batch larger than the write buffer goes through by default, keep the
-	// database's lock for ever when the disk refuses while one begins or commits.
+	// By default, goleveldb writes a batch larger than the write buffer in a transaction. A transaction holds the database's lock
+	// for ever if the disk returns an error while it begins or commits.
 	DisableLargeBatchTransaction: true,
 }
 
-// Open opens a directory. A disk without an identity gets the one that first says, which is called then only, and fresh
-// says why there was none; an unreadable one is put aside whole and counts as empty. A disk that refuses is an error, and
-// stays as it is: the caller tries again.
+// Open opens the store in a directory and reads its replica. If the store is empty, Open writes the replica that initial returns
+// and sets initReason to the reason; initial is called only then. An unreadable store is renamed, kept whole, and replaced by an
+// empty one. If the disk returns an error, Open fails and leaves the store as it is, and the caller can try again.
 func Open(dir string, initial InitialReplica) (store *Store, replica *consensus.Replica, initReason error, err error) {
 	if err := makeDirectory(dir); err != nil {
 		return nil, nil, nil, Error.Wrap(err)
@@ -79,7 +80,7 @@
 	return OpenOn(osFileSystem(dir), defaultOptions, initial)
 }
 
-// OpenOn opens a store in a file system.
+// OpenOn is Open for a given file system and goleveldb options.
 func OpenOn(fileSystem FileSystem, options *opt.Options, initial InitialReplica) (store *Store, replica *consensus.Replica, initReason error, err error) {
 	store, replica, initReason, err = openStore(fileSystem, options, initial)
 	var unreadable *unreadableError
@@ -91,9 +92,10 @@
 		return nil, nil, nil, Error.Wrap(err)
 	}
 	store, replica, initReason, err = openStore(fileSystem, options, initial)
-	return store, replica, errs.Combine(Error.New("put aside as %s: %v", quarantined, unreadable), initReason), err
+	return store, replica, errs.Combine(Error.New("unreadable store put aside as %s: %v", quarantined, unreadable), initReason), err
 }
 
+// openStore opens the store without replacing an unreadable one.
 func openStore(fileSystem FileSystem, options *opt.Options, initial InitialReplica) (store *Store, replica *consensus.Replica, initReason error, err error) {
 	if err := fileSystem.MakeDirectory(storeDirectory); err != nil {
 		return nil, nil, nil, Error.Wrap(err)
@@ -113,7 +115,7 @@
 	return store, replica, initReason, nil
 }
 
-// load opens the database and reads the replica, or lays the first one on an empty disk.
+// load opens the database and reads the replica, or writes the initial one if the database is empty.
 func (s *Store) load(initial InitialReplica) (replica *consensus.Replica, initReason error, err error) {
 	if err := s.openDatabase(); err != nil {
 		return nil, nil, err
@@ -123,14 +125,14 @@
 		return nil, nil, err
 	}
 	if empty {
-		initReason = Error.New("an empty disk")
+		initReason = Error.New("empty disk")
 		id, state := initial()
 		replica = &consensus.Replica{ID: id, Decided: state}
 		if err := s.writeReplica(replica, true); err != nil {
 			return nil, nil, err
 		}
 	} else if replica.ID == "" || replica.Decided == nil {
-		return nil, nil, &unreadableError{errs.New("a replica without an identity or a state")}
+		return nil, nil, &unreadableError{errs.New("replica has no disk ID or no state")}
 	}
 	if err := s.recordInstance(replica); err != nil {
 		return nil, nil, err
@@ -139,7 +141,7 @@
 	return replica, initReason, nil
 }
 
-// recordInstance numbers this start of the disk.
+// recordInstance increments the number of starts from this disk and gives the running instance a new token.
 func (s *Store) recordInstance(replica *consensus.Replica) error {
 	var last consensus.DiskLife
 	if raw, err := s.get(keyInstance); err == nil {
@@ -157,9 +159,9 @@
 	return s.db.Put([]byte(keyInstance), raw, &opt.WriteOptions{Sync: true})
 }
 
-// openDatabase opens goleveldb's database. A manifest may end in a torn record, or, at the first start, not be named yet; the
-// tables and journals, each whole and in their own order, then say what it would have. Invariant: where these themselves
-// are damaged nothing is put together again, which might leave out the last saves: a member would forget promises.
+// openDatabase opens the goleveldb database. After a crash, the manifest may end in a torn record, or not be named by CURRENT yet
+// at the first start. The database is then recovered from its tables and journals, which are complete and ordered. If these are
+// damaged, the database is not recovered: recovery could leave out the last saves, and a consensus member would forget promises.
 func (s *Store) openDatabase() error {
 	db, err := leveldb.Open(s.files, s.options)
 	var damage *leveldberrors.ErrCorrupted
@@ -176,7 +178,7 @@
 	return nil
 }
 
-// readReplica reads the replica; empty says that nothing of it is there.
+// readReplica reads the replica. It reports empty if the database holds no part of it.
 func (s *Store) readReplica() (replica *consensus.Replica, empty bool, err error) {
 	replica, empty = &consensus.Replica{}, true
 	decided, accepted := &storedState{}, (*storedAccepted)(nil)
@@ -210,6 +212,7 @@
 	return replica, empty, nil
 }
 
+// get returns the value of a key.
 func (s *Store) get(key string) ([]byte, error) {
 	raw, err := s.db.Get([]byte(key), nil)
 	if leveldberrors.IsCorrupted(err) {
@@ -218,24 +221,26 @@
 	return raw, err
 }
 
+// loadDocument returns the document with a digest.
 func (s *Store) loadDocument(digest string) (json.RawMessage, error) {
 	raw, err := s.get(prefixDocument + digest)
 	if err == leveldb.ErrNotFound {
-		return nil, &unreadableError{errs.New("the document %s is missing", digest)}
+		return nil, &unreadableError{errs.New("document %s is missing", digest)}
 	}
 	if err != nil {
 		return nil, err
 	}
 	body, err := stripHeader(raw)
 	if err == nil && consensus.DigestOf(body) != digest {
-		err = errs.New("it has another digest")
+		err = errs.New("digest mismatch")
 	}
 	if err != nil {
-		return nil, &unreadableError{errs.New("the document %s: %v", digest, err)}
+		return nil, &unreadableError{errs.New("document %s: %v", digest, err)}
 	}
 	return body, nil
 }
 
+// listDocuments reads the digests of the stored documents.
 func (s *Store) listDocuments() error {
 	s.documents = map[string]bool{}
 	documents := s.db.NewIterator(util.BytesPrefix([]byte(prefixDocument)), nil)
@@ -246,14 +251,14 @@
 	return documents.Error()
 }
 
-// NewDiskID makes an identity that no other disk has.
+// NewDiskID returns a new random disk ID.
 func NewDiskID() string {
 	var raw [12]byte
 	rand.Read(raw[:])
 	return "disk-" + hex.EncodeToString(raw[:])
 }
 
-// Save syncs a replica. What has not changed is not written again.
+// Save writes the changed parts of a replica and syncs them. After a failed save, it writes all parts.
 func (s *Store) Save(replica *consensus.Replica) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -270,11 +275,11 @@
 	return nil
 }
 
-// reopen opens the database again after a save failed. Invariant: goleveldb's journal takes nothing more after a failed
-// write, so that a disk that refused once would refuse until the process ends.
+// reopen opens the database again after a failed save. goleveldb's journal rejects all writes after a failed one, so that without
+// a reopen a single disk error would make all later saves fail until the process restarts.
 func (s *Store) reopen() error {
 	if s.db != nil {
-		s.db.Close() // it says again what has failed
+		s.db.Close() // returns the error of the failed write again
 		s.db = nil
 	}
 	if err := s.openDatabase(); err != nil {
@@ -283,7 +288,7 @@
 	return s.listDocuments()
 }
 
-// writeReplica puts what has changed since the last save, or all, into one synced batch.
+// writeReplica writes the parts that have changed since the last save, or all of them, in one synced batch.
 func (s *Store) writeReplica(replica *consensus.Replica, all bool) error {
 	batch := &leveldb.Batch{}
 	var failed errs.Group
@@ -327,7 +332,7 @@
 	return nil
 }
 
-// split takes the large documents out of a state and notes them under their digests.
+// split returns a state without its large documents, and adds these to documents under their digests.
 func (s *Store) split(state *consensus.State, documents consensus.Documents) *storedState {
 	if state == nil {
 		return &storedState{}
@@ -339,7 +344,7 @@
 	return &storedState{State: slim, Parts: digests}
 }
 
-// Close lets the disk go.
+// Close closes the database and releases the lock on its files.
 func (s *Store) Close() (err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/mesh/strictjson/fields.go
+++ b/internal/mesh/strictjson/fields.go
@@ -5,18 +5,18 @@
 	"encoding/json"
 )
 
-// maxLinearNames is how many names of an object are compared one by one; beyond it a set is kept.
+// maxLinearNames is the largest number of names in an object that are compared one by one. Larger objects use a set.
 const maxLinearNames = 16
 
-// fieldScanner looks for fields that stand twice in valid JSON. It copies no text that has no escapes, since configurations are
-// long and each controller reads each of their versions.
+// fieldScanner finds duplicate fields in valid JSON. It does not copy names without escapes, since configurations are large and each
+// controller reads each version of them.
 type fieldScanner struct {
 	input    []byte
-	position int      // of the next byte
-	names    [][]byte // of the objects that are open, the innermost last
+	position int      // index of the next byte
+	names    [][]byte // of the enclosing objects, those of the innermost last
 }
 
-// scanValue passes over one value. It returns the path of the first field in it that stands twice.
+// scanValue skips one value. It returns the path of the first duplicate field in it.
 func (s *fieldScanner) scanValue() (path string, repeated bool) {
 	s.skipSpace()
 	switch s.input[s.position] {
@@ -32,6 +32,7 @@
 	return "", false
 }
 
+// scanArray is scanValue for an array.
 func (s *fieldScanner) scanArray() (path string, repeated bool) {
 	s.position++
 	for !s.atEnd(']') {
@@ -42,6 +43,7 @@
 	return "", false
 }
 
+// scanObject is scanValue for an object.
 func (s *fieldScanner) scanObject() (path string, repeated bool) {
 	s.position++
 	seen := objectNames{start: len(s.names)}
@@ -61,7 +63,7 @@
 	return "", false
 }
 
-// atEnd passes over the end of a list or object, or to its next item, and reports whether it was the end.
+// atEnd skips the end of an array or object, or the comma before its next item. It reports whether it skipped the end.
 func (s *fieldScanner) atEnd(end byte) bool {
 	s.skipSpace()
 	if s.input[s.position] == ',' {
@@ -75,13 +77,14 @@
 	return true
 }
 
+// skipSpace skips white space.
 func (s *fieldScanner) skipSpace() {
 	for s.input[s.position] == ' ' || s.input[s.position] == '\t' || s.input[s.position] == '\n' || s.input[s.position] == '\r' {
 		s.position++
 	}
 }
 
-// scanString passes over a string and returns it with its quotes.
+// scanString skips a string and returns it with its quotes.
 func (s *fieldScanner) scanString() []byte {
 	start := s.position
 	for s.position++; s.input[s.position] != '"'; s.position++ {
@@ -93,7 +96,7 @@
 	return s.input[start:s.position]
 }
 
-// skipLiteral passes over a number, true, false or null.
+// skipLiteral skips a number, true, false or null.
 func (s *fieldScanner) skipLiteral() {
 	length := bytes.IndexAny(s.input[s.position:], ",]} \t\n\r")
 	if length < 0 {
@@ -102,7 +105,7 @@
 	s.position += length
 }
 
-// fieldName is what a quoted string says.
+// fieldName returns the text of a quoted string.
 func fieldName(quoted []byte) []byte {
 	bare := quoted[1 : len(quoted)-1]
 	if bytes.IndexByte(bare, '\\') < 0 {
@@ -115,13 +118,13 @@
 	return []byte(name)
 }
 
-// objectNames tells whether a name stands in an object already, in the same or other capitals. The names themselves are the
-// scanner's, from outer on.
+// objectNames finds duplicate names in one object, regardless of case. The names are in the scanner's names, from the index start.
 type objectNames struct {
 	start  int
-	folded map[string]bool // of an object of many names
+	folded map[string]bool // case-folded names, for an object with more than maxLinearNames
 }
 
+// has reports whether the object has a name already.
 func (o *objectNames) has(names [][]byte, name []byte) bool {
 	if o.folded != nil {
 		return o.folded[FoldCase(string(name))]
@@ -134,6 +137,7 @@
 	return false
 }
 
+// add appends a name of the object to names.
 func (o *objectNames) add(names [][]byte, name []byte) [][]byte {
 	names = append(names, name)
 	switch own := names[o.start:]; {
--- a/internal/mesh/strictjson/fields_test.go
+++ b/internal/mesh/strictjson/fields_test.go
@@ -11,7 +11,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// duplicateByTokens is the first field that stands twice, by the tokens of encoding/json: slow, and plain.
+// duplicateByTokens returns the path of the first duplicate field. It is a simple and slow reference on the tokens of encoding/json.
 func duplicateByTokens(decoder *json.Decoder, prefix string) (path string, repeated bool) {
 	token, _ := decoder.Token()
 	seen := map[string]bool{}
@@ -37,11 +37,11 @@
 	default:
 		return "", false
 	}
-	decoder.Token() // the end of the list or object
+	decoder.Token() // the end of the array or object
 	return "", false
 }
 
-// manyNames is an object of so many fields, and one more that repeats the first in capitals.
+// manyNames returns an object of n fields and one more that repeats the first in capitals.
 func manyNames(n int) string {
 	var fields []string
 	for k := range n {
@@ -50,6 +50,7 @@
 	return "{" + strings.Join(fields, ",") + `,"FIELD0":1}`
 }
 
+// FuzzDuplicateFields compares fieldScanner with a simple reference.
 func FuzzDuplicateFields(f *testing.F) {
 	for _, text := range []string{
 		`null`, ` [ ] `, `{}`, `"a"`, `-1.5e3`, `{"a":1,"b":{"a":2}}`, `{"a":1,"A":2}`, `{"a":[{"k":1},{"k":1,"\u004b":2}]}`,
--- a/internal/mesh/strictjson/strictjson.go
+++ b/internal/mesh/strictjson/strictjson.go
@@ -1,5 +1,5 @@
-// Package strictjson reads JSON that has to mean the same to every reader. encoding/json takes the last of two fields of one name,
-// fields in other capitals, and replaces what is no text; what is agreed on or let in must not depend on that.
+// Package strictjson checks that JSON means the same to every decoder. encoding/json takes the last of two fields with the same name,
+// ignores the case of field names, and replaces invalid UTF-8. Data that controllers agree on or accept must not depend on that.
 package strictjson
 
 import (
@@ -13,10 +13,10 @@
 	"github.com/zeebo/errs"
 )
 
-// Error is the class of what can't be read, or not in one way.
+// Error is the class of errors in JSON that is invalid or ambiguous.
 var Error = errs.Class("json")
 
-// DecodeSingle decodes one JSON value with nothing behind it.
+// DecodeSingle decodes a single JSON value. It fails if anything but white space follows the value.
 func DecodeSingle(body []byte, target any) error {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	if err := decoder.Decode(target); err != nil {
@@ -28,8 +28,8 @@
 	return nil
 }
 
-// Check refuses JSON that readers may take for different things: text that is not UTF-8, halves of surrogate pairs, which
-// decoders replace, and a field that stands twice in one object, in the same or other capitals.
+// Check rejects JSON that decoders may read differently: text that is not UTF-8, unpaired surrogates, which decoders replace, and
+// duplicate fields of an object, regardless of case.
 func Check(body []byte) error {
 	if !utf8.Valid(body) {
 		return Error.New("the text is not UTF-8")
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// FoldCase is the same text for all texts that decoders of JSON take for the same field name.
+// FoldCase returns a text that is the same for all field names that JSON decoders may treat as equal, which ignore case.
 func FoldCase(name string) string {
 	return strings.Map(func(r rune) rune {
 		least := r
@@ -59,13 +59,13 @@
 	}, name)
 }
 
-// hasLoneSurrogate reports whether a \u escape names half of a surrogate pair without the other half.
+// hasLoneSurrogate reports whether a \u escape stands for an unpaired surrogate.
 func hasLoneSurrogate(body []byte) bool {
 	for at := 0; at < len(body); at++ {
 		if body[at] != '\\' {
 			continue
 		}
-		at++ // whatever is escaped, another backslash too
+		at++ // skips the escaped character, which may be another backslash
 		switch unit := escapedUnit(body[min(at, len(body)):]); {
 		case unit < 0xD800 || unit > 0xDFFF:
 		case unit > 0xDBFF:
@@ -84,7 +84,7 @@
 	return false
 }
 
-// escapedUnit is the unit that text names as uXXXX, 0 if it names none.
+// escapedUnit returns the UTF-16 code unit of an escape uXXXX at the start of text, or 0 if there is none.
 func escapedUnit(text []byte) (unit int) {
 	const hexDigits = 4
 	if len(text) < 1+hexDigits || text[0] != 'u' {
--- a/internal/mesh/telemetry/metrics.go
+++ b/internal/mesh/telemetry/metrics.go
@@ -6,13 +6,13 @@
 	"net/http"
 )
 
-// Gauge is one figure of a process's present state.
+// Gauge is a metric of a process's current state.
 type Gauge struct {
 	Name, Help string
 	Value      any
 }
 
-// WriteMetrics writes gauges and all counters as Prometheus reads them; prefix begins each name.
+// WriteMetrics writes gauges and all counters in the Prometheus text format. Each name starts with prefix.
 func WriteMetrics(w http.ResponseWriter, prefix string, gauges []Gauge, counters *Counters) {
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4")
 	for _, g := range gauges {
@@ -24,6 +24,7 @@
 	counters.Each(func(kind string, n int64) { writeCounter(w, total, kind, n) })
 }
 
+// writeCounter writes the sample of one counter.
 func writeCounter(w io.Writer, name, kind string, n int64) {
 	fmt.Fprintf(w, "%s{kind=%q} %d\n", name, kind, n)
 }
--- a/internal/mesh/telemetry/telemetry.go
+++ b/internal/mesh/telemetry/telemetry.go
@@ -1,5 +1,4 @@
-// Package telemetry is what the mesh's processes say: counters, on an interval where they changed, and a line for each
-// change of state.
+// Package telemetry provides the logger and the counters of the mesh's processes. Changed counters are logged at an interval.
 package telemetry
 
 import (
@@ -14,7 +13,7 @@
 	"github.com/charmbracelet/log"
 )
 
-// NewLogger makes a logger that writes logfmt lines.
+// NewLogger returns a logger that writes lines in the logfmt format.
 func NewLogger(w io.Writer, node string) *slog.Logger {
 	logger := log.NewWithOptions(w, log.Options{
 		Formatter: log.LogfmtFormatter, ReportTimestamp: true, TimeFormat: "15:04:05.000",
@@ -22,20 +21,20 @@
 	return slog.New(logger).With("node", node)
 }
 
-// Counters are named counts since the start.
+// Counters is a set of named counters of events since the process started. It is safe for concurrent use.
 type Counters struct {
 	mu       sync.Mutex
 	names    []string
 	values   map[string]*atomic.Int64
-	reported map[string]int64
+	reported map[string]int64 // values at the last TakeDeltas
 }
 
-// NewCounters makes an empty set.
+// NewCounters returns an empty set.
 func NewCounters() *Counters {
 	return &Counters{values: map[string]*atomic.Int64{}, reported: map[string]int64{}}
 }
 
-// Counter is a counter; whoever counts often keeps it.
+// Counter returns the counter of a name, and creates it at first use. Frequent users should keep the result.
 func (c *Counters) Counter(name string) *atomic.Int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -49,10 +48,10 @@
 	return counter
 }
 
-// Increment counts one.
+// Increment adds 1 to the counter of a name.
 func (c *Counters) Increment(name string) { c.Counter(name).Add(1) }
 
-// Each shows all counts in order of name.
+// Each calls visit for all counters in order of their names.
 func (c *Counters) Each(visit func(name string, n int64)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -61,7 +60,7 @@
 	}
 }
 
-// TakeDeltas is what has moved since it was asked last, as arguments of a line.
+// TakeDeltas returns the changes of the counters since its last call, as arguments of a log line.
 func (c *Counters) TakeDeltas() (args []any) {
 	c.Each(func(name string, n int64) {
 		if d := n - c.reported[name]; d != 0 {
@@ -72,7 +71,7 @@
 	return args
 }
 
-// LogPeriodically writes counters that moved on an interval until it is told to end.
+// LogPeriodically logs the changed counters at an interval until stop is closed.
 func (c *Counters) LogPeriodically(logger *slog.Logger, interval time.Duration, stop <-chan struct{}) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
