--- a/internal/keptconn/keptconn.go
+++ b/internal/keptconn/keptconn.go
@@ -1,10 +1,12 @@
 // Package keptconn closes persistent server connections only between two requests.
 //
-// net/http considers a connection idle until it has read the whole header of the next request. A caller that closes connections by
-// this state may close one during a request: the request is dropped, or it runs and its response can't be sent.
+// net/http considers a connection idle until it has read the whole header of the next request. A caller that closes
+// connections by this state may close one during a request: the request is dropped, or it runs and its response can't be
+// sent.
 //
-// Therefore a connection is closed by the goroutine that serves it, when this goroutine reads the next request and finds no byte of
-// one. Data that arrives after this check has not been read by anybody, and the resulting connection reset tells the client so.
+// Therefore a connection is closed by the goroutine that serves it, when this goroutine reads the next request and finds
+// no byte of one. Data that arrives after this check has not been read by anybody, and the resulting connection reset
+// tells the client so.
 package keptconn
 
 import (
@@ -22,8 +24,8 @@
 // pastDeadline is a read deadline that makes a read return at once.
 var pastDeadline = time.Unix(1, 0)
 
-// Guard tracks whether a connection may be closed. It learns of requests from the connection's reads and from the states that the
-// server reports. The zero value is for a connection on which nothing has been received.
+// Guard tracks whether a connection may be closed. It learns of requests from the connection's reads and from the states
+// that the server reports. The zero value is for a connection on which nothing has been received.
 type Guard struct {
 	mu       sync.Mutex
 	active   bool      // a request, or a part of one, has been received and not been responded to
@@ -31,8 +33,8 @@
 	deadline time.Time // read deadline that the server has set
 }
 
-// Read reads from a server's connection. If it returns no data, the serving goroutine holds no part of a request, so that the
-// connection can be closed.
+// Read reads from a server's connection. If it returns no data, the serving goroutine holds no part of a request, so
+// that the connection can be closed.
 func (g *Guard) Read(conn net.Conn, b []byte) (int, error) {
 	for {
 		n, err := conn.Read(b)
@@ -82,8 +84,8 @@
 	return g.active
 }
 
-// CloseIfIdle wakes the serving goroutine to close the connection, unless a request is active. It reports whether the connection
-// is closing.
+// CloseIfIdle wakes the serving goroutine to close the connection, unless a request is active. It reports whether the
+// connection is closing.
 func (g *Guard) CloseIfIdle(conn net.Conn) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -106,8 +108,8 @@
 	return conn.SetReadDeadline(t)
 }
 
-// Peek reports whether a connection has unread data and whether the peer has closed it, without reading. For a connection that does
-// not support this, it reports neither.
+// Peek reports whether a connection has unread data and whether the peer has closed it, without reading. For a
+// connection that does not support this, it reports neither.
 func Peek(conn net.Conn) (unread, ended bool) {
 	source, can := conn.(syscall.Conn)
 	if !can {
--- a/internal/mesh/apierror/apierror.go
+++ b/internal/mesh/apierror/apierror.go
@@ -1,5 +1,5 @@
-// Package apierror defines the closed list of errors that the mesh reports to its callers, and the response for each. The mesh
-// generates no other error responses.
+// Package apierror defines the closed list of errors that the mesh reports to its callers, and the response for each.
+// The mesh generates no other error responses.
 package apierror
 
 import (
@@ -78,8 +78,8 @@
 // NotExecuted reports whether the response states that the request has not run and never will.
 func (k Kind) NotExecuted() bool { return StatusNotExecuted(responses[k].Status) }
 
-// StatusNotExecuted reports whether the mesh takes a response with a status as a statement that the request has not run and
-// never will.
+// StatusNotExecuted reports whether the mesh takes a response with a status as a statement that the request has not run
+// and never will.
 func StatusNotExecuted(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusMisdirectedRequest, http.StatusRequestTimeout:
@@ -114,8 +114,8 @@
 	return OutcomeUnknown
 }
 
-// Write writes the response of a kind. The Retry-After value is the larger of retryAfter and the kind's own. An empty text stands for
-// the kind's name.
+// Write writes the response of a kind. The Retry-After value is the larger of retryAfter and the kind's own. An empty
+// text stands for the kind's name.
 func Write(w http.ResponseWriter, k Kind, retryAfter time.Duration, text string) {
 	response := responses[k]
 	header := w.Header()
--- a/internal/mesh/apierror/apierror_test.go
+++ b/internal/mesh/apierror/apierror_test.go
@@ -7,7 +7,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// Each kind needs a response with a name of its own. Kinds of requests that may have run must not be reported as not executed.
+// Each kind needs a response with a name of its own. Kinds of requests that may have run must not be reported as not
+// executed.
 func TestEveryKindHasAResponse(t *testing.T) {
 	names := map[string]bool{}
 	for k := Kind(0); k < KindCount; k++ {
--- a/internal/mesh/controller/controller.go
+++ b/internal/mesh/controller/controller.go
@@ -105,7 +105,7 @@
 		option(&chosen)
 	}
 	c := &Controller{
-		settings: b, log: log, counts: telemetry.NewCounters(), caller: rpc.NewClient(chosen.wrapTransport), life: storage.NewDiskID(), epoch: time.Now(),
+		settings: b, log: log, counts: telemetry.NewCounters(), caller: rpc.NewClient(chosen.wrapTransport), life: storage.NewID(), epoch: time.Now(),
 		registry: membership.NewRegistry(), changed: make(chan struct{}), peers: map[string]PeerInfo{}, lastHeard: map[string]int64{},
 		gateway: federationGateway{asking: map[string]bool{}, heard: map[string]int64{}, faults: map[string]string{}, told: map[string]int64{}, doors: map[string]uint64{}},
 		sent:    map[string]uint64{}, wake: make(chan struct{}, 1),
@@ -126,7 +126,7 @@
 		if b.FirstStart && slices.Contains(founders, self) {
 			return consensus.FounderID(self), consensus.Founders(founders, func(string) string { return "" }, tolerated(b.Tolerate))
 		}
-		return storage.NewDiskID(), &consensus.State{} // a stranger: no core that it knows of, so nothing that it could decide
+		return storage.NewID(), &consensus.State{} // a stranger: no core that it knows of, so nothing that it could decide
 	}
 	w, copied, fresh, err := storage.Open(dir, first)
 	for n := 0; err != nil && n < maxDiskAttempts; n++ { // a disk in trouble refuses for seconds
--- a/internal/mesh/controller/vouching.go
+++ b/internal/mesh/controller/vouching.go
@@ -71,9 +71,9 @@
 func (r *replicator) drawIdentity() {
 	r.written.Lock()
 	defer r.written.Unlock()
-	id := storage.NewDiskID()
+	id := storage.NewID()
 	r.mu.Lock()
-	stranger := consensus.Replica{ID: id, Decided: r.replica.Decided, Life: consensus.DiskLife{ID: id, Number: 1, Token: storage.NewDiskID()}}
+	stranger := consensus.Replica{ID: id, Decided: r.replica.Decided, Life: consensus.DiskLife{ID: id, Number: 1, Token: storage.NewID()}}
 	r.mu.Unlock()
 	err := r.save(&stranger)
 	r.mu.Lock()
--- a/internal/mesh/httpserver/connection.go
+++ b/internal/mesh/httpserver/connection.go
@@ -10,7 +10,8 @@
 	"ottershift/internal/keptconn"
 )
 
-// keepAliveMargin is added to a connection's keep-alive timeout: a request that the client sent at the last moment may be in transit.
+// keepAliveMargin is added to a connection's keep-alive timeout: a request that the client sent at the last moment may
+// be in transit.
 const keepAliveMargin = time.Second
 
 // Connection is a client's connection to a Server.
@@ -27,6 +28,7 @@
 // connectionKey is the context key of a request's Connection.
 type connectionKey struct{}
 
+// withConnection adds a connection to the context of its requests.
 func withConnection(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connectionKey{}, c)
 }
@@ -37,6 +39,7 @@
 	return c
 }
 
+// newConnection returns a Connection for an accepted connection.
 func newConnection(accepted net.Conn, keepAlive time.Duration) *Connection {
 	return &Connection{Conn: accepted, idleSince: time.Now(), keepAlive: keepAlive}
 }
--- a/internal/mesh/httpserver/httpserver.go
+++ b/internal/mesh/httpserver/httpserver.go
@@ -1,5 +1,5 @@
-// Package httpserver serves HTTP/1.1. It closes idle connections only between requests (see package keptconn), responds to requests
-// whose handler panics, and counts the requests that a shutdown aborts.
+// Package httpserver serves HTTP/1.1. It closes idle connections only between requests (see package keptconn), responds
+// to requests whose handler panics, and counts the requests that a shutdown aborts.
 package httpserver
 
 import (
@@ -63,7 +63,7 @@
 	if options.WrapListener != nil {
 		listener = options.WrapListener(listener)
 	}
-	s := &Server{
+	server := &Server{
 		options:     options,
 		listener:    listener,
 		panics:      options.Counters.Counter("panics_" + options.Name),
@@ -71,16 +71,16 @@
 		aborted:     options.Counters.Counter("connections_cut_" + options.Name),
 		connections: map[*Connection]struct{}{},
 	}
-	s.http = http.Server{
-		Handler:                      http.HandlerFunc(s.handle),
+	server.http = http.Server{
+		Handler:                      http.HandlerFunc(server.handle),
 		ReadHeaderTimeout:            options.ReadHeaderTimeout,
 		MaxHeaderBytes:               options.MaxHeaderBytes,
 		ErrorLog:                     slog.NewLogLogger(options.Log.Handler(), slog.LevelDebug),
-		ConnState:                    s.trackState,
+		ConnState:                    server.trackState,
 		ConnContext:                  withConnection,
 		DisableGeneralOptionsHandler: true,
 	}
-	return s, nil
+	return server, nil
 }
 
 // Address returns the address that the server listens on.
@@ -108,8 +108,8 @@
 	}
 }
 
-// Shutdown stops accepting connections, closes the idle ones, and waits until the others have received their response or the
-// context ends. It then closes the remaining connections and returns how many of them had an active request.
+// Shutdown stops accepting connections, closes the idle ones, and waits until the others have received their response or
+// the context ends. It then closes the remaining connections and returns how many of them had an active request.
 func (s *Server) Shutdown(ctx context.Context) (aborted int) {
 	s.CloseConnections()
 	s.listener.Close()
@@ -156,8 +156,8 @@
 	return all
 }
 
-// handle serves one request. It logs and counts a panic of the handler, and responds to the client if no response has begun.
-// net/http would only close the connection.
+// handle serves one request. It logs and counts a panic of the handler, and responds to the client if no response has
+// begun. net/http would only close the connection.
 func (s *Server) handle(w http.ResponseWriter, r *http.Request) {
 	tracked := &trackingWriter{ResponseWriter: w, server: s}
 	defer func() {
@@ -180,9 +180,9 @@
 	drainLastRequest(w, r)
 }
 
-// drainLastRequest reads the rest of the last request on a connection, after it has flushed the response. A close with unread bytes
-// resets the connection, and the client may lose a response that it has not read yet. net/http does this by itself, except for
-// requests with a Connection: close header.
+// drainLastRequest reads the rest of the last request on a connection, after it has flushed the response. A close with
+// unread bytes resets the connection, and the client may lose a response that it has not read yet. net/http does this by
+// itself, except for requests with a Connection: close header.
 func drainLastRequest(w http.ResponseWriter, r *http.Request) {
 	if !r.Close || r.ContentLength == 0 {
 		return
--- a/internal/mesh/httpserver/httpserver_test.go
+++ b/internal/mesh/httpserver/httpserver_test.go
@@ -23,17 +23,17 @@
 
 const responseBody = "whole"
 
-func start(t *testing.T, options Options) *Server {
+func startServer(t *testing.T, options Options) *Server {
 	options.Name, options.Counters, options.Log = "test", telemetry.NewCounters(), slog.New(slog.DiscardHandler)
-	s, err := Listen("127.0.0.1:0", options)
+	server, err := Listen("127.0.0.1:0", options)
 	must.NoError(t, err)
-	go s.Serve()
+	go server.Serve()
 	t.Cleanup(func() {
-		now, end := context.WithCancel(context.Background())
-		end()
-		s.Shutdown(now)
+		canceled, cancel := context.WithCancel(context.Background())
+		cancel()
+		server.Shutdown(canceled)
 	})
-	return s
+	return server
 }
 
 func writeResponse(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, responseBody) }
@@ -76,19 +76,20 @@
 // farFuture returns a time at which every idle connection has exceeded its keep-alive timeout.
 func farFuture() time.Time { return time.Now().Add(time.Hour) }
 
-// A connection on which a part of a request has arrived must not be closed as idle, neither at its first request nor at a later one.
+// A connection on which a part of a request has arrived must not be closed as idle, neither at its first request nor at
+// a later one.
 func TestConnectionWithPartialRequestIsNotClosed(t *testing.T) {
-	for _, before := range []int{0, 1} {
-		s := start(t, Options{Handler: http.HandlerFunc(writeResponse), KeepAlive: time.Second})
-		client := dial(t, s.Address())
-		for range before {
+	for _, earlierRequests := range []int{0, 1} {
+		server := startServer(t, Options{Handler: http.HandlerFunc(writeResponse), KeepAlive: time.Second})
+		client := dial(t, server.Address())
+		for range earlierRequests {
 			must.NoError(t, client.write(request(0)))
 			_, err := client.receive()
 			must.NoError(t, err)
 		}
 		must.NoError(t, client.write(fmt.Sprintf(requestHead, 1)))
-		eventually(t, func() bool { all := s.trackedConnections(); return len(all) == 1 && all[0].guard.Active() })
-		s.CloseIdle(farFuture())
+		eventually(t, func() bool { all := server.trackedConnections(); return len(all) == 1 && all[0].guard.Active() })
+		server.CloseIdle(farFuture())
 		must.NoError(t, client.write(requestRest))
 		response, err := client.receive()
 		must.NoError(t, err)
@@ -98,28 +99,28 @@
 
 // SetKeepAlive overrides the server's keep-alive timeout.
 func TestIdleConnectionIsClosedAfterItsKeepAlive(t *testing.T) {
-	s := start(t, Options{KeepAlive: time.Second, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	server := startServer(t, Options{KeepAlive: time.Second, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		ConnectionOf(r).SetKeepAlive(time.Minute)
 		writeResponse(w, r)
 	})})
-	client := dial(t, s.Address())
+	client := dial(t, server.Address())
 	must.NoError(t, client.write(request(1)))
 	_, err := client.receive()
 	must.NoError(t, err)
-	eventually(t, func() bool { return !s.trackedConnections()[0].guard.Active() })
-	s.CloseIdle(time.Now().Add(time.Minute))
+	eventually(t, func() bool { return !server.trackedConnections()[0].guard.Active() })
+	server.CloseIdle(time.Now().Add(time.Minute))
 	must.NoError(t, client.write(request(2)))
 	_, err = client.receive()
 	must.NoError(t, err)
-	eventually(t, func() bool { return !s.trackedConnections()[0].guard.Active() })
-	s.CloseIdle(time.Now().Add(time.Minute + 2*keepAliveMargin))
+	eventually(t, func() bool { return !server.trackedConnections()[0].guard.Active() })
+	server.CloseIdle(time.Now().Add(time.Minute + 2*keepAliveMargin))
 	_, err = client.receive()
 	must.ErrorIs(t, err, io.ErrUnexpectedEOF)
-	eventually(t, func() bool { return len(s.trackedConnections()) == 0 })
+	eventually(t, func() bool { return len(server.trackedConnections()) == 0 })
 }
 
-// sendDuringCloses sends requests over persistent connections while closeIdle keeps closing the idle ones. It counts the requests that
-// were handled, and those of them without a complete response.
+// sendDuringCloses sends requests over persistent connections while closeIdle keeps closing the idle ones. It counts the
+// requests that were handled, and those of them without a complete response.
 func sendDuringCloses(t *testing.T, address string, handledPaths *sync.Map, closeIdle func()) (handled, lost int64) {
 	const clients, requestsPerClient = 8, 300
 	var next, lostCount, handledCount atomic.Int64
@@ -165,8 +166,9 @@
 	return handledCount.Load(), lostCount.Load()
 }
 
-// A request may arrive at any moment while its connection is closed as idle; if it is handled, its response must arrive. A server
-// that picks idle connections by net/http's state, and closes them from another goroutine a moment later, loses responses.
+// A request may arrive at any moment while its connection is closed as idle; if it is handled, its response must arrive.
+// A server that picks idle connections by net/http's state, and closes them from another goroutine a moment later, loses
+// responses.
 func TestIdleCloseLosesNoHandledRequest(t *testing.T) {
 	var handledPaths, stateHandledPaths sync.Map
 	handler := func(handledPaths *sync.Map) http.HandlerFunc {
@@ -176,11 +178,11 @@
 			writeResponse(w, r)
 		}
 	}
-	s := start(t, Options{Handler: handler(&handledPaths), KeepAlive: time.Nanosecond})
-	handled, lost := sendDuringCloses(t, s.Address(), &handledPaths, func() { s.CloseIdle(farFuture()) })
-	t.Logf("closed by the serving goroutine: %d handled, %d without a response, %d connections closed", handled, lost, s.idleClosed.Load())
+	server := startServer(t, Options{Handler: handler(&handledPaths), KeepAlive: time.Nanosecond})
+	handled, lost := sendDuringCloses(t, server.Address(), &handledPaths, func() { server.CloseIdle(farFuture()) })
+	t.Logf("closed by the serving goroutine: %d handled, %d without a response, %d connections closed", handled, lost, server.idleClosed.Load())
 	must.Eq(t, 0, lost)
-	must.Positive(t, s.idleClosed.Load())
+	must.Positive(t, server.idleClosed.Load())
 
 	closer := &stateCloser{conns: map[net.Conn]bool{}}
 	stateServer := &http.Server{Handler: handler(&stateHandledPaths), ConnState: closer.note}
@@ -225,7 +227,7 @@
 // A shutdown completes active requests until its context ends, and counts those that it aborts then.
 func TestShutdownCompletesRequestsAndCountsAborted(t *testing.T) {
 	release, working := make(chan struct{}), make(chan *Connection, 2)
-	s := start(t, Options{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	server := startServer(t, Options{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		working <- ConnectionOf(r)
 		if r.URL.Path == "/1" {
 			<-release
@@ -234,15 +236,15 @@
 		}
 		writeResponse(w, r)
 	})})
-	completed, aborted, idle := dial(t, s.Address()), dial(t, s.Address()), dial(t, s.Address())
+	completed, aborted, idle := dial(t, server.Address()), dial(t, server.Address()), dial(t, server.Address())
 	must.NoError(t, completed.write(request(1)))
 	must.NoError(t, aborted.write(request(2)))
 	active := map[*Connection]bool{<-working: true, <-working: true}
-	eventually(t, func() bool { return len(s.trackedConnections()) == 3 })
-	limit, end := context.WithTimeout(context.Background(), 200*time.Millisecond)
-	defer end()
+	eventually(t, func() bool { return len(server.trackedConnections()) == 3 })
+	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
+	defer cancel()
 	result := make(chan int)
-	go func() { result <- s.Shutdown(limit) }()
+	go func() { result <- server.Shutdown(ctx) }()
 	_, err := idle.receive()
 	must.ErrorIs(t, err, io.ErrUnexpectedEOF)
 	close(release)
@@ -261,9 +263,10 @@
 	must.Eq(t, 1, abortedLocally)
 }
 
-// If a handler panics before it has responded, HandlePanic responds. After that, the connection is closed. Both panics are counted.
+// If a handler panics before it has responded, HandlePanic responds. After that, the connection is closed. Both panics
+// are counted.
 func TestHandlerPanicIsAnsweredAndCounted(t *testing.T) {
-	s := start(t, Options{
+	server := startServer(t, Options{
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path == "/2" {
 				w.Header().Set("Content-Length", "100")
@@ -273,7 +276,7 @@
 		}),
 		HandlePanic: func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusBadGateway) },
 	})
-	client := dial(t, s.Address())
+	client := dial(t, server.Address())
 	must.NoError(t, client.write(request(1)))
 	response, err := client.receive()
 	must.NoError(t, err)
@@ -281,20 +284,20 @@
 	must.NoError(t, client.write(request(2)))
 	_, err = client.receive()
 	must.Error(t, err)
-	must.Eq(t, 2, s.panics.Load())
+	must.Eq(t, 2, server.panics.Load())
 }
 
-// If a response is sent before the request's body has been read, and the connection is then closed, the client must still be able to
-// read the response after it has sent the whole body.
+// If a response is sent before the request's body has been read, and the connection is then closed, the client must
+// still be able to read the response after it has sent the whole body.
 func TestErrorResponseArrivesDespiteUnreadBody(t *testing.T) {
 	refuse := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "0")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
-	s := start(t, Options{Handler: http.HandlerFunc(refuse)})
+	server := startServer(t, Options{Handler: http.HandlerFunc(refuse)})
 	for _, size := range []int{10, 20 << 10, 200 << 10} {
 		for _, connection := range []string{"keep-alive", "close"} {
-			client := dial(t, s.Address())
+			client := dial(t, server.Address())
 			body := make([]byte, size)
 			must.NoError(t, client.write(fmt.Sprintf("POST / HTTP/1.1\r\nHost: a\r\nConnection: %s\r\nContent-Length: %d\r\n\r\n", connection, size)))
 			_, err := client.Write(body)
--- a/internal/mesh/meshctl/backup.go
+++ b/internal/mesh/meshctl/backup.go
@@ -9,6 +9,7 @@
 	"ottershift/internal/mesh/storage"
 )
 
+// backup writes the decided state to a file: from a data directory, or from the core if dir is empty.
 func (c *client) backup(file, dir string) error {
 	var state *consensus.State
 	if dir != "" {
@@ -18,7 +19,7 @@
 		}
 		state = replica.Decided
 		if replica.Accepted != nil {
-			fmt.Fprintf(c.out, "the disk has accepted slot %d (version %d), of which it does not know whether it was decided: not in this backup\n", replica.Accepted.Value.Index, replica.Accepted.Value.Edition)
+			fmt.Fprintf(c.out, "the disk has accepted slot %d (version %d), but does not know whether it was decided: not in this backup\n", replica.Accepted.Value.Index, replica.Accepted.Value.Edition)
 		}
 	} else {
 		c.newest = true
@@ -39,6 +40,7 @@
 	return err
 }
 
+// restore writes a backup to an empty data directory, as a core with a single member.
 func (c *client) restore(file, dir, address, zone string) error {
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -52,19 +54,19 @@
 	if err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(c.out, "%s holds %s, a core of one, version %d.\nLost, if they were acknowledged: all changes after slot %d of the core that was.\n"+
-		"Stop what is left of that core before this one starts; its disks count as strangers and are taken in anew, emptied.\n", dir, id, state.Edition, state.Index)
+	_, err = fmt.Fprintf(c.out, "%s holds %s, a core of one, version %d.\nLost, if they were acknowledged: all changes after slot %d of the former core.\n"+
+		"Stop the remaining processes of the former core before you start this one. Their disks are no members of the new core: empty them, and they can join it.\n", dir, id, state.Edition, state.Index)
 	return err
 }
 
-// printBounds prints what follows from settings.
+// printBounds prints the bounds that follow from a settings file.
 func (c *client) printBounds(file string) error {
 	meshSettings, err := settings.Load(file)
 	if err != nil {
 		return &exitError{err, Refused}
 	}
-	for _, l := range DescribeBounds(meshSettings) {
-		fmt.Fprintln(c.out, l)
+	for _, line := range DescribeBounds(meshSettings) {
+		fmt.Fprintln(c.out, line)
 	}
 	return nil
 }
--- a/internal/mesh/meshctl/bounds.go
+++ b/internal/mesh/meshctl/bounds.go
@@ -14,26 +14,27 @@
 	"ottershift/internal/mesh/settings"
 )
 
+// nodeRecord is a proxy in the controllers' registry.
 type nodeRecord = membership.Record
 
-// DescribeBounds are the promises that follow from settings, each with its formula.
+// DescribeBounds returns lines with the bounds that the mesh keeps under given settings, each with its formula.
 func DescribeBounds(meshSettings *settings.Settings) (lines []string) {
 	add := func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) }
 	add("%s in %s: settings read", meshSettings.Node, meshSettings.Zone)
 	coreSize := 2*meshSettings.Tolerate.Machines + 1
 	state := consensus.State{Core: make([]consensus.Member, coreSize), Tolerate: meshSettings.Tolerate.Machines}
-	add("core: %d members bear the loss of %d disks; a change is synced on max(majority, Tolerate+1) = %d before it is acknowledged", coreSize, meshSettings.Tolerate.Machines, state.Quorum())
-	add("repair: the place of a member that is gone is a spare's, and its disk holds the state, within ReplaceAfter + 2·turn + step timeout + 4·(sync + round trip) = %v + 4·(sync + round trip), of CatchUp %v: up to %v for a sync and a round trip", controller.RepairBound(0), meshSettings.Bounds.CatchUp, controller.LongestRepairStep(meshSettings.Bounds.CatchUp))
+	add("core: %d members tolerate the loss of %d disks; a change is synced on max(majority, Tolerate+1) = %d before it is acknowledged", coreSize, meshSettings.Tolerate.Machines, state.Quorum())
+	add("repair: a spare replaces a lost member, and its disk holds the state, within ReplaceAfter + 2·turn + step timeout + 4·(sync + round trip) = %v + 4·(sync + round trip), of CatchUp %v: up to %v for a sync and a round trip", controller.RepairBound(0), meshSettings.Bounds.CatchUp, controller.LongestRepairStep(meshSettings.Bounds.CatchUp))
 	watchTimeout := proxy.WatchTimeout
-	add("news: a silent core process is left after %v; two in a row %v, of Config %v", watchTimeout, 2*watchTimeout, meshSettings.Bounds.Config)
-	add("closing: nothing passes to an upstream later than 3/4 of Drain = %v after its acknowledgement, of Drain %v", meshSettings.Bounds.Drain*3/4, meshSettings.Bounds.Drain)
-	add("duties: another process has them after %v of silence, and acts after %v more", time.Duration(consensus.DutyAfter), controller.GracePeriod)
+	add("configuration: a proxy leaves an unresponsive core process after %v, two in a row after %v, of Config %v", watchTimeout, 2*watchTimeout, meshSettings.Bounds.Config)
+	add("closing: no request passes to an upstream later than 3/4 of Drain = %v after its acknowledgement, of Drain %v", meshSettings.Bounds.Drain*3/4, meshSettings.Bounds.Drain)
+	add("duties: another process takes them over after %v without a sign of life, and acts after %v more", time.Duration(consensus.DutyAfter), controller.GracePeriod)
 	limit := ratelimit.Limit{Rate: 100, Surge: 100, Window: int64(meshSettings.Bounds.QuotaWindow), Over: meshSettings.Bounds.QuotaOver, Slack: meshSettings.Bounds.QuotaSlack}
 	add("quota, for 100 a second and a surge of 100: R·W + Reserve = %.0f in %v, allowed (R·W + S)·(1 + over) + slack = %.0f", limit.Rate*meshSettings.Bounds.QuotaWindow.Seconds()+limit.Reserve(), meshSettings.Bounds.QuotaWindow, limit.Bound())
 	credit := burstcredit.Terms{Extra: 100}
 	spent, stranded, known := credit.Bounds(int64(meshSettings.Bounds.QuotaWindow))
-	add("burst credit, for 100 a second beyond the rate: Extra·W + Extra·Ahead = %.0f in %v; stranded by balancers cut off Extra·Ahead = %.0f, for %v at most; identities kept Extra·Window = %.0f", spent, meshSettings.Bounds.QuotaWindow, stranded, time.Duration(burstcredit.Strand), known)
-	add("partners: a narrowing is done (LeaveFor + Fresh)·(1 + Drift) + 3·Every = %v after it was agreed, and two agreed changes", (time.Duration(float64(federation.LeaveFor+federation.Fresh)*(1+federation.Drift)) + 3*time.Duration(federation.Every)).Round(time.Millisecond))
-	add("repeats: of n balancers each sends %.3g of its first sends and %.3g/n beyond them in %v; allowed %.3g and %.3g over all", meshSettings.Bounds.RetryRatio/2, meshSettings.Bounds.RetrySlack/2, meshSettings.Bounds.RetryWindow, meshSettings.Bounds.RetryRatio, meshSettings.Bounds.RetrySlack)
+	add("burst credit, for 100 a second beyond the rate: Extra·W + Extra·Ahead = %.0f in %v; stranded at unreachable balancers Extra·Ahead = %.0f, for at most %v; identities kept Extra·Window = %.0f", spent, meshSettings.Bounds.QuotaWindow, stranded, time.Duration(burstcredit.Strand), known)
+	add("partners: a restriction is in force (LeaveFor + Fresh)·(1 + Drift) + 3·Every = %v after it was agreed on, plus two agreed changes", (time.Duration(float64(federation.LeaveFor+federation.Fresh)*(1+federation.Drift)) + 3*time.Duration(federation.Every)).Round(time.Millisecond))
+	add("retries: each of n balancers sends %.3g of its first attempts and %.3g/n beyond them in %v; allowed %.3g and %.3g over all", meshSettings.Bounds.RetryRatio/2, meshSettings.Bounds.RetrySlack/2, meshSettings.Bounds.RetryWindow, meshSettings.Bounds.RetryRatio, meshSettings.Bounds.RetrySlack)
 	return lines
 }
--- a/internal/mesh/meshctl/configuration.go
+++ b/internal/mesh/meshctl/configuration.go
@@ -13,7 +13,8 @@
 	"ottershift/internal/mesh/routing"
 )
 
-// callAPI is an operator's call, at one process after the other as long as the answer is unclear.
+// callAPI makes a call to the control API. It tries the addresses in turn, up to three times each, until a response is
+// conclusive.
 func (c *client) callAPI(call string, baseVersion int64, body []byte) ([]byte, error) {
 	if err := c.requireAddresses(); err != nil {
 		return nil, err
@@ -45,21 +46,23 @@
 			failures.Add(Error.New("%s: %d %s", address, response.StatusCode, strings.TrimSpace(string(text))))
 		}
 	}
-	return nil, &exitError{Error.New("nobody gave a clear answer; it may or may not count: %v", failures.Err()), OutcomeUnknown}
+	return nil, &exitError{Error.New("no conclusive response, so that a change may or may not take effect: %v", failures.Err()), OutcomeUnknown}
 }
 
+// fetch prints the current configuration, and a warning if it is ambiguous.
 func (c *client) fetch() error {
 	text, err := c.callAPI("timetable.fetch", -1, nil)
 	if err != nil {
 		return err
 	}
 	if configuration, err := routing.Load(text); err == nil && configuration.Ambiguous() != nil {
-		fmt.Fprintf(os.Stderr, "in force, and refused as the next change, since it means two things:\n%v\n", configuration.Ambiguous())
+		fmt.Fprintf(os.Stderr, "the configuration is in force, but would be refused as a change, since it is ambiguous:\n%v\n", configuration.Ambiguous())
 	}
 	_, err = fmt.Fprintln(c.out, string(text))
 	return err
 }
 
+// readInput reads a file, or standard input for the name "-".
 func readInput(file string) ([]byte, error) {
 	if file == "-" {
 		return io.ReadAll(os.Stdin)
@@ -67,6 +70,7 @@
 	return os.ReadFile(file)
 }
 
+// put makes a change of the configuration. It builds on the current version if baseVersion is below 0.
 func (c *client) put(call, file string, baseVersion int64) error {
 	body, err := readInput(file)
 	if err != nil {
@@ -82,15 +86,15 @@
 	if _, err := c.callAPI(call, baseVersion, body); err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(c.out, "taken on top of version %d\n", baseVersion)
+	_, err = fmt.Fprintf(c.out, "applied on top of version %d\n", baseVersion)
 	return err
 }
 
-// currentVersion is the version that is, 0 for none yet.
+// currentVersion returns the version of the current configuration, 0 if there is none yet.
 func (c *client) currentVersion() (int64, error) {
 	text, err := c.callAPI("timetable.fetch", -1, nil)
 	if refusal, is := err.(*exitError); is && refusal.code == Refused {
-		return 0, nil // nothing has been put yet
+		return 0, nil // no configuration has been stored yet
 	}
 	if err != nil {
 		return 0, err
@@ -102,6 +106,7 @@
 	return configuration.Edition, nil
 }
 
+// checkConfiguration validates a configuration file without the core.
 func (c *client) checkConfiguration(file string) error {
 	body, err := readInput(file)
 	if err != nil {
@@ -115,7 +120,7 @@
 	return err
 }
 
-// diff names what a file would add, alter and take away.
+// diff prints what a configuration file would add, change and remove.
 func (c *client) diff(file string) error {
 	body, err := readInput(file)
 	if err != nil {
@@ -137,8 +142,8 @@
 	if c.json {
 		return c.printJSON(lines)
 	}
-	for _, l := range lines {
-		fmt.Fprintln(c.out, l)
+	for _, line := range lines {
+		fmt.Fprintln(c.out, line)
 	}
 	return nil
 }
--- a/internal/mesh/meshctl/credit.go
+++ b/internal/mesh/meshctl/credit.go
@@ -12,38 +12,38 @@
 	"ottershift/internal/mesh/settings"
 )
 
-// creditAccounts are all tenants' burst credit, as the core has agreed on it.
+// creditAccounts returns all tenants' burst credit as decided by the core.
 func (c *client) creditAccounts() ([]burstcredit.AccountStatus, *controller.Status, error) {
-	s, err := c.queryStatus()
+	status, err := c.queryStatus()
 	if err != nil {
 		return nil, nil, err
 	}
-	b, err := burstcredit.Read(s.State.Credit)
+	ledger, err := burstcredit.Read(status.State.Credit)
 	if err != nil {
 		return nil, nil, Error.Wrap(err)
 	}
-	return b.Status(), s, nil
+	return ledger.Status(), status, nil
 }
 
-// showCredit shows accounts, of one tenant where it is named.
+// showCredit prints the burst credit of one tenant, or of all if tenant is empty.
 func (c *client) showCredit(tenant string) error {
-	all, s, err := c.creditAccounts()
+	accounts, status, err := c.creditAccounts()
 	if err != nil {
 		return err
 	}
-	shown := all[:0]
-	for _, a := range all {
+	shown := accounts[:0]
+	for _, a := range accounts {
 		if tenant == "" || a.Tenant == tenant {
 			shown = append(shown, a)
 		}
 	}
 	if tenant != "" && len(shown) == 0 {
-		return &exitError{Error.New("%q has no account", tenant), Refused}
+		return &exitError{Error.New("tenant %q has no account", tenant), Refused}
 	}
 	if c.json {
 		return c.printJSON(shown)
 	}
-	c.printSource(s)
+	c.printSource(status)
 	return c.printTable("TENANT\tBALANCE\tOUT\tEARNED\tGRANTED\tSPENT\tEXPIRED\tGAP\tSTATE", func(w io.Writer) {
 		for _, a := range shown {
 			state := "open"
@@ -55,47 +55,49 @@
 	})
 }
 
-// showCreditHistory is the last lines of an account; their times are of the book, which runs while somebody keeps it.
+// showCreditHistory prints the last entries of an account. Their times are those of the ledger, whose clock runs only
+// while a coordinator keeps it.
 func (c *client) showCreditHistory(tenant string) error {
-	all, s, err := c.creditAccounts()
+	accounts, status, err := c.creditAccounts()
 	if err != nil {
 		return err
 	}
-	for _, a := range all {
-		if a.Tenant != tenant {
+	for _, account := range accounts {
+		if account.Tenant != tenant {
 			continue
 		}
 		if c.json {
-			return c.printJSON(a.History)
+			return c.printJSON(account.History)
 		}
-		c.printSource(s)
+		c.printSource(status)
 		return c.printTable("AT\tWHAT\tTOKENS\tWHO\tWHY", func(w io.Writer) {
-			for _, e := range a.History {
-				fmt.Fprintf(w, "%s\t%s\t%.1f\t%s\t%s\n", time.Duration(e.At).Round(time.Second), e.What, e.Tokens, e.Who, e.Why)
+			for _, entry := range account.History {
+				fmt.Fprintf(w, "%s\t%s\t%.1f\t%s\t%s\n", time.Duration(entry.At).Round(time.Second), entry.What, entry.Tokens, entry.Who, entry.Why)
 			}
 		})
 	}
-	return &exitError{Error.New("%q has no account", tenant), Refused}
+	return &exitError{Error.New("tenant %q has no account", tenant), Refused}
 }
 
-// orderCredit has the core carry out an operator's word on an account. Invariant: asked again elsewhere, a grant of which nobody knows
-// whether it was agreed would count twice.
+// orderCredit sends an operator's order on a burst credit account to the core. It is not retried: a grant whose outcome
+// is unknown could take effect twice.
 func (c *client) orderCredit(order *controller.Order) error {
 	account := &burstcredit.AccountStatus{}
-	if err := c.sendOrder(rpc.PathCreditOrder, order, account, "look at the account's history before it is ordered again"); err != nil {
+	if err := c.sendOrder(rpc.PathCreditOrder, order, account, "check the account's history before you repeat the order"); err != nil {
 		return err
 	}
 	_, err := fmt.Fprintf(c.out, "%s: balance %.1f, out %.1f, spent %.0f\n", account.Tenant, account.Balance, account.Out, account.Spent)
 	return err
 }
 
-// have gives one process of the core an order, once; advice is for when nobody knows what came of it.
+// sendOrder sends an order to one process of the core, once. advice is added to the error, for an order whose outcome is
+// unknown.
 func (c *client) sendOrder(path string, order, response any, advice string) error {
 	if err := c.requireAddresses(); err != nil {
 		return err
 	}
 	if c.internalPort == 0 {
-		return &exitError{Error.New("the inner port is not known: --inner PORT, or a settings file for --core"), Usage}
+		return &exitError{Error.New("unknown inner port: use --inner PORT, or a settings file for --core"), Usage}
 	}
 	rpcClient := rpc.NewClient(nil)
 	defer rpcClient.Close()
--- a/internal/mesh/meshctl/meshctl.go
+++ b/internal/mesh/meshctl/meshctl.go
@@ -1,4 +1,5 @@
-// Package keeper is the operators' command line: it asks processes of the core, and shows each answer with its age.
+// Package meshctl implements the operators' command line. It queries the controllers, which are called the core here,
+// and prints each result with its age.
 package meshctl
 
 import (
@@ -22,117 +23,119 @@
 // Exit codes.
 const (
 	OK             = 0
-	Failed         = 1 // nobody answered, or a file could not be had
-	Refused        = 2 // the core refuses: invalid, or another version is current
-	OutcomeUnknown = 3 // no majority answered in time: it may or may not count
-	Usage          = 64
+	Failed         = 1  // no process responded, or a file could not be read or written
+	Refused        = 2  // the core refuses the change: invalid, or another version is current
+	OutcomeUnknown = 3  // no majority responded in time: the change may or may not take effect
+	Usage          = 64 // invalid command line
 )
 
-// Error is the class of what is told to operators.
+// Error is the class of errors that are reported to operators.
 var Error = errs.Class("meshctl")
 
+// exitError is an error with the exit code of the command.
 type exitError struct {
 	error
 	code int
 }
 
+// client runs the commands.
 type client struct {
 	out          io.Writer
-	seeds        []string // control addresses
-	internalPort int
-	json         bool
-	newest       bool
-	timeout      time.Duration
+	seeds        []string      // control addresses
+	internalPort int           // of the core's processes
+	json         bool          // print results as JSON
+	newest       bool          // have the core confirm the status by a majority
+	timeout      time.Duration // of a call to one process
 }
 
-// Run carries a command line out and returns the exit code.
+// Run runs a command line and returns the exit code.
 func Run(args []string, out, errors io.Writer) int {
 	controlClient := &client{out: out}
-	app := kingpin.New("meshctl", "Looks after a mesh's core: asks it, changes its timetable, saves and restores what it has agreed.")
+	app := kingpin.New("meshctl", "Queries a mesh's core, changes its configuration, and backs up and restores its state.")
 	app.Terminate(nil)
 	app.UsageWriter(errors)
 	app.ErrorWriter(errors)
-	var ended bool
-	app.Terminate(func(int) { ended = true })
-	core := app.Flag("core", "Control addresses of the core, with commas; or a settings file of the mesh.").Envar("BEEKEEPER_CORE").String()
-	inner := app.Flag("inner", "First inner port of the core.").Envar("BEEKEEPER_INNER").Int()
-	app.Flag("json", "Answer as JSON.").BoolVar(&controlClient.json)
-	app.Flag("timeout", "For each process that is asked.").Default("2s").DurationVar(&controlClient.timeout)
-	app.Flag("newest", "Have the core make sure that what is shown is the newest.").BoolVar(&controlClient.newest)
+	var helpShown bool
+	app.Terminate(func(int) { helpShown = true })
+	core := app.Flag("core", "Control addresses of the core, separated by commas, or a settings file of the mesh.").Envar("BEEKEEPER_CORE").String()
+	internalPort := app.Flag("inner", "First inner port (for calls between processes) of the core.").Envar("BEEKEEPER_INNER").Int()
+	app.Flag("json", "Print results as JSON.").BoolVar(&controlClient.json)
+	app.Flag("timeout", "Timeout of a call to one process.").Default("2s").DurationVar(&controlClient.timeout)
+	app.Flag("newest", "Have a majority of the core confirm that the status is the newest.").BoolVar(&controlClient.newest)
 
-	status := app.Command("status", "One line for each process of the core.")
-	coreCmd := app.Command("core", "Who is the core, who votes, how far each is.")
-	nodes := app.Command("nodes", "Balancers with the age of their leases.")
-	upstreams := app.Command("upstreams", "Upstreams by service.")
-	duties := app.Command("duties", "Who has the duties, and since which reign.")
-	quotas := app.Command("quotas", "Tenants' accounts at the bank, beside their bounds.")
-	credit := app.Command("credit", "Tenants' burst credit.")
-	creditShow := credit.Command("show", "Accounts, each with what it does not add up to.").Default()
-	creditOf := creditShow.Arg("tenant", "Of this one alone.").String()
-	creditHistory := credit.Command("history", "The last lines of an account.")
-	historyOf := creditHistory.Arg("tenant", "Whose.").Required().String()
+	status := app.Command("status", "Show the processes of the core.")
+	coreMembers := app.Command("core", "Show the members of the core, whether they vote, and their progress.")
+	nodes := app.Command("nodes", "Show balancers with the age of their leases.")
+	upstreams := app.Command("upstreams", "Show upstreams by service.")
+	duties := app.Command("duties", "Show which process has which duty, and since which reign (coordinator epoch).")
+	quotas := app.Command("quotas", "Show tenants' quotas and their bounds.")
+	credit := app.Command("credit", "Show and change tenants' burst credit.")
+	creditShow := credit.Command("show", "Show accounts, each with its accounting gap.").Default()
+	creditTenant := creditShow.Arg("tenant", "Show this tenant only.").String()
+	creditHistory := credit.Command("history", "Show the last entries of an account.")
+	historyTenant := creditHistory.Arg("tenant", "Tenant of the account.").Required().String()
 	creditOrder := &controller.Order{}
-	creditGrant := credit.Command("grant", "Give a tenant credit, or with a number below 0 take some away.")
-	creditGrant.Arg("tenant", "Whom.").Required().StringVar(&creditOrder.Tenant)
-	creditGrant.Arg("tokens", "Requests.").Required().Float64Var(&creditOrder.Tokens)
-	creditFreeze := credit.Command("freeze", "Stop what an account earns and gives out.")
-	creditFreeze.Arg("tenant", "Whose.").Required().StringVar(&creditOrder.Tenant)
-	creditFreeze.Flag("thaw", "Let it go on.").BoolVar(&creditOrder.Thaw)
+	creditGrant := credit.Command("grant", "Grant credit to a tenant, or withdraw it with a negative number.")
+	creditGrant.Arg("tenant", "Tenant that receives the credit.").Required().StringVar(&creditOrder.Tenant)
+	creditGrant.Arg("tokens", "Number of requests.").Required().Float64Var(&creditOrder.Tokens)
+	creditFreeze := credit.Command("freeze", "Stop an account from earning and granting credit.")
+	creditFreeze.Arg("tenant", "Tenant of the account.").Required().StringVar(&creditOrder.Tenant)
+	creditFreeze.Flag("thaw", "Unfreeze the account.").BoolVar(&creditOrder.Thaw)
 	for _, c := range []*kingpin.CmdClause{creditGrant, creditFreeze} {
-		c.Flag("who", "Who orders it.").Required().StringVar(&creditOrder.Who)
-		c.Flag("why", "Why.").Required().StringVar(&creditOrder.Why)
+		c.Flag("who", "Person who gives the order.").Required().StringVar(&creditOrder.Who)
+		c.Flag("why", "Reason for the order.").Required().StringVar(&creditOrder.Why)
 	}
-	partners := app.Command("partners", "Other meshes whose exports are used.")
-	partnersList := partners.Command("list", "Who exports what, what narrows, and how many balancers act on it.").Default()
-	partnersShow := partners.Command("show", "One partner's table, as it is in force.")
-	partnerOf := partnersShow.Arg("partner", "Whose.").Required().String()
+	partners := app.Command("partners", "Show and control partners: other meshes whose exports are used.")
+	partnersList := partners.Command("list", "Show partners' exports, pending restrictions, and how many balancers apply them.").Default()
+	partnersShow := partners.Command("show", "Show the exports of one partner that are in force.")
+	shownPartner := partnersShow.Arg("partner", "Name of the partner.").Required().String()
 	partnerOrder := &controller.PartnerOrder{}
-	partnersHold := partners.Command("hold", "Close a partner: nothing is sent there.")
-	partnersHold.Flag("release", "Open it again.").BoolVar(&partnerOrder.Release)
-	partnersDrop := partners.Command("drop", "Forget what a partner said, so that it may begin with any edition again.")
+	partnersHold := partners.Command("hold", "Hold a partner: send no requests to it.")
+	partnersHold.Flag("release", "Release a held partner.").BoolVar(&partnerOrder.Release)
+	partnersDrop := partners.Command("drop", "Forget a partner's exports, so that it may start again with any edition.")
 	for _, c := range []*kingpin.CmdClause{partnersHold, partnersDrop} {
-		c.Arg("partner", "Which.").Required().StringVar(&partnerOrder.Partner)
-		c.Flag("who", "Who orders it.").Required().StringVar(&partnerOrder.Who)
-		c.Flag("why", "Why.").Required().StringVar(&partnerOrder.Why)
+		c.Arg("partner", "Name of the partner.").Required().StringVar(&partnerOrder.Partner)
+		c.Flag("who", "Person who gives the order.").Required().StringVar(&partnerOrder.Who)
+		c.Flag("why", "Reason for the order.").Required().StringVar(&partnerOrder.Why)
 	}
-	watch := app.Command("watch", "Tell changes of version, core, duties and balancers as they come.")
-	watchFor := watch.Flag("for", "How long.").Default("1h").Duration()
-	table := app.Command("timetable", "The configuration.")
-	fetch := table.Command("fetch", "The newest, whole.")
-	replace := table.Command("replace", "Put a whole configuration.")
+	watch := app.Command("watch", "Print changes of version, core, duties and balancers as they happen.")
+	watchFor := watch.Flag("for", "Duration of the watch.").Default("1h").Duration()
+	configuration := app.Command("timetable", "Show and change the configuration.")
+	fetch := configuration.Command("fetch", "Print the current configuration.")
+	replace := configuration.Command("replace", "Replace the whole configuration.")
 	replaceFile := replace.Arg("file", "JSON, - for standard input.").Required().String()
-	replaceOn := replace.Flag("on", "Version that it builds on; the current one where this is left out.").Default("-1").Int64()
-	amend := table.Command("amend", "Alter items by name.")
+	replaceBase := replace.Flag("on", "Version that the change builds on; by default the current one.").Default("-1").Int64()
+	amend := configuration.Command("amend", "Change items of the configuration by name.")
 	amendFile := amend.Arg("file", "JSON, - for standard input.").Required().String()
-	amendOn := amend.Flag("on", "Version that it builds on.").Default("-1").Int64()
-	diff := table.Command("diff", "What a file would change.")
+	amendBase := amend.Flag("on", "Version that the change builds on.").Default("-1").Int64()
+	diff := configuration.Command("diff", "Show what a configuration file would change.")
 	diffFile := diff.Arg("file", "JSON.").Required().String()
-	check := table.Command("check", "Name every fault of a configuration, without a core.")
+	check := configuration.Command("check", "Report all errors in a configuration file, without a core.")
 	checkFile := check.Arg("file", "JSON.").Required().String()
-	backup := app.Command("backup", "Save what is agreed: of a core that answers, or from the disk of a process that is stopped.")
-	backupFile := backup.Arg("file", "Where to.").Required().String()
-	backupDir := backup.Flag("from", "Data folder of a stopped process.").String()
-	restore := app.Command("restore", "Lay a backup on an empty disk as a core of one, where a majority of the core is gone for good.")
-	restoreFile := restore.Arg("file", "The backup.").Required().String()
-	restoreDir := restore.Flag("dir", "Empty data folder of the process that begins the new core.").Required().String()
+	backup := app.Command("backup", "Save the agreed state, from a running core or from the disk of a stopped process.")
+	backupFile := backup.Arg("file", "File to write.").Required().String()
+	backupDir := backup.Flag("from", "Data directory of a stopped process.").String()
+	restore := app.Command("restore", "Write a backup to an empty disk as a core of one, after a majority of the core is permanently lost.")
+	restoreFile := restore.Arg("file", "Backup file.").Required().String()
+	restoreDir := restore.Flag("dir", "Empty data directory of the first process of the new core.").Required().String()
 	restoreAt := restore.Flag("at", "Inner address of that process.").Required().String()
-	restoreZone := restore.Flag("zone", "Its zone.").Required().String()
-	settings := app.Command("check", "Read a settings file and print the bounds that follow from it.")
-	settingsFile := settings.Arg("file", "Settings file.").Required().String()
+	restoreZone := restore.Flag("zone", "Zone of that process.").Required().String()
+	checkSettings := app.Command("check", "Read a settings file and print the bounds that follow from it.")
+	settingsFile := checkSettings.Arg("file", "Settings file.").Required().String()
 
 	command, err := app.Parse(args)
-	if ended {
+	if helpShown {
 		return OK
 	}
 	if err != nil {
 		fmt.Fprintf(errors, "meshctl: %v\n", err)
 		return Usage
 	}
-	if err = controlClient.resolveAddresses(*core, *inner); err == nil {
+	if err = controlClient.resolveAddresses(*core, *internalPort); err == nil {
 		switch command {
 		case status.FullCommand():
 			err = controlClient.showStatuses()
-		case coreCmd.FullCommand():
+		case coreMembers.FullCommand():
 			err = controlClient.show((*client).showCore)
 		case nodes.FullCommand():
 			err = controlClient.show((*client).showNodes)
@@ -143,9 +146,9 @@
 		case quotas.FullCommand():
 			err = controlClient.showQuotas()
 		case creditShow.FullCommand():
-			err = controlClient.showCredit(*creditOf)
+			err = controlClient.showCredit(*creditTenant)
 		case creditHistory.FullCommand():
-			err = controlClient.showCreditHistory(*historyOf)
+			err = controlClient.showCreditHistory(*historyTenant)
 		case creditGrant.FullCommand():
 			err = controlClient.orderCredit(creditOrder)
 		case creditFreeze.FullCommand():
@@ -154,7 +157,7 @@
 		case partnersList.FullCommand():
 			err = controlClient.showPartners()
 		case partnersShow.FullCommand():
-			err = controlClient.showExports(*partnerOf)
+			err = controlClient.showExports(*shownPartner)
 		case partnersHold.FullCommand():
 			partnerOrder.Hold = !partnerOrder.Release
 			err = controlClient.orderPartner(partnerOrder)
@@ -166,9 +169,9 @@
 		case fetch.FullCommand():
 			err = controlClient.fetch()
 		case replace.FullCommand():
-			err = controlClient.put("timetable.replace", *replaceFile, *replaceOn)
+			err = controlClient.put("timetable.replace", *replaceFile, *replaceBase)
 		case amend.FullCommand():
-			err = controlClient.put("timetable.amend", *amendFile, *amendOn)
+			err = controlClient.put("timetable.amend", *amendFile, *amendBase)
 		case diff.FullCommand():
 			err = controlClient.diff(*diffFile)
 		case check.FullCommand():
@@ -177,7 +180,7 @@
 			err = controlClient.backup(*backupFile, *backupDir)
 		case restore.FullCommand():
 			err = controlClient.restore(*restoreFile, *restoreDir, *restoreAt, *restoreZone)
-		case settings.FullCommand():
+		case checkSettings.FullCommand():
 			err = controlClient.printBounds(*settingsFile)
 		}
 	}
@@ -191,7 +194,7 @@
 	return Failed
 }
 
-// resolveAddresses finds whom to ask: addresses, or the seeds of a settings file.
+// resolveAddresses sets the core's addresses, from a list of addresses or from the seeds of a settings file.
 func (c *client) resolveAddresses(core string, internalPort int) error {
 	c.internalPort = internalPort
 	if core == "" {
@@ -212,14 +215,15 @@
 	return nil
 }
 
+// requireAddresses returns an error if the core's addresses are unknown.
 func (c *client) requireAddresses() error {
 	if len(c.seeds) == 0 {
-		return &exitError{Error.New("whom to ask: --core ADDRESS,... or a settings file, or BEEKEEPER_CORE"), Usage}
+		return &exitError{Error.New("no core address: use --core ADDRESS,... or a settings file, or set BEEKEEPER_CORE"), Usage}
 	}
 	return nil
 }
 
-// queryStatus has the first process that answers tell its status.
+// queryStatus returns the status of the first process that responds.
 func (c *client) queryStatus() (*controller.Status, error) {
 	if err := c.requireAddresses(); err != nil {
 		return nil, err
@@ -235,9 +239,10 @@
 	return nil, failures.Err()
 }
 
+// statusOf returns the status of the process at an address.
 func (c *client) statusOf(address string) (*controller.Status, error) {
 	if c.internalPort == 0 {
-		return nil, &exitError{Error.New("the inner port is not known: --inner PORT, or a settings file for --core"), Usage}
+		return nil, &exitError{Error.New("unknown inner port: use --inner PORT, or a settings file for --core"), Usage}
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), c.timeout)
 	defer cancel()
@@ -247,6 +252,7 @@
 	return status, rpcClient.Call(ctx, settings.InternalAddressOf(settings.Host(address), c.internalPort), rpc.PathStatus, controller.StatusRequest{Newest: c.newest}, status)
 }
 
+// printTable prints a table with aligned columns.
 func (c *client) printTable(head string, rows func(writer io.Writer)) error {
 	writer := tabwriter.NewWriter(c.out, 2, 8, 2, ' ', 0)
 	fmt.Fprintln(writer, head)
@@ -254,12 +260,14 @@
 	return writer.Flush()
 }
 
-func (c *client) printJSON(v any) error {
+// printJSON prints a value as indented JSON.
+func (c *client) printJSON(value any) error {
 	encoder := json.NewEncoder(c.out)
 	encoder.SetIndent("", "  ")
-	return encoder.Encode(v)
+	return encoder.Encode(value)
 }
 
+// show prints a view of the core's status.
 func (c *client) show(print func(*client, *controller.Status) error) error {
 	status, err := c.queryStatus()
 	if err != nil {
--- a/internal/mesh/meshctl/partners.go
+++ b/internal/mesh/meshctl/partners.go
@@ -14,13 +14,13 @@
 	"ottershift/internal/mesh/rpc"
 )
 
-// showPartners shows who exports what, since when, and who acts on it.
+// showPartners prints the partner meshes with their exports and state, and how many proxies apply the latest revision.
 func (c *client) showPartners() error {
 	status, err := c.queryStatus()
 	if err != nil {
 		return err
 	}
-	if coordinator := status.State.Coordinator.At; coordinator != "" && status.At != coordinator { // who asks partners knows what was wrong with their words
+	if coordinator := status.State.Coordinator.At; coordinator != "" && status.At != coordinator { // the process that polls the partners knows the errors in their tables
 		if other, err := c.statusOf(coordinator); err == nil {
 			status = other
 		}
@@ -59,8 +59,8 @@
 		return err
 	}
 	behind := 0
-	for _, no := range status.Doors {
-		if no < book.No {
+	for _, revision := range status.Doors {
+		if revision < book.No {
 			behind++
 		}
 	}
@@ -69,17 +69,17 @@
 	if err != nil {
 		return nil
 	}
-	var all []federation.Partner
+	var configured []federation.Partner
 	for _, p := range configuration.Partners {
-		all = append(all, federation.Partner{Name: p.Name})
+		configured = append(configured, federation.Partner{Name: p.Name})
 	}
-	for _, line := range federation.Shadow(book, all, func(town, path string) bool { return configuration.Find(town, path) != nil }) {
+	for _, line := range federation.Shadow(book, configured, func(town, path string) bool { return configuration.Find(town, path) != nil }) {
 		fmt.Fprintln(c.out, "not used:", line)
 	}
 	return nil
 }
 
-// showExports shows one partner's table.
+// showExports prints a partner's exports.
 func (c *client) showExports(partner string) error {
 	status, err := c.queryStatus()
 	if err != nil {
@@ -91,23 +91,23 @@
 	}
 	imported := book.Partners[partner]
 	if imported == nil || imported.Table == nil {
-		return &exitError{Error.New("nothing is taken of %q", partner), Refused}
+		return &exitError{Error.New("no exports of partner %q are in force", partner), Refused}
 	}
 	if c.json {
 		return c.printJSON(imported)
 	}
 	c.printSource(status)
 	return c.printTable("HOST\tPREFIX\tSERVICE\tMETHODS\tPER S", func(w io.Writer) {
-		for _, e := range imported.Table.Exports {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%g\n", e.Town, e.StreetPrefix, e.Service, strings.Join(e.Methods, ","), e.PerS)
+		for _, export := range imported.Table.Exports {
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%g\n", export.Town, export.StreetPrefix, export.Service, strings.Join(export.Methods, ","), export.PerS)
 		}
 	})
 }
 
-// orderPartner has the core carry out an operator's word on a partner.
+// orderPartner sends an operator's order on a partner mesh to the core.
 func (c *client) orderPartner(order *controller.PartnerOrder) error {
 	partner := &federation.Import{}
-	if err := c.sendOrder(rpc.PathPartnerOrder, order, partner, "the same order again is safe"); err != nil {
+	if err := c.sendOrder(rpc.PathPartnerOrder, order, partner, "it is safe to repeat the order"); err != nil {
 		return err
 	}
 	_, err := fmt.Fprintf(c.out, "%s: word %d, done up to %d\n", order.Partner, partner.No, partner.Done)
--- a/internal/mesh/meshctl/status.go
+++ b/internal/mesh/meshctl/status.go
@@ -12,15 +12,17 @@
 	"ottershift/internal/mesh/controller"
 )
 
-// printSource is the line that says whose word it is and how old.
-func (c *client) printSource(s *controller.Status) {
-	state := "confirmed by a majority " + ago(s.Confirmed)
-	if !s.Current {
-		state = "NOT CURRENT: no majority has confirmed it since " + ago(s.Confirmed)
+// printSource prints which process the status comes from and how old it is.
+func (c *client) printSource(status *controller.Status) {
+	freshness := "confirmed by a majority " + ago(status.Confirmed)
+	if !status.Current {
+		freshness = "NOT CURRENT: no majority has confirmed it since " + ago(status.Confirmed)
 	}
-	fmt.Fprintf(c.out, "as %s sees it, %s\n", s.Node, state)
+	fmt.Fprintf(c.out, "as %s sees it, %s\n", status.Node, freshness)
 }
 
+// ago returns a text for the time since an event. A negative duration stands for an event that never happened, and one
+// of more than a day for one that has not happened since the process started.
 func ago(d time.Duration) string {
 	switch {
 	case d < 0:
@@ -31,6 +33,7 @@
 	return d.Round(time.Millisecond).String() + " ago"
 }
 
+// showStatuses prints a line for each process of the core. It fails if no process responds.
 func (c *client) showStatuses() error {
 	if err := c.requireAddresses(); err != nil {
 		return err
@@ -66,30 +69,32 @@
 		})
 	}
 	if err == nil && !answered {
-		err = Error.New("nobody answered")
+		err = Error.New("no process of the core responded")
 	}
 	return err
 }
 
-func (c *client) showCore(s *controller.Status) error {
+// showCore prints the members of the core and its other processes.
+func (c *client) showCore(status *controller.Status) error {
 	if c.json {
-		return c.printJSON(s.Core)
+		return c.printJSON(status.Core)
 	}
-	c.printSource(s)
+	c.printSource(status)
 	return c.printTable("ADDRESS\tZONE\tDISK\tVOTES\tINDEX\tHEARD", func(w io.Writer) {
-		for _, m := range s.Core {
+		for _, m := range status.Core {
 			fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%d\t%s\n", m.At, m.Zone, m.ID, m.Votes, m.Index, ago(m.Quiet))
 		}
 	})
 }
 
-func (c *client) showNodes(s *controller.Status) error {
+// showNodes prints the registered proxies with their leases.
+func (c *client) showNodes(status *controller.Status) error {
 	if c.json {
-		return c.printJSON(s.Nodes)
+		return c.printJSON(status.Nodes)
 	}
-	c.printSource(s)
+	c.printSource(status)
 	return c.printTable("NODE\tZONE\tINBOUND\tLEASE\tHEARD\tUPSTREAM", func(w io.Writer) {
-		for _, n := range s.Nodes {
+		for _, n := range status.Nodes {
 			lease, upstream := "holds", "none"
 			if n.Lost {
 				lease = "ran out"
@@ -102,8 +107,9 @@
 	})
 }
 
-func (c *client) showUpstreams(s *controller.Status) error {
-	nodes := slices.Clone(s.Nodes)
+// showUpstreams prints the registered upstreams by service.
+func (c *client) showUpstreams(status *controller.Status) error {
+	nodes := slices.Clone(status.Nodes)
 	nodes = slices.DeleteFunc(nodes, func(n nodeRecord) bool { return n.Upstream == nil })
 	slices.SortFunc(nodes, func(a, b nodeRecord) int {
 		return strings.Compare(a.Upstream.Service+" "+a.Name, b.Upstream.Service+" "+b.Name)
@@ -111,7 +117,7 @@
 	if c.json {
 		return c.printJSON(nodes)
 	}
-	c.printSource(s)
+	c.printSource(status)
 	return c.printTable("SERVICE\tUPSTREAM\tVERSION\tZONE\tNODE\tSLOTS\tSTATE\tHEARD", func(w io.Writer) {
 		for _, n := range nodes {
 			state := "accepting"
@@ -126,18 +132,19 @@
 	})
 }
 
-func (c *client) showDuties(s *controller.Status) error {
+// showDuties prints which process has which duty.
+func (c *client) showDuties(status *controller.Status) error {
 	if c.json {
-		return c.printJSON(map[string]any{"Coordinator": s.State.Coordinator, "Epoch": s.State.Epoch, "Members": s.State.Members})
+		return c.printJSON(map[string]any{"Coordinator": status.State.Coordinator, "Epoch": status.State.Epoch, "Members": status.State.Members})
 	}
-	c.printSource(s)
+	c.printSource(status)
 	return c.printTable("DUTY\tDONE BY\tREIGN", func(w io.Writer) {
-		fmt.Fprintf(w, "bank of quotas\t%s\t%d\n", s.State.Coordinator.At, s.State.Epoch)
-		fmt.Fprintf(w, "core kept whole, census of %d balancers, settling\tfirst of the core in order\t\n", s.State.Members)
+		fmt.Fprintf(w, "allotment of quotas\t%s\t%d\n", status.State.Coordinator.At, status.State.Epoch)
+		fmt.Fprintf(w, "core repair, count of %d balancers, credit settlement\tfirst live member of the core\t\n", status.State.Members)
 	})
 }
 
-// showQuotas asks whoever keeps the bank.
+// showQuotas prints the tenants' quotas as the coordinator, which allots them, knows them.
 func (c *client) showQuotas() error {
 	status, err := c.queryStatus()
 	if err != nil {
@@ -145,7 +152,7 @@
 	}
 	if coordinator := status.State.Coordinator.At; coordinator != "" && status.At != coordinator {
 		if status, err = c.statusOf(coordinator); err != nil {
-			return Error.New("%s, which keeps the bank: %v", coordinator, err)
+			return Error.New("coordinator %s: %v", coordinator, err)
 		}
 	}
 	if c.json {
@@ -159,7 +166,7 @@
 	})
 }
 
-// watch tells what changes.
+// watch prints changes of the status until a duration has passed. It polls the core every 500 ms.
 func (c *client) watch(duration time.Duration) error {
 	if err := c.requireAddresses(); err != nil {
 		return err
@@ -168,12 +175,12 @@
 	ticker := time.NewTicker(500 * time.Millisecond)
 	defer ticker.Stop()
 	for deadline := time.Now().Add(duration); time.Now().Before(deadline); <-ticker.C {
-		now := map[string]string{}
+		current := map[string]string{}
 		status, err := c.queryStatus()
 		if err != nil {
-			now["core"] = "nobody answers: " + err.Error()
+			current["core"] = "no process responds: " + err.Error()
 		} else {
-			now["core"], now["version"], now["coordinator"] = coreText(status.State), strconv.FormatInt(status.State.Edition, 10), status.State.Coordinator.At
+			current["core"], current["version"], current["coordinator"] = coreText(status.State), strconv.FormatInt(status.State.Edition, 10), status.State.Coordinator.At
 			for _, n := range status.Nodes {
 				text := "lease holds"
 				if n.Lost {
@@ -185,25 +192,25 @@
 						text += " closing"
 					}
 				}
-				now["node "+n.Name] = text
+				current["node "+n.Name] = text
 			}
 		}
 		var names []string
-		for name := range now {
+		for name := range current {
 			names = append(names, name)
 		}
 		for name := range last {
-			if _, is := now[name]; !is && err == nil {
-				now[name] = "gone"
+			if _, is := current[name]; !is && err == nil {
+				current[name] = "gone"
 				names = append(names, name)
 			}
 		}
 		slices.Sort(names)
 		for _, name := range names {
-			if now[name] != last[name] {
-				fmt.Fprintf(c.out, "%s %s: %s\n", time.Now().Format("15:04:05.000"), name, now[name])
+			if current[name] != last[name] {
+				fmt.Fprintf(c.out, "%s %s: %s\n", time.Now().Format("15:04:05.000"), name, current[name])
 			}
-			if last[name] = now[name]; now[name] == "gone" {
+			if last[name] = current[name]; current[name] == "gone" {
 				delete(last, name)
 			}
 		}
@@ -211,10 +218,11 @@
 	return nil
 }
 
-func coreText(s *consensus.State) string {
-	var all []string
-	for _, m := range s.Core {
-		all = append(all, m.At)
+// coreText returns the addresses of the core's members.
+func coreText(state *consensus.State) string {
+	var addresses []string
+	for _, m := range state.Core {
+		addresses = append(addresses, m.At)
 	}
-	return strings.Join(all, " ")
+	return strings.Join(addresses, " ")
 }
--- a/internal/mesh/proxy/proxy.go
+++ b/internal/mesh/proxy/proxy.go
@@ -107,7 +107,7 @@
 	}
 	p := &Proxy{
 		settings: proxySettings, log: log, counters: telemetry.NewCounters(),
-		caller: rpc.NewClient(selected.wrapTransport), instanceID: storage.NewDiskID(), epoch: time.Now(),
+		caller: rpc.NewClient(selected.wrapTransport), instanceID: storage.NewID(), epoch: time.Now(),
 		local: newLocalUpstream(proxySettings.Bounds.Drain, proxySettings.UpstreamAddress), done: make(chan struct{}), wrapListener: selected.wrapListener,
 		pools: map[string]*servicePool{}, nodes: map[string]*knownNode{}, members: 1,
 		fetch: configurationFetch{trigger: make(chan struct{}, 1)},
--- a/internal/mesh/rpc/rpc.go
+++ b/internal/mesh/rpc/rpc.go
@@ -1,5 +1,5 @@
-// Package rpc implements calls between the mesh's own processes: JSON over HTTP/1.1 on persistent connections. The caller sets
-// the deadline of each call.
+// Package rpc implements calls between the mesh's own processes: JSON over HTTP/1.1 on persistent connections. The
+// caller sets the deadline of each call.
 package rpc
 
 import (
@@ -48,8 +48,8 @@
 	return &Client{&http.Client{Transport: transport}}
 }
 
-// UserTimeout returns a net.Dialer.Control function that sets TCP_USER_TIMEOUT, which bounds how long a connection waits for the
-// peer to acknowledge data. Without it, a connection to an unreachable machine hangs for minutes.
+// UserTimeout returns a net.Dialer.Control function that sets TCP_USER_TIMEOUT, which bounds how long a connection waits
+// for the peer to acknowledge data. Without it, a connection to an unreachable machine hangs for minutes.
 func UserTimeout(timeout time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
--- a/internal/mesh/rpc/stall.go
+++ b/internal/mesh/rpc/stall.go
@@ -14,8 +14,8 @@
 	ErrInterrupted = errors.New("call interrupted before a response began")
 )
 
-// StallPolicy says when a call is canceled. A call may take as long as data keeps arriving: with a fixed timeout for the whole
-// call, a response that takes longer on a slow or busy link would never arrive, however often the call is retried.
+// StallPolicy says when a call is canceled. A call may take as long as data keeps arriving: with a fixed timeout for the
+// whole call, a response that takes longer on a slow or busy link would never arrive, however often the call is retried.
 type StallPolicy struct {
 	Timeout   time.Duration   // time without a received byte after which the call fails
 	Interrupt <-chan struct{} // cancels the call if no response has begun yet; nil for never
--- a/internal/mesh/settings/settings.go
+++ b/internal/mesh/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the settings file of a process of the mesh. The file consists of lines of the form a.b=value. Unknown keys
-// are ignored, and invalid lines are reported with their line number and key.
+// Package settings reads the settings file of a process of the mesh. The file consists of lines of the form a.b=value.
+// Unknown keys are ignored, and invalid lines are reported with their line number and key.
 package settings
 
 import (
--- a/internal/mesh/settings/settings_test.go
+++ b/internal/mesh/settings/settings_test.go
@@ -30,12 +30,12 @@
 
 func TestParseReportsAllErrorsWithLineAndKey(t *testing.T) {
 	_, err := Parse(validSettings + "Self.App=nowhere\nTariff.Bounds.Grace=6\nno equals sign\nSelf.Counted=yes\nSelf.Node=again\nSelf.SizeLimits.Fds=many\n")
-	for _, says := range []string{
+	for _, want := range []string{
 		`line 11: Self.App: not an address with a port: "nowhere"`, `line 12: Tariff.Bounds.Grace: "6" is no time`, `line 13`,
 		`line 14: Self.Counted: "yes" is neither true nor false`, `line 15: Self.Node is set on line 1 already`,
 		`line 16: Self.SizeLimits.Fds: "many" is not a number in range`,
 	} {
-		must.ErrorContains(t, err, says)
+		must.ErrorContains(t, err, want)
 	}
 	_, err = Parse("Self.Node=n\n")
 	must.ErrorContains(t, err, "Self.Ip: cannot be blank")
--- a/internal/mesh/simulation/scale/hollow.go
+++ b/internal/mesh/simulation/scale/hollow.go
@@ -56,7 +56,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if newLife {
-		h.node.Life, h.position, h.controllers = storage.NewDiskID(), membership.Position{}, nil
+		h.node.Life, h.position, h.controllers = storage.NewID(), membership.Position{}, nil
 		h.node.Seq = h.fleet.next(h.number)
 		clear(h.known)
 	}
--- a/internal/mesh/storage/backup.go
+++ b/internal/mesh/storage/backup.go
@@ -44,8 +44,9 @@
 	return backup.State, nil
 }
 
-// Restore writes a state to an empty directory, as the replica of a consensus group with a single member. The member gets a new
-// disk ID, so that no disk of the former group counts as a member; its controllers join the new group like new ones.
+// Restore writes a state to an empty directory, as the replica of a consensus group with a single member. The member
+// gets a new disk ID, so that no disk of the former group counts as a member; its controllers join the new group like
+// new ones.
 func Restore(dir string, state *consensus.State, address, zone string) (id string, err error) {
 	if _, err := os.Stat(filepath.Join(dir, storeDirectory)); err == nil {
 		return "", Error.New("%s holds a copy already: restore needs an empty directory", dir)
@@ -53,7 +54,7 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return "", Error.Wrap(err)
 	}
-	id = NewDiskID()
+	id = NewID()
 	restored := *state
 	restored.Index += 1 << 20 // beyond any index that the lost group may have decided
 	restored.Core, restored.Coordinator = []consensus.Member{{ID: id, At: address, Zone: zone}}, consensus.Coordinator{}
--- a/internal/mesh/storage/crash_test.go
+++ b/internal/mesh/storage/crash_test.go
@@ -28,8 +28,9 @@
 	return store, replica, err
 }
 
-// openWithLargeBuffer opens a store with a write buffer that these tests don't fill, which avoids compactions. If goleveldb can't
-// create a file during a compaction, it reads the file's number without its lock, which the race detector reports.
+// openWithLargeBuffer opens a store with a write buffer that these tests don't fill, which avoids compactions. If
+// goleveldb can't create a file during a compaction, it reads the file's number without its lock, which the race
+// detector reports.
 func openWithLargeBuffer(disk *testmesh.MemoryDisk) (*Store, *consensus.Replica, error) {
 	store, replica, _, err := OpenOn(disk, defaultOptions, func() (string, *consensus.State) { return "one", &consensus.State{Index: 1} })
 	return store, replica, err
@@ -38,7 +39,8 @@
 // workload is a sequence of controller instances on one disk, each of which makes a number of changes of three saves.
 type workload struct{ instances, changes int }
 
-// run runs the workload on a disk until an error. It calls beforeSave with the replica before each save, and afterSave after it.
+// run runs the workload on a disk until an error. It calls beforeSave with the replica before each save, and afterSave
+// after it.
 func (w workload) run(disk *testmesh.MemoryDisk, beforeSave, afterSave func(*consensus.Replica)) error {
 	version := int64(0)
 	for range w.instances {
@@ -77,8 +79,8 @@
 	return nil
 }
 
-// saveOneChange saves a promise, an accepted value and a decision. Every fifth change is a new configuration, which is larger than
-// the write buffer.
+// saveOneChange saves a promise, an accepted value and a decision. Every fifth change is a new configuration, which is
+// larger than the write buffer.
 func saveOneChange(replica *consensus.Replica, n int, version *int64, save func() error) error {
 	replica.Promised = consensus.Ballot{Round: replica.Decided.Index*10 + 1, By: "a"}
 	if err := save(); err != nil {
@@ -108,7 +110,8 @@
 	return string(raw)
 }
 
-// diskCheck returns an error if the disk's state after a power loss is wrong. last is the last saved replica, next the one being saved.
+// diskCheck returns an error if the disk's state after a power loss is wrong. last is the last saved replica, next the
+// one being saved.
 type diskCheck func(left *testmesh.MemoryDisk, last, next string) error
 
 // checkHoldsReplica requires that the store holds the last saved replica or the one that was being saved.
@@ -145,8 +148,8 @@
 	files          int // files that goleveldb has created by the end of the run without a crash: its highest file number
 }
 
-// simulateCrashes cuts the power after every stride-th disk operation of a workload and checks up to maxStates of the states that the
-// disk may be left in. It counts the states that fail the check.
+// simulateCrashes cuts the power after every stride-th disk operation of a workload and checks up to maxStates of the
+// states that the disk may be left in. It counts the states that fail the check.
 func simulateCrashes(load workload, stride, maxStates int, prepare func(*testmesh.MemoryDisk), check diskCheck) (result crashResult) {
 	clean := testmesh.NewMemoryDisk()
 	prepare(clean)
@@ -186,7 +189,8 @@
 // noPreparation leaves a disk as it is.
 func noPreparation(*testmesh.MemoryDisk) {}
 
-// crashScale is the factor by which the environment variable OTTERSHIFT_CRASHES increases the number of simulated crashes, 1 if unset.
+// crashScale is the factor by which the environment variable OTTERSHIFT_CRASHES increases the number of simulated
+// crashes, 1 if unset.
 func crashScale() int {
 	if n, err := strconv.Atoi(os.Getenv("OTTERSHIFT_CRASHES")); err == nil && n > 0 {
 		return n
@@ -218,7 +222,8 @@
 	must.Positive(t, result.losses)
 }
 
-// If a manifest is not synced before CURRENT names it, each start leaves disk states that goleveldb can't open without a recovery.
+// If a manifest is not synced before CURRENT names it, each start leaves disk states that goleveldb can't open without a
+// recovery.
 func TestManifestIsLostWithoutItsSync(t *testing.T) {
 	with := simulateCrashes(workload{2, 2}, 2, 12, noPreparation, checkOpensWithoutRecovery)
 	without := simulateCrashes(workload{2, 2}, 2, 12, func(d *testmesh.MemoryDisk) { d.IgnoreSyncFile = true }, checkOpensWithoutRecovery)
@@ -227,8 +232,8 @@
 	must.Positive(t, without.losses)
 }
 
-// A journal that is started while a store is open holds acknowledged saves before goleveldb next syncs the directory. Without
-// directory syncs of our own, these saves are lost.
+// A journal that is started while a store is open holds acknowledged saves before goleveldb next syncs the directory.
+// Without directory syncs of our own, these saves are lost.
 func TestLaterJournalIsLostWithoutDirectorySync(t *testing.T) {
 	lost, states := 0, 0
 	disk := testmesh.NewMemoryDisk()
@@ -253,7 +258,7 @@
 	must.Positive(t, lost)
 }
 
-// An unreadable store is renamed and replaced by an empty one. A power loss at any step must leave either of the two in place.
+// An unreadable store is renamed and replaced by an empty one. A power loss at any step must leave one of them in place.
 func TestQuarantineSurvivesPowerLoss(t *testing.T) {
 	damaged := func() *testmesh.MemoryDisk {
 		disk := testmesh.NewMemoryDisk()
@@ -279,7 +284,7 @@
 		disk := damaged()
 		disk.StopAfter = stop
 		opened, replica, _, err := OpenOn(disk, smallOptions(), initial)
-		acknowledged := err == nil && opened.Save(replica) == nil && !disk.PowerLost() // saves to the new store may have been acknowledged
+		acknowledged := err == nil && opened.Save(replica) == nil && !disk.PowerLost() // then saves are acknowledged
 		if opened != nil {
 			opened.Close()
 		}
@@ -297,7 +302,8 @@
 	must.Greater(t, 20, points)
 }
 
-// A disk that returns errors for a while must not cost the store its content, neither when it is opened nor when it is saved to.
+// A disk that returns errors for a while must not cost the store its content, neither when it is opened nor when it is
+// saved to.
 func TestStoreRecoversFromDiskErrors(t *testing.T) {
 	disk := testmesh.NewMemoryDisk()
 	store, replica, err := openWithLargeBuffer(disk)
--- a/internal/mesh/storage/durable.go
+++ b/internal/mesh/storage/durable.go
@@ -4,10 +4,10 @@
 	"github.com/syndtr/goleveldb/leveldb/storage"
 )
 
-// durableStorage is a goleveldb storage that syncs a file's directory entry before anything depends on the file. goleveldb itself
-// syncs the directory only when it replaces CURRENT. After a power loss, the directory entry of a later journal could be missing
-// although each save in it was synced, and so could that of a table that replaces a removed journal. CURRENT could also name a
-// manifest whose content was never written.
+// durableStorage is a goleveldb storage that syncs a file's directory entry before anything depends on the file.
+// goleveldb itself syncs the directory only when it replaces CURRENT. After a power loss, the directory entry of a later
+// journal could be missing although each save in it was synced, and so could that of a table that replaces a removed
+// journal. CURRENT could also name a manifest whose content was never written.
 type durableStorage struct {
 	storage.Storage
 	fileSystem FileSystem
--- a/internal/mesh/storage/filesystem.go
+++ b/internal/mesh/storage/filesystem.go
@@ -26,20 +26,26 @@
 // osFileSystem is a FileSystem in a directory of the operating system's file system.
 type osFileSystem string
 
+// path returns the path of a name in the directory.
 func (f osFileSystem) path(names ...string) string {
 	return filepath.Join(append([]string{string(f)}, names...)...)
 }
 
+// MakeDirectory implements FileSystem.
 func (f osFileSystem) MakeDirectory(name string) error { return os.MkdirAll(f.path(name), 0o755) }
 
+// Rename implements FileSystem.
 func (f osFileSystem) Rename(from, to string) error { return os.Rename(f.path(from), f.path(to)) }
 
+// SyncDirectory implements FileSystem.
 func (f osFileSystem) SyncDirectory(name string) error { return syncPath(f.path(name)) }
 
+// SyncFile implements FileSystem.
 func (f osFileSystem) SyncFile(directory string, file storage.FileDesc) error {
 	return syncPath(f.path(directory, file.String()))
 }
 
+// OpenStorage implements FileSystem.
 func (f osFileSystem) OpenStorage(directory string) (storage.Storage, error) {
 	return storage.OpenFile(f.path(directory), false)
 }
--- a/internal/mesh/storage/size_test.go
+++ b/internal/mesh/storage/size_test.go
@@ -72,8 +72,8 @@
 	return n
 }
 
-// runChanges makes changes to a store, each with the three saves of a consensus acceptor. Every configurationEvery-th change
-// replaces the configuration; the others change the number of members.
+// runChanges makes changes to a store, each with the three saves of a consensus acceptor. Every configurationEvery-th
+// change replaces the configuration; the others change the number of members.
 func runChanges(t *testing.T, changes, routes, configurationEvery int) (result diskMeasurements) {
 	dir := t.TempDir()
 	first := &consensus.State{Index: 1, Edition: 1, Configuration: configurationOf(routes, 1)}
@@ -117,8 +117,8 @@
 	return result
 }
 
-// TestDiskUseIsBounded logs the disk use of a store and requires that it stays below a quarter of the disk of a controller's
-// machine. OTTERSHIFT_CHANGES sets the largest number of changes, 60 by default.
+// TestDiskUseIsBounded logs the disk use of a store and requires that it stays below a quarter of the disk of a
+// controller's machine. OTTERSHIFT_CHANGES sets the largest number of changes, 60 by default.
 func TestDiskUseIsBounded(t *testing.T) {
 	largest := 60
 	if n, err := strconv.Atoi(os.Getenv("OTTERSHIFT_CHANGES")); err == nil {
--- a/internal/mesh/storage/storage.go
+++ b/internal/mesh/storage/storage.go
@@ -41,7 +41,10 @@
 // unreadableError reports that the store's content is damaged. A retry does not help, unlike after an I/O error.
 type unreadableError struct{ cause error }
 
+// Error implements error.
 func (e *unreadableError) Error() string { return e.cause.Error() }
+
+// Unwrap returns the cause.
 func (e *unreadableError) Unwrap() error { return e.cause }
 
 // InitialReplica returns the disk ID and state of the replica that is written to an empty store.
@@ -57,7 +60,8 @@
 	// documents holds the digests of the documents that are stored under separate keys.
 	documents map[string]bool
 	digests   consensus.DigestCache
-	// failed reports that the last save failed. It is unknown how much of it is on disk, so the next save reopens the database.
+	// failed reports that the last save failed. It is unknown how much of it is on disk, so the next save reopens the
+	// database.
 	failed bool
 }
 
@@ -65,14 +69,15 @@
 var defaultOptions = &opt.Options{
 	WriteBuffer: 1 << 20, BlockCacheCapacity: 128 << 10, OpenFilesCacheCapacity: 16, Compression: opt.NoCompression,
 	Strict: opt.StrictJournalChecksum | opt.StrictBlockChecksum | opt.StrictManifest,
-	// By default, goleveldb writes a batch larger than the write buffer in a transaction. A transaction holds the database's lock
-	// for ever if the disk returns an error while it begins or commits.
+	// By default, goleveldb writes a batch larger than the write buffer in a transaction. A transaction holds the
+	// database's lock for ever if the disk returns an error while it begins or commits.
 	DisableLargeBatchTransaction: true,
 }
 
-// Open opens the store in a directory and reads its replica. If the store is empty, Open writes the replica that initial returns
-// and sets initReason to the reason; initial is called only then. An unreadable store is renamed, kept whole, and replaced by an
-// empty one. If the disk returns an error, Open fails and leaves the store as it is, and the caller can try again.
+// Open opens the store in a directory and reads its replica. If the store is empty, Open writes the replica that initial
+// returns and sets initReason to the reason; initial is called only then. An unreadable store is renamed, kept whole,
+// and replaced by an empty one. If the disk returns an error, Open fails and leaves the store as it is, and the caller
+// can try again.
 func Open(dir string, initial InitialReplica) (store *Store, replica *consensus.Replica, initReason error, err error) {
 	if err := makeDirectory(dir); err != nil {
 		return nil, nil, nil, Error.Wrap(err)
@@ -87,7 +92,7 @@
 	if !errors.As(err, &unreadable) {
 		return store, replica, initReason, err
 	}
-	quarantined := quarantinePrefix + NewDiskID()
+	quarantined := quarantinePrefix + NewID()
 	if err := fileSystem.Rename(storeDirectory, quarantined); err != nil {
 		return nil, nil, nil, Error.Wrap(err)
 	}
@@ -151,7 +156,7 @@
 	} else if err != leveldb.ErrNotFound {
 		return err
 	}
-	replica.Life = consensus.DiskLife{ID: replica.ID, Number: last.Number + 1, Token: NewDiskID()}
+	replica.Life = consensus.DiskLife{ID: replica.ID, Number: last.Number + 1, Token: NewID()}
 	raw, err := encode(formatInline, replica.Life)
 	if err != nil {
 		return err
@@ -159,9 +164,10 @@
 	return s.db.Put([]byte(keyInstance), raw, &opt.WriteOptions{Sync: true})
 }
 
-// openDatabase opens the goleveldb database. After a crash, the manifest may end in a torn record, or not be named by CURRENT yet
-// at the first start. The database is then recovered from its tables and journals, which are complete and ordered. If these are
-// damaged, the database is not recovered: recovery could leave out the last saves, and a consensus member would forget promises.
+// openDatabase opens the goleveldb database. After a crash, the manifest may end in a torn record, or not be named by
+// CURRENT yet at the first start. The database is then recovered from its tables and journals, which are complete and
+// ordered. If these are damaged, the database is not recovered: recovery could leave out the last saves, and a consensus
+// member would forget promises.
 func (s *Store) openDatabase() error {
 	db, err := leveldb.Open(s.files, s.options)
 	var damage *leveldberrors.ErrCorrupted
@@ -251,8 +257,8 @@
 	return documents.Error()
 }
 
-// NewDiskID returns a new random disk ID.
-func NewDiskID() string {
+// NewID returns a new random ID, for disks and for instances.
+func NewID() string {
 	var raw [12]byte
 	rand.Read(raw[:])
 	return "disk-" + hex.EncodeToString(raw[:])
@@ -275,8 +281,8 @@
 	return nil
 }
 
-// reopen opens the database again after a failed save. goleveldb's journal rejects all writes after a failed one, so that without
-// a reopen a single disk error would make all later saves fail until the process restarts.
+// reopen opens the database again after a failed save. goleveldb's journal rejects all writes after a failed one, so
+// that without a reopen a single disk error would make all later saves fail until the process restarts.
 func (s *Store) reopen() error {
 	if s.db != nil {
 		s.db.Close() // returns the error of the failed write again
--- a/internal/mesh/strictjson/fields.go
+++ b/internal/mesh/strictjson/fields.go
@@ -8,8 +8,8 @@
 // maxLinearNames is the largest number of names in an object that are compared one by one. Larger objects use a set.
 const maxLinearNames = 16
 
-// fieldScanner finds duplicate fields in valid JSON. It does not copy names without escapes, since configurations are large and each
-// controller reads each version of them.
+// fieldScanner finds duplicate fields in valid JSON. It does not copy names without escapes, since configurations are
+// large and each controller reads each version of them.
 type fieldScanner struct {
 	input    []byte
 	position int      // index of the next byte
@@ -118,7 +118,8 @@
 	return []byte(name)
 }
 
-// objectNames finds duplicate names in one object, regardless of case. The names are in the scanner's names, from the index start.
+// objectNames finds duplicate names in one object, regardless of case. The names are in the scanner's names, from the
+// index start.
 type objectNames struct {
 	start  int
 	folded map[string]bool // case-folded names, for an object with more than maxLinearNames
--- a/internal/mesh/strictjson/fields_test.go
+++ b/internal/mesh/strictjson/fields_test.go
@@ -11,7 +11,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// duplicateByTokens returns the path of the first duplicate field. It is a simple and slow reference on the tokens of encoding/json.
+// duplicateByTokens returns the path of the first duplicate field. It is a simple and slow reference on the tokens of
+// encoding/json.
 func duplicateByTokens(decoder *json.Decoder, prefix string) (path string, repeated bool) {
 	token, _ := decoder.Token()
 	seen := map[string]bool{}
@@ -65,11 +66,11 @@
 			return
 		}
 		want, repeated := duplicateByTokens(json.NewDecoder(bytes.NewReader(text)), "")
-		s := fieldScanner{input: text}
-		path, found := s.scanValue()
+		scanner := fieldScanner{input: text}
+		path, found := scanner.scanValue()
 		must.Eq(t, repeated, found)
 		must.Eq(t, want, path)
-		must.SliceEmpty(t, s.names)
+		must.SliceEmpty(t, scanner.names)
 	})
 }
 
--- a/internal/mesh/strictjson/strictjson.go
+++ b/internal/mesh/strictjson/strictjson.go
@@ -1,5 +1,6 @@
-// Package strictjson checks that JSON means the same to every decoder. encoding/json takes the last of two fields with the same name,
-// ignores the case of field names, and replaces invalid UTF-8. Data that controllers agree on or accept must not depend on that.
+// Package strictjson rejects JSON that decoders may read differently. encoding/json takes the last of two fields with
+// the same name, ignores the case of field names, and replaces invalid UTF-8. Data that controllers agree on or accept
+// must not depend on that.
 package strictjson
 
 import (
@@ -28,8 +29,8 @@
 	return nil
 }
 
-// Check rejects JSON that decoders may read differently: text that is not UTF-8, unpaired surrogates, which decoders replace, and
-// duplicate fields of an object, regardless of case.
+// Check rejects JSON that decoders may read differently: text that is not UTF-8, unpaired surrogates, which decoders
+// replace, and duplicate fields of an object, regardless of case.
 func Check(body []byte) error {
 	if !utf8.Valid(body) {
 		return Error.New("the text is not UTF-8")
--- a/internal/mesh/telemetry/metrics.go
+++ b/internal/mesh/telemetry/metrics.go
@@ -15,9 +15,9 @@
 // WriteMetrics writes gauges and all counters in the Prometheus text format. Each name starts with prefix.
 func WriteMetrics(w http.ResponseWriter, prefix string, gauges []Gauge, counters *Counters) {
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4")
-	for _, g := range gauges {
-		name := prefix + "_" + g.Name
-		fmt.Fprintf(w, "# HELP %s %s\n# TYPE %s gauge\n%s %v\n", name, g.Help, name, name, g.Value)
+	for _, gauge := range gauges {
+		name := prefix + "_" + gauge.Name
+		fmt.Fprintf(w, "# HELP %s %s\n# TYPE %s gauge\n%s %v\n", name, gauge.Help, name, name, gauge.Value)
 	}
 	total := prefix + "_total"
 	fmt.Fprintf(w, "# HELP %s Events since the start, by kind.\n# TYPE %s counter\n", total, total)
--- a/internal/mesh/telemetry/telemetry.go
+++ b/internal/mesh/telemetry/telemetry.go
@@ -1,4 +1,5 @@
-// Package telemetry provides the logger and the counters of the mesh's processes. Changed counters are logged at an interval.
+// Package telemetry provides the logger and the counters of the mesh's processes. Changed counters are logged at an
+// interval.
 package telemetry
 
 import (
