--- a/internal/mesh/meshctl/partners.go
+++ b/internal/mesh/meshctl/partners.go
@@ -20,7 +20,8 @@
 	if err != nil {
 		return err
 	}
-	if coordinator := status.State.Coordinator.At; coordinator != "" && status.At != coordinator { // the process that polls the partners knows the errors in their tables
+	// The coordinator polls the partners, so it alone knows the errors in their tables.
+	if coordinator := status.State.Coordinator.At; coordinator != "" && status.At != coordinator {
 		if other, err := c.statusOf(coordinator); err == nil {
 			status = other
 		}
--- a/internal/mesh/rpc/rpc.go
+++ b/internal/mesh/rpc/rpc.go
@@ -1,5 +1,5 @@
 // Package rpc implements calls between the mesh's own processes: JSON over HTTP/1.1 on persistent connections. The
-// caller sets the deadline of each call.
+// caller sets the deadline of each call, or a StallPolicy.
 package rpc
 
 import (
