--- a/internal/mesh/controller/burst_credit.go
+++ b/internal/mesh/controller/burst_credit.go
@@ -37,14 +37,14 @@
 func (c *Controller) handleCreditReport(ctx context.Context, report *burstcredit.Report) (*burstcredit.Grant, error) {
 	state, _ := c.replicator.knownState()
 	if state.Coordinator.Incarnation != c.incarnation || !c.replicator.isCurrent(state) {
-		return nil, apierror.New(apierror.Unclear, "another controller is the coordinator")
+		return nil, apierror.New(apierror.OutcomeUnknown, "another controller is the coordinator")
 	}
 	settler := &c.credit
 	settler.Lock()
 	c.resetCreditEpoch(state)
 	if c.now() < settler.settlesFrom {
 		settler.Unlock()
-		return nil, apierror.New(apierror.Unclear, "the grace period of the new coordinator has not ended")
+		return nil, apierror.New(apierror.OutcomeUnknown, "the grace period of the new coordinator has not ended")
 	}
 	own := pendingReport{report, make(chan *burstcredit.Grant, 1)}
 	settler.pending = append(settler.pending, own)
@@ -53,13 +53,13 @@
 		time.AfterFunc(creditBatchWindow, c.settleCreditReports)
 	}
 	settler.Unlock()
-	c.counts.Add("credit_reports")
+	c.counts.Increment("credit_reports")
 	select {
 	case grant := <-own.reply:
 		if grant != nil {
 			return grant, nil
 		}
-		return nil, apierror.New(apierror.Unclear, "the credit report was not settled: send it again")
+		return nil, apierror.New(apierror.OutcomeUnknown, "the credit report was not settled: send it again")
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
@@ -119,11 +119,11 @@
 	_, err := c.replicator.change(ctx, c.otherControllers, func(newest *consensus.State) (*consensus.State, error) {
 		grants = nil
 		if newest.Epoch != epoch || newest.Coordinator.Incarnation != c.incarnation { // a former coordinator must not settle
-			return nil, apierror.New(apierror.Unclear, "another controller is the coordinator")
+			return nil, apierror.New(apierror.OutcomeUnknown, "another controller is the coordinator")
 		}
 		configuration, err := c.parsedConfiguration(newest)
 		if err != nil || configuration == nil {
-			return nil, apierror.New(apierror.Unclear, "no configuration is available: %v", err)
+			return nil, apierror.New(apierror.OutcomeUnknown, "no configuration is available: %v", err)
 		}
 		terms := burstcredit.TenantTerms(configuration)
 		return updateLedger(newest, func(ledger *burstcredit.Ledger) {
@@ -134,7 +134,7 @@
 	})
 	if err != nil {
 		grants = nil
-		c.counts.Add("credit_unsettled")
+		c.counts.Increment("credit_unsettled")
 	}
 	for n := range batch {
 		var grant *burstcredit.Grant
@@ -154,12 +154,12 @@
 func updateLedger(state *consensus.State, update func(*burstcredit.Ledger)) (*consensus.State, error) {
 	ledger, err := burstcredit.DecodeLedger(state.Credit)
 	if err != nil {
-		return nil, apierror.New(apierror.Unclear, "the credit ledger cannot be decoded: %v", err)
+		return nil, apierror.New(apierror.OutcomeUnknown, "the credit ledger cannot be decoded: %v", err)
 	}
 	update(ledger)
 	raw, err := ledger.Encode()
 	if err != nil {
-		return nil, apierror.New(apierror.Unclear, "the credit ledger cannot be encoded: %v", err)
+		return nil, apierror.New(apierror.OutcomeUnknown, "the credit ledger cannot be encoded: %v", err)
 	}
 	return state.WithCredit(raw), nil
 }
@@ -174,7 +174,7 @@
 // handleCreditOrder has the core agree on an operator's command and returns the resulting account.
 func (c *Controller) handleCreditOrder(ctx context.Context, order *Order) (*burstcredit.AccountStatus, error) {
 	if order.Tenant == "" || order.Who == "" || order.Why == "" {
-		return nil, apierror.New(apierror.Invalid, "Tenant, Who and Why are required")
+		return nil, apierror.New(apierror.InvalidConfiguration, "Tenant, Who and Why are required")
 	}
 	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
--- a/internal/mesh/controller/change.go
+++ b/internal/mesh/controller/change.go
@@ -10,8 +10,8 @@
 
 // Errors of a change whose outcome is unknown.
 var (
-	errNoMajority     = apierror.New(apierror.Unclear, "no majority of the core agreed in time")
-	errOutcomeUnknown = apierror.New(apierror.Unclear, "the outcome of this change is unknown: the core has decided later changes")
+	errNoMajority     = apierror.New(apierror.OutcomeUnknown, "no majority of the core agreed in time")
+	errOutcomeUnknown = apierror.New(apierror.OutcomeUnknown, "the outcome of this change is unknown: the core has decided later changes")
 )
 
 // transform derives the wanted state from the newest one. A nil state means that nothing has to change.
@@ -58,7 +58,7 @@
 	for ctx.Err() == nil {
 		turn, leave, err := r.changes.enter(ctx, change.priority)
 		if err != nil {
-			r.counts.Add("changes_left_queue")
+			r.counts.Increment("changes_left_queue")
 			break
 		}
 		state, ended, err := r.runTurn(turn, change)
@@ -67,7 +67,7 @@
 			return state, err
 		}
 		if ctx.Err() == nil {
-			r.counts.Add("changes_interrupted")
+			r.counts.Increment("changes_interrupted")
 		}
 	}
 	return nil, errNoMajority
@@ -139,7 +139,7 @@
 
 // publish has this controller and all others learn a decision.
 func (r *replicator) publish(turn context.Context, base, decided *consensus.State, alsoNotify []string) {
-	r.counts.Add("decided")
+	r.counts.Increment("decided")
 	go r.learn(decided)
 	announced := r.announce(decided, alsoNotify)
 	if !sameMembers(base, decided) { // a new core must hold its initial state before disks of the old one may be lost
--- a/internal/mesh/controller/configuration_update.go
+++ b/internal/mesh/controller/configuration_update.go
@@ -74,19 +74,19 @@
 	case newest.AppliedChanges.Contains(u.digest):
 		return nil, nil
 	case u.invalid != nil:
-		return nil, apierror.New(apierror.Invalid, "%v", u.invalid)
+		return nil, apierror.New(apierror.InvalidConfiguration, "%v", u.invalid)
 	case newest.Edition != u.base && !newest.AppliedChanges.CertainlyNotApplied(u.edition, u.base):
-		return nil, apierror.New(apierror.Unclear, "base version %d is older than the record of applied changes (from version %d on), so it is not known whether this change was applied; version %d is current",
+		return nil, apierror.New(apierror.OutcomeUnknown, "base version %d is older than the record of applied changes (from version %d on), so it is not known whether this change was applied; version %d is current",
 			u.base, newest.AppliedChanges[0].Edition, newest.Edition)
 	case newest.Edition != u.base:
-		return nil, apierror.New(apierror.Stale, "version mismatch: version %d is current, not %d", newest.Edition, u.base)
+		return nil, apierror.New(apierror.VersionConflict, "version mismatch: version %d is current, not %d", newest.Edition, u.base)
 	}
 	next, err := u.configuration(current)
 	if err != nil {
 		return nil, err
 	}
 	if next.Edition <= newest.Edition {
-		return nil, apierror.New(apierror.Invalid, "Edition: %d is not greater than the current version %d",
+		return nil, apierror.New(apierror.InvalidConfiguration, "Edition: %d is not greater than the current version %d",
 			next.Edition, newest.Edition)
 	}
 	return newest.WithConfiguration(next.Edition, next.Document(), u.digest), nil
@@ -102,11 +102,11 @@
 		return nil, err
 	}
 	if base == nil {
-		return nil, apierror.New(apierror.Stale, "there is no configuration to amend yet")
+		return nil, apierror.New(apierror.VersionConflict, "there is no configuration to amend yet")
 	}
 	next, err := base.Amend(u.body)
 	if err != nil {
-		return nil, apierror.New(apierror.Invalid, "%v", err)
+		return nil, apierror.New(apierror.InvalidConfiguration, "%v", err)
 	}
 	return next, nil
 }
--- a/internal/mesh/controller/configuration_update_test.go
+++ b/internal/mesh/controller/configuration_update_test.go
@@ -41,15 +41,15 @@
 	for n := range changes {
 		next, err := decideOnTopOf(newReplacement(n), state)
 		must.Nil(t, next)
-		switch apierror.Of(err) {
+		switch apierror.KindOf(err) {
 		case apierror.None:
 			confirmed++
-		case apierror.Unclear:
+		case apierror.OutcomeUnknown:
 			unclear++
 		default:
 			t.Fatal(n, err)
 		}
-		if _, err := newReplacement(n).decideWithoutHistoryGuard(state, consensus.MaxAppliedChanges); apierror.Of(err) == apierror.Stale {
+		if _, err := newReplacement(n).decideWithoutHistoryGuard(state, consensus.MaxAppliedChanges); apierror.KindOf(err) == apierror.VersionConflict {
 			rejectedByVariant++
 		}
 	}
@@ -63,12 +63,12 @@
 		return err
 	}
 	// May be one of the updates that are no longer recorded.
-	must.Eq(t, apierror.Unclear, apierror.Of(decideNeverApplied(4, 6)))
+	must.Eq(t, apierror.OutcomeUnknown, apierror.KindOf(decideNeverApplied(4, 6)))
 	// Sets a version that no update has set.
-	must.Eq(t, apierror.Stale, apierror.Of(decideNeverApplied(4, 2*changes+1)))
+	must.Eq(t, apierror.VersionConflict, apierror.KindOf(decideNeverApplied(4, 2*changes+1)))
 	// Builds on a version that is still recorded.
-	must.Eq(t, apierror.Stale, apierror.Of(decideNeverApplied(2*changes-2, 2*changes)))
-	must.Eq(t, apierror.Invalid, apierror.Of(decideNeverApplied(2*changes, 2*changes)))
+	must.Eq(t, apierror.VersionConflict, apierror.KindOf(decideNeverApplied(2*changes-2, 2*changes)))
+	must.Eq(t, apierror.InvalidConfiguration, apierror.KindOf(decideNeverApplied(2*changes, 2*changes)))
 }
 
 func TestAppliedAmendmentIsConfirmedEvenIfItIsNowInvalid(t *testing.T) {
@@ -101,13 +101,13 @@
 	} {
 		for _, state := range []*consensus.State{{Index: 1}, applyReplacements(t, 1), applyReplacements(t, 5), long} {
 			_, err := decideOnTopOf(bad, state)
-			must.Eq(t, apierror.Invalid, apierror.Of(err), must.Sprint(bad.call, string(bad.body), state.Edition))
+			must.Eq(t, apierror.InvalidConfiguration, apierror.KindOf(err), must.Sprint(bad.call, string(bad.body), state.Edition))
 		}
 	}
 	_, err := decideOnTopOf(newConfigurationUpdate(callAmend, 2, []byte(`{"Edition":4,"Withdraw":{"Depots":["album"]}}`)), applyReplacements(t, 1))
-	must.Eq(t, apierror.Invalid, apierror.Of(err)) // a route still refers to it
+	must.Eq(t, apierror.InvalidConfiguration, apierror.KindOf(err)) // a route still refers to it
 	_, err = decideOnTopOf(newConfigurationUpdate(callAmend, 0, []byte(`{"Edition":4}`)), &consensus.State{Index: 1})
-	must.Eq(t, apierror.Stale, apierror.Of(err))
+	must.Eq(t, apierror.VersionConflict, apierror.KindOf(err))
 }
 
 // After a restore, another configuration may have a version number that the controller has already parsed.
--- a/internal/mesh/controller/configurations.go
+++ b/internal/mesh/controller/configurations.go
@@ -50,7 +50,7 @@
 	}
 	configuration, err := routing.LoadAfter(previous, document)
 	if err != nil {
-		return nil, apierror.New(apierror.Unclear, "the stored configuration cannot be parsed: %v", err)
+		return nil, apierror.New(apierror.OutcomeUnknown, "the stored configuration cannot be parsed: %v", err)
 	}
 	onParsed(configuration)
 	version := &configurationVersion{document: document, configuration: configuration, packed: map[string]*routing.Packed{}}
@@ -168,7 +168,7 @@
 // handleConfiguration returns a chunk of the configuration to a proxy: the next chunk of a fetch in progress while
 // that version is cached, or else the first chunk of the newest version.
 func (c *Controller) handleConfiguration(_ context.Context, request *membership.ConfigurationRequest) (*membership.ConfigurationResponse, error) {
-	c.counts.Add("configuration_pieces")
+	c.counts.Increment("configuration_pieces")
 	if request.Offset > 0 {
 		if packed := c.configurations.cachedPack(request.Result, request.Base); packed != nil && request.Offset < len(packed.Data) {
 			return chunk(packed, request.Offset), nil
@@ -180,7 +180,7 @@
 		return nil, err
 	}
 	if version == nil {
-		return nil, apierror.New(apierror.Absent, "no configuration has been set")
+		return nil, apierror.New(apierror.NoConfiguration, "no configuration has been set")
 	}
 	response := &membership.ConfigurationResponse{Packed: routing.Packed{Result: version.configuration.Digest()}}
 	if response.Packed.Result != request.HeldDigest {
--- a/internal/mesh/controller/confirmation.go
+++ b/internal/mesh/controller/confirmation.go
@@ -53,7 +53,7 @@
 func (c *Controller) requestConfirmation(ctx context.Context, state *consensus.State, member consensus.Member) string {
 	request := consensus.Request{Kind: consensus.Learn, Value: state}
 	var response *consensus.Response
-	if member.Address == c.settings.Inner() {
+	if member.Address == c.settings.InternalAddress() {
 		response, _ = c.replicator.handle(ctx, &request)
 	} else {
 		response = c.replicator.send(ctx, member.Address, request)
--- a/internal/mesh/controller/control_api.go
+++ b/internal/mesh/controller/control_api.go
@@ -24,11 +24,11 @@
 // serveControl serves the control API for operators and dispatches on method, path and call.
 func (c *Controller) serveControl(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodPost || r.URL.Path != "/-/rpc" {
-		apierror.Write(w, apierror.NoCall, 0, "")
+		apierror.Write(w, apierror.UnknownCall, 0, "")
 		return
 	}
 	call := r.URL.Query().Get("call")
-	c.counts.Add("call_" + strings.ReplaceAll(call, ".", "_"))
+	c.counts.Increment("call_" + strings.ReplaceAll(call, ".", "_"))
 	var err error
 	var body []byte
 	switch call {
@@ -40,10 +40,10 @@
 	case callReplace, callAmend:
 		err = c.changeConfiguration(w, r, call)
 	default:
-		err = apierror.New(apierror.NoCall, "unknown call %q", call)
+		err = apierror.New(apierror.UnknownCall, "unknown call %q", call)
 	}
-	kind := apierror.Of(err)
-	c.counts.Add("answer_" + kind.String())
+	kind := apierror.KindOf(err)
+	c.counts.Increment("answer_" + kind.String())
 	if kind != apierror.None {
 		c.log.Info("call", "call", call, "kind", kind.String(), "err", err)
 		apierror.Write(w, kind, 0, err.Error())
@@ -65,7 +65,7 @@
 		return nil, asAPIError(err)
 	}
 	if state.Edition == 0 {
-		return nil, apierror.New(apierror.Absent, "no configuration has been set")
+		return nil, apierror.New(apierror.NoConfiguration, "no configuration has been set")
 	}
 	return state, nil
 }
@@ -75,7 +75,7 @@
 	if errors.As(err, &apiError) {
 		return apiError
 	}
-	return apierror.New(apierror.Unclear, "%v", err)
+	return apierror.New(apierror.OutcomeUnknown, "%v", err)
 }
 
 // changeConfiguration handles a configuration update: a compare-and-set on the agreed state.
@@ -106,15 +106,15 @@
 	http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyTimeout))
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxConfigurationBytes+1))
 	if err != nil {
-		return nil, apierror.New(apierror.Unreadable, "the request body could not be read completely: %v", err)
+		return nil, apierror.New(apierror.UnreadableBody, "the request body could not be read completely: %v", err)
 	}
 	if len(body) > maxConfigurationBytes {
-		return nil, apierror.New(apierror.TooLong, "the request body exceeds %d bytes", maxConfigurationBytes)
+		return nil, apierror.New(apierror.TooLarge, "the request body exceeds %d bytes", maxConfigurationBytes)
 	}
 	match := r.Header.Get("If-Match")
 	base, err := strconv.ParseInt(strings.Trim(strings.TrimSpace(match), `"`), 10, 64)
 	if err != nil {
-		return nil, apierror.New(apierror.Invalid, "If-Match: %q is not a version number", match)
+		return nil, apierror.New(apierror.InvalidConfiguration, "If-Match: %q is not a version number", match)
 	}
 	return newConfigurationUpdate(call, base, body), nil
 }
--- a/internal/mesh/controller/controller.go
+++ b/internal/mesh/controller/controller.go
@@ -42,7 +42,7 @@
 	settings    *settings.Settings
 	log         *slog.Logger
 	counts      *telemetry.Counters
-	caller      *rpc.Caller
+	caller      *rpc.Client
 	replicator  *replicator
 	store       *storage.Store
 	disk        *durableDisk
@@ -108,8 +108,8 @@
 		option(&chosen)
 	}
 	c := &Controller{
-		settings: cfg, log: log, counts: telemetry.NewCounters(), caller: rpc.NewCaller(chosen.wrapTransport),
-		incarnation: storage.NewIdentity(), started: time.Now(),
+		settings: cfg, log: log, counts: telemetry.NewCounters(), caller: rpc.NewClient(chosen.wrapTransport),
+		incarnation: storage.NewID(), started: time.Now(),
 		registry: membership.NewRegistry(), registryChanged: make(chan struct{}), peers: map[string]PeerInfo{},
 		lastHeard: map[string]int64{},
 		partnerState: partnerTracker{polling: map[string]bool{}, confirmedAt: map[string]int64{},
@@ -118,7 +118,7 @@
 		membership: coreMembership{skippedSpares: map[string]int64{}, unconfirmedSince: map[string]int64{},
 			disabled: chosen.disabled},
 	}
-	self := cfg.Inner()
+	self := cfg.InternalAddress()
 	c.seeds = meshAddresses(cfg, cfg.Seeds)
 	dir := cfg.DataDir
 	if dir == "" {
@@ -135,7 +135,7 @@
 			return consensus.InitialMemberID(self),
 				consensus.InitialState(initial, func(string) string { return "" }, toleratedFailures(cfg.Tolerate))
 		}
-		return storage.NewIdentity(), &consensus.State{} // not a member: it knows of no core and cannot decide anything
+		return storage.NewID(), &consensus.State{} // not a member: it knows of no core and cannot decide anything
 	}
 	opened, replica, created, err := storage.Open(dir, newReplica)
 	for n := 0; err != nil && n < maxDiskOpenAttempts; n++ { // a faulty disk may fail for seconds
@@ -163,7 +163,7 @@
 // meshAddresses replaces the ports of seed addresses by the mesh port.
 func meshAddresses(cfg *settings.Settings, seeds []string) (addresses []string) {
 	for _, address := range seeds {
-		addresses = append(addresses, settings.InnerOf(settings.Host(address), cfg.InnerFirst))
+		addresses = append(addresses, settings.InternalAddressOf(settings.Host(address), cfg.FirstInternalPort))
 	}
 	return addresses
 }
@@ -180,7 +180,7 @@
 // toleratedFailures returns how many members may lose their disks. Each zone and region contains one member of the
 // core.
 func toleratedFailures(tolerate settings.Tolerate) int {
-	return max(tolerate.Machines, tolerate.Districts, tolerate.Provinces)
+	return max(tolerate.Machines, tolerate.Zones, tolerate.Regions)
 }
 
 // Run serves until the context ends, and then until this controller has handed over its state.
@@ -194,7 +194,7 @@
 	}
 	serving, stopServing := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopServing()
-	go c.counts.Say(c.log, 5*time.Second, serving.Done())
+	go c.counts.LogPeriodically(c.log, 5*time.Second, serving.Done())
 	go c.runMaintenanceLoop(serving)
 	<-ctx.Done()
 	c.leave(serving)
@@ -218,16 +218,16 @@
 
 // listen creates the servers for operators and for the processes of the mesh, or neither of them.
 func (c *Controller) listen() (servers []*httpserver.Server, err error) {
-	control, err := httpserver.Listen(c.settings.Control, httpserver.Options{
-		Name: "control", Handler: http.HandlerFunc(c.serveControl), Failed: writeInternalError,
+	control, err := httpserver.Listen(c.settings.ControlAddress, httpserver.Options{
+		Name: "control", Handler: http.HandlerFunc(c.serveControl), HandlePanic: writeInternalError,
 		ReadHeaderTimeout: controlHeaderTimeout,
-		Counts:            c.counts, Log: c.log,
+		Counters:          c.counts, Log: c.log,
 	})
 	if err != nil {
 		return nil, err
 	}
-	mesh, err := httpserver.Listen(c.settings.Inner(), httpserver.Options{
-		Name: "mesh", Handler: c.meshHandler(), Failed: writeInternalError, Counts: c.counts, Log: c.log,
+	mesh, err := httpserver.Listen(c.settings.InternalAddress(), httpserver.Options{
+		Name: "mesh", Handler: c.meshHandler(), HandlePanic: writeInternalError, Counters: c.counts, Log: c.log,
 	})
 	if err != nil {
 		control.Close()
@@ -244,16 +244,16 @@
 	mux.HandleFunc(rpc.PathWatch, rpc.Handle(c.handleWatch))
 	mux.HandleFunc(rpc.PathConfiguration, rpc.Handle(c.handleConfiguration))
 	mux.HandleFunc(rpc.PathTokens, rpc.Handle(c.handleTokenRequest))
-	mux.HandleFunc(rpc.PathPartner, rpc.Handle(c.handlePartnerOrder))
-	mux.HandleFunc(rpc.PathCredit, rpc.Handle(c.handleCreditReport))
+	mux.HandleFunc(rpc.PathPartnerOrder, rpc.Handle(c.handlePartnerOrder))
+	mux.HandleFunc(rpc.PathCreditReport, rpc.Handle(c.handleCreditReport))
 	mux.HandleFunc(rpc.PathCreditOrder, rpc.Handle(c.handleCreditOrder))
 	mux.HandleFunc(rpc.PathStatus, rpc.Handle(c.status))
-	mux.HandleFunc(rpc.PathFigures, c.writeMetrics)
+	mux.HandleFunc(rpc.PathMetrics, c.writeMetrics)
 	return mux
 }
 
 // writeInternalError answers a call that failed because of a fault in this process. Its outcome is unclear, because
 // the request may have been carried out.
 func writeInternalError(w http.ResponseWriter, _ *http.Request) {
-	apierror.Write(w, apierror.Unclear, 0, "")
+	apierror.Write(w, apierror.OutcomeUnknown, 0, "")
 }
--- a/internal/mesh/controller/coordinator.go
+++ b/internal/mesh/controller/coordinator.go
@@ -43,7 +43,7 @@
 	}
 	takeContext, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
-	coordinator := consensus.Coordinator{ID: c.replicator.identity(), Incarnation: c.incarnation, Address: c.settings.Inner()}
+	coordinator := consensus.Coordinator{ID: c.replicator.identity(), Incarnation: c.incarnation, Address: c.settings.InternalAddress()}
 	_, err := c.replicator.change(takeContext, c.otherControllers, func(newest *consensus.State) (*consensus.State, error) {
 		if newest.Epoch != state.Epoch { // another controller has become coordinator
 			return nil, nil
@@ -61,7 +61,7 @@
 	defer granter.Unlock()
 	state, _ := c.replicator.knownState()
 	if state.Coordinator.Incarnation != c.incarnation || !c.replicator.isCurrent(state) {
-		return nil, apierror.New(apierror.Unclear, "another controller is the coordinator")
+		return nil, apierror.New(apierror.OutcomeUnknown, "another controller is the coordinator")
 	}
 	now := c.now()
 	if granter.active == nil || granter.bankEpoch != state.Epoch {
@@ -71,15 +71,15 @@
 	if granter.limitsIndex != state.Index {
 		configuration, err := c.parsedConfiguration(state)
 		if err != nil || configuration == nil {
-			return nil, apierror.New(apierror.Unclear, "no configuration is available: %v", err)
+			return nil, apierror.New(apierror.OutcomeUnknown, "no configuration is available: %v", err)
 		}
 		granter.active.SetLimits(ratelimit.TenantLimits(configuration, &c.settings.Bounds), state.BalancerCount, now)
 		granter.limitsIndex = state.Index
 	}
 	if now < granter.grantsFrom {
-		return nil, apierror.New(apierror.Unclear, "the grace period of the new coordinator has not ended")
+		return nil, apierror.New(apierror.OutcomeUnknown, "the grace period of the new coordinator has not ended")
 	}
-	c.counts.Add("draws")
+	c.counts.Increment("draws")
 	grants := granter.active.Grant(request, now)
 	return &grants, nil
 }
--- a/internal/mesh/controller/core_membership.go
+++ b/internal/mesh/controller/core_membership.go
@@ -61,12 +61,12 @@
 }
 
 func (c *Controller) self() consensus.Member {
-	return consensus.Member{ID: c.replicator.identity(), Address: c.settings.Inner(), Zone: c.settings.District}
+	return consensus.Member{ID: c.replicator.identity(), Address: c.settings.InternalAddress(), Zone: c.settings.Zone}
 }
 
 func (c *Controller) placement() consensus.Placement {
 	tolerate := c.settings.Tolerate
-	return consensus.Placement{Zones: tolerate.Districts, Regions: tolerate.Provinces, RegionOf: c.settings.Districts}
+	return consensus.Placement{Zones: tolerate.Zones, Regions: tolerate.Regions, RegionOf: c.settings.RegionOfZone}
 }
 
 // candidates returns the other controllers except for spares that recently did not catch up. c.mu must be held.
@@ -99,7 +99,7 @@
 		required.members = []string{change.Add.ID}
 	}
 	if !c.confirmMembership(ctx, decided, required, confirmationTimeout) {
-		c.counts.Add("membership_unconfirmed")
+		c.counts.Increment("membership_unconfirmed")
 		c.log.Warn("membership not confirmed", "index", decided.Index, "members", formatMembers(decided))
 	}
 }
@@ -112,7 +112,7 @@
 	if !c.awaitConfirmations(confirmContext, state, required) {
 		return false
 	}
-	c.counts.Add("membership_held")
+	c.counts.Increment("membership_held")
 	c.log.Info("membership confirmed on disk", "index", state.Index, "members", formatMembers(state))
 	c.mu.Lock()
 	c.membership.confirmedMembers = formatMembers(state)
@@ -151,7 +151,7 @@
 	confirmed := c.collectConfirmations(readyContext, base, next.Core, required.satisfiedBy)
 	c.recordConfirmations(next, added, confirmed, started)
 	if !required.satisfiedBy(confirmed) {
-		c.counts.Add("membership_not_ready")
+		c.counts.Increment("membership_not_ready")
 		c.log.Info("core is not ready for a membership change", "index", base.Index, "in", added.ID,
 			"held", len(confirmed), "of", len(next.Core))
 		return false
--- a/internal/mesh/controller/disk_verification.go
+++ b/internal/mesh/controller/disk_verification.go
@@ -60,7 +60,7 @@
 		r.diskVerification.superseded = true
 		if !r.diskVerification.replacing {
 			r.diskVerification.replacing = true
-			r.counts.Add("disk_superseded")
+			r.counts.Increment("disk_superseded")
 			go r.replaceIdentity()
 		}
 	case r.replica.Decided.HasMember(answer.ID):
@@ -73,10 +73,10 @@
 func (r *replicator) replaceIdentity() {
 	r.diskMu.Lock()
 	defer r.diskMu.Unlock()
-	id := storage.NewIdentity()
+	id := storage.NewID()
 	r.mu.Lock()
 	replacement := consensus.Replica{ID: id, Decided: r.replica.Decided,
-		Incarnation: consensus.DiskIncarnation{ID: id, Number: 1, Token: storage.NewIdentity()}}
+		Incarnation: consensus.DiskIncarnation{ID: id, Number: 1, Token: storage.NewID()}}
 	r.mu.Unlock()
 	err := r.save(&replacement)
 	r.mu.Lock()
--- a/internal/mesh/controller/export_test.go
+++ b/internal/mesh/controller/export_test.go
@@ -64,7 +64,7 @@
 func (u *configurationUpdate) decideWithoutHistoryGuard(newest *consensus.State, limit int) (*consensus.State, error) {
 	recorded := newest.AppliedChanges[max(0, len(newest.AppliedChanges)-limit):]
 	if !recorded.Contains(u.digest) && newest.Edition != u.base {
-		return nil, apierror.New(apierror.Stale, "version %d is current, not %d", newest.Edition, u.base)
+		return nil, apierror.New(apierror.VersionConflict, "version %d is current, not %d", newest.Edition, u.base)
 	}
 	return u.decide(newest, func() (*routing.Configuration, error) { return nil, nil })
 }
--- a/internal/mesh/controller/federation.go
+++ b/internal/mesh/controller/federation.go
@@ -156,7 +156,7 @@
 	defer cancel()
 	_, err := c.replicator.change(ctx, c.otherControllers, func(newest *consensus.State) (*consensus.State, error) {
 		if epoch > 0 && (newest.Epoch != epoch || newest.Coordinator.Incarnation != c.incarnation) {
-			return nil, apierror.New(apierror.Unclear, "another controller is the coordinator")
+			return nil, apierror.New(apierror.OutcomeUnknown, "another controller is the coordinator")
 		}
 		book, err := federation.DecodeImportRegistry(newest.Imports)
 		if err != nil {
@@ -279,13 +279,13 @@
 // handlePartnerOrder has the core agree on an operator's command and returns the resulting import.
 func (c *Controller) handlePartnerOrder(ctx context.Context, order *PartnerOrder) (*federation.Import, error) {
 	if order.Partner == "" || order.Who == "" || order.Why == "" {
-		return nil, apierror.New(apierror.Invalid, "Partner, Who and Why are required")
+		return nil, apierror.New(apierror.InvalidConfiguration, "Partner, Who and Why are required")
 	}
 	imported := &federation.Import{}
 	err := c.changeImports(ctx, 0, func(book *federation.ImportRegistry) error {
 		switch {
 		case book.Partners[order.Partner] == nil:
-			return apierror.New(apierror.Invalid, "unknown partner %q", order.Partner)
+			return apierror.New(apierror.InvalidConfiguration, "unknown partner %q", order.Partner)
 		case order.Drop:
 			book.Drop(order.Partner, order.Who, order.Why)
 		default:
--- a/internal/mesh/controller/gossip.go
+++ b/internal/mesh/controller/gossip.go
@@ -24,7 +24,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	add := func(at string) {
-		if at != c.settings.Inner() && !slices.Contains(addresses, at) {
+		if at != c.settings.InternalAddress() && !slices.Contains(addresses, at) {
 			addresses = append(addresses, at)
 		}
 	}
@@ -74,7 +74,7 @@
 func (c *Controller) peerInfo() PeerInfo {
 	state, _ := c.replicator.knownState()
 	return PeerInfo{
-		ID: c.replicator.identity(), At: c.settings.Inner(), Zone: c.settings.District,
+		ID: c.replicator.identity(), At: c.settings.InternalAddress(), Zone: c.settings.Zone,
 		Index: state.Index, DurableIndex: c.disk.durableIndex.Load(), Leaving: c.leaving.Load(),
 	}
 }
@@ -104,7 +104,7 @@
 	if state, _ := c.replicator.knownState(); reply.Peer.Index > state.Index {
 		if response := c.replicator.send(ctx, at, consensus.Request{Kind: consensus.ReadState, Slot: state.Index}); response != nil &&
 			response.Decided != nil {
-			c.counts.Add("copies_mended")
+			c.counts.Increment("copies_mended")
 			c.replicator.learn(response.Decided)
 		}
 	}
@@ -115,7 +115,7 @@
 	}
 	c.recordPeer(reply.Peer)
 	for _, peer := range reply.Peers {
-		if _, known := c.peers[peer.At]; !known && peer.At != c.settings.Inner() {
+		if _, known := c.peers[peer.At]; !known && peer.At != c.settings.InternalAddress() {
 			c.peers[peer.At] = peer
 		}
 	}
@@ -124,7 +124,7 @@
 // recordPeer records contact with another controller. A peer that is new or has started to leave wakes the
 // maintenance loop, so that it is admitted or replaced without waiting for the next interval. c.mu must be held.
 func (c *Controller) recordPeer(peer PeerInfo) {
-	if peer.At == c.settings.Inner() || peer.At == "" {
+	if peer.At == c.settings.InternalAddress() || peer.At == "" {
 		return
 	}
 	if previous := c.peers[peer.At]; peer.ID != previous.ID || peer.Leaving && !previous.Leaving {
--- a/internal/mesh/controller/harness_test.go
+++ b/internal/mesh/controller/harness_test.go
@@ -76,7 +76,7 @@
 	for _, cfg := range plan.Controllers {
 		must.NoError(t, os.MkdirAll(cfg.DataDir, 0o755))
 		c.nodes = append(c.nodes, &node{settings: cfg})
-		controls = append(controls, cfg.Control)
+		controls = append(controls, cfg.ControlAddress)
 	}
 	c.operator = testmesh.NewOperator(&c.links, controls)
 	t.Cleanup(func() {
@@ -98,15 +98,15 @@
 	}
 }
 
-func (c *cluster) host(n int) string { return c.nodes[n].settings.Ip }
+func (c *cluster) host(n int) string { return c.nodes[n].settings.IP }
 
 func (c *cluster) start(n int) {
 	node := c.nodes[n]
 	opened, err := controller.Open(node.settings, discardLogger,
 		controller.WithTransport(func(next http.RoundTripper) http.RoundTripper {
-			next = c.links.Transport(node.settings.Ip)(next)
-			next = c.accepts.TransportForKind(node.settings.Ip, consensus.Accept)(next)
-			return c.learns.TransportForKind(node.settings.Ip, consensus.Learn)(next)
+			next = c.links.Transport(node.settings.IP)(next)
+			next = c.accepts.TransportForKind(node.settings.IP, consensus.Accept)(next)
+			return c.learns.TransportForKind(node.settings.IP, consensus.Learn)(next)
 		}),
 		controller.WithDisk(func(d controller.Disk) controller.Disk {
 			if c.inMemory {
--- a/internal/mesh/controller/leave.go
+++ b/internal/mesh/controller/leave.go
@@ -38,7 +38,7 @@
 		}
 		time.Sleep(leavePollInterval)
 	}
-	c.counts.Add("left_without_handover")
+	c.counts.Increment("left_without_handover")
 	c.log.Warn("stopped without handing over: no quorum of the other members holds the state of this disk",
 		"after", time.Since(started).Round(time.Millisecond))
 }
--- a/internal/mesh/controller/maintenance.go
+++ b/internal/mesh/controller/maintenance.go
@@ -75,7 +75,7 @@
 		return
 	}
 	defer c.settlingPending.Store(false)
-	c.counts.Add("settled_for_others")
+	c.counts.Increment("settled_for_others")
 	settleContext, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
 	c.replicator.change(settleContext, c.otherControllers, func(*consensus.State) (*consensus.State, error) { return nil, nil })
--- a/internal/mesh/controller/majority_read.go
+++ b/internal/mesh/controller/majority_read.go
@@ -63,7 +63,7 @@
 		}
 	}
 	if ahead := reading.Ahead(); ahead != nil {
-		r.counts.Add("copies_mended")
+		r.counts.Increment("copies_mended")
 		go r.learn(ahead) // in memory at once; the disk may be slow
 		r.waitForIndex(ctx, ahead.Index)
 	}
@@ -115,10 +115,10 @@
 		select {
 		case <-time.After(readRetryInterval):
 		case <-ctx.Done():
-			return nil, apierror.New(apierror.Unclear, "no majority of the core answered in time")
+			return nil, apierror.New(apierror.OutcomeUnknown, "no majority of the core answered in time")
 		}
 	}
-	r.counts.Add("reads_settled")
+	r.counts.Increment("reads_settled")
 	return r.change(ctx, alsoNotify, func(*consensus.State) (*consensus.State, error) { return nil, nil })
 }
 
--- a/internal/mesh/controller/membership_test.go
+++ b/internal/mesh/controller/membership_test.go
@@ -164,7 +164,7 @@
 	lagging := c.nodes[2]
 	for _, n := range c.nodes { // node 2 is heard from but learns no decision
 		n.filter.Drop(func(to, path string, _ []byte) bool {
-			return path == rpc.PathConsensus && (n == lagging || to == lagging.settings.Ip)
+			return path == rpc.PathConsensus && (n == lagging || to == lagging.settings.IP)
 		})
 	}
 	c.eventually("update is acknowledged", func() bool { return c.putVersion(0, 2) })
@@ -199,7 +199,7 @@
 	silent := c.nodes[2] // so that the leaving member is part of each majority
 	for _, n := range c.nodes {
 		n.filter.Drop(func(to, path string, body []byte) bool {
-			isolated := path == rpc.PathConsensus && (n == silent || to == silent.settings.Ip)
+			isolated := path == rpc.PathConsensus && (n == silent || to == silent.settings.IP)
 			return isolated || n == c.nodes[0] && !leaving.Load() && bytes.Contains(body, []byte(`"accept"`))
 		})
 	}
--- a/internal/mesh/controller/partition_test.go
+++ b/internal/mesh/controller/partition_test.go
@@ -57,9 +57,9 @@
 	plan, err := testmesh.Plan(controllers, proxies, []string{"east", "west"}, []string{"album"}, t.TempDir())
 	must.NoError(t, err)
 	for _, cfg := range plan.Controllers[1:] {
-		cfg.District = "west"
+		cfg.Zone = "west"
 	}
-	plan.Proxies[0].District = plan.Controllers[0].District // so that this proxy watches the first controller
+	plan.Proxies[0].Zone = plan.Controllers[0].Zone // so that this proxy watches the first controller
 	m := &partitionedMesh{t: t, plan: plan}
 	m.ctx, m.stop = context.WithCancel(context.Background())
 	t.Cleanup(func() { m.stop(); m.running.Wait() })
@@ -70,7 +70,7 @@
 	}
 	for n, cfg := range plan.Proxies[:len(plan.Proxies)-1] { // the last proxy is started during the partition
 		m.proxy(cfg)
-		upstream, err := testmesh.NewUpstream(fmt.Sprint("i-", n), cfg.Destination, cfg.App, cfg.Control, 8, 0, 10)
+		upstream, err := testmesh.NewUpstream(fmt.Sprint("i-", n), cfg.Service, cfg.UpstreamAddress, cfg.ControlAddress, 8, 0, 10)
 		must.NoError(t, err)
 		t.Cleanup(upstream.Stop)
 	}
@@ -79,7 +79,7 @@
 
 func (m *partitionedMesh) startController(n int) {
 	cfg := m.plan.Controllers[n]
-	c, err := Open(cfg, slog.New(slog.DiscardHandler), WithTransport(m.links.Transport(cfg.Ip)))
+	c, err := Open(cfg, slog.New(slog.DiscardHandler), WithTransport(m.links.Transport(cfg.IP)))
 	must.NoError(m.t, err)
 	cfg.FirstStart = false // for later starts
 	m.controllers[n] = c
@@ -97,7 +97,7 @@
 func (m *partitionedMesh) proxy(cfg *settings.Settings) {
 	cfg.Bounds.Grace = time.Second
 	m.running.Go(func() {
-		proxy.New(cfg, slog.New(slog.DiscardHandler), proxy.WithTransport(m.links.Transport(cfg.Ip))).Run(m.ctx)
+		proxy.New(cfg, slog.New(slog.DiscardHandler), proxy.WithTransport(m.links.Transport(cfg.IP))).Run(m.ctx)
 	})
 }
 
@@ -121,7 +121,7 @@
 
 // call makes an operator's call to a controller.
 func (m *partitionedMesh) call(at int, call string, match int, body string) (status int, text string) {
-	request, err := http.NewRequest(http.MethodPost, "http://"+m.plan.Controllers[at].Control+"/-/rpc?call="+call,
+	request, err := http.NewRequest(http.MethodPost, "http://"+m.plan.Controllers[at].ControlAddress+"/-/rpc?call="+call,
 		strings.NewReader(body))
 	must.NoError(m.t, err)
 	request.Header.Set("If-Match", fmt.Sprint(match))
@@ -168,7 +168,7 @@
 
 // routeStatus returns the status with which a proxy answers on the route of a version.
 func (m *partitionedMesh) routeStatus(cfg *settings.Settings, edition int) int {
-	request, err := http.NewRequest(http.MethodGet, fmt.Sprintf("http://%s/v%d/x", cfg.Outbound, edition), nil)
+	request, err := http.NewRequest(http.MethodGet, fmt.Sprintf("http://%s/v%d/x", cfg.OutboundAddress, edition), nil)
 	must.NoError(m.t, err)
 	request.Host = "a.example"
 	request.Header = http.Header{"X-Attempt-Id": {fmt.Sprint(time.Now().UnixNano())}, "X-Time-Left-Ms": {"1000"}, "X-Key": {"k1"}}
@@ -181,7 +181,7 @@
 }
 
 func (m *partitionedMesh) ready(cfg *settings.Settings) bool {
-	response, err := client.Get("http://" + cfg.Ready + "/")
+	response, err := client.Get("http://" + cfg.ReadinessAddress + "/")
 	if err != nil {
 		return false
 	}
@@ -208,9 +208,9 @@
 		status, text := m.call(at, call, match, configurationDocument(edition))
 		check(call, started, status != http.StatusServiceUnavailable, fmt.Sprint(status, " ", text))
 	}
-	caller := rpc.NewCaller(nil)
+	caller := rpc.NewClient(nil)
 	defer caller.Close()
-	meshAddress := m.plan.Controllers[at].Inner()
+	meshAddress := m.plan.Controllers[at].InternalAddress()
 	callMesh := func(what, path string, message, answer any, unproven func(error) bool) {
 		started := time.Now()
 		ctx, cancel := context.WithTimeout(m.ctx, 3*time.Second)
@@ -227,7 +227,7 @@
 		update("timetable.amend", m.edition, m.edition+2)
 		callMesh("credit order", rpc.PathCreditOrder, Order{Tenant: "acme", Tokens: 1, Who: "me", Why: "test"},
 			&burstcredit.AccountStatus{}, answered)
-		callMesh("partner order", rpc.PathPartner, PartnerOrder{Partner: "zuid", Hold: true, Who: "me", Why: "test"},
+		callMesh("partner order", rpc.PathPartnerOrder, PartnerOrder{Partner: "zuid", Hold: true, Who: "me", Why: "test"},
 			&federation.Import{}, answered)
 	})
 	checks.Go(func() {
@@ -235,7 +235,7 @@
 			&map[string]ratelimit.TokenGrant{}, answered)
 	})
 	checks.Go(func() {
-		callMesh("credit report", rpc.PathCredit, burstcredit.Report{Node: "n", Incarnation: "l", Seq: 1}, &burstcredit.Grant{}, answered)
+		callMesh("credit report", rpc.PathCreditReport, burstcredit.Report{Node: "n", Incarnation: "l", Seq: 1}, &burstcredit.Grant{}, answered)
 	})
 	checks.Go(func() { callMesh("newest status", rpc.PathStatus, StatusRequest{Newest: true}, &Status{}, answered) })
 	checks.Go(func() {
@@ -253,7 +253,7 @@
 	checks.Go(func() {
 		started := time.Now()
 		text := ""
-		if httpResponse, err := client.Get("http://" + meshAddress + rpc.PathFigures); err == nil {
+		if httpResponse, err := client.Get("http://" + meshAddress + rpc.PathMetrics); err == nil {
 			raw, _ := io.ReadAll(httpResponse.Body)
 			httpResponse.Body.Close()
 			text = string(raw)
@@ -282,8 +282,8 @@
 
 func (m *partitionedMesh) partition(out, in testmesh.LinkFault) {
 	for _, other := range m.plan.Controllers[1:] {
-		m.links.Set(m.plan.Controllers[0].Ip, other.Ip, out)
-		m.links.Set(other.Ip, m.plan.Controllers[0].Ip, in)
+		m.links.Set(m.plan.Controllers[0].IP, other.IP, out)
+		m.links.Set(other.IP, m.plan.Controllers[0].IP, in)
 	}
 }
 
@@ -357,7 +357,7 @@
 			m.disableLeaseGuard(guard)
 			m.partition(testmesh.LinkSilent, testmesh.LinkSilent)
 			for _, other := range m.plan.Controllers[1:] {
-				m.links.SetBoth(lateProxy.Ip, other.Ip, testmesh.LinkSilent)
+				m.links.SetBoth(lateProxy.IP, other.IP, testmesh.LinkSilent)
 			}
 			m.put(1)
 			time.Sleep(readLeaseDuration + schedulingSlack)
@@ -393,7 +393,7 @@
 	for round := 0; round < 15 || len(outcomes) < 2 && round < 60; round++ {
 		test := partitions[round%5]
 		for _, other := range m.plan.Controllers[1:] {
-			m.links.SetDelay(m.plan.Controllers[0].Ip, other.Ip, time.Millisecond)
+			m.links.SetDelay(m.plan.Controllers[0].IP, other.IP, time.Millisecond)
 		}
 		answered := make(chan int)
 		body := configurationDocument(m.edition + 10)
--- a/internal/mesh/controller/replicator.go
+++ b/internal/mesh/controller/replicator.go
@@ -31,7 +31,7 @@
 // reaches the disk only together with the decision before it.
 type replicator struct {
 	disk        Disk
-	caller      *rpc.Caller
+	caller      *rpc.Client
 	counts      *telemetry.Counters
 	selfAddress string // mesh address of this controller
 	proposer    string // this controller's incarnation, as used in ballots
@@ -54,7 +54,7 @@
 	latency stepLatency // how long the core takes to grant a request
 }
 
-func newReplicator(opened *consensus.Replica, backing Disk, caller *rpc.Caller, counts *telemetry.Counters, selfAddress, by string) *replicator {
+func newReplicator(opened *consensus.Replica, backing Disk, caller *rpc.Client, counts *telemetry.Counters, selfAddress, by string) *replicator {
 	return &replicator{
 		disk: backing, caller: caller, counts: counts, selfAddress: selfAddress, proposer: by, replica: *opened,
 		decided: make(chan struct{}),
@@ -118,10 +118,10 @@
 // save writes a replica to the disk. r.diskMu must be held.
 func (r *replicator) save(replica *consensus.Replica) error {
 	if err := r.disk.Save(replica); err != nil {
-		r.counts.Add("disk_refused")
+		r.counts.Increment("disk_refused")
 		return err
 	}
-	r.counts.Add("syncs")
+	r.counts.Increment("syncs")
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.saved = replica.Decided.Index
@@ -200,7 +200,7 @@
 	compact, large := r.compactFor(address, request)
 	answer := r.call(ctx, address, compact)
 	if compact.IsCompact() && answer != nil && (!answer.SupportsCompact || answer.DocumentsMissing) {
-		r.counts.Add("compact_lacking")
+		r.counts.Increment("compact_lacking")
 		r.forgetHeldDocuments(address)
 		answer = r.call(ctx, address, request)
 	}
--- a/internal/mesh/controller/status.go
+++ b/internal/mesh/controller/status.go
@@ -55,7 +55,7 @@
 			return nil, err
 		}
 	}
-	report := &Status{Node: c.settings.Node, At: c.settings.Inner(), Zone: c.settings.District,
+	report := &Status{Node: c.settings.Node, At: c.settings.InternalAddress(), Zone: c.settings.Zone,
 		Up: time.Since(c.started), State: state, Counts: map[string]int64{}}
 	report.ConfirmationAges = c.confirmationAges()
 	c.partnerState.Lock()
@@ -103,7 +103,7 @@
 	if c.replicator.isCurrent(state) {
 		current = 1
 	}
-	telemetry.WriteFigures(w, "ottershift_comb", []telemetry.Gauge{
+	telemetry.WriteMetrics(w, "ottershift_comb", []telemetry.Gauge{
 		{Name: "index", Help: "Slot of the newest decision known here.", Value: state.Index},
 		{Name: "edition", Help: "Version of the timetable known here.", Value: state.Edition},
 		{Name: "current", Help: "1 while a majority has confirmed the copy a moment ago.", Value: current},
--- a/internal/mesh/controller/watch.go
+++ b/internal/mesh/controller/watch.go
@@ -17,7 +17,7 @@
 
 // handleWatch renews a proxy's lease and answers when something has changed or the maximum wait is over.
 func (c *Controller) handleWatch(ctx context.Context, request *membership.WatchRequest) (*membership.WatchResponse, error) {
-	c.counts.Add("asks")
+	c.counts.Increment("asks")
 	c.observeNode(request.Node)
 	timeout := time.NewTimer(time.Duration(request.MaxWait))
 	defer timeout.Stop()
@@ -95,7 +95,7 @@
 	}
 	response.Nodes, response.RemovedNodes, response.Complete = c.registry.ChangesSince(seq, c.now())
 	response.Seq = c.registry.Seq()
-	response.Controllers = []membership.ControllerAddress{{Address: c.settings.Inner(), Zone: c.settings.District}}
+	response.Controllers = []membership.ControllerAddress{{Address: c.settings.InternalAddress(), Zone: c.settings.Zone}}
 	for address, peer := range c.peers {
 		if c.now()-c.lastHeard[address] < int64(peerTimeout) && c.lastHeard[address] > 0 {
 			response.Controllers = append(response.Controllers, membership.ControllerAddress{Address: address, Zone: peer.Zone})
--- a/internal/mesh/federation/table.go
+++ b/internal/mesh/federation/table.go
@@ -102,7 +102,7 @@
 		return nil, Error.New("table has %d bytes, the limit is %d", len(raw), maxTableBytes)
 	}
 	table := &Table{}
-	if err := strictjson.DecodeWhole(raw, table); err != nil {
+	if err := strictjson.DecodeSingle(raw, table); err != nil {
 		return nil, Error.New("cannot decode table: %v", err)
 	}
 	if err := strictjson.Check(raw); err != nil {
--- a/internal/mesh/httpserver/httpserver.go
+++ b/internal/mesh/httpserver/httpserver.go
@@ -1,5 +1,5 @@
-// Package httpserver serves HTTP/1.1 on connections that are closed between requests only (keptconn), answers for handlers that fail,
-// and counts what it has to cut.
+// Package httpserver serves HTTP/1.1. It closes idle connections only between requests (see package keptconn), responds
+// to requests whose handler panics, and counts the requests that a shutdown aborts.
 package httpserver
 
 import (
@@ -17,36 +17,36 @@
 )
 
 const (
-	shutdownPause = 5 * time.Millisecond   // between two looks at the connections that are left
-	drainBytes    = 256 << 10              // of a body that nobody wanted, which is read for its answer to arrive
-	drainFor      = 500 * time.Millisecond // at most
+	shutdownPollInterval = 5 * time.Millisecond   // between two checks for remaining connections
+	maxDrainBytes        = 256 << 10              // of an unread request body, read so that the response arrives
+	drainTimeout         = 500 * time.Millisecond // for reading an unread request body
 )
 
-// Options are how a server is made.
+// Options configures a Server.
 type Options struct {
-	Name              string // in counters and lines
+	Name              string // in counters and log lines
 	Handler           http.Handler
 	ReadHeaderTimeout time.Duration
 	MaxHeaderBytes    int
-	KeepAlive         time.Duration // how long a connection may be idle unless it is promised otherwise; 0 for as long as it likes
-	Counts            *telemetry.Counters
+	KeepAlive         time.Duration // how long a connection may be idle unless SetKeepAlive changes it; 0 for no limit
+	Counters          *telemetry.Counters
 	Log               *slog.Logger
-	Failed            http.HandlerFunc // answers a request whose handler has panicked before it answered
+	HandlePanic       http.HandlerFunc // responds to a request whose handler panicked before it responded
 	WrapListener      WrapListener
 }
 
-// WrapListener puts something between a server and the connections that it accepts; nil for nothing. Tests inject faults with it.
+// WrapListener wraps a server's listener. It may be nil. Tests use it to inject faults.
 type WrapListener func(net.Listener) net.Listener
 
-// Server is one HTTP server.
+// Server is an HTTP server on one address.
 type Server struct {
-	options  Options
-	http     http.Server
-	listener net.Listener
-	panics   *atomic.Int64
-	idled    *atomic.Int64
-	cut      *atomic.Int64
-	closing  atomic.Bool // each answer is the last one on its connection
+	options    Options
+	http       http.Server
+	listener   net.Listener
+	panics     *atomic.Int64
+	idleClosed *atomic.Int64
+	aborted    *atomic.Int64
+	closing    atomic.Bool // each response is the last one on its connection
 
 	accepting sync.Mutex // held while connections are accepted
 
@@ -54,7 +54,7 @@
 	connections map[*Connection]struct{}
 }
 
-// Listen makes a server that listens at an address; Serve has it accept.
+// Listen returns a server that listens on an address. Serve accepts its connections.
 func Listen(address string, options Options) (*Server, error) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -63,27 +63,27 @@
 	if options.WrapListener != nil {
 		listener = options.WrapListener(listener)
 	}
-	s := &Server{
+	server := &Server{
 		options:     options,
 		listener:    listener,
-		panics:      options.Counts.Of("panics_" + options.Name),
-		idled:       options.Counts.Of("idle_closed_" + options.Name),
-		cut:         options.Counts.Of("connections_cut_" + options.Name),
+		panics:      options.Counters.Counter("panics_" + options.Name),
+		idleClosed:  options.Counters.Counter("idle_closed_" + options.Name),
+		aborted:     options.Counters.Counter("connections_cut_" + options.Name),
 		connections: map[*Connection]struct{}{},
 	}
-	s.http = http.Server{
-		Handler:                      http.HandlerFunc(s.handle),
+	server.http = http.Server{
+		Handler:                      http.HandlerFunc(server.handle),
 		ReadHeaderTimeout:            options.ReadHeaderTimeout,
 		MaxHeaderBytes:               options.MaxHeaderBytes,
 		ErrorLog:                     slog.NewLogLogger(options.Log.Handler(), slog.LevelDebug),
-		ConnState:                    s.noteState,
+		ConnState:                    server.trackState,
 		ConnContext:                  withConnection,
 		DisableGeneralOptionsHandler: true,
 	}
-	return s, nil
+	return server, nil
 }
 
-// Address is where the server listens.
+// Address returns the address that the server listens on.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
 // Serve accepts connections until the server is shut down.
@@ -93,58 +93,60 @@
 	s.http.Serve(trackingListener{s.listener, s})
 }
 
-// Close ends a server that has not served.
+// Close closes the listener of a server that has not been served.
 func (s *Server) Close() { s.listener.Close() }
 
-// CloseConnections has each answer from now on be the last one on its connection, and say so.
+// CloseConnections makes each later response the last one on its connection, with a Connection: close header.
 func (s *Server) CloseConnections() { s.closing.Store(true) }
 
-// CloseIdle closes the connections that have been idle for longer than they may.
+// CloseIdle closes the connections that have been idle for longer than their keep-alive timeout.
 func (s *Server) CloseIdle(now time.Time) {
-	for _, c := range s.all() {
-		if c.endIfOverdue(now) {
-			s.idled.Add(1)
+	for _, c := range s.trackedConnections() {
+		if c.closeIfExpired(now) {
+			s.idleClosed.Add(1)
 		}
 	}
 }
 
-// Shutdown accepts nothing more, closes idle connections, and waits until the others have had their answer or the context ends.
-// Those that are left then are cut, and counted: cut is how many of them had a request.
-func (s *Server) Shutdown(ctx context.Context) (cut int) {
+// Shutdown stops accepting connections, closes the idle ones, and waits until the others have received their response or
+// the context ends. It then closes the remaining connections and returns how many of them had an active request.
+func (s *Server) Shutdown(ctx context.Context) (aborted int) {
 	s.CloseConnections()
 	s.listener.Close()
-	s.accepting.Lock() // what has been accepted is known from here on
+	s.accepting.Lock() // from here on, all accepted connections are tracked
 	defer s.accepting.Unlock()
-	pause := time.NewTicker(shutdownPause)
-	defer pause.Stop()
+	poll := time.NewTicker(shutdownPollInterval)
+	defer poll.Stop()
 	for {
-		left := s.all()
-		for _, c := range left {
-			c.endIfIdle()
+		remaining := s.trackedConnections()
+		for _, c := range remaining {
+			c.closeIfIdle()
 		}
-		if len(left) == 0 {
+		if len(remaining) == 0 {
 			return 0
 		}
 		select {
-		case <-pause.C:
+		case <-poll.C:
 		case <-ctx.Done():
-			return s.cutAll()
+			return s.abortAll()
 		}
 	}
 }
 
-func (s *Server) cutAll() (cut int) {
-	for _, c := range s.all() {
-		if c.cut() {
-			cut++
+// abortAll closes all connections and returns how many of them had an active request.
+func (s *Server) abortAll() (aborted int) {
+	for _, c := range s.trackedConnections() {
+		if c.markAborted() {
+			aborted++
 		}
 	}
-	s.cut.Add(int64(cut))
+	s.aborted.Add(int64(aborted))
 	s.http.Close()
-	return cut
+	return aborted
 }
 
-func (s *Server) all() []*Connection {
+// trackedConnections returns the open connections.
+func (s *Server) trackedConnections() []*Connection {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all := make([]*Connection, 0, len(s.connections))
@@ -154,73 +156,74 @@
 	return all
 }
 
-// handle serves one request. A handler that fails is seen, and its client gets an answer if it has had nothing yet: net/http would end
-// the connection and tell nobody.
+// handle serves one request. It logs and counts a panic of the handler, and responds to the client if no response has
+// begun. net/http would only close the connection.
 func (s *Server) handle(w http.ResponseWriter, r *http.Request) {
-	started := &startedWriter{ResponseWriter: w, server: s}
+	tracked := &trackingWriter{ResponseWriter: w, server: s}
 	defer func() {
-		fault := recover()
-		if fault == nil {
+		panicked := recover()
+		if panicked == nil {
 			return
 		}
-		if fault != http.ErrAbortHandler {
+		if panicked != http.ErrAbortHandler {
 			s.panics.Add(1)
-			s.options.Log.Error("panic", "server", s.options.Name, "path", r.URL.Path, "fault", fault, "stack", string(debug.Stack()))
-			if !started.begun && s.options.Failed != nil {
-				s.options.Failed(started, r)
+			s.options.Log.Error("panic", "server", s.options.Name, "path", r.URL.Path, "fault", panicked, "stack", string(debug.Stack()))
+			if !tracked.started && s.options.HandlePanic != nil {
+				s.options.HandlePanic(tracked, r)
 				return
 			}
 		}
 		panic(http.ErrAbortHandler)
 	}()
-	s.options.Handler.ServeHTTP(started, r)
-	started.begin()
-	drainLast(w, r)
+	s.options.Handler.ServeHTTP(tracked, r)
+	tracked.start()
+	drainLastRequest(w, r)
 }
 
-// drainLast reads what is left of the last request on a connection, once its answer is on its way. Invariant: a close with unread bytes
-// resets the connection, and its client may lose the answer that it has not read yet. net/http sees to it for all but requests that
-// themselves say that they are the last.
-func drainLast(w http.ResponseWriter, r *http.Request) {
+// drainLastRequest reads the rest of the last request on a connection, after it has flushed the response. A close with
+// unread bytes resets the connection, and the client may lose a response that it has not read yet. net/http does this by
+// itself, except for requests with a Connection: close header.
+func drainLastRequest(w http.ResponseWriter, r *http.Request) {
 	if !r.Close || r.ContentLength == 0 {
 		return
 	}
 	control := http.NewResponseController(w)
 	control.Flush()
-	control.SetReadDeadline(time.Now().Add(drainFor))
-	io.CopyN(io.Discard, r.Body, drainBytes)
+	control.SetReadDeadline(time.Now().Add(drainTimeout))
+	io.CopyN(io.Discard, r.Body, maxDrainBytes)
 }
 
-// startedWriter knows whether an answer has begun, and has it say whether it is the last one on its connection.
-type startedWriter struct {
+// trackingWriter records whether the response has begun, and adds a Connection: close header while the server is closing.
+type trackingWriter struct {
 	http.ResponseWriter
-	server *Server
-	begun  bool
+	server  *Server
+	started bool
 }
 
-func (w *startedWriter) begin() {
-	if !w.begun && w.server.closing.Load() {
+// start records that the response begins.
+func (w *trackingWriter) start() {
+	if !w.started && w.server.closing.Load() {
 		w.Header()["Connection"] = []string{"close"}
 	}
-	w.begun = true
+	w.started = true
 }
 
 // WriteHeader implements http.ResponseWriter.
-func (w *startedWriter) WriteHeader(status int) {
-	w.begin()
+func (w *trackingWriter) WriteHeader(status int) {
+	w.start()
 	w.ResponseWriter.WriteHeader(status)
 }
 
 // Write implements http.ResponseWriter.
-func (w *startedWriter) Write(b []byte) (int, error) {
-	w.begin()
+func (w *trackingWriter) Write(b []byte) (int, error) {
+	w.start()
 	return w.ResponseWriter.Write(b)
 }
 
 // Unwrap lets http.ResponseController reach the connection.
-func (w *startedWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
+func (w *trackingWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// trackingListener accepts connections that the server knows.
+// trackingListener adds each accepted connection to its server's connections.
 type trackingListener struct {
 	net.Listener
 	server *Server
@@ -239,14 +242,14 @@
 	return c, nil
 }
 
-// noteState takes net/http's word about a connection.
-func (s *Server) noteState(conn net.Conn, state http.ConnState) {
+// trackState updates a connection when net/http reports its state.
+func (s *Server) trackState(conn net.Conn, state http.ConnState) {
 	c := conn.(*Connection)
 	switch state {
 	case http.StateActive:
-		c.begin()
+		c.markActive()
 	case http.StateIdle:
-		c.rest(time.Now())
+		c.markIdle(time.Now())
 	case http.StateClosed, http.StateHijacked:
 		s.mu.Lock()
 		defer s.mu.Unlock()
--- a/internal/mesh/meshctl/credit.go
+++ b/internal/mesh/meshctl/credit.go
@@ -12,39 +12,39 @@
 	"ottershift/internal/mesh/settings"
 )
 
-// accounts are all tenants' burst credit, as the core has agreed on it.
-func (k *client) accounts() ([]burstcredit.AccountStatus, *controller.Status, error) {
-	s, err := k.ask()
+// creditAccounts returns all tenants' burst credit as decided by the core.
+func (c *client) creditAccounts() ([]burstcredit.AccountStatus, *controller.Status, error) {
+	status, err := c.queryStatus()
 	if err != nil {
 		return nil, nil, err
 	}
-	b, err := burstcredit.DecodeLedger(s.State.Credit)
+	ledger, err := burstcredit.DecodeLedger(status.State.Credit)
 	if err != nil {
 		return nil, nil, Error.Wrap(err)
 	}
-	return b.Status(), s, nil
+	return ledger.Status(), status, nil
 }
 
-// credit shows accounts, of one tenant where it is named.
-func (k *client) credit(tenant string) error {
-	all, s, err := k.accounts()
+// showCredit prints the burst credit of one tenant, or of all if tenant is empty.
+func (c *client) showCredit(tenant string) error {
+	accounts, status, err := c.creditAccounts()
 	if err != nil {
 		return err
 	}
-	shown := all[:0]
-	for _, a := range all {
+	shown := accounts[:0]
+	for _, a := range accounts {
 		if tenant == "" || a.Tenant == tenant {
 			shown = append(shown, a)
 		}
 	}
 	if tenant != "" && len(shown) == 0 {
-		return &coded{Error.New("%q has no account", tenant), Refused}
+		return &exitError{Error.New("tenant %q has no account", tenant), Refused}
 	}
-	if k.json {
-		return k.raw(shown)
+	if c.json {
+		return c.printJSON(shown)
 	}
-	k.seen(s)
-	return k.table("TENANT\tBALANCE\tOUT\tEARNED\tGRANTED\tSPENT\tEXPIRED\tGAP\tSTATE", func(w io.Writer) {
+	c.printSource(status)
+	return c.printTable("TENANT\tBALANCE\tOUT\tEARNED\tGRANTED\tSPENT\tEXPIRED\tGAP\tSTATE", func(w io.Writer) {
 		for _, a := range shown {
 			state := "open"
 			if a.Frozen {
@@ -55,54 +55,56 @@
 	})
 }
 
-// history is the last lines of an account; their times are of the book, which runs while somebody keeps it.
-func (k *client) history(tenant string) error {
-	all, s, err := k.accounts()
+// showCreditHistory prints the last entries of an account. Their times are those of the ledger, whose clock runs only
+// while a coordinator keeps it.
+func (c *client) showCreditHistory(tenant string) error {
+	accounts, status, err := c.creditAccounts()
 	if err != nil {
 		return err
 	}
-	for _, a := range all {
-		if a.Tenant != tenant {
+	for _, account := range accounts {
+		if account.Tenant != tenant {
 			continue
 		}
-		if k.json {
-			return k.raw(a.History)
+		if c.json {
+			return c.printJSON(account.History)
 		}
-		k.seen(s)
-		return k.table("AT\tWHAT\tTOKENS\tWHO\tWHY", func(w io.Writer) {
-			for _, e := range a.History {
-				fmt.Fprintf(w, "%s\t%s\t%.1f\t%s\t%s\n", time.Duration(e.At).Round(time.Second), e.What, e.Tokens, e.Who, e.Why)
+		c.printSource(status)
+		return c.printTable("AT\tWHAT\tTOKENS\tWHO\tWHY", func(w io.Writer) {
+			for _, entry := range account.History {
+				fmt.Fprintf(w, "%s\t%s\t%.1f\t%s\t%s\n", time.Duration(entry.At).Round(time.Second), entry.What, entry.Tokens, entry.Who, entry.Why)
 			}
 		})
 	}
-	return &coded{Error.New("%q has no account", tenant), Refused}
+	return &exitError{Error.New("tenant %q has no account", tenant), Refused}
 }
 
-// order has the core carry out an operator's word on an account. Invariant: asked again elsewhere, a grant of which nobody knows
-// whether it was agreed would count twice.
-func (k *client) order(o *controller.Order) error {
-	a := &burstcredit.AccountStatus{}
-	if err := k.order_(rpc.PathCreditOrder, o, a, "look at the account's history before it is ordered again"); err != nil {
+// orderCredit sends an operator's order on a burst credit account to the core. It is not retried: a grant whose outcome
+// is unknown could take effect twice.
+func (c *client) orderCredit(order *controller.Order) error {
+	account := &burstcredit.AccountStatus{}
+	if err := c.sendOrder(rpc.PathCreditOrder, order, account, "check the account's history before you repeat the order"); err != nil {
 		return err
 	}
-	_, err := fmt.Fprintf(k.out, "%s: balance %.1f, out %.1f, spent %.0f\n", a.Tenant, a.Balance, a.Outstanding, a.Spent)
+	_, err := fmt.Fprintf(c.out, "%s: balance %.1f, out %.1f, spent %.0f\n", account.Tenant, account.Balance, account.Outstanding, account.Spent)
 	return err
 }
 
-// have gives one process of the core an order, once; advice is for when nobody knows what came of it.
-func (k *client) order_(path string, order, answer any, advice string) error {
-	if err := k.need(); err != nil {
+// sendOrder sends an order to one process of the core, once. advice is added to the error, for an order whose outcome is
+// unknown.
+func (c *client) sendOrder(path string, order, response any, advice string) error {
+	if err := c.requireAddresses(); err != nil {
 		return err
 	}
-	if k.inner == 0 {
-		return &coded{Error.New("the inner port is not known: --inner PORT, or a settings file for --core"), Usage}
+	if c.internalPort == 0 {
+		return &exitError{Error.New("unknown inner port: use --inner PORT, or a settings file for --core"), Usage}
 	}
-	c := rpc.NewCaller(nil)
-	defer c.Close()
-	ctx, end := context.WithTimeout(context.Background(), 2*k.wait)
-	defer end()
-	if err := c.Call(ctx, settings.InnerOf(settings.Host(k.seeds[0]), k.inner), path, order, answer); err != nil {
-		return &coded{Error.New("%v; %s", err, advice), Unclear}
+	rpcClient := rpc.NewClient(nil)
+	defer rpcClient.Close()
+	ctx, cancel := context.WithTimeout(context.Background(), 2*c.timeout)
+	defer cancel()
+	if err := rpcClient.Call(ctx, settings.InternalAddressOf(settings.Host(c.seeds[0]), c.internalPort), path, order, response); err != nil {
+		return &exitError{Error.New("%v; %s", err, advice), OutcomeUnknown}
 	}
 	return nil
 }
--- a/internal/mesh/meshctl/status.go
+++ b/internal/mesh/meshctl/status.go
@@ -12,15 +12,17 @@
 	"ottershift/internal/mesh/controller"
 )
 
-// seen is the line that says whose word it is and how old.
-func (k *client) seen(s *controller.Status) {
-	state := "confirmed by a majority " + ago(s.Confirmed)
-	if !s.Current {
-		state = "NOT CURRENT: no majority has confirmed it since " + ago(s.Confirmed)
+// printSource prints which process the status comes from and how old it is.
+func (c *client) printSource(status *controller.Status) {
+	freshness := "confirmed by a majority " + ago(status.Confirmed)
+	if !status.Current {
+		freshness = "NOT CURRENT: no majority has confirmed it since " + ago(status.Confirmed)
 	}
-	fmt.Fprintf(k.out, "as %s sees it, %s\n", s.Node, state)
+	fmt.Fprintf(c.out, "as %s sees it, %s\n", status.Node, freshness)
 }
 
+// ago returns a text for the time since an event. A negative duration stands for an event that never happened, and one
+// of more than a day for one that has not happened since the process started.
 func ago(d time.Duration) string {
 	switch {
 	case d < 0:
@@ -31,8 +33,9 @@
 	return d.Round(time.Millisecond).String() + " ago"
 }
 
-func (k *client) status() error {
-	if err := k.need(); err != nil {
+// showStatuses prints a line for each process of the core. It fails if no process responds.
+func (c *client) showStatuses() error {
+	if err := c.requireAddresses(); err != nil {
 		return err
 	}
 	type line struct {
@@ -40,80 +43,83 @@
 		Fault  string             `json:",omitempty"`
 		Status *controller.Status `json:",omitempty"`
 	}
-	var all []line
+	var lines []line
 	answered := false
-	for _, at := range k.seeds {
-		s, err := k.one(at)
-		l := line{At: at, Status: s}
+	for _, address := range c.seeds {
+		status, err := c.statusOf(address)
+		entry := line{At: address, Status: status}
 		if err != nil {
-			l.Fault, l.Status = err.Error(), nil
+			entry.Fault, entry.Status = err.Error(), nil
 		}
 		answered = answered || err == nil
-		all = append(all, l)
+		lines = append(lines, entry)
 	}
 	var err error
-	if k.json {
-		err = k.raw(all)
+	if c.json {
+		err = c.printJSON(lines)
 	} else {
-		err = k.table("ADDRESS\tNODE\tUP\tCURRENT\tINDEX\tVERSION\tCORE\tBALANCERS", func(w io.Writer) {
-			for _, l := range all {
-				if s := l.Status; s != nil {
-					fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%d\t%d\t%d\t%d\n", l.At, s.Node, s.Up.Round(time.Second), s.Current, s.State.Index, s.State.Edition, len(s.State.Core), len(s.Nodes))
+		err = c.printTable("ADDRESS\tNODE\tUP\tCURRENT\tINDEX\tVERSION\tCORE\tBALANCERS", func(w io.Writer) {
+			for _, entry := range lines {
+				if status := entry.Status; status != nil {
+					fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%d\t%d\t%d\t%d\n", entry.At, status.Node, status.Up.Round(time.Second), status.Current, status.State.Index, status.State.Edition, len(status.State.Core), len(status.Nodes))
 				} else {
-					fmt.Fprintf(w, "%s\tno answer: %s\n", l.At, l.Fault)
+					fmt.Fprintf(w, "%s\tno answer: %s\n", entry.At, entry.Fault)
 				}
 			}
 		})
 	}
 	if err == nil && !answered {
-		err = Error.New("nobody answered")
+		err = Error.New("no process of the core responded")
 	}
 	return err
 }
 
-func (k *client) core(s *controller.Status) error {
-	if k.json {
-		return k.raw(s.Core)
-	}
-	k.seen(s)
-	return k.table("ADDRESS\tZONE\tDISK\tVOTES\tINDEX\tHEARD", func(w io.Writer) {
-		for _, m := range s.Core {
+// showCore prints the members of the core and its other processes.
+func (c *client) showCore(status *controller.Status) error {
+	if c.json {
+		return c.printJSON(status.Core)
+	}
+	c.printSource(status)
+	return c.printTable("ADDRESS\tZONE\tDISK\tVOTES\tINDEX\tHEARD", func(w io.Writer) {
+		for _, m := range status.Core {
 			fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%d\t%s\n", m.Address, m.Zone, m.ID, m.Votes, m.Index, ago(m.Quiet))
 		}
 	})
 }
 
-func (k *client) nodes(s *controller.Status) error {
-	if k.json {
-		return k.raw(s.Nodes)
-	}
-	k.seen(s)
-	return k.table("NODE\tZONE\tINBOUND\tLEASE\tHEARD\tUPSTREAM", func(w io.Writer) {
-		for _, n := range s.Nodes {
-			lease, up := "holds", "none"
+// showNodes prints the registered proxies with their leases.
+func (c *client) showNodes(status *controller.Status) error {
+	if c.json {
+		return c.printJSON(status.Nodes)
+	}
+	c.printSource(status)
+	return c.printTable("NODE\tZONE\tINBOUND\tLEASE\tHEARD\tUPSTREAM", func(w io.Writer) {
+		for _, n := range status.Nodes {
+			lease, upstream := "holds", "none"
 			if n.Lost {
 				lease = "ran out"
 			}
 			if n.Upstream != nil {
-				up = n.Upstream.ID
+				upstream = n.Upstream.ID
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", n.Name, n.Zone, n.Inbound, lease, ago(time.Duration(n.Age)), up)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", n.Name, n.Zone, n.Inbound, lease, ago(time.Duration(n.Age)), upstream)
 		}
 	})
 }
 
-func (k *client) upstreams(s *controller.Status) error {
-	nests := slices.Clone(s.Nodes)
-	nests = slices.DeleteFunc(nests, func(n nodeRecord) bool { return n.Upstream == nil })
-	slices.SortFunc(nests, func(a, b nodeRecord) int {
+// showUpstreams prints the registered upstreams by service.
+func (c *client) showUpstreams(status *controller.Status) error {
+	nodes := slices.Clone(status.Nodes)
+	nodes = slices.DeleteFunc(nodes, func(n nodeRecord) bool { return n.Upstream == nil })
+	slices.SortFunc(nodes, func(a, b nodeRecord) int {
 		return strings.Compare(a.Upstream.Service+" "+a.Name, b.Upstream.Service+" "+b.Name)
 	})
-	if k.json {
-		return k.raw(nests)
+	if c.json {
+		return c.printJSON(nodes)
 	}
-	k.seen(s)
-	return k.table("SERVICE\tUPSTREAM\tVERSION\tZONE\tNODE\tSLOTS\tSTATE\tHEARD", func(w io.Writer) {
-		for _, n := range nests {
+	c.printSource(status)
+	return c.printTable("SERVICE\tUPSTREAM\tVERSION\tZONE\tNODE\tSLOTS\tSTATE\tHEARD", func(w io.Writer) {
+		for _, n := range nodes {
 			state := "accepting"
 			switch {
 			case n.Upstream.Draining:
@@ -126,55 +132,56 @@
 	})
 }
 
-func (k *client) duties(s *controller.Status) error {
-	if k.json {
-		return k.raw(map[string]any{"Coordinator": s.State.Coordinator, "Epoch": s.State.Epoch, "Members": s.State.BalancerCount})
-	}
-	k.seen(s)
-	return k.table("DUTY\tDONE BY\tREIGN", func(w io.Writer) {
-		fmt.Fprintf(w, "bank of quotas\t%s\t%d\n", s.State.Coordinator.Address, s.State.Epoch)
-		fmt.Fprintf(w, "core kept whole, census of %d balancers, settling\tfirst of the core in order\t\n", s.State.BalancerCount)
+// showDuties prints which process has which duty.
+func (c *client) showDuties(status *controller.Status) error {
+	if c.json {
+		return c.printJSON(map[string]any{"Coordinator": status.State.Coordinator, "Epoch": status.State.Epoch, "Members": status.State.BalancerCount})
+	}
+	c.printSource(status)
+	return c.printTable("DUTY\tDONE BY\tREIGN", func(w io.Writer) {
+		fmt.Fprintf(w, "allotment of quotas\t%s\t%d\n", status.State.Coordinator.Address, status.State.Epoch)
+		fmt.Fprintf(w, "core repair, count of %d balancers, credit settlement\tfirst live member of the core\t\n", status.State.BalancerCount)
 	})
 }
 
-// quotas asks whoever keeps the bank.
-func (k *client) quotas() error {
-	s, err := k.ask()
+// showQuotas prints the tenants' quotas as the coordinator, which allots them, knows them.
+func (c *client) showQuotas() error {
+	status, err := c.queryStatus()
 	if err != nil {
 		return err
 	}
-	if q := s.State.Coordinator.Address; q != "" && s.At != q {
-		if s, err = k.one(q); err != nil {
-			return Error.New("%s, which keeps the bank: %v", q, err)
+	if coordinator := status.State.Coordinator.Address; coordinator != "" && status.At != coordinator {
+		if status, err = c.statusOf(coordinator); err != nil {
+			return Error.New("coordinator %s: %v", coordinator, err)
 		}
 	}
-	if k.json {
-		return k.raw(s.Quotas)
+	if c.json {
+		return c.printJSON(status.Quotas)
 	}
-	k.seen(s)
-	return k.table("TENANT\tRATE/S\tSURGE\tPOOL\tOUT\tRESERVE\tBOUND A WINDOW", func(w io.Writer) {
-		for _, a := range s.Quotas {
+	c.printSource(status)
+	return c.printTable("TENANT\tRATE/S\tSURGE\tPOOL\tOUT\tRESERVE\tBOUND A WINDOW", func(w io.Writer) {
+		for _, a := range status.Quotas {
 			fmt.Fprintf(w, "%s\t%g\t%g\t%.1f\t%.1f\t%.1f\t%.0f\n", a.Tenant, a.Rate, a.Burst, a.Pool, a.Outstanding, a.Reserve, a.MaxPerWindow)
 		}
 	})
 }
 
-// watch tells what changes.
-func (k *client) watch(long time.Duration) error {
-	if err := k.need(); err != nil {
+// watch prints changes of the status until a duration has passed. It polls the core every 500 ms.
+func (c *client) watch(duration time.Duration) error {
+	if err := c.requireAddresses(); err != nil {
 		return err
 	}
 	last := map[string]string{}
-	t := time.NewTicker(500 * time.Millisecond)
-	defer t.Stop()
-	for end := time.Now().Add(long); time.Now().Before(end); <-t.C {
-		now := map[string]string{}
-		s, err := k.ask()
+	ticker := time.NewTicker(500 * time.Millisecond)
+	defer ticker.Stop()
+	for deadline := time.Now().Add(duration); time.Now().Before(deadline); <-ticker.C {
+		current := map[string]string{}
+		status, err := c.queryStatus()
 		if err != nil {
-			now["core"] = "nobody answers: " + err.Error()
+			current["core"] = "no process responds: " + err.Error()
 		} else {
-			now["core"], now["version"], now["coordinator"] = coreText(s.State), strconv.FormatInt(s.State.Edition, 10), s.State.Coordinator.Address
-			for _, n := range s.Nodes {
+			current["core"], current["version"], current["coordinator"] = coreText(status.State), strconv.FormatInt(status.State.Edition, 10), status.State.Coordinator.Address
+			for _, n := range status.Nodes {
 				text := "lease holds"
 				if n.Lost {
 					text = "lease ran out"
@@ -185,25 +192,25 @@
 						text += " closing"
 					}
 				}
-				now["node "+n.Name] = text
+				current["node "+n.Name] = text
 			}
 		}
 		var names []string
-		for name := range now {
+		for name := range current {
 			names = append(names, name)
 		}
 		for name := range last {
-			if _, is := now[name]; !is && err == nil {
-				now[name] = "gone"
+			if _, is := current[name]; !is && err == nil {
+				current[name] = "gone"
 				names = append(names, name)
 			}
 		}
 		slices.Sort(names)
 		for _, name := range names {
-			if now[name] != last[name] {
-				fmt.Fprintf(k.out, "%s %s: %s\n", time.Now().Format("15:04:05.000"), name, now[name])
+			if current[name] != last[name] {
+				fmt.Fprintf(c.out, "%s %s: %s\n", time.Now().Format("15:04:05.000"), name, current[name])
 			}
-			if last[name] = now[name]; now[name] == "gone" {
+			if last[name] = current[name]; current[name] == "gone" {
 				delete(last, name)
 			}
 		}
@@ -211,10 +218,11 @@
 	return nil
 }
 
-func coreText(s *consensus.State) string {
-	var all []string
-	for _, m := range s.Core {
-		all = append(all, m.Address)
+// coreText returns the addresses of the core's members.
+func coreText(state *consensus.State) string {
+	var addresses []string
+	for _, m := range state.Core {
+		addresses = append(addresses, m.Address)
 	}
-	return strings.Join(all, " ")
+	return strings.Join(addresses, " ")
 }
--- a/internal/mesh/routing/amend.go
+++ b/internal/mesh/routing/amend.go
@@ -21,7 +21,7 @@
 // Amend returns the configuration that results from an amendment. It leaves c unchanged.
 func (c *Configuration) Amend(body []byte) (*Configuration, error) {
 	var request amendment
-	if err := strictjson.DecodeWhole(body, &request); err != nil {
+	if err := strictjson.DecodeSingle(body, &request); err != nil {
 		return nil, Error.New("invalid JSON: %v", err)
 	}
 	if err := strictjson.Check(body); err != nil {
--- a/internal/mesh/routing/parse.go
+++ b/internal/mesh/routing/parse.go
@@ -173,7 +173,7 @@
 	json.HTMLEscape(&document, compact.Bytes())
 	configuration := &Configuration{other: map[string]json.RawMessage{}, document: document.Bytes()}
 	var top map[string]json.RawMessage
-	if err := strictjson.DecodeWhole(configuration.document, &top); err != nil {
+	if err := strictjson.DecodeSingle(configuration.document, &top); err != nil {
 		return nil, Error.New("invalid JSON: %v", err)
 	}
 	if err := json.Unmarshal(top["Edition"], &configuration.Edition); err != nil {
--- a/internal/mesh/routing/types.go
+++ b/internal/mesh/routing/types.go
@@ -20,7 +20,7 @@
 	if err := json.Unmarshal(raw, &text); err != nil {
 		return fmt.Errorf("invalid duration %s: want a string with a number and the unit ms or s", raw)
 	}
-	parsed, err := settings.Span(text)
+	parsed, err := settings.ParseDuration(text)
 	*d = Duration(parsed)
 	return err
 }
--- a/internal/mesh/storage/backup.go
+++ b/internal/mesh/storage/backup.go
@@ -9,73 +9,76 @@
 	"ottershift/internal/mesh/consensus"
 )
 
+// backupFormat is the version of the backup's encoding.
 const backupFormat = 1
 
-// Backup is an agreed state out of a core, to begin another one with.
+// Backup holds a decided state of the controllers' consensus group, from which a new group can be started.
 type Backup struct {
 	Format int
 	State  *consensus.State
-	Sum    uint32 // of the state
+	Sum    uint32 // CRC-32 (IEEE) of the JSON encoding of State
 }
 
-// EncodeBackup makes a backup of a state.
-func EncodeBackup(s *consensus.State) ([]byte, error) {
-	raw, err := json.Marshal(s)
+// EncodeBackup encodes a backup of a state.
+func EncodeBackup(state *consensus.State) ([]byte, error) {
+	raw, err := json.Marshal(state)
 	if err != nil {
 		return nil, err
 	}
-	return json.MarshalIndent(&Backup{backupFormat, s, crc32.ChecksumIEEE(raw)}, "", " ")
+	return json.MarshalIndent(&Backup{backupFormat, state, crc32.ChecksumIEEE(raw)}, "", " ")
 }
 
-// DecodeBackup reads a backup; one that is not whole is refused.
+// DecodeBackup decodes a backup. It rejects a backup of an unknown format or with a wrong checksum.
 func DecodeBackup(raw []byte) (*consensus.State, error) {
-	b := &Backup{}
-	if err := json.Unmarshal(raw, b); err != nil {
-		return nil, Error.New("the backup can't be read: %v", err)
+	backup := &Backup{}
+	if err := json.Unmarshal(raw, backup); err != nil {
+		return nil, Error.New("decoding the backup: %v", err)
 	}
-	if b.Format != backupFormat || b.State == nil {
-		return nil, Error.New("format %d is not known here", b.Format)
+	if backup.Format != backupFormat || backup.State == nil {
+		return nil, Error.New("unsupported backup format %d, or no state in the backup", backup.Format)
 	}
-	again, err := json.Marshal(b.State)
-	if err != nil || crc32.ChecksumIEEE(again) != b.Sum {
-		return nil, Error.New("the backup's checksum is wrong")
+	reencoded, err := json.Marshal(backup.State)
+	if err != nil || crc32.ChecksumIEEE(reencoded) != backup.Sum {
+		return nil, Error.New("backup checksum mismatch")
 	}
-	return b.State, nil
+	return backup.State, nil
 }
 
-// Restore lays a state on an empty disk, as that of a core of one, whose identity is new: no disk of the core that was
-// counts there any more. Others join it as strangers do.
-func Restore(dir string, s *consensus.State, at, zone string) (id string, err error) {
-	if _, err := os.Stat(filepath.Join(dir, storeFolder)); err == nil {
-		return "", Error.New("%s holds a copy already: restore lays one on an empty disk only", dir)
+// Restore writes a state to an empty directory, as the replica of a consensus group with a single member. The member
+// gets a new disk ID, so that no disk of the former group counts as a member; its controllers join the new group like
+// new ones.
+func Restore(dir string, state *consensus.State, address, zone string) (id string, err error) {
+	if _, err := os.Stat(filepath.Join(dir, storeDirectory)); err == nil {
+		return "", Error.New("%s holds a copy already: restore needs an empty directory", dir)
 	}
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return "", Error.Wrap(err)
 	}
-	id = NewIdentity()
-	next := *s
-	next.Index += 1 << 20 // beyond whatever the lost core may have decided
-	next.Core, next.Coordinator = []consensus.Member{{ID: id, Address: at, Zone: zone}}, consensus.Coordinator{}
-	w, _, fresh, err := Open(dir, func() (string, *consensus.State) { return id, &next })
+	id = NewID()
+	restored := *state
+	restored.Index += 1 << 20 // beyond any index that the lost group may have decided
+	restored.Core, restored.Coordinator = []consensus.Member{{ID: id, Address: address, Zone: zone}}, consensus.Coordinator{}
+	store, _, initReason, err := Open(dir, func() (string, *consensus.State) { return id, &restored })
 	if err != nil {
 		return "", err
 	}
-	if fresh == nil {
-		w.Close()
-		return "", Error.New("%s was not empty", dir)
+	if initReason == nil {
+		store.Close()
+		return "", Error.New("%s is not empty", dir)
 	}
-	return id, w.Close()
+	return id, store.Close()
 }
 
-// Peek reads the copy of a disk that no process uses.
-func Peek(dir string) (*consensus.Replica, error) {
-	if _, err := os.Stat(filepath.Join(dir, storeFolder)); err != nil {
+// ReadReplica reads the replica in the directory of a stopped process. It fails if there is no store. Like Open, it
+// replaces an unreadable store by an empty one, and then returns an error together with an empty replica.
+func ReadReplica(dir string) (*consensus.Replica, error) {
+	if _, err := os.Stat(filepath.Join(dir, storeDirectory)); err != nil {
 		return nil, Error.Wrap(err)
 	}
-	w, c, fresh, err := Open(dir, func() (string, *consensus.State) { return "", nil })
+	store, replica, initReason, err := Open(dir, func() (string, *consensus.State) { return "", nil })
 	if err != nil {
 		return nil, err
 	}
-	defer w.Close()
-	return c, fresh
+	defer store.Close()
+	return replica, initReason
 }
--- a/internal/mesh/storage/filesystem.go
+++ b/internal/mesh/storage/filesystem.go
@@ -9,40 +9,48 @@
 	"github.com/syndtr/goleveldb/leveldb/storage"
 )
 
-// FileSystem is the folder of a process's disk that its store lies in: what a store needs besides goleveldb's own files.
+// FileSystem is the data directory of a process: the operations that a store needs besides those of goleveldb's storage.
 type FileSystem interface {
-	// MakeFolder makes a folder, unless it is there.
-	MakeFolder(name string) error
+	// MakeDirectory creates a directory in the data directory, unless it exists.
+	MakeDirectory(name string) error
+	// Rename renames a directory in the data directory.
 	Rename(from, to string) error
-	// SyncFolder brings the names in a folder to the disk; the empty name is that of the outer one.
-	SyncFolder(name string) error
-	// SyncFile brings one of goleveldb's files to the disk.
-	SyncFile(folder string, file storage.FileDesc) error
-	// OpenStorage opens goleveldb's files in a folder.
-	OpenStorage(folder string) (storage.Storage, error)
+	// SyncDirectory syncs the entries of a directory. An empty name stands for the data directory itself.
+	SyncDirectory(name string) error
+	// SyncFile syncs one of goleveldb's files.
+	SyncFile(directory string, file storage.FileDesc) error
+	// OpenStorage opens the goleveldb storage in a directory.
+	OpenStorage(directory string) (storage.Storage, error)
 }
 
-// directory is a folder of the machine's disk.
-type directory string
+// osFileSystem is a FileSystem in a directory of the operating system's file system.
+type osFileSystem string
 
-func (d directory) path(names ...string) string {
-	return filepath.Join(append([]string{string(d)}, names...)...)
+// path returns the path of a name in the directory.
+func (f osFileSystem) path(names ...string) string {
+	return filepath.Join(append([]string{string(f)}, names...)...)
 }
 
-func (d directory) MakeFolder(name string) error { return os.MkdirAll(d.path(name), 0o755) }
+// MakeDirectory implements FileSystem.
+func (f osFileSystem) MakeDirectory(name string) error { return os.MkdirAll(f.path(name), 0o755) }
 
-func (d directory) Rename(from, to string) error { return os.Rename(d.path(from), d.path(to)) }
+// Rename implements FileSystem.
+func (f osFileSystem) Rename(from, to string) error { return os.Rename(f.path(from), f.path(to)) }
 
-func (d directory) SyncFolder(name string) error { return syncPath(d.path(name)) }
+// SyncDirectory implements FileSystem.
+func (f osFileSystem) SyncDirectory(name string) error { return syncPath(f.path(name)) }
 
-func (d directory) SyncFile(folder string, file storage.FileDesc) error {
-	return syncPath(d.path(folder, file.String()))
+// SyncFile implements FileSystem.
+func (f osFileSystem) SyncFile(directory string, file storage.FileDesc) error {
+	return syncPath(f.path(directory, file.String()))
 }
 
-func (d directory) OpenStorage(folder string) (storage.Storage, error) {
-	return storage.OpenFile(d.path(folder), false)
+// OpenStorage implements FileSystem.
+func (f osFileSystem) OpenStorage(directory string) (storage.Storage, error) {
+	return storage.OpenFile(f.path(directory), false)
 }
 
+// syncPath syncs a file or directory.
 func syncPath(path string) error {
 	file, err := os.Open(path)
 	if err != nil {
@@ -51,7 +59,7 @@
 	return errors.Join(file.Sync(), file.Close())
 }
 
-// makeDirectory makes a directory and brings its name, and those of its parents that are made with it, to the disk.
+// makeDirectory creates a directory with its missing parents, and syncs the parent of each directory that it creates.
 func makeDirectory(path string) error {
 	if info, err := os.Stat(path); err == nil && info.IsDir() {
 		return nil
--- a/internal/mesh/strictjson/fields.go
+++ b/internal/mesh/strictjson/fields.go
@@ -5,104 +5,107 @@
 	"encoding/json"
 )
 
-// namesCompared is how many names of an object are compared one by one; beyond it a set is kept.
-const namesCompared = 16
+// maxLinearNames is the largest number of names in an object that are compared one by one. Larger objects use a set.
+const maxLinearNames = 16
 
-// fieldScanner looks for fields that stand twice in valid JSON. It copies no text that has no escapes, since configurations are
-// long and each controller reads each of their versions.
+// fieldScanner finds duplicate fields in valid JSON. It does not copy names without escapes, since configurations are
+// large and each controller reads each version of them.
 type fieldScanner struct {
-	text  []byte
-	at    int      // of the next byte
-	names [][]byte // of the objects that are open, the innermost last
+	input    []byte
+	position int      // index of the next byte
+	names    [][]byte // of the enclosing objects, those of the innermost last
 }
 
-// value passes over one value. It returns the path of the first field in it that stands twice.
-func (f *fieldScanner) value() (path string, repeated bool) {
-	f.space()
-	switch f.text[f.at] {
+// scanValue skips one value. It returns the path of the first duplicate field in it.
+func (s *fieldScanner) scanValue() (path string, repeated bool) {
+	s.skipSpace()
+	switch s.input[s.position] {
 	case '{':
-		return f.object()
+		return s.scanObject()
 	case '[':
-		return f.list()
+		return s.scanArray()
 	case '"':
-		f.quoted()
+		s.scanString()
 	default:
-		f.literal()
+		s.skipLiteral()
 	}
 	return "", false
 }
 
-func (f *fieldScanner) list() (path string, repeated bool) {
-	f.at++
-	for !f.closed(']') {
-		if path, repeated = f.value(); repeated {
+// scanArray is scanValue for an array.
+func (s *fieldScanner) scanArray() (path string, repeated bool) {
+	s.position++
+	for !s.atEnd(']') {
+		if path, repeated = s.scanValue(); repeated {
 			return path, true
 		}
 	}
 	return "", false
 }
 
-func (f *fieldScanner) object() (path string, repeated bool) {
-	f.at++
-	seen := objectNames{outer: len(f.names)}
-	defer func() { f.names = f.names[:seen.outer] }()
-	for !f.closed('}') {
-		name := fieldName(f.quoted())
-		if seen.has(f.names, name) {
+// scanObject is scanValue for an object.
+func (s *fieldScanner) scanObject() (path string, repeated bool) {
+	s.position++
+	seen := objectNames{start: len(s.names)}
+	defer func() { s.names = s.names[:seen.start] }()
+	for !s.atEnd('}') {
+		name := fieldName(s.scanString())
+		if seen.has(s.names, name) {
 			return string(name), true
 		}
-		f.names = seen.add(f.names, name)
-		f.space()
-		f.at++ // the colon
-		if path, repeated = f.value(); repeated {
+		s.names = seen.add(s.names, name)
+		s.skipSpace()
+		s.position++ // the colon
+		if path, repeated = s.scanValue(); repeated {
 			return string(name) + "." + path, true
 		}
 	}
 	return "", false
 }
 
-// closed passes over the end of a list or object, or to its next item, and reports whether it was the end.
-func (f *fieldScanner) closed(end byte) bool {
-	f.space()
-	if f.text[f.at] == ',' {
-		f.at++
-		f.space()
+// atEnd skips the end of an array or object, or the comma before its next item. It reports whether it skipped the end.
+func (s *fieldScanner) atEnd(end byte) bool {
+	s.skipSpace()
+	if s.input[s.position] == ',' {
+		s.position++
+		s.skipSpace()
 	}
-	if f.text[f.at] != end {
+	if s.input[s.position] != end {
 		return false
 	}
-	f.at++
+	s.position++
 	return true
 }
 
-func (f *fieldScanner) space() {
-	for f.text[f.at] == ' ' || f.text[f.at] == '\t' || f.text[f.at] == '\n' || f.text[f.at] == '\r' {
-		f.at++
+// skipSpace skips white space.
+func (s *fieldScanner) skipSpace() {
+	for s.input[s.position] == ' ' || s.input[s.position] == '\t' || s.input[s.position] == '\n' || s.input[s.position] == '\r' {
+		s.position++
 	}
 }
 
-// quoted passes over a string and returns it with its quotes.
-func (f *fieldScanner) quoted() []byte {
-	began := f.at
-	for f.at++; f.text[f.at] != '"'; f.at++ {
-		if f.text[f.at] == '\\' {
-			f.at++
+// scanString skips a string and returns it with its quotes.
+func (s *fieldScanner) scanString() []byte {
+	start := s.position
+	for s.position++; s.input[s.position] != '"'; s.position++ {
+		if s.input[s.position] == '\\' {
+			s.position++
 		}
 	}
-	f.at++
-	return f.text[began:f.at]
+	s.position++
+	return s.input[start:s.position]
 }
 
-// literal passes over a number, true, false or null.
-func (f *fieldScanner) literal() {
-	length := bytes.IndexAny(f.text[f.at:], ",]} \t\n\r")
+// skipLiteral skips a number, true, false or null.
+func (s *fieldScanner) skipLiteral() {
+	length := bytes.IndexAny(s.input[s.position:], ",]} \t\n\r")
 	if length < 0 {
-		length = len(f.text) - f.at
+		length = len(s.input) - s.position
 	}
-	f.at += length
+	s.position += length
 }
 
-// fieldName is what a quoted string says.
+// fieldName returns the text of a quoted string.
 func fieldName(quoted []byte) []byte {
 	bare := quoted[1 : len(quoted)-1]
 	if bytes.IndexByte(bare, '\\') < 0 {
@@ -115,18 +118,19 @@
 	return []byte(name)
 }
 
-// objectNames tells whether a name stands in an object already, in the same or other capitals. The names themselves are the
-// scanner's, from outer on.
+// objectNames finds duplicate names in one object, regardless of case. The names are in the scanner's names, from the
+// index start.
 type objectNames struct {
-	outer  int
-	folded map[string]bool // of an object of many names
+	start  int
+	folded map[string]bool // case-folded names, for an object with more than maxLinearNames
 }
 
+// has reports whether the object has a name already.
 func (o *objectNames) has(names [][]byte, name []byte) bool {
 	if o.folded != nil {
 		return o.folded[FoldCase(string(name))]
 	}
-	for _, other := range names[o.outer:] {
+	for _, other := range names[o.start:] {
 		if bytes.EqualFold(other, name) {
 			return true
 		}
@@ -134,12 +138,13 @@
 	return false
 }
 
+// add appends a name of the object to names.
 func (o *objectNames) add(names [][]byte, name []byte) [][]byte {
 	names = append(names, name)
-	switch own := names[o.outer:]; {
+	switch own := names[o.start:]; {
 	case o.folded != nil:
 		o.folded[FoldCase(string(name))] = true
-	case len(own) > namesCompared:
+	case len(own) > maxLinearNames:
 		o.folded = make(map[string]bool, len(own))
 		for _, other := range own {
 			o.folded[FoldCase(string(other))] = true
--- a/internal/mesh/strictjson/strictjson.go
+++ b/internal/mesh/strictjson/strictjson.go
@@ -1,5 +1,6 @@
-// Package strictjson reads JSON that has to mean the same to every reader. encoding/json takes the last of two fields of one name,
-// fields in other capitals, and replaces what is no text; what is agreed on or let in must not depend on that.
+// Package strictjson rejects JSON that decoders may read differently. encoding/json takes the last of two fields with
+// the same name, ignores the case of field names, and replaces invalid UTF-8. Data that controllers agree on or accept
+// must not depend on that.
 package strictjson
 
 import (
@@ -13,23 +14,23 @@
 	"github.com/zeebo/errs"
 )
 
-// Error is the class of what can't be read, or not in one way.
+// Error is the class of errors in JSON that is invalid or ambiguous.
 var Error = errs.Class("json")
 
-// DecodeWhole decodes one JSON value with nothing behind it.
-func DecodeWhole(body []byte, to any) error {
-	d := json.NewDecoder(bytes.NewReader(body))
-	if err := d.Decode(to); err != nil {
+// DecodeSingle decodes a single JSON value. It fails if anything but white space follows the value.
+func DecodeSingle(body []byte, target any) error {
+	decoder := json.NewDecoder(bytes.NewReader(body))
+	if err := decoder.Decode(target); err != nil {
 		return err
 	}
-	if _, err := d.Token(); err != io.EOF {
+	if _, err := decoder.Token(); err != io.EOF {
 		return Error.New("something follows the value")
 	}
 	return nil
 }
 
-// Check refuses JSON that readers may take for different things: text that is not UTF-8, halves of surrogate pairs, which
-// decoders replace, and a field that stands twice in one object, in the same or other capitals.
+// Check rejects JSON that decoders may read differently: text that is not UTF-8, unpaired surrogates, which decoders
+// replace, and duplicate fields of an object, regardless of case.
 func Check(body []byte) error {
 	if !utf8.Valid(body) {
 		return Error.New("the text is not UTF-8")
@@ -37,18 +38,18 @@
 	if hasLoneSurrogate(body) {
 		return Error.New("a \\u escape is half of a surrogate pair")
 	}
-	var whole json.RawMessage
-	if err := json.Unmarshal(body, &whole); err != nil {
+	var value json.RawMessage
+	if err := json.Unmarshal(body, &value); err != nil {
 		return Error.Wrap(err)
 	}
-	f := fieldScanner{text: whole}
-	if path, repeated := f.value(); repeated {
+	scanner := fieldScanner{input: value}
+	if path, repeated := scanner.scanValue(); repeated {
 		return Error.New("%s: stands twice", path)
 	}
 	return nil
 }
 
-// FoldCase is the same text for all texts that decoders of JSON take for the same field name.
+// FoldCase returns a text that is the same for all field names that JSON decoders may treat as equal, which ignore case.
 func FoldCase(name string) string {
 	return strings.Map(func(r rune) rune {
 		least := r
@@ -59,13 +60,13 @@
 	}, name)
 }
 
-// hasLoneSurrogate reports whether a \u escape names half of a surrogate pair without the other half.
+// hasLoneSurrogate reports whether a \u escape stands for an unpaired surrogate.
 func hasLoneSurrogate(body []byte) bool {
 	for at := 0; at < len(body); at++ {
 		if body[at] != '\\' {
 			continue
 		}
-		at++ // whatever is escaped, another backslash too
+		at++ // skips the escaped character, which may be another backslash
 		switch unit := escapedUnit(body[min(at, len(body)):]); {
 		case unit < 0xD800 || unit > 0xDFFF:
 		case unit > 0xDBFF:
@@ -84,7 +85,7 @@
 	return false
 }
 
-// escapedUnit is the unit that text names as uXXXX, 0 if it names none.
+// escapedUnit returns the UTF-16 code unit of an escape uXXXX at the start of text, or 0 if there is none.
 func escapedUnit(text []byte) (unit int) {
 	const hexDigits = 4
 	if len(text) < 1+hexDigits || text[0] != 'u' {
