--- a/cmd/ottershift/members.go
+++ b/cmd/ottershift/members.go
@@ -94,18 +94,18 @@
 	if len(seen) == 0 {
 		return false, errors.New("no answer")
 	}
-	differ := member.Differ(seen)
+	differ := member.CompareViews(seen)
 	if raw {
 		say := json.NewEncoder(to)
 		for _, v := range seen {
 			say.Encode(v)
 		}
-		return len(differ) == 0 && seen[0].Over == "", nil
+		return len(differ) == 0 && seen[0].SupersededBy == "", nil
 	}
 	v := seen[0]
 	fmt.Fprintf(to, "cluster %s as seen by %s\n", v.Cluster, v.Self)
-	if v.Over != "" {
-		fmt.Fprintf(to, "this run is over: %s came after it, and it takes no part any more\n", v.Over)
+	if v.SupersededBy != "" {
+		fmt.Fprintf(to, "this run is over: %s came after it, and it takes no part any more\n", v.SupersededBy)
 	}
 	out := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(out, "NAME\tEPOCH\tSTATE\tSINCE\tLAST WORD\tZONE\tADDRESS\tOPEN\tRATE/S\tBUILD\tOFFERS")
@@ -114,19 +114,19 @@
 	}
 	for _, m := range v.Members {
 		state := m.State
-		if m.Leaving && state == member.Alive.String() {
+		if m.Draining && state == member.Alive.String() {
 			state = "leaving"
 		}
-		word := ms(m.Age)
+		word := ms(m.LastHeardMillis)
 		if m.Self {
 			word = "itself"
 		}
-		fmt.Fprintf(out, "%s\t%d\t%s\t%s\t%s\t%s\t%s\t%d\t%.1f\t%s\t%s\n", m.Name, m.Epoch, state, ms(m.For), word, dash(m.Zone), m.Address, m.Open,
-			m.Rate, dash(m.Build), dash(strings.Join(m.Offers, ",")))
+		fmt.Fprintf(out, "%s\t%d\t%s\t%s\t%s\t%s\t%s\t%d\t%.1f\t%s\t%s\n", m.Name, m.Epoch, state, ms(m.StateMillis), word, dash(m.Zone), m.Address, m.OpenTransactions,
+			m.Rate, dash(m.Build), dash(strings.Join(m.Pools, ",")))
 	}
 	out.Flush()
 	if all {
-		told := slices.DeleteFunc(slices.Clone(seen), func(v member.View) bool { return v.Fault != "" })
+		told := slices.DeleteFunc(slices.Clone(seen), func(v member.View) bool { return v.Error != "" })
 		fmt.Fprintf(to, "%d views of %d members asked\n", len(told), len(seen))
 		for _, line := range differ {
 			fmt.Fprintln(to, line)
@@ -135,7 +135,7 @@
 			fmt.Fprintln(to, "all views are the same")
 		}
 	}
-	return len(differ) == 0 && v.Over == "", nil
+	return len(differ) == 0 && v.SupersededBy == "", nil
 }
 
 func dash(text string) string {
--- a/internal/cluster/agreed.go
+++ b/internal/cluster/agreed.go
@@ -124,7 +124,7 @@
 
 func (l local) Call(ctx context.Context, name string, method uint16, body []byte) ([]byte, error) {
 	if name == l.self {
-		return l.Link.Here(ctx, method, body)
+		return l.Link.CallLocal(ctx, method, body)
 	}
 	return l.Link.Call(ctx, name, method, body)
 }
@@ -150,16 +150,16 @@
 	epoch, ok := client.Session()
 	ctx, end := context.WithTimeout(a.ctx, asks)
 	defer end()
-	if over := a.c.gossip.Over(); !over && (!ok || epoch != self.Epoch) {
+	if over := a.c.gossip.Superseded(); !over && (!ok || epoch != self.Epoch) {
 		known, err := client.Open(ctx, self.Epoch, self.Run)
 		switch {
 		case err == nil:
 			a.c.o.Log.Info("cluster", "step", "session", "epoch", known, "group", group)
 		case errors.Is(err, keep.ErrMemberOver) && known == self.Epoch:
 			// It was ended, as of a member that is gone: this process goes on as another run. What the old one held is not its own.
-			a.c.gossip.Renew(known)
+			a.c.gossip.RenewEpoch(known)
 		case errors.Is(err, keep.ErrMemberOver):
-			a.c.gossip.Told(member.ID{Name: self.Name, Epoch: known, Run: 1<<64 - 1}, true)
+			a.c.gossip.ObserveNewerSelf(member.ID{Name: self.Name, Epoch: known, Run: 1<<64 - 1}, true)
 		}
 	} else if ok && time.Since(*looked) > confirms {
 		*looked = time.Now()
@@ -175,14 +175,14 @@
 
 // members are who else may own duties: alive, not leaving.
 func (a *agreed) members() (all []owner.Member, willing bool) {
-	for _, m := range a.c.gossip.Alive() {
-		if !m.Leaving {
+	for _, m := range a.c.gossip.AliveMembers() {
+		if !m.Draining {
 			all = append(all, owner.Member{Name: m.Name})
 		}
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return all, !a.leaving && !a.c.gossip.Over()
+	return all, !a.leaving && !a.c.gossip.Superseded()
 }
 
 // keepers is the client as the owners use it.
@@ -253,7 +253,7 @@
 		ctx, end := context.WithTimeout(a.ctx, asks)
 		got, err := a.client.Read(ctx, false)
 		for _, s := range got.Sessions {
-			if err != nil || !s.Open || s.Member == a.c.o.Settings.Self || !a.c.gossip.Gone(s.Member, s.Epoch, a.c.o.Settings.Lease) {
+			if err != nil || !s.Open || s.Member == a.c.o.Settings.Self || !a.c.gossip.RunEnded(s.Member, s.Epoch, a.c.o.Settings.Lease) {
 				continue
 			}
 			if now, may := a.owners.May(keep.Sessions); !may || now != token {
@@ -338,7 +338,7 @@
 }
 
 func (w way) Offering(pool string) (others []string) {
-	for _, m := range w.a.c.gossip.Offering(pool, 0) {
+	for _, m := range w.a.c.gossip.MembersServing(pool, 0) {
 		if m.Name != w.a.c.o.Settings.Self {
 			others = append(others, m.Name)
 		}
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -53,10 +53,10 @@
 	c := &Cluster{o: o, pools: map[uint32]*Route{}, end: make(chan struct{})}
 	var err error
 	c.link, err = link.Listen(link.Options{
-		Cluster: o.Settings.Name, Self: o.Settings.Self, Address: o.Settings.Address, Through: o.Settings.Through, Seed: o.Seed, Log: o.Log,
-		Stream:   func(conn net.Conn) { c.gossip.Stream(conn) },
-		Datagram: c.datagram,
-		Resolve:  func(name string) (string, bool) { return c.gossip.Resolve(name) },
+		Cluster: o.Settings.Name, Self: o.Settings.Self, Address: o.Settings.Address, AddressOverrides: o.Settings.Through, Seed: o.Seed, Log: o.Log,
+		HandleStream:   func(conn net.Conn) { c.gossip.HandleStream(conn) },
+		HandleDatagram: c.datagram,
+		Resolve:        func(name string) (string, bool) { return c.gossip.Resolve(name) },
 	})
 	if err != nil {
 		return nil, fmt.Errorf("cluster: %w", err)
@@ -69,9 +69,9 @@
 	if o.Lab != nil {
 		guards.Refutation, guards.Epochs = !o.Lab.without("refutation"), !o.Lab.without("epochs")
 	}
-	c.gossip, err = member.Join(member.Options{
-		Settings: o.Settings, Ops: o.Ops, Build: o.Build, Seed: o.Seed, Guards: guards, FS: fs, Log: o.Log, Link: c.link, Status: o.Status,
-		Changed: func(member.Change) {
+	c.gossip, err = member.New(member.Options{
+		Settings: o.Settings, OpsAddress: o.Ops, Build: o.Build, Seed: o.Seed, Guards: guards, FS: fs, Log: o.Log, Transport: c.link, Status: o.Status,
+		StateChanged: func(member.Change) {
 			if o.Changed != nil {
 				o.Changed()
 			}
@@ -88,7 +88,7 @@
 		}
 	}
 	c.link.Serve()
-	if err := c.gossip.Begin(); err != nil {
+	if err := c.gossip.Start(); err != nil {
 		c.link.Close()
 		return nil, fmt.Errorf("cluster: %w", err)
 	}
@@ -107,8 +107,8 @@
 
 // Divert takes over the settings that change in service.
 func (c *Cluster) Divert(s *config.Settings) {
-	c.link.Divert(s.Through)
-	c.gossip.Divert(s)
+	c.link.SetAddressOverrides(s.Through)
+	c.gossip.UpdateSettings(s)
 	if x := c.claims; x != nil && s.Ledger != nil {
 		x.mu.Lock()
 		now := *s.Ledger
@@ -127,11 +127,11 @@
 		a.leaving = yes
 		a.mu.Unlock()
 	}
-	c.gossip.Leaving(yes)
+	c.gossip.SetDraining(yes)
 }
 
 // Tell has the others told at once how this process is.
-func (c *Cluster) Tell() { c.gossip.Tell() }
+func (c *Cluster) Tell() { c.gossip.BroadcastStatus() }
 
 // Close leaves by intent and ends it.
 func (c *Cluster) Close() {
@@ -149,11 +149,11 @@
 
 func (c *Cluster) datagram(kind byte, payload []byte, from net.Addr) {
 	switch kind {
-	case link.Gossip:
-		c.gossip.Packet(payload, from)
-	case link.Notice:
-		c.gossip.Notice(payload)
-	case link.Peers:
+	case link.KindGossip:
+		c.gossip.HandlePacket(payload, from)
+	case link.KindNotice:
+		c.gossip.HandleNotice(payload)
+	case link.KindPeers:
 		c.told(payload)
 	}
 }
@@ -167,7 +167,7 @@
 		return err
 	}
 	if all {
-		for _, v := range c.gossip.Views(viewWithin) {
+		for _, v := range c.gossip.CollectViews(viewWithin) {
 			if err := say.Encode(v); err != nil {
 				return err
 			}
@@ -184,17 +184,17 @@
 	for _, m := range v.Members {
 		states[m.State]++
 		if m.State == member.Alive.String() {
-			oldest = max(oldest, m.Age)
+			oldest = max(oldest, m.LastHeardMillis)
 		}
 	}
 	for _, s := range []string{"alive", "dead", "left", "over"} {
 		fmt.Fprintf(to, "cluster_members{state=\"%s\"} %d\n", s, states[s])
 	}
 	over := 0
-	if v.Over != "" {
+	if v.SupersededBy != "" {
 		over = 1
 	}
-	n := &c.link.Counts
+	n := &c.link.Counters
 	for _, f := range []struct {
 		name string
 		v    int64
@@ -205,11 +205,11 @@
 		{"cluster_datagrams_in", n.DatagramsIn.Load()}, {"cluster_datagrams_out", n.DatagramsOut.Load()},
 		{"cluster_datagram_bytes_in", n.BytesIn.Load()}, {"cluster_datagram_bytes_out", n.BytesOut.Load()},
 		{"cluster_stream_bytes_in", n.StreamBytesIn.Load()}, {"cluster_stream_bytes_out", n.StreamBytesOut.Load()},
-		{"cluster_spoilt", n.Spoilt.Load()}, {"cluster_refused", n.Refused.Load()}, {"cluster_dropped", n.Dropped.Load()},
+		{"cluster_spoilt", n.Corrupt.Load()}, {"cluster_refused", n.Refused.Load()}, {"cluster_dropped", n.Dropped.Load()},
 		{"cluster_connections", n.Connections.Load()},
-		{"cluster_calls", n.Called.Load()}, {"cluster_calls_answered", n.Answered.Load()}, {"cluster_calls_never_sent", n.NeverSent.Load()},
-		{"cluster_calls_unknown", n.Unknown.Load()}, {"cluster_calls_refused_here", n.Full.Load()},
-		{"cluster_served", n.Served.Load()}, {"cluster_busy", n.Busy.Load()},
+		{"cluster_calls", n.Calls.Load()}, {"cluster_calls_answered", n.Answered.Load()}, {"cluster_calls_never_sent", n.NotSent.Load()},
+		{"cluster_calls_unknown", n.OutcomeUnknown.Load()}, {"cluster_calls_refused_here", n.Overloaded.Load()},
+		{"cluster_served", n.Served.Load()}, {"cluster_busy", n.Rejected.Load()},
 	} {
 		fmt.Fprintf(to, "%s %d\n", f.name, f.v)
 	}
--- a/internal/cluster/keep/client.go
+++ b/internal/cluster/keep/client.go
@@ -152,7 +152,7 @@
 		case err == nil:
 			mayBe, hint = mayBe || r.Lost, r.Hint
 			err = errors.New(r.Fault)
-		case !errors.Is(err, link.ErrNeverSent) && !errors.Is(err, link.ErrRefused) && !errors.Is(err, link.ErrFull):
+		case !errors.Is(err, link.ErrNotSent) && !errors.Is(err, link.ErrRefused) && !errors.Is(err, link.ErrOverloaded):
 			mayBe = true
 		}
 		if hint == to {
--- a/internal/cluster/keep/history_test.go
+++ b/internal/cluster/keep/history_test.go
@@ -92,8 +92,8 @@
 			}
 		}
 		l, err := link.Listen(link.Options{
-			Cluster: "c", Self: voters[i], Address: "127.0.0.1:0", Through: where, Log: slog.New(slog.DiscardHandler), Stream: func(c net.Conn) { c.Close() },
-			Datagram: func(byte, []byte, net.Addr) {}, Resolve: func(n string) (string, bool) { return "", false },
+			Cluster: "c", Self: voters[i], Address: "127.0.0.1:0", AddressOverrides: where, Log: slog.New(slog.DiscardHandler), HandleStream: func(c net.Conn) { c.Close() },
+			HandleDatagram: func(byte, []byte, net.Addr) {}, Resolve: func(n string) (string, bool) { return "", false },
 		})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/cluster/keep/keeper.go
+++ b/internal/cluster/keep/keeper.go
@@ -453,8 +453,8 @@
 	if err := pack.Unpack(body, &e); err != nil {
 		return nil, err
 	}
-	if e.Total > pack.Most || e.At < 0 {
-		return nil, pack.ErrLong
+	if e.Total > pack.MaxSize || e.At < 0 {
+		return nil, pack.ErrTooLong
 	}
 	k.mu.Lock()
 	a := k.parts[e.Name]
--- a/internal/cluster/keep/keeper_test.go
+++ b/internal/cluster/keep/keeper_test.go
@@ -36,8 +36,8 @@
 	dir := t.TempDir()
 	for _, name := range all {
 		l, err := link.Listen(link.Options{
-			Cluster: "c", Self: name, Address: "127.0.0.1:0", Log: slog.New(slog.DiscardHandler), Stream: func(c net.Conn) { c.Close() },
-			Datagram: func(byte, []byte, net.Addr) {}, Resolve: func(n string) (string, bool) { a, ok := where[n]; return a, ok },
+			Cluster: "c", Self: name, Address: "127.0.0.1:0", Log: slog.New(slog.DiscardHandler), HandleStream: func(c net.Conn) { c.Close() },
+			HandleDatagram: func(byte, []byte, net.Addr) {}, Resolve: func(n string) (string, bool) { a, ok := where[n]; return a, ok },
 		})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/cluster/ledger/rate_test.go
+++ b/internal/cluster/ledger/rate_test.go
@@ -48,8 +48,8 @@
 			}
 		}
 		l, err := link.Listen(link.Options{
-			Cluster: "c", Self: name, Address: "127.0.0.1:0", Through: where, Log: slog.New(slog.DiscardHandler), Stream: func(c net.Conn) { c.Close() },
-			Datagram: func(byte, []byte, net.Addr) {}, Resolve: func(string) (string, bool) { return "", false },
+			Cluster: "c", Self: name, Address: "127.0.0.1:0", AddressOverrides: where, Log: slog.New(slog.DiscardHandler), HandleStream: func(c net.Conn) { c.Close() },
+			HandleDatagram: func(byte, []byte, net.Addr) {}, Resolve: func(string) (string, bool) { return "", false },
 		})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/cluster/link/caller.go
+++ b/internal/cluster/link/caller.go
@@ -7,217 +7,222 @@
 	"time"
 )
 
-// What became of a call that has no answer. Never sent: not a byte of it left. Unknown: it may have been done.
+// Errors of calls without a response. After ErrNotSent no byte of the request left this process; after ErrOutcomeUnknown
+// the peer may have executed it.
 var (
-	ErrFull      = errors.New("refused: too many calls wait for this member")
-	ErrNeverSent = errors.New("never sent")
-	ErrUnknown   = errors.New("unknown: the link broke or was silent after it was sent")
-	ErrRefused   = errors.New("refused by the member called, not begun")
-	ErrFailed    = errors.New("failed at the member called")
+	ErrOverloaded     = errors.New("too many pending calls or connections")
+	ErrNotSent        = errors.New("request not sent")
+	ErrOutcomeUnknown = errors.New("outcome unknown: connection lost or timed out after the request was sent")
+	ErrRefused        = errors.New("request refused by the peer before it was started")
+	ErrHandlerFailed  = errors.New("request failed at the peer")
 )
 
-// Bounds of one caller.
+// Limits of one Caller.
 const (
-	MostWaiting = 256     // calls not yet written
-	MostOut     = 64      // calls written and not answered
-	MostBytes   = 1 << 20 // of those written and not answered
-	spare       = 2       // milliseconds kept for the way back
-	firstPause  = int64(50 * time.Millisecond)
-	mostPause   = int64(2 * time.Second)
-	silence     = int64(5 * time.Second) // with calls out and nothing heard, until a connection counts as dead
+	MaxQueued          = 256     // calls not yet sent
+	MaxInFlight        = 64      // calls sent and not yet answered
+	MaxInFlightBytes   = 1 << 20 // total body size of the calls in flight
+	returnMarginMillis = 2       // part of the deadline reserved for the response's way back
+	minBackoff         = int64(50 * time.Millisecond)
+	maxBackoff         = int64(2 * time.Second)
+	silenceTimeout     = int64(5 * time.Second) // without received frames while calls are in flight; then the connection is closed
 )
 
-// Caller is one member's calls to another, on a connection that comes and goes: a core without I/O and clock.
-// Times are nanoseconds on the caller's own clock.
+// Caller is the client side of the calls from one member to another, over a connection that may be lost and reopened.
+// It is a state machine without I/O or clock; times are nanoseconds on the clock of the program that drives it.
 type Caller struct {
-	chance *rand.Rand
-	next   uint64
-
-	open     bool
-	dialling bool
-	again    int64 // when to dial again
-	pause    int64
-	heard    int64 // last sign of life on this connection, or when it was opened
-
-	waiting []*Out
-	out     map[uint64]*Out
-	bytes   int // of out
+	rng    *rand.Rand
+	lastID uint64
+
+	connected bool
+	dialing   bool
+	nextDial  int64 // earliest time of the next dial
+	backoff   int64
+	lastHeard int64 // last response on this connection, the time it was opened, or the time calls went in flight again
+
+	queue         []*PendingCall
+	inFlight      map[uint64]*PendingCall
+	inFlightBytes int // total body size of inFlight
 }
 
-// Out is a call on its way.
-type Out struct {
+// PendingCall is a call that has not completed.
+type PendingCall struct {
 	ID       uint64
 	Method   uint16
 	Body     []byte
 	Deadline int64
-	Done     func(body []byte, err error) // called once; nil for what wants no answer
+	Done     func(body []byte, err error) // called exactly once; nil for one-way calls
 }
 
-// NewCaller makes one whose chance comes from a seed.
+// NewCaller returns a Caller without a connection. The seed drives the jitter of the reconnect backoff.
 func NewCaller(seed uint64) *Caller {
-	return &Caller{chance: rand.New(rand.NewPCG(seed, 0x11)), out: map[uint64]*Out{}, pause: firstPause}
+	return &Caller{rng: rand.New(rand.NewPCG(seed, 0x11)), inFlight: map[uint64]*PendingCall{}, backoff: minBackoff}
 }
 
-// Call takes a call, or refuses it at once.
-func (c *Caller) Call(now int64, method uint16, body []byte, deadline int64, done func([]byte, error)) error {
+// Enqueue queues a call, or returns an error at once; done is not called in that case.
+func (c *Caller) Enqueue(now int64, method uint16, body []byte, deadline int64, done func([]byte, error)) error {
 	switch {
-	case len(body) > MostFrame:
-		return ErrLong
+	case len(body) > MaxFrameBody:
+		return ErrTooLong
 	case deadline <= now:
-		return ErrNeverSent
-	case len(c.waiting) >= MostWaiting:
-		return ErrFull
+		return ErrNotSent
+	case len(c.queue) >= MaxQueued:
+		return ErrOverloaded
 	}
-	c.next++
-	c.waiting = append(c.waiting, &Out{ID: c.next, Method: method, Body: body, Deadline: deadline, Done: done})
+	c.lastID++
+	c.queue = append(c.queue, &PendingCall{ID: c.lastID, Method: method, Body: body, Deadline: deadline, Done: done})
 	return nil
 }
 
-// Dial reports whether a connection is to be opened now; whoever asks then does so and says Opened or Broken.
-func (c *Caller) Dial(now int64) bool {
-	if c.open || c.dialling || len(c.waiting) == 0 || now < c.again {
+// ShouldDial reports whether a connection is to be opened now. If so, the driver must dial and report the result with
+// Connected or Disconnected.
+func (c *Caller) ShouldDial(now int64) bool {
+	if c.connected || c.dialing || len(c.queue) == 0 || now < c.nextDial {
 		return false
 	}
-	c.dialling = true
+	c.dialing = true
 	return true
 }
 
-// Opened says that a connection stands.
-func (c *Caller) Opened(now int64) { c.open, c.dialling, c.heard = true, false, now }
+// Connected records that the connection was established.
+func (c *Caller) Connected(now int64) { c.connected, c.dialing, c.lastHeard = true, false, now }
 
-// Broken says that it is gone, or could not be had. What was sent on it may have been done.
-func (c *Caller) Broken(now int64) {
-	if c.open {
-		c.pause = firstPause
+// Disconnected records that the connection was lost or could not be established. Calls in flight complete with
+// ErrOutcomeUnknown, as the peer may have executed them.
+func (c *Caller) Disconnected(now int64) {
+	if c.connected {
+		c.backoff = minBackoff
 	}
-	c.open, c.dialling = false, false
-	c.again = now + c.pause/2 + c.chance.Int64N(c.pause)
-	c.pause = min(2*c.pause, mostPause)
-	for _, id := range sortedIDs(c.out) {
-		c.end(c.out[id], nil, ErrUnknown)
+	c.connected, c.dialing = false, false
+	c.nextDial = now + c.backoff/2 + c.rng.Int64N(c.backoff)
+	c.backoff = min(2*c.backoff, maxBackoff)
+	for _, callID := range sortedIDs(c.inFlight) {
+		c.finish(c.inFlight[callID], nil, ErrOutcomeUnknown)
 	}
 }
 
-func sortedIDs(m map[uint64]*Out) (ids []uint64) {
-	for id := range m {
+func sortedIDs(calls map[uint64]*PendingCall) (ids []uint64) {
+	for id := range calls {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	return ids
 }
 
-func (c *Caller) end(o *Out, body []byte, err error) {
-	if c.out[o.ID] == o {
-		delete(c.out, o.ID)
-		c.bytes -= len(o.Body)
+func (c *Caller) finish(call *PendingCall, body []byte, err error) {
+	if c.inFlight[call.ID] == call {
+		delete(c.inFlight, call.ID)
+		c.inFlightBytes -= len(call.Body)
 	}
-	o.finish(body, err)
+	call.complete(body, err)
 }
 
-func (o *Out) finish(body []byte, err error) {
-	if o.Done != nil {
-		o.Done(body, err)
+func (call *PendingCall) complete(body []byte, err error) {
+	if call.Done != nil {
+		call.Done(body, err)
 	}
 }
 
-// Frames gives what is to be written now, within what the other has not yet answered.
-func (c *Caller) Frames(now int64, write func(*Frame)) {
-	if !c.open {
+// NextFrames passes the frames to send now to write, within the limits on calls and bytes in flight.
+func (c *Caller) NextFrames(now int64, write func(*Frame)) {
+	if !c.connected {
 		return
 	}
-	for len(c.waiting) > 0 && len(c.out) < MostOut {
-		o := c.waiting[0]
-		if len(c.out) > 0 && c.bytes+len(o.Body) > MostBytes {
+	for len(c.queue) > 0 && len(c.inFlight) < MaxInFlight {
+		call := c.queue[0]
+		if len(c.inFlight) > 0 && c.inFlightBytes+len(call.Body) > MaxInFlightBytes {
 			return
 		}
-		c.waiting = c.waiting[1:]
-		left := (o.Deadline-now)/int64(time.Millisecond) - spare
-		if left <= 0 {
-			o.finish(nil, ErrNeverSent)
+		c.queue = c.queue[1:]
+		timeoutMillis := (call.Deadline-now)/int64(time.Millisecond) - returnMarginMillis
+		if timeoutMillis <= 0 {
+			call.complete(nil, ErrNotSent)
 			continue
 		}
-		if o.Done == nil {
-			write(&Frame{Type: post, Method: o.Method, ID: o.ID, Left: uint32(min(left, 1<<31)), Body: o.Body})
+		if call.Done == nil {
+			write(&Frame{Type: frameOneWay, Method: call.Method, ID: call.ID, TimeoutMillis: uint32(min(timeoutMillis, 1<<31)), Body: call.Body})
 			continue
 		}
-		if len(c.out) == 0 {
-			c.heard = now // silence counts from when there is something to say
+		if len(c.inFlight) == 0 {
+			c.lastHeard = now // the silence timeout runs only while calls are in flight
 		}
-		c.out[o.ID] = o
-		c.bytes += len(o.Body)
-		write(&Frame{Type: request, Method: o.Method, ID: o.ID, Left: uint32(min(left, 1<<31)), Body: o.Body})
+		c.inFlight[call.ID] = call
+		c.inFlightBytes += len(call.Body)
+		write(&Frame{Type: frameRequest, Method: call.Method, ID: call.ID, TimeoutMillis: uint32(min(timeoutMillis, 1<<31)), Body: call.Body})
 	}
 }
 
-// Take takes an answer. One that nobody waits for any more is passed over.
-func (c *Caller) Take(now int64, f *Frame) {
-	c.heard = now
-	o := c.out[f.ID]
-	if o == nil {
+// HandleResponse completes the call that a response belongs to. It ignores responses to calls that have already completed.
+func (c *Caller) HandleResponse(now int64, frame *Frame) {
+	c.lastHeard = now
+	call := c.inFlight[frame.ID]
+	if call == nil {
 		return
 	}
-	c.pause = firstPause
-	switch f.Type {
-	case answer:
-		c.end(o, f.Body, nil)
-	case refusal:
-		c.end(o, nil, ErrRefused)
+	c.backoff = minBackoff
+	switch frame.Type {
+	case frameResponse:
+		c.finish(call, frame.Body, nil)
+	case frameRefusal:
+		c.finish(call, nil, ErrRefused)
 	default:
-		c.end(o, nil, errors.Join(ErrFailed, errors.New(string(f.Body))))
+		c.finish(call, nil, errors.Join(ErrHandlerFailed, errors.New(string(frame.Body))))
 	}
 }
 
-// Tick ends what is past its time. It reports whether the connection is to be given up: a peer that takes calls and
-// says nothing must not hold them for good.
+// Tick completes the calls whose deadline has passed. It reports whether the connection must be closed because the peer
+// has not responded within the silence timeout.
 func (c *Caller) Tick(now int64) (giveUp bool) {
-	kept := c.waiting[:0]
-	var late []*Out
-	for _, o := range c.waiting {
-		if o.Deadline <= now {
-			late = append(late, o)
+	remaining := c.queue[:0]
+	var expired []*PendingCall
+	for _, call := range c.queue {
+		if call.Deadline <= now {
+			expired = append(expired, call)
 		} else {
-			kept = append(kept, o)
+			remaining = append(remaining, call)
 		}
 	}
-	clear(c.waiting[len(kept):])
-	c.waiting = kept
-	for _, o := range late {
-		o.finish(nil, ErrNeverSent)
-	}
-	// Danger: forgetting a call whose time is over would free its place while a silent member still has it to do; the
-	// connection goes with silence, and its places with it.
-	giveUp = c.open && len(c.out) > 0 && now-c.heard > silence
-	for _, id := range sortedIDs(c.out) {
-		if o := c.out[id]; o.Deadline <= now {
-			c.end(o, nil, ErrUnknown)
+	clear(c.queue[len(remaining):])
+	c.queue = remaining
+	for _, call := range expired {
+		call.complete(nil, ErrNotSent)
+	}
+	// A timed-out call frees its in-flight slot although a silent peer may still have to execute it. Therefore the silence
+	// check comes first: it closes the connection and with it everything that the peer still holds.
+	giveUp = c.connected && len(c.inFlight) > 0 && now-c.lastHeard > silenceTimeout
+	for _, id := range sortedIDs(c.inFlight) {
+		if call := c.inFlight[id]; call.Deadline <= now {
+			c.finish(call, nil, ErrOutcomeUnknown)
 		}
 	}
 	return giveUp
 }
 
-// Next is when Tick or Dial has something to do, -1 for never.
-func (c *Caller) Next() int64 {
+// NextWakeup returns the time at which Tick or ShouldDial has something to do next, or -1 if there is none.
+func (c *Caller) NextWakeup() int64 {
 	next := int64(-1)
-	sooner := func(t int64) {
+	consider := func(t int64) {
 		if next < 0 || t < next {
 			next = t
 		}
 	}
-	for _, o := range c.waiting {
-		sooner(o.Deadline)
+	for _, call := range c.queue {
+		consider(call.Deadline)
 	}
-	for _, o := range c.out {
-		sooner(o.Deadline)
+	for _, call := range c.inFlight {
+		consider(call.Deadline)
 	}
-	if len(c.out) > 0 {
-		sooner(c.heard + silence + 1)
+	if len(c.inFlight) > 0 {
+		consider(c.lastHeard + silenceTimeout + 1)
 	}
-	if !c.open && !c.dialling && len(c.waiting) > 0 {
-		sooner(c.again)
+	if !c.connected && !c.dialing && len(c.queue) > 0 {
+		consider(c.nextDial)
 	}
 	return next
 }
 
-// Waiting and Outstanding are figures.
-func (c *Caller) Waiting() int     { return len(c.waiting) }
-func (c *Caller) Outstanding() int { return len(c.out) }
+// Queued returns the number of calls that have not been sent.
+func (c *Caller) Queued() int { return len(c.queue) }
+
+// InFlight returns the number of calls that have been sent and not completed.
+func (c *Caller) InFlight() int { return len(c.inFlight) }
--- a/internal/cluster/link/frame.go
+++ b/internal/cluster/link/frame.go
@@ -1,5 +1,5 @@
-// Package link carries what members say to one another: calls and streams over TCP, datagrams over UDP, at one address.
-// Caller and the frames decide without I/O; Link is the runner with sockets.
+// Package link is the transport between cluster members: calls and streams over TCP and datagrams over UDP, at one
+// address. Caller and the frame codec are state machines without I/O; Link drives them over sockets.
 package link
 
 import (
@@ -11,189 +11,190 @@
 	"io"
 )
 
-// Versions of the frames that this build speaks. Members agree on the highest that both know.
+// Range of protocol versions that this build supports. Two members use the highest version that both support.
 const (
-	Low  = 1
-	High = 1
+	MinVersion = 1
+	MaxVersion = 1
 )
 
 const (
-	// MostFrame is the longest body of a call or an answer.
-	MostFrame = 1 << 20
-	// MostDatagram is the longest payload of a datagram.
-	MostDatagram = 60 << 10
+	// MaxFrameBody is the maximum size, in bytes, of a request or response body.
+	MaxFrameBody = 1 << 20
+	// MaxDatagramPayload is the maximum size, in bytes, of a datagram payload.
+	MaxDatagramPayload = 60 << 10
 
-	magic    = 0x4f54 // "OT"
-	greeting = 8      // bytes of a greeting before its names
-	head     = 24     // bytes of a frame before its body
-	small    = 64 << 10
+	magic             = 0x4f54   // "OT"
+	helloFixedSize    = 8        // bytes of a hello message before the names
+	frameHeaderSize   = 24       // bytes of a frame before the body
+	maxRetainedBuffer = 64 << 10 // bytes; larger empty buffers are released
 
-	datagramHead = 12
+	datagramHeaderSize = 12 // bytes of a datagram before the payload
 )
 
-// Kinds of connection and of datagram.
+// Kinds of connections and datagrams.
 const (
-	Gossip byte = 1
-	Calls  byte = 2
-	Peers  byte = 3
-	Notice byte = 4
+	KindGossip byte = 1
+	KindCalls  byte = 2
+	KindPeers  byte = 3
+	KindNotice byte = 4
 )
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
-// Faults of what came in. Each ends its connection, or loses its datagram, and is counted.
+// Errors for invalid input. Each of them closes the connection or discards the datagram, and is counted.
 var (
-	ErrSpoilt  = errors.New("spoilt")
-	ErrLong    = errors.New("longer than is believed")
-	ErrCluster = errors.New("of another cluster")
-	ErrVersion = errors.New("of another version")
+	ErrCorrupt         = errors.New("spoilt")
+	ErrTooLong         = errors.New("message too long")
+	ErrClusterMismatch = errors.New("cluster name mismatch")
+	ErrVersionMismatch = errors.New("protocol version mismatch")
 )
 
-// number is a cluster's name in a datagram.
-func number(cluster string) uint32 {
-	h := fnv.New32a()
-	io.WriteString(h, cluster)
-	return h.Sum32()
+// hashName returns the 32-bit hash that stands for a cluster name in datagrams.
+func hashName(name string) uint32 {
+	hash := fnv.New32a()
+	io.WriteString(hash, name)
+	return hash.Sum32()
 }
 
-// Hello is the first that goes over a connection.
+// Hello is the first message on a connection; the dialing member sends it.
 type Hello struct {
-	Low, High byte
-	Kind      byte
-	Cluster   string
-	From      string
+	MinVersion, MaxVersion byte
+	Kind                   byte
+	Cluster                string
+	From                   string
 }
 
-// Append writes it behind b.
+// Append appends the encoded message to b and returns the extended slice.
 func (h *Hello) Append(b []byte) []byte {
 	b = binary.BigEndian.AppendUint16(b, magic)
-	b = append(b, h.Low, h.High, h.Kind, byte(len(h.Cluster)), byte(len(h.From)), 0)
+	b = append(b, h.MinVersion, h.MaxVersion, h.Kind, byte(len(h.Cluster)), byte(len(h.From)), 0)
 	b = append(append(b, h.Cluster...), h.From...)
-	return binary.BigEndian.AppendUint32(b, crc32.Checksum(b[len(b)-len(h.Cluster)-len(h.From)-greeting:], table))
+	return binary.BigEndian.AppendUint32(b, crc32.Checksum(b[len(b)-len(h.Cluster)-len(h.From)-helloFixedSize:], crcTable))
 }
 
-// ReadHello reads one; nothing is believed before its sum is right.
-func ReadHello(from io.Reader) (*Hello, error) {
-	fixed := make([]byte, greeting, greeting+512+4)
-	if _, err := io.ReadFull(from, fixed); err != nil {
+// ReadHello reads a Hello. It verifies the checksum before it uses any field but the two name lengths.
+func ReadHello(reader io.Reader) (*Hello, error) {
+	header := make([]byte, helloFixedSize, helloFixedSize+512+4)
+	if _, err := io.ReadFull(reader, header); err != nil {
 		return nil, err
 	}
-	if binary.BigEndian.Uint16(fixed) != magic {
-		return nil, ErrSpoilt
+	if binary.BigEndian.Uint16(header) != magic {
+		return nil, ErrCorrupt
 	}
-	names := int(fixed[5]) + int(fixed[6])
-	raw := fixed[:greeting+names+4]
-	if _, err := io.ReadFull(from, raw[greeting:]); err != nil {
+	namesSize := int(header[5]) + int(header[6])
+	raw := header[:helloFixedSize+namesSize+4]
+	if _, err := io.ReadFull(reader, raw[helloFixedSize:]); err != nil {
 		return nil, err
 	}
-	if crc32.Checksum(raw[:greeting+names], table) != binary.BigEndian.Uint32(raw[greeting+names:]) {
-		return nil, ErrSpoilt
+	if crc32.Checksum(raw[:helloFixedSize+namesSize], crcTable) != binary.BigEndian.Uint32(raw[helloFixedSize+namesSize:]) {
+		return nil, ErrCorrupt
 	}
 	return &Hello{
-		Low: raw[2], High: raw[3], Kind: raw[4],
-		Cluster: string(raw[greeting : greeting+int(raw[5])]), From: string(raw[greeting+int(raw[5]) : greeting+names]),
+		MinVersion: raw[2], MaxVersion: raw[3], Kind: raw[4],
+		Cluster: string(raw[helloFixedSize : helloFixedSize+int(raw[5])]), From: string(raw[helloFixedSize+int(raw[5]) : helloFixedSize+namesSize]),
 	}, nil
 }
 
-// Agree is the version that two ranges have in common, 0 if there is none.
-func Agree(low, high, theirLow, theirHigh byte) byte {
-	v := min(high, theirHigh)
-	if v < low || v < theirLow {
+// NegotiateVersion returns the highest version that both ranges contain, or 0 if they do not overlap.
+func NegotiateVersion(low, high, theirLow, theirHigh byte) byte {
+	version := min(high, theirHigh)
+	if version < low || version < theirLow {
 		return 0
 	}
-	return v
+	return version
 }
 
-// Types of frame.
+// Frame types.
 const (
-	request byte = iota + 1
-	answer
-	refusal // with its reason as body: it was not begun
-	fault   // with its reason: it was begun
-	post    // a call that wants no answer
+	frameRequest byte = iota + 1
+	frameResponse
+	frameRefusal // the request was not started; the body holds the reason
+	frameError   // the handler failed; the body holds the error text
+	frameOneWay  // a request without a response
 )
 
-// Frame is one call or answer on a connection.
+// Frame is one request or response on a connection.
 type Frame struct {
-	Type   byte
-	Method uint16
-	ID     uint64
-	Left   uint32 // milliseconds that the asker still waits
-	Body   []byte
+	Type          byte
+	Method        uint16
+	ID            uint64
+	TimeoutMillis uint32 // time that the caller will still wait
+	Body          []byte
 }
 
-// Append writes it behind b.
+// Append appends the encoded frame to b and returns the extended slice.
 func (f *Frame) Append(b []byte) []byte {
-	at := len(b)
+	start := len(b)
 	b = binary.BigEndian.AppendUint32(b, uint32(len(f.Body)))
 	b = append(b, f.Type, 0)
 	b = binary.BigEndian.AppendUint16(b, f.Method)
 	b = binary.BigEndian.AppendUint64(b, f.ID)
-	b = binary.BigEndian.AppendUint32(b, f.Left)
-	b = binary.BigEndian.AppendUint32(b, crc32.Checksum(b[at:], table)) // of the head, so that a length is believed at once
+	b = binary.BigEndian.AppendUint32(b, f.TimeoutMillis)
+	b = binary.BigEndian.AppendUint32(b, crc32.Checksum(b[start:], crcTable)) // of the header, so that the length can be trusted before the body arrives
 	b = append(b, f.Body...)
-	return binary.BigEndian.AppendUint32(b, crc32.Checksum(f.Body, table))
+	return binary.BigEndian.AppendUint32(b, crc32.Checksum(f.Body, crcTable))
 }
 
-// Decoder takes bytes as they come and gives frames. Danger: a length is no reason to make room; room grows with what came.
-type Decoder struct{ held []byte }
-
-// Write takes bytes; what they make whole is given to do. An error ends the connection.
-func (d *Decoder) Write(b []byte, do func(*Frame)) error {
-	d.held = append(d.held, b...)
-	rest := d.held
-	for len(rest) >= head {
-		if crc32.Checksum(rest[:head-4], table) != binary.BigEndian.Uint32(rest[head-4:]) {
-			return ErrSpoilt
+// Decoder turns a byte stream into frames. It never allocates from a length prefix: the buffer grows only with the bytes
+// received, so a peer cannot make it reserve memory with a forged length.
+type Decoder struct{ buffered []byte }
+
+// Write adds data to the stream and passes each completed frame to handle. After an error the connection is unusable.
+func (d *Decoder) Write(data []byte, handle func(*Frame)) error {
+	d.buffered = append(d.buffered, data...)
+	rest := d.buffered
+	for len(rest) >= frameHeaderSize {
+		if crc32.Checksum(rest[:frameHeaderSize-4], crcTable) != binary.BigEndian.Uint32(rest[frameHeaderSize-4:]) {
+			return ErrCorrupt
 		}
-		n := int(binary.BigEndian.Uint32(rest))
-		if n > MostFrame {
-			return fmt.Errorf("a frame of %d bytes: %w", n, ErrLong)
+		bodySize := int(binary.BigEndian.Uint32(rest))
+		if bodySize > MaxFrameBody {
+			return fmt.Errorf("frame body of %d bytes: %w", bodySize, ErrTooLong)
 		}
-		if len(rest) < head+n+4 {
+		if len(rest) < frameHeaderSize+bodySize+4 {
 			break
 		}
-		body := rest[head : head+n]
-		if crc32.Checksum(body, table) != binary.BigEndian.Uint32(rest[head+n:]) {
-			return ErrSpoilt
+		body := rest[frameHeaderSize : frameHeaderSize+bodySize]
+		if crc32.Checksum(body, crcTable) != binary.BigEndian.Uint32(rest[frameHeaderSize+bodySize:]) {
+			return ErrCorrupt
 		}
-		do(&Frame{
+		handle(&Frame{
 			Type: rest[4], Method: binary.BigEndian.Uint16(rest[6:]), ID: binary.BigEndian.Uint64(rest[8:]),
-			Left: binary.BigEndian.Uint32(rest[16:]), Body: append([]byte(nil), body...),
+			TimeoutMillis: binary.BigEndian.Uint32(rest[16:]), Body: append([]byte(nil), body...),
 		})
-		rest = rest[head+n+4:]
+		rest = rest[frameHeaderSize+bodySize+4:]
 	}
-	d.held = append(d.held[:0], rest...)
-	if len(d.held) == 0 && cap(d.held) > small {
-		d.held = nil
+	d.buffered = append(d.buffered[:0], rest...)
+	if len(d.buffered) == 0 && cap(d.buffered) > maxRetainedBuffer {
+		d.buffered = nil
 	}
 	return nil
 }
 
-// Datagram puts a payload into a datagram of a cluster. Nobody agrees on its version before it is sent, so it goes by the
-// lowest that its sender speaks: members of an older build understand it while a fleet is upgraded.
-func Datagram(low, kind byte, cluster string, payload []byte) []byte {
-	b := make([]byte, 0, datagramHead+len(payload))
+// EncodeDatagram wraps a payload in a datagram of a cluster. Datagrams have no handshake to negotiate a version, so the
+// sender passes the lowest version that it supports: members of an older build can then read it during a rolling upgrade.
+func EncodeDatagram(version, kind byte, cluster string, payload []byte) []byte {
+	b := make([]byte, 0, datagramHeaderSize+len(payload))
 	b = binary.BigEndian.AppendUint16(b, magic)
-	b = append(b, low, kind)
-	b = binary.BigEndian.AppendUint32(b, number(cluster))
-	b = binary.BigEndian.AppendUint32(b, crc32.Checksum(payload, table))
+	b = append(b, version, kind)
+	b = binary.BigEndian.AppendUint32(b, hashName(cluster))
+	b = binary.BigEndian.AppendUint32(b, crc32.Checksum(payload, crcTable))
 	return append(b, payload...)
 }
 
-// Open takes a payload out again.
-func Open(low, high byte, cluster string, raw []byte) (kind byte, payload []byte, err error) {
-	if len(raw) < datagramHead || binary.BigEndian.Uint16(raw) != magic {
-		return 0, nil, ErrSpoilt
+// DecodeDatagram verifies a datagram and returns its kind and payload.
+func DecodeDatagram(minVersion, maxVersion byte, cluster string, raw []byte) (kind byte, payload []byte, err error) {
+	if len(raw) < datagramHeaderSize || binary.BigEndian.Uint16(raw) != magic {
+		return 0, nil, ErrCorrupt
 	}
-	if v := raw[2]; v < low || v > high {
-		return 0, nil, ErrVersion
+	if version := raw[2]; version < minVersion || version > maxVersion {
+		return 0, nil, ErrVersionMismatch
 	}
-	if binary.BigEndian.Uint32(raw[4:]) != number(cluster) {
-		return 0, nil, ErrCluster
+	if binary.BigEndian.Uint32(raw[4:]) != hashName(cluster) {
+		return 0, nil, ErrClusterMismatch
 	}
-	if payload = raw[datagramHead:]; crc32.Checksum(payload, table) != binary.BigEndian.Uint32(raw[8:]) {
-		return 0, nil, ErrSpoilt
+	if payload = raw[datagramHeaderSize:]; crc32.Checksum(payload, crcTable) != binary.BigEndian.Uint32(raw[8:]) {
+		return 0, nil, ErrCorrupt
 	}
 	return raw[3], payload, nil
 }
--- a/internal/cluster/link/link.go
+++ b/internal/cluster/link/link.go
@@ -13,109 +13,109 @@
 	"time"
 )
 
-// Bounds of the runner.
+// Limits and timeouts of a Link.
 const (
-	MostConnections = 1024                   // accepted and held at once
-	mostServed      = 256                    // calls from others in work at once, over all connections
-	greets          = 2 * time.Second        // until a connection has said who it is
-	idles           = 2 * time.Minute        // until a connection without a frame is closed
-	whole           = 10 * time.Second       // until a frame that has begun is there
-	writes          = 5 * time.Second        // until a write counts as stuck
-	dials           = time.Second            // until a connection counts as not to be had
-	told            = time.Minute            // between two log lines of one kind
-	pauses          = 10 * time.Millisecond  // after a fault of a socket
-	packets         = 512                    // datagrams that wait for their taker
-	lines           = 64                     // kinds of refusal that are told apart
-	lookAt          = 500 * time.Millisecond // at callers that wait for nothing
+	MaxConnections     = 1024                   // open at once, in both directions
+	maxServing         = 256                    // requests handled at once, over all connections
+	handshakeTimeout   = 2 * time.Second        // for an accepted connection to send its hello message
+	idleTimeout        = 2 * time.Minute        // until a connection without a complete frame is closed
+	frameTimeout       = 10 * time.Second       // for the rest of a frame after its first bytes
+	writeTimeout       = 5 * time.Second        // for one write
+	dialTimeout        = time.Second            // for a dial by a caller, handshake included
+	refusalLogInterval = time.Minute            // between two log lines for the same refusal
+	socketErrorDelay   = 10 * time.Millisecond  // before the next accept or receive after a socket error
+	datagramQueue      = 512                    // datagrams waiting to be handled
+	maxRefusalKinds    = 64                     // distinct refusals that are logged
+	pollInterval       = 500 * time.Millisecond // longest sleep of a peer loop while calls are pending
 )
 
-// Counts are figures of a link, since its start.
-type Counts struct {
-	DatagramsIn, DatagramsOut, BytesIn, BytesOut atomic.Int64
-	StreamBytesIn, StreamBytesOut                atomic.Int64
-	Spoilt, Refused, Dropped                     atomic.Int64 // what came in and was not believed; not let in; found no room
-	Called, Answered, NeverSent, Unknown, Full   atomic.Int64 // calls from here
-	Served, Busy                                 atomic.Int64 // calls from others
-	Connections                                  atomic.Int64 // at present
+// Counters are the statistics of a Link since its start.
+type Counters struct {
+	DatagramsIn, DatagramsOut, BytesIn, BytesOut         atomic.Int64
+	StreamBytesIn, StreamBytesOut                        atomic.Int64
+	Corrupt, Refused, Dropped                            atomic.Int64 // invalid input; connections and datagrams refused; connections over the limit
+	Calls, Answered, NotSent, OutcomeUnknown, Overloaded atomic.Int64 // outgoing calls
+	Served, Rejected                                     atomic.Int64 // incoming calls
+	Connections                                          atomic.Int64 // open now
 }
 
-// Handler answers a call of another member.
+// Handler answers a request from another member.
 type Handler func(ctx context.Context, from string, body []byte) ([]byte, error)
 
-// Options say how a link is made.
+// Options configure a Link.
 type Options struct {
 	Cluster, Self, Address string
-	Through                map[string]string
-	Low, High              byte // versions of the frames; 0 for this build's
+	AddressOverrides       map[string]string // addresses to dial instead of the advertised ones, by member name
+	MinVersion, MaxVersion byte              // supported protocol versions; 0 for those of this build
 	Seed                   uint64
 	Log                    *slog.Logger
-	Stream                 func(net.Conn)                                 // takes streams of gossip
-	Datagram               func(kind byte, payload []byte, from net.Addr) // its bytes are the taker's
-	Resolve                func(name string) (address string, ok bool)    // where a member is now
+	HandleStream           func(net.Conn)                                 // takes ownership of an accepted gossip stream
+	HandleDatagram         func(kind byte, payload []byte, from net.Addr) // may retain payload
+	Resolve                func(name string) (address string, ok bool)    // returns a member's current address
 }
 
-// Link is one member's address among the others.
+// Link is one member's endpoint: it accepts connections and datagrams from the other members and opens connections to them.
 type Link struct {
-	o       Options
-	tcp     net.Listener
-	udp     *net.UDPConn
-	start   time.Time
-	ctx     context.Context
-	end     context.CancelFunc
-	all     sync.WaitGroup
-	serving chan struct{}
-	Counts  Counts
-
-	mu       sync.Mutex
-	through  map[string]string
-	handlers map[uint16]Handler
-	peers    map[string]*peer
-	conns    map[net.Conn]struct{}
-	lines    map[string]time.Time // when a refusal was last told
-	ended    bool
-}
-
-// Listen opens the address, TCP and UDP. Nothing is taken before Serve.
-func Listen(o Options) (*Link, error) {
-	if o.High == 0 {
-		o.Low, o.High = Low, High
-	}
-	tcp, udp, err := both(o.Address)
+	options    Options
+	tcp        net.Listener
+	udp        *net.UDPConn
+	start      time.Time
+	ctx        context.Context
+	cancel     context.CancelFunc
+	workers    sync.WaitGroup
+	serveSlots chan struct{}
+	Counters   Counters
+
+	mu               sync.Mutex
+	addressOverrides map[string]string
+	handlers         map[uint16]Handler
+	peers            map[string]*peer
+	connections      map[net.Conn]struct{}
+	lastLogged       map[string]time.Time // by refusal
+	closed           bool
+}
+
+// Listen binds the address for TCP and UDP. Nothing is accepted before Serve.
+func Listen(options Options) (*Link, error) {
+	if options.MaxVersion == 0 {
+		options.MinVersion, options.MaxVersion = MinVersion, MaxVersion
+	}
+	tcp, udp, err := listenTCPAndUDP(options.Address)
 	if err != nil {
 		return nil, err
 	}
 	l := &Link{
-		o: o, tcp: tcp, udp: udp, start: time.Now(), serving: make(chan struct{}, mostServed), through: o.Through,
-		handlers: map[uint16]Handler{}, peers: map[string]*peer{}, conns: map[net.Conn]struct{}{}, lines: map[string]time.Time{},
+		options: options, tcp: tcp, udp: udp, start: time.Now(), serveSlots: make(chan struct{}, maxServing), addressOverrides: options.AddressOverrides,
+		handlers: map[uint16]Handler{}, peers: map[string]*peer{}, connections: map[net.Conn]struct{}{}, lastLogged: map[string]time.Time{},
 	}
-	l.ctx, l.end = context.WithCancel(context.Background())
+	l.ctx, l.cancel = context.WithCancel(context.Background())
 	return l, nil
 }
 
-// both opens an address for TCP and UDP; port 0 stands for any that is free for both.
-func both(address string) (*net.TCPListener, *net.UDPConn, error) {
-	for try := 0; ; try++ {
-		l, err := net.Listen("tcp", address)
+// listenTCPAndUDP binds an address for TCP and UDP. For port 0 it looks for a port that is free for both.
+func listenTCPAndUDP(address string) (*net.TCPListener, *net.UDPConn, error) {
+	for attempt := 0; ; attempt++ {
+		listener, err := net.Listen("tcp", address)
 		if err != nil {
 			return nil, nil, err
 		}
-		tcp := l.(*net.TCPListener)
-		at := tcp.Addr().(*net.TCPAddr)
-		udp, err := net.ListenUDP("udp", &net.UDPAddr{IP: at.IP, Port: at.Port, Zone: at.Zone})
+		tcp := listener.(*net.TCPListener)
+		bound := tcp.Addr().(*net.TCPAddr)
+		udp, err := net.ListenUDP("udp", &net.UDPAddr{IP: bound.IP, Port: bound.Port, Zone: bound.Zone})
 		if err == nil {
 			return tcp, udp, nil
 		}
-		if tcp.Close(); !strings.HasSuffix(address, ":0") || try == 50 {
+		if tcp.Close(); !strings.HasSuffix(address, ":0") || attempt == 50 {
 			return nil, nil, err
 		}
 	}
 }
 
-// Handle has calls of a method answered from now on.
-func (l *Link) Handle(method uint16, h Handler) {
+// Handle registers the handler of a method.
+func (l *Link) Handle(method uint16, handler Handler) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.handlers[method] = h
+	l.handlers[method] = handler
 }
 
 func (l *Link) handler(method uint16) Handler {
@@ -124,264 +124,266 @@
 	return l.handlers[method]
 }
 
-// Serve begins to take what comes.
+// Serve starts accepting connections and datagrams in the background.
 func (l *Link) Serve() {
-	l.all.Go(l.accept)
-	l.all.Go(l.receive)
+	l.workers.Go(l.acceptLoop)
+	l.workers.Go(l.receiveLoop)
 }
 
-// Addr is where others reach this member.
+// Addr returns the address that the link listens on.
 func (l *Link) Addr() *net.TCPAddr { return l.tcp.Addr().(*net.TCPAddr) }
 
-// Divert has members reached at other addresses from now on.
-func (l *Link) Divert(through map[string]string) {
+// SetAddressOverrides replaces the addresses to dial instead of the advertised ones, by member name.
+func (l *Link) SetAddressOverrides(overrides map[string]string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.through = through
+	l.addressOverrides = overrides
 }
 
-// Close ends all of it; calls that are out end as unknown.
+// Close closes the sockets and all connections, and waits for the goroutines. Calls in flight end with ErrOutcomeUnknown.
 func (l *Link) Close() {
 	l.mu.Lock()
-	if l.ended {
+	if l.closed {
 		l.mu.Unlock()
 		return
 	}
-	l.ended = true
-	for c := range l.conns {
+	l.closed = true
+	for c := range l.connections {
 		c.Close()
 	}
 	l.mu.Unlock()
-	l.end()
+	l.cancel()
 	l.tcp.Close()
 	l.udp.Close()
-	l.all.Wait()
+	l.workers.Wait()
 }
 
 func (l *Link) now() int64 { return int64(time.Since(l.start)) }
 
-// via is the address at which a member is reached from here.
-func (l *Link) via(name, address string) string {
+// dialAddress returns the override for a member, or else the given address.
+func (l *Link) dialAddress(name, address string) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if a := l.through[name]; a != "" {
-		return a
+	if override := l.addressOverrides[name]; override != "" {
+		return override
 	}
 	return address
 }
 
-// refused counts what is not let in, and tells it once a minute.
-func (l *Link) refused(why error, who string) {
-	l.Counts.Refused.Add(1)
-	key := why.Error() + " " + who
+// reportRefusal counts a refusal and logs it at most once per refusalLogInterval and source.
+func (l *Link) reportRefusal(reason error, source string) {
+	l.Counters.Refused.Add(1)
+	key := reason.Error() + " " + source
 	l.mu.Lock()
-	last, known := l.lines[key]
-	tell := !known && len(l.lines) < lines || known && time.Since(last) > told
-	if tell {
-		l.lines[key] = time.Now()
+	last, known := l.lastLogged[key]
+	shouldLog := !known && len(l.lastLogged) < maxRefusalKinds || known && time.Since(last) > refusalLogInterval
+	if shouldLog {
+		l.lastLogged[key] = time.Now()
 	}
 	l.mu.Unlock()
-	if tell {
-		l.o.Log.Warn("cluster", "step", "refused", "from", who, "fault", why)
+	if shouldLog {
+		l.options.Log.Warn("cluster", "step", "refused", "from", source, "fault", reason)
 	}
 }
 
-// keep holds a connection until Close; false if that has come or there are too many.
-func (l *Link) keep(c net.Conn) bool {
+// track registers a connection to be closed by Close. It returns false if the link is closed or has too many connections.
+func (l *Link) track(c net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.ended || len(l.conns) >= MostConnections {
+	if l.closed || len(l.connections) >= MaxConnections {
 		return false
 	}
-	l.conns[c] = struct{}{}
-	l.Counts.Connections.Add(1)
+	l.connections[c] = struct{}{}
+	l.Counters.Connections.Add(1)
 	return true
 }
 
-func (l *Link) drop(c net.Conn) {
+func (l *Link) closeConnection(c net.Conn) {
 	c.Close()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if _, held := l.conns[c]; held {
-		delete(l.conns, c)
-		l.Counts.Connections.Add(-1)
+	if _, tracked := l.connections[c]; tracked {
+		delete(l.connections, c)
+		l.Counters.Connections.Add(-1)
 	}
 }
 
-func (l *Link) accept() {
+func (l *Link) acceptLoop() {
 	for {
-		c, err := l.tcp.Accept()
+		conn, err := l.tcp.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // Danger: short of descriptors; those that are held may come free
-			time.Sleep(pauses)
+		if err != nil { // for instance out of file descriptors, which may become free again
+			time.Sleep(socketErrorDelay)
 			continue
 		}
-		if !l.keep(c) {
-			l.Counts.Dropped.Add(1)
-			c.Close()
+		if !l.track(conn) {
+			l.Counters.Dropped.Add(1)
+			conn.Close()
 			continue
 		}
-		l.all.Go(func() { l.greet(c) })
+		l.workers.Go(func() { l.handleConnection(conn) })
 	}
 }
 
-// counted counts a stream's bytes.
-type counted struct {
+// countingConn counts the bytes of a connection.
+type countingConn struct {
 	net.Conn
-	l *Link
+	link *Link
 }
 
-func (c counted) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.l.Counts.StreamBytesIn.Add(int64(n))
+	c.link.Counters.StreamBytesIn.Add(int64(n))
 	return n, err
 }
 
-func (c counted) Write(b []byte) (int, error) {
+func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.l.Counts.StreamBytesOut.Add(int64(n))
+	c.link.Counters.StreamBytesOut.Add(int64(n))
 	return n, err
 }
 
-// stream is a stream of gossip; whoever has it closes it.
-type stream struct {
-	counted
-	drop func()
+// trackedConn is a connection that is removed from its Link when its owner closes it.
+type trackedConn struct {
+	countingConn
+	closeConnection func()
 }
 
-func (s *stream) Close() error { s.drop(); return nil }
+func (c *trackedConn) Close() error { c.closeConnection(); return nil }
 
-// greet is the life of a connection that came in.
-func (l *Link) greet(raw net.Conn) {
-	c := counted{raw, l}
-	c.SetDeadline(time.Now().Add(greets))
-	h, err := ReadHello(c)
+// handleConnection performs the handshake on an accepted connection and then serves it.
+func (l *Link) handleConnection(raw net.Conn) {
+	conn := countingConn{raw, l}
+	conn.SetDeadline(time.Now().Add(handshakeTimeout))
+	hello, err := ReadHello(conn)
 	if err != nil {
-		if errors.Is(err, ErrSpoilt) {
-			l.Counts.Spoilt.Add(1)
-			l.refused(err, host(raw))
+		if errors.Is(err, ErrCorrupt) {
+			l.Counters.Corrupt.Add(1)
+			l.reportRefusal(err, remoteHost(raw))
 		}
-		l.drop(raw)
+		l.closeConnection(raw)
 		return
 	}
-	version := Agree(l.o.Low, l.o.High, h.Low, h.High)
-	who := h.From + " at " + host(raw)
+	version := NegotiateVersion(l.options.MinVersion, l.options.MaxVersion, hello.MinVersion, hello.MaxVersion)
+	source := hello.From + " at " + remoteHost(raw)
 	switch {
-	case h.Cluster != l.o.Cluster:
-		c.Write([]byte{0, 1})
-		l.refused(fmt.Errorf("%w: %q, this is %q", ErrCluster, h.Cluster, l.o.Cluster), who)
+	case hello.Cluster != l.options.Cluster:
+		conn.Write([]byte{0, 1})
+		l.reportRefusal(fmt.Errorf("%w: peer has %q, this member %q", ErrClusterMismatch, hello.Cluster, l.options.Cluster), source)
 	case version == 0:
-		c.Write([]byte{0, 2})
-		l.refused(fmt.Errorf("%w: it speaks %d to %d, this one %d to %d", ErrVersion, h.Low, h.High, l.o.Low, l.o.High), who)
-	case h.Kind == Gossip:
-		if _, err := c.Write([]byte{version, 0}); err == nil {
-			c.SetDeadline(time.Time{})
-			l.o.Stream(&stream{c, func() { l.drop(raw) }})
+		conn.Write([]byte{0, 2})
+		l.reportRefusal(fmt.Errorf("%w: peer supports %d to %d, this member %d to %d", ErrVersionMismatch, hello.MinVersion, hello.MaxVersion, l.options.MinVersion, l.options.MaxVersion), source)
+	case hello.Kind == KindGossip:
+		if _, err := conn.Write([]byte{version, 0}); err == nil {
+			conn.SetDeadline(time.Time{})
+			l.options.HandleStream(&trackedConn{conn, func() { l.closeConnection(raw) }})
 			return
 		}
-	case h.Kind == Calls:
-		if _, err := c.Write([]byte{version, 0}); err == nil {
-			l.serve(c, h.From)
+	case hello.Kind == KindCalls:
+		if _, err := conn.Write([]byte{version, 0}); err == nil {
+			l.serveCalls(conn, hello.From)
 		}
 	default:
-		l.refused(fmt.Errorf("%w: a connection of kind %d", ErrSpoilt, h.Kind), who)
+		l.reportRefusal(fmt.Errorf("%w: unknown connection kind %d", ErrCorrupt, hello.Kind), source)
 	}
-	l.drop(raw)
+	l.closeConnection(raw)
 }
 
-func host(c net.Conn) string {
+func remoteHost(c net.Conn) string {
 	h, _, _ := net.SplitHostPort(c.RemoteAddr().String())
 	return h
 }
 
-// serve answers the calls of one connection.
-func (l *Link) serve(c net.Conn, from string) {
-	ctx, end := context.WithCancel(l.ctx)
-	defer end()
-	var writing sync.Mutex
-	say := func(f *Frame) {
-		writing.Lock()
-		defer writing.Unlock()
-		c.SetWriteDeadline(time.Now().Add(writes))
-		if _, err := c.Write(f.Append(nil)); err != nil {
-			c.Close()
+// serveCalls answers the requests on one connection.
+func (l *Link) serveCalls(conn net.Conn, from string) {
+	ctx, cancel := context.WithCancel(l.ctx)
+	defer cancel()
+	var writeMu sync.Mutex
+	writeFrame := func(f *Frame) {
+		writeMu.Lock()
+		defer writeMu.Unlock()
+		conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+		if _, err := conn.Write(f.Append(nil)); err != nil {
+			conn.Close()
 		}
 	}
-	here := make(chan struct{}, MostOut+MostOut/4) // a caller that gives a call up has room for the next before its end is known here
-	l.read(c, func(f *Frame) {
-		h := l.handler(f.Method)
-		if f.Type == post && h != nil { // in the order in which they came; their handlers don't wait
-			l.Counts.Served.Add(1)
-			h(ctx, from, f.Body)
+	// More slots than a caller has calls in flight: a caller that abandons a call may send the next one before the handler
+	// of the abandoned call has returned here.
+	slots := make(chan struct{}, MaxInFlight+MaxInFlight/4)
+	l.readFrames(conn, func(f *Frame) {
+		handler := l.handler(f.Method)
+		if f.Type == frameOneWay && handler != nil { // handled inline to keep their order; these handlers must not block
+			l.Counters.Served.Add(1)
+			handler(ctx, from, f.Body)
 			return
 		}
-		if f.Type != request {
+		if f.Type != frameRequest {
 			return
 		}
-		no := func(why string) {
-			l.Counts.Busy.Add(1)
-			say(&Frame{Type: refusal, ID: f.ID, Body: []byte(why)})
+		refuse := func(reason string) {
+			l.Counters.Rejected.Add(1)
+			writeFrame(&Frame{Type: frameRefusal, ID: f.ID, Body: []byte(reason)})
 		}
-		if h == nil {
-			no("no such method")
+		if handler == nil {
+			refuse("no such method")
 			return
 		}
 		select {
-		case here <- struct{}{}:
+		case slots <- struct{}{}:
 		default:
-			no("too many calls on this connection")
+			refuse("too many calls on this connection")
 			return
 		}
 		select {
-		case l.serving <- struct{}{}:
+		case l.serveSlots <- struct{}{}:
 		default:
-			<-here
-			no("too many calls")
+			<-slots
+			refuse("too many calls")
 			return
 		}
-		l.Counts.Served.Add(1)
-		l.all.Go(func() {
-			done := sync.OnceFunc(func() { <-l.serving; <-here })
-			defer done()
-			ctx, stop := context.WithTimeout(ctx, time.Duration(f.Left)*time.Millisecond)
-			defer stop()
-			body, err := h(ctx, from, f.Body)
-			done() // danger: once it has its answer the caller sends the next, and would find no room
+		l.Counters.Served.Add(1)
+		l.workers.Go(func() {
+			releaseSlots := sync.OnceFunc(func() { <-l.serveSlots; <-slots })
+			defer releaseSlots()
+			ctx, cancel := context.WithTimeout(ctx, time.Duration(f.TimeoutMillis)*time.Millisecond)
+			defer cancel()
+			body, err := handler(ctx, from, f.Body)
+			releaseSlots() // before the response: the caller may send its next request as soon as it has it, and would be refused
 			if ctx.Err() != nil {
-				return // nobody waits for it
+				return // the caller no longer waits
 			}
 			if err != nil {
-				say(&Frame{Type: fault, ID: f.ID, Body: []byte(err.Error())})
+				writeFrame(&Frame{Type: frameError, ID: f.ID, Body: []byte(err.Error())})
 				return
 			}
-			say(&Frame{Type: answer, ID: f.ID, Body: body})
+			writeFrame(&Frame{Type: frameResponse, ID: f.ID, Body: body})
 		})
 	})
 }
 
-// read gives the frames of a connection to do until it ends.
-func (l *Link) read(c net.Conn, do func(*Frame)) {
-	var d Decoder
-	room := make([]byte, 16<<10)
-	var began time.Time // of a frame that isn't whole
+// readFrames passes the frames of a connection to handle until the connection ends.
+func (l *Link) readFrames(conn net.Conn, handle func(*Frame)) {
+	var decoder Decoder
+	buffer := make([]byte, 16<<10)
+	var frameStart time.Time // arrival of the first bytes of an incomplete frame
 	for {
-		limit := time.Now().Add(idles)
-		if len(d.held) > 0 {
-			if began.IsZero() {
-				began = time.Now()
+		deadline := time.Now().Add(idleTimeout)
+		if len(decoder.buffered) > 0 {
+			if frameStart.IsZero() {
+				frameStart = time.Now()
 			}
-			limit = began.Add(whole)
+			deadline = frameStart.Add(frameTimeout)
 		} else {
-			began = time.Time{}
+			frameStart = time.Time{}
 		}
-		c.SetReadDeadline(limit)
-		n, err := c.Read(room)
+		conn.SetReadDeadline(deadline)
+		n, err := conn.Read(buffer)
 		if n > 0 {
-			if wrong := d.Write(room[:n], func(f *Frame) { began = time.Time{}; do(f) }); wrong != nil {
-				l.Counts.Spoilt.Add(1)
-				l.refused(wrong, host(c))
+			if decodeErr := decoder.Write(buffer[:n], func(f *Frame) { frameStart = time.Time{}; handle(f) }); decodeErr != nil {
+				l.Counters.Corrupt.Add(1)
+				l.reportRefusal(decodeErr, remoteHost(conn))
 				return
 			}
 		}
@@ -391,240 +393,242 @@
 	}
 }
 
-// receive takes datagrams.
-func (l *Link) receive() {
-	room := make([]byte, datagramHead+MostDatagram+1)
+// receiveLoop receives datagrams and passes on the valid ones.
+func (l *Link) receiveLoop() {
+	buffer := make([]byte, datagramHeaderSize+MaxDatagramPayload+1)
 	for {
-		n, from, err := l.udp.ReadFromUDP(room)
+		n, from, err := l.udp.ReadFromUDP(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			time.Sleep(pauses)
+			time.Sleep(socketErrorDelay)
 			continue
 		}
-		l.Counts.DatagramsIn.Add(1)
-		l.Counts.BytesIn.Add(int64(n))
-		kind, payload, err := Open(l.o.Low, l.o.High, l.o.Cluster, room[:n])
+		l.Counters.DatagramsIn.Add(1)
+		l.Counters.BytesIn.Add(int64(n))
+		kind, payload, err := DecodeDatagram(l.options.MinVersion, l.options.MaxVersion, l.options.Cluster, buffer[:n])
 		if err != nil {
-			if l.Counts.Spoilt.Add(1); !errors.Is(err, ErrSpoilt) {
-				l.refused(err, from.IP.String())
+			if l.Counters.Corrupt.Add(1); !errors.Is(err, ErrCorrupt) {
+				l.reportRefusal(err, from.IP.String())
 			}
 			continue
 		}
-		l.o.Datagram(kind, append([]byte(nil), payload...), from)
+		l.options.HandleDatagram(kind, append([]byte(nil), payload...), from)
 	}
 }
 
-// Send sends a datagram to a member, or to whoever is at an address.
+// Send sends a datagram to a member, at its override address if it has one, else at address.
 func (l *Link) Send(kind byte, name, address string, payload []byte) error {
-	if len(payload) > MostDatagram {
-		return ErrLong
+	if len(payload) > MaxDatagramPayload {
+		return ErrTooLong
 	}
-	to, err := net.ResolveUDPAddr("udp", l.via(name, address))
+	destination, err := net.ResolveUDPAddr("udp", l.dialAddress(name, address))
 	if err != nil {
 		return err
 	}
-	n, err := l.udp.WriteToUDP(Datagram(l.o.Low, kind, l.o.Cluster, payload), to)
-	l.Counts.DatagramsOut.Add(1)
-	l.Counts.BytesOut.Add(int64(n))
+	n, err := l.udp.WriteToUDP(EncodeDatagram(l.options.MinVersion, kind, l.options.Cluster, payload), destination)
+	l.Counters.DatagramsOut.Add(1)
+	l.Counters.BytesOut.Add(int64(n))
 	return err
 }
 
-// Dial opens a connection of a kind and says who this is.
-func (l *Link) Dial(kind byte, name, address string, within time.Duration) (net.Conn, error) {
-	raw, err := net.DialTimeout("tcp", l.via(name, address), within)
+// Dial opens a connection of a kind to a member and performs the handshake.
+func (l *Link) Dial(kind byte, name, address string, timeout time.Duration) (net.Conn, error) {
+	raw, err := net.DialTimeout("tcp", l.dialAddress(name, address), timeout)
 	if err != nil {
 		return nil, err
 	}
-	if !l.keep(raw) {
+	if !l.track(raw) {
 		raw.Close()
-		return nil, ErrFull
+		return nil, ErrOverloaded
 	}
-	c := &stream{counted{raw, l}, func() { l.drop(raw) }}
-	c.SetDeadline(time.Now().Add(within))
-	h := &Hello{Low: l.o.Low, High: l.o.High, Kind: kind, Cluster: l.o.Cluster, From: l.o.Self}
-	var said [2]byte
-	if _, err = c.Write(h.Append(nil)); err == nil {
-		_, err = io.ReadFull(c, said[:])
+	conn := &trackedConn{countingConn{raw, l}, func() { l.closeConnection(raw) }}
+	conn.SetDeadline(time.Now().Add(timeout))
+	hello := &Hello{MinVersion: l.options.MinVersion, MaxVersion: l.options.MaxVersion, Kind: kind, Cluster: l.options.Cluster, From: l.options.Self}
+	var reply [2]byte
+	if _, err = conn.Write(hello.Append(nil)); err == nil {
+		_, err = io.ReadFull(conn, reply[:])
 	}
 	switch {
 	case err != nil:
-	case said[0] == 0 && said[1] == 1:
-		err = ErrCluster
-	case said[0] < l.o.Low || said[0] > l.o.High:
-		err = ErrVersion
+	case reply[0] == 0 && reply[1] == 1:
+		err = ErrClusterMismatch
+	case reply[0] < l.options.MinVersion || reply[0] > l.options.MaxVersion:
+		err = ErrVersionMismatch
 	}
 	if err != nil {
-		c.Close()
-		if errors.Is(err, ErrCluster) || errors.Is(err, ErrVersion) {
-			l.refused(fmt.Errorf("it says that this one is %w", err), name+" at "+address)
+		conn.Close()
+		if errors.Is(err, ErrClusterMismatch) || errors.Is(err, ErrVersionMismatch) {
+			l.reportRefusal(fmt.Errorf("refused by the peer: %w", err), name+" at "+address)
 		}
 		return nil, err
 	}
-	c.SetDeadline(time.Time{})
-	return c, nil
+	conn.SetDeadline(time.Time{})
+	return conn, nil
 }
 
-// peer runs one caller.
+// peer drives the Caller for one other member.
 type peer struct {
-	l      *Link
+	link   *Link
 	name   string
-	kick   chan struct{}
+	wakeup chan struct{}
 	ctx    context.Context
-	stop   context.CancelFunc
+	cancel context.CancelFunc
 	mu     sync.Mutex
 	caller *Caller
 	conn   net.Conn
 }
 
-// Call asks a member; it waits no longer than ctx. What finds no room is refused at once.
+// Call sends a request to a member and waits for the response. ctx must have a deadline. It fails at once with
+// ErrOverloaded if the member's queue is full.
 func (l *Link) Call(ctx context.Context, name string, method uint16, body []byte) ([]byte, error) {
-	deadline, some := ctx.Deadline()
-	if !some {
-		return nil, errors.New("a call without a deadline")
+	deadline, hasDeadline := ctx.Deadline()
+	if !hasDeadline {
+		return nil, errors.New("call context has no deadline")
 	}
 	p := l.peer(name)
 	if p == nil {
-		return nil, ErrNeverSent
+		return nil, ErrNotSent
 	}
 	type outcome struct {
 		body []byte
 		err  error
 	}
-	got := make(chan outcome, 1)
-	l.Counts.Called.Add(1)
+	result := make(chan outcome, 1)
+	l.Counters.Calls.Add(1)
 	p.mu.Lock()
-	err := p.caller.Call(l.now(), method, body, int64(deadline.Sub(l.start)), func(body []byte, err error) { got <- outcome{body, err} })
+	err := p.caller.Enqueue(l.now(), method, body, int64(deadline.Sub(l.start)), func(body []byte, err error) { result <- outcome{body, err} })
 	p.mu.Unlock()
 	if err != nil {
-		if errors.Is(err, ErrFull) {
-			l.Counts.Full.Add(1)
+		if errors.Is(err, ErrOverloaded) {
+			l.Counters.Overloaded.Add(1)
 		}
 		return nil, err
 	}
 	p.wake()
-	o := outcome{err: ErrUnknown}
+	out := outcome{err: ErrOutcomeUnknown}
 	select {
-	case o = <-got:
+	case out = <-result:
 	case <-l.ctx.Done():
 	}
 	switch {
-	case o.err == nil:
-		l.Counts.Answered.Add(1)
-	case errors.Is(o.err, ErrNeverSent):
-		l.Counts.NeverSent.Add(1)
-	case errors.Is(o.err, ErrUnknown):
-		l.Counts.Unknown.Add(1)
+	case out.err == nil:
+		l.Counters.Answered.Add(1)
+	case errors.Is(out.err, ErrNotSent):
+		l.Counters.NotSent.Add(1)
+	case errors.Is(out.err, ErrOutcomeUnknown):
+		l.Counters.OutcomeUnknown.Add(1)
 	}
-	return o.body, o.err
+	return out.body, out.err
 }
 
-// Post sends what wants no answer. What finds no room is lost, as is what the connection breaks under.
-func (l *Link) Post(name string, method uint16, body []byte, within time.Duration) error {
+// Post sends a one-way request. The request is dropped if the member's queue is full, if it cannot be sent within timeout
+// or if the connection is lost.
+func (l *Link) Post(name string, method uint16, body []byte, timeout time.Duration) error {
 	p := l.peer(name)
 	if p == nil {
-		return ErrNeverSent
+		return ErrNotSent
 	}
 	p.mu.Lock()
 	now := l.now()
-	err := p.caller.Call(now, method, body, now+int64(within), nil)
+	err := p.caller.Enqueue(now, method, body, now+int64(timeout), nil)
 	p.mu.Unlock()
 	if err != nil {
-		l.Counts.Full.Add(1)
+		l.Counters.Overloaded.Add(1)
 		return err
 	}
 	p.wake()
 	return nil
 }
 
-// Here has one of this member's own handlers answer, without the wire.
-func (l *Link) Here(ctx context.Context, method uint16, body []byte) ([]byte, error) {
-	h := l.handler(method)
-	if h == nil {
+// CallLocal calls one of this member's own handlers directly.
+func (l *Link) CallLocal(ctx context.Context, method uint16, body []byte) ([]byte, error) {
+	handler := l.handler(method)
+	if handler == nil {
 		return nil, ErrRefused
 	}
-	return h(ctx, l.o.Self, body)
+	return handler(ctx, l.options.Self, body)
 }
 
-// Forget ends what is held for a member that is gone.
+// Forget closes the connection to a member that has left or died and fails its pending calls.
 func (l *Link) Forget(name string) {
 	l.mu.Lock()
 	p := l.peers[name]
 	delete(l.peers, name)
 	l.mu.Unlock()
 	if p != nil {
-		p.stop()
+		p.cancel()
 	}
 }
 
 func (l *Link) peer(name string) *peer {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.ended {
+	if l.closed {
 		return nil
 	}
 	p := l.peers[name]
 	if p == nil {
-		h := number(name)
-		p = &peer{l: l, name: name, kick: make(chan struct{}, 1), caller: NewCaller(l.o.Seed ^ uint64(h))}
-		p.ctx, p.stop = context.WithCancel(l.ctx)
+		hash := hashName(name)
+		p = &peer{link: l, name: name, wakeup: make(chan struct{}, 1), caller: NewCaller(l.options.Seed ^ uint64(hash))}
+		p.ctx, p.cancel = context.WithCancel(l.ctx)
 		l.peers[name] = p
-		l.all.Go(p.run)
+		l.workers.Go(p.run)
 	}
 	return p
 }
 
 func (p *peer) wake() {
 	select {
-	case p.kick <- struct{}{}:
+	case p.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// run is the one that drives a caller: it dials, writes, and ends what is late.
+// run dials, sends the queued requests and completes the calls whose deadline has passed.
 func (p *peer) run() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	var out []byte
+	var outgoing []byte
 	for {
 		p.mu.Lock()
-		now := p.l.now()
+		now := p.link.now()
 		if p.caller.Tick(now) {
-			p.broken(p.conn)
+			p.disconnect(p.conn)
 		}
-		if p.caller.Dial(now) {
-			p.l.all.Go(p.dial)
+		if p.caller.ShouldDial(now) {
+			p.link.workers.Go(p.dial)
 		}
-		out = out[:0]
-		p.caller.Frames(now, func(f *Frame) { out = f.Append(out) })
-		conn, next := p.conn, p.caller.Next()
+		outgoing = outgoing[:0]
+		p.caller.NextFrames(now, func(f *Frame) { outgoing = f.Append(outgoing) })
+		conn, next := p.conn, p.caller.NextWakeup()
 		p.mu.Unlock()
-		if len(out) > 0 && conn != nil {
-			conn.SetWriteDeadline(time.Now().Add(writes))
-			if _, err := conn.Write(out); err != nil {
+		if len(outgoing) > 0 && conn != nil {
+			conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+			if _, err := conn.Write(outgoing); err != nil {
 				p.mu.Lock()
-				p.broken(conn)
+				p.disconnect(conn)
 				p.mu.Unlock()
 			}
-			if cap(out) > small {
-				out = nil
+			if cap(outgoing) > maxRetainedBuffer {
+				outgoing = nil
 			}
 			continue
 		}
-		wait := lookAt
+		delay := pollInterval
 		if next >= 0 {
-			wait = min(wait, max(0, time.Duration(next-p.l.now())))
+			delay = min(delay, max(0, time.Duration(next-p.link.now())))
 		} else {
-			wait = idles
+			delay = idleTimeout
 		}
-		timer.Reset(wait)
+		timer.Reset(delay)
 		select {
-		case <-p.kick:
+		case <-p.wakeup:
 		case <-timer.C:
 		case <-p.ctx.Done():
 			p.mu.Lock()
-			p.broken(p.conn)
+			p.disconnect(p.conn)
 			p.caller.Tick(1<<62 - 1)
 			p.mu.Unlock()
 			return
@@ -632,61 +636,61 @@
 	}
 }
 
-// broken gives a connection up; with the lock.
-func (p *peer) broken(conn net.Conn) {
+// disconnect closes conn, if it is the current connection. The caller holds p.mu.
+func (p *peer) disconnect(conn net.Conn) {
 	if conn != p.conn {
-		return // its end is known
+		return // already replaced or closed
 	}
 	if conn != nil {
 		conn.Close()
 		p.conn = nil
 	}
-	p.caller.Broken(p.l.now())
+	p.caller.Disconnected(p.link.now())
 }
 
 func (p *peer) dial() {
 	address, known := strings.CutPrefix(p.name, "@")
-	if !known && p.l.o.Resolve != nil {
-		address, known = p.l.o.Resolve(p.name)
+	if !known && p.link.options.Resolve != nil {
+		address, known = p.link.options.Resolve(p.name)
 	}
 	if !known {
 		address = ""
 	}
-	var c net.Conn
-	err := ErrNeverSent
-	if p.l.via(p.name, address) != "" {
-		c, err = p.l.Dial(Calls, p.name, address, dials)
+	var conn net.Conn
+	err := ErrNotSent
+	if p.link.dialAddress(p.name, address) != "" {
+		conn, err = p.link.Dial(KindCalls, p.name, address, dialTimeout)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	defer p.wake()
 	if err != nil || p.ctx.Err() != nil {
-		if c != nil {
-			c.Close()
+		if conn != nil {
+			conn.Close()
 		}
-		p.caller.Broken(p.l.now())
+		p.caller.Disconnected(p.link.now())
 		return
 	}
-	p.conn = c
-	p.caller.Opened(p.l.now())
-	p.l.all.Go(func() {
-		p.l.read(c, func(f *Frame) {
+	p.conn = conn
+	p.caller.Connected(p.link.now())
+	p.link.workers.Go(func() {
+		p.link.readFrames(conn, func(f *Frame) {
 			p.mu.Lock()
-			if p.conn == c {
-				p.caller.Take(p.l.now(), f)
+			if p.conn == conn {
+				p.caller.HandleResponse(p.link.now(), f)
 			}
 			p.mu.Unlock()
 			p.wake()
 		})
 		p.mu.Lock()
-		if p.conn == c {
-			p.broken(c)
+		if p.conn == conn {
+			p.disconnect(conn)
 		}
 		p.mu.Unlock()
-		c.Close()
+		conn.Close()
 		p.wake()
 	})
 }
 
-// At names whoever is at an address, for calls to members whose names aren't known.
-func At(address string) string { return "@" + address }
+// AtAddress returns a member name that stands for whichever member listens on address, for calls to unnamed members.
+func AtAddress(address string) string { return "@" + address }
--- a/internal/cluster/link/link_test.go
+++ b/internal/cluster/link/link_test.go
@@ -18,225 +18,228 @@
 	"go.uber.org/goleak"
 )
 
-// Frames come whole however they are cut, and a changed byte is never believed.
+// TestFrames checks that frames are decoded whole however the byte stream is split, and that a frame with a corrupted byte
+// is never accepted.
 func TestFrames(t *testing.T) {
 	var raw []byte
 	for n := range 3 {
-		raw = (&Frame{Type: request, Method: uint16(n), ID: uint64(n), Left: 9, Body: bytes.Repeat([]byte{byte(n)}, n*100)}).Append(raw)
+		raw = (&Frame{Type: frameRequest, Method: uint16(n), ID: uint64(n), TimeoutMillis: 9, Body: bytes.Repeat([]byte{byte(n)}, n*100)}).Append(raw)
 	}
 	for cut := range raw {
-		var d Decoder
-		var got []*Frame
-		take := func(f *Frame) { got = append(got, f) }
-		if err := errors.Join(d.Write(raw[:cut], take), d.Write(raw[cut:], take)); err != nil || len(got) != 3 || len(got[2].Body) != 200 {
-			t.Fatalf("cut at %d: %d frames, %v", cut, len(got), err)
+		var decoder Decoder
+		var frames []*Frame
+		collect := func(f *Frame) { frames = append(frames, f) }
+		if err := errors.Join(decoder.Write(raw[:cut], collect), decoder.Write(raw[cut:], collect)); err != nil || len(frames) != 3 || len(frames[2].Body) != 200 {
+			t.Fatalf("split at %d: %d frames, %v", cut, len(frames), err)
 		}
-		d, got = Decoder{}, nil
-		spoilt := bytes.Clone(raw)
-		spoilt[cut] ^= 1 << (cut % 8)
-		d.Write(spoilt, take)
-		for _, f := range got {
+		decoder, frames = Decoder{}, nil
+		corrupted := bytes.Clone(raw)
+		corrupted[cut] ^= 1 << (cut % 8)
+		decoder.Write(corrupted, collect)
+		for _, f := range frames {
 			if len(f.Body) != int(f.ID)*100 || f.Method != uint16(f.ID) {
-				t.Fatalf("a frame with byte %d changed was believed", cut)
+				t.Fatalf("frame with corrupted byte %d was accepted", cut)
 			}
 		}
 	}
-	var d Decoder
-	if err := d.Write(long(), func(*Frame) { t.Error("believed") }); !errors.Is(err, ErrLong) || cap(d.held) > 1<<12 {
-		t.Errorf("4 GiB: %v, and room for %d bytes", err, cap(d.held))
+	var decoder Decoder
+	if err := decoder.Write(oversizedFrameHeader(), func(*Frame) { t.Error("oversized frame was accepted") }); !errors.Is(err, ErrTooLong) || cap(decoder.buffered) > 1<<12 {
+		t.Errorf("frame of 4 GiB: %v, buffer of %d bytes", err, cap(decoder.buffered))
 	}
 }
 
-// long is the head of a frame of 4 GiB, with a sum that is right.
-func long() []byte {
-	b := (&Frame{Type: request}).Append(nil)[:head]
+// oversizedFrameHeader returns the header, with a valid checksum, of a frame whose body has 4 GiB.
+func oversizedFrameHeader() []byte {
+	b := (&Frame{Type: frameRequest}).Append(nil)[:frameHeaderSize]
 	binary.BigEndian.PutUint32(b, 1<<32-1)
-	binary.BigEndian.PutUint32(b[head-4:], crc32.Checksum(b[:head-4], table))
+	binary.BigEndian.PutUint32(b[frameHeaderSize-4:], crc32.Checksum(b[:frameHeaderSize-4], crcTable))
 	return b
 }
 
 func FuzzDecoder(f *testing.F) {
-	f.Add((&Frame{Type: answer, ID: 7, Body: []byte("body")}).Append(nil), 5)
+	f.Add((&Frame{Type: frameResponse, ID: 7, Body: []byte("body")}).Append(nil), 5)
 	f.Fuzz(func(t *testing.T, raw []byte, cut int) {
-		var d Decoder
+		var decoder Decoder
 		cut = max(0, min(cut, len(raw)))
-		if d.Write(raw[:cut], func(*Frame) {}) == nil {
-			d.Write(raw[cut:], func(*Frame) {})
+		if decoder.Write(raw[:cut], func(*Frame) {}) == nil {
+			decoder.Write(raw[cut:], func(*Frame) {})
 		}
-		Open(Low, High, "c", raw)
+		DecodeDatagram(MinVersion, MaxVersion, "c", raw)
 		ReadHello(bytes.NewReader(raw))
 	})
 }
 
-// One caller under seeded schedules: each call ends exactly once, whatever breaks; what is said to be never sent never
-// was; bounds hold; and all of it ends once there is nothing more to come.
+// TestCallerSchedules drives a Caller with random schedules. Each call must complete exactly once, no call that was sent
+// may complete with ErrNotSent, the limits must hold, and every call must have completed after its deadline.
 func TestCallerSchedules(t *testing.T) {
 	for seed := range uint64(2000) {
-		chance := rand.New(rand.NewPCG(seed, 3))
-		c := NewCaller(seed)
+		rng := rand.New(rand.NewPCG(seed, 3))
+		caller := NewCaller(seed)
 		now := int64(1)
 		ended, written := map[int]error{}, map[uint64]bool{}
 		ids := map[int]uint64{}
-		calls, taken := 0, 0
-		var there []*Frame
+		calls, accepted := 0, 0
+		var received []*Frame
 		for range 300 {
-			now += chance.Int64N(int64(20 * time.Millisecond))
-			switch chance.IntN(8) {
+			now += rng.Int64N(int64(20 * time.Millisecond))
+			switch rng.IntN(8) {
 			case 0, 1, 2:
-				n := calls
+				call := calls
 				calls++
-				deadline := now + chance.Int64N(int64(time.Second)) - int64(10*time.Millisecond)
-				before := c.next
-				err := c.Call(now, 1, make([]byte, chance.IntN(64<<10)), deadline, func(_ []byte, err error) {
-					if _, twice := ended[n]; twice {
-						t.Fatalf("seed %d: call %d ended twice", seed, n)
+				deadline := now + rng.Int64N(int64(time.Second)) - int64(10*time.Millisecond)
+				lastID := caller.lastID
+				err := caller.Enqueue(now, 1, make([]byte, rng.IntN(64<<10)), deadline, func(_ []byte, err error) {
+					if _, twice := ended[call]; twice {
+						t.Fatalf("seed %d: call %d completed twice", seed, call)
 					}
-					if ended[n] = err; errors.Is(err, ErrNeverSent) && written[ids[n]] {
-						t.Fatalf("seed %d: call %d was sent, and is said never to have been", seed, n)
+					if ended[call] = err; errors.Is(err, ErrNotSent) && written[ids[call]] {
+						t.Fatalf("seed %d: call %d was sent and completed with ErrNotSent", seed, call)
 					}
 				})
-				if ids[n] = before + 1; err != nil {
-					ended[n] = err
+				if ids[call] = lastID + 1; err != nil {
+					ended[call] = err
 				} else {
-					taken++
+					accepted++
 				}
 			case 3:
-				if c.Dial(now) {
-					if chance.IntN(3) == 0 {
-						c.Broken(now)
+				if caller.ShouldDial(now) {
+					if rng.IntN(3) == 0 {
+						caller.Disconnected(now)
 					} else {
-						c.Opened(now)
+						caller.Connected(now)
 					}
 				}
 			case 4, 5:
-				c.Frames(now, func(f *Frame) { written[f.ID] = true; there = append(there, f) })
+				caller.NextFrames(now, func(f *Frame) { written[f.ID] = true; received = append(received, f) })
 			case 6:
-				if len(there) > 0 {
-					i := chance.IntN(len(there))
-					c.Take(now, &Frame{Type: []byte{answer, refusal, fault}[chance.IntN(3)], ID: there[i].ID})
+				if len(received) > 0 {
+					i := rng.IntN(len(received))
+					caller.HandleResponse(now, &Frame{Type: []byte{frameResponse, frameRefusal, frameError}[rng.IntN(3)], ID: received[i].ID})
 				}
 			default:
-				if c.Tick(now) || chance.IntN(6) == 0 && c.open {
-					c.Broken(now)
-					there = nil
+				if caller.Tick(now) || rng.IntN(6) == 0 && caller.connected {
+					caller.Disconnected(now)
+					received = nil
 				}
 			}
-			if c.Waiting() > MostWaiting || c.Outstanding() > MostOut || len(c.out) > 1 && c.bytes > MostBytes {
-				t.Fatalf("seed %d: %d wait, %d are out with %d bytes", seed, c.Waiting(), c.Outstanding(), c.bytes)
+			if caller.Queued() > MaxQueued || caller.InFlight() > MaxInFlight || len(caller.inFlight) > 1 && caller.inFlightBytes > MaxInFlightBytes {
+				t.Fatalf("seed %d: limits exceeded: %d calls queued, %d in flight with %d bytes", seed, caller.Queued(), caller.InFlight(), caller.inFlightBytes)
 			}
-			if next := c.Next(); next < 0 && (c.Waiting() > 0 || c.Outstanding() > 0) {
-				t.Fatalf("seed %d: calls wait and nothing is due", seed)
+			if next := caller.NextWakeup(); next < 0 && (caller.Queued() > 0 || caller.InFlight() > 0) {
+				t.Fatalf("seed %d: calls are pending and no wake-up is due", seed)
 			}
 		}
-		c.Tick(now + int64(time.Hour))
-		if len(ended) != calls || c.bytes != 0 {
-			t.Fatalf("seed %d: %d of %d calls ended, %d bytes out", seed, len(ended), calls, c.bytes)
+		caller.Tick(now + int64(time.Hour))
+		if len(ended) != calls || caller.inFlightBytes != 0 {
+			t.Fatalf("seed %d: %d of %d calls completed, %d bytes in flight", seed, len(ended), calls, caller.inFlightBytes)
 		}
 	}
 }
 
-type rig struct {
+type testLink struct {
 	*Link
 	datagrams chan []byte
 }
 
-func listen(t *testing.T, self, cluster string, resolve map[string]string, change func(*Options)) *rig {
+func startLink(t *testing.T, self, cluster string, resolve map[string]string, change func(*Options)) *testLink {
 	t.Helper()
-	r := &rig{datagrams: make(chan []byte, 10)}
-	o := Options{
-		Cluster: cluster, Self: self, Address: "127.0.0.1:0", Log: slog.New(slog.DiscardHandler), Stream: func(c net.Conn) { c.Close() },
-		Datagram: func(_ byte, b []byte, _ net.Addr) { r.datagrams <- b },
-		Resolve:  func(name string) (string, bool) { a, ok := resolve[name]; return a, ok },
+	link := &testLink{datagrams: make(chan []byte, 10)}
+	options := Options{
+		Cluster: cluster, Self: self, Address: "127.0.0.1:0", Log: slog.New(slog.DiscardHandler), HandleStream: func(c net.Conn) { c.Close() },
+		HandleDatagram: func(_ byte, b []byte, _ net.Addr) { link.datagrams <- b },
+		Resolve:        func(name string) (string, bool) { address, ok := resolve[name]; return address, ok },
 	}
 	if change != nil {
-		change(&o)
+		change(&options)
 	}
 	var err error
-	if r.Link, err = Listen(o); err != nil {
+	if link.Link, err = Listen(options); err != nil {
 		t.Fatal(err)
 	}
-	r.Handle(1, func(_ context.Context, from string, body []byte) ([]byte, error) {
+	link.Handle(1, func(_ context.Context, from string, body []byte) ([]byte, error) {
 		return append([]byte(from+":"), body...), nil
 	})
-	r.Handle(2, func(ctx context.Context, _ string, _ []byte) ([]byte, error) {
+	link.Handle(2, func(ctx context.Context, _ string, _ []byte) ([]byte, error) {
 		left, _ := ctx.Deadline()
 		return []byte(time.Until(left).String()), nil
 	})
-	r.Handle(3, func(ctx context.Context, _ string, _ []byte) ([]byte, error) { <-ctx.Done(); return nil, ctx.Err() })
-	r.Serve()
-	t.Cleanup(r.Close)
-	return r
+	link.Handle(3, func(ctx context.Context, _ string, _ []byte) ([]byte, error) { <-ctx.Done(); return nil, ctx.Err() })
+	link.Serve()
+	t.Cleanup(link.Close)
+	return link
 }
 
-func within(t *testing.T, d time.Duration) context.Context {
-	ctx, stop := context.WithTimeout(context.Background(), d)
-	t.Cleanup(stop)
+func contextWithTimeout(t *testing.T, timeout time.Duration) context.Context {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
+	t.Cleanup(cancel)
 	return ctx
 }
 
-// Calls go over one connection, their time shrinks on the way, and members of other clusters and versions are not let in.
+// TestCalls checks that calls share one connection, that handlers get the remaining time of the caller, and that members of
+// other clusters or with other protocol versions are refused.
 func TestCalls(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
-	b := listen(t, "b", "zuid", nil, nil)
-	where := map[string]string{"b": b.Addr().String()}
-	a := listen(t, "a", "zuid", where, nil)
-	var all sync.WaitGroup
+	b := startLink(t, "b", "zuid", nil, nil)
+	addresses := map[string]string{"b": b.Addr().String()}
+	a := startLink(t, "a", "zuid", addresses, nil)
+	var calls sync.WaitGroup
 	for n := range 200 {
-		all.Go(func() {
-			got, err := a.Call(within(t, 2*time.Second), "b", 1, fmt.Append(nil, n))
+		calls.Go(func() {
+			got, err := a.Call(contextWithTimeout(t, 2*time.Second), "b", 1, fmt.Append(nil, n))
 			if err != nil || string(got) != fmt.Sprint("a:", n) {
 				t.Errorf("call %d: %q, %v", n, got, err)
 			}
 		})
 	}
-	all.Wait()
-	if n := b.Counts.Connections.Load(); n != 1 {
-		t.Errorf("%d connections for all calls", n)
+	calls.Wait()
+	if n := b.Counters.Connections.Load(); n != 1 {
+		t.Errorf("%d connections for all calls, want 1", n)
 	}
-	got, err := a.Call(within(t, 300*time.Millisecond), "b", 2, nil)
+	got, err := a.Call(contextWithTimeout(t, 300*time.Millisecond), "b", 2, nil)
 	if d, _ := time.ParseDuration(string(got)); err != nil || d <= 0 || d >= 300*time.Millisecond {
-		t.Errorf("the time left there is %q, %v", got, err)
+		t.Errorf("remaining time at the handler: %q, %v", got, err)
 	}
 	start := time.Now()
-	if _, err = a.Call(within(t, 100*time.Millisecond), "b", 3, nil); !errors.Is(err, ErrUnknown) || time.Since(start) > 400*time.Millisecond {
-		t.Errorf("a call that hangs: %v after %s", err, time.Since(start))
+	if _, err = a.Call(contextWithTimeout(t, 100*time.Millisecond), "b", 3, nil); !errors.Is(err, ErrOutcomeUnknown) || time.Since(start) > 400*time.Millisecond {
+		t.Errorf("call to a handler that hangs: %v after %s", err, time.Since(start))
 	}
-	if _, err = a.Call(within(t, 100*time.Millisecond), "nobody", 1, nil); !errors.Is(err, ErrNeverSent) {
-		t.Errorf("a call to nobody: %v", err)
+	if _, err = a.Call(contextWithTimeout(t, 100*time.Millisecond), "nobody", 1, nil); !errors.Is(err, ErrNotSent) {
+		t.Errorf("call to an unknown member: %v", err)
 	}
-	if _, err = a.Call(within(t, time.Second), "b", 9, nil); !errors.Is(err, ErrRefused) {
-		t.Errorf("a call without a method: %v", err)
+	if _, err = a.Call(contextWithTimeout(t, time.Second), "b", 9, nil); !errors.Is(err, ErrRefused) {
+		t.Errorf("call of an unknown method: %v", err)
 	}
-	for _, other := range []*rig{
-		listen(t, "a", "noord", where, nil), listen(t, "a", "zuid", where, func(o *Options) { o.Low, o.High = 7, 9 }),
+	for _, other := range []*testLink{
+		startLink(t, "a", "noord", addresses, nil), startLink(t, "a", "zuid", addresses, func(o *Options) { o.MinVersion, o.MaxVersion = 7, 9 }),
 	} {
-		if _, err := other.Call(within(t, 200*time.Millisecond), "b", 1, nil); !errors.Is(err, ErrNeverSent) {
-			t.Errorf("of another cluster or version: %v", err)
+		if _, err := other.Call(contextWithTimeout(t, 200*time.Millisecond), "b", 1, nil); !errors.Is(err, ErrNotSent) {
+			t.Errorf("call from another cluster or version: %v", err)
 		}
-		other.Send(Peers, "", b.Addr().String(), []byte("strange"))
+		other.Send(KindPeers, "", b.Addr().String(), []byte("strange"))
 	}
-	// A range that overlaps is agreed on.
-	wide := listen(t, "w", "zuid", where, func(o *Options) { o.Low, o.High = 1, 9 })
-	if _, err := wide.Call(within(t, time.Second), "b", 1, nil); err != nil {
-		t.Errorf("of a wider range: %v", err)
+	// Overlapping version ranges are compatible.
+	wide := startLink(t, "w", "zuid", addresses, func(o *Options) { o.MinVersion, o.MaxVersion = 1, 9 })
+	if _, err := wide.Call(contextWithTimeout(t, time.Second), "b", 1, nil); err != nil {
+		t.Errorf("call with a wider version range: %v", err)
 	}
-	a.Send(Peers, "", b.Addr().String(), []byte("known"))
+	a.Send(KindPeers, "", b.Addr().String(), []byte("known"))
 	if got := <-b.datagrams; string(got) != "known" {
-		t.Errorf("a datagram of another cluster came in: %q", got)
+		t.Errorf("datagram of another cluster was accepted: %q", got)
 	}
-	if b.Counts.Refused.Load() < 2 {
-		t.Errorf("%d refusals are counted", b.Counts.Refused.Load())
+	if b.Counters.Refused.Load() < 2 {
+		t.Errorf("%d refusals counted, want at least 2", b.Counters.Refused.Load())
 	}
 }
 
-// Whoever sends nonsense, half of something or nothing is let go, and costs nobody else anything.
+// TestBadPeers checks that connections which send garbage, partial messages or nothing are closed and do not disturb the
+// calls of other members.
 func TestBadPeers(t *testing.T) {
-	b := listen(t, "b", "zuid", nil, nil)
-	a := listen(t, "a", "zuid", map[string]string{"b": b.Addr().String()}, nil)
-	hello := (&Hello{Low: 1, High: 1, Kind: Calls, Cluster: "zuid", From: "x"}).Append(nil)
+	b := startLink(t, "b", "zuid", nil, nil)
+	a := startLink(t, "a", "zuid", map[string]string{"b": b.Addr().String()}, nil)
+	hello := (&Hello{MinVersion: 1, MaxVersion: 1, Kind: KindCalls, Cluster: "zuid", From: "x"}).Append(nil)
 	for _, bad := range [][]byte{
-		nil, []byte("GET / HTTP/1.1\r\n\r\n"), hello[:9], append(bytes.Clone(hello), long()...),
-		append(bytes.Clone(hello), bytes.Repeat([]byte{0xff}, 5000)...), append(bytes.Clone(hello), (&Frame{Type: request}).Append(nil)[:20]...),
+		nil, []byte("GET / HTTP/1.1\r\n\r\n"), hello[:9], append(bytes.Clone(hello), oversizedFrameHeader()...),
+		append(bytes.Clone(hello), bytes.Repeat([]byte{0xff}, 5000)...), append(bytes.Clone(hello), (&Frame{Type: frameRequest}).Append(nil)[:20]...),
 	} {
 		c, err := net.Dial("tcp", b.Addr().String())
 		if err != nil {
@@ -246,34 +249,34 @@
 		c.Write(bad)
 	}
 	for range 20 {
-		if _, err := a.Call(within(t, time.Second), "b", 1, nil); err != nil {
+		if _, err := a.Call(contextWithTimeout(t, time.Second), "b", 1, nil); err != nil {
 			t.Fatal(err)
 		}
 	}
 	deadline := time.Now().Add(5 * time.Second)
-	for b.Counts.Connections.Load() > 2 && time.Now().Before(deadline) {
+	for b.Counters.Connections.Load() > 2 && time.Now().Before(deadline) {
 		time.Sleep(20 * time.Millisecond)
 	}
-	if n := b.Counts.Connections.Load(); n > 2 { // the caller's, and half a frame, which has ten seconds
-		t.Errorf("%d connections are held", n)
+	if n := b.Counters.Connections.Load(); n > 2 { // that of a, and the one with a partial frame, which frameTimeout has not closed yet
+		t.Errorf("%d connections are open, want at most 2", n)
 	}
-	if b.Counts.Spoilt.Load() < 3 {
-		t.Errorf("%d spoilt", b.Counts.Spoilt.Load())
+	if b.Counters.Corrupt.Load() < 3 {
+		t.Errorf("%d corrupt inputs counted, want at least 3", b.Counters.Corrupt.Load())
 	}
 }
 
-// A peer that takes calls and never answers refuses none elsewhere: its queue is bounded, what doesn't fit is refused at
-// once, and the connection is given up after silence.
+// TestSilentPeer checks a peer that accepts requests and never responds: its queue is bounded, further calls fail at once,
+// calls to other members are not delayed, and the connection is closed after the silence timeout.
 func TestSilentPeer(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	ends := make(chan time.Duration, 10)
+	defer silent.Close()
+	lifetimes := make(chan time.Duration, 10)
 	go func() {
 		for {
-			c, err := l.Accept()
+			c, err := silent.Accept()
 			if err != nil {
 				return
 			}
@@ -282,43 +285,43 @@
 				c.Write([]byte{1, 0})
 				start := time.Now()
 				io.Copy(io.Discard, c)
-				ends <- time.Since(start)
+				lifetimes <- time.Since(start)
 			}()
 		}
 	}()
-	b := listen(t, "b", "zuid", nil, nil)
-	a := listen(t, "a", "zuid", map[string]string{"b": b.Addr().String(), "s": l.Addr().String()}, nil)
+	b := startLink(t, "b", "zuid", nil, nil)
+	a := startLink(t, "a", "zuid", map[string]string{"b": b.Addr().String(), "s": silent.Addr().String()}, nil)
 	start := time.Now()
-	full := 0
+	overloaded := 0
 	var mu sync.Mutex
-	var all sync.WaitGroup
-	for range MostWaiting + MostOut + 100 {
-		all.Go(func() {
-			_, err := a.Call(within(t, 500*time.Millisecond), "s", 1, nil)
+	var calls sync.WaitGroup
+	for range MaxQueued + MaxInFlight + 100 {
+		calls.Go(func() {
+			_, err := a.Call(contextWithTimeout(t, 500*time.Millisecond), "s", 1, nil)
 			mu.Lock()
 			defer mu.Unlock()
-			if errors.Is(err, ErrFull) {
-				full++
-			} else if err == nil || !errors.Is(err, ErrUnknown) && !errors.Is(err, ErrNeverSent) {
-				t.Errorf("a call to a silent peer: %v", err)
+			if errors.Is(err, ErrOverloaded) {
+				overloaded++
+			} else if err == nil || !errors.Is(err, ErrOutcomeUnknown) && !errors.Is(err, ErrNotSent) {
+				t.Errorf("call to a silent peer: %v", err)
 			}
 		})
 	}
-	if _, err := a.Call(within(t, time.Second), "b", 1, nil); err != nil || time.Since(start) > 450*time.Millisecond {
-		t.Errorf("a call to another: %v after %s", err, time.Since(start))
+	if _, err := a.Call(contextWithTimeout(t, time.Second), "b", 1, nil); err != nil || time.Since(start) > 450*time.Millisecond {
+		t.Errorf("call to another member: %v after %s", err, time.Since(start))
 	}
-	all.Wait()
-	if full < 50 || time.Since(start) > 2*time.Second {
-		t.Errorf("%d refused, all over after %s", full, time.Since(start))
+	calls.Wait()
+	if overloaded < 50 || time.Since(start) > 2*time.Second {
+		t.Errorf("%d calls refused, all completed after %s", overloaded, time.Since(start))
 	}
-	// As long as somebody waits on it, the connection ends with silence.
-	go a.Call(within(t, 7*time.Second), "s", 1, nil)
+	// The silence timeout closes the connection while a call is still waiting.
+	go a.Call(contextWithTimeout(t, 7*time.Second), "s", 1, nil)
 	select {
-	case d := <-ends:
+	case d := <-lifetimes:
 		if d < time.Second {
-			t.Errorf("given up after %s", d)
+			t.Errorf("closed after %s", d)
 		}
 	case <-time.After(8 * time.Second):
-		t.Error("a silent connection is kept for good")
+		t.Error("silent connection was not closed")
 	}
 }
--- a/internal/cluster/member/core.go
+++ b/internal/cluster/member/core.go
@@ -1,5 +1,6 @@
-// Package member says who is there. Core decides, without I/O and clock, what is held of each member from what was heard;
-// Gossip is the runner, over a membership library. All of it is hearsay: nothing here may guard a rule alone.
+// Package member maintains the cluster membership. Core is a state machine without I/O or clock that derives the state of
+// each member from observations; Gossip drives it on top of a SWIM membership library. Membership is only eventually
+// consistent, so no safety property may rest on it alone.
 package member
 
 import (
@@ -13,260 +14,266 @@
 	"ottershift/internal/cluster/config"
 )
 
-// ID is one run of one member.
+// ID identifies one run of one member.
 type ID struct {
 	Name  string
-	Epoch uint64 // grows with each run
-	Run   uint64 // drawn by chance: tells two runs apart that took the same epoch
+	Epoch uint64 // incarnation number, increases with each run
+	Run   uint64 // random: distinguishes two runs that took the same epoch
 }
 
-func (i ID) String() string { return fmt.Sprintf("%s/%d.%x", i.Name, i.Epoch, i.Run) }
+// String returns the ID as name/epoch.run, with the run in hexadecimal.
+func (id ID) String() string { return fmt.Sprintf("%s/%d.%x", id.Name, id.Epoch, id.Run) }
 
-// ParseID reads what String wrote.
-func ParseID(text string) (i ID, ok bool) {
-	name, rest, some := strings.Cut(text, "/")
-	epoch, run, both := strings.Cut(rest, ".")
-	if !some || !both || name == "" {
-		return i, false
+// ParseID parses the output of String.
+func ParseID(text string) (id ID, ok bool) {
+	name, rest, hasSlash := strings.Cut(text, "/")
+	epoch, run, hasDot := strings.Cut(rest, ".")
+	if !hasSlash || !hasDot || name == "" {
+		return id, false
 	}
-	e, err1 := strconv.ParseUint(epoch, 10, 64)
-	r, err2 := strconv.ParseUint(run, 16, 64)
-	return ID{name, e, r}, err1 == nil && err2 == nil
+	epochNumber, err1 := strconv.ParseUint(epoch, 10, 64)
+	runNumber, err2 := strconv.ParseUint(run, 16, 64)
+	return ID{name, epochNumber, runNumber}, err1 == nil && err2 == nil
 }
 
-// Newer reports whether a run of the same name came after another.
-func (i ID) Newer(than ID) bool {
-	if i.Epoch != than.Epoch {
-		return i.Epoch > than.Epoch
+// Newer reports whether id supersedes other, a run of the same name.
+func (id ID) Newer(other ID) bool {
+	if id.Epoch != other.Epoch {
+		return id.Epoch > other.Epoch
 	}
-	return i.Run > than.Run
+	return id.Run > other.Run
 }
 
-// Epoch is the one for a new run: beyond what its own disk and other members know of its name, and not under the wall
-// clock, which helps where nobody remembers and is believed in nothing else.
-func Epoch(disk uint64, wall int64, known []uint64) uint64 {
-	next := max(disk+1, 1, uint64(max(wall, 0)))
+// NextEpoch returns the epoch for a new run: greater than the stored epoch and the epochs that other members know for its
+// name, and at least the wall clock. The clock only helps where neither disk nor peers remember; nothing else relies on it.
+func NextEpoch(stored uint64, wallSeconds int64, known []uint64) uint64 {
+	next := max(stored+1, 1, uint64(max(wallSeconds, 0)))
 	for _, k := range known {
 		next = max(next, k+1)
 	}
 	return next
 }
 
-// Record is what a run tells of itself for good.
+// Record holds the properties of a run that do not change.
 type Record struct {
 	ID
-	Zone      string
-	Address   string // of the fleet's traffic
-	Ops       string // second address, "" if it has none
-	Build     string
-	Low, High byte // versions of the frames
+	Zone                   string
+	Address                string // for traffic between members
+	OpsAddress             string // for operations, "" if there is none
+	Build                  string
+	MinVersion, MaxVersion byte // supported protocol versions
 }
 
-// Status is what it tells again and again; the highest count is the newest.
+// Status holds the properties that a run reports repeatedly.
 type Status struct {
-	Count   uint64
-	Leaving bool     // by intent: it takes no new clients
-	Gone    bool     // by intent: its last word
-	Open    int64    // transactions in hand
-	Rate    float64  // transactions a second lately
-	Offers  []string // pools
-	Parts   int      // modules of each pool
+	Sequence         uint64   // the highest is the newest
+	Draining         bool     // the run accepts no new clients, intentionally
+	Final            bool     // last status of a run that leaves intentionally
+	OpenTransactions int64    // transactions in progress
+	Rate             float64  // recent transactions per second
+	Pools            []string // names of the pools that it serves
+	ShardsPerPool    int      // shards of each pool
 }
 
-// State is what is held of a run.
+// State is the state of a run as seen by this member.
 type State byte
 
+// States of a run.
 const (
-	Alive State = iota + 1
-	Dead        // by suspicion: it may be back
-	Left        // by intent, for good
-	Over        // a newer run of its name is known
+	Alive      State = iota + 1
+	Dead             // failure suspected and not refuted in time; the run may come back
+	Left             // left intentionally; permanent
+	Superseded       // a newer run of the same name is known; permanent
 )
 
+// String returns the name of the state in views, logs and metrics.
 func (s State) String() string { return [...]string{"", "alive", "dead", "left", "over"}[s] }
 
-// Mark is what is remembered of a name beyond its run: that no older one may come again.
-type Mark struct {
+// LatestRun is the newest known run of a name. It is kept after the run has ended, so that no older run of the name is
+// accepted again.
+type LatestRun struct {
 	ID
 	Ended bool
 }
 
-// Member is one run as it is held here.
+// Member is one run with its state as seen by this member.
 type Member struct {
 	Record
 	Status
-	State State
-	Since int64 // of the state
-	Heard int64 // last word from it or of it
+	State      State
+	StateSince int64 // nanoseconds; time of the last state change
+	LastHeard  int64 // nanoseconds; time of the last message from or about the run
 }
 
-// Change is told when what is held of a run changes.
+// Change reports a state change of a run.
 type Change struct {
 	Member
-	Was State // 0 if it is new
+	Previous State // 0 for a new run
 }
 
-// Guards are what variants of an experiment leave out.
+// Guards selects the active safety mechanisms. Experiments disable them one at a time.
 type Guards struct{ Refutation, Epochs bool }
 
-// Writer takes what the core decides.
-type Writer interface {
-	Changed(c Change)
-	Try(name, address string)         // exchange states with who is there
-	TellOver(old, newer ID, a string) // tell an old run that it is over
-	OverNow(newer ID)                 // this run is over itself
-	Renew(beyond uint64)              // this run took too low an epoch before it met anybody: it takes one beyond this
+// Actions carries out the decisions of a Core.
+type Actions interface {
+	StateChanged(c Change)
+	ExchangeState(name, address string)             // exchange full state with the member at an address; name may be empty
+	NotifySuperseded(old, newer ID, address string) // inform an old run that it is superseded
+	SelfSuperseded(newer ID)                        // this run is superseded
+	RenewEpoch(above uint64)                        // this run started with too low an epoch: restart it with one above this
 }
 
+// Durations are in nanoseconds.
 const (
-	second     = int64(1e9)
-	forgetDead = 3600 * second
-	forgetLeft = 60 * second
-	mostMarks  = 4096
-	settles    = 2 * second  // among others, until what is known of its own name has come to it
-	fresh      = 10 * second // after a start, in which a run of too low an epoch takes another
-	tellsOver  = second      // between two words to the same old run
-	stoppedFor = 4           // probes without a tick that count as having been held up
-	seldom     = 8           // tries of rejoin between two looks at an address that is answered
+	second             = int64(1e9)
+	deadRetention      = 3600 * second // until a dead run is forgotten
+	endedRetention     = 60 * second   // until a run that left or was superseded is forgotten
+	maxLatestRuns      = 4096          // names remembered
+	settleTime         = 2 * second    // after first contact, for the peers' knowledge about this name to arrive
+	renewWindow        = 10 * second   // after the start, in which a run with too low an epoch may take another
+	noticeInterval     = second        // between two notices to the same superseded run
+	stallProbes        = 4             // probe intervals without a tick after which the process counts as stalled
+	aliveAddressRounds = 8             // rejoin rounds between two exchanges with a configured address that belongs to a live member
 )
 
-// Core holds what is known.
+// Core is the membership state machine of one run.
 type Core struct {
-	self   Record
-	over   bool
-	met    int64 // when anybody was first met, -1 for not yet
-	second bool  // it has taken another epoch once
-	spent  bool  // it is to take another epoch
-	begun  int64
-	guards Guards
-	s      *config.Settings
-	chance *rand.Rand
-	w      Writer
-
-	runs  map[ID]*Member
-	marks map[string]Mark
-	told  map[ID]int64 // old runs, when they were last told
-	again int64        // next round of tries
-	last  int64        // time of the last Tick
-	turn  int
-	round int
+	self         Record
+	superseded   bool
+	firstContact int64 // when this run first heard of another member, -1 before
+	renewed      bool  // this run has already replaced its first epoch
+	renewing     bool  // a new epoch was requested and is not yet in effect
+	startedAt    int64
+	guards       Guards
+	settings     *config.Settings
+	rng          *rand.Rand
+	actions      Actions
+
+	runs         map[ID]*Member
+	latestRuns   map[string]LatestRun
+	notifiedAt   map[ID]int64 // superseded runs, with the time of the last notice
+	nextRejoin   int64        // time of the next rejoin round
+	lastTick     int64        // time of the last Tick
+	rejoinOffset int          // index of the first target of the next round
+	rejoinRound  int
 }
 
-// NewCore makes one for a run of this process, which began at some time; again says that the run took another epoch before.
-func NewCore(self Record, s *config.Settings, g Guards, seed uint64, begun int64, again bool, w Writer) *Core {
+// NewCore returns the state machine for a run that started at startedAt; renewed is set if the run replaced an earlier epoch.
+func NewCore(self Record, settings *config.Settings, guards Guards, seed uint64, startedAt int64, renewed bool, actions Actions) *Core {
 	c := &Core{
-		self: self, s: s, guards: g, w: w, begun: begun, met: -1, second: again, chance: rand.New(rand.NewPCG(seed, 0x22)),
-		runs: map[ID]*Member{}, marks: map[string]Mark{}, told: map[ID]int64{},
+		self: self, settings: settings, guards: guards, actions: actions, startedAt: startedAt, firstContact: -1, renewed: renewed, rng: rand.New(rand.NewPCG(seed, 0x22)),
+		runs: map[ID]*Member{}, latestRuns: map[string]LatestRun{}, notifiedAt: map[ID]int64{},
 	}
-	c.marks[self.Name] = Mark{ID: self.ID}
+	c.latestRuns[self.Name] = LatestRun{ID: self.ID}
 	return c
 }
 
-// Over reports whether a newer run of this name is known.
-func (c *Core) Over() bool { return c.over }
+// Superseded reports whether a newer run of this name is known.
+func (c *Core) Superseded() bool { return c.superseded }
 
-// Admit says whether a run may count as there. What is refused here never comes into the view.
-func (c *Core) Admit(now int64, r Record) error {
-	if r.Name == "" || len(r.Name) > 64 {
-		return fmt.Errorf("a name of %d bytes", len(r.Name))
+// Admit returns an error if a run must not be accepted as a member. Such a run never appears in the view.
+func (c *Core) Admit(now int64, record Record) error {
+	if record.Name == "" || len(record.Name) > 64 {
+		return fmt.Errorf("invalid member name: %d bytes, want 1 to 64", len(record.Name))
 	}
-	if r.High < c.self.Low || r.Low > c.self.High {
-		return fmt.Errorf("%s speaks frames %d to %d, this one %d to %d", r.ID, r.Low, r.High, c.self.Low, c.self.High)
+	if record.MaxVersion < c.self.MinVersion || record.MinVersion > c.self.MaxVersion {
+		return fmt.Errorf("protocol version mismatch: %s supports %d to %d, this member %d to %d", record.ID, record.MinVersion, record.MaxVersion, c.self.MinVersion, c.self.MaxVersion)
 	}
 	if !c.guards.Epochs {
 		return nil
 	}
-	if m, known := c.marks[r.Name]; known && m.Newer(r.ID) {
-		c.tellOver(now, r.ID, m.ID, r.Address)
-		return fmt.Errorf("%s is over: %s came after it", r.ID, m.ID)
+	if latest, known := c.latestRuns[record.Name]; known && latest.Newer(record.ID) {
+		c.notifySuperseded(now, record.ID, latest.ID, record.Address)
+		return fmt.Errorf("%s is superseded by %s", record.ID, latest.ID)
 	}
 	return nil
 }
 
-// tellOver has an old run told, not too often.
-func (c *Core) tellOver(now int64, old, newer ID, address string) {
-	if last, told := c.told[old]; told && now-last < tellsOver {
+// notifySuperseded informs an old run that it is superseded, at most once per noticeInterval.
+func (c *Core) notifySuperseded(now int64, old, newer ID, address string) {
+	if last, notified := c.notifiedAt[old]; notified && now-last < noticeInterval {
 		return
 	}
-	if len(c.told) > mostMarks {
-		clear(c.told)
+	if len(c.notifiedAt) > maxLatestRuns {
+		clear(c.notifiedAt)
 	}
-	c.told[old] = now
-	c.w.TellOver(old, newer, address)
+	c.notifiedAt[old] = now
+	c.actions.NotifySuperseded(old, newer, address)
 }
 
-// mark remembers the newest run of a name; it reports whether this one isn't older.
-func (c *Core) mark(id ID, ended bool) bool {
-	m, known := c.marks[id.Name]
+// updateLatest records a run if it is the newest of its name. It returns false for an older run.
+func (c *Core) updateLatest(id ID, ended bool) bool {
+	latest, known := c.latestRuns[id.Name]
 	switch {
-	case !known && len(c.marks) >= mostMarks:
-		return true // told by nobody's hearsay alone: memory is bounded
-	case !known || id.Newer(m.ID):
-		c.marks[id.Name] = Mark{id, ended}
-	case id == m.ID:
-		c.marks[id.Name] = Mark{id, ended}
+	case !known && len(c.latestRuns) >= maxLatestRuns:
+		return true // accepted, but not recorded: memory is bounded
+	case !known || id.Newer(latest.ID):
+		c.latestRuns[id.Name] = LatestRun{id, ended}
+	case id == latest.ID:
+		c.latestRuns[id.Name] = LatestRun{id, ended}
 	default:
 		return false
 	}
 	return true
 }
 
-// set puts a run into a state and tells the change.
-func (c *Core) set(now int64, m *Member, s State) {
-	was := m.State
-	if was == s {
+// setState changes the state of a run and reports the change.
+func (c *Core) setState(now int64, m *Member, state State) {
+	previous := m.State
+	if previous == state {
 		return
 	}
-	m.State, m.Since = s, now
-	c.w.Changed(Change{*m, was})
+	m.State, m.StateSince = state, now
+	c.actions.StateChanged(Change{*m, previous})
 }
 
-// Heard takes word that a run is there, its own or another's.
-func (c *Core) Heard(now int64, r Record) {
-	if r.ID == c.self.ID || c.Admit(now, r) != nil {
+// ObserveAlive handles a message, from the run itself or from another member, that a run is alive.
+func (c *Core) ObserveAlive(now int64, record Record) {
+	if record.ID == c.self.ID || c.Admit(now, record) != nil {
 		return
 	}
-	if r.Name == c.self.Name && c.guards.Epochs {
-		c.selfOver(now, r.ID, false)
-		if c.over {
-			c.hold(now, r)
+	if record.Name == c.self.Name && c.guards.Epochs {
+		c.observeNewerSelf(now, record.ID, false)
+		if c.superseded {
+			c.setAlive(now, record)
 		}
 		return
 	}
-	if c.met < 0 {
-		c.met = now
+	if c.firstContact < 0 {
+		c.firstContact = now
 	}
-	c.hold(now, r)
+	c.setAlive(now, record)
 }
 
-// hold keeps a run as alive, and any older one of its name as over.
-func (c *Core) hold(now int64, r Record) {
+// setAlive marks a run as alive and all older runs of its name as superseded.
+func (c *Core) setAlive(now int64, record Record) {
 	if c.guards.Epochs {
-		if !c.mark(r.ID, false) {
+		if !c.updateLatest(record.ID, false) {
 			return
 		}
-		for _, old := range c.named(r.Name) {
-			if old.ID != r.ID && old.State != Over {
+		for _, old := range c.runsOf(record.Name) {
+			if old.ID != record.ID && old.State != Superseded {
 				if old.State == Alive {
-					c.tellOver(now, old.ID, r.ID, old.Address)
+					c.notifySuperseded(now, old.ID, record.ID, old.Address)
 				}
-				c.set(now, old, Over)
+				c.setState(now, old, Superseded)
 			}
 		}
 	}
-	m := c.runs[r.ID]
+	m := c.runs[record.ID]
 	if m == nil {
-		m = &Member{Record: r}
-		c.runs[r.ID] = m
+		m = &Member{Record: record}
+		c.runs[record.ID] = m
 	}
-	if m.State == Left || m.State == Over || m.State == Dead && !c.guards.Refutation {
-		return // an end by intent is for good: late word of before it changes nothing
+	if m.State == Left || m.State == Superseded || m.State == Dead && !c.guards.Refutation {
+		return // these states are permanent: a delayed alive message must not revert them
 	}
-	m.Record, m.Heard = r, now
-	c.set(now, m, Alive)
+	m.Record, m.LastHeard = record, now
+	c.setState(now, m, Alive)
 }
 
-func (c *Core) named(name string) (all []*Member) {
+// runsOf returns the runs of a name, oldest first.
+func (c *Core) runsOf(name string) (all []*Member) {
 	for _, m := range c.runs {
 		if m.Name == name {
 			all = append(all, m)
@@ -276,164 +283,168 @@
 	return all
 }
 
-// selfOver takes word of a newer run of this very name.
-func (c *Core) selfOver(now int64, newer ID, ended bool) {
-	if c.over || c.spent || !newer.Newer(c.self.ID) {
+// observeNewerSelf handles the message that a newer run of this member's own name exists.
+func (c *Core) observeNewerSelf(now int64, newer ID, ended bool) {
+	if c.superseded || c.renewing || !newer.Newer(c.self.ID) {
 		return
 	}
-	// Danger: a run that could ask nobody at its start may have taken too low an epoch. Once it has been among others, a
-	// newer one is truly newer; before that, one that has ended, or is met right after the start, only tells how low its own is.
-	settled := c.second || c.met >= 0 && now-c.met > settles
-	if !settled && (ended || now-c.begun < fresh) {
-		c.spent = true // danger: what comes until it has taken the other epoch would call it over
-		c.w.Renew(newer.Epoch)
+	// A run that reached no peer at its start may have taken too low an epoch. After it has settled among other members, a
+	// run with a higher epoch is really newer. Before that, one that has ended or is met right after the start only shows
+	// that this run's epoch is too low.
+	settled := c.renewed || c.firstContact >= 0 && now-c.firstContact > settleTime
+	if !settled && (ended || now-c.startedAt < renewWindow) {
+		c.renewing = true // until the new epoch is in effect, further messages would mark this run as superseded
+		c.actions.RenewEpoch(newer.Epoch)
 		return
 	}
-	c.over = true
-	c.marks[newer.Name] = Mark{newer, ended}
-	c.w.OverNow(newer)
+	c.superseded = true
+	c.latestRuns[newer.Name] = LatestRun{newer, ended}
+	c.actions.SelfSuperseded(newer)
 }
 
-// Told takes a notice that this run is over.
-func (c *Core) Told(now int64, old, newer ID, ended bool) {
+// HandleSuperseded handles the notice that old is superseded by newer. It is ignored unless old is this run.
+func (c *Core) HandleSuperseded(now int64, old, newer ID, ended bool) {
 	if old == c.self.ID && c.guards.Epochs {
-		c.selfOver(now, newer, ended)
+		c.observeNewerSelf(now, newer, ended)
 	}
 }
 
-// Ended takes word that a run is gone. It has left by intent if that was its last word; else it is held dead.
-func (c *Core) Ended(now int64, id ID) {
+// ObserveEnd handles the message that a run has gone. The run has left if its last status was final; else it is dead.
+func (c *Core) ObserveEnd(now int64, id ID) {
 	if id == c.self.ID {
 		return
 	}
 	m := c.runs[id]
-	if m == nil || m.State == Left || m.State == Over {
+	if m == nil || m.State == Left || m.State == Superseded {
 		return
 	}
 	if c.guards.Epochs {
-		c.mark(id, true)
+		c.updateLatest(id, true)
 	}
-	if m.Heard = now; m.Gone {
-		c.set(now, m, Left)
+	if m.LastHeard = now; m.Final {
+		c.setState(now, m, Left)
 	} else {
-		c.set(now, m, Dead)
+		c.setState(now, m, Dead)
 	}
 }
 
-// Says takes a run's status; an older one than is known is passed over, as is one of a run that isn't known.
-func (c *Core) Says(now int64, id ID, s Status) bool {
+// UpdateStatus stores a run's status and reports whether it was new. It ignores outdated statuses and unknown runs.
+func (c *Core) UpdateStatus(now int64, id ID, status Status) bool {
 	m := c.runs[id]
-	if m == nil || s.Count <= m.Count || len(s.Offers) > MostOffers {
+	if m == nil || status.Sequence <= m.Sequence || len(status.Pools) > MaxPools {
 		return false
 	}
-	m.Status, m.Heard = s, now
-	if s.Gone && m.State == Dead { // its last word came behind the word that it is gone
-		c.set(now, m, Left)
+	m.Status, m.LastHeard = status, now
+	if status.Final && m.State == Dead { // the final status arrived after the message that the run has gone
+		c.setState(now, m, Left)
 	}
 	return true
 }
 
-// MostOffers bounds what a status may name.
-const MostOffers = 64
+// MaxPools is the maximum number of pools in a status.
+const MaxPools = 64
 
-// Seen notes a direct sign of life.
-func (c *Core) Seen(now int64, id ID) {
+// ObserveContact records a direct sign of life from a run, such as a probe response.
+func (c *Core) ObserveContact(now int64, id ID) {
 	if m := c.runs[id]; m != nil && m.State == Alive {
-		m.Heard = now
+		m.LastHeard = now
 	}
 }
 
-// Marks are given to others in an exchange.
-func (c *Core) Marks() (all []Mark) {
-	for _, m := range c.marks {
-		all = append(all, m)
+// LatestRuns returns the newest known run of each name, for a state exchange.
+func (c *Core) LatestRuns() (all []LatestRun) {
+	for _, run := range c.latestRuns {
+		all = append(all, run)
 	}
-	slices.SortFunc(all, func(a, b Mark) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(all, func(a, b LatestRun) int { return cmp.Compare(a.Name, b.Name) })
 	return all
 }
 
-// Marked takes another's marks.
-func (c *Core) Marked(now int64, all []Mark) {
+// MergeLatestRuns merges the newest known runs of another member into this one's.
+func (c *Core) MergeLatestRuns(now int64, latest []LatestRun) {
 	if !c.guards.Epochs {
 		return
 	}
-	for _, m := range all[:min(len(all), mostMarks)] {
-		if m.Name == c.self.Name {
-			c.selfOver(now, m.ID, m.Ended)
+	for _, run := range latest[:min(len(latest), maxLatestRuns)] {
+		if run.Name == c.self.Name {
+			c.observeNewerSelf(now, run.ID, run.Ended)
 			continue
 		}
-		if had, known := c.marks[m.Name]; known && !m.Newer(had.ID) {
+		if held, known := c.latestRuns[run.Name]; known && !run.Newer(held.ID) {
 			continue
 		}
-		c.mark(m.ID, m.Ended)
-		for _, old := range c.named(m.Name) {
-			if m.ID.Newer(old.ID) && old.State != Over {
-				c.set(now, old, Over)
+		c.updateLatest(run.ID, run.Ended)
+		for _, old := range c.runsOf(run.Name) {
+			if run.ID.Newer(old.ID) && old.State != Superseded {
+				c.setState(now, old, Superseded)
 			}
 		}
 	}
 }
 
-// Tick has who is held dead tried again, and the addresses that were given at the start, some at a time; and forgets.
+// Tick forgets runs past their retention and periodically exchanges state with dead members and with configured addresses
+// that no live member has, at most config.AtOnce per round.
 func (c *Core) Tick(now int64) {
 	for _, m := range c.sorted() {
-		if m.State == Dead && now-m.Since > forgetDead || (m.State == Left || m.State == Over) && now-m.Since > forgetLeft {
+		if m.State == Dead && now-m.StateSince > deadRetention || (m.State == Left || m.State == Superseded) && now-m.StateSince > endedRetention {
 			delete(c.runs, m.ID)
 		}
 	}
-	gap := now - c.last
-	stopped := c.last != 0 && gap > stoppedFor*int64(c.s.Probe)
-	c.last = now
-	if c.over {
+	gap := now - c.lastTick
+	stalled := c.lastTick != 0 && gap > stallProbes*int64(c.settings.Probe)
+	c.lastTick = now
+	if c.superseded {
 		return
 	}
-	if stopped { // Danger: a run that was held up may have been replaced meanwhile; it asks before it is asked
-		all := c.sorted()
-		c.chance.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-		n := 0
-		for _, m := range all {
-			if m.State == Alive && n < config.AtOnce {
-				c.w.Try(m.Name, m.Address)
-				n++
+	if stalled {
+		// This run may have been superseded while the process was stalled, so it queries some peers at once.
+		targets := c.sorted()
+		c.rng.Shuffle(len(targets), func(i, j int) { targets[i], targets[j] = targets[j], targets[i] })
+		count := 0
+		for _, m := range targets {
+			if m.State == Alive && count < config.AtOnce {
+				c.actions.ExchangeState(m.Name, m.Address)
+				count++
 			}
 		}
 	}
-	if now < c.again {
+	if now < c.nextRejoin {
 		return
 	}
-	every := int64(c.s.Rejoin)
-	c.again = now + every*3/4 + c.chance.Int64N(max(1, every/2))
+	interval := int64(c.settings.Rejoin)
+	c.nextRejoin = now + interval*3/4 + c.rng.Int64N(max(1, interval/2))
 	type target struct{ name, address string }
-	var all []target
-	alive := map[string]bool{c.s.Address: true, c.self.Address: true}
+	var targets []target
+	alive := map[string]bool{c.settings.Address: true, c.self.Address: true}
 	for _, m := range c.sorted() {
 		if m.State == Alive {
 			alive[m.Address] = true
-			alive[c.s.Through[m.Name]] = true
+			alive[c.settings.Through[m.Name]] = true
 		}
 	}
 	for _, m := range c.sorted() {
 		if m.State == Dead && !alive[m.Address] {
-			all = append(all, target{m.Name, m.Address})
+			targets = append(targets, target{m.Name, m.Address})
 		}
 	}
-	c.round++
-	for _, a := range c.s.Join {
-		// An address that a living member has is looked at now and then: half of a fleet that was cut in two may be
-		// known to nobody here.
-		if !alive[a] || c.round%seldom == 0 && a != c.s.Address && a != c.self.Address {
-			all = append(all, target{"", a})
+	c.rejoinRound++
+	for _, address := range c.settings.Join {
+		// Addresses of live members are included every few rounds: after a partition, another member may answer there
+		// that knows the half of the cluster which is unknown here.
+		if !alive[address] || c.rejoinRound%aliveAddressRounds == 0 && address != c.settings.Address && address != c.self.Address {
+			targets = append(targets, target{"", address})
 		}
 	}
-	for n := range min(config.AtOnce, len(all)) {
-		t := all[(c.turn+n)%len(all)]
-		c.w.Try(t.name, t.address)
+	for i := range min(config.AtOnce, len(targets)) {
+		next := targets[(c.rejoinOffset+i)%len(targets)]
+		c.actions.ExchangeState(next.name, next.address)
 	}
-	if c.turn += config.AtOnce; len(all) > 0 {
-		c.turn %= len(all)
+	if c.rejoinOffset += config.AtOnce; len(targets) > 0 {
+		c.rejoinOffset %= len(targets)
 	}
 }
 
+// sorted returns all runs by name, epoch and run.
 func (c *Core) sorted() []*Member {
 	all := make([]*Member, 0, len(c.runs))
 	for _, m := range c.runs {
@@ -445,7 +456,7 @@
 	return all
 }
 
-// View is all that is held, by name and epoch, without this run itself.
+// View returns all known runs except this one, by name and epoch.
 func (c *Core) View() (all []Member) {
 	for _, m := range c.sorted() {
 		all = append(all, *m)
@@ -453,17 +464,17 @@
 	return all
 }
 
-// Now is the run of a name that counts at present: the newest that is known.
-func (c *Core) Now(name string) (m Member, known bool) {
-	all := c.named(name)
+// Current returns the newest known run of a name.
+func (c *Core) Current(name string) (m Member, known bool) {
+	all := c.runsOf(name)
 	if len(all) == 0 {
 		return m, false
 	}
 	return *all[len(all)-1], true
 }
 
-// Alive counts who lives, this run included.
-func (c *Core) Alive() (n int) {
+// AliveCount returns the number of live runs, including this one.
+func (c *Core) AliveCount() (n int) {
 	n = 1
 	for _, m := range c.runs {
 		if m.State == Alive {
--- a/internal/cluster/member/core_test.go
+++ b/internal/cluster/member/core_test.go
@@ -15,303 +15,304 @@
 	"ottershift/internal/cluster/pack"
 )
 
-// process is one that may run in the world of a schedule.
+// process is a simulated process that runs one Core.
 type process struct {
-	w      *world
-	number int
-	name   string
-	core   *Core
-	self   Record
-	up     bool
-	halted bool  // stopped by a signal
-	renews *Core // the one that asked for another epoch
-	over   ID
-	marks  map[string]ID // seen in its core before
-	states map[ID]State
+	sim          *simulation
+	index        int
+	name         string
+	core         *Core
+	self         Record
+	running      bool
+	paused       bool  // as by SIGSTOP
+	renewing     *Core // the core that has requested another epoch
+	supersededBy ID
+	seenLatest   map[string]ID // newest runs in its core at the last check
+	seenStates   map[ID]State
 }
 
-// event is something on its way, with nothing said of when and how often it comes.
-type event func()
+// delivery is a pending message or action, which may be executed at any time, several times or never.
+type delivery func()
 
-// world plays cores against each other: words come late, twice, in any order or not at all; processes are killed, stopped,
-// started twice, with their disk or without; suspicion is wrong as often as right.
-type world struct {
-	t      testing.TB
-	chance *rand.Rand
-	now    int64
-	all    []*process
-	disks  map[string]uint64 // by name: epochs; a name's disk may be lost
-	began  map[string][]ID   // every run there ever was
-	flying []event
-	cut    map[[2]int]bool
-	guards Guards
-	wrong  string
+// simulation runs several cores with a random schedule of faults: messages are delayed, duplicated, reordered or lost;
+// processes are killed, paused and started twice, with or without their disk; suspicions are often wrong.
+type simulation struct {
+	t         testing.TB
+	rng       *rand.Rand
+	now       int64
+	processes []*process
+	disks     map[string]uint64 // stored epochs, by name; a disk may be lost
+	started   map[string][]ID   // all runs ever started, by name
+	pending   []delivery
+	blocked   map[[2]int]bool
+	guards    Guards
+	violation string // first violated invariant
 }
 
-var schedule = &config.Settings{Name: "c", Probe: 100 * time.Millisecond, Rejoin: time.Second}
+var testSettings = &config.Settings{Name: "c", Probe: 100 * time.Millisecond, Rejoin: time.Second}
 
-func (w *world) fail(text string, values ...any) {
-	if w.wrong == "" {
-		w.wrong = fmt.Sprintf(text, values...)
+func (s *simulation) fail(text string, values ...any) {
+	if s.violation == "" {
+		s.violation = fmt.Sprintf(text, values...)
 	}
 }
 
-// start begins a process of a name; it may ask who can be reached.
-func (w *world) start(name string) {
-	p := &process{w: w, number: len(w.all), name: name, up: true, marks: map[string]ID{}, states: map[ID]State{}}
+// start starts a process with a name. It queries the epoch of the name from a random subset of the reachable processes.
+func (s *simulation) start(name string) {
+	started := &process{sim: s, index: len(s.processes), name: name, running: true, seenLatest: map[string]ID{}, seenStates: map[ID]State{}}
 	var known []uint64
-	for _, q := range w.all {
-		if q.up && !q.halted && !w.cut[[2]int{p.number, q.number}] && w.chance.IntN(3) > 0 {
-			if m, some := q.core.marks[name]; some && w.guards.Epochs {
-				known = append(known, m.Epoch)
+	for _, other := range s.processes {
+		if other.running && !other.paused && !s.blocked[[2]int{started.index, other.index}] && s.rng.IntN(3) > 0 {
+			if latest, found := other.core.latestRuns[name]; found && s.guards.Epochs {
+				known = append(known, latest.Epoch)
 			}
 		}
 	}
-	p.run(Epoch(w.disks[name], 0, known), false)
-	w.all = append(w.all, p)
+	started.startRun(NextEpoch(s.disks[name], 0, known), false)
+	s.processes = append(s.processes, started)
 }
 
-func (p *process) run(epoch uint64, again bool) {
-	w := p.w
-	p.self = Record{ID: ID{p.name, epoch, w.chance.Uint64()}, Address: fmt.Sprint(p.number), Low: 1, High: 1}
-	w.disks[p.name] = epoch
-	w.began[p.name] = append(w.began[p.name], p.self.ID)
-	p.core = NewCore(p.self, schedule, w.guards, w.chance.Uint64(), w.now, again, p)
-	p.marks, p.states = map[string]ID{}, map[ID]State{}
-	p.over = ID{}
+func (p *process) startRun(epoch uint64, renewed bool) {
+	sim := p.sim
+	p.self = Record{ID: ID{p.name, epoch, sim.rng.Uint64()}, Address: fmt.Sprint(p.index), MinVersion: 1, MaxVersion: 1}
+	sim.disks[p.name] = epoch
+	sim.started[p.name] = append(sim.started[p.name], p.self.ID)
+	p.core = NewCore(p.self, testSettings, sim.guards, sim.rng.Uint64(), sim.now, renewed, p)
+	p.seenLatest, p.seenStates = map[string]ID{}, map[ID]State{}
+	p.supersededBy = ID{}
 }
 
-func (p *process) Changed(c Change) {
-	if c.Was == Left && c.State == Alive || c.Was == Over && c.State == Alive {
-		p.w.fail("%s: %s was %s and is alive", p.self.ID, c.ID, c.Was)
+func (p *process) StateChanged(c Change) {
+	if c.Previous == Left && c.State == Alive || c.Previous == Superseded && c.State == Alive {
+		p.sim.fail("%s: %s changed from %s to alive", p.self.ID, c.ID, c.Previous)
 	}
 }
 
-// Try is an exchange with whoever is reached there, later.
-func (p *process) Try(_, address string) {
-	n, _ := strconv.Atoi(address)
-	p.w.flying = append(p.w.flying, func() { p.w.exchange(p, p.w.all[n]) })
+// ExchangeState schedules a state exchange with the process at an address.
+func (p *process) ExchangeState(_, address string) {
+	index, _ := strconv.Atoi(address)
+	p.sim.pending = append(p.sim.pending, func() { p.sim.exchange(p, p.sim.processes[index]) })
 }
 
-func (p *process) TellOver(old, newer ID, address string) {
-	n, _ := strconv.Atoi(address)
-	ended := p.core.marks[newer.Name].Ended
-	p.w.flying = append(p.w.flying, func() {
-		if q := p.w.all[n]; q.up && !q.halted && !p.w.cut[[2]int{p.number, n}] {
-			q.core.Told(p.w.now, old, newer, ended)
+func (p *process) NotifySuperseded(old, newer ID, address string) {
+	index, _ := strconv.Atoi(address)
+	ended := p.core.latestRuns[newer.Name].Ended
+	p.sim.pending = append(p.sim.pending, func() {
+		if target := p.sim.processes[index]; target.running && !target.paused && !p.sim.blocked[[2]int{p.index, index}] {
+			target.core.HandleSuperseded(p.sim.now, old, newer, ended)
 		}
 	})
 }
 
-func (p *process) OverNow(newer ID) {
-	if p.renews == p.core {
-		p.w.fail("%s is over, and was to take another epoch", p.self.ID)
+func (p *process) SelfSuperseded(newer ID) {
+	if p.renewing == p.core {
+		p.sim.fail("%s is superseded although it has requested another epoch", p.self.ID)
 	}
-	if p.over != (ID{}) {
-		p.w.fail("%s is over twice", p.self.ID)
+	if p.supersededBy != (ID{}) {
+		p.sim.fail("%s is superseded twice", p.self.ID)
 	}
 	if !newer.Newer(p.self.ID) {
-		p.w.fail("%s is over by %s, which is older", p.self.ID, newer)
+		p.sim.fail("%s is superseded by %s, which is older", p.self.ID, newer)
 	}
-	p.over = newer
+	p.supersededBy = newer
 }
 
-// Renew is done somewhat later, as a runner does it: what comes until then comes to the old core.
-func (p *process) Renew(beyond uint64) {
+// RenewEpoch schedules the restart with another epoch. As in Gossip, the old core still gets messages until then.
+func (p *process) RenewEpoch(above uint64) {
 	core := p.core
-	p.renews = core
-	p.w.flying = append(p.w.flying, func() {
-		if p.up && p.core == core {
-			p.run(beyond+1, true)
+	p.renewing = core
+	p.sim.pending = append(p.sim.pending, func() {
+		if p.running && p.core == core {
+			p.startRun(above+1, true)
 		}
 	})
 }
 
-// exchange is two members' whole states, both ways.
-func (w *world) exchange(p, q *process) {
-	if p == q || !p.up || !q.up || p.halted || q.halted || w.cut[[2]int{p.number, q.number}] || w.cut[[2]int{q.number, p.number}] {
+// exchange exchanges the full states of two processes in both directions, if they can reach each other.
+func (s *simulation) exchange(p, q *process) {
+	if p == q || !p.running || !q.running || p.paused || q.paused || s.blocked[[2]int{p.index, q.index}] || s.blocked[[2]int{q.index, p.index}] {
 		return
 	}
-	give := func(from, to *process) {
-		marks, self, over := from.core.Marks(), from.self, from.core.Over()
+	send := func(from, to *process) {
+		latest, self, superseded := from.core.LatestRuns(), from.self, from.core.Superseded()
 		var alive []Record
-		for _, m := range from.core.View() {
-			if m.State == Alive {
-				alive = append(alive, m.Record)
+		for _, member := range from.core.View() {
+			if member.State == Alive {
+				alive = append(alive, member.Record)
 			}
 		}
-		to.core.Marked(w.now, marks)
-		if !over {
-			to.core.Heard(w.now, self)
+		to.core.MergeLatestRuns(s.now, latest)
+		if !superseded {
+			to.core.ObserveAlive(s.now, self)
 		}
-		for _, r := range alive {
-			to.core.Heard(w.now, r)
+		for _, record := range alive {
+			to.core.ObserveAlive(s.now, record)
 		}
 	}
-	give(p, q)
-	give(q, p)
+	send(p, q)
+	send(q, p)
 }
 
-// step has one thing happen.
-func (w *world) step() {
-	w.now += w.chance.Int64N(int64(200 * time.Millisecond))
-	p := w.all[w.chance.IntN(len(w.all))]
-	q := w.all[w.chance.IntN(len(w.all))]
-	switch w.chance.IntN(16) {
-	case 0, 1, 2: // a word that p is there, to q, when it will
-		r, from := p.self, p.number
-		if p.up && !p.halted && !p.core.Over() {
-			w.flying = append(w.flying, func() {
-				if q.up && !q.halted && !w.cut[[2]int{from, q.number}] {
-					q.core.Heard(w.now, r)
+// step executes one random event and checks the invariants.
+func (s *simulation) step() {
+	s.now += s.rng.Int64N(int64(200 * time.Millisecond))
+	p := s.processes[s.rng.IntN(len(s.processes))]
+	q := s.processes[s.rng.IntN(len(s.processes))]
+	switch s.rng.IntN(16) {
+	case 0, 1, 2: // p sends an alive message to q
+		record, from := p.self, p.index
+		if p.running && !p.paused && !p.core.Superseded() {
+			s.pending = append(s.pending, func() {
+				if q.running && !q.paused && !s.blocked[[2]int{from, q.index}] {
+					q.core.ObserveAlive(s.now, record)
 				}
 			})
 		}
-	case 3, 4, 5, 6, 7: // one of those on their way comes, and perhaps comes again
-		if len(w.flying) > 0 {
-			i := w.chance.IntN(len(w.flying))
-			f := w.flying[i]
-			if w.chance.IntN(4) > 0 {
-				w.flying[i] = w.flying[len(w.flying)-1]
-				w.flying = w.flying[:len(w.flying)-1]
+	case 3, 4, 5, 6, 7: // a pending message is delivered, and perhaps kept for another delivery
+		if len(s.pending) > 0 {
+			next := s.rng.IntN(len(s.pending))
+			deliver := s.pending[next]
+			if s.rng.IntN(4) > 0 {
+				s.pending[next] = s.pending[len(s.pending)-1]
+				s.pending = s.pending[:len(s.pending)-1]
 			}
-			f()
+			deliver()
 		}
-	case 8: // q is said to be gone, rightly or not
-		if p.up && !p.halted {
-			p.core.Ended(w.now, q.self.ID)
+	case 8: // p is told, rightly or not, that q has gone
+		if p.running && !p.paused {
+			p.core.ObserveEnd(s.now, q.self.ID)
 		}
-	case 9:
-		if p.up && !p.halted {
-			id, s := q.self.ID, Status{Count: uint64(w.now), Gone: !q.up && w.chance.IntN(4) == 0}
-			if !s.Gone || !q.up {
-				p.core.Says(w.now, id, s)
+	case 9: // p gets a status of q, perhaps its final one
+		if p.running && !p.paused {
+			id, status := q.self.ID, Status{Sequence: uint64(s.now), Final: !q.running && s.rng.IntN(4) == 0}
+			if !status.Final || !q.running {
+				p.core.UpdateStatus(s.now, id, status)
 			}
 		}
 	case 10:
-		w.exchange(p, q)
-	case 11:
-		if a, b := p.number, q.number; a != b {
-			w.cut[[2]int{a, b}] = !w.cut[[2]int{a, b}]
-		}
-	case 12:
-		if p.halted = !p.halted && p.up; !p.halted && p.up && w.chance.IntN(4) == 0 {
-			p.up = false // killed
-		}
-	case 13:
-		if len(w.all) < 12 && w.chance.IntN(5) == 0 {
-			if w.chance.IntN(3) == 0 {
-				delete(w.disks, p.name)
+		s.exchange(p, q)
+	case 11: // the link from p to q fails or recovers
+		if a, b := p.index, q.index; a != b {
+			s.blocked[[2]int{a, b}] = !s.blocked[[2]int{a, b}]
+		}
+	case 12: // p is paused, resumed or killed
+		if p.paused = !p.paused && p.running; !p.paused && p.running && s.rng.IntN(4) == 0 {
+			p.running = false // killed
+		}
+	case 13: // a second process with the name of p is started, perhaps without its disk
+		if len(s.processes) < 12 && s.rng.IntN(5) == 0 {
+			if s.rng.IntN(3) == 0 {
+				delete(s.disks, p.name)
 			}
-			w.start(p.name) // beside the one that may run still
+			s.start(p.name) // p may still be running
 		}
 	default:
-		if p.up && !p.halted {
-			p.core.Tick(w.now)
+		if p.running && !p.paused {
+			p.core.Tick(s.now)
 		}
 	}
-	w.check()
+	s.checkInvariants()
 }
 
-// check is what holds after every step.
-func (w *world) check() {
-	for _, p := range w.all {
-		if !p.up {
+// checkInvariants checks what must hold after every step.
+func (s *simulation) checkInvariants() {
+	for _, p := range s.processes {
+		if !p.running {
 			continue
 		}
 		alive := map[string]ID{}
 		for _, m := range p.core.View() {
-			was := p.states[m.ID]
-			p.states[m.ID] = m.State
-			if (was == Left || was == Over) && m.State == Alive {
-				w.fail("%s: %s came back from %s", p.self.ID, m.ID, was)
+			previous := p.seenStates[m.ID]
+			p.seenStates[m.ID] = m.State
+			if (previous == Left || previous == Superseded) && m.State == Alive {
+				s.fail("%s: %s returned to alive from %s", p.self.ID, m.ID, previous)
 			}
 			if m.State != Alive {
 				continue
 			}
-			if other, some := alive[m.Name]; some {
-				w.fail("%s holds two runs of one name alive: %s and %s", p.self.ID, other, m.ID)
+			if other, exists := alive[m.Name]; exists {
+				s.fail("%s sees two live runs of one name: %s and %s", p.self.ID, other, m.ID)
 			}
 			alive[m.Name] = m.ID
-			if mark := p.core.marks[m.Name]; mark.Newer(m.ID) {
-				w.fail("%s holds %s alive though it knows %s", p.self.ID, m.ID, mark.ID)
+			if latest := p.core.latestRuns[m.Name]; latest.Newer(m.ID) {
+				s.fail("%s sees %s alive although it knows the newer %s", p.self.ID, m.ID, latest.ID)
 			}
-			if m.Name == p.name && !p.core.Over() {
-				w.fail("%s holds %s, of its own name, alive", p.self.ID, m.ID)
+			if m.Name == p.name && !p.core.Superseded() {
+				s.fail("%s sees %s, a run of its own name, alive and is not superseded", p.self.ID, m.ID)
 			}
 		}
-		for name, mark := range p.core.marks {
-			if was, some := p.marks[name]; some && was.Newer(mark.ID) {
-				w.fail("%s forgot %s for %s", p.self.ID, was, mark.ID)
+		for name, latest := range p.core.latestRuns {
+			if previous, exists := p.seenLatest[name]; exists && previous.Newer(latest.ID) {
+				s.fail("%s replaced latest run %s by the older %s", p.self.ID, previous, latest.ID)
 			}
-			p.marks[name] = mark.ID
-			real := false
-			for _, id := range w.began[name] {
-				real = real || id == mark.ID
+			p.seenLatest[name] = latest.ID
+			started := false
+			for _, id := range s.started[name] {
+				started = started || id == latest.ID
 			}
-			if !real {
-				w.fail("%s remembers %s, which never was", p.self.ID, mark.ID)
+			if !started {
+				s.fail("%s knows %s, which was never started", p.self.ID, latest.ID)
 			}
 		}
-		if p.core.Over() != (p.over != ID{}) {
-			w.fail("%s is over and not over", p.self.ID)
+		if p.core.Superseded() != (p.supersededBy != ID{}) {
+			s.fail("%s: Superseded and SelfSuperseded disagree", p.self.ID)
 		}
 	}
 }
 
-// heal ends all faults and lets what must come to all come to all: then every view must be the truth.
-func (w *world) heal() {
-	clear(w.cut)
-	for _, p := range w.all {
-		p.halted = false
+// healAndCheck ends all faults and lets every process exchange state with every other. All views must then match the
+// processes that are really running.
+func (s *simulation) healAndCheck() {
+	clear(s.blocked)
+	for _, p := range s.processes {
+		p.paused = false
 	}
 	for round := range 12 {
-		w.now += int64(3 * time.Second)
-		for _, p := range w.all {
-			for _, name := range slices.Sorted(maps.Keys(w.began)) {
-				for _, id := range w.began[name] {
-					if p.up && !w.runs(id) {
-						p.core.Ended(w.now, id)
+		s.now += int64(3 * time.Second)
+		for _, p := range s.processes {
+			for _, name := range slices.Sorted(maps.Keys(s.started)) {
+				for _, id := range s.started[name] {
+					if p.running && !s.isCurrent(id) {
+						p.core.ObserveEnd(s.now, id)
 					}
 				}
 			}
 		}
-		for _, p := range w.all {
-			if p.up {
-				p.core.Tick(w.now)
+		for _, p := range s.processes {
+			if p.running {
+				p.core.Tick(s.now)
 			}
-			for _, q := range w.all {
-				w.exchange(p, q)
+			for _, q := range s.processes {
+				s.exchange(p, q)
 			}
 		}
-		flying := w.flying
-		if w.flying = nil; round < 2 {
-			for _, f := range flying { // the last that was late comes now
-				f()
+		late := s.pending
+		if s.pending = nil; round < 2 {
+			for _, deliver := range late { // the last delayed messages
+				deliver()
 			}
 		}
-		w.check()
+		s.checkInvariants()
 	}
 	want := map[string]ID{}
-	for _, p := range w.all {
-		if p.up && !p.core.Over() {
-			if other, some := want[p.name]; some {
-				w.fail("two runs of one name go on: %s and %s", other, p.self.ID)
+	for _, p := range s.processes {
+		if p.running && !p.core.Superseded() {
+			if other, exists := want[p.name]; exists {
+				s.fail("two runs of one name continue: %s and %s", other, p.self.ID)
 			}
 			want[p.name] = p.self.ID
 		}
 	}
-	for _, p := range w.all {
+	for _, p := range s.processes {
 		newest := p.self.ID
-		for _, id := range w.began[p.name] {
+		for _, id := range s.started[p.name] {
 			if id.Newer(newest) {
 				newest = id
 			}
 		}
-		if p.up && p.self.ID == newest && p.core.Over() {
-			w.fail("%s is the newest of its name, and over: it knows %s", p.self.ID, p.over)
+		if p.running && p.self.ID == newest && p.core.Superseded() {
+			s.fail("%s is the newest run of its name and is superseded by %s", p.self.ID, p.supersededBy)
 		}
-		if !p.up || p.core.Over() {
+		if !p.running || p.core.Superseded() {
 			continue
 		}
 		seen := map[string]ID{p.name: p.self.ID}
@@ -321,103 +322,105 @@
 			}
 		}
 		if fmt.Sprint(seen) != fmt.Sprint(want) {
-			w.fail("%s sees %v at the end, and there are %v", p.self.ID, seen, want)
+			s.fail("%s: final view %v, want %v", p.self.ID, seen, want)
 		}
 	}
 }
 
-// runs reports whether a process goes by a run now.
-func (w *world) runs(id ID) bool {
-	return slices.ContainsFunc(w.all, func(p *process) bool { return p.up && p.self.ID == id })
+// isCurrent reports whether id is the present run of a running process.
+func (s *simulation) isCurrent(id ID) bool {
+	return slices.ContainsFunc(s.processes, func(p *process) bool { return p.running && p.self.ID == id })
 }
 
-func play(t testing.TB, seed uint64, g Guards) string {
-	w := &world{
-		t: t, chance: rand.New(rand.NewPCG(seed, 1)), disks: map[string]uint64{}, began: map[string][]ID{}, cut: map[[2]int]bool{}, guards: g,
+// runSchedule runs the schedule of a seed and returns the first violated invariant, or "".
+func runSchedule(t testing.TB, seed uint64, guards Guards) string {
+	sim := &simulation{
+		t: t, rng: rand.New(rand.NewPCG(seed, 1)), disks: map[string]uint64{}, started: map[string][]ID{}, blocked: map[[2]int]bool{}, guards: guards,
 	}
-	for n := range 2 + w.chance.IntN(4) {
-		w.start(string(rune('a' + n)))
+	for n := range 2 + sim.rng.IntN(4) {
+		sim.start(string(rune('a' + n)))
 	}
-	for range 50 + w.chance.IntN(250) {
-		if w.step(); w.wrong != "" {
-			return w.wrong
+	for range 50 + sim.rng.IntN(250) {
+		if sim.step(); sim.violation != "" {
+			return sim.violation
 		}
 	}
-	w.heal()
-	return w.wrong
+	sim.healAndCheck()
+	return sim.violation
 }
 
-// Seeds that failed once are played first, each with what it found.
-var kept = []uint64{}
+// regressionSeeds are seeds that have failed before; they run first. Each names the fault that it found.
+var regressionSeeds = []uint64{}
 
-// OTTERSHIFT_SCHEDULES plays more than the usual; a failure names its seed.
-func schedules(usual int) int {
+// scheduleCount returns the number of schedules to run: OTTERSHIFT_SCHEDULES if it is set, else byDefault.
+func scheduleCount(byDefault int) int {
 	if n, err := strconv.Atoi(os.Getenv("OTTERSHIFT_SCHEDULES")); err == nil {
 		return n
 	}
-	return usual
+	return byDefault
 }
 
+// TestSchedules checks the invariants of Core under random schedules of faults.
 func TestSchedules(t *testing.T) {
-	for _, seed := range kept {
-		if wrong := play(t, seed, Guards{true, true}); wrong != "" {
-			t.Fatalf("kept seed %d: %s", seed, wrong)
+	for _, seed := range regressionSeeds {
+		if violation := runSchedule(t, seed, Guards{true, true}); violation != "" {
+			t.Fatalf("regression seed %d: %s", seed, violation)
 		}
 	}
-	var all sync.WaitGroup
+	var workers sync.WaitGroup
 	const parts = 8
 	for part := range uint64(parts) {
-		all.Go(func() {
-			for seed := part; seed < uint64(schedules(500)) && !t.Failed(); seed += parts {
-				if wrong := play(t, seed, Guards{true, true}); wrong != "" {
-					t.Errorf("seed %d: %s", seed, wrong)
+		workers.Go(func() {
+			for seed := part; seed < uint64(scheduleCount(500)) && !t.Failed(); seed += parts {
+				if violation := runSchedule(t, seed, Guards{true, true}); violation != "" {
+					t.Errorf("seed %d: %s", seed, violation)
 				}
 			}
 		})
 	}
-	all.Wait()
+	workers.Wait()
 }
 
-// A guard that is left out is seen by the same invariants, or they prove nothing.
-func TestSchedulesConvict(t *testing.T) {
-	for _, c := range []struct {
-		name string
-		g    Guards
+// TestSchedulesDetectMissingGuards checks that the invariants of TestSchedules fail when a safety mechanism is disabled.
+func TestSchedulesDetectMissingGuards(t *testing.T) {
+	for _, test := range []struct {
+		name   string
+		guards Guards
 	}{{"refutation", Guards{false, true}}, {"epochs", Guards{true, false}}} {
-		found := 0
+		failing := 0
 		for seed := range uint64(200) {
-			if play(t, seed, c.g) != "" {
-				found++
+			if runSchedule(t, seed, test.guards) != "" {
+				failing++
 			}
 		}
-		t.Logf("without %s: %d of 200 schedules are convicted", c.name, found)
-		if found < 20 {
-			t.Errorf("without %s only %d of 200 schedules are convicted", c.name, found)
+		t.Logf("without %s: %d of 200 schedules fail", test.name, failing)
+		if failing < 20 {
+			t.Errorf("without %s: only %d of 200 schedules fail, want at least 20", test.name, failing)
 		}
 	}
 }
 
-// Members of two builds understand each other: what one doesn't know is passed over, what isn't there is empty, and nonsense
-// of any kind is refused without a panic.
-func TestWordsOfOtherBuilds(t *testing.T) {
-	later := pack.Pack(map[string]any{"n": "b1", "e": 7, "r": 9, "a": "127.0.0.1:1", "l": 1, "h": 3, "new": []string{"x"}, "more": map[string]int{"y": 1}})
-	r, err := unpackRecord(later)
-	if err != nil || r.Name != "b1" || r.Epoch != 7 || r.High != 3 || r.Zone != "" {
-		t.Errorf("a later build's record: %+v, %v", r, err)
+// TestEncodingsOfOtherBuilds checks that members of different builds can read each other's messages: unknown keys are ignored,
+// missing keys decode to zero values, and corrupted input does not cause a panic.
+func TestEncodingsOfOtherBuilds(t *testing.T) {
+	newerBuild := pack.Pack(map[string]any{"n": "b1", "e": 7, "r": 9, "a": "127.0.0.1:1", "l": 1, "h": 3, "new": []string{"x"}, "more": map[string]int{"y": 1}})
+	record, err := decodeRecord(newerBuild)
+	if err != nil || record.Name != "b1" || record.Epoch != 7 || record.MaxVersion != 3 || record.Zone != "" {
+		t.Errorf("record of a newer build: %+v, %v", record, err)
 	}
-	var s wireStatus
-	if err := pack.Unpack(pack.Pack(map[string]any{"i": "b1/7.9", "c": 4, "later": 1.5}), &s); err != nil || s.Count != 4 || s.Offers != nil {
-		t.Errorf("a later build's status: %+v, %v", s, err)
+	var status wireStatus
+	if err := pack.Unpack(pack.Pack(map[string]any{"i": "b1/7.9", "c": 4, "later": 1.5}), &status); err != nil || status.Sequence != 4 || status.Pools != nil {
+		t.Errorf("status of a newer build: %+v, %v", status, err)
 	}
-	chance := rand.New(rand.NewPCG(1, 1))
+	rng := rand.New(rand.NewPCG(1, 1))
 	for range 20000 {
-		raw := append([]byte(nil), later...)
-		for range 1 + chance.IntN(4) {
-			raw[chance.IntN(len(raw))] = byte(chance.Uint32())
+		raw := append([]byte(nil), newerBuild...)
+		for range 1 + rng.IntN(4) {
+			raw[rng.IntN(len(raw))] = byte(rng.Uint32())
 		}
-		unpackRecord(raw[:chance.IntN(len(raw)+1)])
+		decodeRecord(raw[:rng.IntN(len(raw)+1)])
 	}
-	if c := NewCore(Record{ID: ID{"a", 1, 1}, Low: 1, High: 1}, schedule, Guards{true, true}, 1, 0, false, nil); c.Admit(0, Record{ID: ID{"b", 1, 1}, Low: 2, High: 3}) == nil {
-		t.Error("a build without a version in common is let in")
+	if core := NewCore(Record{ID: ID{"a", 1, 1}, MinVersion: 1, MaxVersion: 1}, testSettings, Guards{true, true}, 1, 0, false, nil); core.Admit(0, Record{ID: ID{"b", 1, 1}, MinVersion: 2, MaxVersion: 3}) == nil {
+		t.Error("a member without a common protocol version was admitted")
 	}
 }
--- a/internal/cluster/member/gossip.go
+++ b/internal/cluster/member/gossip.go
@@ -25,185 +25,185 @@
 	"ottershift/internal/cluster/pack"
 )
 
-// Methods of calls between members.
+// Call methods between members.
 const (
-	methodMarks uint16 = 1 // what is remembered of a name
-	methodView  uint16 = 2 // what a member holds of all
+	methodLatestRun uint16 = 1 // returns the newest known run of a name
+	methodView      uint16 = 2 // returns the member's view as JSON
 )
 
 const (
-	asks       = 500 * time.Millisecond // for what others remember of this name, at the start
-	leaves     = 300 * time.Millisecond // for the word that this one leaves
-	ticks      = 50 * time.Millisecond
-	says       = time.Second           // between two statuses, at least
-	saysEach   = 50 * time.Millisecond // times the members: what all say together stays bounded
-	epochFile  = "epoch"
-	mostQueue  = 1024
-	retransmit = 2 // rounds for each status
+	epochQueryTimeout       = 500 * time.Millisecond // for the start-up query of this name's latest epoch
+	leaveTimeout            = 300 * time.Millisecond // for the leave message to spread
+	tickInterval            = 50 * time.Millisecond  // between two ticks of the core, at most
+	statusInterval          = time.Second            // between two status broadcasts, at least
+	statusIntervalPerMember = 50 * time.Millisecond  // times the number of members: bounds the total rate of statuses in the cluster
+	epochFile               = "epoch"
+	maxQueue                = 1024 // queued actions, and received packets not yet handled
+	statusRetransmits       = 2    // retransmissions of each status, times the logarithm of the cluster size
 )
 
-// Way is how members reach one another: link.Link, or another in tests on a virtual clock.
-type Way interface {
+// Transport connects the members. link.Link implements it; tests use one on a virtual clock.
+type Transport interface {
 	Addr() *net.TCPAddr
 	Handle(method uint16, h link.Handler)
 	Call(ctx context.Context, name string, method uint16, body []byte) ([]byte, error)
 	Send(kind byte, name, address string, payload []byte) error
-	Dial(kind byte, name, address string, within time.Duration) (net.Conn, error)
+	Dial(kind byte, name, address string, timeout time.Duration) (net.Conn, error)
 	Forget(name string)
 }
 
-// Options say how a member is made.
+// Options configure a Gossip.
 type Options struct {
-	Settings *config.Settings
-	Ops      string
-	Build    string
-	Seed     uint64
-	Guards   Guards
-	FS       disk.FS // nil for a directory that isn't there
-	Log      *slog.Logger
-	Link     Way
-	Status   func() Status    // what is said of this process; its count is set here
-	Changed  func(c Change)   // told in order, from one goroutine; may be nil
-	Wall     func() time.Time // nil for the real one
-}
-
-// Gossip is one member among the others.
+	Settings     *config.Settings
+	OpsAddress   string // advertised address for operations, "" for none
+	Build        string
+	Seed         uint64
+	Guards       Guards
+	FS           disk.FS // stores the epoch; nil for none
+	Log          *slog.Logger
+	Transport    Transport
+	Status       func() Status    // returns the status to broadcast; Sequence, Draining and Final are set by Gossip
+	StateChanged func(c Change)   // called in order from one goroutine; may be nil
+	WallClock    func() time.Time // nil for time.Now
+}
+
+// Gossip is this process's membership in the cluster.
 type Gossip struct {
-	o     Options
-	start time.Time
-	end   context.CancelFunc
-	done  chan struct{}
-	ctx   context.Context
-	tries sync.WaitGroup
-
-	mu      sync.Mutex
-	core    *Core
-	self    Record
-	list    *memberlist.Memberlist
-	way     *transport
-	queue   []func() // what the core decided, for the goroutine to do
-	count   uint64
-	status  Status
-	leaving bool
-	gone    bool
-	renewed bool
-	over    ID // the newer run, once this one is over
-	saidAt  time.Time
-	words   memberlist.TransmitLimitedQueue
-	kick    chan struct{}
-}
-
-// Join becomes a member: it takes an epoch beyond what its disk and others know of its name, and is there from then on.
-// Others are tried in the background, so a member that can reach nobody is one alone.
-func Join(o Options) (*Gossip, error) {
-	g := &Gossip{o: o, start: time.Now(), done: make(chan struct{}), kick: make(chan struct{}, 1)}
-	if o.Wall == nil {
-		g.o.Wall = time.Now
-	}
-	g.ctx, g.end = context.WithCancel(context.Background())
-	g.words = memberlist.TransmitLimitedQueue{RetransmitMult: retransmit, NumNodes: g.alive}
-	o.Link.Handle(methodMarks, g.tellMarks)
-	o.Link.Handle(methodView, g.tellView)
+	options   Options
+	startedAt time.Time
+	cancel    context.CancelFunc
+	done      chan struct{}
+	ctx       context.Context
+	exchanges sync.WaitGroup
+
+	mu           sync.Mutex
+	core         *Core
+	self         Record
+	list         *memberlist.Memberlist
+	transport    *libraryTransport
+	queue        []func() // actions of the core, to be run without locks
+	sequence     uint64
+	status       Status
+	draining     bool
+	final        bool
+	renewed      bool
+	supersededBy ID // the newer run, once this one is superseded
+	statusSentAt time.Time
+	broadcasts   memberlist.TransmitLimitedQueue
+	wakeup       chan struct{}
+}
+
+// New prepares the membership and registers its handlers with the transport. Start joins the cluster.
+func New(options Options) (*Gossip, error) {
+	g := &Gossip{options: options, startedAt: time.Now(), done: make(chan struct{}), wakeup: make(chan struct{}, 1)}
+	if options.WallClock == nil {
+		g.options.WallClock = time.Now
+	}
+	g.ctx, g.cancel = context.WithCancel(context.Background())
+	g.broadcasts = memberlist.TransmitLimitedQueue{RetransmitMult: statusRetransmits, NumNodes: g.aliveCount}
+	options.Transport.Handle(methodLatestRun, g.handleLatestRun)
+	options.Transport.Handle(methodView, g.handleView)
 	return g, nil
 }
 
-// Begin takes part, once the link serves.
-func (g *Gossip) Begin() error {
-	if err := g.begin(Epoch(g.read(), g.o.Wall().Unix(), g.ask())); err != nil {
-		g.end()
+// Start joins the cluster, once the transport is serving. The run gets an epoch above those that the disk and other members
+// know for its name. Peers are contacted in the background: a member that reaches nobody runs alone until it does.
+func (g *Gossip) Start() error {
+	if err := g.startRun(NextEpoch(g.readEpoch(), g.options.WallClock().Unix(), g.queryEpochs())); err != nil {
+		g.cancel()
 		return err
 	}
-	go g.run()
+	go g.loop()
 	return nil
 }
 
-// read is the epoch of the last run that this disk knows.
-func (g *Gossip) read() uint64 {
-	if g.o.FS == nil {
+// readEpoch returns the epoch of the last run that is stored on this disk, or 0.
+func (g *Gossip) readEpoch() uint64 {
+	if g.options.FS == nil {
 		return 0
 	}
-	raw, err := g.o.FS.Read(epochFile)
+	raw, err := g.options.FS.Read(epochFile)
 	if err != nil {
-		return 0 // none yet, or a disk that can't be read: others are asked as well
+		return 0 // no file yet, or an unreadable disk: other members are asked as well
 	}
 	n, err := strconv.ParseUint(strings.TrimSpace(string(raw)), 10, 64)
 	if err != nil {
-		g.o.Log.Warn("cluster", "step", "directory", "fault", fmt.Sprintf("%s holds no number: %.40q", epochFile, raw))
+		g.options.Log.Warn("cluster", "step", "directory", "fault", fmt.Sprintf("%s does not contain a number: %.40q", epochFile, raw))
 	}
 	return n
 }
 
-// ask asks the addresses to join what they remember of this name.
-func (g *Gossip) ask() (known []uint64) {
-	ctx, stop := context.WithTimeout(g.ctx, asks)
-	defer stop()
+// queryEpochs asks the configured join addresses for the latest epoch of this member's name.
+func (g *Gossip) queryEpochs() (known []uint64) {
+	ctx, cancel := context.WithTimeout(g.ctx, epochQueryTimeout)
+	defer cancel()
 	var mu sync.Mutex
-	var all sync.WaitGroup
-	for _, a := range g.o.Settings.Join {
-		if a == g.o.Settings.Address {
+	var queries sync.WaitGroup
+	for _, address := range g.options.Settings.Join {
+		if address == g.options.Settings.Address {
 			continue
 		}
-		all.Go(func() {
-			defer g.o.Link.Forget(link.At(a))
-			body, err := g.o.Link.Call(ctx, link.At(a), methodMarks, []byte(g.o.Settings.Self))
-			var m wireMark
-			if err != nil || pack.Unpack(body, &m) != nil {
+		queries.Go(func() {
+			defer g.options.Transport.Forget(link.AtAddress(address))
+			body, err := g.options.Transport.Call(ctx, link.AtAddress(address), methodLatestRun, []byte(g.options.Settings.Self))
+			var latest wireLatestRun
+			if err != nil || pack.Unpack(body, &latest) != nil {
 				return
 			}
-			if id, ok := ParseID(m.ID); ok {
+			if id, ok := ParseID(latest.ID); ok {
 				mu.Lock()
 				defer mu.Unlock()
 				known = append(known, id.Epoch)
 			}
 		})
 	}
-	all.Wait()
+	queries.Wait()
 	return known
 }
 
-// begin starts a run under an epoch.
-func (g *Gossip) begin(epoch uint64) error {
-	if g.o.FS != nil {
-		if err := g.o.FS.Replace(epochFile, fmt.Appendf(nil, "%d\n", epoch)); err != nil {
-			// No promise rests on it: others remember, and the wall clock helps.
-			g.o.Log.Warn("cluster", "step", "directory", "fault", err)
+// startRun starts a run with an epoch.
+func (g *Gossip) startRun(epoch uint64) error {
+	if g.options.FS != nil {
+		if err := g.options.FS.Replace(epochFile, fmt.Appendf(nil, "%d\n", epoch)); err != nil {
+			// Not fatal: other members remember the epoch, and the wall clock is a lower bound for the next one.
+			g.options.Log.Warn("cluster", "step", "directory", "fault", err)
 		}
 	}
-	s := g.o.Settings
+	settings := g.options.Settings
 	g.mu.Lock()
 	g.self = Record{
-		ID: ID{s.Self, epoch, rand.Uint64() ^ g.o.Seed}, Zone: s.Zone, Address: g.o.Link.Addr().String(), Ops: g.o.Ops, Build: g.o.Build,
-		Low: link.Low, High: link.High,
+		ID: ID{settings.Self, epoch, rand.Uint64() ^ g.options.Seed}, Zone: settings.Zone, Address: g.options.Transport.Addr().String(), OpsAddress: g.options.OpsAddress, Build: g.options.Build,
+		MinVersion: link.MinVersion, MaxVersion: link.MaxVersion,
 	}
-	g.core = NewCore(g.self, s, g.o.Guards, g.o.Seed, 0, g.renewed, (*writer)(g))
-	g.way = &transport{g: g, packets: make(chan *memberlist.Packet, mostQueue), streams: make(chan net.Conn), end: make(chan struct{})}
-	g.count, g.saidAt = 0, time.Time{}
-	way, self, d := g.way, g.self, &delegate{g, g.core, g.self}
+	g.core = NewCore(g.self, settings, g.options.Guards, g.options.Seed, 0, g.renewed, (*coreActions)(g))
+	g.transport = &libraryTransport{gossip: g, packets: make(chan *memberlist.Packet, maxQueue), streams: make(chan net.Conn), done: make(chan struct{})}
+	g.sequence, g.statusSentAt = 0, time.Time{}
+	transport, self, d := g.transport, g.self, &delegate{g, g.core, g.self}
 	g.mu.Unlock()
 
-	c := memberlist.DefaultLANConfig()
-	c.Name, c.Transport, c.Delegate, c.Events, c.Alive, c.Ping = self.ID.String(), way, d, d, d, d
-	at := g.o.Link.Addr()
-	c.AdvertiseAddr, c.AdvertisePort, c.BindAddr, c.BindPort = at.IP.String(), at.Port, at.IP.String(), at.Port
-	c.ProbeInterval, c.ProbeTimeout, c.TCPTimeout = s.Probe, s.Probe/2, config.Exchange
-	c.SuspicionMult, c.SuspicionMaxTimeoutMult, c.AwarenessMaxMultiplier = config.Suspicion, config.Suspected, config.Slower
-	c.IndirectChecks, c.RetransmitMult = config.Indirect, config.Retransmit
-	c.GossipInterval, c.GossipNodes, c.GossipToTheDeadTime = s.Probe/config.GossipPart, config.GossipTo, time.Minute
-	c.PushPullInterval = config.ExchangeEach * s.Probe
-	c.EnableCompression = false
-	c.LogOutput, c.Logger = nil, log.New(libraryLog{g.o.Log}, "", 0)
-	list, err := memberlist.Create(c)
+	libraryConfig := memberlist.DefaultLANConfig()
+	libraryConfig.Name, libraryConfig.Transport, libraryConfig.Delegate, libraryConfig.Events, libraryConfig.Alive, libraryConfig.Ping = self.ID.String(), transport, d, d, d, d
+	bound := g.options.Transport.Addr()
+	libraryConfig.AdvertiseAddr, libraryConfig.AdvertisePort, libraryConfig.BindAddr, libraryConfig.BindPort = bound.IP.String(), bound.Port, bound.IP.String(), bound.Port
+	libraryConfig.ProbeInterval, libraryConfig.ProbeTimeout, libraryConfig.TCPTimeout = settings.Probe, settings.Probe/2, config.Exchange
+	libraryConfig.SuspicionMult, libraryConfig.SuspicionMaxTimeoutMult, libraryConfig.AwarenessMaxMultiplier = config.Suspicion, config.Suspected, config.Slower
+	libraryConfig.IndirectChecks, libraryConfig.RetransmitMult = config.Indirect, config.Retransmit
+	libraryConfig.GossipInterval, libraryConfig.GossipNodes, libraryConfig.GossipToTheDeadTime = settings.Probe/config.GossipPart, config.GossipTo, time.Minute
+	libraryConfig.PushPullInterval = config.ExchangeEach * settings.Probe
+	libraryConfig.EnableCompression = false
+	libraryConfig.LogOutput, libraryConfig.Logger = nil, log.New(libraryLog{g.options.Log}, "", 0)
+	list, err := memberlist.Create(libraryConfig)
 	if err != nil {
 		return err
 	}
 	g.mu.Lock()
 	g.list = list
 	g.mu.Unlock()
-	g.o.Log.Info("cluster", "step", "begun", "cluster", s.Name, "member", self.ID, "address", self.Address, "join", len(s.Join))
+	g.options.Log.Info("cluster", "step", "begun", "cluster", settings.Name, "member", self.ID, "address", self.Address, "join", len(settings.Join))
 	return nil
 }
 
-// libraryLog takes the library's lines; what matters of them is told by changes.
+// libraryLog writes the library's log lines at debug level; important events are logged as state changes.
 type libraryLog struct{ log *slog.Logger }
 
 func (l libraryLog) Write(line []byte) (int, error) {
@@ -211,208 +211,208 @@
 	return len(line), nil
 }
 
-func (g *Gossip) now() int64 { return int64(time.Since(g.start)) }
+func (g *Gossip) now() int64 { return int64(time.Since(g.startedAt)) }
 
-func (g *Gossip) alive() int {
+func (g *Gossip) aliveCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.core.Alive()
+	return g.core.AliveCount()
 }
 
-// do has something done outside of all locks, in order. With the lock.
-func (g *Gossip) do(f func()) {
-	if len(g.queue) < mostQueue {
+// enqueue queues f to be run by loop, in order and without locks. It drops f if the queue is full. The caller holds g.mu.
+func (g *Gossip) enqueue(f func()) {
+	if len(g.queue) < maxQueue {
 		g.queue = append(g.queue, f)
 	}
 	select {
-	case g.kick <- struct{}{}:
+	case g.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// run drives the core.
-func (g *Gossip) run() {
+// loop ticks the core, runs its queued actions and broadcasts the status.
+func (g *Gossip) loop() {
 	defer close(g.done)
-	tick := time.NewTicker(min(ticks, g.o.Settings.Probe/4))
+	tick := time.NewTicker(min(tickInterval, g.options.Settings.Probe/4))
 	defer tick.Stop()
 	for {
 		g.mu.Lock()
 		g.core.Tick(g.now())
-		todo := g.queue
+		queued := g.queue
 		g.queue = nil
 		g.mu.Unlock()
-		for _, f := range todo {
+		for _, f := range queued {
 			f()
 		}
-		g.say(false)
+		g.broadcastStatus(false)
 		select {
 		case <-tick.C:
-		case <-g.kick:
+		case <-g.wakeup:
 		case <-g.ctx.Done():
 			return
 		}
 	}
 }
 
-// say tells others how this process is, when it is time or at once.
-func (g *Gossip) say(atOnce bool) {
+// broadcastStatus broadcasts the status of this process, if it is due or immediately is set.
+func (g *Gossip) broadcastStatus(immediately bool) {
 	g.mu.Lock()
-	every := max(says, time.Duration(g.core.Alive())*saysEach)
-	if g.core.Over() || !atOnce && time.Since(g.saidAt) < every {
+	interval := max(statusInterval, time.Duration(g.core.AliveCount())*statusIntervalPerMember)
+	if g.core.Superseded() || !immediately && time.Since(g.statusSentAt) < interval {
 		g.mu.Unlock()
 		return
 	}
-	g.saidAt = time.Now()
+	g.statusSentAt = time.Now()
 	g.mu.Unlock()
-	s := g.o.Status()
+	status := g.options.Status()
 	g.mu.Lock()
-	g.count++
-	s.Count, s.Leaving, s.Gone = g.count, g.leaving, g.gone
-	g.status = s
+	g.sequence++
+	status.Sequence, status.Draining, status.Final = g.sequence, g.draining, g.final
+	g.status = status
 	id := g.self.ID
 	g.mu.Unlock()
-	w := wireStatusOf(id, s)
-	raw := pack.Pack(&w)
-	g.words.QueueBroadcast(word{id.String(), raw})
-	if atOnce { // gossip may take its time; this is sent to each as well
+	wire := newWireStatus(id, status)
+	raw := pack.Pack(&wire)
+	g.broadcasts.QueueBroadcast(statusBroadcast{id.String(), raw})
+	if immediately { // gossip takes several rounds, so the status is also sent to each member directly
 		g.mu.Lock()
 		list := g.list
 		g.mu.Unlock()
-		for _, n := range list.Members() {
-			if n.Name != id.String() {
-				list.SendBestEffort(n, raw)
+		for _, node := range list.Members() {
+			if node.Name != id.String() {
+				list.SendBestEffort(node, raw)
 			}
 		}
 	}
 }
 
-// word is a status on its way; a newer one takes the place of an older one of the same run.
-type word struct {
+// statusBroadcast is a queued status; a newer one replaces an older one of the same run.
+type statusBroadcast struct {
 	id  string
 	raw []byte
 }
 
-func (w word) Name() string    { return w.id }
-func (w word) Message() []byte { return w.raw }
-func (w word) Finished()       {}
-func (w word) Invalidates(other memberlist.Broadcast) bool {
-	o, ok := other.(word)
-	return ok && o.id == w.id
+func (b statusBroadcast) Name() string    { return b.id }
+func (b statusBroadcast) Message() []byte { return b.raw }
+func (b statusBroadcast) Finished()       {}
+func (b statusBroadcast) Invalidates(other memberlist.Broadcast) bool {
+	o, ok := other.(statusBroadcast)
+	return ok && o.id == b.id
 }
 
-// Leaving tells others whether this process takes no new clients, by intent.
-func (g *Gossip) Leaving(yes bool) {
+// SetDraining sets whether this process is draining, that is, accepts no new clients, and broadcasts it immediately.
+func (g *Gossip) SetDraining(draining bool) {
 	g.mu.Lock()
-	g.leaving = yes
+	g.draining = draining
 	g.mu.Unlock()
-	g.say(true)
+	g.broadcastStatus(true)
 }
 
-// Tell tells others at once how this process is.
-func (g *Gossip) Tell() { g.say(true) }
+// BroadcastStatus broadcasts the status of this process immediately.
+func (g *Gossip) BroadcastStatus() { g.broadcastStatus(true) }
 
-// Leave ends it by intent: others are told, so it is no failure.
+// Leave leaves the cluster and closes g. The other members are informed, so they do not treat it as a failure.
 func (g *Gossip) Leave() {
 	g.mu.Lock()
 	list := g.list
-	g.leaving, g.gone = true, true
+	g.draining, g.final = true, true
 	g.mu.Unlock()
-	g.say(true)
-	list.Leave(leaves)
+	g.broadcastStatus(true)
+	list.Leave(leaveTimeout)
 	g.Close()
 }
 
-// Close ends it without a word.
+// Close stops the membership without informing the other members.
 func (g *Gossip) Close() {
-	g.end()
+	g.cancel()
 	<-g.done
-	g.tries.Wait()
+	g.exchanges.Wait()
 	g.mu.Lock()
 	list := g.list
 	g.mu.Unlock()
 	list.Shutdown()
 }
 
-// View is what this member holds of all.
+// View is the cluster membership as one member sees it.
 type View struct {
-	Cluster string   `json:"cluster"`
-	Self    string   `json:"self"`
-	Name    string   `json:"name"`
-	Over    string   `json:"over,omitempty"` // the newer run of this name, if this one is over
-	Members []Viewed `json:"members"`
-	Fault   string   `json:"fault,omitempty"` // why it did not tell
-}
-
-// Viewed is one run in a view; ages are milliseconds on the clock of who holds the view.
-type Viewed struct {
-	Name    string   `json:"name"`
-	Epoch   uint64   `json:"epoch"`
-	Run     string   `json:"run"`
-	State   string   `json:"state"`
-	Self    bool     `json:"self,omitempty"`
-	Leaving bool     `json:"leaving,omitempty"`
-	Zone    string   `json:"zone,omitempty"`
-	Address string   `json:"address"`
-	Ops     string   `json:"ops,omitempty"`
-	Build   string   `json:"build,omitempty"`
-	For     int64    `json:"for_ms"` // in this state
-	Age     int64    `json:"age_ms"` // of the last word
-	Open    int64    `json:"open"`
-	Rate    float64  `json:"rate"`
-	Offers  []string `json:"offers,omitempty"`
-}
-
-func (g *Gossip) viewed(m Member, now int64) Viewed {
+	Cluster      string       `json:"cluster"`
+	Self         string       `json:"self"`
+	Name         string       `json:"name"`
+	SupersededBy string       `json:"over,omitempty"` // the newer run of this name, if this one is superseded
+	Members      []MemberView `json:"members"`
+	Error        string       `json:"fault,omitempty"` // why the member returned no view
+}
+
+// MemberView is one run in a view. Its ages are in milliseconds on the clock of the member that has the view.
+type MemberView struct {
+	Name             string   `json:"name"`
+	Epoch            uint64   `json:"epoch"`
+	Run              string   `json:"run"`
+	State            string   `json:"state"`
+	Self             bool     `json:"self,omitempty"`
+	Draining         bool     `json:"leaving,omitempty"`
+	Zone             string   `json:"zone,omitempty"`
+	Address          string   `json:"address"`
+	OpsAddress       string   `json:"ops,omitempty"`
+	Build            string   `json:"build,omitempty"`
+	StateMillis      int64    `json:"for_ms"` // time in this state
+	LastHeardMillis  int64    `json:"age_ms"` // time since the last message from or about the run
+	OpenTransactions int64    `json:"open"`
+	Rate             float64  `json:"rate"`
+	Pools            []string `json:"offers,omitempty"`
+}
+
+func (g *Gossip) memberView(m Member, now int64) MemberView {
 	const ms = int64(time.Millisecond)
-	return Viewed{
-		Name: m.Name, Epoch: m.Epoch, Run: strconv.FormatUint(m.Run, 16), State: m.State.String(), Leaving: m.Leaving, Zone: m.Zone, Address: m.Address,
-		Ops: m.Ops, Build: m.Build, For: (now - m.Since) / ms, Age: (now - m.Heard) / ms, Open: m.Open, Rate: m.Rate, Offers: m.Offers,
+	return MemberView{
+		Name: m.Name, Epoch: m.Epoch, Run: strconv.FormatUint(m.Run, 16), State: m.State.String(), Draining: m.Draining, Zone: m.Zone, Address: m.Address,
+		OpsAddress: m.OpsAddress, Build: m.Build, StateMillis: (now - m.StateSince) / ms, LastHeardMillis: (now - m.LastHeard) / ms, OpenTransactions: m.OpenTransactions, Rate: m.Rate, Pools: m.Pools,
 	}
 }
 
-// View says who is there, as seen from here.
+// View returns the membership as this member sees it.
 func (g *Gossip) View() View {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
-	v := View{Cluster: g.o.Settings.Name, Self: g.self.ID.String(), Name: g.self.Name}
-	own := g.viewed(Member{Record: g.self, Status: g.status, State: Alive, Heard: now}, now)
+	v := View{Cluster: g.options.Settings.Name, Self: g.self.ID.String(), Name: g.self.Name}
+	own := g.memberView(Member{Record: g.self, Status: g.status, State: Alive, LastHeard: now}, now)
 	own.Self = true
-	if g.core.Over() {
-		v.Over, own.State = g.over.String(), Over.String()
+	if g.core.Superseded() {
+		v.SupersededBy, own.State = g.supersededBy.String(), Superseded.String()
 	}
 	v.Members = append(v.Members, own)
 	for _, m := range g.core.View() {
-		v.Members = append(v.Members, g.viewed(m, now))
+		v.Members = append(v.Members, g.memberView(m, now))
 	}
-	slices.SortStableFunc(v.Members, func(a, b Viewed) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortStableFunc(v.Members, func(a, b MemberView) int { return strings.Compare(a.Name, b.Name) })
 	return v
 }
 
-// Resolve is where the present run of a member is reached.
+// Resolve returns the address of the newest known run of a member.
 func (g *Gossip) Resolve(name string) (string, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.core == nil {
 		return "", false
 	}
-	m, known := g.core.Now(name)
+	m, known := g.core.Current(name)
 	return m.Address, known
 }
 
-// Offering are the members that offer a pool, this one included, by name: the living, and those held dead for less than
-// a time. There is this one alone once its run is over.
-func (g *Gossip) Offering(pool string, dead time.Duration) (all []Member) {
+// MembersServing returns the members that serve a pool, sorted by name: this one, those alive, and those dead for less than
+// deadFor. It returns only this member once its run is superseded.
+func (g *Gossip) MembersServing(pool string, deadFor time.Duration) (all []Member) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	all = append(all, Member{Record: g.self, Status: g.status, State: Alive})
-	if g.core.Over() {
+	if g.core.Superseded() {
 		return all
 	}
 	now := g.now()
 	for _, m := range g.core.View() {
-		lives := m.State == Alive || m.State == Dead && now-m.Since < int64(dead)
-		if lives && m.Name != g.self.Name && slices.Contains(m.Offers, pool) {
+		counts := m.State == Alive || m.State == Dead && now-m.StateSince < int64(deadFor)
+		if counts && m.Name != g.self.Name && slices.Contains(m.Pools, pool) {
 			all = append(all, m)
 		}
 	}
@@ -420,8 +420,8 @@
 	return all
 }
 
-// Alive are the other living members.
-func (g *Gossip) Alive() (all []Member) {
+// AliveMembers returns the other live members.
+func (g *Gossip) AliveMembers() (all []Member) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, m := range g.core.View() {
@@ -432,247 +432,251 @@
 	return all
 }
 
-// Gone reports whether a member's run is gone, by what is held here: it left, a newer one came, or it has been held dead for
-// some time. One that isn't known at all is gone once that time has passed since this member began.
-func (g *Gossip) Gone(name string, epoch uint64, dead time.Duration) bool {
+// RunEnded reports whether a member's run has ended as far as this member knows: it left, was superseded, or has been dead for
+// longer than deadFor. An unknown run has ended once this member has run for twice deadFor and for the failure detection bound.
+func (g *Gossip) RunEnded(name string, epoch uint64, deadFor time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
-	for _, m := range g.core.named(name) {
+	for _, m := range g.core.runsOf(name) {
 		if m.Epoch == epoch {
-			return m.State == Left || m.State == Over || m.State == Dead && now-m.Since > int64(dead)
+			return m.State == Left || m.State == Superseded || m.State == Dead && now-m.StateSince > int64(deadFor)
 		}
 	}
-	return now > int64(2*dead) && now > int64(g.o.Settings.Death(g.core.Alive()))
+	return now > int64(2*deadFor) && now > int64(g.options.Settings.Death(g.core.AliveCount()))
 }
 
-// Over reports whether this run is over.
-func (g *Gossip) Over() bool {
+// Superseded reports whether a newer run of this name has superseded this one.
+func (g *Gossip) Superseded() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.core.Over()
+	return g.core.Superseded()
 }
 
-// Renew has this process go on as another run, of an epoch beyond one that is known.
-func (g *Gossip) Renew(beyond uint64) {
+// RenewEpoch restarts this process's membership as a new run with an epoch above the given one, if its epoch is not already.
+func (g *Gossip) RenewEpoch(above uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.self.Epoch <= beyond {
-		(*writer)(g).Renew(beyond)
+	if g.self.Epoch <= above {
+		(*coreActions)(g).RenewEpoch(above)
 	}
 }
 
-// Told takes agreed word of a newer run of this name.
-func (g *Gossip) Told(newer ID, ended bool) {
+// ObserveNewerSelf handles the information, agreed by the cluster, that a newer run of this name exists.
+func (g *Gossip) ObserveNewerSelf(newer ID, ended bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.core.Told(g.now(), g.self.ID, newer, ended)
+	g.core.HandleSuperseded(g.now(), g.self.ID, newer, ended)
 }
 
-// Divert takes over settings that change in service: where to join, and through what.
-func (g *Gossip) Divert(s *config.Settings) {
+// UpdateSettings applies the settings that can change at run time: the join addresses and the address overrides.
+func (g *Gossip) UpdateSettings(settings *config.Settings) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.o.Settings.Join, g.o.Settings.Through = s.Join, s.Through
+	g.options.Settings.Join, g.options.Settings.Through = settings.Join, settings.Through
 }
 
-// Self is this run.
+// Self returns the record of this run.
 func (g *Gossip) Self() Record {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.self
 }
 
-func (g *Gossip) tellMarks(_ context.Context, _ string, body []byte) ([]byte, error) {
+func (g *Gossip) handleLatestRun(_ context.Context, _ string, body []byte) ([]byte, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.core == nil {
-		return nil, errors.New("not begun")
+		return nil, errors.New("membership not started")
 	}
-	m, known := g.core.marks[string(body)]
+	latest, known := g.core.latestRuns[string(body)]
 	if !known {
-		return pack.Pack(&wireMark{}), nil
+		return pack.Pack(&wireLatestRun{}), nil
 	}
-	return pack.Pack(&wireMark{m.String(), m.Ended}), nil
+	return pack.Pack(&wireLatestRun{latest.String(), latest.Ended}), nil
 }
 
-// Packet takes a datagram of gossip; Stream a connection; Notice the word that this run is over.
-func (g *Gossip) Packet(payload []byte, from net.Addr) {
+// HandlePacket passes a gossip datagram to the library. It takes ownership of payload.
+func (g *Gossip) HandlePacket(payload []byte, from net.Addr) {
 	g.mu.Lock()
-	way := g.way
+	transport := g.transport
 	g.mu.Unlock()
-	if way == nil {
+	if transport == nil {
 		return
 	}
 	select {
-	case way.packets <- &memberlist.Packet{Buf: payload, From: from, Timestamp: time.Now()}:
-	default: // lost, as any datagram may be
+	case transport.packets <- &memberlist.Packet{Buf: payload, From: from, Timestamp: time.Now()}:
+	default: // queue full: dropped, as any datagram may be
 	}
 }
 
-func (g *Gossip) Stream(c net.Conn) {
+// HandleStream passes an accepted gossip connection to the library, which closes it.
+func (g *Gossip) HandleStream(conn net.Conn) {
 	g.mu.Lock()
-	way := g.way
+	transport := g.transport
 	g.mu.Unlock()
-	if way == nil {
-		c.Close()
+	if transport == nil {
+		conn.Close()
 		return
 	}
 	select {
-	case way.streams <- c:
-	case <-way.end:
-		c.Close()
+	case transport.streams <- conn:
+	case <-transport.done:
+		conn.Close()
 	}
 }
 
-func (g *Gossip) Notice(payload []byte) {
-	var n wireNotice
-	if pack.Unpack(payload, &n) != nil {
+// HandleNotice handles the notice that a run is superseded.
+func (g *Gossip) HandleNotice(payload []byte) {
+	var notice wireNotice
+	if pack.Unpack(payload, &notice) != nil {
 		return
 	}
-	old, ok1 := ParseID(n.Old)
-	newer, ok2 := ParseID(n.Newer)
+	old, ok1 := ParseID(notice.Old)
+	newer, ok2 := ParseID(notice.Newer)
 	if !ok1 || !ok2 {
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.core != nil {
-		g.core.Told(g.now(), old, newer, n.Ended)
+		g.core.HandleSuperseded(g.now(), old, newer, notice.Ended)
 	}
 }
 
-// writer is how the core has things done.
-type writer Gossip
+// coreActions implements Actions. The core calls it with Gossip.mu held.
+type coreActions Gossip
 
-func (w *writer) Changed(c Change) {
-	g := (*Gossip)(w)
-	g.do(func() {
-		g.o.Log.Info("cluster", "step", "member", "member", c.ID, "state", c.State, "was", c.Was, "zone", c.Zone, "address", c.Address)
-		if c.State == Left || c.State == Over || c.State == Dead {
-			g.o.Link.Forget(c.Name)
+func (a *coreActions) StateChanged(change Change) {
+	g := (*Gossip)(a)
+	g.enqueue(func() {
+		g.options.Log.Info("cluster", "step", "member", "member", change.ID, "state", change.State, "was", change.Previous, "zone", change.Zone, "address", change.Address)
+		if change.State == Left || change.State == Superseded || change.State == Dead {
+			g.options.Transport.Forget(change.Name)
 		}
-		if g.o.Changed != nil {
-			g.o.Changed(c)
+		if g.options.StateChanged != nil {
+			g.options.StateChanged(change)
 		}
 	})
 }
 
-func (w *writer) Try(name, address string) {
-	g := (*Gossip)(w)
+func (a *coreActions) ExchangeState(name, address string) {
+	g := (*Gossip)(a)
 	list := g.list
-	g.do(func() {
+	g.enqueue(func() {
 		if list == nil {
 			return
 		}
-		g.tries.Go(func() { // danger: one that hangs must not hold up the others
-			to, err := net.ResolveTCPAddr("tcp", address)
+		g.exchanges.Go(func() { // in the background: an exchange that hangs must not delay the others
+			resolved, err := net.ResolveTCPAddr("tcp", address)
 			if err != nil || g.ctx.Err() != nil {
 				return
 			}
 			if name != "" {
-				list.Join([]string{name + "/" + to.String()})
+				list.Join([]string{name + "/" + resolved.String()})
 			} else {
-				list.Join([]string{to.String()})
+				list.Join([]string{resolved.String()})
 			}
 		})
 	})
 }
 
-func (w *writer) TellOver(old, newer ID, address string) {
-	g := (*Gossip)(w)
-	ended := g.core.marks[newer.Name].Ended
-	g.do(func() {
-		g.o.Link.Send(link.Notice, old.Name, address, pack.Pack(&wireNotice{old.String(), newer.String(), ended}))
+func (a *coreActions) NotifySuperseded(old, newer ID, address string) {
+	g := (*Gossip)(a)
+	ended := g.core.latestRuns[newer.Name].Ended
+	g.enqueue(func() {
+		g.options.Transport.Send(link.KindNotice, old.Name, address, pack.Pack(&wireNotice{old.String(), newer.String(), ended}))
 	})
 }
 
-func (w *writer) OverNow(newer ID) {
-	g := (*Gossip)(w)
-	g.over = newer
-	g.do(func() {
-		g.o.Log.Error("cluster", "step", "over", "member", g.self.ID, "newer", newer,
-			"fault", "a newer run of this name is there; this one takes no part in the cluster any more and serves by its own eyes")
+func (a *coreActions) SelfSuperseded(newer ID) {
+	g := (*Gossip)(a)
+	g.supersededBy = newer
+	g.enqueue(func() {
+		g.options.Log.Error("cluster", "step", "over", "member", g.self.ID, "newer", newer,
+			"fault", "a newer run of this name exists; this run has left the cluster and serves by its local state only")
 		g.mu.Lock()
 		list := g.list
 		g.mu.Unlock()
-		list.Leave(leaves)
-		if g.o.Changed != nil {
-			g.o.Changed(Change{Member: Member{Record: g.Self(), State: Over}, Was: Alive})
+		list.Leave(leaveTimeout)
+		if g.options.StateChanged != nil {
+			g.options.StateChanged(Change{Member: Member{Record: g.Self(), State: Superseded}, Previous: Alive})
 		}
 	})
 }
 
-func (w *writer) Renew(beyond uint64) {
-	g := (*Gossip)(w)
-	g.do(func() {
+func (a *coreActions) RenewEpoch(above uint64) {
+	g := (*Gossip)(a)
+	g.enqueue(func() {
 		g.mu.Lock()
-		list, stale := g.list, g.self.Epoch > beyond
+		list, stale := g.list, g.self.Epoch > above
 		g.renewed = true
 		g.mu.Unlock()
-		if stale { // asked for twice
+		if stale { // already renewed by an earlier request
 			return
 		}
-		g.o.Log.Info("cluster", "step", "renewed", "epoch", beyond+1, "why", "others remember a later run of this name")
+		g.options.Log.Info("cluster", "step", "renewed", "epoch", above+1, "why", "other members know a later run of this name")
 		list.Shutdown()
-		if err := g.begin(beyond + 1); err != nil {
-			g.o.Log.Error("cluster", "step", "renewed", "fault", err)
+		if err := g.startRun(above + 1); err != nil {
+			g.options.Log.Error("cluster", "step", "renewed", "fault", err)
 		}
 	})
 }
 
-// delegate is how the library tells what it heard, for one run. Danger: it calls with its own locks held, so nothing here
-// calls it; and it may call for a run that has taken another epoch since.
+// delegate receives the library's callbacks for one run. The library calls it with its own locks held, so its methods must
+// not call the library. Callbacks may also arrive for a run whose epoch has since been renewed; they go to that run's core.
 type delegate struct {
 	g    *Gossip
 	core *Core
 	self Record
 }
 
-func (d *delegate) with(f func(c *Core, now int64)) {
+// withCore calls f with the run's core and the current time, under the lock.
+func (d *delegate) withCore(f func(c *Core, now int64)) {
 	d.g.mu.Lock()
 	defer d.g.mu.Unlock()
 	f(d.core, d.g.now())
 }
 
-func record(n *memberlist.Node) (Record, error) {
-	r, err := unpackRecord(n.Meta)
-	if err == nil && r.ID.String() != n.Name {
-		err = fmt.Errorf("it calls itself %s", r.ID)
+// nodeRecord decodes the record in a node's metadata and checks it against the node's name.
+func nodeRecord(node *memberlist.Node) (Record, error) {
+	record, err := decodeRecord(node.Meta)
+	if err == nil && record.ID.String() != node.Name {
+		err = fmt.Errorf("node name %s does not match its record %s", node.Name, record.ID)
 	}
-	return r, err
+	return record, err
 }
 
 func (d *delegate) NodeMeta(limit int) []byte {
-	raw := d.self.pack()
+	raw := d.self.encode()
 	if len(raw) > limit {
 		short := d.self
 		short.Build, short.Zone = "", short.Zone[:min(len(short.Zone), 64)]
-		raw = short.pack()
+		raw = short.encode()
 	}
 	return raw
 }
 
 func (d *delegate) NotifyAlive(n *memberlist.Node) (err error) {
-	r, err := record(n)
+	r, err := nodeRecord(n)
 	if err != nil {
 		return err
 	}
-	d.with(func(c *Core, now int64) { err = c.Admit(now, r) })
+	d.withCore(func(c *Core, now int64) { err = c.Admit(now, r) })
 	return err
 }
 
 func (d *delegate) NotifyJoin(n *memberlist.Node) {
-	if r, err := record(n); err == nil {
-		d.with(func(c *Core, now int64) { c.Heard(now, r) })
+	if r, err := nodeRecord(n); err == nil {
+		d.withCore(func(c *Core, now int64) { c.ObserveAlive(now, r) })
 	}
 }
 
 func (d *delegate) NotifyUpdate(n *memberlist.Node) { d.NotifyJoin(n) }
 
 func (d *delegate) NotifyLeave(n *memberlist.Node) {
-	if r, err := record(n); err == nil {
-		d.with(func(c *Core, now int64) { c.Ended(now, r.ID) })
+	if r, err := nodeRecord(n); err == nil {
+		d.withCore(func(c *Core, now int64) { c.ObserveEnd(now, r.ID) })
 	}
 }
 
@@ -680,148 +684,148 @@
 
 func (d *delegate) NotifyPingComplete(n *memberlist.Node, _ time.Duration, _ []byte) {
 	if id, ok := ParseID(n.Name); ok {
-		d.with(func(c *Core, now int64) { c.Seen(now, id) })
+		d.withCore(func(c *Core, now int64) { c.ObserveContact(now, id) })
 	}
 }
 
 func (d *delegate) NotifyMsg(raw []byte) {
-	var w wireStatus
-	if pack.Unpack(raw, &w) != nil {
+	var wire wireStatus
+	if pack.Unpack(raw, &wire) != nil {
 		return
 	}
-	id, s, ok := w.open()
+	id, status, ok := wire.decode()
 	if !ok {
 		return
 	}
-	news := false
-	d.with(func(c *Core, now int64) { news = c.Says(now, id, s) })
-	if news { // passed on, so that it comes to all
-		d.g.words.QueueBroadcast(word{w.ID, append([]byte(nil), raw...)})
+	isNew := false
+	d.withCore(func(c *Core, now int64) { isNew = c.UpdateStatus(now, id, status) })
+	if isNew { // forwarded, so that it reaches all members
+		d.g.broadcasts.QueueBroadcast(statusBroadcast{wire.ID, append([]byte(nil), raw...)})
 	}
 }
 
 func (d *delegate) GetBroadcasts(overhead, limit int) [][]byte {
-	return d.g.words.GetBroadcasts(overhead, limit)
+	return d.g.broadcasts.GetBroadcasts(overhead, limit)
 }
 
 func (d *delegate) LocalState(bool) []byte {
-	var s wireState
+	var state wireState
 	g := d.g
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if d.core.guards.Epochs {
-		for _, m := range d.core.Marks() {
-			s.Marks = append(s.Marks, wireMark{m.String(), m.Ended})
+		for _, m := range d.core.LatestRuns() {
+			state.LatestRuns = append(state.LatestRuns, wireLatestRun{m.String(), m.Ended})
 		}
 	}
-	if g.status.Count > 0 && g.core == d.core {
-		s.Statuses = append(s.Statuses, wireStatusOf(d.self.ID, g.status))
+	if g.status.Sequence > 0 && g.core == d.core {
+		state.Statuses = append(state.Statuses, newWireStatus(d.self.ID, g.status))
 	}
 	for _, m := range d.core.View() {
-		if (m.State == Alive || m.State == Left) && m.Count > 0 {
-			s.Statuses = append(s.Statuses, wireStatusOf(m.ID, m.Status))
+		if (m.State == Alive || m.State == Left) && m.Sequence > 0 {
+			state.Statuses = append(state.Statuses, newWireStatus(m.ID, m.Status))
 		}
 	}
-	return pack.Pack(&s)
+	return pack.Pack(&state)
 }
 
 func (d *delegate) MergeRemoteState(raw []byte, _ bool) {
-	var s wireState
-	if pack.Unpack(raw, &s) != nil {
+	var state wireState
+	if pack.Unpack(raw, &state) != nil {
 		return
 	}
-	var marks []Mark
-	for _, m := range s.Marks {
+	var latest []LatestRun
+	for _, m := range state.LatestRuns {
 		if id, ok := ParseID(m.ID); ok {
-			marks = append(marks, Mark{id, m.Ended})
+			latest = append(latest, LatestRun{id, m.Ended})
 		}
 	}
-	d.with(func(c *Core, now int64) {
-		c.Marked(now, marks)
-		for _, w := range s.Statuses {
-			if id, status, ok := w.open(); ok {
-				c.Says(now, id, status)
+	d.withCore(func(c *Core, now int64) {
+		c.MergeLatestRuns(now, latest)
+		for _, wire := range state.Statuses {
+			if id, status, ok := wire.decode(); ok {
+				c.UpdateStatus(now, id, status)
 			}
 		}
 	})
 }
 
-// transport leads the library's traffic over the link.
-type transport struct {
-	g       *Gossip
-	packets chan *memberlist.Packet
-	streams chan net.Conn
-	end     chan struct{}
-	once    sync.Once
+// libraryTransport carries the library's traffic over the Transport, for one run.
+type libraryTransport struct {
+	gossip       *Gossip
+	packets      chan *memberlist.Packet
+	streams      chan net.Conn
+	done         chan struct{}
+	shutdownOnce sync.Once
 }
 
-func (t *transport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
-	at := t.g.o.Link.Addr()
-	return at.IP, at.Port, nil
+func (t *libraryTransport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
+	bound := t.gossip.options.Transport.Addr()
+	return bound.IP, bound.Port, nil
 }
 
-// named is the member's name in a run's.
-func named(run string) string {
+// memberName returns the member name in the text form of an ID.
+func memberName(run string) string {
 	name, _, _ := strings.Cut(run, "/")
 	return name
 }
 
-func (t *transport) WriteTo(b []byte, addr string) (time.Time, error) {
-	return t.WriteToAddress(b, memberlist.Address{Addr: addr})
+func (t *libraryTransport) WriteTo(packet []byte, addr string) (time.Time, error) {
+	return t.WriteToAddress(packet, memberlist.Address{Addr: addr})
 }
 
-func (t *transport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
-	return time.Now(), t.g.o.Link.Send(link.Gossip, named(a.Name), a.Addr, b)
+func (t *libraryTransport) WriteToAddress(packet []byte, address memberlist.Address) (time.Time, error) {
+	return time.Now(), t.gossip.options.Transport.Send(link.KindGossip, memberName(address.Name), address.Addr, packet)
 }
 
-func (t *transport) PacketCh() <-chan *memberlist.Packet { return t.packets }
+func (t *libraryTransport) PacketCh() <-chan *memberlist.Packet { return t.packets }
 
-func (t *transport) DialTimeout(addr string, within time.Duration) (net.Conn, error) {
-	return t.DialAddressTimeout(memberlist.Address{Addr: addr}, within)
+func (t *libraryTransport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
+	return t.DialAddressTimeout(memberlist.Address{Addr: addr}, timeout)
 }
 
-func (t *transport) DialAddressTimeout(a memberlist.Address, within time.Duration) (net.Conn, error) {
-	return t.g.o.Link.Dial(link.Gossip, named(a.Name), a.Addr, within)
+func (t *libraryTransport) DialAddressTimeout(address memberlist.Address, timeout time.Duration) (net.Conn, error) {
+	return t.gossip.options.Transport.Dial(link.KindGossip, memberName(address.Name), address.Addr, timeout)
 }
 
-func (t *transport) StreamCh() <-chan net.Conn { return t.streams }
+func (t *libraryTransport) StreamCh() <-chan net.Conn { return t.streams }
 
-// Shutdown ends this run's traffic; the link is not its own.
-func (t *transport) Shutdown() error {
-	t.once.Do(func() { close(t.end) })
+// Shutdown ends this run's traffic. The underlying Transport stays open.
+func (t *libraryTransport) Shutdown() error {
+	t.shutdownOnce.Do(func() { close(t.done) })
 	return nil
 }
 
-var _ memberlist.NodeAwareTransport = (*transport)(nil)
+var _ memberlist.NodeAwareTransport = (*libraryTransport)(nil)
 var _ io.Writer = libraryLog{}
 
-func (g *Gossip) tellView(context.Context, string, []byte) ([]byte, error) {
+func (g *Gossip) handleView(context.Context, string, []byte) ([]byte, error) {
 	return json.Marshal(g.View())
 }
 
-// Views asks each living member for its view; one that doesn't answer in time is left out with its name.
-func (g *Gossip) Views(within time.Duration) []View {
-	ctx, stop := context.WithTimeout(g.ctx, within)
-	defer stop()
+// CollectViews asks each other live member for its view. If one does not answer in time, its view has only a name and an error.
+func (g *Gossip) CollectViews(timeout time.Duration) []View {
+	ctx, cancel := context.WithTimeout(g.ctx, timeout)
+	defer cancel()
 	var names []string
 	for _, m := range g.View().Members {
 		if m.State == Alive.String() && !m.Self {
 			names = append(names, m.Name)
 		}
 	}
-	all := make([]View, len(names))
-	var asked sync.WaitGroup
+	views := make([]View, len(names))
+	var queries sync.WaitGroup
 	for i, name := range names {
-		asked.Go(func() {
-			body, err := g.o.Link.Call(ctx, name, methodView, nil)
+		queries.Go(func() {
+			body, err := g.options.Transport.Call(ctx, name, methodView, nil)
 			if err == nil {
-				err = json.Unmarshal(body, &all[i])
+				err = json.Unmarshal(body, &views[i])
 			}
 			if err != nil {
-				all[i] = View{Cluster: g.o.Settings.Name, Name: name, Fault: err.Error()}
+				views[i] = View{Cluster: g.options.Settings.Name, Name: name, Error: err.Error()}
 			}
 		})
 	}
-	asked.Wait()
-	return all
+	queries.Wait()
+	return views
 }
--- a/internal/cluster/member/view.go
+++ b/internal/cluster/member/view.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// Present are the runs that a view holds alive, by name.
-func (v *View) Present() (runs []string) {
+// AliveRuns returns the runs that are alive in the view, sorted.
+func (v *View) AliveRuns() (runs []string) {
 	for _, m := range v.Members {
 		if m.State == Alive.String() {
 			runs = append(runs, fmt.Sprintf("%s/%d.%s", m.Name, m.Epoch, m.Run))
@@ -18,31 +18,31 @@
 	return runs
 }
 
-// Differ says where views differ about who is alive, a line each, and who did not tell.
-func Differ(all []View) (lines []string) {
-	holds := map[string][]string{} // runs to the names of those who hold them alive
-	told := 0
-	for _, v := range all {
-		if v.Fault != "" {
-			lines = append(lines, fmt.Sprintf("%s did not tell: %s", v.Name, v.Fault))
+// CompareViews returns one line for each member that returned no view and for each run that is alive in some views only.
+func CompareViews(views []View) (lines []string) {
+	observers := map[string][]string{} // by run: the members in whose views it is alive
+	answered := 0
+	for _, v := range views {
+		if v.Error != "" {
+			lines = append(lines, fmt.Sprintf("%s returned no view: %s", v.Name, v.Error))
 			continue
 		}
-		told++
-		for _, run := range v.Present() {
-			holds[run] = append(holds[run], v.Name)
+		answered++
+		for _, run := range v.AliveRuns() {
+			observers[run] = append(observers[run], v.Name)
 		}
 	}
-	for _, run := range slices.Sorted(maps.Keys(holds)) {
-		if len(holds[run]) == told {
+	for _, run := range slices.Sorted(maps.Keys(observers)) {
+		if len(observers[run]) == answered {
 			continue
 		}
-		var not []string
-		for _, v := range all {
-			if v.Fault == "" && !slices.Contains(holds[run], v.Name) {
-				not = append(not, v.Name)
+		var missing []string
+		for _, v := range views {
+			if v.Error == "" && !slices.Contains(observers[run], v.Name) {
+				missing = append(missing, v.Name)
 			}
 		}
-		lines = append(lines, fmt.Sprintf("%s is alive to %s, and not to %s", run, strings.Join(holds[run], ", "), strings.Join(not, ", ")))
+		lines = append(lines, fmt.Sprintf("%s is alive according to %s, but not according to %s", run, strings.Join(observers[run], ", "), strings.Join(missing, ", ")))
 	}
 	return lines
 }
