--- a/internal/cluster/member/virtual_test.go
+++ b/internal/cluster/member/virtual_test.go
@@ -1,6 +1,6 @@
 //go:build !race
 
-// Beside the race detector the virtual clock crashes this tool chain (1.26); .ci/run plays these without it as well.
+// testing/synctest together with the race detector crashes the Go 1.26 toolchain; .ci/run also runs these tests without it.
 package member
 
 import (
@@ -26,156 +26,156 @@
 	"ottershift/internal/cluster/link"
 )
 
-// web is a network on the virtual clock: whole members, library and all, speak over it.
-type web struct {
-	mu     sync.Mutex
-	chance *rand.Rand
-	at     map[string]*seat
-	loss   float64
-	twice  float64
-	late   func() time.Duration       // of a datagram
-	cut    func(from, to string) bool // addresses
+// testNetwork is a simulated network on a virtual clock. It connects complete members, including the membership library.
+type testNetwork struct {
+	mu        sync.Mutex
+	rng       *rand.Rand
+	nodes     map[string]*testNode
+	loss      float64                    // probability that a datagram is lost
+	duplicate float64                    // probability that a datagram is sent twice
+	delay     func() time.Duration       // of a datagram
+	blocked   func(from, to string) bool // whether the link between two addresses is cut
 }
 
-func newWeb(seed uint64) *web {
-	return &web{
-		chance: rand.New(rand.NewPCG(seed, 5)), at: map[string]*seat{}, late: func() time.Duration { return 200 * time.Microsecond },
-		cut: func(_, _ string) bool { return false },
+func newTestNetwork(seed uint64) *testNetwork {
+	return &testNetwork{
+		rng: rand.New(rand.NewPCG(seed, 5)), nodes: map[string]*testNode{}, delay: func() time.Duration { return 200 * time.Microsecond },
+		blocked: func(_, _ string) bool { return false },
 	}
 }
 
-// set changes how the links are.
-func (w *web) set(change func()) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// update changes the properties of the network under its lock.
+func (n *testNetwork) update(change func()) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
 	change()
 }
 
-// seat is one member's way.
-type seat struct {
-	w        *web
+// testNode is a member in a testNetwork, and its Transport.
+type testNode struct {
+	network  *testNetwork
 	addr     *net.TCPAddr
-	g        *Gossip
+	gossip   *Gossip
 	handlers map[uint16]link.Handler
-	end      func()
-	gone     context.Context
-	out      atomic.Int64
+	stop     func()
+	stopped  context.Context
+	bytesOut atomic.Int64
 }
 
-func (s *seat) Addr() *net.TCPAddr                   { return s.addr }
-func (s *seat) Handle(method uint16, h link.Handler) { s.handlers[method] = h }
-func (s *seat) Forget(string)                        {}
+func (n *testNode) Addr() *net.TCPAddr                   { return n.addr }
+func (n *testNode) Handle(method uint16, h link.Handler) { n.handlers[method] = h }
+func (n *testNode) Forget(string)                        {}
 
-// reach is who stands at an address, if the way there and back is whole.
-func (s *seat) reach(address string) *seat {
-	s.w.mu.Lock()
-	defer s.w.mu.Unlock()
-	t := s.w.at[address]
-	if t == nil || s.w.cut(s.addr.String(), address) || s.w.cut(address, s.addr.String()) {
+// reachable returns the node at an address, or nil if there is none or the link is cut in either direction.
+func (n *testNode) reachable(address string) *testNode {
+	n.network.mu.Lock()
+	defer n.network.mu.Unlock()
+	target := n.network.nodes[address]
+	if target == nil || n.network.blocked(n.addr.String(), address) || n.network.blocked(address, n.addr.String()) {
 		return nil
 	}
-	return t
+	return target
 }
 
-func (s *seat) Call(ctx context.Context, name string, method uint16, body []byte) ([]byte, error) {
-	t := s.reach(name[1:])
-	if t == nil || t.handlers[method] == nil {
+func (n *testNode) Call(ctx context.Context, name string, method uint16, body []byte) ([]byte, error) {
+	target := n.reachable(name[1:])
+	if target == nil || target.handlers[method] == nil {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	return t.handlers[method](ctx, "", body)
+	return target.handlers[method](ctx, "", body)
 }
 
-func (s *seat) Send(kind byte, _, address string, payload []byte) error {
-	w := s.w
-	s.out.Add(int64(len(payload) + 40)) // with the heads of a datagram
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	times := 1
-	if w.twice > 0 && w.chance.Float64() < w.twice {
-		times = 2
+func (n *testNode) Send(kind byte, _, address string, payload []byte) error {
+	network := n.network
+	n.bytesOut.Add(int64(len(payload) + 40)) // 40 bytes of headers per datagram
+	network.mu.Lock()
+	defer network.mu.Unlock()
+	copies := 1
+	if network.duplicate > 0 && network.rng.Float64() < network.duplicate {
+		copies = 2
 	}
-	for range times {
-		if w.cut(s.addr.String(), address) || w.loss > 0 && w.chance.Float64() < w.loss {
+	for range copies {
+		if network.blocked(n.addr.String(), address) || network.loss > 0 && network.rng.Float64() < network.loss {
 			continue
 		}
-		time.AfterFunc(w.late(), func() {
-			w.mu.Lock()
-			t := w.at[address]
-			w.mu.Unlock()
-			if t == nil || s.gone.Err() != nil && kind == 0 {
+		time.AfterFunc(network.delay(), func() {
+			network.mu.Lock()
+			target := network.nodes[address]
+			network.mu.Unlock()
+			if target == nil || n.stopped.Err() != nil && kind == 0 {
 				return
 			}
-			if kind == link.Notice {
-				t.g.Notice(payload)
+			if kind == link.KindNotice {
+				target.gossip.HandleNotice(payload)
 			} else {
-				t.g.Packet(payload, s.addr)
+				target.gossip.HandlePacket(payload, n.addr)
 			}
 		})
 	}
 	return nil
 }
 
-func (s *seat) Dial(_ byte, _, address string, within time.Duration) (net.Conn, error) {
-	t := s.reach(address)
-	if t == nil {
-		time.Sleep(within)
+func (n *testNode) Dial(_ byte, _, address string, timeout time.Duration) (net.Conn, error) {
+	target := n.reachable(address)
+	if target == nil {
+		time.Sleep(timeout)
 		return nil, os.ErrDeadlineExceeded
 	}
 	a, b := net.Pipe()
-	go t.g.Stream(b)
+	go target.gossip.HandleStream(b)
 	return a, nil
 }
 
-// quick are settings for members that look often.
-func quick(self string, join ...string) *config.Settings {
+// fastSettings returns settings with short probe and rejoin intervals.
+func fastSettings(self string, join ...string) *config.Settings {
 	return &config.Settings{Name: "c", Self: self, Address: "?", Join: join, Probe: 200 * time.Millisecond, Rejoin: time.Second}
 }
 
 func address(n int) string { return fmt.Sprintf("127.0.%d.%d:7000", n/250, n%250+1) }
 
-// join starts a member at an address.
-func (w *web) join(t *testing.T, n int, s *config.Settings, change func(*Options)) *seat {
+// addNode starts a member at the address with an index.
+func (n *testNetwork) addNode(t *testing.T, index int, settings *config.Settings, change func(*Options)) *testNode {
 	t.Helper()
-	at, _ := net.ResolveTCPAddr("tcp", address(n))
-	x := &seat{w: w, addr: at, handlers: map[uint16]link.Handler{}}
-	x.gone, x.end = context.WithCancel(context.Background())
-	s.Address = at.String()
-	o := Options{
-		Settings: s, Log: slog.New(slog.DiscardHandler), Link: x, Guards: Guards{true, true}, Seed: uint64(n),
-		Status: func() Status { return Status{Offers: []string{"album"}, Parts: 1} },
-		Wall:   func() time.Time { return time.Unix(1000, 0) },
+	resolved, _ := net.ResolveTCPAddr("tcp", address(index))
+	node := &testNode{network: n, addr: resolved, handlers: map[uint16]link.Handler{}}
+	node.stopped, node.stop = context.WithCancel(context.Background())
+	settings.Address = resolved.String()
+	options := Options{
+		Settings: settings, Log: slog.New(slog.DiscardHandler), Transport: node, Guards: Guards{true, true}, Seed: uint64(index),
+		Status:    func() Status { return Status{Pools: []string{"album"}, ShardsPerPool: 1} },
+		WallClock: func() time.Time { return time.Unix(1000, 0) },
 	}
 	if change != nil {
-		change(&o)
+		change(&options)
 	}
 	var err error
-	if x.g, err = Join(o); err != nil {
+	if node.gossip, err = New(options); err != nil {
 		t.Fatal(err)
 	}
-	w.mu.Lock()
-	w.at[at.String()] = x
-	w.mu.Unlock()
-	if err := x.g.Begin(); err != nil {
+	n.mu.Lock()
+	n.nodes[resolved.String()] = node
+	n.mu.Unlock()
+	if err := node.gossip.Start(); err != nil {
 		t.Fatal(err)
 	}
-	return x
+	return node
 }
 
-// kill ends a member without a word.
-func (x *seat) kill() {
-	x.w.mu.Lock()
-	if x.w.at[x.addr.String()] == x {
-		delete(x.w.at, x.addr.String())
+// kill stops a member without a leave message.
+func (n *testNode) kill() {
+	n.network.mu.Lock()
+	if n.network.nodes[n.addr.String()] == n {
+		delete(n.network.nodes, n.addr.String())
 	}
-	x.w.mu.Unlock()
-	x.end()
-	x.g.Close()
+	n.network.mu.Unlock()
+	n.stop()
+	n.gossip.Close()
 }
 
-// holds are those that a member holds alive, by name and epoch.
-func (x *seat) holds() (all []string) {
-	v := x.g.View()
+// aliveRuns returns the runs that the member sees alive, as name/epoch.
+func (n *testNode) aliveRuns() (all []string) {
+	v := n.gossip.View()
 	for _, m := range v.Members {
 		if m.State == Alive.String() {
 			all = append(all, fmt.Sprintf("%s/%d", m.Name, m.Epoch))
@@ -185,21 +185,21 @@
 	return all
 }
 
-// now is the run of a name that counts here.
-func (x *seat) now(name string) Member {
-	x.g.mu.Lock()
-	defer x.g.mu.Unlock()
-	m, _ := x.g.core.Now(name)
+// current returns the newest run of a name that the member knows.
+func (n *testNode) current(name string) Member {
+	n.gossip.mu.Lock()
+	defer n.gossip.mu.Unlock()
+	m, _ := n.gossip.core.Current(name)
 	return m
 }
 
-// until waits on the virtual clock until all hold the same; it returns how long that took.
-func until(all []*seat, limit time.Duration, want func([]string) bool) (time.Duration, bool) {
+// waitForViews waits on the virtual clock until accept holds for the views of all nodes, and returns the time that it took.
+func waitForViews(nodes []*testNode, limit time.Duration, accept func([]string) bool) (time.Duration, bool) {
 	start := time.Now()
 	for time.Since(start) < limit {
 		ok := true
-		for _, x := range all {
-			ok = ok && want(x.holds())
+		for _, node := range nodes {
+			ok = ok && accept(node.aliveRuns())
 		}
 		if ok {
 			return time.Since(start), true
@@ -209,293 +209,299 @@
 	return limit, false
 }
 
-func count(n int) func([]string) bool { return func(all []string) bool { return len(all) == n } }
+func hasCount(n int) func([]string) bool { return func(runs []string) bool { return len(runs) == n } }
 
-// fleet starts members that join the first one.
-func (w *web) fleet(t *testing.T, n int, each func(*config.Settings)) (all []*seat) {
-	for i := range n {
-		s := quick(fmt.Sprint("m", i), address(0), address(min(1, n-1)))
-		if each != nil {
-			each(s)
+// addNodes starts members that join through the first two.
+func (n *testNetwork) addNodes(t *testing.T, count int, configure func(*config.Settings)) (nodes []*testNode) {
+	for i := range count {
+		settings := fastSettings(fmt.Sprint("m", i), address(0), address(min(1, count-1)))
+		if configure != nil {
+			configure(settings)
 		}
-		all = append(all, w.join(t, i, s, nil))
+		nodes = append(nodes, n.addNode(t, i, settings, nil))
 	}
-	return all
+	return nodes
 }
 
-func end(all ...*seat) {
-	for _, x := range all {
-		x.kill()
+func stopNodes(nodes ...*testNode) {
+	for _, node := range nodes {
+		node.kill()
 	}
-	time.Sleep(time.Minute) // on the virtual clock: what the library still had under way ends by itself
+	time.Sleep(time.Minute) // virtual time, in which the library's remaining goroutines end
 }
 
-// Hard cases on the virtual clock: the members and the library as they are, links as the case has them.
-func TestHardCases(t *testing.T) {
-	settings := quick("")
-	back := settings.Return(5)
-	for _, c := range []struct {
+// TestNetworkFaults checks on a virtual clock that all views recover within the bound after various network faults.
+func TestNetworkFaults(t *testing.T) {
+	settings := fastSettings("")
+	limit := settings.Return(5)
+	for _, test := range []struct {
 		name string
-		play func(t *testing.T, w *web, all []*seat)
+		play func(t *testing.T, network *testNetwork, nodes []*testNode)
 	}{
-		{"one-way cut: nobody is held dead, since others look as well", func(t *testing.T, w *web, all []*seat) {
-			w.set(func() { w.cut = func(from, to string) bool { return from == address(1) && to == address(3) } })
+		{"one-way cut: no member is declared dead, since others probe it as well", func(t *testing.T, network *testNetwork, nodes []*testNode) {
+			network.update(func() { network.blocked = func(from, to string) bool { return from == address(1) && to == address(3) } })
 			for range 20 {
 				time.Sleep(time.Second)
-				if h := all[0].holds(); len(h) != 5 {
-					t.Errorf("m0 holds %v", h)
+				if alive := nodes[0].aliveRuns(); len(alive) != 5 {
+					t.Errorf("m0 sees %v", alive)
 				}
 			}
 		}},
-		{"a member that is slow for half the suspicion time, and then for three times it", func(t *testing.T, w *web, all []*seat) {
-			slow := func(d time.Duration) { // as one that is stopped: nothing comes or goes
-				w.set(func() { w.cut = func(from, to string) bool { return from == address(2) || to == address(2) } })
-				time.Sleep(d)
-				w.set(func() { w.cut = func(_, _ string) bool { return false } })
+		{"member stalled for half the suspicion time, then for three times as long", func(t *testing.T, network *testNetwork, nodes []*testNode) {
+			isolate := func(duration time.Duration) { // like a stopped process: nothing is received or sent
+				network.update(func() { network.blocked = func(from, to string) bool { return from == address(2) || to == address(2) } })
+				time.Sleep(duration)
+				network.update(func() { network.blocked = func(_, _ string) bool { return false } })
 			}
 			suspicion := config.Suspicion * settings.Probe
 			for range 5 {
-				slow(suspicion / 2)
-				if h := all[0].holds(); len(h) != 5 {
-					t.Errorf("after half of it m0 holds %v", h)
+				isolate(suspicion / 2)
+				if alive := nodes[0].aliveRuns(); len(alive) != 5 {
+					t.Errorf("after half the suspicion time m0 sees %v", alive)
 				}
 				time.Sleep(3 * time.Second)
 			}
-			slow(3 * suspicion)
-			if h := all[0].holds(); len(h) != 4 {
-				t.Errorf("after three times it m0 holds %v", h)
+			isolate(3 * suspicion)
+			if alive := nodes[0].aliveRuns(); len(alive) != 4 {
+				t.Errorf("after three times the suspicion time m0 sees %v", alive)
 			}
 		}},
-		{"flapping link", func(t *testing.T, w *web, all []*seat) {
+		{"flapping link", func(t *testing.T, network *testNetwork, nodes []*testNode) {
 			start := time.Now()
-			w.set(func() {
-				w.cut = func(from, to string) bool {
+			network.update(func() {
+				network.blocked = func(from, to string) bool {
 					return (from == address(4) || to == address(4)) && time.Since(start)/(700*time.Millisecond)%2 == 0
 				}
 			})
 			time.Sleep(30 * time.Second)
 		}},
-		{"half cut from half for long, and back", func(t *testing.T, w *web, all []*seat) {
-			w.set(func() { w.cut = func(from, to string) bool { return (from < address(2)) != (to < address(2)) } })
+		{"long partition into two halves", func(t *testing.T, network *testNetwork, nodes []*testNode) {
+			network.update(func() {
+				network.blocked = func(from, to string) bool { return (from < address(2)) != (to < address(2)) }
+			})
 			time.Sleep(3 * time.Minute)
-			if a, b := all[0].holds(), all[4].holds(); len(a) != 2 || len(b) != 3 {
-				t.Errorf("while cut m0 holds %v, m4 %v", a, b)
+			if a, b := nodes[0].aliveRuns(), nodes[4].aliveRuns(); len(a) != 2 || len(b) != 3 {
+				t.Errorf("during the partition m0 sees %v, m4 sees %v", a, b)
 			}
 		}},
-		{"all cut from all", func(t *testing.T, w *web, all []*seat) {
-			w.set(func() { w.cut = func(_, _ string) bool { return true } })
+		{"all links cut", func(t *testing.T, network *testNetwork, nodes []*testNode) {
+			network.update(func() { network.blocked = func(_, _ string) bool { return true } })
 			time.Sleep(time.Minute)
 		}},
-		{"datagrams late by ten seconds, twice and out of order, and a tenth lost", func(t *testing.T, w *web, all []*seat) {
-			w.set(func() {
-				w.late, w.twice, w.loss = func() time.Duration { return time.Duration(w.chance.Int64N(int64(10 * time.Second))) }, 0.5, 0.1
+		{"datagrams delayed by up to ten seconds, duplicated and reordered, and a tenth lost", func(t *testing.T, network *testNetwork, nodes []*testNode) {
+			network.update(func() {
+				network.delay, network.duplicate, network.loss = func() time.Duration { return time.Duration(network.rng.Int64N(int64(10 * time.Second))) }, 0.5, 0.1
 			})
 			time.Sleep(time.Minute)
-			w.set(func() { w.late, w.twice, w.loss = func() time.Duration { return time.Millisecond }, 0, 0 })
-			time.Sleep(10 * time.Second) // the last late ones still come
+			network.update(func() {
+				network.delay, network.duplicate, network.loss = func() time.Duration { return time.Millisecond }, 0, 0
+			})
+			time.Sleep(10 * time.Second) // until the last delayed ones have arrived
 		}},
-		{"a member that is killed and comes back at another address", func(t *testing.T, w *web, all []*seat) {
-			all[3].kill()
-			all[3] = w.join(t, 9, quick("m3", address(0)), nil)
+		{"member killed and restarted at another address", func(t *testing.T, network *testNetwork, nodes []*testNode) {
+			nodes[3].kill()
+			nodes[3] = network.addNode(t, 9, fastSettings("m3", address(0)), nil)
 		}},
-		{"all restarted at once, the only joined address among them", func(t *testing.T, w *web, all []*seat) {
-			end(all...)
-			for i := range all {
-				all[i] = w.join(t, i, quick(fmt.Sprint("m", i), address(0)), nil)
+		{"all members restarted at once, including the only join address", func(t *testing.T, network *testNetwork, nodes []*testNode) {
+			stopNodes(nodes...)
+			for i := range nodes {
+				nodes[i] = network.addNode(t, i, fastSettings(fmt.Sprint("m", i), address(0)), nil)
 			}
 		}},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWeb(1)
-				all := w.fleet(t, 5, nil)
-				if _, ok := until(all, back, count(5)); !ok {
-					t.Fatalf("before: %v", all[0].holds())
+				network := newTestNetwork(1)
+				nodes := network.addNodes(t, 5, nil)
+				if _, ok := waitForViews(nodes, limit, hasCount(5)); !ok {
+					t.Fatalf("before the fault m0 sees %v", nodes[0].aliveRuns())
 				}
-				c.play(t, w, all)
-				w.mu.Lock()
-				w.cut = func(_, _ string) bool { return false }
-				w.mu.Unlock()
-				took, ok := until(all, back, count(5))
-				t.Logf("all views the same after %s (%s at most)", took, back)
+				test.play(t, network, nodes)
+				network.mu.Lock()
+				network.blocked = func(_, _ string) bool { return false }
+				network.mu.Unlock()
+				elapsed, ok := waitForViews(nodes, limit, hasCount(5))
+				t.Logf("all views complete after %s (limit %s)", elapsed, limit)
 				if !ok {
-					for _, x := range all {
-						t.Errorf("%s holds %v", x.g.Self().ID, x.holds())
+					for _, node := range nodes {
+						t.Errorf("%s sees %v", node.gossip.Self().ID, node.aliveRuns())
 					}
 				}
-				end(all...)
+				stopNodes(nodes...)
 			})
 		})
 	}
 }
 
-// Two runs of one name: the newer counts everywhere, the older is told that it is over, whatever the wall clock and the
-// disk say; where the only address to join is gone, a member is one alone and tries on.
-func TestRuns(t *testing.T) {
+// TestSupersededRun starts a second run of a name while the first is cut off. Whatever the wall clock and the disk say, all
+// members must end up with the newer run, and the older one must learn that it is superseded. A run that reaches no member at
+// its start runs alone and keeps trying to join.
+func TestSupersededRun(t *testing.T) {
 	dir := t.TempDir()
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name  string
 		fs    disk.FS
 		wall  int64
-		alone bool // reaches nobody at its start
+		alone bool // the newer run reaches no member at its start
 	}{
-		{"others remember, no disk, the wall clock an hour back", nil, 1000 - 3600, false},
-		{"its disk remembers, nobody is reached", disk.Dir(filepath.Join(dir, "kept")), 0, true},
-		{"nobody is reached, no disk, the clock back: it takes another epoch when it meets others", nil, 0, true},
-		{"a disk that is full", disk.Faulty{Dir: disk.Dir(filepath.Join(dir, "full")), Says: filepath.Join(dir, "says")}, 0, false},
+		{"other members know the epoch, no disk, wall clock an hour back", nil, 1000 - 3600, false},
+		{"epoch on disk, no member reachable", disk.Dir(filepath.Join(dir, "kept")), 0, true},
+		{"no member reachable, no disk, wall clock back: epoch is renewed on first contact", nil, 0, true},
+		{"disk full", disk.Faulty{Dir: disk.Dir(filepath.Join(dir, "full")), Says: filepath.Join(dir, "says")}, 0, false},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			os.WriteFile(filepath.Join(dir, "says"), []byte("full"), 0o600)
 			synctest.Test(t, func(t *testing.T) {
-				w := newWeb(1)
-				all := w.fleet(t, 3, nil)
-				old := w.join(t, 3, quick("x", address(0)), func(o *Options) { o.FS = c.fs })
-				until(append(all, old), time.Minute, count(4))
-				// The old run is held up; a new one starts elsewhere.
-				w.mu.Lock()
-				delete(w.at, old.addr.String())
-				w.cut = func(from, to string) bool {
-					return from == old.addr.String() || to == old.addr.String() || c.alone && (from == address(4) || to == address(4))
+				network := newTestNetwork(1)
+				nodes := network.addNodes(t, 3, nil)
+				old := network.addNode(t, 3, fastSettings("x", address(0)), func(o *Options) { o.FS = test.fs })
+				waitForViews(append(nodes, old), time.Minute, hasCount(4))
+				// The old run is cut off while a new one starts at another address.
+				network.mu.Lock()
+				delete(network.nodes, old.addr.String())
+				network.blocked = func(from, to string) bool {
+					return from == old.addr.String() || to == old.addr.String() || test.alone && (from == address(4) || to == address(4))
 				}
-				w.mu.Unlock()
-				newer := w.join(t, 4, quick("x", address(0)), func(o *Options) {
-					o.FS, o.Wall = c.fs, func() time.Time { return time.Unix(c.wall, 0) }
+				network.mu.Unlock()
+				newer := network.addNode(t, 4, fastSettings("x", address(0)), func(o *Options) {
+					o.FS, o.WallClock = test.fs, func() time.Time { return time.Unix(test.wall, 0) }
 				})
 				time.Sleep(3 * time.Second)
-				w.mu.Lock()
-				w.at[old.addr.String()] = old
-				w.cut = func(_, _ string) bool { return false }
-				w.mu.Unlock()
-				if took, ok := until(append(all, newer), settingsReturn(4), count(4)); !ok {
-					t.Errorf("after %s m0 holds %v, the newer %v", took, all[0].holds(), newer.holds())
+				network.mu.Lock()
+				network.nodes[old.addr.String()] = old
+				network.blocked = func(_, _ string) bool { return false }
+				network.mu.Unlock()
+				if elapsed, ok := waitForViews(append(nodes, newer), returnBound(4), hasCount(4)); !ok {
+					t.Errorf("after %s m0 sees %v, the newer run sees %v", elapsed, nodes[0].aliveRuns(), newer.aliveRuns())
 				}
 				time.Sleep(10 * time.Second)
-				self := newer.g.Self()
-				if m := all[0].now("x"); m.ID != self.ID || m.State != Alive {
-					t.Errorf("m0 holds %s %s as x, the newer is %s", m.ID, m.State, self.ID)
+				self := newer.gossip.Self()
+				if m := nodes[0].current("x"); m.ID != self.ID || m.State != Alive {
+					t.Errorf("m0 sees x as %s %s, the newer run is %s", m.ID, m.State, self.ID)
 				}
-				if v := old.g.View(); v.Over != self.ID.String() {
-					t.Errorf("the old run is over by %q", v.Over)
+				if v := old.gossip.View(); v.SupersededBy != self.ID.String() {
+					t.Errorf("old run is superseded by %q", v.SupersededBy)
 				}
-				if v := newer.g.View(); v.Over != "" {
-					t.Error("the newer run is over")
+				if v := newer.gossip.View(); v.SupersededBy != "" {
+					t.Error("newer run is superseded")
 				}
-				end(append(all, old, newer)...)
+				stopNodes(append(nodes, old, newer)...)
 			})
 		})
 	}
 }
 
-func settingsReturn(n int) time.Duration { return quick("", "a").Return(n) }
+func returnBound(members int) time.Duration { return fastSettings("", "a").Return(members) }
 
-// A leave is no failure, and a death is known within its bound.
+// TestLeaveAndDeath checks that an intentional leave is not reported as a failure, and that the death of a member is detected
+// within the bound.
 func TestLeaveAndDeath(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWeb(1)
-		all := w.fleet(t, 5, nil)
-		until(all, time.Minute, count(5))
-		all[4].g.Leaving(true)
+		network := newTestNetwork(1)
+		nodes := network.addNodes(t, 5, nil)
+		waitForViews(nodes, time.Minute, hasCount(5))
+		nodes[4].gossip.SetDraining(true)
 		time.Sleep(time.Second)
-		if m := all[0].now("m4"); !m.Leaving || m.State != Alive {
-			t.Errorf("m0 holds m4 as %s, leaving %v", m.State, m.Leaving)
+		if m := nodes[0].current("m4"); !m.Draining || m.State != Alive {
+			t.Errorf("m0 sees m4 as %s, draining %v", m.State, m.Draining)
 		}
-		w.mu.Lock()
-		delete(w.at, address(4))
-		w.mu.Unlock()
-		all[4].g.Leave()
+		network.mu.Lock()
+		delete(network.nodes, address(4))
+		network.mu.Unlock()
+		nodes[4].gossip.Leave()
 		time.Sleep(time.Second)
-		for _, x := range all[:4] {
-			if m := x.now("m4"); m.State != Left {
-				t.Errorf("%s holds m4 as %s", x.g.Self().ID, m.State)
+		for _, node := range nodes[:4] {
+			if m := node.current("m4"); m.State != Left {
+				t.Errorf("%s sees m4 as %s", node.gossip.Self().ID, m.State)
 			}
 		}
-		all[3].kill()
-		bound := quick("").Death(4)
-		if took, ok := until(all[:3], bound, count(3)); !ok {
-			t.Errorf("a death is not known after %s", took)
+		nodes[3].kill()
+		bound := fastSettings("").Death(4)
+		if elapsed, ok := waitForViews(nodes[:3], bound, hasCount(3)); !ok {
+			t.Errorf("death not detected by all after %s", elapsed)
 		}
-		end(all[:3]...)
+		stopNodes(nodes[:3]...)
 	})
 }
 
-// Sizes: time until a death is known to all, members wrongly held dead, bytes. OTTERSHIFT_SIZES="5 30 100 500" plays more
-// than the usual and prints the table of docs/design-cluster.md.
+// TestSizes measures, for several cluster sizes and loss rates, the time until a death is known to all members, the false
+// detections and the traffic. OTTERSHIFT_SIZES="5 30 100 500" sets the sizes of the table in docs/design-cluster.md.
 func TestSizes(t *testing.T) {
 	sizes, minutes := []int{10, 40}, 1
 	if text := os.Getenv("OTTERSHIFT_SIZES"); text != "" {
 		sizes, minutes = nil, 3
 		for _, f := range strings.Fields(text) {
-			n, _ := strconv.Atoi(f)
-			sizes = append(sizes, n)
+			size, _ := strconv.Atoi(f)
+			sizes = append(sizes, size)
 		}
 	}
-	for _, n := range sizes {
+	for _, size := range sizes {
 		for _, loss := range []float64{0, 0.01, 0.1} {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWeb(uint64(n))
-				w.loss = loss
-				each := func(s *config.Settings) { s.Probe, s.Rejoin = config.Probe, config.Rejoin }
+				network := newTestNetwork(uint64(size))
+				network.loss = loss
+				configure := func(settings *config.Settings) { settings.Probe, settings.Rejoin = config.Probe, config.Rejoin }
 				var mu sync.Mutex
-				said := map[string]int{}
-				var all []*seat
+				declaredDead := map[string]int{}
+				var nodes []*testNode
 				settled := false
-				for i := range n {
-					s := quick(fmt.Sprint("m", i), address(0), address(1))
-					each(s)
-					all = append(all, w.join(t, i, s, func(o *Options) {
-						o.Changed = func(c Change) {
+				for i := range size {
+					settings := fastSettings(fmt.Sprint("m", i), address(0), address(1))
+					configure(settings)
+					nodes = append(nodes, network.addNode(t, i, settings, func(options *Options) {
+						options.StateChanged = func(c Change) {
 							mu.Lock()
 							defer mu.Unlock()
 							if c.State == Dead && settled {
-								said[c.ID.String()]++
+								declaredDead[c.ID.String()]++
 							}
 						}
 					}))
 				}
-				met, _ := until(all, 5*time.Minute, count(n))
+				joined, _ := waitForViews(nodes, 5*time.Minute, hasCount(size))
 				mu.Lock()
 				settled = true
 				mu.Unlock()
 				before := int64(0)
-				for _, x := range all {
-					before += x.out.Load()
+				for _, node := range nodes {
+					before += node.bytesOut.Load()
 				}
 				span := time.Duration(minutes) * time.Minute
 				time.Sleep(span)
 				after := int64(0)
-				for _, x := range all {
-					after += x.out.Load()
+				for _, node := range nodes {
+					after += node.bytesOut.Load()
 				}
 				mu.Lock()
-				false1 := len(said)
-				clear(said)
+				falseDeaths := len(declaredDead)
+				clear(declaredDead)
 				mu.Unlock()
-				bound := all[0].g.o.Settings.Death(n)
-				var took []time.Duration
-				for k := range min(5, n/3) {
-					x := all[len(all)-1-k]
-					x.kill()
-					id := x.g.Self().ID
-					rest := all[:len(all)-1-k]
-					d, ok := until(rest, bound, func(holds []string) bool {
-						return !slices.Contains(holds, fmt.Sprintf("%s/%d", id.Name, id.Epoch))
+				bound := nodes[0].gossip.options.Settings.Death(size)
+				var detection []time.Duration
+				for victim := range min(5, size/3) {
+					node := nodes[len(nodes)-1-victim]
+					node.kill()
+					id := node.gossip.Self().ID
+					remaining := nodes[:len(nodes)-1-victim]
+					detected, ok := waitForViews(remaining, bound, func(alive []string) bool {
+						return !slices.Contains(alive, fmt.Sprintf("%s/%d", id.Name, id.Epoch))
 					})
 					if !ok {
-						t.Errorf("%d members, %g lost: a death is not known after %s", n, loss, d)
+						t.Errorf("%d members, %g lost: death not detected by all after %s", size, loss, detected)
 					}
-					took = append(took, d)
+					detection = append(detection, detected)
 					time.Sleep(5 * time.Second)
 				}
-				slices.Sort(took)
-				var m runtime.MemStats
-				runtime.ReadMemStats(&m)
-				t.Logf("members %d lost %g: met after %s; a death is known to all after %s (median), %s (worst), bound %s; %d wrongly held dead in %s; %d bytes/s out a member; %d goroutines and %d kB a member",
-					n, loss, met.Round(10*time.Millisecond), took[len(took)/2], took[len(took)-1], bound, false1, span, (after-before)/int64(n)/int64(span/time.Second),
-					runtime.NumGoroutine()/n, int(m.HeapInuse>>10)/n)
-				if loss == 0 && false1 > 0 {
-					t.Errorf("%d members over sound links: %d wrongly held dead", n, false1)
+				slices.Sort(detection)
+				var memory runtime.MemStats
+				runtime.ReadMemStats(&memory)
+				t.Logf("members %d lost %g: joined after %s; death known to all after %s (median), %s (worst), bound %s; %d false deaths in %s; %d bytes/s sent per member; %d goroutines and %d kB per member",
+					size, loss, joined.Round(10*time.Millisecond), detection[len(detection)/2], detection[len(detection)-1], bound, falseDeaths, span, (after-before)/int64(size)/int64(span/time.Second),
+					runtime.NumGoroutine()/size, int(memory.HeapInuse>>10)/size)
+				if loss == 0 && falseDeaths > 0 {
+					t.Errorf("%d members without loss: %d falsely declared dead", size, falseDeaths)
 				}
-				end(all[:len(all)-len(took)]...)
+				stopNodes(nodes[:len(nodes)-len(detection)]...)
 			})
 		}
 	}
--- a/internal/cluster/member/wire.go
+++ b/internal/cluster/member/wire.go
@@ -2,66 +2,69 @@
 
 import "ottershift/internal/cluster/pack"
 
-// What goes over links.
+// Wire formats. The short codec tags are part of the protocol.
 
+// wireRecord is the encoding of a Record.
 type wireRecord struct {
-	Name    string `codec:"n"`
-	Epoch   uint64 `codec:"e"`
-	Run     uint64 `codec:"r"`
-	Zone    string `codec:"z,omitempty"`
-	Address string `codec:"a"`
-	Ops     string `codec:"o,omitempty"`
-	Build   string `codec:"b,omitempty"`
-	Low     byte   `codec:"l"`
-	High    byte   `codec:"h"`
+	Name       string `codec:"n"`
+	Epoch      uint64 `codec:"e"`
+	Run        uint64 `codec:"r"`
+	Zone       string `codec:"z,omitempty"`
+	Address    string `codec:"a"`
+	OpsAddress string `codec:"o,omitempty"`
+	Build      string `codec:"b,omitempty"`
+	MinVersion byte   `codec:"l"`
+	MaxVersion byte   `codec:"h"`
 }
 
+// wireStatus is the encoding of a Status with the run that it belongs to.
 type wireStatus struct {
-	ID      string   `codec:"i"`
-	Count   uint64   `codec:"c"`
-	Leaving bool     `codec:"g,omitempty"`
-	Gone    bool     `codec:"x,omitempty"`
-	Open    int64    `codec:"o,omitempty"`
-	Rate    float64  `codec:"t,omitempty"`
-	Offers  []string `codec:"p,omitempty"`
-	Parts   int      `codec:"m,omitempty"`
+	ID               string   `codec:"i"`
+	Sequence         uint64   `codec:"c"`
+	Draining         bool     `codec:"g,omitempty"`
+	Final            bool     `codec:"x,omitempty"`
+	OpenTransactions int64    `codec:"o,omitempty"`
+	Rate             float64  `codec:"t,omitempty"`
+	Pools            []string `codec:"p,omitempty"`
+	ShardsPerPool    int      `codec:"m,omitempty"`
 }
 
-type wireMark struct {
+// wireLatestRun is the encoding of a LatestRun.
+type wireLatestRun struct {
 	ID    string `codec:"i"`
 	Ended bool   `codec:"e,omitempty"`
 }
 
-// wireState is what an exchange of states adds to the library's own.
+// wireState is the payload that a push/pull state exchange carries in addition to the library's own state.
 type wireState struct {
-	Marks    []wireMark   `codec:"m,omitempty"`
-	Statuses []wireStatus `codec:"s,omitempty"`
+	LatestRuns []wireLatestRun `codec:"m,omitempty"`
+	Statuses   []wireStatus    `codec:"s,omitempty"`
 }
 
-// wireNotice tells an old run that it is over.
+// wireNotice informs an old run that a newer run has superseded it.
 type wireNotice struct {
 	Old   string `codec:"o"`
 	Newer string `codec:"n"`
 	Ended bool   `codec:"e,omitempty"`
 }
 
-func (r *Record) pack() []byte {
-	return pack.Pack(&wireRecord{r.Name, r.Epoch, r.Run, r.Zone, r.Address, r.Ops, r.Build, r.Low, r.High})
+func (r *Record) encode() []byte {
+	return pack.Pack(&wireRecord{r.Name, r.Epoch, r.Run, r.Zone, r.Address, r.OpsAddress, r.Build, r.MinVersion, r.MaxVersion})
 }
 
-func unpackRecord(raw []byte) (r Record, err error) {
+func decodeRecord(raw []byte) (r Record, err error) {
 	var w wireRecord
 	if err = pack.Unpack(raw, &w); err != nil {
 		return r, err
 	}
-	return Record{ID{w.Name, w.Epoch, w.Run}, w.Zone, w.Address, w.Ops, w.Build, w.Low, w.High}, nil
+	return Record{ID{w.Name, w.Epoch, w.Run}, w.Zone, w.Address, w.OpsAddress, w.Build, w.MinVersion, w.MaxVersion}, nil
 }
 
-func wireStatusOf(id ID, s Status) wireStatus {
-	return wireStatus{id.String(), s.Count, s.Leaving, s.Gone, s.Open, s.Rate, s.Offers, s.Parts}
+func newWireStatus(id ID, s Status) wireStatus {
+	return wireStatus{id.String(), s.Sequence, s.Draining, s.Final, s.OpenTransactions, s.Rate, s.Pools, s.ShardsPerPool}
 }
 
-func (w *wireStatus) open() (ID, Status, bool) {
+func (w *wireStatus) decode() (ID, Status, bool) {
 	id, ok := ParseID(w.ID)
-	return id, Status{w.Count, w.Leaving, w.Gone, w.Open, w.Rate, w.Offers, w.Parts}, ok
+	return id, Status{w.Sequence, w.Draining, w.Final, w.OpenTransactions, w.Rate, w.Pools, w.ShardsPerPool}, ok
 }
--- a/internal/cluster/pack/pack.go
+++ b/internal/cluster/pack/pack.go
@@ -1,5 +1,5 @@
-// Package pack puts what goes over links and to disks into bytes, as msgpack maps with short keys: a key that a build
-// doesn't know is passed over, one that isn't there is empty, so members of two builds understand each other.
+// Package pack encodes messages and stored records as msgpack maps with short keys. Unknown keys are ignored and missing
+// keys decode to zero values, so members running different builds can read each other's data.
 package pack
 
 import (
@@ -9,45 +9,45 @@
 	"github.com/hashicorp/go-msgpack/v2/codec"
 )
 
-// Most is the longest that is taken apart.
-const Most = 256 << 20
+// MaxSize is the largest encoded value, in bytes, that Unpack accepts.
+const MaxSize = 256 << 20
 
-// maxInitialLength bounds what is allocated on the word of a length that was read.
-const maxInitialLength = 1024
+// maxInitialAllocation bounds the number of elements allocated from a length prefix before the elements have been read.
+const maxInitialAllocation = 1024
 
-var handle = newHandle()
+var msgpackHandle = newHandle()
 
 func newHandle() *codec.MsgpackHandle {
-	h := &codec.MsgpackHandle{WriteExt: true}
-	h.MaxInitLen = maxInitialLength
-	h.Canonical = true
-	return h
+	handle := &codec.MsgpackHandle{WriteExt: true}
+	handle.MaxInitLen = maxInitialAllocation
+	handle.Canonical = true
+	return handle
 }
 
-// Faults of what came in.
+// Errors returned by Unpack.
 var (
-	ErrLong   = errors.New("longer than is believed")
-	ErrSpoilt = errors.New("spoilt")
+	ErrTooLong = errors.New("encoded value too long")
+	ErrCorrupt = errors.New("spoilt")
 )
 
-// Pack never fails for types of ours.
-func Pack(v any) []byte {
-	var b bytes.Buffer
-	if err := codec.NewEncoder(&b, handle).Encode(v); err != nil {
+// Pack encodes value. It panics if value has a type that cannot be encoded, which no type of this module has.
+func Pack(value any) []byte {
+	var buffer bytes.Buffer
+	if err := codec.NewEncoder(&buffer, msgpackHandle).Encode(value); err != nil {
 		panic(err)
 	}
-	return b.Bytes()
+	return buffer.Bytes()
 }
 
-// Unpack never panics, whatever comes.
-func Unpack(raw []byte, v any) (err error) {
-	if len(raw) > Most {
-		return ErrLong
+// Unpack decodes encoded into value. It returns an error for any malformed input and never panics.
+func Unpack(encoded []byte, value any) (err error) {
+	if len(encoded) > MaxSize {
+		return ErrTooLong
 	}
 	defer func() {
 		if recover() != nil {
-			err = ErrSpoilt
+			err = ErrCorrupt
 		}
 	}()
-	return codec.NewDecoderBytes(raw, handle).Decode(v)
+	return codec.NewDecoderBytes(encoded, msgpackHandle).Decode(value)
 }
--- a/internal/cluster/peers.go
+++ b/internal/cluster/peers.go
@@ -39,7 +39,7 @@
 // Counted are the members that count as balancers of a pool, by name: the living, and those held dead for less than a
 // time, since they may be behind a link that is cut and still send. Who left by intent doesn't count.
 func (c *Cluster) Counted(pool string, dead time.Duration) (names []string, own int) {
-	for _, m := range c.gossip.Offering(pool, dead) {
+	for _, m := range c.gossip.MembersServing(pool, dead) {
 		names = append(names, m.Name)
 	}
 	return names, slices.Index(names, c.o.Settings.Self)
@@ -89,7 +89,7 @@
 		select {
 		case s := <-c.said:
 			if address, known := c.gossip.Resolve(s.name); known {
-				c.link.Send(link.Peers, s.name, address, s.payload) // lost if it fails: so may any be
+				c.link.Send(link.KindPeers, s.name, address, s.payload) // lost if it fails: so may any be
 			}
 		case <-c.end:
 			return
--- a/internal/lab/run/cluster.go
+++ b/internal/lab/run/cluster.go
@@ -264,7 +264,7 @@
 		if p := &s.processes[process]; len(p.IDs) == 0 || p.IDs[len(p.IDs)-1].ID != v.Self {
 			p.IDs = append(p.IDs, record.Label{At: s.now(), ID: v.Self})
 		}
-		s.views = append(s.views, record.View{Process: process, At: s.now(), Over: v.Over != "", Alive: v.Present()})
+		s.views = append(s.views, record.View{Process: process, At: s.now(), Over: v.SupersededBy != "", Alive: v.AliveRuns()})
 		s.mu.Unlock()
 	}
 }
--- a/internal/process/cluster.go
+++ b/internal/process/cluster.go
@@ -153,16 +153,16 @@
 	ended := int64(0)
 	for name, p := range s.pools {
 		v := p.View()
-		st.Open += v.Counts.Open.Load()
+		st.OpenTransactions += v.Counts.Open.Load()
 		for _, n := range v.Counts.Ended() {
 			ended += n
 		}
-		if len(st.Offers) < member.MostOffers {
-			st.Offers = append(st.Offers, name)
+		if len(st.Pools) < member.MaxPools {
+			st.Pools = append(st.Pools, name)
 		}
-		st.Parts = p.Shards()
+		st.ShardsPerPool = p.Shards()
 	}
-	slices.Sort(st.Offers)
+	slices.Sort(st.Pools)
 	if span := time.Since(f.lastAt).Seconds(); span > 0 && f.lastEnded <= ended {
 		st.Rate = float64(ended-f.lastEnded) / span
 	}
--- a/internal/process/cluster_test.go
+++ b/internal/process/cluster_test.go
@@ -108,7 +108,7 @@
 		var v member.View
 		a.Members(&seen, true)
 		json.NewDecoder(bytes.NewReader(seen.Bytes())).Decode(&v)
-		return len(v.Members) == 2 && v.Members[1].Leaving && strings.Count(seen.String(), "\n") == 2
+		return len(v.Members) == 2 && v.Members[1].Draining && strings.Count(seen.String(), "\n") == 2
 	})
 	var figures bytes.Buffer
 	a.Figures(&figures)
