--- a/internal/cluster/link/frame.go
+++ b/internal/cluster/link/frame.go
@@ -33,10 +33,10 @@
 
 // Kinds of connections and datagrams.
 const (
-	KindGossip byte = 1
-	KindCalls  byte = 2
-	KindPeers  byte = 3
-	KindNotice byte = 4
+	KindGossip byte = 1 // traffic of the membership library
+	KindCalls  byte = 2 // requests and responses
+	KindPeers  byte = 3 // messages between pool shards of different members
+	KindNotice byte = 4 // notice that a run is superseded
 )
 
 var crcTable = crc32.MakeTable(crc32.Castagnoli)
@@ -49,7 +49,7 @@
 	ErrVersionMismatch = errors.New("protocol version mismatch")
 )
 
-// hashName returns the 32-bit hash that stands for a cluster name in datagrams.
+// hashName returns a 32-bit hash of a name. Datagrams carry that of the cluster name.
 func hashName(name string) uint32 {
 	hash := fnv.New32a()
 	io.WriteString(hash, name)
@@ -130,7 +130,8 @@
 	b = binary.BigEndian.AppendUint16(b, f.Method)
 	b = binary.BigEndian.AppendUint64(b, f.ID)
 	b = binary.BigEndian.AppendUint32(b, f.TimeoutMillis)
-	b = binary.BigEndian.AppendUint32(b, crc32.Checksum(b[start:], crcTable)) // of the header, so that the length can be trusted before the body arrives
+	// The header has a checksum of its own, so that the length can be trusted before the body arrives.
+	b = binary.BigEndian.AppendUint32(b, crc32.Checksum(b[start:], crcTable))
 	b = append(b, f.Body...)
 	return binary.BigEndian.AppendUint32(b, crc32.Checksum(f.Body, crcTable))
 }
--- a/internal/cluster/link/link.go
+++ b/internal/cluster/link/link.go
@@ -292,8 +292,8 @@
 }
 
 func remoteHost(c net.Conn) string {
-	h, _, _ := net.SplitHostPort(c.RemoteAddr().String())
-	return h
+	host, _, _ := net.SplitHostPort(c.RemoteAddr().String())
+	return host
 }
 
 // serveCalls answers the requests on one connection.
@@ -350,7 +350,9 @@
 			ctx, cancel := context.WithTimeout(ctx, time.Duration(f.TimeoutMillis)*time.Millisecond)
 			defer cancel()
 			body, err := handler(ctx, from, f.Body)
-			releaseSlots() // before the response: the caller may send its next request as soon as it has it, and would be refused
+			// The slots must be free before the response is sent: the caller may send its next request as soon as it has the
+			// response, and that request would be refused.
+			releaseSlots()
 			if ctx.Err() != nil {
 				return // the caller no longer waits
 			}
--- a/internal/cluster/member/core.go
+++ b/internal/cluster/member/core.go
@@ -111,7 +111,8 @@
 	Previous State // 0 for a new run
 }
 
-// Guards selects the active safety mechanisms. Experiments disable them one at a time.
+// Guards selects the active safety mechanisms: Refutation lets a run that was declared dead return to alive, Epochs rejects
+// runs of a name once a newer one is known. Experiments disable them one at a time.
 type Guards struct{ Refutation, Epochs bool }
 
 // Actions carries out the decisions of a Core.
--- a/internal/cluster/member/gossip.go
+++ b/internal/cluster/member/gossip.go
@@ -178,21 +178,21 @@
 	g.core = NewCore(g.self, settings, g.options.Guards, g.options.Seed, 0, g.renewed, (*coreActions)(g))
 	g.transport = &libraryTransport{gossip: g, packets: make(chan *memberlist.Packet, maxQueue), streams: make(chan net.Conn), done: make(chan struct{})}
 	g.sequence, g.statusSentAt = 0, time.Time{}
-	transport, self, d := g.transport, g.self, &delegate{g, g.core, g.self}
+	transport, self, callbacks := g.transport, g.self, &delegate{g, g.core, g.self}
 	g.mu.Unlock()
 
-	libraryConfig := memberlist.DefaultLANConfig()
-	libraryConfig.Name, libraryConfig.Transport, libraryConfig.Delegate, libraryConfig.Events, libraryConfig.Alive, libraryConfig.Ping = self.ID.String(), transport, d, d, d, d
+	conf := memberlist.DefaultLANConfig()
+	conf.Name, conf.Transport, conf.Delegate, conf.Events, conf.Alive, conf.Ping = self.ID.String(), transport, callbacks, callbacks, callbacks, callbacks
 	bound := g.options.Transport.Addr()
-	libraryConfig.AdvertiseAddr, libraryConfig.AdvertisePort, libraryConfig.BindAddr, libraryConfig.BindPort = bound.IP.String(), bound.Port, bound.IP.String(), bound.Port
-	libraryConfig.ProbeInterval, libraryConfig.ProbeTimeout, libraryConfig.TCPTimeout = settings.Probe, settings.Probe/2, config.Exchange
-	libraryConfig.SuspicionMult, libraryConfig.SuspicionMaxTimeoutMult, libraryConfig.AwarenessMaxMultiplier = config.Suspicion, config.Suspected, config.Slower
-	libraryConfig.IndirectChecks, libraryConfig.RetransmitMult = config.Indirect, config.Retransmit
-	libraryConfig.GossipInterval, libraryConfig.GossipNodes, libraryConfig.GossipToTheDeadTime = settings.Probe/config.GossipPart, config.GossipTo, time.Minute
-	libraryConfig.PushPullInterval = config.ExchangeEach * settings.Probe
-	libraryConfig.EnableCompression = false
-	libraryConfig.LogOutput, libraryConfig.Logger = nil, log.New(libraryLog{g.options.Log}, "", 0)
-	list, err := memberlist.Create(libraryConfig)
+	conf.AdvertiseAddr, conf.AdvertisePort, conf.BindAddr, conf.BindPort = bound.IP.String(), bound.Port, bound.IP.String(), bound.Port
+	conf.ProbeInterval, conf.ProbeTimeout, conf.TCPTimeout = settings.Probe, settings.Probe/2, config.Exchange
+	conf.SuspicionMult, conf.SuspicionMaxTimeoutMult, conf.AwarenessMaxMultiplier = config.Suspicion, config.Suspected, config.Slower
+	conf.IndirectChecks, conf.RetransmitMult = config.Indirect, config.Retransmit
+	conf.GossipInterval, conf.GossipNodes, conf.GossipToTheDeadTime = settings.Probe/config.GossipPart, config.GossipTo, time.Minute
+	conf.PushPullInterval = config.ExchangeEach * settings.Probe
+	conf.EnableCompression = false
+	conf.LogOutput, conf.Logger = nil, log.New(libraryLog{g.options.Log}, "", 0)
+	list, err := memberlist.Create(conf)
 	if err != nil {
 		return err
 	}
@@ -626,27 +626,28 @@
 // delegate receives the library's callbacks for one run. The library calls it with its own locks held, so its methods must
 // not call the library. Callbacks may also arrive for a run whose epoch has since been renewed; they go to that run's core.
 type delegate struct {
-	g    *Gossip
-	core *Core
-	self Record
+	gossip *Gossip
+	core   *Core
+	self   Record
 }
 
 // withCore calls f with the run's core and the current time, under the lock.
 func (d *delegate) withCore(f func(c *Core, now int64)) {
-	d.g.mu.Lock()
-	defer d.g.mu.Unlock()
-	f(d.core, d.g.now())
+	d.gossip.mu.Lock()
+	defer d.gossip.mu.Unlock()
+	f(d.core, d.gossip.now())
 }
 
 // nodeRecord decodes the record in a node's metadata and checks it against the node's name.
 func nodeRecord(node *memberlist.Node) (Record, error) {
 	record, err := decodeRecord(node.Meta)
 	if err == nil && record.ID.String() != node.Name {
-		err = fmt.Errorf("node name %s does not match its record %s", node.Name, record.ID)
+		err = fmt.Errorf("node name does not match its record %s", record.ID)
 	}
 	return record, err
 }
 
+// NodeMeta returns the encoded record. If it exceeds limit, the build is omitted and the zone shortened.
 func (d *delegate) NodeMeta(limit int) []byte {
 	raw := d.self.encode()
 	if len(raw) > limit {
@@ -657,33 +658,33 @@
 	return raw
 }
 
-func (d *delegate) NotifyAlive(n *memberlist.Node) (err error) {
-	r, err := nodeRecord(n)
+func (d *delegate) NotifyAlive(node *memberlist.Node) (err error) {
+	record, err := nodeRecord(node)
 	if err != nil {
 		return err
 	}
-	d.withCore(func(c *Core, now int64) { err = c.Admit(now, r) })
+	d.withCore(func(c *Core, now int64) { err = c.Admit(now, record) })
 	return err
 }
 
-func (d *delegate) NotifyJoin(n *memberlist.Node) {
-	if r, err := nodeRecord(n); err == nil {
-		d.withCore(func(c *Core, now int64) { c.ObserveAlive(now, r) })
+func (d *delegate) NotifyJoin(node *memberlist.Node) {
+	if record, err := nodeRecord(node); err == nil {
+		d.withCore(func(c *Core, now int64) { c.ObserveAlive(now, record) })
 	}
 }
 
 func (d *delegate) NotifyUpdate(n *memberlist.Node) { d.NotifyJoin(n) }
 
-func (d *delegate) NotifyLeave(n *memberlist.Node) {
-	if r, err := nodeRecord(n); err == nil {
-		d.withCore(func(c *Core, now int64) { c.ObserveEnd(now, r.ID) })
+func (d *delegate) NotifyLeave(node *memberlist.Node) {
+	if record, err := nodeRecord(node); err == nil {
+		d.withCore(func(c *Core, now int64) { c.ObserveEnd(now, record.ID) })
 	}
 }
 
 func (d *delegate) AckPayload() []byte { return nil }
 
-func (d *delegate) NotifyPingComplete(n *memberlist.Node, _ time.Duration, _ []byte) {
-	if id, ok := ParseID(n.Name); ok {
+func (d *delegate) NotifyPingComplete(node *memberlist.Node, _ time.Duration, _ []byte) {
+	if id, ok := ParseID(node.Name); ok {
 		d.withCore(func(c *Core, now int64) { c.ObserveContact(now, id) })
 	}
 }
@@ -700,17 +701,17 @@
 	isNew := false
 	d.withCore(func(c *Core, now int64) { isNew = c.UpdateStatus(now, id, status) })
 	if isNew { // forwarded, so that it reaches all members
-		d.g.broadcasts.QueueBroadcast(statusBroadcast{wire.ID, append([]byte(nil), raw...)})
+		d.gossip.broadcasts.QueueBroadcast(statusBroadcast{wire.ID, append([]byte(nil), raw...)})
 	}
 }
 
 func (d *delegate) GetBroadcasts(overhead, limit int) [][]byte {
-	return d.g.broadcasts.GetBroadcasts(overhead, limit)
+	return d.gossip.broadcasts.GetBroadcasts(overhead, limit)
 }
 
 func (d *delegate) LocalState(bool) []byte {
 	var state wireState
-	g := d.g
+	g := d.gossip
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if d.core.guards.Epochs {
