--- a/cmd/ottershift/cluster.go
+++ b/cmd/ottershift/cluster.go
@@ -104,7 +104,7 @@
 					return err
 				}
 				var seats []string
-				for _, s := range k.Seats {
+				for _, s := range k.Voters {
 					text := s.String()
 					if s.Learner {
 						text += " (learner)"
@@ -114,9 +114,9 @@
 				if k.Fault == "" {
 					well++
 				}
-				fmt.Fprintf(out, "%s\t%d\t%s\t%s\t%d\t%d\t%d\t%d\t%dms\t%s\t%s\n", k.Name, k.Group, dash(k.Role), dash(k.Leader), k.Term, k.Commit, k.Applied, k.Snapshot, k.Age,
+				fmt.Fprintf(out, "%s\t%d\t%s\t%s\t%d\t%d\t%d\t%d\t%dms\t%s\t%s\n", k.Name, k.Group, dash(k.Role), dash(k.Leader), k.Term, k.Commit, k.Applied, k.Snapshot, k.StalenessMS,
 					dash(strings.Join(seats, " ")), k.Fault)
-				for _, lost := range k.Lost {
+				for _, lost := range k.Recovered {
 					fmt.Fprintf(out, "\t%s\n", lost)
 				}
 			}
@@ -165,7 +165,7 @@
 			if err != nil {
 				return err
 			}
-			return keep.Restore(keep.Group(args[1], 0), args[2], raw, nil)
+			return keep.Restore(keep.GroupDir(args[1], 0), args[2], raw, nil)
 		},
 	}
 	var yes bool
@@ -174,13 +174,13 @@
 		Long: `Names what may be lost, and does it only with --yes. It is marked for good in what is agreed. The process of that keeper must not
 run. The other keepers' old directories must never be started again; they are taken in anew with "cluster replace".`,
 		RunE: func(c *cobra.Command, args []string) error {
-			dir := keep.Group(args[0], 0)
-			f, err := keep.Look(dir, nil)
+			dir := keep.GroupDir(args[0], 0)
+			f, err := keep.InspectDir(dir, nil)
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%s holds up to entry %d of term %d, seats %v. What may be lost:\n", f.Name, f.Last, f.Term, f.Seats)
-			for _, line := range f.Loses() {
+			fmt.Fprintf(c.OutOrStdout(), "%s holds up to entry %d of term %d, seats %v. What may be lost:\n", f.Name, f.LastIndex, f.Term, f.Voters)
+			for _, line := range f.PotentialLosses() {
 				fmt.Fprintln(c.OutOrStdout(), "- "+line)
 			}
 			if !yes {
--- a/cmd/ottershift/ledger.go
+++ b/cmd/ottershift/ledger.go
@@ -51,7 +51,7 @@
 	}
 	for _, dir := range dirs {
 		book := ledger.NewBook(ledger.Guards{Fence: true}, 0)
-		if _, err := keep.Look(dir, map[byte]keep.Part{ledger.Part: book}); err != nil {
+		if _, err := keep.InspectDir(dir, map[byte]keep.Part{ledger.Part: book}); err != nil {
 			return fmt.Errorf("%s: %w", dir, err)
 		}
 		if err := ledger.Each(q, func(q *ledger.Query) (ledger.Page, error) { return book.Ask(q), nil }, take); err != nil {
--- a/internal/cluster/agreed.go
+++ b/internal/cluster/agreed.go
@@ -35,9 +35,9 @@
 // agreed is this process's part in what is agreed: a keeper where it is a voter, its session, and the duties it may own.
 type agreed struct {
 	c       *Cluster
-	keepers []*keep.Keeper // of each group; none where it is no keeper
-	clients []*keep.Client // of each group
-	client  *keep.Client   // of the first, which holds sessions and duties
+	keepers []*keep.Replica // of each group; none where it is no keeper
+	clients []*keep.Client  // of each group
+	client  *keep.Client    // of the first, which holds sessions and duties
 	owners  *owner.Owners
 	ctx     context.Context
 	end     context.CancelFunc
@@ -63,10 +63,10 @@
 	}
 	for n := range s.Groups {
 		if slices.Contains(s.Voters, s.Self) {
-			dir := keep.Group(s.Directory, n)
-			k, err := keep.NewKeeper(keep.Options{
-				Cluster: s.Name, Name: s.Self, Voters: s.Voters, Group: n, Dir: dir, FS: c.directory(dir), Way: local{c.link, s.Self}, Election: s.Election,
-				Lease: keep.Lease{For: s.Lease, Drift: s.Drift}, Guards: keep.Guards{Fence: fenced, Once: once}, Log: c.o.Log,
+			dir := keep.GroupDir(s.Directory, n)
+			k, err := keep.NewReplica(keep.Options{
+				Cluster: s.Name, Name: s.Self, Voters: s.Voters, Group: n, Dir: dir, FS: c.directory(dir), Transport: local{c.link, s.Self}, ElectionTimeout: s.Election,
+				Lease: keep.Lease{Duration: s.Lease, MaxDrift: s.Drift}, Checks: keep.SafetyChecks{Fencing: fenced, Deduplication: once}, Log: c.o.Log,
 				Parts: c.parts(),
 			})
 			if err != nil {
@@ -75,7 +75,7 @@
 			a.keepers = append(a.keepers, k)
 		}
 		client := keep.NewClient(local{c.link, s.Self}, s.Self, s.Voters, n)
-		client.Believes = c.o.Lab != nil && c.o.Lab.without("reads")
+		client.StaleReads = c.o.Lab != nil && c.o.Lab.without("reads")
 		a.clients = append(a.clients, client)
 	}
 	a.client = a.clients[0]
@@ -88,14 +88,14 @@
 func (a *agreed) begin() {
 	s := a.c.o.Settings
 	for _, k := range a.keepers {
-		k.Begin()
+		k.Start()
 	}
 	fenced := a.c.o.Lab == nil || !a.c.o.Lab.without("fence")
-	lease := keep.Lease{For: s.Lease, Drift: s.Drift}.Owner()
+	lease := keep.Lease{Duration: s.Lease, MaxDrift: s.Drift}.OwnerDuration()
 	a.owners = owner.Begin(owner.Options{
 		Self: s.Self, Terms: owner.TermsOf(lease), Seed: a.c.o.Seed, Keepers: keepers{a}, Members: a.members, Fenced: fenced, Log: a.c.o.Log,
 	})
-	a.owners.Do(keep.Sessions, (*closer)(a))
+	a.owners.Do(keep.SessionsDuty, (*closer)(a))
 	a.all.Go(a.session)
 	a.all.Go(a.close)
 }
@@ -105,7 +105,7 @@
 	ctx, end := context.WithTimeout(a.ctx, asks/4)
 	for _, client := range a.clients {
 		if epoch, ok := client.Session(); ok {
-			client.Do(ctx, keep.Command{Kind: keep.End, Other: a.c.o.Settings.Self, Number: epoch})
+			client.Do(ctx, keep.Command{Kind: keep.EndSession, Target: a.c.o.Settings.Self, Number: epoch})
 		}
 	}
 	end()
@@ -155,10 +155,10 @@
 		switch {
 		case err == nil:
 			a.c.o.Log.Info("cluster", "step", "session", "epoch", known, "group", group)
-		case errors.Is(err, keep.ErrMemberOver) && known == self.Epoch:
+		case errors.Is(err, keep.ErrSessionEnded) && known == self.Epoch:
 			// It was ended, as of a member that is gone: this process goes on as another run. What the old one held is not its own.
 			a.c.gossip.Renew(known)
-		case errors.Is(err, keep.ErrMemberOver):
+		case errors.Is(err, keep.ErrSessionEnded):
 			a.c.gossip.Told(member.ID{Name: self.Name, Epoch: known, Run: 1<<64 - 1}, true)
 		}
 	} else if ok && time.Since(*looked) > confirms {
@@ -166,7 +166,7 @@
 		if got, err := client.Read(ctx, false); err == nil {
 			for _, s := range got.Sessions {
 				if s.Member == self.Name && (s.Epoch > epoch || s.Epoch == epoch && !s.Open) {
-					client.Lost()
+					client.MarkSessionEnded()
 				}
 			}
 		}
@@ -206,16 +206,16 @@
 }
 
 func (k keepers) Take(ctx context.Context, duty string) (uint64, bool, error) {
-	x, err := k.a.client.Do(ctx, keep.Command{Kind: keep.Take, Duty: duty})
-	return x.Token, x.Code == keep.OK, err
+	x, err := k.a.client.Do(ctx, keep.Command{Kind: keep.AcquireDuty, Duty: duty})
+	return x.Token, x.Code == keep.CodeOK, err
 }
 
 func (k keepers) Give(ctx context.Context, duty string, token uint64, to string) error {
-	kind := keep.Drop
+	kind := keep.ReleaseDuty
 	if to != "" {
-		kind = keep.Give
+		kind = keep.TransferDuty
 	}
-	_, err := k.a.client.Do(ctx, keep.Command{Kind: kind, Duty: duty, Token: token, Other: to})
+	_, err := k.a.client.Do(ctx, keep.Command{Kind: kind, Duty: duty, Token: token, Target: to})
 	return err
 }
 
@@ -256,11 +256,11 @@
 			if err != nil || !s.Open || s.Member == a.c.o.Settings.Self || !a.c.gossip.Gone(s.Member, s.Epoch, a.c.o.Settings.Lease) {
 				continue
 			}
-			if now, may := a.owners.May(keep.Sessions); !may || now != token {
+			if now, may := a.owners.May(keep.SessionsDuty); !may || now != token {
 				break
 			}
-			x, err := a.client.Do(ctx, keep.Command{Kind: keep.End, Other: s.Member, Number: s.Epoch, Token: token})
-			if err == nil && x.Code == keep.OK {
+			x, err := a.client.Do(ctx, keep.Command{Kind: keep.EndSession, Target: s.Member, Number: s.Epoch, Token: token})
+			if err == nil && x.Code == keep.CodeOK {
 				a.c.o.Log.Info("cluster", "step", "ended", "member", s.Member, "epoch", s.Epoch, "token", token)
 				a.mu.Lock()
 				a.ended++
@@ -286,10 +286,10 @@
 			if !s.Open || i < 0 || first[i].Epoch < s.Epoch || first[i].Epoch == s.Epoch && first[i].Open {
 				continue
 			}
-			if now, may := a.owners.May(keep.Sessions); !may || now != token {
+			if now, may := a.owners.May(keep.SessionsDuty); !may || now != token {
 				return
 			}
-			client.Do(ctx, keep.Command{Kind: keep.Close, Other: s.Member, Number: s.Epoch, Token: token})
+			client.Do(ctx, keep.Command{Kind: keep.CloseSession, Target: s.Member, Number: s.Epoch, Token: token})
 		}
 	}
 }
--- a/internal/cluster/claims.go
+++ b/internal/cluster/claims.go
@@ -25,7 +25,7 @@
 type claims struct {
 	c      *Cluster
 	groups []*keep.Client
-	own    *keep.Keeper // policy "local"
+	own    *keep.Replica // policy "local"
 	ctx    context.Context
 	end    context.CancelFunc
 	all    sync.WaitGroup
@@ -57,18 +57,18 @@
 		c.claims = x
 		return nil
 	}
-	dir := keep.Group(s.Directory, localGroup)
+	dir := keep.GroupDir(s.Directory, localGroup)
 	way, voters := local{c.link, s.Self}, []string{s.Self}
 	var err error
-	x.own, err = keep.NewKeeper(keep.Options{
-		Cluster: s.Name, Name: s.Self, Voters: voters, Group: localGroup, Dir: dir, FS: c.directory(dir), Way: way, Election: s.Election,
-		Lease: keep.Lease{For: s.Lease, Drift: s.Drift}, Guards: keep.Guards{Fence: true, Once: true}, Parts: c.parts(), Log: c.o.Log,
+	x.own, err = keep.NewReplica(keep.Options{
+		Cluster: s.Name, Name: s.Self, Voters: voters, Group: localGroup, Dir: dir, FS: c.directory(dir), Transport: way, ElectionTimeout: s.Election,
+		Lease: keep.Lease{Duration: s.Lease, MaxDrift: s.Drift}, Checks: keep.SafetyChecks{Fencing: true, Deduplication: true}, Parts: c.parts(), Log: c.o.Log,
 	})
 	if err != nil {
 		return fmt.Errorf("cluster: ledger: %w", err)
 	}
 	x.groups = []*keep.Client{keep.NewClient(way, s.Self, voters, localGroup)}
-	x.own.Begin()
+	x.own.Start()
 	x.all.Go(x.session)
 	c.claims = x
 	return nil
@@ -84,7 +84,7 @@
 		if err == nil {
 			return
 		}
-		if errors.Is(err, keep.ErrMemberOver) {
+		if errors.Is(err, keep.ErrSessionEnded) {
 			epoch = known + 1
 		}
 		select {
--- a/internal/cluster/keep/client.go
+++ b/internal/cluster/keep/client.go
@@ -15,271 +15,272 @@
 	"ottershift/internal/cluster/pack"
 )
 
-// Faults of a member's command.
+// Errors of a member's command.
 var (
-	ErrUnreached  = errors.New("no majority of keepers was reached in time: it had no effect")
-	ErrUnknown    = errors.New("unknown: no answer in time, it may have taken effect or may yet")
-	ErrMemberOver = errors.New("this run is over at the keepers")
+	ErrNoQuorum       = errors.New("no quorum of voters reached in time: the command had no effect")
+	ErrOutcomeUnknown = errors.New("outcome unknown: no reply in time, the command may have taken effect or may do so later")
+	ErrSessionEnded   = errors.New("the session of this run has ended")
 )
 
 const (
-	tries    = 400 * time.Millisecond // at one keeper, before another is asked
-	betweens = 30 * time.Millisecond  // two tries
+	attemptTimeout = 400 * time.Millisecond // per attempt with one replica
+	retryInterval  = 30 * time.Millisecond  // between two attempts
 )
 
-// Client is a member's way to the keepers of a group: it finds the leader, follows it, and has each command take effect once
-// however often it is sent.
+// Client is a member's access to the replicas of a group. It finds and follows the leader, and has each command take
+// effect once, however often it is sent.
 type Client struct {
-	way    Way
-	self   string
-	voters []string
-	group  int
+	transport Transport
+	self      string
+	voters    []string
+	group     int
 
-	mu     sync.Mutex
-	leader string
-	epoch  uint64
-	run    uint64
-	open   bool
-	over   bool
-	seq    uint64
-	out    map[uint64]bool // sequences that have no answer yet
+	mu           sync.Mutex
+	leader       string
+	epoch        uint64
+	run          uint64
+	sessionOpen  bool
+	sessionEnded bool
+	seq          uint64
+	pending      map[uint64]bool // sequence numbers without a reply
 
-	Believes bool // a variant's: any keeper answers reads by what it holds
+	StaleReads bool // for experiments: any replica answers reads from its own, possibly stale, state
 
-	Sent, Answered, Failed int64 // under mu
+	Sent, Answered, Failed int64 // guarded by mu
 }
 
-// NewClient makes one; nothing is sent before Open.
-func NewClient(way Way, self string, voters []string, group int) *Client {
-	return &Client{way: way, self: self, voters: voters, group: group, out: map[uint64]bool{}}
+// NewClient makes a client; it sends nothing before Open.
+func NewClient(transport Transport, self string, voters []string, group int) *Client {
+	return &Client{transport: transport, self: self, voters: voters, group: group, pending: map[uint64]bool{}}
 }
 
-func (c *Client) method(n uint16) uint16 { return n + perGroup*uint16(c.group) }
+func (c *Client) method(n uint16) uint16 { return n + methodsPerGroup*uint16(c.group) }
 
-// Open begins a session under an epoch. An epoch that is too low is told with the one that is known.
-func (c *Client) Open(ctx context.Context, epoch, run uint64) (known uint64, err error) {
-	a, err := c.send(ctx, &Command{Kind: Open, Member: c.self, Epoch: epoch, Run: run})
+// Open opens a session with an epoch. If the epoch is too low, it returns the current one with ErrSessionEnded.
+func (c *Client) Open(ctx context.Context, epoch, run uint64) (knownEpoch uint64, err error) {
+	result, err := c.propose(ctx, &Command{Kind: OpenSession, Member: c.self, Epoch: epoch, Run: run})
 	if err != nil {
 		return 0, err
 	}
-	if a.Code != OK {
-		return a.Epoch, ErrMemberOver
+	if result.Code != CodeOK {
+		return result.Epoch, ErrSessionEnded
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.epoch, c.run, c.open, c.over, c.seq = epoch, run, true, false, 0
-	clear(c.out)
+	c.epoch, c.run, c.sessionOpen, c.sessionEnded, c.seq = epoch, run, true, false, 0
+	clear(c.pending)
 	return epoch, nil
 }
 
-// Session is the open session's epoch; ok is false where there is none.
+// Session returns the epoch of the open session; ok is false if there is none.
 func (c *Client) Session() (epoch uint64, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.epoch, c.open && !c.over
+	return c.epoch, c.sessionOpen && !c.sessionEnded
 }
 
-// Lost notes that the session has been ended by others.
-func (c *Client) Lost() {
+// MarkSessionEnded records that others have ended the session.
+func (c *Client) MarkSessionEnded() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.over = true
+	c.sessionEnded = true
 }
 
-// Do has a command agreed on under the open session.
-func (c *Client) Do(ctx context.Context, x Command) (Answer, error) {
+// Do proposes a command under the open session.
+func (c *Client) Do(ctx context.Context, cmd Command) (Result, error) {
 	c.mu.Lock()
-	if !c.open || c.over {
+	if !c.sessionOpen || c.sessionEnded {
 		c.mu.Unlock()
-		return Answer{}, ErrMemberOver
+		return Result{}, ErrSessionEnded
 	}
-	if len(c.out) >= mostAnswers/2 {
+	if len(c.pending) >= maxStoredResults/2 {
 		c.mu.Unlock()
-		return Answer{}, ErrBusy
+		return Result{}, ErrBusy
 	}
 	c.seq++
-	x.Member, x.Epoch, x.Seq = c.self, c.epoch, c.seq
-	c.out[x.Seq] = true
-	x.Low = slices.Min(slices.Collect(maps.Keys(c.out)))
+	cmd.Member, cmd.Epoch, cmd.Seq = c.self, c.epoch, c.seq
+	c.pending[cmd.Seq] = true
+	cmd.LowestPending = slices.Min(slices.Collect(maps.Keys(c.pending)))
 	c.Sent++
 	c.mu.Unlock()
-	a, err := c.send(ctx, &x)
+	result, err := c.propose(ctx, &cmd)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.out, x.Seq)
+	delete(c.pending, cmd.Seq)
 	if err != nil {
 		c.Failed++
-		return a, err
+		return result, err
 	}
 	c.Answered++
-	if a.Code == ErrOver && x.Epoch == c.epoch {
-		c.over = true
-		return a, ErrMemberOver
+	if result.Code == CodeSessionEnded && cmd.Epoch == c.epoch {
+		c.sessionEnded = true
+		return result, ErrSessionEnded
 	}
-	return a, nil
+	return result, nil
 }
 
-// send tries until there is an answer or no time is left.
-func (c *Client) send(ctx context.Context, x *Command) (Answer, error) {
-	r, err := c.ask(ctx, methodPropose, pack.Pack(x))
-	return r.Answer, err
+// propose sends a command until there is a reply or the context ends.
+func (c *Client) propose(ctx context.Context, cmd *Command) (Result, error) {
+	resp, err := c.callLeader(ctx, methodPropose, pack.Pack(cmd))
+	return resp.Result, err
 }
 
-// ask asks the leader, wherever it is by then. The error tells whether it may have taken effect.
-func (c *Client) ask(ctx context.Context, method uint16, body []byte) (reply, error) {
-	mayBe := false
-	for n := rand.IntN(len(c.voters)); ; n++ {
+// callLeader sends a request to the current leader, and follows leader changes. The error tells whether the request
+// may have taken effect.
+func (c *Client) callLeader(ctx context.Context, method uint16, body []byte) (reply, error) {
+	mayHaveApplied := false
+	for attempt := rand.IntN(len(c.voters)); ; attempt++ {
 		c.mu.Lock()
-		to := c.leader
+		target := c.leader
 		c.mu.Unlock()
-		if to == "" {
-			to = c.voters[n%len(c.voters)]
+		if target == "" {
+			target = c.voters[attempt%len(c.voters)]
 		}
-		once, end := context.WithTimeout(ctx, tries)
-		raw, err := c.way.Call(once, to, c.method(method), body)
-		end()
-		var r reply
+		attemptCtx, cancel := context.WithTimeout(ctx, attemptTimeout)
+		raw, err := c.transport.Call(attemptCtx, target, c.method(method), body)
+		cancel()
+		var resp reply
 		if err == nil {
-			err = pack.Unpack(raw, &r)
+			err = pack.Unpack(raw, &resp)
 		}
-		hint := ""
+		leader := ""
 		switch {
-		case err == nil && r.Fault == "":
+		case err == nil && resp.Error == "":
 			c.mu.Lock()
-			c.leader = to
+			c.leader = target
 			c.mu.Unlock()
-			return r, nil
+			return resp, nil
 		case err == nil:
-			mayBe, hint = mayBe || r.Lost, r.Hint
-			err = errors.New(r.Fault)
+			mayHaveApplied, leader = mayHaveApplied || resp.MayHaveApplied, resp.Leader
+			err = errors.New(resp.Error)
 		case !errors.Is(err, link.ErrNeverSent) && !errors.Is(err, link.ErrRefused) && !errors.Is(err, link.ErrFull):
-			mayBe = true
+			mayHaveApplied = true
 		}
-		if hint == to {
-			hint = ""
+		if leader == target {
+			leader = ""
 		}
 		c.mu.Lock()
-		if c.leader == to || c.leader == "" {
-			c.leader = hint
+		if c.leader == target || c.leader == "" {
+			c.leader = leader
 		}
 		c.mu.Unlock()
 		select {
 		case <-ctx.Done():
-			if mayBe {
-				return reply{}, fmt.Errorf("%w (last: %v)", ErrUnknown, err)
+			if mayHaveApplied {
+				return reply{}, fmt.Errorf("%w (last error: %v)", ErrOutcomeUnknown, err)
 			}
-			return reply{}, fmt.Errorf("%w (last: %v)", ErrUnreached, err)
-		case <-time.After(betweens):
+			return reply{}, fmt.Errorf("%w (last error: %v)", ErrNoQuorum, err)
+		case <-time.After(retryInterval):
 		}
 	}
 }
 
-// Read reads what is agreed: linearizably, from the leader after a majority's word, or from any keeper, telling how old it
-// may be.
-func (c *Client) Read(ctx context.Context, stale bool) (a Agreed, err error) {
-	r, err := c.query(ctx, &Query{What: "duties", Stale: stale})
+// Read reads duties and sessions: linearizably from the leader, or, if stale is set, from any replica with an upper
+// bound of the state's age.
+func (c *Client) Read(ctx context.Context, stale bool) (view StateView, err error) {
+	raw, err := c.query(ctx, &Query{Kind: "duties", Stale: stale})
 	if err != nil {
-		return a, err
+		return view, err
 	}
-	return a, pack.Unpack(r, &a)
+	return view, pack.Unpack(raw, &view)
 }
 
-// ReadPart asks another part of what is agreed.
+// ReadPart queries a part of the replicated state.
 func (c *Client) ReadPart(ctx context.Context, part byte, body []byte, stale bool) ([]byte, error) {
-	return c.query(ctx, &Query{What: "part", Part: part, Body: body, Stale: stale})
+	return c.query(ctx, &Query{Kind: "part", Part: part, Body: body, Stale: stale})
 }
 
-// ReadPartAt asks a keeper for what its own copy holds, however old that is.
+// ReadPartAt queries a part on one replica, which answers from its own state, however old.
 func (c *Client) ReadPartAt(ctx context.Context, name string, part byte, body []byte) ([]byte, error) {
-	raw, err := c.way.Call(ctx, name, c.method(methodRead), pack.Pack(&Query{What: "part", Part: part, Body: body, Stale: true}))
+	raw, err := c.transport.Call(ctx, name, c.method(methodRead), pack.Pack(&Query{Kind: "part", Part: part, Body: body, Stale: true}))
 	if err != nil {
 		return nil, err
 	}
-	var r reply
-	if err := pack.Unpack(raw, &r); err != nil {
+	var resp reply
+	if err := pack.Unpack(raw, &resp); err != nil {
 		return nil, err
 	}
-	if r.Fault != "" {
-		return nil, errors.New(r.Fault)
+	if resp.Error != "" {
+		return nil, errors.New(resp.Error)
 	}
-	return r.Body, nil
+	return resp.Body, nil
 }
 
-func (c *Client) query(ctx context.Context, q *Query) ([]byte, error) {
-	if c.Believes {
-		q.Stale = true
+func (c *Client) query(ctx context.Context, query *Query) ([]byte, error) {
+	if c.StaleReads {
+		query.Stale = true
 		c.mu.Lock()
 		c.leader = c.voters[rand.IntN(len(c.voters))]
 		c.mu.Unlock()
 	}
-	r, err := c.ask(ctx, methodRead, pack.Pack(q))
-	return r.Body, err
+	resp, err := c.callLeader(ctx, methodRead, pack.Pack(query))
+	return resp.Body, err
 }
 
-// Renew tells that this run still owns some duties; it returns the tokens that stand.
+// Renew renews the ownership of duties by this run. It returns the tokens that were confirmed.
 func (c *Client) Renew(ctx context.Context, tokens map[string]uint64) (map[string]uint64, error) {
 	c.mu.Lock()
-	r := Renewal{c.self, c.epoch, tokens}
+	renewal := Renewal{c.self, c.epoch, tokens}
 	c.mu.Unlock()
-	got, err := c.ask(ctx, methodRenew, pack.Pack(&r))
+	resp, err := c.callLeader(ctx, methodRenew, pack.Pack(&renewal))
 	if err != nil {
 		return nil, err
 	}
-	var back Renewal
-	if err := pack.Unpack(got.Body, &back); err != nil {
+	var confirmed Renewal
+	if err := pack.Unpack(resp.Body, &confirmed); err != nil {
 		return nil, err
 	}
-	return back.Tokens, nil
+	return confirmed.Tokens, nil
 }
 
-// Status asks one keeper how it stands.
-func (c *Client) Status(ctx context.Context, name string) (s Status, err error) {
-	raw, err := c.way.Call(ctx, name, c.method(methodRead), pack.Pack(&Query{What: "status", Stale: true}))
+// Status asks one replica for its status.
+func (c *Client) Status(ctx context.Context, name string) (status Status, err error) {
+	raw, err := c.transport.Call(ctx, name, c.method(methodRead), pack.Pack(&Query{Kind: "status", Stale: true}))
 	if err != nil {
-		return s, err
+		return status, err
 	}
-	var r reply
-	if err := pack.Unpack(raw, &r); err != nil {
-		return s, err
+	var resp reply
+	if err := pack.Unpack(raw, &resp); err != nil {
+		return status, err
 	}
-	if r.Fault != "" {
-		return s, errors.New(r.Fault)
+	if resp.Error != "" {
+		return status, errors.New(resp.Error)
 	}
-	return s, json.Unmarshal(r.Body, &s)
+	return status, json.Unmarshal(resp.Body, &status)
 }
 
-// Order has staff's word done by the leader.
-func (c *Client) Order(ctx context.Context, o Order) ([]byte, error) {
-	for n := 0; ; n++ {
+// Admin sends an operator's request to the leader.
+func (c *Client) Admin(ctx context.Context, request AdminRequest) ([]byte, error) {
+	for attempt := 0; ; attempt++ {
 		c.mu.Lock()
-		to := c.leader
+		target := c.leader
 		c.mu.Unlock()
-		if to == "" {
-			to = c.voters[n%len(c.voters)]
+		if target == "" {
+			target = c.voters[attempt%len(c.voters)]
 		}
-		once, end := context.WithTimeout(ctx, 5*tries)
-		raw, err := c.way.Call(once, to, c.method(methodAdmin), pack.Pack(&o))
-		end()
-		var r reply
+		attemptCtx, cancel := context.WithTimeout(ctx, 5*attemptTimeout)
+		raw, err := c.transport.Call(attemptCtx, target, c.method(methodAdmin), pack.Pack(&request))
+		cancel()
+		var resp reply
 		if err == nil {
-			err = pack.Unpack(raw, &r)
+			err = pack.Unpack(raw, &resp)
 		}
-		if err == nil && r.Fault == "" {
-			return r.Body, nil
+		if err == nil && resp.Error == "" {
+			return resp.Body, nil
 		}
-		if err == nil && r.Fault != ErrNotLeader.Error() && r.Hint == "" {
-			return nil, errors.New(r.Fault) // the leader's own word
+		if err == nil && resp.Error != ErrNotLeader.Error() && resp.Leader == "" {
+			return nil, errors.New(resp.Error) // reported by the leader itself
 		}
 		c.mu.Lock()
-		c.leader = r.Hint
+		c.leader = resp.Leader
 		c.mu.Unlock()
 		select {
 		case <-ctx.Done():
 			if err == nil {
-				err = errors.New(r.Fault)
+				err = errors.New(resp.Error)
 			}
 			return nil, err
-		case <-time.After(betweens):
+		case <-time.After(retryInterval):
 		}
 	}
 }
--- a/internal/cluster/keep/core.go
+++ b/internal/cluster/keep/core.go
@@ -16,538 +16,562 @@
 	"ottershift/internal/cluster/pack"
 )
 
-// Ticks of an election: without a leader's word for one to two such times a keeper asks whether it may lead.
+// Raft timing in ticks, and limits. A follower that hears nothing from a leader for electionTicks to twice that
+// starts a pre-vote.
 const (
-	electionTicks  = 10
-	heartbeatTicks = 1
-	caughtUp       = 64 // entries behind which a learner is near enough to be given a vote
-	mostMessage    = 512 << 10
-	mostOut        = 128
-	mostOpen       = 16 << 20 // bytes proposed and not yet agreed on; beyond it proposals are refused
-	keepEntries    = 4096     // behind a snapshot, so that a keeper that is a little late needs none
-	snapshotEach   = 16384    // entries
+	electionTicks       = 10
+	heartbeatTicks      = 1
+	maxPromotionLag     = 64 // a learner at most this many entries behind the leader is promoted
+	maxMessageBytes     = 512 << 10
+	maxInflightMessages = 128
+	maxUncommittedBytes = 16 << 20 // uncommitted proposals beyond this are refused
+	retainedEntries     = 4096     // entries kept behind a snapshot, so that a slightly slow follower needs no snapshot
+	snapshotInterval    = 16384    // entries between two snapshots
 )
 
-// Faults of a proposal or a read. What is unknown may have taken effect.
+// Errors of proposals and reads. After ErrLeadershipLost the command may still have taken effect.
 var (
-	ErrNotLeader = errors.New("this keeper doesn't lead")
-	ErrBusy      = errors.New("too much is proposed and not yet agreed on")
-	ErrLost      = errors.New("unknown: it lost the lead before this was agreed on")
-	ErrChange    = errors.New("another change of keepers is under way")
+	// The text of ErrNotLeader is part of the protocol: Client.Admin compares replies with it.
+	ErrNotLeader      = errors.New("this keeper doesn't lead")
+	ErrBusy           = errors.New("too many uncommitted proposals")
+	ErrLeadershipLost = errors.New("outcome unknown: leadership was lost before the proposal was committed")
+	ErrChangePending  = errors.New("another membership change is in progress")
 )
 
-// Store is a keeper's disk. What Save returned for is there after any crash; after an error nothing of it is believed.
+// Store is the stable storage of a replica. Everything that was saved before Save returned survives a crash. After an
+// error the contents of the store are not trusted any more.
 type Store interface {
-	Save(hard *raftpb.HardState, entries []*raftpb.Entry, sync bool) error
-	SaveSnapshot(snap *raftpb.Snapshot, keep uint64) error // entries up to keep may go
+	Save(hardState *raftpb.HardState, entries []*raftpb.Entry, sync bool) error
+	SaveSnapshot(snapshot *raftpb.Snapshot, compactTo uint64) error // entries up to compactTo may be deleted
 }
 
-// Disk is what a store held at the start.
-type Disk struct {
-	Hard     *raftpb.HardState
-	Snapshot *raftpb.Snapshot
-	Entries  []*raftpb.Entry
+// StoredState is what a store held when it was opened.
+type StoredState struct {
+	HardState *raftpb.HardState
+	Snapshot  *raftpb.Snapshot
+	Entries   []*raftpb.Entry
 }
 
-// Sender takes what goes to other keepers.
-type Sender func(to uint64, m *raftpb.Message)
+// SendFunc sends a Raft message to another replica.
+type SendFunc func(to uint64, msg *raftpb.Message)
 
-// mark is by what a proposer knows its entry again: its keeper, and a number that no other run of it used.
-type mark struct{ keeper, number uint64 }
+// proposalID identifies a log entry to its proposer: the replica and a number that no other run of this replica uses.
+type proposalID struct{ replica, number uint64 }
 
-// waiting is who waits for an entry.
-type waiting struct{ done func(Answer, error) }
+// pendingProposal holds the callback of a proposal that has not been committed yet.
+type pendingProposal struct{ done func(Result, error) }
 
-// reading waits for the lead to be confirmed.
-type reading struct {
-	at    int64 // when it was asked
-	index uint64
-	ready bool
-	done  func(at int64, err error)
+// pendingRead is a linearizable read that waits for its read index to be confirmed and applied.
+type pendingRead struct {
+	requestedAt int64 // time of the request
+	index       uint64
+	ready       bool
+	done        func(askedAt int64, err error)
 }
 
-// Core is one keeper of one group: Raft's own core with what it agrees on, without I/O and clock. Time is nanoseconds on
-// this keeper's monotonic clock. Whoever drives it calls Work until there is none.
+// Core is one replica of one Raft group: the Raft library's node and the replicated state, without I/O and clock.
+// Times are nanoseconds on the monotonic clock of this replica. The caller runs ProcessReady after each call that may
+// produce work.
 type Core struct {
 	ID    uint64
 	State *State
 
-	raft  *raft.RawNode
-	mem   *raft.MemoryStorage
-	conf  *raftpb.ConfState
-	lease Lease
-
-	numbers  uint64            // of this run's proposals
-	proposed map[mark]*waiting // by the mark in the entry
-	reads    map[string]*reading
-	leads    bool
-	term     uint64
-	leader   uint64
-	heard    int64 // last word of a leader, on a follower
-	since    int64 // that it leads
-	renewed  map[string]tenure
-	changing bool
-	snapped  uint64 // index of the last snapshot
-	applied  uint64
-	seated   uint64         // entry of the last change of keepers
-	told     map[byte]int64 // until when parts were told how time passes
-}
-
-// tenure is when a duty's owner was last known to be there, by the leader's clock.
-type tenure struct {
-	token uint64
-	at    int64
-}
-
-// Lease is how long an owner may act after it asked, and what two clocks may differ in their speed.
+	raft      *raft.RawNode
+	storage   *raft.MemoryStorage
+	confState *raftpb.ConfState
+	lease     Lease
+
+	lastRequest       uint64                          // number of the last proposal or read
+	pendingProposals  map[proposalID]*pendingProposal // by the ID in the entry
+	pendingReads      map[string]*pendingRead
+	isLeader          bool
+	term              uint64
+	leader            uint64
+	lastLeaderContact int64 // when a follower last received a message of a leader
+	leaderSince       int64 // when this replica became leader
+	renewals          map[string]lastRenewal
+	changePending     bool
+	snapshotIndex     uint64 // index of the last snapshot
+	appliedIndex      uint64
+	votersIndex       uint64         // index of the last membership change
+	lastTimeProposal  map[byte]int64 // by part: up to when the elapsed time was proposed
+}
+
+// lastRenewal is when the owner of a duty last renewed its ownership, on the leader's clock.
+type lastRenewal struct {
+	token     uint64
+	renewedAt int64
+}
+
+// Lease is for how long an owner may act after a renewal, and by how much the speeds of two clocks may differ.
 type Lease struct {
-	For   time.Duration
-	Drift float64
+	Duration time.Duration
+	MaxDrift float64
 }
 
-// Owner is how long an owner acts after it asked, by its own clock; Keeper is how long the leader waits before it ends the
-// tenure, by its own.
-func (l Lease) Owner() time.Duration  { return time.Duration(float64(l.For) * (1 - l.Drift)) }
-func (l Lease) Keeper() time.Duration { return time.Duration(float64(l.For) * (1 + l.Drift)) }
+// OwnerDuration is for how long an owner acts after it sent a renewal, on its own clock.
+func (l Lease) OwnerDuration() time.Duration {
+	return time.Duration(float64(l.Duration) * (1 - l.MaxDrift))
+}
+
+// LeaderDuration is how long the leader waits without a renewal before it ends an ownership, on its own clock.
+func (l Lease) LeaderDuration() time.Duration {
+	return time.Duration(float64(l.Duration) * (1 + l.MaxDrift))
+}
 
-// NewCore makes a keeper from what its disk held.
-func NewCore(id, run uint64, d *Disk, s *State, l Lease, now int64) (*Core, error) {
+// NewCore makes a replica from what its store held.
+func NewCore(id, run uint64, stored *StoredState, state *State, lease Lease, now int64) (*Core, error) {
 	c := &Core{
-		ID: id, State: s, mem: raft.NewMemoryStorage(), lease: l, numbers: run << 32, proposed: map[mark]*waiting{}, reads: map[string]*reading{},
-		renewed: map[string]tenure{}, heard: now, told: map[byte]int64{},
+		ID: id, State: state, storage: raft.NewMemoryStorage(), lease: lease, lastRequest: run << 32, pendingProposals: map[proposalID]*pendingProposal{}, pendingReads: map[string]*pendingRead{},
+		renewals: map[string]lastRenewal{}, lastLeaderContact: now, lastTimeProposal: map[byte]int64{},
 	}
-	if d.Snapshot != nil {
-		if err := c.mem.ApplySnapshot(d.Snapshot); err != nil {
+	if stored.Snapshot != nil {
+		if err := c.storage.ApplySnapshot(stored.Snapshot); err != nil {
 			return nil, err
 		}
-		if err := s.Load(d.Snapshot.GetData()); err != nil {
+		if err := state.Load(stored.Snapshot.GetData()); err != nil {
 			return nil, err
 		}
-		c.applied, c.snapped, c.conf = d.Snapshot.GetMetadata().GetIndex(), d.Snapshot.GetMetadata().GetIndex(), d.Snapshot.GetMetadata().GetConfState()
+		c.appliedIndex, c.snapshotIndex, c.confState = stored.Snapshot.GetMetadata().GetIndex(), stored.Snapshot.GetMetadata().GetIndex(), stored.Snapshot.GetMetadata().GetConfState()
 	}
-	if err := c.mem.Append(d.Entries); err != nil {
+	if err := c.storage.Append(stored.Entries); err != nil {
 		return nil, err
 	}
-	if d.Hard != nil {
-		last, _ := c.mem.LastIndex()
-		h := proto.Clone(d.Hard).(*raftpb.HardState)
-		h.Commit = proto.Uint64(min(max(h.GetCommit(), c.applied), last))
-		c.mem.SetHardState(h)
+	if stored.HardState != nil {
+		last, _ := c.storage.LastIndex()
+		hardState := proto.Clone(stored.HardState).(*raftpb.HardState)
+		hardState.Commit = proto.Uint64(min(max(hardState.GetCommit(), c.appliedIndex), last))
+		c.storage.SetHardState(hardState)
 	}
 	var err error
 	c.raft, err = raft.NewRawNode(&raft.Config{
-		ID: id, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: c.mem, Applied: c.applied, MaxSizePerMsg: mostMessage,
-		MaxInflightMsgs: mostOut, MaxUncommittedEntriesSize: mostOpen, PreVote: true, CheckQuorum: true, DisableProposalForwarding: true,
-		Logger: quiet{}, StepDownOnRemoval: true,
+		ID: id, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: c.storage, Applied: c.appliedIndex, MaxSizePerMsg: maxMessageBytes,
+		MaxInflightMsgs: maxInflightMessages, MaxUncommittedEntriesSize: maxUncommittedBytes, PreVote: true, CheckQuorum: true, DisableProposalForwarding: true,
+		Logger: raftLogger{}, StepDownOnRemoval: true,
 	})
 	return c, err
 }
 
-// First is what the disk of a group's first keepers holds, the same at each.
-func First(s *State) *raftpb.Snapshot {
-	conf := &raftpb.ConfState{}
-	conf.Voters = append(conf.Voters, slices.Sorted(maps.Keys(s.Seats))...)
-	s.Index = 1
-	return &raftpb.Snapshot{Data: s.Save(), Metadata: &raftpb.SnapshotMetadata{ConfState: conf, Index: proto.Uint64(1), Term: proto.Uint64(1)}}
+// InitialSnapshot returns the snapshot that a new group begins with. It is the same on each founding voter.
+func InitialSnapshot(state *State) *raftpb.Snapshot {
+	confState := &raftpb.ConfState{}
+	confState.Voters = append(confState.Voters, slices.Sorted(maps.Keys(state.Voters))...)
+	state.Index = 1
+	return &raftpb.Snapshot{Data: state.Save(), Metadata: &raftpb.SnapshotMetadata{ConfState: confState, Index: proto.Uint64(1), Term: proto.Uint64(1)}}
 }
 
-// Tick passes a heartbeat's time.
+// Tick advances the Raft clock by one tick, and proposes what is due by time.
 func (c *Core) Tick(now int64) {
 	c.raft.Tick()
-	c.expire(now)
-	c.pass(now)
+	c.expireDuties(now)
+	c.proposeElapsedTime(now)
 }
 
-// pass tells parts how time passes, while this keeper leads and from when it did. Danger: time counted by two leaders would
-// run faster than it does, so each counts from the start of its lead; what nobody has counted is lost.
-func (c *Core) pass(now int64) {
-	if !c.leads {
+// proposeElapsedTime proposes the elapsed time to timed parts while this replica leads. Each leader counts from the
+// start of its own leadership: if two leaders counted the same span, the agreed time would run faster than real time.
+// Time that no leader has counted is lost.
+func (c *Core) proposeElapsedTime(now int64) {
+	if !c.isLeader {
 		return
 	}
-	for _, n := range slices.Sorted(maps.Keys(c.State.parts)) {
-		p, some := c.State.parts[n].(Clocked)
-		if !some {
+	for _, id := range slices.Sorted(maps.Keys(c.State.parts)) {
+		part, ok := c.State.parts[id].(TimedPart)
+		if !ok {
 			continue
 		}
-		if body := p.Due(now - max(c.told[n], c.since)); body != nil {
-			c.told[n] = now
-			c.Propose(&Command{Kind: Custom, Part: n, Body: body}, func(Answer, error) {})
+		if body := part.Due(now - max(c.lastTimeProposal[id], c.leaderSince)); body != nil {
+			c.lastTimeProposal[id] = now
+			c.Propose(&Command{Kind: PartCommand, Part: id, Body: body}, func(Result, error) {})
 		}
 	}
 }
 
-// Step takes another keeper's word. A removed keeper, or a stranger, is not listened to by whoever drives the core.
-func (c *Core) Step(now int64, m *raftpb.Message) {
-	switch m.GetType() {
+// Step handles a message of another replica. The caller drops messages of removed and unknown replicas.
+func (c *Core) Step(now int64, msg *raftpb.Message) {
+	switch msg.GetType() {
 	case raftpb.MsgApp, raftpb.MsgHeartbeat, raftpb.MsgSnap:
-		if m.GetTerm() >= c.term {
-			c.heard = now
+		if msg.GetTerm() >= c.term {
+			c.lastLeaderContact = now
 		}
 	}
-	c.raft.Step(m) // an error is a message that isn't for it: lost, as any may be
+	// An error means that the message is not for this replica. It is dropped, as any message may be lost.
+	c.raft.Step(msg)
 }
 
-// Propose has a command agreed on; done is called once, with its answer or why it is not known.
-func (c *Core) Propose(x *Command, done func(Answer, error)) {
-	if !c.leads {
-		done(Answer{}, ErrNotLeader)
+// Propose proposes a command. done is called once, with the result or with the reason why the result is not known.
+func (c *Core) Propose(cmd *Command, done func(Result, error)) {
+	if !c.isLeader {
+		done(Result{}, ErrNotLeader)
 		return
 	}
-	c.numbers++
-	n := mark{c.ID, c.numbers}
-	if err := c.raft.Propose(entry(n, pack.Pack(x))); err != nil {
+	c.lastRequest++
+	id := proposalID{c.ID, c.lastRequest}
+	if err := c.raft.Propose(encodeEntry(id, pack.Pack(cmd))); err != nil {
 		if errors.Is(err, raft.ErrProposalDropped) {
 			err = ErrBusy
 		}
-		done(Answer{}, err)
+		done(Result{}, err)
 		return
 	}
-	c.proposed[n] = &waiting{done}
+	c.pendingProposals[id] = &pendingProposal{done}
 }
 
-const marked = 16 // bytes of a mark
+const proposalIDBytes = 16 // encoded size of a proposalID
 
-// entry is a command behind its mark.
-func entry(n mark, cmd []byte) []byte {
-	b := make([]byte, 0, marked+len(cmd))
-	b = binary.BigEndian.AppendUint64(b, n.keeper)
-	b = binary.BigEndian.AppendUint64(b, n.number)
+// encodeEntry returns the data of a log entry: the proposal ID, then the command.
+func encodeEntry(id proposalID, cmd []byte) []byte {
+	b := make([]byte, 0, proposalIDBytes+len(cmd))
+	b = binary.BigEndian.AppendUint64(b, id.replica)
+	b = binary.BigEndian.AppendUint64(b, id.number)
 	return append(b, cmd...)
 }
 
-func open(b []byte) (n mark, cmd []byte) {
-	if len(b) < marked {
-		return n, nil
+// decodeEntry splits the data of a log entry into proposal ID and command. The command is nil if the data is too short.
+func decodeEntry(data []byte) (id proposalID, cmd []byte) {
+	if len(data) < proposalIDBytes {
+		return id, nil
 	}
-	return mark{binary.BigEndian.Uint64(b), binary.BigEndian.Uint64(b[8:])}, b[marked:]
+	return proposalID{binary.BigEndian.Uint64(data), binary.BigEndian.Uint64(data[8:])}, data[proposalIDBytes:]
 }
 
-// Read confirms that this keeper leads, by a majority's word from after now; done is called once the state holds all that
-// was agreed on before. What is read of the state right then is linearizable.
-func (c *Core) Read(now int64, done func(asked int64, err error)) {
-	if !c.leads {
+// Read confirms with a quorum that this replica still leads now. done is called once the state includes everything
+// that was committed before the call. A read of the state within done is linearizable.
+func (c *Core) Read(now int64, done func(askedAt int64, err error)) {
+	if !c.isLeader {
 		done(now, ErrNotLeader)
 		return
 	}
-	c.numbers++
-	key := fmt.Sprintf("%d.%d", c.ID, c.numbers)
-	c.reads[key] = &reading{at: now, done: done}
+	c.lastRequest++
+	key := fmt.Sprintf("%d.%d", c.ID, c.lastRequest)
+	c.pendingReads[key] = &pendingRead{requestedAt: now, done: done}
 	c.raft.ReadIndex([]byte(key))
 }
 
-// Renew notes that a duty's owner is there. It is to be called at a confirmed read, with the time at which the owner's word
-// came: an older leader can't confirm what a newer one has ended.
-func (c *Core) Renew(asked int64, duty string, token uint64, member string, epoch uint64) Answer {
-	d := c.State.Duties[duty]
-	if d == nil || d.Token != token || d.Owner != member || d.Epoch != epoch {
-		return c.State.fenced(d)
+// Renew records that the owner of a duty is alive. It must be called within a confirmed read, with the time at which the
+// owner's request arrived. Otherwise a former leader could confirm an ownership that a newer leader has ended.
+func (c *Core) Renew(askedAt int64, duty string, token uint64, member string, epoch uint64) Result {
+	current := c.State.Duties[duty]
+	if current == nil || current.Token != token || current.Owner != member || current.Epoch != epoch {
+		return c.State.fencedResult(current)
 	}
-	if m := c.State.Sessions[member]; m == nil || !m.Open || m.Epoch != epoch {
-		return Answer{Code: ErrOver}
+	if session := c.State.Sessions[member]; session == nil || !session.Open || session.Epoch != epoch {
+		return Result{Code: CodeSessionEnded}
 	}
-	if t := c.renewed[duty]; t.token != token || t.at < asked {
-		c.renewed[duty] = tenure{token, asked}
+	if last := c.renewals[duty]; last.token != token || last.renewedAt < askedAt {
+		c.renewals[duty] = lastRenewal{token, askedAt}
 	}
-	return Answer{Code: OK, Token: token, Owner: member, Epoch: epoch, Index: c.State.Index}
+	return Result{Code: CodeOK, Token: token, Owner: member, Epoch: epoch, Index: c.State.Index}
 }
 
-// expire ends tenures that were not renewed for a lease, by this leader's own clock, from its own start at the earliest.
-func (c *Core) expire(now int64) {
-	if !c.leads {
+// expireDuties ends ownerships that were not renewed for the lease duration, on the clock of this leader. The lease
+// counts from the start of its leadership at the earliest.
+func (c *Core) expireDuties(now int64) {
+	if !c.isLeader {
 		return
 	}
-	limit := int64(c.lease.Keeper())
+	limit := int64(c.lease.LeaderDuration())
 	for _, name := range slices.Sorted(maps.Keys(c.State.Duties)) {
-		d := c.State.Duties[name]
-		if d.Owner == "" {
+		duty := c.State.Duties[name]
+		if duty.Owner == "" {
 			continue
 		}
-		t, known := c.renewed[name]
-		if !known || t.token != d.Token {
-			t = tenure{d.Token, now}
-			c.renewed[name] = t
+		last, known := c.renewals[name]
+		if !known || last.token != duty.Token {
+			last = lastRenewal{duty.Token, now}
+			c.renewals[name] = last
 		}
-		if now-max(t.at, c.since) > limit {
-			c.renewed[name] = tenure{d.Token, now} // once for each lease, until it is agreed on
-			c.Propose(&Command{Kind: Expire, Duty: name, Token: d.Token}, func(Answer, error) {})
+		if now-max(last.renewedAt, c.leaderSince) > limit {
+			c.renewals[name] = lastRenewal{duty.Token, now} // propose once per lease duration until it is committed
+			c.Propose(&Command{Kind: ExpireDuty, Duty: name, Token: duty.Token}, func(Result, error) {})
 		}
 	}
 }
 
-// Seat makes a stranger's disk a keeper in the place of the one of that name: first as a learner, then, once it has caught
-// up, with the old one's vote. One change at a time.
-func (c *Core) Seat(name, disk string) error {
-	if !c.leads {
+// ReplaceVoter starts the replacement of the voter called name by a replica with a new disk. The new replica joins as
+// a learner; once it has caught up, it gets the vote of the old one. Only one membership change runs at a time.
+func (c *Core) ReplaceVoter(name, diskID string) error {
+	if !c.isLeader {
 		return ErrNotLeader
 	}
-	if c.changing || len(c.conf.GetVotersOutgoing()) > 0 || len(c.conf.GetLearners()) > 0 {
-		return ErrChange
+	if c.changePending || len(c.confState.GetVotersOutgoing()) > 0 || len(c.confState.GetLearners()) > 0 {
+		return ErrChangePending
 	}
-	x := Seat{ID: c.State.NextSeat, Name: name, Disk: disk, Learner: true}
-	return c.propose(&raftpb.ConfChangeV2{
-		Changes: []*raftpb.ConfChangeSingle{{Type: raftpb.ConfChangeAddLearnerNode.Enum(), NodeId: proto.Uint64(x.ID)}}, Context: pack.Pack(&x),
+	learner := Voter{ID: c.State.NextVoterID, Name: name, DiskID: diskID, Learner: true}
+	return c.proposeConfChange(&raftpb.ConfChangeV2{
+		Changes: []*raftpb.ConfChangeSingle{{Type: raftpb.ConfChangeAddLearnerNode.Enum(), NodeId: proto.Uint64(learner.ID)}}, Context: pack.Pack(&learner),
 	})
 }
 
-func (c *Core) propose(cc *raftpb.ConfChangeV2) error {
-	if err := c.raft.ProposeConfChange(cc); err != nil {
+// proposeConfChange proposes a membership change. No other one starts until it is applied.
+func (c *Core) proposeConfChange(change *raftpb.ConfChangeV2) error {
+	if err := c.raft.ProposeConfChange(change); err != nil {
 		return err
 	}
-	c.changing = true
+	c.changePending = true
 	return nil
 }
 
-// promote gives a learner that has caught up the vote of the keeper whose place it takes.
-func (c *Core) promote() {
-	if !c.leads || c.changing || len(c.conf.GetLearners()) == 0 {
+// promoteLearner gives a learner that has caught up the vote of the replica that it replaces.
+func (c *Core) promoteLearner() {
+	if !c.isLeader || c.changePending || len(c.confState.GetLearners()) == 0 {
 		return
 	}
-	id := c.conf.GetLearners()[0]
-	x := c.State.Seats[id]
-	at := c.raft.Status().Progress[id]
-	last, _ := c.mem.LastIndex()
-	if x == nil || at.Match+caughtUp < last || at.Match == 0 {
+	id := c.confState.GetLearners()[0]
+	learner := c.State.Voters[id]
+	progress := c.raft.Status().Progress[id]
+	lastIndex, _ := c.storage.LastIndex()
+	if learner == nil || progress.Match+maxPromotionLag < lastIndex || progress.Match == 0 {
 		return
 	}
-	cc := &raftpb.ConfChangeV2{Changes: []*raftpb.ConfChangeSingle{{Type: raftpb.ConfChangeAddNode.Enum(), NodeId: proto.Uint64(id)}}}
-	for _, old := range c.State.Seats {
-		if old.Name == x.Name && old.ID != id {
-			cc.Changes = append(cc.Changes, &raftpb.ConfChangeSingle{Type: raftpb.ConfChangeRemoveNode.Enum(), NodeId: proto.Uint64(old.ID)})
+	change := &raftpb.ConfChangeV2{Changes: []*raftpb.ConfChangeSingle{{Type: raftpb.ConfChangeAddNode.Enum(), NodeId: proto.Uint64(id)}}}
+	for _, old := range c.State.Voters {
+		if old.Name == learner.Name && old.ID != id {
+			change.Changes = append(change.Changes, &raftpb.ConfChangeSingle{Type: raftpb.ConfChangeRemoveNode.Enum(), NodeId: proto.Uint64(old.ID)})
 		}
 	}
-	slices.SortFunc(cc.Changes, func(a, b *raftpb.ConfChangeSingle) int { return int(a.GetType()) - int(b.GetType()) })
-	cc.Context = pack.Pack(&Seat{ID: id, Name: x.Name, Disk: x.Disk})
-	c.propose(cc)
+	slices.SortFunc(change.Changes, func(a, b *raftpb.ConfChangeSingle) int { return int(a.GetType()) - int(b.GetType()) })
+	change.Context = pack.Pack(&Voter{ID: id, Name: learner.Name, DiskID: learner.DiskID})
+	c.proposeConfChange(change)
 }
 
-// Transfer hands the lead to another keeper.
-func (c *Core) Transfer(to uint64) error {
-	if !c.leads {
+// TransferLeadership hands the leadership to another replica.
+func (c *Core) TransferLeadership(to uint64) error {
+	if !c.isLeader {
 		return ErrNotLeader
 	}
 	c.raft.TransferLeader(to)
 	return nil
 }
 
-// Work does what there is to do: it saves, then sends, then applies. An error is the disk's; the keeper must not go on.
-func (c *Core) Work(now int64, store Store, send Sender) error {
+// ProcessReady processes all pending work: it saves, then sends, then applies. An error comes from the store; the
+// replica must not continue after it.
+func (c *Core) ProcessReady(now int64, store Store, send SendFunc) error {
 	for c.raft.HasReady() {
 		rd := c.raft.Ready()
 		if rd.Snapshot != nil && rd.Snapshot.GetMetadata().GetIndex() > 0 {
 			if err := store.SaveSnapshot(rd.Snapshot, rd.Snapshot.GetMetadata().GetIndex()); err != nil {
 				return err
 			}
-			if err := c.mem.ApplySnapshot(rd.Snapshot); err != nil {
+			if err := c.storage.ApplySnapshot(rd.Snapshot); err != nil {
 				return err
 			}
 			if err := c.State.Load(rd.Snapshot.GetData()); err != nil {
 				return err
 			}
-			c.applied, c.snapped, c.conf = rd.Snapshot.GetMetadata().GetIndex(), rd.Snapshot.GetMetadata().GetIndex(), rd.Snapshot.GetMetadata().GetConfState()
+			c.appliedIndex, c.snapshotIndex, c.confState = rd.Snapshot.GetMetadata().GetIndex(), rd.Snapshot.GetMetadata().GetIndex(), rd.Snapshot.GetMetadata().GetConfState()
 		}
-		// Danger: a vote or an acknowledgement that leaves before it is on the disk may be taken back by a crash.
+		// Save before sending: a vote or an acknowledgement that is sent before it is on disk may be undone by a
+		// crash.
 		if len(rd.Entries) > 0 || rd.HardState != nil && !raft.IsEmptyHardState(rd.HardState) {
 			if err := store.Save(rd.HardState, rd.Entries, rd.MustSync); err != nil {
 				return err
 			}
 		}
 		if rd.HardState != nil && !raft.IsEmptyHardState(rd.HardState) {
-			c.mem.SetHardState(rd.HardState)
+			c.storage.SetHardState(rd.HardState)
 			c.term = max(c.term, rd.HardState.GetTerm())
 		}
-		if err := c.mem.Append(rd.Entries); err != nil {
+		if err := c.storage.Append(rd.Entries); err != nil {
 			return err
 		}
 		if rd.SoftState != nil {
-			c.lead(now, rd.SoftState)
+			c.updateRole(now, rd.SoftState)
 		}
-		for _, m := range rd.Messages {
-			send(m.GetTo(), m)
+		for _, msg := range rd.Messages {
+			send(msg.GetTo(), msg)
 		}
-		for _, e := range rd.CommittedEntries {
-			c.apply(e)
+		for _, entry := range rd.CommittedEntries {
+			c.apply(entry)
 		}
-		for _, r := range rd.ReadStates {
-			if x := c.reads[string(r.RequestCtx)]; x != nil {
-				x.index, x.ready = r.Index, true
+		for _, readState := range rd.ReadStates {
+			if read := c.pendingReads[string(readState.RequestCtx)]; read != nil {
+				read.index, read.ready = readState.Index, true
 			}
 		}
 		c.raft.Advance(rd)
-		c.answerReads()
+		c.completeReads()
 	}
-	c.promote()
+	c.promoteLearner()
 	if c.raft.HasReady() {
-		return c.Work(now, store, send)
+		return c.ProcessReady(now, store, send)
 	}
-	// Danger: a keeper that is new takes no snapshot of before it was one.
-	if c.applied-c.snapped >= snapshotEach || c.seated > c.snapped {
+	// A snapshot follows each membership change, so that a new voter does not start from one that precedes its
+	// membership.
+	if c.appliedIndex-c.snapshotIndex >= snapshotInterval || c.votersIndex > c.snapshotIndex {
 		return c.Snapshot(store)
 	}
 	return nil
 }
 
-// lead notes who leads.
-func (c *Core) lead(now int64, s *raft.SoftState) {
-	leads := s.RaftState == raft.StateLeader
-	if leads && !c.leads {
-		c.since, c.changing = now, false
-		clear(c.renewed) // whoever owned something is given a whole lease from now on
-	}
-	if !leads && c.leads {
-		lost := slices.SortedFunc(maps.Keys(c.proposed), func(a, b mark) int { return cmp.Compare(a.number, b.number) })
-		for _, n := range lost {
-			w := c.proposed[n]
-			delete(c.proposed, n)
-			w.done(Answer{}, ErrLost)
+// updateRole records the role of this replica and the current leader. When leadership is lost, it fails all pending
+// proposals and reads.
+func (c *Core) updateRole(now int64, soft *raft.SoftState) {
+	isLeader := soft.RaftState == raft.StateLeader
+	if isLeader && !c.isLeader {
+		c.leaderSince, c.changePending = now, false
+		clear(c.renewals) // each owner gets a whole lease from now on
+	}
+	if !isLeader && c.isLeader {
+		ids := slices.SortedFunc(maps.Keys(c.pendingProposals), func(a, b proposalID) int { return cmp.Compare(a.number, b.number) })
+		for _, id := range ids {
+			proposal := c.pendingProposals[id]
+			delete(c.pendingProposals, id)
+			proposal.done(Result{}, ErrLeadershipLost)
 		}
-		for _, k := range slices.Sorted(maps.Keys(c.reads)) {
-			r := c.reads[k]
-			delete(c.reads, k)
-			r.done(r.at, ErrNotLeader)
+		for _, key := range slices.Sorted(maps.Keys(c.pendingReads)) {
+			read := c.pendingReads[key]
+			delete(c.pendingReads, key)
+			read.done(read.requestedAt, ErrNotLeader)
 		}
 	}
-	c.leads, c.leader = leads, s.Lead
+	c.isLeader, c.leader = isLeader, soft.Lead
 }
 
-func (c *Core) answerReads() {
-	for _, k := range slices.Sorted(maps.Keys(c.reads)) {
-		if r := c.reads[k]; r.ready && r.index <= c.applied {
-			delete(c.reads, k)
-			r.done(r.at, nil)
+// completeReads answers the reads whose read index has been applied.
+func (c *Core) completeReads() {
+	for _, key := range slices.Sorted(maps.Keys(c.pendingReads)) {
+		if read := c.pendingReads[key]; read.ready && read.index <= c.appliedIndex {
+			delete(c.pendingReads, key)
+			read.done(read.requestedAt, nil)
 		}
 	}
 }
 
-func (c *Core) apply(e *raftpb.Entry) {
-	c.applied = e.GetIndex()
-	switch e.GetType() {
+// apply applies a committed entry, and answers its proposal if it was made here.
+func (c *Core) apply(entry *raftpb.Entry) {
+	c.appliedIndex = entry.GetIndex()
+	switch entry.GetType() {
 	case raftpb.EntryConfChange, raftpb.EntryConfChangeV2:
-		var cc raftpb.ConfChangeV2
-		if e.GetType() == raftpb.EntryConfChange {
-			var old raftpb.ConfChange
-			proto.Unmarshal(e.GetData(), &old)
-			cc = *old.AsV2()
+		var change raftpb.ConfChangeV2
+		if entry.GetType() == raftpb.EntryConfChange {
+			var v1 raftpb.ConfChange
+			proto.Unmarshal(entry.GetData(), &v1)
+			change = *v1.AsV2()
 		} else {
-			proto.Unmarshal(e.GetData(), &cc)
+			proto.Unmarshal(entry.GetData(), &change)
 		}
-		c.conf = c.raft.ApplyConfChange(&cc)
-		c.State.Index, c.seated = e.GetIndex(), e.GetIndex()
-		c.seat(&cc)
-		c.changing = len(c.conf.GetVotersOutgoing()) > 0
+		c.confState = c.raft.ApplyConfChange(&change)
+		c.State.Index, c.votersIndex = entry.GetIndex(), entry.GetIndex()
+		c.updateVoters(&change)
+		c.changePending = len(c.confState.GetVotersOutgoing()) > 0
 	default:
-		n, raw := open(e.GetData())
-		_, a := c.State.Apply(e.GetIndex(), raw)
-		if w := c.proposed[n]; w != nil {
-			delete(c.proposed, n)
-			w.done(a, nil)
+		id, cmd := decodeEntry(entry.GetData())
+		_, result := c.State.Apply(entry.GetIndex(), cmd)
+		if proposal := c.pendingProposals[id]; proposal != nil {
+			delete(c.pendingProposals, id)
+			proposal.done(result, nil)
 		}
 	}
 }
 
-// seat keeps the seats as a change of keepers has them.
-func (c *Core) seat(cc *raftpb.ConfChangeV2) {
-	var x Seat
-	if len(cc.GetContext()) > 0 && pack.Unpack(cc.GetContext(), &x) == nil && x.ID != 0 {
-		c.State.Seats[x.ID] = &x
-		c.State.NextSeat = max(c.State.NextSeat, x.ID+1)
+// updateVoters applies a committed membership change to the list of voters.
+func (c *Core) updateVoters(change *raftpb.ConfChangeV2) {
+	var voter Voter
+	if len(change.GetContext()) > 0 && pack.Unpack(change.GetContext(), &voter) == nil && voter.ID != 0 {
+		c.State.Voters[voter.ID] = &voter
+		c.State.NextVoterID = max(c.State.NextVoterID, voter.ID+1)
 	}
-	for _, one := range cc.GetChanges() {
-		if one.GetType() == raftpb.ConfChangeRemoveNode {
-			delete(c.State.Seats, one.GetNodeId())
+	for _, single := range change.GetChanges() {
+		if single.GetType() == raftpb.ConfChangeRemoveNode {
+			delete(c.State.Voters, single.GetNodeId())
 		}
 	}
 }
 
-// Snapshot keeps the state whole on the disk, and lets entries go that it holds.
+// Snapshot saves a snapshot of the state, and deletes log entries that it covers.
 func (c *Core) Snapshot(store Store) error {
-	if c.applied <= c.snapped {
+	if c.appliedIndex <= c.snapshotIndex {
 		return nil
 	}
-	snap, err := c.mem.CreateSnapshot(c.applied, c.conf, c.State.Save())
+	snapshot, err := c.storage.CreateSnapshot(c.appliedIndex, c.confState, c.State.Save())
 	if err != nil {
 		return err
 	}
-	keep := uint64(0)
-	if first, _ := c.mem.FirstIndex(); c.applied > keepEntries && c.applied-keepEntries > first {
-		keep = c.applied - keepEntries
+	compactTo := uint64(0)
+	if first, _ := c.storage.FirstIndex(); c.appliedIndex > retainedEntries && c.appliedIndex-retainedEntries > first {
+		compactTo = c.appliedIndex - retainedEntries
 	}
-	if err := store.SaveSnapshot(snap, keep); err != nil {
+	if err := store.SaveSnapshot(snapshot, compactTo); err != nil {
 		return err
 	}
-	c.snapped = c.applied
-	if keep > 0 {
-		return c.mem.Compact(keep)
+	c.snapshotIndex = c.appliedIndex
+	if compactTo > 0 {
+		return c.storage.Compact(compactTo)
 	}
 	return nil
 }
 
-// Leads reports whether this keeper leads; Leader is who does as far as it knows, 0 for nobody.
-func (c *Core) Leads() bool    { return c.leads }
+// IsLeader reports whether this replica leads.
+func (c *Core) IsLeader() bool { return c.isLeader }
+
+// Leader returns the ID of the leader as far as this replica knows, 0 for none.
 func (c *Core) Leader() uint64 { return c.leader }
 
-// Age is how old what this keeper holds may be: since its leader's last word, 0 where it leads.
-func (c *Core) Age(now int64) time.Duration {
-	if c.leads {
+// Staleness is an upper bound of the age of this replica's state: the time since the leader's last message, 0 on the
+// leader.
+func (c *Core) Staleness(now int64) time.Duration {
+	if c.isLeader {
 		return 0
 	}
-	return time.Duration(now - c.heard)
+	return time.Duration(now - c.lastLeaderContact)
 }
 
-// Status is how a keeper stands.
+// Status describes a replica, for operators and metrics.
 type Status struct {
-	Role     string            `json:"role"`
-	Leader   string            `json:"leader"`
-	Term     uint64            `json:"term"`
-	Commit   uint64            `json:"commit"`
-	Applied  uint64            `json:"applied"`
-	Snapshot uint64            `json:"snapshot"`
-	Seats    []Seat            `json:"seats"`
-	Match    map[string]uint64 `json:"match,omitempty"` // by keeper, as the leader knows it
-	Age      int64             `json:"age_ms"`
-	Changing bool              `json:"changing,omitempty"` // keepers are being replaced: the old ones' majority counts as well
-	Lost     []string          `json:"recovered,omitempty"`
-}
-
+	Role        string            `json:"role"`
+	Leader      string            `json:"leader"`
+	Term        uint64            `json:"term"`
+	Commit      uint64            `json:"commit"`
+	Applied     uint64            `json:"applied"`
+	Snapshot    uint64            `json:"snapshot"`
+	Voters      []Voter           `json:"seats"`
+	Match       map[string]uint64 `json:"match,omitempty"` // last log entry on each replica, as the leader knows it
+	StalenessMS int64             `json:"age_ms"`
+	Changing    bool              `json:"changing,omitempty"` // during a replacement the quorum of the old voters counts as well
+	Recovered   []string          `json:"recovered,omitempty"`
+}
+
+// Status returns the status of this replica.
 func (c *Core) Status(now int64) Status {
-	s := c.raft.Status()
-	out := Status{
-		Role: map[raft.StateType]string{raft.StateLeader: "leader", raft.StateFollower: "follower", raft.StateCandidate: "candidate", raft.StatePreCandidate: "candidate"}[s.RaftState],
-		Term: s.HardState.GetTerm(), Commit: s.HardState.GetCommit(), Applied: c.applied, Snapshot: c.snapped, Age: c.Age(now).Milliseconds(), Lost: c.State.Recovered,
-		Changing: len(c.conf.GetVotersOutgoing()) > 0 || len(c.conf.GetLearners()) > 0,
-	}
-	if x := c.State.Seats[c.leader]; x != nil {
-		out.Leader = x.Name
-	}
-	for _, id := range slices.Sorted(maps.Keys(c.State.Seats)) {
-		x := *c.State.Seats[id]
-		x.Learner = slices.Contains(c.conf.GetLearners(), id)
-		out.Seats = append(out.Seats, x)
-		if p, some := s.Progress[id]; some {
-			if out.Match == nil {
-				out.Match = map[string]uint64{}
+	raftStatus := c.raft.Status()
+	status := Status{
+		Role: map[raft.StateType]string{raft.StateLeader: "leader", raft.StateFollower: "follower", raft.StateCandidate: "candidate", raft.StatePreCandidate: "candidate"}[raftStatus.RaftState],
+		Term: raftStatus.HardState.GetTerm(), Commit: raftStatus.HardState.GetCommit(), Applied: c.appliedIndex, Snapshot: c.snapshotIndex, StalenessMS: c.Staleness(now).Milliseconds(), Recovered: c.State.Recovered,
+		Changing: len(c.confState.GetVotersOutgoing()) > 0 || len(c.confState.GetLearners()) > 0,
+	}
+	if voter := c.State.Voters[c.leader]; voter != nil {
+		status.Leader = voter.Name
+	}
+	for _, id := range slices.Sorted(maps.Keys(c.State.Voters)) {
+		voter := *c.State.Voters[id]
+		voter.Learner = slices.Contains(c.confState.GetLearners(), id)
+		status.Voters = append(status.Voters, voter)
+		if progress, ok := raftStatus.Progress[id]; ok {
+			if status.Match == nil {
+				status.Match = map[string]uint64{}
 			}
-			out.Match[fmt.Sprintf("%s/%d", x.Name, id)] = p.Match
+			status.Match[fmt.Sprintf("%s/%d", voter.Name, id)] = progress.Match
 		}
 	}
-	return out
+	return status
 }
 
-// quiet is the library's logger. What it says before it panics is told with the panic.
-type quiet struct{}
+// raftLogger discards the log of the Raft library. Messages logged before a panic become the panic value.
+type raftLogger struct{}
 
-func (quiet) Debug(...any)            {}
-func (quiet) Debugf(string, ...any)   {}
-func (quiet) Error(...any)            {}
-func (quiet) Errorf(string, ...any)   {}
-func (quiet) Info(...any)             {}
-func (quiet) Infof(string, ...any)    {}
-func (quiet) Warning(...any)          {}
-func (quiet) Warningf(string, ...any) {}
-func (quiet) Fatal(v ...any)          { panic(fmt.Sprint(v...)) }
-func (quiet) Fatalf(f string, v ...any) {
+func (raftLogger) Debug(...any)            {}
+func (raftLogger) Debugf(string, ...any)   {}
+func (raftLogger) Error(...any)            {}
+func (raftLogger) Errorf(string, ...any)   {}
+func (raftLogger) Info(...any)             {}
+func (raftLogger) Infof(string, ...any)    {}
+func (raftLogger) Warning(...any)          {}
+func (raftLogger) Warningf(string, ...any) {}
+func (raftLogger) Fatal(v ...any)          { panic(fmt.Sprint(v...)) }
+func (raftLogger) Fatalf(f string, v ...any) {
 	panic(fmt.Sprintf(f, v...))
 }
-func (quiet) Panic(v ...any) { panic(fmt.Sprint(v...)) }
-func (quiet) Panicf(f string, v ...any) {
+func (raftLogger) Panic(v ...any) { panic(fmt.Sprint(v...)) }
+func (raftLogger) Panicf(f string, v ...any) {
 	panic(fmt.Sprintf(f, v...))
 }
--- a/internal/cluster/keep/core_test.go
+++ b/internal/cluster/keep/core_test.go
@@ -18,489 +18,489 @@
 )
 
 // counter is a part that counts how often each command ran, so that one that runs twice is seen.
-type counter struct{ Ran map[string]int }
+type counter struct{ Counts map[string]int }
 
-func (c *counter) Apply(_ uint64, x *Command) Answer {
-	c.Ran[fmt.Sprintf("%s/%d/%d", x.Member, x.Epoch, x.Seq)]++
-	return Answer{Code: OK}
+func (c *counter) Apply(_ uint64, x *Command) Result {
+	c.Counts[fmt.Sprintf("%s/%d/%d", x.Member, x.Epoch, x.Seq)]++
+	return Result{Code: CodeOK}
 }
 func (c *counter) Ended(uint64, string, uint64) {}
-func (c *counter) Save() []byte                 { return pack.Pack(c.Ran) }
+func (c *counter) Save() []byte                 { return pack.Pack(c.Counts) }
 func (c *counter) Load(raw []byte) error {
-	c.Ran = map[string]int{}
-	return pack.Unpack(raw, &c.Ran)
+	c.Counts = map[string]int{}
+	return pack.Unpack(raw, &c.Counts)
 }
 
-// memory is a disk of a schedule. What was saved is there after a crash, but where the fault is planted that loses it.
-type memory struct {
-	d     Disk
-	fails bool
-	older Disk
+// memoryStore is a disk of a schedule. What was saved is there after a crash, but where the fault is planted that loses it.
+type memoryStore struct {
+	state    StoredState
+	failing  bool
+	previous StoredState
 }
 
 var errDisk = errors.New("the disk fails")
 
-func (m *memory) Save(hard *raftpb.HardState, entries []*raftpb.Entry, _ bool) error {
-	if m.fails {
+func (store *memoryStore) Save(hard *raftpb.HardState, entries []*raftpb.Entry, _ bool) error {
+	if store.failing {
 		return errDisk
 	}
-	m.older = Disk{m.d.Hard, m.d.Snapshot, slices.Clone(m.d.Entries)}
+	store.previous = StoredState{store.state.HardState, store.state.Snapshot, slices.Clone(store.state.Entries)}
 	if hard != nil {
-		m.d.Hard = proto.Clone(hard).(*raftpb.HardState)
+		store.state.HardState = proto.Clone(hard).(*raftpb.HardState)
 	}
 	for _, e := range entries {
-		for i, had := range m.d.Entries {
+		for i, had := range store.state.Entries {
 			if had.GetIndex() >= e.GetIndex() {
-				m.d.Entries = m.d.Entries[:i:i]
+				store.state.Entries = store.state.Entries[:i:i]
 				break
 			}
 		}
-		m.d.Entries = append(m.d.Entries, e)
+		store.state.Entries = append(store.state.Entries, e)
 	}
 	return nil
 }
 
-func (m *memory) SaveSnapshot(snap *raftpb.Snapshot, keep uint64) error {
-	if m.fails {
+func (store *memoryStore) SaveSnapshot(snap *raftpb.Snapshot, keep uint64) error {
+	if store.failing {
 		return errDisk
 	}
-	m.d.Snapshot = snap
+	store.state.Snapshot = snap
 	at := snap.GetMetadata().GetIndex()
 	if keep >= at {
-		m.d.Entries = nil
+		store.state.Entries = nil
 	}
-	m.d.Entries = slices.DeleteFunc(m.d.Entries, func(e *raftpb.Entry) bool { return e.GetIndex() <= min(keep, at) })
+	store.state.Entries = slices.DeleteFunc(store.state.Entries, func(e *raftpb.Entry) bool { return e.GetIndex() <= min(keep, at) })
 	return nil
 }
 
-type node struct {
-	id   uint64
-	run  uint64
-	core *Core // nil while it is down
-	disk *memory
-	part *counter
-	tick int64 // when its clock ticks next
+type simNode struct {
+	id       uint64
+	run      uint64
+	core     *Core // nil while it is down
+	disk     *memoryStore
+	counter  *counter
+	nextTick int64 // when its clock ticks next
 }
 
-type flight struct {
-	from, to uint64
-	m        *raftpb.Message
-	run      uint64 // of the sender
+type message struct {
+	from, to  uint64
+	raft      *raftpb.Message
+	senderRun uint64 // of the sender
 }
 
-// member is a client of the schedule, with one command out at a time.
-type member struct {
-	name   string
-	epoch  uint64
-	seq    uint64
-	out    *Command
-	tokens map[string]uint64
+// simClient is a client of the schedule, with one command out at a time.
+type simClient struct {
+	name    string
+	epoch   uint64
+	seq     uint64
+	pending *Command
+	tokens  map[string]uint64
 }
 
-// world plays keepers against lost, late, doubled and reordered messages, crashes, cuts and failing disks.
-type world struct {
-	t       *testing.T
-	chance  *rand.Rand
-	now     int64
-	nodes   []*node
-	members []*member
-	flying  []flight
-	cut     map[[2]uint64]bool
-	applied map[uint64]string // entries by index: the same at all
-	terms   map[uint64]uint64 // leaders by term
-	acked   map[string]bool   // commands whose answer a member has
-	most    uint64            // entry up to which a member has an answer
-	tokens  map[string]uint64 // highest that was answered
-	reads   int
-	wrong   string
-	guards  Guards
-	swaps   int  // steps until a keeper is put in another's place; 0 for never
-	swapped int  // changes of keepers that came to their end
-	stale   bool // planted: a leader answers reads by its own belief
-	lost    bool // planted: a crash loses the last thing that was synced
+// simulation plays keepers against lost, late, doubled and reordered messages, crashes, cuts and failing disks.
+type simulation struct {
+	t             *testing.T
+	rng           *rand.Rand
+	now           int64
+	nodes         []*simNode
+	clients       []*simClient
+	inFlight      []message
+	partitioned   map[[2]uint64]bool
+	applied       map[uint64]string // entries by index: the same at all
+	leaders       map[uint64]uint64 // leaders by term
+	acked         map[string]bool   // commands whose answer a member has
+	highestResult uint64            // entry up to which a member has an answer
+	highestTokens map[string]uint64 // highest that was answered
+	reads         int
+	violation     string
+	checks        SafetyChecks
+	replaceIn     int  // steps until a keeper is put in another's place; 0 for never
+	replacements  int  // changes of keepers that came to their end
+	staleReads    bool // planted: a leader answers reads by its own belief
+	lostSyncs     bool // planted: a crash loses the last thing that was synced
 }
 
-func (w *world) fail(text string, values ...any) {
-	if w.wrong == "" {
-		w.wrong = fmt.Sprintf(text, values...)
+func (sim *simulation) fail(format string, args ...any) {
+	if sim.violation == "" {
+		sim.violation = fmt.Sprintf(format, args...)
 	}
 }
 
-func (w *world) boot(n *node) {
-	n.run++
-	n.part = &counter{map[string]int{}}
-	s := NewState("c", nil, map[byte]Part{1: n.part}, w.guards)
-	d := &Disk{n.disk.d.Hard, n.disk.d.Snapshot, slices.Clone(n.disk.d.Entries)}
-	core, err := NewCore(n.id, n.run, d, s, Lease{time.Second, 0.02}, w.now)
+func (sim *simulation) start(node *simNode) {
+	node.run++
+	node.counter = &counter{map[string]int{}}
+	state := NewState("c", nil, map[byte]Part{1: node.counter}, sim.checks)
+	stored := &StoredState{node.disk.state.HardState, node.disk.state.Snapshot, slices.Clone(node.disk.state.Entries)}
+	core, err := NewCore(node.id, node.run, stored, state, Lease{time.Second, 0.02}, sim.now)
 	if err != nil {
-		w.t.Fatal(err)
+		sim.t.Fatal(err)
 	}
-	n.core = core
+	node.core = core
 }
 
-func (w *world) crash(n *node) {
-	n.core = nil
-	if w.lost && n.disk.older.Snapshot != nil && w.chance.IntN(2) == 0 {
-		n.disk.d = n.disk.older
+func (sim *simulation) crash(node *simNode) {
+	node.core = nil
+	if sim.lostSyncs && node.disk.previous.Snapshot != nil && sim.rng.IntN(2) == 0 {
+		node.disk.state = node.disk.previous
 	}
-	n.disk.fails = false
+	node.disk.failing = false
 }
 
-// work drives a core to rest; a disk that fails ends it, as it ends the process.
-func (w *world) work(n *node) {
-	if n.core == nil {
+// process drives a core to rest; a disk that fails ends it, as it ends the process.
+func (sim *simulation) process(node *simNode) {
+	if node.core == nil {
 		return
 	}
-	err := n.core.Work(w.now, n.disk, func(to uint64, m *raftpb.Message) {
-		if len(w.flying) < 500 {
-			w.flying = append(w.flying, flight{n.id, to, proto.Clone(m).(*raftpb.Message), n.run})
+	err := node.core.ProcessReady(sim.now, node.disk, func(to uint64, msg *raftpb.Message) {
+		if len(sim.inFlight) < 500 {
+			sim.inFlight = append(sim.inFlight, message{node.id, to, proto.Clone(msg).(*raftpb.Message), node.run})
 		}
-		if m.GetType() == raftpb.MsgSnap {
-			n.core.raft.ReportSnapshot(to, 1)
+		if msg.GetType() == raftpb.MsgSnap {
+			node.core.raft.ReportSnapshot(to, 1)
 		}
 	})
 	if err != nil {
 		if !errors.Is(err, errDisk) {
-			w.fail("keeper %d: %v", n.id, err)
+			sim.fail("keeper %d: %v", node.id, err)
 		}
-		w.crash(n)
+		sim.crash(node)
 		return
 	}
-	if s := n.core.raft.BasicStatus(); n.core.Leads() {
-		if other, some := w.terms[s.HardState.GetTerm()]; some && other != n.id {
-			w.fail("%d and %d lead in term %d", other, n.id, s.HardState.GetTerm())
+	if status := node.core.raft.BasicStatus(); node.core.IsLeader() {
+		if other, ok := sim.leaders[status.HardState.GetTerm()]; ok && other != node.id {
+			sim.fail("%d and %d lead in term %d", other, node.id, status.HardState.GetTerm())
 		}
-		w.terms[s.HardState.GetTerm()] = n.id
+		sim.leaders[status.HardState.GetTerm()] = node.id
 	}
-	for _, e := range must(n.core) {
-		text := fmt.Sprintf("%d %x", e.GetTerm(), e.GetData())
-		if was, some := w.applied[e.GetIndex()]; some && was != text {
-			w.fail("entry %d was agreed on as %q and as %q", e.GetIndex(), was, text)
+	for _, entry := range recentEntries(node.core) {
+		text := fmt.Sprintf("%d %x", entry.GetTerm(), entry.GetData())
+		if was, ok := sim.applied[entry.GetIndex()]; ok && was != text {
+			sim.fail("entry %d was agreed on as %q and as %q", entry.GetIndex(), was, text)
 		}
-		w.applied[e.GetIndex()] = text
+		sim.applied[entry.GetIndex()] = text
 	}
-	for what, times := range n.part.Ran {
+	for what, times := range node.counter.Counts {
 		if times > 1 {
-			w.fail("%s ran %d times at keeper %d", what, times, n.id)
+			sim.fail("%s ran %d times at keeper %d", what, times, node.id)
 		}
 	}
 }
 
-// must are the entries that a core has applied and still holds.
-func must(c *Core) []*raftpb.Entry {
-	first, _ := c.mem.FirstIndex()
-	if c.applied < first {
+// recentEntries are the entries that a core has applied and still holds.
+func recentEntries(core *Core) []*raftpb.Entry {
+	first, _ := core.storage.FirstIndex()
+	if core.appliedIndex < first {
 		return nil
 	}
-	all, _ := c.mem.Entries(max(first, c.applied-min(c.applied, 8)), c.applied+1, 1<<30)
-	return all
+	entries, _ := core.storage.Entries(max(first, core.appliedIndex-min(core.appliedIndex, 8)), core.appliedIndex+1, 1<<30)
+	return entries
 }
 
-// ask has a member send its command, the same again while it has no answer, to any keeper.
-func (w *world) ask(m *member) {
-	n := w.nodes[w.chance.IntN(len(w.nodes))]
-	if n.core == nil {
+// sendCommand has a member send its command, the same again while it has no answer, to any keeper.
+func (sim *simulation) sendCommand(client *simClient) {
+	node := sim.nodes[sim.rng.IntN(len(sim.nodes))]
+	if node.core == nil {
 		return
 	}
-	if m.out == nil {
-		m.seq++
-		x := &Command{Member: m.name, Epoch: m.epoch, Seq: m.seq, Low: m.seq}
-		switch duty := string(rune('p' + w.chance.IntN(2))); w.chance.IntN(5) {
+	if client.pending == nil {
+		client.seq++
+		cmd := &Command{Member: client.name, Epoch: client.epoch, Seq: client.seq, LowestPending: client.seq}
+		switch duty := string(rune('p' + sim.rng.IntN(2))); sim.rng.IntN(5) {
 		case 0:
-			x.Kind, x.Duty = Take, duty
+			cmd.Kind, cmd.Duty = AcquireDuty, duty
 		case 1:
-			x.Kind, x.Duty, x.Token = Drop, duty, m.tokens[duty]
+			cmd.Kind, cmd.Duty, cmd.Token = ReleaseDuty, duty, client.tokens[duty]
 		case 2:
-			x.Kind, x.Token, x.Other, x.Number = End, m.tokens["p"], "nobody", 1
+			cmd.Kind, cmd.Token, cmd.Target, cmd.Number = EndSession, client.tokens["p"], "nobody", 1
 		default:
-			x.Kind, x.Part = Custom, 1
+			cmd.Kind, cmd.Part = PartCommand, 1
 		}
-		m.out = x
+		client.pending = cmd
 	}
-	x := m.out
-	n.core.Propose(x, func(a Answer, err error) {
-		if err != nil || m.out != x {
+	cmd := client.pending
+	node.core.Propose(cmd, func(result Result, err error) {
+		if err != nil || client.pending != cmd {
 			return
 		}
-		m.out = nil
-		w.most = max(w.most, a.Index)
+		client.pending = nil
+		sim.highestResult = max(sim.highestResult, result.Index)
 		switch {
-		case a.Code == ErrOver:
-			m.epoch++
-			m.seq, m.out = 0, &Command{Kind: Open, Member: m.name, Epoch: m.epoch, Run: m.epoch}
-		case x.Kind == Take && a.Code == OK:
-			if a.Token <= w.tokens[x.Duty] {
-				w.fail("token %d of %s was given after %d", a.Token, x.Duty, w.tokens[x.Duty])
+		case result.Code == CodeSessionEnded:
+			client.epoch++
+			client.seq, client.pending = 0, &Command{Kind: OpenSession, Member: client.name, Epoch: client.epoch, Run: client.epoch}
+		case cmd.Kind == AcquireDuty && result.Code == CodeOK:
+			if result.Token <= sim.highestTokens[cmd.Duty] {
+				sim.fail("token %d of %s was given after %d", result.Token, cmd.Duty, sim.highestTokens[cmd.Duty])
 			}
-			w.tokens[x.Duty], m.tokens[x.Duty] = a.Token, a.Token
-		case x.Kind == Drop && a.Code == OK && x.Token < w.tokens[x.Duty] && a.Index > w.tokens[x.Duty]: // a token is the entry that gave it
-			w.fail("token %d of %s let go after %d was given", x.Token, x.Duty, w.tokens[x.Duty])
-		case x.Kind == Custom && a.Code == OK:
-			w.acked[fmt.Sprintf("%s/%d/%d", x.Member, x.Epoch, x.Seq)] = true
+			sim.highestTokens[cmd.Duty], client.tokens[cmd.Duty] = result.Token, result.Token
+		case cmd.Kind == ReleaseDuty && result.Code == CodeOK && cmd.Token < sim.highestTokens[cmd.Duty] && result.Index > sim.highestTokens[cmd.Duty]: // a token is the entry that gave it
+			sim.fail("token %d of %s let go after %d was given", cmd.Token, cmd.Duty, sim.highestTokens[cmd.Duty])
+		case cmd.Kind == PartCommand && result.Code == CodeOK:
+			sim.acked[fmt.Sprintf("%s/%d/%d", cmd.Member, cmd.Epoch, cmd.Seq)] = true
 		}
 	})
-	w.work(n)
+	sim.process(node)
 }
 
-func (w *world) read(n *node) {
-	if n.core == nil {
+func (sim *simulation) read(node *simNode) {
+	if node.core == nil {
 		return
 	}
-	before := w.most
+	before := sim.highestResult
 	check := func(_ int64, err error) {
 		if err != nil {
 			return
 		}
-		w.reads++
-		if n.core.State.Index < before {
-			w.fail("keeper %d read up to entry %d, and %d had been answered before", n.id, n.core.State.Index, before)
+		sim.reads++
+		if node.core.State.Index < before {
+			sim.fail("keeper %d read up to entry %d, and %d had been answered before", node.id, node.core.State.Index, before)
 		}
 	}
-	if w.stale {
-		if n.core.Leads() {
+	if sim.staleReads {
+		if node.core.IsLeader() {
 			check(0, nil)
 		}
 		return
 	}
-	n.core.Read(w.now, check)
-	w.work(n)
+	node.core.Read(sim.now, check)
+	sim.process(node)
 }
 
-// step passes a few milliseconds: clocks of different speeds tick, messages come, most of them soon and in order, members and
+// faultyStep passes a few milliseconds: clocks of different speeds tick, messages come, most of them soon and in order, members and
 // readers ask, and now and then something breaks.
-func (w *world) step() {
-	w.now += w.chance.Int64N(int64(8 * time.Millisecond))
-	for _, n := range w.nodes {
-		if n.core != nil && w.now >= n.tick {
-			n.tick = w.now + int64(8*time.Millisecond) + w.chance.Int64N(int64(6*time.Millisecond))
-			n.core.Tick(w.now)
-			w.work(n)
+func (sim *simulation) faultyStep() {
+	sim.now += sim.rng.Int64N(int64(8 * time.Millisecond))
+	for _, node := range sim.nodes {
+		if node.core != nil && sim.now >= node.nextTick {
+			node.nextTick = sim.now + int64(8*time.Millisecond) + sim.rng.Int64N(int64(6*time.Millisecond))
+			node.core.Tick(sim.now)
+			sim.process(node)
 		}
 	}
-	for range w.chance.IntN(8) {
-		if len(w.flying) == 0 {
+	for range sim.rng.IntN(8) {
+		if len(sim.inFlight) == 0 {
 			break
 		}
 		i := 0
-		if w.chance.IntN(6) == 0 {
-			i = w.chance.IntN(len(w.flying))
+		if sim.rng.IntN(6) == 0 {
+			i = sim.rng.IntN(len(sim.inFlight))
 		}
-		f := w.flying[i]
-		if w.chance.IntN(20) > 0 {
-			w.flying = slices.Delete(w.flying, i, i+1)
+		msg := sim.inFlight[i]
+		if sim.rng.IntN(20) > 0 {
+			sim.inFlight = slices.Delete(sim.inFlight, i, i+1)
 		}
-		to := w.nodes[f.to-1]
-		if w.cut[[2]uint64{f.from, f.to}] || to.core == nil || w.chance.IntN(40) == 0 {
+		to := sim.nodes[msg.to-1]
+		if sim.partitioned[[2]uint64{msg.from, msg.to}] || to.core == nil || sim.rng.IntN(40) == 0 {
 			continue
 		}
-		to.core.Step(w.now, proto.Clone(f.m).(*raftpb.Message))
-		w.work(to)
+		to.core.Step(sim.now, proto.Clone(msg.raft).(*raftpb.Message))
+		sim.process(to)
 	}
-	if w.swaps > 0 {
-		w.swap()
+	if sim.replaceIn > 0 {
+		sim.advanceReplacement()
 	}
-	n := w.nodes[w.chance.IntN(len(w.nodes))]
-	switch p := w.chance.IntN(200); {
+	node := sim.nodes[sim.rng.IntN(len(sim.nodes))]
+	switch p := sim.rng.IntN(200); {
 	case p < 100:
-		w.ask(w.members[w.chance.IntN(len(w.members))])
+		sim.sendCommand(sim.clients[sim.rng.IntN(len(sim.clients))])
 	case p < 140:
-		w.read(n)
+		sim.read(node)
 	case p < 145:
-		if n.core != nil {
-			n.core.Snapshot(n.disk)
+		if node.core != nil {
+			node.core.Snapshot(node.disk)
 		}
 	case p < 148:
-		if n.core != nil && w.chance.IntN(3) == 0 {
-			w.crash(n)
+		if node.core != nil && sim.rng.IntN(3) == 0 {
+			sim.crash(node)
 		}
 	case p < 156:
-		if n.core == nil {
-			w.boot(n)
-			w.work(n)
+		if node.core == nil {
+			sim.start(node)
+			sim.process(node)
 		}
 	case p < 157:
-		n.disk.fails = n.core != nil && w.chance.IntN(3) == 0
+		node.disk.failing = node.core != nil && sim.rng.IntN(3) == 0
 	case p < 160:
-		b := w.nodes[w.chance.IntN(len(w.nodes))].id
-		w.cut[[2]uint64{n.id, b}] = true
+		other := sim.nodes[sim.rng.IntN(len(sim.nodes))].id
+		sim.partitioned[[2]uint64{node.id, other}] = true
 	case p < 168:
-		clear(w.cut)
+		clear(sim.partitioned)
 	}
 }
 
-// swap has a new disk take the place of the second keeper, whenever somebody leads who can; then who is at it is killed soon, one
+// advanceReplacement has a new disk take the place of the second keeper, whenever somebody leads who can; then who is at it is killed soon, one
 // after the other.
-func (w *world) swap() {
-	if w.swaps--; w.swaps > 0 {
+func (sim *simulation) advanceReplacement() {
+	if sim.replaceIn--; sim.replaceIn > 0 {
 		return
 	}
-	w.swaps = 1
-	if len(w.nodes) == 3 {
-		for _, n := range w.nodes {
-			if n.core != nil && n.core.Leads() && n.core.Seat("k2", "d4") == nil {
-				x := &node{id: 4, disk: &memory{}}
-				w.nodes = append(w.nodes, x)
-				w.boot(x)
-				w.work(n)
+	sim.replaceIn = 1
+	if len(sim.nodes) == 3 {
+		for _, node := range sim.nodes {
+			if node.core != nil && node.core.IsLeader() && node.core.ReplaceVoter("k2", "d4") == nil {
+				newNode := &simNode{id: 4, disk: &memoryStore{}}
+				sim.nodes = append(sim.nodes, newNode)
+				sim.start(newNode)
+				sim.process(node)
 				return
 			}
 		}
 		return
 	}
-	if w.chance.IntN(12) > 0 {
+	if sim.rng.IntN(12) > 0 {
 		return
 	}
-	for _, n := range w.nodes {
-		if n.core != nil && n.core.changing && w.chance.IntN(3) == 0 {
-			w.crash(n)
+	for _, node := range sim.nodes {
+		if node.core != nil && node.core.changePending && sim.rng.IntN(3) == 0 {
+			sim.crash(node)
 			return
 		}
 	}
-	if n := w.nodes[3]; n.core != nil && w.chance.IntN(6) == 0 {
-		w.crash(n)
+	if node := sim.nodes[3]; node.core != nil && sim.rng.IntN(6) == 0 {
+		sim.crash(node)
 	}
 }
 
-// seated are the keepers that the newest state knows.
-func (w *world) seated() (all []*node) {
+// currentNodes are the keepers that the newest state knows.
+func (sim *simulation) currentNodes() (nodes []*simNode) {
 	var newest *State
-	for _, n := range w.nodes {
-		if n.core != nil && (newest == nil || n.core.State.Index > newest.Index) {
-			newest = n.core.State
+	for _, node := range sim.nodes {
+		if node.core != nil && (newest == nil || node.core.State.Index > newest.Index) {
+			newest = node.core.State
 		}
 	}
-	for _, n := range w.nodes {
-		if newest.Seats[n.id] != nil {
-			all = append(all, n)
+	for _, node := range sim.nodes {
+		if newest.Voters[node.id] != nil {
+			nodes = append(nodes, node)
 		}
 	}
-	return all
+	return nodes
 }
 
-// heal ends all faults; then there must be a leader, all keepers hold the same, and whatever was answered is there.
-func (w *world) heal() {
-	clear(w.cut)
-	for _, n := range w.nodes {
-		n.disk.fails = false
-		if n.core == nil {
-			w.boot(n)
+// healAndCheck ends all faults; then there must be a leader, all keepers hold the same, and whatever was answered is there.
+func (sim *simulation) healAndCheck() {
+	clear(sim.partitioned)
+	for _, node := range sim.nodes {
+		node.disk.failing = false
+		if node.core == nil {
+			sim.start(node)
 		}
 	}
 	for range 4000 {
-		if w.step2(); w.wrong != "" {
+		if sim.faultlessStep(); sim.violation != "" {
 			return
 		}
 	}
-	nodes := w.seated()
-	if len(w.nodes) == 4 {
+	nodes := sim.currentNodes()
+	if len(sim.nodes) == 4 {
 		// The order may have been lost with its leader; staff give it again. Half of it must not be left.
 		if len(nodes) != 3 || nodes[2].id != 3 && nodes[1].id != 3 {
-			w.fail("a change of keepers came to no end: %d seats", len(nodes))
+			sim.fail("a change of keepers came to no end: %d seats", len(nodes))
 			return
 		}
 		if nodes[2].id == 4 {
-			w.swapped++
+			sim.replacements++
 		}
 	}
-	for _, n := range nodes {
-		if n.core.State.Index < w.most {
-			w.fail("keeper %d holds up to entry %d, and %d was answered", n.id, n.core.State.Index, w.most)
+	for _, node := range nodes {
+		if node.core.State.Index < sim.highestResult {
+			sim.fail("keeper %d holds up to entry %d, and %d was answered", node.id, node.core.State.Index, sim.highestResult)
 		}
-		for what := range w.acked {
-			if n.part.Ran[what] == 0 {
-				w.fail("%s was answered, and keeper %d has never run it", what, n.id)
+		for what := range sim.acked {
+			if node.counter.Counts[what] == 0 {
+				sim.fail("%s was answered, and keeper %d has never run it", what, node.id)
 			}
 		}
 	}
 	if a, b := nodes[0].core.State, nodes[len(nodes)-1].core.State; a.Index == b.Index && string(a.Save()) != string(b.Save()) {
-		w.fail("two keepers hold different states at entry %d", a.Index)
+		sim.fail("two keepers hold different states at entry %d", a.Index)
 	}
 }
 
-// step2 passes time and messages in order, with nothing wrong.
-func (w *world) step2() {
-	w.now += int64(time.Millisecond)
-	if w.now/int64(time.Millisecond)%10 == 0 {
-		for _, n := range w.nodes {
-			n.core.Tick(w.now)
-			w.work(n)
+// faultlessStep passes time and messages in order, with nothing wrong.
+func (sim *simulation) faultlessStep() {
+	sim.now += int64(time.Millisecond)
+	if sim.now/int64(time.Millisecond)%10 == 0 {
+		for _, node := range sim.nodes {
+			node.core.Tick(sim.now)
+			sim.process(node)
 		}
 	}
-	flying := w.flying
-	w.flying = nil
-	for _, f := range flying {
-		if to := w.nodes[f.to-1]; to.core != nil {
-			to.core.Step(w.now, f.m)
-			w.work(to)
+	inFlight := sim.inFlight
+	sim.inFlight = nil
+	for _, msg := range inFlight {
+		if to := sim.nodes[msg.to-1]; to.core != nil {
+			to.core.Step(sim.now, msg.raft)
+			sim.process(to)
 		}
 	}
 }
 
-func play(t *testing.T, seed uint64, g Guards, stale, lost bool) (wrong string) {
+func runSchedule(t *testing.T, seed uint64, checks SafetyChecks, staleReads, lostSyncs bool) (violation string) {
 	cryptotest.SetGlobalRandom(t, seed) // the library draws its election times there
-	w := &world{
-		t: t, chance: rand.New(rand.NewPCG(seed, 6)), cut: map[[2]uint64]bool{}, applied: map[uint64]string{}, terms: map[uint64]uint64{},
-		acked: map[string]bool{}, tokens: map[string]uint64{}, guards: g, stale: stale, lost: lost,
+	sim := &simulation{
+		t: t, rng: rand.New(rand.NewPCG(seed, 6)), partitioned: map[[2]uint64]bool{}, applied: map[uint64]string{}, leaders: map[uint64]uint64{},
+		acked: map[string]bool{}, highestTokens: map[string]uint64{}, checks: checks, staleReads: staleReads, lostSyncs: lostSyncs,
 	}
-	played = w
+	lastSimulation = sim
 	defer func() {
 		if r := recover(); r != nil { // the library's own assertions
-			wrong = fmt.Sprint("panic: ", r)
+			violation = fmt.Sprint("panic: ", r)
 		}
 	}()
-	var seats []Seat
+	var voters []Voter
 	for id := range uint64(3) {
-		seats = append(seats, Seat{ID: id + 1, Name: fmt.Sprint("k", id+1), Disk: fmt.Sprint("d", id+1)})
+		voters = append(voters, Voter{ID: id + 1, Name: fmt.Sprint("k", id+1), DiskID: fmt.Sprint("d", id+1)})
 	}
-	for _, s := range seats {
-		first := First(NewState("c", seats, map[byte]Part{1: &counter{map[string]int{}}}, g))
-		n := &node{id: s.ID, disk: &memory{d: Disk{Snapshot: first}}}
-		w.nodes = append(w.nodes, n)
-		w.boot(n)
+	for _, voter := range voters {
+		first := InitialSnapshot(NewState("c", voters, map[byte]Part{1: &counter{map[string]int{}}}, checks))
+		node := &simNode{id: voter.ID, disk: &memoryStore{state: StoredState{Snapshot: first}}}
+		sim.nodes = append(sim.nodes, node)
+		sim.start(node)
 	}
 	for i := range 3 {
-		m := &member{name: string(rune('a' + i)), epoch: 1, tokens: map[string]uint64{}}
-		m.out = &Command{Kind: Open, Member: m.name, Epoch: 1, Run: 1}
-		w.members = append(w.members, m)
+		client := &simClient{name: string(rune('a' + i)), epoch: 1, tokens: map[string]uint64{}}
+		client.pending = &Command{Kind: OpenSession, Member: client.name, Epoch: 1, Run: 1}
+		sim.clients = append(sim.clients, client)
 	}
 	for range 100 {
-		w.step2() // so that most schedules have a leader to lose
+		sim.faultlessStep() // so that most schedules have a leader to lose
 	}
 	if seed%2 == 1 {
-		w.swaps = 1 + w.chance.IntN(200)
+		sim.replaceIn = 1 + sim.rng.IntN(200)
 	}
-	for range 300 + w.chance.IntN(500) {
-		if w.step(); w.wrong != "" {
-			return w.wrong
+	for range 300 + sim.rng.IntN(500) {
+		if sim.faultyStep(); sim.violation != "" {
+			return sim.violation
 		}
 	}
-	w.heal()
-	return w.wrong
+	sim.healAndCheck()
+	return sim.violation
 }
 
-func schedules(usual int) int {
+func scheduleCount(usual int) int {
 	if n, err := strconv.Atoi(os.Getenv("OTTERSHIFT_SCHEDULES")); err == nil {
 		return n
 	}
-	return usual / slower
+	return usual / scheduleDivisor
 }
 
-var all = Guards{true, true}
+var allChecks = SafetyChecks{true, true}
 
 // OTTERSHIFT_SCHEDULES plays more, OTTERSHIFT_FROM from another seed on: the library's chance is the process's, so several
 // processes play side by side.
 func TestSchedules(t *testing.T) {
 	from, _ := strconv.Atoi(os.Getenv("OTTERSHIFT_FROM"))
-	answered, reads, swapped, n := uint64(0), 0, 0, schedules(150)
+	answered, reads, replacements, n := uint64(0), 0, 0, scheduleCount(150)
 	for seed := range uint64(n) {
 		seed += uint64(from)
-		if wrong := play(t, seed, all, false, false); wrong != "" {
-			t.Fatalf("seed %d: %s", seed, wrong)
+		if violation := runSchedule(t, seed, allChecks, false, false); violation != "" {
+			t.Fatalf("seed %d: %s", seed, violation)
 		}
-		answered, reads, swapped = answered+played.most, reads+played.reads, swapped+played.swapped
+		answered, reads, replacements = answered+lastSimulation.highestResult, reads+lastSimulation.reads, replacements+lastSimulation.replacements
 	}
-	t.Logf("%d schedules: %d entries answered in each, %d reads, %d changes of keepers", n, answered/uint64(n), reads/n, swapped)
-	if swapped == 0 {
+	t.Logf("%d schedules: %d entries answered in each, %d reads, %d changes of keepers", n, answered/uint64(n), reads/n, replacements)
+	if replacements == 0 {
 		t.Error("no keeper was ever replaced")
 	}
 	if answered/uint64(n) < 20 || reads/n < 3 {
@@ -508,25 +508,25 @@
 	}
 }
 
-var played *world // last
+var lastSimulation *simulation // last
 
 // What is planted is found, or the schedules prove nothing.
-func TestSchedulesFind(t *testing.T) {
+func TestSchedulesDetectFaults(t *testing.T) {
 	for _, c := range []struct {
 		name        string
-		g           Guards
+		g           SafetyChecks
 		stale, lost bool
-	}{{"a stale read", all, true, false}, {"a lost sync", all, false, true}, {"commands that run again", Guards{true, false}, false, false}} {
+	}{{"a stale read", allChecks, true, false}, {"a lost sync", allChecks, false, true}, {"commands that run again", SafetyChecks{true, false}, false, false}} {
 		found, first, what := 0, -1, ""
-		for seed := range uint64(150 / slower) {
-			if wrong := play(t, seed, c.g, c.stale, c.lost); wrong != "" {
+		for seed := range uint64(150 / scheduleDivisor) {
+			if violation := runSchedule(t, seed, c.g, c.stale, c.lost); violation != "" {
 				if found++; first < 0 {
-					first, what = int(seed), wrong
+					first, what = int(seed), violation
 				}
 			}
 		}
-		t.Logf("%s: found in %d of %d schedules, first in %d: %s", c.name, found, 150/slower, first, what)
-		if found == 0 && slower == 1 {
+		t.Logf("%s: found in %d of %d schedules, first in %d: %s", c.name, found, 150/scheduleDivisor, first, what)
+		if found == 0 && scheduleDivisor == 1 {
 			t.Errorf("%s is never found", c.name)
 		}
 	}
--- a/internal/cluster/keep/history_test.go
+++ b/internal/cluster/keep/history_test.go
@@ -22,16 +22,16 @@
 
 // register is a part that holds one number; a write answers with the one before.
 type register struct {
-	mu sync.Mutex
-	v  uint64
+	mu    sync.Mutex
+	value uint64
 }
 
-func (r *register) Apply(_ uint64, c *Command) Answer {
+func (r *register) Apply(_ uint64, cmd *Command) Result {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	was := r.v
-	r.v = binary.BigEndian.Uint64(c.Body)
-	return Answer{Code: OK, Body: binary.BigEndian.AppendUint64(nil, was)}
+	previous := r.value
+	r.value = binary.BigEndian.Uint64(cmd.Body)
+	return Result{Code: CodeOK, Body: binary.BigEndian.AppendUint64(nil, previous)}
 }
 func (r *register) Ended(uint64, string, uint64) {}
 func (r *register) Save() []byte                 { return r.Read(nil) }
@@ -39,31 +39,31 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(raw) == 8 {
-		r.v = binary.BigEndian.Uint64(raw)
+		r.value = binary.BigEndian.Uint64(raw)
 	}
 	return nil
 }
 func (r *register) Read([]byte) []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return binary.BigEndian.AppendUint64(nil, r.v)
+	return binary.BigEndian.AppendUint64(nil, r.value)
 }
 
-type op struct {
+type operation struct {
 	write bool
 	value uint64
 }
 
-// seen is what a client was told; unknown: it may have taken effect at any time, or never.
-type seen struct {
+// observation is what a client was told; unknown: it may have taken effect at any time, or never.
+type observation struct {
 	value   uint64
 	unknown bool
 }
 
-var model = porcupine.Model{
+var registerModel = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, in, out any) (bool, any) {
-		i, o := in.(op), out.(seen)
+		i, o := in.(operation), out.(observation)
 		if i.write {
 			return o.unknown || o.value == state.(uint64), i.value
 		}
@@ -72,51 +72,51 @@
 	DescribeOperation: func(in, out any) string { return fmt.Sprint(in, " ", out) },
 }
 
-// history plays keepers with links and disks of their own, clients that write and read, cuts, and keepers that are ended and
+// recordHistory plays keepers with links and disks of their own, clients that write and read, cuts, and keepers that are ended and
 // started again; and returns what each client asked and was told.
-func history(t *testing.T, seed uint64, stale bool) []porcupine.Operation {
+func recordHistory(t *testing.T, seed uint64, stale bool) []porcupine.Operation {
 	voters := []string{"a", "b", "c", "x", "y"}
-	m, err := between.New(len(voters), seed)
+	network, err := between.New(len(voters), seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer m.Close()
-	chance := rand.New(rand.NewPCG(seed, 10))
+	defer network.Close()
+	rng := rand.New(rand.NewPCG(seed, 10))
 	dir := t.TempDir()
-	links, opts, keepers := make([]*link.Link, 5), make([]Options, 3), make([]*Keeper, 3)
-	boot := func(i int) {
-		where := map[string]string{}
+	links, opts, keepers := make([]*link.Link, 5), make([]Options, 3), make([]*Replica, 3)
+	startHost := func(i int) {
+		addresses := map[string]string{}
 		for k, name := range voters {
 			if k != i {
-				where[name] = m.Address(i, k)
+				addresses[name] = network.Address(i, k)
 			}
 		}
 		l, err := link.Listen(link.Options{
-			Cluster: "c", Self: voters[i], Address: "127.0.0.1:0", Through: where, Log: slog.New(slog.DiscardHandler), Stream: func(c net.Conn) { c.Close() },
+			Cluster: "c", Self: voters[i], Address: "127.0.0.1:0", Through: addresses, Log: slog.New(slog.DiscardHandler), Stream: func(c net.Conn) { c.Close() },
 			Datagram: func(byte, []byte, net.Addr) {}, Resolve: func(n string) (string, bool) { return "", false },
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
 		links[i] = l
-		m.Target(i, l.Addr().String())
+		network.Target(i, l.Addr().String())
 		if i < 3 {
-			at := Group(filepath.Join(dir, voters[i]), 0)
+			groupDir := GroupDir(filepath.Join(dir, voters[i]), 0)
 			opts[i] = Options{
-				Cluster: "c", Name: voters[i], Voters: voters[:3], Dir: at, FS: disk.Dir(at), Way: l, Election: 100 * time.Millisecond,
-				Lease: Lease{time.Second, 0.02}, Guards: all, Log: slog.New(slog.DiscardHandler), Parts: map[byte]Part{2: &register{}},
+				Cluster: "c", Name: voters[i], Voters: voters[:3], Dir: groupDir, FS: disk.Dir(groupDir), Transport: l, ElectionTimeout: 100 * time.Millisecond,
+				Lease: Lease{time.Second, 0.02}, Checks: allChecks, Log: slog.New(slog.DiscardHandler), Parts: map[byte]Part{2: &register{}},
 			}
-			if keepers[i], err = NewKeeper(opts[i]); err != nil {
+			if keepers[i], err = NewReplica(opts[i]); err != nil {
 				t.Fatal(err)
 			}
 			l.Serve()
-			keepers[i].Begin()
+			keepers[i].Start()
 			return
 		}
 		l.Serve()
 	}
 	for i := range voters {
-		boot(i)
+		startHost(i)
 	}
 	var mu sync.Mutex
 	var ops []porcupine.Operation
@@ -135,14 +135,14 @@
 				return
 			}
 			for k := uint64(1); time.Now().Before(end); k++ {
-				i := op{write: draw.IntN(3) == 0, value: uint64(n)<<32 | k}
+				i := operation{write: draw.IntN(3) == 0, value: uint64(n)<<32 | k}
 				ctx, stop := context.WithTimeout(context.Background(), 700*time.Millisecond)
 				call := time.Since(start)
-				var o seen
+				var o observation
 				var raw []byte
 				if i.write {
-					var a Answer
-					a, err = c.Do(ctx, Command{Kind: Custom, Part: 2, Body: binary.BigEndian.AppendUint64(nil, i.value)})
+					var a Result
+					a, err = c.Do(ctx, Command{Kind: PartCommand, Part: 2, Body: binary.BigEndian.AppendUint64(nil, i.value)})
 					raw = a.Body
 				} else {
 					raw, err = c.ReadPart(ctx, 2, nil, stale)
@@ -155,7 +155,7 @@
 				stop()
 				back := time.Since(start)
 				switch {
-				case err != nil && (!i.write || errors.Is(err, ErrUnreached)):
+				case err != nil && (!i.write || errors.Is(err, ErrNoQuorum)):
 					continue // no effect
 				case err != nil:
 					o.unknown, back = true, time.Hour
@@ -173,29 +173,29 @@
 		})
 	}
 	for time.Now().Before(end) {
-		time.Sleep(time.Duration(100+chance.IntN(200)) * time.Millisecond)
-		a, b := chance.IntN(3), chance.IntN(5)
-		switch chance.IntN(5) {
+		time.Sleep(time.Duration(100+rng.IntN(200)) * time.Millisecond)
+		a, b := rng.IntN(3), rng.IntN(5)
+		switch rng.IntN(5) {
 		case 0, 1:
 			for k := range 5 {
-				if k != a && (k < 3 || chance.IntN(2) == 0) {
-					m.Set(a, k, func(x *between.Trouble) { x.Cut = true })
+				if k != a && (k < 3 || rng.IntN(2) == 0) {
+					network.Set(a, k, func(x *between.Trouble) { x.Cut = true })
 				}
 			}
-			time.Sleep(time.Duration(chance.IntN(600)) * time.Millisecond)
+			time.Sleep(time.Duration(rng.IntN(600)) * time.Millisecond)
 			for k := range 5 {
 				if k != a {
-					m.Set(a, k, func(x *between.Trouble) { x.Cut = false })
+					network.Set(a, k, func(x *between.Trouble) { x.Cut = false })
 				}
 			}
 		case 2:
 			if a != b {
-				m.Set(a, b, func(x *between.Trouble) { x.Delay = time.Duration(chance.IntN(60)) * time.Millisecond })
+				network.Set(a, b, func(x *between.Trouble) { x.Delay = time.Duration(rng.IntN(60)) * time.Millisecond })
 			}
 		case 3:
 			keepers[a].Close()
 			links[a].Close()
-			boot(a)
+			startHost(a)
 		}
 	}
 	clients.Wait()
@@ -210,16 +210,16 @@
 
 // What clients were told, over cuts, delays and restarts, has an order in which each read sees the last write before it.
 func TestLinearizable(t *testing.T) {
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for seed := range uint64(4) {
-		all.Go(func() {
-			ops := history(t, seed, false)
+		wg.Go(func() {
+			ops := recordHistory(t, seed, false)
 			writes, unknown := 0, 0
 			for _, o := range ops {
-				if o.Input.(op).write {
+				if o.Input.(operation).write {
 					writes++
 				}
-				if o.Output.(seen).unknown {
+				if o.Output.(observation).unknown {
 					unknown++
 				}
 			}
@@ -227,18 +227,18 @@
 			if len(ops) < 200 {
 				t.Errorf("seed %d: too few operations to prove anything", seed)
 			}
-			if porcupine.CheckOperationsTimeout(model, ops, 20*time.Second) == porcupine.Illegal {
+			if porcupine.CheckOperationsTimeout(registerModel, ops, 20*time.Second) == porcupine.Illegal {
 				t.Errorf("seed %d: no order explains what clients were told", seed)
 			}
 		})
 	}
-	all.Wait()
+	wg.Wait()
 }
 
 // Reads that any keeper answers by what it holds are found.
-func TestStaleReadsAreFound(t *testing.T) {
+func TestStaleReadsDetected(t *testing.T) {
 	for seed := range uint64(6) {
-		if porcupine.CheckOperationsTimeout(model, history(t, 100+seed, true), 20*time.Second) == porcupine.Illegal {
+		if porcupine.CheckOperationsTimeout(registerModel, recordHistory(t, 100+seed, true), 20*time.Second) == porcupine.Illegal {
 			t.Logf("found in history %d", seed+1)
 			return
 		}
--- a/internal/cluster/keep/norace_test.go
+++ b/internal/cluster/keep/norace_test.go
@@ -2,4 +2,4 @@
 
 package keep
 
-const slower = 1
+const scheduleDivisor = 1
--- a/internal/cluster/keep/recover.go
+++ b/internal/cluster/keep/recover.go
@@ -16,144 +16,147 @@
 	"ottershift/internal/cluster/disk"
 )
 
-// Found is what a keeper's directory holds, as recover finds it.
-type Found struct {
-	Name  string
-	Disk  string
-	Last  uint64 // entry
-	Term  uint64
-	Seats []Seat
-	State *State // with every entry that is there, agreed on or not
+// DirContents describes the directory of a replica, as recovery finds it.
+type DirContents struct {
+	Name      string
+	DiskID    string
+	LastIndex uint64 // last log entry
+	Term      uint64
+	Voters    []Voter
+	State     *State // with all entries applied, committed or not
 }
 
-// Look reads a directory that no process uses.
-func Look(dir string, parts map[byte]Part) (*Found, error) {
+// InspectDir reads a directory that no process uses.
+func InspectDir(dir string, parts map[byte]Part) (*DirContents, error) {
 	fs := disk.Dir(dir)
-	raw, err := fs.Read(identity)
+	raw, err := fs.Read(identityFile)
 	if err != nil {
-		return nil, fmt.Errorf("%s is no keeper's directory: %w", dir, err)
+		return nil, fmt.Errorf("%s is not the directory of a voter: %w", dir, err)
 	}
-	f := &Found{}
-	var own struct {
+	contents := &DirContents{}
+	var identity struct {
 		Disk string `json:"disk"`
 	}
-	if err := json.Unmarshal(raw, &own); err != nil {
-		return nil, fmt.Errorf("%s: %w", identity, err)
+	if err := json.Unmarshal(raw, &identity); err != nil {
+		return nil, fmt.Errorf("%s: %w", identityFile, err)
 	}
-	var seat struct {
-		Seat *Seat `json:"seat"`
+	var saved struct {
+		Seat *Voter `json:"seat"`
 	}
-	if raw, err = fs.Read(seatFile); err != nil {
-		return nil, fmt.Errorf("%s has no seat in a group: %w", dir, err)
+	if raw, err = fs.Read(votersFile); err != nil {
+		return nil, fmt.Errorf("%s does not belong to a group: %w", dir, err)
 	}
-	if err := json.Unmarshal(raw, &seat); err != nil || seat.Seat == nil {
-		return nil, fmt.Errorf("%s: it has no seat (%v)", seatFile, err)
+	if err := json.Unmarshal(raw, &saved); err != nil || saved.Seat == nil {
+		return nil, fmt.Errorf("%s: the replica is not a voter of a group (%v)", votersFile, err)
 	}
-	f.Name, f.Disk = seat.Seat.Name, own.Disk
-	l, d, err := OpenLog(dir, fs, nil)
+	contents.Name, contents.DiskID = saved.Seat.Name, identity.Disk
+	store, stored, err := OpenDiskStore(dir, fs, nil)
 	if err != nil {
 		return nil, err
 	}
-	defer l.Close()
-	f.State = NewState("", nil, parts, Guards{true, true})
-	if d.Snapshot == nil {
-		return nil, errors.New("it holds no state yet")
+	defer store.Close()
+	contents.State = NewState("", nil, parts, SafetyChecks{true, true})
+	if stored.Snapshot == nil {
+		return nil, errors.New("the directory holds no state yet")
 	}
-	if err := f.State.Load(d.Snapshot.GetData()); err != nil {
+	if err := contents.State.Load(stored.Snapshot.GetData()); err != nil {
 		return nil, err
 	}
-	f.Last, f.Term = d.Snapshot.GetMetadata().GetIndex(), d.Snapshot.GetMetadata().GetTerm()
-	for _, e := range d.Entries {
-		if f.Last, f.Term = e.GetIndex(), e.GetTerm(); e.GetType() == raftpb.EntryNormal {
-			_, cmd := open(e.GetData())
-			f.State.Apply(e.GetIndex(), cmd)
+	contents.LastIndex, contents.Term = stored.Snapshot.GetMetadata().GetIndex(), stored.Snapshot.GetMetadata().GetTerm()
+	for _, entry := range stored.Entries {
+		if contents.LastIndex, contents.Term = entry.GetIndex(), entry.GetTerm(); entry.GetType() == raftpb.EntryNormal {
+			_, command := decodeEntry(entry.GetData())
+			contents.State.Apply(entry.GetIndex(), command)
 		}
 	}
-	if d.Hard != nil {
-		f.Term = max(f.Term, d.Hard.GetTerm())
+	if stored.HardState != nil {
+		contents.Term = max(contents.Term, stored.HardState.GetTerm())
 	}
-	for _, s := range f.State.Seats {
-		f.Seats = append(f.Seats, *s)
+	for _, voter := range contents.State.Voters {
+		contents.Voters = append(contents.Voters, *voter)
 	}
-	slices.SortFunc(f.Seats, func(a, b Seat) int { return int(a.ID) - int(b.ID) })
-	return f, nil
+	slices.SortFunc(contents.Voters, func(a, b Voter) int { return int(a.ID) - int(b.ID) })
+	return contents, nil
 }
 
-// Loses says what may be lost if a group goes on from this directory alone.
-func (f *Found) Loses() []string {
+// PotentialLosses lists what may be lost if a group continues from this directory alone.
+func (contents *DirContents) PotentialLosses() []string {
 	var others []string
-	for _, s := range f.Seats {
-		if s.Disk != f.Disk {
-			others = append(others, s.String())
+	for _, voter := range contents.Voters {
+		if voter.DiskID != contents.DiskID {
+			others = append(others, voter.String())
 		}
 	}
 	return []string{
-		fmt.Sprintf("what other keepers (%v) agreed on beyond entry %d, which is the last one here", others, f.Last),
-		"the answers that members were given for it: commands that count as done may be undone, tokens may be given again",
-		"what was under way here and had not been agreed on counts as agreed from now on",
+		fmt.Sprintf("entries that other replicas (%v) committed after entry %d, the last one here", others, contents.LastIndex),
+		"the results that members received for them: acknowledged commands may be undone, tokens may be issued again",
+		"uncommitted entries here count as committed from now on",
 	}
 }
 
-// Recover makes a group of this one keeper out of its directory, on the day on which the majority is lost. It is marked for good.
-// Danger: should one of the lost disks be started after all, it knows this one under its old identity and seat; it gets another.
-func Recover(dir string, f *Found, why string) error {
-	return rebuild(dir, f.Name, draw(), f.State, f.Last+1, f.Term+1, fmt.Sprintf("recovered from %s at entry %d: %s", f.Name, f.Last, why))
+// Recover turns the directory of one replica into a group of its own, after the majority was lost. The state records
+// the recovery permanently. The replica gets a new disk ID and a new voter ID: a lost disk that is started after all
+// knows it only under the old ones.
+func Recover(dir string, contents *DirContents, reason string) error {
+	return writeSingleVoterDir(dir, contents.Name, newDiskID(), contents.State, contents.LastIndex+1, contents.Term+1, fmt.Sprintf("recovered from %s at entry %d: %s", contents.Name, contents.LastIndex, reason))
 }
 
-// Restore makes a new directory of a group of one keeper out of a snapshot.
-func Restore(dir, name string, raw []byte, parts map[byte]Part) error {
+// Restore creates a directory for a new group of one voter from a snapshot.
+func Restore(dir, name string, snapshot []byte, parts map[byte]Part) error {
 	if _, err := os.Stat(dir); !errors.Is(err, os.ErrNotExist) {
-		return fmt.Errorf("%s is there already; a snapshot is restored into a new directory", dir)
+		return fmt.Errorf("%s already exists; a snapshot can be restored only into a new directory", dir)
 	}
-	s := NewState("", nil, parts, Guards{true, true})
-	if err := s.Load(raw); err != nil {
+	state := NewState("", nil, parts, SafetyChecks{true, true})
+	if err := state.Load(snapshot); err != nil {
 		return err
 	}
-	return rebuild(dir, name, draw(), s, s.Index+1, 2, fmt.Sprintf("restored from a snapshot at entry %d", s.Index))
+	return writeSingleVoterDir(dir, name, newDiskID(), state, state.Index+1, 2, fmt.Sprintf("restored from a snapshot at entry %d", state.Index))
 }
 
-// draw is the identity of a new disk.
-func draw() string {
+// newDiskID draws the ID of a new disk.
+func newDiskID() string {
 	var b [16]byte
 	rand.Read(b[:])
 	return hex.EncodeToString(b[:])
 }
 
-// rebuild writes a directory whose only keeper this is.
-func rebuild(dir, name, id string, s *State, index, term uint64, mark string) error {
+// writeSingleVoterDir writes a directory in which this replica is the only voter.
+func writeSingleVoterDir(dir, name, diskID string, state *State, index, term uint64, note string) error {
 	fs := disk.Dir(dir)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
-	// Sessions and duties are of processes that know another group: their runs open anew, above every token there was.
-	seat := Seat{ID: s.NextSeat, Name: name, Disk: id}
-	s.Seats, s.NextSeat = map[uint64]*Seat{seat.ID: &seat}, seat.ID+1
-	for _, d := range s.Duties {
-		d.Owner, d.Epoch, d.Token = "", 0, d.Token+1<<20
+	// Sessions and duties belong to processes that know the former group. Their runs open new sessions, and new
+	// tokens are higher than all earlier ones.
+	voter := Voter{ID: state.NextVoterID, Name: name, DiskID: diskID}
+	state.Voters, state.NextVoterID = map[uint64]*Voter{voter.ID: &voter}, voter.ID+1
+	for _, duty := range state.Duties {
+		duty.Owner, duty.Epoch, duty.Token = "", 0, duty.Token+1<<20
 	}
-	s.Index = index
-	s.Recovered = append(s.Recovered, time.Now().UTC().Format(time.RFC3339)+" "+mark)
-	l, _, err := OpenLog(dir, fs, nil)
+	state.Index = index
+	state.Recovered = append(state.Recovered, time.Now().UTC().Format(time.RFC3339)+" "+note)
+	store, _, err := OpenDiskStore(dir, fs, nil)
 	if err != nil {
 		return err
 	}
-	defer l.Close()
-	snap := &raftpb.Snapshot{Data: s.Save(), Metadata: &raftpb.SnapshotMetadata{
-		ConfState: &raftpb.ConfState{Voters: []uint64{seat.ID}}, Index: proto.Uint64(index), Term: proto.Uint64(term),
+	defer store.Close()
+	snapshot := &raftpb.Snapshot{Data: state.Save(), Metadata: &raftpb.SnapshotMetadata{
+		ConfState: &raftpb.ConfState{Voters: []uint64{voter.ID}}, Index: proto.Uint64(index), Term: proto.Uint64(term),
 	}}
-	if err := l.Save(&raftpb.HardState{Term: proto.Uint64(term), Vote: proto.Uint64(0), Commit: proto.Uint64(index)}, nil, true); err != nil {
+	if err := store.Save(&raftpb.HardState{Term: proto.Uint64(term), Vote: proto.Uint64(0), Commit: proto.Uint64(index)}, nil, true); err != nil {
 		return err
 	}
-	if err := l.SaveSnapshot(snap, index); err != nil {
+	if err := store.SaveSnapshot(snapshot, index); err != nil {
 		return err
 	}
-	raw, err := json.Marshal(map[string]any{"seat": seat, "seats": []Seat{seat}})
+	votersJSON, err := json.Marshal(map[string]any{"seat": voter, "seats": []Voter{voter}})
 	if err != nil {
 		return err
 	}
-	who, err := json.Marshal(map[string]any{"disk": id, "runs": 1 << 20}) // beyond every start that others may remember
+	// The start count is higher than any that peers may remember.
+	identityJSON, err := json.Marshal(map[string]any{"disk": diskID, "runs": 1 << 20})
 	if err != nil {
 		return err
 	}
-	return errors.Join(fs.Replace(identity, who), fs.Replace(seatFile, raw), fs.Replace(seenFile, []byte("{}")))
+	return errors.Join(fs.Replace(identityFile, identityJSON), fs.Replace(votersFile, votersJSON), fs.Replace(peersFile, []byte("{}")))
 }
--- a/internal/cluster/keep/state.go
+++ b/internal/cluster/keep/state.go
@@ -1,5 +1,6 @@
-// Package keep is what the fleet has agreed on: kept by Raft among the voters, each entry on a majority's disks before it
-// counts. State, Core and Former decide without I/O and clock; Keeper is the runner, Client every member's way to it.
+// Package keep holds the state that the cluster agrees on. It is replicated by Raft among the voters; an entry counts
+// once it is on the disks of a quorum. State, Core and Bootstrap decide without I/O and clock; Replica runs them, and
+// members access it through a Client.
 package keep
 
 import (
@@ -10,330 +11,341 @@
 	"ottershift/internal/cluster/pack"
 )
 
-// Kinds of command.
+// Kinds of Command.
 const (
-	Open   byte = iota + 1 // a member's run begins
-	End                    // the owner of Sessions ends a member's run
-	Take                   // a duty that nobody owns
-	Drop                   // its owner lets go
-	Give                   // its owner hands it to another
-	Expire                 // the leader ends a tenure that was not renewed
-	Custom                 // of another part
-	Close                  // the owner of Sessions ends a member's run in a group that holds no owners
+	OpenSession  byte = iota + 1 // opens the session of a member's run
+	EndSession                   // ends the session of a run; sent by the run itself or by the owner of SessionsDuty
+	AcquireDuty                  // takes a duty that has no owner
+	ReleaseDuty                  // gives up a duty; sent by its owner
+	TransferDuty                 // hands a duty to another member; sent by its owner
+	ExpireDuty                   // ends an ownership that was not renewed; proposed by the leader
+	PartCommand                  // a command of a Part
+	CloseSession                 // like EndSession, in groups that hold no duties; SessionsDuty is owned in the first group
 )
 
-// Sessions is the duty whose owner ends the runs of members that are gone.
-const Sessions = "sessions"
+// SessionsDuty is the duty whose owner ends the sessions of members that have left.
+const SessionsDuty = "sessions"
 
-// Command is one entry. A member's commands carry their sequence, so that one that is sent twice takes effect once.
+// Command is the content of a log entry. Commands of a member carry a sequence number, so that a command that is sent
+// twice takes effect once.
 type Command struct {
-	Kind   byte   `codec:"k"`
-	Member string `codec:"m,omitempty"`
-	Epoch  uint64 `codec:"e,omitempty"`
-	Seq    uint64 `codec:"s,omitempty"`
-	Low    uint64 `codec:"l,omitempty"` // all below it have been answered
-	Run    uint64 `codec:"r,omitempty"` // of Open: which run this is
-	Duty   string `codec:"d,omitempty"`
-	Token  uint64 `codec:"t,omitempty"` // that is shown
-	Other  string `codec:"o,omitempty"` // member concerned
-	Number uint64 `codec:"n,omitempty"` // its epoch, or a count
-	Part   byte   `codec:"p,omitempty"`
-	Body   []byte `codec:"b,omitempty"`
+	Kind          byte   `codec:"k"`
+	Member        string `codec:"m,omitempty"`
+	Epoch         uint64 `codec:"e,omitempty"`
+	Seq           uint64 `codec:"s,omitempty"`
+	LowestPending uint64 `codec:"l,omitempty"` // all sequence numbers below it have been answered
+	Run           uint64 `codec:"r,omitempty"` // OpenSession: identifies the run
+	Duty          string `codec:"d,omitempty"`
+	Token         uint64 `codec:"t,omitempty"` // fencing token of the sender
+	Target        string `codec:"o,omitempty"` // member that the command is about
+	Number        uint64 `codec:"n,omitempty"` // epoch of Target, or a count
+	Part          byte   `codec:"p,omitempty"`
+	Body          []byte `codec:"b,omitempty"`
 }
 
-// Codes of answers.
+// Codes of Result.
 const (
-	OK       byte = iota + 1
-	ErrOver       // this run is over: a newer one is open, or it was ended
-	ErrFence      // the token that was shown is not the present one
-	ErrOwned      // somebody owns it
-	ErrNone       // there is none
-	ErrOld        // a sequence that was answered long ago
+	CodeOK           byte = iota + 1
+	CodeSessionEnded      // the session was ended, or a newer run has opened one
+	CodeFenced            // the token of the command is not the current one
+	CodeOwned             // another run owns the duty
+	CodeNotFound          // the duty, session, part or command kind does not exist
+	CodeTooOld            // the sequence number is older than the stored results
 )
 
-// Answer is what became of a command.
-type Answer struct {
+// Result is the outcome of a command.
+type Result struct {
 	Code  byte   `codec:"c"`
-	Index uint64 `codec:"i"` // of its entry
+	Index uint64 `codec:"i"` // of the command's log entry
 	Token uint64 `codec:"t,omitempty"`
 	Owner string `codec:"o,omitempty"`
 	Epoch uint64 `codec:"e,omitempty"`
 	Body  []byte `codec:"b,omitempty"`
 }
 
-// Session is a member's newest run.
+// Session is the session of a member's newest run.
 type Session struct {
-	Member  string            `codec:"m"`
-	Epoch   uint64            `codec:"e"`
-	Run     uint64            `codec:"r"`
-	Open    bool              `codec:"o"`
-	Index   uint64            `codec:"i"` // of the entry that opened or ended it
-	Low     uint64            `codec:"l"`
-	Answers map[uint64][]byte `codec:"a,omitempty"` // by sequence, from Low on
+	Member        string            `codec:"m"`
+	Epoch         uint64            `codec:"e"`
+	Run           uint64            `codec:"r"`
+	Open          bool              `codec:"o"`
+	Index         uint64            `codec:"i"` // of the entry that opened or ended it
+	LowestPending uint64            `codec:"l"`
+	Results       map[uint64][]byte `codec:"a,omitempty"` // encoded results by sequence number, from LowestPending on
 }
 
-// Duty is work that has one owner at a time.
+// Duty is a task with one owner at a time.
 type Duty struct {
 	Name  string `codec:"n"`
-	Token uint64 `codec:"t"` // of the last tenure; grows with each
+	Token uint64 `codec:"t"` // fencing token of the last ownership; grows with each
 	Owner string `codec:"o,omitempty"`
 	Epoch uint64 `codec:"e,omitempty"`
-	Index uint64 `codec:"i"` // since
+	Index uint64 `codec:"i"` // of the entry that last changed the owner
 }
 
-// Seat is a keeper: a name with the disk that it votes by.
-type Seat struct {
+// Voter is a replica in the configuration of a group: its name, and the disk that it votes with. A replacement is a
+// learner until it has caught up.
+type Voter struct {
 	ID      uint64 `codec:"i" json:"id"`
 	Name    string `codec:"n" json:"name"`
-	Disk    string `codec:"d" json:"disk"`
+	DiskID  string `codec:"d" json:"disk"`
 	Learner bool   `codec:"l,omitempty" json:"learner,omitempty"`
 }
 
-// Part is another piece's share of what is agreed. It must do the same at every keeper: no clock, no chance, no order of
-// maps.
+// Part is a component with its own share of the replicated state. It must be deterministic: no clock, no randomness,
+// no dependence on the order of map iteration.
 type Part interface {
-	Apply(index uint64, c *Command) Answer
-	Ended(index uint64, member string, epoch uint64) // a member's run is over
+	Apply(index uint64, cmd *Command) Result
+	Ended(index uint64, member string, epoch uint64) // the session of a member's run has ended
 	Save() []byte
-	Load(raw []byte) error
+	Load(data []byte) error
 }
 
-// Clocked is a part that is told how time passes: by its leader's monotonic clock, agreed on, and so never faster than time
-// does. Due is what is to be agreed on once so many nanoseconds have passed that nobody told of; nil for nothing yet.
-type Clocked interface {
-	Due(passed int64) []byte
+// TimedPart is a part that is told the elapsed time. The leader measures it on its monotonic clock and proposes it,
+// so that the agreed time never runs faster than real time. Due returns the command body to propose when elapsed
+// nanoseconds have not been reported yet, or nil if nothing is due.
+type TimedPart interface {
+	Due(elapsed int64) []byte
 }
 
-// State is what is agreed.
+// State is the replicated state of one group.
 type State struct {
-	Index     uint64              `codec:"i"`
-	Cluster   string              `codec:"c"`
-	Sessions  map[string]*Session `codec:"s"`
-	Duties    map[string]*Duty    `codec:"d"`
-	Seats     map[uint64]*Seat    `codec:"k"`
-	NextSeat  uint64              `codec:"n"`
-	Recovered []string            `codec:"r,omitempty"` // losses that were accepted, for good
-	Saved     map[byte][]byte     `codec:"p,omitempty"` // parts, in a snapshot only
+	Index       uint64              `codec:"i"`
+	Cluster     string              `codec:"c"`
+	Sessions    map[string]*Session `codec:"s"`
+	Duties      map[string]*Duty    `codec:"d"`
+	Voters      map[uint64]*Voter   `codec:"k"`
+	NextVoterID uint64              `codec:"n"`
+	Recovered   []string            `codec:"r,omitempty"` // data losses that an operator accepted; never cleared
+	PartData    map[byte][]byte     `codec:"p,omitempty"` // encoded parts; in snapshots only
 
 	parts  map[byte]Part
-	guards Guards
+	checks SafetyChecks
 }
 
-// Guards are what variants leave out.
-type Guards struct{ Fence, Once bool }
+// SafetyChecks are protections that can be turned off, to show in tests and experiments which faults they prevent.
+type SafetyChecks struct{ Fencing, Deduplication bool }
 
-// NewState is what a group begins with.
-func NewState(cluster string, seats []Seat, parts map[byte]Part, g Guards) *State {
+// NewState returns the state that a group begins with.
+func NewState(cluster string, voters []Voter, parts map[byte]Part, checks SafetyChecks) *State {
 	s := &State{
-		Cluster: cluster, Sessions: map[string]*Session{}, Duties: map[string]*Duty{}, Seats: map[uint64]*Seat{}, parts: parts, guards: g,
+		Cluster: cluster, Sessions: map[string]*Session{}, Duties: map[string]*Duty{}, Voters: map[uint64]*Voter{}, parts: parts, checks: checks,
 	}
-	for _, x := range seats {
-		own := x
-		s.Seats[x.ID] = &own
-		s.NextSeat = max(s.NextSeat, x.ID+1)
+	for _, voter := range voters {
+		copied := voter
+		s.Voters[voter.ID] = &copied
+		s.NextVoterID = max(s.NextVoterID, voter.ID+1)
 	}
 	return s
 }
 
-// Save is a snapshot; Load reads one.
+// Save encodes the state as the data of a snapshot.
 func (s *State) Save() []byte {
-	s.Saved = map[byte][]byte{}
-	for n, p := range s.parts {
-		s.Saved[n] = p.Save()
+	s.PartData = map[byte][]byte{}
+	for id, part := range s.parts {
+		s.PartData[id] = part.Save()
 	}
-	defer func() { s.Saved = nil }()
+	defer func() { s.PartData = nil }()
 	return pack.Pack(s)
 }
 
-func (s *State) Load(raw []byte) error {
-	fresh := NewState("", nil, s.parts, s.guards)
-	if err := pack.Unpack(raw, fresh); err != nil {
-		return fmt.Errorf("a snapshot: %w", err)
+// Load replaces the state by the one that Save encoded.
+func (s *State) Load(data []byte) error {
+	loaded := NewState("", nil, s.parts, s.checks)
+	if err := pack.Unpack(data, loaded); err != nil {
+		return fmt.Errorf("decode snapshot: %w", err)
 	}
-	for n, p := range s.parts {
-		if err := p.Load(fresh.Saved[n]); err != nil {
-			return fmt.Errorf("a snapshot's part %d: %w", n, err)
+	for id, part := range s.parts {
+		if err := part.Load(loaded.PartData[id]); err != nil {
+			return fmt.Errorf("load part %d of snapshot: %w", id, err)
 		}
 	}
-	fresh.Saved = nil
-	for _, m := range fresh.Sessions {
-		if m.Answers == nil {
-			m.Answers = map[uint64][]byte{}
+	loaded.PartData = nil
+	for _, session := range loaded.Sessions {
+		if session.Results == nil {
+			session.Results = map[uint64][]byte{}
 		}
 	}
-	*s = *fresh
+	*s = *loaded
 	return nil
 }
 
-const mostAnswers = 1024 // that are kept for one run; a client has no more commands out
+const maxStoredResults = 1024 // per session; a client has fewer commands pending
 
-// Apply does what an entry says. It is the same at every keeper.
-func (s *State) Apply(index uint64, raw []byte) (c *Command, a Answer) {
+// Apply executes a log entry. It is deterministic, so that all replicas reach the same state.
+func (s *State) Apply(index uint64, data []byte) (cmd *Command, result Result) {
 	s.Index = index
-	c = &Command{}
-	if len(raw) == 0 || pack.Unpack(raw, c) != nil {
-		return c, Answer{Code: ErrNone, Index: index}
+	cmd = &Command{}
+	if len(data) == 0 || pack.Unpack(data, cmd) != nil {
+		return cmd, Result{Code: CodeNotFound, Index: index}
 	}
-	if c.Seq == 0 { // of a keeper itself, or one that is harmless to repeat
-		a = s.do(index, c)
-		a.Index = index
-		return c, a
+	if cmd.Seq == 0 { // proposed by a replica itself, or safe to repeat
+		result = s.execute(index, cmd)
+		result.Index = index
+		return cmd, result
 	}
-	m := s.Sessions[c.Member]
-	if m == nil || m.Epoch != c.Epoch || !m.Open {
-		if !s.guards.Fence && c.Kind == Custom { // danger: a run that was ended, and whose claims were given up, goes on
-			a = s.do(index, c)
-			a.Index = index
-			return c, a
+	session := s.Sessions[cmd.Member]
+	if session == nil || session.Epoch != cmd.Epoch || !session.Open {
+		// Without fencing, a run continues after its session ended and its claims were released.
+		if !s.checks.Fencing && cmd.Kind == PartCommand {
+			result = s.execute(index, cmd)
+			result.Index = index
+			return cmd, result
 		}
-		return c, Answer{Code: ErrOver, Index: index}
+		return cmd, Result{Code: CodeSessionEnded, Index: index}
 	}
-	if before := m.Answers[c.Seq]; before != nil && s.guards.Once {
-		pack.Unpack(before, &a)
-		return c, a
+	if previous := session.Results[cmd.Seq]; previous != nil && s.checks.Deduplication {
+		pack.Unpack(previous, &result)
+		return cmd, result
 	}
-	if c.Seq < m.Low && s.guards.Once {
-		return c, Answer{Code: ErrOld, Index: index}
+	if cmd.Seq < session.LowestPending && s.checks.Deduplication {
+		return cmd, Result{Code: CodeTooOld, Index: index}
 	}
-	a = s.do(index, c)
-	a.Index = index
-	for m.Low < c.Low && len(m.Answers) > 0 && m.Low < c.Seq {
-		delete(m.Answers, m.Low)
-		m.Low++
+	result = s.execute(index, cmd)
+	result.Index = index
+	for session.LowestPending < cmd.LowestPending && len(session.Results) > 0 && session.LowestPending < cmd.Seq {
+		delete(session.Results, session.LowestPending)
+		session.LowestPending++
 	}
-	m.Low = max(m.Low, min(c.Low, c.Seq))
-	if len(m.Answers) >= mostAnswers { // a client that says nothing of what it knows: the oldest goes
-		least := slices.Min(slices.Collect(maps.Keys(m.Answers)))
-		delete(m.Answers, least)
-		m.Low = max(m.Low, least+1)
+	session.LowestPending = max(session.LowestPending, min(cmd.LowestPending, cmd.Seq))
+	// A client that does not report which commands were answered loses its oldest result.
+	if len(session.Results) >= maxStoredResults {
+		oldest := slices.Min(slices.Collect(maps.Keys(session.Results)))
+		delete(session.Results, oldest)
+		session.LowestPending = max(session.LowestPending, oldest+1)
 	}
-	m.Answers[c.Seq] = pack.Pack(&a)
-	return c, a
+	session.Results[cmd.Seq] = pack.Pack(&result)
+	return cmd, result
 }
 
-func (s *State) do(index uint64, c *Command) Answer {
-	switch c.Kind {
-	case Open:
-		return s.open(index, c)
-	case End:
-		own := c.Other == c.Member && c.Number == c.Epoch // one's own end needs nobody's leave
-		if d := s.Duties[Sessions]; s.guards.Fence && !own && (d == nil || d.Token != c.Token || d.Owner != c.Member) {
-			return s.fenced(d)
+// execute executes a command that is not a duplicate.
+func (s *State) execute(index uint64, cmd *Command) Result {
+	switch cmd.Kind {
+	case OpenSession:
+		return s.openSession(index, cmd)
+	case EndSession:
+		// A run may end its own session without a token.
+		ownSession := cmd.Target == cmd.Member && cmd.Number == cmd.Epoch
+		if duty := s.Duties[SessionsDuty]; s.checks.Fencing && !ownSession && (duty == nil || duty.Token != cmd.Token || duty.Owner != cmd.Member) {
+			return s.fencedResult(duty)
 		}
-		return s.finish(index, c.Other, c.Number, own)
-	case Close:
-		d := s.Duties[Sessions]
-		if d == nil {
-			d = &Duty{Name: Sessions}
-			s.Duties[Sessions] = d
+		return s.endSession(index, cmd.Target, cmd.Number, ownSession)
+	case CloseSession:
+		duty := s.Duties[SessionsDuty]
+		if duty == nil {
+			duty = &Duty{Name: SessionsDuty}
+			s.Duties[SessionsDuty] = duty
 		}
-		if d.Owner != "" || s.guards.Fence && c.Token < d.Token {
-			return s.fenced(d)
+		if duty.Owner != "" || s.checks.Fencing && cmd.Token < duty.Token {
+			return s.fencedResult(duty)
 		}
-		d.Token = max(d.Token, c.Token) // the highest that was seen
-		return s.finish(index, c.Other, c.Number, false)
-	case Take:
-		d := s.Duties[c.Duty]
-		if d == nil {
-			d = &Duty{Name: c.Duty}
-			s.Duties[c.Duty] = d
+		duty.Token = max(duty.Token, cmd.Token) // the highest token seen so far
+		return s.endSession(index, cmd.Target, cmd.Number, false)
+	case AcquireDuty:
+		duty := s.Duties[cmd.Duty]
+		if duty == nil {
+			duty = &Duty{Name: cmd.Duty}
+			s.Duties[cmd.Duty] = duty
 		}
-		if d.Owner != "" {
-			return Answer{Code: ErrOwned, Token: d.Token, Owner: d.Owner, Epoch: d.Epoch}
+		if duty.Owner != "" {
+			return Result{Code: CodeOwned, Token: duty.Token, Owner: duty.Owner, Epoch: duty.Epoch}
 		}
-		return s.own(index, d, c.Member, c.Epoch)
-	case Drop, Give:
-		d := s.Duties[c.Duty]
-		if d == nil || d.Token != c.Token || d.Owner != c.Member {
-			return s.fenced(d)
+		return s.assignDuty(index, duty, cmd.Member, cmd.Epoch)
+	case ReleaseDuty, TransferDuty:
+		duty := s.Duties[cmd.Duty]
+		if duty == nil || duty.Token != cmd.Token || duty.Owner != cmd.Member {
+			return s.fencedResult(duty)
 		}
-		if to := s.Sessions[c.Other]; c.Kind == Give && to != nil && to.Open {
-			return s.own(index, d, to.Member, to.Epoch)
+		if target := s.Sessions[cmd.Target]; cmd.Kind == TransferDuty && target != nil && target.Open {
+			return s.assignDuty(index, duty, target.Member, target.Epoch)
 		}
-		d.Owner, d.Epoch, d.Index = "", 0, index
-		return Answer{Code: OK, Token: d.Token}
-	case Expire:
-		d := s.Duties[c.Duty]
-		if d == nil || d.Token != c.Token || d.Owner == "" {
-			return s.fenced(d)
+		duty.Owner, duty.Epoch, duty.Index = "", 0, index
+		return Result{Code: CodeOK, Token: duty.Token}
+	case ExpireDuty:
+		duty := s.Duties[cmd.Duty]
+		if duty == nil || duty.Token != cmd.Token || duty.Owner == "" {
+			return s.fencedResult(duty)
 		}
-		d.Owner, d.Epoch, d.Index = "", 0, index
-		return Answer{Code: OK, Token: d.Token}
-	case Custom:
-		if p := s.parts[c.Part]; p != nil {
-			return p.Apply(index, c)
+		duty.Owner, duty.Epoch, duty.Index = "", 0, index
+		return Result{Code: CodeOK, Token: duty.Token}
+	case PartCommand:
+		if part := s.parts[cmd.Part]; part != nil {
+			return part.Apply(index, cmd)
 		}
 	}
-	return Answer{Code: ErrNone}
+	return Result{Code: CodeNotFound}
 }
 
-// open begins a member's run. Whatever an older one of its name held is let go.
-func (s *State) open(index uint64, c *Command) Answer {
-	m := s.Sessions[c.Member]
+// openSession opens the session of a member's run, and ends the session of an older run of that member.
+func (s *State) openSession(index uint64, cmd *Command) Result {
+	session := s.Sessions[cmd.Member]
 	switch {
-	case m != nil && m.Epoch == c.Epoch && m.Run == c.Run && m.Open:
-		return Answer{Code: OK, Epoch: m.Epoch} // the same, sent twice
-	case m != nil && m.Epoch >= c.Epoch:
-		return Answer{Code: ErrOver, Epoch: m.Epoch}
+	case session != nil && session.Epoch == cmd.Epoch && session.Run == cmd.Run && session.Open:
+		return Result{Code: CodeOK, Epoch: session.Epoch} // duplicate of the command that opened it
+	case session != nil && session.Epoch >= cmd.Epoch:
+		return Result{Code: CodeSessionEnded, Epoch: session.Epoch}
 	}
-	if m != nil && m.Open {
-		s.over(index, m.Member, m.Epoch, false)
+	if session != nil && session.Open {
+		s.releaseSession(index, session.Member, session.Epoch, false)
 	}
-	s.Sessions[c.Member] = &Session{Member: c.Member, Epoch: c.Epoch, Run: c.Run, Open: true, Index: index, Low: 1, Answers: map[uint64][]byte{}}
-	return Answer{Code: OK, Epoch: c.Epoch}
+	s.Sessions[cmd.Member] = &Session{Member: cmd.Member, Epoch: cmd.Epoch, Run: cmd.Run, Open: true, Index: index, LowestPending: 1, Results: map[uint64][]byte{}}
+	return Result{Code: CodeOK, Epoch: cmd.Epoch}
 }
 
-// finish ends a run that is open.
-func (s *State) finish(index uint64, member string, epoch uint64, own bool) Answer {
-	m := s.Sessions[member]
-	if m == nil || m.Epoch != epoch || !m.Open {
-		return Answer{Code: ErrNone}
+// endSession ends an open session.
+func (s *State) endSession(index uint64, member string, epoch uint64, byOwner bool) Result {
+	session := s.Sessions[member]
+	if session == nil || session.Epoch != epoch || !session.Open {
+		return Result{Code: CodeNotFound}
 	}
-	m.Open, m.Index, m.Answers = false, index, map[uint64][]byte{}
-	s.over(index, member, epoch, own)
-	return Answer{Code: OK}
+	session.Open, session.Index, session.Results = false, index, map[uint64][]byte{}
+	s.releaseSession(index, member, epoch, byOwner)
+	return Result{Code: CodeOK}
 }
 
-// over lets go of what a run held. Danger: one that was ended by others may act on a duty until its lease is over; nobody else
-// has it before. It can't renew it any more.
-func (s *State) over(index uint64, member string, epoch uint64, own bool) {
+// releaseSession releases what a session held. Duties are released only if the run ended its own session. A run that
+// others ended may act on a duty until its lease expires, so nobody else gets the duty before; the run cannot renew
+// it any more.
+func (s *State) releaseSession(index uint64, member string, epoch uint64, byOwner bool) {
 	for _, name := range slices.Sorted(maps.Keys(s.Duties)) {
-		if d := s.Duties[name]; own && d.Owner == member && d.Epoch == epoch {
-			d.Owner, d.Epoch, d.Index = "", 0, index
+		if duty := s.Duties[name]; byOwner && duty.Owner == member && duty.Epoch == epoch {
+			duty.Owner, duty.Epoch, duty.Index = "", 0, index
 		}
 	}
-	for _, n := range slices.Sorted(maps.Keys(s.parts)) {
-		s.parts[n].Ended(index, member, epoch)
+	for _, id := range slices.Sorted(maps.Keys(s.parts)) {
+		s.parts[id].Ended(index, member, epoch)
 	}
 }
 
-// own gives a duty to a member's run, under a token of its own. Danger: it must be above every one that there ever was.
-func (s *State) own(index uint64, d *Duty, member string, epoch uint64) Answer {
-	d.Token = max(d.Token+1, index)
-	d.Owner, d.Epoch, d.Index = member, epoch, index
-	return Answer{Code: OK, Token: d.Token, Owner: member, Epoch: epoch}
+// assignDuty gives a duty to a member's run under a new fencing token. The token must be higher than all earlier
+// tokens of the duty.
+func (s *State) assignDuty(index uint64, duty *Duty, member string, epoch uint64) Result {
+	duty.Token = max(duty.Token+1, index)
+	duty.Owner, duty.Epoch, duty.Index = member, epoch, index
+	return Result{Code: CodeOK, Token: duty.Token, Owner: member, Epoch: epoch}
 }
 
-func (s *State) fenced(d *Duty) Answer {
-	if d == nil {
-		return Answer{Code: ErrNone}
+// fencedResult is the result of a command with a wrong token.
+func (s *State) fencedResult(duty *Duty) Result {
+	if duty == nil {
+		return Result{Code: CodeNotFound}
 	}
-	return Answer{Code: ErrFence, Token: d.Token, Owner: d.Owner, Epoch: d.Epoch}
+	return Result{Code: CodeFenced, Token: duty.Token, Owner: duty.Owner, Epoch: duty.Epoch}
 }
 
-// Text names a code.
-func (a *Answer) Text() string {
-	switch a.Code {
-	case OK:
+// Text describes the result's code.
+func (r *Result) Text() string {
+	switch r.Code {
+	case CodeOK:
 		return "ok"
-	case ErrOver:
-		return fmt.Sprintf("this run is over (epoch %d is known)", a.Epoch)
-	case ErrFence:
-		return fmt.Sprintf("the present token is %d, of %q", a.Token, a.Owner)
-	case ErrOwned:
-		return fmt.Sprintf("%q owns it, by token %d", a.Owner, a.Token)
-	case ErrOld:
-		return "answered long ago"
+	case CodeSessionEnded:
+		return fmt.Sprintf("the session has ended (current epoch: %d)", r.Epoch)
+	case CodeFenced:
+		return fmt.Sprintf("stale token: the current one is %d, held by %q", r.Token, r.Owner)
+	case CodeOwned:
+		return fmt.Sprintf("already owned by %q with token %d", r.Owner, r.Token)
+	case CodeTooOld:
+		return "sequence number too old: its result is no longer stored"
 	}
-	return "there is none"
+	return "not found"
 }
--- a/internal/cluster/keep/store.go
+++ b/internal/cluster/keep/store.go
@@ -22,282 +22,295 @@
 	"ottershift/internal/cluster/disk"
 )
 
-// Files of a group's directory. The log is the library's; the rest are whole files that are replaced.
+// Files in the directory of a group. The log segments belong to the write-ahead log library; the other files are
+// replaced as a whole.
 const (
-	hardFile     = "hard"     // term and vote
-	snapshotFile = "snapshot" // the state at an entry
-	segmentsFile = "segments" // which files the log consists of
+	hardStateFile = "hard"     // term and vote
+	snapshotFile  = "snapshot" // the state as of one log entry
+	segmentsFile  = "segments" // metadata of the log segments
 )
 
-var segmentSize = 16 << 20 // bytes of a file of the log; less in tests
+var segmentBytes = 16 << 20 // size of a log segment; smaller in tests
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// ErrTorn is a record whose sum is wrong.
-var ErrTorn = errors.New("a record's sum is wrong")
+// ErrChecksum reports a record with a wrong checksum.
+var ErrChecksum = errors.New("record checksum mismatch")
 
-// sealed is a record with its sum before it.
-func sealed(b []byte) []byte {
-	return append(binary.BigEndian.AppendUint32(make([]byte, 0, 4+len(b)), crc32.Checksum(b, castagnoli)), b...)
+// addChecksum returns data with its checksum in front.
+func addChecksum(data []byte) []byte {
+	return append(binary.BigEndian.AppendUint32(make([]byte, 0, 4+len(data)), crc32.Checksum(data, castagnoli)), data...)
 }
 
-func unsealed(b []byte) ([]byte, error) {
-	if len(b) < 4 || crc32.Checksum(b[4:], castagnoli) != binary.BigEndian.Uint32(b) {
-		return nil, ErrTorn
+// verifyChecksum returns the data of a record without its checksum.
+func verifyChecksum(data []byte) ([]byte, error) {
+	if len(data) < 4 || crc32.Checksum(data[4:], castagnoli) != binary.BigEndian.Uint32(data) {
+		return nil, ErrChecksum
 	}
-	return b[4:], nil
+	return data[4:], nil
 }
 
-// Log is a store on a disk: the write-ahead log of github.com/hashicorp/raft-wal, one sync for all that is saved at once, and
-// a sum on every record beside the library's own. Records have numbers of their own, and one of an entry takes the place of all
-// before it from that entry on. Danger: the library (0.4.0) can cut off the end of its log, but then can't be opened again
-// ("sealed segment has no index block"); so nothing is ever cut off there.
-type Log struct {
-	fs     disk.FS
-	wal    *wal.WAL
-	hard   *raftpb.HardState
-	next   uint64            // number of the next record
-	at     map[uint64]uint64 // records of the entries that count, by entry
-	last   uint64            // entry
-	broken error             // what failed once is believed no more
+// DiskStore is a Store on disk: the write-ahead log of github.com/hashicorp/raft-wal, with one sync for everything
+// that is saved together, and a checksum on every record in addition to the library's own. Records have numbers of
+// their own. A record for an entry supersedes all earlier records of this entry and of later ones. The log is never
+// truncated at its end: the library (0.4.0) supports that, but cannot open the log again afterwards ("sealed segment
+// has no index block").
+type DiskStore struct {
+	fs         disk.FS
+	wal        *wal.WAL
+	hardState  *raftpb.HardState
+	nextRecord uint64
+	records    map[uint64]uint64 // current record of each entry, by index
+	lastEntry  uint64            // index of the last entry
+	failure    error             // first error; after it the store is not trusted any more
 }
 
-// OpenLog opens a directory and reads all that it holds; every record is checked. vfs is nil for the real one.
-func OpenLog(dir string, fs disk.FS, vfs types.VFS) (*Log, *Disk, error) {
+// OpenDiskStore opens a directory, reads everything it holds and verifies every record. vfs is nil for the operating
+// system's files.
+func OpenDiskStore(dir string, fs disk.FS, vfs types.VFS) (*DiskStore, *StoredState, error) {
 	if vfs == nil {
 		if err := os.MkdirAll(dir, 0o700); err != nil {
 			return nil, nil, err
 		}
 		vfs = walfs.New()
 	}
-	l := &Log{fs: fs, next: 1, at: map[uint64]uint64{}}
+	store := &DiskStore{fs: fs, nextRecord: 1, records: map[uint64]uint64{}}
 	var err error
-	l.wal, err = wal.Open(dir, wal.WithLogger(hclog.NewNullLogger()), wal.WithSegmentSize(segmentSize), wal.WithMetaStore(segments{fs}),
+	store.wal, err = wal.Open(dir, wal.WithLogger(hclog.NewNullLogger()), wal.WithSegmentSize(segmentBytes), wal.WithMetaStore(segmentMeta{fs}),
 		wal.WithSegmentFiler(segment.NewFiler(dir, vfs)))
 	if err != nil {
-		return nil, nil, fmt.Errorf("the log: %w", err)
+		return nil, nil, fmt.Errorf("open write-ahead log: %w", err)
 	}
-	d, err := l.read()
+	stored, err := store.load()
 	if err != nil {
-		l.wal.Close()
+		store.wal.Close()
 		return nil, nil, err
 	}
-	return l, d, nil
+	return store, stored, nil
 }
 
-func (l *Log) read() (*Disk, error) {
-	d := &Disk{}
-	raw, err := l.fs.Read(hardFile)
+// load reads the whole directory, and maps each entry to its current record.
+func (store *DiskStore) load() (*StoredState, error) {
+	stored := &StoredState{}
+	raw, err := store.fs.Read(hardStateFile)
 	if err == nil {
-		if raw, err = unsealed(raw); err != nil {
-			return nil, fmt.Errorf("%s: %w", hardFile, err)
+		if raw, err = verifyChecksum(raw); err != nil {
+			return nil, fmt.Errorf("%s: %w", hardStateFile, err)
 		}
-		d.Hard = &raftpb.HardState{}
-		if err := proto.Unmarshal(raw, d.Hard); err != nil {
-			return nil, fmt.Errorf("%s: %w", hardFile, err)
+		stored.HardState = &raftpb.HardState{}
+		if err := proto.Unmarshal(raw, stored.HardState); err != nil {
+			return nil, fmt.Errorf("%s: %w", hardStateFile, err)
 		}
-		l.hard = d.Hard
+		store.hardState = stored.HardState
 	} else if !errors.Is(err, os.ErrNotExist) {
 		return nil, err
 	}
-	from := uint64(0)
-	if raw, err = l.fs.Read(snapshotFile); err == nil {
-		if raw, err = unsealed(raw); err != nil {
+	snapshotIndex := uint64(0)
+	if raw, err = store.fs.Read(snapshotFile); err == nil {
+		if raw, err = verifyChecksum(raw); err != nil {
 			return nil, fmt.Errorf("%s: %w", snapshotFile, err)
 		}
-		d.Snapshot = &raftpb.Snapshot{}
-		if err := proto.Unmarshal(raw, d.Snapshot); err != nil {
+		stored.Snapshot = &raftpb.Snapshot{}
+		if err := proto.Unmarshal(raw, stored.Snapshot); err != nil {
 			return nil, fmt.Errorf("%s: %w", snapshotFile, err)
 		}
-		from = d.Snapshot.GetMetadata().GetIndex()
+		snapshotIndex = stored.Snapshot.GetMetadata().GetIndex()
 	} else if !errors.Is(err, os.ErrNotExist) {
 		return nil, err
 	}
-	first, err := l.wal.FirstIndex()
+	first, err := store.wal.FirstIndex()
 	if err != nil {
 		return nil, err
 	}
-	last, err := l.wal.LastIndex()
+	last, err := store.wal.LastIndex()
 	if err != nil {
 		return nil, err
 	}
-	var all []*raftpb.Entry
-	for n := first; last != 0 && n <= last; n++ {
-		e, err := l.record(n)
+	var entries []*raftpb.Entry
+	for number := first; last != 0 && number <= last; number++ {
+		entry, err := store.readRecord(number)
 		if err != nil {
-			return nil, fmt.Errorf("record %d: %w", n, err)
+			return nil, fmt.Errorf("record %d: %w", number, err)
 		}
-		if k := len(all); k > 0 && e.GetIndex() <= all[k-1].GetIndex() { // another leader's
-			at := e.GetIndex() - min(e.GetIndex(), all[0].GetIndex())
-			all = all[:at:at]
-		} else if k > 0 && e.GetIndex() != all[k-1].GetIndex()+1 {
-			all = nil // behind a leader's snapshot that took the place of all before
+		// An index that is not higher than the last one begins the entries of another leader, which supersede ours.
+		if count := len(entries); count > 0 && entry.GetIndex() <= entries[count-1].GetIndex() {
+			kept := entry.GetIndex() - min(entry.GetIndex(), entries[0].GetIndex())
+			entries = entries[:kept:kept]
+		} else if count > 0 && entry.GetIndex() != entries[count-1].GetIndex()+1 {
+			entries = nil // the entries before were replaced by a leader's snapshot
 		}
-		all = append(all, e)
-		l.note(e.GetIndex(), n)
-	}
-	l.next = max(last, first) + 1
-	if len(all) == 0 {
-		return d, nil
-	}
-	if begin := all[0].GetIndex(); begin > from+1 {
-		return nil, fmt.Errorf("the log begins at entry %d, the snapshot holds up to %d: entries between are missing", begin, from)
-	} else if begin <= from {
-		// Danger: a crash between a leader's snapshot and the end of the log that it replaced leaves entries of another branch.
-		if from-begin >= uint64(len(all)) || all[from-begin].GetTerm() != d.Snapshot.GetMetadata().GetTerm() {
-			clear(l.at)
-			return d, nil
+		entries = append(entries, entry)
+		store.mapEntry(entry.GetIndex(), number)
+	}
+	store.nextRecord = max(last, first) + 1
+	if len(entries) == 0 {
+		return stored, nil
+	}
+	if firstEntry := entries[0].GetIndex(); firstEntry > snapshotIndex+1 {
+		return nil, fmt.Errorf("entries missing: the log begins at entry %d, the snapshot ends at entry %d", firstEntry, snapshotIndex)
+	} else if firstEntry <= snapshotIndex {
+		// A crash after saving a leader's snapshot and before deleting the log that it replaces leaves entries of
+		// another history.
+		if snapshotIndex-firstEntry >= uint64(len(entries)) || entries[snapshotIndex-firstEntry].GetTerm() != stored.Snapshot.GetMetadata().GetTerm() {
+			clear(store.records)
+			return stored, nil
 		}
-		all = all[from-begin+1:]
+		entries = entries[snapshotIndex-firstEntry+1:]
 	}
-	d.Entries = all
-	return d, nil
+	stored.Entries = entries
+	return stored, nil
 }
 
-func (l *Log) record(n uint64) (*raftpb.Entry, error) {
-	var rec hraft.Log
-	if err := l.wal.GetLog(n, &rec); err != nil {
+// readRecord reads and verifies a record of the log.
+func (store *DiskStore) readRecord(number uint64) (*raftpb.Entry, error) {
+	var record hraft.Log
+	if err := store.wal.GetLog(number, &record); err != nil {
 		return nil, err
 	}
-	raw, err := unsealed(rec.Data)
+	data, err := verifyChecksum(record.Data)
 	if err != nil {
 		return nil, err
 	}
-	e := &raftpb.Entry{}
-	if err := proto.Unmarshal(raw, e); err != nil || e.GetIndex() == 0 {
-		return nil, ErrTorn
+	entry := &raftpb.Entry{}
+	if err := proto.Unmarshal(data, entry); err != nil || entry.GetIndex() == 0 {
+		return nil, ErrChecksum
 	}
-	return e, nil
+	return entry, nil
 }
 
-// note says that a record is the one of an entry from now on; those of later entries count no more.
-func (l *Log) note(entry, record uint64) {
-	for i := entry + 1; i <= l.last; i++ {
-		delete(l.at, i)
+// mapEntry sets the current record of an entry. Records of later entries no longer count.
+func (store *DiskStore) mapEntry(entry, record uint64) {
+	for i := entry + 1; i <= store.lastEntry; i++ {
+		delete(store.records, i)
 	}
-	l.at[entry], l.last = record, entry
+	store.records[entry], store.lastEntry = record, entry
 }
 
 // Save implements Store.
-func (l *Log) Save(hard *raftpb.HardState, entries []*raftpb.Entry, _ bool) error {
-	if l.broken != nil {
-		return l.broken
+func (store *DiskStore) Save(hardState *raftpb.HardState, entries []*raftpb.Entry, _ bool) error {
+	if store.failure != nil {
+		return store.failure
 	}
-	err := l.save(hard, entries)
+	err := store.save(hardState, entries)
 	if err != nil {
-		l.broken = fmt.Errorf("the directory failed before, and nothing of it is believed until the next start: %w", err)
+		store.failure = fmt.Errorf("store disabled until restart after an earlier error: %w", err)
 	}
 	return err
 }
 
-func (l *Log) save(hard *raftpb.HardState, entries []*raftpb.Entry) error {
-	// The commit index alone needn't be kept: it is found again.
-	if hard != nil && (l.hard == nil || hard.GetTerm() != l.hard.GetTerm() || hard.GetVote() != l.hard.GetVote()) {
-		raw, err := proto.Marshal(hard)
+// save writes the hard state if term or vote changed, and appends the entries to the log.
+func (store *DiskStore) save(hardState *raftpb.HardState, entries []*raftpb.Entry) error {
+	// The commit index need not be saved by itself: Raft determines it again.
+	if hardState != nil && (store.hardState == nil || hardState.GetTerm() != store.hardState.GetTerm() || hardState.GetVote() != store.hardState.GetVote()) {
+		data, err := proto.Marshal(hardState)
 		if err != nil {
 			return err
 		}
-		if err := l.fs.Replace(hardFile, sealed(raw)); err != nil {
+		if err := store.fs.Replace(hardStateFile, addChecksum(data)); err != nil {
 			return err
 		}
-		l.hard = hard
+		store.hardState = hardState
 	}
 	if len(entries) == 0 {
 		return nil
 	}
 	batch := make([]*hraft.Log, len(entries))
-	for i, e := range entries {
-		raw, err := proto.Marshal(e)
+	for i, entry := range entries {
+		data, err := proto.Marshal(entry)
 		if err != nil {
 			return err
 		}
-		batch[i] = &hraft.Log{Index: l.next + uint64(i), Term: e.GetTerm(), Data: sealed(raw)}
+		batch[i] = &hraft.Log{Index: store.nextRecord + uint64(i), Term: entry.GetTerm(), Data: addChecksum(data)}
 	}
-	if err := l.wal.StoreLogs(batch); err != nil {
+	if err := store.wal.StoreLogs(batch); err != nil {
 		return err
 	}
-	for _, e := range entries {
-		l.note(e.GetIndex(), l.next)
-		l.next++
+	for _, entry := range entries {
+		store.mapEntry(entry.GetIndex(), store.nextRecord)
+		store.nextRecord++
 	}
 	return nil
 }
 
-// SaveSnapshot implements Store. Danger: entries go only once the snapshot is there whole.
-func (l *Log) SaveSnapshot(snap *raftpb.Snapshot, keep uint64) error {
-	if l.broken != nil {
-		return l.broken
+// SaveSnapshot implements Store. It deletes entries only after the snapshot is completely on disk.
+func (store *DiskStore) SaveSnapshot(snapshot *raftpb.Snapshot, compactTo uint64) error {
+	if store.failure != nil {
+		return store.failure
 	}
-	raw, err := proto.Marshal(snap)
+	data, err := proto.Marshal(snapshot)
 	if err == nil {
-		err = l.fs.Replace(snapshotFile, sealed(raw))
+		err = store.fs.Replace(snapshotFile, addChecksum(data))
 	}
-	if err == nil && keep > 0 {
-		err = l.forget(keep, keep >= snap.GetMetadata().GetIndex())
+	if err == nil && compactTo > 0 {
+		err = store.discard(compactTo, compactTo >= snapshot.GetMetadata().GetIndex())
 	}
 	if err != nil {
-		l.broken = fmt.Errorf("the directory failed before, and nothing of it is believed until the next start: %w", err)
+		store.failure = fmt.Errorf("store disabled until restart after an earlier error: %w", err)
 	}
 	return err
 }
 
-// forget lets entries go up to one, or all of them where a leader's snapshot takes their place: all records before the first
-// that still counts.
-func (l *Log) forget(keep uint64, all bool) error {
-	first, err := l.wal.FirstIndex()
+// discard deletes the entries up to an index, or all of them if a leader's snapshot replaces them. It deletes all
+// records before the first one that still counts.
+func (store *DiskStore) discard(compactTo uint64, all bool) error {
+	first, err := store.wal.FirstIndex()
 	if err != nil {
 		return err
 	}
-	until := l.next
-	for entry, record := range l.at {
-		if all || entry <= keep {
-			delete(l.at, entry)
+	until := store.nextRecord
+	for entry, record := range store.records {
+		if all || entry <= compactTo {
+			delete(store.records, entry)
 		} else {
 			until = min(until, record)
 		}
 	}
 	if all {
-		l.last = 0
+		store.lastEntry = 0
 	}
 	if first == 0 || until <= first {
 		return nil
 	}
-	return l.wal.DeleteRange(first, until-1)
+	return store.wal.DeleteRange(first, until-1)
 }
 
-// Close ends it.
-func (l *Log) Close() error { return l.wal.Close() }
+// Close closes the write-ahead log.
+func (store *DiskStore) Close() error { return store.wal.Close() }
 
-// segments is where the library keeps which files its log consists of.
-type segments struct{ fs disk.FS }
+// segmentMeta stores the library's metadata of its log segments.
+type segmentMeta struct{ fs disk.FS }
 
-func (s segments) Load(string) (p types.PersistentState, err error) {
+func (s segmentMeta) Load(string) (state types.PersistentState, err error) {
 	raw, err := s.fs.Read(segmentsFile)
 	if errors.Is(err, os.ErrNotExist) {
-		return p, nil
+		return state, nil
 	}
 	if err == nil {
-		if raw, err = unsealed(raw); err == nil {
-			err = json.Unmarshal(raw, &p)
+		if raw, err = verifyChecksum(raw); err == nil {
+			err = json.Unmarshal(raw, &state)
 		}
 	}
 	if err != nil {
 		err = fmt.Errorf("%s: %w", segmentsFile, err)
 	}
-	return p, err
+	return state, err
 }
 
-func (s segments) CommitState(p types.PersistentState) error {
-	raw, err := json.Marshal(p)
+func (s segmentMeta) CommitState(state types.PersistentState) error {
+	raw, err := json.Marshal(state)
 	if err != nil {
 		return err
 	}
-	return s.fs.Replace(segmentsFile, sealed(raw))
+	return s.fs.Replace(segmentsFile, addChecksum(raw))
 }
 
-func (s segments) GetStable([]byte) ([]byte, error) { return nil, nil }
-func (s segments) SetStable(_, _ []byte) error      { return errors.New("kept elsewhere") }
-func (s segments) Close() error                     { return nil }
+func (s segmentMeta) GetStable([]byte) ([]byte, error) { return nil, nil }
+func (s segmentMeta) SetStable(_, _ []byte) error {
+	return errors.New("not supported: the hard state has a file of its own")
+}
+func (s segmentMeta) Close() error { return nil }
 
-// Group is the directory of one group below a member's.
-func Group(dir string, n int) string { return filepath.Join(dir, fmt.Sprintf("group-%d", n)) }
+// GroupDir returns the directory of a group within the data directory of a member.
+func GroupDir(dir string, group int) string {
+	return filepath.Join(dir, fmt.Sprintf("group-%d", group))
+}
--- a/internal/cluster/ledger/book.go
+++ b/internal/cluster/ledger/book.go
@@ -172,15 +172,15 @@
 }
 
 // Apply implements keep.Part.
-func (b *Book) Apply(index uint64, c *keep.Command) keep.Answer {
+func (b *Book) Apply(index uint64, c *keep.Command) keep.Result {
 	var x Batch
 	if pack.Unpack(c.Body, &x) != nil {
-		return keep.Answer{Code: keep.ErrNone}
+		return keep.Result{Code: keep.CodeNotFound}
 	}
 	defer func() { b.marks[index%marks] = mark{index, b.sum} }()
 	if c.Member == "" { // a keeper's own
 		b.pass(x.Pass)
-		return keep.Answer{Code: keep.OK}
+		return keep.Result{Code: keep.CodeOK}
 	}
 	r := Results{All: make([]Res, len(x.Ops))}
 	run := holder{member: b.name(c.Member), epoch: c.Epoch}
@@ -191,7 +191,7 @@
 			b.counts[names[r.All[i].Code]]++
 		}
 	}
-	return keep.Answer{Code: keep.OK, Body: pack.Pack(&r)}
+	return keep.Result{Code: keep.CodeOK, Body: pack.Pack(&r)}
 }
 
 var names = [...]string{"none", "granted", "held", "bound", "ran", "differs", "full", "stale"}
--- a/internal/cluster/ledger/ledger.go
+++ b/internal/cluster/ledger/ledger.go
@@ -24,7 +24,7 @@
 
 // Keepers is one group of them, as a client has it.
 type Keepers interface {
-	Do(ctx context.Context, x keep.Command) (keep.Answer, error)
+	Do(ctx context.Context, x keep.Command) (keep.Result, error)
 	ReadPart(ctx context.Context, part byte, body []byte, stale bool) ([]byte, error)
 	Session() (epoch uint64, ok bool)
 }
@@ -174,16 +174,16 @@
 	g.l.Counts.Batches.Add(1)
 	ctx, end := context.WithTimeout(g.l.ctx, 2*time.Duration(g.within.Load()))
 	defer end()
-	a, err := g.k.Do(ctx, keep.Command{Kind: keep.Custom, Part: Part, Body: pack.Pack(&s.Batch)})
+	a, err := g.k.Do(ctx, keep.Command{Kind: keep.PartCommand, Part: Part, Body: pack.Pack(&s.Batch)})
 	var r Results
-	if err == nil && a.Code != keep.OK {
+	if err == nil && a.Code != keep.CodeOK {
 		err = fmt.Errorf("the keepers say: %s", a.Text())
 	}
 	if err == nil {
 		err = pack.Unpack(a.Body, &r)
 	}
 	g.mu.Lock()
-	g.flow.Answered(s, &r, err, errors.Is(err, keep.ErrMemberOver), g.l.now())
+	g.flow.Answered(s, &r, err, errors.Is(err, keep.ErrSessionEnded), g.l.now())
 	g.mu.Unlock()
 	g.wake()
 }
--- a/internal/cluster/ledger/rate_test.go
+++ b/internal/cluster/ledger/rate_test.go
@@ -39,7 +39,7 @@
 	}
 	dir := t.TempDir()
 	var member *link.Link
-	var all []*keep.Keeper
+	var all []*keep.Replica
 	for i, name := range names {
 		where := map[string]string{}
 		for k, other := range names {
@@ -62,10 +62,10 @@
 			break
 		}
 		for g := range groups {
-			at := keep.Group(filepath.Join(dir, name), g)
-			k, err := keep.NewKeeper(keep.Options{
-				Cluster: "c", Name: name, Voters: names[:keepers], Group: g, Dir: at, FS: disk.Dir(at), Way: l, Election: time.Second,
-				Lease: keep.Lease{For: time.Second, Drift: 0.02}, Guards: keep.Guards{Fence: true, Once: true}, Log: slog.New(slog.DiscardHandler),
+			at := keep.GroupDir(filepath.Join(dir, name), g)
+			k, err := keep.NewReplica(keep.Options{
+				Cluster: "c", Name: name, Voters: names[:keepers], Group: g, Dir: at, FS: disk.Dir(at), Transport: l, ElectionTimeout: time.Second,
+				Lease: keep.Lease{Duration: time.Second, MaxDrift: 0.02}, Checks: keep.SafetyChecks{Fencing: true, Deduplication: true}, Log: slog.New(slog.DiscardHandler),
 				Parts: map[byte]keep.Part{Part: NewBook(Guards{Fence: true}, 1)},
 			})
 			if err != nil {
@@ -77,7 +77,7 @@
 		l.Serve()
 	}
 	for _, k := range all {
-		k.Begin()
+		k.Start()
 	}
 	var clients []Keepers
 	for g := range groups {
--- a/internal/cluster/ledger/schedule_test.go
+++ b/internal/cluster/ledger/schedule_test.go
@@ -102,7 +102,7 @@
 	}
 }
 
-func (p *planet) apply(c *keep.Command) keep.Answer {
+func (p *planet) apply(c *keep.Command) keep.Result {
 	p.index++
 	_, a := p.state.Apply(p.index, pack.Pack(c))
 	return a
@@ -111,8 +111,8 @@
 func (p *planet) begin(s *sailor) {
 	s.epoch++
 	s.flow, s.seq, s.out, s.trips, s.pending, s.asleep = NewFlow(time.Duration(within), 5*time.Millisecond, 1000), 0, map[uint64]bool{}, nil, nil, 0
-	a := p.apply(&keep.Command{Kind: keep.Open, Member: s.name, Epoch: s.epoch, Run: s.epoch})
-	s.open = a.Code == keep.OK
+	a := p.apply(&keep.Command{Kind: keep.OpenSession, Member: s.name, Epoch: s.epoch, Run: s.epoch})
+	s.open = a.Code == keep.CodeOK
 }
 
 // send is what the runner does with a batch.
@@ -131,9 +131,9 @@
 	if p.f.overtake {
 		batch.Low = 0
 	}
-	c := keep.Command{Kind: keep.Custom, Part: Part, Member: s.name, Epoch: s.epoch, Seq: s.seq, Low: low, Body: pack.Pack(&batch)}
+	c := keep.Command{Kind: keep.PartCommand, Part: Part, Member: s.name, Epoch: s.epoch, Seq: s.seq, LowestPending: low, Body: pack.Pack(&batch)}
 	if p.f.overtake {
-		c.Low = 0
+		c.LowestPending = 0
 	}
 	x := &parcel{s: s, run: s.epoch, cmd: c, sent: b, at: p.now + 2*within, from: p.now}
 	if p.chance.IntN(8) == 0 {
@@ -162,7 +162,7 @@
 		}
 		if alive && !x.told && p.now >= x.at {
 			x.told = true
-			p.hear(x, keep.Answer{}, keep.ErrUnknown)
+			p.hear(x, keep.Result{}, keep.ErrOutcomeUnknown)
 		}
 		if drop && (x.told || !alive) || p.now > x.at+3000*ms {
 			p.flying = append(p.flying[:i:i], p.flying[i+1:]...)
@@ -171,16 +171,16 @@
 	}
 }
 
-func (p *planet) hear(x *parcel, a keep.Answer, err error) {
+func (p *planet) hear(x *parcel, a keep.Result, err error) {
 	s := x.s
 	do := func() {
 		if s.epoch != x.run || s.flow == nil {
 			return
 		}
 		var r Results
-		over := err == nil && a.Code == keep.ErrOver
+		over := err == nil && a.Code == keep.CodeSessionEnded
 		if over {
-			err = keep.ErrMemberOver
+			err = keep.ErrSessionEnded
 			s.open = false
 		} else if err == nil {
 			if pack.Unpack(a.Body, &r) != nil {
@@ -390,10 +390,10 @@
 	}
 	if body := p.book.Due(p.now - p.passed); body != nil {
 		p.passed = p.now
-		p.apply(&keep.Command{Kind: keep.Custom, Part: Part, Body: body})
+		p.apply(&keep.Command{Kind: keep.PartCommand, Part: Part, Body: body})
 		if p.f.early {
-			p.apply(&keep.Command{Kind: keep.Custom, Part: Part, Body: body})
-			p.apply(&keep.Command{Kind: keep.Custom, Part: Part, Body: body})
+			p.apply(&keep.Command{Kind: keep.PartCommand, Part: Part, Body: body})
+			p.apply(&keep.Command{Kind: keep.PartCommand, Part: Part, Body: body})
 		}
 	}
 	p.carry()
@@ -436,7 +436,7 @@
 				}
 			}
 		}
-		p.state.Apply(p.index+1, pack.Pack(&keep.Command{Kind: keep.End, Other: s.name, Number: s.epoch, Token: p.state.Duties[keep.Sessions].Token, Member: "owner"}))
+		p.state.Apply(p.index+1, pack.Pack(&keep.Command{Kind: keep.EndSession, Target: s.name, Number: s.epoch, Token: p.state.Duties[keep.SessionsDuty].Token, Member: "owner"}))
 		p.index++
 	case d < 72:
 		p.passed = p.now // another leads, and counts from now on
@@ -453,8 +453,8 @@
 	p := &planet{chance: rand.New(rand.NewPCG(seed, 41)), effects: map[string][]effect{}, known: map[string]int64{}, f: f}
 	p.keys = 3 + p.chance.IntN(60)
 	p.book = NewBook(Guards{Fence: !f.fence}, 1)
-	p.state = keep.NewState("c", nil, map[byte]keep.Part{Part: p.book}, keep.Guards{Fence: !f.fence, Once: true})
-	p.state.Duties[keep.Sessions] = &keep.Duty{Name: keep.Sessions, Token: 1, Owner: "owner", Epoch: 1}
+	p.state = keep.NewState("c", nil, map[byte]keep.Part{Part: p.book}, keep.SafetyChecks{Fencing: !f.fence, Deduplication: true})
+	p.state.Duties[keep.SessionsDuty] = &keep.Duty{Name: keep.SessionsDuty, Token: 1, Owner: "owner", Epoch: 1}
 	for i := range 3 {
 		s := &sailor{name: fmt.Sprint("m", i)}
 		p.members = append(p.members, s)
@@ -475,7 +475,7 @@
 		p.fail("%s is held by %s, epoch %d, number %d, and nobody will end it", k, p.book.names[h.member], h.epoch, h.number)
 	}
 	for i := 0; i < 60; i++ {
-		p.apply(&keep.Command{Kind: keep.Custom, Part: Part, Body: pack.Pack(&Batch{Pass: second})})
+		p.apply(&keep.Command{Kind: keep.PartCommand, Part: Part, Body: pack.Pack(&Batch{Pass: second})})
 	}
 	if len(p.book.at) > 0 || p.book.sum != 0 || len(p.book.due) > 1 {
 		p.fail("%d keys are remembered for good, sum %x", len(p.book.at), p.book.sum)
--- a/internal/cluster/staff.go
+++ b/internal/cluster/staff.go
@@ -126,13 +126,13 @@
 			return fmt.Errorf("%s whom? write the keeper's name behind it", call)
 		}
 		for _, client := range a.clients { // in every group
-			if _, err := client.Order(ctx, keep.Order{What: call, Name: name}); err != nil {
+			if _, err := client.Admin(ctx, keep.AdminRequest{Action: call, Name: name}); err != nil {
 				return err
 			}
 		}
 		return nil
 	case "snapshot":
-		raw, err := a.client.Order(ctx, keep.Order{What: call})
+		raw, err := a.client.Admin(ctx, keep.AdminRequest{Action: call})
 		if err != nil {
 			return err
 		}
