--- a/internal/cluster/keep/core_test.go
+++ b/internal/cluster/keep/core_test.go
@@ -17,78 +17,80 @@
 	"ottershift/internal/cluster/pack"
 )
 
-// counter is a part that counts how often each command ran, so that one that runs twice is seen.
+// counter is a part that counts the executions of each command, to detect commands that are executed twice.
 type counter struct{ Counts map[string]int }
 
-func (c *counter) Apply(_ uint64, x *Command) Result {
-	c.Counts[fmt.Sprintf("%s/%d/%d", x.Member, x.Epoch, x.Seq)]++
+func (c *counter) Apply(_ uint64, cmd *Command) Result {
+	c.Counts[fmt.Sprintf("%s/%d/%d", cmd.Member, cmd.Epoch, cmd.Seq)]++
 	return Result{Code: CodeOK}
 }
 func (c *counter) Ended(uint64, string, uint64) {}
 func (c *counter) Save() []byte                 { return pack.Pack(c.Counts) }
-func (c *counter) Load(raw []byte) error {
+func (c *counter) Load(data []byte) error {
 	c.Counts = map[string]int{}
-	return pack.Unpack(raw, &c.Counts)
+	return pack.Unpack(data, &c.Counts)
 }
 
-// memoryStore is a disk of a schedule. What was saved is there after a crash, but where the fault is planted that loses it.
+// memoryStore is a Store in memory. Saved data survives a crash, unless the simulation injects lost syncs.
 type memoryStore struct {
 	state    StoredState
 	failing  bool
 	previous StoredState
 }
 
-var errDisk = errors.New("the disk fails")
+var errDisk = errors.New("injected disk error")
 
-func (store *memoryStore) Save(hard *raftpb.HardState, entries []*raftpb.Entry, _ bool) error {
+func (store *memoryStore) Save(hardState *raftpb.HardState, entries []*raftpb.Entry, _ bool) error {
 	if store.failing {
 		return errDisk
 	}
 	store.previous = StoredState{store.state.HardState, store.state.Snapshot, slices.Clone(store.state.Entries)}
-	if hard != nil {
-		store.state.HardState = proto.Clone(hard).(*raftpb.HardState)
+	if hardState != nil {
+		store.state.HardState = proto.Clone(hardState).(*raftpb.HardState)
 	}
-	for _, e := range entries {
-		for i, had := range store.state.Entries {
-			if had.GetIndex() >= e.GetIndex() {
+	for _, entry := range entries {
+		for i, existing := range store.state.Entries {
+			if existing.GetIndex() >= entry.GetIndex() {
 				store.state.Entries = store.state.Entries[:i:i]
 				break
 			}
 		}
-		store.state.Entries = append(store.state.Entries, e)
+		store.state.Entries = append(store.state.Entries, entry)
 	}
 	return nil
 }
 
-func (store *memoryStore) SaveSnapshot(snap *raftpb.Snapshot, keep uint64) error {
+func (store *memoryStore) SaveSnapshot(snapshot *raftpb.Snapshot, compactTo uint64) error {
 	if store.failing {
 		return errDisk
 	}
-	store.state.Snapshot = snap
-	at := snap.GetMetadata().GetIndex()
-	if keep >= at {
+	store.state.Snapshot = snapshot
+	index := snapshot.GetMetadata().GetIndex()
+	if compactTo >= index {
 		store.state.Entries = nil
 	}
-	store.state.Entries = slices.DeleteFunc(store.state.Entries, func(e *raftpb.Entry) bool { return e.GetIndex() <= min(keep, at) })
+	store.state.Entries = slices.DeleteFunc(store.state.Entries, func(entry *raftpb.Entry) bool { return entry.GetIndex() <= min(compactTo, index) })
 	return nil
 }
 
+// simNode is a replica with its disk and clock.
 type simNode struct {
 	id       uint64
 	run      uint64
-	core     *Core // nil while it is down
+	core     *Core // nil while the node is down
 	disk     *memoryStore
 	counter  *counter
-	nextTick int64 // when its clock ticks next
+	nextTick int64 // time of the next tick of its clock
 }
 
+// message is a Raft message that has not been delivered yet.
 type message struct {
 	from, to  uint64
 	raft      *raftpb.Message
-	senderRun uint64 // of the sender
+	senderRun uint64
 }
 
-// simClient is a client of the schedule, with one command out at a time.
+// simClient is a client in the simulation, with one pending command at a time.
 type simClient struct {
 	name    string
 	epoch   uint64
@@ -97,7 +99,8 @@
 	tokens  map[string]uint64
 }
 
-// simulation plays keepers against lost, late, doubled and reordered messages, crashes, cuts and failing disks.
+// simulation runs replicas with messages that are lost, delayed, duplicated and reordered, with crashes, partitions
+// and failing disks.
 type simulation struct {
 	t             *testing.T
 	rng           *rand.Rand
@@ -106,26 +109,28 @@
 	clients       []*simClient
 	inFlight      []message
 	partitioned   map[[2]uint64]bool
-	applied       map[uint64]string // entries by index: the same at all
+	applied       map[uint64]string // entries by index; the same on all replicas
 	leaders       map[uint64]uint64 // leaders by term
-	acked         map[string]bool   // commands whose answer a member has
-	highestResult uint64            // entry up to which a member has an answer
-	highestTokens map[string]uint64 // highest that was answered
+	acked         map[string]bool   // commands whose result a client has received
+	highestResult uint64            // highest index of a result that a client has received
+	highestTokens map[string]uint64 // highest token received, by duty
 	reads         int
 	violation     string
 	checks        SafetyChecks
-	replaceIn     int  // steps until a keeper is put in another's place; 0 for never
-	replacements  int  // changes of keepers that came to their end
-	staleReads    bool // planted: a leader answers reads by its own belief
-	lostSyncs     bool // planted: a crash loses the last thing that was synced
+	replaceIn     int  // steps until a voter is replaced; 0 for never
+	replacements  int  // completed replacements
+	staleReads    bool // injected fault: a leader answers reads without a read index
+	lostSyncs     bool // injected fault: a crash loses the last sync
 }
 
+// fail records the first violation of a guarantee.
 func (sim *simulation) fail(format string, args ...any) {
 	if sim.violation == "" {
 		sim.violation = fmt.Sprintf(format, args...)
 	}
 }
 
+// start starts a node from its disk.
 func (sim *simulation) start(node *simNode) {
 	node.run++
 	node.counter = &counter{map[string]int{}}
@@ -138,6 +143,7 @@
 	node.core = core
 }
 
+// crash stops a node.
 func (sim *simulation) crash(node *simNode) {
 	node.core = nil
 	if sim.lostSyncs && node.disk.previous.Snapshot != nil && sim.rng.IntN(2) == 0 {
@@ -146,7 +152,7 @@
 	node.disk.failing = false
 }
 
-// process drives a core to rest; a disk that fails ends it, as it ends the process.
+// process runs the pending work of a node. A disk error stops the node, as it stops a real process.
 func (sim *simulation) process(node *simNode) {
 	if node.core == nil {
 		return
@@ -161,32 +167,32 @@
 	})
 	if err != nil {
 		if !errors.Is(err, errDisk) {
-			sim.fail("keeper %d: %v", node.id, err)
+			sim.fail("replica %d: %v", node.id, err)
 		}
 		sim.crash(node)
 		return
 	}
 	if status := node.core.raft.BasicStatus(); node.core.IsLeader() {
 		if other, ok := sim.leaders[status.HardState.GetTerm()]; ok && other != node.id {
-			sim.fail("%d and %d lead in term %d", other, node.id, status.HardState.GetTerm())
+			sim.fail("replicas %d and %d both lead in term %d", other, node.id, status.HardState.GetTerm())
 		}
 		sim.leaders[status.HardState.GetTerm()] = node.id
 	}
 	for _, entry := range recentEntries(node.core) {
 		text := fmt.Sprintf("%d %x", entry.GetTerm(), entry.GetData())
-		if was, ok := sim.applied[entry.GetIndex()]; ok && was != text {
-			sim.fail("entry %d was agreed on as %q and as %q", entry.GetIndex(), was, text)
+		if previous, ok := sim.applied[entry.GetIndex()]; ok && previous != text {
+			sim.fail("entry %d was committed as %q and as %q", entry.GetIndex(), previous, text)
 		}
 		sim.applied[entry.GetIndex()] = text
 	}
-	for what, times := range node.counter.Counts {
-		if times > 1 {
-			sim.fail("%s ran %d times at keeper %d", what, times, node.id)
+	for command, count := range node.counter.Counts {
+		if count > 1 {
+			sim.fail("%s was executed %d times on replica %d", command, count, node.id)
 		}
 	}
 }
 
-// recentEntries are the entries that a core has applied and still holds.
+// recentEntries returns the last few entries that a core has applied and still holds.
 func recentEntries(core *Core) []*raftpb.Entry {
 	first, _ := core.storage.FirstIndex()
 	if core.appliedIndex < first {
@@ -196,7 +202,7 @@
 	return entries
 }
 
-// sendCommand has a member send its command, the same again while it has no answer, to any keeper.
+// sendCommand sends a client's command to a random node. A command without a result is sent again.
 func (sim *simulation) sendCommand(client *simClient) {
 	node := sim.nodes[sim.rng.IntN(len(sim.nodes))]
 	if node.core == nil {
@@ -230,11 +236,12 @@
 			client.seq, client.pending = 0, &Command{Kind: OpenSession, Member: client.name, Epoch: client.epoch, Run: client.epoch}
 		case cmd.Kind == AcquireDuty && result.Code == CodeOK:
 			if result.Token <= sim.highestTokens[cmd.Duty] {
-				sim.fail("token %d of %s was given after %d", result.Token, cmd.Duty, sim.highestTokens[cmd.Duty])
+				sim.fail("token %d of %s was issued after %d", result.Token, cmd.Duty, sim.highestTokens[cmd.Duty])
 			}
 			sim.highestTokens[cmd.Duty], client.tokens[cmd.Duty] = result.Token, result.Token
-		case cmd.Kind == ReleaseDuty && result.Code == CodeOK && cmd.Token < sim.highestTokens[cmd.Duty] && result.Index > sim.highestTokens[cmd.Duty]: // a token is the entry that gave it
-			sim.fail("token %d of %s let go after %d was given", cmd.Token, cmd.Duty, sim.highestTokens[cmd.Duty])
+		case cmd.Kind == ReleaseDuty && result.Code == CodeOK && cmd.Token < sim.highestTokens[cmd.Duty] && result.Index > sim.highestTokens[cmd.Duty]:
+			// A token is the index of the entry that issued it.
+			sim.fail("stale token %d of %s released the duty after %d was issued", cmd.Token, cmd.Duty, sim.highestTokens[cmd.Duty])
 		case cmd.Kind == PartCommand && result.Code == CodeOK:
 			sim.acked[fmt.Sprintf("%s/%d/%d", cmd.Member, cmd.Epoch, cmd.Seq)] = true
 		}
@@ -242,6 +249,7 @@
 	sim.process(node)
 }
 
+// read checks that a read on a node includes all results that were received before it.
 func (sim *simulation) read(node *simNode) {
 	if node.core == nil {
 		return
@@ -253,7 +261,7 @@
 		}
 		sim.reads++
 		if node.core.State.Index < before {
-			sim.fail("keeper %d read up to entry %d, and %d had been answered before", node.id, node.core.State.Index, before)
+			sim.fail("stale read: replica %d answered as of entry %d, after a result of entry %d", node.id, node.core.State.Index, before)
 		}
 	}
 	if sim.staleReads {
@@ -266,8 +274,8 @@
 	sim.process(node)
 }
 
-// faultyStep passes a few milliseconds: clocks of different speeds tick, messages come, most of them soon and in order, members and
-// readers ask, and now and then something breaks.
+// faultyStep advances the time by a few milliseconds: clocks of different speeds tick, messages arrive, most of them
+// soon and in order, clients send commands and reads, and sometimes a fault is injected.
 func (sim *simulation) faultyStep() {
 	sim.now += sim.rng.Int64N(int64(8 * time.Millisecond))
 	for _, node := range sim.nodes {
@@ -328,8 +336,8 @@
 	}
 }
 
-// advanceReplacement has a new disk take the place of the second keeper, whenever somebody leads who can; then who is at it is killed soon, one
-// after the other.
+// advanceReplacement replaces the second voter by a new disk as soon as a leader accepts it. Until the replacement is
+// complete, it sometimes crashes the nodes that take part.
 func (sim *simulation) advanceReplacement() {
 	if sim.replaceIn--; sim.replaceIn > 0 {
 		return
@@ -361,7 +369,7 @@
 	}
 }
 
-// currentNodes are the keepers that the newest state knows.
+// currentNodes returns the nodes of the voters in the newest state.
 func (sim *simulation) currentNodes() (nodes []*simNode) {
 	var newest *State
 	for _, node := range sim.nodes {
@@ -377,7 +385,8 @@
 	return nodes
 }
 
-// healAndCheck ends all faults; then there must be a leader, all keepers hold the same, and whatever was answered is there.
+// healAndCheck ends all faults. After that there must be a leader, all replicas must hold the same state, and
+// everything that was acknowledged must be in it.
 func (sim *simulation) healAndCheck() {
 	clear(sim.partitioned)
 	for _, node := range sim.nodes {
@@ -393,9 +402,10 @@
 	}
 	nodes := sim.currentNodes()
 	if len(sim.nodes) == 4 {
-		// The order may have been lost with its leader; staff give it again. Half of it must not be left.
+		// The request may be lost with its leader; an operator would repeat it. A replacement must not be left
+		// incomplete.
 		if len(nodes) != 3 || nodes[2].id != 3 && nodes[1].id != 3 {
-			sim.fail("a change of keepers came to no end: %d seats", len(nodes))
+			sim.fail("a membership change did not complete: %d voters", len(nodes))
 			return
 		}
 		if nodes[2].id == 4 {
@@ -404,20 +414,20 @@
 	}
 	for _, node := range nodes {
 		if node.core.State.Index < sim.highestResult {
-			sim.fail("keeper %d holds up to entry %d, and %d was answered", node.id, node.core.State.Index, sim.highestResult)
+			sim.fail("replica %d holds entries up to %d, but entry %d was acknowledged", node.id, node.core.State.Index, sim.highestResult)
 		}
-		for what := range sim.acked {
-			if node.counter.Counts[what] == 0 {
-				sim.fail("%s was answered, and keeper %d has never run it", what, node.id)
+		for command := range sim.acked {
+			if node.counter.Counts[command] == 0 {
+				sim.fail("%s was acknowledged, but replica %d has never executed it", command, node.id)
 			}
 		}
 	}
 	if a, b := nodes[0].core.State, nodes[len(nodes)-1].core.State; a.Index == b.Index && string(a.Save()) != string(b.Save()) {
-		sim.fail("two keepers hold different states at entry %d", a.Index)
+		sim.fail("two replicas hold different states at entry %d", a.Index)
 	}
 }
 
-// faultlessStep passes time and messages in order, with nothing wrong.
+// faultlessStep advances the time by a millisecond, and delivers all messages in order.
 func (sim *simulation) faultlessStep() {
 	sim.now += int64(time.Millisecond)
 	if sim.now/int64(time.Millisecond)%10 == 0 {
@@ -436,16 +446,17 @@
 	}
 }
 
+// runSchedule runs the schedule of a seed. It returns the first violation of a guarantee, or "".
 func runSchedule(t *testing.T, seed uint64, checks SafetyChecks, staleReads, lostSyncs bool) (violation string) {
-	cryptotest.SetGlobalRandom(t, seed) // the library draws its election times there
+	cryptotest.SetGlobalRandom(t, seed) // the Raft library draws its election timeouts from it
 	sim := &simulation{
 		t: t, rng: rand.New(rand.NewPCG(seed, 6)), partitioned: map[[2]uint64]bool{}, applied: map[uint64]string{}, leaders: map[uint64]uint64{},
 		acked: map[string]bool{}, highestTokens: map[string]uint64{}, checks: checks, staleReads: staleReads, lostSyncs: lostSyncs,
 	}
 	lastSimulation = sim
 	defer func() {
-		if r := recover(); r != nil { // the library's own assertions
-			violation = fmt.Sprint("panic: ", r)
+		if recovered := recover(); recovered != nil { // assertions of the Raft library
+			violation = fmt.Sprint("panic: ", recovered)
 		}
 	}()
 	var voters []Voter
@@ -453,8 +464,8 @@
 		voters = append(voters, Voter{ID: id + 1, Name: fmt.Sprint("k", id+1), DiskID: fmt.Sprint("d", id+1)})
 	}
 	for _, voter := range voters {
-		first := InitialSnapshot(NewState("c", voters, map[byte]Part{1: &counter{map[string]int{}}}, checks))
-		node := &simNode{id: voter.ID, disk: &memoryStore{state: StoredState{Snapshot: first}}}
+		snapshot := InitialSnapshot(NewState("c", voters, map[byte]Part{1: &counter{map[string]int{}}}, checks))
+		node := &simNode{id: voter.ID, disk: &memoryStore{state: StoredState{Snapshot: snapshot}}}
 		sim.nodes = append(sim.nodes, node)
 		sim.start(node)
 	}
@@ -464,7 +475,7 @@
 		sim.clients = append(sim.clients, client)
 	}
 	for range 100 {
-		sim.faultlessStep() // so that most schedules have a leader to lose
+		sim.faultlessStep() // so that most schedules begin with a leader
 	}
 	if seed%2 == 1 {
 		sim.replaceIn = 1 + sim.rng.IntN(200)
@@ -478,56 +489,58 @@
 	return sim.violation
 }
 
-func scheduleCount(usual int) int {
+// scheduleCount returns the number of schedules to run.
+func scheduleCount(standard int) int {
 	if n, err := strconv.Atoi(os.Getenv("OTTERSHIFT_SCHEDULES")); err == nil {
 		return n
 	}
-	return usual / scheduleDivisor
+	return standard / scheduleDivisor
 }
 
 var allChecks = SafetyChecks{true, true}
 
-// OTTERSHIFT_SCHEDULES plays more, OTTERSHIFT_FROM from another seed on: the library's chance is the process's, so several
-// processes play side by side.
+// TestSchedules runs random schedules of faults and checks the guarantees of the group after each step.
+// OTTERSHIFT_SCHEDULES sets the number of schedules, OTTERSHIFT_FROM the first seed. The Raft library's randomness is
+// global, so only several processes can run schedules in parallel.
 func TestSchedules(t *testing.T) {
 	from, _ := strconv.Atoi(os.Getenv("OTTERSHIFT_FROM"))
-	answered, reads, replacements, n := uint64(0), 0, 0, scheduleCount(150)
+	acknowledged, reads, replacements, n := uint64(0), 0, 0, scheduleCount(150)
 	for seed := range uint64(n) {
 		seed += uint64(from)
 		if violation := runSchedule(t, seed, allChecks, false, false); violation != "" {
 			t.Fatalf("seed %d: %s", seed, violation)
 		}
-		answered, reads, replacements = answered+lastSimulation.highestResult, reads+lastSimulation.reads, replacements+lastSimulation.replacements
+		acknowledged, reads, replacements = acknowledged+lastSimulation.highestResult, reads+lastSimulation.reads, replacements+lastSimulation.replacements
 	}
-	t.Logf("%d schedules: %d entries answered in each, %d reads, %d changes of keepers", n, answered/uint64(n), reads/n, replacements)
+	t.Logf("%d schedules: %d entries acknowledged and %d reads on average, %d replacements", n, acknowledged/uint64(n), reads/n, replacements)
 	if replacements == 0 {
-		t.Error("no keeper was ever replaced")
+		t.Error("no voter was ever replaced")
 	}
-	if answered/uint64(n) < 20 || reads/n < 3 {
-		t.Errorf("the schedules agree on too little to prove anything")
+	if acknowledged/uint64(n) < 20 || reads/n < 3 {
+		t.Errorf("the schedules commit or read too little to be meaningful")
 	}
 }
 
-var lastSimulation *simulation // last
+var lastSimulation *simulation // set by runSchedule
 
-// What is planted is found, or the schedules prove nothing.
+// TestSchedulesDetectFaults checks that the schedules detect injected faults.
 func TestSchedulesDetectFaults(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name        string
-		g           SafetyChecks
+		checks      SafetyChecks
 		stale, lost bool
-	}{{"a stale read", allChecks, true, false}, {"a lost sync", allChecks, false, true}, {"commands that run again", SafetyChecks{true, false}, false, false}} {
-		found, first, what := 0, -1, ""
+	}{{"stale reads", allChecks, true, false}, {"lost syncs", allChecks, false, true}, {"duplicate executions", SafetyChecks{true, false}, false, false}} {
+		found, first, violationText := 0, -1, ""
 		for seed := range uint64(150 / scheduleDivisor) {
-			if violation := runSchedule(t, seed, c.g, c.stale, c.lost); violation != "" {
+			if violation := runSchedule(t, seed, test.checks, test.stale, test.lost); violation != "" {
 				if found++; first < 0 {
-					first, what = int(seed), violation
+					first, violationText = int(seed), violation
 				}
 			}
 		}
-		t.Logf("%s: found in %d of %d schedules, first in %d: %s", c.name, found, 150/scheduleDivisor, first, what)
+		t.Logf("%s: detected in %d of %d schedules, first by seed %d: %s", test.name, found, 150/scheduleDivisor, first, violationText)
 		if found == 0 && scheduleDivisor == 1 {
-			t.Errorf("%s is never found", c.name)
+			t.Errorf("%s: never detected", test.name)
 		}
 	}
 }
--- a/internal/cluster/keep/crash_test.go
+++ b/internal/cluster/keep/crash_test.go
@@ -15,31 +15,31 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// What becomes of what was written and not synced when the machine is lost.
+// Outcomes of unsynced writes after a crash.
 const (
 	unsyncedLost = iota
 	unsyncedKept
-	unsyncedTorn // each write to the half of it, in the middle of a sector too
+	unsyncedTorn // the first half of each write survives, cut also within a sector
 	unsyncedOutcomes
 )
 
-var errCrashed = errors.New("the machine is lost")
+var errCrashed = errors.New("injected crash")
 
-// crashDisk is a disk in memory that is lost at one of its operations.
+// crashDisk is a disk in memory that crashes at a chosen operation.
 type crashDisk struct {
 	mu             sync.Mutex
 	operations     int
-	crashAfter     int // operation after which it is lost, -1 for never
+	crashAfter     int // number of operations that succeed before the crash, -1 for no crash
 	crashed        bool
 	outcome        int
-	logFiles       map[string]*logFile // of the log
-	replaced       map[string][]byte   // replaced ones
-	unsyncedRename map[string][]byte   // renamed, and the directory not synced
+	logFiles       map[string]*logFile // files of the write-ahead log
+	replaced       map[string][]byte   // files written with Replace
+	unsyncedRename map[string][]byte   // file that was renamed, with the directory not synced yet
 }
 
 type logFile struct {
 	synced    []byte
-	dirSynced bool // its directory has been synced since it was made
+	dirSynced bool // the directory has been synced since the file was created
 	pending   []pendingWrite
 }
 
@@ -48,7 +48,7 @@
 	data   []byte
 }
 
-// countOperation counts an operation; an error once the machine is lost.
+// countOperation counts an operation. It returns an error from the crash on.
 func (disk *crashDisk) countOperation() error {
 	if disk.crashed {
 		return errCrashed
@@ -60,6 +60,7 @@
 	return nil
 }
 
+// overlay returns the data with a write applied to it.
 func (file *logFile) overlay(data []byte, write pendingWrite) []byte {
 	if need := int(write.offset) + len(write.data); need > len(data) {
 		data = append(data, make([]byte, need-len(data))...)
@@ -68,7 +69,7 @@
 	return data
 }
 
-// afterRestart is what a machine finds when it starts again.
+// afterRestart returns the disk as a process finds it after the crash.
 func (disk *crashDisk) afterRestart() *crashDisk {
 	restarted := &crashDisk{crashAfter: -1, logFiles: map[string]*logFile{}, replaced: maps.Clone(disk.replaced)}
 	if disk.outcome == unsyncedKept {
@@ -95,13 +96,13 @@
 func (disk *crashDisk) Read(name string) ([]byte, error) {
 	disk.mu.Lock()
 	defer disk.mu.Unlock()
-	if b, some := disk.replaced[name]; some {
-		return b, nil
+	if data, ok := disk.replaced[name]; ok {
+		return data, nil
 	}
 	return nil, os.ErrNotExist
 }
 
-// Replace is a write, a sync, a rename and a sync of the directory, at each of which the machine may be lost.
+// Replace counts a write, a sync, a rename and a sync of the directory. The disk may crash at each of them.
 func (disk *crashDisk) Replace(name string, data []byte) error {
 	disk.mu.Lock()
 	defer disk.mu.Unlock()
@@ -175,14 +176,14 @@
 	if file == nil {
 		return 0, os.ErrNotExist
 	}
-	all := slices.Clone(file.synced)
+	data := slices.Clone(file.synced)
 	for _, write := range file.pending {
-		all = file.overlay(all, write)
+		data = file.overlay(data, write)
 	}
-	if at >= int64(len(all)) {
+	if at >= int64(len(data)) {
 		return 0, io.EOF
 	}
-	n := copy(b, all[at:])
+	n := copy(b, data[at:])
 	if n < len(b) {
 		return n, io.EOF
 	}
@@ -196,7 +197,7 @@
 	if file == nil {
 		return 0, os.ErrNotExist
 	}
-	file.pending = append(file.pending, pendingWrite{at, slices.Clone(b)}) // under way when the machine is lost
+	file.pending = append(file.pending, pendingWrite{at, slices.Clone(b)}) // in progress if the disk crashes now
 	if err := h.disk.countOperation(); err != nil {
 		return 0, err
 	}
@@ -224,10 +225,10 @@
 	return &raftpb.Entry{Index: proto.Uint64(index), Term: proto.Uint64(term), Data: fmt.Appendf(nil, "entry %d of term %d", index, term)}
 }
 
-// runWorkload is what a keeper's disk goes through: entries, another leader's in their place, votes, snapshots with entries let go, a
-// leader's snapshot in the place of all. It returns what was acknowledged: term, and the last entry with its term, up to
-// which all must be there.
-func runWorkload(store *DiskStore) (hard uint64, last, term, snap uint64, err error) {
+// runWorkload writes what a replica's store receives: entries, entries of another leader that supersede them, votes,
+// snapshots with compaction, and a leader's snapshot that replaces the whole log. It returns what was acknowledged:
+// the term of the hard state, index and term of the last entry, and the index of the last snapshot.
+func runWorkload(store *DiskStore) (hardTerm uint64, lastIndex, lastTerm, snapshotIndex uint64, err error) {
 	save := func(newTerm uint64, from, to, entryTerm uint64) {
 		if err != nil {
 			return
@@ -241,40 +242,40 @@
 			hardState = &raftpb.HardState{Term: proto.Uint64(newTerm), Vote: proto.Uint64(1), Commit: proto.Uint64(1)}
 		}
 		if err = store.Save(hardState, entries, true); err == nil {
-			if hard = max(hard, newTerm); len(entries) > 0 {
-				last, term = to, entryTerm
+			if hardTerm = max(hardTerm, newTerm); len(entries) > 0 {
+				lastIndex, lastTerm = to, entryTerm
 			}
 		}
 	}
-	saveSnapshot := func(at, entryTerm, keep uint64) {
+	saveSnapshot := func(index, entryTerm, compactTo uint64) {
 		if err != nil {
 			return
 		}
-		snapshot := &raftpb.Snapshot{Data: fmt.Appendf(nil, "state at %d", at), Metadata: &raftpb.SnapshotMetadata{
-			Index: proto.Uint64(at), Term: proto.Uint64(entryTerm), ConfState: &raftpb.ConfState{Voters: []uint64{1}},
+		snapshot := &raftpb.Snapshot{Data: fmt.Appendf(nil, "state at %d", index), Metadata: &raftpb.SnapshotMetadata{
+			Index: proto.Uint64(index), Term: proto.Uint64(entryTerm), ConfState: &raftpb.ConfState{Voters: []uint64{1}},
 		}}
-		if err = store.SaveSnapshot(snapshot, keep); err == nil {
-			if snap = at; keep >= at {
-				last, term = at, entryTerm
+		if err = store.SaveSnapshot(snapshot, compactTo); err == nil {
+			if snapshotIndex = index; compactTo >= index {
+				lastIndex, lastTerm = index, entryTerm
 			}
 		}
 	}
 	saveSnapshot(1, 1, 0)
 	save(1, 2, 4, 1)
 	save(0, 5, 9, 1)
-	save(2, 7, 8, 2) // another leader's
+	save(2, 7, 8, 2) // of another leader
 	save(3, 9, 12, 3)
 	saveSnapshot(10, 3, 6)
 	save(0, 13, 14, 3)
-	saveSnapshot(40, 5, 40) // a leader's
+	saveSnapshot(40, 5, 40) // of a leader
 	save(6, 41, 45, 6)
 	saveSnapshot(44, 6, 42)
 	save(0, 46, 46, 6)
 	return
 }
 
-// At every operation of the disk, with what wasn't synced lost, kept and torn: the directory opens again, and all that was
-// acknowledged is there.
+// For a crash at every disk operation, with unsynced writes lost, kept or torn: the directory opens again, and
+// everything that was acknowledged is there.
 func TestCrashPoints(t *testing.T) {
 	segmentBytes = 64 << 10
 	crashPoints := 0
@@ -296,28 +297,29 @@
 			restarted := disk.afterRestart()
 			store, stored, err := OpenDiskStore("x", restarted, restarted)
 			if err != nil {
-				t.Fatalf("lost at operation %d, fate %d: %v (acknowledged up to %d)", crashAfter, outcome, err, ackedIndex)
+				t.Fatalf("crash at operation %d, outcome %d: %v (entries up to %d were acknowledged)", crashAfter, outcome, err, ackedIndex)
 			}
 			if stored.HardState.GetTerm() < ackedTerm {
-				t.Fatalf("lost at operation %d, fate %d: term %d, %d was acknowledged", crashAfter, outcome, stored.HardState.GetTerm(), ackedTerm)
+				t.Fatalf("crash at operation %d, outcome %d: term %d, but term %d was acknowledged", crashAfter, outcome, stored.HardState.GetTerm(), ackedTerm)
 			}
 			index, indexTerm := stored.Snapshot.GetMetadata().GetIndex(), stored.Snapshot.GetMetadata().GetTerm()
 			if index < ackedSnapshot {
-				t.Fatalf("lost at operation %d, fate %d: a snapshot of %d, %d was acknowledged", crashAfter, outcome, index, ackedSnapshot)
+				t.Fatalf("crash at operation %d, outcome %d: snapshot at entry %d, but one at %d was acknowledged", crashAfter, outcome, index, ackedSnapshot)
 			}
 			for _, entry := range stored.Entries {
 				if entry.GetIndex() != index+1 {
-					t.Fatalf("lost at operation %d, fate %d: entry %d after %d", crashAfter, outcome, entry.GetIndex(), index)
+					t.Fatalf("crash at operation %d, outcome %d: entry %d follows entry %d", crashAfter, outcome, entry.GetIndex(), index)
 				}
 				index, indexTerm = entry.GetIndex(), entry.GetTerm()
 			}
-			// What was not acknowledged may be there or not; it replaces entries from where it begins.
+			// Unacknowledged entries may be there or not. If they are, they supersede the entries from their first
+			// index on.
 			if index < ackedIndex && indexTerm <= ackedEntryTerm {
-				t.Fatalf("lost at operation %d, fate %d: up to entry %d of term %d, up to %d of %d was acknowledged", crashAfter, outcome, index, indexTerm, ackedIndex, ackedEntryTerm)
+				t.Fatalf("crash at operation %d, outcome %d: last entry %d of term %d, but entry %d of term %d was acknowledged", crashAfter, outcome, index, indexTerm, ackedIndex, ackedEntryTerm)
 			}
-			// It goes on.
+			// The store accepts new entries.
 			if err := store.Save(&raftpb.HardState{Term: proto.Uint64(9), Vote: proto.Uint64(1), Commit: proto.Uint64(1)}, []*raftpb.Entry{newEntry(index+1, 9)}, true); err != nil {
-				t.Fatalf("lost at operation %d, fate %d: it can't go on: %v", crashAfter, outcome, err)
+				t.Fatalf("crash at operation %d, outcome %d: cannot save after the restart: %v", crashAfter, outcome, err)
 			}
 			store.Close()
 		}
@@ -328,7 +330,7 @@
 	}
 }
 
-// A disk that fails once is believed no more, and a byte that changed is found.
+// A store that failed once refuses further writes, and a corrupted byte is detected when the directory is opened.
 func TestFailedSyncAndCorruption(t *testing.T) {
 	segmentBytes = 64 << 10
 	disk := &crashDisk{crashAfter: -1, logFiles: map[string]*logFile{}, replaced: map[string][]byte{}}
@@ -340,16 +342,16 @@
 		t.Fatal(err)
 	}
 	disk.mu.Lock()
-	disk.crashAfter = disk.operations // the next fails
+	disk.crashAfter = disk.operations // the next operation fails
 	disk.mu.Unlock()
 	if store.Save(nil, []*raftpb.Entry{newEntry(47, 6)}, true) == nil {
-		t.Error("a failed sync is no error")
+		t.Error("no error from a failed sync")
 	}
 	disk.mu.Lock()
-	disk.crashAfter, disk.crashed = -1, false // and the disk is well again
+	disk.crashAfter, disk.crashed = -1, false // the disk works again
 	disk.mu.Unlock()
 	if store.Save(nil, []*raftpb.Entry{newEntry(47, 6)}, true) == nil {
-		t.Error("it goes on after a failed sync")
+		t.Error("the store accepts entries after a failed sync")
 	}
 	store.Close()
 	detected := 0
@@ -368,13 +370,13 @@
 			store.Close()
 			for _, entry := range stored.Entries {
 				if want := newEntry(entry.GetIndex(), entry.GetTerm()); string(want.GetData()) != string(entry.GetData()) {
-					t.Fatalf("byte %d of %s changed, and entry %d is believed", at, name, entry.GetIndex())
+					t.Fatalf("byte %d of %s was corrupted, but entry %d was accepted", at, name, entry.GetIndex())
 				}
 			}
 		}
 	}
 	if detected == 0 {
-		t.Error("no changed byte is found")
+		t.Error("no corrupted byte was detected")
 	}
 	for name := range disk.replaced {
 		restarted := disk.afterRestart()
@@ -382,7 +384,7 @@
 		restarted.replaced[name][len(restarted.replaced[name])/2] ^= 1
 		if store, _, err := OpenDiskStore("x", restarted, restarted); err == nil {
 			store.Close()
-			t.Errorf("a changed byte of %s is believed", name)
+			t.Errorf("a corrupted byte of %s was accepted", name)
 		}
 	}
 }
--- a/internal/cluster/keep/history_test.go
+++ b/internal/cluster/keep/history_test.go
@@ -20,7 +20,7 @@
 	"ottershift/internal/lab/between"
 )
 
-// register is a part that holds one number; a write answers with the one before.
+// register is a part that holds one number. The result of a write is the previous number.
 type register struct {
 	mu    sync.Mutex
 	value uint64
@@ -35,11 +35,11 @@
 }
 func (r *register) Ended(uint64, string, uint64) {}
 func (r *register) Save() []byte                 { return r.Read(nil) }
-func (r *register) Load(raw []byte) error {
+func (r *register) Load(data []byte) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(raw) == 8 {
-		r.value = binary.BigEndian.Uint64(raw)
+	if len(data) == 8 {
+		r.value = binary.BigEndian.Uint64(data)
 	}
 	return nil
 }
@@ -54,7 +54,7 @@
 	value uint64
 }
 
-// observation is what a client was told; unknown: it may have taken effect at any time, or never.
+// observation is what a client received. If it is unknown, the operation may have taken effect at any time or never.
 type observation struct {
 	value   uint64
 	unknown bool
@@ -72,8 +72,8 @@
 	DescribeOperation: func(in, out any) string { return fmt.Sprint(in, " ", out) },
 }
 
-// recordHistory plays keepers with links and disks of their own, clients that write and read, cuts, and keepers that are ended and
-// started again; and returns what each client asked and was told.
+// recordHistory runs replicas with links and disks of their own, and clients that write and read, while links are cut
+// and delayed and replicas restart. It returns the operations of all clients with their outcomes.
 func recordHistory(t *testing.T, seed uint64, stale bool) []porcupine.Operation {
 	voters := []string{"a", "b", "c", "x", "y"}
 	network, err := between.New(len(voters), seed)
@@ -83,40 +83,40 @@
 	defer network.Close()
 	rng := rand.New(rand.NewPCG(seed, 10))
 	dir := t.TempDir()
-	links, opts, keepers := make([]*link.Link, 5), make([]Options, 3), make([]*Replica, 3)
-	startHost := func(i int) {
+	links, options, replicas := make([]*link.Link, 5), make([]Options, 3), make([]*Replica, 3)
+	startHost := func(in int) {
 		addresses := map[string]string{}
 		for k, name := range voters {
-			if k != i {
-				addresses[name] = network.Address(i, k)
+			if k != in {
+				addresses[name] = network.Address(in, k)
 			}
 		}
-		l, err := link.Listen(link.Options{
-			Cluster: "c", Self: voters[i], Address: "127.0.0.1:0", Through: addresses, Log: slog.New(slog.DiscardHandler), Stream: func(c net.Conn) { c.Close() },
+		listener, err := link.Listen(link.Options{
+			Cluster: "c", Self: voters[in], Address: "127.0.0.1:0", Through: addresses, Log: slog.New(slog.DiscardHandler), Stream: func(client net.Conn) { client.Close() },
 			Datagram: func(byte, []byte, net.Addr) {}, Resolve: func(n string) (string, bool) { return "", false },
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
-		links[i] = l
-		network.Target(i, l.Addr().String())
-		if i < 3 {
-			groupDir := GroupDir(filepath.Join(dir, voters[i]), 0)
-			opts[i] = Options{
-				Cluster: "c", Name: voters[i], Voters: voters[:3], Dir: groupDir, FS: disk.Dir(groupDir), Transport: l, ElectionTimeout: 100 * time.Millisecond,
+		links[in] = listener
+		network.Target(in, listener.Addr().String())
+		if in < 3 {
+			groupDir := GroupDir(filepath.Join(dir, voters[in]), 0)
+			options[in] = Options{
+				Cluster: "c", Name: voters[in], Voters: voters[:3], Dir: groupDir, FS: disk.Dir(groupDir), Transport: listener, ElectionTimeout: 100 * time.Millisecond,
 				Lease: Lease{time.Second, 0.02}, Checks: allChecks, Log: slog.New(slog.DiscardHandler), Parts: map[byte]Part{2: &register{}},
 			}
-			if keepers[i], err = NewReplica(opts[i]); err != nil {
+			if replicas[in], err = NewReplica(options[in]); err != nil {
 				t.Fatal(err)
 			}
-			l.Serve()
-			keepers[i].Start()
+			listener.Serve()
+			replicas[in].Start()
 			return
 		}
-		l.Serve()
+		listener.Serve()
 	}
-	for i := range voters {
-		startHost(i)
+	for in := range voters {
+		startHost(in)
 	}
 	var mu sync.Mutex
 	var ops []porcupine.Operation
@@ -124,124 +124,124 @@
 	end := start.Add(5 * time.Second)
 	var clients sync.WaitGroup
 	for n := range 4 {
-		seat := 3 + n%2
-		c := NewClient(links[seat], fmt.Sprint("client", n), voters[:3], 0)
+		host := 3 + n%2
+		client := NewClient(links[host], fmt.Sprint("client", n), voters[:3], 0)
 		clients.Go(func() {
-			draw := rand.New(rand.NewPCG(seed, uint64(n)))
+			clientRNG := rand.New(rand.NewPCG(seed, uint64(n)))
 			ctx, stop := context.WithTimeout(context.Background(), 4*time.Second)
-			_, err := c.Open(ctx, 1, uint64(n+1))
+			_, err := client.Open(ctx, 1, uint64(n+1))
 			stop()
 			if err != nil {
 				return
 			}
 			for k := uint64(1); time.Now().Before(end); k++ {
-				i := operation{write: draw.IntN(3) == 0, value: uint64(n)<<32 | k}
+				in := operation{write: clientRNG.IntN(3) == 0, value: uint64(n)<<32 | k}
 				ctx, stop := context.WithTimeout(context.Background(), 700*time.Millisecond)
 				call := time.Since(start)
-				var o observation
+				var out observation
 				var raw []byte
-				if i.write {
-					var a Result
-					a, err = c.Do(ctx, Command{Kind: PartCommand, Part: 2, Body: binary.BigEndian.AppendUint64(nil, i.value)})
-					raw = a.Body
+				if in.write {
+					var result Result
+					result, err = client.Do(ctx, Command{Kind: PartCommand, Part: 2, Body: binary.BigEndian.AppendUint64(nil, in.value)})
+					raw = result.Body
 				} else {
-					raw, err = c.ReadPart(ctx, 2, nil, stale)
+					raw, err = client.ReadPart(ctx, 2, nil, stale)
 					if stale {
-						c.mu.Lock()
-						c.leader = voters[draw.IntN(3)] // whoever answers
-						c.mu.Unlock()
+						client.mu.Lock()
+						client.leader = voters[clientRNG.IntN(3)] // any replica
+						client.mu.Unlock()
 					}
 				}
 				stop()
-				back := time.Since(start)
+				returned := time.Since(start)
 				switch {
-				case err != nil && (!i.write || errors.Is(err, ErrNoQuorum)):
+				case err != nil && (!in.write || errors.Is(err, ErrNoQuorum)):
 					continue // no effect
 				case err != nil:
-					o.unknown, back = true, time.Hour
+					out.unknown, returned = true, time.Hour
 				default:
-					o.value = binary.BigEndian.Uint64(raw)
+					out.value = binary.BigEndian.Uint64(raw)
 				}
 				mu.Lock()
-				ops = append(ops, porcupine.Operation{ClientId: n, Input: i, Call: int64(call), Output: o, Return: int64(back)})
+				ops = append(ops, porcupine.Operation{ClientId: n, Input: in, Call: int64(call), Output: out, Return: int64(returned)})
 				mu.Unlock()
-				if o.unknown {
-					n += 4 // another client to the checker: this one's command may come later
+				if out.unknown {
+					n += 4 // a separate client to the checker, as the unknown write may take effect later
 				}
-				time.Sleep(time.Duration(draw.IntN(4)) * time.Millisecond)
+				time.Sleep(time.Duration(clientRNG.IntN(4)) * time.Millisecond)
 			}
 		})
 	}
 	for time.Now().Before(end) {
 		time.Sleep(time.Duration(100+rng.IntN(200)) * time.Millisecond)
-		a, b := rng.IntN(3), rng.IntN(5)
+		result, b := rng.IntN(3), rng.IntN(5)
 		switch rng.IntN(5) {
 		case 0, 1:
 			for k := range 5 {
-				if k != a && (k < 3 || rng.IntN(2) == 0) {
-					network.Set(a, k, func(x *between.Trouble) { x.Cut = true })
+				if k != result && (k < 3 || rng.IntN(2) == 0) {
+					network.Set(result, k, func(x *between.Trouble) { x.Cut = true })
 				}
 			}
 			time.Sleep(time.Duration(rng.IntN(600)) * time.Millisecond)
 			for k := range 5 {
-				if k != a {
-					network.Set(a, k, func(x *between.Trouble) { x.Cut = false })
+				if k != result {
+					network.Set(result, k, func(x *between.Trouble) { x.Cut = false })
 				}
 			}
 		case 2:
-			if a != b {
-				network.Set(a, b, func(x *between.Trouble) { x.Delay = time.Duration(rng.IntN(60)) * time.Millisecond })
+			if result != b {
+				network.Set(result, b, func(x *between.Trouble) { x.Delay = time.Duration(rng.IntN(60)) * time.Millisecond })
 			}
 		case 3:
-			keepers[a].Close()
-			links[a].Close()
-			startHost(a)
+			replicas[result].Close()
+			links[result].Close()
+			startHost(result)
 		}
 	}
 	clients.Wait()
-	for i, k := range keepers {
+	for in, k := range replicas {
 		k.Close()
-		links[i].Close()
+		links[in].Close()
 	}
 	links[3].Close()
 	links[4].Close()
 	return ops
 }
 
-// What clients were told, over cuts, delays and restarts, has an order in which each read sees the last write before it.
+// The histories of clients are linearizable under partitions, delays and restarts.
 func TestLinearizable(t *testing.T) {
 	var wg sync.WaitGroup
 	for seed := range uint64(4) {
 		wg.Go(func() {
 			ops := recordHistory(t, seed, false)
 			writes, unknown := 0, 0
-			for _, o := range ops {
-				if o.Input.(operation).write {
+			for _, op := range ops {
+				if op.Input.(operation).write {
 					writes++
 				}
-				if o.Output.(observation).unknown {
+				if op.Output.(observation).unknown {
 					unknown++
 				}
 			}
 			t.Logf("seed %d: %d operations, %d writes, %d unknown", seed, len(ops), writes, unknown)
 			if len(ops) < 200 {
-				t.Errorf("seed %d: too few operations to prove anything", seed)
+				t.Errorf("seed %d: too few operations to be meaningful", seed)
 			}
 			if porcupine.CheckOperationsTimeout(registerModel, ops, 20*time.Second) == porcupine.Illegal {
-				t.Errorf("seed %d: no order explains what clients were told", seed)
+				t.Errorf("seed %d: the history is not linearizable", seed)
 			}
 		})
 	}
 	wg.Wait()
 }
 
-// Reads that any keeper answers by what it holds are found.
+// The checker detects reads that any replica answers from its own, possibly stale, state.
 func TestStaleReadsDetected(t *testing.T) {
 	for seed := range uint64(6) {
 		if porcupine.CheckOperationsTimeout(registerModel, recordHistory(t, 100+seed, true), 20*time.Second) == porcupine.Illegal {
-			t.Logf("found in history %d", seed+1)
+			t.Logf("detected in history %d", seed+1)
 			return
 		}
 	}
-	t.Error("stale reads are never found")
+	t.Error("stale reads are never detected")
 }
--- a/internal/cluster/keep/race_test.go
+++ b/internal/cluster/keep/race_test.go
@@ -2,5 +2,5 @@
 
 package keep
 
-// slower is how many times fewer schedules are played beside the race detector.
-const slower = 10
+// scheduleDivisor reduces the number of schedules under the race detector.
+const scheduleDivisor = 10
--- a/internal/cluster/keep/replica_test.go
+++ b/internal/cluster/keep/replica_test.go
@@ -21,7 +21,8 @@
 	"ottershift/internal/cluster/link"
 )
 
-// host is a process's share of it: a link and a keeper, on real sockets and a real disk.
+// host is the part of a process that belongs to a group: a link, a replica and a client, on real sockets and a real
+// disk.
 type host struct {
 	name    string
 	link    *link.Link
@@ -30,14 +31,15 @@
 	options Options
 }
 
-func newHosts(t testing.TB, voters []string, all ...string) map[string]*host {
+// newHosts makes a host for each name, and starts none.
+func newHosts(t testing.TB, voters []string, names ...string) map[string]*host {
 	addresses := map[string]string{}
 	hosts := map[string]*host{}
 	dir := t.TempDir()
-	for _, name := range all {
+	for _, name := range names {
 		listener, err := link.Listen(link.Options{
 			Cluster: "c", Self: name, Address: "127.0.0.1:0", Log: slog.New(slog.DiscardHandler), Stream: func(c net.Conn) { c.Close() },
-			Datagram: func(byte, []byte, net.Addr) {}, Resolve: func(n string) (string, bool) { a, ok := addresses[n]; return a, ok },
+			Datagram: func(byte, []byte, net.Addr) {}, Resolve: func(name string) (string, bool) { address, ok := addresses[name]; return address, ok },
 		})
 		if err != nil {
 			t.Fatal(err)
@@ -53,6 +55,7 @@
 	return hosts
 }
 
+// startReplica starts the replica of the host.
 func (h *host) startReplica(t testing.TB) {
 	t.Helper()
 	var err error
@@ -62,7 +65,8 @@
 	h.replica.Start()
 }
 
-func eventually(t testing.TB, what string, condition func() bool) {
+// eventually waits up to 20 s until a condition is met.
+func eventually(t testing.TB, description string, condition func() bool) {
 	t.Helper()
 	for range 2000 {
 		if condition() {
@@ -70,23 +74,23 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("not soon: " + what)
+	t.Fatal("condition not met in time: " + description)
 }
 
-// timeoutContext is a time limit, wide enough for a machine that does other work as well.
+// timeoutContext returns a context with a timeout of four times d, to tolerate a machine that is busy.
 func timeoutContext(t testing.TB, d time.Duration) context.Context {
 	ctx, stop := context.WithTimeout(context.Background(), 4*d)
 	t.Cleanup(stop)
 	return ctx
 }
 
-// Three keepers and a member that is none: sessions, duties and their tokens; a keeper lost and back; one that is wiped is
-// refused under its old name until it is put in its own place; an old copy is refused as well.
+// Three voters and a member without a replica: sessions, duties and tokens; a voter that restarts; an old copy of a
+// voter's directory is refused; a voter with an empty directory is refused until it is replaced.
 func TestReplicaFailureAndReplacement(t *testing.T) {
 	voters := []string{"a", "b", "c"}
 	hosts := newHosts(t, voters, "a", "b", "c", "x")
-	for _, n := range voters {
-		hosts[n].startReplica(t)
+	for _, name := range voters {
+		hosts[name].startReplica(t)
 	}
 	for _, h := range hosts {
 		h.link.Serve()
@@ -95,104 +99,104 @@
 	if _, err := client.Open(timeoutContext(t, 5*time.Second), 7, 1); err != nil {
 		t.Fatal(err)
 	}
-	if known, err := hosts["a"].client.Open(timeoutContext(t, 2*time.Second), 1, 9); err != nil || known != 1 {
-		t.Fatal(known, err)
+	if epoch, err := hosts["a"].client.Open(timeoutContext(t, 2*time.Second), 1, 9); err != nil || epoch != 1 {
+		t.Fatal(epoch, err)
 	}
 	first, err := client.Do(timeoutContext(t, time.Second), Command{Kind: AcquireDuty, Duty: "list"})
 	if err != nil || first.Code != CodeOK {
 		t.Fatal(first, err)
 	}
-	if a, err := hosts["a"].client.Do(timeoutContext(t, time.Second), Command{Kind: AcquireDuty, Duty: "list"}); err != nil || a.Code != CodeOwned || a.Owner != "x" {
-		t.Errorf("taken twice: %+v, %v", a, err)
+	if result, err := hosts["a"].client.Do(timeoutContext(t, time.Second), Command{Kind: AcquireDuty, Duty: "list"}); err != nil || result.Code != CodeOwned || result.Owner != "x" {
+		t.Errorf("a duty with an owner was acquired: %+v, %v", result, err)
 	}
-	if ok, err := client.Renew(timeoutContext(t, time.Second), map[string]uint64{"list": first.Token, "other": 1}); err != nil || len(ok) != 1 {
-		t.Errorf("renewed %v, %v", ok, err)
+	if renewed, err := client.Renew(timeoutContext(t, time.Second), map[string]uint64{"list": first.Token, "other": 1}); err != nil || len(renewed) != 1 {
+		t.Errorf("renewed %v, %v", renewed, err)
 	}
-	// Nobody renews it any more: it is free after the lease, and the next token is higher.
+	// The ownership is not renewed: the duty becomes free after the lease, and the next token is higher.
 	var next Result
-	eventually(t, "the tenure ends", func() bool {
+	eventually(t, "the ownership expires", func() bool {
 		next, err = hosts["a"].client.Do(timeoutContext(t, time.Second), Command{Kind: AcquireDuty, Duty: "list"})
 		return err == nil && next.Code == CodeOK
 	})
 	if next.Token <= first.Token {
-		t.Errorf("token %d after %d", next.Token, first.Token)
+		t.Errorf("token %d was issued after token %d", next.Token, first.Token)
 	}
-	if a, _ := client.Do(timeoutContext(t, time.Second), Command{Kind: ReleaseDuty, Duty: "list", Token: first.Token}); a.Code != CodeFenced {
-		t.Errorf("an old token lets go: %+v", a)
+	if result, _ := client.Do(timeoutContext(t, time.Second), Command{Kind: ReleaseDuty, Duty: "list", Token: first.Token}); result.Code != CodeFenced {
+		t.Errorf("a stale token released the duty: %+v", result)
 	}
-	// A newer run of x; the older gets nothing through.
+	// A newer run of x opens a session: commands of the older run are refused.
 	newer := NewClient(hosts["x"].link, "x", voters, 0)
 	if _, err := newer.Open(timeoutContext(t, time.Second), 8, 2); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := client.Do(timeoutContext(t, time.Second), Command{Kind: AcquireDuty, Duty: "more"}); err != ErrSessionEnded {
-		t.Errorf("an old run: %v", err)
+		t.Errorf("command of an older run: %v", err)
 	}
 
-	// One keeper is lost with its disk and started under its old name: it must not vote.
+	// Replica b restarts from an old copy of its directory, and then with an empty one. It must not vote.
 	oldCopy := filepath.Join(t.TempDir(), "old")
 	hosts["b"].replica.Close()
 	os.CopyFS(oldCopy, os.DirFS(hosts["b"].options.Dir))
 	hosts["b"].startReplica(t)
-	eventually(t, "b is back", func() bool { s, _ := hosts["b"].replica.Status(); return s.Role != "" })
-	time.Sleep(1200 * time.Millisecond) // the others hear of this run
+	eventually(t, "b has restarted", func() bool { status, _ := hosts["b"].replica.Status(); return status.Role != "" })
+	time.Sleep(1200 * time.Millisecond) // the others learn of this run
 	hosts["b"].replica.Close()
 	os.RemoveAll(hosts["b"].options.Dir)
 	os.CopyFS(hosts["b"].options.Dir, os.DirFS(oldCopy))
 	hosts["b"].startReplica(t)
-	eventually(t, "the old copy is refused", func() bool { _, why := hosts["b"].replica.Status(); return strings.Contains(why, "old copy") })
+	eventually(t, "the old copy is refused", func() bool { _, reason := hosts["b"].replica.Status(); return strings.Contains(reason, "old copy") })
 	hosts["b"].replica.Close()
 	os.RemoveAll(hosts["b"].options.Dir)
 	hosts["b"].startReplica(t)
-	eventually(t, "the wiped one is refused", func() bool { _, why := hosts["b"].replica.Status(); return strings.Contains(why, "another disk") })
-	if a, err := newer.Do(timeoutContext(t, 2*time.Second), Command{Kind: AcquireDuty, Duty: "more"}); err != nil || a.Code != CodeOK {
-		t.Errorf("with two keepers: %+v, %v", a, err)
+	eventually(t, "the empty directory is refused", func() bool { _, reason := hosts["b"].replica.Status(); return strings.Contains(reason, "another disk") })
+	if result, err := newer.Do(timeoutContext(t, 2*time.Second), Command{Kind: AcquireDuty, Duty: "more"}); err != nil || result.Code != CodeOK {
+		t.Errorf("with two voters: %+v, %v", result, err)
 	}
 	if _, err := newer.Admin(timeoutContext(t, 3*time.Second), AdminRequest{Action: "replace", Name: "b"}); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "b votes again in a seat of its own", func() bool {
-		s, why := hosts["b"].replica.Status()
-		if why != "" || len(s.Voters) != 3 || s.Changing {
+	eventually(t, "b votes again as a new voter", func() bool {
+		status, reason := hosts["b"].replica.Status()
+		if reason != "" || len(status.Voters) != 3 || status.Changing {
 			return false
 		}
-		for _, client := range s.Voters {
-			if client.Name == "b" && (client.ID != 4 || client.Learner) {
+		for _, voter := range status.Voters {
+			if voter.Name == "b" && (voter.ID != 4 || voter.Learner) {
 				return false
 			}
 		}
 		return true
 	})
-	// With b's vote the group bears the loss of another.
+	// With the vote of b the group tolerates the loss of another voter.
 	hosts["c"].replica.Close()
-	if a, err := newer.Do(timeoutContext(t, 4*time.Second), Command{Kind: AcquireDuty, Duty: "third"}); err != nil || a.Code != CodeOK {
-		t.Errorf("with b's vote: %+v, %v", a, err)
+	if result, err := newer.Do(timeoutContext(t, 4*time.Second), Command{Kind: AcquireDuty, Duty: "third"}); err != nil || result.Code != CodeOK {
+		t.Errorf("with b's vote: %+v, %v", result, err)
 	}
 	hosts["b"].replica.Close()
 	if _, err := newer.Do(timeoutContext(t, 125*time.Millisecond), Command{Kind: AcquireDuty, Duty: "fourth"}); err == nil {
-		t.Error("one keeper of three agrees on something")
+		t.Error("one voter of three committed a command")
 	}
-	// All again.
+	// All voters restart.
 	hosts["a"].replica.Close()
-	for _, n := range voters {
-		hosts[n].startReplica(t)
+	for _, name := range voters {
+		hosts[name].startReplica(t)
 	}
-	eventually(t, "the state is there after all were down", func() bool {
-		a, err := newer.Read(timeoutContext(t, time.Second), false)
-		return err == nil && len(a.Duties) >= 3
+	eventually(t, "the state is there after all voters were down", func() bool {
+		result, err := newer.Read(timeoutContext(t, time.Second), false)
+		return err == nil && len(result.Duties) >= 3
 	})
-	for _, n := range voters {
-		hosts[n].replica.Close()
+	for _, name := range voters {
+		hosts[name].replica.Close()
 	}
 }
 
-// The majority is lost with its disks: the one that is left goes on alone after recover, keeps what it held, gives no token twice,
-// and takes others in again. A snapshot is restored into a new directory, and only there.
+// After the majority is lost with its disks, the remaining voter continues alone by Recover: it keeps its state,
+// issues no token twice and admits other voters again. A snapshot can be restored only into a new directory.
 func TestRecoverAndRestore(t *testing.T) {
 	voters := []string{"a", "b", "c"}
 	hosts := newHosts(t, voters, "a", "b", "c", "x")
-	for _, n := range voters {
-		hosts[n].startReplica(t)
+	for _, name := range voters {
+		hosts[name].startReplica(t)
 	}
 	for _, h := range hosts {
 		h.link.Serve()
@@ -209,12 +213,12 @@
 	if err != nil || len(snapshot) == 0 {
 		t.Fatal(err)
 	}
-	eventually(t, "all have it", func() bool {
-		s, _ := hosts["a"].replica.Status()
-		return s.Applied >= before.Index
+	eventually(t, "the entry is applied on a", func() bool {
+		status, _ := hosts["a"].replica.Status()
+		return status.Applied >= before.Index
 	})
-	for _, n := range voters {
-		hosts[n].replica.Close()
+	for _, name := range voters {
+		hosts[name].replica.Close()
 	}
 	os.RemoveAll(hosts["b"].options.Dir)
 	os.RemoveAll(hosts["c"].options.Dir)
@@ -225,51 +229,51 @@
 	if err := Recover(hosts["a"].options.Dir, contents, "test"); err != nil {
 		t.Fatal(err)
 	}
-	for _, n := range voters {
-		hosts[n].startReplica(t)
+	for _, name := range voters {
+		hosts[name].startReplica(t)
 	}
 	newClient := NewClient(hosts["x"].link, "x", voters, 0)
 	if _, err := newClient.Open(timeoutContext(t, 2*time.Second), 2, 2); err != nil {
-		for _, n := range voters {
-			s, why := hosts[n].replica.Status()
-			t.Logf("%s stands as %+v %s", n, s, why)
+		for _, name := range voters {
+			status, reason := hosts[name].replica.Status()
+			t.Logf("status of %s: %+v %s", name, status, reason)
 		}
 		t.Fatal(err)
 	}
 	after, err := newClient.Do(timeoutContext(t, time.Second), Command{Kind: AcquireDuty, Duty: "list"})
 	if err != nil || after.Code != CodeOK || after.Token <= before.Token {
-		t.Errorf("after recover: %+v, %v", after, err)
+		t.Errorf("after Recover: %+v, %v", after, err)
 	}
-	for _, n := range []string{"b", "c"} {
-		eventually(t, n+" is taken in", func() bool {
-			s, _ := hosts["a"].replica.Status()
-			if s.Changing {
+	for _, name := range []string{"b", "c"} {
+		eventually(t, name+" is admitted", func() bool {
+			status, _ := hosts["a"].replica.Status()
+			if status.Changing {
 				return false
 			}
-			for _, seat := range s.Voters {
-				if seat.Name == n {
+			for _, voter := range status.Voters {
+				if voter.Name == name {
 					return true
 				}
 			}
-			newClient.Admin(timeoutContext(t, 300*time.Millisecond), AdminRequest{Action: "replace", Name: n})
+			newClient.Admin(timeoutContext(t, 300*time.Millisecond), AdminRequest{Action: "replace", Name: name})
 			return false
 		})
 	}
-	if s, _ := hosts["a"].replica.Status(); len(s.Voters) != 3 || len(s.Recovered) != 1 {
-		t.Errorf("it stands as %+v", s)
+	if status, _ := hosts["a"].replica.Status(); len(status.Voters) != 3 || len(status.Recovered) != 1 {
+		t.Errorf("status: %+v", status)
 	}
-	for _, n := range voters {
-		hosts[n].replica.Close()
+	for _, name := range voters {
+		hosts[name].replica.Close()
 	}
 	dir := filepath.Join(t.TempDir(), "new")
 	if err := Restore(dir, "a", snapshot, nil); err != nil {
 		t.Fatal(err)
 	}
 	if contents, err := InspectDir(dir, nil); err != nil || contents.State.Duties["list"].Token <= before.Token || contents.State.Sessions["x"] == nil {
-		t.Errorf("restored: %+v, %v", contents, err)
+		t.Errorf("after Restore: %+v, %v", contents, err)
 	}
 	if Restore(dir, "a", snapshot, nil) == nil {
-		t.Error("a snapshot was restored over a directory that is there")
+		t.Error("a snapshot was restored into an existing directory")
 	}
 	if Restore(filepath.Join(dir, "worse"), "a", snapshot[:len(snapshot)/2], nil) == nil {
 		t.Error("half a snapshot was restored")
@@ -277,32 +281,32 @@
 }
 
 func ExampleLease() {
-	l := Lease{3 * time.Second, 0.02}
-	fmt.Println(l.OwnerDuration(), l.LeaderDuration())
+	lease := Lease{3 * time.Second, 0.02}
+	fmt.Println(lease.OwnerDuration(), lease.LeaderDuration())
 	// Output: 2.94s 3.06s
 }
 
-// BenchmarkCommands: commands a second and their time at 1, 3 and 5 keepers, by so many that ask at once, beside the bare sync
-// of that disk. Run with -benchtime 2s.
+// BenchmarkCommands measures the rate and the latency of commands with 1, 3 and 5 voters and with 1 and 64 concurrent
+// callers, and the bare sync of the disk for comparison. Run with -benchtime 2s.
 func BenchmarkCommands(b *testing.B) {
 	b.Run("sync", func(b *testing.B) {
-		f, err := os.Create(filepath.Join(b.TempDir(), "f"))
+		file, err := os.Create(filepath.Join(b.TempDir(), "f"))
 		if err != nil {
 			b.Fatal(err)
 		}
-		defer f.Close()
+		defer file.Close()
 		for b.Loop() {
-			f.Write(make([]byte, 200))
-			f.Sync()
+			file.Write(make([]byte, 200))
+			file.Sync()
 		}
 	})
-	for _, n := range []int{1, 3, 5} {
+	for _, voterCount := range []int{1, 3, 5} {
 		for _, clients := range []int{1, 64} {
-			b.Run(fmt.Sprintf("keepers=%d/asking=%d", n, clients), func(b *testing.B) {
-				voters := []string{"a", "b", "c", "d", "e"}[:n]
+			b.Run(fmt.Sprintf("keepers=%d/asking=%d", voterCount, clients), func(b *testing.B) {
+				voters := []string{"a", "b", "c", "d", "e"}[:voterCount]
 				hosts := newHosts(b, voters, append([]string{"x"}, voters...)...)
-				for _, v := range voters {
-					hosts[v].startReplica(b)
+				for _, voter := range voters {
+					hosts[voter].startReplica(b)
 				}
 				for _, h := range hosts {
 					h.link.Serve()
@@ -311,7 +315,7 @@
 				if _, err := client.Open(timeoutContext(b, 10*time.Second), 1, 1); err != nil {
 					b.Fatal(err)
 				}
-				took := make([]time.Duration, b.N)
+				latencies := make([]time.Duration, b.N)
 				var next atomic.Int64
 				var wg sync.WaitGroup
 				b.ResetTimer()
@@ -323,33 +327,33 @@
 								b.Error(err)
 								return
 							}
-							took[i] = time.Since(start)
+							latencies[i] = time.Since(start)
 						}
 					})
 				}
 				wg.Wait()
 				b.StopTimer()
-				slices.Sort(took)
+				slices.Sort(latencies)
 				b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "commands/s")
-				b.ReportMetric(float64(took[len(took)/2].Microseconds()), "p50-us")
-				b.ReportMetric(float64(took[len(took)*99/100].Microseconds()), "p99-us")
-				for _, v := range voters {
-					hosts[v].replica.Close()
+				b.ReportMetric(float64(latencies[len(latencies)/2].Microseconds()), "p50-us")
+				b.ReportMetric(float64(latencies[len(latencies)*99/100].Microseconds()), "p99-us")
+				for _, voter := range voters {
+					hosts[voter].replica.Close()
 				}
 			})
 		}
 	}
 }
 
-// BenchmarkLost: from the moment a leader is gone until a member's next command is answered, at an election of 200 ms. What is
-// lost leaves by intent (its lead is handed over first), or without a word.
+// BenchmarkLost measures the time from the loss of a leader until a member's next command is answered, with an
+// election timeout of 200 ms. With intent the leader transfers its leadership before it stops.
 func BenchmarkLost(b *testing.B) {
 	for _, intent := range []bool{false, true} {
 		b.Run(fmt.Sprintf("intent=%t", intent), func(b *testing.B) {
 			voters := []string{"a", "b", "c"}
 			hosts := newHosts(b, voters, "a", "b", "c", "x")
-			for _, v := range voters {
-				hosts[v].startReplica(b)
+			for _, voter := range voters {
+				hosts[voter].startReplica(b)
 			}
 			for _, h := range hosts {
 				h.link.Serve()
@@ -361,11 +365,11 @@
 			worst := time.Duration(0)
 			for b.Loop() {
 				b.StopTimer()
-				s, err := client.Status(timeoutContext(b, time.Second), "a")
+				status, err := client.Status(timeoutContext(b, time.Second), "a")
 				if err != nil {
 					b.Fatal(err)
 				}
-				lost := hosts[s.Leader]
+				lost := hosts[status.Leader]
 				if intent {
 					to := map[string]string{"a": "b", "b": "c", "c": "a"}[lost.name]
 					if _, err := client.Admin(timeoutContext(b, time.Second), AdminRequest{Action: "transfer", Name: to}); err != nil {
@@ -381,43 +385,43 @@
 				b.StopTimer()
 				worst = max(worst, time.Since(start))
 				lost.startReplica(b)
-				eventually(b, "it is back", func() bool { s, why := lost.replica.Status(); return why == "" && s.Leader != "" })
+				eventually(b, "the replica is back", func() bool { status, reason := lost.replica.Status(); return reason == "" && status.Leader != "" })
 				b.StartTimer()
 			}
 			b.ReportMetric(float64(worst.Milliseconds()), "worst-ms")
-			for _, v := range voters {
-				hosts[v].replica.Close()
+			for _, voter := range voters {
+				hosts[voter].replica.Close()
 			}
 		})
 	}
 }
 
-// BenchmarkOpen: from the start until a directory of so many entries has been read and checked.
+// BenchmarkOpen measures how long it takes to open and verify a directory.
 func BenchmarkOpen(b *testing.B) {
-	for _, n := range []uint64{1000, 10000, 100000} {
-		b.Run(fmt.Sprintf("entries=%d", n), func(b *testing.B) {
+	for _, count := range []uint64{1000, 10000, 100000} {
+		b.Run(fmt.Sprintf("entries=%d", count), func(b *testing.B) {
 			dir := b.TempDir()
-			l, _, err := OpenDiskStore(dir, disk.Dir(dir), nil)
+			store, _, err := OpenDiskStore(dir, disk.Dir(dir), nil)
 			if err != nil {
 				b.Fatal(err)
 			}
-			l.SaveSnapshot(InitialSnapshot(NewState("c", []Voter{{ID: 1, Name: "a", DiskID: "d"}}, nil, allChecks)), 0)
-			for at := uint64(2); at < n+2; at += 500 {
-				var some []*raftpb.Entry
+			store.SaveSnapshot(InitialSnapshot(NewState("c", []Voter{{ID: 1, Name: "a", DiskID: "d"}}, nil, allChecks)), 0)
+			for index := uint64(2); index < count+2; index += 500 {
+				var entries []*raftpb.Entry
 				for i := range uint64(500) {
-					some = append(some, &raftpb.Entry{Index: proto.Uint64(at + i), Term: proto.Uint64(1), Data: make([]byte, 200)})
+					entries = append(entries, &raftpb.Entry{Index: proto.Uint64(index + i), Term: proto.Uint64(1), Data: make([]byte, 200)})
 				}
-				if err := l.Save(nil, some, true); err != nil {
+				if err := store.Save(nil, entries, true); err != nil {
 					b.Fatal(err)
 				}
 			}
-			l.Close()
+			store.Close()
 			for b.Loop() {
-				l, d, err := OpenDiskStore(dir, disk.Dir(dir), nil)
-				if err != nil || uint64(len(d.Entries)) < n {
+				store, stored, err := OpenDiskStore(dir, disk.Dir(dir), nil)
+				if err != nil || uint64(len(stored.Entries)) < count {
 					b.Fatal(err)
 				}
-				l.Close()
+				store.Close()
 			}
 		})
 	}
