--- a/internal/cluster/keep/bootstrap.go
+++ b/internal/cluster/keep/bootstrap.go
@@ -28,7 +28,7 @@
 // Bootstrap decides whether a replica may vote: whether the group has been formed, and whether the disk is the one
 // that the group knows and not an older copy of it. It has no I/O and no clock.
 type Bootstrap struct {
-	Own           Hello
+	Self          Hello                 // sent to the peers
 	Voter         *Voter                // of this disk, nil until it has one
 	voterNames    []string              // including this replica's
 	appliedVoters map[uint64]Voter      // as last applied; empty before
@@ -55,7 +55,7 @@
 // saved about the others.
 func NewBootstrap(group int, name, diskID string, startCount, nonce uint64, voter *Voter, voters []Voter, voterNames []string, peers map[string]peerRecord) *Bootstrap {
 	b := &Bootstrap{
-		Own: Hello{Group: group, Name: name, DiskID: diskID, StartCount: startCount, Nonce: nonce, Voters: voters}, Voter: voter, voterNames: slices.Sorted(slices.Values(voterNames)),
+		Self: Hello{Group: group, Name: name, DiskID: diskID, StartCount: startCount, Nonce: nonce, Voters: voters}, Voter: voter, voterNames: slices.Sorted(slices.Values(voterNames)),
 		appliedVoters: map[uint64]Voter{}, peers: peers, accepted: map[string]bool{},
 	}
 	if b.peers == nil {
@@ -70,10 +70,10 @@
 	for _, id := range slices.Sorted(maps.Keys(voters)) {
 		sorted = append(sorted, *voters[id])
 	}
-	if slices.Equal(sorted, b.Own.Voters) {
+	if slices.Equal(sorted, b.Self.Voters) {
 		return false
 	}
-	b.Own.Voters = sorted
+	b.Self.Voters = sorted
 	clear(b.appliedVoters)
 	for _, voter := range sorted {
 		b.appliedVoters[voter.ID] = voter
@@ -90,7 +90,7 @@
 func (b *Bootstrap) findVoter(name, diskID string) (exact, newest *Voter) {
 	voters := maps.Clone(b.appliedVoters)
 	if len(voters) == 0 {
-		for _, voter := range b.Own.Voters {
+		for _, voter := range b.Self.Voters {
 			voters[voter.ID] = voter
 		}
 	}
@@ -108,7 +108,7 @@
 // HandleHello answers the hello of another replica. If changed is true, the record of the peer must be saved before
 // the reply is sent.
 func (b *Bootstrap) HandleHello(hello *Hello) (reply HelloReply, changed bool) {
-	reply.Hello = b.Own
+	reply.Hello = b.Self
 	if !slices.Contains(b.voterNames, hello.Name) {
 		reply.Rejection = fmt.Sprintf("%q is not one of the configured voters %v", hello.Name, b.voterNames)
 		return reply, false
@@ -123,7 +123,7 @@
 			return reply, false
 		}
 		reply.Voter = exact
-	} else if len(b.Own.Voters) > 0 {
+	} else if len(b.Self.Voters) > 0 {
 		b.peers[hello.Name+" "] = peerRecord{hello.DiskID, hello.StartCount, hello.Nonce, true, hello.Parts}
 		reply.Rejection = fmt.Sprintf("%s is not a voter of the group; run \"ottershift cluster replace %s\" to admit it", hello.Name, hello.Name)
 		return reply, false
@@ -142,11 +142,11 @@
 // would skip its entries, and would hold a different state after an upgrade.
 func (b *Bootstrap) AllSupport(part byte) bool {
 	for _, name := range b.voterNames {
-		if parts := b.peers[name].Parts; name != b.Own.Name && strings.IndexByte(parts, part) < 0 {
+		if parts := b.peers[name].Parts; name != b.Self.Name && strings.IndexByte(parts, part) < 0 {
 			return false
 		}
 	}
-	return strings.IndexByte(b.Own.Parts, part) >= 0
+	return strings.IndexByte(b.Self.Parts, part) >= 0
 }
 
 // PendingDisk returns the ID of the disk with which a replica of that name waits for admission, or "".
@@ -165,7 +165,7 @@
 
 // HandleReply handles a peer's reply to this replica's hello.
 func (b *Bootstrap) HandleReply(reply *HelloReply) {
-	if reply.Group != b.Own.Group || !slices.Contains(b.voterNames, reply.Name) || reply.Name == b.Own.Name {
+	if reply.Group != b.Self.Group || !slices.Contains(b.voterNames, reply.Name) || reply.Name == b.Self.Name {
 		return
 	}
 	if reply.Rejection != "" {
@@ -177,11 +177,11 @@
 	if previous := b.peers[reply.Name]; !previous.isStale(reply.DiskID, reply.StartCount, reply.Nonce) {
 		b.peers[reply.Name] = peerRecord{reply.DiskID, reply.StartCount, reply.Nonce, len(reply.Voters) == 0, reply.Parts}
 	}
-	if reply.Voter != nil && reply.Voter.DiskID == b.Own.DiskID && (b.Voter == nil || b.Voter.ID != reply.Voter.ID) {
+	if reply.Voter != nil && reply.Voter.DiskID == b.Self.DiskID && (b.Voter == nil || b.Voter.ID != reply.Voter.ID) {
 		copied := *reply.Voter
 		b.Voter, b.rejection = &copied, "" // it was admitted
 	}
-	if len(b.Own.Voters) == 0 && len(reply.Voters) > 0 {
+	if len(b.Self.Voters) == 0 && len(reply.Voters) > 0 {
 		b.adoptVoters(reply.Voters)
 	}
 }
@@ -189,9 +189,9 @@
 // adoptVoters takes over the voters with which others formed the group, if this disk is among them.
 func (b *Bootstrap) adoptVoters(voters []Voter) {
 	for _, voter := range voters {
-		if voter.Name == b.Own.Name && voter.DiskID == b.Own.DiskID {
+		if voter.Name == b.Self.Name && voter.DiskID == b.Self.DiskID {
 			copied := voter
-			b.Voter, b.Own.Voters = &copied, voters
+			b.Voter, b.Self.Voters = &copied, voters
 		}
 	}
 }
@@ -204,8 +204,8 @@
 	}
 	var voters []Voter
 	for i, name := range b.voterNames {
-		rec := peerRecord{b.Own.DiskID, b.Own.StartCount, b.Own.Nonce, true, b.Own.Parts}
-		if name != b.Own.Name {
+		rec := peerRecord{b.Self.DiskID, b.Self.StartCount, b.Self.Nonce, true, b.Self.Parts}
+		if name != b.Self.Name {
 			if rec = b.peers[name]; !b.accepted[name] || !rec.Ungrouped {
 				return false
 			}
@@ -220,13 +220,13 @@
 // replica that replaced another gets the whole committed state from the leader instead.
 func (b *Bootstrap) IsFounder() bool {
 	included := false
-	for i, voter := range b.Own.Voters {
+	for i, voter := range b.Self.Voters {
 		if voter.ID != uint64(i+1) {
 			return false
 		}
-		included = included || voter.DiskID == b.Own.DiskID
+		included = included || voter.DiskID == b.Self.DiskID
 	}
-	return included && len(b.Own.Voters) == len(b.voterNames)
+	return included && len(b.Self.Voters) == len(b.voterNames)
 }
 
 // MayVote reports whether this run may vote: it is a voter, and a quorum, counting itself, knows no later run of its
--- a/internal/cluster/keep/core.go
+++ b/internal/cluster/keep/core.go
@@ -63,10 +63,10 @@
 
 // pendingRead is a linearizable read that waits for its read index to be confirmed and applied.
 type pendingRead struct {
-	requestedAt int64 // time of the request
-	index       uint64
-	ready       bool
-	done        func(askedAt int64, err error)
+	requestedAt int64
+	readIndex   uint64
+	confirmed   bool
+	done        func(requestedAt int64, err error)
 }
 
 // Core is one replica of one Raft group: the Raft library's node and the replicated state, without I/O and clock.
@@ -236,7 +236,7 @@
 
 // Read confirms with a quorum that this replica still leads now. done is called once the state includes everything
 // that was committed before the call. A read of the state within done is linearizable.
-func (c *Core) Read(now int64, done func(askedAt int64, err error)) {
+func (c *Core) Read(now int64, done func(requestedAt int64, err error)) {
 	if !c.isLeader {
 		done(now, ErrNotLeader)
 		return
@@ -249,7 +249,7 @@
 
 // Renew records that the owner of a duty is alive. It must be called within a confirmed read, with the time at which the
 // owner's request arrived. Otherwise a former leader could confirm an ownership that a newer leader has ended.
-func (c *Core) Renew(askedAt int64, duty string, token uint64, member string, epoch uint64) Result {
+func (c *Core) Renew(requestedAt int64, duty string, token uint64, member string, epoch uint64) Result {
 	current := c.State.Duties[duty]
 	if current == nil || current.Token != token || current.Owner != member || current.Epoch != epoch {
 		return c.State.fencedResult(current)
@@ -257,8 +257,8 @@
 	if session := c.State.Sessions[member]; session == nil || !session.Open || session.Epoch != epoch {
 		return Result{Code: CodeSessionEnded}
 	}
-	if last := c.renewals[duty]; last.token != token || last.renewedAt < askedAt {
-		c.renewals[duty] = lastRenewal{token, askedAt}
+	if last := c.renewals[duty]; last.token != token || last.renewedAt < requestedAt {
+		c.renewals[duty] = lastRenewal{token, requestedAt}
 	}
 	return Result{Code: CodeOK, Token: token, Owner: member, Epoch: epoch, Index: c.State.Index}
 }
@@ -385,7 +385,7 @@
 		}
 		for _, readState := range rd.ReadStates {
 			if read := c.pendingReads[string(readState.RequestCtx)]; read != nil {
-				read.index, read.ready = readState.Index, true
+				read.readIndex, read.confirmed = readState.Index, true
 			}
 		}
 		c.raft.Advance(rd)
@@ -430,7 +430,7 @@
 // completeReads answers the reads whose read index has been applied.
 func (c *Core) completeReads() {
 	for _, key := range slices.Sorted(maps.Keys(c.pendingReads)) {
-		if read := c.pendingReads[key]; read.ready && read.index <= c.appliedIndex {
+		if read := c.pendingReads[key]; read.confirmed && read.readIndex <= c.appliedIndex {
 			delete(c.pendingReads, key)
 			read.done(read.requestedAt, nil)
 		}
@@ -527,7 +527,7 @@
 	Voters      []Voter           `json:"seats"`
 	Match       map[string]uint64 `json:"match,omitempty"` // last log entry on each replica, as the leader knows it
 	StalenessMS int64             `json:"age_ms"`
-	Changing    bool              `json:"changing,omitempty"` // during a replacement the quorum of the old voters counts as well
+	Changing    bool              `json:"changing,omitempty"` // a replacement is in progress: the quorum of the old voters counts too
 	Recovered   []string          `json:"recovered,omitempty"`
 }
 
--- a/internal/cluster/keep/core_test.go
+++ b/internal/cluster/keep/core_test.go
@@ -33,7 +33,7 @@
 
 // memoryStore is a Store in memory. Saved data survives a crash, unless the simulation injects lost syncs.
 type memoryStore struct {
-	state    StoredState
+	stored   StoredState
 	failing  bool
 	previous StoredState
 }
@@ -44,18 +44,18 @@
 	if store.failing {
 		return errDisk
 	}
-	store.previous = StoredState{store.state.HardState, store.state.Snapshot, slices.Clone(store.state.Entries)}
+	store.previous = StoredState{store.stored.HardState, store.stored.Snapshot, slices.Clone(store.stored.Entries)}
 	if hardState != nil {
-		store.state.HardState = proto.Clone(hardState).(*raftpb.HardState)
+		store.stored.HardState = proto.Clone(hardState).(*raftpb.HardState)
 	}
 	for _, entry := range entries {
-		for i, existing := range store.state.Entries {
+		for i, existing := range store.stored.Entries {
 			if existing.GetIndex() >= entry.GetIndex() {
-				store.state.Entries = store.state.Entries[:i:i]
+				store.stored.Entries = store.stored.Entries[:i:i]
 				break
 			}
 		}
-		store.state.Entries = append(store.state.Entries, entry)
+		store.stored.Entries = append(store.stored.Entries, entry)
 	}
 	return nil
 }
@@ -64,12 +64,12 @@
 	if store.failing {
 		return errDisk
 	}
-	store.state.Snapshot = snapshot
+	store.stored.Snapshot = snapshot
 	index := snapshot.GetMetadata().GetIndex()
 	if compactTo >= index {
-		store.state.Entries = nil
+		store.stored.Entries = nil
 	}
-	store.state.Entries = slices.DeleteFunc(store.state.Entries, func(entry *raftpb.Entry) bool { return entry.GetIndex() <= min(compactTo, index) })
+	store.stored.Entries = slices.DeleteFunc(store.stored.Entries, func(entry *raftpb.Entry) bool { return entry.GetIndex() <= min(compactTo, index) })
 	return nil
 }
 
@@ -135,7 +135,7 @@
 	node.run++
 	node.counter = &counter{map[string]int{}}
 	state := NewState("c", nil, map[byte]Part{1: node.counter}, sim.checks)
-	stored := &StoredState{node.disk.state.HardState, node.disk.state.Snapshot, slices.Clone(node.disk.state.Entries)}
+	stored := &StoredState{node.disk.stored.HardState, node.disk.stored.Snapshot, slices.Clone(node.disk.stored.Entries)}
 	core, err := NewCore(node.id, node.run, stored, state, Lease{time.Second, 0.02}, sim.now)
 	if err != nil {
 		sim.t.Fatal(err)
@@ -147,7 +147,7 @@
 func (sim *simulation) crash(node *simNode) {
 	node.core = nil
 	if sim.lostSyncs && node.disk.previous.Snapshot != nil && sim.rng.IntN(2) == 0 {
-		node.disk.state = node.disk.previous
+		node.disk.stored = node.disk.previous
 	}
 	node.disk.failing = false
 }
@@ -465,7 +465,7 @@
 	}
 	for _, voter := range voters {
 		snapshot := InitialSnapshot(NewState("c", voters, map[byte]Part{1: &counter{map[string]int{}}}, checks))
-		node := &simNode{id: voter.ID, disk: &memoryStore{state: StoredState{Snapshot: snapshot}}}
+		node := &simNode{id: voter.ID, disk: &memoryStore{stored: StoredState{Snapshot: snapshot}}}
 		sim.nodes = append(sim.nodes, node)
 		sim.start(node)
 	}
--- a/internal/cluster/keep/parts_test.go
+++ b/internal/cluster/keep/parts_test.go
@@ -9,7 +9,7 @@
 // A part's commands are accepted only while the newest known builds of all voters support the part.
 func TestPartRequiresSupportOfAllVoters(t *testing.T) {
 	bootstrap := NewBootstrap(0, "a", "da", 1, 1, nil, nil, []string{"a", "b", "c"}, nil)
-	bootstrap.Own.Parts = "\x01"
+	bootstrap.Self.Parts = "\x01"
 	hello := func(name, parts string, runs uint64) {
 		bootstrap.HandleHello(&Hello{Name: name, DiskID: "d" + name, StartCount: runs, Nonce: runs, Parts: parts})
 	}
--- a/internal/cluster/keep/recover.go
+++ b/internal/cluster/keep/recover.go
@@ -35,21 +35,21 @@
 	}
 	contents := &DirContents{}
 	var identity struct {
-		Disk string `json:"disk"`
+		DiskID string `json:"disk"`
 	}
 	if err := json.Unmarshal(raw, &identity); err != nil {
 		return nil, fmt.Errorf("%s: %w", identityFile, err)
 	}
 	var saved struct {
-		Seat *Voter `json:"seat"`
+		Voter *Voter `json:"seat"`
 	}
 	if raw, err = fs.Read(votersFile); err != nil {
 		return nil, fmt.Errorf("%s does not belong to a group: %w", dir, err)
 	}
-	if err := json.Unmarshal(raw, &saved); err != nil || saved.Seat == nil {
+	if err := json.Unmarshal(raw, &saved); err != nil || saved.Voter == nil {
 		return nil, fmt.Errorf("%s: the replica is not a voter of a group (%v)", votersFile, err)
 	}
-	contents.Name, contents.DiskID = saved.Seat.Name, identity.Disk
+	contents.Name, contents.DiskID = saved.Voter.Name, identity.DiskID
 	store, stored, err := OpenDiskStore(dir, fs, nil)
 	if err != nil {
 		return nil, err
--- a/internal/cluster/keep/replica.go
+++ b/internal/cluster/keep/replica.go
@@ -55,7 +55,7 @@
 type Transport interface {
 	Handle(method uint16, handler link.Handler)
 	Call(ctx context.Context, name string, method uint16, body []byte) ([]byte, error)
-	Post(name string, method uint16, body []byte, within time.Duration) error
+	Post(name string, method uint16, body []byte, timeout time.Duration) error
 }
 
 // Options configure a replica.
@@ -107,8 +107,8 @@
 	rep := &Replica{options: options, startTime: time.Now(), requests: make(chan func(*Core), requestQueueSize), ready: make(chan struct{}), partialSnapshots: map[string]*partialSnapshot{}}
 	rep.ctx, rep.cancel = context.WithCancel(context.Background())
 	var identity struct {
-		Disk string `json:"disk"`
-		Runs uint64 `json:"runs"`
+		DiskID     string `json:"disk"`
+		StartCount uint64 `json:"runs"`
 	}
 	raw, err := options.FS.Read(identityFile)
 	switch {
@@ -117,11 +117,11 @@
 			return nil, fmt.Errorf("%s: %w", identityFile, err)
 		}
 	case errors.Is(err, os.ErrNotExist):
-		identity.Disk = newDiskID()
+		identity.DiskID = newDiskID()
 	default:
 		return nil, err
 	}
-	identity.Runs++
+	identity.StartCount++
 	if raw, err = json.Marshal(identity); err == nil {
 		// A run whose start count is not on disk could be taken for an older run.
 		err = options.FS.Replace(identityFile, raw)
@@ -129,13 +129,13 @@
 	if err != nil {
 		return nil, err
 	}
-	rep.diskID, rep.startCount = identity.Disk, identity.Runs
+	rep.diskID, rep.startCount = identity.DiskID, identity.StartCount
 	var nonce [8]byte
 	rand.Read(nonce[:])
 	rep.nonce = binary.BigEndian.Uint64(nonce[:])
 	var saved struct {
-		Seat  *Voter  `json:"seat"`
-		Seats []Voter `json:"seats"`
+		Voter  *Voter  `json:"seat"`
+		Voters []Voter `json:"seats"`
 	}
 	if raw, err := options.FS.Read(votersFile); err == nil {
 		if err := json.Unmarshal(raw, &saved); err != nil {
@@ -148,8 +148,8 @@
 			return nil, fmt.Errorf("%s: %w", peersFile, err)
 		}
 	}
-	rep.bootstrap = NewBootstrap(options.Group, options.Name, rep.diskID, rep.startCount, rep.nonce, saved.Seat, saved.Seats, options.Voters, peers)
-	rep.bootstrap.Own.Parts = string(slices.Sorted(maps.Keys(options.Parts)))
+	rep.bootstrap = NewBootstrap(options.Group, options.Name, rep.diskID, rep.startCount, rep.nonce, saved.Voter, saved.Voters, options.Voters, peers)
+	rep.bootstrap.Self.Parts = string(slices.Sorted(maps.Keys(options.Parts)))
 	for method, handler := range map[uint16]link.Handler{
 		methodHello: rep.handleHello, methodRaft: rep.handleRaft, methodPropose: rep.handlePropose, methodRead: rep.handleRead, methodRenew: rep.handleRenew, methodAdmin: rep.handleAdmin, methodChunk: rep.handleChunk,
 	} {
@@ -187,7 +187,7 @@
 
 // saveVoters saves this disk's voter entry and all voters as last applied. The caller holds mu.
 func (rep *Replica) saveVoters() error {
-	raw, err := json.Marshal(map[string]any{"seat": rep.bootstrap.Voter, "seats": rep.bootstrap.Own.Voters})
+	raw, err := json.Marshal(map[string]any{"seat": rep.bootstrap.Voter, "seats": rep.bootstrap.Self.Voters})
 	if err != nil {
 		return err
 	}
@@ -197,7 +197,7 @@
 // exchangeHellos sends a hello to all other voters, and takes their replies.
 func (rep *Replica) exchangeHellos() {
 	rep.mu.Lock()
-	hello := pack.Pack(&rep.bootstrap.Own)
+	hello := pack.Pack(&rep.bootstrap.Self)
 	rep.mu.Unlock()
 	ctx, cancel := context.WithTimeout(rep.ctx, helloTimeout)
 	defer cancel()
@@ -266,7 +266,7 @@
 	rep.wg.Go(rep.helloLoop)
 	ticker := time.NewTicker(rep.options.ElectionTimeout / electionTicks)
 	defer ticker.Stop()
-	wasLeader, leader, index := false, uint64(0), uint64(0)
+	wasLeader, leader, lastIndex := false, uint64(0), uint64(0)
 	for {
 		select {
 		case <-ticker.C:
@@ -288,8 +288,8 @@
 		var err error
 		changed := false
 		rep.withLock(func() {
-			if err = core.ProcessReady(rep.now(), store, rep.sendMessage); err == nil && core.State.Index != index {
-				index = core.State.Index
+			if err = core.ProcessReady(rep.now(), store, rep.sendMessage); err == nil && core.State.Index != lastIndex {
+				lastIndex = core.State.Index
 				changed = true
 				if rep.bootstrap.UpdateVoters(core.State.Voters) {
 					err = rep.saveVoters()
@@ -345,7 +345,7 @@
 		if mayVote {
 			err = errors.Join(rep.savePeers(), rep.saveVoters())
 		}
-		voters, isFounder := rep.bootstrap.Own.Voters, rep.bootstrap.IsFounder()
+		voters, isFounder := rep.bootstrap.Self.Voters, rep.bootstrap.IsFounder()
 		rep.mu.Unlock()
 		if err == nil && mayVote && stored.Snapshot == nil && len(stored.Entries) == 0 && isFounder {
 			stored.Snapshot = InitialSnapshot(NewState(rep.options.Cluster, voters, rep.options.Parts, rep.options.Checks))
@@ -361,6 +361,7 @@
 		if reason != lastReason && !formed {
 			lastReason = reason
 			level := slog.LevelInfo
+			// Rejections that need an operator name the replace command.
 			if strings.Contains(reason, "replace") {
 				level = slog.LevelError
 			}
@@ -400,7 +401,7 @@
 			return voter.Name
 		}
 	}
-	for _, voter := range rep.bootstrap.Own.Voters {
+	for _, voter := range rep.bootstrap.Self.Voters {
 		if voter.ID == id {
 			return voter.Name
 		}
@@ -686,14 +687,14 @@
 		return nil, err
 	}
 	return rep.awaitReply(ctx, func(core *Core, done func(reply)) {
-		core.Read(rep.now(), func(askedAt int64, err error) {
+		core.Read(rep.now(), func(requestedAt int64, err error) {
 			if err != nil {
 				done(rep.errorReply(err))
 				return
 			}
 			confirmed := map[string]uint64{}
 			for duty, token := range renewal.Tokens {
-				if result := core.Renew(askedAt, duty, token, renewal.Member, renewal.Epoch); result.Code == CodeOK {
+				if result := core.Renew(requestedAt, duty, token, renewal.Member, renewal.Epoch); result.Code == CodeOK {
 					confirmed[duty] = token
 				}
 			}
--- a/internal/cluster/keep/state.go
+++ b/internal/cluster/keep/state.go
@@ -48,7 +48,7 @@
 	CodeOK           byte = iota + 1
 	CodeSessionEnded      // the session was ended, or a newer run has opened one
 	CodeFenced            // the token of the command is not the current one
-	CodeOwned             // another run owns the duty
+	CodeOwned             // the duty already has an owner
 	CodeNotFound          // the duty, session, part or command kind does not exist
 	CodeTooOld            // the sequence number is older than the stored results
 )
