--- a/internal/httpwire/claims.go
+++ b/internal/httpwire/claims.go
@@ -12,216 +12,216 @@
 	"ottershift/logic"
 )
 
-// Claims know where what must not run twice may go, over all balancers and their runs.
-type Claims interface {
-	Begin(q Claimed) Claim
+// OwnershipRegistry know where what must not run twice may go, over all balancers and their runs.
+type OwnershipRegistry interface {
+	Begin(q OwnershipRequest) Ownership
 }
 
-// Claimed is a transaction that must not run twice, or only where its repeats are known.
-type Claimed struct {
+// OwnershipRequest is a transaction that must not run twice, or only where its repeats are known.
+type OwnershipRequest struct {
 	Pool, Customer, Tariff string
-	Tag, ID                string // Idempotency-Key, "" for none; X-Txn
-	Kind                   *logic.Tariff
-	Left                   time.Duration
-	Again                  bool
-	Body                   uint64 // a sum of it, 0 where it isn't all there
+	IdempotencyKey, ID     string // Idempotency-Key, "" for none; X-Txn
+	Settings               *logic.Tariff
+	Timeout                time.Duration
+	ClientRetry            bool
+	BodyHash               uint64 // a sum of it, 0 where it isn't all there
 }
 
-// Claim is one of these, while it is in hand.
-type Claim interface {
-	// Open says what it may do before it is taken, or taken again after Take refused. It may wait. fate is "" for go, to its
+// Ownership is one of these, while it is in hand.
+type Ownership interface {
+	// Check says what it may do before it is taken, or taken again after Take refused. It may wait. fate is "" for go, to its
 	// group if that is not nil.
-	Open(ctx context.Context) (bound *desk.Location, fate Fate)
-	// Take claims it for the group of a push's upstream, which may leave only if there is no error; moves says that no push of it ran.
-	Take(ctx context.Context, to *desk.Attempt, moves bool) error
-	End(how End)
+	Check(ctx context.Context) (bound *desk.Location, fate Admission)
+	// Acquire claims it for the group of a push's upstream, which may leave only if there is no error; moves says that no push of it ran.
+	Acquire(ctx context.Context, to *desk.Attempt, moves bool) error
+	Release(how Completion)
 }
 
-// Fate is what becomes of a transaction before it is taken.
-type Fate uint8
+// Admission is what becomes of a transaction before it is taken.
+type Admission uint8
 
 const (
-	Goes Fate = iota
-	Defers
-	Forfeits
-	Refuses // its key stands for another body
+	Admit Admission = iota
+	Defer
+	Forfeit
+	Refuse // its key stands for another body
 )
 
-// End is how a transaction that was claimed ended.
-type End uint8
+// Completion is how a transaction that was claimed ended.
+type Completion uint8
 
 const (
-	NeverRan End = iota // provably
+	NeverRan Completion = iota // provably
 	Answered
 	MayHaveRun
 )
 
-// Claim has what must not run twice claimed from now on; nil ends that. What is in hand keeps what it began with.
-func (f *Front) Claim(c Claims) {
+// SetOwnershipRegistry has what must not run twice claimed from now on; nil ends that. What is in hand keeps what it began with.
+func (front *FrontEnd) SetOwnershipRegistry(c OwnershipRegistry) {
 	if c == nil {
-		f.claims.Store(nil)
+		front.ownership.Store(nil)
 		return
 	}
-	f.claims.Store(&c)
+	front.ownership.Store(&c)
 }
 
-const mostTaken = 8 // times that a transaction is taken, where its claims are refused again and again
-
-// guard stands between a transaction's pushes and their leaving. The zero pointer guards nothing.
-type guard struct {
-	claim Claim
-	p     *shard
-	again chan struct{} // a push was refused leave, and the transaction taken back
-	begun time.Time
-	left  time.Duration // at the begin
-
-	take  sync.Mutex // held while leave is asked for
-	mu    sync.Mutex
-	bound *desk.Location
-	times int // that it was opened
-	out   int // pushes that have left and not ended
-	ran   bool
-	done  bool // an upstream has answered
-	over  bool // the transaction has its end
-	told  bool
+const maxChecks = 8 // times that a transaction is taken, where its claims are refused again and again
+
+// ownershipGuard stands between a transaction's pushes and their leaving. The zero pointer guards nothing.
+type ownershipGuard struct {
+	ownership   Ownership
+	shard       *shard
+	withdrawnCh chan struct{} // a push was refused leave, and the transaction taken back
+	started     time.Time
+	timeout     time.Duration // at the begin
+
+	acquireMu    sync.Mutex // held while leave is asked for
+	mu           sync.Mutex
+	priorAttempt *desk.Location
+	checks       int // that it was opened
+	inFlight     int // pushes that have left and not ended
+	mayHaveRun   bool
+	answered     bool // an upstream has answered
+	finished     bool // the transaction has its end
+	released     bool
 }
 
-// guard makes one for a transaction, nil for one that may run any number of times.
-func (f *Front) guard(p *shard, q *transaction) *guard {
-	claims := f.claims.Load()
+// newGuard makes one for a transaction, nil for one that may run any number of times.
+func (front *FrontEnd) newGuard(sh *shard, txn *transaction) *ownershipGuard {
+	claims := front.ownership.Load()
 	if claims == nil {
 		return nil
 	}
-	t := q.book.Terms.Tariffs[q.tariff]
-	if t.Idempotency == logic.Idempotent {
+	tariff := txn.settings.Terms.Tariffs[txn.tariff]
+	if tariff.Idempotency == logic.Idempotent {
 		return nil
 	}
-	c := Claimed{
-		Pool: p.Name, Kind: t, Tag: q.header.Get("Idempotency-Key"), ID: q.id, Left: q.left, Again: q.again, Customer: q.header.Get("X-Org"),
-		Tariff: q.book.Name(q.tariff),
+	request := OwnershipRequest{
+		Pool: sh.Name, Settings: tariff, IdempotencyKey: txn.header.Get("Idempotency-Key"), ID: txn.id, Timeout: txn.timeout, ClientRetry: txn.clientRetry, Customer: txn.header.Get("X-Org"),
+		Tariff: txn.settings.Name(txn.tariff),
 	}
-	if q.rest == nil && len(q.body) > 0 {
-		c.Body = max(1, xxhash.Sum64(q.body))
+	if txn.upload == nil && len(txn.body) > 0 {
+		request.BodyHash = max(1, xxhash.Sum64(txn.body))
 	}
-	return &guard{claim: (*claims).Begin(c), p: p, again: make(chan struct{}, 1), begun: time.Now(), left: q.left}
+	return &ownershipGuard{ownership: (*claims).Begin(request), shard: sh, withdrawnCh: make(chan struct{}, 1), started: time.Now(), timeout: txn.timeout}
 }
 
-// open says whether the transaction may be taken, and answers it if not.
-func (g *guard) open(ctx context.Context, f *Front, w http.ResponseWriter, q *transaction) bool {
-	if g == nil {
+// admit says whether the transaction may be taken, and answers it if not.
+func (guard *ownershipGuard) admit(ctx context.Context, front *FrontEnd, w http.ResponseWriter, txn *transaction) bool {
+	if guard == nil {
 		return true
 	}
 	// Danger: what the ledger has to be asked may take longer than its client waits.
-	ctx, stop := context.WithDeadline(ctx, g.begun.Add(g.left))
+	ctx, stop := context.WithDeadline(ctx, guard.started.Add(guard.timeout))
 	defer stop()
-	bound, fate := g.claim.Open(ctx)
-	g.bound = bound
-	if g.times++; g.times > mostTaken {
-		fate = Defers
-	}
-	q.left = max(0, g.left-time.Since(g.begun))
-	if fate == Goes && q.left == 0 && g.left > 0 {
-		fate = Defers // nothing of it has left
-	}
-	switch fate {
-	case Defers:
-		f.turn(w, g.p, q)
-	case Forfeits:
-		g.p.desk.CountEnded(q.arrival(), desk.Forfeited)
-		f.say(w, http.StatusBadGateway, "it may have run already")
-	case Refuses:
-		g.p.desk.CountEnded(q.arrival(), desk.Rejected)
-		f.say(w, http.StatusUnprocessableEntity, "this Idempotency-Key stands for another body")
-	}
-	return fate == Goes
+	prior, admission := guard.ownership.Check(ctx)
+	guard.priorAttempt = prior
+	if guard.checks++; guard.checks > maxChecks {
+		admission = Defer
+	}
+	txn.timeout = max(0, guard.timeout-time.Since(guard.started))
+	if admission == Admit && txn.timeout == 0 && guard.timeout > 0 {
+		admission = Defer // nothing of it has left
+	}
+	switch admission {
+	case Defer:
+		front.deferEarly(w, guard.shard, txn)
+	case Forfeit:
+		guard.shard.desk.CountEnded(txn.arrival(), desk.Forfeited)
+		front.writeText(w, http.StatusBadGateway, "it may have run already")
+	case Refuse:
+		guard.shard.desk.CountEnded(txn.arrival(), desk.Rejected)
+		front.writeText(w, http.StatusUnprocessableEntity, "this Idempotency-Key stands for another body")
+	}
+	return admission == Admit
 }
 
 // arrival is what the desk is told of a transaction that is guarded.
-func (g *guard) arrival(q *transaction) desk.Arrival {
-	a := q.arrival()
-	if g != nil {
-		a.DelaySend, a.PriorAttempt = true, g.bound
+func (guard *ownershipGuard) arrival(txn *transaction) desk.Arrival {
+	arrival := txn.arrival()
+	if guard != nil {
+		arrival.DelaySend, arrival.PriorAttempt = true, guard.priorAttempt
 	}
-	return a
+	return arrival
 }
 
-// leave asks leave for a push. Danger: without it nothing of the push may leave.
-func (g *guard) leave(c *desk.Handle, o *desk.Attempt) bool {
-	if g == nil {
+// permit asks leave for a push. Danger: without it nothing of the push may leave.
+func (guard *ownershipGuard) permit(handle *desk.Handle, attempt *desk.Attempt) bool {
+	if guard == nil {
 		return true
 	}
-	g.take.Lock()
-	defer g.take.Unlock()
-	g.mu.Lock()
-	moves, over := !g.ran && g.out == 0, g.over
-	g.mu.Unlock()
-	if over || o.Context.Err() != nil || !time.Now().Before(o.Deadline) {
+	guard.acquireMu.Lock()
+	defer guard.acquireMu.Unlock()
+	guard.mu.Lock()
+	noneRan, finished := !guard.mayHaveRun && guard.inFlight == 0, guard.finished
+	guard.mu.Unlock()
+	if finished || attempt.Context.Err() != nil || !time.Now().Before(attempt.Deadline) {
 		return false
 	}
-	err := g.claim.Take(o.Context, o, moves)
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if err == nil && o.Context.Err() == nil && !g.over {
-		g.out++
-		g.p.desk.Sent(c, o)
+	err := guard.ownership.Acquire(attempt.Context, attempt, noneRan)
+	guard.mu.Lock()
+	defer guard.mu.Unlock()
+	if err == nil && attempt.Context.Err() == nil && !guard.finished {
+		guard.inFlight++
+		guard.shard.desk.Sent(handle, attempt)
 		return true
 	}
 	// What was called off is the module's own doing; else the transaction is taken back, if nothing of it is out.
-	if err != nil && o.Context.Err() == nil && !g.ran && g.out == 0 && !g.over && g.p.desk.Withdraw(c) {
+	if err != nil && attempt.Context.Err() == nil && !guard.mayHaveRun && guard.inFlight == 0 && !guard.finished && guard.shard.desk.Withdraw(handle) {
 		select {
-		case g.again <- struct{}{}:
+		case guard.withdrawnCh <- struct{}{}:
 		default:
 		}
 	}
 	return false
 }
 
-// ended takes the outcome of a push that had leave.
-func (g *guard) ended(r logic.Result) {
-	if g == nil {
+// attemptEnded takes the outcome of a push that had leave.
+func (guard *ownershipGuard) attemptEnded(result logic.Result) {
+	if guard == nil {
 		return
 	}
-	g.mu.Lock()
-	g.out--
-	g.ran = g.ran || !r.NeverRan()
-	g.done = g.done || r.Final()
-	g.mu.Unlock()
-	g.tell()
+	guard.mu.Lock()
+	guard.inFlight--
+	guard.mayHaveRun = guard.mayHaveRun || !result.NeverRan()
+	guard.answered = guard.answered || result.Final()
+	guard.mu.Unlock()
+	guard.release()
 }
 
-// end says that the transaction has its answer, or nobody waits for it.
-func (g *guard) end() {
-	if g == nil {
+// finish says that the transaction has its answer, or nobody waits for it.
+func (guard *ownershipGuard) finish() {
+	if guard == nil {
 		return
 	}
-	g.mu.Lock()
-	g.over = true
-	g.mu.Unlock()
-	g.tell()
+	guard.mu.Lock()
+	guard.finished = true
+	guard.mu.Unlock()
+	guard.release()
 }
 
-// tell has the end written down, once it is known.
-func (g *guard) tell() {
-	g.mu.Lock()
-	how := MayHaveRun
+// release has the end written down, once it is known.
+func (guard *ownershipGuard) release() {
+	guard.mu.Lock()
+	completion := MayHaveRun
 	switch {
-	case g.done:
-		how = Answered
-	case !g.ran:
-		how = NeverRan
+	case guard.answered:
+		completion = Answered
+	case !guard.mayHaveRun:
+		completion = NeverRan
 	}
-	tell := g.over && !g.told && (g.done || g.out == 0)
-	g.told = g.told || tell
-	g.mu.Unlock()
-	if tell {
-		g.claim.End(how)
+	release := guard.finished && !guard.released && (guard.answered || guard.inFlight == 0)
+	guard.released = guard.released || release
+	guard.mu.Unlock()
+	if release {
+		guard.ownership.Release(completion)
 	}
 }
 
-// recalled is where a transaction hears that it was taken back.
-func (g *guard) recalled() <-chan struct{} {
-	if g == nil {
+// withdrawn is where a transaction hears that it was taken back.
+func (guard *ownershipGuard) withdrawn() <-chan struct{} {
+	if guard == nil {
 		return nil
 	}
-	return g.again
+	return guard.withdrawnCh
 }
--- a/internal/httpwire/claims_test.go
+++ b/internal/httpwire/claims_test.go
@@ -11,22 +11,22 @@
 	"ottershift/internal/desk"
 )
 
-// slowClaims is a ledger that is asked for as long as one waits for it.
-type slowClaims struct{ ended []End }
+// blockingRegistry is a ledger that is asked for as long as one waits for it.
+type blockingRegistry struct{ ended []Completion }
 
-func (s *slowClaims) Begin(Claimed) Claim { return s }
-func (s *slowClaims) Open(ctx context.Context) (*desk.Location, Fate) {
+func (s *blockingRegistry) Begin(OwnershipRequest) Ownership { return s }
+func (s *blockingRegistry) Check(ctx context.Context) (*desk.Location, Admission) {
 	<-ctx.Done()
-	return nil, Defers
+	return nil, Defer
 }
-func (s *slowClaims) Take(context.Context, *desk.Attempt, bool) error { return nil }
-func (s *slowClaims) End(how End)                                     { s.ended = append(s.ended, how) }
+func (s *blockingRegistry) Acquire(context.Context, *desk.Attempt, bool) error { return nil }
+func (s *blockingRegistry) Release(how Completion)                             { s.ended = append(s.ended, how) }
 
 // Whatever the ledger takes, a transaction has its answer before its hard stop; what may run any number of times never asks it.
-func TestTheLedgerIsAskedWithinTheTime(t *testing.T) {
-	f, _ := front(t)
-	claims := &slowClaims{}
-	f.Claim(claims)
+func TestOwnershipCheckEndsAtTheDeadline(t *testing.T) {
+	f, _ := newTestFrontEnd(t)
+	claims := &blockingRegistry{}
+	f.SetOwnershipRegistry(claims)
 	ask := func(tariff string) (*httptest.ResponseRecorder, time.Duration) {
 		r := httptest.NewRequest(http.MethodPost, "/"+tariff, strings.NewReader("x"))
 		r.Header.Set("X-Txn", "1")
--- a/internal/httpwire/drain_test.go
+++ b/internal/httpwire/drain_test.go
@@ -12,8 +12,8 @@
 )
 
 // A drain that comes while the head of a message is on its way answers that message, and ends its connection after it.
-func TestAMessageThatCrossesADrainIsAnswered(t *testing.T) {
-	f, _ := front(t)
+func TestRequestReadDuringDrainIsAnswered(t *testing.T) {
+	f, _ := newTestFrontEnd(t)
 	l, err := f.Listen("main", "127.0.0.1:0")
 	must.NoError(t, err)
 	served := make(chan error, 1)
@@ -50,8 +50,8 @@
 }
 
 // Connections that lie idle hold no drain up.
-func TestIdleConnectionsEndWithADrain(t *testing.T) {
-	f, _ := front(t)
+func TestDrainClosesIdleConnections(t *testing.T) {
+	f, _ := newTestFrontEnd(t)
 	l, err := f.Listen("main", "127.0.0.1:0")
 	must.NoError(t, err)
 	go f.Serve(l)
--- a/internal/httpwire/flow.go
+++ b/internal/httpwire/flow.go
@@ -10,175 +10,175 @@
 )
 
 const (
-	piece     = 16 << 10              // of an answer that flows
-	inFlow    = 32 << 10              // of it that is read and not written yet, at most
-	holdUntil = 50 * time.Millisecond // from its head on; an answer of no stated length that takes longer flows
-	mostStill = 15 * time.Second      // that either side of an answer may stand still
+	streamChunk  = 16 << 10              // of an answer that flows
+	streamBuffer = 32 << 10              // of it that is read and not written yet, at most
+	bufferTime   = 50 * time.Millisecond // from its head on; an answer of no stated length that takes longer flows
+	stallTimeout = 15 * time.Second      // that either side of an answer may stand still
 )
 
-// flow is an answer on its way from its upstream to its client. Its push reads it, and holds it until it is whole, too
+// stream is an answer on its way from its upstream to its client. Its push reads it, and holds it until it is whole, too
 // long, or too long in coming; then it is the client's, and what has been read waits for the client.
-type flow struct {
-	mu     sync.Mutex
-	change *sync.Cond
-	held   []byte
-	begun  bool // it is the client's
-	ended  bool // all has been read that will be
-	cut    bool // and that was not all of it
-	gone   bool // nobody writes it any more
-	all    bool // its client has all of it
+type stream struct {
+	mu        sync.Mutex
+	changed   *sync.Cond
+	buffered  []byte
+	started   bool // it is the client's
+	readDone  bool // all has been read that will be
+	truncated bool // and that was not all of it
+	abandoned bool // nobody writes it any more
+	delivered bool // its client has all of it
 }
 
-func newFlow() *flow {
-	f := &flow{}
-	f.change = sync.NewCond(&f.mu)
+func newStream() *stream {
+	f := &stream{}
+	f.changed = sync.NewCond(&f.mu)
 	return f
 }
 
-// add takes what was read, once there is room for it, and tells whether to go on.
-func (f *flow) add(b []byte) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for f.begun && len(f.held) >= inFlow && !f.gone {
-		f.change.Wait()
+// write takes what was read, once there is room for it, and tells whether to go on.
+func (str *stream) write(b []byte) bool {
+	str.mu.Lock()
+	defer str.mu.Unlock()
+	for str.started && len(str.buffered) >= streamBuffer && !str.abandoned {
+		str.changed.Wait()
 	}
-	f.held = append(f.held, b...)
-	f.change.Broadcast()
-	return !f.gone
+	str.buffered = append(str.buffered, b...)
+	str.changed.Broadcast()
+	return !str.abandoned
 }
 
-// end says that nothing more comes, and waits until the client has all of it, where it is the client's; whole tells that
+// finish says that nothing more comes, and waits until the client has all of it, where it is the client's; whole tells that
 // it does.
-func (f *flow) end(cut bool) (whole bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.ended, f.cut = true, cut
-	f.change.Broadcast()
-	for f.begun && !f.gone {
-		f.change.Wait()
+func (str *stream) finish(truncated bool) (delivered bool) {
+	str.mu.Lock()
+	defer str.mu.Unlock()
+	str.readDone, str.truncated = true, truncated
+	str.changed.Broadcast()
+	for str.started && !str.abandoned {
+		str.changed.Wait()
 	}
-	return f.all
+	return str.delivered
 }
 
-// take takes what waits to be written; none is left once last.
-func (f *flow) take(into []byte) (b []byte, last, cut bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for len(f.held) == 0 && !f.ended {
-		f.change.Wait()
+// read takes what waits to be written; none is left once last.
+func (str *stream) read(into []byte) (b []byte, last, truncated bool) {
+	str.mu.Lock()
+	defer str.mu.Unlock()
+	for len(str.buffered) == 0 && !str.readDone {
+		str.changed.Wait()
 	}
-	n := min(len(f.held), cap(into))
-	b = append(into[:0], f.held[:n]...)
-	f.held = f.held[:copy(f.held, f.held[n:])]
-	f.change.Broadcast()
-	return b, f.ended && len(f.held) == 0, f.cut
+	n := min(len(str.buffered), cap(into))
+	b = append(into[:0], str.buffered[:n]...)
+	str.buffered = str.buffered[:copy(str.buffered, str.buffered[n:])]
+	str.changed.Broadcast()
+	return b, str.readDone && len(str.buffered) == 0, str.truncated
 }
 
-// leave says that nobody writes it any more, and whether its client has all of it; the first word counts.
-func (f *flow) leave(all bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if !f.gone {
-		f.gone, f.all = true, all
-		f.change.Broadcast()
+// close says that nobody writes it any more, and whether its client has all of it; the first word counts.
+func (str *stream) close(delivered bool) {
+	str.mu.Lock()
+	defer str.mu.Unlock()
+	if !str.abandoned {
+		str.abandoned, str.delivered = true, delivered
+		str.changed.Broadcast()
 	}
 }
 
-// hold reads an answer. It is whole then, or it flows: won tells that it was the client's, and the desk has been told how
+// readResponse reads an answer. It is whole then, or it flows: won tells that it was the client's, and the desk has been told how
 // it went.
-func (p *shard) hold(c *desk.Handle, o *desk.Attempt, answer *http.Response, into *reply, hand *inHand) (body []byte, flowed bool, err error) {
-	f := newFlow()
+func (sh *shard) readResponse(handle *desk.Handle, attempt *desk.Attempt, resp *http.Response, stored *upstreamResponse, res *reservation) (body []byte, streamed bool, err error) {
+	str := newStream()
 	var once sync.Once
-	won := false
+	accepted := false
 	begin := func() {
 		once.Do(func() {
-			f.mu.Lock()
-			f.begun = true
-			f.mu.Unlock()
-			p.into(into, answer, nil)
-			into.flow = f
-			p.front.flows.Add(1)
-			hand.grow(inFlow)
-			if won = p.desk.StreamStarted(c, o); !won {
-				p.front.flows.Add(-1)
-				f.leave(false)
+			str.mu.Lock()
+			str.started = true
+			str.mu.Unlock()
+			sh.storeResponse(stored, resp, nil)
+			stored.stream = str
+			sh.front.streams.Add(1)
+			res.force(streamBuffer)
+			if accepted = sh.desk.StreamStarted(handle, attempt); !accepted {
+				sh.front.streams.Add(-1)
+				str.close(false)
 			}
 		})
 	}
-	soon := time.AfterFunc(holdUntil, begin)
-	if answer.ContentLength >= 0 {
-		soon.Stop() // Danger: what is said to be short and doesn't come is broken, and may be had elsewhere
+	startTimer := time.AfterFunc(bufferTime, begin)
+	if resp.ContentLength >= 0 {
+		startTimer.Stop() // Danger: what is said to be short and doesn't come is broken, and may be had elsewhere
 	}
-	if answer.ContentLength > mostBody {
+	if resp.ContentLength > maxReservedBody {
 		begin()
 	}
-	still := time.AfterFunc(mostStill, func() { answer.Body.Close() })
-	defer still.Stop()
-	buffer := make([]byte, piece)
-	for all := 0; ; {
+	stallTimer := time.AfterFunc(stallTimeout, func() { resp.Body.Close() })
+	defer stallTimer.Stop()
+	buffer := make([]byte, streamChunk)
+	for total := 0; ; {
 		var n int
-		n, err = answer.Body.Read(buffer)
-		all += n
+		n, err = resp.Body.Read(buffer)
+		total += n
 		if n > 0 {
-			if all > mostBody {
+			if total > maxReservedBody {
 				begin()
 			}
-			if all > mostFull {
-				err = errLong
+			if total > maxBody {
+				err = errBodyTooLong
 				break
 			}
-			still.Stop() // Danger: while it waits for a slow client the upstream does not stand still
-			if !f.add(buffer[:n]) {
+			stallTimer.Stop() // Danger: while it waits for a slow client the upstream does not stand still
+			if !str.write(buffer[:n]) {
 				err = io.ErrClosedPipe
 			}
-			still.Reset(mostStill)
+			stallTimer.Reset(stallTimeout)
 		}
 		if err != nil {
 			break
 		}
 	}
-	soon.Stop()
+	startTimer.Stop()
 	once.Do(func() {}) // from here on it can't begin any more, or it has
-	f.mu.Lock()
-	begun := f.begun
-	f.mu.Unlock()
+	str.mu.Lock()
+	begun := str.started
+	str.mu.Unlock()
 	if !begun {
 		if err == io.EOF {
 			err = nil
 		}
-		hand.grow(int64(len(f.held)))
-		return f.held, false, err
+		res.force(int64(len(str.buffered)))
+		return str.buffered, false, err
 	}
-	whole := f.end(err != io.EOF)
-	if won {
-		p.desk.StreamEnded(c, o, whole && err == io.EOF)
-		p.front.flows.Add(-1)
+	delivered := str.finish(err != io.EOF)
+	if accepted {
+		sh.desk.StreamEnded(handle, attempt, delivered && err == io.EOF)
+		sh.front.streams.Add(-1)
 	}
-	return nil, won, io.ErrClosedPipe
+	return nil, accepted, io.ErrClosedPipe
 }
 
-// pour writes an answer that flows, at its client's pace. What breaks off is broken off visibly. Danger: ended as if it
+// writeStream writes an answer that flows, at its client's pace. What breaks off is broken off visibly. Danger: ended as if it
 // were whole, it would pass for an answer.
-func (f *Front) pour(w http.ResponseWriter, from *reply) {
-	all := false
-	defer func() { from.flow.leave(all) }()
-	out := http.NewResponseController(w)
-	if from.length != nil {
-		w.Header()["Content-Length"] = from.length
+func (front *FrontEnd) writeStream(w http.ResponseWriter, resp *upstreamResponse) {
+	delivered := false
+	defer func() { resp.stream.close(delivered) }()
+	control := http.NewResponseController(w)
+	if resp.length != nil {
+		w.Header()["Content-Length"] = resp.length
 	}
-	f.part(w)
-	w.WriteHeader(from.status)
-	buffer := make([]byte, 0, piece)
+	front.closeIfLeaving(w)
+	w.WriteHeader(resp.status)
+	buffer := make([]byte, 0, streamChunk)
 	for {
-		b, last, cut := from.flow.take(buffer)
-		out.SetWriteDeadline(time.Now().Add(mostStill))
-		_, err := w.Write(b)
-		if flushed := out.Flush(); err != nil || flushed != nil || last && cut {
+		chunk, last, truncated := resp.stream.read(buffer)
+		control.SetWriteDeadline(time.Now().Add(stallTimeout))
+		_, err := w.Write(chunk)
+		if flushed := control.Flush(); err != nil || flushed != nil || last && truncated {
 			panic(http.ErrAbortHandler)
 		}
 		if last {
-			all = true
-			out.SetWriteDeadline(time.Time{})
+			delivered = true
+			control.SetWriteDeadline(time.Time{})
 			return
 		}
 	}
--- a/internal/httpwire/httpwire_test.go
+++ b/internal/httpwire/httpwire_test.go
@@ -22,32 +22,32 @@
 	"ottershift/logic"
 )
 
-// front is a front with one pool, which takes all.
-func front(t testing.TB) (*Front, *shard) {
+// newTestFrontEnd is a front with one pool, which takes all.
+func newTestFrontEnd(t testing.TB) (*FrontEnd, *shard) {
 	book := terms.Read(fastjson.MustParse(`{"fleet_size":1,"layer":1,"zone":"a","limits":{"max_pushes":2},
 		"guarantees":{"cold_from":0.5},"tenants":[{"name":"acme","quota_rps":9}],
 		"tariffs":[{"name":"view","hard_stop":1000000,"effect":"idempotent"},
 		{"name":"load","hard_stop":1000000,"effect":"deduplicated"}]}`), 1)
 	f := New(slog.New(slog.DiscardHandler), desk.NewBalancer)
-	f.Limit(100, 1)
+	f.SetLimits(100, 1)
 	p, err := f.NewPool("main", book)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.Alone(8 << 20)
-	f.Show(&Board{Only: p})
+	f.SetUnlimited(8 << 20)
+	f.SetRouting(&Routing{SinglePool: p})
 	t.Cleanup(p.Retire)
 	return f, p.shards[0]
 }
 
-// outwards is a pool's connections.
-func outwards(t testing.TB) *outbound {
-	_, p := front(t)
-	return p.out
+// newTestConns is a pool's connections.
+func newTestConns(t testing.TB) *upstreamConns {
+	_, p := newTestFrontEnd(t)
+	return p.conns
 }
 
-// stay is the place of an upstream that listens at l.
-func stay(l net.Listener) roster.Place {
+// placeOf is the place of an upstream that listens at l.
+func placeOf(l net.Listener) roster.Place {
 	return roster.Place{Host: "u1", Address: l.Addr().String(), Kept: new(atomic.Int32)}
 }
 
@@ -64,18 +64,18 @@
 	} {
 		f.Add(s)
 	}
-	front, pool := front(f)
+	front, pool := newTestFrontEnd(f)
 	f.Fuzz(func(t *testing.T, text string) {
 		r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(text)))
 		if err != nil {
 			return
 		}
-		p, tariff, no := front.route(r, nil)
+		p, tariff, no := front.findPool(r, nil)
 		var q *transaction
 		if no == nil {
-			p.exit()
-			if q, no = read(r, pool.told.Load().book, tariff); no == nil {
-				if no = q.wait(httptest.NewRecorder(), r, &inHand{part: pool.part, left: q.left}, func() bool { return false }); no != nil {
+			p.removeTransaction()
+			if q, no = decodeRequest(r, pool.settingsHistory.Load().current, tariff); no == nil {
+				if no = q.readBody(httptest.NewRecorder(), r, &reservation{limits: pool.limits, timeout: q.timeout}, func() bool { return false }); no != nil {
 					q = nil
 				}
 			}
@@ -86,11 +86,11 @@
 			}
 			return
 		}
-		if q.left < 0 || len(q.body) > mostBody || q.method != r.Method || q.url.String() != r.URL.String() {
+		if q.timeout < 0 || len(q.body) > maxReservedBody || q.method != r.Method || q.url.String() != r.URL.String() {
 			t.Errorf("read as %+v", q)
 		}
 		for name := range q.header {
-			for _, not := range append(hop, r.Header["Connection"]...) {
+			for _, not := range append(hopByHop, r.Header["Connection"]...) {
 				if name == not {
 					t.Errorf("%s goes on", name)
 				}
@@ -99,20 +99,20 @@
 	})
 }
 
-// hand holds nothing of a pool's part.
-func hand(p *shard) *inHand { return &inHand{part: p.part, over: true} }
+// emptyReservation holds nothing of a pool's part.
+func emptyReservation(p *shard) *reservation { return &reservation{limits: p.limits, released: true} }
 
-// broken is a context that panics in the middle of a transaction's life.
-type broken struct{ context.Context }
+// panicContext is a context that panics in the middle of a transaction's life.
+type panicContext struct{ context.Context }
 
-func (broken) Done() <-chan struct{} { panic("a fault of ours") }
+func (panicContext) Done() <-chan struct{} { panic("a fault of ours") }
 
-func TestPanicIsAnsweredAndTheTransactionGivenUp(t *testing.T) {
-	f, p := front(t)
+func TestPanicIsAnsweredAndEndsTheTransaction(t *testing.T) {
+	f, p := newTestFrontEnd(t)
 	r := httptest.NewRequest("GET", "/view", nil)
 	r.Header.Set("X-Txn", "1")
 	w := httptest.NewRecorder()
-	f.ServeHTTP(w, r.WithContext(broken{r.Context()}))
+	f.ServeHTTP(w, r.WithContext(panicContext{r.Context()}))
 	if w.Code != http.StatusInternalServerError {
 		t.Errorf("%d", w.Code)
 	}
@@ -122,11 +122,11 @@
 }
 
 // A push that panics may have run all the same, and its outcome reaches the module.
-func TestPanicOfAPushIsAnOutcome(t *testing.T) {
-	f, p := front(t)
+func TestPanicInAttemptReportsAnOutcome(t *testing.T) {
+	f, p := newTestFrontEnd(t)
 	p.desk.List([]roster.Entry[string]{{Name: "u", Zone: "a", Up: logic.Upstream{Weight: 1}}}, true)
-	p.out.transport = nil
-	t.Cleanup(func() { p.out.transport = &http.Transport{} })
+	p.conns.transport = nil
+	t.Cleanup(func() { p.conns.transport = &http.Transport{} })
 	for path, want := range map[string]int{"/view": http.StatusServiceUnavailable, "/load": http.StatusBadGateway} {
 		r := httptest.NewRequest("POST", path, nil)
 		r.Header.Set("X-Txn", "1")
@@ -138,50 +138,50 @@
 	}
 }
 
-func TestCountsAreGivenBackOnce(t *testing.T) {
-	o := outwards(t)
-	s := o.sockets
+func TestConnectionIsReleasedOnce(t *testing.T) {
+	o := newTestConns(t)
+	s := o.tracker
 	server := httptest.NewServer(http.NotFoundHandler())
 	defer server.Close()
-	to := toward(t.Context(), stay(server.Listener), time.Now().Add(time.Second), false)
+	to := withTarget(t.Context(), placeOf(server.Listener), time.Now().Add(time.Second), false)
 	c, err := o.transport.DialContext(to, "tcp", "u1:80")
-	if err != nil || s.out.Load() != 1 || o.part.out.Used() != 1 {
-		t.Fatal(err, s.out.Load())
+	if err != nil || s.upstreams.Load() != 1 || o.limits.connections.Used() != 1 {
+		t.Fatal(err, s.upstreams.Load())
 	}
 	c.Close()
-	if c.Close(); s.out.Load() != 0 || o.part.out.Used() != 0 {
-		t.Errorf("%d out", s.out.Load())
+	if c.Close(); s.upstreams.Load() != 0 || o.limits.connections.Used() != 0 {
+		t.Errorf("%d out", s.upstreams.Load())
 	}
-	s.in.Store(s.limit.Load())
-	if _, err := o.transport.DialContext(to, "tcp", "127.0.0.1:1"); err != errFull {
+	s.clients.Store(s.limit.Load())
+	if _, err := o.transport.DialContext(to, "tcp", "127.0.0.1:1"); err != errNoDescriptor {
 		t.Errorf("dialled beyond the limit: %v", err)
 	}
-	if ended(t.Context(), errFull, false, false) != logic.Unsent {
+	if attemptResult(t.Context(), errNoDescriptor, false, false) != logic.Unsent {
 		t.Error("a lack of ours is held against the upstream")
 	}
 }
 
 // Danger: a push that still waits for its connection when the answer is given would go out after it.
-func TestNothingGoesOutAfterTheAnswer(t *testing.T) {
+func TestNoAttemptIsSentAfterTheAnswer(t *testing.T) {
 	arrived := 0
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { arrived++ }))
-	_, pool := front(t)
-	p := &desk.Attempt{Context: t.Context(), Place: stay(server.Listener), Deadline: time.Now().Add(time.Second)}
-	for _, size := range []int{0, 10, mostBody} { // with the headers, and past the writer's buffer
-		q := &transaction{method: "POST", url: &url.URL{Path: "/load"}, header: http.Header{}, body: make([]byte, size), left: time.Second}
-		out := &gate{}
-		if r, _ := pool.carry(nil, p, q, out, hand(pool), &reply{}); r != logic.Settled {
+	_, pool := newTestFrontEnd(t)
+	p := &desk.Attempt{Context: t.Context(), Place: placeOf(server.Listener), Deadline: time.Now().Add(time.Second)}
+	for _, size := range []int{0, 10, maxReservedBody} { // with the headers, and past the writer's buffer
+		q := &transaction{method: "POST", url: &url.URL{Path: "/load"}, header: http.Header{}, body: make([]byte, size), timeout: time.Second}
+		out := &connWriter{}
+		if r, _ := pool.send(nil, p, q, out, emptyReservation(pool), &upstreamResponse{}); r != logic.Settled {
 			t.Fatalf("%d bytes: %d", size, r)
 		}
 		out.close()
-		if r, _ := pool.carry(nil, p, q, out, hand(pool), &reply{}); r != logic.Unsent { // on a kept connection
+		if r, _ := pool.send(nil, p, q, out, emptyReservation(pool), &upstreamResponse{}); r != logic.Unsent { // on a kept connection
 			t.Errorf("%d bytes: %d after the answer", size, r)
 		}
-		pool.out.transport.CloseIdleConnections()
-		if r, _ := pool.carry(nil, p, q, out, hand(pool), &reply{}); r != logic.Unsent { // on a new one
+		pool.conns.transport.CloseIdleConnections()
+		if r, _ := pool.send(nil, p, q, out, emptyReservation(pool), &upstreamResponse{}); r != logic.Unsent { // on a new one
 			t.Errorf("%d bytes: %d after the answer", size, r)
 		}
-		if !pool.ping(t.Context(), p.Place) {
+		if !pool.sendProbe(t.Context(), p.Place) {
 			t.Error("a probe is held up")
 		}
 	}
@@ -191,7 +191,7 @@
 	}
 }
 
-func TestNothingGoesOutForAClientThatHasLeft(t *testing.T) {
+func TestNothingIsSentForADisconnectedClient(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -212,23 +212,23 @@
 		ours := c.(*net.TCPConn)
 		go ours.Read(make([]byte, 1)) // as the server does all the while
 		time.Sleep(10 * time.Millisecond)
-		if left(ours) {
+		if clientClosed(ours) {
 			t.Error("said to have left")
 		}
 		leave(theirs.(*net.TCPConn))
 		time.Sleep(10 * time.Millisecond)
-		if !left(ours) {
+		if !clientClosed(ours) {
 			t.Error("not said to have left")
 		}
-		if n, err := (&gate{client: ours}).pass(ours, []byte("x")); n != 0 || err != errClosed {
+		if n, err := (&connWriter{client: ours}).write(ours, []byte("x")); n != 0 || err != errTransactionEnded {
 			t.Error(n, err)
 		}
 		ours.Close()
 	}
 }
 
-// byHand answers each connection message by message, until answer has enough of it.
-func byHand(l net.Listener, answer func(c net.Conn, in *bufio.Reader) bool) {
+// serveManually answers each connection message by message, until answer has enough of it.
+func serveManually(l net.Listener, answer func(c net.Conn, in *bufio.Reader) bool) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
@@ -243,14 +243,14 @@
 }
 
 // Danger: a connection goes straight to a push that waits for one, with bytes behind the answer that it brought.
-func TestStrayBytesAreNotTheNextAnswer(t *testing.T) {
+func TestUnexpectedBytesAreNotTheNextResponse(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
 	asked, waits := make(chan string, 2), make(chan struct{})
-	go byHand(l, func(c net.Conn, in *bufio.Reader) bool {
+	go serveManually(l, func(c net.Conn, in *bufio.Reader) bool {
 		r, err := http.ReadRequest(in)
 		if err != nil {
 			return false
@@ -261,9 +261,9 @@
 		c.Write([]byte(answer + answer))
 		return true
 	})
-	_, pool := front(t)
-	dial, dials := pool.out.transport.DialContext, make(chan struct{}, 9)
-	pool.out.transport.DialContext = func(ctx context.Context, network, host string) (net.Conn, error) {
+	_, pool := newTestFrontEnd(t)
+	dial, dials := pool.conns.transport.DialContext, make(chan struct{}, 9)
+	pool.conns.transport.DialContext = func(ctx context.Context, network, host string) (net.Conn, error) {
 		if dials <- struct{}{}; len(dials) > 1 {
 			time.Sleep(100 * time.Millisecond) // so that the first connection is free before a second one stands
 		}
@@ -271,10 +271,10 @@
 	}
 	carry := func(id string) (logic.Result, string) {
 		p := &desk.Attempt{Context: t.Context(), Deadline: time.Now().Add(time.Second),
-			Place: stay(l)}
+			Place: placeOf(l)}
 		q := &transaction{method: "GET", url: &url.URL{Path: "/view"}, header: http.Header{"X-Txn": {id}}}
-		into := &reply{}
-		r, _ := pool.carry(nil, p, q, &gate{}, hand(pool), into)
+		into := &upstreamResponse{}
+		r, _ := pool.send(nil, p, q, &connWriter{}, emptyReservation(pool), into)
 		return r, string(into.body)
 	}
 	go func() {
@@ -297,15 +297,15 @@
 }
 
 // Nothing begins on a connection before its reader has come back and found nothing.
-func TestRideBeginsOnAnEmptyConnectionOnly(t *testing.T) {
+func TestExchangeStartsOnlyOnAnEmptyConnection(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	board := func() (*ride, net.Conn) {
-		ctx := toward(t.Context(), stay(l), time.Now().Add(time.Second), false)
-		ours, err := outwards(t).transport.DialContext(ctx, "tcp", "u1:80")
+	board := func() (*exchange, net.Conn) {
+		ctx := withTarget(t.Context(), placeOf(l), time.Now().Add(time.Second), false)
+		ours, err := newTestConns(t).transport.DialContext(ctx, "tcp", "u1:80")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -314,14 +314,14 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { ours.Close(); theirs.Close() })
-		r := &ride{}
-		r.board(httptrace.GotConnInfo{Conn: ours, Reused: true})
+		r := &exchange{}
+		r.attach(httptrace.GotConnInfo{Conn: ours, Reused: true})
 		return r, theirs
 	}
-	write := func(r *ride) <-chan error {
+	write := func(r *exchange) <-chan error {
 		end := make(chan error, 1)
 		go func() {
-			_, err := r.on.Write([]byte("x"))
+			_, err := r.conn.Write([]byte("x"))
 			end <- err
 		}()
 		return end
@@ -334,7 +334,7 @@
 		t.Errorf("went out beside what the reader may have: %v", err)
 	case <-time.After(20 * time.Millisecond):
 	}
-	if r.bar() {
+	if r.abort() {
 		t.Error("said to have begun")
 	}
 	if err := <-end; err == nil {
@@ -343,7 +343,7 @@
 
 	r, theirs := board() // what comes before it begins is nobody's
 	theirs.Write([]byte("y"))
-	if n, err := r.on.Read(make([]byte, 9)); n != 0 || err != errStray {
+	if n, err := r.conn.Read(make([]byte, 9)); n != 0 || err != errUnexpectedBytes {
 		t.Errorf("read %d, %v", n, err)
 	}
 
@@ -351,18 +351,18 @@
 	answer := make(chan byte)
 	go func() {
 		b := make([]byte, 1)
-		r.on.Read(b)
+		r.conn.Read(b)
 		answer <- b[0]
 	}()
-	if err := <-write(r); err != nil || !r.bar() {
+	if err := <-write(r); err != nil || !r.abort() {
 		t.Errorf("did not begin: %v", err)
 	}
 	theirs.Write([]byte("z"))
 	if b := <-answer; b != 'z' {
 		t.Errorf("read %q", b)
 	}
-	r.alight() // its answer came before the rest of it had gone out
-	if n, err := r.on.Write([]byte("x")); n != 0 || err != errClosed {
+	r.detach() // its answer came before the rest of it had gone out
+	if n, err := r.conn.Write([]byte("x")); n != 0 || err != errTransactionEnded {
 		t.Errorf("the rest of a push went out after its ride: %d, %v", n, err)
 	}
 }
--- a/internal/httpwire/outbound.go
+++ b/internal/httpwire/outbound.go
@@ -16,199 +16,199 @@
 
 // What is counted of connections to upstreams: why they were opened, how that failed, why they were closed.
 const (
-	dialFirst  = iota // there had been none to this upstream
-	dialAgain         // those that there were have closed
-	dialBusy          // those that there are were in use
-	dialProbe         // for a probe
-	dialFailed        // it did not come up
-	dialShort         // not tried, for want of descriptors or beyond the pool's part
-	closeOff          // with a push on it that was called off, or whose time was up
-	closeThem         // by the upstream
-	closeIdle         // by us, idle for long
-	closeLeft         // its upstream has left
-	traffics
+	dialFirst       = iota // there had been none to this upstream
+	dialReconnect          // those that there were have closed
+	dialBusy               // those that there are were in use
+	dialProbe              // for a probe
+	dialFailed             // it did not come up
+	dialRefused            // not tried, for want of descriptors or beyond the pool's part
+	closeCancelled         // with a push on it that was called off, or whose time was up
+	closeByUpstream        // by the upstream
+	closeIdle              // by us, idle for long
+	closeRemoved           // its upstream has left
+	connCounterCount
 )
 
-var trafficNames = [traffics]string{
+var connCounterNames = [connCounterCount]string{
 	"dial_first", "dial_again", "dial_busy", "dial_probe", "dial_failed", "dial_short", "close_called_off", "close_by_upstream",
 	"close_idle", "close_left",
 }
 
-// traffic counts connections to upstreams.
-type traffic [traffics]atomic.Int64
+// connCounters counts connections to upstreams.
+type connCounters [connCounterCount]atomic.Int64
 
-// outbound owns a pool's connections to its upstreams.
-type outbound struct {
-	sockets   *sockets
-	traffic   traffic
-	part      *part
+// upstreamConns owns a pool's connections to its upstreams.
+type upstreamConns struct {
+	tracker   *connTracker
+	counters  connCounters
+	limits    *poolLimits
 	transport *http.Transport
 
-	mu    sync.Mutex
-	hosts map[string]map[*outward]struct{}
-	dials map[string]*dials
-	had   map[string]struct{} // hosts to which there has been a connection
-	ended bool                // the pool has gone; nothing is kept any more
+	mu         sync.Mutex
+	conns      map[string]map[*upstreamConn]struct{}
+	dialing    map[string]*pendingDials
+	knownHosts map[string]struct{} // hosts to which there has been a connection
+	closed     bool                // the pool has gone; nothing is kept any more
 }
 
-// dials are the connections to one host that are coming up. Danger: the host may leave meanwhile, and such a connection
+// pendingDials are the connections to one host that are coming up. Danger: the host may leave meanwhile, and such a connection
 // would stay until it has been idle for long.
-type dials struct {
-	count int
-	left  bool
+type pendingDials struct {
+	count   int
+	removed bool
 }
 
-type placeKey struct{}
+type targetKey struct{}
 
-// way is where a push goes and until when.
-type way struct {
+// target is where a push goes and until when.
+type target struct {
 	roster.Place
-	until time.Time
-	probe bool
+	deadline time.Time
+	probe    bool
 }
 
-// toward lets a dial know where its upstream is. The transport's pool goes by host.
-func toward(ctx context.Context, at roster.Place, until time.Time, probe bool) context.Context {
-	return context.WithValue(ctx, placeKey{}, way{at, until, probe})
+// withTarget lets a dial know where its upstream is. The transport's pool goes by host.
+func withTarget(ctx context.Context, place roster.Place, deadline time.Time, probe bool) context.Context {
+	return context.WithValue(ctx, targetKey{}, target{place, deadline, probe})
 }
 
-func newOutbound(s *sockets, p *part, book *terms.Book) *outbound {
-	b := &outbound{sockets: s, part: p, hosts: map[string]map[*outward]struct{}{}, dials: map[string]*dials{},
-		had: map[string]struct{}{}}
-	dialer := net.Dialer{Timeout: book.DialTimeout}
-	b.transport = &http.Transport{
+func newUpstreamConns(tracker *connTracker, limits *poolLimits, settings *terms.Book) *upstreamConns {
+	conns := &upstreamConns{tracker: tracker, limits: limits, conns: map[string]map[*upstreamConn]struct{}{}, dialing: map[string]*pendingDials{},
+		knownHosts: map[string]struct{}{}}
+	dialer := net.Dialer{Timeout: settings.DialTimeout}
+	conns.transport = &http.Transport{
 		DisableCompression:     true, // bodies go on unchanged
-		MaxResponseHeaderBytes: mostHeader,
-		MaxIdleConns:           int(s.limit.Load() / 3), MaxIdleConnsPerHost: int(s.limit.Load() / 3),
+		MaxResponseHeaderBytes: maxHeaderBytes,
+		MaxIdleConns:           int(tracker.limit.Load() / 3), MaxIdleConnsPerHost: int(tracker.limit.Load() / 3),
 		// Danger: what is written to a connection that its upstream has closed may have run.
-		IdleConnTimeout: book.IdleClose * 9 / 10,
+		IdleConnTimeout: settings.IdleClose * 9 / 10,
 		DialContext: func(ctx context.Context, network, _ string) (net.Conn, error) {
-			to := ctx.Value(placeKey{}).(way)
-			if err := b.count(to.until); err != nil {
-				b.traffic[dialShort].Add(1)
+			dest := ctx.Value(targetKey{}).(target)
+			if err := conns.reserve(dest.deadline); err != nil {
+				conns.counters[dialRefused].Add(1)
 				return nil, err
 			}
-			left := b.dial(to)
-			c, err := dialer.DialContext(ctx, network, to.Address)
+			finishDial := conns.startDial(dest)
+			c, err := dialer.DialContext(ctx, network, dest.Address)
 			if err != nil {
-				left()
-				b.uncount()
-				b.traffic[dialFailed].Add(1)
+				finishDial()
+				conns.release()
+				conns.counters[dialFailed].Add(1)
 				if errors.Is(err, syscall.EMFILE) {
-					err = errFull
+					err = errNoDescriptor
 				}
 				return nil, err
 			}
-			o, err := newOutward(c.(*net.TCPConn), b, to.Place)
-			gone := left()
+			conn, err := newUpstreamConn(c.(*net.TCPConn), conns, dest.Place)
+			removed := finishDial()
 			if err != nil {
-				b.uncount()
+				conns.release()
 				c.Close()
 				return nil, err
 			}
-			b.mu.Lock()
-			defer b.mu.Unlock()
-			if b.hosts[to.Host] == nil {
-				b.hosts[to.Host] = map[*outward]struct{}{}
+			conns.mu.Lock()
+			defer conns.mu.Unlock()
+			if conns.conns[dest.Host] == nil {
+				conns.conns[dest.Host] = map[*upstreamConn]struct{}{}
 			}
-			b.hosts[to.Host][o] = struct{}{}
-			o.last = gone || b.ended
-			return o, nil
+			conns.conns[dest.Host][conn] = struct{}{}
+			conn.removed = removed || conns.closed
+			return conn, nil
 		},
 	}
-	return b
+	return conns
 }
 
-// dial notes that a connection is coming up; left ends that and tells whether its host has left meanwhile.
-func (b *outbound) dial(to way) (left func() bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	host := to.Host
-	d := b.dials[host]
-	_, had := b.had[host]
-	switch b.had[host] = struct{}{}; {
-	case to.probe:
-		b.traffic[dialProbe].Add(1)
-	case d != nil || len(b.hosts[host]) > 0:
-		b.traffic[dialBusy].Add(1)
-	case had:
-		b.traffic[dialAgain].Add(1)
+// startDial notes that a connection is coming up; left ends that and tells whether its host has left meanwhile.
+func (conns *upstreamConns) startDial(dest target) (finish func() bool) {
+	conns.mu.Lock()
+	defer conns.mu.Unlock()
+	host := dest.Host
+	pending := conns.dialing[host]
+	_, known := conns.knownHosts[host]
+	switch conns.knownHosts[host] = struct{}{}; {
+	case dest.probe:
+		conns.counters[dialProbe].Add(1)
+	case pending != nil || len(conns.conns[host]) > 0:
+		conns.counters[dialBusy].Add(1)
+	case known:
+		conns.counters[dialReconnect].Add(1)
 	default:
-		b.traffic[dialFirst].Add(1)
+		conns.counters[dialFirst].Add(1)
 	}
-	if d == nil {
-		d = &dials{}
-		b.dials[host] = d
+	if pending == nil {
+		pending = &pendingDials{}
+		conns.dialing[host] = pending
 	}
-	d.count++
+	pending.count++
 	return func() bool {
-		b.mu.Lock()
-		defer b.mu.Unlock()
-		if d.count--; d.count == 0 {
-			delete(b.dials, host)
+		conns.mu.Lock()
+		defer conns.mu.Unlock()
+		if pending.count--; pending.count == 0 {
+			delete(conns.dialing, host)
 		}
-		return d.left
+		return pending.removed
 	}
 }
 
-// count takes a descriptor for a connection. Danger: many dial at once, so each counts before it does.
-func (b *outbound) count(until time.Time) error {
-	s := b.sockets
-	if s.out.Add(1)+s.in.Load() > s.limit.Load()-s.reserve() {
-		s.out.Add(-1)
-		return errFull
+// reserve takes a descriptor for a connection. Danger: many dial at once, so each counts before it does.
+func (conns *upstreamConns) reserve(deadline time.Time) error {
+	tracker := conns.tracker
+	if tracker.upstreams.Add(1)+tracker.clients.Load() > tracker.limit.Load()-tracker.reserve() {
+		tracker.upstreams.Add(-1)
+		return errNoDescriptor
 	}
-	ok, short := b.part.dial(s.limit.Load()-s.reserve()-s.in.Load(), until)
+	ok, over := conns.limits.reserveConn(tracker.limit.Load()-tracker.reserve()-tracker.clients.Load(), deadline)
 	if !ok {
-		s.out.Add(-1)
-		s.recall(short)
-		return errFull
+		tracker.upstreams.Add(-1)
+		tracker.closeIdleOf(over)
+		return errNoDescriptor
 	}
 	return nil
 }
 
-func (b *outbound) uncount() {
-	b.sockets.out.Add(-1)
-	b.part.hangUp()
+func (conns *upstreamConns) release() {
+	conns.tracker.upstreams.Add(-1)
+	conns.limits.releaseConn()
 }
 
-// forget takes a connection off the books.
-func (b *outbound) forget(o *outward) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if delete(b.hosts[o.host], o); len(b.hosts[o.host]) == 0 {
-		delete(b.hosts, o.host)
+// remove takes a connection off the books.
+func (conns *upstreamConns) remove(conn *upstreamConn) {
+	conns.mu.Lock()
+	defer conns.mu.Unlock()
+	if delete(conns.conns[conn.host], conn); len(conns.conns[conn.host]) == 0 {
+		delete(conns.conns, conn.host)
 	}
 }
 
-// leave closes what is kept of hosts that have left.
-func (b *outbound) leave(hosts []string) {
-	var all []*outward
-	b.mu.Lock()
+// removeHosts closes what is kept of hosts that have left.
+func (conns *upstreamConns) removeHosts(hosts []string) {
+	var all []*upstreamConn
+	conns.mu.Lock()
 	for _, host := range hosts {
-		delete(b.had, host)
-		if d := b.dials[host]; d != nil {
-			d.left = true
+		delete(conns.knownHosts, host)
+		if pending := conns.dialing[host]; pending != nil {
+			pending.removed = true
 		}
-		for o := range b.hosts[host] {
-			all = append(all, o)
+		for conn := range conns.conns[host] {
+			all = append(all, conn)
 		}
 	}
-	b.mu.Unlock()
-	for _, o := range all {
-		o.leave()
+	conns.mu.Unlock()
+	for _, conn := range all {
+		conn.remove()
 	}
 }
 
-// end closes all that is kept, and each other connection after its ride: the pool has gone.
-func (b *outbound) end() {
-	b.mu.Lock()
-	b.ended = true
+// close closes all that is kept, and each other connection after its ride: the pool has gone.
+func (conns *upstreamConns) close() {
+	conns.mu.Lock()
+	conns.closed = true
 	var hosts []string
-	for host := range b.hosts {
+	for host := range conns.conns {
 		hosts = append(hosts, host)
 	}
-	b.mu.Unlock()
-	b.leave(hosts)
-	b.transport.CloseIdleConnections()
+	conns.mu.Unlock()
+	conns.removeHosts(hosts)
+	conns.transport.CloseIdleConnections()
 }
--- a/internal/httpwire/outward.go
+++ b/internal/httpwire/outward.go
@@ -14,182 +14,182 @@
 	"ottershift/internal/roster"
 )
 
-// outward is a connection to an upstream. Danger: http.Transport may lend one on while bytes wait behind the answer
+// upstreamConn is a connection to an upstream. Danger: http.Transport may lend one on while bytes wait behind the answer
 // that it brought, and these would answer the next push. So each ride waits until the reader has come back and
 // found nothing, and looks once more before its first byte goes out.
-type outward struct {
-	counted
-	owner *outbound
-	host  string
-	raw   syscall.RawConn
-
-	mu     sync.Mutex
-	change *sync.Cond // of empty, closed
-	empty  bool       // the reader waits, and all that came is read
-	closed bool
-	idle   bool // counted in kept
-	theirs bool // they ended it
-	hangUp sync.Once
-	kept   *atomic.Int32 // of its upstream
-	last   bool          // its upstream has left: nothing more after this ride
-	ride   *ride
+type upstreamConn struct {
+	trackedConn
+	owner   *upstreamConns
+	host    string
+	rawConn syscall.RawConn
+
+	mu            sync.Mutex
+	changed       *sync.Cond // of empty, closed
+	readerWaiting bool       // the reader waits, and all that came is read
+	closed        bool
+	countedIdle   bool // counted in kept
+	closedByPeer  bool // they ended it
+	releaseOnce   sync.Once
+	idleCount     *atomic.Int32 // of its upstream
+	removed       bool          // its upstream has left: nothing more after this ride
+	exchange      *exchange
 }
 
-// ride is one push or probe on its connection.
-type ride struct {
-	gate *gate // nil for a probe
-	on   *outward
-	kept bool // the connection has carried others before
+// exchange is one push or probe on its connection.
+type exchange struct {
+	writer *connWriter // nil for a probe
+	conn   *upstreamConn
+	reused bool // the connection has carried others before
 
-	begun bool // under the connection's lock: some of it may have gone out
+	started bool // under the connection's lock: some of it may have gone out
 }
 
-var errStray = errors.New("bytes on the connection that belong to no push")
+var errUnexpectedBytes = errors.New("bytes on the connection that belong to no push")
 
-func newOutward(c *net.TCPConn, b *outbound, at roster.Place) (*outward, error) {
+func newUpstreamConn(c *net.TCPConn, owner *upstreamConns, place roster.Place) (*upstreamConn, error) {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return nil, err
 	}
-	o := &outward{counted: counted{TCPConn: c, count: &b.sockets.out}, owner: b, host: at.Host, raw: raw, kept: at.Kept}
-	o.change = sync.NewCond(&o.mu)
-	o.rest(true)
-	return o, nil
+	conn := &upstreamConn{trackedConn: trackedConn{TCPConn: c, count: &owner.tracker.upstreams}, owner: owner, host: place.Host, rawConn: raw, idleCount: place.Kept}
+	conn.changed = sync.NewCond(&conn.mu)
+	conn.setIdle(true)
+	return conn, nil
 }
 
-// rest keeps count, under the lock or before anybody else knows of the connection.
-func (o *outward) rest(idle bool) {
+// setIdle keeps count, under the lock or before anybody else knows of the connection.
+func (conn *upstreamConn) setIdle(idle bool) {
 	switch {
-	case idle && !o.idle:
-		o.kept.Add(1)
-	case !idle && o.idle:
-		o.kept.Add(-1)
+	case idle && !conn.countedIdle:
+		conn.idleCount.Add(1)
+	case !idle && conn.countedIdle:
+		conn.idleCount.Add(-1)
 	}
-	o.idle = idle
+	conn.countedIdle = idle
 }
 
-// board gives a connection to a ride.
-func (r *ride) board(i httptrace.GotConnInfo) {
-	r.on, r.kept = i.Conn.(*outward), i.Reused
-	r.on.mu.Lock()
-	r.on.ride = r
-	r.on.rest(false)
-	r.on.mu.Unlock()
+// attach gives a connection to a ride.
+func (ex *exchange) attach(i httptrace.GotConnInfo) {
+	ex.conn, ex.reused = i.Conn.(*upstreamConn), i.Reused
+	ex.conn.mu.Lock()
+	ex.conn.exchange = ex
+	ex.conn.setIdle(false)
+	ex.conn.mu.Unlock()
 }
 
-// bar keeps a ride that has not begun from beginning, and tells whether it had. After it, what has not begun never
+// abort keeps a ride that has not begun from beginning, and tells whether it had. After it, what has not begun never
 // ran.
-func (r *ride) bar() (begun bool) {
-	if r.on == nil {
+func (ex *exchange) abort() (started bool) {
+	if ex.conn == nil {
 		return false
 	}
-	r.on.mu.Lock()
-	begun = r.begun
-	if !begun {
-		r.on.closed = true
-		r.on.change.Broadcast()
+	ex.conn.mu.Lock()
+	started = ex.started
+	if !started {
+		ex.conn.closed = true
+		ex.conn.changed.Broadcast()
 	}
-	r.on.mu.Unlock()
-	if !begun {
-		r.on.Close()
+	ex.conn.mu.Unlock()
+	if !started {
+		ex.conn.Close()
 	}
-	return begun
+	return started
 }
 
-// alight gives the connection back, and closes it if its upstream has left.
-func (r *ride) alight() {
-	if r.on == nil {
+// detach gives the connection back, and closes it if its upstream has left.
+func (ex *exchange) detach() {
+	if ex.conn == nil {
 		return
 	}
-	r.on.mu.Lock()
-	over := r.on.last && r.on.ride == r
-	if r.on.ride == r {
-		r.on.ride = nil
-		r.on.rest(!r.on.closed && !over)
+	ex.conn.mu.Lock()
+	removed := ex.conn.removed && ex.conn.exchange == ex
+	if ex.conn.exchange == ex {
+		ex.conn.exchange = nil
+		ex.conn.setIdle(!ex.conn.closed && !removed)
 	}
-	r.on.mu.Unlock()
-	if over {
-		r.on.Close()
+	ex.conn.mu.Unlock()
+	if removed {
+		ex.conn.Close()
 	}
 }
 
-// leave closes the connection, at once or after its ride: its upstream has left.
-func (o *outward) leave() {
-	o.mu.Lock()
-	o.last = true
-	idle := o.ride == nil
-	o.mu.Unlock()
+// remove closes the connection, at once or after its ride: its upstream has left.
+func (conn *upstreamConn) remove() {
+	conn.mu.Lock()
+	conn.removed = true
+	idle := conn.exchange == nil
+	conn.mu.Unlock()
 	if idle {
-		o.Close()
+		conn.Close()
 	}
 }
 
-// begin lets a ride's first byte out, on an empty connection only.
-func (o *outward) begin() (*ride, error) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	r := o.ride
-	if r == nil { // Danger: the rest of a push whose answer came early would pass by the gate of its transaction
-		return nil, errClosed
+// start lets a ride's first byte out, on an empty connection only.
+func (conn *upstreamConn) start() (*exchange, error) {
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	ex := conn.exchange
+	if ex == nil { // Danger: the rest of a push whose answer came early would pass by the gate of its transaction
+		return nil, errTransactionEnded
 	}
-	if r.begun {
-		return r, nil
+	if ex.started {
+		return ex, nil
 	}
-	for !o.empty && !o.closed {
-		o.change.Wait()
+	for !conn.readerWaiting && !conn.closed {
+		conn.changed.Wait()
 	}
-	if o.closed {
-		return r, net.ErrClosed
+	if conn.closed {
+		return ex, net.ErrClosed
 	}
-	switch unread, ended := rawconn.Peek(o.raw); {
+	switch unread, ended := rawconn.Peek(conn.rawConn); {
 	case unread:
-		return r, errStray
+		return ex, errUnexpectedBytes
 	case ended:
-		return r, io.ErrClosedPipe
+		return ex, io.ErrClosedPipe
 	}
-	r.begun = true
-	return r, nil
+	ex.started = true
+	return ex, nil
 }
 
 // Write lets a ride out, a push through its transaction's gate.
-func (o *outward) Write(b []byte) (int, error) {
-	r, err := o.begin()
+func (conn *upstreamConn) Write(b []byte) (int, error) {
+	ex, err := conn.start()
 	if err != nil {
 		return 0, err
 	}
-	if r.gate != nil {
-		return r.gate.pass(o.TCPConn, b)
+	if ex.writer != nil {
+		return ex.writer.write(conn.TCPConn, b)
 	}
-	return o.TCPConn.Write(b)
+	return conn.TCPConn.Write(b)
 }
 
 // ReadFrom keeps TCPConn's own from passing by the gate.
-func (o *outward) ReadFrom(from io.Reader) (int64, error) {
-	return io.Copy(struct{ io.Writer }{o}, from)
+func (conn *upstreamConn) ReadFrom(from io.Reader) (int64, error) {
+	return io.Copy(struct{ io.Writer }{conn}, from)
 }
 
 // Read waits without the lock and reads under it, so that empty is never said of bytes that are on their way to the
 // reader. What comes before a ride has begun is nobody's.
-func (o *outward) Read(b []byte) (n int, err error) {
-	wait := o.raw.Read(func(fd uintptr) bool {
-		o.mu.Lock()
-		defer o.mu.Unlock()
+func (conn *upstreamConn) Read(b []byte) (n int, err error) {
+	wait := conn.rawConn.Read(func(fd uintptr) bool {
+		conn.mu.Lock()
+		defer conn.mu.Unlock()
 		for n, err = syscall.Read(int(fd), b); err == syscall.EINTR; n, err = syscall.Read(int(fd), b) {
 		}
-		o.theirs = o.theirs || n == 0 && err == nil && len(b) > 0 || err == syscall.ECONNRESET
-		if o.empty = err == syscall.EAGAIN; o.empty {
-			o.change.Broadcast()
+		conn.closedByPeer = conn.closedByPeer || n == 0 && err == nil && len(b) > 0 || err == syscall.ECONNRESET
+		if conn.readerWaiting = err == syscall.EAGAIN; conn.readerWaiting {
+			conn.changed.Broadcast()
 			return false
 		}
-		if n > 0 && (o.ride == nil || !o.ride.begun) {
-			n, err = 0, errStray
+		if n > 0 && (conn.exchange == nil || !conn.exchange.started) {
+			n, err = 0, errUnexpectedBytes
 		}
 		return true
 	})
 	switch {
 	case wait != nil:
 		return 0, wait
-	case err == errStray:
+	case err == errUnexpectedBytes:
 		return 0, err
 	case err != nil:
 		return 0, os.NewSyscallError("read", err)
@@ -200,29 +200,29 @@
 }
 
 // WriteTo keeps TCPConn's own from passing by Read.
-func (o *outward) WriteTo(to io.Writer) (int64, error) {
-	return io.Copy(to, struct{ io.Reader }{o})
+func (conn *upstreamConn) WriteTo(to io.Writer) (int64, error) {
+	return io.Copy(to, struct{ io.Reader }{conn})
 }
 
-func (o *outward) Close() error {
-	o.mu.Lock()
-	o.closed = true
-	o.rest(false)
-	o.change.Broadcast()
-	why := closeIdle
+func (conn *upstreamConn) Close() error {
+	conn.mu.Lock()
+	conn.closed = true
+	conn.setIdle(false)
+	conn.changed.Broadcast()
+	reason := closeIdle
 	switch {
-	case o.theirs:
-		why = closeThem
-	case o.last:
-		why = closeLeft
-	case o.ride != nil:
-		why = closeOff
-	}
-	o.mu.Unlock()
-	o.owner.forget(o)
-	o.hangUp.Do(func() {
-		o.owner.traffic[why].Add(1)
-		o.owner.part.hangUp()
+	case conn.closedByPeer:
+		reason = closeByUpstream
+	case conn.removed:
+		reason = closeRemoved
+	case conn.exchange != nil:
+		reason = closeCancelled
+	}
+	conn.mu.Unlock()
+	conn.owner.remove(conn)
+	conn.releaseOnce.Do(func() {
+		conn.owner.counters[reason].Add(1)
+		conn.owner.limits.releaseConn()
 	})
-	return o.counted.Close()
+	return conn.trackedConn.Close()
 }
--- a/internal/httpwire/pool.go
+++ b/internal/httpwire/pool.go
@@ -15,121 +15,121 @@
 
 // Pool is one service: its shards, its part of what is common.
 type Pool struct {
-	Name   string
-	front  *Front
-	shards []*shard
-	book   atomic.Pointer[terms.Book]
-	counts *figures.Pool
-	looks  sync.Mutex
-	tally  tally
-	log    *slog.Logger
-	part   *part
-	ids    ids
+	Name     string
+	front    *FrontEnd
+	shards   []*shard
+	settings atomic.Pointer[terms.Book]
+	metrics  *figures.Pool
+	logMu    sync.Mutex
+	logState logState
+	log      *slog.Logger
+	limits   *poolLimits
+	openIDs  idRegistry
 
-	stands atomic.Bool // the list does
-	odd    int         // entries that its last report left out, told once; its source's alone
+	hasList        atomic.Bool // the list does
+	invalidEntries int         // entries that its last report left out, told once; its source's alone
 
-	mu      sync.Mutex
-	open    int           // transactions, the writing of their answers included
-	retired bool          // takes no more
-	empty   chan struct{} // closed once it is retired and nothing is open
-	end     context.CancelFunc
+	mu        sync.Mutex
+	openCount int           // transactions, the writing of their answers included
+	retired   bool          // takes no more
+	drained   chan struct{} // closed once it is retired and nothing is open
+	cancel    context.CancelFunc
 }
 
 // shard is what a pool does on one core: a desk with a module of its own, and connections to upstreams of its own. To
 // the modules the shards of a process are as many balancers as there are; clients belong to one by their connection.
 type shard struct {
 	*Pool
-	desk *desk.Dispatcher
-	out  *outbound
-	told atomic.Pointer[told]
+	desk            *desk.Dispatcher
+	conns           *upstreamConns
+	settingsHistory atomic.Pointer[shardSettings]
 }
 
-// told is what a shard goes by: its part of the book in force, and the one before for tariffs that were dropped.
-type told struct {
-	book, before *terms.Book
-	since        time.Time // book holds
+// shardSettings is what a shard goes by: its part of the book in force, and the one before for tariffs that were dropped.
+type shardSettings struct {
+	current, previous *terms.Book
+	changed           time.Time // book holds
 }
 
 // NewPool makes a pool, which takes transactions once a board shows it. Retire ends it.
-func (f *Front) NewPool(name string, book *terms.Book) (*Pool, error) {
-	p := &Pool{
-		Name: name, front: f, counts: &figures.Pool{}, log: f.base.With("pool", name), ids: ids{open: map[string]struct{}{}},
-		empty: make(chan struct{}),
+func (front *FrontEnd) NewPool(name string, settings *terms.Book) (*Pool, error) {
+	pool := &Pool{
+		Name: name, front: front, metrics: &figures.Pool{}, log: front.poolLog.With("pool", name), openIDs: idRegistry{open: map[string]struct{}{}},
+		drained: make(chan struct{}),
 	}
-	p.book.Store(book)
-	p.part = f.common.enter()
-	for n := range f.cores {
-		sh := &shard{Pool: p}
+	pool.settings.Store(settings)
+	pool.limits = front.limits.addPool()
+	for n := range front.cores {
+		sh := &shard{Pool: pool}
 		var err error
-		own := book.Part(n, f.cores)
-		sh.told.Store(&told{book: own})
-		if sh.desk, err = desk.New(own, p.counts, p.log, f.module); err != nil {
-			for _, made := range p.shards {
+		own := settings.Part(n, front.cores)
+		sh.settingsHistory.Store(&shardSettings{current: own})
+		if sh.desk, err = desk.New(own, pool.metrics, pool.log, front.newEngine); err != nil {
+			for _, made := range pool.shards {
 				made.desk.Stop()
 			}
-			f.common.exit(p.part)
+			front.limits.removePool(pool.limits)
 			return nil, err
 		}
-		sh.out = newOutbound(f.sockets, p.part, book)
-		p.shards = append(p.shards, sh)
+		sh.conns = newUpstreamConns(front.conns, pool.limits, settings)
+		pool.shards = append(pool.shards, sh)
 	}
-	f.sockets.join(p)
+	front.conns.addPool(pool)
 	ctx, end := context.WithCancel(context.Background())
-	p.end = end
-	for _, sh := range p.shards {
-		go sh.probe(ctx)
+	pool.cancel = end
+	for _, sh := range pool.shards {
+		go sh.runProbes(ctx)
 	}
-	go p.tallies(ctx)
-	return p, nil
+	go pool.logPeriodically(ctx)
+	return pool, nil
 }
 
-// shard is the one that a client's connection belongs to.
-func (p *Pool) shard(client *counted) *shard {
+// shardOf is the one that a client's connection belongs to.
+func (pool *Pool) shardOf(client *trackedConn) *shard {
 	if client == nil {
-		return p.shards[0]
+		return pool.shards[0]
 	}
-	return p.shards[client.number%uint64(len(p.shards))]
+	return pool.shards[client.number%uint64(len(pool.shards))]
 }
 
-// Retune puts another book in force. What is open keeps the one that it came under; what is told as before keeps what
+// Reconfigure puts another book in force. What is open keeps the one that it came under; what is told as before keeps what
 // was learnt under it.
-func (p *Pool) Retune(book *terms.Book) error {
-	for n, sh := range p.shards {
-		before := sh.told.Load().book
-		own := book.Part(n, len(p.shards))
+func (pool *Pool) Reconfigure(settings *terms.Book) error {
+	for n, sh := range pool.shards {
+		before := sh.settingsHistory.Load().current
+		own := settings.Part(n, len(pool.shards))
 		if err := sh.desk.Reconfigure(own); err != nil {
 			return err
 		}
-		sh.told.Store(&told{book: own, before: before, since: time.Now()})
+		sh.settingsHistory.Store(&shardSettings{current: own, previous: before, changed: time.Now()})
 	}
-	p.book.Store(book)
+	pool.settings.Store(settings)
 	return nil
 }
 
-// Beside says how many processes are this balancer at present.
-func (p *Pool) Beside(n int) {
-	for _, sh := range p.shards {
+// SetProcesses says how many processes are this balancer at present.
+func (pool *Pool) SetProcesses(n int) {
+	for _, sh := range pool.shards {
 		sh.desk.SetProcesses(n)
 	}
 }
 
 // View is the pool as the second address shows it.
-func (p *Pool) View() figures.View {
-	listed, avoided := p.shards[0].desk.UpstreamCounts()
-	return figures.View{Name: p.Name, Counts: p.counts, Listed: listed, Unhealthy: avoided}
+func (pool *Pool) View() figures.View {
+	listed, avoided := pool.shards[0].desk.UpstreamCounts()
+	return figures.View{Name: pool.Name, Counts: pool.metrics, Listed: listed, Unhealthy: avoided}
 }
 
-// Speaker carries what one module says to another, by their numbers over all balancers.
-type Speaker interface {
+// ReportSender carries what one module says to another, by their numbers over all balancers.
+type ReportSender interface {
 	Tell(from, to int, raw []byte)
 }
 
-// Speak has the pool's modules say what they say to others through a speaker, or nothing any more through nil.
-func (p *Pool) Speak(s Speaker) {
-	for n, sh := range p.shards {
+// SetReportSender has the pool's modules say what they say to others through a speaker, or nothing any more through nil.
+func (pool *Pool) SetReportSender(s ReportSender) {
+	for n, sh := range pool.shards {
 		var say func(to int, raw []byte)
-		if from := p.book.Load().Terms.Index*len(p.shards) + n; s != nil {
+		if from := pool.settings.Load().Terms.Index*len(pool.shards) + n; s != nil {
 			say = func(to int, raw []byte) { s.Tell(from, to, raw) }
 		}
 		sh.desk.SetReportSender(say)
@@ -137,73 +137,73 @@
 }
 
 // Told implements peers.Sink.
-func (p *Pool) Told(from, to int, raw []byte) {
-	if n := to - p.book.Load().Terms.Index*len(p.shards); n >= 0 && n < len(p.shards) {
-		p.shards[n].desk.PeerReport(from, raw)
+func (pool *Pool) Told(from, to int, raw []byte) {
+	if n := to - pool.settings.Load().Terms.Index*len(pool.shards); n >= 0 && n < len(pool.shards) {
+		pool.shards[n].desk.PeerReport(from, raw)
 	}
 }
 
 // Shards is how many there are.
-func (p *Pool) Shards() int { return len(p.shards) }
+func (pool *Pool) Shards() int { return len(pool.shards) }
 
-// Book is what the pool was told.
-func (p *Pool) Book() *terms.Book { return p.book.Load() }
+// Settings is what the pool was told.
+func (pool *Pool) Settings() *terms.Book { return pool.settings.Load() }
 
 // Log logs what concerns the pool.
-func (p *Pool) Log() *slog.Logger { return p.log }
+func (pool *Pool) Log() *slog.Logger { return pool.log }
 
 // List implements lists.Sink, as do Unlisted and Follow.
-func (p *Pool) List(entries []roster.Entry[string], whole bool) {
-	var c roster.Change
-	for _, sh := range p.shards {
-		c = sh.desk.List(entries, whole)
-		sh.out.leave(c.Left)
+func (pool *Pool) List(entries []roster.Entry[string], whole bool) {
+	var change roster.Change
+	for _, sh := range pool.shards {
+		change = sh.desk.List(entries, whole)
+		sh.conns.removeHosts(change.Left)
 	}
-	first := p.stands.Swap(true)
-	if late := time.Duration(0); !whole || !first || c.Joined+c.Ends+c.Gone > 0 || c.Odd != p.odd {
-		p.odd = c.Odd
-		if first && c.Born > 0 { // what had started before the first list was not told late
-			late = time.Since(time.Unix(0, c.Born))
+	first := pool.hasList.Swap(true)
+	if late := time.Duration(0); !whole || !first || change.Joined+change.Ends+change.Gone > 0 || change.Odd != pool.invalidEntries {
+		pool.invalidEntries = change.Odd
+		if first && change.Born > 0 { // what had started before the first list was not told late
+			late = time.Since(time.Unix(0, change.Born))
 		}
-		p.log.Info("list", "step", "changed", "whole", whole, "entries", len(entries), "joined", c.Joined, "draining", c.Ends,
-			"gone", c.Gone, "listed", c.Listed, "odd", c.Odd, "late", late.Round(time.Millisecond))
+		pool.log.Info("list", "step", "changed", "whole", whole, "entries", len(entries), "joined", change.Joined, "draining", change.Ends,
+			"gone", change.Gone, "listed", change.Listed, "odd", change.Odd, "late", late.Round(time.Millisecond))
 	}
 }
 
 // Unlisted implements lists.Sink.
-func (p *Pool) Unlisted() {
-	for _, sh := range p.shards {
+func (pool *Pool) Unlisted() {
+	for _, sh := range pool.shards {
 		sh.desk.Unlisted()
 	}
 }
 
 // Follow implements lists.Sink. All shards are told whatever one of them asks for.
-func (p *Pool) Follow() <-chan struct{} { return p.shards[0].desk.Follow() }
+func (pool *Pool) Follow() <-chan struct{} { return pool.shards[0].desk.Follow() }
 
 // Entries is the pool's list as it stands.
-func (p *Pool) Entries() []roster.Entry[string] { return p.shards[0].desk.Entries() }
+func (pool *Pool) Entries() []roster.Entry[string] { return pool.shards[0].desk.Entries() }
 
-// enter counts a transaction in, unless the pool is retired.
-func (p *Pool) enter() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if !p.retired {
-		p.open++
+// addTransaction counts a transaction in, unless the pool is retired.
+func (pool *Pool) addTransaction() bool {
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	if !pool.retired {
+		pool.openCount++
 	}
-	return !p.retired
+	return !pool.retired
 }
 
-func (p *Pool) exit() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.open--; p.open == 0 && p.retired {
-		close(p.empty)
+func (pool *Pool) removeTransaction() {
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	if pool.openCount--; pool.openCount == 0 && pool.retired {
+		close(pool.drained)
 	}
 }
 
-// longest is the longest hard stop of its tariffs.
-func (p *Pool) longest() (longest time.Duration) {
-	for _, t := range p.book.Load().Terms.Tariffs {
+// maxHardStop is the longest hard stop of its tariffs.
+func (pool *Pool) maxHardStop() (longest time.Duration) {
+	for _, t := range pool.settings.Load().Terms.Tariffs {
 		longest = max(longest, time.Duration(t.HardStop))
 	}
 	return longest
@@ -211,58 +211,58 @@
 
 // Retire ends a pool that no board shows any more: what it has taken is finished within the longest hard stop, then
 // all that it held is given back.
-func (p *Pool) Retire() {
-	p.mu.Lock()
-	if p.retired {
-		p.mu.Unlock()
+func (pool *Pool) Retire() {
+	pool.mu.Lock()
+	if pool.retired {
+		pool.mu.Unlock()
 		return
 	}
-	p.retired = true
-	open := p.open
+	pool.retired = true
+	open := pool.openCount
 	if open == 0 {
-		close(p.empty)
+		close(pool.drained)
 	}
-	p.mu.Unlock()
+	pool.mu.Unlock()
 	start := time.Now()
-	p.log.Info("retire", "step", "begin", "open", open)
+	pool.log.Info("retire", "step", "begin", "open", open)
 	forfeited := 0
 	select {
-	case <-p.empty:
-	case <-time.After(p.longest() + lastAnswers):
-		forfeited = p.forfeit() // Danger: the module lost track of one, and the pool would never go
+	case <-pool.drained:
+	case <-time.After(pool.maxHardStop() + finalAnswerTime):
+		forfeited = pool.forfeitOpen() // Danger: the module lost track of one, and the pool would never go
 		select {
-		case <-p.empty:
-		case <-time.After(mostStill):
+		case <-pool.drained:
+		case <-time.After(stallTimeout):
 		}
 	}
-	p.end()
-	for _, sh := range p.shards {
+	pool.cancel()
+	for _, sh := range pool.shards {
 		sh.desk.Stop()
-		sh.out.end()
+		sh.conns.close()
 	}
-	p.look(true)
-	p.front.sockets.part(p)
+	pool.sample(true)
+	pool.front.conns.removePool(pool)
 	for range 200 { // pushes that were called off are giving back their connections
-		if _, out, _, _ := p.part.holds(); out == 0 {
+		if _, out, _, _ := pool.limits.usage(); out == 0 {
 			break
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	p.front.common.exit(p.part)
-	p.log.Info("retire", "step", "end", "forfeited", forfeited, "took", time.Since(start).Round(time.Millisecond))
+	pool.front.limits.removePool(pool.limits)
+	pool.log.Info("retire", "step", "end", "forfeited", forfeited, "took", time.Since(start).Round(time.Millisecond))
 }
 
-// forfeit ends all that is open.
-func (p *Pool) forfeit() (n int) {
-	for _, sh := range p.shards {
+// forfeitOpen ends all that is open.
+func (pool *Pool) forfeitOpen() (n int) {
+	for _, sh := range pool.shards {
 		n += sh.desk.Close()
 	}
 	return n
 }
 
-// recall closes the connections that lie idle.
-func (p *Pool) recall() {
-	for _, sh := range p.shards {
-		sh.out.transport.CloseIdleConnections()
+// closeIdle closes the connections that lie idle.
+func (pool *Pool) closeIdle() {
+	for _, sh := range pool.shards {
+		sh.conns.transport.CloseIdleConnections()
 	}
 }
--- a/internal/httpwire/presence.go
+++ b/internal/httpwire/presence.go
@@ -7,105 +7,105 @@
 )
 
 const (
-	untilNoticed = 300 * time.Millisecond  // after LEAVE new clients may still come
-	idleUntil    = 1700 * time.Millisecond // then what lies idle is closed
-	lateFrom     = 1900 * time.Millisecond // what has its last byte later is deferred
-	sparedUntil  = 3400 * time.Millisecond // then whatever has no transaction is closed
-	sweepEvery   = 50 * time.Millisecond
+	noticeTime     = 300 * time.Millisecond  // after LEAVE new clients may still come
+	closeIdleAfter = 1700 * time.Millisecond // then what lies idle is closed
+	deferAfter     = 1900 * time.Millisecond // what has its last byte later is deferred
+	closeAllAfter  = 3400 * time.Millisecond // then whatever has no transaction is closed
+	sweepInterval  = 50 * time.Millisecond
 )
 
-type step uint8
+type lifecycle uint8
 
 const (
-	serving  step = iota
-	leaving       // LEAVE came; JOIN leads back
-	stopping      // SIGTERM came
+	serving  lifecycle = iota
+	leaving            // LEAVE came; JOIN leads back
+	stopping           // SIGTERM came
 )
 
-// Presence is whether a balancer takes clients. Health at both addresses, what SIGTERM and the second address ask for, and
+// Availability is whether a balancer takes clients. Health at both addresses, what SIGTERM and the second address ask for, and
 // the closing of connections all go by it.
-type Presence struct {
-	mu      sync.Mutex
-	step    step
-	at      time.Time // when that began
-	parting time.Time // from then on connections end with their answers; zero for never
-	late    time.Time // from then on what comes is deferred; zero for never
-	relayed bool      // stopping, and another process goes on taking clients
-	round   int       // how often it turned
+type Availability struct {
+	mu          sync.Mutex
+	state       lifecycle
+	stateSince  time.Time // when that began
+	closeFrom   time.Time // from then on connections end with their answers; zero for never
+	deferFrom   time.Time // from then on what comes is deferred; zero for never
+	handedOver  bool      // stopping, and another process goes on taking clients
+	transitions int       // how often it turned
 }
 
-// turn goes to leaving or back to serving, and tells whether that is news, and the how manieth time it is.
-func (p *Presence) turn(to step, now time.Time) (news bool, round int, err error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.step == stopping {
+// transition goes to leaving or back to serving, and tells whether that is news, and the how manieth time it is.
+func (avail *Availability) transition(to lifecycle, now time.Time) (changed bool, transitions int, err error) {
+	avail.mu.Lock()
+	defer avail.mu.Unlock()
+	if avail.state == stopping {
 		return false, 0, errors.New("stopping")
 	}
-	if p.step == to {
+	if avail.state == to {
 		return false, 0, nil
 	}
-	p.step, p.at, p.parting, p.late = to, now, time.Time{}, time.Time{}
+	avail.state, avail.stateSince, avail.closeFrom, avail.deferFrom = to, now, time.Time{}, time.Time{}
 	if to == leaving {
-		p.parting, p.late = now.Add(untilNoticed), now.Add(lateFrom)
+		avail.closeFrom, avail.deferFrom = now.Add(noticeTime), now.Add(deferAfter)
 	}
-	p.round++
-	return true, p.round, nil
+	avail.transitions++
+	return true, avail.transitions, nil
 }
 
 // stop ends it, for good. Connections end with their answers from a moment on, or from one that was set before.
-func (p *Presence) stop(now, parting time.Time, relayed bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.step == leaving {
-		parting, relayed = now, false
+func (avail *Availability) stop(now, closeFrom time.Time, handedOver bool) {
+	avail.mu.Lock()
+	defer avail.mu.Unlock()
+	if avail.state == leaving {
+		closeFrom, handedOver = now, false
 	}
-	p.step, p.at, p.parting, p.late, p.relayed = stopping, now, parting, time.Time{}, relayed
+	avail.state, avail.stateSince, avail.closeFrom, avail.deferFrom, avail.handedOver = stopping, now, closeFrom, time.Time{}, handedOver
 }
 
-// serves reports whether this process takes clients.
-func (p *Presence) serves() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.step == serving
+// isServing reports whether this process takes clients.
+func (avail *Availability) isServing() bool {
+	avail.mu.Lock()
+	defer avail.mu.Unlock()
+	return avail.state == serving
 }
 
-// takes reports whether clients may come to the balancer that this process is, or is one of. Danger: where another
+// acceptsClients reports whether clients may come to the balancer that this process is, or is one of. Danger: where another
 // process takes them under the same address, a no from this one would keep them from both.
-func (p *Presence) takes() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.step == serving || p.step == stopping && p.relayed
+func (avail *Availability) acceptsClients() bool {
+	avail.mu.Lock()
+	defer avail.mu.Unlock()
+	return avail.state == serving || avail.state == stopping && avail.handedOver
 }
 
-// parts reports whether connections end with their answers.
-func (p *Presence) parts(now time.Time) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return !p.parting.IsZero() && !now.Before(p.parting)
+// closesConnections reports whether connections end with their answers.
+func (avail *Availability) closesConnections(now time.Time) bool {
+	avail.mu.Lock()
+	defer avail.mu.Unlock()
+	return !avail.closeFrom.IsZero() && !now.Before(avail.closeFrom)
 }
 
 // tooLate reports whether a transaction that is whole now has come too late to be taken.
-func (p *Presence) tooLate(now time.Time) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return !p.late.IsZero() && !now.Before(p.late)
+func (avail *Availability) tooLate(now time.Time) bool {
+	avail.mu.Lock()
+	defer avail.mu.Unlock()
+	return !avail.deferFrom.IsZero() && !now.Before(avail.deferFrom)
 }
 
-// since tells how long ago a round of leaving began, and whether it still goes on.
-func (p *Presence) since(round int, now time.Time) (time.Duration, bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return now.Sub(p.at), p.step == leaving && p.round == round
+// leavingFor tells how long ago a round of leaving began, and whether it still goes on.
+func (avail *Availability) leavingFor(transitions int, now time.Time) (time.Duration, bool) {
+	avail.mu.Lock()
+	defer avail.mu.Unlock()
+	return now.Sub(avail.stateSince), avail.state == leaving && avail.transitions == transitions
 }
 
-// Takes is nil if clients may come to this process, else why not.
-func (f *Front) Takes() error {
+// Ready is nil if clients may come to this process, else why not.
+func (front *FrontEnd) Ready() error {
 	switch {
-	case !f.presence.serves():
+	case !front.availability.isServing():
 		return errors.New("leaving or stopping")
-	case !f.board.Load().stands():
+	case !front.routing.Load().hasList():
 		return errors.New("no list of upstreams")
-	case !f.accepts.Load():
+	case !front.accepting.Load():
 		return errors.New("not accepting yet")
 	}
 	return nil
@@ -113,22 +113,22 @@
 
 // Leave has clients go elsewhere: health says no, connections end with their answers, and those without a transaction
 // are closed as late as allowed. Nothing else changes, and the process stays.
-func (f *Front) Leave() error {
-	news, round, err := f.presence.turn(leaving, time.Now())
-	if !news {
+func (front *FrontEnd) Leave() error {
+	changed, transitions, err := front.availability.transition(leaving, time.Now())
+	if !changed {
 		return err
 	}
-	f.log.Info("leave", "step", "begin", "clients", f.sockets.in.Load())
+	front.log.Info("leave", "step", "begin", "clients", front.conns.clients.Load())
 	go func() {
 		for {
-			time.Sleep(sweepEvery)
+			time.Sleep(sweepInterval)
 			now := time.Now()
-			past, on := f.presence.since(round, now)
-			if !on {
+			elapsed, leaving := front.availability.leavingFor(transitions, now)
+			if !leaving {
 				return
 			}
-			if past >= idleUntil {
-				f.sockets.sweep(now, past >= sparedUntil)
+			if elapsed >= closeIdleAfter {
+				front.conns.closeIdleClients(now, elapsed >= closeAllAfter)
 			}
 		}
 	}()
@@ -136,10 +136,10 @@
 }
 
 // Join takes clients again.
-func (f *Front) Join() error {
-	news, _, err := f.presence.turn(serving, time.Now())
-	if news {
-		f.log.Info("leave", "step", "end", "clients", f.sockets.in.Load())
+func (front *FrontEnd) Join() error {
+	changed, _, err := front.availability.transition(serving, time.Now())
+	if changed {
+		front.log.Info("leave", "step", "end", "clients", front.conns.clients.Load())
 	}
 	return err
 }
--- a/internal/httpwire/request.go
+++ b/internal/httpwire/request.go
@@ -22,29 +22,29 @@
 )
 
 const (
-	mostBody = terms.MostBody // of a message that is held for certain
-	mostFull = 48 << 20       // of any message
-	mostHeld = 4              // part of what all bodies may take that one may
-	mostWait = time.Hour      // what a client may ask for
-	underway = 5 * time.Millisecond
+	maxReservedBody  = terms.MostBody // of a message that is held for certain
+	maxBody          = 48 << 20       // of any message
+	maxBodyShare     = 4              // part of what all bodies may take that one may
+	maxTimeout       = time.Hour      // what a client may ask for
+	transitAllowance = 5 * time.Millisecond
 
 	// A client that never ends its message has an error or a close within three seconds of connecting. Danger: half
 	// a message holds a descriptor as well as a transaction does.
-	headLimit = 2500 * time.Millisecond // within which the headers have come
-	slowest   = 2600 * time.Millisecond // and then the body; a longer one flows on without a pause
-	pause     = time.Second             // of more than this
-	slowRate  = 16 << 10                // at this many bytes a second, over all of it
-	idleLimit = 3 * time.Second         // between two transactions
+	headTimeout = 2500 * time.Millisecond // within which the headers have come
+	bodyGrace   = 2600 * time.Millisecond // and then the body; a longer one flows on without a pause
+	bodyPause   = time.Second             // of more than this
+	minBodyRate = 16 << 10                // at this many bytes a second, over all of it
+	idleTimeout = 3 * time.Second         // between two transactions
 )
 
 // transaction is what a client sent, as the protocol has it.
 type transaction struct {
-	book     *terms.Book // that it came under
-	id       string
-	tariff   int
-	customer int // -1 for none
-	left     time.Duration
-	again    bool
+	settings    *terms.Book // that it came under
+	id          string
+	tariff      int
+	customer    int // -1 for none
+	timeout     time.Duration
+	clientRetry bool
 
 	method string
 	host   string
@@ -52,104 +52,104 @@
 	header http.Header // end to end
 	body   []byte      // as much of it as is held
 	length int64       // of all of it, -1 if nobody knows
-	rest   *upload     // what comes behind body, nil if nothing does
+	upload *upload     // what comes behind body, nil if nothing does
 }
 
 // arrival is what the desk is told.
-func (q *transaction) arrival() desk.Arrival {
+func (txn *transaction) arrival() desk.Arrival {
 	return desk.Arrival{
-		Config: q.book.Terms, Tariff: q.tariff, Customer: q.customer, Timeout: q.left, ClientRetry: q.again, BodyPending: q.rest != nil,
+		Config: txn.settings.Terms, Tariff: txn.tariff, Customer: txn.customer, Timeout: txn.timeout, ClientRetry: txn.clientRetry, BodyPending: txn.upload != nil,
 	}
 }
 
-// fault is why a message can't be a transaction; such a one never reaches the module.
-type fault struct {
+// requestError is why a message can't be a transaction; such a one never reaches the module.
+type requestError struct {
 	status int
 	text   string
 }
 
-func bad(text string) *fault { return &fault{http.StatusBadRequest, text} }
+func badRequest(text string) *requestError { return &requestError{http.StatusBadRequest, text} }
 
-// read decodes what a client sent but for its body, which take reads. tariff is what its route says, "" for nothing.
-func read(r *http.Request, book *terms.Book, tariff string) (*transaction, *fault) {
-	q := &transaction{book: book, method: r.Method, host: r.Host, url: r.URL, customer: -1, length: r.ContentLength}
+// decodeRequest decodes what a client sent but for its body, which take reads. tariff is what its route says, "" for nothing.
+func decodeRequest(req *http.Request, settings *terms.Book, tariff string) (*transaction, *requestError) {
+	txn := &transaction{settings: settings, method: req.Method, host: req.Host, url: req.URL, customer: -1, length: req.ContentLength}
 	for _, name := range []string{"X-Txn", "X-Lane", "X-Org", "X-Remaining", "Idempotency-Key"} {
-		if len(r.Header[name]) > 1 {
-			return nil, bad("more than one " + name) // Danger: who reads the other would take it for another's
+		if len(req.Header[name]) > 1 {
+			return nil, badRequest("more than one " + name) // Danger: who reads the other would take it for another's
 		}
 	}
-	if !book.Plain && r.Method != http.MethodGet && r.Method != http.MethodPost {
-		return nil, bad("the method is neither GET nor POST")
+	if !settings.Plain && req.Method != http.MethodGet && req.Method != http.MethodPost {
+		return nil, badRequest("the method is neither GET nor POST")
 	}
-	q.header = endToEnd(r.Header)
-	if q.id = r.Header.Get("X-Txn"); q.id == "" {
-		if !book.Plain {
-			return nil, bad("no X-Txn")
+	txn.header = endToEndHeaders(req.Header)
+	if txn.id = req.Header.Get("X-Txn"); txn.id == "" {
+		if !settings.Plain {
+			return nil, badRequest("no X-Txn")
 		}
-		q.id = strconv.FormatUint(rand.Uint64(), 16)
-		q.header["X-Txn"] = []string{q.id}
+		txn.id = strconv.FormatUint(rand.Uint64(), 16)
+		txn.header["X-Txn"] = []string{txn.id}
 	}
-	var no *fault
-	if q.tariff, no = kind(r, book, tariff); no != nil {
-		return nil, no
+	var reqErr *requestError
+	if txn.tariff, reqErr = tariffOf(req, settings, tariff); reqErr != nil {
+		return nil, reqErr
 	}
-	f := book.Terms.Tariffs[q.tariff]
-	if f.Idempotency == logic.Keyed && r.Header.Get("Idempotency-Key") == "" {
-		return nil, bad("a tagged transaction without Idempotency-Key") // Danger: its repeats would be unknown
+	config := settings.Terms.Tariffs[txn.tariff]
+	if config.Idempotency == logic.Keyed && req.Header.Get("Idempotency-Key") == "" {
+		return nil, badRequest("a tagged transaction without Idempotency-Key") // Danger: its repeats would be unknown
 	}
 	known := false
-	if org := r.Header.Get("X-Org"); org != "" && len(book.Customers) > 0 {
-		if q.customer, known = book.Customers[org]; !known {
-			return nil, bad("unknown customer")
+	if org := req.Header.Get("X-Org"); org != "" && len(settings.Customers) > 0 {
+		if txn.customer, known = settings.Customers[org]; !known {
+			return nil, badRequest("unknown customer")
 		}
 	}
-	q.left = time.Duration(f.HardStop)
+	txn.timeout = time.Duration(config.HardStop)
 	var err error
-	if text, said := r.Header["X-Remaining"]; said {
-		if q.left, err = seconds(text[0]); err != nil {
-			return nil, bad("X-Remaining is not a time")
+	if text, said := req.Header["X-Remaining"]; said {
+		if txn.timeout, err = parseTimeout(text[0]); err != nil {
+			return nil, badRequest("X-Remaining is not a time")
 		}
 	}
 	// Danger: the client counts from when it sent, and an answer given at its hard stop is still on the way then.
-	q.left = max(0, q.left-underway)
-	q.again = r.Header.Get("X-Resent") == "1"
-	if book.Plain {
-		forwarded(q.header, r.RemoteAddr)
+	txn.timeout = max(0, txn.timeout-transitAllowance)
+	txn.clientRetry = req.Header.Get("X-Resent") == "1"
+	if settings.Plain {
+		addForwarded(txn.header, req.RemoteAddr)
 	}
-	if r.ContentLength > mostFull {
-		return nil, tooLong
+	if req.ContentLength > maxBody {
+		return nil, errBodyLimit
 	}
-	return q, nil
+	return txn, nil
 }
 
-// kind is a transaction's tariff: what its route says; else what it says of itself, by X-Lane or the first part of its
+// tariffOf is a transaction's tariff: what its route says; else what it says of itself, by X-Lane or the first part of its
 // path; else the pool's own.
-func kind(r *http.Request, book *terms.Book, said string) (tariff int, no *fault) {
-	if said != "" {
-		n, known := book.Tariffs[said]
+func tariffOf(req *http.Request, settings *terms.Book, routeTariff string) (tariff int, reqErr *requestError) {
+	if routeTariff != "" {
+		n, known := settings.Tariffs[routeTariff]
 		if !known { // Danger: routes and terms change one after the other, and number 0 is another tariff
-			return 0, &fault{http.StatusNotFound, "unknown tariff"}
+			return 0, &requestError{http.StatusNotFound, "unknown tariff"}
 		}
 		return n, nil
 	}
-	first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
-	name := r.Header.Get("X-Lane")
+	first, _, _ := strings.Cut(strings.TrimPrefix(req.URL.Path, "/"), "/")
+	name := req.Header.Get("X-Lane")
 	if name == "" {
 		name = first
-	} else if name != first && !book.Plain {
-		return 0, bad("X-Lane and path differ")
+	} else if name != first && !settings.Plain {
+		return 0, badRequest("X-Lane and path differ")
 	}
-	if n, known := book.Tariffs[name]; known {
+	if n, known := settings.Tariffs[name]; known {
 		return n, nil
 	}
-	if book.Default < 0 || r.Header.Get("X-Lane") != "" {
-		return 0, &fault{http.StatusNotFound, "unknown tariff"}
+	if settings.Default < 0 || req.Header.Get("X-Lane") != "" {
+		return 0, &requestError{http.StatusNotFound, "unknown tariff"}
 	}
-	return book.Default, nil
+	return settings.Default, nil
 }
 
-// forwarded tells an upstream where a transaction came from.
-func forwarded(h http.Header, address string) {
+// addForwarded tells an upstream where a transaction came from.
+func addForwarded(h http.Header, address string) {
 	if host, _, err := net.SplitHostPort(address); err == nil {
 		h["X-Forwarded-For"] = append(slices.Clone(h["X-Forwarded-For"]), host)
 	}
@@ -157,156 +157,156 @@
 }
 
 var (
-	tooLong = &fault{http.StatusRequestEntityTooLarge, "the body is over 48 MiB"}
-	noRoom  = &fault{http.StatusServiceUnavailable, "no room for the body"}
+	errBodyLimit  = &requestError{http.StatusRequestEntityTooLarge, "the body is over 48 MiB"}
+	errNoBodyRoom = &requestError{http.StatusServiceUnavailable, "no room for the body"}
 )
 
-// wait reads a transaction's body: all of it, or as much as there is room for; spare may make some, in a moment. Danger:
+// readBody reads a transaction's body: all of it, or as much as there is room for; spare may make some, in a moment. Danger:
 // room made for what a length only promises would cost more memory than there is.
-func (q *transaction) wait(w http.ResponseWriter, r *http.Request, hand *inHand, spare func() bool) *fault {
-	in := &upload{from: r.Body, control: http.NewResponseController(w), start: time.Now(), end: make(chan error, 1)}
-	for r.Body != http.NoBody {
-		if len(q.body) == cap(q.body) {
-			more := max(512, cap(q.body))
-			if q.length >= 0 { // one more, for the end to be seen
-				more = int(min(int64(max(more, mostBody/4)), q.length+1-int64(len(q.body))))
+func (txn *transaction) readBody(w http.ResponseWriter, req *http.Request, res *reservation, evict func() bool) *requestError {
+	up := &upload{body: req.Body, control: http.NewResponseController(w), start: time.Now(), resultCh: make(chan error, 1)}
+	for req.Body != http.NoBody {
+		if len(txn.body) == cap(txn.body) {
+			more := max(512, cap(txn.body))
+			if txn.length >= 0 { // one more, for the end to be seen
+				more = int(min(int64(max(more, maxReservedBody/4)), txn.length+1-int64(len(txn.body))))
 			}
-			if short := mostBody + 1 - len(q.body); short > 0 { // up to there it is held for certain
-				more = min(more, short)
+			if missing := maxReservedBody + 1 - len(txn.body); missing > 0 { // up to there it is held for certain
+				more = min(more, missing)
 			}
 			room := max(more, 1)
-			took := hand.more(int64(room), int64(len(q.body)+room))
-			for n := 0; !took && len(q.body) <= mostBody && n < looks && spare(); n++ {
-				time.Sleep(fresh) // until what was closed has given back its own
-				took = hand.more(int64(room), int64(len(q.body)+room))
+			reserved := res.reserve(int64(room), int64(len(txn.body)+room))
+			for n := 0; !reserved && len(txn.body) <= maxReservedBody && n < evictionTries && evict(); n++ {
+				time.Sleep(recentWindow) // until what was closed has given back its own
+				reserved = res.reserve(int64(room), int64(len(txn.body)+room))
 			}
-			if !took {
-				if len(q.body) <= mostBody {
-					return noRoom
+			if !reserved {
+				if len(txn.body) <= maxReservedBody {
+					return errNoBodyRoom
 				}
-				q.rest = in
+				txn.upload = up
 				return nil
 			}
-			q.body = slices.Grow(q.body, room)[:len(q.body)]
+			txn.body = slices.Grow(txn.body, room)[:len(txn.body)]
 		}
-		n, err := in.Read(q.body[len(q.body):cap(q.body)])
-		q.body = q.body[:len(q.body)+n]
+		n, err := up.Read(txn.body[len(txn.body):cap(txn.body)])
+		txn.body = txn.body[:len(txn.body)+n]
 		switch {
 		case err == io.EOF:
-			q.length = int64(len(q.body))
+			txn.length = int64(len(txn.body))
 			return nil
-		case err == errLong:
-			return tooLong
+		case err == errBodyTooLong:
+			return errBodyLimit
 		case err != nil:
-			return bad("the body is cut, late or malformed")
+			return badRequest("the body is cut, late or malformed")
 		}
 	}
-	in.control.SetReadDeadline(time.Time{})
-	q.length = 0
+	up.control.SetReadDeadline(time.Time{})
+	txn.length = 0
 	return nil
 }
 
-var errLong = errors.New("a body over the limit")
+var errBodyTooLong = errors.New("a body over the limit")
 
 // upload is a body on its way in. Its client may be slow, but neither stand still nor trickle.
 type upload struct {
-	from    io.Reader
-	control *http.ResponseController
-	start   time.Time
-	got     int64
-	end     chan error  // how it ended, once; nil for whole
-	why     error       // the same for who reads on
-	over    atomic.Bool // it has ended, or nobody wants it any more
+	body     io.Reader
+	control  *http.ResponseController
+	start    time.Time
+	received int64
+	resultCh chan error  // how it ended, once; nil for whole
+	err      error       // the same for who reads on
+	finished atomic.Bool // it has ended, or nobody wants it any more
 }
 
-func (u *upload) Read(b []byte) (int, error) {
-	if u.over.Load() {
-		return 0, cmp.Or(u.why, io.ErrUnexpectedEOF) // Danger: an end that is none would make a cut body pass for whole
+func (up *upload) Read(b []byte) (int, error) {
+	if up.finished.Load() {
+		return 0, cmp.Or(up.err, io.ErrUnexpectedEOF) // Danger: an end that is none would make a cut body pass for whole
 	}
-	until := u.start.Add(slowest + time.Duration(u.got)*time.Second/slowRate)
-	if flows := time.Now().Add(pause); flows.Before(until) {
-		until = flows
+	deadline := up.start.Add(bodyGrace + time.Duration(up.received)*time.Second/minBodyRate)
+	if paused := time.Now().Add(bodyPause); paused.Before(deadline) {
+		deadline = paused
 	}
-	if least := u.start.Add(slowest); until.Before(least) {
-		until = least
+	if least := up.start.Add(bodyGrace); deadline.Before(least) {
+		deadline = least
 	}
-	u.control.SetReadDeadline(until)
-	n, err := u.from.Read(b)
-	if u.got += int64(n); u.got > mostFull {
-		err = errLong
+	up.control.SetReadDeadline(deadline)
+	n, err := up.body.Read(b)
+	if up.received += int64(n); up.received > maxBody {
+		err = errBodyTooLong
 	}
-	u.why = err
-	if err != nil && u.over.CompareAndSwap(false, true) {
+	up.err = err
+	if err != nil && up.finished.CompareAndSwap(false, true) {
 		if err == io.EOF {
 			// Danger: the server watches the connection from here on; a limit left behind looks like a client gone.
-			u.control.SetReadDeadline(time.Time{})
-			u.end <- nil
+			up.control.SetReadDeadline(time.Time{})
+			up.resultCh <- nil
 		} else {
-			u.end <- err
+			up.resultCh <- err
 		}
 	}
 	return n, err
 }
 
-// ended tells once how it ended; nobody hears of what never began.
-func (u *upload) ended() <-chan error {
-	if u == nil {
+// result tells once how it ended; nobody hears of what never began.
+func (up *upload) result() <-chan error {
+	if up == nil {
 		return nil
 	}
-	return u.end
+	return up.resultCh
 }
 
 // stop says that nobody wants the rest. Danger: its limits would be set on the connection's next message.
-func (u *upload) stop() {
-	if u != nil {
-		u.over.Store(true)
+func (up *upload) stop() {
+	if up != nil {
+		up.finished.Store(true)
 	}
 }
 
 // done reports whether nothing is to come any more.
-func (u *upload) done() bool { return u == nil || u.over.Load() }
+func (up *upload) done() bool { return up == nil || up.finished.Load() }
 
-// read decodes what a client sent, by the terms in force. A tariff that was dropped is known for its hard stop: its
+// decode decodes what a client sent, by the terms in force. A tariff that was dropped is known for its hard stop: its
 // clients try again by themselves.
-func (p *shard) read(r *http.Request, tariff string) (*transaction, *fault) {
-	t := p.told.Load()
-	q, no := read(r, t.book, tariff)
-	if no == nil || no.status != http.StatusNotFound || t.before == nil {
-		return q, no
+func (sh *shard) decode(req *http.Request, tariff string) (*transaction, *requestError) {
+	history := sh.settingsHistory.Load()
+	txn, reqErr := decodeRequest(req, history.current, tariff)
+	if reqErr == nil || reqErr.status != http.StatusNotFound || history.previous == nil {
+		return txn, reqErr
 	}
-	old, still := read(r, t.before, tariff)
-	if still == nil && time.Since(t.since) < time.Duration(t.before.Terms.Tariffs[old.tariff].HardStop) {
+	old, oldErr := decodeRequest(req, history.previous, tariff)
+	if oldErr == nil && time.Since(history.changed) < time.Duration(history.previous.Terms.Tariffs[old.tariff].HardStop) {
 		return old, nil
 	}
-	return q, no
+	return txn, reqErr
 }
 
-// ids are those of the open transactions. Danger: a client that sends another's would have its answer, or have it
+// idRegistry are those of the open transactions. Danger: a client that sends another's would have its answer, or have it
 // run twice.
-type ids struct {
+type idRegistry struct {
 	mu   sync.Mutex
 	open map[string]struct{}
 }
 
-// claim takes an id, unless it is taken.
-func (i *ids) claim(id string) bool {
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	if _, taken := i.open[id]; taken {
+// add takes an id, unless it is taken.
+func (ids *idRegistry) add(id string) bool {
+	ids.mu.Lock()
+	defer ids.mu.Unlock()
+	if _, taken := ids.open[id]; taken {
 		return false
 	}
-	i.open[id] = struct{}{}
+	ids.open[id] = struct{}{}
 	return true
 }
 
-func (i *ids) free(id string) {
-	i.mu.Lock()
-	delete(i.open, id)
-	i.mu.Unlock()
+func (ids *idRegistry) remove(id string) {
+	ids.mu.Lock()
+	delete(ids.open, id)
+	ids.mu.Unlock()
 }
 
-// seconds reads a time as the wire writes it: plain decimals. What else ParseFloat knows is no time here.
-func seconds(text string) (time.Duration, error) {
+// parseTimeout reads a time as the wire writes it: plain decimals. What else ParseFloat knows is no time here.
+func parseTimeout(text string) (time.Duration, error) {
 	whole, part, _ := strings.Cut(text, ".")
 	if len(text) > 32 || whole == "" || strings.Trim(whole+part, "0123456789") != "" {
 		return 0, errors.New("not a time")
@@ -315,25 +315,25 @@
 	if err != nil {
 		return 0, err
 	}
-	return time.Duration(min(s, mostWait.Seconds()) * float64(time.Second)), nil
+	return time.Duration(min(s, maxTimeout.Seconds()) * float64(time.Second)), nil
 }
 
-// hop are the headers that concern one connection only.
-var hop = []string{
+// hopByHop are the headers that concern one connection only.
+var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Expect", "Content-Length",
 }
 
-// endToEnd copies the headers that go on.
-func endToEnd(h http.Header) http.Header {
-	on := maps.Clone(h)
+// endToEndHeaders copies the headers that go on.
+func endToEndHeaders(h http.Header) http.Header {
+	kept := maps.Clone(h)
 	for _, list := range h["Connection"] {
 		for _, name := range strings.Split(list, ",") {
-			on.Del(strings.TrimSpace(name))
+			kept.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hop {
-		delete(on, name)
+	for _, name := range hopByHop {
+		delete(kept, name)
 	}
-	return on
+	return kept
 }
--- a/internal/httpwire/serve.go
+++ b/internal/httpwire/serve.go
@@ -19,308 +19,308 @@
 	"ottershift/internal/routes"
 )
 
-// Front is the door for transactions.
-type Front struct {
-	log      *slog.Logger
-	base     *slog.Logger // for the pools' own
-	sockets  *sockets
-	common   *common
-	server   *http.Server
-	module   desk.EngineFactory
-	cores    int
-	board    atomic.Pointer[Board]
-	claims   atomic.Pointer[Claims] // nil where nothing is claimed
-	presence Presence
-	accepts  atomic.Bool // a listener is served
-	serving  listeners
-	flows    atomic.Int64 // answers that go on without the module
+// FrontEnd is the door for transactions.
+type FrontEnd struct {
+	log          *slog.Logger
+	poolLog      *slog.Logger // for the pools' own
+	conns        *connTracker
+	limits       *sharedLimits
+	server       *http.Server
+	newEngine    desk.EngineFactory
+	cores        int
+	routing      atomic.Pointer[Routing]
+	ownership    atomic.Pointer[OwnershipRegistry] // nil where nothing is claimed
+	availability Availability
+	accepting    atomic.Bool // a listener is served
+	listeners    listeners
+	streams      atomic.Int64 // answers that go on without the module
 }
 
-// Board is which pool takes what. It is replaced whole.
-type Board struct {
-	Only  *Pool // takes all that comes, if there is one
-	Table *routes.Table
-	Pools map[string]*Pool
+// Routing is which pool takes what. It is replaced whole.
+type Routing struct {
+	SinglePool *Pool // takes all that comes, if there is one
+	Table      *routes.Table
+	Pools      map[string]*Pool
 }
 
-// stands reports whether there is a list of upstreams, of any pool.
-func (b *Board) stands() bool {
-	stands := b.Only != nil && b.Only.stands.Load()
-	for _, p := range b.Pools {
-		stands = stands || p.stands.Load()
+// hasList reports whether there is a list of upstreams, of any pool.
+func (routing *Routing) hasList() bool {
+	stands := routing.SinglePool != nil && routing.SinglePool.hasList.Load()
+	for _, p := range routing.Pools {
+		stands = stands || p.hasList.Load()
 	}
 	return stands
 }
 
 // New makes a front, which serves nobody until it has a board; module decides for each of its pools.
-func New(log *slog.Logger, module desk.EngineFactory) *Front {
-	f := &Front{module: module, cores: 1, log: logs.Own(log), base: log, sockets: newSockets(), common: newCommon()}
-	f.board.Store(&Board{})
+func New(log *slog.Logger, module desk.EngineFactory) *FrontEnd {
+	f := &FrontEnd{newEngine: module, cores: 1, log: logs.Own(log), poolLog: log, conns: newConnTracker(), limits: newSharedLimits()}
+	f.routing.Store(&Routing{})
 	f.server = &http.Server{
-		Handler: f, ReadHeaderTimeout: headLimit, IdleTimeout: idleLimit, MaxHeaderBytes: mostHeader,
-		ConnState: f.sockets.state, ConnContext: withClient, DisableGeneralOptionsHandler: true, // no answers but ours
+		Handler: f, ReadHeaderTimeout: headTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
+		ConnState: f.conns.stateChanged, ConnContext: withClient, DisableGeneralOptionsHandler: true, // no answers but ours
 		ErrorLog: logs.Lines(logs.Own(log), "http"),
 	}
 	return f
 }
 
-// Limit is how many descriptors the front may hold, and on how many cores pools that are made from now on work. It
+// SetLimits is how many descriptors the front may hold, and on how many cores pools that are made from now on work. It
 // comes before any pool.
-func (f *Front) Limit(descriptors, cores int) {
-	f.sockets.limit.Store(int64(descriptors))
-	f.cores = max(cores, 1)
+func (front *FrontEnd) SetLimits(descriptors, cores int) {
+	front.conns.limit.Store(int64(descriptors))
+	front.cores = max(cores, 1)
 }
 
-// Alone lets the one pool there is have all that is common; bodies are bytes in hand.
-func (f *Front) Alone(bodies int64) { f.common.alone(bodies) }
+// SetUnlimited lets the one pool there is have all that is common; bodies are bytes in hand.
+func (front *FrontEnd) SetUnlimited(bodies int64) { front.limits.setUnlimited(bodies) }
 
-// Deal sets what each pool has of what is common from now on; bodies are bytes in hand, within the time until a pool has
+// SetShares sets what each pool has of what is common from now on; bodies are bytes in hand, within the time until a pool has
 // what is guaranteed to it back, refusals those a second that all together may write before connections rest.
-func (f *Front) Deal(bodies int64, within time.Duration, refusals float64, to map[*Pool]Share) {
-	parts := map[*part]Share{}
-	for p, s := range to {
-		parts[p.part] = s
+func (front *FrontEnd) SetShares(bodies int64, within time.Duration, refusals float64, pools map[*Pool]Share) {
+	parts := map[*poolLimits]Share{}
+	for pool, share := range pools {
+		parts[pool.limits] = share
 	}
-	f.common.deal(f.sockets.limit.Load(), bodies, within, refusals, parts)
+	front.limits.distribute(front.conns.limit.Load(), bodies, within, refusals, parts)
 }
 
-// Show replaces the board. A transaction stays with the pool that took it.
-func (f *Front) Show(b *Board) { f.board.Store(b) }
+// SetRouting replaces the board. A transaction stays with the pool that took it.
+func (front *FrontEnd) SetRouting(b *Routing) { front.routing.Store(b) }
 
 // ServeHTTP is the life of one transaction.
-func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	var p *shard
-	var c *desk.Handle
-	client := clientOf(r.Context())
-	out := gateOf(client)
+func (front *FrontEnd) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+	var sh *shard
+	var handle *desk.Handle
+	client := clientConn(req.Context())
+	writer := newConnWriter(client)
 	defer func() {
-		what := recover()
-		if what == http.ErrAbortHandler { // how the server is told to break a connection
-			panic(what)
+		fault := recover()
+		if fault == http.ErrAbortHandler { // how the server is told to break a connection
+			panic(fault)
 		}
-		if what != nil {
-			f.log.Error("panic", "where", "serve", "fault", what, "stack", string(debug.Stack()))
-			if c != nil {
-				p.desk.ClientGone(c)
-				out.close()
-				p.strike(c)
+		if fault != nil {
+			front.log.Error("panic", "where", "serve", "fault", fault, "stack", string(debug.Stack()))
+			if handle != nil {
+				sh.desk.ClientGone(handle)
+				writer.close()
+				sh.discardAttempts(handle)
 			}
-			f.say(w, http.StatusInternalServerError, "internal error")
+			front.writeText(w, http.StatusInternalServerError, "internal error")
 		}
 	}()
 	// Danger: a body that trickles in holds a connection, also where it belongs to no transaction.
-	http.NewResponseController(w).SetReadDeadline(time.Now().Add(slowest))
-	if r.URL.Path == "/_health" {
-		f.health(w, r)
+	http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyGrace))
+	if req.URL.Path == "/_health" {
+		front.health(w, req)
 		return
 	}
 
-	pool, tariff, no := f.route(r, client)
+	pool, tariff, reqErr := front.findPool(req, client)
 	if pool == nil {
-		f.reject(w, no)
+		front.reject(w, reqErr)
 		return
 	}
-	defer pool.exit()
-	p = pool.shard(client)
-	q, no := p.read(r, tariff)
-	if no == nil && !p.ids.claim(q.id) {
-		no = bad("X-Txn is that of an open transaction")
+	defer pool.removeTransaction()
+	sh = pool.shardOf(client)
+	txn, reqErr := sh.decode(req, tariff)
+	if reqErr == nil && !sh.openIDs.add(txn.id) {
+		reqErr = badRequest("X-Txn is that of an open transaction")
 	}
-	if no != nil {
-		f.reject(w, no)
+	if reqErr != nil {
+		front.reject(w, reqErr)
 		return
 	}
-	defer p.ids.free(q.id)
-	f.sockets.busy(client, p.part)
-	hand := &inHand{part: p.part, left: q.left}
-	defer hand.end()
-	if ok, rest := p.part.take(q.left); !ok {
-		f.turn(w, p, q)
+	defer sh.openIDs.remove(txn.id)
+	front.conns.markBusy(client, sh.limits)
+	res := &reservation{limits: sh.limits, timeout: txn.timeout}
+	defer res.release()
+	if ok, delay := sh.limits.admit(txn.timeout); !ok {
+		front.deferEarly(w, sh, txn)
 		// Danger: a flood that is refused as fast as it comes uses up the core. It has its answer; what rests is the
 		// connection, before its next message is read.
-		time.Sleep(rest)
+		time.Sleep(delay)
 		return
 	}
-	hand.open = true
-	f.sockets.awaits(client, true)
-	no = q.wait(w, r, hand, func() bool { return f.sockets.spare(client) })
-	f.sockets.awaits(client, q.rest != nil)
-	if no != nil {
-		if no == noRoom {
-			f.turn(w, p, q)
+	res.admitted = true
+	front.conns.setAwaitingBody(client, true)
+	reqErr = txn.readBody(w, req, res, func() bool { return front.conns.evictBody(client) })
+	front.conns.setAwaitingBody(client, txn.upload != nil)
+	if reqErr != nil {
+		if reqErr == errNoBodyRoom {
+			front.deferEarly(w, sh, txn)
 		} else {
-			f.reject(w, no)
+			front.reject(w, reqErr)
 		}
 		return
 	}
-	if f.presence.tooLate(time.Now()) {
-		f.turn(w, p, q)
+	if front.availability.tooLate(time.Now()) {
+		front.deferEarly(w, sh, txn)
 		return
 	}
-	defer q.rest.stop()
-	guard := f.guard(p, q)
-	defer guard.end()
-	for again := true; again; { // more than once only where a claim was refused
-		if !guard.open(r.Context(), f, w, q) {
-			out.close()
+	defer txn.upload.stop()
+	guard := front.newGuard(sh, txn)
+	defer guard.finish()
+	for withdrawn := true; withdrawn; { // more than once only where a claim was refused
+		if !guard.admit(req.Context(), front, w, txn) {
+			writer.close()
 			return
 		}
-		c = p.desk.Arrive(guard.arrival(q))
-		again = f.attend(w, r, p, q, c, out, hand, guard)
+		handle = sh.desk.Arrive(guard.arrival(txn))
+		withdrawn = front.runTransaction(w, req, sh, txn, handle, writer, res, guard)
 	}
 }
 
-// attend is a transaction's life from its arrival at the desk to its answer; again says that it was taken back instead.
-func (f *Front) attend(
-	w http.ResponseWriter, r *http.Request, p *shard, q *transaction, c *desk.Handle, out *gate, hand *inHand, guard *guard,
-) (again bool) {
-	client := clientOf(r.Context())
-	defer p.strike(c)
-	replies := map[int]*reply{} // by push
+// runTransaction is a transaction's life from its arrival at the desk to its answer; again says that it was taken back instead.
+func (front *FrontEnd) runTransaction(
+	w http.ResponseWriter, req *http.Request, sh *shard, txn *transaction, handle *desk.Handle, writer *connWriter, res *reservation, guard *ownershipGuard,
+) (withdrawn bool) {
+	client := clientConn(req.Context())
+	defer sh.discardAttempts(handle)
+	replies := map[int]*upstreamResponse{} // by push
 	defer func() {
 		select {
-		case a := <-c.Answer: // that its client did not wait for
-			replies[a.Attempt].drop()
+		case answer := <-handle.Answer: // that its client did not wait for
+			replies[answer.Attempt].discard()
 		default:
 		}
 	}()
 	for {
 		select {
-		case push := <-c.Attempts:
-			replies[push.Number] = &reply{}
-			go p.push(c, push, q, out, hand, replies[push.Number], guard)
-		case <-guard.recalled():
+		case attempt := <-handle.Attempts:
+			replies[attempt.Number] = &upstreamResponse{}
+			go sh.runAttempt(handle, attempt, txn, writer, res, replies[attempt.Number], guard)
+		case <-guard.withdrawn():
 			return true
-		case err := <-q.rest.ended():
+		case err := <-txn.upload.result():
 			if err != nil { // its client sent no more
-				p.desk.ClientGone(c)
-				out.close()
-				f.reject(w, bad("the body is cut, late or malformed"))
+				sh.desk.ClientGone(handle)
+				writer.close()
+				front.reject(w, badRequest("the body is cut, late or malformed"))
 				return false
 			}
-			f.sockets.awaits(client, false)
-			p.desk.BodyReceived(c, q.left)
-		case a := <-c.Answer:
-			out.close()
-			if client != nil && client.listener.gone.Load() || !q.rest.done() {
+			front.conns.setAwaitingBody(client, false)
+			sh.desk.BodyReceived(handle, txn.timeout)
+		case answer := <-handle.Answer:
+			writer.close()
+			if client != nil && client.listener.closing.Load() || !txn.upload.done() {
 				w.Header()["Connection"] = []string{"close"}
 			}
-			f.write(w, a, replies, r.Method)
+			front.writeAnswer(w, answer, replies, req.Method)
 			return false
-		case <-r.Context().Done():
-			p.desk.ClientGone(c)
-			out.close()
+		case <-req.Context().Done():
+			sh.desk.ClientGone(handle)
+			writer.close()
 			// Danger: a handler that ends without a word answers 200, and a client that has only stopped sending
 			// would take that for settled.
-			f.say(w, http.StatusBadGateway, "gone")
+			front.writeText(w, http.StatusBadGateway, "gone")
 			return false
 		}
 	}
 }
 
-// turn defers a transaction that the module has not heard of.
-func (f *Front) turn(w http.ResponseWriter, p *shard, q *transaction) {
-	p.desk.CountDeferred(q.arrival())
+// deferEarly defers a transaction that the module has not heard of.
+func (front *FrontEnd) deferEarly(w http.ResponseWriter, sh *shard, txn *transaction) {
+	sh.desk.CountDeferred(txn.arrival())
 	w.Header()["Connection"] = []string{"close"} // Danger: its body may be on its way yet
-	f.defers(w, time.Duration(q.book.Terms.Backoff(q.book.Terms.Tariffs[q.tariff])))
+	front.writeDeferral(w, time.Duration(txn.settings.Terms.Backoff(txn.settings.Terms.Tariffs[txn.tariff])))
 }
 
-// route finds the pool of a message, which it is counted into, and the tariff if its route says one. What no route
+// findPool finds the pool of a message, which it is counted into, and the tariff if its route says one. What no route
 // takes is nobody's transaction.
-func (f *Front) route(r *http.Request, client *counted) (p *Pool, tariff string, no *fault) {
+func (front *FrontEnd) findPool(req *http.Request, client *trackedConn) (pool *Pool, tariff string, reqErr *requestError) {
 	// Danger: the server drops a length that comes beside a transfer coding, and what one side takes for the body
 	// holds a message of its own for the other; in HTTP/1.0 it drops the coding, unseen from here.
-	if len(r.TransferEncoding) > 0 && (client == nil || !client.head.plain()) {
-		return nil, "", &fault{http.StatusLengthRequired, "a body comes with its length or a transfer coding, not with both"}
+	if len(req.TransferEncoding) > 0 && (client == nil || !client.head.withoutLength()) {
+		return nil, "", &requestError{http.StatusLengthRequired, "a body comes with its length or a transfer coding, not with both"}
 	}
-	if !r.ProtoAtLeast(1, 1) {
-		return nil, "", bad("not HTTP/1.1")
+	if !req.ProtoAtLeast(1, 1) {
+		return nil, "", badRequest("not HTTP/1.1")
 	}
 	// Danger: a tunnel's target is no path, and what an upstream makes of "CONNECT /" is its own affair.
-	if r.Method == http.MethodConnect {
-		return nil, "", &fault{http.StatusNotImplemented, "a balancer is no tunnel"}
+	if req.Method == http.MethodConnect {
+		return nil, "", &requestError{http.StatusNotImplemented, "a balancer is no tunnel"}
 	}
-	q := routes.Query{Method: r.Method}
+	query := routes.Query{Method: req.Method}
 	for {
-		board := f.board.Load()
-		if board.Only != nil {
-			p = board.Only
+		routing := front.routing.Load()
+		if routing.SinglePool != nil {
+			pool = routing.SinglePool
 		} else {
-			if q.Header == nil {
-				if q, no = query(r, client); no != nil {
-					return nil, "", no
+			if query.Header == nil {
+				if query, reqErr = routeQuery(req, client); reqErr != nil {
+					return nil, "", reqErr
 				}
 			}
 			found := (*routes.Route)(nil)
-			if board.Table != nil {
-				found = board.Table.Find(&q)
+			if routing.Table != nil {
+				found = routing.Table.Find(&query)
 			}
 			if found == nil {
-				return nil, "", &fault{http.StatusNotFound, "no route takes this host and path"}
+				return nil, "", &requestError{http.StatusNotFound, "no route takes this host and path"}
 			}
-			p, tariff = board.Pools[found.Pool], found.Tariff
+			pool, tariff = routing.Pools[found.Pool], found.Tariff
 		}
-		if p.enter() {
-			return p, tariff, nil
+		if pool.addTransaction() {
+			return pool, tariff, nil
 		} // Danger: it was retired since the board was read; there is a new one, or will be in a moment
-		if f.board.Load() == board {
-			return nil, "", &fault{http.StatusNotFound, "no route takes this host and path"}
+		if front.routing.Load() == routing {
+			return nil, "", &requestError{http.StatusNotFound, "no route takes this host and path"}
 		}
 	}
 }
 
-// query is what a message says to the route table. Its path goes on as it was routed. Danger: an upstream that reads it
+// routeQuery is what a message says to the route table. Its path goes on as it was routed. Danger: an upstream that reads it
 // in another way would let through what a route of ours guards.
-func query(r *http.Request, client *counted) (q routes.Query, no *fault) {
+func routeQuery(req *http.Request, client *trackedConn) (query routes.Query, reqErr *requestError) {
 	var ok bool
-	q.Method, q.Header = r.Method, func(name string) (string, bool) {
-		if v := r.Header[name]; len(v) == 1 {
+	query.Method, query.Header = req.Method, func(name string) (string, bool) {
+		if v := req.Header[name]; len(v) == 1 {
 			return v[0], true
 		}
 		return "", false // Danger: of two values one side may read the first and the other the last
 	}
 	if client != nil {
-		q.Listener = client.listener.name()
+		query.Listener = client.listener.name()
 	}
-	if q.Host, ok = routes.Host(r.Host); !ok {
-		return q, bad("the host makes no sense")
+	if query.Host, ok = routes.Host(req.Host); !ok {
+		return query, badRequest("the host makes no sense")
 	}
-	sent := r.URL.EscapedPath()
-	if q.Path, ok = routes.Path(sent); !ok {
-		return q, bad("the path makes no sense")
+	sent := req.URL.EscapedPath()
+	if query.Path, ok = routes.Path(sent); !ok {
+		return query, badRequest("the path makes no sense")
 	}
-	if q.Path != sent {
-		plain, err := url.PathUnescape(q.Path)
+	if query.Path != sent {
+		plain, err := url.PathUnescape(query.Path)
 		if err != nil {
-			return q, bad("the path makes no sense")
+			return query, badRequest("the path makes no sense")
 		}
-		r.URL.Path, r.URL.RawPath = plain, q.Path
+		req.URL.Path, req.URL.RawPath = plain, query.Path
 	}
-	return q, nil
+	return query, nil
 }
 
 // reject answers what is no transaction.
-func (f *Front) reject(w http.ResponseWriter, no *fault) {
+func (front *FrontEnd) reject(w http.ResponseWriter, reqErr *requestError) {
 	w.Header()["Connection"] = []string{"close"} // Danger: a body may be on its way that nobody waits for
-	f.say(w, no.status, no.text)
+	front.writeText(w, reqErr.status, reqErr.text)
 }
 
 // health says whether there is a list of upstreams: of any pool, or of the one that ?pool= names.
-func (f *Front) health(w http.ResponseWriter, r *http.Request) {
-	board := f.board.Load()
-	stands := board.stands()
-	if name := r.URL.Query().Get("pool"); board.Only == nil && name != "" {
-		p := board.Pools[name]
-		stands = p != nil && p.stands.Load()
+func (front *FrontEnd) health(w http.ResponseWriter, req *http.Request) {
+	routing := front.routing.Load()
+	hasList := routing.hasList()
+	if name := req.URL.Query().Get("pool"); routing.SinglePool == nil && name != "" {
+		pool := routing.Pools[name]
+		hasList = pool != nil && pool.hasList.Load()
 	}
-	if takes := f.presence.takes(); !stands || !takes {
-		if !takes { // Danger: kept, it would be held open by a balancer that is to hold none
+	if accepts := front.availability.acceptsClients(); !hasList || !accepts {
+		if !accepts { // Danger: kept, it would be held open by a balancer that is to hold none
 			w.Header()["Connection"] = []string{"close"}
 		}
-		f.say(w, http.StatusServiceUnavailable, "no list of upstreams, leaving or stopping")
+		front.writeText(w, http.StatusServiceUnavailable, "no list of upstreams, leaving or stopping")
 		return
 	}
-	if f.presence.parts(time.Now()) {
+	if front.availability.closesConnections(time.Now()) {
 		w.Header()["Connection"] = []string{"close"}
 	}
 	w.WriteHeader(http.StatusOK)
--- a/internal/httpwire/share.go
+++ b/internal/httpwire/share.go
@@ -9,213 +9,213 @@
 	"ottershift/internal/shares"
 )
 
-// common is what the pools of a process have in common, under one lock. What each may have shares decides.
-type common struct {
-	mu     sync.Mutex
-	epoch  time.Time
-	free   bool // one pool alone, without limits of its own: it may have all, and sockets bound it
-	open   *shares.Dealer
-	out    *shares.Dealer
-	bodies *shares.Dealer
-	parts  map[*part]struct{}
-}
-
-const mostRest = 50 * time.Millisecond // of a connection whose transaction was deferred at the edge
-
-// part is a pool's.
-type part struct {
-	common  *common
-	open    *shares.Account
-	out     *shares.Account
-	bodies  *shares.Account
-	pace    shares.Pace
-	weight  atomic.Int64 // transactions guaranteed
-	clients int          // connections whose last transaction came to this pool; under the lock of sockets
-}
-
-func newCommon() *common {
-	c := &common{epoch: time.Now(), parts: map[*part]struct{}{}}
-	c.open, c.out, c.bodies = shares.New(0, 0, 0), shares.New(0, 0, 0), shares.New(0, 0, 0)
+// sharedLimits is what the pools of a process have in common, under one lock. What each may have shares decides.
+type sharedLimits struct {
+	mu           sync.Mutex
+	epoch        time.Time
+	unlimited    bool // one pool alone, without limits of its own: it may have all, and sockets bound it
+	transactions *shares.Dealer
+	connections  *shares.Dealer
+	bodies       *shares.Dealer
+	pools        map[*poolLimits]struct{}
+}
+
+const maxRefusalDelay = 50 * time.Millisecond // of a connection whose transaction was deferred at the edge
+
+// poolLimits is a pool's.
+type poolLimits struct {
+	shared       *sharedLimits
+	transactions *shares.Account
+	connections  *shares.Account
+	bodies       *shares.Account
+	refusalPace  shares.Pace
+	guaranteed   atomic.Int64 // transactions guaranteed
+	clientConns  int          // connections whose last transaction came to this pool; under the lock of sockets
+}
+
+func newSharedLimits() *sharedLimits {
+	c := &sharedLimits{epoch: time.Now(), pools: map[*poolLimits]struct{}{}}
+	c.transactions, c.connections, c.bodies = shares.New(0, 0, 0), shares.New(0, 0, 0), shares.New(0, 0, 0)
 	return c
 }
 
-func (c *common) now() int64 { return int64(time.Since(c.epoch)) }
+func (shared *sharedLimits) now() int64 { return int64(time.Since(shared.epoch)) }
 
-// enter opens a pool's part, which holds nothing yet.
-func (c *common) enter() *part {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	p := &part{common: c, open: c.open.Open(), out: c.out.Open(), bodies: c.bodies.Open()}
-	c.parts[p] = struct{}{}
+// addPool opens a pool's part, which holds nothing yet.
+func (shared *sharedLimits) addPool() *poolLimits {
+	shared.mu.Lock()
+	defer shared.mu.Unlock()
+	p := &poolLimits{shared: shared, transactions: shared.transactions.Open(), connections: shared.connections.Open(), bodies: shared.bodies.Open()}
+	shared.pools[p] = struct{}{}
 	return p
 }
 
-// exit closes a part that holds nothing any more.
-func (c *common) exit(p *part) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	delete(c.parts, p)
-	c.open.Close(p.open)
-	c.out.Close(p.out)
-	c.bodies.Close(p.bodies)
+// removePool closes a part that holds nothing any more.
+func (shared *sharedLimits) removePool(p *poolLimits) {
+	shared.mu.Lock()
+	defer shared.mu.Unlock()
+	delete(shared.pools, p)
+	shared.transactions.Close(p.transactions)
+	shared.connections.Close(p.connections)
+	shared.bodies.Close(p.bodies)
 }
 
 // Share is what a pool is to have.
 type Share struct {
-	Part                      float64 // of what is common, guaranteed; below zero for an even part of what others leave
+	Guarantee                 float64 // of what is common, guaranteed; below zero for an even part of what others leave
 	Open, Connections, Bodies int64   // at most; 0 for all there is
 }
 
-// alone lets the one pool there is have all; bodies are bytes in hand.
-func (c *common) alone(bodies int64) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.free = true
-	c.bodies.Resize(bodies)
-	for p := range c.parts {
-		c.bodies.Set(p.bodies, bodies, bodies)
+// setUnlimited lets the one pool there is have all; bodies are bytes in hand.
+func (shared *sharedLimits) setUnlimited(bodies int64) {
+	shared.mu.Lock()
+	defer shared.mu.Unlock()
+	shared.unlimited = true
+	shared.bodies.Resize(bodies)
+	for p := range shared.pools {
+		shared.bodies.Set(p.bodies, bodies, bodies)
 	}
 }
 
-// deal sets what all pools have from now on. A part that isn't named gives its place up as it empties.
-func (c *common) deal(limit int64, bodies int64, within time.Duration, refusals float64, to map[*part]Share) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+// distribute sets what all pools have from now on. A part that isn't named gives its place up as it empties.
+func (shared *sharedLimits) distribute(limit int64, bodies int64, within time.Duration, refusals float64, shareOf map[*poolLimits]Share) {
+	shared.mu.Lock()
+	defer shared.mu.Unlock()
 	clients := limit * 3 / 5 // as many as sockets lets them hold before one makes room for another
-	spare := limit - reserveOf(limit) - clients
-	c.free = false
-	var parts []*part
-	var said []float64
-	for p := range c.parts {
-		if _, named := to[p]; !named {
-			c.open.Set(p.open, 0, 0)
-			c.out.Set(p.out, 0, math.MaxInt64) // what it has taken it may still push
-			c.bodies.Set(p.bodies, 0, math.MaxInt64)
+	spare := limit - descriptorReserve(limit) - clients
+	shared.unlimited = false
+	var parts []*poolLimits
+	var fractions []float64
+	for p := range shared.pools {
+		if _, named := shareOf[p]; !named {
+			shared.transactions.Set(p.transactions, 0, 0)
+			shared.connections.Set(p.connections, 0, math.MaxInt64) // what it has taken it may still push
+			shared.bodies.Set(p.bodies, 0, math.MaxInt64)
 			continue
 		}
-		parts, said = append(parts, p), append(said, to[p].Part)
+		parts, fractions = append(parts, p), append(fractions, shareOf[p].Guarantee)
 	}
-	c.open.Resize(clients)
-	c.bodies.Resize(bodies)
-	for _, d := range []*shares.Dealer{c.open, c.out, c.bodies} {
+	shared.transactions.Resize(clients)
+	shared.bodies.Resize(bodies)
+	for _, d := range []*shares.Dealer{shared.transactions, shared.connections, shared.bodies} {
 		d.Within(int64(within))
 	}
-	open, out, held := shares.Split(clients, said), shares.Split(spare, said), shares.Split(bodies, said)
-	rates := shares.Split(int64(refusals), said)
+	open, out, held := shares.Split(clients, fractions), shares.Split(spare, fractions), shares.Split(bodies, fractions)
+	rates := shares.Split(int64(refusals), fractions)
 	for i, p := range parts {
-		s := to[p]
-		set(c.open, p.open, open[i], s.Open)
-		p.weight.Store(p.open.Guarantee())
-		set(c.out, p.out, out[i], s.Connections)
-		set(c.bodies, p.bodies, held[i], s.Bodies)
-		p.pace = shares.NewPace(float64(rates[i]), int64(mostRest))
+		share := shareOf[p]
+		setShare(shared.transactions, p.transactions, open[i], share.Open)
+		p.guaranteed.Store(p.transactions.Guarantee())
+		setShare(shared.connections, p.connections, out[i], share.Connections)
+		setShare(shared.bodies, p.bodies, held[i], share.Bodies)
+		p.refusalPace = shares.NewPace(float64(rates[i]), int64(maxRefusalDelay))
 	}
 }
 
-func set(d *shares.Dealer, a *shares.Account, guarantee, most int64) {
+func setShare(dealer *shares.Dealer, account *shares.Account, guarantee, most int64) {
 	if most <= 0 {
 		most = math.MaxInt64
 	}
-	d.Set(a, min(guarantee, most), most)
+	dealer.Set(account, min(guarantee, most), most)
 }
 
-// take is asked for each transaction before its body is read; rest is what a connection that is refused has to rest.
-func (p *part) take(left time.Duration) (ok bool, rest time.Duration) {
-	c := p.common
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	now := c.now()
-	if c.free {
-		c.open.Force(p.open, 1)
+// admit is asked for each transaction before its body is read; rest is what a connection that is refused has to rest.
+func (limits *poolLimits) admit(timeout time.Duration) (ok bool, delay time.Duration) {
+	shared := limits.shared
+	shared.mu.Lock()
+	defer shared.mu.Unlock()
+	now := shared.now()
+	if shared.unlimited {
+		shared.transactions.Force(limits.transactions, 1)
 		return true, 0
 	}
-	if c.open.Take(p.open, 1, now+int64(left), now) {
+	if shared.transactions.Take(limits.transactions, 1, now+int64(timeout), now) {
 		return true, 0
 	}
-	return false, time.Duration(p.pace.Rest(now))
+	return false, time.Duration(limits.refusalPace.Rest(now))
 }
 
-// inHand is what a transaction holds of its pool's part, until end.
-type inHand struct {
-	part  *part
-	left  time.Duration
-	open  bool
-	bytes int64 // of bodies
-	over  bool  // all under the lock of common
+// reservation is what a transaction holds of its pool's part, until end.
+type reservation struct {
+	limits   *poolLimits
+	timeout  time.Duration
+	admitted bool
+	bytes    int64 // of bodies
+	released bool  // all under the lock of common
 }
 
-// more takes room for so many bytes more of a request, of which all is to be no more than a part of what there is.
+// reserve takes room for so many bytes more of a request, of which all is to be no more than a part of what there is.
 // Danger: a few long ones would take up all of it, and short ones, which are held for certain, would be turned away.
-func (h *inHand) more(bytes, all int64) bool {
-	c := h.part.common
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	now := c.now()
-	if all > mostBody+1 && max(all*mostHeld, (c.bodies.Used()+bytes)*2) > c.bodies.Capacity() || !c.bodies.Take(h.part.bodies, bytes, now+int64(h.left), now) {
+func (res *reservation) reserve(bytes, all int64) bool {
+	shared := res.limits.shared
+	shared.mu.Lock()
+	defer shared.mu.Unlock()
+	now := shared.now()
+	if all > maxReservedBody+1 && max(all*maxBodyShare, (shared.bodies.Used()+bytes)*2) > shared.bodies.Capacity() || !shared.bodies.Take(res.limits.bodies, bytes, now+int64(res.timeout), now) {
 		return false
 	}
-	h.bytes += bytes
+	res.bytes += bytes
 	return true
 }
 
-// grow counts what an answer brought. Danger: thrown away for want of room, it would be a forfeit of what has run.
-func (h *inHand) grow(bytes int64) {
-	h.part.common.mu.Lock()
-	defer h.part.common.mu.Unlock()
-	if !h.over { // else nobody keeps it
-		h.bytes += bytes
-		h.part.common.bodies.Force(h.part.bodies, bytes)
+// force counts what an answer brought. Danger: thrown away for want of room, it would be a forfeit of what has run.
+func (res *reservation) force(bytes int64) {
+	res.limits.shared.mu.Lock()
+	defer res.limits.shared.mu.Unlock()
+	if !res.released { // else nobody keeps it
+		res.bytes += bytes
+		res.limits.shared.bodies.Force(res.limits.bodies, bytes)
 	}
 }
 
-// end gives all of it back.
-func (h *inHand) end() {
-	h.part.common.mu.Lock()
-	defer h.part.common.mu.Unlock()
-	h.over = true
-	if h.open {
-		h.part.common.open.Give(h.part.open, 1)
+// release gives all of it back.
+func (res *reservation) release() {
+	res.limits.shared.mu.Lock()
+	defer res.limits.shared.mu.Unlock()
+	res.released = true
+	if res.admitted {
+		res.limits.shared.transactions.Give(res.limits.transactions, 1)
 	}
-	h.part.common.bodies.Give(h.part.bodies, h.bytes)
+	res.limits.shared.bodies.Give(res.limits.bodies, res.bytes)
 }
 
-// dial is asked for each connection to an upstream; room is what the descriptors leave for all of them. short tells
+// reserveConn is asked for each connection to an upstream; room is what the descriptors leave for all of them. short tells
 // those that hold more than is guaranteed to them, who are to close what lies idle.
-func (p *part) dial(room int64, until time.Time) (ok bool, short []*part) {
-	c := p.common
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.free {
-		c.out.Force(p.out, 1)
+func (limits *poolLimits) reserveConn(room int64, deadline time.Time) (ok bool, over []*poolLimits) {
+	shared := limits.shared
+	shared.mu.Lock()
+	defer shared.mu.Unlock()
+	if shared.unlimited {
+		shared.connections.Force(limits.connections, 1)
 		return true, nil
 	}
-	now := c.now()
-	c.out.Resize(room)
-	if c.out.Take(p.out, 1, now+int64(time.Until(until)), now) {
+	now := shared.now()
+	shared.connections.Resize(room)
+	if shared.connections.Take(limits.connections, 1, now+int64(time.Until(deadline)), now) {
 		return true, nil
 	}
-	short = append(short, p)
-	for o := range c.parts {
-		if o != p && o.out.Over() {
-			short = append(short, o)
+	over = append(over, limits)
+	for o := range shared.pools {
+		if o != limits && o.connections.Over() {
+			over = append(over, o)
 		}
 	}
-	return false, short
+	return false, over
 }
 
-// hangUp takes a connection to an upstream back.
-func (p *part) hangUp() {
-	p.common.mu.Lock()
-	p.common.out.Give(p.out, 1)
-	p.common.mu.Unlock()
+// releaseConn takes a connection to an upstream back.
+func (limits *poolLimits) releaseConn() {
+	limits.shared.mu.Lock()
+	limits.shared.connections.Give(limits.connections, 1)
+	limits.shared.mu.Unlock()
 }
 
-// holds tells what a pool has now, and what it was refused since the last call.
-func (p *part) holds() (open, out, bodies, owed int64) {
-	p.common.mu.Lock()
-	defer p.common.mu.Unlock()
-	_, a := p.open.Refused()
-	_, b := p.out.Refused()
-	_, c := p.bodies.Refused()
-	return p.open.Used(), p.out.Used(), p.bodies.Used(), a + b + c
+// usage tells what a pool has now, and what it was refused since the last call.
+func (limits *poolLimits) usage() (open, out, bodies, refused int64) {
+	limits.shared.mu.Lock()
+	defer limits.shared.mu.Unlock()
+	_, a := limits.transactions.Refused()
+	_, b := limits.connections.Refused()
+	_, c := limits.bodies.Refused()
+	return limits.transactions.Used(), limits.connections.Used(), limits.bodies.Used(), a + b + c
 }
--- a/internal/httpwire/smuggle_test.go
+++ b/internal/httpwire/smuggle_test.go
@@ -15,15 +15,15 @@
 	"ottershift/logic"
 )
 
-// strict is an upstream that counts the messages that reach it, and those that it can't read.
-func strict(t testing.TB) (l net.Listener, read, odd, hidden *atomic.Int64) {
+// strictUpstream is an upstream that counts the messages that reach it, and those that it can't read.
+func strictUpstream(t testing.TB) (l net.Listener, read, odd, hidden *atomic.Int64) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
 	read, odd, hidden = &atomic.Int64{}, &atomic.Int64{}, &atomic.Int64{}
-	go byHand(l, func(c net.Conn, in *bufio.Reader) bool {
+	go serveManually(l, func(c net.Conn, in *bufio.Reader) bool {
 		r, err := http.ReadRequest(in)
 		if err == nil {
 			_, err = io.Copy(io.Discard, r.Body)
@@ -44,9 +44,9 @@
 	return l, read, odd, hidden
 }
 
-// FuzzHidden: whatever bytes a client sends, the upstream reads as many messages as the client is told that were settled,
+// FuzzRequestSmuggling: whatever bytes a client sends, the upstream reads as many messages as the client is told that were settled,
 // each of them an own one of the client's. Danger: where two sides end a message differently, the rest is another.
-func FuzzHidden(f *testing.F) {
+func FuzzRequestSmuggling(f *testing.F) {
 	const head = "POST /view HTTP/1.1\r\nHost: a\r\nX-Txn: %d\r\n"
 	const inner = "GET /view HTTP/1.1\r\nHost: a\r\nX-Txn: hidden\r\n\r\n"
 	for n, more := range []string{
@@ -66,8 +66,8 @@
 		f.Add(fmt.Sprintf(head, n) + more)
 		f.Add(fmt.Sprintf(head, n) + "Content-Length: 0\r\n\r\n" + fmt.Sprintf(head, 100+n) + more)
 	}
-	door, pool := front(f)
-	l, read, odd, hidden := strict(f)
+	door, pool := newTestFrontEnd(f)
+	l, read, odd, hidden := strictUpstream(f)
 	pool.desk.List([]roster.Entry[string]{{Name: "u", Zone: "a", Address: l.Addr().String(), Up: logic.Upstream{Weight: 1}}}, true)
 	in, err := door.Listen("main", "127.0.0.1:0")
 	if err != nil {
--- a/internal/process/cluster.go
+++ b/internal/process/cluster.go
@@ -197,16 +197,16 @@
 
 func (s *Process) recountPool(p *pool) {
 	b, names, own := s.among(p.told)
-	was := p.Book().Terms
+	was := p.Settings().Terms
 	if slices.Equal(names, p.among) && was.Balancers == b.Terms.Balancers && was.Index == b.Terms.Index {
 		return
 	}
-	if err := p.Retune(b); err != nil {
+	if err := p.Reconfigure(b); err != nil {
 		s.own.Error("cluster", "step", "counted", "pool", p.Name, "fault", err) // a fault of ours: it was checked
 		return
 	}
 	p.among = names
-	p.Speak(s.fleet.Follow(p.Name, names, own, p.Shards(), p.Pool))
+	p.SetReportSender(s.fleet.Follow(p.Name, names, own, p.Shards(), p.Pool))
 	s.own.Info("cluster", "step", "counted", "pool", p.Name, "balancers", b.Terms.Balancers, "members", len(names), "index", own)
 }
 
--- a/internal/process/cluster_test.go
+++ b/internal/process/cluster_test.go
@@ -72,7 +72,7 @@
 	balancers := func(s *Process) (n, index int) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		m := s.pools["p"].Book().Terms
+		m := s.pools["p"].Settings().Terms
 		return m.Balancers, m.Index
 	}
 	pool := a.pools["p"].Pool
--- a/internal/process/ledger.go
+++ b/internal/process/ledger.go
@@ -19,9 +19,9 @@
 		return
 	}
 	if l := s.fleet.Ledger(); l != nil {
-		s.front.Claim(&claims{l, s.fleet.Settings()})
+		s.front.SetOwnershipRegistry(&claims{l, s.fleet.Settings()})
 	} else {
-		s.front.Claim(nil)
+		s.front.SetOwnershipRegistry(nil)
 	}
 }
 
@@ -32,18 +32,18 @@
 }
 
 // Begin implements httpwire.Claims.
-func (x *claims) Begin(q httpwire.Claimed) httpwire.Claim {
-	f := q.Kind
+func (x *claims) Begin(q httpwire.OwnershipRequest) httpwire.Ownership {
+	f := q.Settings
 	a := ledger.Ask{
-		Pool: q.Pool, Customer: q.Customer, Tariff: q.Tariff, Tag: q.Tag, ID: q.ID, Once: f.Idempotency == logic.NonIdempotent, Contract: time.Duration(f.ContractTime),
-		Body: q.Body, Again: q.Again, Binds: f.Idempotency == logic.Keyed && f.DedupScope != logic.Everywhere,
+		Pool: q.Pool, Customer: q.Customer, Tariff: q.Tariff, Tag: q.IdempotencyKey, ID: q.ID, Once: f.Idempotency == logic.NonIdempotent, Contract: time.Duration(f.ContractTime),
+		Body: q.BodyHash, Again: q.ClientRetry, Binds: f.Idempotency == logic.Keyed && f.DedupScope != logic.Everywhere,
 	}
 	window := time.Duration(f.DedupWindow)
 	if a.Once {
 		window = max(window, x.s.Ledger.OnceFor)
 	}
 	a.Keep = x.s.Kept(window, time.Duration(f.HardStop))
-	return &held{x.l.Begin(a, q.Left), f}
+	return &held{x.l.Begin(a, q.Timeout), f}
 }
 
 // held is one transaction's claim.
@@ -52,21 +52,21 @@
 	f *logic.Tariff
 }
 
-// Open implements httpwire.Claim, as do the methods below.
-func (h *held) Open(ctx context.Context) (*desk.Location, httpwire.Fate) {
+// Check implements httpwire.Claim, as do the methods below.
+func (h *held) Check(ctx context.Context) (*desk.Location, httpwire.Admission) {
 	w := h.Claim.Open(ctx)
 	switch w.Fate {
 	case ledger.Go:
 		if w.Bound {
-			return h.bound(w.Group), httpwire.Goes
+			return h.bound(w.Group), httpwire.Admit
 		}
-		return nil, httpwire.Goes
+		return nil, httpwire.Admit
 	case ledger.Forfeit:
-		return nil, httpwire.Forfeits
+		return nil, httpwire.Forfeit
 	case ledger.Refuse:
-		return nil, httpwire.Refuses
+		return nil, httpwire.Refuse
 	}
-	return nil, httpwire.Defers
+	return nil, httpwire.Defer
 }
 
 // group names the upstreams that know a transaction's repeats, "" where that binds nothing.
@@ -89,12 +89,12 @@
 	return &desk.Location{Zone: group[:i], Cell: cell}
 }
 
-func (h *held) Take(ctx context.Context, to *desk.Attempt, moves bool) error {
+func (h *held) Acquire(ctx context.Context, to *desk.Attempt, moves bool) error {
 	return h.Claim.Take(ctx, h.group(to.Zone, to.Cell), ledger.Clip(to.Name), moves)
 }
 
-func (h *held) End(how httpwire.End) {
-	h.Claim.End(map[httpwire.End]byte{
+func (h *held) Release(how httpwire.Completion) {
+	h.Claim.End(map[httpwire.Completion]byte{
 		httpwire.NeverRan: ledger.EndNever, httpwire.Answered: ledger.EndAnswered, httpwire.MayHaveRun: ledger.EndUnknown,
 	}[how])
 }
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -41,10 +41,10 @@
 	seed     uint64
 	counts   figures.Process
 	ops      *ops.Server
-	seat     *relay.Seat // among the processes of this balancer, nil where it is replaced by nobody
+	seat     *relay.Slot // among the processes of this balancer, nil where it is replaced by nobody
 	beside   int         // processes that are this balancer, this one included
 	end      context.CancelFunc
-	front    *httpwire.Front
+	front    *httpwire.FrontEnd
 	plan     *plan.Plan
 	ended    chan error
 	fleet    *fleet // nil without [cluster]
@@ -90,7 +90,7 @@
 	s.end = end
 	if slices.ContainsFunc(p.Listeners, func(l plan.Listener) bool { return l.Inherited > 0 }) {
 		var err error
-		if s.seat, err = relay.Take(os.TempDir(), p.Name); err != nil {
+		if s.seat, err = relay.Acquire(os.TempDir(), p.Name); err != nil {
 			s.own.Warn("relay", "step", "alone", "fault", err)
 		} else {
 			s.beside = s.seat.Count()
@@ -127,7 +127,7 @@
 		s.fleet.close()
 	}
 	if s.seat != nil {
-		s.seat.Leave()
+		s.seat.Release()
 	}
 }
 
@@ -139,15 +139,15 @@
 	s.beside = beside
 	s.limit(s.plan)
 	for _, p := range s.pools {
-		p.Beside(beside)
+		p.SetProcesses(beside)
 	}
 	if s.plan.Platform {
-		s.front.Alone(s.plan.Limits.Bodies / int64(beside))
+		s.front.SetUnlimited(s.plan.Limits.Bodies / int64(beside))
 	}
 }
 
 // Health implements ops.Balancer, as do the methods below.
-func (s *Process) Health() error { return s.front.Takes() }
+func (s *Process) Health() error { return s.front.Ready() }
 
 // Figures writes what has become of transactions and pushes so far.
 func (s *Process) Figures(to io.Writer) error {
@@ -255,7 +255,7 @@
 	}
 	now, told := s.pools[p.Pools[0].Name], p.Pools[0]
 	if now.told.Print != told.Print {
-		if err := now.Retune(told.Book); err != nil {
+		if err := now.Reconfigure(told.Book); err != nil {
 			return err
 		}
 		s.own.Info("reload", "step", "terms", "tariffs", len(told.Book.Tariffs), "attempts", told.Book.Terms.MaxAttempts)
@@ -266,7 +266,7 @@
 	p.Limits.Cores = s.plan.Limits.Cores
 	s.plan = p
 	s.limit(s.plan)
-	s.front.Alone(s.plan.Limits.Bodies / int64(s.beside))
+	s.front.SetUnlimited(s.plan.Limits.Bodies / int64(s.beside))
 	return nil
 }
 
@@ -284,7 +284,7 @@
 		}
 		s.limit(s.plan)
 		for _, l := range opened {
-			s.front.Close(l)
+			s.front.CloseListener(l)
 		}
 		for _, n := range made {
 			s.retire(n)
@@ -362,27 +362,27 @@
 	for _, told := range p.Pools {
 		if retuned[told.Name] {
 			book, _, _ := s.among(told)
-			if err := pools[told.Name].Retune(book); err != nil {
+			if err := pools[told.Name].Reconfigure(book); err != nil {
 				s.own.Error("reload", "step", "terms", "pool", told.Name, "fault", err) // a fault of ours: it was checked
 			}
 		}
 	}
-	board := &httpwire.Board{Table: p.Table, Pools: map[string]*httpwire.Pool{}}
+	board := &httpwire.Routing{Table: p.Table, Pools: map[string]*httpwire.Pool{}}
 	parts := map[*httpwire.Pool]httpwire.Share{}
 	for _, told := range p.Pools {
 		n := pools[told.Name]
 		board.Pools[told.Name] = n.Pool
-		parts[n.Pool] = httpwire.Share{Part: told.Share, Open: told.Open, Connections: told.Connections, Bodies: told.Bodies}
+		parts[n.Pool] = httpwire.Share{Guarantee: told.Share, Open: told.Open, Connections: told.Connections, Bodies: told.Bodies}
 		if p.Platform {
-			board.Only = n.Pool
+			board.SinglePool = n.Pool
 		}
 	}
 	if p.Platform {
-		s.front.Alone(p.Limits.Bodies / int64(s.beside))
+		s.front.SetUnlimited(p.Limits.Bodies / int64(s.beside))
 	} else {
-		s.front.Deal(p.Limits.Bodies, p.Limits.Within, p.Limits.Refusals, parts)
+		s.front.SetShares(p.Limits.Bodies, p.Limits.Within, p.Limits.Refusals, parts)
 	}
-	s.front.Show(board)
+	s.front.SetRouting(board)
 	for _, told := range p.Pools {
 		n, kept := pools[told.Name], made[told.Name] == nil
 		if !kept || !same(n.told.List, told.List) {
@@ -393,7 +393,7 @@
 	for _, n := range made {
 		if n.link != nil {
 			n.link.Follow(n.route)
-			n.Speak(n.link)
+			n.SetReportSender(n.link)
 		}
 	}
 	for address, old := range s.links {
@@ -404,7 +404,7 @@
 	s.links = links
 	for name, old := range s.pools {
 		if pools[name] != old {
-			old.Speak(nil) // Danger: its successor speaks under the same number
+			old.SetReportSender(nil) // Danger: its successor speaks under the same number
 			s.retire(old)
 		}
 	}
@@ -430,7 +430,7 @@
 	}
 	for address, old := range s.listeners {
 		if wanted[address] == nil {
-			s.front.Close(old)
+			s.front.CloseListener(old)
 		}
 	}
 	s.pools, s.listeners, s.plan = pools, wanted, p
@@ -457,7 +457,7 @@
 		s.own.Warn("limit", "key", "limits.descriptors", "asked", descriptors, "has", has.Cur)
 		descriptors = int(has.Cur)
 	}
-	s.front.Limit(descriptors/s.beside, p.Limits.Cores)
+	s.front.SetLimits(descriptors/s.beside, p.Limits.Cores)
 	s.level.Set(logs.Level(p.Log.Level))
 }
 
@@ -481,7 +481,7 @@
 	if err != nil {
 		return nil, err
 	}
-	n.Beside(s.beside)
+	n.SetProcesses(s.beside)
 	return &pool{Pool: n, told: told, stop: func() {}, heard: make(chan struct{})}, nil
 }
 
@@ -504,11 +504,11 @@
 		}
 		if l.Shared && s.fleet != nil {
 			from = s.fleet.List(n.Name, n, func(to lists.Sink) lists.Source {
-				return discovery.New(to, n.Log(), l.Discovery, false, discovery.Unknown, n.Book().DialTimeout)
+				return discovery.New(to, n.Log(), l.Discovery, false, discovery.Unknown, n.Settings().DialTimeout)
 			})
 			break
 		}
-		n.watch = discovery.New(n, n.Log(), l.Discovery, n.Book().Terms.FollowList, index, n.Book().DialTimeout)
+		n.watch = discovery.New(n, n.Log(), l.Discovery, n.Settings().Terms.FollowList, index, n.Settings().DialTimeout)
 		from = n.watch
 	case l.File != "":
 		from = &listfile.File{Path: l.File, Every: l.Every, Sink: n, Log: n.Log()}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -15,49 +15,49 @@
 )
 
 const (
-	seats = 8 // processes at once, at most
-	every = 100 * time.Millisecond
+	maxProcesses = 8 // processes at once, at most
+	pollInterval = 100 * time.Millisecond
 )
 
-// Seat is one process's place among those of its balancer.
-type Seat struct {
-	stem string
-	own  int
-	file *os.File
+// Slot is one process's place among those of its balancer.
+type Slot struct {
+	prefix string
+	number int
+	file   *os.File
 }
 
-// Take takes a free place of the balancer of that name, in a folder that its processes share.
-func Take(folder, name string) (*Seat, error) {
-	number := fnv.New64a()
-	number.Write([]byte(name))
-	s := &Seat{stem: filepath.Join(folder, fmt.Sprintf("ottershift-%016x", number.Sum64()))}
-	for s.own = range seats {
-		file, err := os.OpenFile(s.path(s.own), os.O_RDWR|os.O_CREATE, 0o600)
+// Acquire takes a free place of the balancer of that name, in a folder that its processes share.
+func Acquire(folder, name string) (*Slot, error) {
+	hash := fnv.New64a()
+	hash.Write([]byte(name))
+	slot := &Slot{prefix: filepath.Join(folder, fmt.Sprintf("ottershift-%016x", hash.Sum64()))}
+	for slot.number = range maxProcesses {
+		file, err := os.OpenFile(slot.path(slot.number), os.O_RDWR|os.O_CREATE, 0o600)
 		if err != nil {
 			return nil, err
 		}
 		if syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) == nil {
-			s.file = file
-			return s, nil
+			slot.file = file
+			return slot, nil
 		}
 		file.Close()
 	}
 	return nil, errors.New("all places are taken")
 }
 
-func (s *Seat) path(n int) string { return fmt.Sprintf("%s.%d", s.stem, n) }
+func (slot *Slot) path(n int) string { return fmt.Sprintf("%s.%d", slot.prefix, n) }
 
-// Leave gives the place back.
-func (s *Seat) Leave() { s.file.Close() }
+// Release gives the place back.
+func (slot *Slot) Release() { slot.file.Close() }
 
 // Count is how many processes live, this one included.
-func (s *Seat) Count() (n int) {
+func (slot *Slot) Count() (n int) {
 	n = 1
-	for other := range seats {
-		if other == s.own {
+	for other := range maxProcesses {
+		if other == slot.number {
 			continue
 		}
-		file, err := os.Open(s.path(other))
+		file, err := os.Open(slot.path(other))
 		if err != nil {
 			continue // nobody was ever there
 		}
@@ -70,13 +70,13 @@
 }
 
 // Watch tells each change of the count, beginning with the first that isn't one.
-func (s *Seat) Watch(ctx context.Context, change func(n int)) {
-	tick := time.NewTicker(every)
+func (slot *Slot) Watch(ctx context.Context, change func(n int)) {
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
-	for before := 1; ; {
-		if now := s.Count(); now != before {
-			change(now)
-			before = now
+	for last := 1; ; {
+		if count := slot.Count(); count != last {
+			change(count)
+			last = count
 		}
 		select {
 		case <-tick.C:
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -2,28 +2,28 @@
 
 import "testing"
 
-func TestSeats(t *testing.T) {
+func TestSlots(t *testing.T) {
 	folder := t.TempDir()
-	one, err := Take(folder, "n")
+	one, err := Acquire(folder, "n")
 	if err != nil || one.Count() != 1 {
 		t.Fatal(err)
 	}
-	two, err := Take(folder, "n")
+	two, err := Acquire(folder, "n")
 	if err != nil || one.Count() != 2 || two.Count() != 2 {
 		t.Fatal(err, one.Count())
 	}
-	if other, err := Take(folder, "m"); err != nil || other.Count() != 1 { // another balancer's are not ours
+	if other, err := Acquire(folder, "m"); err != nil || other.Count() != 1 { // another balancer's are not ours
 		t.Error(err)
 	}
-	one.Leave()
+	one.Release()
 	if two.Count() != 1 {
 		t.Error("a place that was left counts, though its file is there")
 	}
-	three, _ := Take(folder, "n")
-	if three.own != one.own || two.Count() != 2 {
-		t.Errorf("place %d", three.own)
+	three, _ := Acquire(folder, "n")
+	if three.number != one.number || two.Count() != 2 {
+		t.Errorf("place %d", three.number)
 	}
-	if _, err := Take(folder+"/none", "n"); err == nil {
+	if _, err := Acquire(folder+"/none", "n"); err == nil {
 		t.Error("a folder that isn't there")
 	}
 }
