--- a/internal/httpwire/claims.go
+++ b/internal/httpwire/claims.go
@@ -12,81 +12,86 @@
 	"ottershift/logic"
 )
 
-// OwnershipRegistry know where what must not run twice may go, over all balancers and their runs.
+// OwnershipRegistry decides where a transaction that must not run twice may be sent, across all balancers and
+// their restarts.
 type OwnershipRegistry interface {
 	Begin(q OwnershipRequest) Ownership
 }
 
-// OwnershipRequest is a transaction that must not run twice, or only where its repeats are known.
+// OwnershipRequest describes a transaction that must not run twice, or only where repeats are recognised.
 type OwnershipRequest struct {
 	Pool, Customer, Tariff string
-	IdempotencyKey, ID     string // Idempotency-Key, "" for none; X-Txn
+	IdempotencyKey, ID     string // IdempotencyKey is the Idempotency-Key header, "" for none; ID is X-Txn
 	Settings               *logic.Tariff
 	Timeout                time.Duration
 	ClientRetry            bool
-	BodyHash               uint64 // a sum of it, 0 where it isn't all there
+	BodyHash               uint64 // hash of the body, 0 if the body is incomplete or empty
 }
 
-// Ownership is one of these, while it is in hand.
+// Ownership is the state of one such transaction while it is open.
 type Ownership interface {
-	// Check says what it may do before it is taken, or taken again after Take refused. It may wait. fate is "" for go, to its
-	// group if that is not nil.
-	Check(ctx context.Context) (bound *desk.Location, fate Admission)
-	// Acquire claims it for the group of a push's upstream, which may leave only if there is no error; moves says that no push of it ran.
-	Acquire(ctx context.Context, to *desk.Attempt, moves bool) error
-	Release(how Completion)
+	// Check decides whether the transaction may proceed, before its first Acquire and after each refused one. It
+	// may block. If the admission is Admit and the location is not nil, the transaction is bound to the upstream
+	// group there.
+	Check(ctx context.Context) (prior *desk.Location, admission Admission)
+	// Acquire takes ownership for the group of an attempt's upstream. The attempt may be sent only without an
+	// error. noneRan reports that no earlier attempt has run or is in flight.
+	Acquire(ctx context.Context, to *desk.Attempt, noneRan bool) error
+	// Release records how the transaction ended.
+	Release(completion Completion)
 }
 
-// Admission is what becomes of a transaction before it is taken.
+// Admission is the decision on a transaction before ownership is acquired.
 type Admission uint8
 
 const (
 	Admit Admission = iota
 	Defer
 	Forfeit
-	Refuse // its key stands for another body
+	Refuse // its key was used with another body
 )
 
-// Completion is how a transaction that was claimed ended.
+// Completion is how a transaction with ownership ended.
 type Completion uint8
 
 const (
-	NeverRan Completion = iota // provably
+	NeverRan Completion = iota // certain: no attempt has run
 	Answered
 	MayHaveRun
 )
 
-// SetOwnershipRegistry has what must not run twice claimed from now on; nil ends that. What is in hand keeps what it began with.
-func (front *FrontEnd) SetOwnershipRegistry(c OwnershipRegistry) {
-	if c == nil {
+// SetOwnershipRegistry sets the registry for new transactions; nil disables it. Open transactions keep the
+// registry under which they started.
+func (front *FrontEnd) SetOwnershipRegistry(registry OwnershipRegistry) {
+	if registry == nil {
 		front.ownership.Store(nil)
 		return
 	}
-	front.ownership.Store(&c)
+	front.ownership.Store(&registry)
 }
 
-const maxChecks = 8 // times that a transaction is taken, where its claims are refused again and again
+const maxChecks = 8 // of one transaction, if its ownership is refused each time
 
-// ownershipGuard stands between a transaction's pushes and their leaving. The zero pointer guards nothing.
+// ownershipGuard lets attempts of a transaction be sent only with ownership. A nil guard permits everything.
 type ownershipGuard struct {
 	ownership   Ownership
 	shard       *shard
-	withdrawnCh chan struct{} // a push was refused leave, and the transaction taken back
+	withdrawnCh chan struct{} // receives when an attempt was refused and the transaction withdrawn from the desk
 	started     time.Time
-	timeout     time.Duration // at the begin
+	timeout     time.Duration // at started
 
-	acquireMu    sync.Mutex // held while leave is asked for
+	acquireMu    sync.Mutex // held while ownership is requested
 	mu           sync.Mutex
 	priorAttempt *desk.Location
-	checks       int // that it was opened
-	inFlight     int // pushes that have left and not ended
+	checks       int // calls of Check
+	inFlight     int // attempts that were sent and have not ended
 	mayHaveRun   bool
-	answered     bool // an upstream has answered
-	finished     bool // the transaction has its end
+	answered     bool // an upstream has given the final response
+	finished     bool // the client has its answer or has disconnected
 	released     bool
 }
 
-// newGuard makes one for a transaction, nil for one that may run any number of times.
+// newGuard returns the guard of a transaction, nil if it may run any number of times.
 func (front *FrontEnd) newGuard(sh *shard, txn *transaction) *ownershipGuard {
 	claims := front.ownership.Load()
 	if claims == nil {
@@ -97,21 +102,26 @@
 		return nil
 	}
 	request := OwnershipRequest{
-		Pool: sh.Name, Settings: tariff, IdempotencyKey: txn.header.Get("Idempotency-Key"), ID: txn.id, Timeout: txn.timeout, ClientRetry: txn.clientRetry, Customer: txn.header.Get("X-Org"),
-		Tariff: txn.settings.Name(txn.tariff),
+		Pool: sh.Name, Settings: tariff, IdempotencyKey: txn.header.Get("Idempotency-Key"), ID: txn.id,
+		Timeout: txn.timeout, ClientRetry: txn.clientRetry,
+		Customer: txn.header.Get("X-Org"),
+		Tariff:   txn.settings.Name(txn.tariff),
 	}
 	if txn.upload == nil && len(txn.body) > 0 {
 		request.BodyHash = max(1, xxhash.Sum64(txn.body))
 	}
-	return &ownershipGuard{ownership: (*claims).Begin(request), shard: sh, withdrawnCh: make(chan struct{}, 1), started: time.Now(), timeout: txn.timeout}
+	return &ownershipGuard{
+		ownership: (*claims).Begin(request), shard: sh, withdrawnCh: make(chan struct{}, 1), started: time.Now(),
+		timeout: txn.timeout,
+	}
 }
 
-// admit says whether the transaction may be taken, and answers it if not.
+// admit reports whether the transaction may proceed, and answers the client if not.
 func (guard *ownershipGuard) admit(ctx context.Context, front *FrontEnd, w http.ResponseWriter, txn *transaction) bool {
 	if guard == nil {
 		return true
 	}
-	// Danger: what the ledger has to be asked may take longer than its client waits.
+	// The registry may take longer than the client waits.
 	ctx, stop := context.WithDeadline(ctx, guard.started.Add(guard.timeout))
 	defer stop()
 	prior, admission := guard.ownership.Check(ctx)
@@ -121,7 +131,7 @@
 	}
 	txn.timeout = max(0, guard.timeout-time.Since(guard.started))
 	if admission == Admit && txn.timeout == 0 && guard.timeout > 0 {
-		admission = Defer // nothing of it has left
+		admission = Defer // no attempt has been sent
 	}
 	switch admission {
 	case Defer:
@@ -136,7 +146,7 @@
 	return admission == Admit
 }
 
-// arrival is what the desk is told of a transaction that is guarded.
+// arrival returns the description of the guarded transaction for the desk.
 func (guard *ownershipGuard) arrival(txn *transaction) desk.Arrival {
 	arrival := txn.arrival()
 	if guard != nil {
@@ -145,7 +155,7 @@
 	return arrival
 }
 
-// permit asks leave for a push. Danger: without it nothing of the push may leave.
+// permit acquires ownership for an attempt. Without it, nothing of the attempt may be sent.
 func (guard *ownershipGuard) permit(handle *desk.Handle, attempt *desk.Attempt) bool {
 	if guard == nil {
 		return true
@@ -166,8 +176,10 @@
 		guard.shard.desk.Sent(handle, attempt)
 		return true
 	}
-	// What was called off is the module's own doing; else the transaction is taken back, if nothing of it is out.
-	if err != nil && attempt.Context.Err() == nil && !guard.mayHaveRun && guard.inFlight == 0 && !guard.finished && guard.shard.desk.Withdraw(handle) {
+	// A cancelled attempt was cancelled by the decision engine. Otherwise the transaction is withdrawn, unless an
+	// attempt is in flight or may have run.
+	if err != nil && attempt.Context.Err() == nil && !guard.mayHaveRun && guard.inFlight == 0 && !guard.finished &&
+		guard.shard.desk.Withdraw(handle) {
 		select {
 		case guard.withdrawnCh <- struct{}{}:
 		default:
@@ -176,7 +188,7 @@
 	return false
 }
 
-// attemptEnded takes the outcome of a push that had leave.
+// attemptEnded records the result of a permitted attempt.
 func (guard *ownershipGuard) attemptEnded(result logic.Result) {
 	if guard == nil {
 		return
@@ -189,7 +201,7 @@
 	guard.release()
 }
 
-// finish says that the transaction has its answer, or nobody waits for it.
+// finish records that the client has its answer or no longer waits for it.
 func (guard *ownershipGuard) finish() {
 	if guard == nil {
 		return
@@ -200,7 +212,7 @@
 	guard.release()
 }
 
-// release has the end written down, once it is known.
+// release releases ownership once the completion is known.
 func (guard *ownershipGuard) release() {
 	guard.mu.Lock()
 	completion := MayHaveRun
@@ -218,7 +230,7 @@
 	}
 }
 
-// withdrawn is where a transaction hears that it was taken back.
+// withdrawn returns the channel that receives when the transaction has been withdrawn from the desk.
 func (guard *ownershipGuard) withdrawn() <-chan struct{} {
 	if guard == nil {
 		return nil
--- a/internal/httpwire/claims_test.go
+++ b/internal/httpwire/claims_test.go
@@ -11,36 +11,40 @@
 	"ottershift/internal/desk"
 )
 
-// blockingRegistry is a ledger that is asked for as long as one waits for it.
+// blockingRegistry is a registry whose checks block until their context ends.
 type blockingRegistry struct{ ended []Completion }
 
-func (s *blockingRegistry) Begin(OwnershipRequest) Ownership { return s }
-func (s *blockingRegistry) Check(ctx context.Context) (*desk.Location, Admission) {
+func (registry *blockingRegistry) Begin(OwnershipRequest) Ownership { return registry }
+func (registry *blockingRegistry) Check(ctx context.Context) (*desk.Location, Admission) {
 	<-ctx.Done()
 	return nil, Defer
 }
-func (s *blockingRegistry) Acquire(context.Context, *desk.Attempt, bool) error { return nil }
-func (s *blockingRegistry) Release(how Completion)                             { s.ended = append(s.ended, how) }
+func (registry *blockingRegistry) Acquire(context.Context, *desk.Attempt, bool) error { return nil }
+func (registry *blockingRegistry) Release(how Completion) {
+	registry.ended = append(registry.ended, how)
+}
 
-// Whatever the ledger takes, a transaction has its answer before its hard stop; what may run any number of times never asks it.
+// A transaction must be answered before its hard stop even if the registry does not answer. Transactions that may
+// run any number of times must not ask the registry.
 func TestOwnershipCheckEndsAtTheDeadline(t *testing.T) {
-	f, _ := newTestFrontEnd(t)
-	claims := &blockingRegistry{}
-	f.SetOwnershipRegistry(claims)
-	ask := func(tariff string) (*httptest.ResponseRecorder, time.Duration) {
+	front, _ := newTestFrontEnd(t)
+	registry := &blockingRegistry{}
+	front.SetOwnershipRegistry(registry)
+	send := func(tariff string) (*httptest.ResponseRecorder, time.Duration) {
 		r := httptest.NewRequest(http.MethodPost, "/"+tariff, strings.NewReader("x"))
 		r.Header.Set("X-Txn", "1")
 		r.Header.Set("Idempotency-Key", "k")
 		r.Header.Set("X-Remaining", "0.080")
 		w := httptest.NewRecorder()
-		begun := time.Now()
-		f.ServeHTTP(w, r)
-		return w, time.Since(begun)
+		started := time.Now()
+		front.ServeHTTP(w, r)
+		return w, time.Since(started)
 	}
-	if w, took := ask("load"); w.Code != http.StatusServiceUnavailable || took > 130*time.Millisecond || len(claims.ended) != 1 || claims.ended[0] != NeverRan {
-		t.Errorf("answered %d after %s, ended %v", w.Code, took, claims.ended)
+	if w, took := send("load"); w.Code != http.StatusServiceUnavailable || took > 130*time.Millisecond ||
+		len(registry.ended) != 1 || registry.ended[0] != NeverRan {
+		t.Errorf("answered %d after %s, ended %v", w.Code, took, registry.ended)
 	}
-	if ask("view"); len(claims.ended) != 1 {
-		t.Error("repeatable work asked the ledger")
+	if send("view"); len(registry.ended) != 1 {
+		t.Error("an idempotent transaction asked the ownership registry")
 	}
 }
--- a/internal/httpwire/drain.go
+++ b/internal/httpwire/drain.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	maxDrainWait      = 3 * time.Second        // a longer hard stop isn't waited for
-	finalAnswerTime   = 500 * time.Millisecond // of the 0.7 s more that there are before SIGKILL
-	maxStreamWait     = time.Minute            // that a drain waits for answers that flow
-	drainPollInterval = 10 * time.Millisecond  // between two looks at connections that end
+	maxDrainWait      = 3 * time.Second        // longer hard stops are not waited for
+	finalAnswerTime   = 500 * time.Millisecond // of the remaining 0.7 s before SIGKILL
+	maxStreamWait     = time.Minute            // for streamed responses, during a drain
+	drainPollInterval = 10 * time.Millisecond  // between two checks for connections that can be closed
 )
 
-// Listen opens a listener; Serve takes its clients, and Close ends it.
+// Listen opens a listener. Serve accepts its clients, and CloseListener closes it.
 func (front *FrontEnd) Listen(name, address string) (*Listener, error) {
-	l, err := net.Listen("tcp", address)
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	return front.newListener(name, l), nil
+	return front.newListener(name, listener), nil
 }
 
-// Inherit takes over a listening socket that this process was started with. Danger: others hold it too, so it is never
-// shut down; closing gives back our own descriptor only.
+// Inherit takes over a listening socket that was passed to this process. Other processes hold it too, so it is
+// never shut down: closing it releases only the descriptor of this process.
 func (front *FrontEnd) Inherit(name, address string, descriptor int) (*Listener, error) {
 	if accepting, err := syscall.GetsockoptInt(descriptor, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN); err != nil {
 		return nil, fmt.Errorf("descriptor %d is no socket: %w", descriptor, err)
@@ -37,54 +37,56 @@
 		return nil, fmt.Errorf("descriptor %d does not listen", descriptor)
 	}
 	file := os.NewFile(uintptr(descriptor), "listener")
-	defer file.Close() // the listener has one of its own
-	l, err := net.FileListener(file)
+	defer file.Close() // the listener has a duplicate
+	listener, err := net.FileListener(file)
 	if err != nil {
 		return nil, fmt.Errorf("descriptor %d: %w", descriptor, err)
 	}
-	if at, ok := l.Addr().(*net.TCPAddr); !ok || at.String() != address {
-		l.Close()
-		return nil, fmt.Errorf("descriptor %d listens on %s instead of %s", descriptor, l.Addr(), address)
+	if at, ok := listener.Addr().(*net.TCPAddr); !ok || at.String() != address {
+		listener.Close()
+		return nil, fmt.Errorf("descriptor %d listens on %s instead of %s", descriptor, listener.Addr(), address)
 	}
-	return front.newListener(name, l), nil
+	return front.newListener(name, listener), nil
 }
 
-func (front *FrontEnd) newListener(name string, l net.Listener) *Listener {
-	created := &Listener{Listener: l, sockets: front.conns}
+func (front *FrontEnd) newListener(name string, listener net.Listener) *Listener {
+	created := &Listener{Listener: listener, tracker: front.tracker}
 	created.Rename(name)
 	return created
 }
 
-// Serve answers a listener's clients until it is closed or Drain has ended.
-func (front *FrontEnd) Serve(l *Listener) error {
-	if !front.listeners.add(l) {
-		return l.Listener.Close()
+// Serve serves the clients of a listener until the listener is closed or Drain has ended.
+func (front *FrontEnd) Serve(listener *Listener) error {
+	if !front.listeners.add(listener) {
+		return listener.Listener.Close()
 	}
-	defer front.listeners.remove(l)
+	defer front.listeners.remove(listener)
 	front.accepting.Store(true)
-	if err := front.server.Serve(l); !errors.Is(err, http.ErrServerClosed) && !l.closing.Load() && !l.notAccepting.Load() {
+	if err := front.server.Serve(listener); !errors.Is(err, http.ErrServerClosed) && !listener.closing.Load() &&
+		!listener.notAccepting.Load() {
 		return err
 	}
 	return nil
 }
 
-// CloseListener ends a listener. Its clients' connections end with their answers, those without a transaction now.
-func (front *FrontEnd) CloseListener(l *Listener) {
-	l.closing.Store(true)
-	l.Listener.Close()
-	front.conns.closeIdleOfListener(l)
+// CloseListener closes a listener. Its client connections close after their current response, those without a
+// transaction at once.
+func (front *FrontEnd) CloseListener(listener *Listener) {
+	listener.closing.Store(true)
+	listener.Listener.Close()
+	front.tracker.closeIdleOfListener(listener)
 }
 
-// Drain ends the front. For half of the time that there is it serves as ever, then it closes each connection with its
-// answer, and forfeits what is out shortly before the process would be killed. Danger: clients go on using the
-// connections that they have, and where the other balancers are restarting as well they have no others.
+// Drain shuts the front end down. During the first half of the available time it serves as usual, because clients
+// go on using their connections and have no others while the other balancers restart too. Then it closes each
+// connection with its response, and forfeits open transactions shortly before the process would be killed.
 //
-// Relayed, another process takes clients from the same listeners: they accept no more at once, connections end with
-// their answers, and idle ones near the end.
+// If handedOver is not empty, another process accepts clients of the same listeners. This process then stops
+// accepting at once, connections close with their responses, and idle connections close near the end.
 func (front *FrontEnd) Drain(handedOver ...*Listener) {
 	start := time.Now()
 	longest := time.Duration(0)
-	pools := front.conns.allPools()
+	pools := front.tracker.allPools()
 	for _, pool := range pools {
 		longest = max(longest, pool.maxHardStop())
 	}
@@ -98,12 +100,12 @@
 		l.notAccepting.Store(true)
 		l.Listener.Close()
 	}
-	front.log.Info("drain", "step", "begin", "clients", front.conns.clients.Load(), "relayed", len(handedOver) > 0)
-	for len(handedOver) > 0 && time.Until(end) > time.Second && front.conns.clients.Load() > 0 {
-		time.Sleep(sweepInterval) // Danger: clients go on using what lies idle, until it has ended with an answer
+	front.log.Info("drain", "step", "begin", "clients", front.tracker.clients.Load(), "relayed", len(handedOver) > 0)
+	for len(handedOver) > 0 && time.Until(end) > time.Second && front.tracker.clients.Load() > 0 {
+		time.Sleep(sweepInterval) // clients go on using idle connections until these close with a response
 	}
 	time.Sleep(time.Until(half))
-	front.conns.closeIdleClients(time.Now(), false)
+	front.tracker.closeIdleClients(time.Now(), false)
 
 	ctx, stop := context.WithDeadline(context.Background(), end)
 	defer stop()
@@ -112,7 +114,7 @@
 		for _, pool := range pools {
 			forfeited += pool.forfeitOpen()
 		}
-		// Danger: an answer that flows is cut by our end, and not by that of the process that kills us.
+		// Ongoing streams end when this process exits, not when it is killed.
 		for until := time.Now().Add(maxStreamWait); front.streams.Load() > 0 && time.Now().Before(until); {
 			time.Sleep(sweepInterval)
 		}
@@ -127,14 +129,15 @@
 	front.log.Info("drain", "step", "end", "took", time.Since(start).Round(time.Millisecond))
 }
 
-// endConnections accepts no more and ends each client's connection between two messages. It reports whether all have ended in time.
-// Danger: Shutdown of net/http closes those whose next message has been read in part, and drops it.
+// endConnections stops accepting and closes each client connection between two requests. It reports whether all
+// connections closed in time. Shutdown of net/http is not used because it closes connections on which a request
+// has been read in part, which drops the request.
 func (front *FrontEnd) endConnections(ctx context.Context) (all bool) {
 	front.listeners.close()
 	pause := time.NewTicker(drainPollInterval)
 	defer pause.Stop()
-	for front.conns.clients.Load() > 0 {
-		front.conns.closeIdleClients(time.Now(), true)
+	for front.tracker.clients.Load() > 0 {
+		front.tracker.closeIdleClients(time.Now(), true)
 		select {
 		case <-pause.C:
 		case <-ctx.Done():
@@ -144,16 +147,16 @@
 	return true
 }
 
-// listeners are those that a front serves.
+// listeners holds the listeners that a front end serves.
 type listeners struct {
 	mu      sync.Mutex
 	active  map[*Listener]struct{}
 	closed  bool
-	running sync.WaitGroup // until Serve has returned
+	running sync.WaitGroup // until all calls of Serve have returned
 }
 
-// add reports whether a listener may be served: none is any more once all have been closed.
-func (listeners *listeners) add(one *Listener) bool {
+// add reports whether a listener may be served. After close none may.
+func (listeners *listeners) add(listener *Listener) bool {
 	listeners.mu.Lock()
 	defer listeners.mu.Unlock()
 	if listeners.closed {
@@ -162,25 +165,25 @@
 	if listeners.active == nil {
 		listeners.active = map[*Listener]struct{}{}
 	}
-	listeners.active[one] = struct{}{}
+	listeners.active[listener] = struct{}{}
 	listeners.running.Add(1)
 	return true
 }
 
-func (listeners *listeners) remove(one *Listener) {
+func (listeners *listeners) remove(listener *Listener) {
 	listeners.mu.Lock()
 	defer listeners.mu.Unlock()
-	delete(listeners.active, one)
+	delete(listeners.active, listener)
 	listeners.running.Done()
 }
 
-// close closes all, and returns once what they have accepted is counted.
+// close closes all listeners and returns once all accepted connections are counted.
 func (listeners *listeners) close() {
 	listeners.mu.Lock()
 	listeners.closed = true
-	for one := range listeners.active {
-		one.notAccepting.Store(true)
-		one.Listener.Close()
+	for listener := range listeners.active {
+		listener.notAccepting.Store(true)
+		listener.Listener.Close()
 	}
 	listeners.mu.Unlock()
 	listeners.running.Wait()
--- a/internal/httpwire/drain_test.go
+++ b/internal/httpwire/drain_test.go
@@ -11,61 +11,62 @@
 	"github.com/shoenig/test/must"
 )
 
-// A drain that comes while the head of a message is on its way answers that message, and ends its connection after it.
+// A request whose header is being received when a drain begins must be answered, and its connection closed after
+// it. Shutdown of net/http would drop such a request.
 func TestRequestReadDuringDrainIsAnswered(t *testing.T) {
-	f, _ := newTestFrontEnd(t)
-	l, err := f.Listen("main", "127.0.0.1:0")
+	front, _ := newTestFrontEnd(t)
+	listener, err := front.Listen("main", "127.0.0.1:0")
 	must.NoError(t, err)
 	served := make(chan error, 1)
-	go func() { served <- f.Serve(l) }()
-	client, err := net.Dial("tcp", l.Addr().String())
+	go func() { served <- front.Serve(listener) }()
+	client, err := net.Dial("tcp", listener.Addr().String())
 	must.NoError(t, err)
 	defer client.Close()
 	client.SetDeadline(time.Now().Add(10 * time.Second))
-	in := bufio.NewReader(client)
-	answer := func(what string) *http.Response {
-		r, err := http.ReadResponse(in, nil)
-		must.NoError(t, err, must.Sprint(what))
+	reader := bufio.NewReader(client)
+	readResponse := func(which string) *http.Response {
+		r, err := http.ReadResponse(reader, nil)
+		must.NoError(t, err, must.Sprint(which))
 		io.Copy(io.Discard, r.Body)
 		return r
 	}
 	io.WriteString(client, "GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")
-	must.False(t, answer("before the drain").Close)
+	must.False(t, readResponse("before the drain").Close)
 
-	// A part of a head every 0.1 s: the drain looks between two of them.
+	// One byte of the header every 50 ms, so that the drain checks the connection between two bytes.
 	const head = "GET /_health HTTP/1.1\r\nHost: a\r\n\r\n"
 	drained := make(chan struct{})
-	go func() { defer close(drained); f.Drain() }()
-	for at := range head {
-		io.WriteString(client, head[at:at+1])
+	go func() { defer close(drained); front.Drain() }()
+	for offset := range head {
+		io.WriteString(client, head[offset:offset+1])
 		time.Sleep(50 * time.Millisecond)
 	}
-	must.True(t, answer("what crossed the drain").Close)
+	must.True(t, readResponse("during the drain").Close)
 	<-drained
 	must.NoError(t, <-served)
-	_, err = net.Dial("tcp", l.Addr().String())
+	_, err = net.Dial("tcp", listener.Addr().String())
 	must.Error(t, err)
-	_, err = in.ReadByte()
+	_, err = reader.ReadByte()
 	must.ErrorIs(t, err, io.EOF)
 }
 
-// Connections that lie idle hold no drain up.
+// Idle connections must not delay a drain.
 func TestDrainClosesIdleConnections(t *testing.T) {
-	f, _ := newTestFrontEnd(t)
-	l, err := f.Listen("main", "127.0.0.1:0")
+	front, _ := newTestFrontEnd(t)
+	listener, err := front.Listen("main", "127.0.0.1:0")
 	must.NoError(t, err)
-	go f.Serve(l)
-	client, err := net.Dial("tcp", l.Addr().String())
+	go front.Serve(listener)
+	client, err := net.Dial("tcp", listener.Addr().String())
 	must.NoError(t, err)
 	defer client.Close()
 	io.WriteString(client, "GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")
-	in := bufio.NewReader(client)
-	r, err := http.ReadResponse(in, nil)
+	reader := bufio.NewReader(client)
+	r, err := http.ReadResponse(reader, nil)
 	must.NoError(t, err)
 	io.Copy(io.Discard, r.Body)
-	began := time.Now()
-	f.Drain()
-	must.Less(t, time.Second, time.Since(began))
-	_, err = in.ReadByte()
+	started := time.Now()
+	front.Drain()
+	must.Less(t, time.Second, time.Since(started))
+	_, err = reader.ReadByte()
 	must.ErrorIs(t, err, io.EOF)
 }
--- a/internal/httpwire/flow.go
+++ b/internal/httpwire/flow.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	streamChunk  = 16 << 10              // of an answer that flows
-	streamBuffer = 32 << 10              // of it that is read and not written yet, at most
-	bufferTime   = 50 * time.Millisecond // from its head on; an answer of no stated length that takes longer flows
-	stallTimeout = 15 * time.Second      // that either side of an answer may stand still
+	streamChunk  = 16 << 10              // bytes read or written at a time
+	streamBuffer = 32 << 10              // maximum number of bytes that are read and not yet written
+	bufferTime   = 50 * time.Millisecond // after the header; a response of unknown length that takes longer is streamed
+	stallTimeout = 15 * time.Second      // maximum pause of the client or the upstream during a response
 )
 
-// stream is an answer on its way from its upstream to its client. Its push reads it, and holds it until it is whole, too
-// long, or too long in coming; then it is the client's, and what has been read waits for the client.
+// stream is a response on its way from its upstream to the client. Its attempt reads and buffers it until it is
+// complete, too long or too slow. In the latter two cases it is streamed: buffered bytes then wait for the client.
 type stream struct {
 	mu        sync.Mutex
 	changed   *sync.Cond
 	buffered  []byte
-	started   bool // it is the client's
-	readDone  bool // all has been read that will be
-	truncated bool // and that was not all of it
-	abandoned bool // nobody writes it any more
-	delivered bool // its client has all of it
+	started   bool // the response is streamed to the client
+	readDone  bool // nothing more will be read
+	truncated bool // the response ended early
+	abandoned bool // nothing more is written to the client
+	delivered bool // the client has the whole response
 }
 
 func newStream() *stream {
@@ -35,79 +35,82 @@
 	return f
 }
 
-// write takes what was read, once there is room for it, and tells whether to go on.
-func (str *stream) write(b []byte) bool {
-	str.mu.Lock()
-	defer str.mu.Unlock()
-	for str.started && len(str.buffered) >= streamBuffer && !str.abandoned {
-		str.changed.Wait()
+// write appends bytes that were read, once there is room for them, and reports whether to continue.
+func (st *stream) write(b []byte) bool {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	for st.started && len(st.buffered) >= streamBuffer && !st.abandoned {
+		st.changed.Wait()
 	}
-	str.buffered = append(str.buffered, b...)
-	str.changed.Broadcast()
-	return !str.abandoned
+	st.buffered = append(st.buffered, b...)
+	st.changed.Broadcast()
+	return !st.abandoned
 }
 
-// finish says that nothing more comes, and waits until the client has all of it, where it is the client's; whole tells that
-// it does.
-func (str *stream) finish(truncated bool) (delivered bool) {
-	str.mu.Lock()
-	defer str.mu.Unlock()
-	str.readDone, str.truncated = true, truncated
-	str.changed.Broadcast()
-	for str.started && !str.abandoned {
-		str.changed.Wait()
+// finish records that all bytes were read. If the response is streamed, it waits until the client has received it
+// and reports whether it has all of it.
+func (st *stream) finish(truncated bool) (delivered bool) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	st.readDone, st.truncated = true, truncated
+	st.changed.Broadcast()
+	for st.started && !st.abandoned {
+		st.changed.Wait()
 	}
-	return str.delivered
+	return st.delivered
 }
 
-// read takes what waits to be written; none is left once last.
-func (str *stream) read(into []byte) (b []byte, last, truncated bool) {
-	str.mu.Lock()
-	defer str.mu.Unlock()
-	for len(str.buffered) == 0 && !str.readDone {
-		str.changed.Wait()
+// read returns the next bytes for the client; last reports that none follow.
+func (st *stream) read(into []byte) (b []byte, last, truncated bool) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	for len(st.buffered) == 0 && !st.readDone {
+		st.changed.Wait()
 	}
-	n := min(len(str.buffered), cap(into))
-	b = append(into[:0], str.buffered[:n]...)
-	str.buffered = str.buffered[:copy(str.buffered, str.buffered[n:])]
-	str.changed.Broadcast()
-	return b, str.readDone && len(str.buffered) == 0, str.truncated
+	n := min(len(st.buffered), cap(into))
+	b = append(into[:0], st.buffered[:n]...)
+	st.buffered = st.buffered[:copy(st.buffered, st.buffered[n:])]
+	st.changed.Broadcast()
+	return b, st.readDone && len(st.buffered) == 0, st.truncated
 }
 
-// close says that nobody writes it any more, and whether its client has all of it; the first word counts.
-func (str *stream) close(delivered bool) {
-	str.mu.Lock()
-	defer str.mu.Unlock()
-	if !str.abandoned {
-		str.abandoned, str.delivered = true, delivered
-		str.changed.Broadcast()
+// close records that nothing more is written, and whether the client has the whole response. The first call
+// counts.
+func (st *stream) close(delivered bool) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	if !st.abandoned {
+		st.abandoned, st.delivered = true, delivered
+		st.changed.Broadcast()
 	}
 }
 
-// readResponse reads an answer. It is whole then, or it flows: won tells that it was the client's, and the desk has been told how
-// it went.
-func (sh *shard) readResponse(handle *desk.Handle, attempt *desk.Attempt, resp *http.Response, stored *upstreamResponse, res *reservation) (body []byte, streamed bool, err error) {
-	str := newStream()
+// readResponse reads a response, either to its end or as a stream. streamed reports that it was sent to the client
+// as a stream and that its outcome has been reported to the desk.
+func (sh *shard) readResponse(
+	handle *desk.Handle, attempt *desk.Attempt, resp *http.Response, stored *upstreamResponse, held *reservation,
+) (body []byte, streamed bool, err error) {
+	st := newStream()
 	var once sync.Once
 	accepted := false
 	begin := func() {
 		once.Do(func() {
-			str.mu.Lock()
-			str.started = true
-			str.mu.Unlock()
+			st.mu.Lock()
+			st.started = true
+			st.mu.Unlock()
 			sh.storeResponse(stored, resp, nil)
-			stored.stream = str
+			stored.stream = st
 			sh.front.streams.Add(1)
-			res.force(streamBuffer)
+			held.force(streamBuffer)
 			if accepted = sh.desk.StreamStarted(handle, attempt); !accepted {
 				sh.front.streams.Add(-1)
-				str.close(false)
+				st.close(false)
 			}
 		})
 	}
 	startTimer := time.AfterFunc(bufferTime, begin)
 	if resp.ContentLength >= 0 {
-		startTimer.Stop() // Danger: what is said to be short and doesn't come is broken, and may be had elsewhere
+		startTimer.Stop() // a short response that stalls is broken, and a retry may succeed
 	}
 	if resp.ContentLength > maxReservedBody {
 		begin()
@@ -127,8 +130,8 @@
 				err = errBodyTooLong
 				break
 			}
-			stallTimer.Stop() // Danger: while it waits for a slow client the upstream does not stand still
-			if !str.write(buffer[:n]) {
+			stallTimer.Stop() // the upstream is not stalled while a slow client is waited for
+			if !st.write(buffer[:n]) {
 				err = io.ErrClosedPipe
 			}
 			stallTimer.Reset(stallTimeout)
@@ -138,18 +141,18 @@
 		}
 	}
 	startTimer.Stop()
-	once.Do(func() {}) // from here on it can't begin any more, or it has
-	str.mu.Lock()
-	begun := str.started
-	str.mu.Unlock()
+	once.Do(func() {}) // streaming has started by now or never will
+	st.mu.Lock()
+	begun := st.started
+	st.mu.Unlock()
 	if !begun {
 		if err == io.EOF {
 			err = nil
 		}
-		res.force(int64(len(str.buffered)))
-		return str.buffered, false, err
+		held.force(int64(len(st.buffered)))
+		return st.buffered, false, err
 	}
-	delivered := str.finish(err != io.EOF)
+	delivered := st.finish(err != io.EOF)
 	if accepted {
 		sh.desk.StreamEnded(handle, attempt, delivered && err == io.EOF)
 		sh.front.streams.Add(-1)
@@ -157,8 +160,8 @@
 	return nil, accepted, io.ErrClosedPipe
 }
 
-// writeStream writes an answer that flows, at its client's pace. What breaks off is broken off visibly. Danger: ended as if it
-// were whole, it would pass for an answer.
+// writeStream writes a streamed response at the client's pace. If it breaks off, the connection is aborted,
+// because a normal end would make a truncated response look complete.
 func (front *FrontEnd) writeStream(w http.ResponseWriter, resp *upstreamResponse) {
 	delivered := false
 	defer func() { resp.stream.close(delivered) }()
--- a/internal/httpwire/gate.go
+++ b/internal/httpwire/gate.go
@@ -10,30 +10,32 @@
 	"ottershift/internal/rawconn"
 )
 
-// connWriter is what all pushes of a transaction go out through, until its answer closes it or its client has gone.
-// Danger: a push that waits for its connection, or for its turn to be written, would go out after the answer; and
-// a process that was held up hears its timers before it hears that clients have left in the meantime.
+// connWriter is the path of all writes of a transaction's attempts until its answer closes the path or its client
+// disconnects. Otherwise an attempt that waits for a connection, or for its turn to be written, could be sent
+// after the answer. The client is checked at each write, because after a stall of the process timers fire before
+// disconnects are noticed.
 type connWriter struct {
 	client   *net.TCPConn
 	mu       sync.Mutex
 	closed   bool
-	deadline time.Time // nothing goes out from then on; zero for never
+	deadline time.Time // nothing is written after it; zero for none
 }
 
-var errTransactionEnded = errors.New("the transaction is over")
+var errTransactionEnded = errors.New("the transaction has ended")
 
-// write writes, unless the gate is closed; while it writes, the gate can't be. A write that hangs ends as its push
-// is called off, which breaks the connection.
-func (writer *connWriter) write(c net.Conn, b []byte) (int, error) {
+// write writes to a connection unless the connWriter is closed, and it cannot be closed during a write. A write
+// that blocks ends when its attempt is cancelled, which closes the connection.
+func (writer *connWriter) write(conn net.Conn, b []byte) (int, error) {
 	writer.mu.Lock()
 	defer writer.mu.Unlock()
-	if writer.closed = writer.closed || clientClosed(writer.client) || !writer.deadline.IsZero() && time.Now().After(writer.deadline); writer.closed {
+	if writer.closed = writer.closed || clientClosed(writer.client) ||
+		!writer.deadline.IsZero() && time.Now().After(writer.deadline); writer.closed {
 		return 0, errTransactionEnded
 	}
-	return c.Write(b)
+	return conn.Write(b)
 }
 
-// clientClosed looks whether a client has closed its connection, past what the server has read of it.
+// clientClosed reports whether a client has closed its connection, even if the server has not read that far.
 func clientClosed(client *net.TCPConn) bool {
 	if client == nil {
 		return false
@@ -46,7 +48,8 @@
 	return gone
 }
 
-// setDeadline closes it at a time. Danger: a process that was stopped writes before its timers fire.
+// setDeadline sets the time after which nothing is written. After a stall, a process may write before its timers
+// fire.
 func (writer *connWriter) setDeadline(deadline time.Time) {
 	writer.mu.Lock()
 	writer.deadline = deadline
@@ -61,18 +64,18 @@
 
 type clientConnKey struct{}
 
-// withClient lets a transaction know its client's connection.
+// withClient returns a context that carries the client connection.
 func withClient(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, clientConnKey{}, c.(*trackedConn))
 }
 
-// clientConn is the connection of a transaction's client, nil if it came by no socket.
+// clientConn returns the client connection of a transaction, nil if it did not arrive by a socket.
 func clientConn(ctx context.Context) *trackedConn {
 	c, _ := ctx.Value(clientConnKey{}).(*trackedConn)
 	return c
 }
 
-// newConnWriter makes the gate of a client's transaction.
+// newConnWriter returns the connWriter of a client's transaction.
 func newConnWriter(client *trackedConn) *connWriter {
 	if client == nil {
 		return &connWriter{}
--- a/internal/httpwire/heads.go
+++ b/internal/httpwire/heads.go
@@ -2,22 +2,22 @@
 
 import "bytes"
 
-// headScanner looks at the raw head of each message for a length. Danger: beside a transfer coding net/http drops the length
-// unseen, and what one side takes for the body holds a message of its own for the other. It is used by one goroutine at
-// a time, as the server reads.
+// headScanner scans the raw header of each request for Content-Length. net/http silently drops that header beside
+// a transfer coding, so two sides could disagree on where the body ends and a request could be smuggled in it. It
+// is used by one goroutine at a time, as the server reads.
 type headScanner struct {
-	name      []byte // of the name of a header, as far as it has come
-	nameEnded bool   // the name has ended: the rest of the line says nothing
-	hasLength bool   // there was one
-	ended     bool   // all of the head has been seen
+	name      []byte // of the current header field, as far as read
+	nameEnded bool   // the name is complete; the rest of the line is skipped
+	hasLength bool   // there was a Content-Length
+	ended     bool   // the whole header has been scanned
 }
 
 const lengthHeader = "content-length"
 
-// reset begins a message.
+// reset starts the scan of a new request.
 func (scanner *headScanner) reset() { *scanner = headScanner{name: scanner.name[:0]} }
 
-// scan looks at bytes in the order in which they came.
+// scan scans bytes in the order in which they arrived.
 func (scanner *headScanner) scan(b []byte) {
 	for len(b) > 0 && !scanner.ended {
 		if scanner.nameEnded {
@@ -35,7 +35,7 @@
 			scanner.ended, scanner.name = len(scanner.name) == 0, scanner.name[:0]
 		case x == '\r':
 		case x == ':':
-			// A folded one is none to us, and may be one to somebody else.
+			// A folded Content-Length is invalid here but may be valid for an upstream.
 			scanner.hasLength = scanner.hasLength || bytes.EqualFold(bytes.TrimSpace(scanner.name), []byte(lengthHeader))
 			scanner.nameEnded = true
 		case len(scanner.name) < len(lengthHeader)+4:
@@ -44,6 +44,6 @@
 	}
 }
 
-// withoutLength reports that all of the head was seen, and no length in it. What came in one piece with the message before was
-// not seen from its beginning, and doesn't count as plain.
+// withoutLength reports that the whole header was scanned and has no Content-Length. A header read together with
+// the end of the previous request was not scanned from its start and does not qualify.
 func (scanner *headScanner) withoutLength() bool { return scanner.ended && !scanner.hasLength }
--- a/internal/httpwire/httpwire_test.go
+++ b/internal/httpwire/httpwire_test.go
@@ -22,37 +22,37 @@
 	"ottershift/logic"
 )
 
-// newTestFrontEnd is a front with one pool, which takes all.
+// newTestFrontEnd returns a front end with one pool, which receives all requests, and its only shard.
 func newTestFrontEnd(t testing.TB) (*FrontEnd, *shard) {
-	book := terms.Read(fastjson.MustParse(`{"fleet_size":1,"layer":1,"zone":"a","limits":{"max_pushes":2},
+	settings := terms.Read(fastjson.MustParse(`{"fleet_size":1,"layer":1,"zone":"a","limits":{"max_pushes":2},
 		"guarantees":{"cold_from":0.5},"tenants":[{"name":"acme","quota_rps":9}],
 		"tariffs":[{"name":"view","hard_stop":1000000,"effect":"idempotent"},
 		{"name":"load","hard_stop":1000000,"effect":"deduplicated"}]}`), 1)
-	f := New(slog.New(slog.DiscardHandler), desk.NewBalancer)
-	f.SetLimits(100, 1)
-	p, err := f.NewPool("main", book)
+	front := New(slog.New(slog.DiscardHandler), desk.NewBalancer)
+	front.SetLimits(100, 1)
+	pool, err := front.NewPool("main", settings)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.SetUnlimited(8 << 20)
-	f.SetRouting(&Routing{SinglePool: p})
-	t.Cleanup(p.Retire)
-	return f, p.shards[0]
+	front.SetUnlimited(8 << 20)
+	front.SetRouting(&Routing{SinglePool: pool})
+	t.Cleanup(pool.Retire)
+	return front, pool.shards[0]
 }
 
-// newTestConns is a pool's connections.
+// newTestConns returns the upstream connections of a new pool.
 func newTestConns(t testing.TB) *upstreamConns {
-	_, p := newTestFrontEnd(t)
-	return p.conns
+	_, sh := newTestFrontEnd(t)
+	return sh.conns
 }
 
-// placeOf is the place of an upstream that listens at l.
-func placeOf(l net.Listener) roster.Place {
-	return roster.Place{Host: "u1", Address: l.Addr().String(), Kept: new(atomic.Int32)}
+// placeOf returns the place of an upstream that listens at listener.
+func placeOf(listener net.Listener) roster.Place {
+	return roster.Place{Host: "u1", Address: listener.Addr().String(), Kept: new(atomic.Int32)}
 }
 
-// FuzzRequest: any message is answered, and what goes on is as the client sent it, less what concerns its
-// connection.
+// FuzzRequest checks that every request is either refused with a valid error or forwarded as the client sent it,
+// without the headers that concern only its connection.
 func FuzzRequest(f *testing.F) {
 	for _, s := range []string{
 		"GET /view?x=%2F HTTP/1.1\r\nHost: a\r\nX-Txn: 1\r\nX-Remaining: 0.5\r\nConnection: x-drop\r\nX-Drop: 1\r\n\r\n",
@@ -64,144 +64,152 @@
 	} {
 		f.Add(s)
 	}
-	front, pool := newTestFrontEnd(f)
+	front, sh := newTestFrontEnd(f)
 	f.Fuzz(func(t *testing.T, text string) {
-		r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(text)))
+		req, err := http.ReadRequest(bufio.NewReader(strings.NewReader(text)))
 		if err != nil {
 			return
 		}
-		p, tariff, no := front.findPool(r, nil)
-		var q *transaction
-		if no == nil {
-			p.removeTransaction()
-			if q, no = decodeRequest(r, pool.settingsHistory.Load().current, tariff); no == nil {
-				if no = q.readBody(httptest.NewRecorder(), r, &reservation{limits: pool.limits, timeout: q.timeout}, func() bool { return false }); no != nil {
-					q = nil
+		matched, tariff, reqErr := front.findPool(req, nil)
+		var txn *transaction
+		if reqErr == nil {
+			matched.removeTransaction()
+			if txn, reqErr = decodeRequest(req, sh.settingsHistory.Load().current, tariff); reqErr == nil {
+				if reqErr = txn.readBody(httptest.NewRecorder(), req, &reservation{limits: sh.limits, timeout: txn.timeout},
+					func() bool { return false }); reqErr != nil {
+					txn = nil
 				}
 			}
 		}
-		if no != nil {
-			if q != nil || no.status != 400 && no.status != 404 && no.status != 411 && no.status != 413 || no.text == "" {
-				t.Errorf("refused with %+v", no)
+		if reqErr != nil {
+			if txn != nil || reqErr.status != 400 && reqErr.status != 404 &&
+				reqErr.status != 411 && reqErr.status != 413 || reqErr.text == "" {
+				t.Errorf("refused with an invalid error %+v", reqErr)
 			}
 			return
 		}
-		if q.timeout < 0 || len(q.body) > maxReservedBody || q.method != r.Method || q.url.String() != r.URL.String() {
-			t.Errorf("read as %+v", q)
+		if txn.timeout < 0 || len(txn.body) > maxReservedBody || txn.method != req.Method || txn.url.String() != req.URL.String() {
+			t.Errorf("accepted as %+v", txn)
 		}
-		for name := range q.header {
-			for _, not := range append(hopByHop, r.Header["Connection"]...) {
-				if name == not {
-					t.Errorf("%s goes on", name)
+		for name := range txn.header {
+			for _, hopName := range append(hopByHop, req.Header["Connection"]...) {
+				if name == hopName {
+					t.Errorf("hop-by-hop header %s is forwarded", name)
 				}
 			}
 		}
 	})
 }
 
-// emptyReservation holds nothing of a pool's part.
-func emptyReservation(p *shard) *reservation { return &reservation{limits: p.limits, released: true} }
+// emptyReservation returns a reservation that holds nothing of a pool's limits.
+func emptyReservation(sh *shard) *reservation { return &reservation{limits: sh.limits, released: true} }
 
-// panicContext is a context that panics in the middle of a transaction's life.
+// panicContext is a context that panics while a transaction runs.
 type panicContext struct{ context.Context }
 
-func (panicContext) Done() <-chan struct{} { panic("a fault of ours") }
+func (panicContext) Done() <-chan struct{} { panic("panic in the context") }
 
+// A panic while a transaction runs must be answered with 500 and must not leave the transaction open.
 func TestPanicIsAnsweredAndEndsTheTransaction(t *testing.T) {
-	f, p := newTestFrontEnd(t)
+	front, sh := newTestFrontEnd(t)
 	r := httptest.NewRequest("GET", "/view", nil)
 	r.Header.Set("X-Txn", "1")
 	w := httptest.NewRecorder()
-	f.ServeHTTP(w, r.WithContext(panicContext{r.Context()}))
+	front.ServeHTTP(w, r.WithContext(panicContext{r.Context()}))
 	if w.Code != http.StatusInternalServerError {
-		t.Errorf("%d", w.Code)
+		t.Errorf("answered %d instead of 500", w.Code)
 	}
-	if n := p.desk.Close(); n != 0 {
+	if n := sh.desk.Close(); n != 0 {
 		t.Errorf("%d still open", n)
 	}
 }
 
-// A push that panics may have run all the same, and its outcome reaches the module.
+// An attempt that panics may still have run, and its outcome must reach the decision engine: work that may be
+// repeated is deferred, other work is forfeited.
 func TestPanicInAttemptReportsAnOutcome(t *testing.T) {
-	f, p := newTestFrontEnd(t)
-	p.desk.List([]roster.Entry[string]{{Name: "u", Zone: "a", Up: logic.Upstream{Weight: 1}}}, true)
-	p.conns.transport = nil
-	t.Cleanup(func() { p.conns.transport = &http.Transport{} })
+	front, sh := newTestFrontEnd(t)
+	sh.desk.List([]roster.Entry[string]{{Name: "u", Zone: "a", Up: logic.Upstream{Weight: 1}}}, true)
+	sh.conns.transport = nil
+	t.Cleanup(func() { sh.conns.transport = &http.Transport{} })
 	for path, want := range map[string]int{"/view": http.StatusServiceUnavailable, "/load": http.StatusBadGateway} {
 		r := httptest.NewRequest("POST", path, nil)
 		r.Header.Set("X-Txn", "1")
 		r.Header.Set("Idempotency-Key", "k")
 		w := httptest.NewRecorder()
-		if f.ServeHTTP(w, r); w.Code != want {
-			t.Errorf("%s: %d", path, w.Code)
+		if front.ServeHTTP(w, r); w.Code != want {
+			t.Errorf("%s: answered %d instead of %d", path, w.Code, want)
 		}
 	}
 }
 
+// Closing a connection twice must release it only once, and a missing descriptor is not the upstream's fault.
 func TestConnectionIsReleasedOnce(t *testing.T) {
-	o := newTestConns(t)
-	s := o.tracker
+	conns := newTestConns(t)
+	tracker := conns.tracker
 	server := httptest.NewServer(http.NotFoundHandler())
 	defer server.Close()
-	to := withTarget(t.Context(), placeOf(server.Listener), time.Now().Add(time.Second), false)
-	c, err := o.transport.DialContext(to, "tcp", "u1:80")
-	if err != nil || s.upstreams.Load() != 1 || o.limits.connections.Used() != 1 {
-		t.Fatal(err, s.upstreams.Load())
+	ctx := withTarget(t.Context(), placeOf(server.Listener), time.Now().Add(time.Second), false)
+	conn, err := conns.transport.DialContext(ctx, "tcp", "u1:80")
+	if err != nil || tracker.upstreams.Load() != 1 || conns.limits.connections.Used() != 1 {
+		t.Fatal(err, tracker.upstreams.Load())
 	}
-	c.Close()
-	if c.Close(); s.upstreams.Load() != 0 || o.limits.connections.Used() != 0 {
-		t.Errorf("%d out", s.upstreams.Load())
+	conn.Close()
+	if conn.Close(); tracker.upstreams.Load() != 0 || conns.limits.connections.Used() != 0 {
+		t.Errorf("%d upstream connections are counted after the close", tracker.upstreams.Load())
 	}
-	s.clients.Store(s.limit.Load())
-	if _, err := o.transport.DialContext(to, "tcp", "127.0.0.1:1"); err != errNoDescriptor {
+	tracker.clients.Store(tracker.limit.Load())
+	if _, err := conns.transport.DialContext(ctx, "tcp", "127.0.0.1:1"); err != errNoDescriptor {
 		t.Errorf("dialled beyond the limit: %v", err)
 	}
 	if attemptResult(t.Context(), errNoDescriptor, false, false) != logic.Unsent {
-		t.Error("a lack of ours is held against the upstream")
+		t.Error("a lack of descriptors is blamed on the upstream")
 	}
 }
 
-// Danger: a push that still waits for its connection when the answer is given would go out after it.
+// An attempt that still waits for its connection when the transaction is answered must not be sent afterwards.
 func TestNoAttemptIsSentAfterTheAnswer(t *testing.T) {
 	arrived := 0
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { arrived++ }))
-	_, pool := newTestFrontEnd(t)
-	p := &desk.Attempt{Context: t.Context(), Place: placeOf(server.Listener), Deadline: time.Now().Add(time.Second)}
-	for _, size := range []int{0, 10, maxReservedBody} { // with the headers, and past the writer's buffer
-		q := &transaction{method: "POST", url: &url.URL{Path: "/load"}, header: http.Header{}, body: make([]byte, size), timeout: time.Second}
-		out := &connWriter{}
-		if r, _ := pool.send(nil, p, q, out, emptyReservation(pool), &upstreamResponse{}); r != logic.Settled {
-			t.Fatalf("%d bytes: %d", size, r)
+	_, sh := newTestFrontEnd(t)
+	attempt := &desk.Attempt{Context: t.Context(), Place: placeOf(server.Listener), Deadline: time.Now().Add(time.Second)}
+	for _, size := range []int{0, 10, maxReservedBody} { // sent with the header, and larger than the write buffer
+		txn := &transaction{method: "POST", url: &url.URL{Path: "/load"}, header: http.Header{},
+			body: make([]byte, size), timeout: time.Second}
+		writer := &connWriter{}
+		if r, _ := sh.send(nil, attempt, txn, writer, emptyReservation(sh), &upstreamResponse{}); r != logic.Settled {
+			t.Fatalf("%d bytes: result %d before the answer", size, r)
 		}
-		out.close()
-		if r, _ := pool.send(nil, p, q, out, emptyReservation(pool), &upstreamResponse{}); r != logic.Unsent { // on a kept connection
-			t.Errorf("%d bytes: %d after the answer", size, r)
+		writer.close()
+		if r, _ := sh.send(nil, attempt, txn, writer, emptyReservation(sh), &upstreamResponse{}); r != logic.Unsent { // on a reused connection
+			t.Errorf("%d bytes, reused connection: result %d after the answer", size, r)
 		}
-		pool.conns.transport.CloseIdleConnections()
-		if r, _ := pool.send(nil, p, q, out, emptyReservation(pool), &upstreamResponse{}); r != logic.Unsent { // on a new one
-			t.Errorf("%d bytes: %d after the answer", size, r)
+		sh.conns.transport.CloseIdleConnections()
+		if r, _ := sh.send(nil, attempt, txn, writer, emptyReservation(sh), &upstreamResponse{}); r != logic.Unsent { // on a new connection
+			t.Errorf("%d bytes, new connection: result %d after the answer", size, r)
 		}
-		if !pool.sendProbe(t.Context(), p.Place) {
-			t.Error("a probe is held up")
+		if !sh.sendProbe(t.Context(), attempt.Place) {
+			t.Error("a probe is blocked")
 		}
 	}
 	server.Close()
 	if arrived != 6 {
-		t.Errorf("%d arrivals", arrived)
+		t.Errorf("%d requests arrived instead of 6", arrived)
 	}
 }
 
+// A client that has closed or reset its connection is detected although the server is blocked in a read, and
+// nothing is sent for it.
 func TestNothingIsSentForADisconnectedClient(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	for _, leave := range []func(c *net.TCPConn){
+	for _, disconnect := range []func(c *net.TCPConn){
 		func(c *net.TCPConn) { c.Close() },
 		func(c *net.TCPConn) { c.SetLinger(0); c.Close() }, // a reset
 	} {
-		theirs, err := net.Dial("tcp", l.Addr().String())
+		clientEnd, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -209,160 +217,161 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		ours := c.(*net.TCPConn)
-		go ours.Read(make([]byte, 1)) // as the server does all the while
+		serverEnd := c.(*net.TCPConn)
+		go serverEnd.Read(make([]byte, 1)) // as the server does during a request
 		time.Sleep(10 * time.Millisecond)
-		if clientClosed(ours) {
-			t.Error("said to have left")
+		if clientClosed(serverEnd) {
+			t.Error("an open client connection is reported as closed")
 		}
-		leave(theirs.(*net.TCPConn))
+		disconnect(clientEnd.(*net.TCPConn))
 		time.Sleep(10 * time.Millisecond)
-		if !clientClosed(ours) {
-			t.Error("not said to have left")
+		if !clientClosed(serverEnd) {
+			t.Error("a closed client connection is not detected")
 		}
-		if n, err := (&connWriter{client: ours}).write(ours, []byte("x")); n != 0 || err != errTransactionEnded {
+		if n, err := (&connWriter{client: serverEnd}).write(serverEnd, []byte("x")); n != 0 || err != errTransactionEnded {
 			t.Error(n, err)
 		}
-		ours.Close()
+		serverEnd.Close()
 	}
 }
 
-// serveManually answers each connection message by message, until answer has enough of it.
-func serveManually(l net.Listener, answer func(c net.Conn, in *bufio.Reader) bool) {
+// serveManually handles the requests of each connection one by one until answer returns false.
+func serveManually(listener net.Listener, answer func(c net.Conn, reader *bufio.Reader) bool) {
 	for {
-		c, err := l.Accept()
+		c, err := listener.Accept()
 		if err != nil {
 			return
 		}
 		go func() {
 			defer c.Close()
-			for in := bufio.NewReader(c); answer(c, in); {
+			for reader := bufio.NewReader(c); answer(c, reader); {
 			}
 		}()
 	}
 }
 
-// Danger: a connection goes straight to a push that waits for one, with bytes behind the answer that it brought.
+// A connection can pass directly to an attempt that waits for one while extra bytes follow the last response.
+// These bytes must not be taken for the response to that attempt.
 func TestUnexpectedBytesAreNotTheNextResponse(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	asked, waits := make(chan string, 2), make(chan struct{})
+	received, proceed := make(chan string, 2), make(chan struct{})
 	go serveManually(l, func(c net.Conn, in *bufio.Reader) bool {
 		r, err := http.ReadRequest(in)
 		if err != nil {
 			return false
 		}
-		asked <- r.Header.Get("X-Txn")
-		<-waits
+		received <- r.Header.Get("X-Txn")
+		<-proceed
 		answer := "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n" + r.Header.Get("X-Txn")
 		c.Write([]byte(answer + answer))
 		return true
 	})
-	_, pool := newTestFrontEnd(t)
-	dial, dials := pool.conns.transport.DialContext, make(chan struct{}, 9)
-	pool.conns.transport.DialContext = func(ctx context.Context, network, host string) (net.Conn, error) {
+	_, sh := newTestFrontEnd(t)
+	dial, dials := sh.conns.transport.DialContext, make(chan struct{}, 9)
+	sh.conns.transport.DialContext = func(ctx context.Context, network, host string) (net.Conn, error) {
 		if dials <- struct{}{}; len(dials) > 1 {
-			time.Sleep(100 * time.Millisecond) // so that the first connection is free before a second one stands
+			time.Sleep(100 * time.Millisecond) // the first connection is free before a second one is open
 		}
 		return dial(ctx, network, host)
 	}
-	carry := func(id string) (logic.Result, string) {
-		p := &desk.Attempt{Context: t.Context(), Deadline: time.Now().Add(time.Second),
+	send := func(id string) (logic.Result, string) {
+		attempt := &desk.Attempt{Context: t.Context(), Deadline: time.Now().Add(time.Second),
 			Place: placeOf(l)}
-		q := &transaction{method: "GET", url: &url.URL{Path: "/view"}, header: http.Header{"X-Txn": {id}}}
-		into := &upstreamResponse{}
-		r, _ := pool.send(nil, p, q, &connWriter{}, emptyReservation(pool), into)
-		return r, string(into.body)
+		txn := &transaction{method: "GET", url: &url.URL{Path: "/view"}, header: http.Header{"X-Txn": {id}}}
+		stored := &upstreamResponse{}
+		r, _ := sh.send(nil, attempt, txn, &connWriter{}, emptyReservation(sh), stored)
+		return r, string(stored.body)
 	}
 	go func() {
-		<-asked
-		time.Sleep(50 * time.Millisecond) // the other waits for a connection by now
-		close(waits)
+		<-received
+		time.Sleep(50 * time.Millisecond) // the other attempt waits for a connection by now
+		close(proceed)
 	}()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		if r, body := carry("1"); r != logic.Settled || body != "1" {
-			t.Errorf("the first: %d %q", r, body)
+		if r, body := send("1"); r != logic.Settled || body != "1" {
+			t.Errorf("first attempt: result %d, body %q", r, body)
 		}
 	}()
 	time.Sleep(20 * time.Millisecond)
-	if r, body := carry("2"); r == logic.Settled && body != "2" || r != logic.Settled && r != logic.Unsent /* no word against anybody */ {
-		t.Errorf("the second: %d %q", r, body)
+	if r, body := send("2"); r == logic.Settled && body != "2" || r != logic.Settled && r != logic.Unsent /* blames nobody */ {
+		t.Errorf("second attempt: result %d, body %q", r, body)
 	}
 	<-done
 }
 
-// Nothing begins on a connection before its reader has come back and found nothing.
+// An exchange must not start on a connection before the reader has found nothing more to read.
 func TestExchangeStartsOnlyOnAnEmptyConnection(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	board := func() (*exchange, net.Conn) {
+	attach := func() (*exchange, net.Conn) {
 		ctx := withTarget(t.Context(), placeOf(l), time.Now().Add(time.Second), false)
-		ours, err := newTestConns(t).transport.DialContext(ctx, "tcp", "u1:80")
+		conn, err := newTestConns(t).transport.DialContext(ctx, "tcp", "u1:80")
 		if err != nil {
 			t.Fatal(err)
 		}
-		theirs, err := l.Accept()
+		upstreamEnd, err := l.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { ours.Close(); theirs.Close() })
-		r := &exchange{}
-		r.attach(httptrace.GotConnInfo{Conn: ours, Reused: true})
-		return r, theirs
+		t.Cleanup(func() { conn.Close(); upstreamEnd.Close() })
+		ex := &exchange{}
+		ex.attach(httptrace.GotConnInfo{Conn: conn, Reused: true})
+		return ex, upstreamEnd
 	}
-	write := func(r *exchange) <-chan error {
-		end := make(chan error, 1)
+	write := func(ex *exchange) <-chan error {
+		result := make(chan error, 1)
 		go func() {
-			_, err := r.conn.Write([]byte("x"))
-			end <- err
+			_, err := ex.conn.Write([]byte("x"))
+			result <- err
 		}()
-		return end
+		return result
 	}
 
-	r, _ := board() // the reader has not come back: bytes may be with it
-	end := write(r)
+	ex, _ := attach() // the reader is not blocked and may hold bytes
+	result := write(ex)
 	select {
-	case err := <-end:
-		t.Errorf("went out beside what the reader may have: %v", err)
+	case err := <-result:
+		t.Errorf("sent while the reader may hold bytes: %v", err)
 	case <-time.After(20 * time.Millisecond):
 	}
-	if r.abort() {
-		t.Error("said to have begun")
+	if ex.abort() {
+		t.Error("an exchange that has not started is reported as started")
 	}
-	if err := <-end; err == nil {
-		t.Error("went out after it was barred")
+	if err := <-result; err == nil {
+		t.Error("sent after abort")
 	}
 
-	r, theirs := board() // what comes before it begins is nobody's
-	theirs.Write([]byte("y"))
-	if n, err := r.conn.Read(make([]byte, 9)); n != 0 || err != errUnexpectedBytes {
+	ex, upstreamEnd := attach() // bytes that arrive before the exchange starts belong to none
+	upstreamEnd.Write([]byte("y"))
+	if n, err := ex.conn.Read(make([]byte, 9)); n != 0 || err != errUnexpectedBytes {
 		t.Errorf("read %d, %v", n, err)
 	}
 
-	r, theirs = board() // the reader waits, and nothing has come
+	ex, upstreamEnd = attach() // the reader is blocked and nothing has arrived
 	answer := make(chan byte)
 	go func() {
 		b := make([]byte, 1)
-		r.conn.Read(b)
+		ex.conn.Read(b)
 		answer <- b[0]
 	}()
-	if err := <-write(r); err != nil || !r.abort() {
-		t.Errorf("did not begin: %v", err)
+	if err := <-write(ex); err != nil || !ex.abort() {
+		t.Errorf("did not start: %v", err)
 	}
-	theirs.Write([]byte("z"))
+	upstreamEnd.Write([]byte("z"))
 	if b := <-answer; b != 'z' {
 		t.Errorf("read %q", b)
 	}
-	r.detach() // its answer came before the rest of it had gone out
-	if n, err := r.conn.Write([]byte("x")); n != 0 || err != errTransactionEnded {
-		t.Errorf("the rest of a push went out after its ride: %d, %v", n, err)
+	ex.detach() // the response came before the request was sent completely
+	if n, err := ex.conn.Write([]byte("x")); n != 0 || err != errTransactionEnded {
+		t.Errorf("the rest of a request was sent after its exchange: %d bytes, %v", n, err)
 	}
 }
--- a/internal/httpwire/outbound.go
+++ b/internal/httpwire/outbound.go
@@ -14,30 +14,31 @@
 	"ottershift/internal/terms"
 )
 
-// What is counted of connections to upstreams: why they were opened, how that failed, why they were closed.
+// Counters of connections to upstreams: why they were opened, failed or were closed.
 const (
-	dialFirst       = iota // there had been none to this upstream
-	dialReconnect          // those that there were have closed
-	dialBusy               // those that there are were in use
-	dialProbe              // for a probe
-	dialFailed             // it did not come up
-	dialRefused            // not tried, for want of descriptors or beyond the pool's part
-	closeCancelled         // with a push on it that was called off, or whose time was up
-	closeByUpstream        // by the upstream
-	closeIdle              // by us, idle for long
-	closeRemoved           // its upstream has left
+	dialFirst      = iota // the first connection to this upstream
+	dialReconnect         // all earlier connections have closed
+	dialBusy              // all connections were in use
+	dialProbe             // for a probe
+	dialFailed            // could not connect
+	dialRefused           // not tried, for lack of descriptors or beyond the pool's limit
+	closeCancelled        // by an attempt that was cancelled or timed out
+	closeByUpstream
+	closeIdle    // by the balancer, after the idle timeout
+	closeRemoved // the upstream was removed from the list
 	connCounterCount
 )
 
 var connCounterNames = [connCounterCount]string{
-	"dial_first", "dial_again", "dial_busy", "dial_probe", "dial_failed", "dial_short", "close_called_off", "close_by_upstream",
+	"dial_first", "dial_again", "dial_busy", "dial_probe", "dial_failed", "dial_short", "close_called_off",
+	"close_by_upstream",
 	"close_idle", "close_left",
 }
 
-// connCounters counts connections to upstreams.
+// connCounters counts events of connections to upstreams.
 type connCounters [connCounterCount]atomic.Int64
 
-// upstreamConns owns a pool's connections to its upstreams.
+// upstreamConns holds a pool's connections to its upstreams.
 type upstreamConns struct {
 	tracker   *connTracker
 	counters  connCounters
@@ -48,11 +49,11 @@
 	conns      map[string]map[*upstreamConn]struct{}
 	dialing    map[string]*pendingDials
 	knownHosts map[string]struct{} // hosts to which there has been a connection
-	closed     bool                // the pool has gone; nothing is kept any more
+	closed     bool                // the pool is retired; no connection is kept
 }
 
-// pendingDials are the connections to one host that are coming up. Danger: the host may leave meanwhile, and such a connection
-// would stay until it has been idle for long.
+// pendingDials tracks the connections to one host that are being opened. The host may be removed meanwhile, and
+// such a connection would otherwise stay open until the idle timeout.
 type pendingDials struct {
 	count   int
 	removed bool
@@ -60,14 +61,15 @@
 
 type targetKey struct{}
 
-// target is where a push goes and until when.
+// target is the destination and deadline of a connection attempt.
 type target struct {
 	roster.Place
 	deadline time.Time
 	probe    bool
 }
 
-// withTarget lets a dial know where its upstream is. The transport's pool goes by host.
+// withTarget returns a context that carries the address for a dial. The connection pool of http.Transport is keyed
+// by host.
 func withTarget(ctx context.Context, place roster.Place, deadline time.Time, probe bool) context.Context {
 	return context.WithValue(ctx, targetKey{}, target{place, deadline, probe})
 }
@@ -77,10 +79,11 @@
 		knownHosts: map[string]struct{}{}}
 	dialer := net.Dialer{Timeout: settings.DialTimeout}
 	conns.transport = &http.Transport{
-		DisableCompression:     true, // bodies go on unchanged
+		DisableCompression:     true, // bodies are passed on unchanged
 		MaxResponseHeaderBytes: maxHeaderBytes,
 		MaxIdleConns:           int(tracker.limit.Load() / 3), MaxIdleConnsPerHost: int(tracker.limit.Load() / 3),
-		// Danger: what is written to a connection that its upstream has closed may have run.
+		// A request written to a connection that its upstream has closed may have run, so idle connections are
+		// closed here first.
 		IdleConnTimeout: settings.IdleClose * 9 / 10,
 		DialContext: func(ctx context.Context, network, _ string) (net.Conn, error) {
 			dest := ctx.Value(targetKey{}).(target)
@@ -119,7 +122,8 @@
 	return conns
 }
 
-// startDial notes that a connection is coming up; left ends that and tells whether its host has left meanwhile.
+// startDial records that a connection is being opened. finish ends that and reports whether the host was removed
+// meanwhile.
 func (conns *upstreamConns) startDial(dest target) (finish func() bool) {
 	conns.mu.Lock()
 	defer conns.mu.Unlock()
@@ -151,7 +155,7 @@
 	}
 }
 
-// reserve takes a descriptor for a connection. Danger: many dial at once, so each counts before it does.
+// reserve takes a descriptor for a connection. Many dials run concurrently, so each is counted before it starts.
 func (conns *upstreamConns) reserve(deadline time.Time) error {
 	tracker := conns.tracker
 	if tracker.upstreams.Add(1)+tracker.clients.Load() > tracker.limit.Load()-tracker.reserve() {
@@ -172,7 +176,7 @@
 	conns.limits.releaseConn()
 }
 
-// remove takes a connection off the books.
+// remove removes a closed connection.
 func (conns *upstreamConns) remove(conn *upstreamConn) {
 	conns.mu.Lock()
 	defer conns.mu.Unlock()
@@ -181,7 +185,8 @@
 	}
 }
 
-// removeHosts closes what is kept of hosts that have left.
+// removeHosts closes the connections to hosts that were removed from the list, at once or after their current
+// exchange.
 func (conns *upstreamConns) removeHosts(hosts []string) {
 	var all []*upstreamConn
 	conns.mu.Lock()
@@ -200,7 +205,7 @@
 	}
 }
 
-// close closes all that is kept, and each other connection after its ride: the pool has gone.
+// close closes idle connections at once and the others after their current exchange, when the pool is retired.
 func (conns *upstreamConns) close() {
 	conns.mu.Lock()
 	conns.closed = true
--- a/internal/httpwire/outward.go
+++ b/internal/httpwire/outward.go
@@ -14,9 +14,9 @@
 	"ottershift/internal/roster"
 )
 
-// upstreamConn is a connection to an upstream. Danger: http.Transport may lend one on while bytes wait behind the answer
-// that it brought, and these would answer the next push. So each ride waits until the reader has come back and
-// found nothing, and looks once more before its first byte goes out.
+// upstreamConn is a connection to an upstream. http.Transport may reuse it while unexpected bytes follow the last
+// response, and these would be taken for the next response. So each exchange waits until the reader has found
+// nothing more to read, and checks again before its first byte is sent.
 type upstreamConn struct {
 	trackedConn
 	owner   *upstreamConns
@@ -24,27 +24,27 @@
 	rawConn syscall.RawConn
 
 	mu            sync.Mutex
-	changed       *sync.Cond // of empty, closed
-	readerWaiting bool       // the reader waits, and all that came is read
+	changed       *sync.Cond // signals changes of readerWaiting and closed
+	readerWaiting bool       // the reader is blocked and everything received has been read
 	closed        bool
-	countedIdle   bool // counted in kept
-	closedByPeer  bool // they ended it
+	countedIdle   bool // counted in idleCount
+	closedByPeer  bool // the upstream closed it
 	releaseOnce   sync.Once
 	idleCount     *atomic.Int32 // of its upstream
-	removed       bool          // its upstream has left: nothing more after this ride
+	removed       bool          // the upstream was removed; the connection closes after the current exchange
 	exchange      *exchange
 }
 
-// exchange is one push or probe on its connection.
+// exchange is one attempt or probe on its connection.
 type exchange struct {
 	writer *connWriter // nil for a probe
 	conn   *upstreamConn
-	reused bool // the connection has carried others before
+	reused bool // the connection has carried other exchanges
 
-	started bool // under the connection's lock: some of it may have gone out
+	started bool // some of it may have been sent; under the connection's lock
 }
 
-var errUnexpectedBytes = errors.New("bytes on the connection that belong to no push")
+var errUnexpectedBytes = errors.New("unexpected bytes on the upstream connection outside of an exchange")
 
 func newUpstreamConn(c *net.TCPConn, owner *upstreamConns, place roster.Place) (*upstreamConn, error) {
 	raw, err := c.SyscallConn()
@@ -57,7 +57,7 @@
 	return conn, nil
 }
 
-// setIdle keeps count, under the lock or before anybody else knows of the connection.
+// setIdle updates the count of idle connections. It is called under the lock or before the connection is shared.
 func (conn *upstreamConn) setIdle(idle bool) {
 	switch {
 	case idle && !conn.countedIdle:
@@ -68,7 +68,7 @@
 	conn.countedIdle = idle
 }
 
-// attach gives a connection to a ride.
+// attach assigns a connection to the exchange.
 func (ex *exchange) attach(i httptrace.GotConnInfo) {
 	ex.conn, ex.reused = i.Conn.(*upstreamConn), i.Reused
 	ex.conn.mu.Lock()
@@ -77,8 +77,8 @@
 	ex.conn.mu.Unlock()
 }
 
-// abort keeps a ride that has not begun from beginning, and tells whether it had. After it, what has not begun never
-// ran.
+// abort prevents an exchange from starting and reports whether it had started. An exchange that had not started
+// has never run.
 func (ex *exchange) abort() (started bool) {
 	if ex.conn == nil {
 		return false
@@ -96,7 +96,7 @@
 	return started
 }
 
-// detach gives the connection back, and closes it if its upstream has left.
+// detach ends the exchange on its connection, and closes the connection if the upstream was removed.
 func (ex *exchange) detach() {
 	if ex.conn == nil {
 		return
@@ -113,7 +113,7 @@
 	}
 }
 
-// remove closes the connection, at once or after its ride: its upstream has left.
+// remove closes the connection, at once or after its current exchange, because the upstream was removed.
 func (conn *upstreamConn) remove() {
 	conn.mu.Lock()
 	conn.removed = true
@@ -124,12 +124,12 @@
 	}
 }
 
-// start lets a ride's first byte out, on an empty connection only.
+// start lets the first byte of an exchange be sent, only on a connection without unread bytes.
 func (conn *upstreamConn) start() (*exchange, error) {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
 	ex := conn.exchange
-	if ex == nil { // Danger: the rest of a push whose answer came early would pass by the gate of its transaction
+	if ex == nil { // the rest of an attempt with an early response would bypass the connWriter of its transaction
 		return nil, errTransactionEnded
 	}
 	if ex.started {
@@ -151,7 +151,7 @@
 	return ex, nil
 }
 
-// Write lets a ride out, a push through its transaction's gate.
+// Write sends bytes of the current exchange, those of an attempt through the connWriter of its transaction.
 func (conn *upstreamConn) Write(b []byte) (int, error) {
 	ex, err := conn.start()
 	if err != nil {
@@ -163,13 +163,13 @@
 	return conn.TCPConn.Write(b)
 }
 
-// ReadFrom keeps TCPConn's own from passing by the gate.
+// ReadFrom prevents the method of TCPConn from bypassing the connWriter.
 func (conn *upstreamConn) ReadFrom(from io.Reader) (int64, error) {
 	return io.Copy(struct{ io.Writer }{conn}, from)
 }
 
-// Read waits without the lock and reads under it, so that empty is never said of bytes that are on their way to the
-// reader. What comes before a ride has begun is nobody's.
+// Read waits without the lock and reads under it, so that readerWaiting is never set while received bytes are on
+// their way to the reader. Bytes that arrive before an exchange has started are an error.
 func (conn *upstreamConn) Read(b []byte) (n int, err error) {
 	wait := conn.rawConn.Read(func(fd uintptr) bool {
 		conn.mu.Lock()
@@ -199,7 +199,7 @@
 	return n, nil
 }
 
-// WriteTo keeps TCPConn's own from passing by Read.
+// WriteTo prevents the method of TCPConn from bypassing Read.
 func (conn *upstreamConn) WriteTo(to io.Writer) (int64, error) {
 	return io.Copy(to, struct{ io.Reader }{conn})
 }
--- a/internal/httpwire/pool.go
+++ b/internal/httpwire/pool.go
@@ -13,7 +13,7 @@
 	"ottershift/internal/terms"
 )
 
-// Pool is one service: its shards, its part of what is common.
+// Pool is one service: its shards and its part of the shared limits.
 type Pool struct {
 	Name     string
 	front    *FrontEnd
@@ -26,18 +26,18 @@
 	limits   *poolLimits
 	openIDs  idRegistry
 
-	hasList        atomic.Bool // the list does
-	invalidEntries int         // entries that its last report left out, told once; its source's alone
+	hasList        atomic.Bool // a list of upstreams has arrived
+	invalidEntries int         // invalid entries in the last list, logged when it changes; used only by the source of the list
 
 	mu        sync.Mutex
-	openCount int           // transactions, the writing of their answers included
-	retired   bool          // takes no more
-	drained   chan struct{} // closed once it is retired and nothing is open
+	openCount int           // transactions, including the writing of their answers
+	retired   bool          // accepts no more transactions
+	drained   chan struct{} // closed once the pool is retired and has no open transaction
 	cancel    context.CancelFunc
 }
 
-// shard is what a pool does on one core: a desk with a module of its own, and connections to upstreams of its own. To
-// the modules the shards of a process are as many balancers as there are; clients belong to one by their connection.
+// shard is the part of a pool on one core, with its own desk, decision engine and upstream connections. Each shard
+// counts as a separate balancer for the engines. A client connection belongs to one shard.
 type shard struct {
 	*Pool
 	desk            *desk.Dispatcher
@@ -45,13 +45,13 @@
 	settingsHistory atomic.Pointer[shardSettings]
 }
 
-// shardSettings is what a shard goes by: its part of the book in force, and the one before for tariffs that were dropped.
+// shardSettings holds a shard's part of the current settings, and the previous ones for tariffs that were removed.
 type shardSettings struct {
 	current, previous *terms.Book
-	changed           time.Time // book holds
+	changed           time.Time // start of current
 }
 
-// NewPool makes a pool, which takes transactions once a board shows it. Retire ends it.
+// NewPool creates a pool, which receives transactions once the routing includes it. Retire ends it.
 func (front *FrontEnd) NewPool(name string, settings *terms.Book) (*Pool, error) {
 	pool := &Pool{
 		Name: name, front: front, metrics: &figures.Pool{}, log: front.poolLog.With("pool", name), openIDs: idRegistry{open: map[string]struct{}{}},
@@ -71,10 +71,10 @@
 			front.limits.removePool(pool.limits)
 			return nil, err
 		}
-		sh.conns = newUpstreamConns(front.conns, pool.limits, settings)
+		sh.conns = newUpstreamConns(front.tracker, pool.limits, settings)
 		pool.shards = append(pool.shards, sh)
 	}
-	front.conns.addPool(pool)
+	front.tracker.addPool(pool)
 	ctx, end := context.WithCancel(context.Background())
 	pool.cancel = end
 	for _, sh := range pool.shards {
@@ -84,7 +84,7 @@
 	return pool, nil
 }
 
-// shardOf is the one that a client's connection belongs to.
+// shardOf returns the shard to which a client connection belongs.
 func (pool *Pool) shardOf(client *trackedConn) *shard {
 	if client == nil {
 		return pool.shards[0]
@@ -92,8 +92,8 @@
 	return pool.shards[client.number%uint64(len(pool.shards))]
 }
 
-// Reconfigure puts another book in force. What is open keeps the one that it came under; what is told as before keeps what
-// was learnt under it.
+// Reconfigure replaces the settings. Open transactions keep the settings under which they arrived, and the engine
+// keeps its measurements of unchanged parts.
 func (pool *Pool) Reconfigure(settings *terms.Book) error {
 	for n, sh := range pool.shards {
 		before := sh.settingsHistory.Load().current
@@ -107,30 +107,30 @@
 	return nil
 }
 
-// SetProcesses says how many processes are this balancer at present.
+// SetProcesses sets how many processes act as this balancer at present.
 func (pool *Pool) SetProcesses(n int) {
 	for _, sh := range pool.shards {
 		sh.desk.SetProcesses(n)
 	}
 }
 
-// View is the pool as the second address shows it.
+// View returns the pool's data for the admin address.
 func (pool *Pool) View() figures.View {
 	listed, avoided := pool.shards[0].desk.UpstreamCounts()
 	return figures.View{Name: pool.Name, Counts: pool.metrics, Listed: listed, Unhealthy: avoided}
 }
 
-// ReportSender carries what one module says to another, by their numbers over all balancers.
+// ReportSender sends load reports between decision engines, which are numbered across all balancers.
 type ReportSender interface {
 	Tell(from, to int, raw []byte)
 }
 
-// SetReportSender has the pool's modules say what they say to others through a speaker, or nothing any more through nil.
-func (pool *Pool) SetReportSender(s ReportSender) {
+// SetReportSender sets the sender for the load reports of the pool's engines; nil stops them.
+func (pool *Pool) SetReportSender(sender ReportSender) {
 	for n, sh := range pool.shards {
 		var say func(to int, raw []byte)
-		if from := pool.settings.Load().Terms.Index*len(pool.shards) + n; s != nil {
-			say = func(to int, raw []byte) { s.Tell(from, to, raw) }
+		if from := pool.settings.Load().Terms.Index*len(pool.shards) + n; sender != nil {
+			say = func(to int, raw []byte) { sender.Tell(from, to, raw) }
 		}
 		sh.desk.SetReportSender(say)
 	}
@@ -143,13 +143,13 @@
 	}
 }
 
-// Shards is how many there are.
+// Shards returns the number of shards.
 func (pool *Pool) Shards() int { return len(pool.shards) }
 
-// Settings is what the pool was told.
+// Settings returns the current settings of the pool.
 func (pool *Pool) Settings() *terms.Book { return pool.settings.Load() }
 
-// Log logs what concerns the pool.
+// Log returns the pool's logger.
 func (pool *Pool) Log() *slog.Logger { return pool.log }
 
 // List implements lists.Sink, as do Unlisted and Follow.
@@ -162,7 +162,7 @@
 	first := pool.hasList.Swap(true)
 	if late := time.Duration(0); !whole || !first || change.Joined+change.Ends+change.Gone > 0 || change.Odd != pool.invalidEntries {
 		pool.invalidEntries = change.Odd
-		if first && change.Born > 0 { // what had started before the first list was not told late
+		if first && change.Born > 0 { // upstreams that started before the first list were not reported late
 			late = time.Since(time.Unix(0, change.Born))
 		}
 		pool.log.Info("list", "step", "changed", "whole", whole, "entries", len(entries), "joined", change.Joined, "draining", change.Ends,
@@ -177,13 +177,14 @@
 	}
 }
 
-// Follow implements lists.Sink. All shards are told whatever one of them asks for.
+// Follow implements lists.Sink. A request of the first shard's engine stands for all, as every list update goes to
+// all shards.
 func (pool *Pool) Follow() <-chan struct{} { return pool.shards[0].desk.Follow() }
 
-// Entries is the pool's list as it stands.
+// Entries returns the pool's current list of upstreams.
 func (pool *Pool) Entries() []roster.Entry[string] { return pool.shards[0].desk.Entries() }
 
-// addTransaction counts a transaction in, unless the pool is retired.
+// addTransaction counts a new transaction and reports whether the pool accepts it.
 func (pool *Pool) addTransaction() bool {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
@@ -193,6 +194,7 @@
 	return !pool.retired
 }
 
+// removeTransaction removes a finished transaction from the count.
 func (pool *Pool) removeTransaction() {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
@@ -201,7 +203,7 @@
 	}
 }
 
-// maxHardStop is the longest hard stop of its tariffs.
+// maxHardStop returns the longest hard stop of the pool's tariffs.
 func (pool *Pool) maxHardStop() (longest time.Duration) {
 	for _, t := range pool.settings.Load().Terms.Tariffs {
 		longest = max(longest, time.Duration(t.HardStop))
@@ -209,8 +211,8 @@
 	return longest
 }
 
-// Retire ends a pool that no board shows any more: what it has taken is finished within the longest hard stop, then
-// all that it held is given back.
+// Retire ends a pool that is no longer in the routing. Open transactions may finish within the longest hard stop,
+// then all resources are released.
 func (pool *Pool) Retire() {
 	pool.mu.Lock()
 	if pool.retired {
@@ -229,7 +231,7 @@
 	select {
 	case <-pool.drained:
 	case <-time.After(pool.maxHardStop() + finalAnswerTime):
-		forfeited = pool.forfeitOpen() // Danger: the module lost track of one, and the pool would never go
+		forfeited = pool.forfeitOpen() // a transaction that the engine lost track of would keep the pool forever
 		select {
 		case <-pool.drained:
 		case <-time.After(stallTimeout):
@@ -241,8 +243,8 @@
 		sh.conns.close()
 	}
 	pool.sample(true)
-	pool.front.conns.removePool(pool)
-	for range 200 { // pushes that were called off are giving back their connections
+	pool.front.tracker.removePool(pool)
+	for range 200 { // cancelled attempts are releasing their connections
 		if _, out, _, _ := pool.limits.usage(); out == 0 {
 			break
 		}
@@ -252,7 +254,7 @@
 	pool.log.Info("retire", "step", "end", "forfeited", forfeited, "took", time.Since(start).Round(time.Millisecond))
 }
 
-// forfeitOpen ends all that is open.
+// forfeitOpen forfeits all open transactions and returns their number.
 func (pool *Pool) forfeitOpen() (n int) {
 	for _, sh := range pool.shards {
 		n += sh.desk.Close()
@@ -260,7 +262,7 @@
 	return n
 }
 
-// closeIdle closes the connections that lie idle.
+// closeIdle closes the idle connections to upstreams.
 func (pool *Pool) closeIdle() {
 	for _, sh := range pool.shards {
 		sh.conns.transport.CloseIdleConnections()
--- a/internal/httpwire/presence.go
+++ b/internal/httpwire/presence.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	noticeTime     = 300 * time.Millisecond  // after LEAVE new clients may still come
-	closeIdleAfter = 1700 * time.Millisecond // then what lies idle is closed
-	deferAfter     = 1900 * time.Millisecond // what has its last byte later is deferred
-	closeAllAfter  = 3400 * time.Millisecond // then whatever has no transaction is closed
+	noticeTime     = 300 * time.Millisecond  // new clients may still arrive this long after LEAVE
+	closeIdleAfter = 1700 * time.Millisecond // then idle connections are closed
+	deferAfter     = 1900 * time.Millisecond // requests that are complete later are deferred
+	closeAllAfter  = 3400 * time.Millisecond // then all connections without a transaction are closed
 	sweepInterval  = 50 * time.Millisecond
 )
 
@@ -18,23 +18,24 @@
 
 const (
 	serving  lifecycle = iota
-	leaving            // LEAVE came; JOIN leads back
-	stopping           // SIGTERM came
+	leaving            // after LEAVE; JOIN returns to serving
+	stopping           // after SIGTERM
 )
 
-// Availability is whether a balancer takes clients. Health at both addresses, what SIGTERM and the second address ask for, and
-// the closing of connections all go by it.
+// Availability is whether a balancer accepts clients. The health checks of both addresses, SIGTERM, the commands
+// of the admin address and the closing of connections all use it.
 type Availability struct {
 	mu          sync.Mutex
 	state       lifecycle
-	stateSince  time.Time // when that began
-	closeFrom   time.Time // from then on connections end with their answers; zero for never
-	deferFrom   time.Time // from then on what comes is deferred; zero for never
-	handedOver  bool      // stopping, and another process goes on taking clients
-	transitions int       // how often it turned
+	stateSince  time.Time // when the state began
+	closeFrom   time.Time // connections close with their responses from then on; zero for never
+	deferFrom   time.Time // requests are deferred from then on; zero for never
+	handedOver  bool      // stopping, while another process continues to accept clients
+	transitions int       // number of state changes, to recognise an outdated one
 }
 
-// transition goes to leaving or back to serving, and tells whether that is news, and the how manieth time it is.
+// transition changes between leaving and serving. It returns whether the state changed, and the number of the
+// change.
 func (avail *Availability) transition(to lifecycle, now time.Time) (changed bool, transitions int, err error) {
 	avail.mu.Lock()
 	defer avail.mu.Unlock()
@@ -52,7 +53,8 @@
 	return true, avail.transitions, nil
 }
 
-// stop ends it, for good. Connections end with their answers from a moment on, or from one that was set before.
+// stop enters the final state. Connections close with their responses from closeFrom on, or at once if the
+// balancer is leaving already.
 func (avail *Availability) stop(now, closeFrom time.Time, handedOver bool) {
 	avail.mu.Lock()
 	defer avail.mu.Unlock()
@@ -62,43 +64,44 @@
 	avail.state, avail.stateSince, avail.closeFrom, avail.deferFrom, avail.handedOver = stopping, now, closeFrom, time.Time{}, handedOver
 }
 
-// isServing reports whether this process takes clients.
+// isServing reports whether this process accepts clients.
 func (avail *Availability) isServing() bool {
 	avail.mu.Lock()
 	defer avail.mu.Unlock()
 	return avail.state == serving
 }
 
-// acceptsClients reports whether clients may come to the balancer that this process is, or is one of. Danger: where another
-// process takes them under the same address, a no from this one would keep them from both.
+// acceptsClients reports whether clients may connect to the balancer, which may consist of several processes. If
+// another process accepts clients at the same address, a failed health check here would keep them from both.
 func (avail *Availability) acceptsClients() bool {
 	avail.mu.Lock()
 	defer avail.mu.Unlock()
 	return avail.state == serving || avail.state == stopping && avail.handedOver
 }
 
-// closesConnections reports whether connections end with their answers.
+// closesConnections reports whether connections close with their responses.
 func (avail *Availability) closesConnections(now time.Time) bool {
 	avail.mu.Lock()
 	defer avail.mu.Unlock()
 	return !avail.closeFrom.IsZero() && !now.Before(avail.closeFrom)
 }
 
-// tooLate reports whether a transaction that is whole now has come too late to be taken.
+// tooLate reports whether a request that is complete now is deferred.
 func (avail *Availability) tooLate(now time.Time) bool {
 	avail.mu.Lock()
 	defer avail.mu.Unlock()
 	return !avail.deferFrom.IsZero() && !now.Before(avail.deferFrom)
 }
 
-// leavingFor tells how long ago a round of leaving began, and whether it still goes on.
+// leavingFor returns the time since the last state change, and whether the given transition to leaving is still in
+// effect.
 func (avail *Availability) leavingFor(transitions int, now time.Time) (time.Duration, bool) {
 	avail.mu.Lock()
 	defer avail.mu.Unlock()
 	return now.Sub(avail.stateSince), avail.state == leaving && avail.transitions == transitions
 }
 
-// Ready is nil if clients may come to this process, else why not.
+// Ready returns nil if this process accepts clients, otherwise the reason.
 func (front *FrontEnd) Ready() error {
 	switch {
 	case !front.availability.isServing():
@@ -111,14 +114,14 @@
 	return nil
 }
 
-// Leave has clients go elsewhere: health says no, connections end with their answers, and those without a transaction
-// are closed as late as allowed. Nothing else changes, and the process stays.
+// Leave makes clients use other balancers: health checks fail, connections close with their responses, and those
+// without a transaction close as late as the protocol allows. The process keeps running.
 func (front *FrontEnd) Leave() error {
 	changed, transitions, err := front.availability.transition(leaving, time.Now())
 	if !changed {
 		return err
 	}
-	front.log.Info("leave", "step", "begin", "clients", front.conns.clients.Load())
+	front.log.Info("leave", "step", "begin", "clients", front.tracker.clients.Load())
 	go func() {
 		for {
 			time.Sleep(sweepInterval)
@@ -128,18 +131,18 @@
 				return
 			}
 			if elapsed >= closeIdleAfter {
-				front.conns.closeIdleClients(now, elapsed >= closeAllAfter)
+				front.tracker.closeIdleClients(now, elapsed >= closeAllAfter)
 			}
 		}
 	}()
 	return nil
 }
 
-// Join takes clients again.
+// Join makes the process accept clients again.
 func (front *FrontEnd) Join() error {
 	changed, _, err := front.availability.transition(serving, time.Now())
 	if changed {
-		front.log.Info("leave", "step", "end", "clients", front.conns.clients.Load())
+		front.log.Info("leave", "step", "end", "clients", front.tracker.clients.Load())
 	}
 	return err
 }
--- a/internal/httpwire/push.go
+++ b/internal/httpwire/push.go
@@ -19,17 +19,20 @@
 	"ottershift/logic"
 )
 
-const discardTimeout = 10 * time.Millisecond // the rest of an answer that is no use
+const discardTimeout = 10 * time.Millisecond // for reading the rest of a response that is not used
 
-// singleUseBody is a body that can't be rewound. Danger: http.Transport sends a GET without a body, and a POST with
-// Idempotency-Key whose body it can have anew, a second time by itself when a kept connection breaks.
+// singleUseBody is a body that cannot be rewound. If a reused connection breaks, http.Transport by itself resends
+// a GET without a body, and a POST with Idempotency-Key whose body it can obtain again.
 type singleUseBody struct{ *bytes.Reader }
 
 func (singleUseBody) Close() error { return nil }
 
-// runAttempt carries one push to its outcome.
-func (sh *shard) runAttempt(handle *desk.Handle, attempt *desk.Attempt, txn *transaction, writer *connWriter, res *reservation, stored *upstreamResponse, guard *ownershipGuard) {
-	result, streamed := logic.Disconnected, false // it may have run, unless it is known better
+// runAttempt carries out one attempt and reports its outcome.
+func (sh *shard) runAttempt(
+	handle *desk.Handle, attempt *desk.Attempt, txn *transaction, writer *connWriter, held *reservation,
+	stored *upstreamResponse, guard *ownershipGuard,
+) {
+	result, streamed := logic.Disconnected, false // default: it may have run
 	if !guard.permit(handle, attempt) {
 		sh.desk.Outcome(handle, attempt, logic.Unsent)
 		return
@@ -46,10 +49,10 @@
 			sh.desk.Outcome(handle, attempt, result)
 		}
 	}()
-	result, streamed = sh.send(handle, attempt, txn, writer, res, stored)
+	result, streamed = sh.send(handle, attempt, txn, writer, held, stored)
 }
 
-// discardAttempts gives back the pushes that were ordered and not begun when the transaction ended.
+// discardAttempts returns the attempts that were ordered and not started when the transaction ended.
 func (sh *shard) discardAttempts(handle *desk.Handle) {
 	for {
 		select {
@@ -61,13 +64,15 @@
 	}
 }
 
-// send sends the request once and takes what comes back. What flowed has been told the desk already.
+// send sends the request once and handles the response. The outcome of a streamed response has been reported to
+// the desk already.
 func (sh *shard) send(
-	handle *desk.Handle, attempt *desk.Attempt, txn *transaction, writer *connWriter, res *reservation, stored *upstreamResponse,
+	handle *desk.Handle, attempt *desk.Attempt, txn *transaction, writer *connWriter, held *reservation,
+	stored *upstreamResponse,
 ) (result logic.Result, streamed bool) {
 	ex := &exchange{writer: writer}
 	defer ex.detach()
-	var writeFailed atomic.Bool // before its last byte was written
+	var writeFailed atomic.Bool // before the last byte of the request was written
 	ctx := httptrace.WithClientTrace(withTarget(attempt.Context, attempt.Place, attempt.Deadline, false), &httptrace.ClientTrace{
 		GotConn: ex.attach,
 		WroteRequest: func(i httptrace.WroteRequestInfo) {
@@ -79,7 +84,7 @@
 	header := maps.Clone(txn.header)
 	header["X-Remaining"] = []string{strconv.FormatFloat(max(0, min(time.Until(attempt.Deadline), txn.timeout).Seconds()), 'f', 6, 64)}
 	if header["User-Agent"] == nil {
-		header["User-Agent"] = []string{""} // none, instead of the library's
+		header["User-Agent"] = []string{""} // none, instead of the default of net/http
 	}
 	dest := *txn.url
 	dest.Scheme, dest.Host, dest.User, dest.Fragment = "http", attempt.Place.Host, nil, ""
@@ -94,30 +99,30 @@
 	resp, err := sh.conns.transport.RoundTrip(req)
 	if err != nil {
 		started := ex.abort()
-		if ex.conn != nil && txn.upload != nil && (writeFailed.Load() || !txn.upload.done()) { // its client was still sending: no word against the upstream
+		if ex.conn != nil && txn.upload != nil && (writeFailed.Load() || !txn.upload.done()) { // the client was still sending, so the upstream is not blamed
 			return logic.Unsent, false
 		}
 		return attemptResult(ctx, err, ex.reused && !started, started && !writeFailed.Load()), false
 	}
 	defer resp.Body.Close()
 	if !ex.abort() {
-		return logic.Unsent, false // what came was the answer to something else
+		return logic.Unsent, false // unexpected data, not a response to this request
 	}
 	status := resp.StatusCode
 	settled := status == http.StatusOK || sh.settings.Load().Plain && status >= 200 && status < 400
-	// Danger: 429 says to a client that its transaction has not run, which only the module may say.
+	// 429 tells a client that its transaction has not run, which only the decision engine may state.
 	rejected := status >= 400 && status < 500 && status != http.StatusTooManyRequests
 	if !settled {
-		// What comes with it is read, so that the connection can be kept. Danger: where it doesn't come, the error
-		// would be known only at the hard stop.
+		// The body is read so that the connection can be reused. A body that stalls must not delay the report of
+		// the error until the hard stop.
 		defer time.AfterFunc(discardTimeout, func() { resp.Body.Close() }).Stop()
 	}
 	var body []byte
 	if settled && txn.method != http.MethodHead && resp.ContentLength <= maxBody {
-		body, streamed, err = sh.readResponse(handle, attempt, resp, stored, res)
+		body, streamed, err = sh.readResponse(handle, attempt, resp, stored, held)
 	} else {
 		body, err = readBody(resp.Body, resp.ContentLength)
-		res.force(int64(len(body)))
+		held.force(int64(len(body)))
 	}
 	switch {
 	case streamed:
@@ -134,13 +139,14 @@
 	case err == errBodyTooLong:
 		return logic.Errored, false
 	case err != nil:
-		return attemptResult(ctx, err, false, true), false // cut
+		return attemptResult(ctx, err, false, true), false // truncated
 	}
 	sh.storeResponse(stored, resp, body)
 	return logic.Settled, false
 }
 
-// readBody reads what comes with an answer that settles nothing; length is what its header says, -1 if nothing.
+// readBody reads the body of a response that does not settle the transaction; length is its Content-Length, -1 for
+// none.
 func readBody(source io.Reader, length int64) ([]byte, error) {
 	if length > maxReservedBody {
 		return nil, errBodyTooLong
@@ -152,15 +158,17 @@
 	return body, err
 }
 
-// storeResponse keeps an answer for its client.
+// storeResponse keeps a response for the client.
 func (sh *shard) storeResponse(stored *upstreamResponse, resp *http.Response, body []byte) {
-	stored.status, stored.header, stored.length, stored.body = resp.StatusCode, endToEndHeaders(resp.Header), resp.Header["Content-Length"], body
+	stored.status, stored.header, stored.length, stored.body =
+		resp.StatusCode, endToEndHeaders(resp.Header), resp.Header["Content-Length"], body
 }
 
-// attemptResult names the outcome of a push without a whole answer. Only what provably never left whole is said not to
-// have run. Danger: an answer that makes no sense may be known before the library says that the push was written,
-// so what has begun counts as written unless writing it failed. A kept connection that had ended before it began
-// (stale) is no word against its upstream: whether that can be reached only a new one tells.
+// attemptResult returns the outcome of an attempt without a complete response. Only an attempt that certainly was
+// not sent completely counts as not run. A malformed response may be noticed before net/http reports the request
+// as written, so an exchange that has started counts as written unless the write failed. A stale connection, which
+// was closed before the exchange started, is not blamed on the upstream: only a new connection shows whether it is
+// reachable.
 func attemptResult(ctx context.Context, err error, stale, written bool) logic.Result {
 	switch {
 	case stale, errors.Is(err, errNoDescriptor), errors.Is(err, errTransactionEnded) && !written:
@@ -168,7 +176,7 @@
 	case errors.Is(context.Cause(ctx), context.Canceled):
 		return logic.Cancelled
 	case !written && ctx.Err() != nil:
-		return logic.Unsent // Danger: with little time left a live upstream would pass for one that is down
+		return logic.Unsent // with little time left, a live upstream would be taken for an unreachable one
 	case !written:
 		return logic.Unreachable
 	case ctx.Err() != nil:
@@ -177,7 +185,7 @@
 	return logic.Disconnected
 }
 
-// runProbes carries out the module's probes until the pool ends.
+// runProbes carries out the probes of the decision engine until the pool is retired.
 func (sh *shard) runProbes(ctx context.Context) {
 	for {
 		select {
@@ -193,7 +201,7 @@
 	}
 }
 
-// sendProbe asks an upstream for a sign of life, which may take as long as two connections to it.
+// sendProbe reports whether an upstream answers a probe within twice the dial timeout.
 func (sh *shard) sendProbe(ctx context.Context, place roster.Place) bool {
 	deadline := time.Now().Add(2 * sh.settings.Load().DialTimeout)
 	ctx, end := context.WithDeadline(ctx, deadline)
--- a/internal/httpwire/request.go
+++ b/internal/httpwire/request.go
@@ -22,24 +22,24 @@
 )
 
 const (
-	maxReservedBody  = terms.MostBody // of a message that is held for certain
-	maxBody          = 48 << 20       // of any message
-	maxBodyShare     = 4              // part of what all bodies may take that one may
-	maxTimeout       = time.Hour      // what a client may ask for
-	transitAllowance = 5 * time.Millisecond
+	maxReservedBody  = terms.MostBody       // bytes of a body that are always buffered completely
+	maxBody          = 48 << 20             // bytes of any body
+	maxBodyShare     = 4                    // one body may use at most 1/maxBodyShare of the memory for bodies
+	maxTimeout       = time.Hour            // that a client may ask for
+	transitAllowance = 5 * time.Millisecond // for the transfer to the client
 
-	// A client that never ends its message has an error or a close within three seconds of connecting. Danger: half
-	// a message holds a descriptor as well as a transaction does.
-	headTimeout = 2500 * time.Millisecond // within which the headers have come
-	bodyGrace   = 2600 * time.Millisecond // and then the body; a longer one flows on without a pause
-	bodyPause   = time.Second             // of more than this
-	minBodyRate = 16 << 10                // at this many bytes a second, over all of it
-	idleTimeout = 3 * time.Second         // between two transactions
+	// A client that never completes its request gets an error or a closed connection within three seconds of
+	// connecting, because an incomplete request holds a descriptor just like a transaction.
+	headTimeout = 2500 * time.Millisecond // for the headers
+	bodyGrace   = 2600 * time.Millisecond // for the body after them; longer bodies must arrive without pauses
+	bodyPause   = time.Second             // longest allowed pause of a longer body
+	minBodyRate = 16 << 10                // bytes a second, on average over the whole body
+	idleTimeout = 3 * time.Second         // between two requests
 )
 
-// transaction is what a client sent, as the protocol has it.
+// transaction is a decoded request of a client.
 type transaction struct {
-	settings    *terms.Book // that it came under
+	settings    *terms.Book // in force when it arrived
 	id          string
 	tariff      int
 	customer    int // -1 for none
@@ -49,20 +49,21 @@
 	method string
 	host   string
 	url    *url.URL
-	header http.Header // end to end
-	body   []byte      // as much of it as is held
-	length int64       // of all of it, -1 if nobody knows
-	upload *upload     // what comes behind body, nil if nothing does
+	header http.Header // end-to-end headers
+	body   []byte      // the part that is buffered
+	length int64       // of the whole body, -1 if unknown
+	upload *upload     // the rest of the body that is still being received, nil if there is none
 }
 
-// arrival is what the desk is told.
+// arrival returns the description of the transaction for the desk.
 func (txn *transaction) arrival() desk.Arrival {
 	return desk.Arrival{
-		Config: txn.settings.Terms, Tariff: txn.tariff, Customer: txn.customer, Timeout: txn.timeout, ClientRetry: txn.clientRetry, BodyPending: txn.upload != nil,
+		Config: txn.settings.Terms, Tariff: txn.tariff, Customer: txn.customer, Timeout: txn.timeout,
+		ClientRetry: txn.clientRetry, BodyPending: txn.upload != nil,
 	}
 }
 
-// requestError is why a message can't be a transaction; such a one never reaches the module.
+// requestError is the reason why a request is invalid. Such a request never reaches the decision engine.
 type requestError struct {
 	status int
 	text   string
@@ -70,12 +71,14 @@
 
 func badRequest(text string) *requestError { return &requestError{http.StatusBadRequest, text} }
 
-// decodeRequest decodes what a client sent but for its body, which take reads. tariff is what its route says, "" for nothing.
+// decodeRequest decodes a request except for its body, which readBody reads. tariff is the one set by its route,
+// "" for none.
 func decodeRequest(req *http.Request, settings *terms.Book, tariff string) (*transaction, *requestError) {
-	txn := &transaction{settings: settings, method: req.Method, host: req.Host, url: req.URL, customer: -1, length: req.ContentLength}
+	txn := &transaction{settings: settings, method: req.Method, host: req.Host, url: req.URL, customer: -1,
+		length: req.ContentLength}
 	for _, name := range []string{"X-Txn", "X-Lane", "X-Org", "X-Remaining", "Idempotency-Key"} {
 		if len(req.Header[name]) > 1 {
-			return nil, badRequest("more than one " + name) // Danger: who reads the other would take it for another's
+			return nil, badRequest("more than one " + name) // otherwise two readers could use different values
 		}
 	}
 	if !settings.Plain && req.Method != http.MethodGet && req.Method != http.MethodPost {
@@ -95,7 +98,7 @@
 	}
 	config := settings.Terms.Tariffs[txn.tariff]
 	if config.Idempotency == logic.Keyed && req.Header.Get("Idempotency-Key") == "" {
-		return nil, badRequest("a tagged transaction without Idempotency-Key") // Danger: its repeats would be unknown
+		return nil, badRequest("a tagged transaction without Idempotency-Key") // without the key, repeats would not be recognised
 	}
 	known := false
 	if org := req.Header.Get("X-Org"); org != "" && len(settings.Customers) > 0 {
@@ -110,7 +113,7 @@
 			return nil, badRequest("X-Remaining is not a time")
 		}
 	}
-	// Danger: the client counts from when it sent, and an answer given at its hard stop is still on the way then.
+	// The client's time starts when it sends, and an answer at the hard stop still has to reach it.
 	txn.timeout = max(0, txn.timeout-transitAllowance)
 	txn.clientRetry = req.Header.Get("X-Resent") == "1"
 	if settings.Plain {
@@ -122,12 +125,12 @@
 	return txn, nil
 }
 
-// tariffOf is a transaction's tariff: what its route says; else what it says of itself, by X-Lane or the first part of its
-// path; else the pool's own.
+// tariffOf returns the tariff of a request: the one set by its route, otherwise the one named by X-Lane or the
+// first part of the path, otherwise the default of the pool.
 func tariffOf(req *http.Request, settings *terms.Book, routeTariff string) (tariff int, reqErr *requestError) {
 	if routeTariff != "" {
 		n, known := settings.Tariffs[routeTariff]
-		if !known { // Danger: routes and terms change one after the other, and number 0 is another tariff
+		if !known { // routes and settings are updated one after the other, and number 0 would be another tariff
 			return 0, &requestError{http.StatusNotFound, "unknown tariff"}
 		}
 		return n, nil
@@ -148,7 +151,7 @@
 	return settings.Default, nil
 }
 
-// addForwarded tells an upstream where a transaction came from.
+// addForwarded adds headers that tell an upstream where a request came from.
 func addForwarded(h http.Header, address string) {
 	if host, _, err := net.SplitHostPort(address); err == nil {
 		h["X-Forwarded-For"] = append(slices.Clone(h["X-Forwarded-For"]), host)
@@ -161,24 +164,25 @@
 	errNoBodyRoom = &requestError{http.StatusServiceUnavailable, "no room for the body"}
 )
 
-// readBody reads a transaction's body: all of it, or as much as there is room for; spare may make some, in a moment. Danger:
-// room made for what a length only promises would cost more memory than there is.
-func (txn *transaction) readBody(w http.ResponseWriter, req *http.Request, res *reservation, evict func() bool) *requestError {
+// readBody reads the body of a request, completely or as far as there is room. evict may free some room shortly
+// after. Room is reserved only as the body arrives, because the announced lengths together could exceed the
+// memory.
+func (txn *transaction) readBody(w http.ResponseWriter, req *http.Request, held *reservation, evict func() bool) *requestError {
 	up := &upload{body: req.Body, control: http.NewResponseController(w), start: time.Now(), resultCh: make(chan error, 1)}
 	for req.Body != http.NoBody {
 		if len(txn.body) == cap(txn.body) {
 			more := max(512, cap(txn.body))
-			if txn.length >= 0 { // one more, for the end to be seen
+			if txn.length >= 0 { // one byte more, to see the end
 				more = int(min(int64(max(more, maxReservedBody/4)), txn.length+1-int64(len(txn.body))))
 			}
-			if missing := maxReservedBody + 1 - len(txn.body); missing > 0 { // up to there it is held for certain
+			if missing := maxReservedBody + 1 - len(txn.body); missing > 0 { // up to that size the body is always buffered
 				more = min(more, missing)
 			}
 			room := max(more, 1)
-			reserved := res.reserve(int64(room), int64(len(txn.body)+room))
+			reserved := held.reserve(int64(room), int64(len(txn.body)+room))
 			for n := 0; !reserved && len(txn.body) <= maxReservedBody && n < evictionTries && evict(); n++ {
-				time.Sleep(recentWindow) // until what was closed has given back its own
-				reserved = res.reserve(int64(room), int64(len(txn.body)+room))
+				time.Sleep(recentWindow) // until the evicted connection has released its room
+				reserved = held.reserve(int64(room), int64(len(txn.body)+room))
 			}
 			if !reserved {
 				if len(txn.body) <= maxReservedBody {
@@ -208,20 +212,21 @@
 
 var errBodyTooLong = errors.New("a body over the limit")
 
-// upload is a body on its way in. Its client may be slow, but neither stand still nor trickle.
+// upload is a body that is being received. Its client may be slow, but neither pause too long nor fall below the
+// minimum rate.
 type upload struct {
 	body     io.Reader
 	control  *http.ResponseController
 	start    time.Time
 	received int64
-	resultCh chan error  // how it ended, once; nil for whole
-	err      error       // the same for who reads on
-	finished atomic.Bool // it has ended, or nobody wants it any more
+	resultCh chan error  // receives the result once; nil for complete
+	err      error       // the same for later calls of Read
+	finished atomic.Bool // it has ended or is not needed any more
 }
 
 func (up *upload) Read(b []byte) (int, error) {
 	if up.finished.Load() {
-		return 0, cmp.Or(up.err, io.ErrUnexpectedEOF) // Danger: an end that is none would make a cut body pass for whole
+		return 0, cmp.Or(up.err, io.ErrUnexpectedEOF) // io.EOF would make a truncated body look complete
 	}
 	deadline := up.start.Add(bodyGrace + time.Duration(up.received)*time.Second/minBodyRate)
 	if paused := time.Now().Add(bodyPause); paused.Before(deadline) {
@@ -238,7 +243,8 @@
 	up.err = err
 	if err != nil && up.finished.CompareAndSwap(false, true) {
 		if err == io.EOF {
-			// Danger: the server watches the connection from here on; a limit left behind looks like a client gone.
+			// The server watches the connection from now on, and a deadline left behind would look like a client
+			// that disconnected.
 			up.control.SetReadDeadline(time.Time{})
 			up.resultCh <- nil
 		} else {
@@ -248,7 +254,7 @@
 	return n, err
 }
 
-// result tells once how it ended; nobody hears of what never began.
+// result returns the channel that receives the result once. A nil upload never has one.
 func (up *upload) result() <-chan error {
 	if up == nil {
 		return nil
@@ -256,18 +262,19 @@
 	return up.resultCh
 }
 
-// stop says that nobody wants the rest. Danger: its limits would be set on the connection's next message.
+// stop records that the rest is not needed. Otherwise its deadlines would be set during the next request on the
+// connection.
 func (up *upload) stop() {
 	if up != nil {
 		up.finished.Store(true)
 	}
 }
 
-// done reports whether nothing is to come any more.
+// done reports whether nothing more will arrive.
 func (up *upload) done() bool { return up == nil || up.finished.Load() }
 
-// decode decodes what a client sent, by the terms in force. A tariff that was dropped is known for its hard stop: its
-// clients try again by themselves.
+// decode decodes a request by the current settings. A removed tariff stays valid for its hard stop, because
+// clients still retry with it.
 func (sh *shard) decode(req *http.Request, tariff string) (*transaction, *requestError) {
 	history := sh.settingsHistory.Load()
 	txn, reqErr := decodeRequest(req, history.current, tariff)
@@ -281,14 +288,14 @@
 	return txn, reqErr
 }
 
-// idRegistry are those of the open transactions. Danger: a client that sends another's would have its answer, or have it
-// run twice.
+// idRegistry holds the IDs of the open transactions. A client that reused an open ID could receive another
+// client's answer, or cause a second run of its transaction.
 type idRegistry struct {
 	mu   sync.Mutex
 	open map[string]struct{}
 }
 
-// add takes an id, unless it is taken.
+// add registers an ID and reports whether it was free.
 func (ids *idRegistry) add(id string) bool {
 	ids.mu.Lock()
 	defer ids.mu.Unlock()
@@ -305,7 +312,7 @@
 	ids.mu.Unlock()
 }
 
-// parseTimeout reads a time as the wire writes it: plain decimals. What else ParseFloat knows is no time here.
+// parseTimeout parses a time as plain decimal seconds. Other notations of ParseFloat are invalid here.
 func parseTimeout(text string) (time.Duration, error) {
 	whole, part, _ := strings.Cut(text, ".")
 	if len(text) > 32 || whole == "" || strings.Trim(whole+part, "0123456789") != "" {
@@ -318,13 +325,13 @@
 	return time.Duration(min(s, maxTimeout.Seconds()) * float64(time.Second)), nil
 }
 
-// hopByHop are the headers that concern one connection only.
+// hopByHop lists the headers that concern only one connection.
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Expect", "Content-Length",
 }
 
-// endToEndHeaders copies the headers that go on.
+// endToEndHeaders returns a copy of the headers without those that concern only one connection.
 func endToEndHeaders(h http.Header) http.Header {
 	kept := maps.Clone(h)
 	for _, list := range h["Connection"] {
--- a/internal/httpwire/serve.go
+++ b/internal/httpwire/serve.go
@@ -1,9 +1,11 @@
-// Package httpwire serves transactions over HTTP/1.1: net/http's server towards clients, http.Transport towards
-// upstreams. Its files follow a transaction: serve.go finds its pool and lives its life, request.go reads it, share.go
-// asks whether its pool may have it, push.go carries one push, gate.go lets it out, reply.go writes the answer, drain.go
-// ends the process; pool.go is one service, sockets.go keeps count of clients' connections, outbound.go and outward.go
-// of those to upstreams, tally.go logs. It decides nothing: routes, shares and the desk are asked at each point of
-// choice.
+// Package httpwire serves transactions over HTTP/1.1, with the server of net/http for clients and http.Transport
+// for upstreams. serve.go finds the pool of a request and runs the transaction, request.go decodes the request,
+// share.go applies the limits shared between pools, claims.go acquires ownership of transactions that must not run
+// twice, push.go sends attempts, gate.go is the connection writer for attempts, flow.go streams long responses,
+// reply.go writes answers, and drain.go shuts the process down. pool.go holds one service, presence.go the
+// availability for clients, sockets.go the client connections, outbound.go and outward.go the upstream
+// connections, heads.go the scan of request headers, and tally.go logs. The package makes no decisions itself: the
+// routes, shares and desk packages make them.
 package httpwire
 
 import (
@@ -19,75 +21,77 @@
 	"ottershift/internal/routes"
 )
 
-// FrontEnd is the door for transactions.
+// FrontEnd is the HTTP front end of a balancer.
 type FrontEnd struct {
 	log          *slog.Logger
-	poolLog      *slog.Logger // for the pools' own
-	conns        *connTracker
+	poolLog      *slog.Logger // base of the pools' loggers
+	tracker      *connTracker
 	limits       *sharedLimits
 	server       *http.Server
 	newEngine    desk.EngineFactory
 	cores        int
 	routing      atomic.Pointer[Routing]
-	ownership    atomic.Pointer[OwnershipRegistry] // nil where nothing is claimed
+	ownership    atomic.Pointer[OwnershipRegistry] // nil if ownership is not used
 	availability Availability
-	accepting    atomic.Bool // a listener is served
+	accepting    atomic.Bool // a listener is being served
 	listeners    listeners
-	streams      atomic.Int64 // answers that go on without the module
+	streams      atomic.Int64 // streamed responses that the decision engine does not track any more
 }
 
-// Routing is which pool takes what. It is replaced whole.
+// Routing assigns requests to pools. It is replaced as a whole.
 type Routing struct {
-	SinglePool *Pool // takes all that comes, if there is one
+	SinglePool *Pool // receives all requests, if set
 	Table      *routes.Table
 	Pools      map[string]*Pool
 }
 
-// hasList reports whether there is a list of upstreams, of any pool.
+// hasList reports whether any pool has a list of upstreams.
 func (routing *Routing) hasList() bool {
-	stands := routing.SinglePool != nil && routing.SinglePool.hasList.Load()
-	for _, p := range routing.Pools {
-		stands = stands || p.hasList.Load()
+	hasList := routing.SinglePool != nil && routing.SinglePool.hasList.Load()
+	for _, pool := range routing.Pools {
+		hasList = hasList || pool.hasList.Load()
 	}
-	return stands
+	return hasList
 }
 
-// New makes a front, which serves nobody until it has a board; module decides for each of its pools.
+// New creates a front end, which rejects all requests until SetRouting is called. module creates the decision
+// engine of each pool.
 func New(log *slog.Logger, module desk.EngineFactory) *FrontEnd {
-	f := &FrontEnd{newEngine: module, cores: 1, log: logs.Own(log), poolLog: log, conns: newConnTracker(), limits: newSharedLimits()}
-	f.routing.Store(&Routing{})
-	f.server = &http.Server{
-		Handler: f, ReadHeaderTimeout: headTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
-		ConnState: f.conns.stateChanged, ConnContext: withClient, DisableGeneralOptionsHandler: true, // no answers but ours
+	front := &FrontEnd{newEngine: module, cores: 1, log: logs.Own(log), poolLog: log, tracker: newConnTracker(), limits: newSharedLimits()}
+	front.routing.Store(&Routing{})
+	front.server = &http.Server{
+		Handler: front, ReadHeaderTimeout: headTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
+		ConnState: front.tracker.stateChanged, ConnContext: withClient, DisableGeneralOptionsHandler: true, // OPTIONS * is not answered by net/http
 		ErrorLog: logs.Lines(logs.Own(log), "http"),
 	}
-	return f
+	return front
 }
 
-// SetLimits is how many descriptors the front may hold, and on how many cores pools that are made from now on work. It
-// comes before any pool.
+// SetLimits sets how many descriptors the front end may hold, and on how many cores new pools run. It must be
+// called before any pool is created.
 func (front *FrontEnd) SetLimits(descriptors, cores int) {
-	front.conns.limit.Store(int64(descriptors))
+	front.tracker.limit.Store(int64(descriptors))
 	front.cores = max(cores, 1)
 }
 
-// SetUnlimited lets the one pool there is have all that is common; bodies are bytes in hand.
+// SetUnlimited lets the only pool use all shared resources; bodies is the memory for bodies in bytes.
 func (front *FrontEnd) SetUnlimited(bodies int64) { front.limits.setUnlimited(bodies) }
 
-// SetShares sets what each pool has of what is common from now on; bodies are bytes in hand, within the time until a pool has
-// what is guaranteed to it back, refusals those a second that all together may write before connections rest.
+// SetShares sets the shares of all pools in the shared resources. bodies is the memory for bodies in bytes, within
+// is the time after which a pool has its guaranteed part back, and refusals is how many refusals a second all
+// pools together may write before connections are delayed.
 func (front *FrontEnd) SetShares(bodies int64, within time.Duration, refusals float64, pools map[*Pool]Share) {
-	parts := map[*poolLimits]Share{}
+	limits := map[*poolLimits]Share{}
 	for pool, share := range pools {
-		parts[pool.limits] = share
+		limits[pool.limits] = share
 	}
-	front.limits.distribute(front.conns.limit.Load(), bodies, within, refusals, parts)
+	front.limits.distribute(front.tracker.limit.Load(), bodies, within, refusals, limits)
 }
 
-// SetRouting replaces the board. A transaction stays with the pool that took it.
+// SetRouting replaces the routing. A transaction stays with the pool that accepted it.
 func (front *FrontEnd) SetRouting(b *Routing) { front.routing.Store(b) }
 
-// ServeHTTP is the life of one transaction.
+// ServeHTTP runs one transaction.
 func (front *FrontEnd) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	var sh *shard
 	var handle *desk.Handle
@@ -95,7 +99,7 @@
 	writer := newConnWriter(client)
 	defer func() {
 		fault := recover()
-		if fault == http.ErrAbortHandler { // how the server is told to break a connection
+		if fault == http.ErrAbortHandler { // net/http aborts the connection on this panic
 			panic(fault)
 		}
 		if fault != nil {
@@ -108,7 +112,7 @@
 			front.writeText(w, http.StatusInternalServerError, "internal error")
 		}
 	}()
-	// Danger: a body that trickles in holds a connection, also where it belongs to no transaction.
+	// A body that arrives slowly holds a connection even if it belongs to no transaction.
 	http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyGrace))
 	if req.URL.Path == "/_health" {
 		front.health(w, req)
@@ -131,20 +135,20 @@
 		return
 	}
 	defer sh.openIDs.remove(txn.id)
-	front.conns.markBusy(client, sh.limits)
-	res := &reservation{limits: sh.limits, timeout: txn.timeout}
-	defer res.release()
+	front.tracker.markBusy(client, sh.limits)
+	held := &reservation{limits: sh.limits, timeout: txn.timeout}
+	defer held.release()
 	if ok, delay := sh.limits.admit(txn.timeout); !ok {
 		front.deferEarly(w, sh, txn)
-		// Danger: a flood that is refused as fast as it comes uses up the core. It has its answer; what rests is the
-		// connection, before its next message is read.
+		// Refusing a flood as fast as it arrives would use up the core. The client has its answer already, and the
+		// connection is delayed before its next request is read.
 		time.Sleep(delay)
 		return
 	}
-	res.admitted = true
-	front.conns.setAwaitingBody(client, true)
-	reqErr = txn.readBody(w, req, res, func() bool { return front.conns.evictBody(client) })
-	front.conns.setAwaitingBody(client, txn.upload != nil)
+	held.admitted = true
+	front.tracker.setAwaitingBody(client, true)
+	reqErr = txn.readBody(w, req, held, func() bool { return front.tracker.evictBody(client) })
+	front.tracker.setAwaitingBody(client, txn.upload != nil)
 	if reqErr != nil {
 		if reqErr == errNoBodyRoom {
 			front.deferEarly(w, sh, txn)
@@ -160,83 +164,85 @@
 	defer txn.upload.stop()
 	guard := front.newGuard(sh, txn)
 	defer guard.finish()
-	for withdrawn := true; withdrawn; { // more than once only where a claim was refused
+	for withdrawn := true; withdrawn; { // repeated only if ownership was refused
 		if !guard.admit(req.Context(), front, w, txn) {
 			writer.close()
 			return
 		}
 		handle = sh.desk.Arrive(guard.arrival(txn))
-		withdrawn = front.runTransaction(w, req, sh, txn, handle, writer, res, guard)
+		withdrawn = front.runTransaction(w, req, sh, txn, handle, writer, held, guard)
 	}
 }
 
-// runTransaction is a transaction's life from its arrival at the desk to its answer; again says that it was taken back instead.
+// runTransaction runs a transaction from its arrival at the desk to its answer. withdrawn reports that it was
+// withdrawn from the desk instead.
 func (front *FrontEnd) runTransaction(
-	w http.ResponseWriter, req *http.Request, sh *shard, txn *transaction, handle *desk.Handle, writer *connWriter, res *reservation, guard *ownershipGuard,
+	w http.ResponseWriter, req *http.Request, sh *shard, txn *transaction, handle *desk.Handle, writer *connWriter,
+	held *reservation, guard *ownershipGuard,
 ) (withdrawn bool) {
 	client := clientConn(req.Context())
 	defer sh.discardAttempts(handle)
-	replies := map[int]*upstreamResponse{} // by push
+	responses := map[int]*upstreamResponse{} // by number of the attempt
 	defer func() {
 		select {
-		case answer := <-handle.Answer: // that its client did not wait for
-			replies[answer.Attempt].discard()
+		case answer := <-handle.Answer: // of a client that did not wait for it
+			responses[answer.Attempt].discard()
 		default:
 		}
 	}()
 	for {
 		select {
 		case attempt := <-handle.Attempts:
-			replies[attempt.Number] = &upstreamResponse{}
-			go sh.runAttempt(handle, attempt, txn, writer, res, replies[attempt.Number], guard)
+			responses[attempt.Number] = &upstreamResponse{}
+			go sh.runAttempt(handle, attempt, txn, writer, held, responses[attempt.Number], guard)
 		case <-guard.withdrawn():
 			return true
 		case err := <-txn.upload.result():
-			if err != nil { // its client sent no more
+			if err != nil { // the client stopped sending
 				sh.desk.ClientGone(handle)
 				writer.close()
 				front.reject(w, badRequest("the body is cut, late or malformed"))
 				return false
 			}
-			front.conns.setAwaitingBody(client, false)
+			front.tracker.setAwaitingBody(client, false)
 			sh.desk.BodyReceived(handle, txn.timeout)
 		case answer := <-handle.Answer:
 			writer.close()
 			if client != nil && client.listener.closing.Load() || !txn.upload.done() {
 				w.Header()["Connection"] = []string{"close"}
 			}
-			front.writeAnswer(w, answer, replies, req.Method)
+			front.writeAnswer(w, answer, responses, req.Method)
 			return false
 		case <-req.Context().Done():
 			sh.desk.ClientGone(handle)
 			writer.close()
-			// Danger: a handler that ends without a word answers 200, and a client that has only stopped sending
-			// would take that for settled.
+			// A handler that returns without writing answers 200, which a client that only closed its sending side
+			// would take for success.
 			front.writeText(w, http.StatusBadGateway, "gone")
 			return false
 		}
 	}
 }
 
-// deferEarly defers a transaction that the module has not heard of.
+// deferEarly defers a transaction before it reaches the decision engine.
 func (front *FrontEnd) deferEarly(w http.ResponseWriter, sh *shard, txn *transaction) {
 	sh.desk.CountDeferred(txn.arrival())
-	w.Header()["Connection"] = []string{"close"} // Danger: its body may be on its way yet
+	w.Header()["Connection"] = []string{"close"} // the body may still be arriving
 	front.writeDeferral(w, time.Duration(txn.settings.Terms.Backoff(txn.settings.Terms.Tariffs[txn.tariff])))
 }
 
-// findPool finds the pool of a message, which it is counted into, and the tariff if its route says one. What no route
-// takes is nobody's transaction.
+// findPool finds the pool of a request and counts the request in it. It also returns the tariff if the route sets
+// one. A request without a route belongs to no transaction.
 func (front *FrontEnd) findPool(req *http.Request, client *trackedConn) (pool *Pool, tariff string, reqErr *requestError) {
-	// Danger: the server drops a length that comes beside a transfer coding, and what one side takes for the body
-	// holds a message of its own for the other; in HTTP/1.0 it drops the coding, unseen from here.
+	// net/http drops a Content-Length beside a transfer coding, so two sides could disagree on where the body ends
+	// and a request could be smuggled in it. For HTTP/1.0 it silently drops the transfer coding.
 	if len(req.TransferEncoding) > 0 && (client == nil || !client.head.withoutLength()) {
 		return nil, "", &requestError{http.StatusLengthRequired, "a body comes with its length or a transfer coding, not with both"}
 	}
 	if !req.ProtoAtLeast(1, 1) {
 		return nil, "", badRequest("not HTTP/1.1")
 	}
-	// Danger: a tunnel's target is no path, and what an upstream makes of "CONNECT /" is its own affair.
+	// The target of CONNECT is no path, and upstreams differ in how they treat "CONNECT /".
 	if req.Method == http.MethodConnect {
 		return nil, "", &requestError{http.StatusNotImplemented, "a balancer is no tunnel"}
 	}
@@ -262,22 +268,22 @@
 		}
 		if pool.addTransaction() {
 			return pool, tariff, nil
-		} // Danger: it was retired since the board was read; there is a new one, or will be in a moment
+		} // the pool was retired after the routing was read, and a new routing is or will soon be set
 		if front.routing.Load() == routing {
 			return nil, "", &requestError{http.StatusNotFound, "no route takes this host and path"}
 		}
 	}
 }
 
-// routeQuery is what a message says to the route table. Its path goes on as it was routed. Danger: an upstream that reads it
-// in another way would let through what a route of ours guards.
+// routeQuery returns the query of a request for the route table. The request is forwarded with the path that was
+// routed, because an upstream that normalises the path differently would bypass the restrictions of a route.
 func routeQuery(req *http.Request, client *trackedConn) (query routes.Query, reqErr *requestError) {
 	var ok bool
 	query.Method, query.Header = req.Method, func(name string) (string, bool) {
 		if v := req.Header[name]; len(v) == 1 {
 			return v[0], true
 		}
-		return "", false // Danger: of two values one side may read the first and the other the last
+		return "", false // with two values, one side may read the first and the other the last
 	}
 	if client != nil {
 		query.Listener = client.listener.name()
@@ -299,13 +305,14 @@
 	return query, nil
 }
 
-// reject answers what is no transaction.
+// reject answers an invalid request.
 func (front *FrontEnd) reject(w http.ResponseWriter, reqErr *requestError) {
-	w.Header()["Connection"] = []string{"close"} // Danger: a body may be on its way that nobody waits for
+	w.Header()["Connection"] = []string{"close"} // an unread body may still be arriving
 	front.writeText(w, reqErr.status, reqErr.text)
 }
 
-// health says whether there is a list of upstreams: of any pool, or of the one that ?pool= names.
+// health answers 200 if there is a list of upstreams, for any pool or for the one named by ?pool=, and clients are
+// accepted.
 func (front *FrontEnd) health(w http.ResponseWriter, req *http.Request) {
 	routing := front.routing.Load()
 	hasList := routing.hasList()
@@ -314,7 +321,7 @@
 		hasList = pool != nil && pool.hasList.Load()
 	}
 	if accepts := front.availability.acceptsClients(); !hasList || !accepts {
-		if !accepts { // Danger: kept, it would be held open by a balancer that is to hold none
+		if !accepts { // a kept connection would hold open a balancer that should have none
 			w.Header()["Connection"] = []string{"close"}
 		}
 		front.writeText(w, http.StatusServiceUnavailable, "no list of upstreams, leaving or stopping")
--- a/internal/httpwire/share.go
+++ b/internal/httpwire/share.go
@@ -9,91 +9,95 @@
 	"ottershift/internal/shares"
 )
 
-// sharedLimits is what the pools of a process have in common, under one lock. What each may have shares decides.
+// sharedLimits holds the resources that the pools of a process share, under one lock. Package shares decides how
+// much each pool may use.
 type sharedLimits struct {
 	mu           sync.Mutex
 	epoch        time.Time
-	unlimited    bool // one pool alone, without limits of its own: it may have all, and sockets bound it
+	unlimited    bool // for a single pool without limits, which is bounded by connTracker alone
 	transactions *shares.Dealer
 	connections  *shares.Dealer
 	bodies       *shares.Dealer
 	pools        map[*poolLimits]struct{}
 }
 
-const maxRefusalDelay = 50 * time.Millisecond // of a connection whose transaction was deferred at the edge
+const maxRefusalDelay = 50 * time.Millisecond // delay of a connection whose transaction was deferred at the edge
 
-// poolLimits is a pool's.
+// poolLimits is the part of one pool in the shared resources.
 type poolLimits struct {
 	shared       *sharedLimits
 	transactions *shares.Account
 	connections  *shares.Account
 	bodies       *shares.Account
 	refusalPace  shares.Pace
-	guaranteed   atomic.Int64 // transactions guaranteed
-	clientConns  int          // connections whose last transaction came to this pool; under the lock of sockets
+	guaranteed   atomic.Int64 // guaranteed number of transactions
+	clientConns  int          // connections whose last transaction came to this pool; under the lock of connTracker
 }
 
 func newSharedLimits() *sharedLimits {
-	c := &sharedLimits{epoch: time.Now(), pools: map[*poolLimits]struct{}{}}
-	c.transactions, c.connections, c.bodies = shares.New(0, 0, 0), shares.New(0, 0, 0), shares.New(0, 0, 0)
-	return c
+	shared := &sharedLimits{epoch: time.Now(), pools: map[*poolLimits]struct{}{}}
+	shared.transactions, shared.connections, shared.bodies = shares.New(0, 0, 0), shares.New(0, 0, 0), shares.New(0, 0, 0)
+	return shared
 }
 
 func (shared *sharedLimits) now() int64 { return int64(time.Since(shared.epoch)) }
 
-// addPool opens a pool's part, which holds nothing yet.
+// addPool adds a pool, which holds nothing yet.
 func (shared *sharedLimits) addPool() *poolLimits {
 	shared.mu.Lock()
 	defer shared.mu.Unlock()
-	p := &poolLimits{shared: shared, transactions: shared.transactions.Open(), connections: shared.connections.Open(), bodies: shared.bodies.Open()}
-	shared.pools[p] = struct{}{}
-	return p
+	limits := &poolLimits{shared: shared, transactions: shared.transactions.Open(), connections: shared.connections.Open(),
+		bodies: shared.bodies.Open()}
+	shared.pools[limits] = struct{}{}
+	return limits
 }
 
-// removePool closes a part that holds nothing any more.
-func (shared *sharedLimits) removePool(p *poolLimits) {
+// removePool removes a pool that holds nothing any more.
+func (shared *sharedLimits) removePool(limits *poolLimits) {
 	shared.mu.Lock()
 	defer shared.mu.Unlock()
-	delete(shared.pools, p)
-	shared.transactions.Close(p.transactions)
-	shared.connections.Close(p.connections)
-	shared.bodies.Close(p.bodies)
+	delete(shared.pools, limits)
+	shared.transactions.Close(limits.transactions)
+	shared.connections.Close(limits.connections)
+	shared.bodies.Close(limits.bodies)
 }
 
-// Share is what a pool is to have.
+// Share is the share of a pool in the shared resources.
 type Share struct {
-	Guarantee                 float64 // of what is common, guaranteed; below zero for an even part of what others leave
-	Open, Connections, Bodies int64   // at most; 0 for all there is
+	Guarantee                 float64 // guaranteed fraction; below zero for an equal part of what the others leave
+	Open, Connections, Bodies int64   // limits of transactions, upstream connections and bytes of bodies; 0 for none
 }
 
-// setUnlimited lets the one pool there is have all; bodies are bytes in hand.
+// setUnlimited lets the only pool use everything; bodies is the memory for bodies in bytes.
 func (shared *sharedLimits) setUnlimited(bodies int64) {
 	shared.mu.Lock()
 	defer shared.mu.Unlock()
 	shared.unlimited = true
 	shared.bodies.Resize(bodies)
-	for p := range shared.pools {
-		shared.bodies.Set(p.bodies, bodies, bodies)
+	for limits := range shared.pools {
+		shared.bodies.Set(limits.bodies, bodies, bodies)
 	}
 }
 
-// distribute sets what all pools have from now on. A part that isn't named gives its place up as it empties.
-func (shared *sharedLimits) distribute(limit int64, bodies int64, within time.Duration, refusals float64, shareOf map[*poolLimits]Share) {
+// distribute sets the shares of all pools. Pools that are not in shareOf accept nothing new and release their part
+// as they finish.
+func (shared *sharedLimits) distribute(limit int64, bodies int64, within time.Duration, refusals float64,
+	shareOf map[*poolLimits]Share) {
 	shared.mu.Lock()
 	defer shared.mu.Unlock()
-	clients := limit * 3 / 5 // as many as sockets lets them hold before one makes room for another
+	clients := limit * 3 / 5 // above this, connTracker evicts a client connection for a new one
 	spare := limit - descriptorReserve(limit) - clients
 	shared.unlimited = false
-	var parts []*poolLimits
+	var participants []*poolLimits
 	var fractions []float64
-	for p := range shared.pools {
-		if _, named := shareOf[p]; !named {
-			shared.transactions.Set(p.transactions, 0, 0)
-			shared.connections.Set(p.connections, 0, math.MaxInt64) // what it has taken it may still push
-			shared.bodies.Set(p.bodies, 0, math.MaxInt64)
+	for limits := range shared.pools {
+		if _, named := shareOf[limits]; !named {
+			shared.transactions.Set(limits.transactions, 0, 0)
+			shared.connections.Set(limits.connections, 0, math.MaxInt64) // attempts of accepted transactions may still be sent
+			shared.bodies.Set(limits.bodies, 0, math.MaxInt64)
 			continue
 		}
-		parts, fractions = append(parts, p), append(fractions, shareOf[p].Guarantee)
+		participants, fractions = append(participants, limits), append(fractions, shareOf[limits].Guarantee)
 	}
 	shared.transactions.Resize(clients)
 	shared.bodies.Resize(bodies)
@@ -102,13 +106,13 @@
 	}
 	open, out, held := shares.Split(clients, fractions), shares.Split(spare, fractions), shares.Split(bodies, fractions)
 	rates := shares.Split(int64(refusals), fractions)
-	for i, p := range parts {
-		share := shareOf[p]
-		setShare(shared.transactions, p.transactions, open[i], share.Open)
-		p.guaranteed.Store(p.transactions.Guarantee())
-		setShare(shared.connections, p.connections, out[i], share.Connections)
-		setShare(shared.bodies, p.bodies, held[i], share.Bodies)
-		p.refusalPace = shares.NewPace(float64(rates[i]), int64(maxRefusalDelay))
+	for i, limits := range participants {
+		share := shareOf[limits]
+		setShare(shared.transactions, limits.transactions, open[i], share.Open)
+		limits.guaranteed.Store(limits.transactions.Guarantee())
+		setShare(shared.connections, limits.connections, out[i], share.Connections)
+		setShare(shared.bodies, limits.bodies, held[i], share.Bodies)
+		limits.refusalPace = shares.NewPace(float64(rates[i]), int64(maxRefusalDelay))
 	}
 }
 
@@ -119,7 +123,7 @@
 	dealer.Set(account, min(guarantee, most), most)
 }
 
-// admit is asked for each transaction before its body is read; rest is what a connection that is refused has to rest.
+// admit decides on each transaction before its body is read; delay is how long a refused connection has to wait.
 func (limits *poolLimits) admit(timeout time.Duration) (ok bool, delay time.Duration) {
 	shared := limits.shared
 	shared.mu.Lock()
@@ -135,52 +139,57 @@
 	return false, time.Duration(limits.refusalPace.Rest(now))
 }
 
-// reservation is what a transaction holds of its pool's part, until end.
+// reservation is what a transaction holds of its pool's part until release. Its fields are guarded by the lock of
+// sharedLimits.
 type reservation struct {
 	limits   *poolLimits
 	timeout  time.Duration
 	admitted bool
 	bytes    int64 // of bodies
-	released bool  // all under the lock of common
+	released bool
 }
 
-// reserve takes room for so many bytes more of a request, of which all is to be no more than a part of what there is.
-// Danger: a few long ones would take up all of it, and short ones, which are held for certain, would be turned away.
-func (res *reservation) reserve(bytes, all int64) bool {
-	shared := res.limits.shared
+// reserve takes room for more bytes of a request body. all is the size with them, which is limited to a fraction
+// of the memory: otherwise a few long bodies would take all of it, and short ones, which are always buffered,
+// would be refused.
+func (held *reservation) reserve(bytes, all int64) bool {
+	shared := held.limits.shared
 	shared.mu.Lock()
 	defer shared.mu.Unlock()
 	now := shared.now()
-	if all > maxReservedBody+1 && max(all*maxBodyShare, (shared.bodies.Used()+bytes)*2) > shared.bodies.Capacity() || !shared.bodies.Take(res.limits.bodies, bytes, now+int64(res.timeout), now) {
+	if all > maxReservedBody+1 && max(all*maxBodyShare, (shared.bodies.Used()+bytes)*2) > shared.bodies.Capacity() ||
+		!shared.bodies.Take(held.limits.bodies, bytes, now+int64(held.timeout), now) {
 		return false
 	}
-	res.bytes += bytes
+	held.bytes += bytes
 	return true
 }
 
-// force counts what an answer brought. Danger: thrown away for want of room, it would be a forfeit of what has run.
-func (res *reservation) force(bytes int64) {
-	res.limits.shared.mu.Lock()
-	defer res.limits.shared.mu.Unlock()
-	if !res.released { // else nobody keeps it
-		res.bytes += bytes
-		res.limits.shared.bodies.Force(res.limits.bodies, bytes)
+// force counts the bytes of a response without a limit, because discarding the response would forfeit a
+// transaction that has run.
+func (held *reservation) force(bytes int64) {
+	held.limits.shared.mu.Lock()
+	defer held.limits.shared.mu.Unlock()
+	if !held.released { // otherwise the response is not kept
+		held.bytes += bytes
+		held.limits.shared.bodies.Force(held.limits.bodies, bytes)
 	}
 }
 
-// release gives all of it back.
-func (res *reservation) release() {
-	res.limits.shared.mu.Lock()
-	defer res.limits.shared.mu.Unlock()
-	res.released = true
-	if res.admitted {
-		res.limits.shared.transactions.Give(res.limits.transactions, 1)
+// release returns everything.
+func (held *reservation) release() {
+	held.limits.shared.mu.Lock()
+	defer held.limits.shared.mu.Unlock()
+	held.released = true
+	if held.admitted {
+		held.limits.shared.transactions.Give(held.limits.transactions, 1)
 	}
-	res.limits.shared.bodies.Give(res.limits.bodies, res.bytes)
+	held.limits.shared.bodies.Give(held.limits.bodies, held.bytes)
 }
 
-// reserveConn is asked for each connection to an upstream; room is what the descriptors leave for all of them. short tells
-// those that hold more than is guaranteed to them, who are to close what lies idle.
+// reserveConn decides on each new connection to an upstream. room is how many all pools together may have by the
+// number of descriptors. On a refusal, over lists the pools that should close idle connections: this pool and
+// those above their guarantee.
 func (limits *poolLimits) reserveConn(room int64, deadline time.Time) (ok bool, over []*poolLimits) {
 	shared := limits.shared
 	shared.mu.Lock()
@@ -203,14 +212,14 @@
 	return false, over
 }
 
-// releaseConn takes a connection to an upstream back.
+// releaseConn returns a connection to an upstream.
 func (limits *poolLimits) releaseConn() {
 	limits.shared.mu.Lock()
 	limits.shared.connections.Give(limits.connections, 1)
 	limits.shared.mu.Unlock()
 }
 
-// usage tells what a pool has now, and what it was refused since the last call.
+// usage returns what the pool uses now, and the number of refusals since the last call.
 func (limits *poolLimits) usage() (open, out, bodies, refused int64) {
 	limits.shared.mu.Lock()
 	defer limits.shared.mu.Unlock()
--- a/internal/httpwire/smuggle_test.go
+++ b/internal/httpwire/smuggle_test.go
@@ -15,14 +15,14 @@
 	"ottershift/logic"
 )
 
-// strictUpstream is an upstream that counts the messages that reach it, and those that it can't read.
-func strictUpstream(t testing.TB) (l net.Listener, read, odd, hidden *atomic.Int64) {
+// strictUpstream returns an upstream that counts the requests it reads, malformed ones and those marked as hidden.
+func strictUpstream(t testing.TB) (l net.Listener, parsed, malformed, hidden *atomic.Int64) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	read, odd, hidden = &atomic.Int64{}, &atomic.Int64{}, &atomic.Int64{}
+	parsed, malformed, hidden = &atomic.Int64{}, &atomic.Int64{}, &atomic.Int64{}
 	go serveManually(l, func(c net.Conn, in *bufio.Reader) bool {
 		r, err := http.ReadRequest(in)
 		if err == nil {
@@ -30,22 +30,22 @@
 		}
 		if err != nil {
 			if err != io.EOF && err != io.ErrUnexpectedEOF && !strings.Contains(err.Error(), "reset") {
-				odd.Add(1)
+				malformed.Add(1)
 			}
 			return false
 		}
-		read.Add(1)
+		parsed.Add(1)
 		if r.Header.Get("X-Txn") == "hidden" {
 			hidden.Add(1)
 		}
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		return true
 	})
-	return l, read, odd, hidden
+	return l, parsed, malformed, hidden
 }
 
-// FuzzRequestSmuggling: whatever bytes a client sends, the upstream reads as many messages as the client is told that were settled,
-// each of them an own one of the client's. Danger: where two sides end a message differently, the rest is another.
+// FuzzRequestSmuggling checks that for any bytes of a client, the upstream reads as many requests as were answered
+// with success. If two sides disagree on where a request ends, the rest is read as another request.
 func FuzzRequestSmuggling(f *testing.F) {
 	const head = "POST /view HTTP/1.1\r\nHost: a\r\nX-Txn: %d\r\n"
 	const inner = "GET /view HTTP/1.1\r\nHost: a\r\nX-Txn: hidden\r\n\r\n"
@@ -66,41 +66,41 @@
 		f.Add(fmt.Sprintf(head, n) + more)
 		f.Add(fmt.Sprintf(head, n) + "Content-Length: 0\r\n\r\n" + fmt.Sprintf(head, 100+n) + more)
 	}
-	door, pool := newTestFrontEnd(f)
-	l, read, odd, hidden := strictUpstream(f)
-	pool.desk.List([]roster.Entry[string]{{Name: "u", Zone: "a", Address: l.Addr().String(), Up: logic.Upstream{Weight: 1}}}, true)
-	in, err := door.Listen("main", "127.0.0.1:0")
+	front, sh := newTestFrontEnd(f)
+	upstream, parsed, malformed, hidden := strictUpstream(f)
+	sh.desk.List([]roster.Entry[string]{{Name: "u", Zone: "a", Address: upstream.Addr().String(), Up: logic.Upstream{Weight: 1}}}, true)
+	listener, err := front.Listen("main", "127.0.0.1:0")
 	if err != nil {
 		f.Fatal(err)
 	}
-	go door.Serve(in)
-	f.Cleanup(func() { in.Close() })
+	go front.Serve(listener)
+	f.Cleanup(func() { listener.Close() })
 	f.Fuzz(func(t *testing.T, text string) {
-		before, oddBefore := read.Load(), odd.Load()
-		c, err := net.Dial("tcp", in.Addr().String())
+		before, malformedBefore := parsed.Load(), malformed.Load()
+		conn, err := net.Dial("tcp", listener.Addr().String())
 		if err != nil {
 			t.Skip()
 		}
-		defer c.Close()
-		go io.WriteString(c, text)
-		settled, said := int64(0), 0
-		for answers := bufio.NewReader(c); ; said++ {
-			c.SetReadDeadline(time.Now().Add([]time.Duration{200, 30}[min(said, 1)] * time.Millisecond))
-			a, err := http.ReadResponse(answers, nil)
+		defer conn.Close()
+		go io.WriteString(conn, text)
+		settled, answered := int64(0), 0
+		for answers := bufio.NewReader(conn); ; answered++ {
+			conn.SetReadDeadline(time.Now().Add([]time.Duration{200, 30}[min(answered, 1)] * time.Millisecond))
+			resp, err := http.ReadResponse(answers, nil)
 			if err != nil {
 				break
 			}
-			io.Copy(io.Discard, a.Body)
-			if a.StatusCode == http.StatusOK {
+			io.Copy(io.Discard, resp.Body)
+			if resp.StatusCode == http.StatusOK {
 				settled++
 			}
 		}
-		if n := read.Load() - before; n != settled || odd.Load() != oddBefore {
-			t.Errorf("%d messages arrived, %d were settled, %d could not be read: %q", n, settled, odd.Load()-oddBefore, text)
+		if n := parsed.Load() - before; n != settled || malformed.Load() != malformedBefore {
+			t.Errorf("%d requests arrived, %d were settled, %d were malformed: %q", n, settled, malformed.Load()-malformedBefore, text)
 		}
 		outer, _, _ := strings.Cut(strings.ToLower(text), "hidden")
 		if hidden.Swap(0) > 0 && strings.Contains(outer, "content-length") && strings.Contains(outer, "transfer-encoding") {
-			t.Errorf("a hidden message went on: %q", text)
+			t.Errorf("a smuggled request was forwarded: %q", text)
 		}
 	})
 }
--- a/internal/httpwire/sockets.go
+++ b/internal/httpwire/sockets.go
@@ -17,48 +17,49 @@
 )
 
 const (
-	maxReserve     = 64 // for what isn't counted: the listener, the second address, the watch, the runtime's own files
-	recentWindow   = 20 * time.Millisecond
-	evictionTries  = 8               // at connections, for one that has really said nothing
-	idleEvictAfter = 2 * time.Second // after which a client reckons with a close
-	messageStall   = time.Second / 2 // that a message may stop for, once all connections are to end
-	maxHeaderBytes = 32 << 10        // of a message, either way
+	maxReserve     = 64                    // for descriptors that are not counted: the listener, the admin address, the file watch, the runtime's own files
+	recentWindow   = 20 * time.Millisecond // data this recent may still be followed by more
+	evictionTries  = 8                     // until a connection without unread data is found
+	idleEvictAfter = 2 * time.Second       // after this, clients expect their idle connection to close
+	messageStall   = time.Second / 2       // allowed pause in a request once all connections are to close
+	maxHeaderBytes = 32 << 10              // bytes, of requests and responses
 )
 
 var errNoDescriptor = errors.New("no descriptor left for a connection")
 
-// connTracker counts the connections on both sides. Danger: a process without a free descriptor can't accept, and what
-// waits in the backlog is owed an answer already.
+// connTracker counts the connections to clients and upstreams. A process without free descriptors cannot accept,
+// but clients in the backlog are already entitled to an answer.
 type connTracker struct {
 	limit     atomic.Int64
 	clients   atomic.Int64
 	upstreams atomic.Int64
 
-	lastNumber atomic.Uint64 // of the last client
+	lastNumber atomic.Uint64 // number of the last client connection
 
 	mu           sync.Mutex
-	unassigned   list.List                  // clients' connections that never had a transaction, the longest so first
-	awaitingBody map[*trackedConn]bool      // clients' connections on which a body is awaited
-	idle         map[*poolLimits]*list.List // those that had, and have none now, by the pool of the last one
+	unassigned   list.List                  // client connections that never had a transaction, the oldest first
+	awaitingBody map[*trackedConn]bool      // client connections on which a body is awaited
+	idle         map[*poolLimits]*list.List // client connections whose transaction has ended, by the pool of that transaction
 	elements     map[*trackedConn]*list.Element
 	pools        map[*poolLimits]*Pool
 }
 
 func newConnTracker() *connTracker {
 	return &connTracker{
-		idle: map[*poolLimits]*list.List{}, elements: map[*trackedConn]*list.Element{}, pools: map[*poolLimits]*Pool{}, awaitingBody: map[*trackedConn]bool{},
+		idle: map[*poolLimits]*list.List{}, elements: map[*trackedConn]*list.Element{}, pools: map[*poolLimits]*Pool{},
+		awaitingBody: map[*trackedConn]bool{},
 	}
 }
 
-// reserve is left free, also for clients that have yet to be accepted.
+// reserve returns the number of descriptors that are kept free, also for clients not yet accepted.
 func (tracker *connTracker) reserve() int64 { return descriptorReserve(tracker.limit.Load()) }
 
 func descriptorReserve(limit int64) int64 { return min(maxReserve, limit/4) }
 
-// stateChanged follows clients' connections. Danger: clients that connect and say nothing, or begin a message and never
-// end it, would use up the descriptors; once they hold too many, the one without a whole message that has been silent
-// for longest makes room for a new one. What a flood does must not cost good clients theirs, above all while others
-// restart and they have no other.
+// stateChanged follows the state of client connections. Clients that connect and send nothing, or never complete a
+// request, would use up the descriptors. Above the limit, the connection without a complete request that has been
+// silent for longest is closed for a new one. A flood must not cost other clients their connections, above all
+// while other balancers restart and these clients have no other connection.
 func (tracker *connTracker) stateChanged(conn net.Conn, state http.ConnState) {
 	tracked := conn.(*trackedConn)
 	tracker.mu.Lock()
@@ -97,33 +98,33 @@
 	if victim := tracker.evictionCandidate(time.Now()); victim != nil && victim != tracked {
 		tracker.unlist(victim)
 		delete(tracker.awaitingBody, victim)
-		victim.Close() // its own goroutine tells its last state
+		victim.Close() // its own goroutine reports the final state
 	}
 }
 
-// evictionCandidate finds who makes room: who has never said anything or stopped in a body, then who has been idle for long, then
-// who stopped in a head, each time the one that is silent for longest; then the oldest idle one of the pool that crowds
-// the others. Danger: one that has just said something may be a good client with its message on the way, and a slow
-// client stops between two pieces of a head.
+// evictionCandidate returns the connection to close for a new one. The order is: a connection that never sent
+// anything or stopped in a body, one that has been idle for long, one that stopped in a header, each time the one
+// silent for longest, and last the oldest idle one of the most crowded pool. A connection with recent data is
+// spared, because its request may be on the way and slow clients pause within a header.
 func (tracker *connTracker) evictionCandidate(now time.Time) *trackedConn {
 	recent := now.Add(-recentWindow).UnixNano()
 	for range evictionTries {
 		var silent, partial *trackedConn
-		for e := tracker.unassigned.Front(); e != nil; e = e.Next() {
-			if c := e.Value.(*trackedConn); c.hasSent.Load() {
-				partial = c.longerSilent(partial)
+		for element := tracker.unassigned.Front(); element != nil; element = element.Next() {
+			if conn := element.Value.(*trackedConn); conn.hasSent.Load() {
+				partial = conn.longerSilent(partial)
 			} else {
-				silent = c.longerSilent(silent)
+				silent = conn.longerSilent(silent)
 			}
 		}
-		for c := range tracker.awaitingBody {
-			if partial = c.longerSilent(partial); c.lastRead.Load() < now.Add(-bodyPause/2).UnixNano() {
-				silent = c.longerSilent(silent) // a body that comes at all doesn't stop for so long
+		for conn := range tracker.awaitingBody {
+			if partial = conn.longerSilent(partial); conn.lastRead.Load() < now.Add(-bodyPause/2).UnixNano() {
+				silent = conn.longerSilent(silent) // a body that still arrives does not pause for so long
 			}
 		}
 		var idle *trackedConn
-		if kept := tracker.mostCrowded(); kept != nil {
-			idle = kept.Front().Value.(*trackedConn)
+		if idleConns := tracker.mostCrowded(); idleConns != nil {
+			idle = idleConns.Front().Value.(*trackedConn)
 		}
 		victim := idle
 		switch {
@@ -142,10 +143,10 @@
 			return victim
 		}
 	}
-	return tracker.unassigned.Front().Value.(*trackedConn) // all speak; there is one, the newest
+	return tracker.unassigned.Front().Value.(*trackedConn) // all have unread data; there is at least the newest one
 }
 
-// longerSilent is the one of two connections that has been silent for longer.
+// longerSilent returns the one of two connections that has been silent for longer.
 func (conn *trackedConn) longerSilent(than *trackedConn) *trackedConn {
 	if than == nil || conn.lastRead.Load() < than.lastRead.Load() {
 		return conn
@@ -153,7 +154,7 @@
 	return than
 }
 
-// hasUnread reports whether something has come on a connection that has not been read yet: a core that is busy reads late.
+// hasUnread reports whether a connection has unread data, as a busy core reads late.
 func (conn *trackedConn) hasUnread() bool {
 	raw, err := conn.SyscallConn()
 	if err != nil {
@@ -168,14 +169,15 @@
 	return unread
 }
 
-// evictBody closes the body that has stopped for longest, to have its room for another's; there may be none.
+// evictBody closes the connection whose body has been silent for longest, to free its room. It returns false if
+// there is none.
 func (tracker *connTracker) evictBody(own *trackedConn) bool {
 	tracker.mu.Lock()
 	defer tracker.mu.Unlock()
 	var oldest *trackedConn
-	for c := range tracker.awaitingBody {
-		if c != own {
-			oldest = c.longerSilent(oldest)
+	for conn := range tracker.awaitingBody {
+		if conn != own {
+			oldest = conn.longerSilent(oldest)
 		}
 	}
 	if oldest == nil || time.Since(time.Unix(0, oldest.lastRead.Load())) < recentWindow || oldest.hasUnread() {
@@ -186,7 +188,7 @@
 	return true
 }
 
-// setAwaitingBody says that a body is awaited on a connection, or no longer.
+// setAwaitingBody records whether a body is awaited on a connection.
 func (tracker *connTracker) setAwaitingBody(conn *trackedConn, body bool) {
 	if conn == nil {
 		return
@@ -200,19 +202,20 @@
 	}
 }
 
-// mostCrowded are the kept connections of the pool whose clients hold the most for its part. Danger: those that are used
-// all the time are never the oldest, and a flood at one pool would close the connections of the others' clients.
-func (tracker *connTracker) mostCrowded() (kept *list.List) {
+// mostCrowded returns the idle connections of the pool whose clients hold the most relative to its guarantee.
+// Without regard to pools, a flood at one pool would close connections of the others' clients, because connections
+// in constant use are never the oldest.
+func (tracker *connTracker) mostCrowded() (idle *list.List) {
 	var most *poolLimits
-	for p, l := range tracker.idle {
-		if l.Len() > 0 && (most == nil || shares.Crowds(p.clientConns, p.guaranteed.Load(), most.clientConns, most.guaranteed.Load())) {
-			kept, most = l, p
+	for limits, conns := range tracker.idle {
+		if conns.Len() > 0 && (most == nil || shares.Crowds(limits.clientConns, limits.guaranteed.Load(), most.clientConns, most.guaranteed.Load())) {
+			idle, most = conns, limits
 		}
 	}
-	return kept
+	return idle
 }
 
-// assign says to which pool a connection's last transaction came.
+// assign sets the pool of a connection's last transaction.
 func (tracker *connTracker) assign(conn *trackedConn, limits *poolLimits) {
 	if conn.limits != nil {
 		if conn.limits.clientConns--; conn.limits.clientConns == 0 {
@@ -224,7 +227,7 @@
 	}
 }
 
-// markBusy says that a client's connection carries a transaction, until its next state.
+// markBusy records that a client connection carries a transaction, until its next change of state.
 func (tracker *connTracker) markBusy(conn *trackedConn, limits *poolLimits) {
 	if conn == nil {
 		return
@@ -248,7 +251,7 @@
 	delete(tracker.elements, conn)
 }
 
-// addPool and part keep count of the pools, whose idle connections can be recalled.
+// addPool and removePool maintain the set of pools whose idle connections can be closed.
 func (tracker *connTracker) addPool(pool *Pool) {
 	tracker.mu.Lock()
 	tracker.pools[pool.limits] = pool
@@ -261,11 +264,11 @@
 	tracker.mu.Unlock()
 }
 
-// closeIdleOf closes what lies idle of some pools.
-func (tracker *connTracker) closeIdleOf(parts []*poolLimits) {
-	for _, p := range parts {
+// closeIdleOf closes the idle upstream connections of some pools.
+func (tracker *connTracker) closeIdleOf(all []*poolLimits) {
+	for _, limit := range all {
 		tracker.mu.Lock()
-		pool := tracker.pools[p]
+		pool := tracker.pools[limit]
 		tracker.mu.Unlock()
 		if pool != nil {
 			pool.closeIdle()
@@ -273,72 +276,73 @@
 	}
 }
 
-// closeAllIdle does so with all of them.
+// closeAllIdle closes the idle upstream connections of all pools.
 func (tracker *connTracker) closeAllIdle() {
-	for _, p := range tracker.allPools() {
-		p.closeIdle()
+	for _, pool := range tracker.allPools() {
+		pool.closeIdle()
 	}
 }
 
-// allPools pools there are, those that are retiring included.
+// allPools returns all pools, including those being retired.
 func (tracker *connTracker) allPools() []*Pool {
 	tracker.mu.Lock()
 	defer tracker.mu.Unlock()
 	return slices.Collect(maps.Values(tracker.pools))
 }
 
-// closeIdleOfListener closes the clients' connections of a listener that are without a transaction. Danger: one on which a message has just come
-// would be lost to its client, or run for nobody, so each is closed by its own goroutine.
+// closeIdleOfListener closes the client connections of a listener that carry no transaction. Each is closed by its
+// own goroutine, because a request that has just arrived would otherwise be lost or run without a client.
 func (tracker *connTracker) closeIdleOfListener(listener *Listener) {
 	var idle []*trackedConn
 	tracker.mu.Lock()
-	for c := range tracker.elements {
-		if c.listener == listener {
-			idle = append(idle, c)
+	for conn := range tracker.elements {
+		if conn.listener == listener {
+			idle = append(idle, conn)
 		}
 	}
 	tracker.mu.Unlock()
-	for _, c := range idle {
-		c.readGuard.EndIfIdle(c.TCPConn)
+	for _, conn := range idle {
+		conn.readGuard.EndIfIdle(conn.TCPConn)
 	}
 }
 
-// closeIdleClients closes clients' connections that lie idle; all, also those that never ended a message. Danger: one on which a
-// message has just come, or comes slowly, would be lost to its client.
+// closeIdleClients closes idle client connections; with all, also those whose request has stalled. A connection on
+// which a request has just arrived, or arrives slowly, stays open because the request would be lost.
 func (tracker *connTracker) closeIdleClients(now time.Time, all bool) {
 	var idle []*trackedConn
 	tracker.mu.Lock()
-	for c := range tracker.elements {
-		if quiet := now.Sub(c.stateSince); c.idle && quiet >= recentWindow || all && quiet >= messageStall {
-			idle = append(idle, c)
+	for conn := range tracker.elements {
+		if quiet := now.Sub(conn.stateSince); conn.idle && quiet >= recentWindow || all && quiet >= messageStall {
+			idle = append(idle, conn)
 		}
 	}
 	tracker.mu.Unlock()
-	for _, c := range idle {
-		if !c.readGuard.EndIfIdle(c.TCPConn) && all && now.Sub(time.Unix(0, c.lastRead.Load())) >= messageStall {
-			c.Close()
+	for _, conn := range idle {
+		if !conn.readGuard.EndIfIdle(conn.TCPConn) && all && now.Sub(time.Unix(0, conn.lastRead.Load())) >= messageStall {
+			conn.Close()
 		}
 	}
 }
 
-// trackedConn is a connection that is taken off its count when it is closed. Danger: without TCPConn's CloseWrite the
-// server can't end a connection softly, and a reset overtakes its last answer.
+// trackedConn is a connection that leaves its count when it is closed. It embeds TCPConn for its CloseWrite:
+// without it, the server cannot close a connection gracefully, and a reset would overtake the last answer. All
+// fields after once concern client connections.
 type trackedConn struct {
 	*net.TCPConn
 	count      *atomic.Int64
 	once       sync.Once
-	lastRead   atomic.Int64 // a client's: when it said something, in Unix nanoseconds, or came
-	hasSent    atomic.Bool  // that it did
-	listener   *Listener    // a client's
-	number     uint64       // of a client's, by which it belongs to a shard
-	idle       bool         // a client's: between two messages
-	stateSince time.Time    // when its state changed
-	head       headScanner  // a client's
+	lastRead   atomic.Int64 // Unix nanoseconds; the time of connecting until something is read
+	hasSent    atomic.Bool  // something has been read
+	listener   *Listener
+	number     uint64    // selects the shard
+	idle       bool      // between two requests
+	stateSince time.Time // time of the last change of state
+	head       headScanner
 	readGuard  keptconn.Guard
-	limits     *poolLimits // a client's: to which its last transaction came, nil for a stranger; under the lock of sockets
+	limits     *poolLimits // pool of the last transaction, nil before the first; under the lock of connTracker
 }
 
-// Read has a client's heads looked at.
+// Read reads data and passes that of a client to the header scanner.
 func (conn *trackedConn) Read(b []byte) (int, error) {
 	n, err := conn.readGuard.Read(conn.TCPConn, b)
 	if n > 0 {
@@ -367,30 +371,29 @@
 	return conn.TCPConn.Close()
 }
 
-// Listener is where clients connect. It counts them; when descriptors grow short, connections to upstreams that
-// nobody uses go.
+// Listener accepts and counts clients. When descriptors run short, it closes idle connections to upstreams.
 type Listener struct {
 	net.Listener
 	label        atomic.Pointer[string]
-	sockets      *connTracker
-	closing      atomic.Bool // its clients' connections end with their answers
-	notAccepting atomic.Bool // closed here, by a drain; another process may have it open
+	tracker      *connTracker
+	closing      atomic.Bool // client connections close with their answers
+	notAccepting atomic.Bool // closed in this process by a drain; another process may have it open
 }
 
-// Rename changes its name, as routes know it.
+// Rename sets the name used by the routes.
 func (listener *Listener) Rename(name string) { listener.label.Store(&name) }
 
 func (listener *Listener) name() string { return *listener.label.Load() }
 
 // Accept implements net.Listener.
 func (listener *Listener) Accept() (net.Conn, error) {
-	c, err := listener.Listener.Accept()
+	conn, err := listener.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	s := listener.sockets
-	if s.clients.Add(1)+s.upstreams.Load() > s.limit.Load()-s.reserve()/2 {
-		s.closeAllIdle()
+	tracker := listener.tracker
+	if tracker.clients.Add(1)+tracker.upstreams.Load() > tracker.limit.Load()-tracker.reserve()/2 {
+		tracker.closeAllIdle()
 	}
-	return &trackedConn{TCPConn: c.(*net.TCPConn), count: &s.clients, listener: listener, number: s.lastNumber.Add(1)}, nil
+	return &trackedConn{TCPConn: conn.(*net.TCPConn), count: &tracker.clients, listener: listener, number: tracker.lastNumber.Add(1)}, nil
 }
--- a/internal/httpwire/tally.go
+++ b/internal/httpwire/tally.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	tallySamples   = 10 // looks
+	tallySamples   = 10 // samples between two tally lines
 	sampleInterval = time.Second
 )
 
-// logState is what has been logged of a pool, under the lock of its looks.
+// logState is what has been logged of a pool, guarded by logMu.
 type logState struct {
-	sum        desk.Counters           // since the last tally in the log
-	ended      [figures.Endings]int64  // at that time
-	connTotals [connCounterCount]int64 // at the last look
+	sum        desk.Counters           // since the last tally line
+	ended      [figures.Endings]int64  // at the last tally line
+	connTotals [connCounterCount]int64 // at the last sample
 	connSum    [connCounterCount]int64
 }
 
-// logPeriodically logs now and then what has become of transactions and pushes, unless there was nothing; and each second in which
-// anything was lost, what that was and how things stood.
+// logPeriodically logs a summary of transactions and attempts every tallySamples samples, unless there were none,
+// and the losses of each second in which there were any.
 func (pool *Pool) logPeriodically(ctx context.Context) {
 	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
@@ -38,8 +38,8 @@
 	}
 }
 
-// sample takes what has happened since the last one. Danger: 300 balancers that log each second would need more core and
-// disk than their work; so only what was lost is logged at once.
+// sample takes the counters since the last sample. Only losses are logged at once, because 300 balancers logging
+// each second would need more CPU and disk than their work.
 func (pool *Pool) sample(whole bool) {
 	pool.logMu.Lock()
 	defer pool.logMu.Unlock()
@@ -59,7 +59,7 @@
 	pool.logState.connTotals = totals
 	seen := counters.Stats
 	pool.logLosses(&counters, delta)
-	pool.logState.sum.Stats = logic.Stats{Suppressed: pool.logState.sum.Stats.Suppressed} // how things stand adds up to nothing over time
+	pool.logState.sum.Stats = logic.Stats{Suppressed: pool.logState.sum.Stats.Suppressed} // the current state is not summed over time
 	pool.logState.sum.Add(counters)
 	pool.logState.sum.Open = counters.Open
 	if whole {
@@ -67,47 +67,49 @@
 	}
 }
 
-// appendNonZero adds what is not zero to the arguments of a line.
-func appendNonZero(to []any, name string, n int) []any {
+// appendNonZero appends a log attribute unless its value is zero.
+func appendNonZero(args []any, name string, n int) []any {
 	if n != 0 {
-		to = append(to, name, n)
+		args = append(args, name, n)
 	}
-	return to
+	return args
 }
 
-// appendStats adds how things stand.
-func appendStats(to []any, s logic.Stats) []any {
+// appendStats appends the current state of the decision engine.
+func appendStats(args []any, stats logic.Stats) []any {
 	round := func(v float64) float64 { return math.Round(v*100) / 100 }
-	return append(to, "room", round(s.Limit), "in_hand", round(s.Concurrency), "in_hand_mean", round(s.MeanConcurrency), "line", s.QueueLength,
-		"slow", round(s.LatencyRatio), "slow_base", round(s.BaseRatio), "strength", round(s.Capacity), "best", round(s.BestRate),
-		"own", s.Assigned, "aside", s.Ejected, "cold", s.Cold, "quantile", time.Duration(s.HedgeDelay).Round(time.Millisecond), "bucket", round(s.Budget))
+	return append(args, "room", round(stats.Limit), "in_hand", round(stats.Concurrency), "in_hand_mean", round(stats.MeanConcurrency),
+		"line", stats.QueueLength,
+		"slow", round(stats.LatencyRatio), "slow_base", round(stats.BaseRatio), "strength", round(stats.Capacity), "best", round(stats.BestRate),
+		"own", stats.Assigned, "aside", stats.Ejected, "cold", stats.Cold,
+		"quantile", time.Duration(stats.HedgeDelay).Round(time.Millisecond), "bucket", round(stats.Budget))
 }
 
-// logLosses says what was lost in a second, if anything was.
+// logLosses logs what was lost in a sample, if anything was.
 func (pool *Pool) logLosses(counters *desk.Counters, conns [connCounterCount]int64) {
-	var lost []any
+	var args []any
 	for how, name := range [...]string{"deferred_", "forfeited_"} {
 		for why, n := range counters.Ended[how] {
-			lost = appendNonZero(lost, name+logic.Reason(why).String(), n)
+			args = appendNonZero(args, name+logic.Reason(why).String(), n)
 		}
 	}
-	lost = appendNonZero(lost, "at_edge", counters.DeferredAtEdge)
-	lost = appendNonZero(lost, "dial_failed", int(conns[dialFailed]))
-	lost = appendNonZero(lost, "dial_short", int(conns[dialRefused]))
+	args = appendNonZero(args, "at_edge", counters.DeferredAtEdge)
+	args = appendNonZero(args, "dial_failed", int(conns[dialFailed]))
+	args = appendNonZero(args, "dial_short", int(conns[dialRefused]))
 	for h, n := range counters.Stats.Suppressed {
-		lost = appendNonZero(lost, logic.Suppression(h).String(), n)
+		args = appendNonZero(args, logic.Suppression(h).String(), n)
 	}
-	if len(lost) == 0 {
+	if len(args) == 0 {
 		return
 	}
 	for k := range dialFailed {
-		lost = appendNonZero(lost, connCounterNames[k], int(conns[k]))
+		args = appendNonZero(args, connCounterNames[k], int(conns[k]))
 	}
 	for r, n := range counters.Results {
-		lost = appendNonZero(lost, "push_"+logic.Result(r).String(), n)
+		args = appendNonZero(args, "push_"+logic.Result(r).String(), n)
 	}
-	lost = append(lost, "arrived", counters.Arrived, "open", counters.Open)
-	pool.log.Info("losses", appendStats(lost, counters.Stats)...)
+	args = append(args, "arrived", counters.Arrived, "open", counters.Open)
+	pool.log.Info("losses", appendStats(args, counters.Stats)...)
 }
 
 func (pool *Pool) logTally(seen logic.Stats) {
@@ -127,11 +129,11 @@
 		pool.log.Info("shape", "compared", w.Compared, "elsewhere", w.Elsewhere, "waiting", w.Waiting, "sooner", w.Sooner,
 			"copies", w.Copies, "fewer", w.Fewer, "given_up", w.GivenUp, "kept", w.Kept)
 	}
-	s := pool.front.conns
-	_, out, bodies, owed := pool.limits.usage()
+	tracker := pool.front.tracker
+	_, out, bodies, refused := pool.limits.usage()
 	line := []any{"arrived", sum.Arrived, "settled", delta[desk.Settled], "deferred", delta[desk.Deferred],
 		"forfeited", delta[desk.Forfeited], "rejected", delta[desk.Rejected], "vanished", sum.ClientsGone,
-		"open", sum.Open, "at_edge", sum.DeferredAtEdge, "owed", owed}
+		"open", sum.Open, "at_edge", sum.DeferredAtEdge, "owed", refused}
 	for r, n := range sum.Results {
 		line = append(line, "push_"+logic.Result(r).String(), n)
 	}
@@ -143,6 +145,6 @@
 	for k, n := range conns {
 		line = appendNonZero(line, connCounterNames[k], int(n))
 	}
-	line = append(line, "clients", s.clients.Load(), "upstream_connections", out, "bytes_in_hand", bodies)
+	line = append(line, "clients", tracker.clients.Load(), "upstream_connections", out, "bytes_in_hand", bodies)
 	pool.log.Info("tally", appendStats(line, seen)...)
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,6 +1,6 @@
-// Package relay counts the processes that are one balancer at present: the one that serves, and the one that is to
-// replace it. Each holds a lock on a file of its own in a folder that they share. Danger: a process that is killed can't
-// clear up after itself; its locks go with it, and files without a lock mean nothing.
+// Package relay counts the processes that act as one balancer at present: the serving process and, during a
+// restart, its replacement. Each process holds a lock on its own file in a shared folder. A killed process cannot
+// clean up, but the kernel releases its locks, so a file without a lock does not count.
 package relay
 
 import (
@@ -15,18 +15,18 @@
 )
 
 const (
-	maxProcesses = 8 // processes at once, at most
+	maxProcesses = 8 // maximum number of processes at the same time
 	pollInterval = 100 * time.Millisecond
 )
 
-// Slot is one process's place among those of its balancer.
+// Slot is the place of one process among the processes of its balancer.
 type Slot struct {
 	prefix string
 	number int
 	file   *os.File
 }
 
-// Acquire takes a free place of the balancer of that name, in a folder that its processes share.
+// Acquire takes a free slot of the balancer with the given name, in a folder shared by its processes.
 func Acquire(folder, name string) (*Slot, error) {
 	hash := fnv.New64a()
 	hash.Write([]byte(name))
@@ -42,15 +42,15 @@
 		}
 		file.Close()
 	}
-	return nil, errors.New("all places are taken")
+	return nil, errors.New("all process slots of the balancer are taken")
 }
 
 func (slot *Slot) path(n int) string { return fmt.Sprintf("%s.%d", slot.prefix, n) }
 
-// Release gives the place back.
+// Release gives up the slot.
 func (slot *Slot) Release() { slot.file.Close() }
 
-// Count is how many processes live, this one included.
+// Count returns the number of live processes, including this one.
 func (slot *Slot) Count() (n int) {
 	n = 1
 	for other := range maxProcesses {
@@ -59,7 +59,7 @@
 		}
 		file, err := os.Open(slot.path(other))
 		if err != nil {
-			continue // nobody was ever there
+			continue // the slot was never used
 		}
 		if syscall.Flock(int(file.Fd()), syscall.LOCK_SH|syscall.LOCK_NB) != nil {
 			n++
@@ -69,7 +69,8 @@
 	return n
 }
 
-// Watch tells each change of the count, beginning with the first that isn't one.
+// Watch calls change each time the count differs from the previous one, which is 1 at the start. It returns when
+// ctx ends.
 func (slot *Slot) Watch(ctx context.Context, change func(n int)) {
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -4,26 +4,26 @@
 
 func TestSlots(t *testing.T) {
 	folder := t.TempDir()
-	one, err := Acquire(folder, "n")
-	if err != nil || one.Count() != 1 {
+	first, err := Acquire(folder, "n")
+	if err != nil || first.Count() != 1 {
 		t.Fatal(err)
 	}
-	two, err := Acquire(folder, "n")
-	if err != nil || one.Count() != 2 || two.Count() != 2 {
-		t.Fatal(err, one.Count())
+	second, err := Acquire(folder, "n")
+	if err != nil || first.Count() != 2 || second.Count() != 2 {
+		t.Fatal(err, first.Count())
 	}
-	if other, err := Acquire(folder, "m"); err != nil || other.Count() != 1 { // another balancer's are not ours
+	if other, err := Acquire(folder, "m"); err != nil || other.Count() != 1 { // another balancer's slots do not count
 		t.Error(err)
 	}
-	one.Release()
-	if two.Count() != 1 {
-		t.Error("a place that was left counts, though its file is there")
+	first.Release()
+	if second.Count() != 1 {
+		t.Error("a released slot is counted because its file still exists")
 	}
-	three, _ := Acquire(folder, "n")
-	if three.number != one.number || two.Count() != 2 {
-		t.Errorf("place %d", three.number)
+	third, _ := Acquire(folder, "n")
+	if third.number != first.number || second.Count() != 2 {
+		t.Errorf("acquired slot %d instead of the released one", third.number)
 	}
 	if _, err := Acquire(folder+"/none", "n"); err == nil {
-		t.Error("a folder that isn't there")
+		t.Error("no error for a missing folder")
 	}
 }
