--- a/internal/httpwire/reply.go
+++ b/internal/httpwire/answer.go
@@ -27,7 +27,9 @@
 
 // writeAnswer writes the final answer of a transaction. 503 and 429 tell the client that a retry is safe, so only
 // a deferral by the decision engine is written as 503, and nothing as 429.
-func (front *FrontEnd) writeAnswer(w http.ResponseWriter, answer desk.Answer, responses map[int]*upstreamResponse, method string) {
+func (front *FrontEnd) writeAnswer(
+	w http.ResponseWriter, answer desk.Answer, responses map[int]*upstreamResponse, method string,
+) {
 	switch answer.Ending {
 	case desk.Settled, desk.Rejected:
 		resp := responses[answer.Attempt]
--- a/internal/httpwire/push.go
+++ b/internal/httpwire/attempt.go
@@ -82,7 +82,9 @@
 		},
 	})
 	header := maps.Clone(txn.header)
-	header["X-Remaining"] = []string{strconv.FormatFloat(max(0, min(time.Until(attempt.Deadline), txn.timeout).Seconds()), 'f', 6, 64)}
+	header["X-Remaining"] = []string{
+		strconv.FormatFloat(max(0, min(time.Until(attempt.Deadline), txn.timeout).Seconds()), 'f', 6, 64),
+	}
 	if header["User-Agent"] == nil {
 		header["User-Agent"] = []string{""} // none, instead of the default of net/http
 	}
@@ -99,7 +101,8 @@
 	resp, err := sh.conns.transport.RoundTrip(req)
 	if err != nil {
 		started := ex.abort()
-		if ex.conn != nil && txn.upload != nil && (writeFailed.Load() || !txn.upload.done()) { // the client was still sending, so the upstream is not blamed
+		// The client was still sending, so the upstream is not blamed.
+		if ex.conn != nil && txn.upload != nil && (writeFailed.Load() || !txn.upload.done()) {
 			return logic.Unsent, false
 		}
 		return attemptResult(ctx, err, ex.reused && !started, started && !writeFailed.Load()), false
--- a/internal/httpwire/presence.go
+++ b/internal/httpwire/availability.go
@@ -61,7 +61,8 @@
 	if avail.state == leaving {
 		closeFrom, handedOver = now, false
 	}
-	avail.state, avail.stateSince, avail.closeFrom, avail.deferFrom, avail.handedOver = stopping, now, closeFrom, time.Time{}, handedOver
+	avail.state, avail.stateSince, avail.closeFrom, avail.deferFrom, avail.handedOver =
+		stopping, now, closeFrom, time.Time{}, handedOver
 }
 
 // isServing reports whether this process accepts clients.
--- a/internal/httpwire/sockets.go
+++ b/internal/httpwire/conn_tracker.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	maxReserve     = 64                    // for descriptors that are not counted: the listener, the admin address, the file watch, the runtime's own files
+	maxReserve     = 64                    // descriptors not counted: listener, admin address, file watch, runtime
 	recentWindow   = 20 * time.Millisecond // data this recent may still be followed by more
 	evictionTries  = 8                     // until a connection without unread data is found
 	idleEvictAfter = 2 * time.Second       // after this, clients expect their idle connection to close
@@ -39,7 +39,7 @@
 	mu           sync.Mutex
 	unassigned   list.List                  // client connections that never had a transaction, the oldest first
 	awaitingBody map[*trackedConn]bool      // client connections on which a body is awaited
-	idle         map[*poolLimits]*list.List // client connections whose transaction has ended, by the pool of that transaction
+	idle         map[*poolLimits]*list.List // client connections without a transaction, by the pool of the last one
 	elements     map[*trackedConn]*list.Element
 	pools        map[*poolLimits]*Pool
 }
@@ -208,7 +208,8 @@
 func (tracker *connTracker) mostCrowded() (idle *list.List) {
 	var most *poolLimits
 	for limits, conns := range tracker.idle {
-		if conns.Len() > 0 && (most == nil || shares.Crowds(limits.clientConns, limits.guaranteed.Load(), most.clientConns, most.guaranteed.Load())) {
+		if conns.Len() > 0 && (most == nil ||
+			shares.Crowds(limits.clientConns, limits.guaranteed.Load(), most.clientConns, most.guaranteed.Load())) {
 			idle, most = conns, limits
 		}
 	}
@@ -395,5 +396,6 @@
 	if tracker.clients.Add(1)+tracker.upstreams.Load() > tracker.limit.Load()-tracker.reserve()/2 {
 		tracker.closeAllIdle()
 	}
-	return &trackedConn{TCPConn: conn.(*net.TCPConn), count: &tracker.clients, listener: listener, number: tracker.lastNumber.Add(1)}, nil
+	return &trackedConn{TCPConn: conn.(*net.TCPConn), count: &tracker.clients, listener: listener,
+		number: tracker.lastNumber.Add(1)}, nil
 }
--- a/internal/httpwire/drain.go
+++ b/internal/httpwire/drain.go
@@ -32,9 +32,9 @@
 // never shut down: closing it releases only the descriptor of this process.
 func (front *FrontEnd) Inherit(name, address string, descriptor int) (*Listener, error) {
 	if accepting, err := syscall.GetsockoptInt(descriptor, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN); err != nil {
-		return nil, fmt.Errorf("descriptor %d is no socket: %w", descriptor, err)
+		return nil, fmt.Errorf("descriptor %d is not a socket: %w", descriptor, err)
 	} else if accepting == 0 {
-		return nil, fmt.Errorf("descriptor %d does not listen", descriptor)
+		return nil, fmt.Errorf("descriptor %d is not a listening socket", descriptor)
 	}
 	file := os.NewFile(uintptr(descriptor), "listener")
 	defer file.Close() // the listener has a duplicate
@@ -96,9 +96,9 @@
 		half = start
 	}
 	front.availability.stop(start, half, len(handedOver) > 0)
-	for _, l := range handedOver {
-		l.notAccepting.Store(true)
-		l.Listener.Close()
+	for _, listener := range handedOver {
+		listener.notAccepting.Store(true)
+		listener.Listener.Close()
 	}
 	front.log.Info("drain", "step", "begin", "clients", front.tracker.clients.Load(), "relayed", len(handedOver) > 0)
 	for len(handedOver) > 0 && time.Until(end) > time.Second && front.tracker.clients.Load() > 0 {
@@ -114,8 +114,8 @@
 		for _, pool := range pools {
 			forfeited += pool.forfeitOpen()
 		}
-		// Ongoing streams end when this process exits, not when it is killed.
-		for until := time.Now().Add(maxStreamWait); front.streams.Load() > 0 && time.Now().Before(until); {
+		// Ongoing streams are cut only by the end of this process, at the latest after maxStreamWait.
+		for deadline := time.Now().Add(maxStreamWait); front.streams.Load() > 0 && time.Now().Before(deadline); {
 			time.Sleep(sweepInterval)
 		}
 		ctx, stop := context.WithTimeout(context.Background(), 150*time.Millisecond)
--- a/internal/httpwire/httpwire_test.go
+++ b/internal/httpwire/httpwire_test.go
@@ -88,7 +88,8 @@
 			}
 			return
 		}
-		if txn.timeout < 0 || len(txn.body) > maxReservedBody || txn.method != req.Method || txn.url.String() != req.URL.String() {
+		if txn.timeout < 0 || len(txn.body) > maxReservedBody || txn.method != req.Method ||
+			txn.url.String() != req.URL.String() {
 			t.Errorf("accepted as %+v", txn)
 		}
 		for name := range txn.header {
@@ -180,11 +181,13 @@
 			t.Fatalf("%d bytes: result %d before the answer", size, r)
 		}
 		writer.close()
-		if r, _ := sh.send(nil, attempt, txn, writer, emptyReservation(sh), &upstreamResponse{}); r != logic.Unsent { // on a reused connection
+		// on a reused connection
+		if r, _ := sh.send(nil, attempt, txn, writer, emptyReservation(sh), &upstreamResponse{}); r != logic.Unsent {
 			t.Errorf("%d bytes, reused connection: result %d after the answer", size, r)
 		}
 		sh.conns.transport.CloseIdleConnections()
-		if r, _ := sh.send(nil, attempt, txn, writer, emptyReservation(sh), &upstreamResponse{}); r != logic.Unsent { // on a new connection
+		// on a new connection
+		if r, _ := sh.send(nil, attempt, txn, writer, emptyReservation(sh), &upstreamResponse{}); r != logic.Unsent {
 			t.Errorf("%d bytes, new connection: result %d after the answer", size, r)
 		}
 		if !sh.sendProbe(t.Context(), attempt.Place) {
@@ -200,20 +203,20 @@
 // A client that has closed or reset its connection is detected although the server is blocked in a read, and
 // nothing is sent for it.
 func TestNothingIsSentForADisconnectedClient(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer listener.Close()
 	for _, disconnect := range []func(c *net.TCPConn){
 		func(c *net.TCPConn) { c.Close() },
 		func(c *net.TCPConn) { c.SetLinger(0); c.Close() }, // a reset
 	} {
-		clientEnd, err := net.Dial("tcp", l.Addr().String())
+		clientEnd, err := net.Dial("tcp", listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		c, err := l.Accept()
+		c, err := listener.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -253,13 +256,13 @@
 // A connection can pass directly to an attempt that waits for one while extra bytes follow the last response.
 // These bytes must not be taken for the response to that attempt.
 func TestUnexpectedBytesAreNotTheNextResponse(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer listener.Close()
 	received, proceed := make(chan string, 2), make(chan struct{})
-	go serveManually(l, func(c net.Conn, in *bufio.Reader) bool {
+	go serveManually(listener, func(c net.Conn, in *bufio.Reader) bool {
 		r, err := http.ReadRequest(in)
 		if err != nil {
 			return false
@@ -280,7 +283,7 @@
 	}
 	send := func(id string) (logic.Result, string) {
 		attempt := &desk.Attempt{Context: t.Context(), Deadline: time.Now().Add(time.Second),
-			Place: placeOf(l)}
+			Place: placeOf(listener)}
 		txn := &transaction{method: "GET", url: &url.URL{Path: "/view"}, header: http.Header{"X-Txn": {id}}}
 		stored := &upstreamResponse{}
 		r, _ := sh.send(nil, attempt, txn, &connWriter{}, emptyReservation(sh), stored)
@@ -307,18 +310,18 @@
 
 // An exchange must not start on a connection before the reader has found nothing more to read.
 func TestExchangeStartsOnlyOnAnEmptyConnection(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer listener.Close()
 	attach := func() (*exchange, net.Conn) {
-		ctx := withTarget(t.Context(), placeOf(l), time.Now().Add(time.Second), false)
+		ctx := withTarget(t.Context(), placeOf(listener), time.Now().Add(time.Second), false)
 		conn, err := newTestConns(t).transport.DialContext(ctx, "tcp", "u1:80")
 		if err != nil {
 			t.Fatal(err)
 		}
-		upstreamEnd, err := l.Accept()
+		upstreamEnd, err := listener.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/httpwire/share.go
+++ b/internal/httpwire/limits.go
@@ -21,7 +21,7 @@
 	pools        map[*poolLimits]struct{}
 }
 
-const maxRefusalDelay = 50 * time.Millisecond // delay of a connection whose transaction was deferred at the edge
+const maxRefusalDelay = 50 * time.Millisecond // for a connection whose transaction was refused
 
 // poolLimits is the part of one pool in the shared resources.
 type poolLimits struct {
@@ -64,8 +64,8 @@
 
 // Share is the share of a pool in the shared resources.
 type Share struct {
-	Guarantee                 float64 // guaranteed fraction; below zero for an equal part of what the others leave
-	Open, Connections, Bodies int64   // limits of transactions, upstream connections and bytes of bodies; 0 for none
+	Guarantee                         float64 // guaranteed fraction; below zero for an equal part of what the others leave
+	Transactions, Connections, Bodies int64   // limits of transactions, upstream connections and bytes of bodies; 0 for none
 }
 
 // setUnlimited lets the only pool use everything; bodies is the memory for bodies in bytes.
@@ -81,8 +81,9 @@
 
 // distribute sets the shares of all pools. Pools that are not in shareOf accept nothing new and release their part
 // as they finish.
-func (shared *sharedLimits) distribute(limit int64, bodies int64, within time.Duration, refusals float64,
-	shareOf map[*poolLimits]Share) {
+func (shared *sharedLimits) distribute(
+	limit int64, bodies int64, reclaimTime time.Duration, refusals float64, shareOf map[*poolLimits]Share,
+) {
 	shared.mu.Lock()
 	defer shared.mu.Unlock()
 	clients := limit * 3 / 5 // above this, connTracker evicts a client connection for a new one
@@ -93,7 +94,7 @@
 	for limits := range shared.pools {
 		if _, named := shareOf[limits]; !named {
 			shared.transactions.Set(limits.transactions, 0, 0)
-			shared.connections.Set(limits.connections, 0, math.MaxInt64) // attempts of accepted transactions may still be sent
+			shared.connections.Set(limits.connections, 0, math.MaxInt64) // for attempts of accepted transactions
 			shared.bodies.Set(limits.bodies, 0, math.MaxInt64)
 			continue
 		}
@@ -101,14 +102,14 @@
 	}
 	shared.transactions.Resize(clients)
 	shared.bodies.Resize(bodies)
-	for _, d := range []*shares.Dealer{shared.transactions, shared.connections, shared.bodies} {
-		d.Within(int64(within))
+	for _, dealer := range []*shares.Dealer{shared.transactions, shared.connections, shared.bodies} {
+		dealer.Within(int64(reclaimTime))
 	}
 	open, out, held := shares.Split(clients, fractions), shares.Split(spare, fractions), shares.Split(bodies, fractions)
 	rates := shares.Split(int64(refusals), fractions)
 	for i, limits := range participants {
 		share := shareOf[limits]
-		setShare(shared.transactions, limits.transactions, open[i], share.Open)
+		setShare(shared.transactions, limits.transactions, open[i], share.Transactions)
 		limits.guaranteed.Store(limits.transactions.Guarantee())
 		setShare(shared.connections, limits.connections, out[i], share.Connections)
 		setShare(shared.bodies, limits.bodies, held[i], share.Bodies)
@@ -149,9 +150,9 @@
 	released bool
 }
 
-// reserve takes room for more bytes of a request body. all is the size with them, which is limited to a fraction
-// of the memory: otherwise a few long bodies would take all of it, and short ones, which are always buffered,
-// would be refused.
+// reserve takes room for more bytes of a request body; all is the size of the body with them. A body longer than
+// maxReservedBody may use at most 1/maxBodyShare of the memory, and only up to half of the memory may be in use.
+// Otherwise a few long bodies would take all of it, and short ones, which are always buffered, would be refused.
 func (held *reservation) reserve(bytes, all int64) bool {
 	shared := held.limits.shared
 	shared.mu.Lock()
@@ -204,9 +205,9 @@
 		return true, nil
 	}
 	over = append(over, limits)
-	for o := range shared.pools {
-		if o != limits && o.connections.Over() {
-			over = append(over, o)
+	for other := range shared.pools {
+		if other != limits && other.connections.Over() {
+			over = append(over, other)
 		}
 	}
 	return false, over
--- a/internal/httpwire/tally.go
+++ b/internal/httpwire/log.go
@@ -40,7 +40,7 @@
 
 // sample takes the counters since the last sample. Only losses are logged at once, because 300 balancers logging
 // each second would need more CPU and disk than their work.
-func (pool *Pool) sample(whole bool) {
+func (pool *Pool) sample(withTally bool) {
 	pool.logMu.Lock()
 	defer pool.logMu.Unlock()
 	var counters desk.Counters
@@ -57,13 +57,14 @@
 		pool.logState.connSum[k] += delta[k]
 	}
 	pool.logState.connTotals = totals
-	seen := counters.Stats
+	current := counters.Stats
 	pool.logLosses(&counters, delta)
-	pool.logState.sum.Stats = logic.Stats{Suppressed: pool.logState.sum.Stats.Suppressed} // the current state is not summed over time
+	// Only the counters are summed over time, not the current state.
+	pool.logState.sum.Stats = logic.Stats{Suppressed: pool.logState.sum.Stats.Suppressed}
 	pool.logState.sum.Add(counters)
 	pool.logState.sum.Open = counters.Open
-	if whole {
-		pool.logTally(seen)
+	if withTally {
+		pool.logTally(current)
 	}
 }
 
@@ -78,10 +79,10 @@
 // appendStats appends the current state of the decision engine.
 func appendStats(args []any, stats logic.Stats) []any {
 	round := func(v float64) float64 { return math.Round(v*100) / 100 }
-	return append(args, "room", round(stats.Limit), "in_hand", round(stats.Concurrency), "in_hand_mean", round(stats.MeanConcurrency),
-		"line", stats.QueueLength,
-		"slow", round(stats.LatencyRatio), "slow_base", round(stats.BaseRatio), "strength", round(stats.Capacity), "best", round(stats.BestRate),
-		"own", stats.Assigned, "aside", stats.Ejected, "cold", stats.Cold,
+	return append(args, "room", round(stats.Limit), "in_hand", round(stats.Concurrency),
+		"in_hand_mean", round(stats.MeanConcurrency), "line", stats.QueueLength,
+		"slow", round(stats.LatencyRatio), "slow_base", round(stats.BaseRatio), "strength", round(stats.Capacity),
+		"best", round(stats.BestRate), "own", stats.Assigned, "aside", stats.Ejected, "cold", stats.Cold,
 		"quantile", time.Duration(stats.HedgeDelay).Round(time.Millisecond), "bucket", round(stats.Budget))
 }
 
@@ -112,7 +113,7 @@
 	pool.log.Info("losses", appendStats(args, counters.Stats)...)
 }
 
-func (pool *Pool) logTally(seen logic.Stats) {
+func (pool *Pool) logTally(current logic.Stats) {
 	sum, conns := pool.logState.sum, pool.logState.connSum
 	pool.logState.sum, pool.logState.connSum = desk.Counters{}, [connCounterCount]int64{}
 	if sum.Arrived == 0 && sum.Open == 0 {
@@ -125,9 +126,10 @@
 	}
 	pool.logState.ended = ended
 	if pool.settings.Load().Watch {
-		w := sum.Watched
-		pool.log.Info("shape", "compared", w.Compared, "elsewhere", w.Elsewhere, "waiting", w.Waiting, "sooner", w.Sooner,
-			"copies", w.Copies, "fewer", w.Fewer, "given_up", w.GivenUp, "kept", w.Kept)
+		watched := sum.Watched
+		pool.log.Info("shape", "compared", watched.Compared, "elsewhere", watched.Elsewhere, "waiting", watched.Waiting,
+			"sooner", watched.Sooner, "copies", watched.Copies, "fewer", watched.Fewer,
+			"given_up", watched.GivenUp, "kept", watched.Kept)
 	}
 	tracker := pool.front.tracker
 	_, out, bodies, refused := pool.limits.usage()
@@ -146,5 +148,5 @@
 		line = appendNonZero(line, connCounterNames[k], int(n))
 	}
 	line = append(line, "clients", tracker.clients.Load(), "upstream_connections", out, "bytes_in_hand", bodies)
-	pool.log.Info("tally", appendStats(line, seen)...)
+	pool.log.Info("tally", appendStats(line, current)...)
 }
--- a/internal/httpwire/claims.go
+++ b/internal/httpwire/ownership.go
@@ -15,6 +15,7 @@
 // OwnershipRegistry decides where a transaction that must not run twice may be sent, across all balancers and
 // their restarts.
 type OwnershipRegistry interface {
+	// Begin returns the ownership of a new transaction.
 	Begin(q OwnershipRequest) Ownership
 }
 
@@ -45,10 +46,10 @@
 type Admission uint8
 
 const (
-	Admit Admission = iota
-	Defer
-	Forfeit
-	Refuse // its key was used with another body
+	Admit   Admission = iota // it may be sent
+	Defer                    // not now; the client may retry
+	Forfeit                  // it may have run already
+	Refuse                   // its key was used with another body
 )
 
 // Completion is how a transaction with ownership ended.
@@ -70,7 +71,7 @@
 	front.ownership.Store(&registry)
 }
 
-const maxChecks = 8 // of one transaction, if its ownership is refused each time
+const maxChecks = 8 // for one transaction whose ownership is refused each time
 
 // ownershipGuard lets attempts of a transaction be sent only with ownership. A nil guard permits everything.
 type ownershipGuard struct {
@@ -93,8 +94,8 @@
 
 // newGuard returns the guard of a transaction, nil if it may run any number of times.
 func (front *FrontEnd) newGuard(sh *shard, txn *transaction) *ownershipGuard {
-	claims := front.ownership.Load()
-	if claims == nil {
+	registry := front.ownership.Load()
+	if registry == nil {
 		return nil
 	}
 	tariff := txn.settings.Terms.Tariffs[txn.tariff]
@@ -103,15 +104,14 @@
 	}
 	request := OwnershipRequest{
 		Pool: sh.Name, Settings: tariff, IdempotencyKey: txn.header.Get("Idempotency-Key"), ID: txn.id,
-		Timeout: txn.timeout, ClientRetry: txn.clientRetry,
-		Customer: txn.header.Get("X-Org"),
-		Tariff:   txn.settings.Name(txn.tariff),
+		Timeout: txn.timeout, ClientRetry: txn.clientRetry, Customer: txn.header.Get("X-Org"),
+		Tariff: txn.settings.Name(txn.tariff),
 	}
 	if txn.upload == nil && len(txn.body) > 0 {
 		request.BodyHash = max(1, xxhash.Sum64(txn.body))
 	}
 	return &ownershipGuard{
-		ownership: (*claims).Begin(request), shard: sh, withdrawnCh: make(chan struct{}, 1), started: time.Now(),
+		ownership: (*registry).Begin(request), shard: sh, withdrawnCh: make(chan struct{}, 1), started: time.Now(),
 		timeout: txn.timeout,
 	}
 }
--- a/internal/httpwire/claims_test.go
+++ b/internal/httpwire/ownership_test.go
@@ -20,8 +20,8 @@
 	return nil, Defer
 }
 func (registry *blockingRegistry) Acquire(context.Context, *desk.Attempt, bool) error { return nil }
-func (registry *blockingRegistry) Release(how Completion) {
-	registry.ended = append(registry.ended, how)
+func (registry *blockingRegistry) Release(completion Completion) {
+	registry.ended = append(registry.ended, completion)
 }
 
 // A transaction must be answered before its hard stop even if the registry does not answer. Transactions that may
@@ -31,13 +31,13 @@
 	registry := &blockingRegistry{}
 	front.SetOwnershipRegistry(registry)
 	send := func(tariff string) (*httptest.ResponseRecorder, time.Duration) {
-		r := httptest.NewRequest(http.MethodPost, "/"+tariff, strings.NewReader("x"))
-		r.Header.Set("X-Txn", "1")
-		r.Header.Set("Idempotency-Key", "k")
-		r.Header.Set("X-Remaining", "0.080")
+		req := httptest.NewRequest(http.MethodPost, "/"+tariff, strings.NewReader("x"))
+		req.Header.Set("X-Txn", "1")
+		req.Header.Set("Idempotency-Key", "k")
+		req.Header.Set("X-Remaining", "0.080")
 		w := httptest.NewRecorder()
 		started := time.Now()
-		front.ServeHTTP(w, r)
+		front.ServeHTTP(w, req)
 		return w, time.Since(started)
 	}
 	if w, took := send("load"); w.Code != http.StatusServiceUnavailable || took > 130*time.Millisecond ||
--- a/internal/httpwire/pool.go
+++ b/internal/httpwire/pool.go
@@ -27,7 +27,7 @@
 	openIDs  idRegistry
 
 	hasList        atomic.Bool // a list of upstreams has arrived
-	invalidEntries int         // invalid entries in the last list, logged when it changes; used only by the source of the list
+	invalidEntries int         // in the last list; logged when it changes, used only by the source of the list
 
 	mu        sync.Mutex
 	openCount int           // transactions, including the writing of their answers
@@ -54,8 +54,8 @@
 // NewPool creates a pool, which receives transactions once the routing includes it. Retire ends it.
 func (front *FrontEnd) NewPool(name string, settings *terms.Book) (*Pool, error) {
 	pool := &Pool{
-		Name: name, front: front, metrics: &figures.Pool{}, log: front.poolLog.With("pool", name), openIDs: idRegistry{open: map[string]struct{}{}},
-		drained: make(chan struct{}),
+		Name: name, front: front, metrics: &figures.Pool{}, log: front.poolLog.With("pool", name),
+		openIDs: idRegistry{open: map[string]struct{}{}}, drained: make(chan struct{}),
 	}
 	pool.settings.Store(settings)
 	pool.limits = front.limits.addPool()
@@ -65,8 +65,8 @@
 		own := settings.Part(n, front.cores)
 		sh.settingsHistory.Store(&shardSettings{current: own})
 		if sh.desk, err = desk.New(own, pool.metrics, pool.log, front.newEngine); err != nil {
-			for _, made := range pool.shards {
-				made.desk.Stop()
+			for _, created := range pool.shards {
+				created.desk.Stop()
 			}
 			front.limits.removePool(pool.limits)
 			return nil, err
@@ -75,8 +75,8 @@
 		pool.shards = append(pool.shards, sh)
 	}
 	front.tracker.addPool(pool)
-	ctx, end := context.WithCancel(context.Background())
-	pool.cancel = end
+	ctx, cancel := context.WithCancel(context.Background())
+	pool.cancel = cancel
 	for _, sh := range pool.shards {
 		go sh.runProbes(ctx)
 	}
@@ -122,21 +122,22 @@
 
 // ReportSender sends load reports between decision engines, which are numbered across all balancers.
 type ReportSender interface {
+	// Tell sends a report from one engine to another.
 	Tell(from, to int, raw []byte)
 }
 
 // SetReportSender sets the sender for the load reports of the pool's engines; nil stops them.
 func (pool *Pool) SetReportSender(sender ReportSender) {
 	for n, sh := range pool.shards {
-		var say func(to int, raw []byte)
+		var send func(to int, raw []byte)
 		if from := pool.settings.Load().Terms.Index*len(pool.shards) + n; sender != nil {
-			say = func(to int, raw []byte) { sender.Tell(from, to, raw) }
+			send = func(to int, raw []byte) { sender.Tell(from, to, raw) }
 		}
-		sh.desk.SetReportSender(say)
+		sh.desk.SetReportSender(send)
 	}
 }
 
-// Told implements peers.Sink.
+// Told passes a load report on to one of the pool's engines. It implements peers.Sink.
 func (pool *Pool) Told(from, to int, raw []byte) {
 	if n := to - pool.settings.Load().Terms.Index*len(pool.shards); n >= 0 && n < len(pool.shards) {
 		pool.shards[n].desk.PeerReport(from, raw)
@@ -152,7 +153,8 @@
 // Log returns the pool's logger.
 func (pool *Pool) Log() *slog.Logger { return pool.log }
 
-// List implements lists.Sink, as do Unlisted and Follow.
+// List applies an update of the list of upstreams, or a complete list if whole is set, and logs what it changed. It
+// implements lists.Sink, as do Unlisted and Follow.
 func (pool *Pool) List(entries []roster.Entry[string], whole bool) {
 	var change roster.Change
 	for _, sh := range pool.shards {
@@ -160,13 +162,15 @@
 		sh.conns.removeHosts(change.Left)
 	}
 	first := pool.hasList.Swap(true)
-	if late := time.Duration(0); !whole || !first || change.Joined+change.Ends+change.Gone > 0 || change.Odd != pool.invalidEntries {
+	if late := time.Duration(0); !whole || !first ||
+		change.Joined+change.Ends+change.Gone > 0 || change.Odd != pool.invalidEntries {
 		pool.invalidEntries = change.Odd
 		if first && change.Born > 0 { // upstreams that started before the first list were not reported late
 			late = time.Since(time.Unix(0, change.Born))
 		}
-		pool.log.Info("list", "step", "changed", "whole", whole, "entries", len(entries), "joined", change.Joined, "draining", change.Ends,
-			"gone", change.Gone, "listed", change.Listed, "odd", change.Odd, "late", late.Round(time.Millisecond))
+		pool.log.Info("list", "step", "changed", "whole", whole, "entries", len(entries), "joined", change.Joined,
+			"draining", change.Ends, "gone", change.Gone, "listed", change.Listed, "odd", change.Odd,
+			"late", late.Round(time.Millisecond))
 	}
 }
 
--- a/internal/httpwire/request.go
+++ b/internal/httpwire/request.go
@@ -98,7 +98,8 @@
 	}
 	config := settings.Terms.Tariffs[txn.tariff]
 	if config.Idempotency == logic.Keyed && req.Header.Get("Idempotency-Key") == "" {
-		return nil, badRequest("a tagged transaction without Idempotency-Key") // without the key, repeats would not be recognised
+		// Without the key, repeats would not be recognised.
+		return nil, badRequest("a tagged transaction without Idempotency-Key")
 	}
 	known := false
 	if org := req.Header.Get("X-Org"); org != "" && len(settings.Customers) > 0 {
@@ -167,8 +168,10 @@
 // readBody reads the body of a request, completely or as far as there is room. evict may free some room shortly
 // after. Room is reserved only as the body arrives, because the announced lengths together could exceed the
 // memory.
-func (txn *transaction) readBody(w http.ResponseWriter, req *http.Request, held *reservation, evict func() bool) *requestError {
-	up := &upload{body: req.Body, control: http.NewResponseController(w), start: time.Now(), resultCh: make(chan error, 1)}
+func (txn *transaction) readBody(
+	w http.ResponseWriter, req *http.Request, held *reservation, evict func() bool,
+) *requestError {
+	up := &upload{body: req.Body, control: http.NewResponseController(w), started: time.Now(), resultCh: make(chan error, 1)}
 	for req.Body != http.NoBody {
 		if len(txn.body) == cap(txn.body) {
 			more := max(512, cap(txn.body))
@@ -217,7 +220,7 @@
 type upload struct {
 	body     io.Reader
 	control  *http.ResponseController
-	start    time.Time
+	started  time.Time
 	received int64
 	resultCh chan error  // receives the result once; nil for complete
 	err      error       // the same for later calls of Read
@@ -228,11 +231,11 @@
 	if up.finished.Load() {
 		return 0, cmp.Or(up.err, io.ErrUnexpectedEOF) // io.EOF would make a truncated body look complete
 	}
-	deadline := up.start.Add(bodyGrace + time.Duration(up.received)*time.Second/minBodyRate)
+	deadline := up.started.Add(bodyGrace + time.Duration(up.received)*time.Second/minBodyRate)
 	if paused := time.Now().Add(bodyPause); paused.Before(deadline) {
 		deadline = paused
 	}
-	if least := up.start.Add(bodyGrace); deadline.Before(least) {
+	if least := up.started.Add(bodyGrace); deadline.Before(least) {
 		deadline = least
 	}
 	up.control.SetReadDeadline(deadline)
--- a/internal/httpwire/serve.go
+++ b/internal/httpwire/serve.go
@@ -1,11 +1,11 @@
 // Package httpwire serves transactions over HTTP/1.1, with the server of net/http for clients and http.Transport
 // for upstreams. serve.go finds the pool of a request and runs the transaction, request.go decodes the request,
-// share.go applies the limits shared between pools, claims.go acquires ownership of transactions that must not run
-// twice, push.go sends attempts, gate.go is the connection writer for attempts, flow.go streams long responses,
-// reply.go writes answers, and drain.go shuts the process down. pool.go holds one service, presence.go the
-// availability for clients, sockets.go the client connections, outbound.go and outward.go the upstream
-// connections, heads.go the scan of request headers, and tally.go logs. The package makes no decisions itself: the
-// routes, shares and desk packages make them.
+// limits.go applies the limits shared between pools, ownership.go acquires ownership of transactions that must not
+// run twice, attempt.go sends attempts through the connection writer of conn_writer.go, stream.go streams long
+// responses, answer.go writes answers, and drain.go shuts the front end down. pool.go holds one service,
+// availability.go the availability for clients, conn_tracker.go the client connections, upstream_conns.go and
+// upstream_conn.go the upstream connections, head_scanner.go the scan of request headers, and log.go the periodic
+// log lines. The package makes no decisions itself: it asks the packages routes, shares and desk.
 package httpwire
 
 import (
@@ -54,15 +54,17 @@
 	return hasList
 }
 
-// New creates a front end, which rejects all requests until SetRouting is called. module creates the decision
-// engine of each pool.
-func New(log *slog.Logger, module desk.EngineFactory) *FrontEnd {
-	front := &FrontEnd{newEngine: module, cores: 1, log: logs.Own(log), poolLog: log, tracker: newConnTracker(), limits: newSharedLimits()}
+// New creates a front end, which rejects all requests until SetRouting is called. newEngine creates the
+// decision engine of each pool.
+func New(log *slog.Logger, newEngine desk.EngineFactory) *FrontEnd {
+	front := &FrontEnd{newEngine: newEngine, cores: 1, log: logs.Own(log), poolLog: log, tracker: newConnTracker(),
+		limits: newSharedLimits()}
 	front.routing.Store(&Routing{})
 	front.server = &http.Server{
 		Handler: front, ReadHeaderTimeout: headTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
-		ConnState: front.tracker.stateChanged, ConnContext: withClient, DisableGeneralOptionsHandler: true, // OPTIONS * is not answered by net/http
-		ErrorLog: logs.Lines(logs.Own(log), "http"),
+		ConnState: front.tracker.stateChanged, ConnContext: withClient,
+		DisableGeneralOptionsHandler: true, // OPTIONS * is not answered by net/http
+		ErrorLog:                     logs.Lines(logs.Own(log), "http"),
 	}
 	return front
 }
@@ -77,15 +79,15 @@
 // SetUnlimited lets the only pool use all shared resources; bodies is the memory for bodies in bytes.
 func (front *FrontEnd) SetUnlimited(bodies int64) { front.limits.setUnlimited(bodies) }
 
-// SetShares sets the shares of all pools in the shared resources. bodies is the memory for bodies in bytes, within
-// is the time after which a pool has its guaranteed part back, and refusals is how many refusals a second all
-// pools together may write before connections are delayed.
-func (front *FrontEnd) SetShares(bodies int64, within time.Duration, refusals float64, pools map[*Pool]Share) {
+// SetShares sets the shares of all pools in the shared resources. bodies is the memory for bodies in bytes,
+// reclaimTime the time within which a pool gets its guaranteed part back, and refusals how many refusals a second
+// all pools together may write before connections are delayed.
+func (front *FrontEnd) SetShares(bodies int64, reclaimTime time.Duration, refusals float64, pools map[*Pool]Share) {
 	limits := map[*poolLimits]Share{}
 	for pool, share := range pools {
 		limits[pool.limits] = share
 	}
-	front.limits.distribute(front.tracker.limit.Load(), bodies, within, refusals, limits)
+	front.limits.distribute(front.tracker.limit.Load(), bodies, reclaimTime, refusals, limits)
 }
 
 // SetRouting replaces the routing. A transaction stays with the pool that accepted it.
@@ -237,7 +239,8 @@
 	// net/http drops a Content-Length beside a transfer coding, so two sides could disagree on where the body ends
 	// and a request could be smuggled in it. For HTTP/1.0 it silently drops the transfer coding.
 	if len(req.TransferEncoding) > 0 && (client == nil || !client.head.withoutLength()) {
-		return nil, "", &requestError{http.StatusLengthRequired, "a body comes with its length or a transfer coding, not with both"}
+		return nil, "", &requestError{http.StatusLengthRequired,
+			"a body comes with its length or a transfer coding, not with both"}
 	}
 	if !req.ProtoAtLeast(1, 1) {
 		return nil, "", badRequest("not HTTP/1.1")
--- a/internal/httpwire/smuggle_test.go
+++ b/internal/httpwire/smuggling_test.go
@@ -16,14 +16,14 @@
 )
 
 // strictUpstream returns an upstream that counts the requests it reads, malformed ones and those marked as hidden.
-func strictUpstream(t testing.TB) (l net.Listener, parsed, malformed, hidden *atomic.Int64) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+func strictUpstream(t testing.TB) (listener net.Listener, parsed, malformed, hidden *atomic.Int64) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
+	t.Cleanup(func() { listener.Close() })
 	parsed, malformed, hidden = &atomic.Int64{}, &atomic.Int64{}, &atomic.Int64{}
-	go serveManually(l, func(c net.Conn, in *bufio.Reader) bool {
+	go serveManually(listener, func(c net.Conn, in *bufio.Reader) bool {
 		r, err := http.ReadRequest(in)
 		if err == nil {
 			_, err = io.Copy(io.Discard, r.Body)
@@ -41,7 +41,7 @@
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		return true
 	})
-	return l, parsed, malformed, hidden
+	return listener, parsed, malformed, hidden
 }
 
 // FuzzRequestSmuggling checks that for any bytes of a client, the upstream reads as many requests as were answered
@@ -68,7 +68,9 @@
 	}
 	front, sh := newTestFrontEnd(f)
 	upstream, parsed, malformed, hidden := strictUpstream(f)
-	sh.desk.List([]roster.Entry[string]{{Name: "u", Zone: "a", Address: upstream.Addr().String(), Up: logic.Upstream{Weight: 1}}}, true)
+	sh.desk.List([]roster.Entry[string]{
+		{Name: "u", Zone: "a", Address: upstream.Addr().String(), Up: logic.Upstream{Weight: 1}},
+	}, true)
 	listener, err := front.Listen("main", "127.0.0.1:0")
 	if err != nil {
 		f.Fatal(err)
@@ -96,7 +98,8 @@
 			}
 		}
 		if n := parsed.Load() - before; n != settled || malformed.Load() != malformedBefore {
-			t.Errorf("%d requests arrived, %d were settled, %d were malformed: %q", n, settled, malformed.Load()-malformedBefore, text)
+			t.Errorf("%d requests arrived, %d were settled, %d were malformed: %q",
+				n, settled, malformed.Load()-malformedBefore, text)
 		}
 		outer, _, _ := strings.Cut(strings.ToLower(text), "hidden")
 		if hidden.Swap(0) > 0 && strings.Contains(outer, "content-length") && strings.Contains(outer, "transfer-encoding") {
--- a/internal/httpwire/flow.go
+++ b/internal/httpwire/stream.go
@@ -30,9 +30,9 @@
 }
 
 func newStream() *stream {
-	f := &stream{}
-	f.changed = sync.NewCond(&f.mu)
-	return f
+	st := &stream{}
+	st.changed = sync.NewCond(&st.mu)
+	return st
 }
 
 // write appends bytes that were read, once there is room for them, and reports whether to continue.
@@ -108,9 +108,9 @@
 			}
 		})
 	}
-	startTimer := time.AfterFunc(bufferTime, begin)
+	streamTimer := time.AfterFunc(bufferTime, begin)
 	if resp.ContentLength >= 0 {
-		startTimer.Stop() // a short response that stalls is broken, and a retry may succeed
+		streamTimer.Stop() // a short response that stalls is broken, and a retry may succeed
 	}
 	if resp.ContentLength > maxReservedBody {
 		begin()
@@ -140,12 +140,12 @@
 			break
 		}
 	}
-	startTimer.Stop()
+	streamTimer.Stop()
 	once.Do(func() {}) // streaming has started by now or never will
 	st.mu.Lock()
-	begun := st.started
+	started := st.started
 	st.mu.Unlock()
-	if !begun {
+	if !started {
 		if err == io.EOF {
 			err = nil
 		}
--- a/internal/httpwire/outward.go
+++ b/internal/httpwire/upstream_conn.go
@@ -46,12 +46,13 @@
 
 var errUnexpectedBytes = errors.New("unexpected bytes on the upstream connection outside of an exchange")
 
-func newUpstreamConn(c *net.TCPConn, owner *upstreamConns, place roster.Place) (*upstreamConn, error) {
-	raw, err := c.SyscallConn()
+func newUpstreamConn(tcpConn *net.TCPConn, owner *upstreamConns, place roster.Place) (*upstreamConn, error) {
+	raw, err := tcpConn.SyscallConn()
 	if err != nil {
 		return nil, err
 	}
-	conn := &upstreamConn{trackedConn: trackedConn{TCPConn: c, count: &owner.tracker.upstreams}, owner: owner, host: place.Host, rawConn: raw, idleCount: place.Kept}
+	conn := &upstreamConn{trackedConn: trackedConn{TCPConn: tcpConn, count: &owner.tracker.upstreams}, owner: owner,
+		host: place.Host, rawConn: raw, idleCount: place.Kept}
 	conn.changed = sync.NewCond(&conn.mu)
 	conn.setIdle(true)
 	return conn, nil
--- a/internal/httpwire/outbound.go
+++ b/internal/httpwire/upstream_conns.go
@@ -31,8 +31,7 @@
 
 var connCounterNames = [connCounterCount]string{
 	"dial_first", "dial_again", "dial_busy", "dial_probe", "dial_failed", "dial_short", "close_called_off",
-	"close_by_upstream",
-	"close_idle", "close_left",
+	"close_by_upstream", "close_idle", "close_left",
 }
 
 // connCounters counts events of connections to upstreams.
@@ -46,7 +45,7 @@
 	transport *http.Transport
 
 	mu         sync.Mutex
-	conns      map[string]map[*upstreamConn]struct{}
+	byHost     map[string]map[*upstreamConn]struct{}
 	dialing    map[string]*pendingDials
 	knownHosts map[string]struct{} // hosts to which there has been a connection
 	closed     bool                // the pool is retired; no connection is kept
@@ -75,8 +74,8 @@
 }
 
 func newUpstreamConns(tracker *connTracker, limits *poolLimits, settings *terms.Book) *upstreamConns {
-	conns := &upstreamConns{tracker: tracker, limits: limits, conns: map[string]map[*upstreamConn]struct{}{}, dialing: map[string]*pendingDials{},
-		knownHosts: map[string]struct{}{}}
+	conns := &upstreamConns{tracker: tracker, limits: limits, byHost: map[string]map[*upstreamConn]struct{}{},
+		dialing: map[string]*pendingDials{}, knownHosts: map[string]struct{}{}}
 	dialer := net.Dialer{Timeout: settings.DialTimeout}
 	conns.transport = &http.Transport{
 		DisableCompression:     true, // bodies are passed on unchanged
@@ -92,7 +91,7 @@
 				return nil, err
 			}
 			finishDial := conns.startDial(dest)
-			c, err := dialer.DialContext(ctx, network, dest.Address)
+			tcpConn, err := dialer.DialContext(ctx, network, dest.Address)
 			if err != nil {
 				finishDial()
 				conns.release()
@@ -102,19 +101,19 @@
 				}
 				return nil, err
 			}
-			conn, err := newUpstreamConn(c.(*net.TCPConn), conns, dest.Place)
+			conn, err := newUpstreamConn(tcpConn.(*net.TCPConn), conns, dest.Place)
 			removed := finishDial()
 			if err != nil {
 				conns.release()
-				c.Close()
+				tcpConn.Close()
 				return nil, err
 			}
 			conns.mu.Lock()
 			defer conns.mu.Unlock()
-			if conns.conns[dest.Host] == nil {
-				conns.conns[dest.Host] = map[*upstreamConn]struct{}{}
+			if conns.byHost[dest.Host] == nil {
+				conns.byHost[dest.Host] = map[*upstreamConn]struct{}{}
 			}
-			conns.conns[dest.Host][conn] = struct{}{}
+			conns.byHost[dest.Host][conn] = struct{}{}
 			conn.removed = removed || conns.closed
 			return conn, nil
 		},
@@ -133,7 +132,7 @@
 	switch conns.knownHosts[host] = struct{}{}; {
 	case dest.probe:
 		conns.counters[dialProbe].Add(1)
-	case pending != nil || len(conns.conns[host]) > 0:
+	case pending != nil || len(conns.byHost[host]) > 0:
 		conns.counters[dialBusy].Add(1)
 	case known:
 		conns.counters[dialReconnect].Add(1)
@@ -180,8 +179,8 @@
 func (conns *upstreamConns) remove(conn *upstreamConn) {
 	conns.mu.Lock()
 	defer conns.mu.Unlock()
-	if delete(conns.conns[conn.host], conn); len(conns.conns[conn.host]) == 0 {
-		delete(conns.conns, conn.host)
+	if delete(conns.byHost[conn.host], conn); len(conns.byHost[conn.host]) == 0 {
+		delete(conns.byHost, conn.host)
 	}
 }
 
@@ -195,7 +194,7 @@
 		if pending := conns.dialing[host]; pending != nil {
 			pending.removed = true
 		}
-		for conn := range conns.conns[host] {
+		for conn := range conns.byHost[host] {
 			all = append(all, conn)
 		}
 	}
@@ -210,7 +209,7 @@
 	conns.mu.Lock()
 	conns.closed = true
 	var hosts []string
-	for host := range conns.conns {
+	for host := range conns.byHost {
 		hosts = append(hosts, host)
 	}
 	conns.mu.Unlock()
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -372,7 +372,7 @@
 	for _, told := range p.Pools {
 		n := pools[told.Name]
 		board.Pools[told.Name] = n.Pool
-		parts[n.Pool] = httpwire.Share{Guarantee: told.Share, Open: told.Open, Connections: told.Connections, Bodies: told.Bodies}
+		parts[n.Pool] = httpwire.Share{Guarantee: told.Share, Transactions: told.Open, Connections: told.Connections, Bodies: told.Bodies}
 		if p.Platform {
 			board.SinglePool = n.Pool
 		}
