--- a/internal/httpwire/availability.go
+++ b/internal/httpwire/availability.go
@@ -28,7 +28,7 @@
 	mu          sync.Mutex
 	state       lifecycle
 	stateSince  time.Time // when the state began
-	closeFrom   time.Time // connections close with their responses from then on; zero for never
+	closeFrom   time.Time // connections close with their answers from then on; zero for never
 	deferFrom   time.Time // requests are deferred from then on; zero for never
 	handedOver  bool      // stopping, while another process continues to accept clients
 	transitions int       // number of state changes, to recognise an outdated one
@@ -53,7 +53,7 @@
 	return true, avail.transitions, nil
 }
 
-// stop enters the final state. Connections close with their responses from closeFrom on, or at once if the
+// stop enters the final state. Connections close with their answers from closeFrom on, or at once if the
 // balancer is leaving already.
 func (avail *Availability) stop(now, closeFrom time.Time, handedOver bool) {
 	avail.mu.Lock()
@@ -80,7 +80,7 @@
 	return avail.state == serving || avail.state == stopping && avail.handedOver
 }
 
-// closesConnections reports whether connections close with their responses.
+// closesConnections reports whether connections close with their answers.
 func (avail *Availability) closesConnections(now time.Time) bool {
 	avail.mu.Lock()
 	defer avail.mu.Unlock()
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// Leave makes clients use other balancers: health checks fail, connections close with their responses, and those
+// Leave makes clients use other balancers: health checks fail, connections close with their answers, and those
 // without a transaction close as late as the protocol allows. The process keeps running.
 func (front *FrontEnd) Leave() error {
 	changed, transitions, err := front.availability.transition(leaving, time.Now())
--- a/internal/httpwire/conn_tracker.go
+++ b/internal/httpwire/conn_tracker.go
@@ -21,7 +21,7 @@
 	recentWindow   = 20 * time.Millisecond // data this recent may still be followed by more
 	evictionTries  = 8                     // until a connection without unread data is found
 	idleEvictAfter = 2 * time.Second       // after this, clients expect their idle connection to close
-	messageStall   = time.Second / 2       // allowed pause in a request once all connections are to close
+	messageStall   = time.Second / 2       // longest pause in a request once all connections are to close
 	maxHeaderBytes = 32 << 10              // bytes, of requests and responses
 )
 
@@ -57,7 +57,7 @@
 func descriptorReserve(limit int64) int64 { return min(maxReserve, limit/4) }
 
 // stateChanged follows the state of client connections. Clients that connect and send nothing, or never complete a
-// request, would use up the descriptors. Above the limit, the connection without a complete request that has been
+// request, would use up the descriptors. Above 3/5 of the descriptors, the connection without a complete request that has been
 // silent for longest is closed for a new one. A flood must not cost other clients their connections, above all
 // while other balancers restart and these clients have no other connection.
 func (tracker *connTracker) stateChanged(conn net.Conn, state http.ConnState) {
@@ -337,7 +337,7 @@
 	listener   *Listener
 	number     uint64    // selects the shard
 	idle       bool      // between two requests
-	stateSince time.Time // time of the last change of state
+	stateSince time.Time // time of the last change of state, or when unread data was found
 	head       headScanner
 	readGuard  keptconn.Guard
 	limits     *poolLimits // pool of the last transaction, nil before the first; under the lock of connTracker
--- a/internal/httpwire/drain.go
+++ b/internal/httpwire/drain.go
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// CloseListener closes a listener. Its client connections close after their current response, those without a
+// CloseListener closes a listener. Its client connections close after their current answer, those without a
 // transaction at once.
 func (front *FrontEnd) CloseListener(listener *Listener) {
 	listener.closing.Store(true)
@@ -79,10 +79,10 @@
 
 // Drain shuts the front end down. During the first half of the available time it serves as usual, because clients
 // go on using their connections and have no others while the other balancers restart too. Then it closes each
-// connection with its response, and forfeits open transactions shortly before the process would be killed.
+// connection with its answer, and forfeits open transactions shortly before the process would be killed.
 //
 // If handedOver is not empty, another process accepts clients of the same listeners. This process then stops
-// accepting at once, connections close with their responses, and idle connections close near the end.
+// accepting at once, connections close with their answers, and idle connections close near the end.
 func (front *FrontEnd) Drain(handedOver ...*Listener) {
 	start := time.Now()
 	longest := time.Duration(0)
@@ -102,7 +102,7 @@
 	}
 	front.log.Info("drain", "step", "begin", "clients", front.tracker.clients.Load(), "relayed", len(handedOver) > 0)
 	for len(handedOver) > 0 && time.Until(end) > time.Second && front.tracker.clients.Load() > 0 {
-		time.Sleep(sweepInterval) // clients go on using idle connections until these close with a response
+		time.Sleep(sweepInterval) // clients go on using idle connections until these close with an answer
 	}
 	time.Sleep(time.Until(half))
 	front.tracker.closeIdleClients(time.Now(), false)
--- a/internal/httpwire/ownership.go
+++ b/internal/httpwire/ownership.go
@@ -16,7 +16,7 @@
 // their restarts.
 type OwnershipRegistry interface {
 	// Begin returns the ownership of a new transaction.
-	Begin(q OwnershipRequest) Ownership
+	Begin(request OwnershipRequest) Ownership
 }
 
 // OwnershipRequest describes a transaction that must not run twice, or only where repeats are recognised.
--- a/internal/httpwire/pool.go
+++ b/internal/httpwire/pool.go
@@ -153,22 +153,22 @@
 // Log returns the pool's logger.
 func (pool *Pool) Log() *slog.Logger { return pool.log }
 
-// List applies an update of the list of upstreams, or a complete list if whole is set, and logs what it changed. It
+// List applies an update of the list of upstreams, or a complete list if complete is set, and logs what it changed. It
 // implements lists.Sink, as do Unlisted and Follow.
-func (pool *Pool) List(entries []roster.Entry[string], whole bool) {
+func (pool *Pool) List(entries []roster.Entry[string], complete bool) {
 	var change roster.Change
 	for _, sh := range pool.shards {
-		change = sh.desk.List(entries, whole)
+		change = sh.desk.List(entries, complete)
 		sh.conns.removeHosts(change.Left)
 	}
 	first := pool.hasList.Swap(true)
-	if late := time.Duration(0); !whole || !first ||
+	if late := time.Duration(0); !complete || !first ||
 		change.Joined+change.Ends+change.Gone > 0 || change.Odd != pool.invalidEntries {
 		pool.invalidEntries = change.Odd
 		if first && change.Born > 0 { // upstreams that started before the first list were not reported late
 			late = time.Since(time.Unix(0, change.Born))
 		}
-		pool.log.Info("list", "step", "changed", "whole", whole, "entries", len(entries), "joined", change.Joined,
+		pool.log.Info("list", "step", "changed", "whole", complete, "entries", len(entries), "joined", change.Joined,
 			"draining", change.Ends, "gone", change.Gone, "listed", change.Listed, "odd", change.Odd,
 			"late", late.Round(time.Millisecond))
 	}
--- a/internal/httpwire/serve.go
+++ b/internal/httpwire/serve.go
@@ -91,7 +91,7 @@
 }
 
 // SetRouting replaces the routing. A transaction stays with the pool that accepted it.
-func (front *FrontEnd) SetRouting(b *Routing) { front.routing.Store(b) }
+func (front *FrontEnd) SetRouting(routing *Routing) { front.routing.Store(routing) }
 
 // ServeHTTP runs one transaction.
 func (front *FrontEnd) ServeHTTP(w http.ResponseWriter, req *http.Request) {
