--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,6 +1,6 @@
-// Package relay counts the processes that are one balancer at present: the one that serves, and the one that is to
-// replace it. Each holds a lock on a file of its own in a folder that they share. Danger: a process that is killed can't
-// clear up after itself; its locks go with it, and files without a lock mean nothing.
+// Package relay counts the processes that act as one balancer at present: the serving process and, during a
+// restart, its replacement. Each process holds a lock on its own file in a shared folder. A killed process cannot
+// clean up, but the kernel releases its locks, so a file without a lock does not count.
 package relay
 
 import (
@@ -15,51 +15,51 @@
 )
 
 const (
-	seats = 8 // processes at once, at most
-	every = 100 * time.Millisecond
+	maxProcesses = 8 // maximum number of processes at the same time
+	pollInterval = 100 * time.Millisecond
 )
 
-// Seat is one process's place among those of its balancer.
-type Seat struct {
-	stem string
-	own  int
-	file *os.File
+// Slot is the place of one process among the processes of its balancer.
+type Slot struct {
+	prefix string
+	number int
+	file   *os.File
 }
 
-// Take takes a free place of the balancer of that name, in a folder that its processes share.
-func Take(folder, name string) (*Seat, error) {
-	number := fnv.New64a()
-	number.Write([]byte(name))
-	s := &Seat{stem: filepath.Join(folder, fmt.Sprintf("ottershift-%016x", number.Sum64()))}
-	for s.own = range seats {
-		file, err := os.OpenFile(s.path(s.own), os.O_RDWR|os.O_CREATE, 0o600)
+// Acquire takes a free slot of the balancer with the given name, in a folder shared by its processes.
+func Acquire(folder, name string) (*Slot, error) {
+	hash := fnv.New64a()
+	hash.Write([]byte(name))
+	slot := &Slot{prefix: filepath.Join(folder, fmt.Sprintf("ottershift-%016x", hash.Sum64()))}
+	for slot.number = range maxProcesses {
+		file, err := os.OpenFile(slot.path(slot.number), os.O_RDWR|os.O_CREATE, 0o600)
 		if err != nil {
 			return nil, err
 		}
 		if syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) == nil {
-			s.file = file
-			return s, nil
+			slot.file = file
+			return slot, nil
 		}
 		file.Close()
 	}
-	return nil, errors.New("all places are taken")
+	return nil, errors.New("all process slots of the balancer are taken")
 }
 
-func (s *Seat) path(n int) string { return fmt.Sprintf("%s.%d", s.stem, n) }
+func (slot *Slot) path(n int) string { return fmt.Sprintf("%s.%d", slot.prefix, n) }
 
-// Leave gives the place back.
-func (s *Seat) Leave() { s.file.Close() }
+// Release gives up the slot.
+func (slot *Slot) Release() { slot.file.Close() }
 
-// Count is how many processes live, this one included.
-func (s *Seat) Count() (n int) {
+// Count returns the number of live processes, including this one.
+func (slot *Slot) Count() (n int) {
 	n = 1
-	for other := range seats {
-		if other == s.own {
+	for other := range maxProcesses {
+		if other == slot.number {
 			continue
 		}
-		file, err := os.Open(s.path(other))
+		file, err := os.Open(slot.path(other))
 		if err != nil {
-			continue // nobody was ever there
+			continue // the slot was never used
 		}
 		if syscall.Flock(int(file.Fd()), syscall.LOCK_SH|syscall.LOCK_NB) != nil {
 			n++
@@ -69,14 +69,15 @@
 	return n
 }
 
-// Watch tells each change of the count, beginning with the first that isn't one.
-func (s *Seat) Watch(ctx context.Context, change func(n int)) {
-	tick := time.NewTicker(every)
+// Watch calls change each time the count differs from the previous one, which is 1 at the start. It returns when
+// ctx ends.
+func (slot *Slot) Watch(ctx context.Context, change func(n int)) {
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
-	for before := 1; ; {
-		if now := s.Count(); now != before {
-			change(now)
-			before = now
+	for last := 1; ; {
+		if count := slot.Count(); count != last {
+			change(count)
+			last = count
 		}
 		select {
 		case <-tick.C:
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -2,28 +2,28 @@
 
 import "testing"
 
-func TestSeats(t *testing.T) {
+func TestSlots(t *testing.T) {
 	folder := t.TempDir()
-	one, err := Take(folder, "n")
-	if err != nil || one.Count() != 1 {
+	first, err := Acquire(folder, "n")
+	if err != nil || first.Count() != 1 {
 		t.Fatal(err)
 	}
-	two, err := Take(folder, "n")
-	if err != nil || one.Count() != 2 || two.Count() != 2 {
-		t.Fatal(err, one.Count())
+	second, err := Acquire(folder, "n")
+	if err != nil || first.Count() != 2 || second.Count() != 2 {
+		t.Fatal(err, first.Count())
 	}
-	if other, err := Take(folder, "m"); err != nil || other.Count() != 1 { // another balancer's are not ours
+	if other, err := Acquire(folder, "m"); err != nil || other.Count() != 1 { // another balancer's slots do not count
 		t.Error(err)
 	}
-	one.Leave()
-	if two.Count() != 1 {
-		t.Error("a place that was left counts, though its file is there")
+	first.Release()
+	if second.Count() != 1 {
+		t.Error("a released slot is counted because its file still exists")
 	}
-	three, _ := Take(folder, "n")
-	if three.own != one.own || two.Count() != 2 {
-		t.Errorf("place %d", three.own)
+	third, _ := Acquire(folder, "n")
+	if third.number != first.number || second.Count() != 2 {
+		t.Errorf("acquired slot %d instead of the released one", third.number)
 	}
-	if _, err := Take(folder+"/none", "n"); err == nil {
-		t.Error("a folder that isn't there")
+	if _, err := Acquire(folder+"/none", "n"); err == nil {
+		t.Error("no error for a missing folder")
 	}
 }
