--- a/cmd/ottershift/cluster.go
+++ b/cmd/ottershift/cluster.go
@@ -59,10 +59,10 @@
 			fmt.Fprintln(out, "DUTY\tOWNER\tTOKEN\tMAY ACT FOR\tHIGHEST SEEN")
 			for _, d := range o.Duties {
 				left := "-"
-				if d.Mine {
-					left = (time.Duration(d.Left) * time.Millisecond).String()
+				if d.Owned {
+					left = (time.Duration(d.RemainingMS) * time.Millisecond).String()
 				}
-				fmt.Fprintf(out, "%s\t%s\t%d\t%s\t%d\n", d.Duty, dash(d.Owner), d.Token, left, d.Highest)
+				fmt.Fprintf(out, "%s\t%s\t%d\t%s\t%d\n", d.Duty, dash(d.Owner), d.Token, left, d.HighestToken)
 			}
 			out.Flush()
 			fmt.Fprintf(c.OutOrStdout(), "as known by %s, session %d; %d acts of old owners refused here, %d sessions ended\n", o.Name, o.Session, o.Refused, o.Ended)
--- a/cmd/ottershift/ledger.go
+++ b/cmd/ottershift/ledger.go
@@ -50,11 +50,11 @@
 		return errors.Join(err, fmt.Errorf("%s is no keeper's directory: it holds no group", f.directory))
 	}
 	for _, dir := range dirs {
-		book := ledger.NewBook(ledger.Guards{Fence: true}, 0)
-		if _, err := keep.Look(dir, map[byte]keep.Part{ledger.Part: book}); err != nil {
+		book := ledger.NewStateMachine(ledger.Guards{Fence: true}, 0)
+		if _, err := keep.Look(dir, map[byte]keep.Part{ledger.StateMachineID: book}); err != nil {
 			return fmt.Errorf("%s: %w", dir, err)
 		}
-		if err := ledger.Each(q, func(q *ledger.Query) (ledger.Page, error) { return book.Ask(q), nil }, take); err != nil {
+		if err := ledger.ForEach(q, func(q *ledger.Query) (ledger.Page, error) { return book.Query(q), nil }, take); err != nil {
 			return err
 		}
 	}
@@ -79,8 +79,8 @@
 		ms := func(n int64) string {
 			return (time.Duration(n) * time.Millisecond).Round(100 * time.Millisecond).String()
 		}
-		fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", e.Key, e.State, e.Pool, dash(e.Customer), e.Tariff, dash(e.Group), dash(e.Upstream), by, ms(e.For), ms(e.Left),
-			dash(e.ID), dash(e.Label))
+		fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", e.Key, e.State, e.Pool, dash(e.Customer), e.Tariff, dash(e.Group), dash(e.Upstream), by, ms(e.AgeMS), ms(e.RemainingMS),
+			dash(e.RequestID), dash(e.ClientKey))
 		return nil
 	})
 	out.Flush()
@@ -104,10 +104,10 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			var queries []ledger.Query
 			if k, ok := ledger.ParseKey(args[0]); ok {
-				queries = append(queries, ledger.Query{What: "look", Key: k[:]})
+				queries = append(queries, ledger.Query{Kind: "look", Key: k[:]})
 			}
-			short := ledger.Clip(args[0])
-			queries = append(queries, ledger.Query{What: "find", Label: short}, ledger.Query{What: "find", ID: short})
+			short := ledger.Truncate(args[0])
+			queries = append(queries, ledger.Query{Kind: "find", ClientKeyPrefix: short}, ledger.Query{Kind: "find", RequestID: short})
 			for _, q := range queries {
 				var found []ledger.Entry
 				if err := from.find(q, func(e ledger.Entry) error { found = append(found, e); return nil }); err != nil {
@@ -127,8 +127,8 @@
 	find := &cobra.Command{
 		Use: "find", Short: "List what fits", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			q.What, q.Younger, q.Older = "find", int64(younger), int64(older)
-			if q.State != "" && q.State != ledger.Open && q.State != ledger.Answered && q.State != ledger.Unknown {
+			q.Kind, q.MaxAge, q.MinAge = "find", int64(younger), int64(older)
+			if q.State != "" && q.State != ledger.StateOpen && q.State != ledger.StateAnswered && q.State != ledger.StateUnknown {
 				return fmt.Errorf("--state %q is none of open, answered, unknown", q.State)
 			}
 			n, err := from.show(c.OutOrStdout(), q)
@@ -146,15 +146,15 @@
 	f.StringVar(&q.Upstream, "upstream", "", "sent to this upstream first; pushes after it went to the same group")
 	f.StringVar(&q.Member, "balancer", "", "in the hands of this balancer")
 	f.StringVar(&q.State, "state", "", "open, answered or unknown")
-	f.StringVar(&q.ID, "id", "", "with this X-Txn, of which the first 32 bytes count")
+	f.StringVar(&q.RequestID, "id", "", "with this X-Txn, of which the first 32 bytes count")
 	f.DurationVar(&younger, "younger", 0, "remembered for less than this")
 	f.DurationVar(&older, "older", 0, "remembered for at least this")
-	f.IntVar(&q.Most, "most", 0, "so many at most, 0 for all")
+	f.IntVar(&q.Limit, "most", 0, "so many at most, 0 for all")
 
 	open := &cobra.Command{
 		Use: "open", Short: "List what is in somebody's hands", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			_, err := from.show(c.OutOrStdout(), ledger.Query{What: "find", State: ledger.Open})
+			_, err := from.show(c.OutOrStdout(), ledger.Query{Kind: "find", State: ledger.StateOpen})
 			return err
 		},
 	}
@@ -163,7 +163,7 @@
 		RunE: func(c *cobra.Command, _ []string) error {
 			all := *from
 			all.raw = true
-			_, err := all.show(c.OutOrStdout(), ledger.Query{What: "find"})
+			_, err := all.show(c.OutOrStdout(), ledger.Query{Kind: "find"})
 			return err
 		},
 	}
@@ -213,12 +213,12 @@
 		}
 		copies[dir] = []ledger.Entry{}
 		from := &ledgerFrom{directory: dir}
-		if err := from.find(ledger.Query{What: "find"}, func(e ledger.Entry) error { copies[dir] = append(copies[dir], e); return nil }); err != nil {
+		if err := from.find(ledger.Query{Kind: "find"}, func(e ledger.Entry) error { copies[dir] = append(copies[dir], e); return nil }); err != nil {
 			return err
 		}
 		fmt.Fprintf(to, "%s: %s\n", dir, count(len(copies[dir]), "key"))
 	}
-	lines := ledger.Differ(copies)
+	lines := ledger.DiffCopies(copies)
 	for _, line := range lines {
 		fmt.Fprintln(to, line)
 	}
--- a/internal/cluster/agreed.go
+++ b/internal/cluster/agreed.go
@@ -38,7 +38,7 @@
 	keepers []*keep.Keeper // of each group; none where it is no keeper
 	clients []*keep.Client // of each group
 	client  *keep.Client   // of the first, which holds sessions and duties
-	owners  *owner.Owners
+	owners  *owner.Manager
 	ctx     context.Context
 	end     context.CancelFunc
 	all     sync.WaitGroup
@@ -49,13 +49,13 @@
 	leaving bool
 	closing uint64 // token under which this member ends sessions, 0 if it doesn't
 	ended   int64  // sessions it has ended
-	held    map[string]owner.Held
+	held    map[string]owner.DutyState
 }
 
 // openAgreed takes part; before the link serves.
 func openAgreed(c *Cluster) (*agreed, error) {
 	s := c.o.Settings
-	a := &agreed{c: c, lists: map[string]*shared.List{}, held: map[string]owner.Held{}, kick: make(chan struct{}, 1)}
+	a := &agreed{c: c, lists: map[string]*shared.List{}, held: map[string]owner.DutyState{}, kick: make(chan struct{}, 1)}
 	a.ctx, a.end = context.WithCancel(context.Background())
 	fenced, once := true, true
 	if l := c.o.Lab; l != nil {
@@ -92,10 +92,10 @@
 	}
 	fenced := a.c.o.Lab == nil || !a.c.o.Lab.without("fence")
 	lease := keep.Lease{For: s.Lease, Drift: s.Drift}.Owner()
-	a.owners = owner.Begin(owner.Options{
-		Self: s.Self, Terms: owner.TermsOf(lease), Seed: a.c.o.Seed, Keepers: keepers{a}, Members: a.members, Fenced: fenced, Log: a.c.o.Log,
+	a.owners = owner.Start(owner.Options{
+		Self: s.Self, Terms: owner.TimingFor(lease), Seed: a.c.o.Seed, Store: keepers{a}, Members: a.members, Fenced: fenced, Log: a.c.o.Log,
 	})
-	a.owners.Do(keep.Sessions, (*closer)(a))
+	a.owners.AddDuty(keep.Sessions, (*closer)(a))
 	a.all.Go(a.session)
 	a.all.Go(a.close)
 }
@@ -190,14 +190,14 @@
 
 func (k keepers) Session() (uint64, bool) { return k.a.client.Session() }
 
-func (k keepers) Held(ctx context.Context) (map[string]owner.Held, error) {
+func (k keepers) Held(ctx context.Context) (map[string]owner.DutyState, error) {
 	got, err := k.a.client.Read(ctx, false)
 	if err != nil {
 		return nil, err
 	}
-	all := map[string]owner.Held{}
+	all := map[string]owner.DutyState{}
 	for _, d := range got.Duties {
-		all[d.Name] = owner.Held{Token: d.Token, Owner: d.Owner, Epoch: d.Epoch}
+		all[d.Name] = owner.DutyState{Token: d.Token, Owner: d.Owner, Epoch: d.Epoch}
 	}
 	k.a.mu.Lock()
 	defer k.a.mu.Unlock()
@@ -226,8 +226,8 @@
 // closer is the duty of ending the sessions of members that are gone.
 type closer agreed
 
-func (c *closer) Begin(t owner.Tenure) { (*agreed)(c).closes(t.Token) }
-func (c *closer) End(owner.Tenure)     { (*agreed)(c).closes(0) }
+func (c *closer) Begin(t owner.Lease) { (*agreed)(c).closes(t.Token) }
+func (c *closer) End(owner.Lease)     { (*agreed)(c).closes(0) }
 
 func (a *agreed) closes(token uint64) {
 	a.mu.Lock()
@@ -256,7 +256,7 @@
 			if err != nil || !s.Open || s.Member == a.c.o.Settings.Self || !a.c.gossip.Gone(s.Member, s.Epoch, a.c.o.Settings.Lease) {
 				continue
 			}
-			if now, may := a.owners.May(keep.Sessions); !may || now != token {
+			if now, may := a.owners.MayAct(keep.Sessions); !may || now != token {
 				break
 			}
 			x, err := a.client.Do(ctx, keep.Command{Kind: keep.End, Other: s.Member, Number: s.Epoch, Token: token})
@@ -286,7 +286,7 @@
 			if !s.Open || i < 0 || first[i].Epoch < s.Epoch || first[i].Epoch == s.Epoch && first[i].Open {
 				continue
 			}
-			if now, may := a.owners.May(keep.Sessions); !may || now != token {
+			if now, may := a.owners.MayAct(keep.Sessions); !may || now != token {
 				return
 			}
 			client.Do(ctx, keep.Command{Kind: keep.Close, Other: s.Member, Number: s.Epoch, Token: token})
@@ -359,19 +359,19 @@
 }
 
 func (a *agreed) word(_ context.Context, from string, body []byte) ([]byte, error) {
-	var w shared.Word
+	var w shared.Update
 	if err := pack.Unpack(body, &w); err != nil {
 		return nil, err
 	}
 	if l := a.listOf(w.Pool); l != nil {
-		l.Heard(from, &w)
+		l.HandleUpdate(from, &w)
 	}
 	return nil, nil
 }
 
 func (a *agreed) whole(_ context.Context, _ string, body []byte) ([]byte, error) {
 	if l := a.listOf(string(body)); l != nil {
-		return l.Whole(), nil
+		return l.Snapshot(), nil
 	}
 	return nil, errors.New("no such list here")
 }
--- a/internal/cluster/claims.go
+++ b/internal/cluster/claims.go
@@ -38,7 +38,7 @@
 // parts are what keepers agree on beside runs and duties. A keeper holds them whatever its own process uses.
 func (c *Cluster) parts() map[byte]keep.Part {
 	fenced := c.o.Lab == nil || !c.o.Lab.without("fence")
-	return map[byte]keep.Part{ledger.Part: ledger.NewBook(ledger.Guards{Fence: fenced}, rand.Uint64())}
+	return map[byte]keep.Part{ledger.StateMachineID: ledger.NewStateMachine(ledger.Guards{Fence: fenced}, rand.Uint64())}
 }
 
 // openClaims takes part in the ledger, where the settings name one.
@@ -115,7 +115,7 @@
 	l := x.l
 	x.mu.Unlock()
 	if l != nil {
-		l.Figures(to)
+		l.WriteMetrics(to)
 	}
 }
 
@@ -132,15 +132,15 @@
 	if !s.Claims() {
 		return nil
 	}
-	rules := ledger.Rules{Waits: s.Waits, SameBody: s.SameBody}
+	rules := ledger.Rules{WaitForHolder: s.Waits, RequireSameBody: s.SameBody}
 	if x.l == nil {
-		var groups []ledger.Keepers
+		var groups []ledger.GroupClient
 		for _, g := range x.groups {
 			groups = append(groups, g)
 		}
-		x.l = ledger.Begin(ledger.Options{Groups: groups, Within: s.Within, Lag: s.Lag, Keys: s.Keys, Rules: rules, Log: c.o.Log})
+		x.l = ledger.Start(ledger.Options{Groups: groups, Timeout: s.Within, ReleaseDelay: s.Lag, MaxKeys: s.Keys, Rules: rules, Log: c.o.Log})
 	} else {
-		x.l.Change(s.Within, s.Lag, s.Keys, rules)
+		x.l.Reconfigure(s.Within, s.Lag, s.Keys, rules)
 	}
 	return x.l
 }
@@ -149,9 +149,9 @@
 func (x *claims) ask(ctx context.Context, at string, group int, q *ledger.Query) (p ledger.Page, err error) {
 	var raw []byte
 	if at == "" {
-		raw, err = x.groups[group].ReadPart(ctx, ledger.Part, pack.Pack(q), false)
+		raw, err = x.groups[group].ReadPart(ctx, ledger.StateMachineID, pack.Pack(q), false)
 	} else {
-		raw, err = x.groups[group].ReadPartAt(ctx, at, ledger.Part, pack.Pack(q))
+		raw, err = x.groups[group].ReadPartAt(ctx, at, ledger.StateMachineID, pack.Pack(q))
 	}
 	if err == nil {
 		err = pack.Unpack(raw, &p)
@@ -161,7 +161,7 @@
 
 // find tells what fits, of one group.
 func (x *claims) find(ctx context.Context, at string, group int, q ledger.Query, take func(ledger.Entry) error) error {
-	return ledger.Each(q, func(q *ledger.Query) (ledger.Page, error) { return x.ask(ctx, at, group, q) }, take)
+	return ledger.ForEach(q, func(q *ledger.Query) (ledger.Page, error) { return x.ask(ctx, at, group, q) }, take)
 }
 
 // verify holds the keepers' copies of each group against one another: their sums after the same entry, and where these differ
@@ -172,7 +172,7 @@
 		sums := map[uint64]map[string]uint64{}
 		voters := x.c.o.Settings.Voters
 		for _, at := range voters {
-			p, err := x.ask(ctx, at, group, &ledger.Query{What: "marks"})
+			p, err := x.ask(ctx, at, group, &ledger.Query{Kind: "marks"})
 			if err != nil {
 				v.Missing = append(v.Missing, at)
 				continue
@@ -181,7 +181,7 @@
 				if sums[index] == nil {
 					sums[index] = map[string]uint64{}
 				}
-				sums[index][at] = p.Sums[i]
+				sums[index][at] = p.Checksums[i]
 			}
 		}
 		for index, all := range sums {
@@ -208,9 +208,9 @@
 					continue
 				}
 				copies[at] = []ledger.Entry{}
-				x.find(ctx, at, group, ledger.Query{What: "find"}, func(e ledger.Entry) error { copies[at] = append(copies[at], e); return nil })
+				x.find(ctx, at, group, ledger.Query{Kind: "find"}, func(e ledger.Entry) error { copies[at] = append(copies[at], e); return nil })
 			}
-			v.Differ = ledger.Differ(copies)
+			v.Differ = ledger.DiffCopies(copies)
 		}
 		if err := say(v); err != nil {
 			return err
--- a/internal/cluster/ledger/book.go
+++ b/internal/cluster/ledger/book.go
@@ -17,393 +17,395 @@
 	"ottershift/internal/cluster/pack"
 )
 
-// Part is the ledger's number among the parts of what is agreed.
-const Part byte = 1
+// StateMachineID is the ledger's number among the parts of what is agreed.
+const StateMachineID byte = 1
 
 // Key is what a transaction is known by: a sum of its pool, customer, tariff and Idempotency-Key, however long that is.
 type Key [16]byte
 
 // KeyOf is the key of a transaction.
-func KeyOf(parts ...string) (k Key) {
-	h := sha256.New()
-	var n [8]byte
-	for _, p := range parts {
-		binary.BigEndian.PutUint64(n[:], uint64(len(p))) // danger: "ab", "c" is not "a", "bc"
-		h.Write(n[:])
-		h.Write([]byte(p))
+func KeyOf(fields ...string) (key Key) {
+	hash := sha256.New()
+	var length [8]byte
+	for _, field := range fields {
+		binary.BigEndian.PutUint64(length[:], uint64(len(field))) // danger: "ab", "c" is not "a", "bc"
+		hash.Write(length[:])
+		hash.Write([]byte(field))
 	}
-	return Key(h.Sum(nil)[:16])
+	return Key(hash.Sum(nil)[:16])
 }
 
 func (k Key) String() string { return hex.EncodeToString(k[:]) }
 
 // Kinds of op.
 const (
-	claim byte = iota + 1
-	end
+	opClaim byte = iota + 1
+	opRelease
 )
 
 // Ends of a claim.
 const (
-	EndNever    byte = iota + 1 // no push of it ran, provably
-	EndAnswered                 // an upstream settled or rejected it
-	EndUnknown                  // it may have run
+	OutcomeNeverRan byte = iota + 1 // no push of it ran, provably
+	OutcomeAnswered                 // an upstream settled or rejected it
+	OutcomeUnknown                  // it may have run
 )
 
 // Op is one line for the ledger. Its number tells it apart from all others of its member's run.
 type Op struct {
-	What     byte   `codec:"w"`
-	Key      []byte `codec:"k"`
-	Number   uint64 `codec:"n"`
-	Group    string `codec:"g,omitempty"` // that the next push goes to, "" where that binds nothing
-	To       string `codec:"u,omitempty"` // upstream of that push; those after it go to the same group
-	Moves    bool   `codec:"m,omitempty"` // no push of it has run, so it may go to another group
-	Once     bool   `codec:"o,omitempty"`
-	Pool     string `codec:"p,omitempty"`
-	Customer string `codec:"c,omitempty"`
-	Tariff   string `codec:"t,omitempty"`
-	Keep     int64  `codec:"f,omitempty"` // nanoseconds that it is remembered for
-	ID       string `codec:"i,omitempty"`
-	Body     uint64 `codec:"b,omitempty"` // sum of its body, 0 where nobody compares
-	Label    string `codec:"l,omitempty"` // the key as its client wrote it, or the beginning of it
-	How      byte   `codec:"h,omitempty"`
+	Kind      byte   `codec:"w"`
+	Key       []byte `codec:"k"`
+	Attempt   uint64 `codec:"n"`
+	Group     string `codec:"g,omitempty"` // that the next push goes to, "" where that binds nothing
+	Upstream  string `codec:"u,omitempty"` // upstream of that push; those after it go to the same group
+	Movable   bool   `codec:"m,omitempty"` // no push of it has run, so it may go to another group
+	OnceOnly  bool   `codec:"o,omitempty"`
+	Pool      string `codec:"p,omitempty"`
+	Customer  string `codec:"c,omitempty"`
+	Tariff    string `codec:"t,omitempty"`
+	Retention int64  `codec:"f,omitempty"` // nanoseconds that it is remembered for
+	RequestID string `codec:"i,omitempty"`
+	BodyHash  uint64 `codec:"b,omitempty"` // sum of its body, 0 where nobody compares
+	ClientKey string `codec:"l,omitempty"` // the key as its client wrote it, or the beginning of it
+	Outcome   byte   `codec:"h,omitempty"`
 }
 
 // Batch is a command's body.
 type Batch struct {
-	Ops  []Op   `codec:"o,omitempty"`
-	Most int    `codec:"m,omitempty"` // keys that may be remembered in this group
-	Pass int64  `codec:"p,omitempty"` // nanoseconds that have passed
-	Low  uint64 `codec:"l,omitempty"` // claims under this number that aren't held are none any more
+	Ops          []Op   `codec:"o,omitempty"`
+	MaxKeys      int    `codec:"m,omitempty"` // keys that may be remembered in this group
+	Elapsed      int64  `codec:"p,omitempty"` // nanoseconds that have passed
+	LowWatermark uint64 `codec:"l,omitempty"` // claims under this number that aren't held are none any more
 }
 
 // Codes of results.
 const (
-	Granted byte = iota + 1
-	Held         // another has it, and has not said how it ended
-	BoundTo      // it may have run in another group
-	Ran          // once-only, and may have run
-	Differs      // another body came under this key
-	Full         // too many keys are remembered
-	Stale        // by somebody who doesn't hold it, or had given it up before it came
+	CodeGranted      byte = iota + 1
+	CodeHeld              // another has it, and has not said how it ended
+	CodeBound             // it may have run in another group
+	CodeMayHaveRun        // once-only, and may have run
+	CodeBodyMismatch      // another body came under this key
+	CodeFull              // too many keys are remembered
+	CodeStale             // by somebody who doesn't hold it, or had given it up before it came
 )
 
-// Res is what became of an op.
-type Res struct {
+// Result is what became of an op.
+type Result struct {
 	Code  byte   `codec:"c"`
 	Group string `codec:"g,omitempty"`
 }
 
-// Results are an answer's body.
-type Results struct {
-	All []Res `codec:"a"`
+// BatchResult are an answer's body.
+type BatchResult struct {
+	Results []Result `codec:"a"`
 }
 
-// holder is one attempt of one member's run.
-type holder struct {
+// attempt is one attempt of one member's run.
+type attempt struct {
 	member        uint32 // name by number, 0 for nobody
 	epoch, number uint64
 }
 
 // record is a key that is remembered.
 type record struct {
-	key                          Key
-	pool, customer, tariff       uint32 // names by number
-	group                        uint32
-	once, may, answered, counted bool // may: it may have run; counted: until holds
-	holder                       holder
-	since, until, keep           int64 // by the ledger's own time
-	body                         uint64
-	id, label, to                string
+	key                                       Key
+	pool, customer, tariff                    uint32 // names by number
+	group                                     uint32
+	onceOnly, mayHaveRun, answered, expirySet bool // may: it may have run; counted: until holds
+	holder                                    attempt
+	claimedAt, expiresAt, retention           int64 // by the ledger's own time
+	bodyHash                                  uint64
+	requestID, clientKey, upstream            string
 }
 
 // Guards are what variants leave out.
 type Guards struct{ Fence bool }
 
-// Book is the ledger of one group of keepers: the same at each of them.
-type Book struct {
-	guards Guards
-	copy   uint64 // which one this is, by chance; no part of what is agreed
-	now    int64  // the ledger's own time: never faster than any real one
-	slots  []record
-	free   []uint32
-	at     map[Key]uint32
-	names  []string // by number, from 1 on
-	number map[string]uint32
-	held   map[holder]Key    // attempts that have not ended
-	low    map[holder]uint64 // by run: claims under it come too late
-	due    map[int64][]Key   // by the second in which they end
-	swept  int64             // second up to which all that ended is gone
-	fresh  []Key             // claimed since time passed last
-	sum    uint64            // of all records
-	marks  [marks]mark       // sums after the last commands
-	counts map[string]int64  // of results, for figures
+// StateMachine is the ledger of one group of keepers: the same at each of them.
+type StateMachine struct {
+	guards        Guards
+	copyID        uint64 // which one this is, by chance; no part of what is agreed
+	now           int64  // the ledger's own time: never faster than any real one
+	records       []record
+	freeSlots     []uint32
+	slotByKey     map[Key]uint32
+	names         []string // by number, from 1 on
+	nameIDs       map[string]uint32
+	openClaims    map[attempt]Key                 // attempts that have not ended
+	lowWatermarks map[attempt]uint64              // by run: claims under it come too late
+	expiryBuckets map[int64][]Key                 // by the second in which they end
+	sweptUntil    int64                           // second up to which all that ended is gone
+	unscheduled   []Key                           // claimed since time passed last
+	checksum      uint64                          // of all records
+	checksumLog   [checksumLogSize]loggedChecksum // sums after the last commands
+	resultCounts  map[string]int64                // of results, for figures
 }
 
-const marks = 1024
+const checksumLogSize = 1024
 
-type mark struct{ index, sum uint64 }
+type loggedChecksum struct{ index, checksum uint64 }
 
 const second = int64(1e9)
 
-// granule is how often time is told, at the least.
-const granule = second / 2
+// clockGranularity is how often time is told, at the least.
+const clockGranularity = second / 2
 
-// NewBook makes an empty one; copy is a number that no other copy has, as far as chance goes.
-func NewBook(g Guards, copy uint64) *Book {
-	b := &Book{guards: g, copy: copy}
-	b.clear()
-	return b
+// NewStateMachine makes an empty one; copy is a number that no other copy has, as far as chance goes.
+func NewStateMachine(guards Guards, copyID uint64) *StateMachine {
+	sm := &StateMachine{guards: guards, copyID: copyID}
+	sm.reset()
+	return sm
 }
 
-func (b *Book) clear() {
-	b.low = map[holder]uint64{}
-	b.now, b.swept, b.slots, b.free, b.fresh, b.sum, b.marks = 0, 0, nil, nil, nil, 0, [marks]mark{}
-	b.at, b.names, b.number, b.held, b.due, b.counts = map[Key]uint32{}, []string{""}, map[string]uint32{"": 0}, map[holder]Key{}, map[int64][]Key{}, map[string]int64{}
+func (sm *StateMachine) reset() {
+	sm.lowWatermarks = map[attempt]uint64{}
+	sm.now, sm.sweptUntil, sm.records, sm.freeSlots, sm.unscheduled, sm.checksum, sm.checksumLog = 0, 0, nil, nil, nil, 0, [checksumLogSize]loggedChecksum{}
+	sm.slotByKey, sm.names, sm.nameIDs, sm.openClaims, sm.expiryBuckets, sm.resultCounts = map[Key]uint32{}, []string{""}, map[string]uint32{"": 0}, map[attempt]Key{}, map[int64][]Key{}, map[string]int64{}
 }
 
-func (b *Book) name(text string) uint32 {
-	n, some := b.number[text]
-	if !some {
-		n = uint32(len(b.names))
-		b.names, b.number[text] = append(b.names, text), n
+func (sm *StateMachine) intern(text string) uint32 {
+	id, found := sm.nameIDs[text]
+	if !found {
+		id = uint32(len(sm.names))
+		sm.names, sm.nameIDs[text] = append(sm.names, text), id
 	}
-	return n
+	return id
 }
 
 // Apply implements keep.Part.
-func (b *Book) Apply(index uint64, c *keep.Command) keep.Answer {
-	var x Batch
-	if pack.Unpack(c.Body, &x) != nil {
+func (sm *StateMachine) Apply(index uint64, command *keep.Command) keep.Answer {
+	var batch Batch
+	if pack.Unpack(command.Body, &batch) != nil {
 		return keep.Answer{Code: keep.ErrNone}
 	}
-	defer func() { b.marks[index%marks] = mark{index, b.sum} }()
-	if c.Member == "" { // a keeper's own
-		b.pass(x.Pass)
+	defer func() { sm.checksumLog[index%checksumLogSize] = loggedChecksum{index, sm.checksum} }()
+	if command.Member == "" { // a keeper's own
+		sm.advanceClock(batch.Elapsed)
 		return keep.Answer{Code: keep.OK}
 	}
-	r := Results{All: make([]Res, len(x.Ops))}
-	run := holder{member: b.name(c.Member), epoch: c.Epoch}
-	b.low[run] = max(b.low[run], x.Low)
-	for i := range x.Ops {
-		if o := &x.Ops[i]; len(o.Key) == len(Key{}) {
-			r.All[i] = b.do(c, o, x.Most)
-			b.counts[names[r.All[i].Code]]++
+	results := BatchResult{Results: make([]Result, len(batch.Ops))}
+	session := attempt{member: sm.intern(command.Member), epoch: command.Epoch}
+	sm.lowWatermarks[session] = max(sm.lowWatermarks[session], batch.LowWatermark)
+	for i := range batch.Ops {
+		if op := &batch.Ops[i]; len(op.Key) == len(Key{}) {
+			results.Results[i] = sm.applyOp(command, op, batch.MaxKeys)
+			sm.resultCounts[codeNames[results.Results[i].Code]]++
 		}
 	}
-	return keep.Answer{Code: keep.OK, Body: pack.Pack(&r)}
+	return keep.Answer{Code: keep.OK, Body: pack.Pack(&results)}
 }
 
-var names = [...]string{"none", "granted", "held", "bound", "ran", "differs", "full", "stale"}
+var codeNames = [...]string{"none", "granted", "held", "bound", "ran", "differs", "full", "stale"}
 
-func (b *Book) do(c *keep.Command, o *Op, most int) Res {
-	by := holder{b.name(c.Member), c.Epoch, o.Number}
-	n, some := b.at[Key(o.Key)]
-	if o.What == end {
-		if !some || b.slots[n].holder != by && (b.guards.Fence || b.slots[n].holder.member == 0 && !b.slots[n].may) {
-			return Res{Code: Stale} // danger: an old holder's "never ran" would free what a newer one has sent
+func (sm *StateMachine) applyOp(command *keep.Command, op *Op, maxKeys int) Result {
+	claimant := attempt{sm.intern(command.Member), command.Epoch, op.Attempt}
+	slot, found := sm.slotByKey[Key(op.Key)]
+	if op.Kind == opRelease {
+		if !found || sm.records[slot].holder != claimant && (sm.guards.Fence || sm.records[slot].holder.member == 0 && !sm.records[slot].mayHaveRun) {
+			return Result{Code: CodeStale} // danger: an old holder's "never ran" would free what a newer one has sent
 		}
-		b.ended(n, o.How)
-		return Res{Code: Granted}
+		sm.release(slot, op.Outcome)
+		return Result{Code: CodeGranted}
 	}
-	if o.What != claim {
-		return Res{}
+	if op.Kind != opClaim {
+		return Result{}
 	}
-	if o.Number < b.low[holder{member: by.member, epoch: by.epoch}] && (!some || b.slots[n].holder != by) && b.guards.Fence {
-		return Res{Code: Stale} // danger: its member has given it up; nobody would ever end it
+	if op.Attempt < sm.lowWatermarks[attempt{member: claimant.member, epoch: claimant.epoch}] && (!found || sm.records[slot].holder != claimant) && sm.guards.Fence {
+		return Result{Code: CodeStale} // danger: its member has given it up; nobody would ever end it
 	}
-	if !some {
-		if len(b.at) >= most && most > 0 {
-			return Res{Code: Full}
+	if !found {
+		if len(sm.slotByKey) >= maxKeys && maxKeys > 0 {
+			return Result{Code: CodeFull}
 		}
-		b.take(b.slot(Key(o.Key)), by, o)
-		return Res{Code: Granted, Group: o.Group}
+		sm.grant(sm.addRecord(Key(op.Key)), claimant, op)
+		return Result{Code: CodeGranted, Group: op.Group}
 	}
-	r := &b.slots[n]
-	group := b.names[r.group]
+	rec := &sm.records[slot]
+	group := sm.names[rec.group]
 	switch {
-	case r.holder == by && (o.Group == group || o.Moves && !r.may):
-		b.take(n, by, o)
-	case !b.guards.Fence && o.Moves: // danger: who held it once moves it on, whatever came after
-		b.take(n, by, o)
-	case r.holder == by:
-		return Res{Code: BoundTo, Group: group}
-	case r.holder.member != 0:
-		return Res{Code: Held, Group: group}
-	case r.body != 0 && o.Body != 0 && r.body != o.Body:
-		return Res{Code: Differs}
-	case r.once:
-		return Res{Code: Ran}
-	case group != o.Group:
-		return Res{Code: BoundTo, Group: group}
+	case rec.holder == claimant && (op.Group == group || op.Movable && !rec.mayHaveRun):
+		sm.grant(slot, claimant, op)
+	case !sm.guards.Fence && op.Movable: // danger: who held it once moves it on, whatever came after
+		sm.grant(slot, claimant, op)
+	case rec.holder == claimant:
+		return Result{Code: CodeBound, Group: group}
+	case rec.holder.member != 0:
+		return Result{Code: CodeHeld, Group: group}
+	case rec.bodyHash != 0 && op.BodyHash != 0 && rec.bodyHash != op.BodyHash:
+		return Result{Code: CodeBodyMismatch}
+	case rec.onceOnly:
+		return Result{Code: CodeMayHaveRun}
+	case group != op.Group:
+		return Result{Code: CodeBound, Group: group}
 	default:
-		b.take(n, by, o)
+		sm.grant(slot, claimant, op)
 	}
-	return Res{Code: Granted, Group: o.Group}
+	return Result{Code: CodeGranted, Group: op.Group}
 }
 
-// slot makes room for a key.
-func (b *Book) slot(k Key) (n uint32) {
-	if len(b.free) > 0 {
-		n = b.free[len(b.free)-1]
-		b.free = b.free[:len(b.free)-1]
+// addRecord makes room for a key.
+func (sm *StateMachine) addRecord(key Key) (slot uint32) {
+	if len(sm.freeSlots) > 0 {
+		slot = sm.freeSlots[len(sm.freeSlots)-1]
+		sm.freeSlots = sm.freeSlots[:len(sm.freeSlots)-1]
 	} else {
-		n = uint32(len(b.slots))
-		b.slots = append(b.slots, record{})
+		slot = uint32(len(sm.records))
+		sm.records = append(sm.records, record{})
 	}
-	b.slots[n] = record{key: k}
-	b.at[k] = n
-	return n
+	sm.records[slot] = record{key: key}
+	sm.slotByKey[key] = slot
+	return slot
 }
 
-// change has a record changed, with the sum over all.
-func (b *Book) change(n uint32, f func(r *record)) {
-	r := &b.slots[n]
-	if !r.empty() {
-		b.sum ^= b.hash(r)
+// update has a record changed, with the sum over all.
+func (sm *StateMachine) update(slot uint32, mutate func(rec *record)) {
+	rec := &sm.records[slot]
+	if !rec.empty() {
+		sm.checksum ^= sm.hash(rec)
 	}
-	f(r)
-	if !r.empty() {
-		b.sum ^= b.hash(r)
+	mutate(rec)
+	if !rec.empty() {
+		sm.checksum ^= sm.hash(rec)
 	}
 }
 
-func (r *record) empty() bool { return r.keep == 0 }
+func (rec *record) empty() bool { return rec.retention == 0 }
 
-func (b *Book) hash(r *record) uint64 {
-	var d xxhash.Digest
-	d.Reset()
-	d.Write(r.key[:])
-	for _, text := range []string{b.names[r.pool], b.names[r.customer], b.names[r.tariff], b.names[r.group], b.names[r.holder.member], r.id, r.label, r.to} {
-		d.WriteString(text)
-		d.Write([]byte{0})
+func (sm *StateMachine) hash(rec *record) uint64 {
+	var digest xxhash.Digest
+	digest.Reset()
+	digest.Write(rec.key[:])
+	for _, text := range []string{sm.names[rec.pool], sm.names[rec.customer], sm.names[rec.tariff], sm.names[rec.group], sm.names[rec.holder.member], rec.requestID, rec.clientKey, rec.upstream} {
+		digest.WriteString(text)
+		digest.Write([]byte{0})
 	}
 	var raw [72]byte
-	for i, v := range []uint64{r.holder.epoch, r.holder.number, uint64(r.since), uint64(r.until), uint64(r.keep), r.body, bits(r.once, r.may, r.answered, r.counted)} {
-		binary.BigEndian.PutUint64(raw[8*i:], v)
+	for i, value := range []uint64{rec.holder.epoch, rec.holder.number, uint64(rec.claimedAt), uint64(rec.expiresAt), uint64(rec.retention), rec.bodyHash, packFlags(rec.onceOnly, rec.mayHaveRun, rec.answered, rec.expirySet)} {
+		binary.BigEndian.PutUint64(raw[8*i:], value)
 	}
-	d.Write(raw[:])
-	return d.Sum64()
+	digest.Write(raw[:])
+	return digest.Sum64()
 }
 
-func bits(all ...bool) (n uint64) {
-	for i, x := range all {
-		if x {
-			n |= 1 << i
+func packFlags(flags ...bool) (packed uint64) {
+	for i, set := range flags {
+		if set {
+			packed |= 1 << i
 		}
 	}
-	return n
+	return packed
 }
 
-// take has an attempt hold a record. Its time runs anew: a push of this one may be the first that runs.
-func (b *Book) take(n uint32, by holder, o *Op) {
-	b.change(n, func(r *record) {
-		if r.holder != by {
-			delete(b.held, r.holder)
+// grant has an attempt hold a record. Its time runs anew: a push of this one may be the first that runs.
+func (sm *StateMachine) grant(slot uint32, claimant attempt, op *Op) {
+	sm.update(slot, func(rec *record) {
+		if rec.holder != claimant {
+			delete(sm.openClaims, rec.holder)
 		}
-		b.held[by] = r.key
-		first := r.empty()
-		r.holder, r.group, r.keep, r.id, r.to = by, b.name(o.Group), max(o.Keep, 1, r.keep), o.ID, o.To
-		if first {
-			r.pool, r.customer, r.tariff, r.once, r.body, r.label = b.name(o.Pool), b.name(o.Customer), b.name(o.Tariff), o.Once, o.Body, o.Label
+		sm.openClaims[claimant] = rec.key
+		isNew := rec.empty()
+		rec.holder, rec.group, rec.retention, rec.requestID, rec.upstream = claimant, sm.intern(op.Group), max(op.Retention, 1, rec.retention), op.RequestID, op.Upstream
+		if isNew {
+			rec.pool, rec.customer, rec.tariff, rec.onceOnly, rec.bodyHash, rec.clientKey = sm.intern(op.Pool), sm.intern(op.Customer), sm.intern(op.Tariff), op.OnceOnly, op.BodyHash, op.ClientKey
 		}
-		if first || r.counted {
-			r.counted = false
-			b.fresh = append(b.fresh, r.key)
+		if isNew || rec.expirySet {
+			rec.expirySet = false
+			sm.unscheduled = append(sm.unscheduled, rec.key)
 		}
 	})
 }
 
-// ended lets go of a record.
-func (b *Book) ended(n uint32, how byte) {
-	delete(b.held, b.slots[n].holder)
-	if how == EndNever && !b.slots[n].may {
-		b.forget(n)
+// release lets go of a record.
+func (sm *StateMachine) release(slot uint32, outcome byte) {
+	delete(sm.openClaims, sm.records[slot].holder)
+	if outcome == OutcomeNeverRan && !sm.records[slot].mayHaveRun {
+		sm.remove(slot)
 		return
 	}
-	b.change(n, func(r *record) {
-		r.holder = holder{}
-		r.may, r.answered = r.may || how != EndNever, r.answered || how == EndAnswered
+	sm.update(slot, func(rec *record) {
+		rec.holder = attempt{}
+		rec.mayHaveRun, rec.answered = rec.mayHaveRun || outcome != OutcomeNeverRan, rec.answered || outcome == OutcomeAnswered
 	})
 }
 
-func (b *Book) forget(n uint32) {
-	r := &b.slots[n]
-	b.sum ^= b.hash(r)
-	delete(b.at, r.key)
-	delete(b.held, r.holder)
-	*r = record{}
-	b.free = append(b.free, n)
+func (sm *StateMachine) remove(slot uint32) {
+	rec := &sm.records[slot]
+	sm.checksum ^= sm.hash(rec)
+	delete(sm.slotByKey, rec.key)
+	delete(sm.openClaims, rec.holder)
+	*rec = record{}
+	sm.freeSlots = append(sm.freeSlots, slot)
 }
 
 // Ended implements keep.Part: what a lost run held was sent to its group, and nobody knows the answer.
-func (b *Book) Ended(index uint64, member string, epoch uint64) {
-	who := b.number[member]
-	for h, k := range b.held { // in any order: none touches another
-		if h.member == who && h.epoch == epoch {
-			b.ended(b.at[k], EndUnknown)
+func (sm *StateMachine) Ended(index uint64, member string, epoch uint64) {
+	memberID := sm.nameIDs[member]
+	for holder, key := range sm.openClaims { // in any order: none touches another
+		if holder.member == memberID && holder.epoch == epoch {
+			sm.release(sm.slotByKey[key], OutcomeUnknown)
 		}
 	}
-	delete(b.low, holder{member: who, epoch: epoch})
-	b.marks[index%marks] = mark{index, b.sum}
+	delete(sm.lowWatermarks, attempt{member: memberID, epoch: epoch})
+	sm.checksumLog[index%checksumLogSize] = loggedChecksum{index, sm.checksum}
 }
 
 // Due implements keep.Clocked.
-func (b *Book) Due(passed int64) []byte {
-	if len(b.at) == 0 || passed < granule {
+func (sm *StateMachine) Due(elapsed int64) []byte {
+	if len(sm.slotByKey) == 0 || elapsed < clockGranularity {
 		return nil
 	}
-	return pack.Pack(&Batch{Pass: passed})
+	return pack.Pack(&Batch{Elapsed: elapsed})
 }
 
-// pass passes time. What was claimed since it was told last counts from now on: the time told includes some from before it.
-func (b *Book) pass(by int64) {
-	b.now += max(by, 0)
-	for _, k := range b.fresh {
-		if n, some := b.at[k]; some && !b.slots[n].counted {
-			b.change(n, func(r *record) {
-				if r.since == 0 {
-					r.since = b.now
+// advanceClock passes time. What was claimed since it was told last counts from now on: the time told includes some from before it.
+func (sm *StateMachine) advanceClock(elapsed int64) {
+	sm.now += max(elapsed, 0)
+	for _, key := range sm.unscheduled {
+		if slot, found := sm.slotByKey[key]; found && !sm.records[slot].expirySet {
+			sm.update(slot, func(rec *record) {
+				if rec.claimedAt == 0 {
+					rec.claimedAt = sm.now
 				}
-				r.until, r.counted = b.now+r.keep, true
+				rec.expiresAt, rec.expirySet = sm.now+rec.retention, true
 			})
-			b.later(&b.slots[n])
+			sm.scheduleExpiry(&sm.records[slot])
 		}
 	}
-	b.fresh = b.fresh[:0]
-	for ; b.swept < b.now/second; b.swept++ {
-		if len(b.due) == 0 {
-			b.swept = b.now / second
+	sm.unscheduled = sm.unscheduled[:0]
+	for ; sm.sweptUntil < sm.now/second; sm.sweptUntil++ {
+		if len(sm.expiryBuckets) == 0 {
+			sm.sweptUntil = sm.now / second
 			break
 		}
-		all := b.due[b.swept]
-		delete(b.due, b.swept)
-		for _, k := range all {
-			n, some := b.at[k]
-			if r := &b.slots[n]; !some || !r.counted || r.until/second != b.swept {
+		keys := sm.expiryBuckets[sm.sweptUntil]
+		delete(sm.expiryBuckets, sm.sweptUntil)
+		for _, key := range keys {
+			slot, found := sm.slotByKey[key]
+			if rec := &sm.records[slot]; !found || !rec.expirySet || rec.expiresAt/second != sm.sweptUntil {
 				continue // it was claimed anew, or is another's by now
-			} else if r.holder.member != 0 { // danger: it is out yet
-				b.change(n, func(r *record) { r.until = b.now + second })
-				b.later(r)
+			} else if rec.holder.member != 0 { // danger: it is out yet
+				sm.update(slot, func(rec *record) { rec.expiresAt = sm.now + second })
+				sm.scheduleExpiry(rec)
 				continue
 			}
-			b.forget(n)
+			sm.remove(slot)
 		}
 	}
 }
 
-func (b *Book) later(r *record) { b.due[r.until/second] = append(b.due[r.until/second], r.key) }
+func (sm *StateMachine) scheduleExpiry(rec *record) {
+	sm.expiryBuckets[rec.expiresAt/second] = append(sm.expiryBuckets[rec.expiresAt/second], rec.key)
+}
 
-// saved is a snapshot's.
-type saved struct {
+// snapshot is a snapshot's.
+type snapshot struct {
 	Now     int64
 	Swept   int64
 	Names   []string
-	Records []line
-	Low     []lowLine
+	Records []snapshotRecord
+	Low     []snapshotWatermark
 }
 
-type lowLine struct {
+type snapshotWatermark struct {
 	//lint:ignore U1000 read by the codec: records are arrays
 	_struct bool `codec:",toarray"`
 	Member  uint32
@@ -411,81 +413,83 @@
 	Low     uint64
 }
 
-// line is a record in a snapshot, as an array.
-type line struct {
+// snapshotRecord is a record in a snapshot, as an array.
+type snapshotRecord struct {
 	//lint:ignore U1000 read by the codec: records are arrays
-	_struct                bool `codec:",toarray"`
-	Key                    []byte
-	Pool, Customer, Tariff uint32
-	Group                  uint32
-	Flags                  uint64
-	Member                 uint32
-	Epoch, Number          uint64
-	Since, Until, Keep     int64
-	Body                   uint64
-	ID, Label, To          string
+	_struct                         bool `codec:",toarray"`
+	Key                             []byte
+	Pool, Customer, Tariff          uint32
+	Group                           uint32
+	Flags                           uint64
+	Member                          uint32
+	Epoch, Attempt                  uint64
+	ClaimedAt, ExpiresAt, Retention int64
+	BodyHash                        uint64
+	RequestID, ClientKey, Upstream  string
 }
 
 // Save implements keep.Part.
-func (b *Book) Save() []byte {
-	s := saved{Now: b.now, Swept: b.swept, Names: b.names}
-	s.Records = make([]line, 0, len(b.at))
-	for i := range b.slots {
-		if r := &b.slots[i]; !r.empty() {
-			s.Records = append(s.Records, line{
-				Key: r.key[:], Pool: r.pool, Customer: r.customer, Tariff: r.tariff, Group: r.group, Flags: bits(r.once, r.may, r.answered, r.counted),
-				Member: r.holder.member, Epoch: r.holder.epoch, Number: r.holder.number, Since: r.since, Until: r.until, Keep: r.keep, Body: r.body,
-				ID: r.id, Label: r.label, To: r.to,
+func (sm *StateMachine) Save() []byte {
+	snap := snapshot{Now: sm.now, Swept: sm.sweptUntil, Names: sm.names}
+	snap.Records = make([]snapshotRecord, 0, len(sm.slotByKey))
+	for i := range sm.records {
+		if rec := &sm.records[i]; !rec.empty() {
+			snap.Records = append(snap.Records, snapshotRecord{
+				Key: rec.key[:], Pool: rec.pool, Customer: rec.customer, Tariff: rec.tariff, Group: rec.group, Flags: packFlags(rec.onceOnly, rec.mayHaveRun, rec.answered, rec.expirySet),
+				Member: rec.holder.member, Epoch: rec.holder.epoch, Attempt: rec.holder.number, ClaimedAt: rec.claimedAt, ExpiresAt: rec.expiresAt, Retention: rec.retention, BodyHash: rec.bodyHash,
+				RequestID: rec.requestID, ClientKey: rec.clientKey, Upstream: rec.upstream,
 			})
 		}
 	}
-	for run, low := range b.low {
-		s.Low = append(s.Low, lowLine{Member: run.member, Epoch: run.epoch, Low: low})
+	for session, watermark := range sm.lowWatermarks {
+		snap.Low = append(snap.Low, snapshotWatermark{Member: session.member, Epoch: session.epoch, Low: watermark})
 	}
-	slices.SortFunc(s.Low, func(x, y lowLine) int { return cmp.Or(cmp.Compare(x.Member, y.Member), cmp.Compare(x.Epoch, y.Epoch)) })
-	return pack.Pack(&s)
+	slices.SortFunc(snap.Low, func(x, y snapshotWatermark) int {
+		return cmp.Or(cmp.Compare(x.Member, y.Member), cmp.Compare(x.Epoch, y.Epoch))
+	})
+	return pack.Pack(&snap)
 }
 
 // Load implements keep.Part.
-func (b *Book) Load(raw []byte) error {
-	counts := b.counts
-	b.clear()
-	b.counts, b.copy = counts, b.copy+1 // records stand elsewhere now
-	if len(raw) == 0 {                  // of a build that knew no ledger
+func (sm *StateMachine) Load(raw []byte) error {
+	counts := sm.resultCounts
+	sm.reset()
+	sm.resultCounts, sm.copyID = counts, sm.copyID+1 // records stand elsewhere now
+	if len(raw) == 0 {                               // of a build that knew no ledger
 		return nil
 	}
-	var s saved
-	if err := pack.Unpack(raw, &s); err != nil {
+	var snap snapshot
+	if err := pack.Unpack(raw, &snap); err != nil {
 		return err
 	}
-	b.now, b.swept = s.Now, s.Swept
-	for _, text := range s.Names[min(1, len(s.Names)):] {
-		b.name(text)
+	sm.now, sm.sweptUntil = snap.Now, snap.Swept
+	for _, text := range snap.Names[min(1, len(snap.Names)):] {
+		sm.intern(text)
 	}
-	for _, x := range s.Low {
-		b.low[holder{member: x.Member, epoch: x.Epoch}] = x.Low
+	for _, saved := range snap.Low {
+		sm.lowWatermarks[attempt{member: saved.Member, epoch: saved.Epoch}] = saved.Low
 	}
-	known := func(all ...uint32) bool { return int(slices.Max(all)) < len(b.names) }
-	for _, l := range s.Records {
-		if len(l.Key) != len(Key{}) || !known(l.Pool, l.Customer, l.Tariff, l.Group, l.Member) {
+	valid := func(nameIDs ...uint32) bool { return int(slices.Max(nameIDs)) < len(sm.names) }
+	for _, saved := range snap.Records {
+		if len(saved.Key) != len(Key{}) || !valid(saved.Pool, saved.Customer, saved.Tariff, saved.Group, saved.Member) {
 			return fmt.Errorf("a record of the ledger is spoilt")
 		}
-		n := b.slot(Key(l.Key))
-		b.change(n, func(r *record) {
-			*r = record{
-				key: Key(l.Key), pool: l.Pool, customer: l.Customer, tariff: l.Tariff, group: l.Group, holder: holder{l.Member, l.Epoch, l.Number},
-				once: l.Flags&1 != 0, may: l.Flags&2 != 0, answered: l.Flags&4 != 0, counted: l.Flags&8 != 0,
-				since: l.Since, until: l.Until, keep: max(l.Keep, 1), body: l.Body, id: l.ID, label: l.Label, to: l.To,
+		slot := sm.addRecord(Key(saved.Key))
+		sm.update(slot, func(rec *record) {
+			*rec = record{
+				key: Key(saved.Key), pool: saved.Pool, customer: saved.Customer, tariff: saved.Tariff, group: saved.Group, holder: attempt{saved.Member, saved.Epoch, saved.Attempt},
+				onceOnly: saved.Flags&1 != 0, mayHaveRun: saved.Flags&2 != 0, answered: saved.Flags&4 != 0, expirySet: saved.Flags&8 != 0,
+				claimedAt: saved.ClaimedAt, expiresAt: saved.ExpiresAt, retention: max(saved.Retention, 1), bodyHash: saved.BodyHash, requestID: saved.RequestID, clientKey: saved.ClientKey, upstream: saved.Upstream,
 			}
 		})
-		r := &b.slots[n]
-		if r.holder.member != 0 {
-			b.held[r.holder] = r.key
+		rec := &sm.records[slot]
+		if rec.holder.member != 0 {
+			sm.openClaims[rec.holder] = rec.key
 		}
-		if r.counted {
-			b.later(r)
+		if rec.expirySet {
+			sm.scheduleExpiry(rec)
 		} else {
-			b.fresh = append(b.fresh, r.key)
+			sm.unscheduled = append(sm.unscheduled, rec.key)
 		}
 	}
 	return nil
--- a/internal/cluster/ledger/core.go
+++ b/internal/cluster/ledger/core.go
@@ -2,174 +2,178 @@
 
 import "time"
 
-// Flow is what one member has under way at one group of keepers: claims that wait for their word, ends that are told when it
+// Batcher is what one member has under way at one group of keepers: claims that wait for their word, ends that are told when it
 // suits. It has no I/O; time is nanoseconds on this member's monotonic clock.
-type Flow struct {
-	Within time.Duration // a batch without an answer for so long says that the keepers are not reached
-	Lag    time.Duration // that an end waits at most for company
-	Most   int           // keys in this group
-
-	claims []*Asked
-	ends   []Op
-	since  int64 // that the oldest end waits
-	out    map[int]*Sent
-	next   int
-	number uint64 // of the last new claim
-	down   bool
-	asked  int64 // that keepers were asked last whether they are there
+type Batcher struct {
+	Timeout      time.Duration // a batch without an answer for so long says that the keepers are not reached
+	ReleaseDelay time.Duration // that an end waits at most for company
+	MaxKeys      int           // keys in this group
+
+	pendingClaims   []*PendingClaim
+	pendingReleases []Op
+	releasesSince   int64 // that the oldest end waits
+	inFlight        map[int]*InFlightBatch
+	lastBatchID     int
+	lastAttempt     uint64 // of the last new claim
+	unreachable     bool
+	probedAt        int64 // that keepers were asked last whether they are there
 }
 
-// Asked is a claim on its way.
-type Asked struct {
-	Op   Op
-	Done func(Res, error) // once, unless it is abandoned
-	gone bool             // it was told, or nobody waits for it any more
+// PendingClaim is a claim on its way.
+type PendingClaim struct {
+	Op      Op
+	Done    func(Result, error) // once, unless it is abandoned
+	settled bool                // it was told, or nobody waits for it any more
 }
 
-// Sent is a batch on its way.
-type Sent struct {
+// InFlightBatch is a batch on its way.
+type InFlightBatch struct {
 	ID     int
 	Batch  Batch
-	claims []*Asked // the first so many ops
-	at     int64
+	claims []*PendingClaim // the first so many ops
+	sentAt int64
 }
 
 const (
-	mostBatches = 4   // on their way
-	mostOps     = 256 // in a batch
-	probes      = 100 * time.Millisecond
+	maxInFlightBatches = 4   // on their way
+	maxBatchOps        = 256 // in a batch
+	probeInterval      = 100 * time.Millisecond
 )
 
-// NewFlow makes one.
-func NewFlow(within, lag time.Duration, most int) *Flow {
-	return &Flow{Within: within, Lag: lag, Most: most, out: map[int]*Sent{}}
+// NewBatcher makes one.
+func NewBatcher(timeout, releaseDelay time.Duration, maxKeys int) *Batcher {
+	return &Batcher{Timeout: timeout, ReleaseDelay: releaseDelay, MaxKeys: maxKeys, inFlight: map[int]*InFlightBatch{}}
 }
 
-// Claim takes a claim to send. One that isn't granted yet under a number of its own gets the next.
-func (f *Flow) Claim(a *Asked) {
-	if a.Op.Number == 0 {
-		f.number++
-		a.Op.Number = f.number
+// AddClaim takes a claim to send. One that isn't granted yet under a number of its own gets the next.
+func (batcher *Batcher) AddClaim(claim *PendingClaim) {
+	if claim.Op.Attempt == 0 {
+		batcher.lastAttempt++
+		claim.Op.Attempt = batcher.lastAttempt
 	}
-	f.claims = append(f.claims, a)
+	batcher.pendingClaims = append(batcher.pendingClaims, claim)
 }
 
-// low is the number under which nothing is undecided any more.
-func (f *Flow) low() uint64 {
-	n := f.number + 1
-	for _, a := range f.claims {
-		n = min(n, a.Op.Number)
+// lowWatermark is the number under which nothing is undecided any more.
+func (batcher *Batcher) lowWatermark() uint64 {
+	lowest := batcher.lastAttempt + 1
+	for _, claim := range batcher.pendingClaims {
+		lowest = min(lowest, claim.Op.Attempt)
 	}
-	for _, s := range f.out {
-		for _, a := range s.claims {
-			n = min(n, a.Op.Number)
+	for _, batch := range batcher.inFlight {
+		for _, claim := range batch.claims {
+			lowest = min(lowest, claim.Op.Attempt)
 		}
 	}
-	return n
+	return lowest
 }
 
 // Abandon says that nobody waits for a claim any more: it is not sent, or what it comes to is let go.
-func (f *Flow) Abandon(a *Asked) {
-	if a.gone {
+func (batcher *Batcher) Abandon(claim *PendingClaim) {
+	if claim.settled {
 		return
 	}
-	a.gone = true
-	for i, b := range f.claims {
-		if b == a {
-			f.claims = append(f.claims[:i:i], f.claims[i+1:]...)
+	claim.settled = true
+	for i, pending := range batcher.pendingClaims {
+		if pending == claim {
+			batcher.pendingClaims = append(batcher.pendingClaims[:i:i], batcher.pendingClaims[i+1:]...)
 			return
 		}
 	} // else it is on its way. Danger: an end that overtakes it would leave it open for good; so that waits for its batch
 }
 
-// End takes an end to tell.
-func (f *Flow) End(o Op, now int64) {
-	if len(f.ends) == 0 {
-		f.since = now
+// AddRelease takes an end to tell.
+func (batcher *Batcher) AddRelease(op Op, now int64) {
+	if len(batcher.pendingReleases) == 0 {
+		batcher.releasesSince = now
 	}
-	f.ends = append(f.ends, o)
+	batcher.pendingReleases = append(batcher.pendingReleases, op)
 }
 
-// Next is a batch that is to go now, nil for none; at is when there may be one, 0 if that hangs on what comes.
-func (f *Flow) Next(now int64) (s *Sent, at int64) {
-	due := len(f.ends) > 0 && now >= f.since+int64(f.Lag)
-	if len(f.claims) == 0 && !due || len(f.out) >= mostBatches {
-		if len(f.ends) > 0 && len(f.out) < mostBatches {
-			at = f.since + int64(f.Lag)
+// NextBatch is a batch that is to go now, nil for none; at is when there may be one, 0 if that hangs on what comes.
+func (batcher *Batcher) NextBatch(now int64) (batch *InFlightBatch, wakeAt int64) {
+	releasesDue := len(batcher.pendingReleases) > 0 && now >= batcher.releasesSince+int64(batcher.ReleaseDelay)
+	if len(batcher.pendingClaims) == 0 && !releasesDue || len(batcher.inFlight) >= maxInFlightBatches {
+		if len(batcher.pendingReleases) > 0 && len(batcher.inFlight) < maxInFlightBatches {
+			wakeAt = batcher.releasesSince + int64(batcher.ReleaseDelay)
 		}
-		return nil, at
+		return nil, wakeAt
 	}
-	f.next++
-	s = &Sent{ID: f.next, at: now, Batch: Batch{Most: f.Most, Low: f.low()}}
-	n := min(len(f.claims), mostOps)
-	s.claims, f.claims = f.claims[:n:n], f.claims[n:]
-	for _, a := range s.claims {
-		s.Batch.Ops = append(s.Batch.Ops, a.Op)
+	batcher.lastBatchID++
+	batch = &InFlightBatch{ID: batcher.lastBatchID, sentAt: now, Batch: Batch{MaxKeys: batcher.MaxKeys, LowWatermark: batcher.lowWatermark()}}
+	count := min(len(batcher.pendingClaims), maxBatchOps)
+	batch.claims, batcher.pendingClaims = batcher.pendingClaims[:count:count], batcher.pendingClaims[count:]
+	for _, claim := range batch.claims {
+		batch.Batch.Ops = append(batch.Batch.Ops, claim.Op)
 	}
-	n = min(len(f.ends), mostOps)
-	s.Batch.Ops, f.ends = append(s.Batch.Ops, f.ends[:n]...), f.ends[n:]
-	f.since = now
-	f.out[s.ID] = s
-	return s, 0
+	count = min(len(batcher.pendingReleases), maxBatchOps)
+	batch.Batch.Ops, batcher.pendingReleases = append(batch.Batch.Ops, batcher.pendingReleases[:count]...), batcher.pendingReleases[count:]
+	batcher.releasesSince = now
+	batcher.inFlight[batch.ID] = batch
+	return batch, 0
 }
 
-// Answered takes what became of a batch. Over says that the run was ended: what it held is known to be unknown.
-func (f *Flow) Answered(s *Sent, r *Results, err error, over bool, now int64) {
-	delete(f.out, s.ID)
-	if err == nil && len(r.All) != len(s.Batch.Ops) {
-		err = errShort
+// HandleResponse takes what became of a batch. Over says that the run was ended: what it held is known to be unknown.
+func (batcher *Batcher) HandleResponse(batch *InFlightBatch, results *BatchResult, err error, sessionEnded bool, now int64) {
+	delete(batcher.inFlight, batch.ID)
+	if err == nil && len(results.Results) != len(batch.Batch.Ops) {
+		err = errResultCount
 	}
-	f.down = err != nil
-	if f.down {
-		f.asked = now
+	batcher.unreachable = err != nil
+	if batcher.unreachable {
+		batcher.probedAt = now
 	}
-	for i, a := range s.claims {
-		var res Res
+	for i, claim := range batch.claims {
+		var result Result
 		if err == nil {
-			res = r.All[i]
+			result = results.Results[i]
 		}
-		if err != nil || a.gone && res.Code == Granted {
+		if err != nil || claim.settled && result.Code == CodeGranted {
 			// Danger: it may have been granted: without its end others would wait for it for good.
-			f.End(Op{What: end, Key: a.Op.Key, Number: a.Op.Number, How: EndNever}, now)
+			batcher.AddRelease(Op{Kind: opRelease, Key: claim.Op.Key, Attempt: claim.Op.Attempt, Outcome: OutcomeNeverRan}, now)
 		}
-		if !a.gone {
-			a.gone = true
-			a.Done(res, err)
+		if !claim.settled {
+			claim.settled = true
+			claim.Done(result, err)
 		}
 	}
 	switch {
-	case over:
-		f.ends = nil
+	case sessionEnded:
+		batcher.pendingReleases = nil
 	case err != nil:
-		f.ends = append(append([]Op(nil), s.Batch.Ops[len(s.claims):]...), f.ends...)
-		f.since = now
+		batcher.pendingReleases = append(append([]Op(nil), batch.Batch.Ops[len(batch.claims):]...), batcher.pendingReleases...)
+		batcher.releasesSince = now
 	}
 }
 
-// Down reports whether the keepers are not reached as far as is known: a batch failed, or has waited for too long.
-func (f *Flow) Down(now int64) bool {
-	if f.down {
+// Unreachable reports whether the keepers are not reached as far as is known: a batch failed, or has waited for too long.
+func (batcher *Batcher) Unreachable(now int64) bool {
+	if batcher.unreachable {
 		return true
 	}
-	for _, s := range f.out {
-		if now-s.at > int64(f.Within) {
+	for _, batch := range batcher.inFlight {
+		if now-batch.sentAt > int64(batcher.Timeout) {
 			return true
 		}
 	}
 	return false
 }
 
-// Probe reports whether keepers are to be asked whether they are there; Probed takes the answer.
-func (f *Flow) Probe(now int64) bool {
-	if !f.down || now-f.asked < int64(probes) {
+// BeginProbe reports whether keepers are to be asked whether they are there; Probed takes the answer.
+func (batcher *Batcher) BeginProbe(now int64) bool {
+	if !batcher.unreachable || now-batcher.probedAt < int64(probeInterval) {
 		return false
 	}
-	f.asked = now
+	batcher.probedAt = now
 	return true
 }
 
-// Probed implements that.
-func (f *Flow) Probed(ok bool) { f.down = f.down && !ok }
+// EndProbe implements that.
+func (batcher *Batcher) EndProbe(reachable bool) {
+	batcher.unreachable = batcher.unreachable && !reachable
+}
 
-// Open is what waits and what is out.
-func (f *Flow) Open() (claims, ends, batches int) { return len(f.claims), len(f.ends), len(f.out) }
+// Pending is what waits and what is out.
+func (batcher *Batcher) Pending() (claims, ends, batches int) {
+	return len(batcher.pendingClaims), len(batcher.pendingReleases), len(batcher.inFlight)
+}
--- a/internal/cluster/ledger/ledger.go
+++ b/internal/cluster/ledger/ledger.go
@@ -17,13 +17,13 @@
 
 // Faults of a claim.
 var (
-	ErrDown  = errors.New("the keepers are not reached")
-	ErrOver  = errors.New("this run is over at the keepers")
-	errShort = errors.New("an answer that doesn't fit its batch")
+	ErrUnreachable  = errors.New("the keepers are not reached")
+	ErrSessionEnded = errors.New("this run is over at the keepers")
+	errResultCount  = errors.New("an answer that doesn't fit its batch")
 )
 
-// Keepers is one group of them, as a client has it.
-type Keepers interface {
+// GroupClient is one group of them, as a client has it.
+type GroupClient interface {
 	Do(ctx context.Context, x keep.Command) (keep.Answer, error)
 	ReadPart(ctx context.Context, part byte, body []byte, stale bool) ([]byte, error)
 	Session() (epoch uint64, ok bool)
@@ -31,409 +31,409 @@
 
 // Options say how a member claims.
 type Options struct {
-	Groups []Keepers
-	Within time.Duration
-	Lag    time.Duration
-	Keys   int // remembered at most, over all groups
-	Rules  Rules
-	Log    *slog.Logger
+	Groups       []GroupClient
+	Timeout      time.Duration
+	ReleaseDelay time.Duration
+	MaxKeys      int // remembered at most, over all groups
+	Rules        Rules
+	Log          *slog.Logger
 }
 
 // Ledger is a member's way to the ledger.
 type Ledger struct {
-	o      Options
-	start  time.Time
-	ctx    context.Context
-	stop   context.CancelFunc
-	all    sync.WaitGroup
-	groups []*group
-	rules  atomic.Pointer[Rules]
-
-	Counts struct{ Claims, Granted, Bound, Held, Ran, Differs, Full, Failed, Waits, Deferred, Ends, Batches, Looks atomic.Int64 }
-	mu     sync.Mutex
-	took   time.Duration // slowest claim since it was asked
+	options    Options
+	startedAt  time.Time
+	ctx        context.Context
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
+	groups     []*consensusGroup
+	rules      atomic.Pointer[Rules]
+
+	Counts       struct{ Claims, Granted, Bound, Held, MayHaveRun, BodyMismatch, Full, Failed, Waits, Deferred, Releases, Batches, Lookups atomic.Int64 }
+	mu           sync.Mutex
+	slowestClaim time.Duration // slowest claim since it was asked
 }
 
-// group is one group of keepers with the runner of its flow.
-type group struct {
-	l      *Ledger
-	k      Keepers
-	kick   chan struct{}
-	within atomic.Int64
+// consensusGroup is one group of keepers with the runner of its flow.
+type consensusGroup struct {
+	ledger  *Ledger
+	client  GroupClient
+	wakeups chan struct{}
+	timeout atomic.Int64
 
-	mu   sync.Mutex
-	flow *Flow
-	said bool // that it is down
+	mu                  sync.Mutex
+	batcher             *Batcher
+	reportedUnreachable bool // that it is down
 }
 
-// Begin starts it.
-func Begin(o Options) *Ledger {
-	l := &Ledger{o: o, start: time.Now()}
-	l.ctx, l.stop = context.WithCancel(context.Background())
-	l.rules.Store(&o.Rules)
-	for _, k := range o.Groups {
-		g := &group{l: l, k: k, kick: make(chan struct{}, 1), flow: NewFlow(o.Within, o.Lag, max(1, o.Keys/len(o.Groups)))}
-		g.within.Store(int64(o.Within))
-		l.groups = append(l.groups, g)
-		l.all.Go(g.run)
+// Start starts it.
+func Start(options Options) *Ledger {
+	ledger := &Ledger{options: options, startedAt: time.Now()}
+	ledger.ctx, ledger.cancel = context.WithCancel(context.Background())
+	ledger.rules.Store(&options.Rules)
+	for _, client := range options.Groups {
+		cg := &consensusGroup{ledger: ledger, client: client, wakeups: make(chan struct{}, 1), batcher: NewBatcher(options.Timeout, options.ReleaseDelay, max(1, options.MaxKeys/len(options.Groups)))}
+		cg.timeout.Store(int64(options.Timeout))
+		ledger.groups = append(ledger.groups, cg)
+		ledger.goroutines.Go(cg.run)
 	}
-	return l
+	return ledger
 }
 
-// Change puts other rules in force, for what comes from now on.
-func (l *Ledger) Change(within, lag time.Duration, keys int, r Rules) {
-	l.rules.Store(&r)
-	for _, g := range l.groups {
-		g.mu.Lock()
-		g.flow.Within, g.flow.Lag, g.flow.Most = within, lag, max(1, keys/len(l.groups))
-		g.mu.Unlock()
-		g.within.Store(int64(within))
+// Reconfigure puts other rules in force, for what comes from now on.
+func (ledger *Ledger) Reconfigure(timeout, releaseDelay time.Duration, maxKeys int, rules Rules) {
+	ledger.rules.Store(&rules)
+	for _, cg := range ledger.groups {
+		cg.mu.Lock()
+		cg.batcher.Timeout, cg.batcher.ReleaseDelay, cg.batcher.MaxKeys = timeout, releaseDelay, max(1, maxKeys/len(ledger.groups))
+		cg.mu.Unlock()
+		cg.timeout.Store(int64(timeout))
 	}
 }
 
 // Flush tells all ends that wait, within a time.
-func (l *Ledger) Flush(within time.Duration) {
-	for until := time.Now().Add(within); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
-		left := 0
-		for _, g := range l.groups {
-			g.mu.Lock()
-			claims, ends, batches := g.flow.Open()
-			g.mu.Unlock()
-			left += claims + ends + batches
+func (ledger *Ledger) Flush(timeout time.Duration) {
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
+		outstanding := 0
+		for _, cg := range ledger.groups {
+			cg.mu.Lock()
+			claims, releases, batches := cg.batcher.Pending()
+			cg.mu.Unlock()
+			outstanding += claims + releases + batches
 		}
-		if left == 0 {
+		if outstanding == 0 {
 			return
 		}
 	}
 }
 
 // Close ends it. What was not told is unknown to others.
-func (l *Ledger) Close() {
-	l.stop()
-	l.all.Wait()
+func (ledger *Ledger) Close() {
+	ledger.cancel()
+	ledger.goroutines.Wait()
 }
 
-func (l *Ledger) now() int64 { return int64(time.Since(l.start)) }
+func (ledger *Ledger) now() int64 { return int64(time.Since(ledger.startedAt)) }
 
-func (l *Ledger) group(k Key) *group {
-	return l.groups[binary.BigEndian.Uint32(k[:])%uint32(len(l.groups))]
+func (ledger *Ledger) groupFor(key Key) *consensusGroup {
+	return ledger.groups[binary.BigEndian.Uint32(key[:])%uint32(len(ledger.groups))]
 }
 
-func (g *group) wake() {
+func (cg *consensusGroup) wake() {
 	select {
-	case g.kick <- struct{}{}:
+	case cg.wakeups <- struct{}{}:
 	default:
 	}
 }
 
 // run sends what is due.
-func (g *group) run() {
+func (cg *consensusGroup) run() {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for {
-		g.mu.Lock()
-		now := g.l.now()
-		s, at := g.flow.Next(now)
-		probe := s == nil && g.flow.Probe(now)
-		down := g.flow.Down(now)
-		if down != g.said {
-			g.said = down
-			if down {
-				g.l.o.Log.Warn("ledger", "step", "down", "fault", "keepers are not reached: what must not run twice is deferred")
+		cg.mu.Lock()
+		now := cg.ledger.now()
+		batch, wakeAt := cg.batcher.NextBatch(now)
+		probe := batch == nil && cg.batcher.BeginProbe(now)
+		unreachable := cg.batcher.Unreachable(now)
+		if unreachable != cg.reportedUnreachable {
+			cg.reportedUnreachable = unreachable
+			if unreachable {
+				cg.ledger.options.Log.Warn("ledger", "step", "down", "fault", "keepers are not reached: what must not run twice is deferred")
 			} else {
-				g.l.o.Log.Info("ledger", "step", "back")
+				cg.ledger.options.Log.Info("ledger", "step", "back")
 			}
 		}
-		if down {
-			at = now + int64(probes)
+		if unreachable {
+			wakeAt = now + int64(probeInterval)
 		}
-		g.mu.Unlock()
-		if s != nil {
-			g.l.all.Go(func() { g.send(s) })
+		cg.mu.Unlock()
+		if batch != nil {
+			cg.ledger.goroutines.Go(func() { cg.send(batch) })
 			continue
 		}
 		if probe {
-			g.l.all.Go(g.probe)
+			cg.ledger.goroutines.Go(cg.probe)
 		}
 		wait := time.Hour
-		if at != 0 {
-			wait = time.Duration(max(at-now, 0))
+		if wakeAt != 0 {
+			wait = time.Duration(max(wakeAt-now, 0))
 		}
 		timer.Reset(wait)
 		select {
-		case <-g.kick:
+		case <-cg.wakeups:
 		case <-timer.C:
-		case <-g.l.ctx.Done():
+		case <-cg.ledger.ctx.Done():
 			return
 		}
 	}
 }
 
 // send has a batch agreed on. It is tried for longer than a claim waits: what it holds of ends is to arrive.
-func (g *group) send(s *Sent) {
-	g.l.Counts.Batches.Add(1)
-	ctx, end := context.WithTimeout(g.l.ctx, 2*time.Duration(g.within.Load()))
-	defer end()
-	a, err := g.k.Do(ctx, keep.Command{Kind: keep.Custom, Part: Part, Body: pack.Pack(&s.Batch)})
-	var r Results
-	if err == nil && a.Code != keep.OK {
-		err = fmt.Errorf("the keepers say: %s", a.Text())
+func (cg *consensusGroup) send(batch *InFlightBatch) {
+	cg.ledger.Counts.Batches.Add(1)
+	ctx, cancel := context.WithTimeout(cg.ledger.ctx, 2*time.Duration(cg.timeout.Load()))
+	defer cancel()
+	answer, err := cg.client.Do(ctx, keep.Command{Kind: keep.Custom, Part: StateMachineID, Body: pack.Pack(&batch.Batch)})
+	var results BatchResult
+	if err == nil && answer.Code != keep.OK {
+		err = fmt.Errorf("the keepers say: %s", answer.Text())
 	}
 	if err == nil {
-		err = pack.Unpack(a.Body, &r)
+		err = pack.Unpack(answer.Body, &results)
 	}
-	g.mu.Lock()
-	g.flow.Answered(s, &r, err, errors.Is(err, keep.ErrMemberOver), g.l.now())
-	g.mu.Unlock()
-	g.wake()
+	cg.mu.Lock()
+	cg.batcher.HandleResponse(batch, &results, err, errors.Is(err, keep.ErrMemberOver), cg.ledger.now())
+	cg.mu.Unlock()
+	cg.wake()
 }
 
-func (g *group) probe() {
-	ctx, end := context.WithTimeout(g.l.ctx, time.Duration(g.within.Load()))
-	defer end()
-	_, err := g.look(ctx, Key{})
-	g.mu.Lock()
-	g.flow.Probed(err == nil)
-	g.mu.Unlock()
-	g.wake()
+func (cg *consensusGroup) probe() {
+	ctx, cancel := context.WithTimeout(cg.ledger.ctx, time.Duration(cg.timeout.Load()))
+	defer cancel()
+	_, err := cg.lookup(ctx, Key{})
+	cg.mu.Lock()
+	cg.batcher.EndProbe(err == nil)
+	cg.mu.Unlock()
+	cg.wake()
 }
 
-// look reads what is agreed on a key; nil for nothing.
-func (g *group) look(ctx context.Context, k Key) (*Entry, error) {
-	raw, err := g.k.ReadPart(ctx, Part, pack.Pack(&Query{What: "look", Key: k[:]}), false)
+// lookup reads what is agreed on a key; nil for nothing.
+func (cg *consensusGroup) lookup(ctx context.Context, key Key) (*Entry, error) {
+	raw, err := cg.client.ReadPart(ctx, StateMachineID, pack.Pack(&Query{Kind: "look", Key: key[:]}), false)
 	if err != nil {
 		return nil, err
 	}
-	var p Page
-	if err := pack.Unpack(raw, &p); err != nil {
+	var page Page
+	if err := pack.Unpack(raw, &page); err != nil {
 		return nil, err
 	}
-	if len(p.Entries) == 0 {
+	if len(page.Entries) == 0 {
 		return nil, nil
 	}
-	return &p.Entries[0], nil
+	return &page.Entries[0], nil
 }
 
 // Claim is one transaction's, for as long as it is in hand. One goroutine at a time asks it to Take.
 type Claim struct {
-	l     *Ledger
-	g     *group
-	ask   Ask
-	key   Key
-	begun time.Time
-	left  time.Duration
-
-	mu     sync.Mutex
-	epoch  uint64 // of the run that it was granted to, 0 before
-	number uint64 // that it was granted by
-	group  string
-	known  *Entry // what the last refusal said
+	ledger     *Ledger
+	consensus  *consensusGroup
+	request    Request
+	key        Key
+	startedAt  time.Time
+	clientWait time.Duration
+
+	mu      sync.Mutex
+	epoch   uint64 // of the run that it was granted to, 0 before
+	attempt uint64 // that it was granted by
+	group   string
+	refusal *Entry // what the last refusal said
 }
 
-// Begin takes a transaction, which its client waits so long for.
-func (l *Ledger) Begin(a Ask, left time.Duration) *Claim {
-	if !l.rules.Load().SameBody {
-		a.Body = 0
+// NewClaim takes a transaction, which its client waits so long for.
+func (ledger *Ledger) NewClaim(req Request, clientWait time.Duration) *Claim {
+	if !ledger.rules.Load().RequireSameBody {
+		req.BodyHash = 0
 	}
-	c := &Claim{l: l, ask: a, key: a.Key(), begun: time.Now(), left: left}
-	c.g = l.group(c.key)
-	return c
+	claim := &Claim{ledger: ledger, request: req, key: req.Key(), startedAt: time.Now(), clientWait: clientWait}
+	claim.consensus = ledger.groupFor(claim.key)
+	return claim
 }
 
-// reached reports whether it makes sense to ask keepers now.
-func (g *group) reached() bool {
-	if _, open := g.k.Session(); !open {
+// reachable reports whether it makes sense to ask keepers now.
+func (cg *consensusGroup) reachable() bool {
+	if _, open := cg.client.Session(); !open {
 		return false
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return !g.flow.Down(g.l.now())
+	cg.mu.Lock()
+	defer cg.mu.Unlock()
+	return !cg.batcher.Unreachable(cg.ledger.now())
 }
 
-// Open says what the transaction may do before it is taken, or taken again after a refusal. It waits for another try's end
+// Check says what the transaction may do before it is taken, or taken again after a refusal. It waits for another try's end
 // where that is the rule.
-func (c *Claim) Open(ctx context.Context) Word {
-	if !c.g.reached() {
-		c.l.Counts.Deferred.Add(1)
-		return Word{Fate: Defer} // at once, and harmless: nothing of it has left
+func (claim *Claim) Check(ctx context.Context) Decision {
+	if !claim.consensus.reachable() {
+		claim.ledger.Counts.Deferred.Add(1)
+		return Decision{Action: ActionDefer} // at once, and harmless: nothing of it has left
 	}
-	c.mu.Lock()
-	known := c.known
-	c.known = nil
-	c.mu.Unlock()
-	begun := time.Now()
+	claim.mu.Lock()
+	entry := claim.refusal
+	claim.refusal = nil
+	claim.mu.Unlock()
+	waitStart := time.Now()
 	for first := true; ; first = false {
-		if known == nil && (c.ask.Again || !first) {
-			c.l.Counts.Looks.Add(1)
-			once, end := context.WithTimeout(ctx, time.Duration(c.g.within.Load()))
-			e, err := c.g.look(once, c.key)
-			end()
+		if entry == nil && (claim.request.IsRetry || !first) {
+			claim.ledger.Counts.Lookups.Add(1)
+			lookupCtx, cancel := context.WithTimeout(ctx, time.Duration(claim.consensus.timeout.Load()))
+			found, err := claim.consensus.lookup(lookupCtx, claim.key)
+			cancel()
 			if err != nil {
-				c.l.Counts.Deferred.Add(1)
-				return Word{Fate: Defer}
+				claim.ledger.Counts.Deferred.Add(1)
+				return Decision{Action: ActionDefer}
 			}
-			known = e
+			entry = found
 		}
-		w := Decide(&c.ask, known, *c.l.rules.Load(), time.Since(begun), c.left-time.Since(c.begun))
-		switch w.Fate {
-		case Defer:
-			c.l.Counts.Deferred.Add(1)
-		case Forfeit:
-			c.l.Counts.Ran.Add(1)
-		case Go:
-			if w.Bound {
-				c.l.Counts.Bound.Add(1)
+		decision := Decide(&claim.request, entry, *claim.ledger.rules.Load(), time.Since(waitStart), claim.clientWait-time.Since(claim.startedAt))
+		switch decision.Action {
+		case ActionDefer:
+			claim.ledger.Counts.Deferred.Add(1)
+		case ActionForfeit:
+			claim.ledger.Counts.MayHaveRun.Add(1)
+		case ActionSend:
+			if decision.Bound {
+				claim.ledger.Counts.Bound.Add(1)
 			}
 		}
-		if w.Fate != Wait {
-			return w
+		if decision.Action != ActionWait {
+			return decision
 		}
-		c.l.Counts.Waits.Add(1)
-		known = nil
+		claim.ledger.Counts.Waits.Add(1)
+		entry = nil
 		select {
-		case <-time.After(w.Pause):
+		case <-time.After(decision.Delay):
 		case <-ctx.Done():
-			return Word{Fate: Defer}
+			return Decision{Action: ActionDefer}
 		}
 	}
 }
 
-// Take claims the transaction for a group, before a push leaves for one of its upstreams; moves says that no push of it has run. The push may
+// Acquire claims the transaction for a group, before a push leaves for one of its upstreams; moves says that no push of it has run. The push may
 // leave only if there is no error. Granted once it holds for all pushes to that group, as long as this run does.
-func (c *Claim) Take(ctx context.Context, to, upstream string, moves bool) error {
-	c.mu.Lock()
-	has, at, number := c.epoch, c.group, c.number
-	c.mu.Unlock()
-	epoch, open := c.g.k.Session()
-	if !open || has != 0 && epoch != has {
-		c.mu.Lock()
-		if moves { // nothing of it has run, so it may be claimed anew
-			c.epoch, c.number = 0, 0
+func (claim *Claim) Acquire(ctx context.Context, group, upstream string, movable bool) error {
+	claim.mu.Lock()
+	grantedEpoch, grantedGroup, attempt := claim.epoch, claim.group, claim.attempt
+	claim.mu.Unlock()
+	epoch, open := claim.consensus.client.Session()
+	if !open || grantedEpoch != 0 && epoch != grantedEpoch {
+		claim.mu.Lock()
+		if movable { // nothing of it has run, so it may be claimed anew
+			claim.epoch, claim.attempt = 0, 0
 		}
-		c.mu.Unlock()
-		return ErrOver // danger: what this run held may be another's by now
+		claim.mu.Unlock()
+		return ErrSessionEnded // danger: what this run held may be another's by now
 	}
-	if has != 0 && at == to {
+	if grantedEpoch != 0 && grantedGroup == group {
 		return nil
 	}
-	begun := time.Now()
-	got := make(chan struct{})
-	var res Res
-	var fault error
-	a := &Asked{Op: Op{
-		What: claim, Key: c.key[:], Number: number, Group: to, To: upstream, Moves: moves, Once: c.ask.Once, Pool: c.ask.Pool, Customer: c.ask.Customer,
-		Tariff: c.ask.Tariff, Keep: int64(c.ask.Keep), ID: Clip(c.ask.ID), Body: c.ask.Body, Label: Clip(c.ask.Tag),
-	}, Done: func(r Res, e error) { res, fault = r, e; close(got) }}
-	c.l.Counts.Claims.Add(1)
-	c.g.mu.Lock()
-	if c.g.flow.Down(c.l.now()) {
-		c.g.mu.Unlock()
-		return ErrDown
+	startedAt := time.Now()
+	settled := make(chan struct{})
+	var result Result
+	var claimErr error
+	pending := &PendingClaim{Op: Op{
+		Kind: opClaim, Key: claim.key[:], Attempt: attempt, Group: group, Upstream: upstream, Movable: movable, OnceOnly: claim.request.OnceOnly, Pool: claim.request.Pool, Customer: claim.request.Customer,
+		Tariff: claim.request.Tariff, Retention: int64(claim.request.Retention), RequestID: Truncate(claim.request.ID), BodyHash: claim.request.BodyHash, ClientKey: Truncate(claim.request.IdempotencyKey),
+	}, Done: func(r Result, e error) { result, claimErr = r, e; close(settled) }}
+	claim.ledger.Counts.Claims.Add(1)
+	claim.consensus.mu.Lock()
+	if claim.consensus.batcher.Unreachable(claim.ledger.now()) {
+		claim.consensus.mu.Unlock()
+		return ErrUnreachable
 	}
-	c.g.flow.Claim(a)
-	c.g.mu.Unlock()
-	c.g.wake()
-	timer := time.NewTimer(time.Duration(c.g.within.Load()))
+	claim.consensus.batcher.AddClaim(pending)
+	claim.consensus.mu.Unlock()
+	claim.consensus.wake()
+	timer := time.NewTimer(time.Duration(claim.consensus.timeout.Load()))
 	defer timer.Stop()
 	var err error
 	select {
-	case <-got:
+	case <-settled:
 	case <-timer.C:
-		err = ErrDown
+		err = ErrUnreachable
 	case <-ctx.Done():
 		err = context.Cause(ctx)
 	}
-	c.g.mu.Lock()
-	if a.gone { // its word is there, if only just
-		err = fault
+	claim.consensus.mu.Lock()
+	if pending.settled { // its word is there, if only just
+		err = claimErr
 	} else {
-		c.g.flow.Abandon(a)
+		claim.consensus.batcher.Abandon(pending)
 	}
-	c.g.mu.Unlock()
+	claim.consensus.mu.Unlock()
 	if err != nil {
-		c.l.Counts.Failed.Add(1)
+		claim.ledger.Counts.Failed.Add(1)
 		return err
 	}
-	c.l.mu.Lock()
-	c.l.took = max(c.l.took, time.Since(begun))
-	c.l.mu.Unlock()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	switch res.Code {
-	case Granted:
+	claim.ledger.mu.Lock()
+	claim.ledger.slowestClaim = max(claim.ledger.slowestClaim, time.Since(startedAt))
+	claim.ledger.mu.Unlock()
+	claim.mu.Lock()
+	defer claim.mu.Unlock()
+	switch result.Code {
+	case CodeGranted:
 		// Danger: the run may have been ended while the word was on its way; then others go by what it was claimed for, and so
 		// does a push to that group.
-		c.l.Counts.Granted.Add(1)
-		c.epoch, c.group, c.number = epoch, to, a.Op.Number
+		claim.ledger.Counts.Granted.Add(1)
+		claim.epoch, claim.group, claim.attempt = epoch, group, pending.Op.Attempt
 		return nil
-	case Held:
-		c.l.Counts.Held.Add(1)
-	case Full:
-		c.l.Counts.Full.Add(1)
-	case Differs:
-		c.l.Counts.Differs.Add(1)
+	case CodeHeld:
+		claim.ledger.Counts.Held.Add(1)
+	case CodeFull:
+		claim.ledger.Counts.Full.Add(1)
+	case CodeBodyMismatch:
+		claim.ledger.Counts.BodyMismatch.Add(1)
 	}
-	c.known = res.Of()
-	return &Refused{res.Code}
+	claim.refusal = result.AsEntry()
+	return &RefusedError{result.Code}
 }
 
-// Refused is a claim that was not granted.
-type Refused struct{ Code byte }
+// RefusedError is a claim that was not granted.
+type RefusedError struct{ Code byte }
 
-func (r *Refused) Error() string { return "not granted: " + names[r.Code] }
+func (r *RefusedError) Error() string { return "not granted: " + codeNames[r.Code] }
 
-const clipped = 32 // bytes of a key or id that are kept to be shown
+const maxDisplayBytes = 32 // bytes of a key or id that are kept to be shown
 
-// Clip is as much of a key or an id as is kept to be shown.
-func Clip(text string) string { return text[:min(len(text), clipped)] }
+// Truncate is as much of a key or an id as is kept to be shown.
+func Truncate(text string) string { return text[:min(len(text), maxDisplayBytes)] }
 
-// End says how a transaction ended; how is EndNever, EndAnswered or EndUnknown. It is told when it suits; lost on its way, it
+// Release says how a transaction ended; how is EndNever, EndAnswered or EndUnknown. It is told when it suits; lost on its way, it
 // makes "unknown".
-func (c *Claim) End(how byte) {
-	c.mu.Lock()
-	has, number := c.epoch, c.number
-	c.epoch = 0
-	c.mu.Unlock()
-	if epoch, open := c.g.k.Session(); has == 0 || !open || epoch != has {
+func (claim *Claim) Release(outcome byte) {
+	claim.mu.Lock()
+	grantedEpoch, attempt := claim.epoch, claim.attempt
+	claim.epoch = 0
+	claim.mu.Unlock()
+	if epoch, open := claim.consensus.client.Session(); grantedEpoch == 0 || !open || epoch != grantedEpoch {
 		return
 	}
-	c.l.Counts.Ends.Add(1)
-	c.g.mu.Lock()
-	c.g.flow.End(Op{What: end, Key: c.key[:], Number: number, How: how}, c.l.now())
-	c.g.mu.Unlock()
-	c.g.wake()
+	claim.ledger.Counts.Releases.Add(1)
+	claim.consensus.mu.Lock()
+	claim.consensus.batcher.AddRelease(Op{Kind: opRelease, Key: claim.key[:], Attempt: attempt, Outcome: outcome}, claim.ledger.now())
+	claim.consensus.mu.Unlock()
+	claim.consensus.wake()
 }
 
-// Down reports whether any group of keepers is not reached.
-func (l *Ledger) Down() bool {
-	for _, g := range l.groups {
-		if !g.reached() {
+// Unreachable reports whether any group of keepers is not reached.
+func (ledger *Ledger) Unreachable() bool {
+	for _, cg := range ledger.groups {
+		if !cg.reachable() {
 			return true
 		}
 	}
 	return false
 }
 
-// Figures writes its figures, a line each.
-func (l *Ledger) Figures(to io.Writer) {
-	l.mu.Lock()
-	took := l.took
-	l.took = 0
-	l.mu.Unlock()
-	down := 0
-	if l.Down() {
-		down = 1
+// WriteMetrics writes its figures, a line each.
+func (ledger *Ledger) WriteMetrics(writer io.Writer) {
+	ledger.mu.Lock()
+	slowest := ledger.slowestClaim
+	ledger.slowestClaim = 0
+	ledger.mu.Unlock()
+	unreachable := 0
+	if ledger.Unreachable() {
+		unreachable = 1
 	}
-	c := &l.Counts
-	for _, f := range []struct {
+	counts := &ledger.Counts
+	for _, metric := range []struct {
 		name string
 		v    int64
 	}{
-		{"down", int64(down)}, {"claims", c.Claims.Load()}, {"granted", c.Granted.Load()}, {"held", c.Held.Load()}, {"bound", c.Bound.Load()},
-		{"ran", c.Ran.Load()}, {"differs", c.Differs.Load()}, {"full", c.Full.Load()}, {"failed", c.Failed.Load()}, {"waits", c.Waits.Load()},
-		{"deferred", c.Deferred.Load()}, {"looks", c.Looks.Load()}, {"ends", c.Ends.Load()}, {"batches", c.Batches.Load()},
-		{"slowest_ms", took.Milliseconds()}, {"bound_within_ms", time.Duration(l.groups[0].within.Load()).Milliseconds()},
+		{"down", int64(unreachable)}, {"claims", counts.Claims.Load()}, {"granted", counts.Granted.Load()}, {"held", counts.Held.Load()}, {"bound", counts.Bound.Load()},
+		{"ran", counts.MayHaveRun.Load()}, {"differs", counts.BodyMismatch.Load()}, {"full", counts.Full.Load()}, {"failed", counts.Failed.Load()}, {"waits", counts.Waits.Load()},
+		{"deferred", counts.Deferred.Load()}, {"looks", counts.Lookups.Load()}, {"ends", counts.Releases.Load()}, {"batches", counts.Batches.Load()},
+		{"slowest_ms", slowest.Milliseconds()}, {"bound_within_ms", time.Duration(ledger.groups[0].timeout.Load()).Milliseconds()},
 	} {
-		fmt.Fprintf(to, "cluster_ledger_%s %d\n", f.name, f.v)
+		fmt.Fprintf(writer, "cluster_ledger_%s %d\n", metric.name, metric.v)
 	}
 }
--- a/internal/cluster/ledger/norace_test.go
+++ b/internal/cluster/ledger/norace_test.go
@@ -2,4 +2,4 @@
 
 package ledger
 
-const slower = 1
+const raceDivisor = 1
--- a/internal/cluster/ledger/query.go
+++ b/internal/cluster/ledger/query.go
@@ -11,201 +11,201 @@
 
 // Query asks a book.
 type Query struct {
-	What     string `codec:"w" json:"what,omitempty"`          // "look": one key; "find": by the words below; "marks": sums; "stand"
-	Key      []byte `codec:"k,omitempty" json:"key,omitempty"` // of "look"
-	ID       string `codec:"i,omitempty" json:"id,omitempty"`
-	Pool     string `codec:"p,omitempty" json:"pool,omitempty"`
-	Customer string `codec:"c,omitempty" json:"customer,omitempty"`
-	Tariff   string `codec:"t,omitempty" json:"tariff,omitempty"`
-	Group    string `codec:"g,omitempty" json:"group,omitempty"`
-	Upstream string `codec:"u,omitempty" json:"upstream,omitempty"`
-	Member   string `codec:"m,omitempty" json:"member,omitempty"`
-	State    string `codec:"s,omitempty" json:"state,omitempty"`
-	Label    string `codec:"l,omitempty" json:"label,omitempty"`
-	Younger  int64  `codec:"y,omitempty" json:"younger,omitempty"` // remembered for less than this, nanoseconds
-	Older    int64  `codec:"o,omitempty" json:"older,omitempty"`
-	Most     int    `codec:"n,omitempty" json:"most,omitempty"`
-	From     int    `codec:"f,omitempty" json:"-"` // of "find": where the page before ended
-	Of       uint64 `codec:"e,omitempty" json:"-"` // and in whose copy; that is another's after a change of leader
+	Kind            string `codec:"w" json:"what,omitempty"`          // "look": one key; "find": by the words below; "marks": sums; "stand"
+	Key             []byte `codec:"k,omitempty" json:"key,omitempty"` // of "look"
+	RequestID       string `codec:"i,omitempty" json:"id,omitempty"`
+	Pool            string `codec:"p,omitempty" json:"pool,omitempty"`
+	Customer        string `codec:"c,omitempty" json:"customer,omitempty"`
+	Tariff          string `codec:"t,omitempty" json:"tariff,omitempty"`
+	Group           string `codec:"g,omitempty" json:"group,omitempty"`
+	Upstream        string `codec:"u,omitempty" json:"upstream,omitempty"`
+	Member          string `codec:"m,omitempty" json:"member,omitempty"`
+	State           string `codec:"s,omitempty" json:"state,omitempty"`
+	ClientKeyPrefix string `codec:"l,omitempty" json:"label,omitempty"`
+	MaxAge          int64  `codec:"y,omitempty" json:"younger,omitempty"` // remembered for less than this, nanoseconds
+	MinAge          int64  `codec:"o,omitempty" json:"older,omitempty"`
+	Limit           int    `codec:"n,omitempty" json:"most,omitempty"`
+	Offset          int    `codec:"f,omitempty" json:"-"` // of "find": where the page before ended
+	CopyID          uint64 `codec:"e,omitempty" json:"-"` // and in whose copy; that is another's after a change of leader
 }
 
 // States of a record, as they are shown.
 const (
-	Open     = "open"     // claimed, its end is not known yet
-	Answered = "answered" // an upstream answered
-	Unknown  = "unknown"  // it may have run
+	StateOpen     = "open"     // claimed, its end is not known yet
+	StateAnswered = "answered" // an upstream answered
+	StateUnknown  = "unknown"  // it may have run
 )
 
 // Entry is a record as it is shown.
 type Entry struct {
-	Key      string `codec:"k" json:"key"`
-	State    string `codec:"s" json:"state"`
-	Pool     string `codec:"p" json:"pool"`
-	Customer string `codec:"c,omitempty" json:"customer,omitempty"`
-	Tariff   string `codec:"t" json:"tariff"`
-	Once     bool   `codec:"o,omitempty" json:"once_only,omitempty"`
-	Group    string `codec:"g,omitempty" json:"group,omitempty"`    // of upstreams that it is bound to
-	Upstream string `codec:"u,omitempty" json:"upstream,omitempty"` // that it was sent to first
-	Member   string `codec:"m,omitempty" json:"member,omitempty"`
-	Epoch    uint64 `codec:"e,omitempty" json:"epoch,omitempty"`
-	Number   uint64 `codec:"n,omitempty" json:"number,omitempty"`
-	For      int64  `codec:"f" json:"remembered_ms"`           // so far
-	Left     int64  `codec:"l,omitempty" json:"left_ms"`       // until it is forgotten
-	Mays     bool   `codec:"y,omitempty" json:"may,omitempty"` // an earlier attempt may have run
-	Body     uint64 `codec:"b,omitempty" json:"body,omitempty"`
-	ID       string `codec:"i,omitempty" json:"id,omitempty"`
-	Label    string `codec:"x,omitempty" json:"label,omitempty"`
+	Key         string `codec:"k" json:"key"`
+	State       string `codec:"s" json:"state"`
+	Pool        string `codec:"p" json:"pool"`
+	Customer    string `codec:"c,omitempty" json:"customer,omitempty"`
+	Tariff      string `codec:"t" json:"tariff"`
+	OnceOnly    bool   `codec:"o,omitempty" json:"once_only,omitempty"`
+	Group       string `codec:"g,omitempty" json:"group,omitempty"`    // of upstreams that it is bound to
+	Upstream    string `codec:"u,omitempty" json:"upstream,omitempty"` // that it was sent to first
+	Member      string `codec:"m,omitempty" json:"member,omitempty"`
+	Epoch       uint64 `codec:"e,omitempty" json:"epoch,omitempty"`
+	Attempt     uint64 `codec:"n,omitempty" json:"number,omitempty"`
+	AgeMS       int64  `codec:"f" json:"remembered_ms"`           // so far
+	RemainingMS int64  `codec:"l,omitempty" json:"left_ms"`       // until it is forgotten
+	MayHaveRun  bool   `codec:"y,omitempty" json:"may,omitempty"` // an earlier attempt may have run
+	BodyHash    uint64 `codec:"b,omitempty" json:"body,omitempty"`
+	RequestID   string `codec:"i,omitempty" json:"id,omitempty"`
+	ClientKey   string `codec:"x,omitempty" json:"label,omitempty"`
 }
 
 // Page is what a query tells.
 type Page struct {
-	Entries []Entry          `codec:"e,omitempty"`
-	Next    int              `codec:"m,omitempty"` // where the next page begins; 0 for no more
-	Of      uint64           `codec:"f,omitempty"` // the copy that was read
-	Indexes []uint64         `codec:"i,omitempty"` // of sums
-	Sums    []uint64         `codec:"s,omitempty"`
-	Keys    int              `codec:"k,omitempty"`
-	Open    int              `codec:"o,omitempty"`
-	Results map[string]int64 `codec:"r,omitempty"`
+	Entries      []Entry          `codec:"e,omitempty"`
+	NextOffset   int              `codec:"m,omitempty"` // where the next page begins; 0 for no more
+	CopyID       uint64           `codec:"f,omitempty"` // the copy that was read
+	Indexes      []uint64         `codec:"i,omitempty"` // of sums
+	Checksums    []uint64         `codec:"s,omitempty"`
+	Keys         int              `codec:"k,omitempty"`
+	OpenClaims   int              `codec:"o,omitempty"`
+	ResultCounts map[string]int64 `codec:"r,omitempty"`
 }
 
 const (
-	mostPage   = 2000
-	mostLooked = 20000
+	maxPageEntries = 2000
+	maxPageScan    = 20000
 )
 
 // Read implements keep.Reader.
-func (b *Book) Read(body []byte) []byte {
-	var q Query
-	if pack.Unpack(body, &q) != nil {
+func (sm *StateMachine) Read(body []byte) []byte {
+	var query Query
+	if pack.Unpack(body, &query) != nil {
 		return nil
 	}
-	p := b.Ask(&q)
-	return pack.Pack(&p)
+	page := sm.Query(&query)
+	return pack.Pack(&page)
 }
 
-// Ask answers a query.
-func (b *Book) Ask(q *Query) (p Page) {
-	switch q.What {
+// Query answers a query.
+func (sm *StateMachine) Query(query *Query) (page Page) {
+	switch query.Kind {
 	case "look":
-		if len(q.Key) == len(Key{}) {
-			if n, some := b.at[Key(q.Key)]; some {
-				p.Entries = append(p.Entries, b.entry(&b.slots[n]))
+		if len(query.Key) == len(Key{}) {
+			if slot, found := sm.slotByKey[Key(query.Key)]; found {
+				page.Entries = append(page.Entries, sm.entry(&sm.records[slot]))
 			}
 		}
 	case "stand":
-		p.Keys, p.Open, p.Results = len(b.at), len(b.held), b.counts
+		page.Keys, page.OpenClaims, page.ResultCounts = len(sm.slotByKey), len(sm.openClaims), sm.resultCounts
 	case "marks":
-		for _, m := range b.marks {
-			if m.index != 0 {
-				p.Indexes, p.Sums = append(p.Indexes, m.index), append(p.Sums, m.sum)
+		for _, logged := range sm.checksumLog {
+			if logged.index != 0 {
+				page.Indexes, page.Checksums = append(page.Indexes, logged.index), append(page.Checksums, logged.checksum)
 			}
 		}
 	case "find":
 		// Danger: a keeper answers nobody while it looks, so a page looks at so many records and no more.
-		p.Of = b.copy
-		from := q.From
-		if q.Of != b.copy {
-			from = 0
+		page.CopyID = sm.copyID
+		slot := query.Offset
+		if query.CopyID != sm.copyID {
+			slot = 0
 		}
-		to := min(from+mostLooked, len(b.slots))
-		for ; from < to && len(p.Entries) < mostPage; from++ {
-			if r := &b.slots[from]; !r.empty() && b.fits(r, q) {
-				p.Entries = append(p.Entries, b.entry(r))
+		scanEnd := min(slot+maxPageScan, len(sm.records))
+		for ; slot < scanEnd && len(page.Entries) < maxPageEntries; slot++ {
+			if rec := &sm.records[slot]; !rec.empty() && sm.matches(rec, query) {
+				page.Entries = append(page.Entries, sm.entry(rec))
 			}
 		}
-		if from < len(b.slots) {
-			p.Next = from
+		if slot < len(sm.records) {
+			page.NextOffset = slot
 		}
 	}
-	return p
+	return page
 }
 
-// Each tells all that fits, once, page by page. What is claimed or forgotten meanwhile may be among them or not.
-func Each(q Query, ask func(*Query) (Page, error), take func(Entry) error) error {
-	told, n := map[string]bool{}, 0
+// ForEach tells all that fits, once, page by page. What is claimed or forgotten meanwhile may be among them or not.
+func ForEach(query Query, fetchPage func(*Query) (Page, error), visit func(Entry) error) error {
+	seen, visited := map[string]bool{}, 0
 	for {
-		p, err := ask(&q)
+		page, err := fetchPage(&query)
 		if err != nil {
 			return err
 		}
-		for _, e := range p.Entries {
-			if told[e.Key] {
+		for _, entry := range page.Entries {
+			if seen[entry.Key] {
 				continue // another copy is read from its beginning
 			}
-			told[e.Key] = true
-			if n++; q.Most > 0 && n > q.Most {
+			seen[entry.Key] = true
+			if visited++; query.Limit > 0 && visited > query.Limit {
 				return nil
 			}
-			if err := take(e); err != nil {
+			if err := visit(entry); err != nil {
 				return err
 			}
 		}
-		if p.Next == 0 || q.What != "find" {
+		if page.NextOffset == 0 || query.Kind != "find" {
 			return nil
 		}
-		q.From, q.Of = p.Next, p.Of
+		query.Offset, query.CopyID = page.NextOffset, page.CopyID
 	}
 }
 
-func (b *Book) fits(r *record, q *Query) bool {
-	e := b.entry(r)
-	age := e.For * int64(time.Millisecond)
-	return (q.ID == "" || q.ID == e.ID) && (q.Pool == "" || q.Pool == e.Pool) && (q.Customer == "" || q.Customer == e.Customer) &&
-		(q.Tariff == "" || q.Tariff == e.Tariff) && (q.Group == "" || q.Group == e.Group) && (q.Upstream == "" || q.Upstream == e.Upstream) && (q.Member == "" || q.Member == e.Member) &&
-		(q.State == "" || q.State == e.State) && (q.Label == "" || strings.HasPrefix(e.Label, q.Label)) &&
-		(q.Younger == 0 || age < q.Younger) && (q.Older == 0 || age >= q.Older)
+func (sm *StateMachine) matches(rec *record, query *Query) bool {
+	entry := sm.entry(rec)
+	age := entry.AgeMS * int64(time.Millisecond)
+	return (query.RequestID == "" || query.RequestID == entry.RequestID) && (query.Pool == "" || query.Pool == entry.Pool) && (query.Customer == "" || query.Customer == entry.Customer) &&
+		(query.Tariff == "" || query.Tariff == entry.Tariff) && (query.Group == "" || query.Group == entry.Group) && (query.Upstream == "" || query.Upstream == entry.Upstream) && (query.Member == "" || query.Member == entry.Member) &&
+		(query.State == "" || query.State == entry.State) && (query.ClientKeyPrefix == "" || strings.HasPrefix(entry.ClientKey, query.ClientKeyPrefix)) &&
+		(query.MaxAge == 0 || age < query.MaxAge) && (query.MinAge == 0 || age >= query.MinAge)
 }
 
-func (b *Book) entry(r *record) Entry {
-	e := Entry{
-		Key: r.key.String(), Pool: b.names[r.pool], Customer: b.names[r.customer], Tariff: b.names[r.tariff], Once: r.once, Group: b.names[r.group],
-		Mays: r.may, Body: r.body, ID: r.id, Label: r.label, Upstream: r.to,
+func (sm *StateMachine) entry(rec *record) Entry {
+	entry := Entry{
+		Key: rec.key.String(), Pool: sm.names[rec.pool], Customer: sm.names[rec.customer], Tariff: sm.names[rec.tariff], OnceOnly: rec.onceOnly, Group: sm.names[rec.group],
+		MayHaveRun: rec.mayHaveRun, BodyHash: rec.bodyHash, RequestID: rec.requestID, ClientKey: rec.clientKey, Upstream: rec.upstream,
 	}
 	const ms = int64(time.Millisecond)
-	if r.since != 0 {
-		e.For = (b.now - r.since) / ms
+	if rec.claimedAt != 0 {
+		entry.AgeMS = (sm.now - rec.claimedAt) / ms
 	}
-	if e.Left = r.keep / ms; r.counted {
-		e.Left = max(0, r.until-b.now) / ms
+	if entry.RemainingMS = rec.retention / ms; rec.expirySet {
+		entry.RemainingMS = max(0, rec.expiresAt-sm.now) / ms
 	}
 	switch {
-	case r.holder.member != 0:
-		e.State, e.Member, e.Epoch, e.Number = Open, b.names[r.holder.member], r.holder.epoch, r.holder.number
-	case r.answered:
-		e.State = Answered
+	case rec.holder.member != 0:
+		entry.State, entry.Member, entry.Epoch, entry.Attempt = StateOpen, sm.names[rec.holder.member], rec.holder.epoch, rec.holder.number
+	case rec.answered:
+		entry.State = StateAnswered
 	default:
-		e.State = Unknown
+		entry.State = StateUnknown
 	}
-	return e
+	return entry
 }
 
-// Differ compares the copies that keepers hold, by name, and names what differs.
-func Differ(copies map[string][]Entry) (lines []string) {
-	all := map[string]map[string]Entry{}
+// DiffCopies compares the copies that keepers hold, by name, and names what differs.
+func DiffCopies(copies map[string][]Entry) (lines []string) {
+	byKey := map[string]map[string]Entry{}
 	var names []string
 	for name, entries := range copies {
 		names = append(names, name)
-		for _, e := range entries {
-			if all[e.Key] == nil {
-				all[e.Key] = map[string]Entry{}
+		for _, entry := range entries {
+			if byKey[entry.Key] == nil {
+				byKey[entry.Key] = map[string]Entry{}
 			}
-			e.For, e.Left = 0, 0 // by the moment at which each was asked
-			all[e.Key][name] = e
+			entry.AgeMS, entry.RemainingMS = 0, 0 // by the moment at which each was asked
+			byKey[entry.Key][name] = entry
 		}
 	}
 	slices.Sort(names)
-	for key, has := range all {
+	for key, byCopy := range byKey {
 		var first *Entry
 		for _, name := range names {
-			e, some := has[name]
+			entry, found := byCopy[name]
 			switch {
-			case !some:
+			case !found:
 				lines = append(lines, key+" is not at "+name)
 			case first == nil:
-				first = &e
-			case *first != e:
-				lines = append(lines, key+" differs at "+name+": "+e.State+" "+e.Group+", elsewhere "+first.State+" "+first.Group)
+				first = &entry
+			case *first != entry:
+				lines = append(lines, key+" differs at "+name+": "+entry.State+" "+entry.Group+", elsewhere "+first.State+" "+first.Group)
 			}
 		}
 	}
@@ -214,10 +214,10 @@
 }
 
 // ParseKey reads a key as it is shown.
-func ParseKey(text string) (k Key, ok bool) {
+func ParseKey(text string) (key Key, ok bool) {
 	raw, err := hex.DecodeString(text)
-	if err != nil || len(raw) != len(k) {
-		return k, false
+	if err != nil || len(raw) != len(key) {
+		return key, false
 	}
 	return Key(raw), true
 }
--- a/internal/cluster/ledger/rate_test.go
+++ b/internal/cluster/ledger/rate_test.go
@@ -21,17 +21,17 @@
 	"ottershift/internal/lab/between"
 )
 
-// fleet is keepers with links and disks of their own, and a member that is none, with so long a way between any two.
-func fleet(t testing.TB, keepers, groups int, delay time.Duration) *Ledger {
-	mesh, err := between.New(keepers+1, 1)
+// startCluster is keepers with links and disks of their own, and a member that is none, with so long a way between any two.
+func startCluster(t testing.TB, replicas, groups int, delay time.Duration) *Ledger {
+	mesh, err := between.New(replicas+1, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(mesh.Close)
 	var names []string
-	for i := range keepers + 1 {
+	for i := range replicas + 1 {
 		names = append(names, fmt.Sprint("k", i))
-		for k := range keepers + 1 {
+		for k := range replicas + 1 {
 			if i != k {
 				mesh.Set(i, k, func(x *between.Trouble) { x.Delay = delay })
 			}
@@ -39,16 +39,16 @@
 	}
 	dir := t.TempDir()
 	var member *link.Link
-	var all []*keep.Keeper
+	var started []*keep.Keeper
 	for i, name := range names {
-		where := map[string]string{}
+		routes := map[string]string{}
 		for k, other := range names {
 			if k != i {
-				where[other] = mesh.Address(i, k)
+				routes[other] = mesh.Address(i, k)
 			}
 		}
 		l, err := link.Listen(link.Options{
-			Cluster: "c", Self: name, Address: "127.0.0.1:0", Through: where, Log: slog.New(slog.DiscardHandler), Stream: func(c net.Conn) { c.Close() },
+			Cluster: "c", Self: name, Address: "127.0.0.1:0", Through: routes, Log: slog.New(slog.DiscardHandler), Stream: func(c net.Conn) { c.Close() },
 			Datagram: func(byte, []byte, net.Addr) {}, Resolve: func(string) (string, bool) { return "", false },
 		})
 		if err != nil {
@@ -56,37 +56,37 @@
 		}
 		mesh.Target(i, l.Addr().String())
 		t.Cleanup(l.Close)
-		if i == keepers {
+		if i == replicas {
 			l.Serve()
 			member = l
 			break
 		}
 		for g := range groups {
-			at := keep.Group(filepath.Join(dir, name), g)
+			groupDir := keep.Group(filepath.Join(dir, name), g)
 			k, err := keep.NewKeeper(keep.Options{
-				Cluster: "c", Name: name, Voters: names[:keepers], Group: g, Dir: at, FS: disk.Dir(at), Way: l, Election: time.Second,
+				Cluster: "c", Name: name, Voters: names[:replicas], Group: g, Dir: groupDir, FS: disk.Dir(groupDir), Way: l, Election: time.Second,
 				Lease: keep.Lease{For: time.Second, Drift: 0.02}, Guards: keep.Guards{Fence: true, Once: true}, Log: slog.New(slog.DiscardHandler),
-				Parts: map[byte]keep.Part{Part: NewBook(Guards{Fence: true}, 1)},
+				Parts: map[byte]keep.Part{StateMachineID: NewStateMachine(Guards{Fence: true}, 1)},
 			})
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(k.Close)
-			all = append(all, k)
+			started = append(started, k)
 		}
 		l.Serve()
 	}
-	for _, k := range all {
+	for _, k := range started {
 		k.Begin()
 	}
-	var clients []Keepers
+	var clients []GroupClient
 	for g := range groups {
-		c := keep.NewClient(member, names[keepers], names[:keepers], g)
+		c := keep.NewClient(member, names[replicas], names[:replicas], g)
 		clients = append(clients, c)
 		for n := 0; ; n++ {
-			ctx, end := context.WithTimeout(context.Background(), time.Second)
+			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			_, err := c.Open(ctx, 1, 1)
-			end()
+			cancel()
 			if err == nil {
 				break
 			} else if n == 20 {
@@ -94,51 +94,51 @@
 			}
 		}
 	}
-	l := Begin(Options{Groups: clients, Within: 3 * time.Second, Lag: 20 * time.Millisecond, Keys: 1 << 20, Log: slog.New(slog.DiscardHandler)})
+	l := Start(Options{Groups: clients, Timeout: 3 * time.Second, ReleaseDelay: 20 * time.Millisecond, MaxKeys: 1 << 20, Log: slog.New(slog.DiscardHandler)})
 	t.Cleanup(l.Close)
 	return l
 }
 
 // BenchmarkClaims: from the wish to send until a push may leave, by keepers, the way between any two and how many ask at once.
 func BenchmarkClaims(b *testing.B) {
-	for _, keepers := range []int{1, 3, 5} {
+	for _, replicas := range []int{1, 3, 5} {
 		for _, delay := range []time.Duration{0, time.Millisecond, 5 * time.Millisecond} {
-			for _, at := range []int{1, 64, 512} {
+			for _, concurrency := range []int{1, 64, 512} {
 				for _, groups := range []int{1, 4} {
-					if groups > 1 && (at < 512 || delay != 0) {
+					if groups > 1 && (concurrency < 512 || delay != 0) {
 						continue
 					}
-					b.Run(fmt.Sprintf("keepers=%d/delay=%s/at=%d/groups=%d", keepers, delay, at, groups), func(b *testing.B) {
-						l := fleet(b, keepers, groups, delay)
+					b.Run(fmt.Sprintf("keepers=%d/delay=%s/at=%d/groups=%d", replicas, delay, concurrency, groups), func(b *testing.B) {
+						ledger := startCluster(b, replicas, groups, delay)
 						var next atomic.Int64
 						var mu sync.Mutex
-						var took []time.Duration
+						var latencies []time.Duration
 						b.ResetTimer()
-						var all sync.WaitGroup
-						begun := time.Now()
-						for range at {
-							all.Go(func() {
+						var workers sync.WaitGroup
+						benchStart := time.Now()
+						for range concurrency {
+							workers.Go(func() {
 								for n := next.Add(1); n <= int64(b.N); n = next.Add(1) {
-									c := l.Begin(Ask{Pool: "p", Tariff: "t", Tag: fmt.Sprint(n), ID: fmt.Sprint(n), Binds: true, Keep: time.Minute, Contract: time.Second}, time.Second)
+									claim := ledger.NewClaim(Request{Pool: "p", Tariff: "t", IdempotencyKey: fmt.Sprint(n), ID: fmt.Sprint(n), GroupScoped: true, Retention: time.Minute, ContractTime: time.Second}, time.Second)
 									start := time.Now()
-									if err := c.Take(context.Background(), "a/1", "u1", true); err != nil {
+									if err := claim.Acquire(context.Background(), "a/1", "u1", true); err != nil {
 										b.Error(err)
 									}
-									one := time.Since(start)
-									c.End(EndAnswered)
+									latency := time.Since(start)
+									claim.Release(OutcomeAnswered)
 									mu.Lock()
-									took = append(took, one)
+									latencies = append(latencies, latency)
 									mu.Unlock()
 								}
 							})
 						}
-						all.Wait()
+						workers.Wait()
 						b.StopTimer()
-						slices.Sort(took)
-						b.ReportMetric(float64(len(took))/time.Since(begun).Seconds(), "claims/s")
-						b.ReportMetric(float64(took[len(took)/2].Microseconds())/1000, "p50-ms")
-						b.ReportMetric(float64(took[len(took)*99/100].Microseconds())/1000, "p99-ms")
-						b.ReportMetric(float64(l.Counts.Claims.Load()+l.Counts.Ends.Load())/float64(max(1, l.Counts.Batches.Load())), "ops/batch")
+						slices.Sort(latencies)
+						b.ReportMetric(float64(len(latencies))/time.Since(benchStart).Seconds(), "claims/s")
+						b.ReportMetric(float64(latencies[len(latencies)/2].Microseconds())/1000, "p50-ms")
+						b.ReportMetric(float64(latencies[len(latencies)*99/100].Microseconds())/1000, "p99-ms")
+						b.ReportMetric(float64(ledger.Counts.Claims.Load()+ledger.Counts.Releases.Load())/float64(max(1, ledger.Counts.Batches.Load())), "ops/batch")
 					})
 				}
 			}
@@ -147,53 +147,53 @@
 }
 
 // A million keys of one customer, and one of 64 KiB: what they take, and that all of them are forgotten in their time.
-func TestAMillionKeys(t *testing.T) {
-	n := 1_000_000 / slower
+func TestMillionKeys(t *testing.T) {
+	n := 1_000_000 / raceDivisor
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	b := NewBook(Guards{Fence: true}, 1)
+	sm := NewStateMachine(Guards{Fence: true}, 1)
 	long := strings.Repeat("k", 64<<10)
-	begun := time.Now()
-	for i := 0; i < n; i += mostOps {
-		var x Batch
-		for k := range min(mostOps, n-i) {
+	start := time.Now()
+	for i := 0; i < n; i += maxBatchOps {
+		var batch Batch
+		for k := range min(maxBatchOps, n-i) {
 			key := KeyOf("tag", "pool", "customer", "order", fmt.Sprint(long[:(i+k)%2*32], i+k))
-			x.Ops = append(x.Ops, Op{
-				What: claim, Key: key[:], Number: uint64(i + k + 1), Group: fmt.Sprint("a/", k%4), Pool: "pool", Customer: "customer", Tariff: "order",
-				Keep: 60 * second, ID: fmt.Sprintf("%016x", i+k), Label: fmt.Sprintf("%032x", i+k), To: "upstream-1234",
+			batch.Ops = append(batch.Ops, Op{
+				Kind: opClaim, Key: key[:], Attempt: uint64(i + k + 1), Group: fmt.Sprint("a/", k%4), Pool: "pool", Customer: "customer", Tariff: "order",
+				Retention: 60 * second, RequestID: fmt.Sprintf("%016x", i+k), ClientKey: fmt.Sprintf("%032x", i+k), Upstream: "upstream-1234",
 			})
-			x.Ops = append(x.Ops, Op{What: end, Key: key[:], Number: uint64(i + k + 1), How: EndAnswered})
+			batch.Ops = append(batch.Ops, Op{Kind: opRelease, Key: key[:], Attempt: uint64(i + k + 1), Outcome: OutcomeAnswered})
 		}
-		a := b.Apply(uint64(i+2), &keep.Command{Member: "b1", Epoch: 1, Seq: uint64(i + 1), Body: pack.Pack(&x)})
-		var r Results
-		if pack.Unpack(a.Body, &r) != nil || r.All[0].Code != Granted {
-			t.Fatal(r.All[0])
+		answer := sm.Apply(uint64(i+2), &keep.Command{Member: "b1", Epoch: 1, Seq: uint64(i + 1), Body: pack.Pack(&batch)})
+		var results BatchResult
+		if pack.Unpack(answer.Body, &results) != nil || results.Results[0].Code != CodeGranted {
+			t.Fatal(results.Results[0])
 		}
 	}
-	fill := time.Since(begun)
-	b.pass(second)
+	fillTime := time.Since(start)
+	sm.advanceClock(second)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	begun = time.Now()
-	raw := b.Save()
-	save := time.Since(begun)
-	begun = time.Now()
-	c := NewBook(Guards{Fence: true}, 1)
-	if err := c.Load(raw); err != nil || c.sum != b.sum || len(c.at) != n {
+	start = time.Now()
+	raw := sm.Save()
+	saveTime := time.Since(start)
+	start = time.Now()
+	restored := NewStateMachine(Guards{Fence: true}, 1)
+	if err := restored.Load(raw); err != nil || restored.checksum != sm.checksum || len(restored.slotByKey) != n {
 		t.Fatalf("a snapshot of %d keys: %v", n, err)
 	}
-	load := time.Since(begun)
-	begun = time.Now()
-	c.pass(30 * second)
-	c.pass(32 * second)
+	loadTime := time.Since(start)
+	start = time.Now()
+	restored.advanceClock(30 * second)
+	restored.advanceClock(32 * second)
 	t.Logf("%d keys: %d bytes of memory and %d of a snapshot each; claimed and ended in %s, saved in %s, read in %s, forgotten in %s", n,
-		(after.HeapAlloc-before.HeapAlloc)/uint64(n), len(raw)/n, fill, save, load, time.Since(begun))
-	if len(c.at) != 0 || c.sum != 0 {
-		t.Errorf("%d keys are left, sum %x", len(c.at), c.sum)
+		(after.HeapAlloc-before.HeapAlloc)/uint64(n), len(raw)/n, fillTime, saveTime, loadTime, time.Since(start))
+	if len(restored.slotByKey) != 0 || restored.checksum != 0 {
+		t.Errorf("%d keys are left, sum %x", len(restored.slotByKey), restored.checksum)
 	}
-	if per := (after.HeapAlloc - before.HeapAlloc) / uint64(n); per > 352 {
-		t.Errorf("a key takes %d bytes, more than check says", per)
+	if bytesPerKey := (after.HeapAlloc - before.HeapAlloc) / uint64(n); bytesPerKey > 352 {
+		t.Errorf("a key takes %d bytes, more than check says", bytesPerKey)
 	}
 	if len(raw)/n > 144 {
 		t.Errorf("a key takes %d bytes of a snapshot, more than check says", len(raw)/n)
@@ -202,19 +202,19 @@
 		t.Error("two keys are one")
 	}
 	// All of it is told page by page, each once, also where the copy changes in between.
-	pages, all := 0, 0
-	if err := Each(Query{What: "find", Group: "a/1"}, func(q *Query) (Page, error) {
+	pages, visited := 0, 0
+	if err := ForEach(Query{Kind: "find", Group: "a/1"}, func(q *Query) (Page, error) {
 		if pages++; pages == 3 {
-			b.copy++
+			sm.copyID++
 		}
-		return b.Ask(q), nil
-	}, func(e Entry) error { all++; return nil }); err != nil || all != n/4 || pages < 4 {
-		t.Errorf("%d of %d keys in %d pages, %v", all, n/4, pages, err)
+		return sm.Query(q), nil
+	}, func(e Entry) error { visited++; return nil }); err != nil || visited != n/4 || pages < 4 {
+		t.Errorf("%d of %d keys in %d pages, %v", visited, n/4, pages, err)
 	}
 	// Over its bound nothing is dropped: what is new is told so.
 	key := KeyOf("more")
-	full := b.do(&keep.Command{Member: "b1", Epoch: 1}, &Op{What: claim, Key: key[:], Number: uint64(n + 1), Keep: second}, n)
-	if full.Code != Full || len(b.at) != n {
-		t.Errorf("over the bound a claim was told %s", names[full.Code])
+	full := sm.applyOp(&keep.Command{Member: "b1", Epoch: 1}, &Op{Kind: opClaim, Key: key[:], Attempt: uint64(n + 1), Retention: second}, n)
+	if full.Code != CodeFull || len(sm.slotByKey) != n {
+		t.Errorf("over the bound a claim was told %s", codeNames[full.Code])
 	}
 }
--- a/internal/cluster/ledger/schedule_test.go
+++ b/internal/cluster/ledger/schedule_test.go
@@ -13,39 +13,39 @@
 )
 
 const (
-	ms     = int64(time.Millisecond)
-	window = 2000 * ms // in which a group of upstreams knows a repeat
-	stop   = 600 * ms  // hard stop of a transaction
-	within = 50 * ms
-	onceIn = 20000 * ms
+	ms              = int64(time.Millisecond)
+	dedupWindow     = 2000 * ms // in which a group of upstreams knows a repeat
+	requestLifetime = 600 * ms  // hard stop of a transaction
+	claimTimeout    = 50 * ms
+	onceOnlyWindow  = 20000 * ms
 )
 
-// faults are what a schedule plants, so that it can be seen to find it.
-type faults struct {
-	fence    bool // guard left out
-	forgets  bool // an end by a lost run: its claims are freed as if they had never been sent
-	overtake bool // claims that were given up and come late are granted
-	early    bool // time is told twice
+// injectedFaults are what a schedule plants, so that it can be seen to find it.
+type injectedFaults struct {
+	noFence          bool // guard left out
+	freeLostClaims   bool // an end by a lost run: its claims are freed as if they had never been sent
+	acceptLateClaims bool // claims that were given up and come late are granted
+	fastClock        bool // time is told twice
 }
 
-// planet plays members against one group's state: commands are lost, late and doubled, runs end and go on, upstreams run things
+// simulation plays members against one group's state: commands are lost, late and doubled, runs end and go on, upstreams run things
 // and their answers get lost.
-type planet struct {
-	chance  *rand.Rand
-	now     int64
-	passed  int64
-	state   *keep.State
-	book    *Book
-	index   uint64
-	members []*sailor
-	flying  []*parcel
-	effects map[string][]effect // by key
-	known   map[string]int64    // first effect, by key and group
-	keys    int                 // tags that clients draw from
-	granted int
-	ran     int
-	wrong   string
-	f       faults
+type simulation struct {
+	rng             *rand.Rand
+	now             int64
+	clockReportedAt int64
+	state           *keep.State
+	sm              *StateMachine
+	index           uint64
+	members         []*simMember
+	inFlight        []*message
+	effects         map[string][]effect // by key
+	firstRun        map[string]int64    // first effect, by key and group
+	keys            int                 // tags that clients draw from
+	granted         int
+	executed        int
+	failure         string
+	faults          injectedFaults
 }
 
 type effect struct {
@@ -53,477 +53,477 @@
 	group string
 }
 
-// sailor is one member's run.
-type sailor struct {
-	name    string
-	epoch   uint64
-	open    bool // session, as it knows
-	flow    *Flow
-	seq     uint64
-	out     map[uint64]bool
-	asleep  int64 // stopped until then
-	trips   []*trip
-	pending []func() // what it hears once it is awake
+// simMember is one member's run.
+type simMember struct {
+	name         string
+	epoch        uint64
+	open         bool // session, as it knows
+	batcher      *Batcher
+	seq          uint64
+	unanswered   map[uint64]bool
+	stalledUntil int64 // stopped until then
+	requests     []*simRequest
+	pending      []func() // what it hears once it is awake
 }
 
-// trip is one transaction in the hands of a member.
-type trip struct {
-	s      *sailor
-	ask    Ask
-	ends   int64
-	epoch  uint64
-	number uint64
-	group  string
-	claim  *Asked
-	since  int64
-	ran    bool // a push may have
-	out    int
-	done   bool
-	over   bool
-	next   int64
-	bound  *Word
-	known  *Entry
+// simRequest is one transaction in the hands of a member.
+type simRequest struct {
+	member     *simMember
+	request    Request
+	deadline   int64
+	epoch      uint64
+	attempt    uint64
+	group      string
+	claim      *PendingClaim
+	since      int64
+	mayHaveRun bool // a push may have
+	inFlight   int
+	answered   bool
+	finished   bool
+	nextStep   int64
+	decision   *Decision
+	refusal    *Entry
 }
 
-// parcel is a command on its way.
-type parcel struct {
-	s    *sailor
-	run  uint64
-	cmd  keep.Command
-	sent *Sent
-	from int64 // until when it is held up
-	at   int64 // when its sender gives it up
-	told bool
+// message is a command on its way.
+type message struct {
+	member    *simMember
+	epoch     uint64
+	command   keep.Command
+	batch     *InFlightBatch
+	heldUntil int64 // until when it is held up
+	timeoutAt int64 // when its sender gives it up
+	answered  bool
 }
 
-func (p *planet) fail(text string, values ...any) {
-	if p.wrong == "" {
-		p.wrong = fmt.Sprintf(text, values...)
+func (sim *simulation) fail(text string, values ...any) {
+	if sim.failure == "" {
+		sim.failure = fmt.Sprintf(text, values...)
 	}
 }
 
-func (p *planet) apply(c *keep.Command) keep.Answer {
-	p.index++
-	_, a := p.state.Apply(p.index, pack.Pack(c))
+func (sim *simulation) apply(c *keep.Command) keep.Answer {
+	sim.index++
+	_, a := sim.state.Apply(sim.index, pack.Pack(c))
 	return a
 }
 
-func (p *planet) begin(s *sailor) {
-	s.epoch++
-	s.flow, s.seq, s.out, s.trips, s.pending, s.asleep = NewFlow(time.Duration(within), 5*time.Millisecond, 1000), 0, map[uint64]bool{}, nil, nil, 0
-	a := p.apply(&keep.Command{Kind: keep.Open, Member: s.name, Epoch: s.epoch, Run: s.epoch})
-	s.open = a.Code == keep.OK
+func (sim *simulation) startMember(member *simMember) {
+	member.epoch++
+	member.batcher, member.seq, member.unanswered, member.requests, member.pending, member.stalledUntil = NewBatcher(time.Duration(claimTimeout), 5*time.Millisecond, 1000), 0, map[uint64]bool{}, nil, nil, 0
+	answer := sim.apply(&keep.Command{Kind: keep.Open, Member: member.name, Epoch: member.epoch, Run: member.epoch})
+	member.open = answer.Code == keep.OK
 }
 
 // send is what the runner does with a batch.
-func (p *planet) send(s *sailor) {
-	b, _ := s.flow.Next(p.now)
-	if b == nil {
+func (sim *simulation) send(member *simMember) {
+	sent, _ := member.batcher.NextBatch(sim.now)
+	if sent == nil {
 		return
 	}
-	s.seq++
-	s.out[s.seq] = true
-	low := s.seq
-	for q := range s.out {
+	member.seq++
+	member.unanswered[member.seq] = true
+	low := member.seq
+	for q := range member.unanswered {
 		low = min(low, q)
 	}
-	batch := b.Batch
-	if p.f.overtake {
-		batch.Low = 0
+	batch := sent.Batch
+	if sim.faults.acceptLateClaims {
+		batch.LowWatermark = 0
 	}
-	c := keep.Command{Kind: keep.Custom, Part: Part, Member: s.name, Epoch: s.epoch, Seq: s.seq, Low: low, Body: pack.Pack(&batch)}
-	if p.f.overtake {
-		c.Low = 0
+	command := keep.Command{Kind: keep.Custom, Part: StateMachineID, Member: member.name, Epoch: member.epoch, Seq: member.seq, Low: low, Body: pack.Pack(&batch)}
+	if sim.faults.acceptLateClaims {
+		command.Low = 0
 	}
-	x := &parcel{s: s, run: s.epoch, cmd: c, sent: b, at: p.now + 2*within, from: p.now}
-	if p.chance.IntN(8) == 0 {
-		x.from += p.chance.Int64N(600 * ms)
+	message := &message{member: member, epoch: member.epoch, command: command, batch: sent, timeoutAt: sim.now + 2*claimTimeout, heldUntil: sim.now}
+	if sim.rng.IntN(8) == 0 {
+		message.heldUntil += sim.rng.Int64N(600 * ms)
 	}
-	p.flying = append(p.flying, x)
+	sim.inFlight = append(sim.inFlight, message)
 }
 
-// carry has commands come: in any order, some twice, some never.
-func (p *planet) carry() {
-	for i := 0; i < len(p.flying); i++ {
-		x := p.flying[i]
-		alive := x.s.epoch == x.run && x.s.flow != nil
+// deliver has commands come: in any order, some twice, some never.
+func (sim *simulation) deliver() {
+	for i := 0; i < len(sim.inFlight); i++ {
+		message := sim.inFlight[i]
+		current := message.member.epoch == message.epoch && message.member.batcher != nil
 		drop := false
-		switch d := p.chance.IntN(100); {
-		case p.now < x.from:
+		switch d := sim.rng.IntN(100); {
+		case sim.now < message.heldUntil:
 		case d < 30:
-			a := p.apply(&x.cmd)
-			if p.chance.IntN(6) > 0 && alive && !x.told { // else the answer is lost
-				x.told = true
-				p.hear(x, a, nil)
+			answer := sim.apply(&message.command)
+			if sim.rng.IntN(6) > 0 && current && !message.answered { // else the answer is lost
+				message.answered = true
+				sim.receive(message, answer, nil)
 			}
-			drop = p.chance.IntN(4) > 0
+			drop = sim.rng.IntN(4) > 0
 		case d < 33:
 			drop = true
 		}
-		if alive && !x.told && p.now >= x.at {
-			x.told = true
-			p.hear(x, keep.Answer{}, keep.ErrUnknown)
+		if current && !message.answered && sim.now >= message.timeoutAt {
+			message.answered = true
+			sim.receive(message, keep.Answer{}, keep.ErrUnknown)
 		}
-		if drop && (x.told || !alive) || p.now > x.at+3000*ms {
-			p.flying = append(p.flying[:i:i], p.flying[i+1:]...)
+		if drop && (message.answered || !current) || sim.now > message.timeoutAt+3000*ms {
+			sim.inFlight = append(sim.inFlight[:i:i], sim.inFlight[i+1:]...)
 			i--
 		}
 	}
 }
 
-func (p *planet) hear(x *parcel, a keep.Answer, err error) {
-	s := x.s
-	do := func() {
-		if s.epoch != x.run || s.flow == nil {
+func (sim *simulation) receive(message *message, answer keep.Answer, err error) {
+	member := message.member
+	handle := func() {
+		if member.epoch != message.epoch || member.batcher == nil {
 			return
 		}
-		var r Results
-		over := err == nil && a.Code == keep.ErrOver
-		if over {
+		var results BatchResult
+		sessionEnded := err == nil && answer.Code == keep.ErrOver
+		if sessionEnded {
 			err = keep.ErrMemberOver
-			s.open = false
+			member.open = false
 		} else if err == nil {
-			if pack.Unpack(a.Body, &r) != nil {
-				err = errShort
+			if pack.Unpack(answer.Body, &results) != nil {
+				err = errResultCount
 			}
 		}
-		delete(s.out, x.cmd.Seq)
-		s.flow.Answered(x.sent, &r, err, over, p.now)
+		delete(member.unanswered, message.command.Seq)
+		member.batcher.HandleResponse(message.batch, &results, err, sessionEnded, sim.now)
 	}
-	if p.now < s.asleep {
-		s.pending = append(s.pending, do)
+	if sim.now < member.stalledUntil {
+		member.pending = append(member.pending, handle)
 		return
 	}
-	do()
+	handle()
 }
 
-// arrive has a transaction come to a member.
-func (p *planet) arrive(s *sailor) {
-	once := p.chance.IntN(4) == 0
-	tag := fmt.Sprint("k", p.chance.IntN(p.keys))
-	if once {
-		tag = fmt.Sprint("o", p.chance.IntN(40))
-	}
-	keepFor := window + stop
-	if once {
-		keepFor = onceIn + stop
-	}
-	t := &trip{s: s, ends: p.now + stop, ask: Ask{
-		Pool: "p", Tariff: "t", Tag: tag, ID: tag, Once: once, Binds: !once, Keep: time.Duration(keepFor) * 102 / 100, Contract: time.Duration(stop),
-		Again: p.chance.IntN(2) == 0,
+// addRequest has a transaction come to a member.
+func (sim *simulation) addRequest(member *simMember) {
+	onceOnly := sim.rng.IntN(4) == 0
+	key := fmt.Sprint("k", sim.rng.IntN(sim.keys))
+	if onceOnly {
+		key = fmt.Sprint("o", sim.rng.IntN(40))
+	}
+	retention := dedupWindow + requestLifetime
+	if onceOnly {
+		retention = onceOnlyWindow + requestLifetime
+	}
+	request := &simRequest{member: member, deadline: sim.now + requestLifetime, request: Request{
+		Pool: "p", Tariff: "t", IdempotencyKey: key, ID: key, OnceOnly: onceOnly, GroupScoped: !onceOnly, Retention: time.Duration(retention) * 102 / 100, ContractTime: time.Duration(requestLifetime),
+		IsRetry: sim.rng.IntN(2) == 0,
 	}}
-	s.trips = append(s.trips, t)
+	member.requests = append(member.requests, request)
 }
 
 // step is what a transaction does next.
-func (p *planet) step(t *trip) {
-	s := t.s
-	if t.over || p.now < t.next {
+func (sim *simulation) step(request *simRequest) {
+	member := request.member
+	if request.finished || sim.now < request.nextStep {
 		return
 	}
-	if t.claim != nil {
-		if !t.claim.gone && p.now > t.since+within {
-			s.flow.Abandon(t.claim)
-			t.claim = nil
-			p.close(t)
+	if request.claim != nil {
+		if !request.claim.settled && sim.now > request.since+claimTimeout {
+			member.batcher.Abandon(request.claim)
+			request.claim = nil
+			sim.finish(request)
 		}
 		return
 	}
-	if t.out > 0 {
+	if request.inFlight > 0 {
 		return
 	}
-	if t.done || p.now > t.ends || !s.open || s.flow.Down(p.now) || t.ran && p.chance.IntN(2) == 0 || p.chance.IntN(30) == 0 {
-		p.close(t)
+	if request.answered || sim.now > request.deadline || !member.open || member.batcher.Unreachable(sim.now) || request.mayHaveRun && sim.rng.IntN(2) == 0 || sim.rng.IntN(30) == 0 {
+		sim.finish(request)
 		return
 	}
-	if t.epoch == 0 && t.bound == nil {
-		e := t.known
-		t.known = nil
-		if e == nil && t.ask.Again {
-			if n, some := p.book.at[t.ask.Key()]; some {
-				x := p.book.entry(&p.book.slots[n])
-				e = &x
+	if request.epoch == 0 && request.decision == nil {
+		entry := request.refusal
+		request.refusal = nil
+		if entry == nil && request.request.IsRetry {
+			if slot, found := sim.sm.slotByKey[request.request.Key()]; found {
+				x := sim.sm.entry(&sim.sm.records[slot])
+				entry = &x
 			}
 		}
-		w := Decide(&t.ask, e, Rules{Waits: true}, time.Duration(p.now-t.since), time.Duration(t.ends-p.now))
-		switch w.Fate {
-		case Go:
-			t.bound = &w
-		case Wait:
-			t.next, t.ask.Again = p.now+int64(w.Pause), true
+		decision := Decide(&request.request, entry, Rules{WaitForHolder: true}, time.Duration(sim.now-request.since), time.Duration(request.deadline-sim.now))
+		switch decision.Action {
+		case ActionSend:
+			request.decision = &decision
+		case ActionWait:
+			request.nextStep, request.request.IsRetry = sim.now+int64(decision.Delay), true
 			return
 		default:
-			p.close(t)
+			sim.finish(request)
 			return
 		}
 	}
-	to := fmt.Sprint("g", p.chance.IntN(3))
-	if t.bound != nil && t.bound.Bound {
-		to = t.bound.Group
+	group := fmt.Sprint("g", sim.rng.IntN(3))
+	if request.decision != nil && request.decision.Bound {
+		group = request.decision.Group
 	}
-	if t.ran {
-		to = t.group
+	if request.mayHaveRun {
+		group = request.group
 	}
-	if t.ask.Once {
-		if t.ran {
-			p.close(t)
+	if request.request.OnceOnly {
+		if request.mayHaveRun {
+			sim.finish(request)
 			return
 		}
-		to = ""
+		group = ""
 	}
-	if t.epoch != 0 && t.group == to {
-		p.push(t)
+	if request.epoch != 0 && request.group == group {
+		sim.sendAttempt(request)
 		return
 	}
-	t.since = p.now
-	t.claim = &Asked{Op: Op{
-		What: claim, Key: func() []byte { k := t.ask.Key(); return k[:] }(), Number: t.number, Group: to, Moves: !t.ran, Once: t.ask.Once, Pool: "p",
-		Tariff: "t", Keep: int64(t.ask.Keep), ID: t.ask.ID,
+	request.since = sim.now
+	request.claim = &PendingClaim{Op: Op{
+		Kind: opClaim, Key: func() []byte { k := request.request.Key(); return k[:] }(), Attempt: request.attempt, Group: group, Movable: !request.mayHaveRun, OnceOnly: request.request.OnceOnly, Pool: "p",
+		Tariff: "t", Retention: int64(request.request.Retention), RequestID: request.request.ID,
 	}}
-	a := t.claim
-	a.Done = func(r Res, err error) {
-		t.claim = nil
+	pending := request.claim
+	pending.Done = func(r Result, err error) {
+		request.claim = nil
 		switch {
 		case err != nil:
-			p.close(t)
-		case r.Code == Granted:
-			t.epoch, t.number, t.group = s.epoch, a.Op.Number, to
-			p.granted++
-			p.push(t)
+			sim.finish(request)
+		case r.Code == CodeGranted:
+			request.epoch, request.attempt, request.group = member.epoch, pending.Op.Attempt, group
+			sim.granted++
+			sim.sendAttempt(request)
 		default:
-			t.bound, t.known = nil, r.Of()
-			if t.known == nil || t.epoch != 0 {
-				p.close(t)
+			request.decision, request.refusal = nil, r.AsEntry()
+			if request.refusal == nil || request.epoch != 0 {
+				sim.finish(request)
 			}
 		}
 	}
-	s.flow.Claim(a)
+	member.batcher.AddClaim(pending)
 }
 
-// push leaves for its group, if its time isn't up, and comes to an end there some time later.
-func (p *planet) push(t *trip) {
-	if p.now > t.ends {
-		p.close(t)
+// sendAttempt leaves for its group, if its time isn't up, and comes to an end there some time later.
+func (sim *simulation) sendAttempt(request *simRequest) {
+	if sim.now > request.deadline {
+		sim.finish(request)
 		return
 	}
-	t.out++
-	at := p.now + p.chance.Int64N(20*ms)
-	end := at + p.chance.Int64N(30*ms)
-	runs := p.chance.IntN(100) < 70
-	lost := p.chance.IntN(4) == 0
-	p.later(at, func() {
+	request.inFlight++
+	arriveAt := sim.now + sim.rng.Int64N(20*ms)
+	endAt := arriveAt + sim.rng.Int64N(30*ms)
+	runs := sim.rng.IntN(100) < 70
+	responseLost := sim.rng.IntN(4) == 0
+	sim.schedule(arriveAt, func() {
 		if runs {
-			p.run(t)
+			sim.execute(request)
 		}
 	})
-	p.later(end, func() {
-		back := func() {
-			t.out--
-			t.ran = t.ran || runs
-			t.done = t.done || runs && !lost
+	sim.schedule(endAt, func() {
+		finish := func() {
+			request.inFlight--
+			request.mayHaveRun = request.mayHaveRun || runs
+			request.answered = request.answered || runs && !responseLost
 		}
-		if p.now < t.s.asleep {
-			t.s.pending = append(t.s.pending, back)
+		if sim.now < request.member.stalledUntil {
+			request.member.pending = append(request.member.pending, finish)
 		} else {
-			back()
+			finish()
 		}
 	})
 }
 
-var todo []struct {
+var timers []struct {
 	at int64
 	f  func()
 }
 
-func (p *planet) later(at int64, f func()) {
-	todo = append(todo, struct {
+func (sim *simulation) schedule(at int64, f func()) {
+	timers = append(timers, struct {
 		at int64
 		f  func()
 	}{at, f})
 }
 
-// run is a push at an upstream of its group.
-func (p *planet) run(t *trip) {
-	tag := t.ask.Tag
-	if first, some := p.known[tag+"/"+t.group]; some && !t.ask.Once && p.now < first+window {
+// execute is a push at an upstream of its group.
+func (sim *simulation) execute(request *simRequest) {
+	key := request.request.IdempotencyKey
+	if first, found := sim.firstRun[key+"/"+request.group]; found && !request.request.OnceOnly && sim.now < first+dedupWindow {
 		return // dropped, and answered
 	}
-	p.known[tag+"/"+t.group] = p.now
-	p.ran++
-	for _, e := range p.effects[tag] {
-		if t.ask.Once && p.now < e.at+onceIn || !t.ask.Once && p.now < e.at+window {
-			p.fail("%s took effect in %q at %d ms and in %q at %d ms", tag, e.group, e.at/ms, t.group, p.now/ms)
+	sim.firstRun[key+"/"+request.group] = sim.now
+	sim.executed++
+	for _, earlier := range sim.effects[key] {
+		if request.request.OnceOnly && sim.now < earlier.at+onceOnlyWindow || !request.request.OnceOnly && sim.now < earlier.at+dedupWindow {
+			sim.fail("%s took effect in %q at %d ms and in %q at %d ms", key, earlier.group, earlier.at/ms, request.group, sim.now/ms)
 		}
 	}
-	p.effects[tag] = append(p.effects[tag], effect{p.now, t.group})
-	if _, some := p.book.at[t.ask.Key()]; !some {
-		p.fail("%s runs in %q, and the ledger holds nothing of it", tag, t.group)
+	sim.effects[key] = append(sim.effects[key], effect{sim.now, request.group})
+	if _, found := sim.sm.slotByKey[request.request.Key()]; !found {
+		sim.fail("%s runs in %q, and the ledger holds nothing of it", key, request.group)
 	}
 }
 
-func (p *planet) close(t *trip) {
-	if t.over || t.out > 0 {
+func (sim *simulation) finish(request *simRequest) {
+	if request.finished || request.inFlight > 0 {
 		return
 	}
-	t.over = true
-	how := EndNever
-	if t.done {
-		how = EndAnswered
-	} else if t.ran {
-		how = EndUnknown
+	request.finished = true
+	outcome := OutcomeNeverRan
+	if request.answered {
+		outcome = OutcomeAnswered
+	} else if request.mayHaveRun {
+		outcome = OutcomeUnknown
 	}
-	if t.epoch != 0 && t.s.open && t.s.epoch == t.epoch {
-		t.s.flow.End(Op{What: end, Key: func() []byte { k := t.ask.Key(); return k[:] }(), Number: t.number, How: how}, p.now)
+	if request.epoch != 0 && request.member.open && request.member.epoch == request.epoch {
+		request.member.batcher.AddRelease(Op{Kind: opRelease, Key: func() []byte { k := request.request.Key(); return k[:] }(), Attempt: request.attempt, Outcome: outcome}, sim.now)
 	}
 }
 
-// tick passes some time.
-func (p *planet) tick(calm bool) {
-	p.now += p.chance.Int64N(4 * ms)
-	for i := 0; i < len(todo); i++ {
-		if todo[i].at <= p.now {
-			f := todo[i].f
-			todo = append(todo[:i:i], todo[i+1:]...)
+// advance passes some time.
+func (sim *simulation) advance(calm bool) {
+	sim.now += sim.rng.Int64N(4 * ms)
+	for i := 0; i < len(timers); i++ {
+		if timers[i].at <= sim.now {
+			f := timers[i].f
+			timers = append(timers[:i:i], timers[i+1:]...)
 			i--
 			f()
 		}
 	}
-	if body := p.book.Due(p.now - p.passed); body != nil {
-		p.passed = p.now
-		p.apply(&keep.Command{Kind: keep.Custom, Part: Part, Body: body})
-		if p.f.early {
-			p.apply(&keep.Command{Kind: keep.Custom, Part: Part, Body: body})
-			p.apply(&keep.Command{Kind: keep.Custom, Part: Part, Body: body})
+	if body := sim.sm.Due(sim.now - sim.clockReportedAt); body != nil {
+		sim.clockReportedAt = sim.now
+		sim.apply(&keep.Command{Kind: keep.Custom, Part: StateMachineID, Body: body})
+		if sim.faults.fastClock {
+			sim.apply(&keep.Command{Kind: keep.Custom, Part: StateMachineID, Body: body})
+			sim.apply(&keep.Command{Kind: keep.Custom, Part: StateMachineID, Body: body})
 		}
 	}
-	p.carry()
-	for _, s := range p.members {
-		if p.now < s.asleep {
+	sim.deliver()
+	for _, member := range sim.members {
+		if sim.now < member.stalledUntil {
 			continue
 		}
-		for len(s.pending) > 0 {
-			f := s.pending[0]
-			s.pending = s.pending[1:]
+		for len(member.pending) > 0 {
+			f := member.pending[0]
+			member.pending = member.pending[1:]
 			f()
 		}
-		for _, t := range s.trips {
-			p.step(t)
+		for _, request := range member.requests {
+			sim.step(request)
 		}
-		if s.flow.Probe(p.now) {
-			s.flow.Probed(p.chance.IntN(3) > 0 || calm)
+		if member.batcher.BeginProbe(sim.now) {
+			member.batcher.EndProbe(sim.rng.IntN(3) > 0 || calm)
 		}
-		p.send(s)
-		if !s.open {
-			p.begin(s) // it goes on as another run; what it had in hand is over
+		sim.send(member)
+		if !member.open {
+			sim.startMember(member) // it goes on as another run; what it had in hand is over
 		}
 	}
 	if calm {
 		return
 	}
-	s := p.members[p.chance.IntN(len(p.members))]
-	switch d := p.chance.IntN(400); {
-	case d < 60 && p.now >= s.asleep && len(s.trips) < 500:
-		p.arrive(s)
+	member := sim.members[sim.rng.IntN(len(sim.members))]
+	switch d := sim.rng.IntN(400); {
+	case d < 60 && sim.now >= member.stalledUntil && len(member.requests) < 500:
+		sim.addRequest(member)
 	case d < 62:
-		p.begin(s) // killed and started again: the old run is ended by the new one
+		sim.startMember(member) // killed and started again: the old run is ended by the new one
 	case d < 65:
-		s.asleep = p.now + p.chance.Int64N(500*ms)
+		member.stalledUntil = sim.now + sim.rng.Int64N(500*ms)
 	case d < 70:
-		if p.f.forgets {
-			for h, k := range p.book.held {
-				if p.book.names[h.member] == s.name && h.epoch == s.epoch {
-					p.book.ended(p.book.at[k], EndNever)
+		if sim.faults.freeLostClaims {
+			for holder, key := range sim.sm.openClaims {
+				if sim.sm.names[holder.member] == member.name && holder.epoch == member.epoch {
+					sim.sm.release(sim.sm.slotByKey[key], OutcomeNeverRan)
 				}
 			}
 		}
-		p.state.Apply(p.index+1, pack.Pack(&keep.Command{Kind: keep.End, Other: s.name, Number: s.epoch, Token: p.state.Duties[keep.Sessions].Token, Member: "owner"}))
-		p.index++
+		sim.state.Apply(sim.index+1, pack.Pack(&keep.Command{Kind: keep.End, Other: member.name, Number: member.epoch, Token: sim.state.Duties[keep.Sessions].Token, Member: "owner"}))
+		sim.index++
 	case d < 72:
-		p.passed = p.now // another leads, and counts from now on
+		sim.clockReportedAt = sim.now // another leads, and counts from now on
 	case d < 74:
-		raw, sum := p.book.Save(), p.book.sum
-		if err := p.book.Load(raw); err != nil || p.book.sum != sum || string(p.book.Save()) != string(raw) {
-			p.fail("a snapshot is not what was saved: %v", err)
+		raw, checksum := sim.sm.Save(), sim.sm.checksum
+		if err := sim.sm.Load(raw); err != nil || sim.sm.checksum != checksum || string(sim.sm.Save()) != string(raw) {
+			sim.fail("a snapshot is not what was saved: %v", err)
 		}
 	}
 }
 
-func voyage(seed uint64, f faults) *planet {
-	todo = nil
-	p := &planet{chance: rand.New(rand.NewPCG(seed, 41)), effects: map[string][]effect{}, known: map[string]int64{}, f: f}
-	p.keys = 3 + p.chance.IntN(60)
-	p.book = NewBook(Guards{Fence: !f.fence}, 1)
-	p.state = keep.NewState("c", nil, map[byte]keep.Part{Part: p.book}, keep.Guards{Fence: !f.fence, Once: true})
-	p.state.Duties[keep.Sessions] = &keep.Duty{Name: keep.Sessions, Token: 1, Owner: "owner", Epoch: 1}
+func runSchedule(seed uint64, faults injectedFaults) *simulation {
+	timers = nil
+	sim := &simulation{rng: rand.New(rand.NewPCG(seed, 41)), effects: map[string][]effect{}, firstRun: map[string]int64{}, faults: faults}
+	sim.keys = 3 + sim.rng.IntN(60)
+	sim.sm = NewStateMachine(Guards{Fence: !faults.noFence}, 1)
+	sim.state = keep.NewState("c", nil, map[byte]keep.Part{StateMachineID: sim.sm}, keep.Guards{Fence: !faults.noFence, Once: true})
+	sim.state.Duties[keep.Sessions] = &keep.Duty{Name: keep.Sessions, Token: 1, Owner: "owner", Epoch: 1}
 	for i := range 3 {
-		s := &sailor{name: fmt.Sprint("m", i)}
-		p.members = append(p.members, s)
-		p.begin(s)
+		member := &simMember{name: fmt.Sprint("m", i)}
+		sim.members = append(sim.members, member)
+		sim.startMember(member)
 	}
-	for range 600 + p.chance.IntN(600) {
-		if p.tick(false); p.wrong != "" {
-			return p
+	for range 600 + sim.rng.IntN(600) {
+		if sim.advance(false); sim.failure != "" {
+			return sim
 		}
 	}
 	// All goes well from here on: nothing stays open for good, and all is forgotten in its time.
 	for range 900 {
-		if p.tick(true); p.wrong != "" {
-			return p
+		if sim.advance(true); sim.failure != "" {
+			return sim
 		}
 	}
-	for h, k := range p.book.held {
-		p.fail("%s is held by %s, epoch %d, number %d, and nobody will end it", k, p.book.names[h.member], h.epoch, h.number)
+	for holder, key := range sim.sm.openClaims {
+		sim.fail("%s is held by %s, epoch %d, number %d, and nobody will end it", key, sim.sm.names[holder.member], holder.epoch, holder.number)
 	}
 	for i := 0; i < 60; i++ {
-		p.apply(&keep.Command{Kind: keep.Custom, Part: Part, Body: pack.Pack(&Batch{Pass: second})})
+		sim.apply(&keep.Command{Kind: keep.Custom, Part: StateMachineID, Body: pack.Pack(&Batch{Elapsed: second})})
 	}
-	if len(p.book.at) > 0 || p.book.sum != 0 || len(p.book.due) > 1 {
-		p.fail("%d keys are remembered for good, sum %x", len(p.book.at), p.book.sum)
+	if len(sim.sm.slotByKey) > 0 || sim.sm.checksum != 0 || len(sim.sm.expiryBuckets) > 1 {
+		sim.fail("%d keys are remembered for good, sum %x", len(sim.sm.slotByKey), sim.sm.checksum)
 	}
-	return p
+	return sim
 }
 
 func schedules(usual int) int {
 	if n, err := strconv.Atoi(os.Getenv("OTTERSHIFT_SCHEDULES")); err == nil {
 		return n
 	}
-	return usual / slower
+	return usual / raceDivisor
 }
 
 // Whatever is lost, late, doubled, stopped or ended: no effect in two groups, nothing once-only twice, nothing that ran is denied,
 // nothing stays open.
 func TestSchedules(t *testing.T) {
-	granted, ran, n := 0, 0, schedules(400)
+	granted, executed, n := 0, 0, schedules(400)
 	for seed := range uint64(n) {
-		p := voyage(seed, faults{})
-		if p.wrong != "" {
-			t.Fatalf("seed %d: %s", seed, p.wrong)
+		sim := runSchedule(seed, injectedFaults{})
+		if sim.failure != "" {
+			t.Fatalf("seed %d: %s", seed, sim.failure)
 		}
-		granted, ran = granted+p.granted, ran+p.ran
+		granted, executed = granted+sim.granted, executed+sim.executed
 	}
-	t.Logf("%d schedules: %d claims granted and %d effects in each", n, granted/n, ran/n)
-	if granted/n < 15 || ran/n < 8 {
+	t.Logf("%d schedules: %d claims granted and %d effects in each", n, granted/n, executed/n)
+	if granted/n < 15 || executed/n < 8 {
 		t.Error("the schedules do too little to prove anything")
 	}
 }
 
 // What is planted is found.
-func TestSchedulesFind(t *testing.T) {
-	for _, c := range []struct {
+func TestSchedulesDetectInjectedFaults(t *testing.T) {
+	for _, variant := range []struct {
 		name string
-		f    faults
-	}{{"no fence", faults{fence: true}}, {"a lost run's claims freed", faults{forgets: true}}, {"claims that come late", faults{overtake: true}}, {"time that runs too fast", faults{early: true}}} {
-		found, first, what := 0, -1, ""
-		for seed := range uint64(200 / slower) {
-			if p := voyage(seed, c.f); p.wrong != "" {
+		f    injectedFaults
+	}{{"no fence", injectedFaults{noFence: true}}, {"a lost run's claims freed", injectedFaults{freeLostClaims: true}}, {"claims that come late", injectedFaults{acceptLateClaims: true}}, {"time that runs too fast", injectedFaults{fastClock: true}}} {
+		found, first, failure := 0, -1, ""
+		for seed := range uint64(200 / raceDivisor) {
+			if sim := runSchedule(seed, variant.f); sim.failure != "" {
 				if found++; first < 0 {
-					first, what = int(seed), p.wrong
+					first, failure = int(seed), sim.failure
 				}
 			}
 		}
-		t.Logf("%s: found in %d of %d schedules, first in %d: %s", c.name, found, 200/slower, first, what)
-		if found == 0 && slower == 1 {
-			t.Errorf("%s is never found", c.name)
+		t.Logf("%s: found in %d of %d schedules, first in %d: %s", variant.name, found, 200/raceDivisor, first, failure)
+		if found == 0 && raceDivisor == 1 {
+			t.Errorf("%s is never found", variant.name)
 		}
 	}
 }
--- a/internal/cluster/owner/core_test.go
+++ b/internal/cluster/owner/core_test.go
@@ -9,365 +9,365 @@
 	"time"
 )
 
-// keeperState is what the keepers hold of one duty; they are one place here, their own schedules are tested there.
-type keeperState struct {
-	Held
-	renewed int64 // by the keepers' clock
-	ended   bool  // its owner's session is over: it can't renew, and nobody else has it before the lease is over
+// storedDuty is what the keepers hold of one duty; they are one place here, their own schedules are tested there.
+type storedDuty struct {
+	DutyState
+	renewedAt    int64 // by the keepers' clock
+	sessionEnded bool  // its owner's session is over: it can't renew, and nobody else has it before the lease is over
 }
 
-// actor is a member with a clock of its own.
-type actor struct {
-	w       *world
-	n       int
+// simMember is a member with a clock of its own.
+type simMember struct {
+	sim     *simulation
+	id      int
 	core    *Core
 	clock   int64
 	speed   float64 // of its clock
 	stopped bool
 	epoch   uint64
 	acting  map[string]uint64 // tokens, by its own belief
-	todo    []func()
+	inbox   []func()
 }
 
-// world plays members against each other: answers come late or never, clocks run at different speeds, members are stopped and
+// simulation plays members against each other: answers come late or never, clocks run at different speeds, members are stopped and
 // go on, are ended by the keepers and come back.
-type world struct {
-	chance  *rand.Rand
-	now     int64
-	t       Terms
-	drift   float64
-	all     []*actor
-	duties  map[string]*keeperState
-	names   []string
-	last    uint64
-	fences  map[string]uint64 // at whoever is acted on
-	fenced  bool
-	calm    bool // no answer is lost any more
-	wrong   string
-	acts    int
-	refused int
+type simulation struct {
+	rng       *rand.Rand
+	now       int64
+	timing    Timing
+	drift     float64
+	members   []*simMember
+	duties    map[string]*storedDuty
+	names     []string
+	lastToken uint64
+	fences    map[string]uint64 // at whoever is acted on
+	fenced    bool
+	calm      bool // no answer is lost any more
+	failure   string
+	acts      int
+	refused   int
 }
 
-func (w *world) fail(text string, values ...any) {
-	if w.wrong == "" {
-		w.wrong = fmt.Sprintf(text, values...)
+func (sim *simulation) fail(text string, values ...any) {
+	if sim.failure == "" {
+		sim.failure = fmt.Sprintf(text, values...)
 	}
 }
 
-// later has an answer come to a member that is not stopped then, most often.
-func (a *actor) later(f func()) {
-	if a.w.calm || a.w.chance.IntN(10) > 0 {
-		a.todo = append(a.todo, f)
+// enqueue has an answer come to a member that is not stopped then, most often.
+func (member *simMember) enqueue(f func()) {
+	if member.sim.calm || member.sim.rng.IntN(10) > 0 {
+		member.inbox = append(member.inbox, f)
 	}
 }
 
-func (a *actor) Take(duty string) {
-	asked, epoch := a.clock, a.epoch
-	a.later(func() { // at the keepers
-		d := a.w.duties[duty]
-		if d.Owner != "" || epoch != a.epoch {
+func (member *simMember) Acquire(duty string) {
+	requestedAt, epoch := member.clock, member.epoch
+	member.enqueue(func() { // at the keepers
+		d := member.sim.duties[duty]
+		if d.Owner != "" || epoch != member.epoch {
 			return
 		}
-		a.w.last++
-		d.Held = Held{a.w.last, fmt.Sprint("m", a.n), epoch}
-		d.renewed, d.ended = a.w.now, false
-		token := a.w.last
-		a.later(func() {
-			if epoch == a.epoch {
-				a.core.Taken(asked, a.clock, duty, token)
+		member.sim.lastToken++
+		d.DutyState = DutyState{member.sim.lastToken, fmt.Sprint("m", member.id), epoch}
+		d.renewedAt, d.sessionEnded = member.sim.now, false
+		token := member.sim.lastToken
+		member.enqueue(func() {
+			if epoch == member.epoch {
+				member.core.HandleAcquired(requestedAt, member.clock, duty, token)
 			}
 		})
 	})
 }
 
-func (a *actor) Renew(tokens map[string]uint64) {
-	asked, epoch := a.clock, a.epoch
-	a.later(func() {
-		stand := map[string]uint64{}
+func (member *simMember) Renew(tokens map[string]uint64) {
+	requestedAt, epoch := member.clock, member.epoch
+	member.enqueue(func() {
+		renewed := map[string]uint64{}
 		for duty, token := range tokens {
-			if d := a.w.duties[duty]; !d.ended && d.Token == token && d.Epoch == epoch && d.Owner == fmt.Sprint("m", a.n) {
-				d.renewed, stand[duty] = a.w.now, token
+			if d := member.sim.duties[duty]; !d.sessionEnded && d.Token == token && d.Epoch == epoch && d.Owner == fmt.Sprint("m", member.id) {
+				d.renewedAt, renewed[duty] = member.sim.now, token
 			}
 		}
-		a.later(func() {
-			if epoch == a.epoch {
-				a.core.Renewed(asked, a.clock, stand)
+		member.enqueue(func() {
+			if epoch == member.epoch {
+				member.core.HandleRenewed(requestedAt, member.clock, renewed)
 			}
 		})
 	})
 }
 
-func (a *actor) Give(duty string, token uint64, to string) {
-	a.later(func() {
-		if d := a.w.duties[duty]; d.Token == token && d.Owner != "" {
-			d.Held = Held{Token: token}
+func (member *simMember) Release(duty string, token uint64, to string) {
+	member.enqueue(func() {
+		if d := member.sim.duties[duty]; d.Token == token && d.Owner != "" {
+			d.DutyState = DutyState{Token: token}
 		}
 	})
 }
 
-func (a *actor) Begin(t Tenure) { a.acting[t.Duty] = t.Token }
-func (a *actor) End(t Tenure)   { delete(a.acting, t.Duty) }
+func (member *simMember) BeginWork(lease Lease) { member.acting[lease.Duty] = lease.Token }
+func (member *simMember) EndWork(lease Lease)   { delete(member.acting, lease.Duty) }
 
-func (w *world) step() {
-	passed := w.chance.Int64N(int64(30 * time.Millisecond))
-	w.now += passed
-	for _, a := range w.all {
-		a.clock += int64(float64(passed) * a.speed)
+func (sim *simulation) step() {
+	elapsed := sim.rng.Int64N(int64(30 * time.Millisecond))
+	sim.now += elapsed
+	for _, member := range sim.members {
+		member.clock += int64(float64(elapsed) * member.speed)
 	}
-	a := w.all[w.chance.IntN(len(w.all))]
-	switch p := w.chance.IntN(40); {
+	member := sim.members[sim.rng.IntN(len(sim.members))]
+	switch p := sim.rng.IntN(40); {
 	case p < 14:
-		if !a.stopped {
-			a.core.Tick(a.clock)
+		if !member.stopped {
+			member.core.Tick(member.clock)
 		}
 	case p < 26:
-		if len(a.todo) > 0 && !a.stopped {
+		if len(member.inbox) > 0 && !member.stopped {
 			i := 0
-			if w.chance.IntN(5) == 0 {
-				i = w.chance.IntN(len(a.todo))
+			if sim.rng.IntN(5) == 0 {
+				i = sim.rng.IntN(len(member.inbox))
 			}
-			f := a.todo[i]
-			a.todo = append(a.todo[:i:i], a.todo[i+1:]...)
+			f := member.inbox[i]
+			member.inbox = append(member.inbox[:i:i], member.inbox[i+1:]...)
 			f()
 		}
 	case p < 30:
-		held, epoch := map[string]Held{}, a.epoch
-		for name, d := range w.duties {
-			held[name] = d.Held
+		states, epoch := map[string]DutyState{}, member.epoch
+		for name, d := range sim.duties {
+			states[name] = d.DutyState
 		}
-		a.later(func() {
-			if epoch == a.epoch {
-				a.core.Held(a.clock, held)
+		member.enqueue(func() {
+			if epoch == member.epoch {
+				member.core.ObserveStates(member.clock, states)
 			}
 		})
 	case p < 36:
-		w.act(a)
+		sim.act(member)
 	case p < 37:
-		a.stopped = !a.stopped
+		member.stopped = !member.stopped
 	case p < 38: // the keepers end its session, and it opens another when it hears of that
-		if w.chance.IntN(4) == 0 {
-			for _, d := range w.duties {
-				if d.Owner == fmt.Sprint("m", a.n) && d.Epoch == a.epoch {
-					d.ended = true
+		if sim.rng.IntN(4) == 0 {
+			for _, d := range sim.duties {
+				if d.Owner == fmt.Sprint("m", member.id) && d.Epoch == member.epoch {
+					d.sessionEnded = true
 				}
 			}
-			epoch := a.epoch + 1
-			a.todo = append(a.todo, func() { a.epoch = max(a.epoch, epoch); a.core.Session(a.epoch) })
+			epoch := member.epoch + 1
+			member.inbox = append(member.inbox, func() { member.epoch = max(member.epoch, epoch); member.core.SetSession(member.epoch) })
 		}
 	default:
 		var members []Member
-		for n := range w.all {
+		for n := range sim.members {
 			members = append(members, Member{Name: fmt.Sprint("m", n)})
 		}
-		a.core.Members(members, w.chance.IntN(6) > 0)
+		member.core.SetMembers(members, sim.rng.IntN(6) > 0)
 	}
 	// The keepers end what was not renewed for a lease, by their own clock.
-	for _, d := range w.duties {
-		if d.Owner != "" && w.now-d.renewed > int64(float64(w.t.Lease)/(1-w.drift)*(1+w.drift)) {
-			d.Held = Held{Token: d.Token}
+	for _, d := range sim.duties {
+		if d.Owner != "" && sim.now-d.renewedAt > int64(float64(sim.timing.Lease)/(1-sim.drift)*(1+sim.drift)) {
+			d.DutyState = DutyState{Token: d.Token}
 		}
 	}
-	w.check()
+	sim.check()
 }
 
 // act is one member's act on a duty: it asks whether it may, is perhaps held up, and acts under its token.
-func (w *world) act(a *actor) {
-	name := w.names[w.chance.IntN(len(w.names))]
-	token, may := a.core.May(a.clock, name)
+func (sim *simulation) act(member *simMember) {
+	name := sim.names[sim.rng.IntN(len(sim.names))]
+	token, may := member.core.MayAct(member.clock, name)
 	if !may {
 		return
 	}
-	do := func() {
-		w.acts++
-		if token < w.fences[name] && w.fenced {
-			w.refused++
+	perform := func() {
+		sim.acts++
+		if token < sim.fences[name] && sim.fenced {
+			sim.refused++
 			return
 		}
-		if token < w.fences[name] {
-			w.fail("m%d acted on %s by token %d after %d", a.n, name, token, w.fences[name])
+		if token < sim.fences[name] {
+			sim.fail("m%d acted on %s by token %d after %d", member.id, name, token, sim.fences[name])
 		}
-		w.fences[name] = max(w.fences[name], token)
+		sim.fences[name] = max(sim.fences[name], token)
 	}
-	if w.chance.IntN(4) == 0 {
-		a.todo = append(a.todo, do) // in the middle of the act it is held up
+	if sim.rng.IntN(4) == 0 {
+		member.inbox = append(member.inbox, perform) // in the middle of the act it is held up
 		return
 	}
-	do()
+	perform()
 }
 
 // check: no two members may act on one duty by what they know at one instant.
-func (w *world) check() {
-	for _, name := range w.names {
-		who := -1
-		for _, a := range w.all {
-			if _, may := a.core.May(a.clock, name); may {
-				if who >= 0 {
-					w.fail("m%d and m%d may both act on %s", who, a.n, name)
+func (sim *simulation) check() {
+	for _, name := range sim.names {
+		acting := -1
+		for _, member := range sim.members {
+			if _, may := member.core.MayAct(member.clock, name); may {
+				if acting >= 0 {
+					sim.fail("m%d and m%d may both act on %s", acting, member.id, name)
 				}
-				who = a.n
+				acting = member.id
 			}
 		}
 	}
 }
 
-func play(seed uint64, fenced bool) *world {
-	w := &world{
-		chance: rand.New(rand.NewPCG(seed, 8)), t: TermsOf(time.Second), drift: 0.05, duties: map[string]*keeperState{}, fences: map[string]uint64{}, fenced: fenced,
+func runSchedule(seed uint64, fenced bool) *simulation {
+	sim := &simulation{
+		rng: rand.New(rand.NewPCG(seed, 8)), timing: TimingFor(time.Second), drift: 0.05, duties: map[string]*storedDuty{}, fences: map[string]uint64{}, fenced: fenced,
 	}
-	for n := range 1 + w.chance.IntN(4) {
+	for n := range 1 + sim.rng.IntN(4) {
 		name := fmt.Sprint("d", n)
-		w.names = append(w.names, name)
-		w.duties[name] = &keeperState{}
+		sim.names = append(sim.names, name)
+		sim.duties[name] = &storedDuty{}
 	}
 	var members []Member
-	for n := range 2 + w.chance.IntN(4) {
-		a := &actor{w: w, n: n, epoch: 1, acting: map[string]uint64{}, speed: 1 + (w.chance.Float64()*2-1)*w.drift}
-		a.core = NewCore(fmt.Sprint("m", n), w.t, seed+uint64(n), a)
-		a.core.Fenced = fenced
-		for _, name := range w.names {
-			a.core.Want(name)
+	for n := range 2 + sim.rng.IntN(4) {
+		member := &simMember{sim: sim, id: n, epoch: 1, acting: map[string]uint64{}, speed: 1 + (sim.rng.Float64()*2-1)*sim.drift}
+		member.core = NewCore(fmt.Sprint("m", n), sim.timing, seed+uint64(n), member)
+		member.core.EnforceExpiry = fenced
+		for _, name := range sim.names {
+			member.core.AddDuty(name)
 		}
-		a.core.Session(1)
-		w.all = append(w.all, a)
+		member.core.SetSession(1)
+		sim.members = append(sim.members, member)
 		members = append(members, Member{Name: fmt.Sprint("m", n)})
 	}
-	for _, a := range w.all {
-		a.core.Members(members, true)
+	for _, member := range sim.members {
+		member.core.SetMembers(members, true)
 	}
 	for range 400 {
-		if w.step(); w.wrong != "" {
-			return w
+		if sim.step(); sim.failure != "" {
+			return sim
 		}
 	}
 	// All is well again: soon each duty has an owner that acts.
-	w.calm = true
-	owned := map[string]int64{}
+	sim.calm = true
+	lastOwned := map[string]int64{}
 	for range 600 {
-		w.now += int64(25 * time.Millisecond)
-		for _, a := range w.all {
-			a.stopped = false
-			a.clock += int64(float64(25*time.Millisecond) * a.speed)
-			a.core.Members(members, true)
-			held := map[string]Held{}
-			for name, d := range w.duties {
-				held[name] = d.Held
+		sim.now += int64(25 * time.Millisecond)
+		for _, member := range sim.members {
+			member.stopped = false
+			member.clock += int64(float64(25*time.Millisecond) * member.speed)
+			member.core.SetMembers(members, true)
+			states := map[string]DutyState{}
+			for name, d := range sim.duties {
+				states[name] = d.DutyState
 			}
-			a.core.Held(a.clock, held)
-			a.core.Tick(a.clock)
-			todo := a.todo
-			a.todo = nil
-			for _, f := range todo {
+			member.core.ObserveStates(member.clock, states)
+			member.core.Tick(member.clock)
+			inbox := member.inbox
+			member.inbox = nil
+			for _, f := range inbox {
 				f()
 			}
 		}
-		for _, d := range w.duties {
-			if d.Owner != "" && w.now-d.renewed > int64(float64(w.t.Lease)/(1-w.drift)*(1+w.drift)) {
-				d.Held = Held{Token: d.Token}
+		for _, d := range sim.duties {
+			if d.Owner != "" && sim.now-d.renewedAt > int64(float64(sim.timing.Lease)/(1-sim.drift)*(1+sim.drift)) {
+				d.DutyState = DutyState{Token: d.Token}
 			}
 		}
-		if w.check(); w.wrong != "" {
-			return w
+		if sim.check(); sim.failure != "" {
+			return sim
 		}
-		for _, name := range w.names {
-			for _, a := range w.all {
-				if _, may := a.core.May(a.clock, name); may {
-					owned[name] = w.now
+		for _, name := range sim.names {
+			for _, member := range sim.members {
+				if _, may := member.core.MayAct(member.clock, name); may {
+					lastOwned[name] = sim.now
 				}
 			}
 		}
 	}
-	for _, name := range w.names { // one that is handed over has none for a moment
-		if w.now-owned[name] > int64(time.Second) {
-			w.fail("%s has no owner at the end", name)
+	for _, name := range sim.names { // one that is handed over has none for a moment
+		if sim.now-lastOwned[name] > int64(time.Second) {
+			sim.fail("%s has no owner at the end", name)
 		}
 	}
-	return w
+	return sim
 }
 
 func schedules(usual int) int {
 	if n, err := strconv.Atoi(os.Getenv("OTTERSHIFT_SCHEDULES")); err == nil {
 		return n
 	}
-	return usual / slower
+	return usual / raceDivisor
 }
 
 func TestSchedules(t *testing.T) {
 	acts, refused := 0, 0
 	for seed := range uint64(schedules(500)) {
-		w := play(seed, true)
-		if w.wrong != "" {
-			t.Fatalf("seed %d: %s", seed, w.wrong)
+		sim := runSchedule(seed, true)
+		if sim.failure != "" {
+			t.Fatalf("seed %d: %s", seed, sim.failure)
 		}
-		acts, refused = acts+w.acts, refused+w.refused
+		acts, refused = acts+sim.acts, refused+sim.refused
 	}
 	t.Logf("%d acts, %d of old owners refused", acts, refused)
-	if refused == 0 && slower == 1 {
+	if refused == 0 && raceDivisor == 1 {
 		t.Error("no old owner ever acted: the fence is not tested")
 	}
 }
 
-func TestSchedulesConvict(t *testing.T) {
+func TestSchedulesDetectMissingFence(t *testing.T) {
 	found := 0
-	for seed := range uint64(200 / slower) {
-		if play(seed, false).wrong != "" {
+	for seed := range uint64(200 / raceDivisor) {
+		if runSchedule(seed, false).failure != "" {
 			found++
 		}
 	}
 	t.Logf("without leases and fence: %d of 200 schedules are convicted", found)
-	if found < 20/slower {
+	if found < 20/raceDivisor {
 		t.Error("a missing fence is hardly ever found")
 	}
 }
 
 // A thousand duties spread over five members, and stay where they are while nothing changes.
 func TestManyDuties(t *testing.T) {
-	w := &world{chance: rand.New(rand.NewPCG(1, 1)), t: TermsOf(time.Second), drift: 0.01, duties: map[string]*keeperState{}, fences: map[string]uint64{}, fenced: true}
+	sim := &simulation{rng: rand.New(rand.NewPCG(1, 1)), timing: TimingFor(time.Second), drift: 0.01, duties: map[string]*storedDuty{}, fences: map[string]uint64{}, fenced: true}
 	for n := range 1000 {
-		w.names = append(w.names, fmt.Sprint("d", n))
-		w.duties[w.names[n]] = &keeperState{}
+		sim.names = append(sim.names, fmt.Sprint("d", n))
+		sim.duties[sim.names[n]] = &storedDuty{}
 	}
 	var members []Member
 	for n := range 5 {
-		a := &actor{w: w, n: n, epoch: 1, acting: map[string]uint64{}, speed: 1}
-		a.core = NewCore(fmt.Sprint("m", n), w.t, uint64(n), a)
-		for _, name := range w.names {
-			a.core.Want(name)
+		member := &simMember{sim: sim, id: n, epoch: 1, acting: map[string]uint64{}, speed: 1}
+		member.core = NewCore(fmt.Sprint("m", n), sim.timing, uint64(n), member)
+		for _, name := range sim.names {
+			member.core.AddDuty(name)
 		}
-		a.core.Session(1)
-		w.all, members = append(w.all, a), append(members, Member{Name: fmt.Sprint("m", n)})
+		member.core.SetSession(1)
+		sim.members, members = append(sim.members, member), append(members, Member{Name: fmt.Sprint("m", n)})
 	}
-	turn := func(seconds int) {
+	runFor := func(seconds int) {
 		for range seconds * 20 {
-			w.now += int64(50 * time.Millisecond)
-			for _, a := range w.all {
-				a.clock = w.now
-				a.core.Members(members, true)
-				held := map[string]Held{}
-				for name, d := range w.duties {
-					held[name] = d.Held
+			sim.now += int64(50 * time.Millisecond)
+			for _, member := range sim.members {
+				member.clock = sim.now
+				member.core.SetMembers(members, true)
+				states := map[string]DutyState{}
+				for name, d := range sim.duties {
+					states[name] = d.DutyState
 				}
-				a.core.Held(a.clock, held)
-				a.core.Tick(a.clock)
+				member.core.ObserveStates(member.clock, states)
+				member.core.Tick(member.clock)
 				for range 2 {
-					todo := a.todo
-					a.todo = nil
-					for _, f := range todo {
+					inbox := member.inbox
+					member.inbox = nil
+					for _, f := range inbox {
 						f()
 					}
 				}
 			}
 		}
 	}
-	turn(10)
-	w.calm = true
-	before := w.last
-	turn(3)
-	for _, a := range w.all {
-		if n := len(a.acting); n < 150 || n > 250 {
-			t.Errorf("m%d has %d of 1,000 duties", a.n, n)
+	runFor(10)
+	sim.calm = true
+	before := sim.lastToken
+	runFor(3)
+	for _, member := range sim.members {
+		if n := len(member.acting); n < 150 || n > 250 {
+			t.Errorf("m%d has %d of 1,000 duties", member.id, n)
 		}
 	}
-	if moved := w.last - before; moved > 20 {
+	if moved := sim.lastToken - before; moved > 20 {
 		t.Errorf("%d duties changed hands while nothing changed", moved)
 	}
 }
--- a/internal/cluster/owner/norace_test.go
+++ b/internal/cluster/owner/norace_test.go
@@ -2,4 +2,4 @@
 
 package owner
 
-const slower = 1
+const raceDivisor = 1
--- a/internal/cluster/owner/owners.go
+++ b/internal/cluster/owner/owners.go
@@ -16,14 +16,14 @@
 //	... before each act: if token, ok := owners.May("sweep/album"); ok { act(token) }
 //	... at whoever is acted on: if !fence.Pass("sweep/album", token) { refuse }
 type Work interface {
-	Begin(t Tenure)
-	End(t Tenure)
+	Begin(t Lease)
+	End(t Lease)
 }
 
-// Keepers is what the runner needs of them.
-type Keepers interface {
+// LeaseStore is what the runner needs of them.
+type LeaseStore interface {
 	Session() (epoch uint64, ok bool)
-	Held(ctx context.Context) (map[string]Held, error)
+	Held(ctx context.Context) (map[string]DutyState, error)
 	Take(ctx context.Context, duty string) (token uint64, taken bool, err error)
 	Give(ctx context.Context, duty string, token uint64, to string) error
 	Renew(ctx context.Context, tokens map[string]uint64) (map[string]uint64, error)
@@ -32,238 +32,238 @@
 // Options say how a member takes part in duties.
 type Options struct {
 	Self    string
-	Terms   Terms
+	Terms   Timing
 	Seed    uint64
-	Keepers Keepers
+	Store   LeaseStore
 	Members func() (all []Member, willing bool)
 	Fenced  bool
 	Log     *slog.Logger
 }
 
-// Owners runs the core of one member.
-type Owners struct {
-	o     Options
-	start time.Time
-	ctx   context.Context
-	end   context.CancelFunc
-	all   sync.WaitGroup
+// Manager runs the core of one member.
+type Manager struct {
+	options    Options
+	startedAt  time.Time
+	ctx        context.Context
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
 
-	mu       sync.Mutex
-	core     *Core
-	work     map[string]Work
-	todo     []func()
-	kick     chan struct{}
-	reading  bool
-	renewing bool
-	Fence    Fence // of what this member is acted on
+	mu        sync.Mutex
+	core      *Core
+	work      map[string]Work
+	callbacks []func()
+	wakeups   chan struct{}
+	reading   bool
+	renewing  bool
+	Fence     Fence // of what this member is acted on
 }
 
-// Begin takes part.
-func Begin(o Options) *Owners {
-	w := &Owners{o: o, start: time.Now(), work: map[string]Work{}, kick: make(chan struct{}, 1)}
-	w.ctx, w.end = context.WithCancel(context.Background())
-	w.core = NewCore(o.Self, o.Terms, o.Seed, (*does)(w))
-	w.core.Fenced, w.Fence.Open = o.Fenced, !o.Fenced
-	w.all.Go(w.run)
-	return w
+// Start takes part.
+func Start(options Options) *Manager {
+	mgr := &Manager{options: options, startedAt: time.Now(), work: map[string]Work{}, wakeups: make(chan struct{}, 1)}
+	mgr.ctx, mgr.cancel = context.WithCancel(context.Background())
+	mgr.core = NewCore(options.Self, options.Terms, options.Seed, (*runnerActions)(mgr))
+	mgr.core.EnforceExpiry, mgr.Fence.Disabled = options.Fenced, !options.Fenced
+	mgr.goroutines.Go(mgr.run)
+	return mgr
 }
 
-func (w *Owners) now() int64 { return int64(time.Since(w.start)) }
+func (mgr *Manager) now() int64 { return int64(time.Since(mgr.startedAt)) }
 
-// Do has this member do a duty whenever it owns it.
-func (w *Owners) Do(duty string, work Work) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.work[duty] = work
-	w.core.Want(duty)
+// AddDuty has this member do a duty whenever it owns it.
+func (mgr *Manager) AddDuty(duty string, work Work) {
+	mgr.mu.Lock()
+	defer mgr.mu.Unlock()
+	mgr.work[duty] = work
+	mgr.core.AddDuty(duty)
 }
 
-// Undo takes a duty away.
-func (w *Owners) Undo(duty string) {
-	w.mu.Lock()
-	w.core.Unwant(duty)
-	delete(w.work, duty)
-	todo := w.take()
-	w.mu.Unlock()
-	run(todo)
+// RemoveDuty takes a duty away.
+func (mgr *Manager) RemoveDuty(duty string) {
+	mgr.mu.Lock()
+	mgr.core.RemoveDuty(duty)
+	delete(mgr.work, duty)
+	callbacks := mgr.takeCallbacks()
+	mgr.mu.Unlock()
+	runAll(callbacks)
 }
 
-// May reports whether this member may act on a duty right now, and by which token.
-func (w *Owners) May(duty string) (token uint64, yes bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.core.May(w.now(), duty)
+// MayAct reports whether this member may act on a duty right now, and by which token.
+func (mgr *Manager) MayAct(duty string) (token uint64, ok bool) {
+	mgr.mu.Lock()
+	defer mgr.mu.Unlock()
+	return mgr.core.MayAct(mgr.now(), duty)
 }
 
-// Pass reports whether an act of another under a token may be done here.
-func (w *Owners) Pass(duty string, token uint64) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.Fence.Pass(duty, token)
+// Admit reports whether an act of another under a token may be done here.
+func (mgr *Manager) Admit(duty string, token uint64) bool {
+	mgr.mu.Lock()
+	defer mgr.mu.Unlock()
+	return mgr.Fence.Admit(duty, token)
 }
 
-// Stand is what this member knows of duties.
-type Stand struct {
-	Duty    string `json:"duty"`
-	Owner   string `json:"owner"`
-	Token   uint64 `json:"token"`
-	Mine    bool   `json:"mine,omitempty"`
-	May     bool   `json:"may,omitempty"`     // it would act now
-	Left    int64  `json:"left_ms,omitempty"` // that this member may act without a renewal
-	Highest uint64 `json:"highest"`           // token that was seen here
+// DutyStatus is what this member knows of duties.
+type DutyStatus struct {
+	Duty         string `json:"duty"`
+	Owner        string `json:"owner"`
+	Token        uint64 `json:"token"`
+	Owned        bool   `json:"mine,omitempty"`
+	MayAct       bool   `json:"may,omitempty"`     // it would act now
+	RemainingMS  int64  `json:"left_ms,omitempty"` // that this member may act without a renewal
+	HighestToken uint64 `json:"highest"`           // token that was seen here
 }
 
-// Stands are all duties, by name, and how many acts of old owners were refused here.
-func (w *Owners) Stands() (all []Stand, refused int64) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, name := range w.core.names {
-		x := w.core.duties[name]
-		s := Stand{Duty: name, Owner: x.held.Owner, Token: x.held.Token, Mine: x.own, Highest: w.Fence.Highest(name)}
-		if x.own {
-			s.Left = max(0, x.until-w.now()) / int64(time.Millisecond)
-			s.Token, s.May = w.core.May(w.now(), name)
+// Statuses are all duties, by name, and how many acts of old owners were refused here.
+func (mgr *Manager) Statuses() (all []DutyStatus, refused int64) {
+	mgr.mu.Lock()
+	defer mgr.mu.Unlock()
+	for _, name := range mgr.core.names {
+		d := mgr.core.duties[name]
+		status := DutyStatus{Duty: name, Owner: d.state.Owner, Token: d.state.Token, Owned: d.owned, HighestToken: mgr.Fence.Highest(name)}
+		if d.owned {
+			status.RemainingMS = max(0, d.expiresAt-mgr.now()) / int64(time.Millisecond)
+			status.Token, status.MayAct = mgr.core.MayAct(mgr.now(), name)
 		}
-		all = append(all, s)
+		all = append(all, status)
 	}
-	return all, w.Fence.Refused
+	return all, mgr.Fence.Refused
 }
 
 // Close lets go of what is owned and ends it.
-func (w *Owners) Close() {
-	w.mu.Lock()
-	w.core.Members(w.core.members, false)
-	w.core.Tick(w.now())
-	todo := w.take()
-	w.mu.Unlock()
-	run(todo)
-	w.end()
-	w.all.Wait()
+func (mgr *Manager) Close() {
+	mgr.mu.Lock()
+	mgr.core.SetMembers(mgr.core.members, false)
+	mgr.core.Tick(mgr.now())
+	callbacks := mgr.takeCallbacks()
+	mgr.mu.Unlock()
+	runAll(callbacks)
+	mgr.cancel()
+	mgr.goroutines.Wait()
 }
 
-func (w *Owners) take() []func() {
-	todo := w.todo
-	w.todo = nil
-	return todo
+func (mgr *Manager) takeCallbacks() []func() {
+	callbacks := mgr.callbacks
+	mgr.callbacks = nil
+	return callbacks
 }
 
-func run(todo []func()) {
-	for _, f := range todo {
-		f()
+func runAll(callbacks []func()) {
+	for _, callback := range callbacks {
+		callback()
 	}
 }
 
-func (w *Owners) run() {
-	every := max(w.o.Terms.Renew/5, 10*time.Millisecond)
+func (mgr *Manager) run() {
+	every := max(mgr.options.Terms.RenewInterval/5, 10*time.Millisecond)
 	tick := time.NewTicker(every)
 	defer tick.Stop()
 	for n := 0; ; n++ {
-		all, willing := w.o.Members()
-		epoch, ok := w.o.Keepers.Session()
-		w.mu.Lock()
+		members, willing := mgr.options.Members()
+		epoch, ok := mgr.options.Store.Session()
+		mgr.mu.Lock()
 		if !ok {
 			epoch = 0
 		}
-		w.core.Session(epoch)
-		w.core.Members(all, willing && ok)
-		if ok && !w.reading && n%3 == 0 {
-			w.reading = true
-			w.all.Go(w.look)
+		mgr.core.SetSession(epoch)
+		mgr.core.SetMembers(members, willing && ok)
+		if ok && !mgr.reading && n%3 == 0 {
+			mgr.reading = true
+			mgr.goroutines.Go(mgr.readStates)
 		}
-		w.core.Tick(w.now())
-		todo := w.take()
-		w.mu.Unlock()
-		run(todo)
+		mgr.core.Tick(mgr.now())
+		callbacks := mgr.takeCallbacks()
+		mgr.mu.Unlock()
+		runAll(callbacks)
 		select {
 		case <-tick.C:
-		case <-w.kick:
-		case <-w.ctx.Done():
+		case <-mgr.wakeups:
+		case <-mgr.ctx.Done():
 			return
 		}
 	}
 }
 
-func (w *Owners) look() {
-	ctx, end := context.WithTimeout(w.ctx, w.o.Terms.Renew)
-	defer end()
-	held, err := w.o.Keepers.Held(ctx)
-	w.back(func() {
-		if w.reading = false; err == nil {
-			w.core.Held(w.now(), held)
+func (mgr *Manager) readStates() {
+	ctx, cancel := context.WithTimeout(mgr.ctx, mgr.options.Terms.RenewInterval)
+	defer cancel()
+	states, err := mgr.options.Store.Held(ctx)
+	mgr.applyResponse(func() {
+		if mgr.reading = false; err == nil {
+			mgr.core.ObserveStates(mgr.now(), states)
 		}
 	})
 }
 
-// back takes an answer, and does what follows from it.
-func (w *Owners) back(f func()) {
-	w.mu.Lock()
-	f()
-	todo := w.take()
-	w.mu.Unlock()
-	run(todo)
+// applyResponse takes an answer, and does what follows from it.
+func (mgr *Manager) applyResponse(apply func()) {
+	mgr.mu.Lock()
+	apply()
+	callbacks := mgr.takeCallbacks()
+	mgr.mu.Unlock()
+	runAll(callbacks)
 }
 
-// does has done what the core decides: asks in the background, work told in order.
-type does Owners
+// runnerActions has done what the core decides: asks in the background, work told in order.
+type runnerActions Manager
 
-func (d *does) Take(duty string) {
-	w := (*Owners)(d)
-	asked := w.now()
-	w.all.Go(func() {
-		ctx, end := context.WithTimeout(w.ctx, w.o.Terms.Renew)
-		defer end()
-		token, taken, err := w.o.Keepers.Take(ctx, duty)
+func (actions *runnerActions) Acquire(duty string) {
+	mgr := (*Manager)(actions)
+	requestedAt := mgr.now()
+	mgr.goroutines.Go(func() {
+		ctx, cancel := context.WithTimeout(mgr.ctx, mgr.options.Terms.RenewInterval)
+		defer cancel()
+		token, taken, err := mgr.options.Store.Take(ctx, duty)
 		if err == nil && taken {
-			w.o.Log.Info("owner", "step", "taken", "duty", duty, "token", token)
-			w.back(func() { w.core.Taken(asked, w.now(), duty, token) })
+			mgr.options.Log.Info("owner", "step", "taken", "duty", duty, "token", token)
+			mgr.applyResponse(func() { mgr.core.HandleAcquired(requestedAt, mgr.now(), duty, token) })
 		}
 	})
 }
 
-func (d *does) Renew(tokens map[string]uint64) {
-	w := (*Owners)(d)
-	if w.renewing {
+func (actions *runnerActions) Renew(tokens map[string]uint64) {
+	mgr := (*Manager)(actions)
+	if mgr.renewing {
 		return
 	}
-	w.renewing = true
-	asked := w.now()
-	w.all.Go(func() {
-		ctx, end := context.WithTimeout(w.ctx, w.o.Terms.Lease)
-		defer end()
-		stand, err := w.o.Keepers.Renew(ctx, tokens)
-		w.back(func() {
-			if w.renewing = false; err == nil {
-				w.core.Renewed(asked, w.now(), stand)
+	mgr.renewing = true
+	requestedAt := mgr.now()
+	mgr.goroutines.Go(func() {
+		ctx, cancel := context.WithTimeout(mgr.ctx, mgr.options.Terms.Lease)
+		defer cancel()
+		renewed, err := mgr.options.Store.Renew(ctx, tokens)
+		mgr.applyResponse(func() {
+			if mgr.renewing = false; err == nil {
+				mgr.core.HandleRenewed(requestedAt, mgr.now(), renewed)
 			}
 		})
 	})
 }
 
-func (d *does) Give(duty string, token uint64, to string) {
-	w := (*Owners)(d)
-	w.o.Log.Info("owner", "step", "given", "duty", duty, "token", token, "to", to)
+func (actions *runnerActions) Release(duty string, token uint64, to string) {
+	mgr := (*Manager)(actions)
+	mgr.options.Log.Info("owner", "step", "given", "duty", duty, "token", token, "to", to)
 	// Danger: at the end of a process this has to leave before it ends.
-	w.todo = append(w.todo, func() {
-		ctx, end := context.WithTimeout(context.Background(), w.o.Terms.Renew)
-		defer end()
-		if w.ctx.Err() == nil {
-			w.o.Keepers.Give(ctx, duty, token, to)
+	mgr.callbacks = append(mgr.callbacks, func() {
+		ctx, cancel := context.WithTimeout(context.Background(), mgr.options.Terms.RenewInterval)
+		defer cancel()
+		if mgr.ctx.Err() == nil {
+			mgr.options.Store.Give(ctx, duty, token, to)
 		}
 	})
 }
 
-func (d *does) Begin(t Tenure) {
-	w := (*Owners)(d)
-	w.o.Log.Info("owner", "step", "begins", "duty", t.Duty, "token", t.Token)
-	if x := w.work[t.Duty]; x != nil {
-		w.todo = append(w.todo, func() { x.Begin(t) })
+func (actions *runnerActions) BeginWork(lease Lease) {
+	mgr := (*Manager)(actions)
+	mgr.options.Log.Info("owner", "step", "begins", "duty", lease.Duty, "token", lease.Token)
+	if work := mgr.work[lease.Duty]; work != nil {
+		mgr.callbacks = append(mgr.callbacks, func() { work.Begin(lease) })
 	}
 }
 
-func (d *does) End(t Tenure) {
-	w := (*Owners)(d)
-	w.o.Log.Info("owner", "step", "ends", "duty", t.Duty, "token", t.Token)
-	if x := w.work[t.Duty]; x != nil {
-		w.todo = append(w.todo, func() { x.End(t) })
+func (actions *runnerActions) EndWork(lease Lease) {
+	mgr := (*Manager)(actions)
+	mgr.options.Log.Info("owner", "step", "ends", "duty", lease.Duty, "token", lease.Token)
+	if work := mgr.work[lease.Duty]; work != nil {
+		mgr.callbacks = append(mgr.callbacks, func() { work.End(lease) })
 	}
 }
--- a/internal/cluster/shared/core.go
+++ b/internal/cluster/shared/core.go
@@ -10,173 +10,173 @@
 	"ottershift/internal/roster"
 )
 
-// Word is what the owner passes on: a change, the whole list, or only that there is nothing new.
-type Word struct {
-	Pool    string  `codec:"p"`
-	Token   uint64  `codec:"t"`
-	Version uint64  `codec:"v"` // grows with each change under a token
-	Entries []Entry `codec:"e,omitempty"`
-	Whole   bool    `codec:"w,omitempty"`
+// Update is what the owner passes on: a change, the whole list, or only that there is nothing new.
+type Update struct {
+	Pool     string  `codec:"p"`
+	Token    uint64  `codec:"t"`
+	Version  uint64  `codec:"v"` // grows with each change under a token
+	Entries  []Entry `codec:"e,omitempty"`
+	Snapshot bool    `codec:"w,omitempty"`
 }
 
 // Entry is one line of a list on its way.
 type Entry struct {
-	Name    string  `codec:"n"`
-	Zone    string  `codec:"z,omitempty"`
-	Kind    string  `codec:"k,omitempty"`
-	Address string  `codec:"a,omitempty"`
-	Weight  float64 `codec:"w"`
-	Cell    int     `codec:"c,omitempty"`
-	Born    int64   `codec:"b,omitempty"`
-	Ends    bool    `codec:"e,omitempty"`
-	Gone    bool    `codec:"g,omitempty"`
+	Name     string  `codec:"n"`
+	Zone     string  `codec:"z,omitempty"`
+	Kind     string  `codec:"k,omitempty"`
+	Address  string  `codec:"a,omitempty"`
+	Weight   float64 `codec:"w"`
+	Cell     int     `codec:"c,omitempty"`
+	Born     int64   `codec:"b,omitempty"`
+	Draining bool    `codec:"e,omitempty"`
+	Removed  bool    `codec:"g,omitempty"`
 }
 
-func of(e roster.Entry[string]) Entry {
+func fromRoster(e roster.Entry[string]) Entry {
 	return Entry{e.Name, e.Zone, e.Kind, e.Address, e.Up.Weight, e.Up.Cell, e.Up.Born, e.Ends, e.Gone}
 }
 
-func (e Entry) entry() roster.Entry[string] {
-	r := roster.Entry[string]{Name: e.Name, Zone: e.Zone, Kind: e.Kind, Address: e.Address, Ends: e.Ends, Gone: e.Gone}
+func (e Entry) toRoster() roster.Entry[string] {
+	r := roster.Entry[string]{Name: e.Name, Zone: e.Zone, Kind: e.Kind, Address: e.Address, Ends: e.Draining, Gone: e.Removed}
 	r.Up.Number, r.Up.Weight, r.Up.Cell, r.Up.Born = roster.Number(e.Name), e.Weight, e.Cell, e.Born
 	return r
 }
 
-// Terms are times in nanoseconds.
-type Terms struct {
-	Silence int64 // of the owner, after which one asks oneself; well within the grace of a drain
-	Calm    int64 // that the owner's word has come steadily, until one asks no longer
-	Spread  int64 // by chance on top of Silence, so that not all ask at once
+// Timing are times in nanoseconds.
+type Timing struct {
+	SilenceTimeout int64 // of the owner, after which one asks oneself; well within the grace of a drain
+	SteadyPeriod   int64 // that the owner's word has come steadily, until one asks no longer
+	Jitter         int64 // by chance on top of Silence, so that not all ask at once
 }
 
 // Core is one member's view of one pool's list.
 type Core struct {
-	t       Terms
-	spread  int64
-	owner   bool
-	token   uint64
-	version uint64
-	heard   int64 // last word of the present owner
-	steady  int64 // since when its words have come without a gap
-	asking  bool
-	missing bool
-	list    map[string]Entry // whole, as the owner has it
-	whole   bool             // it has been told a whole list under this token
-	deaf    bool             // and discovery tells it nothing at present
-	Older   int64            // words that were dropped, of lower tokens and versions
+	timing        Timing
+	jitter        int64
+	isOwner       bool
+	token         uint64
+	version       uint64
+	heardAt       int64 // last word of the present owner
+	steadySince   int64 // since when its words have come without a gap
+	discovering   bool
+	incomplete    bool
+	entries       map[string]Entry // whole, as the owner has it
+	hasSnapshot   bool             // it has been told a whole list under this token
+	discoveryLost bool             // and discovery tells it nothing at present
+	StaleUpdates  int64            // words that were dropped, of lower tokens and versions
 }
 
 // NewCore makes one; draw is a part of one, by chance. now counts as a word, so that an owner is given time at the start.
-func NewCore(t Terms, draw float64, now int64) *Core {
-	return &Core{t: t, spread: int64(draw * float64(t.Spread)), heard: now, steady: now, list: map[string]Entry{}}
+func NewCore(timing Timing, draw float64, now int64) *Core {
+	return &Core{timing: timing, jitter: int64(draw * float64(timing.Jitter)), heardAt: now, steadySince: now, entries: map[string]Entry{}}
 }
 
-// Owns says that this member asks for all from now on, under a token, or no longer.
-func (c *Core) Owns(now int64, token uint64, yes bool) {
-	if c.owner = yes; yes {
-		c.token, c.version, c.whole, c.deaf = max(c.token, token), 0, false, false
-		clear(c.list)
+// SetOwner says that this member asks for all from now on, under a token, or no longer.
+func (core *Core) SetOwner(now int64, token uint64, isOwner bool) {
+	if core.isOwner = isOwner; isOwner {
+		core.token, core.version, core.hasSnapshot, core.discoveryLost = max(core.token, token), 0, false, false
+		clear(core.entries)
 		return
 	}
-	c.heard, c.steady = now, now
+	core.heardAt, core.steadySince = now, now
 }
 
-// Told takes what discovery told this member as the owner; it gives the word to pass on. Danger: a member may have asked
+// HandleDiscovery takes what discovery told this member as the owner; it gives the word to pass on. Danger: a member may have asked
 // already when it became the owner. Changes alone are no list; what it makes of them would have the others drop the rest.
-func (c *Core) Told(pool string, entries []roster.Entry[string], whole bool) (w Word, pass bool) {
-	if !whole && !c.whole {
-		return w, false
+func (core *Core) HandleDiscovery(pool string, entries []roster.Entry[string], snapshot bool) (update Update, ok bool) {
+	if !snapshot && !core.hasSnapshot {
+		return update, false
 	}
-	if c.deaf = false; whole {
-		clear(c.list)
-		c.whole = true
+	if core.discoveryLost = false; snapshot {
+		clear(core.entries)
+		core.hasSnapshot = true
 	}
-	w = Word{Pool: pool, Token: c.token, Whole: whole}
+	update = Update{Pool: pool, Token: core.token, Snapshot: snapshot}
 	for _, e := range entries {
-		x := of(e)
-		if w.Entries = append(w.Entries, x); x.Gone {
-			delete(c.list, x.Name)
+		entry := fromRoster(e)
+		if update.Entries = append(update.Entries, entry); entry.Removed {
+			delete(core.entries, entry.Name)
 		} else {
-			c.list[x.Name] = x
+			core.entries[entry.Name] = entry
 		}
 	}
-	c.version++
-	w.Version = c.version
-	return w, true
+	core.version++
+	update.Version = core.version
+	return update, true
 }
 
-// All is the whole list as this member, the owner, has it; false if it has none yet.
-func (c *Core) All(pool string) (Word, bool) {
-	w := Word{Pool: pool, Token: c.token, Version: c.version, Whole: true}
-	for _, name := range slices.Sorted(maps.Keys(c.list)) {
-		w.Entries = append(w.Entries, c.list[name])
+// Snapshot is the whole list as this member, the owner, has it; false if it has none yet.
+func (core *Core) Snapshot(pool string) (Update, bool) {
+	update := Update{Pool: pool, Token: core.token, Version: core.version, Snapshot: true}
+	for _, name := range slices.Sorted(maps.Keys(core.entries)) {
+		update.Entries = append(update.Entries, core.entries[name])
 	}
-	return w, c.owner && c.version > 0
+	return update, core.isOwner && core.version > 0
 }
 
-// Untold says that discovery can't be had, or that following it has ended.
-func (c *Core) Untold() { c.deaf = true }
+// HandleDiscoveryLost says that discovery can't be had, or that following it has ended.
+func (core *Core) HandleDiscoveryLost() { core.discoveryLost = true }
 
-// Beat is the word that there is nothing new; false before there is a list. Danger: an owner that is cut off from discovery
+// Heartbeat is the word that there is nothing new; false before there is a list. Danger: an owner that is cut off from discovery
 // knows of nothing new because nobody tells it; the others have to ask for themselves.
-func (c *Core) Beat(pool string) (Word, bool) {
-	return Word{Pool: pool, Token: c.token, Version: c.version}, c.owner && c.version > 0 && !c.deaf
+func (core *Core) Heartbeat(pool string) (Update, bool) {
+	return Update{Pool: pool, Token: core.token, Version: core.version}, core.isOwner && core.version > 0 && !core.discoveryLost
 }
 
-// Heard takes an owner's word that has passed the fence. It gives what the list is told; ask says that words are missing and
+// HandleUpdate takes an owner's word that has passed the fence. It gives what the list is told; ask says that words are missing and
 // the whole is to be had from the owner. fenced is false only in a variant that heeds old owners.
-func (c *Core) Heard(now int64, w *Word, fenced bool) (tell []roster.Entry[string], whole, ask bool) {
-	if fenced && (w.Token < c.token || w.Token == c.token && w.Version < c.version) || c.owner && w.Token <= c.token {
-		c.Older++
+func (core *Core) HandleUpdate(now int64, update *Update, fenced bool) (changes []roster.Entry[string], snapshot, fetch bool) {
+	if fenced && (update.Token < core.token || update.Token == core.token && update.Version < core.version) || core.isOwner && update.Token <= core.token {
+		core.StaleUpdates++
 		return nil, false, false
 	}
-	if w.Token > c.token { // danger: an owner that was replaced and hasn't noticed would pass on its own under the newer token
-		c.owner = false
+	if update.Token > core.token { // danger: an owner that was replaced and hasn't noticed would pass on its own under the newer token
+		core.isOwner = false
 	}
-	if w.Token > c.token || !fenced && w.Token != c.token {
-		c.token, c.version, c.missing = w.Token, 0, true
-		c.steady = now
+	if update.Token > core.token || !fenced && update.Token != core.token {
+		core.token, core.version, core.incomplete = update.Token, 0, true
+		core.steadySince = now
 	}
-	if now-c.heard > c.t.Silence {
-		c.steady = now
+	if now-core.heardAt > core.timing.SilenceTimeout {
+		core.steadySince = now
 	}
-	c.heard = now
+	core.heardAt = now
 	switch {
-	case w.Whole:
-		c.missing = false
-	case w.Version == c.version && len(w.Entries) == 0:
-		return nil, false, c.missing
-	case len(w.Entries) > 0 && w.Version == c.version+1 && !c.missing:
-	case len(w.Entries) > 0 && !fenced:
+	case update.Snapshot:
+		core.incomplete = false
+	case update.Version == core.version && len(update.Entries) == 0:
+		return nil, false, core.incomplete
+	case len(update.Entries) > 0 && update.Version == core.version+1 && !core.incomplete:
+	case len(update.Entries) > 0 && !fenced:
 	default:
-		c.missing = true
+		core.incomplete = true
 		return nil, false, true
 	}
-	if w.Version == c.version && !w.Whole {
+	if update.Version == core.version && !update.Snapshot {
 		return nil, false, false
 	}
-	c.version = w.Version
-	for _, e := range w.Entries {
-		tell = append(tell, e.entry())
+	core.version = update.Version
+	for _, e := range update.Entries {
+		changes = append(changes, e.toRoster())
 	}
-	return tell, w.Whole, false
+	return changes, update.Snapshot, false
 }
 
-// Ask says whether this member is to ask discovery itself now: it is the owner, or the owner's word is late.
-func (c *Core) Ask(now int64) bool {
+// ShouldDiscover says whether this member is to ask discovery itself now: it is the owner, or the owner's word is late.
+func (core *Core) ShouldDiscover(now int64) bool {
 	switch {
-	case c.owner:
-		c.asking = true
-	case now-c.heard > c.t.Silence+c.spread, c.missing && now-c.steady > c.t.Silence+c.spread:
-		c.asking = true
-	case c.asking && !c.missing && now-c.steady > c.t.Calm && now-c.heard <= c.t.Silence:
-		c.asking = false
+	case core.isOwner:
+		core.discovering = true
+	case now-core.heardAt > core.timing.SilenceTimeout+core.jitter, core.incomplete && now-core.steadySince > core.timing.SilenceTimeout+core.jitter:
+		core.discovering = true
+	case core.discovering && !core.incomplete && now-core.steadySince > core.timing.SteadyPeriod && now-core.heardAt <= core.timing.SilenceTimeout:
+		core.discovering = false
 	}
-	return c.asking
+	return core.discovering
 }
 
-// Owner reports whether this member asks for all.
-func (c *Core) Owner() bool { return c.owner }
+// IsOwner reports whether this member asks for all.
+func (core *Core) IsOwner() bool { return core.isOwner }
 
 // Age is how long ago the owner spoke.
-func (c *Core) Age(now int64) int64 { return now - c.heard }
+func (core *Core) Age(now int64) int64 { return now - core.heardAt }
--- a/internal/cluster/shared/core_test.go
+++ b/internal/cluster/shared/core_test.go
@@ -13,39 +13,39 @@
 
 const ms = int64(time.Millisecond)
 
-// follower is a member with what it has told its pool.
-type follower struct {
-	core  *Core
-	list  map[string]string // status by name, as the pool has it
-	fence uint64
-	asks  bool
-	since int64 // that its own watch has been open
+// simMember is a member with what it has told its pool.
+type simMember struct {
+	core             *Core
+	list             map[string]string // status by name, as the pool has it
+	fence            uint64
+	discovering      bool
+	discoveringSince int64 // that its own watch has been open
 }
 
-// world has a list that changes, an owner that passes it on and may be replaced while words are under way, and followers that
+// simulation has a list that changes, an owner that passes it on and may be replaced while words are under way, and followers that
 // hear late, twice, out of order or nothing.
-type world struct {
-	chance *rand.Rand
-	now    int64
-	truth  map[string]string
-	all    []*follower
-	owner  int
-	token  uint64
-	flying []func()
-	fenced bool
-	wrong  string
-	mute   bool // the owner's words are lost
+type simulation struct {
+	rng        *rand.Rand
+	now        int64
+	status     map[string]string
+	members    []*simMember
+	owner      int
+	token      uint64
+	inFlight   []func()
+	fenced     bool
+	failure    string
+	ownerMuted bool // the owner's words are lost
 }
 
-func (w *world) entries(names ...string) (all []roster.Entry[string]) {
+func (sim *simulation) entries(names ...string) (all []roster.Entry[string]) {
 	for _, n := range names {
-		all = append(all, roster.Entry[string]{Name: n, Address: "a", Ends: w.truth[n] == "drains", Gone: w.truth[n] == "gone"})
+		all = append(all, roster.Entry[string]{Name: n, Address: "a", Ends: sim.status[n] == "drains", Gone: sim.status[n] == "gone"})
 	}
 	return all
 }
 
-func (w *world) whole() (names []string) {
-	for n, s := range w.truth {
+func (sim *simulation) listed() (names []string) {
+	for n, s := range sim.status {
 		if s != "gone" {
 			names = append(names, n)
 		}
@@ -53,179 +53,179 @@
 	return names
 }
 
-func (f *follower) take(all []roster.Entry[string], whole bool) {
-	if whole {
-		clear(f.list)
+func (member *simMember) apply(entries []roster.Entry[string], snapshot bool) {
+	if snapshot {
+		clear(member.list)
 	}
-	for _, e := range all {
+	for _, e := range entries {
 		switch {
 		case e.Gone:
-			delete(f.list, e.Name)
+			delete(member.list, e.Name)
 		case e.Ends:
-			f.list[e.Name] = "drains"
+			member.list[e.Name] = "drains"
 		default:
-			f.list[e.Name] = "serves"
+			member.list[e.Name] = "serves"
 		}
 	}
 }
 
-// told is discovery's word to one member that watches.
-func (w *world) told(n int, all []roster.Entry[string], whole bool) {
-	f := w.all[n]
-	f.take(all, whole)
-	if f.core.Owner() {
-		if word, pass := f.core.Told("p", all, whole); pass {
-			w.send(n, word)
+// discover is discovery's word to one member that watches.
+func (sim *simulation) discover(n int, entries []roster.Entry[string], snapshot bool) {
+	member := sim.members[n]
+	member.apply(entries, snapshot)
+	if member.core.IsOwner() {
+		if update, ok := member.core.HandleDiscovery("p", entries, snapshot); ok {
+			sim.send(n, update)
 		}
 	}
 }
 
-func (w *world) send(from int, word Word) {
-	for n := range w.all {
-		if n == from || w.mute && w.chance.IntN(8) > 0 {
+func (sim *simulation) send(from int, update Update) {
+	for n := range sim.members {
+		if n == from || sim.ownerMuted && sim.rng.IntN(8) > 0 {
 			continue
 		}
-		x := word
-		w.flying = append(w.flying, func() { w.heard(n, from, &x) })
-		if w.chance.IntN(10) == 0 {
-			w.flying = append(w.flying, func() { w.heard(n, from, &x) })
+		sent := update
+		sim.inFlight = append(sim.inFlight, func() { sim.deliver(n, from, &sent) })
+		if sim.rng.IntN(10) == 0 {
+			sim.inFlight = append(sim.inFlight, func() { sim.deliver(n, from, &sent) })
 		}
 	}
 }
 
-func (w *world) heard(n, from int, word *Word) {
-	f := w.all[n]
-	if word.Token < f.fence && w.fenced {
+func (sim *simulation) deliver(n, from int, update *Update) {
+	member := sim.members[n]
+	if update.Token < member.fence && sim.fenced {
 		return
 	}
-	old := word.Token < f.fence
-	f.fence = max(f.fence, word.Token)
-	all, whole, ask := f.core.Heard(w.now, word, w.fenced)
-	if before := fmt.Sprint(f.list); len(all) > 0 || whole {
-		if f.take(all, whole); old && fmt.Sprint(f.list) != before && w.wrong == "" {
-			w.wrong = fmt.Sprintf("member %d: a word under token %d took effect after one under %d", n, word.Token, f.fence)
+	stale := update.Token < member.fence
+	member.fence = max(member.fence, update.Token)
+	changes, snapshot, fetch := member.core.HandleUpdate(sim.now, update, sim.fenced)
+	if before := fmt.Sprint(member.list); len(changes) > 0 || snapshot {
+		if member.apply(changes, snapshot); stale && fmt.Sprint(member.list) != before && sim.failure == "" {
+			sim.failure = fmt.Sprintf("member %d: a word under token %d took effect after one under %d", n, update.Token, member.fence)
 		}
 	}
-	if ask {
-		w.flying = append(w.flying, func() {
-			if word, some := w.all[from].core.All("p"); some {
-				w.heard(n, from, &word)
+	if fetch {
+		sim.inFlight = append(sim.inFlight, func() {
+			if update, ok := sim.members[from].core.Snapshot("p"); ok {
+				sim.deliver(n, from, &update)
 			}
 		})
 	}
 }
 
-func (w *world) own(n int) {
-	w.token++
-	if w.owner >= 0 && w.chance.IntN(2) == 0 {
-		w.all[w.owner].core.Owns(w.now, 0, false) // by intent; else the old one hasn't noticed yet
+func (sim *simulation) makeOwner(n int) {
+	sim.token++
+	if sim.owner >= 0 && sim.rng.IntN(2) == 0 {
+		sim.members[sim.owner].core.SetOwner(sim.now, 0, false) // by intent; else the old one hasn't noticed yet
 	}
-	w.owner = n
-	f := w.all[n]
-	f.core.Owns(w.now, w.token, true)
-	f.fence, f.asks, f.since = max(f.fence, w.token), true, w.now
-	w.told(n, w.entries(w.whole()...), true)
+	sim.owner = n
+	member := sim.members[n]
+	member.core.SetOwner(sim.now, sim.token, true)
+	member.fence, member.discovering, member.discoveringSince = max(member.fence, sim.token), true, sim.now
+	sim.discover(n, sim.entries(sim.listed()...), true)
 }
 
-func (w *world) step(calm bool) {
-	w.now += w.chance.Int64N(30 * ms)
-	if !calm && w.chance.IntN(12) == 0 {
-		name := fmt.Sprint("u", w.chance.IntN(6))
-		w.truth[name] = []string{"serves", "drains", "gone"}[w.chance.IntN(3)]
-		for n, f := range w.all {
-			if f.asks {
-				w.told(n, w.entries(name), false)
+func (sim *simulation) step(stable bool) {
+	sim.now += sim.rng.Int64N(30 * ms)
+	if !stable && sim.rng.IntN(12) == 0 {
+		name := fmt.Sprint("u", sim.rng.IntN(6))
+		sim.status[name] = []string{"serves", "drains", "gone"}[sim.rng.IntN(3)]
+		for n, f := range sim.members {
+			if f.discovering {
+				sim.discover(n, sim.entries(name), false)
 			}
 		}
 	}
-	if !calm && w.chance.IntN(60) == 0 {
-		w.own(w.chance.IntN(len(w.all)))
+	if !stable && sim.rng.IntN(60) == 0 {
+		sim.makeOwner(sim.rng.IntN(len(sim.members)))
 	}
-	if !calm && w.chance.IntN(50) == 0 {
-		w.mute = !w.mute
+	if !stable && sim.rng.IntN(50) == 0 {
+		sim.ownerMuted = !sim.ownerMuted
 	}
-	for n, f := range w.all {
-		if asks := f.core.Ask(w.now); asks != f.asks {
-			if f.asks = asks; asks {
-				f.since = w.now
-				w.told(n, w.entries(w.whole()...), true)
+	for n, f := range sim.members {
+		if discovering := f.core.ShouldDiscover(sim.now); discovering != f.discovering {
+			if f.discovering = discovering; discovering {
+				f.discoveringSince = sim.now
+				sim.discover(n, sim.entries(sim.listed()...), true)
 			}
 		}
-		if f.core.Owner() && w.chance.IntN(4) == 0 {
-			if word, some := f.core.Beat("p"); some {
-				w.send(n, word)
+		if f.core.IsOwner() && sim.rng.IntN(4) == 0 {
+			if heartbeat, ok := f.core.Heartbeat("p"); ok {
+				sim.send(n, heartbeat)
 			}
 		}
 	}
-	for range w.chance.IntN(10) {
-		if len(w.flying) > 0 {
+	for range sim.rng.IntN(10) {
+		if len(sim.inFlight) > 0 {
 			i := 0
-			if w.chance.IntN(4) == 0 {
-				i = w.chance.IntN(len(w.flying))
+			if sim.rng.IntN(4) == 0 {
+				i = sim.rng.IntN(len(sim.inFlight))
 			}
-			f := w.flying[i]
-			w.flying = append(w.flying[:i:i], w.flying[i+1:]...)
+			f := sim.inFlight[i]
+			sim.inFlight = append(sim.inFlight[:i:i], sim.inFlight[i+1:]...)
 			f()
 		}
 	}
 }
 
-// play: after changes end, every pool has the list as it is within the stated time, whether by the owner or by its own ask.
-func play(seed uint64, fenced bool) string {
-	w := &world{chance: rand.New(rand.NewPCG(seed, 9)), truth: map[string]string{}, owner: -1, fenced: fenced}
+// runSchedule: after changes end, every pool has the list as it is within the stated time, whether by the owner or by its own ask.
+func runSchedule(seed uint64, fenced bool) string {
+	sim := &simulation{rng: rand.New(rand.NewPCG(seed, 9)), status: map[string]string{}, owner: -1, fenced: fenced}
 	for n := range 6 {
-		w.truth[fmt.Sprint("u", n)] = "serves"
+		sim.status[fmt.Sprint("u", n)] = "serves"
 	}
-	for range 2 + w.chance.IntN(4) {
-		w.all = append(w.all, &follower{core: NewCore(Terms{int64(silence), int64(calm), int64(spread)}, w.chance.Float64(), 0), list: map[string]string{}})
+	for range 2 + sim.rng.IntN(4) {
+		sim.members = append(sim.members, &simMember{core: NewCore(Timing{int64(silenceTimeout), int64(steadyPeriod), int64(silenceJitter)}, sim.rng.Float64(), 0), list: map[string]string{}})
 	}
-	w.own(0)
-	for range 100 + w.chance.IntN(300) {
-		w.step(false)
+	sim.makeOwner(0)
+	for range 100 + sim.rng.IntN(300) {
+		sim.step(false)
 	}
 	// Changes end. The present owner may be mute for good; old ones notice within a lease.
-	last := w.now
-	for n, f := range w.all {
-		if n != w.owner && f.core.Owner() {
-			f.core.Owns(w.now, 0, false)
+	last := sim.now
+	for n, member := range sim.members {
+		if n != sim.owner && member.core.IsOwner() {
+			member.core.SetOwner(sim.now, 0, false)
 		}
 	}
-	for w.now < last+int64(4*time.Second) {
-		w.step(true)
+	for sim.now < last+int64(4*time.Second) {
+		sim.step(true)
 	}
-	for n, f := range w.all {
-		if w.wrong != "" {
-			return w.wrong
+	for n, member := range sim.members {
+		if sim.failure != "" {
+			return sim.failure
 		}
 		want := map[string]string{}
-		for name, s := range w.truth {
+		for name, s := range sim.status {
 			if s != "gone" {
 				want[name] = s
 			}
 		}
-		if fmt.Sprint(want) != fmt.Sprint(f.list) {
-			return fmt.Sprintf("member %d has %v at the end, and the list is %v (it asks itself: %v, owner %d)", n, f.list, want, f.asks, w.owner)
+		if fmt.Sprint(want) != fmt.Sprint(member.list) {
+			return fmt.Sprintf("member %d has %v at the end, and the list is %v (it asks itself: %v, owner %d)", n, member.list, want, member.discovering, sim.owner)
 		}
 	}
 	return ""
 }
 
 func TestSchedules(t *testing.T) {
-	usual := 1000 / slower
+	count := 1000 / raceDivisor
 	if n, err := strconv.Atoi(os.Getenv("OTTERSHIFT_SCHEDULES")); err == nil {
-		usual = n
+		count = n
 	}
-	for seed := range uint64(usual) {
-		if wrong := play(seed, true); wrong != "" {
-			t.Fatalf("seed %d: %s", seed, wrong)
+	for seed := range uint64(count) {
+		if failure := runSchedule(seed, true); failure != "" {
+			t.Fatalf("seed %d: %s", seed, failure)
 		}
 	}
 }
 
-func TestSchedulesConvict(t *testing.T) {
+func TestSchedulesDetectMissingFence(t *testing.T) {
 	found := 0
 	for seed := range uint64(300) {
-		if play(seed, false) != "" {
+		if runSchedule(seed, false) != "" {
 			found++
 		}
 	}
@@ -236,30 +236,30 @@
 }
 
 // An owner that discovery tells nothing says nothing either: the others ask for themselves, until it is told again.
-func TestDeafOwner(t *testing.T) {
-	w := &world{chance: rand.New(rand.NewPCG(1, 1)), truth: map[string]string{"u0": "serves"}, owner: -1, fenced: true}
+func TestOwnerWithoutDiscovery(t *testing.T) {
+	sim := &simulation{rng: rand.New(rand.NewPCG(1, 1)), status: map[string]string{"u0": "serves"}, owner: -1, fenced: true}
 	for range 3 {
-		w.all = append(w.all, &follower{core: NewCore(Terms{int64(silence), int64(calm), int64(spread)}, 0.5, 0), list: map[string]string{}})
+		sim.members = append(sim.members, &simMember{core: NewCore(Timing{int64(silenceTimeout), int64(steadyPeriod), int64(silenceJitter)}, 0.5, 0), list: map[string]string{}})
 	}
-	w.own(0)
+	sim.makeOwner(0)
 	run := func(d time.Duration) {
-		for end := w.now + int64(d); w.now < end; {
-			w.step(true)
+		for end := sim.now + int64(d); sim.now < end; {
+			sim.step(true)
 		}
 	}
 	run(time.Second)
-	if w.all[1].asks {
+	if sim.members[1].discovering {
 		t.Error("it asks while the owner speaks")
 	}
-	w.all[0].core.Untold()
-	w.truth["u0"] = "drains" // the owner isn't told
+	sim.members[0].core.HandleDiscoveryLost()
+	sim.status["u0"] = "drains" // the owner isn't told
 	run(time.Second)
-	if !w.all[1].asks || w.all[1].list["u0"] != "drains" || w.all[2].list["u0"] != "drains" {
-		t.Errorf("the owner is deaf, and another asks: %v, holds %v", w.all[1].asks, w.all[1].list)
+	if !sim.members[1].discovering || sim.members[1].list["u0"] != "drains" || sim.members[2].list["u0"] != "drains" {
+		t.Errorf("the owner is deaf, and another asks: %v, holds %v", sim.members[1].discovering, sim.members[1].list)
 	}
-	w.told(0, w.entries("u0"), true)
+	sim.discover(0, sim.entries("u0"), true)
 	run(5 * time.Second)
-	if w.all[1].asks || w.all[2].list["u0"] != "drains" {
-		t.Errorf("the owner is told again, and another asks: %v", w.all[1].asks)
+	if sim.members[1].discovering || sim.members[2].list["u0"] != "drains" {
+		t.Errorf("the owner is told again, and another asks: %v", sim.members[1].discovering)
 	}
 }
--- a/internal/cluster/shared/norace_test.go
+++ b/internal/cluster/shared/norace_test.go
@@ -2,4 +2,4 @@
 
 package shared
 
-const slower = 1
+const raceDivisor = 1
