--- a/internal/cluster/shared/shared.go
+++ b/internal/cluster/shared/shared.go
@@ -16,18 +16,18 @@
 // Times of the runner. Operators want nothing new sent to an upstream 1.5 s after its drain was told: silence and its spread
 // leave more than half of that to one's own ask.
 const (
-	beats   = 150 * time.Millisecond
-	silence = 450 * time.Millisecond
-	spread  = 200 * time.Millisecond
-	calm    = 2 * time.Second
-	takes   = 500 * time.Millisecond // to have the whole list from the owner
+	heartbeatInterval = 150 * time.Millisecond
+	silenceTimeout    = 450 * time.Millisecond
+	silenceJitter     = 200 * time.Millisecond
+	steadyPeriod      = 2 * time.Second
+	fetchTimeout      = 500 * time.Millisecond // to have the whole list from the owner
 )
 
-// Bound is the longest that a member goes by a list that its owner no longer speaks for, before it asks itself.
-const Bound = silence + spread + beats
+// MaxStaleness is the longest that a member goes by a list that its owner no longer speaks for, before it asks itself.
+const MaxStaleness = silenceTimeout + silenceJitter + heartbeatInterval
 
-// Way is how words go to the other members of a pool.
-type Way interface {
+// Transport is how words go to the other members of a pool.
+type Transport interface {
 	Post(name string, raw []byte)                                 // lost if it fails
 	Whole(ctx context.Context, name, pool string) ([]byte, error) // a member's whole list
 	Offering(pool string) (others []string)                       // who follows the pool as well
@@ -36,208 +36,208 @@
 
 // List is a pool's list by way of the owner, a lists.Source.
 type List struct {
-	pool   string
-	duty   string
-	own    func(lists.Sink) lists.Source // makes what asks discovery, from its beginning
-	sink   lists.Sink
-	way    Way
-	owners *owner.Owners
-	log    *slog.Logger
-	fenced bool
-	start  time.Time
-	kick   chan struct{}
-
-	mu      sync.Mutex
-	core    *Core
-	pending bool // the whole is being fetched
-	anew    bool // it has just become the owner
-	Asks    int64
+	pool      string
+	duty      string
+	newSource func(lists.Sink) lists.Source // makes what asks discovery, from its beginning
+	sink      lists.Sink
+	transport Transport
+	owners    *owner.Manager
+	log       *slog.Logger
+	fenced    bool
+	startedAt time.Time
+	wakeups   chan struct{}
+
+	mu              sync.Mutex
+	core            *Core
+	fetching        bool // the whole is being fetched
+	becameOwner     bool // it has just become the owner
+	DiscoveryStarts int64
 }
 
 // Duty is the name of the duty of a pool's list.
 func Duty(pool string) string { return "list/" + pool }
 
 // New makes one. own makes the source that asks discovery and tells a sink.
-func New(pool string, sink lists.Sink, own func(lists.Sink) lists.Source, way Way, owners *owner.Owners, fenced bool, log *slog.Logger) *List {
-	l := &List{
-		pool: pool, duty: Duty(pool), sink: sink, own: own, way: way, owners: owners, log: log, fenced: fenced, start: time.Now(), kick: make(chan struct{}, 1),
+func New(pool string, sink lists.Sink, newSource func(lists.Sink) lists.Source, transport Transport, owners *owner.Manager, fenced bool, log *slog.Logger) *List {
+	list := &List{
+		pool: pool, duty: Duty(pool), sink: sink, newSource: newSource, transport: transport, owners: owners, log: log, fenced: fenced, startedAt: time.Now(), wakeups: make(chan struct{}, 1),
 	}
-	l.core = NewCore(Terms{int64(silence), int64(calm), int64(spread)}, rand.Float64(), 0)
-	return l
+	list.core = NewCore(Timing{int64(silenceTimeout), int64(steadyPeriod), int64(silenceJitter)}, rand.Float64(), 0)
+	return list
 }
 
-func (l *List) now() int64 { return int64(time.Since(l.start)) }
+func (list *List) now() int64 { return int64(time.Since(list.startedAt)) }
 
 // Run implements lists.Source.
-func (l *List) Run(ctx context.Context) {
-	l.owners.Do(l.duty, l)
-	defer l.owners.Undo(l.duty)
-	tick := time.NewTicker(beats / 2)
+func (list *List) Run(ctx context.Context) {
+	list.owners.AddDuty(list.duty, list)
+	defer list.owners.RemoveDuty(list.duty)
+	tick := time.NewTicker(heartbeatInterval / 2)
 	defer tick.Stop()
 	var stop context.CancelFunc
 	var ended chan struct{}
-	halt := func() {
+	stopSource := func() {
 		if stop != nil {
 			stop()
 			<-ended
 			stop = nil
 		}
 	}
-	defer halt()
-	last := time.Time{}
+	defer stopSource()
+	lastHeartbeat := time.Time{}
 	for {
-		l.mu.Lock()
-		ask, anew := l.core.Ask(l.now()), l.anew
-		l.anew = false
-		l.mu.Unlock()
-		if anew {
-			halt() // an owner asks from the beginning, for the whole list
+		list.mu.Lock()
+		discover, becameOwner := list.core.ShouldDiscover(list.now()), list.becameOwner
+		list.becameOwner = false
+		list.mu.Unlock()
+		if becameOwner {
+			stopSource() // an owner asks from the beginning, for the whole list
 		}
 		switch {
-		case ask && stop == nil:
-			own, cancel := context.WithCancel(ctx)
+		case discover && stop == nil:
+			sourceCtx, cancel := context.WithCancel(ctx)
 			stop = cancel
 			done := make(chan struct{})
 			ended = done
-			l.mu.Lock()
-			l.Asks++
+			list.mu.Lock()
+			list.DiscoveryStarts++
 			why := "the owner's word is late"
-			if l.core.Owner() {
+			if list.core.IsOwner() {
 				why = "owner"
 			}
-			l.mu.Unlock()
-			l.log.Info("list", "step", "asks", "why", why)
-			from := l.own(l)
+			list.mu.Unlock()
+			list.log.Info("list", "step", "asks", "why", why)
+			source := list.newSource(list)
 			go func() {
 				defer close(done)
-				from.Run(own)
+				source.Run(sourceCtx)
 			}()
-		case !ask && stop != nil:
-			l.log.Info("list", "step", "relies", "owner", l.way.Owner(l.duty))
-			halt()
+		case !discover && stop != nil:
+			list.log.Info("list", "step", "relies", "owner", list.transport.Owner(list.duty))
+			stopSource()
 		}
-		if time.Since(last) >= beats {
-			last = time.Now()
-			l.mu.Lock()
-			w, some := l.core.Beat(l.pool)
-			l.mu.Unlock()
-			if some {
-				l.pass(w)
+		if time.Since(lastHeartbeat) >= heartbeatInterval {
+			lastHeartbeat = time.Now()
+			list.mu.Lock()
+			heartbeat, ok := list.core.Heartbeat(list.pool)
+			list.mu.Unlock()
+			if ok {
+				list.broadcast(heartbeat)
 			}
 		}
 		select {
 		case <-tick.C:
-		case <-l.kick:
+		case <-list.wakeups:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (l *List) wake() {
+func (list *List) wake() {
 	select {
-	case l.kick <- struct{}{}:
+	case list.wakeups <- struct{}{}:
 	default:
 	}
 }
 
 // Begin implements owner.Work, as does End.
-func (l *List) Begin(t owner.Tenure) {
-	l.mu.Lock()
-	l.core.Owns(l.now(), t.Token, true)
-	l.anew = true
-	l.mu.Unlock()
-	l.wake()
+func (list *List) Begin(lease owner.Lease) {
+	list.mu.Lock()
+	list.core.SetOwner(list.now(), lease.Token, true)
+	list.becameOwner = true
+	list.mu.Unlock()
+	list.wake()
 }
 
-func (l *List) End(owner.Tenure) {
-	l.mu.Lock()
-	l.core.Owns(l.now(), 0, false)
-	l.mu.Unlock()
-	l.wake()
+func (list *List) End(owner.Lease) {
+	list.mu.Lock()
+	list.core.SetOwner(list.now(), 0, false)
+	list.mu.Unlock()
+	list.wake()
 }
 
 // List implements lists.Sink for the source that asks discovery: what it tells this member goes to its own pool, and to all
 // others if it asks for all.
-func (l *List) List(entries []roster.Entry[string], whole bool) {
-	l.sink.List(entries, whole)
-	l.mu.Lock()
-	var w Word
-	own := l.core.Owner()
-	if own {
-		w, own = l.core.Told(l.pool, entries, whole)
+func (list *List) List(entries []roster.Entry[string], snapshot bool) {
+	list.sink.List(entries, snapshot)
+	list.mu.Lock()
+	var update Update
+	broadcast := list.core.IsOwner()
+	if broadcast {
+		update, broadcast = list.core.HandleDiscovery(list.pool, entries, snapshot)
 	}
-	l.mu.Unlock()
-	if own {
-		l.pass(w)
+	list.mu.Unlock()
+	if broadcast {
+		list.broadcast(update)
 	}
 }
 
 // Unlisted and Follow implement lists.Sink.
-func (l *List) Unlisted() {
-	l.mu.Lock()
-	l.core.Untold()
-	l.mu.Unlock()
-	l.sink.Unlisted()
+func (list *List) Unlisted() {
+	list.mu.Lock()
+	list.core.HandleDiscoveryLost()
+	list.mu.Unlock()
+	list.sink.Unlisted()
 }
 
-func (l *List) Follow() <-chan struct{} { return l.sink.Follow() }
+func (list *List) Follow() <-chan struct{} { return list.sink.Follow() }
 
-// pass sends a word to all who follow the pool. Danger: between the question and the sending the process may be held up; the
+// broadcast sends a word to all who follow the pool. Danger: between the question and the sending the process may be held up; the
 // token in the word is what makes that harmless.
-func (l *List) pass(w Word) {
-	token, may := l.owners.May(l.duty)
-	if !may || token != w.Token {
+func (list *List) broadcast(update Update) {
+	token, ok := list.owners.MayAct(list.duty)
+	if !ok || token != update.Token {
 		return
 	}
-	raw := pack.Pack(&w)
-	for _, name := range l.way.Offering(l.pool) {
-		l.way.Post(name, raw)
+	raw := pack.Pack(&update)
+	for _, name := range list.transport.Offering(list.pool) {
+		list.transport.Post(name, raw)
 	}
 }
 
-// Heard takes an owner's word.
-func (l *List) Heard(from string, w *Word) {
-	if !l.owners.Pass(l.duty, w.Token) {
+// HandleUpdate takes an owner's word.
+func (list *List) HandleUpdate(from string, update *Update) {
+	if !list.owners.Admit(list.duty, update.Token) {
 		return
 	}
-	l.mu.Lock()
-	tell, whole, ask := l.core.Heard(l.now(), w, l.fenced)
-	ask = ask && !l.pending
-	l.pending = l.pending || ask
-	if len(tell) > 0 || whole {
-		l.sink.List(tell, whole) // in the order in which they came
+	list.mu.Lock()
+	changes, snapshot, fetch := list.core.HandleUpdate(list.now(), update, list.fenced)
+	fetch = fetch && !list.fetching
+	list.fetching = list.fetching || fetch
+	if len(changes) > 0 || snapshot {
+		list.sink.List(changes, snapshot) // in the order in which they came
 	}
-	l.mu.Unlock()
-	if ask {
-		go l.fetch(from)
+	list.mu.Unlock()
+	if fetch {
+		go list.fetch(from)
 	}
 }
 
 // fetch has the whole list from the owner.
-func (l *List) fetch(from string) {
-	ctx, end := context.WithTimeout(context.Background(), takes)
-	defer end()
-	raw, err := l.way.Whole(ctx, from, l.pool)
-	var w Word
+func (list *List) fetch(from string) {
+	ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
+	defer cancel()
+	raw, err := list.transport.Whole(ctx, from, list.pool)
+	var update Update
 	if err == nil {
-		err = pack.Unpack(raw, &w)
+		err = pack.Unpack(raw, &update)
 	}
-	l.mu.Lock()
-	l.pending = false
-	l.mu.Unlock()
-	if err == nil && w.Token > 0 {
-		l.Heard(from, &w)
+	list.mu.Lock()
+	list.fetching = false
+	list.mu.Unlock()
+	if err == nil && update.Token > 0 {
+		list.HandleUpdate(from, &update)
 	}
 }
 
-// Whole is the list as this member has it as its owner.
-func (l *List) Whole() []byte {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	w, some := l.core.All(l.pool)
-	if !some {
-		return pack.Pack(&Word{Pool: l.pool})
+// Snapshot is the list as this member has it as its owner.
+func (list *List) Snapshot() []byte {
+	list.mu.Lock()
+	defer list.mu.Unlock()
+	update, ok := list.core.Snapshot(list.pool)
+	if !ok {
+		return pack.Pack(&Update{Pool: list.pool})
 	}
-	return pack.Pack(&w)
+	return pack.Pack(&update)
 }
--- a/internal/cluster/staff.go
+++ b/internal/cluster/staff.go
@@ -19,11 +19,11 @@
 
 // Owners is what a member tells of duties.
 type Owners struct {
-	Name    string        `json:"name"`
-	Session uint64        `json:"session,omitempty"` // epoch known to the keepers, 0 for none
-	Duties  []owner.Stand `json:"duties"`
-	Refused int64         `json:"refused"` // acts of old owners that were refused here
-	Ended   int64         `json:"ended"`   // sessions that this member has ended
+	Name    string             `json:"name"`
+	Session uint64             `json:"session,omitempty"` // epoch known to the keepers, 0 for none
+	Duties  []owner.DutyStatus `json:"duties"`
+	Refused int64              `json:"refused"` // acts of old owners that were refused here
+	Ended   int64              `json:"ended"`   // sessions that this member has ended
 }
 
 // Keeper is how one keeper stands.
@@ -49,8 +49,8 @@
 		if len(words) < 2 || json.Unmarshal([]byte(strings.Join(words[1:], " ")), &q) != nil {
 			return errors.New("find what? write a query as JSON behind it")
 		}
-		if q.What != "look" {
-			q.What = "find"
+		if q.Kind != "look" {
+			q.Kind = "find"
 		}
 		for group := range x.groups {
 			if err := x.find(ctx, "", group, q, func(e ledger.Entry) error { return say.Encode(e) }); err != nil {
@@ -62,11 +62,11 @@
 		return x.verify(ctx, func(v Verified) error { return say.Encode(v) })
 	case "stand":
 		for group := range x.groups {
-			p, err := x.ask(ctx, "", group, &ledger.Query{What: "stand"})
+			p, err := x.ask(ctx, "", group, &ledger.Query{Kind: "stand"})
 			if err != nil {
 				return err
 			}
-			if err := say.Encode(map[string]any{"group": group, "keys": p.Keys, "open": p.Open, "results": p.Results}); err != nil {
+			if err := say.Encode(map[string]any{"group": group, "keys": p.Keys, "open": p.OpenClaims, "results": p.ResultCounts}); err != nil {
 				return err
 			}
 		}
@@ -79,7 +79,7 @@
 	a := c.agreed
 	o := Owners{Name: c.o.Settings.Self}
 	o.Session, _ = a.client.Session()
-	o.Duties, o.Refused = a.owners.Stands()
+	o.Duties, o.Refused = a.owners.Statuses()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	o.Ended = a.ended
--- a/internal/lab/run/cluster.go
+++ b/internal/lab/run/cluster.go
@@ -152,7 +152,7 @@
 		}
 		k := s.e.Clients[c.Clients]
 		key := ledger.KeyOf("tag", s.e.Pools[k.Pool], k.Customer, s.e.Tariffs[k.Tariff].Name, fmt.Sprintf("%016x", c.Root))
-		q, _ := json.Marshal(ledger.Query{What: "look", Key: key[:]})
+		q, _ := json.Marshal(ledger.Query{Kind: "look", Key: key[:]})
 		n := rand.IntN(len(s.seats))
 		from := s.now()
 		text, ok, err := ops.Call(s.seats[n].Ops, "CLUSTER ledger find "+string(q), time.Second)
@@ -191,7 +191,7 @@
 			if in.Decode(&e) != nil {
 				return all, at
 			}
-			all = append(all, record.Entry{Tariff: e.Tariff, Label: e.Label, State: e.State, May: e.Mays})
+			all = append(all, record.Entry{Tariff: e.Tariff, Label: e.ClientKey, State: e.State, May: e.MayHaveRun})
 		}
 	}
 	return nil, 0
@@ -281,7 +281,7 @@
 	defer s.mu.Unlock()
 	s.refused[process] = max(s.refused[process], o.Refused)
 	for _, d := range o.Duties {
-		if d.Mine && d.May {
+		if d.Owned && d.MayAct {
 			s.claims = append(s.claims, record.Claim{Process: process, At: from, Duty: d.Duty, Token: d.Token})
 		}
 	}
--- a/internal/process/ledger.go
+++ b/internal/process/ledger.go
@@ -34,16 +34,16 @@
 // Begin implements httpwire.Claims.
 func (x *claims) Begin(q httpwire.Claimed) httpwire.Claim {
 	f := q.Kind
-	a := ledger.Ask{
-		Pool: q.Pool, Customer: q.Customer, Tariff: q.Tariff, Tag: q.Tag, ID: q.ID, Once: f.Repeat == logic.OnceOnly, Contract: time.Duration(f.ContractTime),
-		Body: q.Body, Again: q.Again, Binds: f.Repeat == logic.Tagged && f.Group != logic.Everywhere,
+	a := ledger.Request{
+		Pool: q.Pool, Customer: q.Customer, Tariff: q.Tariff, IdempotencyKey: q.Tag, ID: q.ID, OnceOnly: f.Repeat == logic.OnceOnly, ContractTime: time.Duration(f.ContractTime),
+		BodyHash: q.Body, IsRetry: q.Again, GroupScoped: f.Repeat == logic.Tagged && f.Group != logic.Everywhere,
 	}
 	window := time.Duration(f.Remembered)
-	if a.Once {
+	if a.OnceOnly {
 		window = max(window, x.s.Ledger.OnceFor)
 	}
-	a.Keep = x.s.Kept(window, time.Duration(f.HardStop))
-	return &held{x.l.Begin(a, q.Left), f}
+	a.Retention = x.s.Kept(window, time.Duration(f.HardStop))
+	return &held{x.l.NewClaim(a, q.Left), f}
 }
 
 // held is one transaction's claim.
@@ -54,16 +54,16 @@
 
 // Open implements httpwire.Claim, as do the methods below.
 func (h *held) Open(ctx context.Context) (*desk.Bound, httpwire.Fate) {
-	w := h.Claim.Open(ctx)
-	switch w.Fate {
-	case ledger.Go:
+	w := h.Claim.Check(ctx)
+	switch w.Action {
+	case ledger.ActionSend:
 		if w.Bound {
 			return h.bound(w.Group), httpwire.Goes
 		}
 		return nil, httpwire.Goes
-	case ledger.Forfeit:
+	case ledger.ActionForfeit:
 		return nil, httpwire.Forfeits
-	case ledger.Refuse:
+	case ledger.ActionRefuse:
 		return nil, httpwire.Refuses
 	}
 	return nil, httpwire.Defers
@@ -90,11 +90,11 @@
 }
 
 func (h *held) Take(ctx context.Context, to *desk.Push, moves bool) error {
-	return h.Claim.Take(ctx, h.group(to.Zone, to.Cell), ledger.Clip(to.Name), moves)
+	return h.Claim.Acquire(ctx, h.group(to.Zone, to.Cell), ledger.Truncate(to.Name), moves)
 }
 
 func (h *held) End(how httpwire.End) {
-	h.Claim.End(map[httpwire.End]byte{
-		httpwire.NeverRan: ledger.EndNever, httpwire.Answered: ledger.EndAnswered, httpwire.MayHaveRun: ledger.EndUnknown,
+	h.Claim.Release(map[httpwire.End]byte{
+		httpwire.NeverRan: ledger.OutcomeNeverRan, httpwire.Answered: ledger.OutcomeAnswered, httpwire.MayHaveRun: ledger.OutcomeUnknown,
 	}[how])
 }
--- a/internal/process/ledger_test.go
+++ b/internal/process/ledger_test.go
@@ -115,7 +115,7 @@
 // whole waits until claims go through.
 func whole(t *testing.T, s *Process) {
 	t.Helper()
-	soonIs(t, "the ledger is reached", func() bool { l := s.fleet.Ledger(); return l != nil && !l.Down() })
+	soonIs(t, "the ledger is reached", func() bool { l := s.fleet.Ledger(); return l != nil && !l.Unreachable() })
 }
 
 // On a machine alone, its own disk the only copy: a repeat goes only where the first may have run, also once the process was
