--- a/internal/cluster/agreed.go
+++ b/internal/cluster/agreed.go
@@ -93,7 +93,7 @@
 	fenced := a.c.o.Lab == nil || !a.c.o.Lab.without("fence")
 	lease := keep.Lease{For: s.Lease, Drift: s.Drift}.Owner()
 	a.owners = owner.Start(owner.Options{
-		Self: s.Self, Terms: owner.TimingFor(lease), Seed: a.c.o.Seed, Store: keepers{a}, Members: a.members, Fenced: fenced, Log: a.c.o.Log,
+		Self: s.Self, Timing: owner.TimingFor(lease), Seed: a.c.o.Seed, Store: keepers{a}, Members: a.members, Fenced: fenced, Log: a.c.o.Log,
 	})
 	a.owners.AddDuty(keep.Sessions, (*closer)(a))
 	a.all.Go(a.session)
--- a/internal/cluster/ledger/core.go
+++ b/internal/cluster/ledger/batcher.go
@@ -2,50 +2,50 @@
 
 import "time"
 
-// Batcher is what one member has under way at one group of keepers: claims that wait for their word, ends that are told when it
-// suits. It has no I/O; time is nanoseconds on this member's monotonic clock.
+// Batcher collects the operations of one member for one consensus group: claims, which are sent at once, and releases,
+// which may wait to share a batch. It does no I/O; times are nanoseconds on the monotonic clock of the member.
 type Batcher struct {
-	Timeout      time.Duration // a batch without an answer for so long says that the keepers are not reached
-	ReleaseDelay time.Duration // that an end waits at most for company
-	MaxKeys      int           // keys in this group
+	Timeout      time.Duration // without a response to a batch, the group then counts as unreachable
+	ReleaseDelay time.Duration // longest wait of a release for further operations
+	MaxKeys      int           // limit of keys in this group
 
 	pendingClaims   []*PendingClaim
 	pendingReleases []Op
-	releasesSince   int64 // that the oldest end waits
+	releasesSince   int64 // time since which the oldest release waits
 	inFlight        map[int]*InFlightBatch
 	lastBatchID     int
-	lastAttempt     uint64 // of the last new claim
+	lastAttempt     uint64 // number given to the last new claim
 	unreachable     bool
-	probedAt        int64 // that keepers were asked last whether they are there
+	probedAt        int64 // time of the last probe
 }
 
-// PendingClaim is a claim on its way.
+// PendingClaim is a claim that waits for its result.
 type PendingClaim struct {
 	Op      Op
-	Done    func(Result, error) // once, unless it is abandoned
-	settled bool                // it was told, or nobody waits for it any more
+	Done    func(Result, error) // called once, unless the claim is abandoned
+	settled bool                // Done was called, or the claim was abandoned
 }
 
-// InFlightBatch is a batch on its way.
+// InFlightBatch is a batch that was sent and has no response yet.
 type InFlightBatch struct {
 	ID     int
 	Batch  Batch
-	claims []*PendingClaim // the first so many ops
+	claims []*PendingClaim // for the first operations of the batch, in order
 	sentAt int64
 }
 
 const (
-	maxInFlightBatches = 4   // on their way
-	maxBatchOps        = 256 // in a batch
+	maxInFlightBatches = 4
+	maxBatchOps        = 256 // claims, and as many releases, in one batch
 	probeInterval      = 100 * time.Millisecond
 )
 
-// NewBatcher makes one.
+// NewBatcher returns an empty Batcher. The limits may be changed later through its fields.
 func NewBatcher(timeout, releaseDelay time.Duration, maxKeys int) *Batcher {
 	return &Batcher{Timeout: timeout, ReleaseDelay: releaseDelay, MaxKeys: maxKeys, inFlight: map[int]*InFlightBatch{}}
 }
 
-// AddClaim takes a claim to send. One that isn't granted yet under a number of its own gets the next.
+// AddClaim queues a claim. A claim without an attempt number gets the next one.
 func (batcher *Batcher) AddClaim(claim *PendingClaim) {
 	if claim.Op.Attempt == 0 {
 		batcher.lastAttempt++
@@ -54,7 +54,7 @@
 	batcher.pendingClaims = append(batcher.pendingClaims, claim)
 }
 
-// lowWatermark is the number under which nothing is undecided any more.
+// lowWatermark returns the attempt number below which no claim is undecided.
 func (batcher *Batcher) lowWatermark() uint64 {
 	lowest := batcher.lastAttempt + 1
 	for _, claim := range batcher.pendingClaims {
@@ -68,7 +68,9 @@
 	return lowest
 }
 
-// Abandon says that nobody waits for a claim any more: it is not sent, or what it comes to is let go.
+// Abandon ends the wait for a claim: it is removed from the queue, or released if it is granted after all. The release
+// of a claim in flight is queued with the response to its batch: if it overtook the claim, the claim would stay open
+// forever.
 func (batcher *Batcher) Abandon(claim *PendingClaim) {
 	if claim.settled {
 		return
@@ -79,10 +81,10 @@
 			batcher.pendingClaims = append(batcher.pendingClaims[:i:i], batcher.pendingClaims[i+1:]...)
 			return
 		}
-	} // else it is on its way. Danger: an end that overtakes it would leave it open for good; so that waits for its batch
+	}
 }
 
-// AddRelease takes an end to tell.
+// AddRelease queues a release.
 func (batcher *Batcher) AddRelease(op Op, now int64) {
 	if len(batcher.pendingReleases) == 0 {
 		batcher.releasesSince = now
@@ -90,7 +92,8 @@
 	batcher.pendingReleases = append(batcher.pendingReleases, op)
 }
 
-// NextBatch is a batch that is to go now, nil for none; at is when there may be one, 0 if that hangs on what comes.
+// NextBatch returns the batch to send now, or nil. In that case wakeAt is when the next one is due, 0 if that depends
+// on further operations or responses.
 func (batcher *Batcher) NextBatch(now int64) (batch *InFlightBatch, wakeAt int64) {
 	releasesDue := len(batcher.pendingReleases) > 0 && now >= batcher.releasesSince+int64(batcher.ReleaseDelay)
 	if len(batcher.pendingClaims) == 0 && !releasesDue || len(batcher.inFlight) >= maxInFlightBatches {
@@ -100,20 +103,23 @@
 		return nil, wakeAt
 	}
 	batcher.lastBatchID++
-	batch = &InFlightBatch{ID: batcher.lastBatchID, sentAt: now, Batch: Batch{MaxKeys: batcher.MaxKeys, LowWatermark: batcher.lowWatermark()}}
+	batch = &InFlightBatch{ID: batcher.lastBatchID, sentAt: now,
+		Batch: Batch{MaxKeys: batcher.MaxKeys, LowWatermark: batcher.lowWatermark()}}
 	count := min(len(batcher.pendingClaims), maxBatchOps)
 	batch.claims, batcher.pendingClaims = batcher.pendingClaims[:count:count], batcher.pendingClaims[count:]
 	for _, claim := range batch.claims {
 		batch.Batch.Ops = append(batch.Batch.Ops, claim.Op)
 	}
 	count = min(len(batcher.pendingReleases), maxBatchOps)
-	batch.Batch.Ops, batcher.pendingReleases = append(batch.Batch.Ops, batcher.pendingReleases[:count]...), batcher.pendingReleases[count:]
+	batch.Batch.Ops, batcher.pendingReleases = append(batch.Batch.Ops, batcher.pendingReleases[:count]...),
+		batcher.pendingReleases[count:]
 	batcher.releasesSince = now
 	batcher.inFlight[batch.ID] = batch
 	return batch, 0
 }
 
-// HandleResponse takes what became of a batch. Over says that the run was ended: what it held is known to be unknown.
+// HandleResponse processes the response to a batch, or err if there is none. If the session has ended, pending releases
+// are dropped: the consensus group has already released its claims with an unknown outcome.
 func (batcher *Batcher) HandleResponse(batch *InFlightBatch, results *BatchResult, err error, sessionEnded bool, now int64) {
 	delete(batcher.inFlight, batch.ID)
 	if err == nil && len(results.Results) != len(batch.Batch.Ops) {
@@ -129,7 +135,7 @@
 			result = results.Results[i]
 		}
 		if err != nil || claim.settled && result.Code == CodeGranted {
-			// Danger: it may have been granted: without its end others would wait for it for good.
+			// The claim may have been granted; without a release, others would wait for it forever.
 			batcher.AddRelease(Op{Kind: opRelease, Key: claim.Op.Key, Attempt: claim.Op.Attempt, Outcome: OutcomeNeverRan}, now)
 		}
 		if !claim.settled {
@@ -146,7 +152,8 @@
 	}
 }
 
-// Unreachable reports whether the keepers are not reached as far as is known: a batch failed, or has waited for too long.
+// Unreachable reports whether the consensus group counts as unreachable: a batch has failed, or waits longer than
+// Timeout for its response.
 func (batcher *Batcher) Unreachable(now int64) bool {
 	if batcher.unreachable {
 		return true
@@ -159,7 +166,7 @@
 	return false
 }
 
-// BeginProbe reports whether keepers are to be asked whether they are there; Probed takes the answer.
+// BeginProbe reports whether the unreachable group should be probed now. EndProbe takes the result.
 func (batcher *Batcher) BeginProbe(now int64) bool {
 	if !batcher.unreachable || now-batcher.probedAt < int64(probeInterval) {
 		return false
@@ -168,12 +175,12 @@
 	return true
 }
 
-// EndProbe implements that.
+// EndProbe processes the result of a probe.
 func (batcher *Batcher) EndProbe(reachable bool) {
 	batcher.unreachable = batcher.unreachable && !reachable
 }
 
-// Pending is what waits and what is out.
-func (batcher *Batcher) Pending() (claims, ends, batches int) {
+// Pending returns the number of queued claims, queued releases and batches in flight.
+func (batcher *Batcher) Pending() (claims, releases, batches int) {
 	return len(batcher.pendingClaims), len(batcher.pendingReleases), len(batcher.inFlight)
 }
--- a/internal/cluster/ledger/rate_test.go
+++ b/internal/cluster/ledger/capacity_test.go
@@ -21,7 +21,8 @@
 	"ottershift/internal/lab/between"
 )
 
-// startCluster is keepers with links and disks of their own, and a member that is none, with so long a way between any two.
+// startCluster starts replicas with their own links and disks, and returns the ledger of a further member that is not a
+// replica. delay is the network delay between any two of them.
 func startCluster(t testing.TB, replicas, groups int, delay time.Duration) *Ledger {
 	mesh, err := between.New(replicas+1, 1)
 	if err != nil {
@@ -33,7 +34,7 @@
 		names = append(names, fmt.Sprint("k", i))
 		for k := range replicas + 1 {
 			if i != k {
-				mesh.Set(i, k, func(x *between.Trouble) { x.Delay = delay })
+				mesh.Set(i, k, func(trouble *between.Trouble) { trouble.Delay = delay })
 			}
 		}
 	}
@@ -47,37 +48,40 @@
 				routes[other] = mesh.Address(i, k)
 			}
 		}
-		l, err := link.Listen(link.Options{
-			Cluster: "c", Self: name, Address: "127.0.0.1:0", Through: routes, Log: slog.New(slog.DiscardHandler), Stream: func(c net.Conn) { c.Close() },
+		node, err := link.Listen(link.Options{
+			Cluster: "c", Self: name, Address: "127.0.0.1:0", Through: routes, Log: slog.New(slog.DiscardHandler),
+			Stream:   func(c net.Conn) { c.Close() },
 			Datagram: func(byte, []byte, net.Addr) {}, Resolve: func(string) (string, bool) { return "", false },
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
-		mesh.Target(i, l.Addr().String())
-		t.Cleanup(l.Close)
+		mesh.Target(i, node.Addr().String())
+		t.Cleanup(node.Close)
 		if i == replicas {
-			l.Serve()
-			member = l
+			node.Serve()
+			member = node
 			break
 		}
 		for g := range groups {
 			groupDir := keep.Group(filepath.Join(dir, name), g)
-			k, err := keep.NewKeeper(keep.Options{
-				Cluster: "c", Name: name, Voters: names[:replicas], Group: g, Dir: groupDir, FS: disk.Dir(groupDir), Way: l, Election: time.Second,
-				Lease: keep.Lease{For: time.Second, Drift: 0.02}, Guards: keep.Guards{Fence: true, Once: true}, Log: slog.New(slog.DiscardHandler),
+			replica, err := keep.NewKeeper(keep.Options{
+				Cluster: "c", Name: name, Voters: names[:replicas], Group: g, Dir: groupDir, FS: disk.Dir(groupDir),
+				Way: node, Election: time.Second,
+				Lease: keep.Lease{For: time.Second, Drift: 0.02}, Guards: keep.Guards{Fence: true, Once: true},
+				Log:   slog.New(slog.DiscardHandler),
 				Parts: map[byte]keep.Part{StateMachineID: NewStateMachine(Guards{Fence: true}, 1)},
 			})
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Cleanup(k.Close)
-			started = append(started, k)
+			t.Cleanup(replica.Close)
+			started = append(started, replica)
 		}
-		l.Serve()
+		node.Serve()
 	}
-	for _, k := range started {
-		k.Begin()
+	for _, replica := range started {
+		replica.Begin()
 	}
 	var clients []GroupClient
 	for g := range groups {
@@ -94,12 +98,13 @@
 			}
 		}
 	}
-	l := Start(Options{Groups: clients, Timeout: 3 * time.Second, ReleaseDelay: 20 * time.Millisecond, MaxKeys: 1 << 20, Log: slog.New(slog.DiscardHandler)})
-	t.Cleanup(l.Close)
-	return l
+	ledger := Start(Options{Groups: clients, Timeout: 3 * time.Second, ReleaseDelay: 20 * time.Millisecond,
+		MaxKeys: 1 << 20, Log: slog.New(slog.DiscardHandler)})
+	t.Cleanup(ledger.Close)
+	return ledger
 }
 
-// BenchmarkClaims: from the wish to send until a push may leave, by keepers, the way between any two and how many ask at once.
+// BenchmarkClaims measures the time until a claim is granted, by number of replicas, network delay and concurrency.
 func BenchmarkClaims(b *testing.B) {
 	for _, replicas := range []int{1, 3, 5} {
 		for _, delay := range []time.Duration{0, time.Millisecond, 5 * time.Millisecond} {
@@ -119,7 +124,9 @@
 						for range concurrency {
 							workers.Go(func() {
 								for n := next.Add(1); n <= int64(b.N); n = next.Add(1) {
-									claim := ledger.NewClaim(Request{Pool: "p", Tariff: "t", IdempotencyKey: fmt.Sprint(n), ID: fmt.Sprint(n), GroupScoped: true, Retention: time.Minute, ContractTime: time.Second}, time.Second)
+									claim := ledger.NewClaim(Request{Pool: "p", Tariff: "t",
+										IdempotencyKey: fmt.Sprint(n), ID: fmt.Sprint(n), GroupScoped: true,
+										Retention: time.Minute, ContractTime: time.Second}, time.Second)
 									start := time.Now()
 									if err := claim.Acquire(context.Background(), "a/1", "u1", true); err != nil {
 										b.Error(err)
@@ -138,7 +145,8 @@
 						b.ReportMetric(float64(len(latencies))/time.Since(benchStart).Seconds(), "claims/s")
 						b.ReportMetric(float64(latencies[len(latencies)/2].Microseconds())/1000, "p50-ms")
 						b.ReportMetric(float64(latencies[len(latencies)*99/100].Microseconds())/1000, "p99-ms")
-						b.ReportMetric(float64(ledger.Counts.Claims.Load()+ledger.Counts.Releases.Load())/float64(max(1, ledger.Counts.Batches.Load())), "ops/batch")
+						b.ReportMetric(float64(ledger.Counts.Claims.Load()+ledger.Counts.Releases.Load())/
+							float64(max(1, ledger.Counts.Batches.Load())), "ops/batch")
 					})
 				}
 			}
@@ -146,7 +154,9 @@
 	}
 }
 
-// A million keys of one customer, and one of 64 KiB: what they take, and that all of them are forgotten in their time.
+// TestMillionKeys guards the memory and snapshot size per key that the configuration check assumes. It also checks that
+// a million keys all expire, that keys of 64 KiB stay distinct, and that a full ledger refuses new keys instead of
+// dropping old ones.
 func TestMillionKeys(t *testing.T) {
 	n := 1_000_000 / raceDivisor
 	var before, after runtime.MemStats
@@ -160,8 +170,10 @@
 		for k := range min(maxBatchOps, n-i) {
 			key := KeyOf("tag", "pool", "customer", "order", fmt.Sprint(long[:(i+k)%2*32], i+k))
 			batch.Ops = append(batch.Ops, Op{
-				Kind: opClaim, Key: key[:], Attempt: uint64(i + k + 1), Group: fmt.Sprint("a/", k%4), Pool: "pool", Customer: "customer", Tariff: "order",
-				Retention: 60 * second, RequestID: fmt.Sprintf("%016x", i+k), ClientKey: fmt.Sprintf("%032x", i+k), Upstream: "upstream-1234",
+				Kind: opClaim, Key: key[:], Attempt: uint64(i + k + 1), Group: fmt.Sprint("a/", k%4), Pool: "pool",
+				Customer: "customer", Tariff: "order",
+				Retention: 60 * second, RequestID: fmt.Sprintf("%016x", i+k), ClientKey: fmt.Sprintf("%032x", i+k),
+				Upstream: "upstream-1234",
 			})
 			batch.Ops = append(batch.Ops, Op{Kind: opRelease, Key: key[:], Attempt: uint64(i + k + 1), Outcome: OutcomeAnswered})
 		}
@@ -181,40 +193,41 @@
 	start = time.Now()
 	restored := NewStateMachine(Guards{Fence: true}, 1)
 	if err := restored.Load(raw); err != nil || restored.checksum != sm.checksum || len(restored.slotByKey) != n {
-		t.Fatalf("a snapshot of %d keys: %v", n, err)
+		t.Fatalf("loading a snapshot of %d keys: %v", n, err)
 	}
 	loadTime := time.Since(start)
 	start = time.Now()
 	restored.advanceClock(30 * second)
 	restored.advanceClock(32 * second)
-	t.Logf("%d keys: %d bytes of memory and %d of a snapshot each; claimed and ended in %s, saved in %s, read in %s, forgotten in %s", n,
+	t.Logf("%d keys: %d bytes of memory and %d of a snapshot each; claimed and released in %s, saved in %s, loaded in %s, expired in %s", n,
 		(after.HeapAlloc-before.HeapAlloc)/uint64(n), len(raw)/n, fillTime, saveTime, loadTime, time.Since(start))
 	if len(restored.slotByKey) != 0 || restored.checksum != 0 {
-		t.Errorf("%d keys are left, sum %x", len(restored.slotByKey), restored.checksum)
+		t.Errorf("%d keys are left, checksum %x", len(restored.slotByKey), restored.checksum)
 	}
 	if bytesPerKey := (after.HeapAlloc - before.HeapAlloc) / uint64(n); bytesPerKey > 352 {
-		t.Errorf("a key takes %d bytes, more than check says", bytesPerKey)
+		t.Errorf("a key takes %d bytes of memory, more than the configuration check assumes", bytesPerKey)
 	}
 	if len(raw)/n > 144 {
-		t.Errorf("a key takes %d bytes of a snapshot, more than check says", len(raw)/n)
+		t.Errorf("a key takes %d bytes of a snapshot, more than the configuration check assumes", len(raw)/n)
 	}
 	if KeyOf(long+"a") == KeyOf(long+"b") || KeyOf("ab", "c") == KeyOf("a", "bc") {
-		t.Error("two keys are one")
+		t.Error("different requests have the same key")
 	}
-	// All of it is told page by page, each once, also where the copy changes in between.
+	// ForEach visits each key once, also if the copy changes between pages.
 	pages, visited := 0, 0
-	if err := ForEach(Query{Kind: "find", Group: "a/1"}, func(q *Query) (Page, error) {
+	if err := ForEach(Query{Kind: "find", Group: "a/1"}, func(query *Query) (Page, error) {
 		if pages++; pages == 3 {
 			sm.copyID++
 		}
-		return sm.Query(q), nil
+		return sm.Query(query), nil
 	}, func(e Entry) error { visited++; return nil }); err != nil || visited != n/4 || pages < 4 {
 		t.Errorf("%d of %d keys in %d pages, %v", visited, n/4, pages, err)
 	}
-	// Over its bound nothing is dropped: what is new is told so.
+	// At the limit no key is dropped and new claims are refused.
 	key := KeyOf("more")
-	full := sm.applyOp(&keep.Command{Member: "b1", Epoch: 1}, &Op{Kind: opClaim, Key: key[:], Attempt: uint64(n + 1), Retention: second}, n)
+	full := sm.applyOp(&keep.Command{Member: "b1", Epoch: 1},
+		&Op{Kind: opClaim, Key: key[:], Attempt: uint64(n + 1), Retention: second}, n)
 	if full.Code != CodeFull || len(sm.slotByKey) != n {
-		t.Errorf("over the bound a claim was told %s", codeNames[full.Code])
+		t.Errorf("claim at the limit of keys: got %s", codeNames[full.Code])
 	}
 }
--- a/internal/cluster/ledger/ledger.go
+++ b/internal/cluster/ledger/ledger.go
@@ -15,31 +15,31 @@
 	"ottershift/internal/cluster/pack"
 )
 
-// Faults of a claim.
+// Errors of a claim.
 var (
-	ErrUnreachable  = errors.New("the keepers are not reached")
-	ErrSessionEnded = errors.New("this run is over at the keepers")
-	errResultCount  = errors.New("an answer that doesn't fit its batch")
+	ErrUnreachable  = errors.New("consensus group is unreachable")
+	ErrSessionEnded = errors.New("session of this member has ended")
+	errResultCount  = errors.New("number of results differs from number of operations")
 )
 
-// GroupClient is one group of them, as a client has it.
+// GroupClient is a client of one consensus group.
 type GroupClient interface {
 	Do(ctx context.Context, x keep.Command) (keep.Answer, error)
 	ReadPart(ctx context.Context, part byte, body []byte, stale bool) ([]byte, error)
 	Session() (epoch uint64, ok bool)
 }
 
-// Options say how a member claims.
+// Options configure a Ledger.
 type Options struct {
 	Groups       []GroupClient
 	Timeout      time.Duration
 	ReleaseDelay time.Duration
-	MaxKeys      int // remembered at most, over all groups
+	MaxKeys      int // limit of keys over all consensus groups
 	Rules        Rules
 	Log          *slog.Logger
 }
 
-// Ledger is a member's way to the ledger.
+// Ledger is a member's client of the replicated ledger. Keys are spread over the consensus groups by hash.
 type Ledger struct {
 	options    Options
 	startedAt  time.Time
@@ -49,12 +49,15 @@
 	groups     []*consensusGroup
 	rules      atomic.Pointer[Rules]
 
-	Counts       struct{ Claims, Granted, Bound, Held, MayHaveRun, BodyMismatch, Full, Failed, Waits, Deferred, Releases, Batches, Lookups atomic.Int64 }
+	Counts struct {
+		Claims, Granted, Bound, Held, MayHaveRun, BodyMismatch, Full, Failed, Waits, Deferred,
+		Releases, Batches, Lookups atomic.Int64
+	}
 	mu           sync.Mutex
-	slowestClaim time.Duration // slowest claim since it was asked
+	slowestClaim time.Duration // slowest claim since the metrics were last read
 }
 
-// consensusGroup is one group of keepers with the runner of its flow.
+// consensusGroup sends the batches of one consensus group.
 type consensusGroup struct {
 	ledger  *Ledger
 	client  GroupClient
@@ -63,16 +66,17 @@
 
 	mu                  sync.Mutex
 	batcher             *Batcher
-	reportedUnreachable bool // that it is down
+	reportedUnreachable bool // the log says that the group is unreachable
 }
 
-// Start starts it.
+// Start starts a Ledger.
 func Start(options Options) *Ledger {
 	ledger := &Ledger{options: options, startedAt: time.Now()}
 	ledger.ctx, ledger.cancel = context.WithCancel(context.Background())
 	ledger.rules.Store(&options.Rules)
 	for _, client := range options.Groups {
-		cg := &consensusGroup{ledger: ledger, client: client, wakeups: make(chan struct{}, 1), batcher: NewBatcher(options.Timeout, options.ReleaseDelay, max(1, options.MaxKeys/len(options.Groups)))}
+		cg := &consensusGroup{ledger: ledger, client: client, wakeups: make(chan struct{}, 1),
+			batcher: NewBatcher(options.Timeout, options.ReleaseDelay, max(1, options.MaxKeys/len(options.Groups)))}
 		cg.timeout.Store(int64(options.Timeout))
 		ledger.groups = append(ledger.groups, cg)
 		ledger.goroutines.Go(cg.run)
@@ -80,7 +84,7 @@
 	return ledger
 }
 
-// Reconfigure puts other rules in force, for what comes from now on.
+// Reconfigure changes the settings for requests that arrive from now on.
 func (ledger *Ledger) Reconfigure(timeout, releaseDelay time.Duration, maxKeys int, rules Rules) {
 	ledger.rules.Store(&rules)
 	for _, cg := range ledger.groups {
@@ -91,7 +95,7 @@
 	}
 }
 
-// Flush tells all ends that wait, within a time.
+// Flush waits until all queued operations have been sent and answered, at most for the timeout.
 func (ledger *Ledger) Flush(timeout time.Duration) {
 	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
 		outstanding := 0
@@ -107,18 +111,21 @@
 	}
 }
 
-// Close ends it. What was not told is unknown to others.
+// Close stops the ledger. Claims whose release was not sent end with an unknown outcome.
 func (ledger *Ledger) Close() {
 	ledger.cancel()
 	ledger.goroutines.Wait()
 }
 
+// now returns the nanoseconds since the start of the ledger.
 func (ledger *Ledger) now() int64 { return int64(time.Since(ledger.startedAt)) }
 
+// groupFor returns the consensus group of a key.
 func (ledger *Ledger) groupFor(key Key) *consensusGroup {
 	return ledger.groups[binary.BigEndian.Uint32(key[:])%uint32(len(ledger.groups))]
 }
 
+// wake lets run check again for batches to send.
 func (cg *consensusGroup) wake() {
 	select {
 	case cg.wakeups <- struct{}{}:
@@ -126,7 +133,7 @@
 	}
 }
 
-// run sends what is due.
+// run sends batches and probes when they are due.
 func (cg *consensusGroup) run() {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -139,7 +146,8 @@
 		if unreachable != cg.reportedUnreachable {
 			cg.reportedUnreachable = unreachable
 			if unreachable {
-				cg.ledger.options.Log.Warn("ledger", "step", "down", "fault", "keepers are not reached: what must not run twice is deferred")
+				cg.ledger.options.Log.Warn("ledger", "step", "down", "fault",
+					"consensus group is unreachable: requests that must not run twice are deferred")
 			} else {
 				cg.ledger.options.Log.Info("ledger", "step", "back")
 			}
@@ -169,7 +177,8 @@
 	}
 }
 
-// send has a batch agreed on. It is tried for longer than a claim waits: what it holds of ends is to arrive.
+// send sends a batch to the consensus group. It tries for twice as long as a claim waits, because the releases in the
+// batch are worth delivering even when its claims have timed out.
 func (cg *consensusGroup) send(batch *InFlightBatch) {
 	cg.ledger.Counts.Batches.Add(1)
 	ctx, cancel := context.WithTimeout(cg.ledger.ctx, 2*time.Duration(cg.timeout.Load()))
@@ -177,7 +186,7 @@
 	answer, err := cg.client.Do(ctx, keep.Command{Kind: keep.Custom, Part: StateMachineID, Body: pack.Pack(&batch.Batch)})
 	var results BatchResult
 	if err == nil && answer.Code != keep.OK {
-		err = fmt.Errorf("the keepers say: %s", answer.Text())
+		err = fmt.Errorf("consensus group refused the batch: %s", answer.Text())
 	}
 	if err == nil {
 		err = pack.Unpack(answer.Body, &results)
@@ -188,6 +197,7 @@
 	cg.wake()
 }
 
+// probe asks an unreachable consensus group whether it answers again.
 func (cg *consensusGroup) probe() {
 	ctx, cancel := context.WithTimeout(cg.ledger.ctx, time.Duration(cg.timeout.Load()))
 	defer cancel()
@@ -198,7 +208,7 @@
 	cg.wake()
 }
 
-// lookup reads what is agreed on a key; nil for nothing.
+// lookup reads the entry of a key from the consensus group; nil if there is none.
 func (cg *consensusGroup) lookup(ctx context.Context, key Key) (*Entry, error) {
 	raw, err := cg.client.ReadPart(ctx, StateMachineID, pack.Pack(&Query{Kind: "look", Key: key[:]}), false)
 	if err != nil {
@@ -214,7 +224,7 @@
 	return &page.Entries[0], nil
 }
 
-// Claim is one transaction's, for as long as it is in hand. One goroutine at a time asks it to Take.
+// Claim is the claim of one request. It may be used by several goroutines, but only one at a time may call Acquire.
 type Claim struct {
 	ledger     *Ledger
 	consensus  *consensusGroup
@@ -224,13 +234,13 @@
 	clientWait time.Duration
 
 	mu      sync.Mutex
-	epoch   uint64 // of the run that it was granted to, 0 before
-	attempt uint64 // that it was granted by
-	group   string
-	refusal *Entry // what the last refusal said
+	epoch   uint64 // session epoch under which it was granted, 0 while it is not granted
+	attempt uint64 // number of the granted attempt
+	group   string // upstream group for which it was granted
+	refusal *Entry // what the last refusal said about the key
 }
 
-// NewClaim takes a transaction, which its client waits so long for.
+// NewClaim returns the claim of a request whose client waits for clientWait. Nothing is sent yet.
 func (ledger *Ledger) NewClaim(req Request, clientWait time.Duration) *Claim {
 	if !ledger.rules.Load().RequireSameBody {
 		req.BodyHash = 0
@@ -240,7 +250,7 @@
 	return claim
 }
 
-// reachable reports whether it makes sense to ask keepers now.
+// reachable reports whether there is a session and the consensus group is not known to be unreachable.
 func (cg *consensusGroup) reachable() bool {
 	if _, open := cg.client.Session(); !open {
 		return false
@@ -250,12 +260,12 @@
 	return !cg.batcher.Unreachable(cg.ledger.now())
 }
 
-// Check says what the transaction may do before it is taken, or taken again after a refusal. It waits for another try's end
-// where that is the rule.
+// Check decides what to do with the request before Acquire, and again after Acquire was refused. If the rules say so,
+// it waits until another attempt ends.
 func (claim *Claim) Check(ctx context.Context) Decision {
 	if !claim.consensus.reachable() {
 		claim.ledger.Counts.Deferred.Add(1)
-		return Decision{Action: ActionDefer} // at once, and harmless: nothing of it has left
+		return Decision{Action: ActionDefer} // no wait is needed: nothing has been sent, so a retry is safe
 	}
 	claim.mu.Lock()
 	entry := claim.refusal
@@ -274,7 +284,8 @@
 			}
 			entry = found
 		}
-		decision := Decide(&claim.request, entry, *claim.ledger.rules.Load(), time.Since(waitStart), claim.clientWait-time.Since(claim.startedAt))
+		decision := Decide(&claim.request, entry, *claim.ledger.rules.Load(), time.Since(waitStart),
+			claim.clientWait-time.Since(claim.startedAt))
 		switch decision.Action {
 		case ActionDefer:
 			claim.ledger.Counts.Deferred.Add(1)
@@ -298,8 +309,9 @@
 	}
 }
 
-// Acquire claims the transaction for a group, before a push leaves for one of its upstreams; moves says that no push of it has run. The push may
-// leave only if there is no error. Granted once it holds for all pushes to that group, as long as this run does.
+// Acquire claims the request for an upstream group, before an attempt is sent to one of its upstreams; movable says
+// that no attempt has run. The attempt may be sent only if there is no error. A granted claim is valid for all attempts
+// within the group, for as long as the session lasts.
 func (claim *Claim) Acquire(ctx context.Context, group, upstream string, movable bool) error {
 	claim.mu.Lock()
 	grantedEpoch, grantedGroup, attempt := claim.epoch, claim.group, claim.attempt
@@ -307,11 +319,11 @@
 	epoch, open := claim.consensus.client.Session()
 	if !open || grantedEpoch != 0 && epoch != grantedEpoch {
 		claim.mu.Lock()
-		if movable { // nothing of it has run, so it may be claimed anew
+		if movable { // nothing has run, so the request may be claimed again
 			claim.epoch, claim.attempt = 0, 0
 		}
 		claim.mu.Unlock()
-		return ErrSessionEnded // danger: what this run held may be another's by now
+		return ErrSessionEnded // another member may have claimed the key since the session ended
 	}
 	if grantedEpoch != 0 && grantedGroup == group {
 		return nil
@@ -321,8 +333,10 @@
 	var result Result
 	var claimErr error
 	pending := &PendingClaim{Op: Op{
-		Kind: opClaim, Key: claim.key[:], Attempt: attempt, Group: group, Upstream: upstream, Movable: movable, OnceOnly: claim.request.OnceOnly, Pool: claim.request.Pool, Customer: claim.request.Customer,
-		Tariff: claim.request.Tariff, Retention: int64(claim.request.Retention), RequestID: Truncate(claim.request.ID), BodyHash: claim.request.BodyHash, ClientKey: Truncate(claim.request.IdempotencyKey),
+		Kind: opClaim, Key: claim.key[:], Attempt: attempt, Group: group, Upstream: upstream, Movable: movable,
+		OnceOnly: claim.request.OnceOnly, Pool: claim.request.Pool, Customer: claim.request.Customer,
+		Tariff: claim.request.Tariff, Retention: int64(claim.request.Retention), RequestID: Truncate(claim.request.ID),
+		BodyHash: claim.request.BodyHash, ClientKey: Truncate(claim.request.IdempotencyKey),
 	}, Done: func(r Result, e error) { result, claimErr = r, e; close(settled) }}
 	claim.ledger.Counts.Claims.Add(1)
 	claim.consensus.mu.Lock()
@@ -344,7 +358,7 @@
 		err = context.Cause(ctx)
 	}
 	claim.consensus.mu.Lock()
-	if pending.settled { // its word is there, if only just
+	if pending.settled { // the result arrived after all
 		err = claimErr
 	} else {
 		claim.consensus.batcher.Abandon(pending)
@@ -361,8 +375,8 @@
 	defer claim.mu.Unlock()
 	switch result.Code {
 	case CodeGranted:
-		// Danger: the run may have been ended while the word was on its way; then others go by what it was claimed for, and so
-		// does a push to that group.
+		// The session may have ended while the response was in flight. Then other members see an unknown outcome in the
+		// claimed group, which is correct for an attempt sent to that group.
 		claim.ledger.Counts.Granted.Add(1)
 		claim.epoch, claim.group, claim.attempt = epoch, group, pending.Op.Attempt
 		return nil
@@ -377,18 +391,19 @@
 	return &RefusedError{result.Code}
 }
 
-// RefusedError is a claim that was not granted.
+// RefusedError reports a claim that was not granted.
 type RefusedError struct{ Code byte }
 
-func (r *RefusedError) Error() string { return "not granted: " + codeNames[r.Code] }
+// Error implements error.
+func (r *RefusedError) Error() string { return "claim refused: " + codeNames[r.Code] }
 
-const maxDisplayBytes = 32 // bytes of a key or id that are kept to be shown
+const maxDisplayBytes = 32 // length to which keys and request IDs are truncated for display
 
-// Truncate is as much of a key or an id as is kept to be shown.
+// Truncate returns the prefix of an Idempotency-Key or a request ID that the ledger stores for display.
 func Truncate(text string) string { return text[:min(len(text), maxDisplayBytes)] }
 
-// Release says how a transaction ended; how is EndNever, EndAnswered or EndUnknown. It is told when it suits; lost on its way, it
-// makes "unknown".
+// Release ends the claim with OutcomeNeverRan, OutcomeAnswered or OutcomeUnknown. The release is sent in the
+// background; if it is lost, the outcome is unknown once the session ends.
 func (claim *Claim) Release(outcome byte) {
 	claim.mu.Lock()
 	grantedEpoch, attempt := claim.epoch, claim.attempt
@@ -404,7 +419,7 @@
 	claim.consensus.wake()
 }
 
-// Unreachable reports whether any group of keepers is not reached.
+// Unreachable reports whether any consensus group is unreachable.
 func (ledger *Ledger) Unreachable() bool {
 	for _, cg := range ledger.groups {
 		if !cg.reachable() {
@@ -414,7 +429,7 @@
 	return false
 }
 
-// WriteMetrics writes its figures, a line each.
+// WriteMetrics writes the metrics of the ledger, one on a line.
 func (ledger *Ledger) WriteMetrics(writer io.Writer) {
 	ledger.mu.Lock()
 	slowest := ledger.slowestClaim
@@ -429,9 +444,12 @@
 		name string
 		v    int64
 	}{
-		{"down", int64(unreachable)}, {"claims", counts.Claims.Load()}, {"granted", counts.Granted.Load()}, {"held", counts.Held.Load()}, {"bound", counts.Bound.Load()},
-		{"ran", counts.MayHaveRun.Load()}, {"differs", counts.BodyMismatch.Load()}, {"full", counts.Full.Load()}, {"failed", counts.Failed.Load()}, {"waits", counts.Waits.Load()},
-		{"deferred", counts.Deferred.Load()}, {"looks", counts.Lookups.Load()}, {"ends", counts.Releases.Load()}, {"batches", counts.Batches.Load()},
+		{"down", int64(unreachable)}, {"claims", counts.Claims.Load()}, {"granted", counts.Granted.Load()},
+		{"held", counts.Held.Load()}, {"bound", counts.Bound.Load()},
+		{"ran", counts.MayHaveRun.Load()}, {"differs", counts.BodyMismatch.Load()}, {"full", counts.Full.Load()},
+		{"failed", counts.Failed.Load()}, {"waits", counts.Waits.Load()},
+		{"deferred", counts.Deferred.Load()}, {"looks", counts.Lookups.Load()}, {"ends", counts.Releases.Load()},
+		{"batches", counts.Batches.Load()},
 		{"slowest_ms", slowest.Milliseconds()}, {"bound_within_ms", time.Duration(ledger.groups[0].timeout.Load()).Milliseconds()},
 	} {
 		fmt.Fprintf(writer, "cluster_ledger_%s %d\n", metric.name, metric.v)
--- a/internal/cluster/ledger/query.go
+++ b/internal/cluster/ledger/query.go
@@ -9,10 +9,12 @@
 	"ottershift/internal/cluster/pack"
 )
 
-// Query asks a book.
+// Query is a query of the ledger.
 type Query struct {
-	Kind            string `codec:"w" json:"what,omitempty"`          // "look": one key; "find": by the words below; "marks": sums; "stand"
-	Key             []byte `codec:"k,omitempty" json:"key,omitempty"` // of "look"
+	// Kind is "look" for one key, "find" for the entries that match the fields below, "marks" for checksums or "stand"
+	// for counts.
+	Kind            string `codec:"w" json:"what,omitempty"`
+	Key             []byte `codec:"k,omitempty" json:"key,omitempty"` // for "look"
 	RequestID       string `codec:"i,omitempty" json:"id,omitempty"`
 	Pool            string `codec:"p,omitempty" json:"pool,omitempty"`
 	Customer        string `codec:"c,omitempty" json:"customer,omitempty"`
@@ -22,21 +24,21 @@
 	Member          string `codec:"m,omitempty" json:"member,omitempty"`
 	State           string `codec:"s,omitempty" json:"state,omitempty"`
 	ClientKeyPrefix string `codec:"l,omitempty" json:"label,omitempty"`
-	MaxAge          int64  `codec:"y,omitempty" json:"younger,omitempty"` // remembered for less than this, nanoseconds
-	MinAge          int64  `codec:"o,omitempty" json:"older,omitempty"`
-	Limit           int    `codec:"n,omitempty" json:"most,omitempty"`
-	Offset          int    `codec:"f,omitempty" json:"-"` // of "find": where the page before ended
-	CopyID          uint64 `codec:"e,omitempty" json:"-"` // and in whose copy; that is another's after a change of leader
+	MaxAge          int64  `codec:"y,omitempty" json:"younger,omitempty"` // claimed less than this ago, in nanoseconds
+	MinAge          int64  `codec:"o,omitempty" json:"older,omitempty"`   // claimed at least this long ago, in nanoseconds
+	Limit           int    `codec:"n,omitempty" json:"most,omitempty"`    // limit of entries, 0 for none
+	Offset          int    `codec:"f,omitempty" json:"-"`                 // for "find": where the previous page ended
+	CopyID          uint64 `codec:"e,omitempty" json:"-"`                 // the copy of that page; changes with the leader
 }
 
-// States of a record, as they are shown.
+// States of an entry.
 const (
-	StateOpen     = "open"     // claimed, its end is not known yet
+	StateOpen     = "open"     // claimed and not released yet
 	StateAnswered = "answered" // an upstream answered
-	StateUnknown  = "unknown"  // it may have run
+	StateUnknown  = "unknown"  // the request may have run
 )
 
-// Entry is a record as it is shown.
+// Entry is the state of one key, as shown to operators.
 type Entry struct {
 	Key         string `codec:"k" json:"key"`
 	State       string `codec:"s" json:"state"`
@@ -44,25 +46,25 @@
 	Customer    string `codec:"c,omitempty" json:"customer,omitempty"`
 	Tariff      string `codec:"t" json:"tariff"`
 	OnceOnly    bool   `codec:"o,omitempty" json:"once_only,omitempty"`
-	Group       string `codec:"g,omitempty" json:"group,omitempty"`    // of upstreams that it is bound to
-	Upstream    string `codec:"u,omitempty" json:"upstream,omitempty"` // that it was sent to first
+	Group       string `codec:"g,omitempty" json:"group,omitempty"`    // upstream group that the request is bound to
+	Upstream    string `codec:"u,omitempty" json:"upstream,omitempty"` // upstream of the first attempt in the group
 	Member      string `codec:"m,omitempty" json:"member,omitempty"`
 	Epoch       uint64 `codec:"e,omitempty" json:"epoch,omitempty"`
 	Attempt     uint64 `codec:"n,omitempty" json:"number,omitempty"`
-	AgeMS       int64  `codec:"f" json:"remembered_ms"`           // so far
-	RemainingMS int64  `codec:"l,omitempty" json:"left_ms"`       // until it is forgotten
+	AgeMS       int64  `codec:"f" json:"remembered_ms"`           // time since it was claimed
+	RemainingMS int64  `codec:"l,omitempty" json:"left_ms"`       // time until it expires
 	MayHaveRun  bool   `codec:"y,omitempty" json:"may,omitempty"` // an earlier attempt may have run
 	BodyHash    uint64 `codec:"b,omitempty" json:"body,omitempty"`
 	RequestID   string `codec:"i,omitempty" json:"id,omitempty"`
 	ClientKey   string `codec:"x,omitempty" json:"label,omitempty"`
 }
 
-// Page is what a query tells.
+// Page is the answer to a query, or one page of it.
 type Page struct {
 	Entries      []Entry          `codec:"e,omitempty"`
-	NextOffset   int              `codec:"m,omitempty"` // where the next page begins; 0 for no more
+	NextOffset   int              `codec:"m,omitempty"` // where the next page starts, 0 for none
 	CopyID       uint64           `codec:"f,omitempty"` // the copy that was read
-	Indexes      []uint64         `codec:"i,omitempty"` // of sums
+	Indexes      []uint64         `codec:"i,omitempty"` // log indexes of the checksums
 	Checksums    []uint64         `codec:"s,omitempty"`
 	Keys         int              `codec:"k,omitempty"`
 	OpenClaims   int              `codec:"o,omitempty"`
@@ -70,11 +72,11 @@
 }
 
 const (
-	maxPageEntries = 2000
-	maxPageScan    = 20000
+	maxPageEntries = 2000  // entries in a page
+	maxPageScan    = 20000 // records scanned for a page
 )
 
-// Read implements keep.Reader.
+// Read implements keep.Reader: it answers an encoded Query with an encoded Page.
 func (sm *StateMachine) Read(body []byte) []byte {
 	var query Query
 	if pack.Unpack(body, &query) != nil {
@@ -102,7 +104,7 @@
 			}
 		}
 	case "find":
-		// Danger: a keeper answers nobody while it looks, so a page looks at so many records and no more.
+		// The scan blocks the replica, so a page scans a limited number of records.
 		page.CopyID = sm.copyID
 		slot := query.Offset
 		if query.CopyID != sm.copyID {
@@ -121,7 +123,7 @@
 	return page
 }
 
-// ForEach tells all that fits, once, page by page. What is claimed or forgotten meanwhile may be among them or not.
+// ForEach visits all matching entries once, page by page. Entries that are claimed or removed meanwhile may be missing.
 func ForEach(query Query, fetchPage func(*Query) (Page, error), visit func(Entry) error) error {
 	seen, visited := map[string]bool{}, 0
 	for {
@@ -131,7 +133,7 @@
 		}
 		for _, entry := range page.Entries {
 			if seen[entry.Key] {
-				continue // another copy is read from its beginning
+				continue // a change of the copy restarts the scan
 			}
 			seen[entry.Key] = true
 			if visited++; query.Limit > 0 && visited > query.Limit {
@@ -148,18 +150,24 @@
 	}
 }
 
+// matches reports whether a record matches all fields of a query that are set.
 func (sm *StateMachine) matches(rec *record, query *Query) bool {
 	entry := sm.entry(rec)
 	age := entry.AgeMS * int64(time.Millisecond)
-	return (query.RequestID == "" || query.RequestID == entry.RequestID) && (query.Pool == "" || query.Pool == entry.Pool) && (query.Customer == "" || query.Customer == entry.Customer) &&
-		(query.Tariff == "" || query.Tariff == entry.Tariff) && (query.Group == "" || query.Group == entry.Group) && (query.Upstream == "" || query.Upstream == entry.Upstream) && (query.Member == "" || query.Member == entry.Member) &&
-		(query.State == "" || query.State == entry.State) && (query.ClientKeyPrefix == "" || strings.HasPrefix(entry.ClientKey, query.ClientKeyPrefix)) &&
+	return (query.RequestID == "" || query.RequestID == entry.RequestID) &&
+		(query.Pool == "" || query.Pool == entry.Pool) && (query.Customer == "" || query.Customer == entry.Customer) &&
+		(query.Tariff == "" || query.Tariff == entry.Tariff) && (query.Group == "" || query.Group == entry.Group) &&
+		(query.Upstream == "" || query.Upstream == entry.Upstream) && (query.Member == "" || query.Member == entry.Member) &&
+		(query.State == "" || query.State == entry.State) &&
+		(query.ClientKeyPrefix == "" || strings.HasPrefix(entry.ClientKey, query.ClientKeyPrefix)) &&
 		(query.MaxAge == 0 || age < query.MaxAge) && (query.MinAge == 0 || age >= query.MinAge)
 }
 
+// entry returns a record as shown to operators.
 func (sm *StateMachine) entry(rec *record) Entry {
 	entry := Entry{
-		Key: rec.key.String(), Pool: sm.names[rec.pool], Customer: sm.names[rec.customer], Tariff: sm.names[rec.tariff], OnceOnly: rec.onceOnly, Group: sm.names[rec.group],
+		Key: rec.key.String(), Pool: sm.names[rec.pool], Customer: sm.names[rec.customer], Tariff: sm.names[rec.tariff],
+		OnceOnly: rec.onceOnly, Group: sm.names[rec.group],
 		MayHaveRun: rec.mayHaveRun, BodyHash: rec.bodyHash, RequestID: rec.requestID, ClientKey: rec.clientKey, Upstream: rec.upstream,
 	}
 	const ms = int64(time.Millisecond)
@@ -171,7 +179,8 @@
 	}
 	switch {
 	case rec.holder.member != 0:
-		entry.State, entry.Member, entry.Epoch, entry.Attempt = StateOpen, sm.names[rec.holder.member], rec.holder.epoch, rec.holder.number
+		entry.State, entry.Member, entry.Epoch, entry.Attempt = StateOpen, sm.names[rec.holder.member],
+			rec.holder.epoch, rec.holder.number
 	case rec.answered:
 		entry.State = StateAnswered
 	default:
@@ -180,7 +189,7 @@
 	return entry
 }
 
-// DiffCopies compares the copies that keepers hold, by name, and names what differs.
+// DiffCopies compares copies of the ledger, given by the name of their replica, and returns a line for each difference.
 func DiffCopies(copies map[string][]Entry) (lines []string) {
 	byKey := map[string]map[string]Entry{}
 	var names []string
@@ -190,7 +199,7 @@
 			if byKey[entry.Key] == nil {
 				byKey[entry.Key] = map[string]Entry{}
 			}
-			entry.AgeMS, entry.RemainingMS = 0, 0 // by the moment at which each was asked
+			entry.AgeMS, entry.RemainingMS = 0, 0 // depend on when each replica was queried
 			byKey[entry.Key][name] = entry
 		}
 	}
@@ -213,7 +222,7 @@
 	return lines
 }
 
-// ParseKey reads a key as it is shown.
+// ParseKey parses a key in hexadecimal.
 func ParseKey(text string) (key Key, ok bool) {
 	raw, err := hex.DecodeString(text)
 	if err != nil || len(raw) != len(key) {
--- a/internal/cluster/ledger/schedule_test.go
+++ b/internal/cluster/ledger/schedule_test.go
@@ -14,22 +14,22 @@
 
 const (
 	ms              = int64(time.Millisecond)
-	dedupWindow     = 2000 * ms // in which a group of upstreams knows a repeat
-	requestLifetime = 600 * ms  // hard stop of a transaction
+	dedupWindow     = 2000 * ms // for which an upstream group recognizes a retry
+	requestLifetime = 600 * ms  // after which a request is given up
 	claimTimeout    = 50 * ms
-	onceOnlyWindow  = 20000 * ms
+	onceOnlyWindow  = 20000 * ms // for which a once-only request must not run again
 )
 
-// injectedFaults are what a schedule plants, so that it can be seen to find it.
+// injectedFaults are faults that a schedule may inject, to show that it detects them.
 type injectedFaults struct {
-	noFence          bool // guard left out
-	freeLostClaims   bool // an end by a lost run: its claims are freed as if they had never been sent
-	acceptLateClaims bool // claims that were given up and come late are granted
-	fastClock        bool // time is told twice
+	noFence          bool // Guards.Fence is off
+	freeLostClaims   bool // the claims of an ended session are removed as if nothing had been sent
+	acceptLateClaims bool // abandoned claims that arrive late are granted
+	fastClock        bool // elapsed time is counted three times
 }
 
-// simulation plays members against one group's state: commands are lost, late and doubled, runs end and go on, upstreams run things
-// and their answers get lost.
+// simulation runs members against the state machine of one consensus group. Commands are lost, delayed and duplicated,
+// sessions end and new ones open, and upstreams run requests whose responses are lost.
 type simulation struct {
 	rng             *rand.Rand
 	now             int64
@@ -38,84 +38,88 @@
 	sm              *StateMachine
 	index           uint64
 	members         []*simMember
-	inFlight        []*message
+	inFlight        []*simMessage
 	effects         map[string][]effect // by key
-	firstRun        map[string]int64    // first effect, by key and group
-	keys            int                 // tags that clients draw from
+	windowStart     map[string]int64    // start of the current deduplication window, by key and group
+	keys            int                 // number of idempotency keys that clients choose from
 	granted         int
 	executed        int
 	failure         string
 	faults          injectedFaults
 }
 
+// effect is one execution of a request by an upstream group.
 type effect struct {
 	at    int64
 	group string
 }
 
-// simMember is one member's run.
+// simMember is a member with its current session.
 type simMember struct {
 	name         string
 	epoch        uint64
-	open         bool // session, as it knows
+	open         bool // the member believes that its session is open
 	batcher      *Batcher
 	seq          uint64
 	unanswered   map[uint64]bool
-	stalledUntil int64 // stopped until then
+	stalledUntil int64 // the process is stopped until then
 	requests     []*simRequest
-	pending      []func() // what it hears once it is awake
+	deferred     []func() // callbacks to run when the process continues
 }
 
-// simRequest is one transaction in the hands of a member.
+// simRequest is a request that a member handles.
 type simRequest struct {
-	member     *simMember
-	request    Request
-	deadline   int64
-	epoch      uint64
-	attempt    uint64
-	group      string
-	claim      *PendingClaim
-	since      int64
-	mayHaveRun bool // a push may have
-	inFlight   int
-	answered   bool
-	finished   bool
-	nextStep   int64
-	decision   *Decision
-	refusal    *Entry
+	member       *simMember
+	details      Request
+	deadline     int64
+	epoch        uint64
+	attempt      uint64
+	group        string
+	claim        *PendingClaim
+	waitingSince int64
+	mayHaveRun   bool // an attempt may have run
+	inFlight     int
+	answered     bool
+	finished     bool
+	nextStep     int64
+	decision     *Decision
+	refusal      *Entry
 }
 
-// message is a command on its way.
-type message struct {
+// simMessage is a command in flight.
+type simMessage struct {
 	member    *simMember
 	epoch     uint64
 	command   keep.Command
 	batch     *InFlightBatch
-	heldUntil int64 // until when it is held up
-	timeoutAt int64 // when its sender gives it up
+	heldUntil int64 // not delivered before
+	timeoutAt int64 // when the sender gives up
 	answered  bool
 }
 
-func (sim *simulation) fail(text string, values ...any) {
+// fail records the first failure.
+func (sim *simulation) fail(format string, args ...any) {
 	if sim.failure == "" {
-		sim.failure = fmt.Sprintf(text, values...)
+		sim.failure = fmt.Sprintf(format, args...)
 	}
 }
 
-func (sim *simulation) apply(c *keep.Command) keep.Answer {
+func (sim *simulation) apply(command *keep.Command) keep.Answer {
 	sim.index++
-	_, a := sim.state.Apply(sim.index, pack.Pack(c))
-	return a
+	_, answer := sim.state.Apply(sim.index, pack.Pack(command))
+	return answer
 }
 
+// startMember opens a new session for a member, which loses its previous state.
 func (sim *simulation) startMember(member *simMember) {
 	member.epoch++
-	member.batcher, member.seq, member.unanswered, member.requests, member.pending, member.stalledUntil = NewBatcher(time.Duration(claimTimeout), 5*time.Millisecond, 1000), 0, map[uint64]bool{}, nil, nil, 0
+	member.batcher, member.seq, member.unanswered, member.requests, member.deferred, member.stalledUntil =
+		NewBatcher(time.Duration(claimTimeout), 5*time.Millisecond, 1000), 0, map[uint64]bool{}, nil, nil, 0
 	answer := sim.apply(&keep.Command{Kind: keep.Open, Member: member.name, Epoch: member.epoch, Run: member.epoch})
 	member.open = answer.Code == keep.OK
 }
 
-// send is what the runner does with a batch.
+// send sends the next batch of a member, as Ledger does.
 func (sim *simulation) send(member *simMember) {
 	sent, _ := member.batcher.NextBatch(sim.now)
 	if sent == nil {
@@ -123,26 +127,28 @@
 	}
 	member.seq++
 	member.unanswered[member.seq] = true
-	low := member.seq
+	lowSeq := member.seq
 	for q := range member.unanswered {
-		low = min(low, q)
+		lowSeq = min(lowSeq, q)
 	}
 	batch := sent.Batch
 	if sim.faults.acceptLateClaims {
 		batch.LowWatermark = 0
 	}
-	command := keep.Command{Kind: keep.Custom, Part: StateMachineID, Member: member.name, Epoch: member.epoch, Seq: member.seq, Low: low, Body: pack.Pack(&batch)}
+	command := keep.Command{Kind: keep.Custom, Part: StateMachineID, Member: member.name, Epoch: member.epoch,
+		Seq: member.seq, Low: lowSeq, Body: pack.Pack(&batch)}
 	if sim.faults.acceptLateClaims {
 		command.Low = 0
 	}
-	message := &message{member: member, epoch: member.epoch, command: command, batch: sent, timeoutAt: sim.now + 2*claimTimeout, heldUntil: sim.now}
+	message := &simMessage{member: member, epoch: member.epoch, command: command, batch: sent,
+		timeoutAt: sim.now + 2*claimTimeout, heldUntil: sim.now}
 	if sim.rng.IntN(8) == 0 {
 		message.heldUntil += sim.rng.Int64N(600 * ms)
 	}
 	sim.inFlight = append(sim.inFlight, message)
 }
 
-// deliver has commands come: in any order, some twice, some never.
+// deliver applies commands in any order, some of them twice and some never.
 func (sim *simulation) deliver() {
 	for i := 0; i < len(sim.inFlight); i++ {
 		message := sim.inFlight[i]
@@ -152,7 +158,7 @@
 		case sim.now < message.heldUntil:
 		case d < 30:
 			answer := sim.apply(&message.command)
-			if sim.rng.IntN(6) > 0 && current && !message.answered { // else the answer is lost
+			if sim.rng.IntN(6) > 0 && current && !message.answered { // else the response is lost
 				message.answered = true
 				sim.receive(message, answer, nil)
 			}
@@ -171,7 +177,8 @@
 	}
 }
 
-func (sim *simulation) receive(message *message, answer keep.Answer, err error) {
+// receive passes the response to a command to its sender.
+func (sim *simulation) receive(message *simMessage, answer keep.Answer, err error) {
 	member := message.member
 	handle := func() {
 		if member.epoch != message.epoch || member.batcher == nil {
@@ -191,13 +198,13 @@
 		member.batcher.HandleResponse(message.batch, &results, err, sessionEnded, sim.now)
 	}
 	if sim.now < member.stalledUntil {
-		member.pending = append(member.pending, handle)
+		member.deferred = append(member.deferred, handle)
 		return
 	}
 	handle()
 }
 
-// addRequest has a transaction come to a member.
+// addRequest lets a request arrive at a member.
 func (sim *simulation) addRequest(member *simMember) {
 	onceOnly := sim.rng.IntN(4) == 0
 	key := fmt.Sprint("k", sim.rng.IntN(sim.keys))
@@ -208,21 +215,22 @@
 	if onceOnly {
 		retention = onceOnlyWindow + requestLifetime
 	}
-	request := &simRequest{member: member, deadline: sim.now + requestLifetime, request: Request{
-		Pool: "p", Tariff: "t", IdempotencyKey: key, ID: key, OnceOnly: onceOnly, GroupScoped: !onceOnly, Retention: time.Duration(retention) * 102 / 100, ContractTime: time.Duration(requestLifetime),
+	request := &simRequest{member: member, deadline: sim.now + requestLifetime, details: Request{
+		Pool: "p", Tariff: "t", IdempotencyKey: key, ID: key, OnceOnly: onceOnly, GroupScoped: !onceOnly,
+		Retention: time.Duration(retention) * 102 / 100, ContractTime: time.Duration(requestLifetime),
 		IsRetry: sim.rng.IntN(2) == 0,
 	}}
 	member.requests = append(member.requests, request)
 }
 
-// step is what a transaction does next.
+// step does the next step of a request: wait, claim, send or finish.
 func (sim *simulation) step(request *simRequest) {
 	member := request.member
 	if request.finished || sim.now < request.nextStep {
 		return
 	}
 	if request.claim != nil {
-		if !request.claim.settled && sim.now > request.since+claimTimeout {
+		if !request.claim.settled && sim.now > request.waitingSince+claimTimeout {
 			member.batcher.Abandon(request.claim)
 			request.claim = nil
 			sim.finish(request)
@@ -232,25 +240,27 @@
 	if request.inFlight > 0 {
 		return
 	}
-	if request.answered || sim.now > request.deadline || !member.open || member.batcher.Unreachable(sim.now) || request.mayHaveRun && sim.rng.IntN(2) == 0 || sim.rng.IntN(30) == 0 {
+	if request.answered || sim.now > request.deadline || !member.open || member.batcher.Unreachable(sim.now) ||
+		request.mayHaveRun && sim.rng.IntN(2) == 0 || sim.rng.IntN(30) == 0 {
 		sim.finish(request)
 		return
 	}
 	if request.epoch == 0 && request.decision == nil {
 		entry := request.refusal
 		request.refusal = nil
-		if entry == nil && request.request.IsRetry {
-			if slot, found := sim.sm.slotByKey[request.request.Key()]; found {
+		if entry == nil && request.details.IsRetry {
+			if slot, found := sim.sm.slotByKey[request.details.Key()]; found {
 				x := sim.sm.entry(&sim.sm.records[slot])
 				entry = &x
 			}
 		}
-		decision := Decide(&request.request, entry, Rules{WaitForHolder: true}, time.Duration(sim.now-request.since), time.Duration(request.deadline-sim.now))
+		decision := Decide(&request.details, entry, Rules{WaitForHolder: true},
+			time.Duration(sim.now-request.waitingSince), time.Duration(request.deadline-sim.now))
 		switch decision.Action {
 		case ActionSend:
 			request.decision = &decision
 		case ActionWait:
-			request.nextStep, request.request.IsRetry = sim.now+int64(decision.Delay), true
+			request.nextStep, request.details.IsRetry = sim.now+int64(decision.Delay), true
 			return
 		default:
 			sim.finish(request)
@@ -264,7 +274,7 @@
 	if request.mayHaveRun {
 		group = request.group
 	}
-	if request.request.OnceOnly {
+	if request.details.OnceOnly {
 		if request.mayHaveRun {
 			sim.finish(request)
 			return
@@ -275,10 +285,11 @@
 		sim.sendAttempt(request)
 		return
 	}
-	request.since = sim.now
+	request.waitingSince = sim.now
 	request.claim = &PendingClaim{Op: Op{
-		Kind: opClaim, Key: func() []byte { k := request.request.Key(); return k[:] }(), Attempt: request.attempt, Group: group, Movable: !request.mayHaveRun, OnceOnly: request.request.OnceOnly, Pool: "p",
-		Tariff: "t", Retention: int64(request.request.Retention), RequestID: request.request.ID,
+		Kind: opClaim, Key: func() []byte { k := request.details.Key(); return k[:] }(), Attempt: request.attempt,
+		Group: group, Movable: !request.mayHaveRun, OnceOnly: request.details.OnceOnly, Pool: "p",
+		Tariff: "t", Retention: int64(request.details.Retention), RequestID: request.details.ID,
 	}}
 	pending := request.claim
 	pending.Done = func(r Result, err error) {
@@ -300,7 +311,7 @@
 	member.batcher.AddClaim(pending)
 }
 
-// sendAttempt leaves for its group, if its time isn't up, and comes to an end there some time later.
+// sendAttempt sends an attempt to the claimed group before the deadline. It arrives and ends some time later.
 func (sim *simulation) sendAttempt(request *simRequest) {
 	if sim.now > request.deadline {
 		sim.finish(request)
@@ -323,13 +334,14 @@
 			request.answered = request.answered || runs && !responseLost
 		}
 		if sim.now < request.member.stalledUntil {
-			request.member.pending = append(request.member.pending, finish)
+			request.member.deferred = append(request.member.deferred, finish)
 		} else {
 			finish()
 		}
 	})
 }
 
+// timers are the events scheduled for a later time.
 var timers []struct {
 	at int64
 	f  func()
@@ -342,25 +354,27 @@
 	}{at, f})
 }
 
-// execute is a push at an upstream of its group.
+// execute runs an attempt at an upstream of the claimed group, and checks that no other group ran the request.
 func (sim *simulation) execute(request *simRequest) {
-	key := request.request.IdempotencyKey
-	if first, found := sim.firstRun[key+"/"+request.group]; found && !request.request.OnceOnly && sim.now < first+dedupWindow {
-		return // dropped, and answered
+	key := request.details.IdempotencyKey
+	if start, found := sim.windowStart[key+"/"+request.group]; found && !request.details.OnceOnly && sim.now < start+dedupWindow {
+		return // recognized as a retry, not run again
 	}
-	sim.firstRun[key+"/"+request.group] = sim.now
+	sim.windowStart[key+"/"+request.group] = sim.now
 	sim.executed++
 	for _, earlier := range sim.effects[key] {
-		if request.request.OnceOnly && sim.now < earlier.at+onceOnlyWindow || !request.request.OnceOnly && sim.now < earlier.at+dedupWindow {
+		if request.details.OnceOnly && sim.now < earlier.at+onceOnlyWindow ||
+			!request.details.OnceOnly && sim.now < earlier.at+dedupWindow {
 			sim.fail("%s took effect in %q at %d ms and in %q at %d ms", key, earlier.group, earlier.at/ms, request.group, sim.now/ms)
 		}
 	}
 	sim.effects[key] = append(sim.effects[key], effect{sim.now, request.group})
-	if _, found := sim.sm.slotByKey[request.request.Key()]; !found {
-		sim.fail("%s runs in %q, and the ledger holds nothing of it", key, request.group)
+	if _, found := sim.sm.slotByKey[request.details.Key()]; !found {
+		sim.fail("%s runs in %q but the ledger has no entry for it", key, request.group)
 	}
 }
 
+// finish ends a request and releases its claim.
 func (sim *simulation) finish(request *simRequest) {
 	if request.finished || request.inFlight > 0 {
 		return
@@ -373,12 +387,13 @@
 		outcome = OutcomeUnknown
 	}
 	if request.epoch != 0 && request.member.open && request.member.epoch == request.epoch {
-		request.member.batcher.AddRelease(Op{Kind: opRelease, Key: func() []byte { k := request.request.Key(); return k[:] }(), Attempt: request.attempt, Outcome: outcome}, sim.now)
+		request.member.batcher.AddRelease(Op{Kind: opRelease,
+			Key: func() []byte { k := request.details.Key(); return k[:] }(), Attempt: request.attempt, Outcome: outcome}, sim.now)
 	}
 }
 
-// advance passes some time.
-func (sim *simulation) advance(calm bool) {
+// advance advances the time by up to 4 ms. If stable, no further faults and requests are added.
+func (sim *simulation) advance(stable bool) {
 	sim.now += sim.rng.Int64N(4 * ms)
 	for i := 0; i < len(timers); i++ {
 		if timers[i].at <= sim.now {
@@ -401,23 +416,23 @@
 		if sim.now < member.stalledUntil {
 			continue
 		}
-		for len(member.pending) > 0 {
-			f := member.pending[0]
-			member.pending = member.pending[1:]
+		for len(member.deferred) > 0 {
+			f := member.deferred[0]
+			member.deferred = member.deferred[1:]
 			f()
 		}
 		for _, request := range member.requests {
 			sim.step(request)
 		}
 		if member.batcher.BeginProbe(sim.now) {
-			member.batcher.EndProbe(sim.rng.IntN(3) > 0 || calm)
+			member.batcher.EndProbe(sim.rng.IntN(3) > 0 || stable)
 		}
 		sim.send(member)
 		if !member.open {
-			sim.startMember(member) // it goes on as another run; what it had in hand is over
+			sim.startMember(member) // a new session; the requests of the old one are lost
 		}
 	}
-	if calm {
+	if stable {
 		return
 	}
 	member := sim.members[sim.rng.IntN(len(sim.members))]
@@ -425,7 +440,7 @@
 	case d < 60 && sim.now >= member.stalledUntil && len(member.requests) < 500:
 		sim.addRequest(member)
 	case d < 62:
-		sim.startMember(member) // killed and started again: the old run is ended by the new one
+		sim.startMember(member) // crash and restart: the new session ends the old one
 	case d < 65:
 		member.stalledUntil = sim.now + sim.rng.Int64N(500*ms)
 	case d < 70:
@@ -436,21 +451,25 @@
 				}
 			}
 		}
-		sim.state.Apply(sim.index+1, pack.Pack(&keep.Command{Kind: keep.End, Other: member.name, Number: member.epoch, Token: sim.state.Duties[keep.Sessions].Token, Member: "owner"}))
+		sim.state.Apply(sim.index+1, pack.Pack(&keep.Command{Kind: keep.End, Other: member.name, Number: member.epoch,
+			Token: sim.state.Duties[keep.Sessions].Token, Member: "owner"}))
 		sim.index++
 	case d < 72:
-		sim.clockReportedAt = sim.now // another leads, and counts from now on
+		sim.clockReportedAt = sim.now // a new leader counts elapsed time from now on
 	case d < 74:
 		raw, checksum := sim.sm.Save(), sim.sm.checksum
 		if err := sim.sm.Load(raw); err != nil || sim.sm.checksum != checksum || string(sim.sm.Save()) != string(raw) {
-			sim.fail("a snapshot is not what was saved: %v", err)
+			sim.fail("loaded snapshot differs from the saved state: %v", err)
 		}
 	}
 }
 
+// runSchedule runs the schedule of a seed: random faults, then a stable phase in which all claims must end and all keys
+// expire.
 func runSchedule(seed uint64, faults injectedFaults) *simulation {
 	timers = nil
-	sim := &simulation{rng: rand.New(rand.NewPCG(seed, 41)), effects: map[string][]effect{}, firstRun: map[string]int64{}, faults: faults}
+	sim := &simulation{rng: rand.New(rand.NewPCG(seed, 41)), effects: map[string][]effect{},
+		windowStart: map[string]int64{}, faults: faults}
 	sim.keys = 3 + sim.rng.IntN(60)
 	sim.sm = NewStateMachine(Guards{Fence: !faults.noFence}, 1)
 	sim.state = keep.NewState("c", nil, map[byte]keep.Part{StateMachineID: sim.sm}, keep.Guards{Fence: !faults.noFence, Once: true})
@@ -465,35 +484,37 @@
 			return sim
 		}
 	}
-	// All goes well from here on: nothing stays open for good, and all is forgotten in its time.
+	// Stable phase: all claims must end and all keys must expire.
 	for range 900 {
 		if sim.advance(true); sim.failure != "" {
 			return sim
 		}
 	}
 	for holder, key := range sim.sm.openClaims {
-		sim.fail("%s is held by %s, epoch %d, number %d, and nobody will end it", key, sim.sm.names[holder.member], holder.epoch, holder.number)
+		sim.fail("%s is still held by %s, epoch %d, attempt %d", key, sim.sm.names[holder.member], holder.epoch, holder.number)
 	}
 	for i := 0; i < 60; i++ {
 		sim.apply(&keep.Command{Kind: keep.Custom, Part: StateMachineID, Body: pack.Pack(&Batch{Elapsed: second})})
 	}
 	if len(sim.sm.slotByKey) > 0 || sim.sm.checksum != 0 || len(sim.sm.expiryBuckets) > 1 {
-		sim.fail("%d keys are remembered for good, sum %x", len(sim.sm.slotByKey), sim.sm.checksum)
+		sim.fail("%d keys never expire, checksum %x", len(sim.sm.slotByKey), sim.sm.checksum)
 	}
 	return sim
 }
 
-func schedules(usual int) int {
+// scheduleCount returns the number of schedules to run; OTTERSHIFT_SCHEDULES overrides the standard number.
+func scheduleCount(standard int) int {
 	if n, err := strconv.Atoi(os.Getenv("OTTERSHIFT_SCHEDULES")); err == nil {
 		return n
 	}
-	return usual / raceDivisor
+	return standard / raceDivisor
 }
 
-// Whatever is lost, late, doubled, stopped or ended: no effect in two groups, nothing once-only twice, nothing that ran is denied,
-// nothing stays open.
+// TestSchedules guards against requests that run in two groups, once-only requests that run twice, executions without a
+// ledger entry and claims that stay open, while commands are lost, delayed or duplicated and members stop, restart or
+// lose their sessions.
 func TestSchedules(t *testing.T) {
-	granted, executed, n := 0, 0, schedules(400)
+	granted, executed, n := 0, 0, scheduleCount(400)
 	for seed := range uint64(n) {
 		sim := runSchedule(seed, injectedFaults{})
 		if sim.failure != "" {
@@ -503,27 +524,30 @@
 	}
 	t.Logf("%d schedules: %d claims granted and %d effects in each", n, granted/n, executed/n)
 	if granted/n < 15 || executed/n < 8 {
-		t.Error("the schedules do too little to prove anything")
+		t.Error("schedules grant too few claims or cause too few effects to be meaningful")
 	}
 }
 
-// What is planted is found.
+// TestSchedulesDetectInjectedFaults checks that the schedules detect each injected fault.
 func TestSchedulesDetectInjectedFaults(t *testing.T) {
 	for _, variant := range []struct {
-		name string
-		f    injectedFaults
-	}{{"no fence", injectedFaults{noFence: true}}, {"a lost run's claims freed", injectedFaults{freeLostClaims: true}}, {"claims that come late", injectedFaults{acceptLateClaims: true}}, {"time that runs too fast", injectedFaults{fastClock: true}}} {
+		name   string
+		faults injectedFaults
+	}{
+		{"no fence", injectedFaults{noFence: true}}, {"claims of an ended session removed", injectedFaults{freeLostClaims: true}},
+		{"late claims granted", injectedFaults{acceptLateClaims: true}}, {"clock too fast", injectedFaults{fastClock: true}},
+	} {
 		found, first, failure := 0, -1, ""
 		for seed := range uint64(200 / raceDivisor) {
-			if sim := runSchedule(seed, variant.f); sim.failure != "" {
+			if sim := runSchedule(seed, variant.faults); sim.failure != "" {
 				if found++; first < 0 {
 					first, failure = int(seed), sim.failure
 				}
 			}
 		}
-		t.Logf("%s: found in %d of %d schedules, first in %d: %s", variant.name, found, 200/raceDivisor, first, failure)
+		t.Logf("%s: detected in %d of %d schedules, first with seed %d: %s", variant.name, found, 200/raceDivisor, first, failure)
 		if found == 0 && raceDivisor == 1 {
-			t.Errorf("%s is never found", variant.name)
+			t.Errorf("%s is never detected", variant.name)
 		}
 	}
 }
--- a/internal/cluster/owner/core.go
+++ b/internal/cluster/owner/core.go
@@ -1,5 +1,7 @@
-// Package owner gives duties one owner at a time. Core decides without I/O and clock which to ask for, when to renew and
-// when to stop acting; Fence is what is kept by whoever is acted on; Owners is the runner over the keepers.
+// Package owner assigns duties, tasks with one owner at a time, by leases and fencing tokens. Core decides which duties
+// to acquire, when to renew them and when to stop acting, without I/O and without reading a clock. Fence refuses
+// actions of former owners; it is kept by the member on which an owner acts. Manager runs a Core against the lease
+// store.
 package owner
 
 import (
@@ -11,52 +13,53 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Lease is one owner's time with a duty. Whoever acts shows its token; whoever is acted on refuses a lower one than it
-// has seen.
+// Lease is the lease of a duty. The owner sends its fencing token with each action; the receiver refuses a token lower
+// than the highest one it has seen.
 type Lease struct {
 	Duty      string
 	Token     uint64
-	ExpiresAt int64 // on the owner's own clock; it acts no longer unless renewed
+	ExpiresAt int64 // in nanoseconds on the owner's clock; the owner stops acting then unless the lease was renewed
 }
 
-// DutyState is what the keepers last said of a duty.
+// DutyState is the state of a duty in the lease store.
 type DutyState struct {
 	Token uint64
-	Owner string // "" for nobody
-	Epoch uint64
+	Owner string // "" for none
+	Epoch uint64 // epoch of the owner's session
 }
 
-// Member is another that may own duties.
+// Member is a member that may own duties.
 type Member struct{ Name string }
 
-// Actions are what the core wants done.
+// Actions carries out what a Core decides. Its methods must not block.
 type Actions interface {
 	Acquire(duty string)
-	Renew(tokens map[string]uint64) // all that is owned, at once
-	Release(duty string, token uint64, to string)
-	BeginWork(t Lease) // it may act from now on
-	EndWork(t Lease)   // and no more
+	Renew(tokens map[string]uint64)               // of all owned duties
+	Release(duty string, token uint64, to string) // to is the proposed next owner, "" for any
+	BeginWork(lease Lease)                        // the owner may act from now on
+	EndWork(lease Lease)                          // the owner must not act any more
 }
 
-// Timing say how long things take.
+// Timing holds the lease duration and the intervals derived from it.
 type Timing struct {
-	Lease           time.Duration // an owner's, from when it asked
-	RenewInterval   time.Duration // between two renewals
-	RankDelay       time.Duration // that a less preferred member waits longer before it takes a free duty
-	BalanceInterval time.Duration // between two duties that are given away because others own fewer
+	Lease           time.Duration // counted from the time of the request
+	RenewInterval   time.Duration // between renewals
+	RankDelay       time.Duration // extra wait per rank before a less preferred member acquires a free duty
+	BalanceInterval time.Duration // between duties that are handed to members that own fewer
 }
 
-// TimingFor are the usual ones for a lease.
+// TimingFor returns the default timing for a lease duration.
 func TimingFor(lease time.Duration) Timing {
 	return Timing{Lease: lease, RenewInterval: lease / 4, RankDelay: lease / 10, BalanceInterval: 2 * lease}
 }
 
+// duty is one member's view of a duty.
 type duty struct {
 	name        string
 	state       DutyState
-	known       bool
-	freeSince   int64 // since when it has been seen without an owner, 0 while it has one
-	requestedAt int64 // when it was last asked for
+	known       bool  // state has been read
+	freeSince   int64 // time since which it has been seen without an owner, 0 while it has one
+	requestedAt int64 // time of the last attempt to acquire it
 	owned       bool
 	token       uint64
 	expiresAt   int64
@@ -73,18 +76,19 @@
 	duties        map[string]*duty
 	names         []string
 	members       []Member
-	willing       bool
+	willing       bool // to own duties
 	renewedAt     int64
 	balancedAt    int64
-	EnforceExpiry bool // false only where a variant leaves the guard out
+	EnforceExpiry bool // stop acting when the lease expires; false only in fault-injection tests
 }
 
-// NewCore makes one for a run of a member.
+// NewCore returns the Core for one run of a member.
 func NewCore(self string, timing Timing, seed uint64, actions Actions) *Core {
-	return &Core{self: self, timing: timing, actions: actions, rng: rand.New(rand.NewPCG(seed, 0x44)), duties: map[string]*duty{}, EnforceExpiry: true}
+	return &Core{self: self, timing: timing, actions: actions, rng: rand.New(rand.NewPCG(seed, 0x44)),
+		duties: map[string]*duty{}, EnforceExpiry: true}
 }
 
-// AddDuty adds a duty that this member would do.
+// AddDuty adds a duty that this member may own.
 func (core *Core) AddDuty(name string) {
 	if core.duties[name] == nil {
 		core.duties[name] = &duty{name: name}
@@ -93,7 +97,7 @@
 	}
 }
 
-// RemoveDuty takes one away; if it is owned it is let go.
+// RemoveDuty removes a duty, releasing it if it is owned.
 func (core *Core) RemoveDuty(name string) {
 	removed := core.duties[name]
 	if removed == nil {
@@ -107,27 +111,29 @@
 	core.names = slices.DeleteFunc(core.names, func(n string) bool { return n == name })
 }
 
-// SetSession says under which epoch this run is known to the keepers; whatever was owned under another is over.
+// SetSession sets the epoch of the session with the lease store. Ownership under another epoch ends.
 func (core *Core) SetSession(epoch uint64) {
 	if epoch == core.epoch {
 		return
 	}
 	core.epoch = epoch
 	for _, name := range core.names {
-		core.lose(core.duties[name])
+		core.dropOwnership(core.duties[name])
 	}
 }
 
-// SetMembers says who else may own duties, and whether this one still wants to.
-func (core *Core) SetMembers(all []Member, willing bool) { core.members, core.willing = all, willing }
+// SetMembers sets the members that may own duties, and whether this member is willing to own any.
+func (core *Core) SetMembers(members []Member, willing bool) {
+	core.members, core.willing = members, willing
+}
 
-// ObserveStates takes what the keepers say of all duties, by a confirmed read that was asked for at some time.
+// ObserveStates processes the state of all duties, as returned by a linearizable read.
 func (core *Core) ObserveStates(now int64, states map[string]DutyState) {
 	for _, name := range core.names {
 		d := core.duties[name]
 		state := states[name]
 		if d.known && state.Token < d.state.Token {
-			continue // an older answer
+			continue // outdated response
 		}
 		d.state, d.known = state, true
 		if state.Owner != "" {
@@ -136,12 +142,12 @@
 			d.freeSince = now
 		}
 		if d.owned && (state.Owner != core.self || state.Epoch != core.epoch || state.Token != d.token) {
-			core.lose(d)
+			core.dropOwnership(d)
 		}
 	}
 }
 
-// HandleAcquired takes the keepers' answer: the duty is this run's by a token, counted from when it was asked for.
+// HandleAcquired processes a granted lease. It counts from the time of the request.
 func (core *Core) HandleAcquired(requestedAt, now int64, name string, token uint64) {
 	d := core.duties[name]
 	if d == nil {
@@ -153,7 +159,7 @@
 	core.startActing(now, d)
 }
 
-// HandleRenewed takes the keepers' answer to a renewal that was asked for at some time: tokens that stand.
+// HandleRenewed processes the response to a renewal: the tokens that are still valid.
 func (core *Core) HandleRenewed(requestedAt, now int64, tokens map[string]uint64) {
 	for _, name := range core.names {
 		d := core.duties[name]
@@ -167,6 +173,7 @@
 	}
 }
 
+// startActing starts the work of a duty if its lease is valid.
 func (core *Core) startActing(now int64, d *duty) {
 	if !d.acting && now < d.expiresAt {
 		d.acting = true
@@ -174,6 +181,7 @@
 	}
 }
 
+// stopActing ends the work of a duty.
 func (core *Core) stopActing(d *duty) {
 	if d.acting {
 		d.acting = false
@@ -181,13 +189,14 @@
 	}
 }
 
-func (core *Core) lose(d *duty) {
+// dropOwnership ends the work and the ownership of a duty.
+func (core *Core) dropOwnership(d *duty) {
 	core.stopActing(d)
 	d.owned = false
 }
 
-// MayAct reports whether this run may act on a duty now, and by which token. Danger: between the answer and the act the
-// process may be held up; the token is what makes that harmless.
+// MayAct reports whether this run may act on a duty now, and with which token. The process may be delayed between this
+// check and the action, past the end of the lease; the fencing token makes that harmless.
 func (core *Core) MayAct(now int64, name string) (token uint64, ok bool) {
 	d := core.duties[name]
 	if d == nil || !d.owned {
@@ -196,7 +205,7 @@
 	return d.token, now < d.expiresAt || !core.EnforceExpiry
 }
 
-// Owned are the duties that this run owns, by name.
+// Owned returns the leases of the duties that this run owns, ordered by name.
 func (core *Core) Owned() (leases []Lease) {
 	for _, name := range core.names {
 		if d := core.duties[name]; d.owned {
@@ -206,13 +215,13 @@
 	return leases
 }
 
-// Tick does what is due.
+// Tick stops work whose lease has expired, and requests renewals, releases and acquisitions that are due.
 func (core *Core) Tick(now int64) {
 	tokens := map[string]uint64{}
 	for _, name := range core.names {
 		d := core.duties[name]
 		if d.acting && now >= d.expiresAt && core.EnforceExpiry {
-			core.stopActing(d) // not renewed in time: others may own it
+			core.stopActing(d) // not renewed in time: another member may own it
 		}
 		if d.owned {
 			tokens[name] = d.token
@@ -223,10 +232,10 @@
 		core.actions.Renew(tokens)
 	}
 	if !core.willing {
-		for _, name := range core.names { // by intent: handed over at once, nobody waits for a lease
+		for _, name := range core.names { // hand over at once, so that nobody has to wait for a lease to expire
 			if d := core.duties[name]; d.owned {
 				token := d.token
-				core.lose(d)
+				core.dropOwnership(d)
 				core.actions.Release(name, token, core.successor(name))
 			}
 		}
@@ -246,41 +255,43 @@
 	core.rebalance(now, len(tokens))
 }
 
-// rank is how many others should have a duty rather than this member: they own fewer, or stand first by chance that all
-// draw alike.
+// rank returns how many other members are preferred as the owner of a duty.
 func (core *Core) rank(name string) (better int) {
 	owned := core.ownedCounts()
 	mine := core.placementOf(name, core.self, owned[core.self])
-	for _, m := range core.members {
-		if m.Name != core.self && less(core.placementOf(name, m.Name, owned[m.Name]), mine) {
+	for _, member := range core.members {
+		if member.Name != core.self && less(core.placementOf(name, member.Name, owned[member.Name]), mine) {
 			better++
 		}
 	}
 	return better
 }
 
-// placement orders members for a duty: who owns more than an even part comes last, then by chance that is the same at all of them.
-// Danger: by counts alone whoever looks first would take all.
+// placement orders members by preference for a duty: those that own clearly more than an even share come last, then a
+// hash that is the same on all members decides. With counts alone, the first member to look would take all duties.
 type placement struct {
-	excess int
+	excess int // owned duties beyond 5/4 of an even share plus 1
 	hash   uint64
 }
 
+// less reports whether placement a is preferred to b.
 func less(a, b placement) bool {
 	return cmp.Or(cmp.Compare(a.excess, b.excess), cmp.Compare(a.hash, b.hash)) < 0
 }
 
+// placementOf returns the placement of a member that owns so many duties. The margin above an even share is needed
+// because hashing alone gives some members more duties than others.
 func (core *Core) placementOf(duty, name string, owned int) placement {
-	return placement{hash: xxhash.Sum64String(duty + "\x00" + name), excess: max(0, owned-core.evenShare()*5/4-1)} // chance alone deals some more than others
+	return placement{hash: xxhash.Sum64String(duty + "\x00" + name), excess: max(0, owned-core.evenShare()*5/4-1)}
 }
 
-// evenShare is an even part of all duties.
+// evenShare returns the number of duties per member, rounded up.
 func (core *Core) evenShare() int {
 	n := len(core.members)
 	return (len(core.names) + max(n, 1) - 1) / max(n, 1)
 }
 
-// ownedCounts is how many duties each member owns.
+// ownedCounts returns how many duties each member owns.
 func (core *Core) ownedCounts() map[string]int {
 	counts := map[string]int{}
 	for _, name := range core.names {
@@ -291,22 +302,23 @@
 	return counts
 }
 
-// successor is who should have a duty if not this one, "" for nobody.
+// successor returns the preferred other owner of a duty, "" for none.
 func (core *Core) successor(name string) string {
 	owned := core.ownedCounts()
 	best, successor := placement{}, ""
-	for _, m := range core.members {
-		if m.Name == core.self {
+	for _, member := range core.members {
+		if member.Name == core.self {
 			continue
 		}
-		if p := core.placementOf(name, m.Name, owned[m.Name]); successor == "" || less(p, best) {
-			best, successor = p, m.Name
+		if p := core.placementOf(name, member.Name, owned[member.Name]); successor == "" || less(p, best) {
+			best, successor = p, member.Name
 		}
 	}
 	return successor
 }
 
-// rebalance gives one duty away where another owns two fewer or less, now and then: so they spread, and don't swing.
+// rebalance releases one duty to a member that owns at least two fewer. It does so at intervals with random jitter, so
+// that duties spread without oscillating.
 func (core *Core) rebalance(now int64, owned int) {
 	if owned <= core.evenShare() || now-core.balancedAt < int64(core.timing.BalanceInterval) {
 		return
@@ -320,21 +332,21 @@
 		if to := core.successor(name); to != "" && counts[to]+2 <= owned {
 			core.balancedAt = now + core.rng.Int64N(int64(core.timing.BalanceInterval))
 			token := d.token
-			core.lose(d)
+			core.dropOwnership(d)
 			core.actions.Release(name, token, to)
 			return
 		}
 	}
 }
 
-// Fence is kept by whoever is acted on: the highest token seen of each duty.
+// Fence refuses actions of former owners. It keeps the highest token seen for each duty.
 type Fence struct {
 	highest  map[string]uint64
-	Refused  int64
-	Disabled bool // refuses nothing: a variant without the guard
+	Refused  int64 // number of refused actions
+	Disabled bool  // admit all actions, in fault-injection tests only
 }
 
-// Admit reports whether an act under a token may be done.
+// Admit reports whether an action with a token may be carried out.
 func (fence *Fence) Admit(duty string, token uint64) bool {
 	if fence.highest == nil {
 		fence.highest = map[string]uint64{}
@@ -347,5 +359,5 @@
 	return true
 }
 
-// Highest is the highest token seen of a duty.
+// Highest returns the highest token seen for a duty.
 func (fence *Fence) Highest(duty string) uint64 { return fence.highest[duty] }
--- a/internal/cluster/owner/core_test.go
+++ b/internal/cluster/owner/core_test.go
@@ -9,61 +9,63 @@
 	"time"
 )
 
-// storedDuty is what the keepers hold of one duty; they are one place here, their own schedules are tested there.
+// storedDuty is a duty in the lease store. The store is a single place here; its replication has tests of its own.
 type storedDuty struct {
 	DutyState
-	renewedAt    int64 // by the keepers' clock
-	sessionEnded bool  // its owner's session is over: it can't renew, and nobody else has it before the lease is over
+	renewedAt    int64 // by the clock of the store
+	sessionEnded bool  // the owner cannot renew any more; nobody can acquire the duty before the lease expires
 }
 
-// simMember is a member with a clock of its own.
+// simMember is a member with its own clock.
 type simMember struct {
 	sim     *simulation
 	id      int
 	core    *Core
 	clock   int64
-	speed   float64 // of its clock
+	speed   float64 // of its clock, 1 for exact
 	stopped bool
 	epoch   uint64
-	acting  map[string]uint64 // tokens, by its own belief
-	inbox   []func()
+	acting  map[string]uint64 // tokens by duty, as far as the member knows
+	inbox   []func()          // messages to process
 }
 
-// simulation plays members against each other: answers come late or never, clocks run at different speeds, members are stopped and
-// go on, are ended by the keepers and come back.
+// simulation runs members that compete for duties. Responses are delayed or lost, clocks run at different speeds,
+// members are stopped and continue, and their sessions end and are opened again.
 type simulation struct {
 	rng       *rand.Rand
 	now       int64
 	timing    Timing
-	drift     float64
+	drift     float64 // maximum deviation of a clock, as a fraction
 	members   []*simMember
 	duties    map[string]*storedDuty
 	names     []string
 	lastToken uint64
-	fences    map[string]uint64 // at whoever is acted on
+	fences    map[string]uint64 // highest token seen by the receivers of actions
 	fenced    bool
-	calm      bool // no answer is lost any more
+	lossless  bool // no message is lost
 	failure   string
 	acts      int
 	refused   int
 }
 
-func (sim *simulation) fail(text string, values ...any) {
+// fail records the first failure.
+func (sim *simulation) fail(format string, args ...any) {
 	if sim.failure == "" {
-		sim.failure = fmt.Sprintf(text, values...)
+		sim.failure = fmt.Sprintf(format, args...)
 	}
 }
 
-// enqueue has an answer come to a member that is not stopped then, most often.
+// enqueue delivers a message, unless it is lost. The member processes it when it is not stopped.
 func (member *simMember) enqueue(f func()) {
-	if member.sim.calm || member.sim.rng.IntN(10) > 0 {
+	if member.sim.lossless || member.sim.rng.IntN(10) > 0 {
 		member.inbox = append(member.inbox, f)
 	}
 }
 
+// Acquire implements Actions, as do the methods below.
 func (member *simMember) Acquire(duty string) {
 	requestedAt, epoch := member.clock, member.epoch
-	member.enqueue(func() { // at the keepers
+	member.enqueue(func() { // in the store
 		d := member.sim.duties[duty]
 		if d.Owner != "" || epoch != member.epoch {
 			return
@@ -85,7 +87,8 @@
 	member.enqueue(func() {
 		renewed := map[string]uint64{}
 		for duty, token := range tokens {
-			if d := member.sim.duties[duty]; !d.sessionEnded && d.Token == token && d.Epoch == epoch && d.Owner == fmt.Sprint("m", member.id) {
+			if d := member.sim.duties[duty]; !d.sessionEnded && d.Token == token && d.Epoch == epoch &&
+				d.Owner == fmt.Sprint("m", member.id) {
 				d.renewedAt, renewed[duty] = member.sim.now, token
 			}
 		}
@@ -108,6 +111,7 @@
 func (member *simMember) BeginWork(lease Lease) { member.acting[lease.Duty] = lease.Token }
 func (member *simMember) EndWork(lease Lease)   { delete(member.acting, lease.Duty) }
 
+// step advances the time by up to 30 ms and lets a random event happen to one member.
 func (sim *simulation) step() {
 	elapsed := sim.rng.Int64N(int64(30 * time.Millisecond))
 	sim.now += elapsed
@@ -144,7 +148,7 @@
 		sim.act(member)
 	case p < 37:
 		member.stopped = !member.stopped
-	case p < 38: // the keepers end its session, and it opens another when it hears of that
+	case p < 38: // the store ends its session; the member opens another once it learns of that
 		if sim.rng.IntN(4) == 0 {
 			for _, d := range sim.duties {
 				if d.Owner == fmt.Sprint("m", member.id) && d.Epoch == member.epoch {
@@ -152,7 +156,10 @@
 				}
 			}
 			epoch := member.epoch + 1
-			member.inbox = append(member.inbox, func() { member.epoch = max(member.epoch, epoch); member.core.SetSession(member.epoch) })
+			member.inbox = append(member.inbox, func() {
+				member.epoch = max(member.epoch, epoch)
+				member.core.SetSession(member.epoch)
+			})
 		}
 	default:
 		var members []Member
@@ -161,7 +168,7 @@
 		}
 		member.core.SetMembers(members, sim.rng.IntN(6) > 0)
 	}
-	// The keepers end what was not renewed for a lease, by their own clock.
+	// The store ends leases that were not renewed in time, by its own clock.
 	for _, d := range sim.duties {
 		if d.Owner != "" && sim.now-d.renewedAt > int64(float64(sim.timing.Lease)/(1-sim.drift)*(1+sim.drift)) {
 			d.DutyState = DutyState{Token: d.Token}
@@ -170,11 +177,11 @@
 	sim.check()
 }
 
-// act is one member's act on a duty: it asks whether it may, is perhaps held up, and acts under its token.
+// act lets a member act on a duty: it checks that it may, is possibly delayed, and then acts with its token.
 func (sim *simulation) act(member *simMember) {
 	name := sim.names[sim.rng.IntN(len(sim.names))]
-	token, may := member.core.MayAct(member.clock, name)
-	if !may {
+	token, ok := member.core.MayAct(member.clock, name)
+	if !ok {
 		return
 	}
 	perform := func() {
@@ -184,23 +191,23 @@
 			return
 		}
 		if token < sim.fences[name] {
-			sim.fail("m%d acted on %s by token %d after %d", member.id, name, token, sim.fences[name])
+			sim.fail("m%d acted on %s with token %d after token %d", member.id, name, token, sim.fences[name])
 		}
 		sim.fences[name] = max(sim.fences[name], token)
 	}
 	if sim.rng.IntN(4) == 0 {
-		member.inbox = append(member.inbox, perform) // in the middle of the act it is held up
+		member.inbox = append(member.inbox, perform) // delayed between check and action
 		return
 	}
 	perform()
 }
 
-// check: no two members may act on one duty by what they know at one instant.
+// check fails if two members may act on one duty at the same time.
 func (sim *simulation) check() {
 	for _, name := range sim.names {
 		acting := -1
 		for _, member := range sim.members {
-			if _, may := member.core.MayAct(member.clock, name); may {
+			if _, ok := member.core.MayAct(member.clock, name); ok {
 				if acting >= 0 {
 					sim.fail("m%d and m%d may both act on %s", acting, member.id, name)
 				}
@@ -210,9 +217,12 @@
 	}
 }
 
+// runSchedule runs the schedule of a seed: random faults, then a stable phase at whose end every duty must have an
+// owner.
 func runSchedule(seed uint64, fenced bool) *simulation {
 	sim := &simulation{
-		rng: rand.New(rand.NewPCG(seed, 8)), timing: TimingFor(time.Second), drift: 0.05, duties: map[string]*storedDuty{}, fences: map[string]uint64{}, fenced: fenced,
+		rng: rand.New(rand.NewPCG(seed, 8)), timing: TimingFor(time.Second), drift: 0.05,
+		duties: map[string]*storedDuty{}, fences: map[string]uint64{}, fenced: fenced,
 	}
 	for n := range 1 + sim.rng.IntN(4) {
 		name := fmt.Sprint("d", n)
@@ -239,8 +249,8 @@
 			return sim
 		}
 	}
-	// All is well again: soon each duty has an owner that acts.
-	sim.calm = true
+	// Stable phase: each duty must soon have an owner that may act.
+	sim.lossless = true
 	lastOwned := map[string]int64{}
 	for range 600 {
 		sim.now += int64(25 * time.Millisecond)
@@ -270,13 +280,13 @@
 		}
 		for _, name := range sim.names {
 			for _, member := range sim.members {
-				if _, may := member.core.MayAct(member.clock, name); may {
+				if _, ok := member.core.MayAct(member.clock, name); ok {
 					lastOwned[name] = sim.now
 				}
 			}
 		}
 	}
-	for _, name := range sim.names { // one that is handed over has none for a moment
+	for _, name := range sim.names { // a duty has no owner for a moment while it is handed over
 		if sim.now-lastOwned[name] > int64(time.Second) {
 			sim.fail("%s has no owner at the end", name)
 		}
@@ -284,28 +294,32 @@
 	return sim
 }
 
-func schedules(usual int) int {
+// scheduleCount returns the number of schedules to run; OTTERSHIFT_SCHEDULES overrides the standard number.
+func scheduleCount(standard int) int {
 	if n, err := strconv.Atoi(os.Getenv("OTTERSHIFT_SCHEDULES")); err == nil {
 		return n
 	}
-	return usual / raceDivisor
+	return standard / raceDivisor
 }
 
+// TestSchedules guards against two members that may act on one duty at the same time, actions of former owners that
+// take effect, and duties that stay without an owner.
 func TestSchedules(t *testing.T) {
 	acts, refused := 0, 0
-	for seed := range uint64(schedules(500)) {
+	for seed := range uint64(scheduleCount(500)) {
 		sim := runSchedule(seed, true)
 		if sim.failure != "" {
 			t.Fatalf("seed %d: %s", seed, sim.failure)
 		}
 		acts, refused = acts+sim.acts, refused+sim.refused
 	}
-	t.Logf("%d acts, %d of old owners refused", acts, refused)
+	t.Logf("%d actions, %d of former owners refused", acts, refused)
 	if refused == 0 && raceDivisor == 1 {
-		t.Error("no old owner ever acted: the fence is not tested")
+		t.Error("no former owner ever acted: the fence is not tested")
 	}
 }
 
+// TestSchedulesDetectMissingFence checks that the schedules fail without lease expiry and fence.
 func TestSchedulesDetectMissingFence(t *testing.T) {
 	found := 0
 	for seed := range uint64(200 / raceDivisor) {
@@ -313,15 +327,17 @@
 			found++
 		}
 	}
-	t.Logf("without leases and fence: %d of 200 schedules are convicted", found)
+	t.Logf("without lease expiry and fence: fault detected in %d of 200 schedules", found)
 	if found < 20/raceDivisor {
-		t.Error("a missing fence is hardly ever found")
+		t.Error("a missing fence is hardly ever detected")
 	}
 }
 
-// A thousand duties spread over five members, and stay where they are while nothing changes.
+// TestManyDuties checks that a thousand duties spread evenly over five members and keep their owners while nothing
+// changes. It guards against members that take all duties, and against duties that move back and forth.
 func TestManyDuties(t *testing.T) {
-	sim := &simulation{rng: rand.New(rand.NewPCG(1, 1)), timing: TimingFor(time.Second), drift: 0.01, duties: map[string]*storedDuty{}, fences: map[string]uint64{}, fenced: true}
+	sim := &simulation{rng: rand.New(rand.NewPCG(1, 1)), timing: TimingFor(time.Second), drift: 0.01,
+		duties: map[string]*storedDuty{}, fences: map[string]uint64{}, fenced: true}
 	for n := range 1000 {
 		sim.names = append(sim.names, fmt.Sprint("d", n))
 		sim.duties[sim.names[n]] = &storedDuty{}
@@ -359,15 +375,15 @@
 		}
 	}
 	runFor(10)
-	sim.calm = true
+	sim.lossless = true
 	before := sim.lastToken
 	runFor(3)
 	for _, member := range sim.members {
 		if n := len(member.acting); n < 150 || n > 250 {
-			t.Errorf("m%d has %d of 1,000 duties", member.id, n)
+			t.Errorf("m%d owns %d of 1,000 duties", member.id, n)
 		}
 	}
 	if moved := sim.lastToken - before; moved > 20 {
-		t.Errorf("%d duties changed hands while nothing changed", moved)
+		t.Errorf("%d duties changed their owner while nothing changed", moved)
 	}
 }
--- a/internal/cluster/shared/core.go
+++ b/internal/cluster/shared/core.go
@@ -1,6 +1,7 @@
-// Package shared has one member ask for a pool's list on behalf of all: the owner of the duty asks and watches, and passes
-// on what it is told under its token. Core decides without I/O and clock what to believe and when to ask oneself; List is
-// the runner, a source of lists.
+// Package shared lets one member fetch the upstream list of a pool on behalf of all: the owner of the pool's duty
+// queries and watches service discovery, and passes the updates on with its fencing token. Core decides which updates
+// to accept and when to fall back to querying discovery itself, without I/O and without reading a clock. List runs it
+// as a lists.Source.
 package shared
 
 import (
@@ -10,16 +11,16 @@
 	"ottershift/internal/roster"
 )
 
-// Update is what the owner passes on: a change, the whole list, or only that there is nothing new.
+// Update is a message of the owner: changes of the list, a snapshot of the whole list, or without entries a heartbeat.
 type Update struct {
 	Pool     string  `codec:"p"`
 	Token    uint64  `codec:"t"`
-	Version  uint64  `codec:"v"` // grows with each change under a token
+	Version  uint64  `codec:"v"` // grows with each change under one token
 	Entries  []Entry `codec:"e,omitempty"`
 	Snapshot bool    `codec:"w,omitempty"`
 }
 
-// Entry is one line of a list on its way.
+// Entry is an upstream in an Update.
 type Entry struct {
 	Name     string  `codec:"n"`
 	Zone     string  `codec:"z,omitempty"`
@@ -32,46 +33,50 @@
 	Removed  bool    `codec:"g,omitempty"`
 }
 
+// fromRoster converts an entry of the roster for sending.
 func fromRoster(e roster.Entry[string]) Entry {
 	return Entry{e.Name, e.Zone, e.Kind, e.Address, e.Up.Weight, e.Up.Cell, e.Up.Born, e.Ends, e.Gone}
 }
 
+// toRoster converts a received entry for the roster.
 func (e Entry) toRoster() roster.Entry[string] {
 	r := roster.Entry[string]{Name: e.Name, Zone: e.Zone, Kind: e.Kind, Address: e.Address, Ends: e.Draining, Gone: e.Removed}
 	r.Up.Number, r.Up.Weight, r.Up.Cell, r.Up.Born = roster.Number(e.Name), e.Weight, e.Cell, e.Born
 	return r
 }
 
-// Timing are times in nanoseconds.
+// Timing holds times in nanoseconds.
 type Timing struct {
-	SilenceTimeout int64 // of the owner, after which one asks oneself; well within the grace of a drain
-	SteadyPeriod   int64 // that the owner's word has come steadily, until one asks no longer
-	Jitter         int64 // by chance on top of Silence, so that not all ask at once
+	SilenceTimeout int64 // without owner updates, then query discovery; well within a drain's grace period
+	SteadyPeriod   int64 // of steady updates from the owner, after which a member stops querying discovery itself
+	Jitter         int64 // maximum random addition to SilenceTimeout, so that not all members query discovery at once
 }
 
-// Core is one member's view of one pool's list.
+// Core is one member's view of the upstream list of one pool.
 type Core struct {
 	timing        Timing
 	jitter        int64
 	isOwner       bool
 	token         uint64
 	version       uint64
-	heardAt       int64 // last word of the present owner
-	steadySince   int64 // since when its words have come without a gap
-	discovering   bool
-	incomplete    bool
-	entries       map[string]Entry // whole, as the owner has it
-	hasSnapshot   bool             // it has been told a whole list under this token
-	discoveryLost bool             // and discovery tells it nothing at present
-	StaleUpdates  int64            // words that were dropped, of lower tokens and versions
+	heardAt       int64            // time of the last update from the current owner
+	steadySince   int64            // time since which its updates have come without a gap
+	discovering   bool             // this member queries discovery itself
+	incomplete    bool             // updates are missing, a snapshot is needed
+	entries       map[string]Entry // whole list, kept by the owner only
+	hasSnapshot   bool             // the owner has received a whole list under its token
+	discoveryLost bool             // the owner currently receives nothing from discovery
+	StaleUpdates  int64            // updates dropped for a lower token or version
 }
 
-// NewCore makes one; draw is a part of one, by chance. now counts as a word, so that an owner is given time at the start.
+// NewCore returns a Core. draw is a random number in [0, 1) that scales the jitter. now counts as the time of the last
+// update, which gives an owner time to start.
 func NewCore(timing Timing, draw float64, now int64) *Core {
-	return &Core{timing: timing, jitter: int64(draw * float64(timing.Jitter)), heardAt: now, steadySince: now, entries: map[string]Entry{}}
+	return &Core{timing: timing, jitter: int64(draw * float64(timing.Jitter)), heardAt: now, steadySince: now,
+		entries: map[string]Entry{}}
 }
 
-// SetOwner says that this member asks for all from now on, under a token, or no longer.
+// SetOwner sets whether this member is the owner from now on, and with which token.
 func (core *Core) SetOwner(now int64, token uint64, isOwner bool) {
 	if core.isOwner = isOwner; isOwner {
 		core.token, core.version, core.hasSnapshot, core.discoveryLost = max(core.token, token), 0, false, false
@@ -81,8 +86,9 @@
 	core.heardAt, core.steadySince = now, now
 }
 
-// HandleDiscovery takes what discovery told this member as the owner; it gives the word to pass on. Danger: a member may have asked
-// already when it became the owner. Changes alone are no list; what it makes of them would have the others drop the rest.
+// HandleDiscovery processes entries that the owner received from discovery and returns the update to broadcast. It
+// ignores changes until a whole list arrives: a member that was already watching when it became the owner would
+// otherwise build a snapshot from the changes alone, and the others would drop all other upstreams.
 func (core *Core) HandleDiscovery(pool string, entries []roster.Entry[string], snapshot bool) (update Update, ok bool) {
 	if !snapshot && !core.hasSnapshot {
 		return update, false
@@ -105,7 +111,7 @@
 	return update, true
 }
 
-// Snapshot is the whole list as this member, the owner, has it; false if it has none yet.
+// Snapshot returns the whole list, false if this member is not the owner or has none yet.
 func (core *Core) Snapshot(pool string) (Update, bool) {
 	update := Update{Pool: pool, Token: core.token, Version: core.version, Snapshot: true}
 	for _, name := range slices.Sorted(maps.Keys(core.entries)) {
@@ -114,23 +120,25 @@
 	return update, core.isOwner && core.version > 0
 }
 
-// HandleDiscoveryLost says that discovery can't be had, or that following it has ended.
+// HandleDiscoveryLost records that discovery is unreachable, or that the watch has ended.
 func (core *Core) HandleDiscoveryLost() { core.discoveryLost = true }
 
-// Heartbeat is the word that there is nothing new; false before there is a list. Danger: an owner that is cut off from discovery
-// knows of nothing new because nobody tells it; the others have to ask for themselves.
+// Heartbeat returns the update that says that nothing has changed; false while there is no list. An owner that is cut
+// off from discovery sends none: it would not know of changes, and the others have to query discovery themselves.
 func (core *Core) Heartbeat(pool string) (Update, bool) {
 	return Update{Pool: pool, Token: core.token, Version: core.version}, core.isOwner && core.version > 0 && !core.discoveryLost
 }
 
-// HandleUpdate takes an owner's word that has passed the fence. It gives what the list is told; ask says that words are missing and
-// the whole is to be had from the owner. fenced is false only in a variant that heeds old owners.
+// HandleUpdate processes an update that the fence admitted. It returns the changes for the list; fetch says that
+// updates are missing and a snapshot has to be fetched from the owner. fenced is false only in fault-injection tests,
+// which show that updates of former owners then take effect.
 func (core *Core) HandleUpdate(now int64, update *Update, fenced bool) (changes []roster.Entry[string], snapshot, fetch bool) {
-	if fenced && (update.Token < core.token || update.Token == core.token && update.Version < core.version) || core.isOwner && update.Token <= core.token {
+	if fenced && (update.Token < core.token || update.Token == core.token && update.Version < core.version) ||
+		core.isOwner && update.Token <= core.token {
 		core.StaleUpdates++
 		return nil, false, false
 	}
-	if update.Token > core.token { // danger: an owner that was replaced and hasn't noticed would pass on its own under the newer token
+	if update.Token > core.token { // else a replaced owner that has not noticed would broadcast its list with the newer token
 		core.isOwner = false
 	}
 	if update.Token > core.token || !fenced && update.Token != core.token {
@@ -162,21 +170,24 @@
 	return changes, update.Snapshot, false
 }
 
-// ShouldDiscover says whether this member is to ask discovery itself now: it is the owner, or the owner's word is late.
+// ShouldDiscover reports whether this member should query discovery itself now: it is the owner, or the owner's updates
+// are late.
 func (core *Core) ShouldDiscover(now int64) bool {
 	switch {
 	case core.isOwner:
 		core.discovering = true
-	case now-core.heardAt > core.timing.SilenceTimeout+core.jitter, core.incomplete && now-core.steadySince > core.timing.SilenceTimeout+core.jitter:
+	case now-core.heardAt > core.timing.SilenceTimeout+core.jitter,
+		core.incomplete && now-core.steadySince > core.timing.SilenceTimeout+core.jitter:
 		core.discovering = true
-	case core.discovering && !core.incomplete && now-core.steadySince > core.timing.SteadyPeriod && now-core.heardAt <= core.timing.SilenceTimeout:
+	case core.discovering && !core.incomplete && now-core.steadySince > core.timing.SteadyPeriod &&
+		now-core.heardAt <= core.timing.SilenceTimeout:
 		core.discovering = false
 	}
 	return core.discovering
 }
 
-// IsOwner reports whether this member asks for all.
+// IsOwner reports whether this member fetches the list for all.
 func (core *Core) IsOwner() bool { return core.isOwner }
 
-// Age is how long ago the owner spoke.
+// Age returns the nanoseconds since the last update from the owner.
 func (core *Core) Age(now int64) int64 { return now - core.heardAt }
--- a/internal/cluster/shared/race_test.go
+++ b/internal/cluster/shared/race_test.go
@@ -2,5 +2,5 @@
 
 package shared
 
-// slower is how many times fewer schedules are played beside the race detector.
-const slower = 10
+// raceDivisor divides the number of simulated schedules when the race detector is on.
+const raceDivisor = 10
--- a/internal/cluster/shared/shared.go
+++ b/internal/cluster/shared/shared.go
@@ -13,35 +13,36 @@
 	"ottershift/internal/roster"
 )
 
-// Times of the runner. Operators want nothing new sent to an upstream 1.5 s after its drain was told: silence and its spread
-// leave more than half of that to one's own ask.
+// Times of List. No new request may be sent to an upstream 1.5 s after discovery announced its drain: silenceTimeout
+// and silenceJitter leave more than half of that for a member's own query.
 const (
 	heartbeatInterval = 150 * time.Millisecond
 	silenceTimeout    = 450 * time.Millisecond
 	silenceJitter     = 200 * time.Millisecond
 	steadyPeriod      = 2 * time.Second
-	fetchTimeout      = 500 * time.Millisecond // to have the whole list from the owner
+	fetchTimeout      = 500 * time.Millisecond // for a snapshot from the owner
 )
 
-// MaxStaleness is the longest that a member goes by a list that its owner no longer speaks for, before it asks itself.
+// MaxStaleness is the longest time that a member relies on a list that its owner no longer confirms, before it queries
+// discovery itself.
 const MaxStaleness = silenceTimeout + silenceJitter + heartbeatInterval
 
-// Transport is how words go to the other members of a pool.
+// Transport sends updates to the other members that serve a pool.
 type Transport interface {
-	Post(name string, raw []byte)                                 // lost if it fails
-	Whole(ctx context.Context, name, pool string) ([]byte, error) // a member's whole list
-	Offering(pool string) (others []string)                       // who follows the pool as well
-	Owner(duty string) string                                     // who owns a duty by what is known here
+	Post(name string, raw []byte)                                 // sends an update; it may be lost
+	Whole(ctx context.Context, name, pool string) ([]byte, error) // fetches a snapshot from a member
+	Offering(pool string) (others []string)                       // returns the other members that serve the pool
+	Owner(duty string) string                                     // returns the owner of a duty as far as known here
 }
 
-// List is a pool's list by way of the owner, a lists.Source.
+// List is the upstream list of a pool as received from the owner. It implements lists.Source.
 type List struct {
 	pool      string
 	duty      string
-	newSource func(lists.Sink) lists.Source // makes what asks discovery, from its beginning
+	newSource func(lists.Sink) lists.Source // returns a source that queries discovery, starting with a whole list
 	sink      lists.Sink
 	transport Transport
-	owners    *owner.Manager
+	manager   *owner.Manager
 	log       *slog.Logger
 	fenced    bool
 	startedAt time.Time
@@ -49,29 +50,31 @@
 
 	mu              sync.Mutex
 	core            *Core
-	fetching        bool // the whole is being fetched
-	becameOwner     bool // it has just become the owner
-	DiscoveryStarts int64
+	fetching        bool  // a snapshot is being fetched
+	becameOwner     bool  // since the last check of Run
+	DiscoveryStarts int64 // how often this member started to query discovery itself
 }
 
-// Duty is the name of the duty of a pool's list.
+// Duty returns the name of the duty for the upstream list of a pool.
 func Duty(pool string) string { return "list/" + pool }
 
-// New makes one. own makes the source that asks discovery and tells a sink.
-func New(pool string, sink lists.Sink, newSource func(lists.Sink) lists.Source, transport Transport, owners *owner.Manager, fenced bool, log *slog.Logger) *List {
+// New returns the list of a pool. newSource returns the source that queries discovery and reports to a sink.
+func New(pool string, sink lists.Sink, newSource func(lists.Sink) lists.Source, transport Transport, manager *owner.Manager, fenced bool, log *slog.Logger) *List {
 	list := &List{
-		pool: pool, duty: Duty(pool), sink: sink, newSource: newSource, transport: transport, owners: owners, log: log, fenced: fenced, startedAt: time.Now(), wakeups: make(chan struct{}, 1),
+		pool: pool, duty: Duty(pool), sink: sink, newSource: newSource, transport: transport, manager: manager,
+		log: log, fenced: fenced, startedAt: time.Now(), wakeups: make(chan struct{}, 1),
 	}
 	list.core = NewCore(Timing{int64(silenceTimeout), int64(steadyPeriod), int64(silenceJitter)}, rand.Float64(), 0)
 	return list
 }
 
+// now returns the nanoseconds since the creation of the list.
 func (list *List) now() int64 { return int64(time.Since(list.startedAt)) }
 
-// Run implements lists.Source.
+// Run implements lists.Source: it takes part in the duty until ctx ends.
 func (list *List) Run(ctx context.Context) {
-	list.owners.AddDuty(list.duty, list)
-	defer list.owners.RemoveDuty(list.duty)
+	list.manager.AddDuty(list.duty, list)
+	defer list.manager.RemoveDuty(list.duty)
 	tick := time.NewTicker(heartbeatInterval / 2)
 	defer tick.Stop()
 	var stop context.CancelFunc
@@ -91,7 +94,7 @@
 		list.becameOwner = false
 		list.mu.Unlock()
 		if becameOwner {
-			stopSource() // an owner asks from the beginning, for the whole list
+			stopSource() // restart: an owner needs the whole list
 		}
 		switch {
 		case discover && stop == nil:
@@ -101,7 +104,7 @@
 			ended = done
 			list.mu.Lock()
 			list.DiscoveryStarts++
-			why := "the owner's word is late"
+			why := "no update from the owner"
 			if list.core.IsOwner() {
 				why = "owner"
 			}
@@ -134,6 +137,7 @@
 	}
 }
 
+// wake lets Run check its state again.
 func (list *List) wake() {
 	select {
 	case list.wakeups <- struct{}{}:
@@ -141,7 +145,7 @@
 	}
 }
 
-// Begin implements owner.Work, as does End.
+// Begin implements owner.Work: this member is the owner from now on.
 func (list *List) Begin(lease owner.Lease) {
 	list.mu.Lock()
 	list.core.SetOwner(list.now(), lease.Token, true)
@@ -150,6 +154,7 @@
 	list.wake()
 }
 
+// End implements owner.Work: this member is no longer the owner.
 func (list *List) End(owner.Lease) {
 	list.mu.Lock()
 	list.core.SetOwner(list.now(), 0, false)
@@ -157,8 +162,8 @@
 	list.wake()
 }
 
-// List implements lists.Sink for the source that asks discovery: what it tells this member goes to its own pool, and to all
-// others if it asks for all.
+// List implements lists.Sink for the source that queries discovery: it passes the entries to the pool of this member
+// and, if this member is the owner, to all others.
 func (list *List) List(entries []roster.Entry[string], snapshot bool) {
 	list.sink.List(entries, snapshot)
 	list.mu.Lock()
@@ -173,7 +178,7 @@
 	}
 }
 
-// Unlisted and Follow implement lists.Sink.
+// Unlisted implements lists.Sink.
 func (list *List) Unlisted() {
 	list.mu.Lock()
 	list.core.HandleDiscoveryLost()
@@ -181,12 +186,13 @@
 	list.sink.Unlisted()
 }
 
+// Follow implements lists.Sink.
 func (list *List) Follow() <-chan struct{} { return list.sink.Follow() }
 
-// broadcast sends a word to all who follow the pool. Danger: between the question and the sending the process may be held up; the
-// token in the word is what makes that harmless.
+// broadcast sends an update to all members that serve the pool. The process may be delayed between the check and the
+// sending; the fencing token in the update makes that harmless.
 func (list *List) broadcast(update Update) {
-	token, ok := list.owners.MayAct(list.duty)
+	token, ok := list.manager.MayAct(list.duty)
 	if !ok || token != update.Token {
 		return
 	}
@@ -196,9 +202,9 @@
 	}
 }
 
-// HandleUpdate takes an owner's word.
+// HandleUpdate processes an update from the owner.
 func (list *List) HandleUpdate(from string, update *Update) {
-	if !list.owners.Admit(list.duty, update.Token) {
+	if !list.manager.Admit(list.duty, update.Token) {
 		return
 	}
 	list.mu.Lock()
@@ -206,7 +212,7 @@
 	fetch = fetch && !list.fetching
 	list.fetching = list.fetching || fetch
 	if len(changes) > 0 || snapshot {
-		list.sink.List(changes, snapshot) // in the order in which they came
+		list.sink.List(changes, snapshot) // under the lock, to keep the order of arrival
 	}
 	list.mu.Unlock()
 	if fetch {
@@ -214,7 +220,7 @@
 	}
 }
 
-// fetch has the whole list from the owner.
+// fetch fetches a snapshot from the owner.
 func (list *List) fetch(from string) {
 	ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 	defer cancel()
@@ -231,7 +237,7 @@
 	}
 }
 
-// Snapshot is the list as this member has it as its owner.
+// Snapshot returns an encoded snapshot of the list if this member is its owner, else an update without a token.
 func (list *List) Snapshot() []byte {
 	list.mu.Lock()
 	defer list.mu.Unlock()
