--- a/internal/cluster/owner/core.go
+++ b/internal/cluster/owner/core.go
@@ -1,5 +1,7 @@
-// Package owner gives duties one owner at a time. Core decides without I/O and clock which to ask for, when to renew and
-// when to stop acting; Fence is what is kept by whoever is acted on; Owners is the runner over the keepers.
+// Package owner assigns duties, tasks with one owner at a time, by leases and fencing tokens. Core decides which duties
+// to acquire, when to renew them and when to stop acting, without I/O and without reading a clock. Fence refuses
+// actions of former owners; it is kept by the member on which an owner acts. Manager runs a Core against the lease
+// store.
 package owner
 
 import (
@@ -11,341 +13,351 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Tenure is one owner's time with a duty. Whoever acts shows its token; whoever is acted on refuses a lower one than it
-// has seen.
-type Tenure struct {
-	Duty  string
-	Token uint64
-	Until int64 // on the owner's own clock; it acts no longer unless renewed
+// Lease is the lease of a duty. The owner sends its fencing token with each action; the receiver refuses a token lower
+// than the highest one it has seen.
+type Lease struct {
+	Duty      string
+	Token     uint64
+	ExpiresAt int64 // in nanoseconds on the owner's clock; the owner stops acting then unless the lease was renewed
 }
 
-// Held is what the keepers last said of a duty.
-type Held struct {
+// DutyState is the state of a duty in the lease store.
+type DutyState struct {
 	Token uint64
-	Owner string // "" for nobody
-	Epoch uint64
+	Owner string // "" for none
+	Epoch uint64 // epoch of the owner's session
 }
 
-// Member is another that may own duties.
+// Member is a member that may own duties.
 type Member struct{ Name string }
 
-// Does are what the core wants done.
-type Does interface {
-	Take(duty string)
-	Renew(tokens map[string]uint64) // all that is owned, at once
-	Give(duty string, token uint64, to string)
-	Begin(t Tenure) // it may act from now on
-	End(t Tenure)   // and no more
+// Actions carries out what a Core decides. Its methods must not block.
+type Actions interface {
+	Acquire(duty string)
+	Renew(tokens map[string]uint64)               // of all owned duties
+	Release(duty string, token uint64, to string) // to is the proposed next owner, "" for any
+	BeginWork(lease Lease)                        // the owner may act from now on
+	EndWork(lease Lease)                          // the owner must not act any more
 }
 
-// Terms say how long things take.
-type Terms struct {
-	Lease   time.Duration // an owner's, from when it asked
-	Renew   time.Duration // between two renewals
-	Step    time.Duration // that a less preferred member waits longer before it takes a free duty
-	Balance time.Duration // between two duties that are given away because others own fewer
+// Timing holds the lease duration and the intervals derived from it.
+type Timing struct {
+	Lease           time.Duration // counted from the time of the request
+	RenewInterval   time.Duration // between renewals
+	RankDelay       time.Duration // extra wait per rank before a less preferred member acquires a free duty
+	BalanceInterval time.Duration // between duties that are handed to members that own fewer
 }
 
-// TermsOf are the usual ones for a lease.
-func TermsOf(lease time.Duration) Terms {
-	return Terms{Lease: lease, Renew: lease / 4, Step: lease / 10, Balance: 2 * lease}
+// TimingFor returns the default timing for a lease duration.
+func TimingFor(lease time.Duration) Timing {
+	return Timing{Lease: lease, RenewInterval: lease / 4, RankDelay: lease / 10, BalanceInterval: 2 * lease}
 }
 
+// duty is one member's view of a duty.
 type duty struct {
-	name   string
-	held   Held
-	known  bool
-	free   int64 // since when it has been seen without an owner, 0 while it has one
-	asked  int64 // when it was last asked for
-	own    bool
-	token  uint64
-	until  int64
-	acting bool
+	name        string
+	state       DutyState
+	known       bool  // state has been read
+	freeSince   int64 // time since which it has been seen without an owner, 0 while it has one
+	requestedAt int64 // time of the last attempt to acquire it
+	owned       bool
+	token       uint64
+	expiresAt   int64
+	acting      bool
 }
 
 // Core is one member's view of duties.
 type Core struct {
-	self    string
-	epoch   uint64
-	t       Terms
-	d       Does
-	chance  *rand.Rand
-	duties  map[string]*duty
-	names   []string
-	members []Member
-	willing bool
-	renewed int64
-	given   int64
-	Fenced  bool // false only where a variant leaves the guard out
+	self          string
+	epoch         uint64
+	timing        Timing
+	actions       Actions
+	rng           *rand.Rand
+	duties        map[string]*duty
+	names         []string
+	members       []Member
+	willing       bool // to own duties
+	renewedAt     int64
+	balancedAt    int64
+	EnforceExpiry bool // stop acting when the lease expires; false only in fault-injection tests
 }
 
-// NewCore makes one for a run of a member.
-func NewCore(self string, t Terms, seed uint64, d Does) *Core {
-	return &Core{self: self, t: t, d: d, chance: rand.New(rand.NewPCG(seed, 0x44)), duties: map[string]*duty{}, Fenced: true}
+// NewCore returns the Core for one run of a member.
+func NewCore(self string, timing Timing, seed uint64, actions Actions) *Core {
+	return &Core{self: self, timing: timing, actions: actions, rng: rand.New(rand.NewPCG(seed, 0x44)),
+		duties: map[string]*duty{}, EnforceExpiry: true}
 }
 
-// Want adds a duty that this member would do.
-func (c *Core) Want(name string) {
-	if c.duties[name] == nil {
-		c.duties[name] = &duty{name: name}
-		c.names = append(c.names, name)
-		slices.Sort(c.names)
+// AddDuty adds a duty that this member may own.
+func (core *Core) AddDuty(name string) {
+	if core.duties[name] == nil {
+		core.duties[name] = &duty{name: name}
+		core.names = append(core.names, name)
+		slices.Sort(core.names)
 	}
 }
 
-// Unwant takes one away; if it is owned it is let go.
-func (c *Core) Unwant(name string) {
-	x := c.duties[name]
-	if x == nil {
+// RemoveDuty removes a duty, releasing it if it is owned.
+func (core *Core) RemoveDuty(name string) {
+	removed := core.duties[name]
+	if removed == nil {
 		return
 	}
-	c.stop(x)
-	if x.own {
-		c.d.Give(name, x.token, "")
+	core.stopActing(removed)
+	if removed.owned {
+		core.actions.Release(name, removed.token, "")
 	}
-	delete(c.duties, name)
-	c.names = slices.DeleteFunc(c.names, func(n string) bool { return n == name })
+	delete(core.duties, name)
+	core.names = slices.DeleteFunc(core.names, func(n string) bool { return n == name })
 }
 
-// Session says under which epoch this run is known to the keepers; whatever was owned under another is over.
-func (c *Core) Session(epoch uint64) {
-	if epoch == c.epoch {
+// SetSession sets the epoch of the session with the lease store. Ownership under another epoch ends.
+func (core *Core) SetSession(epoch uint64) {
+	if epoch == core.epoch {
 		return
 	}
-	c.epoch = epoch
-	for _, name := range c.names {
-		c.lose(c.duties[name])
+	core.epoch = epoch
+	for _, name := range core.names {
+		core.dropOwnership(core.duties[name])
 	}
 }
 
-// Members says who else may own duties, and whether this one still wants to.
-func (c *Core) Members(all []Member, willing bool) { c.members, c.willing = all, willing }
+// SetMembers sets the members that may own duties, and whether this member is willing to own any.
+func (core *Core) SetMembers(members []Member, willing bool) {
+	core.members, core.willing = members, willing
+}
 
-// Held takes what the keepers say of all duties, by a confirmed read that was asked for at some time.
-func (c *Core) Held(now int64, all map[string]Held) {
-	for _, name := range c.names {
-		x := c.duties[name]
-		h := all[name]
-		if x.known && h.Token < x.held.Token {
-			continue // an older answer
+// ObserveStates processes the state of all duties, as returned by a linearizable read.
+func (core *Core) ObserveStates(now int64, states map[string]DutyState) {
+	for _, name := range core.names {
+		d := core.duties[name]
+		state := states[name]
+		if d.known && state.Token < d.state.Token {
+			continue // outdated response
 		}
-		x.held, x.known = h, true
-		if h.Owner != "" {
-			x.free = 0
-		} else if x.free == 0 {
-			x.free = now
+		d.state, d.known = state, true
+		if state.Owner != "" {
+			d.freeSince = 0
+		} else if d.freeSince == 0 {
+			d.freeSince = now
 		}
-		if x.own && (h.Owner != c.self || h.Epoch != c.epoch || h.Token != x.token) {
-			c.lose(x)
+		if d.owned && (state.Owner != core.self || state.Epoch != core.epoch || state.Token != d.token) {
+			core.dropOwnership(d)
 		}
 	}
 }
 
-// Taken takes the keepers' answer: the duty is this run's by a token, counted from when it was asked for.
-func (c *Core) Taken(asked, now int64, name string, token uint64) {
-	x := c.duties[name]
-	if x == nil {
-		c.d.Give(name, token, "")
+// HandleAcquired processes a granted lease. It counts from the time of the request.
+func (core *Core) HandleAcquired(requestedAt, now int64, name string, token uint64) {
+	d := core.duties[name]
+	if d == nil {
+		core.actions.Release(name, token, "")
 		return
 	}
-	x.held, x.known, x.free = Held{token, c.self, c.epoch}, true, 0
-	x.own, x.token, x.until = true, token, asked+int64(c.t.Lease)
-	c.act(now, x)
+	d.state, d.known, d.freeSince = DutyState{token, core.self, core.epoch}, true, 0
+	d.owned, d.token, d.expiresAt = true, token, requestedAt+int64(core.timing.Lease)
+	core.startActing(now, d)
 }
 
-// Renewed takes the keepers' answer to a renewal that was asked for at some time: tokens that stand.
-func (c *Core) Renewed(asked, now int64, tokens map[string]uint64) {
-	for _, name := range c.names {
-		x := c.duties[name]
-		if !x.own {
+// HandleRenewed processes the response to a renewal: the tokens that are still valid.
+func (core *Core) HandleRenewed(requestedAt, now int64, tokens map[string]uint64) {
+	for _, name := range core.names {
+		d := core.duties[name]
+		if !d.owned {
 			continue
 		}
-		if tokens[name] == x.token {
-			x.until = max(x.until, asked+int64(c.t.Lease))
-			c.act(now, x)
+		if tokens[name] == d.token {
+			d.expiresAt = max(d.expiresAt, requestedAt+int64(core.timing.Lease))
+			core.startActing(now, d)
 		}
 	}
 }
 
-func (c *Core) act(now int64, x *duty) {
-	if !x.acting && now < x.until {
-		x.acting = true
-		c.d.Begin(Tenure{x.name, x.token, x.until})
+// startActing starts the work of a duty if its lease is valid.
+func (core *Core) startActing(now int64, d *duty) {
+	if !d.acting && now < d.expiresAt {
+		d.acting = true
+		core.actions.BeginWork(Lease{d.name, d.token, d.expiresAt})
 	}
 }
 
-func (c *Core) stop(x *duty) {
-	if x.acting {
-		x.acting = false
-		c.d.End(Tenure{x.name, x.token, x.until})
+// stopActing ends the work of a duty.
+func (core *Core) stopActing(d *duty) {
+	if d.acting {
+		d.acting = false
+		core.actions.EndWork(Lease{d.name, d.token, d.expiresAt})
 	}
 }
 
-func (c *Core) lose(x *duty) {
-	c.stop(x)
-	x.own = false
+// dropOwnership ends the work and the ownership of a duty.
+func (core *Core) dropOwnership(d *duty) {
+	core.stopActing(d)
+	d.owned = false
 }
 
-// May reports whether this run may act on a duty now, and by which token. Danger: between the answer and the act the
-// process may be held up; the token is what makes that harmless.
-func (c *Core) May(now int64, name string) (token uint64, yes bool) {
-	x := c.duties[name]
-	if x == nil || !x.own {
+// MayAct reports whether this run may act on a duty now, and with which token. The process may be delayed between this
+// check and the action, past the end of the lease; the fencing token makes that harmless.
+func (core *Core) MayAct(now int64, name string) (token uint64, ok bool) {
+	d := core.duties[name]
+	if d == nil || !d.owned {
 		return 0, false
 	}
-	return x.token, now < x.until || !c.Fenced
+	return d.token, now < d.expiresAt || !core.EnforceExpiry
 }
 
-// Owned are the duties that this run owns, by name.
-func (c *Core) Owned() (all []Tenure) {
-	for _, name := range c.names {
-		if x := c.duties[name]; x.own {
-			all = append(all, Tenure{name, x.token, x.until})
+// Owned returns the leases of the duties that this run owns, ordered by name.
+func (core *Core) Owned() (leases []Lease) {
+	for _, name := range core.names {
+		if d := core.duties[name]; d.owned {
+			leases = append(leases, Lease{name, d.token, d.expiresAt})
 		}
 	}
-	return all
+	return leases
 }
 
-// Tick does what is due.
-func (c *Core) Tick(now int64) {
+// Tick stops work whose lease has expired, and requests renewals, releases and acquisitions that are due.
+func (core *Core) Tick(now int64) {
 	tokens := map[string]uint64{}
-	for _, name := range c.names {
-		x := c.duties[name]
-		if x.acting && now >= x.until && c.Fenced {
-			c.stop(x) // not renewed in time: others may own it
+	for _, name := range core.names {
+		d := core.duties[name]
+		if d.acting && now >= d.expiresAt && core.EnforceExpiry {
+			core.stopActing(d) // not renewed in time: another member may own it
 		}
-		if x.own {
-			tokens[name] = x.token
+		if d.owned {
+			tokens[name] = d.token
 		}
 	}
-	if len(tokens) > 0 && now-c.renewed >= int64(c.t.Renew) {
-		c.renewed = now
-		c.d.Renew(tokens)
+	if len(tokens) > 0 && now-core.renewedAt >= int64(core.timing.RenewInterval) {
+		core.renewedAt = now
+		core.actions.Renew(tokens)
 	}
-	if !c.willing {
-		for _, name := range c.names { // by intent: handed over at once, nobody waits for a lease
-			if x := c.duties[name]; x.own {
-				token := x.token
-				c.lose(x)
-				c.d.Give(name, token, c.heir(name))
+	if !core.willing {
+		for _, name := range core.names { // hand over at once, so that nobody has to wait for a lease to expire
+			if d := core.duties[name]; d.owned {
+				token := d.token
+				core.dropOwnership(d)
+				core.actions.Release(name, token, core.successor(name))
 			}
 		}
 		return
 	}
-	for _, name := range c.names {
-		x := c.duties[name]
-		if !x.known || x.held.Owner != "" || x.own || x.free == 0 {
+	for _, name := range core.names {
+		d := core.duties[name]
+		if !d.known || d.state.Owner != "" || d.owned || d.freeSince == 0 {
 			continue
 		}
-		wait := int64(c.rank(name)) * int64(c.t.Step)
-		if now-x.free >= wait && (x.asked == 0 || now-x.asked >= int64(c.t.Renew)) {
-			x.asked = now
-			c.d.Take(name)
+		wait := int64(core.rank(name)) * int64(core.timing.RankDelay)
+		if now-d.freeSince >= wait && (d.requestedAt == 0 || now-d.requestedAt >= int64(core.timing.RenewInterval)) {
+			d.requestedAt = now
+			core.actions.Acquire(name)
 		}
 	}
-	c.balance(now, len(tokens))
+	core.rebalance(now, len(tokens))
 }
 
-// rank is how many others should have a duty rather than this member: they own fewer, or stand first by chance that all
-// draw alike.
-func (c *Core) rank(name string) (n int) {
-	own := c.counts()
-	mine := c.place(name, c.self, own[c.self])
-	for _, m := range c.members {
-		if m.Name != c.self && less(c.place(name, m.Name, own[m.Name]), mine) {
-			n++
+// rank returns how many other members are preferred as the owner of a duty.
+func (core *Core) rank(name string) (better int) {
+	owned := core.ownedCounts()
+	mine := core.placementOf(name, core.self, owned[core.self])
+	for _, member := range core.members {
+		if member.Name != core.self && less(core.placementOf(name, member.Name, owned[member.Name]), mine) {
+			better++
 		}
 	}
-	return n
+	return better
 }
 
-// place orders members for a duty: who owns more than an even part comes last, then by chance that is the same at all of them.
-// Danger: by counts alone whoever looks first would take all.
-type place struct {
-	over int
-	draw uint64
+// placement orders members by preference for a duty: those that own clearly more than an even share come last, then a
+// hash that is the same on all members decides. With counts alone, the first member to look would take all duties.
+type placement struct {
+	excess int // owned duties beyond 5/4 of an even share plus 1
+	hash   uint64
 }
 
-func less(a, b place) bool {
-	return cmp.Or(cmp.Compare(a.over, b.over), cmp.Compare(a.draw, b.draw)) < 0
+// less reports whether placement a is preferred to b.
+func less(a, b placement) bool {
+	return cmp.Or(cmp.Compare(a.excess, b.excess), cmp.Compare(a.hash, b.hash)) < 0
 }
 
-func (c *Core) place(duty, name string, owned int) place {
-	return place{draw: xxhash.Sum64String(duty + "\x00" + name), over: max(0, owned-c.even()*5/4-1)} // chance alone deals some more than others
+// placementOf returns the placement of a member that owns so many duties. The margin above an even share is needed
+// because hashing alone gives some members more duties than others.
+func (core *Core) placementOf(duty, name string, owned int) placement {
+	return placement{hash: xxhash.Sum64String(duty + "\x00" + name), excess: max(0, owned-core.evenShare()*5/4-1)}
 }
 
-// even is an even part of all duties.
-func (c *Core) even() int {
-	n := len(c.members)
-	return (len(c.names) + max(n, 1) - 1) / max(n, 1)
+// evenShare returns the number of duties per member, rounded up.
+func (core *Core) evenShare() int {
+	n := len(core.members)
+	return (len(core.names) + max(n, 1) - 1) / max(n, 1)
 }
 
-// counts is how many duties each member owns.
-func (c *Core) counts() map[string]int {
-	n := map[string]int{}
-	for _, name := range c.names {
-		if h := c.duties[name].held; h.Owner != "" {
-			n[h.Owner]++
+// ownedCounts returns how many duties each member owns.
+func (core *Core) ownedCounts() map[string]int {
+	counts := map[string]int{}
+	for _, name := range core.names {
+		if state := core.duties[name].state; state.Owner != "" {
+			counts[state.Owner]++
 		}
 	}
-	return n
+	return counts
 }
 
-// heir is who should have a duty if not this one, "" for nobody.
-func (c *Core) heir(name string) string {
-	own := c.counts()
-	best, who := place{}, ""
-	for _, m := range c.members {
-		if m.Name == c.self {
+// successor returns the preferred other owner of a duty, "" for none.
+func (core *Core) successor(name string) string {
+	owned := core.ownedCounts()
+	best, successor := placement{}, ""
+	for _, member := range core.members {
+		if member.Name == core.self {
 			continue
 		}
-		if p := c.place(name, m.Name, own[m.Name]); who == "" || less(p, best) {
-			best, who = p, m.Name
+		if p := core.placementOf(name, member.Name, owned[member.Name]); successor == "" || less(p, best) {
+			best, successor = p, member.Name
 		}
 	}
-	return who
+	return successor
 }
 
-// balance gives one duty away where another owns two fewer or less, now and then: so they spread, and don't swing.
-func (c *Core) balance(now int64, owned int) {
-	if owned <= c.even() || now-c.given < int64(c.t.Balance) {
+// rebalance releases one duty to a member that owns at least two fewer. It does so at intervals with random jitter, so
+// that duties spread without oscillating.
+func (core *Core) rebalance(now int64, owned int) {
+	if owned <= core.evenShare() || now-core.balancedAt < int64(core.timing.BalanceInterval) {
 		return
 	}
-	own := c.counts()
-	for _, name := range c.names {
-		x := c.duties[name]
-		if !x.own {
+	counts := core.ownedCounts()
+	for _, name := range core.names {
+		d := core.duties[name]
+		if !d.owned {
 			continue
 		}
-		if to := c.heir(name); to != "" && own[to]+2 <= owned {
-			c.given = now + c.chance.Int64N(int64(c.t.Balance))
-			token := x.token
-			c.lose(x)
-			c.d.Give(name, token, to)
+		if to := core.successor(name); to != "" && counts[to]+2 <= owned {
+			core.balancedAt = now + core.rng.Int64N(int64(core.timing.BalanceInterval))
+			token := d.token
+			core.dropOwnership(d)
+			core.actions.Release(name, token, to)
 			return
 		}
 	}
 }
 
-// Fence is kept by whoever is acted on: the highest token seen of each duty.
+// Fence refuses actions of former owners. It keeps the highest token seen for each duty.
 type Fence struct {
-	highest map[string]uint64
-	Refused int64
-	Open    bool // refuses nothing: a variant without the guard
+	highest  map[string]uint64
+	Refused  int64 // number of refused actions
+	Disabled bool  // admit all actions, in fault-injection tests only
 }
 
-// Pass reports whether an act under a token may be done.
-func (f *Fence) Pass(duty string, token uint64) bool {
-	if f.highest == nil {
-		f.highest = map[string]uint64{}
+// Admit reports whether an action with a token may be carried out.
+func (fence *Fence) Admit(duty string, token uint64) bool {
+	if fence.highest == nil {
+		fence.highest = map[string]uint64{}
 	}
-	if token < f.highest[duty] {
-		f.Refused++
-		return f.Open
+	if token < fence.highest[duty] {
+		fence.Refused++
+		return fence.Disabled
 	}
-	f.highest[duty] = token
+	fence.highest[duty] = token
 	return true
 }
 
-// Highest is the highest token seen of a duty.
-func (f *Fence) Highest(duty string) uint64 { return f.highest[duty] }
+// Highest returns the highest token seen for a duty.
+func (fence *Fence) Highest(duty string) uint64 { return fence.highest[duty] }
--- a/internal/cluster/shared/core.go
+++ b/internal/cluster/shared/core.go
@@ -1,6 +1,7 @@
-// Package shared has one member ask for a pool's list on behalf of all: the owner of the duty asks and watches, and passes
-// on what it is told under its token. Core decides without I/O and clock what to believe and when to ask oneself; List is
-// the runner, a source of lists.
+// Package shared lets one member fetch the upstream list of a pool on behalf of all: the owner of the pool's duty
+// queries and watches service discovery, and passes the updates on with its fencing token. Core decides which updates
+// to accept and when to fall back to querying discovery itself, without I/O and without reading a clock. List runs it
+// as a lists.Source.
 package shared
 
 import (
@@ -10,173 +11,183 @@
 	"ottershift/internal/roster"
 )
 
-// Word is what the owner passes on: a change, the whole list, or only that there is nothing new.
-type Word struct {
-	Pool    string  `codec:"p"`
-	Token   uint64  `codec:"t"`
-	Version uint64  `codec:"v"` // grows with each change under a token
-	Entries []Entry `codec:"e,omitempty"`
-	Whole   bool    `codec:"w,omitempty"`
+// Update is a message of the owner: changes of the list, a snapshot of the whole list, or without entries a heartbeat.
+type Update struct {
+	Pool     string  `codec:"p"`
+	Token    uint64  `codec:"t"`
+	Version  uint64  `codec:"v"` // grows with each change under one token
+	Entries  []Entry `codec:"e,omitempty"`
+	Snapshot bool    `codec:"w,omitempty"`
 }
 
-// Entry is one line of a list on its way.
+// Entry is an upstream in an Update.
 type Entry struct {
-	Name    string  `codec:"n"`
-	Zone    string  `codec:"z,omitempty"`
-	Kind    string  `codec:"k,omitempty"`
-	Address string  `codec:"a,omitempty"`
-	Weight  float64 `codec:"w"`
-	Cell    int     `codec:"c,omitempty"`
-	Born    int64   `codec:"b,omitempty"`
-	Ends    bool    `codec:"e,omitempty"`
-	Gone    bool    `codec:"g,omitempty"`
+	Name     string  `codec:"n"`
+	Zone     string  `codec:"z,omitempty"`
+	Kind     string  `codec:"k,omitempty"`
+	Address  string  `codec:"a,omitempty"`
+	Weight   float64 `codec:"w"`
+	Cell     int     `codec:"c,omitempty"`
+	Born     int64   `codec:"b,omitempty"`
+	Draining bool    `codec:"e,omitempty"`
+	Removed  bool    `codec:"g,omitempty"`
 }
 
-func of(e roster.Entry[string]) Entry {
+// fromRoster converts an entry of the roster for sending.
+func fromRoster(e roster.Entry[string]) Entry {
 	return Entry{e.Name, e.Zone, e.Kind, e.Address, e.Up.Weight, e.Up.Cell, e.Up.StartedAt, e.Ends, e.Gone}
 }
 
-func (e Entry) entry() roster.Entry[string] {
-	r := roster.Entry[string]{Name: e.Name, Zone: e.Zone, Kind: e.Kind, Address: e.Address, Ends: e.Ends, Gone: e.Gone}
+// toRoster converts a received entry for the roster.
+func (e Entry) toRoster() roster.Entry[string] {
+	r := roster.Entry[string]{Name: e.Name, Zone: e.Zone, Kind: e.Kind, Address: e.Address, Ends: e.Draining, Gone: e.Removed}
 	r.Up.ID, r.Up.Weight, r.Up.Cell, r.Up.StartedAt = roster.Number(e.Name), e.Weight, e.Cell, e.Born
 	return r
 }
 
-// Terms are times in nanoseconds.
-type Terms struct {
-	Silence int64 // of the owner, after which one asks oneself; well within the grace of a drain
-	Calm    int64 // that the owner's word has come steadily, until one asks no longer
-	Spread  int64 // by chance on top of Silence, so that not all ask at once
+// Timing holds times in nanoseconds.
+type Timing struct {
+	SilenceTimeout int64 // without owner updates, then query discovery; well within a drain's grace period
+	SteadyPeriod   int64 // of steady updates from the owner, after which a member stops querying discovery itself
+	Jitter         int64 // maximum random addition to SilenceTimeout, so that not all members query discovery at once
 }
 
-// Core is one member's view of one pool's list.
+// Core is one member's view of the upstream list of one pool.
 type Core struct {
-	t       Terms
-	spread  int64
-	owner   bool
-	token   uint64
-	version uint64
-	heard   int64 // last word of the present owner
-	steady  int64 // since when its words have come without a gap
-	asking  bool
-	missing bool
-	list    map[string]Entry // whole, as the owner has it
-	whole   bool             // it has been told a whole list under this token
-	deaf    bool             // and discovery tells it nothing at present
-	Older   int64            // words that were dropped, of lower tokens and versions
+	timing        Timing
+	jitter        int64
+	isOwner       bool
+	token         uint64
+	version       uint64
+	heardAt       int64            // time of the last update from the current owner
+	steadySince   int64            // time since which its updates have come without a gap
+	discovering   bool             // this member queries discovery itself
+	incomplete    bool             // updates are missing, a snapshot is needed
+	entries       map[string]Entry // whole list, kept by the owner only
+	hasSnapshot   bool             // the owner has received a whole list under its token
+	discoveryLost bool             // the owner currently receives nothing from discovery
+	StaleUpdates  int64            // updates dropped for a lower token or version
 }
 
-// NewCore makes one; draw is a part of one, by chance. now counts as a word, so that an owner is given time at the start.
-func NewCore(t Terms, draw float64, now int64) *Core {
-	return &Core{t: t, spread: int64(draw * float64(t.Spread)), heard: now, steady: now, list: map[string]Entry{}}
+// NewCore returns a Core. draw is a random number in [0, 1) that scales the jitter. now counts as the time of the last
+// update, which gives an owner time to start.
+func NewCore(timing Timing, draw float64, now int64) *Core {
+	return &Core{timing: timing, jitter: int64(draw * float64(timing.Jitter)), heardAt: now, steadySince: now,
+		entries: map[string]Entry{}}
 }
 
-// Owns says that this member asks for all from now on, under a token, or no longer.
-func (c *Core) Owns(now int64, token uint64, yes bool) {
-	if c.owner = yes; yes {
-		c.token, c.version, c.whole, c.deaf = max(c.token, token), 0, false, false
-		clear(c.list)
+// SetOwner sets whether this member is the owner from now on, and with which token.
+func (core *Core) SetOwner(now int64, token uint64, isOwner bool) {
+	if core.isOwner = isOwner; isOwner {
+		core.token, core.version, core.hasSnapshot, core.discoveryLost = max(core.token, token), 0, false, false
+		clear(core.entries)
 		return
 	}
-	c.heard, c.steady = now, now
+	core.heardAt, core.steadySince = now, now
 }
 
-// Told takes what discovery told this member as the owner; it gives the word to pass on. Danger: a member may have asked
-// already when it became the owner. Changes alone are no list; what it makes of them would have the others drop the rest.
-func (c *Core) Told(pool string, entries []roster.Entry[string], whole bool) (w Word, pass bool) {
-	if !whole && !c.whole {
-		return w, false
+// HandleDiscovery processes entries that the owner received from discovery and returns the update to broadcast. It
+// ignores changes until a whole list arrives: a member that was already watching when it became the owner would
+// otherwise build a snapshot from the changes alone, and the others would drop all other upstreams.
+func (core *Core) HandleDiscovery(pool string, entries []roster.Entry[string], snapshot bool) (update Update, ok bool) {
+	if !snapshot && !core.hasSnapshot {
+		return update, false
 	}
-	if c.deaf = false; whole {
-		clear(c.list)
-		c.whole = true
+	if core.discoveryLost = false; snapshot {
+		clear(core.entries)
+		core.hasSnapshot = true
 	}
-	w = Word{Pool: pool, Token: c.token, Whole: whole}
+	update = Update{Pool: pool, Token: core.token, Snapshot: snapshot}
 	for _, e := range entries {
-		x := of(e)
-		if w.Entries = append(w.Entries, x); x.Gone {
-			delete(c.list, x.Name)
+		entry := fromRoster(e)
+		if update.Entries = append(update.Entries, entry); entry.Removed {
+			delete(core.entries, entry.Name)
 		} else {
-			c.list[x.Name] = x
+			core.entries[entry.Name] = entry
 		}
 	}
-	c.version++
-	w.Version = c.version
-	return w, true
+	core.version++
+	update.Version = core.version
+	return update, true
 }
 
-// All is the whole list as this member, the owner, has it; false if it has none yet.
-func (c *Core) All(pool string) (Word, bool) {
-	w := Word{Pool: pool, Token: c.token, Version: c.version, Whole: true}
-	for _, name := range slices.Sorted(maps.Keys(c.list)) {
-		w.Entries = append(w.Entries, c.list[name])
+// Snapshot returns the whole list, false if this member is not the owner or has none yet.
+func (core *Core) Snapshot(pool string) (Update, bool) {
+	update := Update{Pool: pool, Token: core.token, Version: core.version, Snapshot: true}
+	for _, name := range slices.Sorted(maps.Keys(core.entries)) {
+		update.Entries = append(update.Entries, core.entries[name])
 	}
-	return w, c.owner && c.version > 0
+	return update, core.isOwner && core.version > 0
 }
 
-// Untold says that discovery can't be had, or that following it has ended.
-func (c *Core) Untold() { c.deaf = true }
+// HandleDiscoveryLost records that discovery is unreachable, or that the watch has ended.
+func (core *Core) HandleDiscoveryLost() { core.discoveryLost = true }
 
-// Beat is the word that there is nothing new; false before there is a list. Danger: an owner that is cut off from discovery
-// knows of nothing new because nobody tells it; the others have to ask for themselves.
-func (c *Core) Beat(pool string) (Word, bool) {
-	return Word{Pool: pool, Token: c.token, Version: c.version}, c.owner && c.version > 0 && !c.deaf
+// Heartbeat returns the update that says that nothing has changed; false while there is no list. An owner that is cut
+// off from discovery sends none: it would not know of changes, and the others have to query discovery themselves.
+func (core *Core) Heartbeat(pool string) (Update, bool) {
+	return Update{Pool: pool, Token: core.token, Version: core.version}, core.isOwner && core.version > 0 && !core.discoveryLost
 }
 
-// Heard takes an owner's word that has passed the fence. It gives what the list is told; ask says that words are missing and
-// the whole is to be had from the owner. fenced is false only in a variant that heeds old owners.
-func (c *Core) Heard(now int64, w *Word, fenced bool) (tell []roster.Entry[string], whole, ask bool) {
-	if fenced && (w.Token < c.token || w.Token == c.token && w.Version < c.version) || c.owner && w.Token <= c.token {
-		c.Older++
+// HandleUpdate processes an update that the fence admitted. It returns the changes for the list; fetch says that
+// updates are missing and a snapshot has to be fetched from the owner. fenced is false only in fault-injection tests,
+// which show that updates of former owners then take effect.
+func (core *Core) HandleUpdate(now int64, update *Update, fenced bool) (changes []roster.Entry[string], snapshot, fetch bool) {
+	if fenced && (update.Token < core.token || update.Token == core.token && update.Version < core.version) ||
+		core.isOwner && update.Token <= core.token {
+		core.StaleUpdates++
 		return nil, false, false
 	}
-	if w.Token > c.token { // danger: an owner that was replaced and hasn't noticed would pass on its own under the newer token
-		c.owner = false
+	if update.Token > core.token { // else a replaced owner that has not noticed would broadcast its list with the newer token
+		core.isOwner = false
 	}
-	if w.Token > c.token || !fenced && w.Token != c.token {
-		c.token, c.version, c.missing = w.Token, 0, true
-		c.steady = now
+	if update.Token > core.token || !fenced && update.Token != core.token {
+		core.token, core.version, core.incomplete = update.Token, 0, true
+		core.steadySince = now
 	}
-	if now-c.heard > c.t.Silence {
-		c.steady = now
+	if now-core.heardAt > core.timing.SilenceTimeout {
+		core.steadySince = now
 	}
-	c.heard = now
+	core.heardAt = now
 	switch {
-	case w.Whole:
-		c.missing = false
-	case w.Version == c.version && len(w.Entries) == 0:
-		return nil, false, c.missing
-	case len(w.Entries) > 0 && w.Version == c.version+1 && !c.missing:
-	case len(w.Entries) > 0 && !fenced:
+	case update.Snapshot:
+		core.incomplete = false
+	case update.Version == core.version && len(update.Entries) == 0:
+		return nil, false, core.incomplete
+	case len(update.Entries) > 0 && update.Version == core.version+1 && !core.incomplete:
+	case len(update.Entries) > 0 && !fenced:
 	default:
-		c.missing = true
+		core.incomplete = true
 		return nil, false, true
 	}
-	if w.Version == c.version && !w.Whole {
+	if update.Version == core.version && !update.Snapshot {
 		return nil, false, false
 	}
-	c.version = w.Version
-	for _, e := range w.Entries {
-		tell = append(tell, e.entry())
+	core.version = update.Version
+	for _, e := range update.Entries {
+		changes = append(changes, e.toRoster())
 	}
-	return tell, w.Whole, false
+	return changes, update.Snapshot, false
 }
 
-// Ask says whether this member is to ask discovery itself now: it is the owner, or the owner's word is late.
-func (c *Core) Ask(now int64) bool {
+// ShouldDiscover reports whether this member should query discovery itself now: it is the owner, or the owner's updates
+// are late.
+func (core *Core) ShouldDiscover(now int64) bool {
 	switch {
-	case c.owner:
-		c.asking = true
-	case now-c.heard > c.t.Silence+c.spread, c.missing && now-c.steady > c.t.Silence+c.spread:
-		c.asking = true
-	case c.asking && !c.missing && now-c.steady > c.t.Calm && now-c.heard <= c.t.Silence:
-		c.asking = false
+	case core.isOwner:
+		core.discovering = true
+	case now-core.heardAt > core.timing.SilenceTimeout+core.jitter,
+		core.incomplete && now-core.steadySince > core.timing.SilenceTimeout+core.jitter:
+		core.discovering = true
+	case core.discovering && !core.incomplete && now-core.steadySince > core.timing.SteadyPeriod &&
+		now-core.heardAt <= core.timing.SilenceTimeout:
+		core.discovering = false
 	}
-	return c.asking
+	return core.discovering
 }
 
-// Owner reports whether this member asks for all.
-func (c *Core) Owner() bool { return c.owner }
+// IsOwner reports whether this member fetches the list for all.
+func (core *Core) IsOwner() bool { return core.isOwner }
 
-// Age is how long ago the owner spoke.
-func (c *Core) Age(now int64) int64 { return now - c.heard }
+// Age returns the nanoseconds since the last update from the owner.
+func (core *Core) Age(now int64) int64 { return now - core.heardAt }
--- a/internal/cluster/shared/core_test.go
+++ b/internal/cluster/shared/core_test.go
@@ -13,39 +13,42 @@
 
 const ms = int64(time.Millisecond)
 
-// follower is a member with what it has told its pool.
-type follower struct {
-	core  *Core
-	list  map[string]string // status by name, as the pool has it
-	fence uint64
-	asks  bool
-	since int64 // that its own watch has been open
+// simMember is a member with the list as its pool sees it.
+type simMember struct {
+	core             *Core
+	list             map[string]string // status by upstream name
+	fence            uint64
+	discovering      bool
+	discoveringSince int64 // time since which it has watched discovery itself
 }
 
-// world has a list that changes, an owner that passes it on and may be replaced while words are under way, and followers that
-// hear late, twice, out of order or nothing.
-type world struct {
-	chance *rand.Rand
-	now    int64
-	truth  map[string]string
-	all    []*follower
-	owner  int
-	token  uint64
-	flying []func()
-	fenced bool
-	wrong  string
-	mute   bool // the owner's words are lost
+// simulation runs members that share a changing list. The owner may be replaced while its updates are in flight;
+// updates are lost, delayed, duplicated and reordered.
+type simulation struct {
+	rng        *rand.Rand
+	now        int64
+	status     map[string]string // current status by upstream name, as discovery has it
+	members    []*simMember
+	owner      int
+	token      uint64
+	inFlight   []func()
+	fenced     bool
+	failure    string
+	ownerMuted bool // most updates of the owner are lost
 }
 
-func (w *world) entries(names ...string) (all []roster.Entry[string]) {
+// entries returns the current entries of upstreams.
+func (sim *simulation) entries(names ...string) (entries []roster.Entry[string]) {
 	for _, n := range names {
-		all = append(all, roster.Entry[string]{Name: n, Address: "a", Ends: w.truth[n] == "drains", Gone: w.truth[n] == "gone"})
+		entries = append(entries, roster.Entry[string]{Name: n, Address: "a", Ends: sim.status[n] == "drains",
+			Gone: sim.status[n] == "gone"})
 	}
-	return all
+	return entries
 }
 
-func (w *world) whole() (names []string) {
-	for n, s := range w.truth {
+// listedNames returns the names of all upstreams on the list.
+func (sim *simulation) listedNames() (names []string) {
+	for n, s := range sim.status {
 		if s != "gone" {
 			names = append(names, n)
 		}
@@ -53,213 +56,231 @@
 	return names
 }
 
-func (f *follower) take(all []roster.Entry[string], whole bool) {
-	if whole {
-		clear(f.list)
+// apply applies entries to the member's list.
+func (member *simMember) apply(entries []roster.Entry[string], snapshot bool) {
+	if snapshot {
+		clear(member.list)
 	}
-	for _, e := range all {
+	for _, e := range entries {
 		switch {
 		case e.Gone:
-			delete(f.list, e.Name)
+			delete(member.list, e.Name)
 		case e.Ends:
-			f.list[e.Name] = "drains"
+			member.list[e.Name] = "drains"
 		default:
-			f.list[e.Name] = "serves"
+			member.list[e.Name] = "serves"
 		}
 	}
 }
 
-// told is discovery's word to one member that watches.
-func (w *world) told(n int, all []roster.Entry[string], whole bool) {
-	f := w.all[n]
-	f.take(all, whole)
-	if f.core.Owner() {
-		if word, pass := f.core.Told("p", all, whole); pass {
-			w.send(n, word)
+// discover passes entries from discovery to a member that watches it.
+func (sim *simulation) discover(n int, entries []roster.Entry[string], snapshot bool) {
+	member := sim.members[n]
+	member.apply(entries, snapshot)
+	if member.core.IsOwner() {
+		if update, ok := member.core.HandleDiscovery("p", entries, snapshot); ok {
+			sim.send(n, update)
 		}
 	}
 }
 
-func (w *world) send(from int, word Word) {
-	for n := range w.all {
-		if n == from || w.mute && w.chance.IntN(8) > 0 {
+// send sends an update to all other members, to some of them twice.
+func (sim *simulation) send(from int, update Update) {
+	for n := range sim.members {
+		if n == from || sim.ownerMuted && sim.rng.IntN(8) > 0 {
 			continue
 		}
-		x := word
-		w.flying = append(w.flying, func() { w.heard(n, from, &x) })
-		if w.chance.IntN(10) == 0 {
-			w.flying = append(w.flying, func() { w.heard(n, from, &x) })
+		sent := update
+		sim.inFlight = append(sim.inFlight, func() { sim.deliver(n, from, &sent) })
+		if sim.rng.IntN(10) == 0 {
+			sim.inFlight = append(sim.inFlight, func() { sim.deliver(n, from, &sent) })
 		}
 	}
 }
 
-func (w *world) heard(n, from int, word *Word) {
-	f := w.all[n]
-	if word.Token < f.fence && w.fenced {
+// deliver delivers an update to a member, and checks that no stale one takes effect.
+func (sim *simulation) deliver(n, from int, update *Update) {
+	member := sim.members[n]
+	if update.Token < member.fence && sim.fenced {
 		return
 	}
-	old := word.Token < f.fence
-	f.fence = max(f.fence, word.Token)
-	all, whole, ask := f.core.Heard(w.now, word, w.fenced)
-	if before := fmt.Sprint(f.list); len(all) > 0 || whole {
-		if f.take(all, whole); old && fmt.Sprint(f.list) != before && w.wrong == "" {
-			w.wrong = fmt.Sprintf("member %d: a word under token %d took effect after one under %d", n, word.Token, f.fence)
+	stale := update.Token < member.fence
+	member.fence = max(member.fence, update.Token)
+	changes, snapshot, fetch := member.core.HandleUpdate(sim.now, update, sim.fenced)
+	if before := fmt.Sprint(member.list); len(changes) > 0 || snapshot {
+		if member.apply(changes, snapshot); stale && fmt.Sprint(member.list) != before && sim.failure == "" {
+			sim.failure = fmt.Sprintf("member %d: an update with token %d took effect after one with token %d", n,
+				update.Token, member.fence)
 		}
 	}
-	if ask {
-		w.flying = append(w.flying, func() {
-			if word, some := w.all[from].core.All("p"); some {
-				w.heard(n, from, &word)
+	if fetch {
+		sim.inFlight = append(sim.inFlight, func() {
+			if update, ok := sim.members[from].core.Snapshot("p"); ok {
+				sim.deliver(n, from, &update)
 			}
 		})
 	}
 }
 
-func (w *world) own(n int) {
-	w.token++
-	if w.owner >= 0 && w.chance.IntN(2) == 0 {
-		w.all[w.owner].core.Owns(w.now, 0, false) // by intent; else the old one hasn't noticed yet
+// promote makes a member the owner.
+func (sim *simulation) promote(n int) {
+	sim.token++
+	if sim.owner >= 0 && sim.rng.IntN(2) == 0 {
+		sim.members[sim.owner].core.SetOwner(sim.now, 0, false) // planned handover; otherwise the former owner has not noticed yet
 	}
-	w.owner = n
-	f := w.all[n]
-	f.core.Owns(w.now, w.token, true)
-	f.fence, f.asks, f.since = max(f.fence, w.token), true, w.now
-	w.told(n, w.entries(w.whole()...), true)
+	sim.owner = n
+	member := sim.members[n]
+	member.core.SetOwner(sim.now, sim.token, true)
+	member.fence, member.discovering, member.discoveringSince = max(member.fence, sim.token), true, sim.now
+	sim.discover(n, sim.entries(sim.listedNames()...), true)
 }
 
-func (w *world) step(calm bool) {
-	w.now += w.chance.Int64N(30 * ms)
-	if !calm && w.chance.IntN(12) == 0 {
-		name := fmt.Sprint("u", w.chance.IntN(6))
-		w.truth[name] = []string{"serves", "drains", "gone"}[w.chance.IntN(3)]
-		for n, f := range w.all {
-			if f.asks {
-				w.told(n, w.entries(name), false)
+// step advances the time by up to 30 ms. If stable, neither the list nor the owner changes.
+func (sim *simulation) step(stable bool) {
+	sim.now += sim.rng.Int64N(30 * ms)
+	if !stable && sim.rng.IntN(12) == 0 {
+		name := fmt.Sprint("u", sim.rng.IntN(6))
+		sim.status[name] = []string{"serves", "drains", "gone"}[sim.rng.IntN(3)]
+		for n, member := range sim.members {
+			if member.discovering {
+				sim.discover(n, sim.entries(name), false)
 			}
 		}
 	}
-	if !calm && w.chance.IntN(60) == 0 {
-		w.own(w.chance.IntN(len(w.all)))
+	if !stable && sim.rng.IntN(60) == 0 {
+		sim.promote(sim.rng.IntN(len(sim.members)))
 	}
-	if !calm && w.chance.IntN(50) == 0 {
-		w.mute = !w.mute
+	if !stable && sim.rng.IntN(50) == 0 {
+		sim.ownerMuted = !sim.ownerMuted
 	}
-	for n, f := range w.all {
-		if asks := f.core.Ask(w.now); asks != f.asks {
-			if f.asks = asks; asks {
-				f.since = w.now
-				w.told(n, w.entries(w.whole()...), true)
+	for n, member := range sim.members {
+		if discovering := member.core.ShouldDiscover(sim.now); discovering != member.discovering {
+			if member.discovering = discovering; discovering {
+				member.discoveringSince = sim.now
+				sim.discover(n, sim.entries(sim.listedNames()...), true)
 			}
 		}
-		if f.core.Owner() && w.chance.IntN(4) == 0 {
-			if word, some := f.core.Beat("p"); some {
-				w.send(n, word)
+		if member.core.IsOwner() && sim.rng.IntN(4) == 0 {
+			if heartbeat, ok := member.core.Heartbeat("p"); ok {
+				sim.send(n, heartbeat)
 			}
 		}
 	}
-	for range w.chance.IntN(10) {
-		if len(w.flying) > 0 {
+	for range sim.rng.IntN(10) {
+		if len(sim.inFlight) > 0 {
 			i := 0
-			if w.chance.IntN(4) == 0 {
-				i = w.chance.IntN(len(w.flying))
+			if sim.rng.IntN(4) == 0 {
+				i = sim.rng.IntN(len(sim.inFlight))
 			}
-			f := w.flying[i]
-			w.flying = append(w.flying[:i:i], w.flying[i+1:]...)
-			f()
+			handle := sim.inFlight[i]
+			sim.inFlight = append(sim.inFlight[:i:i], sim.inFlight[i+1:]...)
+			handle()
 		}
 	}
 }
 
-// play: after changes end, every pool has the list as it is within the stated time, whether by the owner or by its own ask.
-func play(seed uint64, fenced bool) string {
-	w := &world{chance: rand.New(rand.NewPCG(seed, 9)), truth: map[string]string{}, owner: -1, fenced: fenced}
+// runSchedule runs the schedule of a seed. Within 4 s after the last change, every member must have the current list,
+// from the owner or by its own query. It returns the failure, if any.
+func runSchedule(seed uint64, fenced bool) string {
+	sim := &simulation{rng: rand.New(rand.NewPCG(seed, 9)), status: map[string]string{}, owner: -1, fenced: fenced}
 	for n := range 6 {
-		w.truth[fmt.Sprint("u", n)] = "serves"
+		sim.status[fmt.Sprint("u", n)] = "serves"
 	}
-	for range 2 + w.chance.IntN(4) {
-		w.all = append(w.all, &follower{core: NewCore(Terms{int64(silence), int64(calm), int64(spread)}, w.chance.Float64(), 0), list: map[string]string{}})
+	for range 2 + sim.rng.IntN(4) {
+		sim.members = append(sim.members, &simMember{
+			core: NewCore(Timing{int64(silenceTimeout), int64(steadyPeriod), int64(silenceJitter)}, sim.rng.Float64(), 0),
+			list: map[string]string{},
+		})
 	}
-	w.own(0)
-	for range 100 + w.chance.IntN(300) {
-		w.step(false)
+	sim.promote(0)
+	for range 100 + sim.rng.IntN(300) {
+		sim.step(false)
 	}
-	// Changes end. The present owner may be mute for good; old ones notice within a lease.
-	last := w.now
-	for n, f := range w.all {
-		if n != w.owner && f.core.Owner() {
-			f.core.Owns(w.now, 0, false)
+	// Changes end. The updates of the current owner may stay lost; former owners notice their loss within a lease.
+	last := sim.now
+	for n, member := range sim.members {
+		if n != sim.owner && member.core.IsOwner() {
+			member.core.SetOwner(sim.now, 0, false)
 		}
 	}
-	for w.now < last+int64(4*time.Second) {
-		w.step(true)
+	for sim.now < last+int64(4*time.Second) {
+		sim.step(true)
 	}
-	for n, f := range w.all {
-		if w.wrong != "" {
-			return w.wrong
+	for n, member := range sim.members {
+		if sim.failure != "" {
+			return sim.failure
 		}
 		want := map[string]string{}
-		for name, s := range w.truth {
+		for name, s := range sim.status {
 			if s != "gone" {
 				want[name] = s
 			}
 		}
-		if fmt.Sprint(want) != fmt.Sprint(f.list) {
-			return fmt.Sprintf("member %d has %v at the end, and the list is %v (it asks itself: %v, owner %d)", n, f.list, want, f.asks, w.owner)
+		if fmt.Sprint(want) != fmt.Sprint(member.list) {
+			return fmt.Sprintf("member %d ends with list %v, want %v (queries discovery itself: %v, owner %d)", n,
+				member.list, want, member.discovering, sim.owner)
 		}
 	}
 	return ""
 }
 
+// TestSchedules guards against lists that stay outdated and against updates of former owners that take effect.
 func TestSchedules(t *testing.T) {
-	usual := 1000 / slower
+	count := 1000 / raceDivisor
 	if n, err := strconv.Atoi(os.Getenv("OTTERSHIFT_SCHEDULES")); err == nil {
-		usual = n
+		count = n
 	}
-	for seed := range uint64(usual) {
-		if wrong := play(seed, true); wrong != "" {
-			t.Fatalf("seed %d: %s", seed, wrong)
+	for seed := range uint64(count) {
+		if failure := runSchedule(seed, true); failure != "" {
+			t.Fatalf("seed %d: %s", seed, failure)
 		}
 	}
 }
 
-func TestSchedulesConvict(t *testing.T) {
+// TestSchedulesDetectMissingFence checks that the schedules fail without the fence.
+func TestSchedulesDetectMissingFence(t *testing.T) {
 	found := 0
 	for seed := range uint64(300) {
-		if play(seed, false) != "" {
+		if runSchedule(seed, false) != "" {
 			found++
 		}
 	}
-	t.Logf("without fence: %d of 300 schedules are convicted", found)
+	t.Logf("without fence: fault detected in %d of 300 schedules", found)
 	if found < 5 {
-		t.Error("a missing fence is hardly ever found")
+		t.Error("a missing fence is hardly ever detected")
 	}
 }
 
-// An owner that discovery tells nothing says nothing either: the others ask for themselves, until it is told again.
-func TestDeafOwner(t *testing.T) {
-	w := &world{chance: rand.New(rand.NewPCG(1, 1)), truth: map[string]string{"u0": "serves"}, owner: -1, fenced: true}
+// TestOwnerWithoutDiscovery guards against members that miss changes because their owner is cut off from discovery: the
+// owner must stop its heartbeats, and the others must query discovery themselves until the owner is connected again.
+func TestOwnerWithoutDiscovery(t *testing.T) {
+	sim := &simulation{rng: rand.New(rand.NewPCG(1, 1)), status: map[string]string{"u0": "serves"}, owner: -1, fenced: true}
 	for range 3 {
-		w.all = append(w.all, &follower{core: NewCore(Terms{int64(silence), int64(calm), int64(spread)}, 0.5, 0), list: map[string]string{}})
+		sim.members = append(sim.members, &simMember{
+			core: NewCore(Timing{int64(silenceTimeout), int64(steadyPeriod), int64(silenceJitter)}, 0.5, 0),
+			list: map[string]string{},
+		})
 	}
-	w.own(0)
+	sim.promote(0)
 	run := func(d time.Duration) {
-		for end := w.now + int64(d); w.now < end; {
-			w.step(true)
+		for end := sim.now + int64(d); sim.now < end; {
+			sim.step(true)
 		}
 	}
 	run(time.Second)
-	if w.all[1].asks {
-		t.Error("it asks while the owner speaks")
+	if sim.members[1].discovering {
+		t.Error("a member queries discovery while the owner sends updates")
 	}
-	w.all[0].core.Untold()
-	w.truth["u0"] = "drains" // the owner isn't told
+	sim.members[0].core.HandleDiscoveryLost()
+	sim.status["u0"] = "drains" // the owner does not receive this change
 	run(time.Second)
-	if !w.all[1].asks || w.all[1].list["u0"] != "drains" || w.all[2].list["u0"] != "drains" {
-		t.Errorf("the owner is deaf, and another asks: %v, holds %v", w.all[1].asks, w.all[1].list)
+	if !sim.members[1].discovering || sim.members[1].list["u0"] != "drains" || sim.members[2].list["u0"] != "drains" {
+		t.Errorf("owner without discovery: another member queries discovery: %v, its list: %v",
+			sim.members[1].discovering, sim.members[1].list)
 	}
-	w.told(0, w.entries("u0"), true)
+	sim.discover(0, sim.entries("u0"), true)
 	run(5 * time.Second)
-	if w.all[1].asks || w.all[2].list["u0"] != "drains" {
-		t.Errorf("the owner is told again, and another asks: %v", w.all[1].asks)
+	if sim.members[1].discovering || sim.members[2].list["u0"] != "drains" {
+		t.Errorf("owner with discovery again: another member still queries discovery: %v", sim.members[1].discovering)
 	}
 }
--- a/internal/cluster/shared/shared.go
+++ b/internal/cluster/shared/shared.go
@@ -13,231 +13,237 @@
 	"ottershift/internal/roster"
 )
 
-// Times of the runner. Operators want nothing new sent to an upstream 1.5 s after its drain was told: silence and its spread
-// leave more than half of that to one's own ask.
+// Times of List. No new request may be sent to an upstream 1.5 s after discovery announced its drain: silenceTimeout
+// and silenceJitter leave more than half of that for a member's own query.
 const (
-	beats   = 150 * time.Millisecond
-	silence = 450 * time.Millisecond
-	spread  = 200 * time.Millisecond
-	calm    = 2 * time.Second
-	takes   = 500 * time.Millisecond // to have the whole list from the owner
+	heartbeatInterval = 150 * time.Millisecond
+	silenceTimeout    = 450 * time.Millisecond
+	silenceJitter     = 200 * time.Millisecond
+	steadyPeriod      = 2 * time.Second
+	fetchTimeout      = 500 * time.Millisecond // for a snapshot from the owner
 )
 
-// Bound is the longest that a member goes by a list that its owner no longer speaks for, before it asks itself.
-const Bound = silence + spread + beats
+// MaxStaleness is the longest time that a member relies on a list that its owner no longer confirms, before it queries
+// discovery itself.
+const MaxStaleness = silenceTimeout + silenceJitter + heartbeatInterval
 
-// Way is how words go to the other members of a pool.
-type Way interface {
-	Post(name string, raw []byte)                                 // lost if it fails
-	Whole(ctx context.Context, name, pool string) ([]byte, error) // a member's whole list
-	Offering(pool string) (others []string)                       // who follows the pool as well
-	Owner(duty string) string                                     // who owns a duty by what is known here
+// Transport sends updates to the other members that serve a pool.
+type Transport interface {
+	Post(name string, raw []byte)                                 // sends an update; it may be lost
+	Whole(ctx context.Context, name, pool string) ([]byte, error) // fetches a snapshot from a member
+	Offering(pool string) (others []string)                       // returns the other members that serve the pool
+	Owner(duty string) string                                     // returns the owner of a duty as far as known here
 }
 
-// List is a pool's list by way of the owner, a lists.Source.
+// List is the upstream list of a pool as received from the owner. It implements lists.Source.
 type List struct {
-	pool   string
-	duty   string
-	own    func(lists.Sink) lists.Source // makes what asks discovery, from its beginning
-	sink   lists.Sink
-	way    Way
-	owners *owner.Owners
-	log    *slog.Logger
-	fenced bool
-	start  time.Time
-	kick   chan struct{}
-
-	mu      sync.Mutex
-	core    *Core
-	pending bool // the whole is being fetched
-	anew    bool // it has just become the owner
-	Asks    int64
+	pool      string
+	duty      string
+	newSource func(lists.Sink) lists.Source // returns a source that queries discovery, starting with a whole list
+	sink      lists.Sink
+	transport Transport
+	manager   *owner.Manager
+	log       *slog.Logger
+	fenced    bool
+	startedAt time.Time
+	wakeups   chan struct{}
+
+	mu              sync.Mutex
+	core            *Core
+	fetching        bool  // a snapshot is being fetched
+	becameOwner     bool  // since the last check of Run
+	DiscoveryStarts int64 // how often this member started to query discovery itself
 }
 
-// Duty is the name of the duty of a pool's list.
+// Duty returns the name of the duty for the upstream list of a pool.
 func Duty(pool string) string { return "list/" + pool }
 
-// New makes one. own makes the source that asks discovery and tells a sink.
-func New(pool string, sink lists.Sink, own func(lists.Sink) lists.Source, way Way, owners *owner.Owners, fenced bool, log *slog.Logger) *List {
-	l := &List{
-		pool: pool, duty: Duty(pool), sink: sink, own: own, way: way, owners: owners, log: log, fenced: fenced, start: time.Now(), kick: make(chan struct{}, 1),
+// New returns the list of a pool. newSource returns the source that queries discovery and reports to a sink.
+func New(pool string, sink lists.Sink, newSource func(lists.Sink) lists.Source, transport Transport, manager *owner.Manager, fenced bool, log *slog.Logger) *List {
+	list := &List{
+		pool: pool, duty: Duty(pool), sink: sink, newSource: newSource, transport: transport, manager: manager,
+		log: log, fenced: fenced, startedAt: time.Now(), wakeups: make(chan struct{}, 1),
 	}
-	l.core = NewCore(Terms{int64(silence), int64(calm), int64(spread)}, rand.Float64(), 0)
-	return l
+	list.core = NewCore(Timing{int64(silenceTimeout), int64(steadyPeriod), int64(silenceJitter)}, rand.Float64(), 0)
+	return list
 }
 
-func (l *List) now() int64 { return int64(time.Since(l.start)) }
+// now returns the nanoseconds since the creation of the list.
+func (list *List) now() int64 { return int64(time.Since(list.startedAt)) }
 
-// Run implements lists.Source.
-func (l *List) Run(ctx context.Context) {
-	l.owners.Do(l.duty, l)
-	defer l.owners.Undo(l.duty)
-	tick := time.NewTicker(beats / 2)
+// Run implements lists.Source: it takes part in the duty until ctx ends.
+func (list *List) Run(ctx context.Context) {
+	list.manager.AddDuty(list.duty, list)
+	defer list.manager.RemoveDuty(list.duty)
+	tick := time.NewTicker(heartbeatInterval / 2)
 	defer tick.Stop()
 	var stop context.CancelFunc
 	var ended chan struct{}
-	halt := func() {
+	stopSource := func() {
 		if stop != nil {
 			stop()
 			<-ended
 			stop = nil
 		}
 	}
-	defer halt()
-	last := time.Time{}
+	defer stopSource()
+	lastHeartbeat := time.Time{}
 	for {
-		l.mu.Lock()
-		ask, anew := l.core.Ask(l.now()), l.anew
-		l.anew = false
-		l.mu.Unlock()
-		if anew {
-			halt() // an owner asks from the beginning, for the whole list
+		list.mu.Lock()
+		discover, becameOwner := list.core.ShouldDiscover(list.now()), list.becameOwner
+		list.becameOwner = false
+		list.mu.Unlock()
+		if becameOwner {
+			stopSource() // restart: an owner needs the whole list
 		}
 		switch {
-		case ask && stop == nil:
-			own, cancel := context.WithCancel(ctx)
+		case discover && stop == nil:
+			sourceCtx, cancel := context.WithCancel(ctx)
 			stop = cancel
 			done := make(chan struct{})
 			ended = done
-			l.mu.Lock()
-			l.Asks++
-			why := "the owner's word is late"
-			if l.core.Owner() {
+			list.mu.Lock()
+			list.DiscoveryStarts++
+			why := "no update from the owner"
+			if list.core.IsOwner() {
 				why = "owner"
 			}
-			l.mu.Unlock()
-			l.log.Info("list", "step", "asks", "why", why)
-			from := l.own(l)
+			list.mu.Unlock()
+			list.log.Info("list", "step", "asks", "why", why)
+			source := list.newSource(list)
 			go func() {
 				defer close(done)
-				from.Run(own)
+				source.Run(sourceCtx)
 			}()
-		case !ask && stop != nil:
-			l.log.Info("list", "step", "relies", "owner", l.way.Owner(l.duty))
-			halt()
+		case !discover && stop != nil:
+			list.log.Info("list", "step", "relies", "owner", list.transport.Owner(list.duty))
+			stopSource()
 		}
-		if time.Since(last) >= beats {
-			last = time.Now()
-			l.mu.Lock()
-			w, some := l.core.Beat(l.pool)
-			l.mu.Unlock()
-			if some {
-				l.pass(w)
+		if time.Since(lastHeartbeat) >= heartbeatInterval {
+			lastHeartbeat = time.Now()
+			list.mu.Lock()
+			heartbeat, ok := list.core.Heartbeat(list.pool)
+			list.mu.Unlock()
+			if ok {
+				list.broadcast(heartbeat)
 			}
 		}
 		select {
 		case <-tick.C:
-		case <-l.kick:
+		case <-list.wakeups:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (l *List) wake() {
+// wake lets Run check its state again.
+func (list *List) wake() {
 	select {
-	case l.kick <- struct{}{}:
+	case list.wakeups <- struct{}{}:
 	default:
 	}
 }
 
-// Begin implements owner.Work, as does End.
-func (l *List) Begin(t owner.Tenure) {
-	l.mu.Lock()
-	l.core.Owns(l.now(), t.Token, true)
-	l.anew = true
-	l.mu.Unlock()
-	l.wake()
+// Begin implements owner.Work: this member is the owner from now on.
+func (list *List) Begin(lease owner.Lease) {
+	list.mu.Lock()
+	list.core.SetOwner(list.now(), lease.Token, true)
+	list.becameOwner = true
+	list.mu.Unlock()
+	list.wake()
 }
 
-func (l *List) End(owner.Tenure) {
-	l.mu.Lock()
-	l.core.Owns(l.now(), 0, false)
-	l.mu.Unlock()
-	l.wake()
+// End implements owner.Work: this member is no longer the owner.
+func (list *List) End(owner.Lease) {
+	list.mu.Lock()
+	list.core.SetOwner(list.now(), 0, false)
+	list.mu.Unlock()
+	list.wake()
 }
 
-// List implements lists.Sink for the source that asks discovery: what it tells this member goes to its own pool, and to all
-// others if it asks for all.
-func (l *List) List(entries []roster.Entry[string], whole bool) {
-	l.sink.List(entries, whole)
-	l.mu.Lock()
-	var w Word
-	own := l.core.Owner()
-	if own {
-		w, own = l.core.Told(l.pool, entries, whole)
+// List implements lists.Sink for the source that queries discovery: it passes the entries to the pool of this member
+// and, if this member is the owner, to all others.
+func (list *List) List(entries []roster.Entry[string], snapshot bool) {
+	list.sink.List(entries, snapshot)
+	list.mu.Lock()
+	var update Update
+	broadcast := list.core.IsOwner()
+	if broadcast {
+		update, broadcast = list.core.HandleDiscovery(list.pool, entries, snapshot)
 	}
-	l.mu.Unlock()
-	if own {
-		l.pass(w)
+	list.mu.Unlock()
+	if broadcast {
+		list.broadcast(update)
 	}
 }
 
-// Unlisted and Follow implement lists.Sink.
-func (l *List) Unlisted() {
-	l.mu.Lock()
-	l.core.Untold()
-	l.mu.Unlock()
-	l.sink.Unlisted()
+// Unlisted implements lists.Sink.
+func (list *List) Unlisted() {
+	list.mu.Lock()
+	list.core.HandleDiscoveryLost()
+	list.mu.Unlock()
+	list.sink.Unlisted()
 }
 
-func (l *List) Follow() <-chan struct{} { return l.sink.Follow() }
+// Follow implements lists.Sink.
+func (list *List) Follow() <-chan struct{} { return list.sink.Follow() }
 
-// pass sends a word to all who follow the pool. Danger: between the question and the sending the process may be held up; the
-// token in the word is what makes that harmless.
-func (l *List) pass(w Word) {
-	token, may := l.owners.May(l.duty)
-	if !may || token != w.Token {
+// broadcast sends an update to all members that serve the pool. The process may be delayed between the check and the
+// sending; the fencing token in the update makes that harmless.
+func (list *List) broadcast(update Update) {
+	token, ok := list.manager.MayAct(list.duty)
+	if !ok || token != update.Token {
 		return
 	}
-	raw := pack.Pack(&w)
-	for _, name := range l.way.Offering(l.pool) {
-		l.way.Post(name, raw)
+	raw := pack.Pack(&update)
+	for _, name := range list.transport.Offering(list.pool) {
+		list.transport.Post(name, raw)
 	}
 }
 
-// Heard takes an owner's word.
-func (l *List) Heard(from string, w *Word) {
-	if !l.owners.Pass(l.duty, w.Token) {
+// HandleUpdate processes an update from the owner.
+func (list *List) HandleUpdate(from string, update *Update) {
+	if !list.manager.Admit(list.duty, update.Token) {
 		return
 	}
-	l.mu.Lock()
-	tell, whole, ask := l.core.Heard(l.now(), w, l.fenced)
-	ask = ask && !l.pending
-	l.pending = l.pending || ask
-	if len(tell) > 0 || whole {
-		l.sink.List(tell, whole) // in the order in which they came
+	list.mu.Lock()
+	changes, snapshot, fetch := list.core.HandleUpdate(list.now(), update, list.fenced)
+	fetch = fetch && !list.fetching
+	list.fetching = list.fetching || fetch
+	if len(changes) > 0 || snapshot {
+		list.sink.List(changes, snapshot) // under the lock, to keep the order of arrival
 	}
-	l.mu.Unlock()
-	if ask {
-		go l.fetch(from)
+	list.mu.Unlock()
+	if fetch {
+		go list.fetch(from)
 	}
 }
 
-// fetch has the whole list from the owner.
-func (l *List) fetch(from string) {
-	ctx, end := context.WithTimeout(context.Background(), takes)
-	defer end()
-	raw, err := l.way.Whole(ctx, from, l.pool)
-	var w Word
+// fetch fetches a snapshot from the owner.
+func (list *List) fetch(from string) {
+	ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
+	defer cancel()
+	raw, err := list.transport.Whole(ctx, from, list.pool)
+	var update Update
 	if err == nil {
-		err = pack.Unpack(raw, &w)
+		err = pack.Unpack(raw, &update)
 	}
-	l.mu.Lock()
-	l.pending = false
-	l.mu.Unlock()
-	if err == nil && w.Token > 0 {
-		l.Heard(from, &w)
+	list.mu.Lock()
+	list.fetching = false
+	list.mu.Unlock()
+	if err == nil && update.Token > 0 {
+		list.HandleUpdate(from, &update)
 	}
 }
 
-// Whole is the list as this member has it as its owner.
-func (l *List) Whole() []byte {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	w, some := l.core.All(l.pool)
-	if !some {
-		return pack.Pack(&Word{Pool: l.pool})
+// Snapshot returns an encoded snapshot of the list if this member is its owner, else an update without a token.
+func (list *List) Snapshot() []byte {
+	list.mu.Lock()
+	defer list.mu.Unlock()
+	update, ok := list.core.Snapshot(list.pool)
+	if !ok {
+		return pack.Pack(&Update{Pool: list.pool})
 	}
-	return pack.Pack(&w)
+	return pack.Pack(&update)
 }
--- a/internal/process/ledger.go
+++ b/internal/process/ledger.go
@@ -34,16 +34,16 @@
 // Begin implements httpwire.Claims.
 func (x *claims) Begin(q httpwire.OwnershipRequest) httpwire.Ownership {
 	f := q.Settings
-	a := ledger.Ask{
-		Pool: q.Pool, Customer: q.Customer, Tariff: q.Tariff, Tag: q.IdempotencyKey, ID: q.ID, Once: f.Idempotency == logic.NonIdempotent, Contract: time.Duration(f.ContractTime),
-		Body: q.BodyHash, Again: q.ClientRetry, Binds: f.Idempotency == logic.Keyed && f.DedupScope != logic.Everywhere,
+	a := ledger.Request{
+		Pool: q.Pool, Customer: q.Customer, Tariff: q.Tariff, IdempotencyKey: q.IdempotencyKey, ID: q.ID, OnceOnly: f.Idempotency == logic.NonIdempotent, ContractTime: time.Duration(f.ContractTime),
+		BodyHash: q.BodyHash, IsRetry: q.ClientRetry, GroupScoped: f.Idempotency == logic.Keyed && f.DedupScope != logic.Everywhere,
 	}
 	window := time.Duration(f.DedupWindow)
-	if a.Once {
+	if a.OnceOnly {
 		window = max(window, x.s.Ledger.OnceFor)
 	}
-	a.Keep = x.s.Kept(window, time.Duration(f.HardStop))
-	return &held{x.l.Begin(a, q.Timeout), f}
+	a.Retention = x.s.Kept(window, time.Duration(f.HardStop))
+	return &held{x.l.NewClaim(a, q.Timeout), f}
 }
 
 // held is one transaction's claim.
@@ -54,16 +54,16 @@
 
 // Check implements httpwire.Claim, as do the methods below.
 func (h *held) Check(ctx context.Context) (*desk.Location, httpwire.Admission) {
-	w := h.Claim.Open(ctx)
-	switch w.Fate {
-	case ledger.Go:
+	w := h.Claim.Check(ctx)
+	switch w.Action {
+	case ledger.ActionSend:
 		if w.Bound {
 			return h.bound(w.Group), httpwire.Admit
 		}
 		return nil, httpwire.Admit
-	case ledger.Forfeit:
+	case ledger.ActionForfeit:
 		return nil, httpwire.Forfeit
-	case ledger.Refuse:
+	case ledger.ActionRefuse:
 		return nil, httpwire.Refuse
 	}
 	return nil, httpwire.Defer
@@ -90,11 +90,11 @@
 }
 
 func (h *held) Acquire(ctx context.Context, to *desk.Attempt, moves bool) error {
-	return h.Claim.Take(ctx, h.group(to.Zone, to.Cell), ledger.Clip(to.Name), moves)
+	return h.Claim.Acquire(ctx, h.group(to.Zone, to.Cell), ledger.Truncate(to.Name), moves)
 }
 
 func (h *held) Release(how httpwire.Completion) {
-	h.Claim.End(map[httpwire.Completion]byte{
-		httpwire.NeverRan: ledger.EndNever, httpwire.Answered: ledger.EndAnswered, httpwire.MayHaveRun: ledger.EndUnknown,
+	h.Claim.Release(map[httpwire.Completion]byte{
+		httpwire.NeverRan: ledger.OutcomeNeverRan, httpwire.Answered: ledger.OutcomeAnswered, httpwire.MayHaveRun: ledger.OutcomeUnknown,
 	}[how])
 }
