--- a/cmd/ottershift/days_test.go
+++ b/cmd/ottershift/days_test.go
@@ -64,7 +64,7 @@
 func TestSecondAddressAnswersUnderAnyLoad(t *testing.T) {
 	b, second := begin(t, 192, newUpstream(t, says(fine)))
 	var held []net.Conn
-	for n := range 2 * ops.Most {
+	for n := range 2 * ops.MaxConnections {
 		c, err := net.Dial("tcp", second)
 		if err != nil {
 			t.Fatal(err)
--- a/cmd/ottershift/fleet.go
+++ b/cmd/ottershift/fleet.go
@@ -24,7 +24,7 @@
 why, how many did the same in the same second, how many held an upstream aside at once and for how long, how lists
 spread, and who lost the most. Lines that can't be read are told on standard error and left out (docs/fleet.md).`,
 		RunE: func(c *cobra.Command, args []string) error {
-			if rows < 1 || o.Every < 0 || o.From < 0 || o.To < 0 {
+			if rows < 1 || o.Step < 0 || o.From < 0 || o.To < 0 {
 				return errors.New("--rows is at least 1, --every, --from and --to are not negative")
 			}
 			if o.To > 0 && o.To <= o.From {
@@ -36,14 +36,14 @@
 			if err != nil {
 				return err
 			}
-			count, err := logs.Count(o)
+			count, err := logs.Summarize(o)
 			if err != nil {
 				return err
 			}
-			for _, f := range count.Faults {
+			for _, f := range count.ParseErrors {
 				fmt.Fprintln(c.ErrOrStderr(), f)
 			}
-			if more := count.Wrong - len(count.Faults); more > 0 {
+			if more := count.UnreadLines - len(count.ParseErrors); more > 0 {
 				fmt.Fprintf(c.ErrOrStderr(), "and %d more lines like these\n", more)
 			}
 			if page != "" {
@@ -62,7 +62,7 @@
 			return nil
 		},
 	}
-	c.Flags().DurationVar(&o.Every, "every", time.Second, "what a row by time stands for, a second at least")
+	c.Flags().DurationVar(&o.Step, "every", time.Second, "what a row by time stands for, a second at least")
 	c.Flags().DurationVar(&o.From, "from", 0, "leave out what was before, counted from the first line")
 	c.Flags().DurationVar(&o.To, "to", 0, "leave out what was after, counted from the first line")
 	c.Flags().IntVar(&rows, "rows", 40, "rows of a table that are shown")
--- a/cmd/ottershift/lab.go
+++ b/cmd/ottershift/lab.go
@@ -435,14 +435,14 @@
 				return errSaid
 			}
 			log, level := logs.New(io.Discard, "text")
-			s, err := process.StartWith(p, log, level, module)
+			s, err := process.StartWithEngine(p, log, level, module)
 			if err != nil {
 				return stopped(slog.New(slog.NewTextHandler(os.Stderr, nil)), err)
 			}
 			stop := make(chan os.Signal, 1)
 			signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
 			select {
-			case err := <-s.Ended():
+			case err := <-s.ListenerErrors():
 				return err
 			case <-stop:
 				s.Drain()
--- a/cmd/ottershift/serve.go
+++ b/cmd/ottershift/serve.go
@@ -100,7 +100,7 @@
 	}
 	for {
 		select {
-		case err := <-s.Ended():
+		case err := <-s.ListenerErrors():
 			return err
 		case <-reload:
 			// Danger: a file that makes no sense must not cost what is in service.
@@ -112,7 +112,7 @@
 				}
 				wrong = nil
 			}
-			s.Refused()
+			s.CountInvalidConfig()
 			own.Error("reload", "step", "kept", "fault", err)
 			for _, f := range wrong {
 				if !f.Remark {
--- a/internal/cluster/shared/core.go
+++ b/internal/cluster/shared/core.go
@@ -33,12 +33,12 @@
 }
 
 func of(e roster.Entry[string]) Entry {
-	return Entry{e.Name, e.Zone, e.Kind, e.Address, e.Up.Weight, e.Up.Cell, e.Up.StartedAt, e.Ends, e.Gone}
+	return Entry{e.Name, e.Zone, e.Kind, e.Address, e.Upstream.Weight, e.Upstream.Cell, e.Upstream.StartedAt, e.Draining, e.Removed}
 }
 
 func (e Entry) entry() roster.Entry[string] {
-	r := roster.Entry[string]{Name: e.Name, Zone: e.Zone, Kind: e.Kind, Address: e.Address, Ends: e.Ends, Gone: e.Gone}
-	r.Up.ID, r.Up.Weight, r.Up.Cell, r.Up.StartedAt = roster.Number(e.Name), e.Weight, e.Cell, e.Born
+	r := roster.Entry[string]{Name: e.Name, Zone: e.Zone, Kind: e.Kind, Address: e.Address, Draining: e.Ends, Removed: e.Gone}
+	r.Upstream.ID, r.Upstream.Weight, r.Upstream.Cell, r.Upstream.StartedAt = roster.UpstreamID(e.Name), e.Weight, e.Cell, e.Born
 	return r
 }
 
--- a/internal/cluster/shared/core_test.go
+++ b/internal/cluster/shared/core_test.go
@@ -39,7 +39,7 @@
 
 func (w *world) entries(names ...string) (all []roster.Entry[string]) {
 	for _, n := range names {
-		all = append(all, roster.Entry[string]{Name: n, Address: "a", Ends: w.truth[n] == "drains", Gone: w.truth[n] == "gone"})
+		all = append(all, roster.Entry[string]{Name: n, Address: "a", Draining: w.truth[n] == "drains", Removed: w.truth[n] == "gone"})
 	}
 	return all
 }
@@ -59,9 +59,9 @@
 	}
 	for _, e := range all {
 		switch {
-		case e.Gone:
+		case e.Removed:
 			delete(f.list, e.Name)
-		case e.Ends:
+		case e.Draining:
 			f.list[e.Name] = "drains"
 		default:
 			f.list[e.Name] = "serves"
--- a/internal/desk/desk.go
+++ b/internal/desk/desk.go
@@ -39,7 +39,7 @@
 type Attempt struct {
 	Context  context.Context
 	Number   int
-	Place    roster.Place
+	Place    roster.Endpoint
 	Deadline time.Time
 	Name     string // name, zone and cell of the upstream
 	Zone     string
@@ -53,7 +53,7 @@
 // Probe is the order to probe an upstream. The receiver reports its result with ProbeResult.
 type Probe struct {
 	Upstream int
-	Place    roster.Place
+	Place    roster.Endpoint
 }
 
 // Handle gives a front end access to one transaction.
@@ -93,7 +93,7 @@
 
 // Engine makes the decisions: a logic.Balancer, or a substitute for comparisons in the lab.
 type Engine interface {
-	roster.Module
+	roster.Engine
 	Arrive(tx *logic.Transaction, tariffIndex, customerIndex int, work, left int64, clientRetry bool, now int64)
 	BodyReceived(tx *logic.Transaction, left, now int64)
 	Outcome(tx *logic.Transaction, n int, r logic.Result, took int64, final bool, now int64)
@@ -133,7 +133,7 @@
 	book          *terms.Book                // the current settings
 	sendReport    func(peer int, raw []byte) // to another balancer; nil if there is no transport
 	inspector     inspector                  // nil if the engine has none
-	watch         *watch.Module              // set if live weights and peers are only evaluated in shadow mode
+	watch         *watch.Engine              // set if live weights and peers are only evaluated in shadow mode
 
 	follow chan struct{}
 	probes chan Probe
@@ -255,7 +255,7 @@
 			h.tx.EarliestSend = never
 		}
 		if a.PriorAttempt != nil {
-			h.tx.PriorAttempt = &logic.Location{Zone: d.roster.Zone(a.PriorAttempt.Zone), Cell: a.PriorAttempt.Cell}
+			h.tx.PriorAttempt = &logic.Location{Zone: d.roster.ZoneNumber(a.PriorAttempt.Zone), Cell: a.PriorAttempt.Cell}
 		}
 		// The work of a transaction is unknown here, so its tariff's WorkFactor has no effect.
 		d.engine.Arrive(&h.tx, a.Tariff, a.Customer, 0, int64(a.Timeout), a.ClientRetry, now)
@@ -411,7 +411,7 @@
 		if d.book != nil { // under the lock, as the engine keeps learning with the earlier book
 			book.Keep(d.book)
 		}
-		book.Terms.Zone = d.roster.Zone(book.Zones[book.Terms.Zone]) // zone numbers of the list do not change
+		book.Terms.Zone = d.roster.ZoneNumber(book.Zones[book.Terms.Zone]) // zone numbers of the list do not change
 		if err = engine.Reconfigure(book.Terms, now); err == nil {
 			d.attachClasses(book)
 			d.book = book
@@ -551,11 +551,11 @@
 func (w writer) Send(tx *logic.Transaction, upstream int, until int64) {
 	h := tx.UserData.(*Handle)
 	p := &Attempt{
-		Number: len(h.sent), Place: w.roster.Place(upstream), sentAt: w.now(),
+		Number: len(h.sent), Place: w.roster.Endpoint(upstream), sentAt: w.now(),
 		Deadline: w.epoch.Add(time.Duration(until - w.epoch.UnixNano())),
 	}
 	p.Name = w.roster.Name(upstream)
-	p.Zone, p.Cell = w.roster.Group(upstream)
+	p.Zone, p.Cell = w.roster.ZoneAndCell(upstream)
 	if tx.BodyPending {
 		p.Deadline = time.Now().Add(maxBodyTime) // BodyReceived sets it
 	}
@@ -579,7 +579,9 @@
 }
 
 // HasIdleConn reads the count that the owner of the connections keeps in the Place.
-func (w writer) HasIdleConn(upstream int) bool { return w.roster.Place(upstream).Kept.Load() > 0 }
+func (w writer) HasIdleConn(upstream int) bool {
+	return w.roster.Endpoint(upstream).IdleConns.Load() > 0
+}
 
 func (w writer) Cancel(tx *logic.Transaction, attempt int) {
 	tx.UserData.(*Handle).sent[attempt].cancel(context.Canceled)
@@ -598,7 +600,7 @@
 func (w writer) Probe(upstream int) {
 	w.counters.Probes++
 	select {
-	case w.probes <- Probe{upstream, w.roster.Place(upstream)}:
+	case w.probes <- Probe{upstream, w.roster.Endpoint(upstream)}:
 	default: // must not block either; an unanswered probe would keep its upstream ejected for good
 		go w.ProbeResult(upstream, false)
 	}
--- a/internal/desk/desk_test.go
+++ b/internal/desk/desk_test.go
@@ -25,8 +25,8 @@
 	}
 	t.Cleanup(func() { d.wake.Stop() })
 	d.List([]roster.Entry[string]{
-		{Name: "u", Zone: "a", Address: "u:1", Up: logic.Upstream{Weight: 1, ID: 1}},
-		{Name: "v", Zone: "a", Address: "v:1", Up: logic.Upstream{Weight: 1, ID: 2}},
+		{Name: "u", Zone: "a", Address: "u:1", Upstream: logic.Upstream{Weight: 1, ID: 1}},
+		{Name: "v", Zone: "a", Address: "v:1", Upstream: logic.Upstream{Weight: 1, ID: 2}},
 	}, true)
 	return d
 }
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -67,11 +67,11 @@
 		}
 		r.Entries = append(r.Entries, roster.Entry[string]{
 			Name: name, Zone: string(e.GetStringBytes("zone")), Kind: string(e.GetStringBytes("type")), Address: address,
-			Up: logic.Upstream{
-				ID: roster.Number(name), Weight: weight, Cell: e.GetInt("group"),
+			Upstream: logic.Upstream{
+				ID: roster.UpstreamID(name), Weight: weight, Cell: e.GetInt("group"),
 				StartedAt: e.GetInt64("since_ms") * millisec,
 			},
-			Gone: status == "DELETED", Ends: status == "DRAINING",
+			Removed: status == "DELETED", Draining: status == "DRAINING",
 		})
 	}
 	return r, odd, nil
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -26,7 +26,7 @@
 			t.Errorf("%d taken and %d odd", len(r.Entries), odd)
 		}
 		for _, e := range r.Entries {
-			if e.Name == "" || e.Address == "" && !e.Gone {
+			if e.Name == "" || e.Address == "" && !e.Removed {
 				t.Errorf("took %+v", e)
 			}
 		}
@@ -44,8 +44,8 @@
 	}
 	one, other := read("10.0.0.1:1"), read("10.0.0.2:2")
 	e := one.Entries[0]
-	if e.Up != other.Entries[0].Up || e.Up.StartedAt != 1_500_000_000 || e.Up.Weight != 2 || e.Up.Cell != 3 || e.Zone != "b" ||
-		!e.Ends || e.Gone || !one.Whole || one.Index != 7 {
+	if e.Upstream != other.Entries[0].Upstream || e.Upstream.StartedAt != 1_500_000_000 || e.Upstream.Weight != 2 || e.Upstream.Cell != 3 || e.Zone != "b" ||
+		!e.Draining || e.Removed || !one.Whole || one.Index != 7 {
 		t.Errorf("%+v", one)
 	}
 }
--- a/internal/fleet/count.go
+++ b/internal/fleet/count.go
@@ -11,303 +11,303 @@
 
 // Options are what to count.
 type Options struct {
-	Every    time.Duration // what a row of Rows stands for
+	Step     time.Duration // what a row of Rows stands for
 	From, To time.Duration // since the first line; To 0 for the end
 }
 
 // Row is one step of time over all balancers.
 type Row struct {
-	At      float64            `json:"at_s"`    // since the first line
-	Alive   int                `json:"alive"`   // balancers between their first line and their last
-	Behind  int                `json:"behind"`  // balancers whose list is older than the newest told in their tier
-	Aside   int                `json:"aside"`   // pairs of a balancer and an upstream that it has set aside
-	Events  map[string]int     `json:"events"`  // by kind
-	Nodes   map[string]int     `json:"nodes"`   // balancers of which these were, by kind
-	Losses  map[string]float64 `json:"losses"`  // of this step
-	Figures map[string]float64 `json:"figures"` // of tallies, spread evenly over the time that they cover
+	AtSeconds     float64            `json:"at_s"`    // since the first line
+	Alive         int                `json:"alive"`   // balancers between their first line and their last
+	OutdatedLists int                `json:"behind"`  // balancers whose list is older than the newest told in their tier
+	Ejected       int                `json:"aside"`   // pairs of a balancer and an upstream that it has set aside
+	Events        map[string]int     `json:"events"`  // by kind
+	Balancers     map[string]int     `json:"nodes"`   // balancers of which these were, by kind
+	Losses        map[string]float64 `json:"losses"`  // of this step
+	Figures       map[string]float64 `json:"figures"` // of tallies, spread evenly over the time that they cover
 }
 
-// Herd is the step in which the most balancers did the same.
-type Herd struct {
-	Kind  string  `json:"kind"`
-	At    float64 `json:"at_s"`
-	Nodes int     `json:"balancers"`
-	Alive int     `json:"alive"`
-	All   int     `json:"events"` // of this kind, ever
+// Peak is the step in which the most balancers did the same.
+type Peak struct {
+	Kind      string  `json:"kind"`
+	AtSeconds float64 `json:"at_s"`
+	Balancers int     `json:"balancers"`
+	Alive     int     `json:"alive"`
+	Events    int     `json:"events"` // of this kind, ever
 }
 
-// Belief is how long the fleet held something of an upstream.
-type Belief struct {
-	Upstream   string         `json:"upstream"`
-	Nodes      int            `json:"balancers"` // that set it aside
-	Most       int            `json:"most_at_once"`
-	MostAt     float64        `json:"most_at_s"`
-	Seconds    float64        `json:"balancer_seconds"`
-	Longest    float64        `json:"longest_s"`
-	Times      int            `json:"times"`
-	Why        map[string]int `json:"why"`
-	Cold       int            `json:"back_as_cold"`
-	Unreturned int            `json:"not_back"`
+// Ejections is how long the fleet held something of an upstream.
+type Ejections struct {
+	Upstream        string         `json:"upstream"`
+	Balancers       int            `json:"balancers"` // that set it aside
+	MaxAtOnce       int            `json:"most_at_once"`
+	MaxAtSeconds    float64        `json:"most_at_s"`
+	BalancerSeconds float64        `json:"balancer_seconds"`
+	LongestSeconds  float64        `json:"longest_s"`
+	Count           int            `json:"times"`
+	Reasons         map[string]int `json:"why"`
+	ReinstatedCold  int            `json:"back_as_cold"`
+	NotReinstated   int            `json:"not_back"`
 }
 
-// Version is one version of the list in one tier.
-type Version struct {
-	Tier  string  `json:"tier"`
-	Index int64   `json:"index"`
-	First float64 `json:"first_at_s"`
-	Half  float64 `json:"half_after_s"`
-	All   float64 `json:"last_after_s"`
-	Nodes int     `json:"balancers"`
-	Never int     `json:"never"` // balancers that were alive then and went on without it or a later one
+// ListVersion is one version of the list in one tier.
+type ListVersion struct {
+	Tier          string  `json:"tier"`
+	Index         int64   `json:"index"`
+	FirstSeconds  float64 `json:"first_at_s"`
+	MedianDelay   float64 `json:"half_after_s"`
+	MaxDelay      float64 `json:"last_after_s"`
+	Balancers     int     `json:"balancers"`
+	NeverReceived int     `json:"never"` // balancers that were alive then and went on without it or a later one
 }
 
-// Member is one process.
-type Member struct {
-	File      string             `json:"file"`
-	Name      string             `json:"name"`
-	Tier      string             `json:"tier"`
-	Arrived   float64            `json:"arrived"`
-	Lost      float64            `json:"lost"` // deferred and forfeited by the module, and deferred before it
-	Reasons   map[string]float64 `json:"reasons"`
-	Backwards int                `json:"list_went_back"`
+// Process is one process.
+type Process struct {
+	File            string             `json:"file"`
+	Name            string             `json:"name"`
+	Tier            string             `json:"tier"`
+	Arrived         float64            `json:"arrived"`
+	Lost            float64            `json:"lost"` // deferred and forfeited by the module, and deferred before it
+	Reasons         map[string]float64 `json:"reasons"`
+	ListRegressions int                `json:"list_went_back"`
 }
 
-// Count is what a fleet did together.
-type Count struct {
-	Start    time.Time          `json:"start"`
-	Length   float64            `json:"length_s"`
-	Every    float64            `json:"every_s"`
-	Nodes    int                `json:"balancers"`
-	Lines    int                `json:"lines"`
-	Wrong    int                `json:"unread_lines"`
-	Others   int                `json:"library_lines"` // "Unsolicited response", by http.Transport itself
-	Faults   []Fault            `json:"faults"`
-	Losses   map[string]float64 `json:"losses"`
-	Figures  map[string]float64 `json:"figures"`
-	Events   map[string]int     `json:"events"`
-	Rows     []*Row             `json:"rows"`
-	Herds    []Herd             `json:"herds"`
-	Beliefs  []*Belief          `json:"upstreams"`
-	Versions []*Version         `json:"versions"`
-	Members  []*Member          `json:"members"`
-	Late     []float64          `json:"list_late_s"` // of upstreams that the list told as new, sorted
+// Summary is what a fleet did together.
+type Summary struct {
+	Start         time.Time          `json:"start"`
+	LengthSeconds float64            `json:"length_s"`
+	StepSeconds   float64            `json:"every_s"`
+	Balancers     int                `json:"balancers"`
+	Lines         int                `json:"lines"`
+	UnreadLines   int                `json:"unread_lines"`
+	LibraryLines  int                `json:"library_lines"` // "Unsolicited response", by http.Transport itself
+	ParseErrors   []ParseError       `json:"faults"`
+	Losses        map[string]float64 `json:"losses"`
+	Figures       map[string]float64 `json:"figures"`
+	Events        map[string]int     `json:"events"`
+	Rows          []*Row             `json:"rows"`
+	Peaks         []Peak             `json:"herds"`
+	Ejections     []*Ejections       `json:"upstreams"`
+	Versions      []*ListVersion     `json:"versions"`
+	Processes     []*Process         `json:"members"`
+	ListDelays    []float64          `json:"list_late_s"` // of upstreams that the list told as new, sorted
 }
 
-// stay is one time that one balancer had an upstream set aside.
-type stay struct {
+// interval is one time that one balancer had an upstream set aside.
+type interval struct {
 	from, to int64
 }
 
-const mostRows = 20_000
+const maxRows = 20_000
 
-// Count counts. Steps are made longer where there would be too many of them.
-func (l *Logs) Count(o Options) (*Count, error) {
+// Summarize counts. Steps are made longer where there would be too many of them.
+func (l *Logs) Summarize(options Options) (*Summary, error) {
 	first, last := int64(math.MaxInt64), int64(0)
-	for _, n := range l.nodes {
+	for _, n := range l.processes {
 		if n.lines > 0 {
 			first, last = min(first, n.first), max(last, n.last)
 		}
 	}
 	first -= first % int64(time.Second)
-	from, to := first+int64(o.From), last
-	if o.To > 0 {
-		to = min(to, first+int64(o.To))
+	from, to := first+int64(options.From), last
+	if options.To > 0 {
+		to = min(to, first+int64(options.To))
 	}
 	if from > to {
-		return nil, fmt.Errorf("nothing was logged after %v: the logs cover %v", o.From, time.Duration(last-first).Round(time.Second))
+		return nil, fmt.Errorf("nothing was logged after %v: the logs cover %v", options.From, time.Duration(last-first).Round(time.Second))
 	}
-	every := int64(max(o.Every, time.Second))
-	for (to-from)/every >= mostRows {
-		every *= 2
+	step := int64(max(options.Step, time.Second))
+	for (to-from)/step >= maxRows {
+		step *= 2
 	}
-	c := &Count{
-		Start: time.Unix(0, from).UTC(), Length: float64(to-from) / 1e9, Every: float64(every) / 1e9, Losses: map[string]float64{},
+	summary := &Summary{
+		Start: time.Unix(0, from).UTC(), LengthSeconds: float64(to-from) / 1e9, StepSeconds: float64(step) / 1e9, Losses: map[string]float64{},
 		Figures: map[string]float64{}, Events: map[string]int{},
 	}
-	for n := range (to-from)/every + 1 {
-		c.Rows = append(c.Rows, &Row{
-			At: float64(n*every) / 1e9, Events: map[string]int{}, Nodes: map[string]int{}, Losses: map[string]float64{}, Figures: map[string]float64{},
+	for n := range (to-from)/step + 1 {
+		summary.Rows = append(summary.Rows, &Row{
+			AtSeconds: float64(n*step) / 1e9, Events: map[string]int{}, Balancers: map[string]int{}, Losses: map[string]float64{}, Figures: map[string]float64{},
 		})
 	}
-	w := &counting{Count: c, from: from, to: to, every: every, beliefs: map[string]*Belief{}, stays: map[string][]stay{}}
-	for _, n := range l.nodes {
-		w.member(n)
+	builder := &summaryBuilder{Summary: summary, from: from, to: to, step: step, ejections: map[string]*Ejections{}, intervals: map[string][]interval{}}
+	for _, n := range l.processes {
+		builder.addProcess(n)
 	}
-	w.herds()
-	w.upstreams()
-	w.versions(l.nodes)
-	slices.Sort(c.Late)
-	slices.SortStableFunc(c.Members, func(a, b *Member) int { return cmp.Compare(b.Lost, a.Lost) })
-	return c, nil
+	builder.findPeaks()
+	builder.addEjections()
+	builder.addListVersions(l.processes)
+	slices.Sort(summary.ListDelays)
+	slices.SortStableFunc(summary.Processes, func(a, b *Process) int { return cmp.Compare(b.Lost, a.Lost) })
+	return summary, nil
 }
 
-type counting struct {
-	*Count
-	from, to, every int64
-	beliefs         map[string]*Belief
-	stays           map[string][]stay
+type summaryBuilder struct {
+	*Summary
+	from, to, step int64
+	ejections      map[string]*Ejections
+	intervals      map[string][]interval
 }
 
-func (w *counting) at(t int64) float64  { return float64(t-w.from) / 1e9 }
-func (w *counting) within(t int64) bool { return t >= w.from && t <= w.to }
-func (w *counting) row(t int64) int {
-	return int(min(max(t-w.from, 0)/w.every, int64(len(w.Rows)-1)))
+func (b *summaryBuilder) seconds(t int64) float64 { return float64(t-b.from) / 1e9 }
+func (b *summaryBuilder) within(t int64) bool     { return t >= b.from && t <= b.to }
+func (b *summaryBuilder) row(t int64) int {
+	return int(min(max(t-b.from, 0)/b.step, int64(len(b.Rows)-1)))
 }
 
-// member counts what one process tells.
-func (w *counting) member(n *node) {
-	w.Nodes, w.Lines, w.Wrong, w.Others = w.Nodes+1, w.Lines+n.lines, w.Wrong+n.wrong, w.Others+n.others
-	w.Faults = append(w.Faults, n.faults...)
-	m := &Member{File: n.file, Name: n.name, Tier: n.tier, Reasons: map[string]float64{}}
-	w.Members = append(w.Members, m)
-	if n.lines == 0 || n.first > w.to || n.last < w.from {
+// addProcess counts what one process tells.
+func (b *summaryBuilder) addProcess(log *processLog) {
+	b.Balancers, b.Lines, b.UnreadLines, b.LibraryLines = b.Balancers+1, b.Lines+log.lines, b.UnreadLines+log.unreadLines, b.LibraryLines+log.libraryLines
+	b.ParseErrors = append(b.ParseErrors, log.parseErrors...)
+	process := &Process{File: log.file, Name: log.name, Tier: log.tier, Reasons: map[string]float64{}}
+	b.Processes = append(b.Processes, process)
+	if log.lines == 0 || log.first > b.to || log.last < b.from {
 		return
 	}
-	for k := w.row(n.first); k <= w.row(n.last); k++ {
-		w.Rows[k].Alive++
+	for row := b.row(log.first); row <= b.row(log.last); row++ {
+		b.Rows[row].Alive++
 	}
-	did := map[string]int{} // kind: 1 + the row in which it was counted last
-	aside := map[string]int64{}
-	whys := map[string]string{}
+	lastRow := map[string]int{} // kind: 1 + the row in which it was counted last
+	ejectedAt := map[string]int64{}
+	reasons := map[string]string{}
 	index := int64(math.MinInt64)
-	for _, e := range n.events {
-		switch e.kind {
+	for _, event := range log.events {
+		switch event.kind {
 		case "aside":
-			if _, out := aside[e.upstream]; !out {
-				aside[e.upstream], whys[e.upstream] = e.at, e.why
+			if _, ejected := ejectedAt[event.upstream]; !ejected {
+				ejectedAt[event.upstream], reasons[event.upstream] = event.at, event.why
 			}
 		case "back":
-			if since, out := aside[e.upstream]; out {
-				w.stayed(e.upstream, whys[e.upstream], since, e.at, true, e.why == "cold")
-				delete(aside, e.upstream)
+			if since, ejected := ejectedAt[event.upstream]; ejected {
+				b.addEjection(event.upstream, reasons[event.upstream], since, event.at, true, event.why == "cold")
+				delete(ejectedAt, event.upstream)
 			}
 		case "list_told":
-			if e.index < index {
-				m.Backwards++
+			if event.index < index {
+				process.ListRegressions++
 			}
-			index = e.index
+			index = event.index
 		case "list_changed":
-			if e.number > 0 && w.within(e.at) {
-				w.Late = append(w.Late, e.number)
+			if event.value > 0 && b.within(event.at) {
+				b.ListDelays = append(b.ListDelays, event.value)
 			}
 		}
-		if !w.within(e.at) {
+		if !b.within(event.at) {
 			continue
 		}
-		k := w.row(e.at)
-		w.Events[e.kind]++
-		w.Rows[k].Events[e.kind]++
-		if did[e.kind] != k+1 {
-			did[e.kind] = k + 1
-			w.Rows[k].Nodes[e.kind]++
+		row := b.row(event.at)
+		b.Events[event.kind]++
+		b.Rows[row].Events[event.kind]++
+		if lastRow[event.kind] != row+1 {
+			lastRow[event.kind] = row + 1
+			b.Rows[row].Balancers[event.kind]++
 		}
 	}
-	for upstream, since := range aside { // what leaves the list never comes back
-		w.stayed(upstream, whys[upstream], since, n.last, false, false)
+	for upstream, since := range ejectedAt { // what leaves the list never comes back
+		b.addEjection(upstream, reasons[upstream], since, log.last, false, false)
 	}
-	for _, s := range n.losses {
-		if !w.within(s.at) {
+	for _, sample := range log.losses {
+		if !b.within(sample.at) {
 			continue
 		}
-		w.Rows[w.row(s.at-1)].Losses[s.name] += s.n
-		w.Losses[s.name] += s.n
-		if strings.HasPrefix(s.name, "deferred_") || strings.HasPrefix(s.name, "forfeited_") || s.name == "at_edge" {
-			m.Lost += s.n
-			m.Reasons[s.name] += s.n
+		b.Rows[b.row(sample.at-1)].Losses[sample.name] += sample.value
+		b.Losses[sample.name] += sample.value
+		if strings.HasPrefix(sample.name, "deferred_") || strings.HasPrefix(sample.name, "forfeited_") || sample.name == "at_edge" {
+			process.Lost += sample.value
+			process.Reasons[sample.name] += sample.value
 		}
 	}
-	for _, s := range n.tallies {
-		w.spread(s)
-		if s.name == "arrived" && w.within(s.at) {
-			m.Arrived += s.n
+	for _, sample := range log.tallies {
+		b.distribute(sample)
+		if sample.name == "arrived" && b.within(sample.at) {
+			process.Arrived += sample.value
 		}
 	}
 }
 
-// spread deals a figure of a tally out over the time that it covers.
-func (w *counting) spread(s sample) {
-	since, whole := s.since, float64(max(s.at-s.since, 1))
+// distribute deals a figure of a tally out over the time that it covers.
+func (b *summaryBuilder) distribute(s sample) {
+	since, span := s.since, float64(max(s.at-s.since, 1))
 	for since < s.at {
-		until := min(s.at, since+w.every-max(since-w.from, 0)%w.every)
-		if since < w.from {
-			until = min(s.at, w.from)
-		} else if since <= w.to {
-			part := s.n * float64(until-since) / whole
-			w.Rows[w.row(since)].Figures[s.name] += part
-			w.Figures[s.name] += part
+		until := min(s.at, since+b.step-max(since-b.from, 0)%b.step)
+		if since < b.from {
+			until = min(s.at, b.from)
+		} else if since <= b.to {
+			part := s.value * float64(until-since) / span
+			b.Rows[b.row(since)].Figures[s.name] += part
+			b.Figures[s.name] += part
 		}
 		since = until
 	}
 }
 
-// stayed counts one time that a balancer had an upstream set aside.
-func (w *counting) stayed(upstream, why string, from, to int64, back, cold bool) {
-	if to < w.from || from > w.to {
+// addEjection counts one time that a balancer had an upstream set aside.
+func (b *summaryBuilder) addEjection(upstream, reason string, from, to int64, reinstated, cold bool) {
+	if to < b.from || from > b.to {
 		return
 	}
-	b := w.beliefs[upstream]
-	if b == nil {
-		b = &Belief{Upstream: upstream, Why: map[string]int{}}
-		w.beliefs[upstream] = b
+	ejections := b.ejections[upstream]
+	if ejections == nil {
+		ejections = &Ejections{Upstream: upstream, Reasons: map[string]int{}}
+		b.ejections[upstream] = ejections
 	}
-	b.Times++
-	b.Why[why]++
+	ejections.Count++
+	ejections.Reasons[reason]++
 	if cold {
-		b.Cold++
+		ejections.ReinstatedCold++
 	}
-	if !back {
-		b.Unreturned++
+	if !reinstated {
+		ejections.NotReinstated++
 	}
-	b.Seconds += float64(to-from) / 1e9
-	b.Longest = max(b.Longest, float64(to-from)/1e9)
-	w.stays[upstream] = append(w.stays[upstream], stay{from, to})
-	for k := w.row(from); k <= w.row(to); k++ {
-		w.Rows[k].Aside++
+	ejections.BalancerSeconds += float64(to-from) / 1e9
+	ejections.LongestSeconds = max(ejections.LongestSeconds, float64(to-from)/1e9)
+	b.intervals[upstream] = append(b.intervals[upstream], interval{from, to})
+	for k := b.row(from); k <= b.row(to); k++ {
+		b.Rows[k].Ejected++
 	}
 }
 
-// herds finds for each kind the step in which the most did it.
-func (w *counting) herds() {
-	for _, kind := range keys(w.Events) {
-		h := Herd{Kind: kind, All: w.Events[kind]}
-		for _, r := range w.Rows {
-			if r.Nodes[kind] > h.Nodes {
-				h.At, h.Nodes, h.Alive = r.At, r.Nodes[kind], r.Alive
+// findPeaks finds for each kind the step in which the most did it.
+func (b *summaryBuilder) findPeaks() {
+	for _, kind := range sortedKeys(b.Events) {
+		peak := Peak{Kind: kind, Events: b.Events[kind]}
+		for _, r := range b.Rows {
+			if r.Balancers[kind] > peak.Balancers {
+				peak.AtSeconds, peak.Balancers, peak.Alive = r.AtSeconds, r.Balancers[kind], r.Alive
 			}
 		}
-		w.Herds = append(w.Herds, h)
+		b.Peaks = append(b.Peaks, peak)
 	}
 }
 
-// upstreams finds how many balancers had each set aside at once.
-func (w *counting) upstreams() {
-	for _, name := range keys(w.beliefs) {
-		b := w.beliefs[name]
+// addEjections finds how many balancers had each set aside at once.
+func (b *summaryBuilder) addEjections() {
+	for _, name := range sortedKeys(b.ejections) {
+		ejections := b.ejections[name]
 		type edge struct {
 			at   int64
 			step int
 		}
 		var edges []edge
-		for _, s := range w.stays[name] {
+		for _, s := range b.intervals[name] {
 			edges = append(edges, edge{s.from, 1}, edge{s.to, -1})
 		}
-		slices.SortFunc(edges, func(a, b edge) int { return cmp.Or(cmp.Compare(a.at, b.at), b.step-a.step) })
-		now := 0
+		slices.SortFunc(edges, func(a, ejections edge) int { return cmp.Or(cmp.Compare(a.at, ejections.at), ejections.step-a.step) })
+		open := 0
 		for _, e := range edges {
-			if now += e.step; now > b.Most {
-				b.Most, b.MostAt = now, w.at(e.at)
+			if open += e.step; open > ejections.MaxAtOnce {
+				ejections.MaxAtOnce, ejections.MaxAtSeconds = open, b.seconds(e.at)
 			}
 		}
-		w.Beliefs = append(w.Beliefs, b)
+		b.Ejections = append(b.Ejections, ejections)
 	}
-	slices.SortStableFunc(w.Beliefs, func(a, b *Belief) int { return cmp.Compare(b.Seconds, a.Seconds) })
+	slices.SortStableFunc(b.Ejections, func(a, ejections *Ejections) int { return cmp.Compare(ejections.BalancerSeconds, a.BalancerSeconds) })
 }
 
-// versions follows how each version of a tier's list spread. Danger: discovery may start its versions anew, so what is
+// addListVersions follows how each version of a tier's list spread. Danger: discovery may start its versions anew, so what is
 // lower than what a balancer had is told as gone back, and nobody is held to be behind a version that came later and
 // is lower.
-func (w *counting) versions(nodes []*node) {
-	type told struct {
+func (b *summaryBuilder) addListVersions(logs []*processLog) {
+	type update struct {
 		at    int64
 		index int64
 	}
@@ -315,84 +315,84 @@
 		tier  string
 		index int64
 	}
-	var all []*Version
+	var all []*ListVersion
 	first := map[key]int64{}
-	for _, n := range nodes {
-		for _, e := range n.events {
-			if k := (key{n.tier, e.index}); e.kind == "list_told" {
+	for _, log := range logs {
+		for _, e := range log.events {
+			if k := (key{log.tier, e.index}); e.kind == "list_told" {
 				if at, known := first[k]; !known || e.at < at {
 					first[k] = e.at
 				}
 			}
 		}
 	}
-	for _, n := range nodes {
-		var mine []told
-		for _, e := range n.events {
+	for _, log := range logs {
+		var updates []update
+		for _, e := range log.events {
 			if e.kind == "list_told" {
-				mine = append(mine, told{e.at, e.index})
+				updates = append(updates, update{e.at, e.index})
 			}
 		}
-		if len(mine) == 0 {
+		if len(updates) == 0 {
 			continue
 		}
-		for k := range w.Rows {
-			end := w.from + int64(k+1)*w.every
-			if end <= mine[0].at || end-w.every > n.last {
+		for k := range b.Rows {
+			end := b.from + int64(k+1)*b.step
+			if end <= updates[0].at || end-b.step > log.last {
 				continue
 			}
-			has := mine[0].index
-			for _, t := range mine {
+			current := updates[0].index
+			for _, t := range updates {
 				if t.at < end {
-					has = t.index
+					current = t.index
 				}
 			}
 			for v, at := range first {
-				if v.tier == n.tier && v.index > has && at > first[key{n.tier, has}] && at+int64(time.Second) < end { // a second for the way
-					w.Rows[k].Behind++
+				if v.tier == log.tier && v.index > current && at > first[key{log.tier, current}] && at+int64(time.Second) < end { // a second for the way
+					b.Rows[k].OutdatedLists++
 					break
 				}
 			}
 		}
 	}
 	for v, at := range first {
-		if !w.within(at) {
+		if !b.within(at) {
 			continue
 		}
-		x := &Version{Tier: v.tier, Index: v.index, First: w.at(at)}
-		var after []float64
-		for _, n := range nodes {
-			if n.tier != v.tier || n.first > at || n.last <= at {
+		version := &ListVersion{Tier: v.tier, Index: v.index, FirstSeconds: b.seconds(at)}
+		var delays []float64
+		for _, log := range logs {
+			if log.tier != v.tier || log.first > at || log.last <= at {
 				continue
 			}
-			heard, listens := math.Inf(1), false
-			for _, e := range n.events {
+			delay, followsList := math.Inf(1), false
+			for _, e := range log.events {
 				if e.kind == "list_told" {
-					if listens = true; e.index >= v.index && e.at >= at {
-						heard = math.Min(heard, float64(e.at-at)/1e9)
+					if followsList = true; e.index >= v.index && e.at >= at {
+						delay = math.Min(delay, float64(e.at-at)/1e9)
 					}
 				}
 			}
 			switch {
-			case !math.IsInf(heard, 1):
-				after = append(after, heard)
-			case listens:
-				x.Never++
+			case !math.IsInf(delay, 1):
+				delays = append(delays, delay)
+			case followsList:
+				version.NeverReceived++
 			}
 		}
-		if x.Nodes = len(after); x.Nodes > 0 {
-			slices.Sort(after)
-			x.Half, x.All = after[len(after)/2], after[len(after)-1]
+		if version.Balancers = len(delays); version.Balancers > 0 {
+			slices.Sort(delays)
+			version.MedianDelay, version.MaxDelay = delays[len(delays)/2], delays[len(delays)-1]
 		}
-		all = append(all, x)
+		all = append(all, version)
 	}
-	slices.SortFunc(all, func(a, b *Version) int {
-		return cmp.Or(cmp.Compare(a.First, b.First), cmp.Compare(a.Tier, b.Tier), cmp.Compare(a.Index, b.Index))
+	slices.SortFunc(all, func(a, b *ListVersion) int {
+		return cmp.Or(cmp.Compare(a.FirstSeconds, b.FirstSeconds), cmp.Compare(a.Tier, b.Tier), cmp.Compare(a.Index, b.Index))
 	})
-	w.Versions = all
+	b.Versions = all
 }
 
-func keys[V any](of map[string]V) (all []string) {
+func sortedKeys[V any](of map[string]V) (all []string) {
 	for name := range of {
 		all = append(all, name)
 	}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-func write(t *testing.T, dir string, files map[string]string) {
+func writeFiles(t *testing.T, dir string, files map[string]string) {
 	t.Helper()
 	for name, text := range files {
 		path := filepath.Join(dir, name)
@@ -23,20 +23,20 @@
 	}
 }
 
-func count(t *testing.T, dir string, o Options) *Count {
+func summarize(t *testing.T, dir string, o Options) *Summary {
 	t.Helper()
 	l, err := Read(dir, func(float64) {})
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := l.Count(o)
+	c, err := l.Summarize(o)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return c
 }
 
-var made = map[string]string{
+var sampleLogs = map[string]string{
 	"a.log": `time=@00.100000Z level=INFO event=start pool=main name=a discovery=x tier=0 known=3 index=4
 time=@00.200000Z level=INFO event=watch pool=main step=told index=4 whole=true entries=3
 time=@02.300000Z level=INFO event=upstream pool=main step=aside upstream=u-1 why=timed_out
@@ -61,23 +61,23 @@
 `,
 }
 
-func TestWhatManyDidTogether(t *testing.T) {
+func TestSummarize(t *testing.T) {
 	dir := t.TempDir()
-	write(t, dir, made)
-	c := count(t, dir, Options{Every: time.Second})
-	if c.Nodes != 3 || c.Lines != 19 || c.Wrong != 0 || c.Losses["deferred_no_room"] != 6 || c.Losses["room"] != 0 {
-		t.Errorf("%d balancers, %d lines, %d wrong, %v", c.Nodes, c.Lines, c.Wrong, c.Losses)
+	writeFiles(t, dir, sampleLogs)
+	c := summarize(t, dir, Options{Step: time.Second})
+	if c.Balancers != 3 || c.Lines != 19 || c.UnreadLines != 0 || c.Losses["deferred_no_room"] != 6 || c.Losses["room"] != 0 {
+		t.Errorf("%d balancers, %d lines, %d wrong, %v", c.Balancers, c.Lines, c.UnreadLines, c.Losses)
 	}
-	u := c.Beliefs[0]
-	if len(c.Beliefs) != 1 || u.Most != 3 || u.MostAt != 2.9 || u.Times != 3 || u.Why["errored"] != 2 || u.Cold != 1 || u.Unreturned != 2 {
+	u := c.Ejections[0]
+	if len(c.Ejections) != 1 || u.MaxAtOnce != 3 || u.MaxAtSeconds != 2.9 || u.Count != 3 || u.Reasons["errored"] != 2 || u.ReinstatedCold != 1 || u.NotReinstated != 2 {
 		t.Errorf("beliefs: %+v", u)
 	}
-	if r := c.Rows[2]; r.Nodes["aside"] != 3 || r.Losses["deferred_no_room"] != 5 || r.Alive != 3 || r.Aside != 3 {
+	if r := c.Rows[2]; r.Balancers["aside"] != 3 || r.Losses["deferred_no_room"] != 5 || r.Alive != 3 || r.Ejected != 3 {
 		t.Errorf("the second in which all three set u-1 aside: %+v", r)
 	}
 	// b is behind from a second after a was told until it is itself; c is in another tier, and its list went back.
 	for k, want := range []int{0, 0, 0, 0, 0, 1, 1, 0} {
-		if got := c.Rows[k].Behind; got != want {
+		if got := c.Rows[k].OutdatedLists; got != want {
 			t.Errorf("second %d: %d behind, want %d", k, got, want)
 		}
 	}
@@ -88,16 +88,16 @@
 	if int(sum+0.5) != 114 || int(c.Figures["arrived"]+0.5) != 114 || c.Rows[3].Figures["arrived"] < 10 {
 		t.Errorf("arrived %.1f over all rows, %.1f in the fourth", sum, c.Rows[3].Figures["arrived"])
 	}
-	if m := c.Members[0]; m.Name != "a" || m.Lost != 5 || m.Arrived != 100 || len(c.Late) != 1 || c.Late[0] != 3.5 {
-		t.Errorf("%+v, late %v", m, c.Late)
+	if m := c.Processes[0]; m.Name != "a" || m.Lost != 5 || m.Arrived != 100 || len(c.ListDelays) != 1 || c.ListDelays[0] != 3.5 {
+		t.Errorf("%+v, late %v", m, c.ListDelays)
 	}
-	for _, m := range c.Members {
-		if m.Name == "c" && m.Backwards != 1 {
-			t.Errorf("c's list went back %d times", m.Backwards)
+	for _, m := range c.Processes {
+		if m.Name == "c" && m.ListRegressions != 1 {
+			t.Errorf("c's list went back %d times", m.ListRegressions)
 		}
 	}
 	for _, v := range c.Versions {
-		if v.Tier == "0" && v.Index == 5 && (v.Nodes != 2 || v.All != 3.5 || v.Never != 0) {
+		if v.Tier == "0" && v.Index == 5 && (v.Balancers != 2 || v.MaxDelay != 3.5 || v.NeverReceived != 0) {
 			t.Errorf("version 5: %+v", v)
 		}
 	}
@@ -111,33 +111,33 @@
 	}
 }
 
-func TestAWindowHoldsWhatIsInItAlone(t *testing.T) {
+func TestTimeWindow(t *testing.T) {
 	dir := t.TempDir()
-	write(t, dir, made)
-	c := count(t, dir, Options{Every: 2 * time.Second, From: 6 * time.Second, To: 9 * time.Second})
+	writeFiles(t, dir, sampleLogs)
+	c := summarize(t, dir, Options{Step: 2 * time.Second, From: 6 * time.Second, To: 9 * time.Second})
 	if c.Losses["deferred_no_room"] != 1 || c.Events["start"] != 0 || len(c.Rows) != 2 || c.Figures["arrived"] > 50 {
 		t.Errorf("%v %v, %d rows, %v", c.Losses, c.Events, len(c.Rows), c.Figures)
 	}
 	l, _ := Read(dir, func(float64) {})
-	if _, err := l.Count(Options{From: time.Hour}); err == nil {
+	if _, err := l.Summarize(Options{From: time.Hour}); err == nil {
 		t.Error("counted what was never logged")
 	}
 }
 
-func TestWhatCanNotBeReadIsToldAndLeftOut(t *testing.T) {
+func TestUnreadableLinesAreReported(t *testing.T) {
 	dir := t.TempDir()
-	write(t, dir, map[string]string{
+	writeFiles(t, dir, map[string]string{
 		"a.log": "time=@00.1Z event=start tier=0 name=a\npanic: what\n\ntime=@01Z event=losses deferred_no_room=2\n" +
-			"time=never event=losses deferred_no_room=9\ntime=@02Z event=losses at_edge=3\n\"=\n{\"time\":\n" + strings.Repeat("x", mostLine+9) + "\n" +
+			"time=never event=losses deferred_no_room=9\ntime=@02Z event=losses at_edge=3\n\"=\n{\"time\":\n" + strings.Repeat("x", maxLineBytes+9) + "\n" +
 			"time=@03Z event=losses at_edge=1 dead=\"no end",
 		"empty.log": "",
 	})
-	c := count(t, dir, Options{})
-	if c.Nodes != 1 || c.Lines != 3 || c.Wrong != 6 || c.Losses["deferred_no_room"] != 2 || c.Losses["at_edge"] != 3 {
-		t.Errorf("%d balancers, %d lines, %d wrong, %v", c.Nodes, c.Lines, c.Wrong, c.Losses)
+	c := summarize(t, dir, Options{})
+	if c.Balancers != 1 || c.Lines != 3 || c.UnreadLines != 6 || c.Losses["deferred_no_room"] != 2 || c.Losses["at_edge"] != 3 {
+		t.Errorf("%d balancers, %d lines, %d wrong, %v", c.Balancers, c.Lines, c.UnreadLines, c.Losses)
 	}
-	if f := c.Faults[1]; f.File != "a.log" || f.Line != 5 {
-		t.Errorf("%v", c.Faults)
+	if f := c.ParseErrors[1]; f.File != "a.log" || f.Line != 5 {
+		t.Errorf("%v", c.ParseErrors)
 	}
 	for _, of := range []string{filepath.Join(dir, "none"), t.TempDir()} {
 		if _, err := Read(of, func(float64) {}); err == nil {
@@ -145,13 +145,13 @@
 		}
 	}
 	nothing := t.TempDir()
-	write(t, nothing, map[string]string{"x": "hello\n"})
+	writeFiles(t, nothing, map[string]string{"x": "hello\n"})
 	if _, err := Read(nothing, func(float64) {}); err == nil || !strings.Contains(err.Error(), "no line of") {
 		t.Error(err)
 	}
 }
 
-func TestHundredsOfFilesInSeconds(t *testing.T) {
+func TestManyFilesWithinTimeLimit(t *testing.T) {
 	dir := t.TempDir()
 	var text strings.Builder
 	for n := range 600 {
@@ -162,9 +162,9 @@
 	for n := range 300 {
 		files[string(rune('a'+n%26))+time.Duration(n).String()] = text.String()
 	}
-	write(t, dir, files)
+	writeFiles(t, dir, files)
 	start := time.Now()
-	if c := count(t, dir, Options{}); c.Losses["deferred_no_room"] != 300*600 {
+	if c := summarize(t, dir, Options{}); c.Losses["deferred_no_room"] != 300*600 {
 		t.Errorf("%v", c.Losses)
 	}
 	if took := time.Since(start); took > 20*time.Second {
--- a/internal/fleet/read.go
+++ b/internal/fleet/read.go
@@ -25,18 +25,18 @@
 )
 
 const (
-	mostLine   = 1 << 20
-	mostFaults = 8 // of a file that are told; all are counted
+	maxLineBytes      = 1 << 20
+	maxReportedErrors = 8 // of a file that are told; all are counted
 )
 
-// Fault is a line that could not be read.
-type Fault struct {
+// ParseError is a line that could not be read.
+type ParseError struct {
 	File string `json:"file"`
 	Line int    `json:"line"`
 	Text string `json:"fault"`
 }
 
-func (f Fault) String() string { return fmt.Sprintf("%s:%d: %s", f.File, f.Line, f.Text) }
+func (e ParseError) String() string { return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.Text) }
 
 // event is something that happened at one moment.
 type event struct {
@@ -45,34 +45,34 @@
 	upstream string
 	why      string
 	index    int64
-	number   float64 // of what changed, or the delay in seconds
+	value    float64 // of what changed, or the delay in seconds
 }
 
 // sample is a figure of one second or, of a tally, of the time since the tally before.
 type sample struct {
 	at, since int64
 	name      string
-	n         float64
+	value     float64
 }
 
-// node is what one file tells: the life of one process.
-type node struct {
-	file        string
-	name        string
-	tier        string
-	first, last int64
-	lines       int
-	events      []event
-	losses      []sample
-	tallies     []sample
-	faults      []Fault
-	wrong       int // lines that could not be read
-	others      int // lines of the library, which are no log of ours
+// processLog is what one file tells: the life of one process.
+type processLog struct {
+	file         string
+	name         string
+	tier         string
+	first, last  int64
+	lines        int
+	events       []event
+	losses       []sample
+	tallies      []sample
+	parseErrors  []ParseError
+	unreadLines  int // lines that could not be read
+	libraryLines int // lines of the library, which are no log of ours
 }
 
 // Logs are those of a fleet.
 type Logs struct {
-	nodes []*node
+	processes []*processLog
 }
 
 // Read reads all files of a folder and of the folders in it, several at a time; progress is told the part that is done.
@@ -83,8 +83,8 @@
 		if err != nil {
 			return err
 		}
-		if about, err := d.Info(); err == nil && d.Type().IsRegular() {
-			files, size = append(files, path), size+about.Size()
+		if info, err := d.Info(); err == nil && d.Type().IsRegular() {
+			files, size = append(files, path), size+info.Size()
 		}
 		return nil
 	})
@@ -94,21 +94,21 @@
 	if len(files) == 0 {
 		return nil, fmt.Errorf("%s: no files in it", dir)
 	}
-	l := &Logs{nodes: make([]*node, len(files))}
+	l := &Logs{processes: make([]*processLog, len(files))}
 	var done atomic.Int64
-	var work sync.WaitGroup
-	next := make(chan int)
+	var workers sync.WaitGroup
+	jobs := make(chan int)
 	errs := make([]error, len(files))
 	for range min(runtime.GOMAXPROCS(0), len(files)) {
-		work.Add(1)
+		workers.Add(1)
 		go func() {
-			defer work.Done()
-			for n := range next {
+			defer workers.Done()
+			for n := range jobs {
 				name, err := filepath.Rel(dir, files[n])
 				if err != nil {
 					name = files[n]
 				}
-				l.nodes[n], errs[n] = readFile(files[n], name, func(bytes int) {
+				l.processes[n], errs[n] = readFile(files[n], name, func(bytes int) {
 					if now := done.Add(int64(bytes)); size > 0 {
 						progress(min(1, float64(now)/float64(size)))
 					}
@@ -117,57 +117,57 @@
 		}()
 	}
 	for n := range files {
-		next <- n
+		jobs <- n
 	}
-	close(next)
-	work.Wait()
+	close(jobs)
+	workers.Wait()
 	if err := errors.Join(errs...); err != nil {
 		return nil, err
 	}
-	l.nodes = slices.DeleteFunc(l.nodes, func(n *node) bool { return n.lines+n.wrong+n.others == 0 })
-	slices.SortFunc(l.nodes, func(a, b *node) int { return cmp.Compare(a.file, b.file) })
-	if !slices.ContainsFunc(l.nodes, func(n *node) bool { return n.lines > 0 }) {
+	l.processes = slices.DeleteFunc(l.processes, func(n *processLog) bool { return n.lines+n.unreadLines+n.libraryLines == 0 })
+	slices.SortFunc(l.processes, func(a, b *processLog) int { return cmp.Compare(a.file, b.file) })
+	if !slices.ContainsFunc(l.processes, func(n *processLog) bool { return n.lines > 0 }) {
 		return nil, fmt.Errorf("%s: %d files, no line of a balancer's log in them", dir, len(files))
 	}
 	return l, nil
 }
 
 // readFile reads one file to its end; what makes no sense is left out, told and counted.
-func readFile(path, name string, progress func(bytes int)) (*node, error) {
+func readFile(path, name string, progress func(bytes int)) (*processLog, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	n := &node{file: name, name: strings.TrimSuffix(name, filepath.Ext(name))}
-	return n, n.read(f, progress)
+	p := &processLog{file: name, name: strings.TrimSuffix(name, filepath.Ext(name))}
+	return p, p.read(f, progress)
 }
 
 var unsolicited = []byte("Unsolicited response received on idle HTTP channel")
 
-func (n *node) read(from io.Reader, progress func(bytes int)) error {
+func (p *processLog) read(from io.Reader, progress func(bytes int)) error {
 	lines := bufio.NewReaderSize(from, 64<<10)
-	r := record{known: map[string]string{}}
-	var tallied int64
+	record := record{interned: map[string]string{}}
+	var lastTally int64
 	bytesRead := 0
-	for number := 1; ; number++ {
-		line, long, err := next(lines)
+	for lineNumber := 1; ; lineNumber++ {
+		line, tooLong, err := readLine(lines)
 		if bytesRead += len(line) + 1; bytesRead > 1<<18 || err != nil {
 			progress(bytesRead)
 			bytesRead = 0
 		}
 		if err != nil && err != io.EOF {
-			return fmt.Errorf("%s: %w", n.file, err)
+			return fmt.Errorf("%s: %w", p.file, err)
 		}
 		if text := bytes.TrimSpace(line); bytes.Contains(text, unsolicited) {
-			n.others++ // what http.Transport says by itself
-		} else if long {
-			n.fault(number, fmt.Sprintf("a line of over %d bytes", mostLine))
+			p.libraryLines++ // what http.Transport says by itself
+		} else if tooLong {
+			p.addParseError(lineNumber, fmt.Sprintf("a line of over %d bytes", maxLineBytes))
 		} else if len(text) > 0 {
-			if wrong := r.parse(text); wrong != nil {
-				n.fault(number, wrong.Error())
+			if parseErr := record.parse(text); parseErr != nil {
+				p.addParseError(lineNumber, parseErr.Error())
 			} else {
-				n.take(&r, &tallied)
+				p.add(&record, &lastTally)
 			}
 		}
 		if err == io.EOF {
@@ -176,43 +176,43 @@
 	}
 }
 
-// next reads a line; of one that is too long the rest is passed over.
-func next(from *bufio.Reader) (line []byte, long bool, err error) {
+// readLine reads a line; of one that is too long the rest is passed over.
+func readLine(from *bufio.Reader) (line []byte, tooLong bool, err error) {
 	for {
 		part, err := from.ReadSlice('\n')
-		if !long {
+		if !tooLong {
 			line = append(line, part...)
-			long = len(line) > mostLine
+			tooLong = len(line) > maxLineBytes
 		}
 		if err != bufio.ErrBufferFull {
-			return line, long, err
+			return line, tooLong, err
 		}
 	}
 }
 
-func (n *node) fault(line int, text string) {
-	if n.wrong++; len(n.faults) < mostFaults {
-		n.faults = append(n.faults, Fault{n.file, line, text})
+func (p *processLog) addParseError(line int, text string) {
+	if p.unreadLines++; len(p.parseErrors) < maxReportedErrors {
+		p.parseErrors = append(p.parseErrors, ParseError{p.file, line, text})
 	}
 }
 
 // record is one line: its time, its event and its fields in their order.
 type record struct {
-	at     int64
-	event  string
-	names  []string
-	values []string
-	known  map[string]string // texts that come again and again, kept once
-	json   fastjson.Parser
+	at       int64
+	event    string
+	names    []string
+	values   []string
+	interned map[string]string // texts that come again and again, kept once
+	json     fastjson.Parser
 }
 
-func (r *record) keep(text []byte) string {
-	if s, known := r.known[string(text)]; known {
+func (r *record) intern(text []byte) string {
+	if s, known := r.interned[string(text)]; known {
 		return s
 	}
 	s := string(text)
-	if len(r.known) < 1<<14 {
-		r.known[s] = s
+	if len(r.interned) < 1<<14 {
+		r.interned[s] = s
 	}
 	return s
 }
@@ -225,7 +225,7 @@
 }
 
 func (r *record) add(name, value []byte) {
-	r.names, r.values = append(r.names, r.keep(name)), append(r.values, r.keep(value))
+	r.names, r.values = append(r.names, r.intern(name)), append(r.values, r.intern(value))
 }
 
 // parse reads a line of key=value text or of JSON.
@@ -263,84 +263,84 @@
 	return nil
 }
 
-// stands are the figures that say how things stand and add up to nothing.
-var stands = map[string]bool{
+// gauges are the figures that say how things stand and add up to nothing.
+var gauges = map[string]bool{
 	"room": true, "in_hand": true, "in_hand_mean": true, "line": true, "slow": true, "slow_base": true, "strength": true, "best": true,
 	"own": true, "aside": true, "cold": true, "bucket": true, "open": true, "clients": true, "upstream_connections": true,
 	"bytes_in_hand": true, "owed": true,
 }
 
-// take keeps what a line tells.
-func (n *node) take(r *record, tallied *int64) {
-	if n.lines++; n.first == 0 || r.at < n.first {
-		n.first = r.at
+// add keeps what a line tells.
+func (p *processLog) add(record *record, lastTally *int64) {
+	if p.lines++; p.first == 0 || record.at < p.first {
+		p.first = record.at
 	}
-	n.last = max(n.last, r.at)
-	if *tallied == 0 {
-		*tallied = r.at
+	p.last = max(p.last, record.at)
+	if *lastTally == 0 {
+		*lastTally = record.at
 	}
-	e := event{at: r.at, upstream: r.get("upstream"), why: r.get("why")}
-	switch step := r.get("step"); r.event {
+	event := event{at: record.at, upstream: record.get("upstream"), why: record.get("why")}
+	switch step := record.get("step"); record.event {
 	case "start":
-		e.kind = "start"
-		n.name, n.tier = cmp.Or(r.get("name"), n.name), cmp.Or(r.get("tier"), n.tier)
-		if r.get("discovery") == "" && r.get("tier") == "" {
+		event.kind = "start"
+		p.name, p.tier = cmp.Or(record.get("name"), p.name), cmp.Or(record.get("tier"), p.tier)
+		if record.get("discovery") == "" && record.get("tier") == "" {
 			return // of a listener or of the second address
 		}
 	case "drain", "panic":
-		if e.kind = r.event; step != "" && step != "begin" {
+		if event.kind = record.event; step != "" && step != "begin" {
 			return
 		}
 	case "reload":
-		if e.kind = r.event; step != "taken" {
+		if event.kind = record.event; step != "taken" {
 			return
 		}
 	case "upstream":
-		if e.kind = step; step == "back" && r.get("cold") == "true" {
-			e.why = "cold"
+		if event.kind = step; step == "back" && record.get("cold") == "true" {
+			event.why = "cold"
 		}
 	case "watch":
-		if e.kind = "list_" + step; step == "broken" {
-			e.why = r.get("fault")
+		if event.kind = "list_" + step; step == "broken" {
+			event.why = record.get("fault")
 		}
-		e.index, _ = strconv.ParseInt(r.get("index"), 10, 64)
+		event.index, _ = strconv.ParseInt(record.get("index"), 10, 64)
 	case "list":
-		e.kind = "list_" + step
-		if late, err := time.ParseDuration(r.get("late")); err == nil {
-			e.number = late.Seconds()
+		event.kind = "list_" + step
+		if late, err := time.ParseDuration(record.get("late")); err == nil {
+			event.value = late.Seconds()
 		}
 	case "cluster":
-		switch e.kind = "cluster_" + step; step {
+		switch event.kind = "cluster_" + step; step {
 		case "member":
-			e.kind, e.why = "member_"+r.get("state"), r.get("member")
+			event.kind, event.why = "member_"+record.get("state"), record.get("member")
 		case "over", "refused":
 		default:
 			return
 		}
 	case "losses", "tally":
-		n.figures(r, *tallied)
-		if r.event == "tally" {
-			*tallied = r.at
+		p.addFigures(record, *lastTally)
+		if record.event == "tally" {
+			*lastTally = record.at
 		}
 		return
 	default:
 		return
 	}
-	n.events = append(n.events, e)
+	p.events = append(p.events, event)
 }
 
-func (n *node) figures(r *record, since int64) {
-	for k, name := range r.names {
-		v, err := strconv.ParseFloat(r.values[k], 64)
-		if err != nil || v == 0 || stands[name] {
+func (p *processLog) addFigures(record *record, since int64) {
+	for k, name := range record.names {
+		value, err := strconv.ParseFloat(record.values[k], 64)
+		if err != nil || value == 0 || gauges[name] {
 			continue
 		}
-		s := sample{at: r.at, since: max(since, r.at-int64(time.Minute)), name: name, n: v}
-		if r.event == "losses" {
-			s.since = r.at - int64(time.Second)
-			n.losses = append(n.losses, s)
+		sample := sample{at: record.at, since: max(since, record.at-int64(time.Minute)), name: name, value: value}
+		if record.event == "losses" {
+			sample.since = record.at - int64(time.Second)
+			p.losses = append(p.losses, sample)
 		} else {
-			n.tallies = append(n.tallies, s)
+			p.tallies = append(p.tallies, sample)
 		}
 	}
 }
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -12,29 +12,29 @@
 )
 
 // JSON writes all of it for machines.
-func (c *Count) JSON(to io.Writer) error {
+func (s *Summary) JSON(to io.Writer) error {
 	out := json.NewEncoder(to)
 	out.SetIndent("", " ")
-	return out.Encode(c)
+	return out.Encode(s)
 }
 
 // reasons are those for which anything was lost, the most frequent first.
-func (c *Count) reasons() []string {
-	all := slices.DeleteFunc(keys(c.Losses), func(name string) bool {
+func (s *Summary) reasons() []string {
+	all := slices.DeleteFunc(sortedKeys(s.Losses), func(name string) bool {
 		return !strings.HasPrefix(name, "deferred_") && !strings.HasPrefix(name, "forfeited_") && name != "at_edge"
 	})
-	slices.SortStableFunc(all, func(a, b string) int { return int(c.Losses[b] - c.Losses[a]) })
+	slices.SortStableFunc(all, func(a, b string) int { return int(s.Losses[b] - s.Losses[a]) })
 	return all
 }
 
 // Text writes it for people; rows is how many of each table are shown.
-func (c *Count) Text(to io.Writer, rows int) {
+func (s *Summary) Text(to io.Writer, rows int) {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
 	line := func(cells ...any) {
 		for _, cell := range cells {
 			switch v := cell.(type) {
 			case float64:
-				fmt.Fprintf(w, "%s\t", short(v))
+				fmt.Fprintf(w, "%s\t", formatNumber(v))
 			default:
 				fmt.Fprintf(w, "%v\t", v)
 			}
@@ -45,30 +45,30 @@
 		w.Flush()
 		fmt.Fprintf(to, "\n%s\n", title)
 	}
-	fmt.Fprintf(to, "%d balancers, %d lines from %s on, %.0f s", c.Nodes, c.Lines, c.Start.Format("2006-01-02T15:04:05Z"), c.Length)
-	if c.Wrong > 0 {
-		fmt.Fprintf(to, "; %d lines could not be read, told on standard error", c.Wrong)
+	fmt.Fprintf(to, "%d balancers, %d lines from %s on, %.0f s", s.Balancers, s.Lines, s.Start.Format("2006-01-02T15:04:05Z"), s.LengthSeconds)
+	if s.UnreadLines > 0 {
+		fmt.Fprintf(to, "; %d lines could not be read, told on standard error", s.UnreadLines)
 	}
 	fmt.Fprintln(to)
 
 	table("What was lost, by reason (exact to the second); what else was counted then:")
-	for _, name := range keys(c.Losses) {
-		line(name, c.Losses[name])
+	for _, name := range sortedKeys(s.Losses) {
+		line(name, s.Losses[name])
 	}
 	table("Tallies of all balancers (a process that is killed takes up to ten seconds with it):")
-	for _, name := range keys(c.Figures) {
-		line(name, c.Figures[name])
+	for _, name := range sortedKeys(s.Figures) {
+		line(name, s.Figures[name])
 	}
 
-	reasons := c.reasons()
+	reasons := s.reasons()
 	head := []any{"at_s", "alive", "arrived/s", "dials/s", "behind", "aside", "list_told", "list_open", "list_broken"}
 	for _, name := range reasons {
 		head = append(head, name)
 	}
-	table(fmt.Sprintf("By step of %s s (arrived and dials from tallies, spread evenly; aside: pairs of balancer and upstream):", short(c.Every)))
+	table(fmt.Sprintf("By step of %s s (arrived and dials from tallies, spread evenly; aside: pairs of balancer and upstream):", formatNumber(s.StepSeconds)))
 	line(head...)
 	shown := 0
-	for _, r := range c.Rows {
+	for _, r := range s.Rows {
 		if len(r.Events)+len(r.Losses) == 0 {
 			continue
 		}
@@ -76,7 +76,7 @@
 			fmt.Fprintf(w, "… more steps: --rows\t\n")
 			break
 		}
-		cells := []any{r.At, r.Alive, r.Figures["arrived"] / c.Every, dials(r.Figures) / c.Every, r.Behind, r.Aside,
+		cells := []any{r.AtSeconds, r.Alive, r.Figures["arrived"] / s.StepSeconds, dialCount(r.Figures) / s.StepSeconds, r.OutdatedLists, r.Ejected,
 			r.Events["list_told"], r.Events["list_open"], r.Events["list_broken"]}
 		for _, name := range reasons {
 			cells = append(cells, r.Losses[name])
@@ -86,48 +86,48 @@
 
 	table("The most balancers that did the same within one step:")
 	line("what", "balancers", "of", "at_s", "in all")
-	for _, h := range c.Herds {
-		line(h.Kind, h.Nodes, h.Alive, h.At, h.All)
+	for _, h := range s.Peaks {
+		line(h.Kind, h.Balancers, h.Alive, h.AtSeconds, h.Events)
 	}
 
 	table("Upstreams that were set aside, by balancer-seconds:")
 	line("upstream", "balancers at once", "at_s", "seconds", "longest", "times", "back as cold", "not back", "why")
-	for _, b := range c.Beliefs[:min(rows, len(c.Beliefs))] {
-		line(b.Upstream, b.Most, b.MostAt, b.Seconds, b.Longest, b.Times, b.Cold, b.Unreturned, list(b.Why))
+	for _, b := range s.Ejections[:min(rows, len(s.Ejections))] {
+		line(b.Upstream, b.MaxAtOnce, b.MaxAtSeconds, b.BalancerSeconds, b.LongestSeconds, b.Count, b.ReinstatedCold, b.NotReinstated, formatCounts(b.Reasons))
 	}
 
 	table("Versions of the list, those that took longest to spread first:")
 	line("tier", "version", "first at_s", "half after_s", "last after_s", "balancers", "never")
-	slow := slices.Clone(c.Versions)
-	slices.SortStableFunc(slow, func(a, b *Version) int { return int(1e3 * (b.All - a.All)) })
+	slow := slices.Clone(s.Versions)
+	slices.SortStableFunc(slow, func(a, b *ListVersion) int { return int(1e3 * (b.MaxDelay - a.MaxDelay)) })
 	for _, v := range slow[:min(rows, len(slow))] {
-		line(v.Tier, v.Index, v.First, v.Half, v.All, v.Nodes, v.Never)
+		line(v.Tier, v.Index, v.FirstSeconds, v.MedianDelay, v.MaxDelay, v.Balancers, v.NeverReceived)
 	}
-	if n := len(c.Late); n > 0 {
-		line("new upstreams told after_s:", "half", c.Late[n/2], "9 in 10", c.Late[n*9/10], "most", c.Late[n-1])
+	if n := len(s.ListDelays); n > 0 {
+		line("new upstreams told after_s:", "half", s.ListDelays[n/2], "9 in 10", s.ListDelays[n*9/10], "most", s.ListDelays[n-1])
 	}
 
 	table("Balancers that lost the most:")
 	line("file", "tier", "arrived", "lost", "in 100", "by reason")
-	for _, m := range c.Members[:min(rows, len(c.Members))] {
-		line(m.File, m.Tier, m.Arrived, m.Lost, 100*m.Lost/max(m.Arrived, 1), list(m.Reasons))
+	for _, m := range s.Processes[:min(rows, len(s.Processes))] {
+		line(m.File, m.Tier, m.Arrived, m.Lost, 100*m.Lost/max(m.Arrived, 1), formatCounts(m.Reasons))
 	}
 	w.Flush()
 }
 
-func dials(f map[string]float64) float64 {
+func dialCount(f map[string]float64) float64 {
 	return f["dial_first"] + f["dial_again"] + f["dial_busy"] + f["dial_probe"]
 }
 
-func short(v float64) string {
+func formatNumber(v float64) string {
 	text := fmt.Sprintf("%.1f", v)
 	return strings.TrimSuffix(text, ".0")
 }
 
-func list[N int | float64](of map[string]N) string {
+func formatCounts[N int | float64](of map[string]N) string {
 	var all []string
-	for _, name := range keys(of) {
-		all = append(all, fmt.Sprintf("%s %s", name, short(float64(of[name]))))
+	for _, name := range sortedKeys(of) {
+		all = append(all, fmt.Sprintf("%s %s", name, formatNumber(float64(of[name]))))
 	}
 	return strings.Join(all, ", ")
 }
@@ -135,20 +135,20 @@
 var colours = []string{"#a22", "#b80", "#89b", "#3a7", "#639", "#27a", "#222", "#a50", "#466", "#c6a"}
 
 // HTML writes one page with pictures, which needs nothing else.
-func (c *Count) HTML(to io.Writer) error {
+func (s *Summary) HTML(to io.Writer) error {
 	var b strings.Builder
 	draw.Page(&b, "A fleet's logs")
-	fmt.Fprintf(&b, "<p>%d balancers, %d lines from %s on, %.0f s.</p>", c.Nodes, c.Lines, c.Start.Format("2006-01-02T15:04:05Z"), c.Length)
-	p := &draw.Plot{Length: max(c.Length, c.Every), Step: c.Every}
+	fmt.Fprintf(&b, "<p>%d balancers, %d lines from %s on, %.0f s.</p>", s.Balancers, s.Lines, s.Start.Format("2006-01-02T15:04:05Z"), s.LengthSeconds)
+	p := &draw.Plot{Length: max(s.LengthSeconds, s.StepSeconds), Step: s.StepSeconds}
 	values := func(of func(r *Row) float64) (all []float64) {
-		for _, r := range c.Rows {
+		for _, r := range s.Rows {
 			all = append(all, of(r))
 		}
 		return all
 	}
 	bars := func(caption string, all []draw.Series) {
 		most := 0.0
-		for k := range c.Rows {
+		for k := range s.Rows {
 			sum := 0.0
 			for _, s := range all {
 				sum += s.Values[k]
@@ -162,13 +162,13 @@
 		b.WriteString("</svg></figure>")
 	}
 	var lost []draw.Series
-	for k, name := range c.reasons()[:min(6, len(c.reasons()))] {
-		lost = append(lost, draw.Series{Name: name, Colour: colours[k], Values: values(func(r *Row) float64 { return r.Losses[name] / c.Every })})
+	for k, name := range s.reasons()[:min(6, len(s.reasons()))] {
+		lost = append(lost, draw.Series{Name: name, Colour: colours[k], Values: values(func(r *Row) float64 { return r.Losses[name] / s.StepSeconds })})
 	}
 	bars("Lost a second, by reason", lost)
 	pick := func(names ...string) (all []draw.Series) {
 		for k, name := range names {
-			all = append(all, draw.Series{Name: name, Colour: colours[k], Values: values(func(r *Row) float64 { return r.Figures[name] / c.Every })})
+			all = append(all, draw.Series{Name: name, Colour: colours[k], Values: values(func(r *Row) float64 { return r.Figures[name] / s.StepSeconds })})
 		}
 		return all
 	}
@@ -178,25 +178,25 @@
 	bars("Copies and retries a second", pick("copies", "retries"))
 	events := func(names ...string) (all []draw.Series) {
 		for k, name := range names {
-			all = append(all, draw.Series{Name: name, Colour: colours[k], Values: values(func(r *Row) float64 { return float64(r.Nodes[name]) })})
+			all = append(all, draw.Series{Name: name, Colour: colours[k], Values: values(func(r *Row) float64 { return float64(r.Balancers[name]) })})
 		}
 		return all
 	}
 	bars("Balancers that did the same within a step", events("list_told", "list_open", "list_broken", "aside", "back", "start"))
 	bars("Pairs of a balancer and an upstream that it has set aside", []draw.Series{
-		{Name: "aside", Colour: colours[4], Values: values(func(r *Row) float64 { return float64(r.Aside) })},
+		{Name: "aside", Colour: colours[4], Values: values(func(r *Row) float64 { return float64(r.Ejected) })},
 	})
 	bars("Balancers whose list is older than the newest told", []draw.Series{
-		{Name: "behind", Colour: colours[5], Values: values(func(r *Row) float64 { return float64(r.Behind) })},
+		{Name: "behind", Colour: colours[5], Values: values(func(r *Row) float64 { return float64(r.OutdatedLists) })},
 	})
 	b.WriteString("<h2>Upstreams set aside</h2><table><tr><th>upstream</th><th>balancers at once</th><th>balancer-seconds</th><th>why</th></tr>")
-	for _, u := range c.Beliefs[:min(30, len(c.Beliefs))] {
-		fmt.Fprintf(&b, "<tr><td>%s</td><td>%d</td><td>%.1f</td><td>%s</td></tr>", draw.Esc(u.Upstream), u.Most, u.Seconds, draw.Esc(list(u.Why)))
+	for _, u := range s.Ejections[:min(30, len(s.Ejections))] {
+		fmt.Fprintf(&b, "<tr><td>%s</td><td>%d</td><td>%.1f</td><td>%s</td></tr>", draw.Esc(u.Upstream), u.MaxAtOnce, u.BalancerSeconds, draw.Esc(formatCounts(u.Reasons)))
 	}
 	b.WriteString("</table><h2>Balancers that lost the most</h2><table><tr><th>file</th><th>tier</th><th>arrived</th><th>lost</th><th>by reason</th></tr>")
-	for _, m := range c.Members[:min(30, len(c.Members))] {
+	for _, m := range s.Processes[:min(30, len(s.Processes))] {
 		fmt.Fprintf(&b, "<tr><td>%s</td><td>%s</td><td>%.0f</td><td>%.0f</td><td>%s</td></tr>",
-			draw.Esc(m.File), draw.Esc(m.Tier), m.Arrived, m.Lost, draw.Esc(list(m.Reasons)))
+			draw.Esc(m.File), draw.Esc(m.Tier), m.Arrived, m.Lost, draw.Esc(formatCounts(m.Reasons)))
 	}
 	b.WriteString("</table></html>\n")
 	_, err := io.WriteString(to, b.String())
--- a/internal/httpwire/httpwire_test.go
+++ b/internal/httpwire/httpwire_test.go
@@ -47,8 +47,8 @@
 }
 
 // stay is the place of an upstream that listens at l.
-func stay(l net.Listener) roster.Place {
-	return roster.Place{Host: "u1", Address: l.Addr().String(), Kept: new(atomic.Int32)}
+func stay(l net.Listener) roster.Endpoint {
+	return roster.Endpoint{Host: "u1", Address: l.Addr().String(), IdleConns: new(atomic.Int32)}
 }
 
 // FuzzRequest: any message is answered, and what goes on is as the client sent it, less what concerns its
@@ -124,7 +124,7 @@
 // A push that panics may have run all the same, and its outcome reaches the module.
 func TestPanicOfAPushIsAnOutcome(t *testing.T) {
 	f, p := front(t)
-	p.desk.List([]roster.Entry[string]{{Name: "u", Zone: "a", Up: logic.Upstream{Weight: 1}}}, true)
+	p.desk.List([]roster.Entry[string]{{Name: "u", Zone: "a", Upstream: logic.Upstream{Weight: 1}}}, true)
 	p.out.transport = nil
 	t.Cleanup(func() { p.out.transport = &http.Transport{} })
 	for path, want := range map[string]int{"/view": http.StatusServiceUnavailable, "/load": http.StatusBadGateway} {
--- a/internal/httpwire/outbound.go
+++ b/internal/httpwire/outbound.go
@@ -62,13 +62,13 @@
 
 // way is where a push goes and until when.
 type way struct {
-	roster.Place
+	roster.Endpoint
 	until time.Time
 	probe bool
 }
 
 // toward lets a dial know where its upstream is. The transport's pool goes by host.
-func toward(ctx context.Context, at roster.Place, until time.Time, probe bool) context.Context {
+func toward(ctx context.Context, at roster.Endpoint, until time.Time, probe bool) context.Context {
 	return context.WithValue(ctx, placeKey{}, way{at, until, probe})
 }
 
@@ -99,7 +99,7 @@
 				}
 				return nil, err
 			}
-			o, err := newOutward(c.(*net.TCPConn), b, to.Place)
+			o, err := newOutward(c.(*net.TCPConn), b, to.Endpoint)
 			gone := left()
 			if err != nil {
 				b.uncount()
--- a/internal/httpwire/outward.go
+++ b/internal/httpwire/outward.go
@@ -46,12 +46,12 @@
 
 var errStray = errors.New("bytes on the connection that belong to no push")
 
-func newOutward(c *net.TCPConn, b *outbound, at roster.Place) (*outward, error) {
+func newOutward(c *net.TCPConn, b *outbound, at roster.Endpoint) (*outward, error) {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return nil, err
 	}
-	o := &outward{counted: counted{TCPConn: c, count: &b.sockets.out}, owner: b, host: at.Host, raw: raw, kept: at.Kept}
+	o := &outward{counted: counted{TCPConn: c, count: &b.sockets.out}, owner: b, host: at.Host, raw: raw, kept: at.IdleConns}
 	o.change = sync.NewCond(&o.mu)
 	o.rest(true)
 	return o, nil
--- a/internal/httpwire/pool.go
+++ b/internal/httpwire/pool.go
@@ -157,16 +157,16 @@
 	var c roster.Change
 	for _, sh := range p.shards {
 		c = sh.desk.List(entries, whole)
-		sh.out.leave(c.Left)
+		sh.out.leave(c.ReleasedHosts)
 	}
 	first := p.stands.Swap(true)
-	if late := time.Duration(0); !whole || !first || c.Joined+c.Ends+c.Gone > 0 || c.Odd != p.odd {
-		p.odd = c.Odd
-		if first && c.Born > 0 { // what had started before the first list was not told late
-			late = time.Since(time.Unix(0, c.Born))
+	if late := time.Duration(0); !whole || !first || c.Joined+c.Draining+c.Removed > 0 || c.Conflicts != p.odd {
+		p.odd = c.Conflicts
+		if first && c.NewestStart > 0 { // what had started before the first list was not told late
+			late = time.Since(time.Unix(0, c.NewestStart))
 		}
-		p.log.Info("list", "step", "changed", "whole", whole, "entries", len(entries), "joined", c.Joined, "draining", c.Ends,
-			"gone", c.Gone, "listed", c.Listed, "odd", c.Odd, "late", late.Round(time.Millisecond))
+		p.log.Info("list", "step", "changed", "whole", whole, "entries", len(entries), "joined", c.Joined, "draining", c.Draining,
+			"gone", c.Removed, "listed", c.Listed, "odd", c.Conflicts, "late", late.Round(time.Millisecond))
 	}
 }
 
--- a/internal/httpwire/push.go
+++ b/internal/httpwire/push.go
@@ -194,7 +194,7 @@
 }
 
 // ping asks an upstream for a sign of life, which may take as long as two connections to it.
-func (p *shard) ping(ctx context.Context, at roster.Place) bool {
+func (p *shard) ping(ctx context.Context, at roster.Endpoint) bool {
 	until := time.Now().Add(2 * p.book.Load().DialTimeout)
 	ctx, end := context.WithDeadline(ctx, until)
 	defer end()
--- a/internal/httpwire/smuggle_test.go
+++ b/internal/httpwire/smuggle_test.go
@@ -68,7 +68,7 @@
 	}
 	door, pool := front(f)
 	l, read, odd, hidden := strict(f)
-	pool.desk.List([]roster.Entry[string]{{Name: "u", Zone: "a", Address: l.Addr().String(), Up: logic.Upstream{Weight: 1}}}, true)
+	pool.desk.List([]roster.Entry[string]{{Name: "u", Zone: "a", Address: l.Addr().String(), Upstream: logic.Upstream{Weight: 1}}}, true)
 	in, err := door.Listen("main", "127.0.0.1:0")
 	if err != nil {
 		f.Fatal(err)
--- a/internal/httpwire/tally.go
+++ b/internal/httpwire/tally.go
@@ -124,8 +124,8 @@
 	p.tally.ended = ended
 	if p.book.Load().Watch {
 		w := t.Watched
-		p.log.Info("shape", "compared", w.Compared, "elsewhere", w.Elsewhere, "waiting", w.Waiting, "sooner", w.Sooner,
-			"copies", w.Copies, "fewer", w.Fewer, "given_up", w.GivenUp, "kept", w.Kept)
+		p.log.Info("shape", "compared", w.Compared, "elsewhere", w.OtherUpstream, "waiting", w.Later, "sooner", w.Earlier,
+			"copies", w.MoreAttempts, "fewer", w.FewerAttempts, "given_up", w.EndedInShadow, "kept", w.OpenInShadow)
 	}
 	s := p.front.sockets
 	_, out, bodies, owed := p.part.holds()
--- a/internal/listfile/listfile.go
+++ b/internal/listfile/listfile.go
@@ -28,12 +28,12 @@
 		e := roster.Entry[string]{
 			Name:    u.Must("name", "what the log calls it"),
 			Address: u.Address("address", "where it is reached, such as \"127.0.0.1:9001\""),
-			Zone:    u.Text("zone", ""), Kind: u.Text("kind", ""), Ends: u.Flag("draining", false),
-			Up: logic.Upstream{
+			Zone:    u.Text("zone", ""), Kind: u.Text("kind", ""), Draining: u.Flag("draining", false),
+			Upstream: logic.Upstream{
 				Weight: u.Number("weight", 1, 1e-6, 1e6), Cell: u.Whole("group", 0, 0, 1e9), StartedAt: u.Moment("since"),
 			},
 		}
-		e.Up.ID = roster.Number(e.Name)
+		e.Upstream.ID = roster.UpstreamID(e.Name)
 		if seen[e.Name] && e.Name != "" {
 			u.F.Fault(settings.Join(u.Path, "name"), "%q is another's name in this list", e.Name)
 		}
--- a/internal/mesh/proxy/inbound.go
+++ b/internal/mesh/proxy/inbound.go
@@ -158,7 +158,7 @@
 }
 
 // probeUpstream asks the proxy beside an upstream whether the upstream is available.
-func (p *Proxy) probeUpstream(ctx context.Context, service *servicePool, at roster.Place) bool {
+func (p *Proxy) probeUpstream(ctx context.Context, service *servicePool, at roster.Endpoint) bool {
 	name := ""
 	p.mu.Lock()
 	for _, n := range p.nodes {
--- a/internal/mesh/proxy/partner_policy.go
+++ b/internal/mesh/proxy/partner_policy.go
@@ -167,7 +167,7 @@
 			nodes = append(nodes, n)
 		}
 	}
-	key := func(n *knownNode) uint32 { return roster.Number(n.Name + gatewaySeparator + p.settings.Node) }
+	key := func(n *knownNode) uint32 { return roster.UpstreamID(n.Name + gatewaySeparator + p.settings.Node) }
 	slices.SortFunc(nodes, func(a, b *knownNode) int { return cmp.Or(cmp.Compare(key(a), key(b)), strings.Compare(a.Name, b.Name)) })
 	type gatewayAddress struct{ node, zone, address string }
 	var gateways []gatewayAddress
@@ -185,7 +185,7 @@
 			}
 			name := partner + gatewaySeparator + gateway.node
 			entries = append(entries, roster.Entry[string]{Name: name, Zone: gateway.zone, Address: gateway.address,
-				Up: logic.Upstream{ID: roster.Number(name), Weight: weight}})
+				Upstream: logic.Upstream{ID: roster.UpstreamID(name), Weight: weight}})
 		}
 	}
 	return entries
@@ -219,7 +219,7 @@
 	}
 	delete(request.header, upstreamIDHeader)
 	request.header[importEditionHeader] = []string{strconv.FormatInt(edition, 10)}
-	response := p.send(ctx, request, p.partnerConnections, roster.Place{Host: partner, Address: gateway})
+	response := p.send(ctx, request, p.partnerConnections, roster.Endpoint{Host: partner, Address: gateway})
 	if response.kind == apierror.NotReady && ctx.Err() == nil {
 		response.kind = apierror.NoCapacity // it did not reach the partner
 	}
--- a/internal/mesh/proxy/service_pool.go
+++ b/internal/mesh/proxy/service_pool.go
@@ -225,11 +225,11 @@
 		}
 		slices.SortFunc(list, func(a, b roster.Entry[string]) int { return strings.Compare(a.Name, b.Name) })
 		change := service.desk.List(list, true)
-		for _, host := range change.Left {
+		for _, host := range change.ReleasedHosts {
 			service.peers.closeHost(host)
 		}
-		if change.Joined+change.Ends+change.Gone > 0 {
-			p.log.Info("list", "service", name, "listed", change.Listed, "joined", change.Joined, "end", change.Ends, "gone", change.Gone)
+		if change.Joined+change.Draining+change.Removed > 0 {
+			p.log.Info("list", "service", name, "listed", change.Listed, "joined", change.Joined, "end", change.Draining, "gone", change.Removed)
 		}
 	}
 }
@@ -243,8 +243,8 @@
 	for k, share := range outlier.CapacityShares(levels, slots) {
 		n := nodes[k]
 		entries = append(entries, roster.Entry[string]{
-			Name: n.Upstream.ID, Zone: n.Zone, Address: n.Inbound, Ends: n.Upstream.Draining || n.Leaving,
-			Up: logic.Upstream{ID: roster.Number(n.Upstream.ID), Weight: n.weight(now) * share},
+			Name: n.Upstream.ID, Zone: n.Zone, Address: n.Inbound, Draining: n.Upstream.Draining || n.Leaving,
+			Upstream: logic.Upstream{ID: roster.UpstreamID(n.Upstream.ID), Weight: n.weight(now) * share},
 		})
 	}
 	return entries
--- a/internal/mesh/proxy/upstream_request.go
+++ b/internal/mesh/proxy/upstream_request.go
@@ -69,11 +69,11 @@
 }
 
 // send sends a request over a connection of a pool, an idle one if one may carry the request.
-func (p *Proxy) send(ctx context.Context, request *upstreamRequest, pool *connectionPool, at roster.Place) *upstreamResponse {
+func (p *Proxy) send(ctx context.Context, request *upstreamRequest, pool *connectionPool, at roster.Endpoint) *upstreamResponse {
 	if err := checkSendable(ctx, request); err != nil {
 		return &upstreamResponse{kind: apierror.NotReady, err: err}
 	}
-	to := destination{host: at.Host, address: at.Address, idleCount: at.Kept}
+	to := destination{host: at.Host, address: at.Address, idleCount: at.IdleConns}
 	for c := pool.get(to, request.requestID); c != nil; c = nil {
 		response := p.sendOver(ctx, request, pool, c)
 		if response.kind != apierror.NotReady || response.wrote || ctx.Err() != nil || notSent(response.err) {
@@ -148,7 +148,7 @@
 		return &upstreamResponse{kind: kind}
 	}
 	began := time.Now()
-	response := p.send(ctx, request, p.upstreamConnections, roster.Place{Host: request.upstreamID, Address: address})
+	response := p.send(ctx, request, p.upstreamConnections, roster.Endpoint{Host: request.upstreamID, Address: address})
 	if failed, known := assessUpstream(ctx, request, response, time.Since(began)); known {
 		p.local.observe(request.upstreamID, failed, time.Now())
 	}
--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -16,63 +16,63 @@
 )
 
 const (
-	// Most is how many connections are held at once; descriptors for them are set aside.
-	Most       = 16
-	longest    = 64               // bytes of a call
-	named      = 512              // and of one to staff
-	silent     = 5 * time.Second  // until a caller without a call is let go
-	agreed     = 10 * time.Second // until what needs a majority of keepers is
-	answered   = time.Second      // until an answer that nobody reads is
-	mostAnswer = 512 << 20        // bytes that staff's side takes: the views of some hundred members, or a ledger
+	// MaxConnections is how many connections are held at once; descriptors for them are set aside.
+	MaxConnections         = 16
+	maxCommandBytes        = 64               // bytes of a call
+	maxClusterCommandBytes = 512              // and of one to staff
+	commandTimeout         = 5 * time.Second  // until a caller without a call is let go
+	clusterCommandTimeout  = 10 * time.Second // until what needs a majority of keepers is
+	writeTimeout           = time.Second      // until an answer that nobody reads is
+	maxAnswerBytes         = 512 << 20        // bytes that staff's side takes: the views of some hundred members, or a ledger
 )
 
 // Balancer is what can be asked.
 type Balancer interface {
 	Health() error // nil if it takes clients, else why not
-	Figures(to io.Writer) error
+	WriteFigures(to io.Writer) error
 	Leave() error
 	Join() error
-	Members(to io.Writer, all bool) error // of its cluster; an error if it is in none
-	Cluster(to io.Writer, words []string) error
+	WriteMembers(to io.Writer, all bool) error // of its cluster; an error if it is in none
+	ClusterCommand(to io.Writer, words []string) error
 }
 
 // Server answers at one address.
 type Server struct {
-	l  net.Listener
-	of Balancer
+	listener net.Listener
+	balancer Balancer
 
-	mu      sync.Mutex
-	callers list.List // without a whole call yet, the oldest first
-	ended   bool
-	all     sync.WaitGroup
+	mu         sync.Mutex
+	pending    list.List // without a whole call yet, the oldest first
+	closed     bool
+	goroutines sync.WaitGroup
 }
 
 // Open listens, and answers until Close.
-func Open(address string, of Balancer) (*Server, error) {
-	l, err := net.Listen("tcp", address)
+func Open(address string, balancer Balancer) (*Server, error) {
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{l: l, of: of}
-	s.all.Go(s.accept)
+	s := &Server{listener: listener, balancer: balancer}
+	s.goroutines.Go(s.accept)
 	return s, nil
 }
 
 // Close ends it.
 func (s *Server) Close() {
 	s.mu.Lock()
-	s.ended = true
-	for e := s.callers.Front(); e != nil; e = e.Next() {
+	s.closed = true
+	for e := s.pending.Front(); e != nil; e = e.Next() {
 		e.Value.(net.Conn).Close()
 	}
 	s.mu.Unlock()
-	s.l.Close()
-	s.all.Wait()
+	s.listener.Close()
+	s.goroutines.Wait()
 }
 
 func (s *Server) accept() {
 	for {
-		c, err := s.l.Accept()
+		conn, err := s.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -81,95 +81,95 @@
 			continue
 		}
 		s.mu.Lock()
-		if s.ended {
+		if s.closed {
 			s.mu.Unlock()
-			c.Close()
+			conn.Close()
 			return
 		}
 		// Danger: callers that hold their connection and say nothing would keep everybody else out.
-		if s.callers.Len() >= Most {
-			s.callers.Remove(s.callers.Front()).(net.Conn).Close()
+		if s.pending.Len() >= MaxConnections {
+			s.pending.Remove(s.pending.Front()).(net.Conn).Close()
 		}
-		place := s.callers.PushBack(c)
+		element := s.pending.PushBack(conn)
 		s.mu.Unlock()
-		s.all.Go(func() { s.answer(c, place) })
+		s.goroutines.Go(func() { s.serve(conn, element) })
 	}
 }
 
-// answer is the life of one connection.
-func (s *Server) answer(c net.Conn, place *list.Element) {
-	defer c.Close()
+// serve is the life of one connection.
+func (s *Server) serve(conn net.Conn, element *list.Element) {
+	defer conn.Close()
 	defer func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.callers.Remove(place) // no fault if it has made room
+		s.pending.Remove(element) // no fault if it has made room
 	}()
-	c.SetReadDeadline(time.Now().Add(silent))
-	in := bufio.NewReaderSize(c, named)
-	line, err := in.ReadSlice('\n')
+	conn.SetReadDeadline(time.Now().Add(commandTimeout))
+	reader := bufio.NewReaderSize(conn, maxClusterCommandBytes)
+	line, err := reader.ReadSlice('\n')
 	if err != nil && (err != io.EOF || len(line) == 0) && err != bufio.ErrBufferFull {
 		return // Danger: half a line that is cut by silence is no call
 	}
-	c.SetWriteDeadline(time.Now().Add(answered))
+	conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	words := strings.Fields(string(line))
-	staff := len(words) > 1 && strings.EqualFold(words[0], "cluster")
-	if err == bufio.ErrBufferFull || len(line) > longest && !staff {
-		fmt.Fprintf(c, "FAILURE a call has %d bytes at most\n", longest)
+	isCluster := len(words) > 1 && strings.EqualFold(words[0], "cluster")
+	if err == bufio.ErrBufferFull || len(line) > maxCommandBytes && !isCluster {
+		fmt.Fprintf(conn, "FAILURE a call has %d bytes at most\n", maxCommandBytes)
 		return
 	}
-	if staff {
-		c.SetWriteDeadline(time.Now().Add(agreed))
-		if err := s.of.Cluster(c, words[1:]); err != nil {
-			say(c, err)
+	if isCluster {
+		conn.SetWriteDeadline(time.Now().Add(clusterCommandTimeout))
+		if err := s.balancer.ClusterCommand(conn, words[1:]); err != nil {
+			writeResult(conn, err)
 		} else {
-			io.WriteString(c, "EOT\n")
+			io.WriteString(conn, "EOT\n")
 		}
 		return
 	}
-	switch call := strings.ToUpper(string(bytes.TrimSpace(line))); call {
+	switch command := strings.ToUpper(string(bytes.TrimSpace(line))); command {
 	case "HEALTH":
-		say(c, s.of.Health())
+		writeResult(conn, s.balancer.Health())
 	case "LEAVE":
-		say(c, s.of.Leave())
+		writeResult(conn, s.balancer.Leave())
 	case "JOIN":
-		say(c, s.of.Join())
+		writeResult(conn, s.balancer.Join())
 	case "DUMP":
-		if s.of.Figures(c) == nil {
-			io.WriteString(c, "EOT\n")
+		if s.balancer.WriteFigures(conn) == nil {
+			io.WriteString(conn, "EOT\n")
 		}
 	case "MEMBERS", "MEMBERS ALL":
-		if err := s.of.Members(c, call != "MEMBERS"); err != nil {
-			say(c, err)
+		if err := s.balancer.WriteMembers(conn, command != "MEMBERS"); err != nil {
+			writeResult(conn, err)
 		} else {
-			io.WriteString(c, "EOT\n")
+			io.WriteString(conn, "EOT\n")
 		}
 	case "":
-		io.WriteString(c, "FAILURE an empty line; the calls are HEALTH, DUMP, LEAVE, JOIN, MEMBERS, CLUSTER\n")
+		io.WriteString(conn, "FAILURE an empty line; the calls are HEALTH, DUMP, LEAVE, JOIN, MEMBERS, CLUSTER\n")
 	default:
-		fmt.Fprintf(c, "FAILURE no call %q; the calls are HEALTH, DUMP, LEAVE, JOIN, MEMBERS, CLUSTER\n", call)
+		fmt.Fprintf(conn, "FAILURE no call %q; the calls are HEALTH, DUMP, LEAVE, JOIN, MEMBERS, CLUSTER\n", command)
 	}
 }
 
-func say(to io.Writer, no error) {
-	if no != nil {
-		fmt.Fprintf(to, "FAILURE %s\n", no)
+func writeResult(to io.Writer, err error) {
+	if err != nil {
+		fmt.Fprintf(to, "FAILURE %s\n", err)
 		return
 	}
 	io.WriteString(to, "SUCCESS\n")
 }
 
 // Call asks a balancer at its second address, for staff; ok tells whether it said yes, or told all its figures.
-func Call(address, call string, within time.Duration) (text string, ok bool, err error) {
-	c, err := net.DialTimeout("tcp", address, within)
+func Call(address, command string, within time.Duration) (text string, ok bool, err error) {
+	conn, err := net.DialTimeout("tcp", address, within)
 	if err != nil {
 		return "", false, err
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(within))
-	if _, err = fmt.Fprintf(c, "%s\n", call); err != nil {
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(within))
+	if _, err = fmt.Fprintf(conn, "%s\n", command); err != nil {
 		return "", false, err
 	}
-	raw, err := io.ReadAll(io.LimitReader(c, mostAnswer))
+	raw, err := io.ReadAll(io.LimitReader(conn, maxAnswerBytes))
 	text = string(raw)
 	return text, strings.HasPrefix(text, "SUCCESS") || strings.HasSuffix(text, "EOT\n"), err
 }
--- a/internal/process/cluster.go
+++ b/internal/process/cluster.go
@@ -15,30 +15,30 @@
 	"ottershift/internal/terms"
 )
 
-// fleet is the process's part in its cluster. Without [cluster] there is none: no goroutine, socket or file.
-type fleet struct {
+// membership is the process's part in its cluster. Without [cluster] there is none: no goroutine, socket or file.
+type membership struct {
 	*cluster.Cluster
-	s    *Process
-	kick chan struct{}
-	end  chan struct{}
-	done chan struct{}
-	once sync.Once
+	process        *Process
+	membersChanged chan struct{}
+	stop           chan struct{}
+	done           chan struct{}
+	closeOnce      sync.Once
 
-	offered   []string
-	lastEnded int64
-	lastAt    time.Time
+	announcedPools []string
+	lastEndedCount int64
+	lastStatusAt   time.Time
 }
 
 const (
-	settles = 200 * time.Millisecond // that members change before pools are told
-	leaves  = 500 * time.Millisecond // at the end of a process
-	// countedFor is how long a member that is held dead counts as a balancer still: it may live behind a link that is cut,
+	memberChangeDelay = 200 * time.Millisecond // that members change before pools are told
+	leaveTimeout      = 500 * time.Millisecond // at the end of a process
+	// deadMemberRetention is how long a member that is held dead counts as a balancer still: it may live behind a link that is cut,
 	// and what all send cold upstreams has to stay within bounds.
-	countedFor = 10 * time.Minute
+	deadMemberRetention = 10 * time.Minute
 )
 
 // joinCluster takes part in the cluster of a plan, if it names one.
-func (s *Process) joinCluster(p *plan.Plan) error {
+func (proc *Process) joinCluster(p *plan.Plan) error {
 	if p.Cluster == nil {
 		return nil
 	}
@@ -46,219 +46,219 @@
 	if err != nil {
 		return err
 	}
-	f := &fleet{s: s, kick: make(chan struct{}, 1), end: make(chan struct{}), done: make(chan struct{}), lastAt: time.Now()}
-	f.Cluster, err = cluster.Open(cluster.Options{
-		Settings: p.Cluster, Ops: p.Ops, Build: build(), Seed: s.seed, Log: s.own, Lab: lab, Status: f.status, Changed: f.changed,
+	m := &membership{process: proc, membersChanged: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{}), lastStatusAt: time.Now()}
+	m.Cluster, err = cluster.Open(cluster.Options{
+		Settings: p.Cluster, Ops: p.Ops, Build: buildVersion(), Seed: proc.seed, Log: proc.eventLog, Lab: lab, Status: m.status, Changed: m.notifyMembersChanged,
 	})
 	if err != nil {
 		return err
 	}
-	s.mu.Lock()
-	s.fleet = f
-	s.mu.Unlock()
-	go f.run()
+	proc.mu.Lock()
+	proc.membership = m
+	proc.mu.Unlock()
+	go m.run()
 	return nil
 }
 
-// build is which one this is, as others are told.
-func build() string {
+// buildVersion is which one this is, as others are told.
+func buildVersion() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return ""
 	}
-	for _, v := range info.Settings {
-		if v.Key == "vcs.revision" {
-			return v.Value[:min(12, len(v.Value))]
+	for _, setting := range info.Settings {
+		if setting.Key == "vcs.revision" {
+			return setting.Value[:min(12, len(setting.Value))]
 		}
 	}
 	return info.Main.Version
 }
 
 // close leaves the cluster by intent, once.
-func (f *fleet) close() {
-	f.once.Do(func() {
-		close(f.end)
-		<-f.done
-		f.Cluster.Close()
+func (m *membership) close() {
+	m.closeOnce.Do(func() {
+		close(m.stop)
+		<-m.done
+		m.Cluster.Close()
 	})
 }
 
-// leave does so within a time: a process that was told to end doesn't wait for keepers that it can't reach.
-func (f *fleet) leave() {
+// closeWithTimeout does so within a time: a process that was told to end doesn't wait for keepers that it can't reach.
+func (m *membership) closeWithTimeout() {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		f.close()
+		m.close()
 	}()
 	select {
 	case <-done:
-	case <-time.After(leaves):
+	case <-time.After(leaveTimeout):
 	}
 }
 
-// leaving passes on whether clients are to go elsewhere, if that was done.
-func (s *Process) leaving(yes bool, err error) error {
-	if f := s.inFleet(); err == nil && f != nil {
-		f.Leaving(yes)
+// announceLeaving passes on whether clients are to go elsewhere, if that was done.
+func (proc *Process) announceLeaving(leaving bool, err error) error {
+	if m := proc.clusterMembership(); err == nil && m != nil {
+		m.Leaving(leaving)
 	}
 	return err
 }
 
-// changed has pools told of other members soon.
-func (f *fleet) changed() {
+// notifyMembersChanged has pools told of other members soon.
+func (m *membership) notifyMembersChanged() {
 	select {
-	case f.kick <- struct{}{}:
+	case m.membersChanged <- struct{}{}:
 	default:
 	}
 }
 
-func (f *fleet) run() {
-	defer close(f.done)
-	tick := time.NewTicker(countedFor / 10) // who is held dead counts for some time only
-	defer tick.Stop()
+func (m *membership) run() {
+	defer close(m.done)
+	ticker := time.NewTicker(deadMemberRetention / 10) // who is held dead counts for some time only
+	defer ticker.Stop()
 	for {
 		select {
-		case <-f.kick:
-		case <-tick.C:
-		case <-f.end:
+		case <-m.membersChanged:
+		case <-ticker.C:
+		case <-m.stop:
 			return
 		}
 		select {
-		case <-time.After(settles):
-		case <-f.end:
+		case <-time.After(memberChangeDelay):
+		case <-m.stop:
 			return
 		}
-		f.s.recount()
-		if f.offers() {
-			f.Tell()
+		m.process.updateBalancerCounts()
+		if m.poolsChanged() {
+			m.Tell()
 		}
 	}
 }
 
-// offers reports whether this process offers other pools than it told last.
-func (f *fleet) offers() bool {
-	f.s.mu.Lock()
-	defer f.s.mu.Unlock()
-	now := slices.Sorted(maps.Keys(f.s.pools))
-	defer func() { f.offered = now }()
-	return !slices.Equal(now, f.offered)
+// poolsChanged reports whether this process offers other pools than it told last.
+func (m *membership) poolsChanged() bool {
+	m.process.mu.Lock()
+	defer m.process.mu.Unlock()
+	names := slices.Sorted(maps.Keys(m.process.pools))
+	defer func() { m.announcedPools = names }()
+	return !slices.Equal(names, m.announcedPools)
 }
 
 // status is what others are told of this process.
-func (f *fleet) status() member.Status {
-	s := f.s
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	var st member.Status
+func (m *membership) status() member.Status {
+	process := m.process
+	process.mu.Lock()
+	defer process.mu.Unlock()
+	var status member.Status
 	ended := int64(0)
-	for name, p := range s.pools {
-		v := p.View()
-		st.Open += v.Counts.Open.Load()
-		for _, n := range v.Counts.Ended() {
+	for name, p := range process.pools {
+		view := p.View()
+		status.Open += view.Counts.Open.Load()
+		for _, n := range view.Counts.Ended() {
 			ended += n
 		}
-		if len(st.Offers) < member.MostOffers {
-			st.Offers = append(st.Offers, name)
+		if len(status.Offers) < member.MostOffers {
+			status.Offers = append(status.Offers, name)
 		}
-		st.Parts = p.Shards()
+		status.Parts = p.Shards()
 	}
-	slices.Sort(st.Offers)
-	if span := time.Since(f.lastAt).Seconds(); span > 0 && f.lastEnded <= ended {
-		st.Rate = float64(ended-f.lastEnded) / span
+	slices.Sort(status.Offers)
+	if elapsed := time.Since(m.lastStatusAt).Seconds(); elapsed > 0 && m.lastEndedCount <= ended {
+		status.Rate = float64(ended-m.lastEndedCount) / elapsed
 	}
-	f.lastEnded, f.lastAt = ended, time.Now()
-	return st
+	m.lastEndedCount, m.lastStatusAt = ended, time.Now()
+	return status
 }
 
-// among is a pool's book with the members that count at present, and their names.
-func (s *Process) among(told *plan.Pool) (b *terms.Book, names []string, own int) {
-	if !told.Book.Fleet || s.fleet == nil {
-		return told.Book, nil, 0
+// effectiveBook is a pool's book with the members that count at present, and their names.
+func (proc *Process) effectiveBook(settings *plan.Pool) (book *terms.Book, names []string, own int) {
+	if !settings.Book.Fleet || proc.membership == nil {
+		return settings.Book, nil, 0
 	}
-	names, own = s.fleet.Counted(told.Name, countedFor)
+	names, own = proc.membership.Counted(settings.Name, deadMemberRetention)
 	if own < 0 { // it has not said yet what it offers
-		names = append(names, s.fleet.Settings().Self)
+		names = append(names, proc.membership.Settings().Self)
 		slices.Sort(names)
-		own = slices.Index(names, s.fleet.Settings().Self)
+		own = slices.Index(names, proc.membership.Settings().Self)
 	}
-	return told.Book.Among(max(told.Book.Terms.Balancers, len(names)), own), names, own
+	return settings.Book.Among(max(settings.Book.Terms.Balancers, len(names)), own), names, own
 }
 
-// recount tells pools whose balancers are the cluster's how many there are now. It keeps what they have learnt.
-func (s *Process) recount() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, p := range s.pools {
-		if p.told.Book.Fleet {
-			s.recountPool(p)
+// updateBalancerCounts tells pools whose balancers are the cluster's how many there are now. It keeps what they have learnt.
+func (proc *Process) updateBalancerCounts() {
+	proc.mu.Lock()
+	defer proc.mu.Unlock()
+	for _, p := range proc.pools {
+		if p.settings.Book.Fleet {
+			proc.updateBalancerCount(p)
 		}
 	}
 }
 
-func (s *Process) recountPool(p *pool) {
-	b, names, own := s.among(p.told)
-	was := p.Book().Terms
-	if slices.Equal(names, p.among) && was.Balancers == b.Terms.Balancers && was.Index == b.Terms.Index {
+func (proc *Process) updateBalancerCount(p *pool) {
+	book, names, own := proc.effectiveBook(p.settings)
+	before := p.Book().Terms
+	if slices.Equal(names, p.memberNames) && before.Balancers == book.Terms.Balancers && before.Index == book.Terms.Index {
 		return
 	}
-	if err := p.Retune(b); err != nil {
-		s.own.Error("cluster", "step", "counted", "pool", p.Name, "fault", err) // a fault of ours: it was checked
+	if err := p.Retune(book); err != nil {
+		proc.eventLog.Error("cluster", "step", "counted", "pool", p.Name, "fault", err) // a fault of ours: it was checked
 		return
 	}
-	p.among = names
-	p.Speak(s.fleet.Follow(p.Name, names, own, p.Shards(), p.Pool))
-	s.own.Info("cluster", "step", "counted", "pool", p.Name, "balancers", b.Terms.Balancers, "members", len(names), "index", own)
+	p.memberNames = names
+	p.Speak(proc.membership.Follow(p.Name, names, own, p.Shards(), p.Pool))
+	proc.eventLog.Info("cluster", "step", "counted", "pool", p.Name, "balancers", book.Terms.Balancers, "members", len(names), "index", own)
 }
 
-// Members implements ops.Balancer.
-func (s *Process) Members(to io.Writer, all bool) error {
-	f := s.inFleet()
-	if f == nil {
+// WriteMembers implements ops.Balancer.
+func (proc *Process) WriteMembers(to io.Writer, all bool) error {
+	m := proc.clusterMembership()
+	if m == nil {
 		return errors.New("this process is in no cluster: its configuration has no [cluster]")
 	}
-	return f.Members(to, all)
+	return m.Members(to, all)
 }
 
-// Cluster implements ops.Balancer.
-func (s *Process) Cluster(to io.Writer, words []string) error {
-	f := s.inFleet()
-	if f == nil {
+// ClusterCommand implements ops.Balancer.
+func (proc *Process) ClusterCommand(to io.Writer, words []string) error {
+	m := proc.clusterMembership()
+	if m == nil {
 		return errors.New("this process is in no cluster: its configuration has no [cluster]")
 	}
-	return f.Staff(to, words)
+	return m.Staff(to, words)
 }
 
-// inFleet is this process's part in its cluster, nil if it has none, or not yet.
-func (s *Process) inFleet() *fleet {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.fleet
+// clusterMembership is this process's part in its cluster, nil if it has none, or not yet.
+func (proc *Process) clusterMembership() *membership {
+	proc.mu.Lock()
+	defer proc.mu.Unlock()
+	return proc.membership
 }
 
 // reloadCluster takes over what may change of a cluster in service, and names what may not.
-func (s *Process) reloadCluster(before, now *plan.Plan, later func(key string, changed bool)) {
-	a, b := before.Cluster, now.Cluster
-	if a == nil || b == nil {
-		later("cluster", (a == nil) != (b == nil))
+func (proc *Process) reloadCluster(oldPlan, newPlan *plan.Plan, warnIfChanged func(key string, changed bool)) {
+	before, after := oldPlan.Cluster, newPlan.Cluster
+	if before == nil || after == nil {
+		warnIfChanged("cluster", (before == nil) != (after == nil))
 		return
 	}
-	s.fleet.Divert(b)
-	later("name", a.Self != b.Self)
-	later("cluster.name", a.Name != b.Name)
-	later("cluster.address", a.Address != b.Address)
-	later("cluster.directory", a.Directory != b.Directory)
-	later("cluster.zone", a.Zone != b.Zone)
-	later("cluster.voters", !slices.Equal(a.Voters, b.Voters))
-	later("cluster.probe_every", a.Probe != b.Probe)
-	later("cluster.rejoin_every", a.Rejoin != b.Rejoin)
-	later("cluster.election", a.Election != b.Election)
-	later("cluster.groups", a.Groups != b.Groups)
-	later("cluster.ledger", (a.Ledger == nil) != (b.Ledger == nil))
-	if a.Ledger != nil && b.Ledger != nil {
-		later("cluster.ledger.policy", a.Ledger.Policy != b.Ledger.Policy && (a.Ledger.Policy == "local" || b.Ledger.Policy == "local"))
+	proc.membership.Divert(after)
+	warnIfChanged("name", before.Self != after.Self)
+	warnIfChanged("cluster.name", before.Name != after.Name)
+	warnIfChanged("cluster.address", before.Address != after.Address)
+	warnIfChanged("cluster.directory", before.Directory != after.Directory)
+	warnIfChanged("cluster.zone", before.Zone != after.Zone)
+	warnIfChanged("cluster.voters", !slices.Equal(before.Voters, after.Voters))
+	warnIfChanged("cluster.probe_every", before.Probe != after.Probe)
+	warnIfChanged("cluster.rejoin_every", before.Rejoin != after.Rejoin)
+	warnIfChanged("cluster.election", before.Election != after.Election)
+	warnIfChanged("cluster.groups", before.Groups != after.Groups)
+	warnIfChanged("cluster.ledger", (before.Ledger == nil) != (after.Ledger == nil))
+	if before.Ledger != nil && after.Ledger != nil {
+		warnIfChanged("cluster.ledger.policy", before.Ledger.Policy != after.Ledger.Policy && (before.Ledger.Policy == "local" || after.Ledger.Policy == "local"))
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.claiming()
-	later("cluster.lease", a.Lease != b.Lease || a.Drift != b.Drift)
+	proc.mu.Lock()
+	defer proc.mu.Unlock()
+	proc.configureClaims()
+	warnIfChanged("cluster.lease", before.Lease != after.Lease || before.Drift != after.Drift)
 }
--- a/internal/process/cluster_test.go
+++ b/internal/process/cluster_test.go
@@ -20,16 +20,16 @@
 	"ottershift/internal/plan"
 )
 
-// clustered is a configuration of one pool whose balancers are the members.
-func clustered(t *testing.T, name, listen, address, join string, s *stand) string {
-	return fmt.Sprintf("name = %q\n", name) + shaped(listen, "peers = \"cluster\"\nbalancers = 1", s) +
+// clusterConfig is a configuration of one pool whose balancers are the members.
+func clusterConfig(t *testing.T, name, listen, address, join string, upstream *testUpstream) string {
+	return fmt.Sprintf("name = %q\n", name) + poolConfig(listen, "peers = \"cluster\"\nbalancers = 1", upstream) +
 		fmt.Sprintf("[cluster]\nname = \"zuid\"\naddress = %q\njoin = [%q]\nprobe_every = \"50ms\"\nrejoin_every = \"200ms\"\n", address, join)
 }
 
-func soonIs(t *testing.T, what string, is func() bool) {
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for range 300 {
-		if is() {
+		if condition() {
 			return
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -38,9 +38,9 @@
 }
 
 // Without [cluster] nothing of it runs: no goroutine, no descriptor.
-func TestNoClusterNothing(t *testing.T) {
-	u := newStand(t, "u")
-	s := begin(t, text([]string{free(t)}, [2]any{"a", u}))
+func TestNoGoroutinesWithoutCluster(t *testing.T) {
+	u := newTestUpstream(t, "u")
+	s := startProcess(t, configText([]string{freeAddress(t)}, [2]any{"a", u}))
 	stacks := make([]byte, 1<<20)
 	all := string(stacks[:runtime.Stack(stacks, true)])
 	for _, word := range []string{"internal/cluster", "memberlist"} {
@@ -48,27 +48,27 @@
 			t.Errorf("a goroutine of %s runs", word)
 		}
 	}
-	if s.fleet != nil {
+	if s.membership != nil {
 		t.Error("it is in a cluster")
 	}
-	if err := s.Members(&bytes.Buffer{}, false); err == nil {
+	if err := s.WriteMembers(&bytes.Buffer{}, false); err == nil {
 		t.Error("it tells of members")
 	}
-	finish(t, s, http.DefaultTransport.(*http.Transport), u)
+	closeAndVerify(t, s, http.DefaultTransport.(*http.Transport), u)
 }
 
 // Two processes count one another as balancers of the pool, keep their modules over every change, and tell one another
 // what they hold; who leaves by intent counts no more, and nothing of it is left. Keys that need a restart are told.
-func TestPoolOfMembers(t *testing.T) {
-	u := newStand(t, "u")
+func TestMembersCountAsBalancers(t *testing.T) {
+	u := newTestUpstream(t, "u")
 	var out bytes.Buffer
-	at, there, listen := free(t), free(t), free(t)
-	told := clustered(t, "b1", listen, at, there, u)
+	at, there, listen := freeAddress(t), freeAddress(t), freeAddress(t)
+	told := clusterConfig(t, "b1", listen, at, there, u)
 	a, err := Start(parse(t, told), slog.New(slog.NewTextHandler(&out, nil)), &slog.LevelVar{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := begin(t, clustered(t, "b2", free(t), there, at, u))
+	b := startProcess(t, clusterConfig(t, "b2", freeAddress(t), there, at, u))
 	balancers := func(s *Process) (n, index int) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -76,7 +76,7 @@
 		return m.Balancers, m.Index
 	}
 	pool := a.pools["p"].Pool
-	soonIs(t, "both count two", func() bool {
+	waitFor(t, "both count two", func() bool {
 		n, i := balancers(a)
 		m, k := balancers(b)
 		return n == 2 && m == 2 && i == 0 && k == 1
@@ -85,9 +85,9 @@
 		t.Error("the pool was made anew")
 	}
 	// What b sends on is told to a.
-	u.takes.Store(int64(500 * time.Millisecond))
-	got := make(mate, 64)
-	a.fleet.Follow("p", []string{"b1", "b2"}, 0, 1, got)
+	u.delay.Store(int64(500 * time.Millisecond))
+	got := make(peerReports, 64)
+	a.membership.Follow("p", []string{"b1", "b2"}, 0, 1, got)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -96,32 +96,32 @@
 			a.Body.Close()
 		}
 	}()
-	got.flying(t)
+	got.waitForAttempt(t)
 	<-done
-	u.takes.Store(0)
+	u.delay.Store(0)
 
 	if err := b.Leave(); err != nil {
 		t.Error(err)
 	}
-	soonIs(t, "its leave is seen", func() bool {
+	waitFor(t, "its leave is seen", func() bool {
 		var seen bytes.Buffer
 		var v member.View
-		a.Members(&seen, true)
+		a.WriteMembers(&seen, true)
 		json.NewDecoder(bytes.NewReader(seen.Bytes())).Decode(&v)
 		return len(v.Members) == 2 && v.Members[1].Leaving && strings.Count(seen.String(), "\n") == 2
 	})
 	var figures bytes.Buffer
-	a.Figures(&figures)
+	a.WriteFigures(&figures)
 	if !strings.Contains(figures.String(), "cluster_members{state=\"alive\"} 2\n") {
 		t.Errorf("figures:\n%s", figures.String())
 	}
 	b.Drain()
-	soonIs(t, "a counts itself alone", func() bool { n, _ := balancers(a); return n == 1 })
+	waitFor(t, "a counts itself alone", func() bool { n, _ := balancers(a); return n == 1 })
 	if err := a.Reload(parse(t, strings.Replace(told, "[cluster]\n", "[cluster]\nzone = \"x\"\nthrough = { b2 = \"127.0.0.1:1\" }\n", 1))); err != nil {
 		t.Error(err)
 	}
 	b.Close()
-	finish(t, a, http.DefaultTransport.(*http.Transport), u)
+	closeAndVerify(t, a, http.DefaultTransport.(*http.Transport), u)
 	if !strings.Contains(out.String(), "key=cluster.zone") || strings.Contains(out.String(), "key=cluster.name") {
 		t.Errorf("what needs a restart was told wrongly:\n%s", out.String())
 	}
@@ -129,18 +129,18 @@
 
 // A member whose address is taken doesn't start, and nothing is left of it.
 func TestClusterAddressTaken(t *testing.T) {
-	u := newStand(t, "u")
-	at := free(t)
-	s := begin(t, clustered(t, "b1", free(t), at, free(t), u))
-	if _, err := Start(parse(t, clustered(t, "b2", free(t), at, free(t), u)), slog.New(slog.DiscardHandler), &slog.LevelVar{}); err == nil {
+	u := newTestUpstream(t, "u")
+	at := freeAddress(t)
+	s := startProcess(t, clusterConfig(t, "b1", freeAddress(t), at, freeAddress(t), u))
+	if _, err := Start(parse(t, clusterConfig(t, "b2", freeAddress(t), at, freeAddress(t), u)), slog.New(slog.DiscardHandler), &slog.LevelVar{}); err == nil {
 		t.Error("two members have one address")
 	}
-	finish(t, s, http.DefaultTransport.(*http.Transport), u)
+	closeAndVerify(t, s, http.DefaultTransport.(*http.Transport), u)
 	goleak.VerifyNone(t)
 }
 
 // Guards are left out for the lab's own children only.
-func TestLabOnly(t *testing.T) {
+func TestLabOptionsOnlyForLabChildren(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "lab")
 	t.Setenv(cluster.Variable, file)
 	for text, ok := range map[string]bool{
@@ -157,9 +157,9 @@
 }
 
 // All that is wrong with [cluster] is told with its line, and what would be right.
-func TestClusterFaults(t *testing.T) {
-	u := newStand(t, "u")
-	base := "name = \"b1\"\n" + shaped("127.0.0.1:1", "", u)
+func TestClusterConfigErrors(t *testing.T) {
+	u := newTestUpstream(t, "u")
+	base := "name = \"b1\"\n" + poolConfig("127.0.0.1:1", "", u)
 	for text, want := range map[string]string{
 		"[cluster]": "cluster.name: is missing",
 		"[cluster]\nname = \"z\"\naddress = \"127.0.0.1:7101\"\nvoters = [\"b1\", \"b2\", \"b1\"]":                                                "cluster.voters[2]: \"b1\" stands there twice",
@@ -184,7 +184,7 @@
 			}
 		}
 	}
-	if p, faults := plan.Parse("f.toml", []byte("name = \"b1\"\n"+shaped("127.0.0.1:1", "peers = \"cluster\"", u)), os.LookupEnv); p != nil {
+	if p, faults := plan.Parse("f.toml", []byte("name = \"b1\"\n"+poolConfig("127.0.0.1:1", "peers = \"cluster\"", u)), os.LookupEnv); p != nil {
 		t.Errorf("peers of no cluster: %v", faults)
 	}
 }
--- a/internal/process/ledger.go
+++ b/internal/process/ledger.go
@@ -13,52 +13,52 @@
 	"ottershift/logic"
 )
 
-// claiming has what must not run twice claimed, as the settings in force say.
-func (s *Process) claiming() {
-	if s.fleet == nil {
+// configureClaims has what must not run twice claimed, as the settings in force say.
+func (proc *Process) configureClaims() {
+	if proc.membership == nil {
 		return
 	}
-	if l := s.fleet.Ledger(); l != nil {
-		s.front.Claim(&claims{l, s.fleet.Settings()})
+	if ledger := proc.membership.Ledger(); ledger != nil {
+		proc.front.Claim(&ledgerClaims{ledger, proc.membership.Settings()})
 	} else {
-		s.front.Claim(nil)
+		proc.front.Claim(nil)
 	}
 }
 
-// claims put the front's words into the ledger's.
-type claims struct {
-	l *ledger.Ledger
-	s *config.Settings
+// ledgerClaims put the front's words into the ledger's.
+type ledgerClaims struct {
+	ledger   *ledger.Ledger
+	settings *config.Settings
 }
 
 // Begin implements httpwire.Claims.
-func (x *claims) Begin(q httpwire.Claimed) httpwire.Claim {
-	f := q.Kind
-	a := ledger.Ask{
-		Pool: q.Pool, Customer: q.Customer, Tariff: q.Tariff, Tag: q.Tag, ID: q.ID, Once: f.Idempotency == logic.NonIdempotent, Contract: time.Duration(f.ContractTime),
-		Body: q.Body, Again: q.Again, Binds: f.Idempotency == logic.Keyed && f.DedupScope != logic.Everywhere,
+func (c *ledgerClaims) Begin(request httpwire.Claimed) httpwire.Claim {
+	tariff := request.Kind
+	ask := ledger.Ask{
+		Pool: request.Pool, Customer: request.Customer, Tariff: request.Tariff, Tag: request.Tag, ID: request.ID, Once: tariff.Idempotency == logic.NonIdempotent, Contract: time.Duration(tariff.ContractTime),
+		Body: request.Body, Again: request.Again, Binds: tariff.Idempotency == logic.Keyed && tariff.DedupScope != logic.Everywhere,
 	}
-	window := time.Duration(f.DedupWindow)
-	if a.Once {
-		window = max(window, x.s.Ledger.OnceFor)
+	window := time.Duration(tariff.DedupWindow)
+	if ask.Once {
+		window = max(window, c.settings.Ledger.OnceFor)
 	}
-	a.Keep = x.s.Kept(window, time.Duration(f.HardStop))
-	return &held{x.l.Begin(a, q.Left), f}
+	ask.Keep = c.settings.Kept(window, time.Duration(tariff.HardStop))
+	return &transactionClaim{c.ledger.Begin(ask, request.Left), tariff}
 }
 
-// held is one transaction's claim.
-type held struct {
+// transactionClaim is one transaction's claim.
+type transactionClaim struct {
 	*ledger.Claim
-	f *logic.Tariff
+	tariff *logic.Tariff
 }
 
 // Open implements httpwire.Claim, as do the methods below.
-func (h *held) Open(ctx context.Context) (*desk.Location, httpwire.Fate) {
-	w := h.Claim.Open(ctx)
-	switch w.Fate {
+func (c *transactionClaim) Open(ctx context.Context) (*desk.Location, httpwire.Fate) {
+	result := c.Claim.Open(ctx)
+	switch result.Fate {
 	case ledger.Go:
-		if w.Bound {
-			return h.bound(w.Group), httpwire.Goes
+		if result.Bound {
+			return c.groupLocation(result.Group), httpwire.Goes
 		}
 		return nil, httpwire.Goes
 	case ledger.Forfeit:
@@ -69,32 +69,32 @@
 	return nil, httpwire.Defers
 }
 
-// group names the upstreams that know a transaction's repeats, "" where that binds nothing.
-func (h *held) group(zone string, cell int) string {
+// groupName names the upstreams that know a transaction's repeats, "" where that binds nothing.
+func (c *transactionClaim) groupName(zone string, cell int) string {
 	switch {
-	case h.f.Idempotency != logic.Keyed || h.f.DedupScope == logic.Everywhere:
+	case c.tariff.Idempotency != logic.Keyed || c.tariff.DedupScope == logic.Everywhere:
 		return ""
-	case h.f.DedupScope == logic.SameZone:
+	case c.tariff.DedupScope == logic.SameZone:
 		return zone
 	}
 	return zone + "/" + strconv.Itoa(cell)
 }
 
-func (h *held) bound(group string) *desk.Location {
-	if h.f.DedupScope == logic.SameZone {
+func (c *transactionClaim) groupLocation(group string) *desk.Location {
+	if c.tariff.DedupScope == logic.SameZone {
 		return &desk.Location{Zone: group}
 	}
-	i := max(0, strings.LastIndexByte(group, '/'))
-	cell, _ := strconv.Atoi(group[min(i+1, len(group)):])
-	return &desk.Location{Zone: group[:i], Cell: cell}
+	separator := max(0, strings.LastIndexByte(group, '/'))
+	cell, _ := strconv.Atoi(group[min(separator+1, len(group)):])
+	return &desk.Location{Zone: group[:separator], Cell: cell}
 }
 
-func (h *held) Take(ctx context.Context, to *desk.Attempt, moves bool) error {
-	return h.Claim.Take(ctx, h.group(to.Zone, to.Cell), ledger.Clip(to.Name), moves)
+func (c *transactionClaim) Take(ctx context.Context, to *desk.Attempt, moved bool) error {
+	return c.Claim.Take(ctx, c.groupName(to.Zone, to.Cell), ledger.Clip(to.Name), moved)
 }
 
-func (h *held) End(how httpwire.End) {
-	h.Claim.End(map[httpwire.End]byte{
+func (c *transactionClaim) End(outcome httpwire.End) {
+	c.Claim.End(map[httpwire.End]byte{
 		httpwire.NeverRan: ledger.EndNever, httpwire.Answered: ledger.EndAnswered, httpwire.MayHaveRun: ledger.EndUnknown,
-	}[how])
+	}[outcome])
 }
--- a/internal/process/peers_test.go
+++ b/internal/process/peers_test.go
@@ -16,17 +16,17 @@
 	"ottershift/internal/peers"
 )
 
-// mate hears as the other balancer of a pool, whose part the test plays.
-type mate chan []byte
+// peerReports hears as the other balancer of a pool, whose part the test plays.
+type peerReports chan []byte
 
-func (m mate) Told(_, _ int, raw []byte) { m <- append([]byte(nil), raw...) }
+func (r peerReports) Told(_, _ int, raw []byte) { r <- append([]byte(nil), raw...) }
 
-// flying waits for word of one push that is out.
-func (m mate) flying(t *testing.T) []byte {
+// waitForAttempt waits for word of one push that is out.
+func (r peerReports) waitForAttempt(t *testing.T) []byte {
 	t.Helper()
 	for {
 		select {
-		case raw := <-m:
+		case raw := <-r:
 			if len(raw) == 2 {
 				return raw
 			}
@@ -36,10 +36,10 @@
 	}
 }
 
-// shaped is a configuration of one pool with more keys, over some stand-ins.
-func shaped(listen, more string, stands ...*stand) string {
-	text := fmt.Sprintf(head+"[listeners.l]\naddress = %q\n[[routes]]\npool = \"p\"\n[pools.p]\ndefault_tariff = \"view\"\n%s\n", listen, more)
-	for _, s := range stands {
+// poolConfig is a configuration of one pool with more keys, over some stand-ins.
+func poolConfig(listen, more string, upstreams ...*testUpstream) string {
+	text := fmt.Sprintf(baseConfig+"[listeners.l]\naddress = %q\n[[routes]]\npool = \"p\"\n[pools.p]\ndefault_tariff = \"view\"\n%s\n", listen, more)
+	for _, s := range upstreams {
 		text += fmt.Sprintf("[[pools.p.upstreams]]\nname = %q\naddress = %q\nkind = \"k\"\n", s.name, s.Listener.Addr())
 	}
 	return text
@@ -48,12 +48,12 @@
 // The move as an operator makes it: the pool first watches, deciding as ever and counting what a crowd at its peer would
 // have changed; then, by SIGHUP, it keeps clear of what its peer says is full, also when one is added; then it goes back.
 // Where its own address is another's it doesn't start, and a reload to that changes nothing.
-func TestMoveByWatchingAndBack(t *testing.T) {
+func TestPeersAfterShadowModeAndBack(t *testing.T) {
 	goleak.VerifyNone(t)
-	a, b, listen, at, there := newStand(t, "a"), newStand(t, "b"), free(t), free(t), free(t)
-	a.takes.Store(int64(60 * time.Millisecond))
-	b.takes.Store(int64(60 * time.Millisecond))
-	m := make(mate, 1024)
+	a, b, listen, at, there := newTestUpstream(t, "a"), newTestUpstream(t, "b"), freeAddress(t), freeAddress(t), freeAddress(t)
+	a.delay.Store(int64(60 * time.Millisecond))
+	b.delay.Store(int64(60 * time.Millisecond))
+	m := make(peerReports, 1024)
 	link, err := peers.Open(there)
 	route, fault := peers.NewRoute("p", []string{at, there}, 1, m)
 	file := filepath.Join(t.TempDir(), "log")
@@ -64,11 +64,11 @@
 	defer log.Close()
 	link.Follow(route)
 	shape := fmt.Sprintf("balancers = 2\npeers = [%q, %q]\nweights = \"live\"\n", at, there)
-	taken := parse(t, shaped(listen, fmt.Sprintf("balancers = 2\npeers = [%q, %q]", there, at), a))
+	taken := parse(t, poolConfig(listen, fmt.Sprintf("balancers = 2\npeers = [%q, %q]", there, at), a))
 	if _, err := Start(taken, slog.New(slog.DiscardHandler), &slog.LevelVar{}); err == nil || !strings.Contains(err.Error(), "pool p: peers: listen udp") {
 		t.Fatal("at an address that another has: ", err)
 	}
-	s, err := Start(parse(t, shaped(listen, shape+"watch = true", a, b)), slog.New(slog.NewTextHandler(log, nil)), &slog.LevelVar{})
+	s, err := Start(parse(t, poolConfig(listen, shape+"watch = true", a, b)), slog.New(slog.NewTextHandler(log, nil)), &slog.LevelVar{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,14 +81,14 @@
 		for n := range 13 {
 			done := make(chan string, 1)
 			go func() {
-				_, body, err := ask(client, listen, "x")
+				_, body, err := sendRequest(client, listen, "x")
 				if err != nil {
 					t.Error(err)
 				}
 				done <- strings.Fields(body + " -")[0]
 			}()
 			if tell && n == 0 {
-				word := m.flying(t)
+				word := m.waitForAttempt(t)
 				link.Tell(1, 0, []byte{30, word[1], word[1], word[1], word[1], word[1]})
 			}
 			if body := <-done; n == 0 {
@@ -101,7 +101,7 @@
 	}
 	reload := func(more string) {
 		t.Helper()
-		if err := s.Reload(parse(t, shaped(listen, more, a, b))); err != nil {
+		if err := s.Reload(parse(t, poolConfig(listen, more, a, b))); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -127,7 +127,7 @@
 	if n := full(true); n > 1 {
 		t.Errorf("%d of 12 went to the upstream that the peer says is full", n)
 	}
-	reload(fmt.Sprintf("balancers = 3\npeers = [%q, %q, %q]\n", at, there, free(t)))
+	reload(fmt.Sprintf("balancers = 3\npeers = [%q, %q, %q]\n", at, there, freeAddress(t)))
 	if n := full(true); n > 1 {
 		t.Errorf("%d of 12 went to the upstream that the peer says is full, one of three balancers", n)
 	}
@@ -141,5 +141,5 @@
 		l.Close()
 	}
 	link.Close()
-	finish(t, s, client, a, b)
+	closeAndVerify(t, s, client, a, b)
 }
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -36,492 +36,492 @@
 
 // Process is what runs.
 type Process struct {
-	log, own *slog.Logger
-	level    *slog.LevelVar
-	seed     uint64
-	counts   figures.Process
-	ops      *ops.Server
-	seat     *relay.Seat // among the processes of this balancer, nil where it is replaced by nobody
-	beside   int         // processes that are this balancer, this one included
-	end      context.CancelFunc
-	front    *httpwire.Front
-	plan     *plan.Plan
-	ended    chan error
-	fleet    *fleet // nil without [cluster]
+	log, eventLog  *slog.Logger
+	logLevel       *slog.LevelVar
+	seed           uint64
+	counters       figures.Process
+	ops            *ops.Server
+	relaySeat      *relay.Seat // among the processes of this balancer, nil where it is replaced by nobody
+	processCount   int         // processes that are this balancer, this one included
+	cancel         context.CancelFunc
+	front          *httpwire.Front
+	plan           *plan.Plan
+	listenerErrors chan error
+	membership     *membership // nil without [cluster]
 
 	mu        sync.Mutex
 	pools     map[string]*pool
 	listeners map[string]*httpwire.Listener // by address
-	links     map[string]*peers.Link        // to other balancers, by the address here
+	peerLinks map[string]*peers.Link        // to other balancers, by the address here
 	retiring  sync.WaitGroup
 }
 
 // pool is a pool of the plan that is in force.
 type pool struct {
 	*httpwire.Pool
-	told  *plan.Pool
-	watch *discovery.Watch   // if it follows discovery
-	stop  context.CancelFunc // ends the source of its list
-	link  *peers.Link        // to the others, if they tell one another what they hold
-	route *peers.Route
-	among []string      // members that count as its balancers, where the cluster says
-	heard chan struct{} // closed once its source has told something
-	once  sync.Once
+	settings     *plan.Pool
+	subscription *discovery.Watch   // if it follows discovery
+	stopList     context.CancelFunc // ends the source of its list
+	peerLink     *peers.Link        // to the others, if they tell one another what they hold
+	peerRoute    *peers.Route
+	memberNames  []string      // members that count as its balancers, where the cluster says
+	listReceived chan struct{} // closed once its source has told something
+	receivedOnce sync.Once
 }
 
-const mostUnheard = 1500 * time.Millisecond // that a list is waited for before clients are taken
+const maxListWait = 1500 * time.Millisecond // that a list is waited for before clients are taken
 
 // Start puts a plan to work. Nothing of it is left if that fails.
 func Start(p *plan.Plan, log *slog.Logger, level *slog.LevelVar) (*Process, error) {
-	return StartWith(p, log, level, desk.NewBalancer)
+	return StartWithEngine(p, log, level, desk.NewBalancer)
 }
 
-// StartWith does so with another module, for the lab.
-func StartWith(p *plan.Plan, log *slog.Logger, level *slog.LevelVar, module desk.EngineFactory) (*Process, error) {
-	s := &Process{
-		log: log, own: logs.Own(log), level: level, seed: p.Seed, front: httpwire.New(log, module), plan: &plan.Plan{},
-		ended: make(chan error, 1), pools: map[string]*pool{}, listeners: map[string]*httpwire.Listener{}, links: map[string]*peers.Link{},
-	}
-	if s.seed == 0 {
-		s.seed = rand.Uint64()
-	}
-	s.beside = 1
-	ctx, end := context.WithCancel(context.Background())
-	s.end = end
+// StartWithEngine does so with another module, for the lab.
+func StartWithEngine(p *plan.Plan, log *slog.Logger, level *slog.LevelVar, newEngine desk.EngineFactory) (*Process, error) {
+	proc := &Process{
+		log: log, eventLog: logs.Own(log), logLevel: level, seed: p.Seed, front: httpwire.New(log, newEngine), plan: &plan.Plan{},
+		listenerErrors: make(chan error, 1), pools: map[string]*pool{}, listeners: map[string]*httpwire.Listener{}, peerLinks: map[string]*peers.Link{},
+	}
+	if proc.seed == 0 {
+		proc.seed = rand.Uint64()
+	}
+	proc.processCount = 1
+	ctx, cancel := context.WithCancel(context.Background())
+	proc.cancel = cancel
 	if slices.ContainsFunc(p.Listeners, func(l plan.Listener) bool { return l.Inherited > 0 }) {
 		var err error
-		if s.seat, err = relay.Take(os.TempDir(), p.Name); err != nil {
-			s.own.Warn("relay", "step", "alone", "fault", err)
+		if proc.relaySeat, err = relay.Take(os.TempDir(), p.Name); err != nil {
+			proc.eventLog.Warn("relay", "step", "alone", "fault", err)
 		} else {
-			s.beside = s.seat.Count()
+			proc.processCount = proc.relaySeat.Count()
 		}
 	}
 	if p.Ops != "" {
 		var err error
-		if s.ops, err = ops.Open(p.Ops, s); err != nil {
-			s.finish()
+		if proc.ops, err = ops.Open(p.Ops, proc); err != nil {
+			proc.stopServices()
 			return nil, fmt.Errorf("ops: %w", err)
 		}
 	}
-	if err := s.joinCluster(p); err != nil {
-		s.finish()
+	if err := proc.joinCluster(p); err != nil {
+		proc.stopServices()
 		return nil, err
 	}
-	if err := s.change(p); err != nil {
-		s.finish()
+	if err := proc.apply(p); err != nil {
+		proc.stopServices()
 		return nil, err
 	}
-	if s.seat != nil {
-		go s.seat.Watch(ctx, s.share)
+	if proc.relaySeat != nil {
+		go proc.relaySeat.Watch(ctx, proc.setProcessCount)
 	}
-	return s, nil
+	return proc, nil
 }
 
-// finish ends what is there besides pools and listeners.
-func (s *Process) finish() {
-	s.end()
-	if s.ops != nil {
-		s.ops.Close()
+// stopServices ends what is there besides pools and listeners.
+func (proc *Process) stopServices() {
+	proc.cancel()
+	if proc.ops != nil {
+		proc.ops.Close()
 	}
-	if s.fleet != nil {
-		s.fleet.close()
+	if proc.membership != nil {
+		proc.membership.close()
 	}
-	if s.seat != nil {
-		s.seat.Leave()
+	if proc.relaySeat != nil {
+		proc.relaySeat.Leave()
 	}
 }
 
-// share has the process keep to its part of what all processes of this balancer may hold together.
-func (s *Process) share(beside int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.own.Info("relay", "step", "counted", "processes", beside)
-	s.beside = beside
-	s.limit(s.plan)
-	for _, p := range s.pools {
-		p.Beside(beside)
-	}
-	if s.plan.Platform {
-		s.front.Alone(s.plan.Limits.Bodies / int64(beside))
+// setProcessCount has the process keep to its part of what all processes of this balancer may hold together.
+func (proc *Process) setProcessCount(count int) {
+	proc.mu.Lock()
+	defer proc.mu.Unlock()
+	proc.eventLog.Info("relay", "step", "counted", "processes", count)
+	proc.processCount = count
+	proc.applyLimits(proc.plan)
+	for _, p := range proc.pools {
+		p.Beside(count)
+	}
+	if proc.plan.Platform {
+		proc.front.Alone(proc.plan.Limits.Bodies / int64(count))
 	}
 }
 
 // Health implements ops.Balancer, as do the methods below.
-func (s *Process) Health() error { return s.front.Takes() }
+func (proc *Process) Health() error { return proc.front.Takes() }
 
-// Figures writes what has become of transactions and pushes so far.
-func (s *Process) Figures(to io.Writer) error {
-	s.mu.Lock()
-	platform := s.plan.Platform
-	pools := slices.Collect(maps.Values(s.pools))
-	s.mu.Unlock()
+// WriteFigures writes what has become of transactions and pushes so far.
+func (proc *Process) WriteFigures(to io.Writer) error {
+	proc.mu.Lock()
+	platform := proc.plan.Platform
+	pools := slices.Collect(maps.Values(proc.pools))
+	proc.mu.Unlock()
 	var views []figures.View
 	for _, p := range pools {
-		v := p.View()
+		view := p.View()
 		if platform {
-			v.Name = ""
+			view.Name = ""
 		}
-		views = append(views, v)
+		views = append(views, view)
 	}
 	slices.SortFunc(views, func(a, b figures.View) int { return cmp.Compare(a.Name, b.Name) })
-	if err := figures.Write(to, &s.counts, views); err != nil {
+	if err := figures.Write(to, &proc.counters, views); err != nil {
 		return err
 	}
-	if f := s.inFleet(); f != nil {
-		f.Figures(to)
+	if m := proc.clusterMembership(); m != nil {
+		m.Figures(to)
 	}
 	return nil
 }
 
 // Leave has clients go elsewhere, until Join.
-func (s *Process) Leave() error { return s.leaving(true, s.front.Leave()) }
+func (proc *Process) Leave() error { return proc.announceLeaving(true, proc.front.Leave()) }
 
 // Join takes clients again.
-func (s *Process) Join() error { return s.leaving(false, s.front.Join()) }
+func (proc *Process) Join() error { return proc.announceLeaving(false, proc.front.Join()) }
 
-// Ended tells why a listener ended by itself.
-func (s *Process) Ended() <-chan error { return s.ended }
+// ListenerErrors tells why a listener ended by itself.
+func (proc *Process) ListenerErrors() <-chan error { return proc.listenerErrors }
 
 // Drain serves to the end what has been taken. The process is to exit after it.
-func (s *Process) Drain() {
+func (proc *Process) Drain() {
 	var relayed []*httpwire.Listener
-	if s.seat != nil && s.seat.Count() > 1 {
-		s.mu.Lock()
-		relayed = slices.Collect(maps.Values(s.listeners))
-		s.mu.Unlock()
+	if proc.relaySeat != nil && proc.relaySeat.Count() > 1 {
+		proc.mu.Lock()
+		relayed = slices.Collect(maps.Values(proc.listeners))
+		proc.mu.Unlock()
 	}
-	s.leaving(true, nil)
-	s.front.Drain(relayed...)
-	if f := s.inFleet(); f != nil {
-		f.leave()
+	proc.announceLeaving(true, nil)
+	proc.front.Drain(relayed...)
+	if m := proc.clusterMembership(); m != nil {
+		m.closeWithTimeout()
 	}
 }
 
 // Close gives back all that is left after a drain, for those that go on.
-func (s *Process) Close() {
-	s.mu.Lock()
-	pools := s.pools
-	s.pools = nil
-	s.mu.Unlock()
+func (proc *Process) Close() {
+	proc.mu.Lock()
+	pools := proc.pools
+	proc.pools = nil
+	proc.mu.Unlock()
 	for _, p := range pools {
-		s.retire(p)
+		proc.retire(p)
 	}
-	s.retiring.Wait()
-	for _, l := range s.links {
+	proc.retiring.Wait()
+	for _, l := range proc.peerLinks {
 		l.Close()
 	}
-	s.finish()
+	proc.stopServices()
 }
 
 // Reload puts another plan in force, all of it or nothing; a plan that could not be read is counted by Refused.
-func (s *Process) Reload(p *plan.Plan) error {
-	start, before, cores := time.Now(), s.plan, p.Limits.Cores
-	change := s.change
+func (proc *Process) Reload(p *plan.Plan) error {
+	start, before, cores := time.Now(), proc.plan, p.Limits.Cores
+	apply := proc.apply
 	if p.Platform {
-		change = s.retune
+		apply = proc.applyToPlatformPool
 	}
-	if err := change(p); err != nil {
+	if err := apply(p); err != nil {
 		return err
 	}
-	s.counts.Loaded.Add(1)
-	s.own.Info("reload", "step", "taken", "pools", len(p.Pools), "routes", len(p.Routes), "listeners", len(p.Listeners),
+	proc.counters.Loaded.Add(1)
+	proc.eventLog.Info("reload", "step", "taken", "pools", len(p.Pools), "routes", len(p.Routes), "listeners", len(p.Listeners),
 		"pools_before", len(before.Pools), "took", time.Since(start).Round(time.Microsecond))
-	later := func(key string, changed bool) {
+	warnIfChanged := func(key string, changed bool) {
 		if changed {
-			s.own.Warn("reload", "step", "later", "key", key, "fault", "takes effect at the next start")
+			proc.eventLog.Warn("reload", "step", "later", "key", key, "fault", "takes effect at the next start")
 		}
 	}
-	later("log.format", p.Log.Format != before.Log.Format)
-	later("ops", p.Ops != before.Ops)
-	s.reloadCluster(before, p, later)
+	warnIfChanged("log.format", p.Log.Format != before.Log.Format)
+	warnIfChanged("ops", p.Ops != before.Ops)
+	proc.reloadCluster(before, p, warnIfChanged)
 	if p.Platform {
-		later("listen", p.Listeners[0].Address != before.Listeners[0].Address)
-		later("limits.cores", cores != before.Limits.Cores)
-		later("name", p.Name != before.Name)
+		warnIfChanged("listen", p.Listeners[0].Address != before.Listeners[0].Address)
+		warnIfChanged("limits.cores", cores != before.Limits.Cores)
+		warnIfChanged("name", p.Name != before.Name)
 	}
 	return nil
 }
 
-// Refused counts a file that made no sense.
-func (s *Process) Refused() { s.counts.Invalid.Add(1) }
+// CountInvalidConfig counts a file that made no sense.
+func (proc *Process) CountInvalidConfig() { proc.counters.Invalid.Add(1) }
 
-// retune goes from one plan of the platform's to another: its pool stays, and with it all that it has learnt. What was
+// applyToPlatformPool goes from one plan of the platform's to another: its pool stays, and with it all that it has learnt. What was
 // said at the start of listeners, cores and the second address stays.
-func (s *Process) retune(p *plan.Plan) error {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if key := p.Lacks(s.plan); key != "" {
+func (proc *Process) applyToPlatformPool(p *plan.Plan) error {
+	proc.mu.Lock()
+	defer proc.mu.Unlock()
+	if key := p.Lacks(proc.plan); key != "" {
 		return fmt.Errorf("%s is missing", key)
 	}
-	now, told := s.pools[p.Pools[0].Name], p.Pools[0]
-	if now.told.Print != told.Print {
-		if err := now.Retune(told.Book); err != nil {
+	current, settings := proc.pools[p.Pools[0].Name], p.Pools[0]
+	if current.settings.Print != settings.Print {
+		if err := current.Retune(settings.Book); err != nil {
 			return err
 		}
-		s.own.Info("reload", "step", "terms", "tariffs", len(told.Book.Tariffs), "attempts", told.Book.Terms.MaxAttempts)
-	}
-	to := told.List.Discovery
-	s.own.Info("reload", "step", "list", "discovery", to, "moved", now.watch.Move(to))
-	now.told = told
-	p.Limits.Cores = s.plan.Limits.Cores
-	s.plan = p
-	s.limit(s.plan)
-	s.front.Alone(s.plan.Limits.Bodies / int64(s.beside))
+		proc.eventLog.Info("reload", "step", "terms", "tariffs", len(settings.Book.Tariffs), "attempts", settings.Book.Terms.MaxAttempts)
+	}
+	address := settings.List.Discovery
+	proc.eventLog.Info("reload", "step", "list", "discovery", address, "moved", current.subscription.Move(address))
+	current.settings = settings
+	p.Limits.Cores = proc.plan.Limits.Cores
+	proc.plan = p
+	proc.applyLimits(proc.plan)
+	proc.front.Alone(proc.plan.Limits.Bodies / int64(proc.processCount))
 	return nil
 }
 
-// change goes from the plan in force to another. First comes all that may fail, and is undone if anything does.
-func (s *Process) change(p *plan.Plan) (err error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.limit(p)
+// apply goes from the plan in force to another. First comes all that may fail, and is undone if anything does.
+func (proc *Process) apply(p *plan.Plan) (err error) {
+	proc.mu.Lock()
+	defer proc.mu.Unlock()
+	proc.applyLimits(p)
 	var opened []*httpwire.Listener
-	made := map[string]*pool{}
+	created := map[string]*pool{}
 	links := map[string]*peers.Link{}
 	defer func() {
 		if err == nil {
 			return
 		}
-		s.limit(s.plan)
+		proc.applyLimits(proc.plan)
 		for _, l := range opened {
-			s.front.Close(l)
+			proc.front.Close(l)
 		}
-		for _, n := range made {
-			s.retire(n)
+		for _, n := range created {
+			proc.retire(n)
 		}
 		for at, l := range links {
-			if l != s.links[at] {
+			if l != proc.peerLinks[at] {
 				l.Close()
 			}
 		}
 	}()
-	wanted := map[string]*httpwire.Listener{}
+	listeners := map[string]*httpwire.Listener{}
 	for _, l := range p.Listeners {
-		wanted[l.Address] = s.listeners[l.Address]
-		if wanted[l.Address] == nil {
+		listeners[l.Address] = proc.listeners[l.Address]
+		if listeners[l.Address] == nil {
 			var n *httpwire.Listener
 			if l.Inherited > 0 {
-				if n, err = s.front.Inherit(l.Name, l.Address, l.Inherited); err != nil {
+				if n, err = proc.front.Inherit(l.Name, l.Address, l.Inherited); err != nil {
 					return fmt.Errorf("PROXY_LISTEN_FD: %w", err)
 				}
-			} else if n, err = s.front.Listen(l.Name, l.Address); err != nil {
+			} else if n, err = proc.front.Listen(l.Name, l.Address); err != nil {
 				return err
 			}
-			opened, wanted[l.Address] = append(opened, n), n
+			opened, listeners[l.Address] = append(opened, n), n
 		}
 	}
-	pools, retuned := map[string]*pool{}, map[string]bool{}
-	for _, told := range p.Pools {
-		if at := here(told); at != "" {
-			if links[at] = s.links[at]; links[at] == nil {
+	pools, reconfigured := map[string]*pool{}, map[string]bool{}
+	for _, settings := range p.Pools {
+		if at := ownPeerAddress(settings); at != "" {
+			if links[at] = proc.peerLinks[at]; links[at] == nil {
 				if links[at], err = peers.Open(at); err != nil {
 					delete(links, at)
-					return fmt.Errorf("pool %s: %w", told.Name, err)
+					return fmt.Errorf("pool %s: %w", settings.Name, err)
 				}
 			}
 		}
-		if now := s.pools[told.Name]; now != nil && now.told.Print == told.Print && now.Shards() == p.Limits.Cores {
-			pools[told.Name] = now
+		if current := proc.pools[settings.Name]; current != nil && current.settings.Print == settings.Print && current.Shards() == p.Limits.Cores {
+			pools[settings.Name] = current
 			continue
 		}
 		// Danger: made anew it would know nothing of its upstreams, and feed cold ones beside its predecessor.
-		if now := s.pools[told.Name]; now != nil && now.Shards() == p.Limits.Cores && now.told.Book.Fits(told.Book) {
-			if err := told.Book.Terms.Validate(); err != nil {
-				return fmt.Errorf("pool %s: %w", told.Name, err)
+		if current := proc.pools[settings.Name]; current != nil && current.Shards() == p.Limits.Cores && current.settings.Book.Fits(settings.Book) {
+			if err := settings.Book.Terms.Validate(); err != nil {
+				return fmt.Errorf("pool %s: %w", settings.Name, err)
 			}
-			pools[told.Name], retuned[told.Name] = now, true
+			pools[settings.Name], reconfigured[settings.Name] = current, true
 			continue
 		}
-		n, err := s.make(told)
+		n, err := proc.newPool(settings)
 		if err != nil {
-			return fmt.Errorf("pool %s: %w", told.Name, err)
+			return fmt.Errorf("pool %s: %w", settings.Name, err)
 		}
-		made[told.Name], pools[told.Name] = n, n
-		if n.link = links[here(told)]; n.link != nil {
-			if n.route, err = peers.NewRoute(told.Name, told.Book.Peers, n.Shards(), n.Pool); err != nil {
-				return fmt.Errorf("pool %s: %w", told.Name, err)
+		created[settings.Name], pools[settings.Name] = n, n
+		if n.peerLink = links[ownPeerAddress(settings)]; n.peerLink != nil {
+			if n.peerRoute, err = peers.NewRoute(settings.Name, settings.Book.Peers, n.Shards(), n.Pool); err != nil {
+				return fmt.Errorf("pool %s: %w", settings.Name, err)
 			}
 		}
 	}
 
 	// From here on nothing fails. Danger: a pool that is shown before it has a list would refuse all that comes.
-	for name, n := range made {
-		first := n.told.List.Fixed
-		if n.told.List.File != "" {
-			first, _ = listfile.Read(n.told.List.File) // its source says what is wrong with it
+	for name, n := range created {
+		initial := n.settings.List.Fixed
+		if n.settings.List.File != "" {
+			initial, _ = listfile.Read(n.settings.List.File) // its source says what is wrong with it
 		}
-		if n.told.List.Discovery != "" {
-			if first = n.told.List.Known.Entries; s.pools[name] != nil {
-				first = s.pools[name].Entries()
+		if n.settings.List.Discovery != "" {
+			if initial = n.settings.List.Known.Entries; proc.pools[name] != nil {
+				initial = proc.pools[name].Entries()
 			}
 		}
-		if len(first) > 0 {
-			n.Pool.List(first, true)
+		if len(initial) > 0 {
+			n.Pool.List(initial, true)
 		}
 	}
-	for _, told := range p.Pools {
-		if retuned[told.Name] {
-			book, _, _ := s.among(told)
-			if err := pools[told.Name].Retune(book); err != nil {
-				s.own.Error("reload", "step", "terms", "pool", told.Name, "fault", err) // a fault of ours: it was checked
+	for _, settings := range p.Pools {
+		if reconfigured[settings.Name] {
+			book, _, _ := proc.effectiveBook(settings)
+			if err := pools[settings.Name].Retune(book); err != nil {
+				proc.eventLog.Error("reload", "step", "terms", "pool", settings.Name, "fault", err) // a fault of ours: it was checked
 			}
 		}
 	}
 	board := &httpwire.Board{Table: p.Table, Pools: map[string]*httpwire.Pool{}}
-	parts := map[*httpwire.Pool]httpwire.Share{}
-	for _, told := range p.Pools {
-		n := pools[told.Name]
-		board.Pools[told.Name] = n.Pool
-		parts[n.Pool] = httpwire.Share{Part: told.Share, Open: told.Open, Connections: told.Connections, Bodies: told.Bodies}
+	shares := map[*httpwire.Pool]httpwire.Share{}
+	for _, settings := range p.Pools {
+		n := pools[settings.Name]
+		board.Pools[settings.Name] = n.Pool
+		shares[n.Pool] = httpwire.Share{Part: settings.Share, Open: settings.Open, Connections: settings.Connections, Bodies: settings.Bodies}
 		if p.Platform {
 			board.Only = n.Pool
 		}
 	}
 	if p.Platform {
-		s.front.Alone(p.Limits.Bodies / int64(s.beside))
+		proc.front.Alone(p.Limits.Bodies / int64(proc.processCount))
 	} else {
-		s.front.Deal(p.Limits.Bodies, p.Limits.Within, p.Limits.Refusals, parts)
+		proc.front.Deal(p.Limits.Bodies, p.Limits.Within, p.Limits.Refusals, shares)
 	}
-	s.front.Show(board)
-	for _, told := range p.Pools {
-		n, kept := pools[told.Name], made[told.Name] == nil
-		if !kept || !same(n.told.List, told.List) {
-			s.follow(n, told.List, kept)
+	proc.front.Show(board)
+	for _, settings := range p.Pools {
+		n, kept := pools[settings.Name], created[settings.Name] == nil
+		if !kept || !sameList(n.settings.List, settings.List) {
+			proc.followList(n, settings.List, kept)
 		}
-		n.told = told
+		n.settings = settings
 	}
-	for _, n := range made {
-		if n.link != nil {
-			n.link.Follow(n.route)
-			n.Speak(n.link)
+	for _, n := range created {
+		if n.peerLink != nil {
+			n.peerLink.Follow(n.peerRoute)
+			n.Speak(n.peerLink)
 		}
 	}
-	for address, old := range s.links {
+	for address, old := range proc.peerLinks {
 		if links[address] != old {
 			old.Close()
 		}
 	}
-	s.links = links
-	for name, old := range s.pools {
+	proc.peerLinks = links
+	for name, old := range proc.pools {
 		if pools[name] != old {
 			old.Speak(nil) // Danger: its successor speaks under the same number
-			s.retire(old)
+			proc.retire(old)
 		}
 	}
 	for _, l := range p.Listeners {
-		n := wanted[l.Address]
+		n := listeners[l.Address]
 		n.Rename(l.Name)
-		if s.listeners[l.Address] == nil {
-			heard := make(chan struct{})
-			if close(heard); l.Inherited > 0 && s.beside > 1 {
-				heard = pools[p.Pools[0].Name].heard
+		if proc.listeners[l.Address] == nil {
+			ready := make(chan struct{})
+			if close(ready); l.Inherited > 0 && proc.processCount > 1 {
+				ready = pools[p.Pools[0].Name].listReceived
 			}
 			go func() {
 				// Danger: the process before has newer news of the list than what is known from before.
 				select {
-				case <-heard:
-				case <-time.After(mostUnheard):
+				case <-ready:
+				case <-time.After(maxListWait):
 				}
-				if err := s.front.Serve(n); err != nil {
-					s.ended <- err
+				if err := proc.front.Serve(n); err != nil {
+					proc.listenerErrors <- err
 				}
 			}()
 		}
 	}
-	for address, old := range s.listeners {
-		if wanted[address] == nil {
-			s.front.Close(old)
+	for address, old := range proc.listeners {
+		if listeners[address] == nil {
+			proc.front.Close(old)
 		}
 	}
-	s.pools, s.listeners, s.plan = pools, wanted, p
-	s.claiming()
-	if s.fleet != nil {
-		s.fleet.changed()
+	proc.pools, proc.listeners, proc.plan = pools, listeners, p
+	proc.configureClaims()
+	if proc.membership != nil {
+		proc.membership.notifyMembersChanged()
 	}
 	return nil
 }
 
-// limit sets what the whole process may have.
-func (s *Process) limit(p *plan.Plan) {
+// applyLimits sets what the whole process may have.
+func (proc *Process) applyLimits(p *plan.Plan) {
 	if p.Limits.Descriptors == 0 {
 		return // none in force yet
 	}
 	runtime.GOMAXPROCS(p.Limits.Cores)
 	if p.Limits.Memory > 0 {
 		// Danger: over the limit the process is killed, and all processes of a balancer count as one.
-		debug.SetMemoryLimit(p.Limits.Memory * 6 / 10 / int64(s.beside))
+		debug.SetMemoryLimit(p.Limits.Memory * 6 / 10 / int64(proc.processCount))
 	}
 	descriptors := p.Limits.Descriptors
-	var has syscall.Rlimit
-	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &has) == nil && has.Cur < uint64(descriptors) && !p.Platform {
-		s.own.Warn("limit", "key", "limits.descriptors", "asked", descriptors, "has", has.Cur)
-		descriptors = int(has.Cur)
+	var limit syscall.Rlimit
+	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit) == nil && limit.Cur < uint64(descriptors) && !p.Platform {
+		proc.eventLog.Warn("limit", "key", "limits.descriptors", "asked", descriptors, "has", limit.Cur)
+		descriptors = int(limit.Cur)
 	}
-	s.front.Limit(descriptors/s.beside, p.Limits.Cores)
-	s.level.Set(logs.Level(p.Log.Level))
+	proc.front.Limit(descriptors/proc.processCount, p.Limits.Cores)
+	proc.logLevel.Set(logs.Level(p.Log.Level))
 }
 
-// here is the address at which the other balancers of a pool reach this one, "" if they don't.
-func here(told *plan.Pool) string {
-	if len(told.Book.Peers) == 0 {
+// ownPeerAddress is the address at which the other balancers of a pool reach this one, "" if they don't.
+func ownPeerAddress(settings *plan.Pool) string {
+	if len(settings.Book.Peers) == 0 {
 		return ""
 	}
-	return told.Book.Peers[told.Book.Terms.Index]
+	return settings.Book.Peers[settings.Book.Terms.Index]
 }
 
-// make makes a pool, without the source of its list.
-func (s *Process) make(told *plan.Pool) (*pool, error) {
-	if told.Book.Terms.Seed == 0 { // Danger: pools of one seed would all draw the same chances
-		number := fnv.New64a()
-		number.Write([]byte(told.Name))
-		told.Book.Terms.Seed = s.seed ^ number.Sum64()
-	}
-	book, _, _ := s.among(told)
-	n, err := s.front.NewPool(told.Name, book)
+// newPool makes a pool, without the source of its list.
+func (proc *Process) newPool(settings *plan.Pool) (*pool, error) {
+	if settings.Book.Terms.Seed == 0 { // Danger: pools of one seed would all draw the same chances
+		hash := fnv.New64a()
+		hash.Write([]byte(settings.Name))
+		settings.Book.Terms.Seed = proc.seed ^ hash.Sum64()
+	}
+	book, _, _ := proc.effectiveBook(settings)
+	created, err := proc.front.NewPool(settings.Name, book)
 	if err != nil {
 		return nil, err
 	}
-	n.Beside(s.beside)
-	return &pool{Pool: n, told: told, stop: func() {}, heard: make(chan struct{})}, nil
+	created.Beside(proc.processCount)
+	return &pool{Pool: created, settings: settings, stopList: func() {}, listReceived: make(chan struct{})}, nil
 }
 
 // List implements lists.Sink for sources, whose first word is waited for where another process serves meanwhile.
-func (n *pool) List(entries []roster.Entry[string], whole bool) {
-	n.Pool.List(entries, whole)
-	n.once.Do(func() { close(n.heard) })
+func (p *pool) List(entries []roster.Entry[string], complete bool) {
+	p.Pool.List(entries, complete)
+	p.receivedOnce.Do(func() { close(p.listReceived) })
 }
 
-// follow has a pool's list told by a source from now on; again says that it was told by another before.
-func (s *Process) follow(n *pool, l plan.List, again bool) {
-	n.stop()
-	n.watch = nil
-	var from lists.Source
+// followList has a pool's list told by a source from now on; again says that it was told by another before.
+func (proc *Process) followList(target *pool, list plan.List, replaced bool) {
+	target.stopList()
+	target.subscription = nil
+	var source lists.Source
 	switch {
-	case l.Discovery != "":
-		index := l.Known.Index
-		if again {
+	case list.Discovery != "":
+		index := list.Known.Index
+		if replaced {
 			index = discovery.Unknown // Danger: versions of one source mean nothing to another
 		}
-		if l.Shared && s.fleet != nil {
-			from = s.fleet.List(n.Name, n, func(to lists.Sink) lists.Source {
-				return discovery.New(to, n.Log(), l.Discovery, false, discovery.Unknown, n.Book().DialTimeout)
+		if list.Shared && proc.membership != nil {
+			source = proc.membership.List(target.Name, target, func(to lists.Sink) lists.Source {
+				return discovery.New(to, target.Log(), list.Discovery, false, discovery.Unknown, target.Book().DialTimeout)
 			})
 			break
 		}
-		n.watch = discovery.New(n, n.Log(), l.Discovery, n.Book().Terms.FollowList, index, n.Book().DialTimeout)
-		from = n.watch
-	case l.File != "":
-		from = &listfile.File{Path: l.File, Every: l.Every, Sink: n, Log: n.Log()}
+		target.subscription = discovery.New(target, target.Log(), list.Discovery, target.Book().Terms.FollowList, index, target.Book().DialTimeout)
+		source = target.subscription
+	case list.File != "":
+		source = &listfile.File{Path: list.File, Every: list.Every, Sink: target, Log: target.Log()}
 	default:
-		from = &listfixed.List{Entries: l.Fixed, Sink: n}
+		source = &listfixed.List{Entries: list.Fixed, Sink: target}
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		from.Run(ctx)
+		source.Run(ctx)
 	}()
-	n.stop = func() {
+	target.stopList = func() {
 		stop()
 		<-ended // Danger: what the old source still had to tell would come after the new one's first word
 	}
@@ -529,15 +529,15 @@
 
 // retire ends a pool in its own time. Danger: upstreams may be told to drain meanwhile, so its list is followed until
 // the end.
-func (s *Process) retire(old *pool) {
-	s.retiring.Add(1)
+func (proc *Process) retire(p *pool) {
+	proc.retiring.Add(1)
 	go func() {
-		defer s.retiring.Done()
-		old.Retire()
-		old.stop()
+		defer proc.retiring.Done()
+		p.Retire()
+		p.stopList()
 	}()
 }
 
-func same(a, b plan.List) bool {
+func sameList(a, b plan.List) bool {
 	return a.File == b.File && a.Every == b.Every && a.Discovery == b.Discovery && a.Shared == b.Shared && slices.Equal(a.Fixed, b.Fixed)
 }
--- a/internal/process/process_test.go
+++ b/internal/process/process_test.go
@@ -20,80 +20,80 @@
 	"ottershift/internal/plan"
 )
 
-// stand is a stand-in for the upstreams of a pool: it says its name after some time, and counts what is open to it.
-type stand struct {
+// testUpstream is a stand-in for the upstreams of a pool: it says its name after some time, and counts what is open to it.
+type testUpstream struct {
 	*httptest.Server
 	name  string
-	takes atomic.Int64 // nanoseconds
+	delay atomic.Int64 // nanoseconds
 	conns atomic.Int64
 }
 
-func newStand(t *testing.T, name string) *stand {
-	s := &stand{name: name}
-	s.Server = httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		time.Sleep(time.Duration(s.takes.Load()))
-		fmt.Fprintf(w, "%s %s", s.name, r.Host)
+func newTestUpstream(t *testing.T, name string) *testUpstream {
+	upstream := &testUpstream{name: name}
+	upstream.Server = httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		time.Sleep(time.Duration(upstream.delay.Load()))
+		fmt.Fprintf(w, "%s %s", upstream.name, r.Host)
 	}))
-	s.Config.ConnState = func(_ net.Conn, now http.ConnState) {
+	upstream.Config.ConnState = func(_ net.Conn, now http.ConnState) {
 		switch now {
 		case http.StateNew:
-			s.conns.Add(1)
+			upstream.conns.Add(1)
 		case http.StateClosed:
-			s.conns.Add(-1)
+			upstream.conns.Add(-1)
 		}
 	}
-	s.Start()
-	t.Cleanup(s.Close)
-	return s
+	upstream.Start()
+	t.Cleanup(upstream.Close)
+	return upstream
 }
 
-const head = `limits.descriptors = 2000
+const baseConfig = `limits.descriptors = 2000
 [tariffs.view]
 repeat = "repeatable"
 contract_time = "2s"
 hard_stop = "5s"
 `
 
-// text is a configuration: host and stand by pool, and addresses to listen on.
-func text(listen []string, pools ...[2]any) string {
+// configText is a configuration: host and stand by pool, and addresses to listen on.
+func configText(listen []string, pools ...[2]any) string {
 	var b strings.Builder
-	b.WriteString(head)
+	b.WriteString(baseConfig)
 	for n, address := range listen {
 		fmt.Fprintf(&b, "[listeners.l%d]\naddress = %q\n", n, address)
 	}
 	for n, p := range pools {
-		s := p[1].(*stand)
-		fmt.Fprintf(&b, "[pools.p%d]\ndefault_tariff = \"view\"\nupstreams = [{ name = \"u\", address = %q }]\n", n, s.Listener.Addr())
+		upstream := p[1].(*testUpstream)
+		fmt.Fprintf(&b, "[pools.p%d]\ndefault_tariff = \"view\"\nupstreams = [{ name = \"u\", address = %q }]\n", n, upstream.Listener.Addr())
 		fmt.Fprintf(&b, "[[routes]]\nname = \"r%d\"\nhosts = [%q]\npool = \"p%d\"\n", n, p[0], n)
 	}
 	return b.String()
 }
 
-func parse(t testing.TB, text string) *plan.Plan {
+func parse(t testing.TB, config string) *plan.Plan {
 	t.Helper()
-	p, faults := plan.Parse("f.toml", []byte(text), os.LookupEnv)
+	p, faults := plan.Parse("f.toml", []byte(config), os.LookupEnv)
 	if p == nil {
 		t.Fatal(faults)
 	}
 	return p
 }
 
-func begin(t testing.TB, text string) *Process {
+func startProcess(t testing.TB, config string) *Process {
 	t.Helper()
-	s, err := Start(parse(t, text), slog.New(slog.DiscardHandler), &slog.LevelVar{})
+	proc, err := Start(parse(t, config), slog.New(slog.DiscardHandler), &slog.LevelVar{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return s
+	return proc
 }
 
-// finish ends a process and sees that nothing of it is left.
-func finish(t *testing.T, s *Process, client *http.Transport, stands ...*stand) {
+// closeAndVerify ends a process and sees that nothing of it is left.
+func closeAndVerify(t *testing.T, proc *Process, client *http.Transport, upstreams ...*testUpstream) {
 	t.Helper()
 	client.CloseIdleConnections()
-	s.front.Drain()
-	s.Close()
-	for _, u := range stands {
+	proc.front.Drain()
+	proc.Close()
+	for _, u := range upstreams {
 		for n := 0; u.conns.Load() != 0; n++ {
 			if n == 200 {
 				t.Errorf("%d connections to %s are left", u.conns.Load(), u.name)
@@ -106,7 +106,7 @@
 	goleak.VerifyNone(t)
 }
 
-func free(t testing.TB) string {
+func freeAddress(t testing.TB) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -115,29 +115,29 @@
 	return l.Addr().String()
 }
 
-func ask(client *http.Transport, address, host string) (status int, body string, err error) {
-	r, _ := http.NewRequest(http.MethodGet, "http://"+address+"/x", nil)
-	r.Host = host
-	a, err := client.RoundTrip(r)
+func sendRequest(client *http.Transport, address, host string) (status int, body string, err error) {
+	request, _ := http.NewRequest(http.MethodGet, "http://"+address+"/x", nil)
+	request.Host = host
+	response, err := client.RoundTrip(request)
 	if err != nil {
 		return 0, "", err
 	}
-	defer a.Body.Close()
-	text, err := io.ReadAll(a.Body)
-	return a.StatusCode, string(text), err
+	defer response.Body.Close()
+	text, err := io.ReadAll(response.Body)
+	return response.StatusCode, string(text), err
 }
 
 // The hosts of two pools are swapped again and again under load, while a third pool comes and goes: no transaction is
 // lost, each is answered by a pool that was its host's at some moment of its life, and at the end nothing is left.
 func TestReloadsUnderLoad(t *testing.T) {
-	one, two, three := newStand(t, "one"), newStand(t, "two"), newStand(t, "three")
-	three.takes.Store(int64(20 * time.Millisecond))
-	address := []string{free(t)}
+	one, two, three := newTestUpstream(t, "one"), newTestUpstream(t, "two"), newTestUpstream(t, "three")
+	three.delay.Store(int64(20 * time.Millisecond))
+	address := []string{freeAddress(t)}
 	plans := []*plan.Plan{
-		parse(t, text(address, [2]any{"a.org", one}, [2]any{"b.org", two}, [2]any{"c.org", three})),
-		parse(t, text(address, [2]any{"b.org", one}, [2]any{"a.org", two})),
+		parse(t, configText(address, [2]any{"a.org", one}, [2]any{"b.org", two}, [2]any{"c.org", three})),
+		parse(t, configText(address, [2]any{"b.org", one}, [2]any{"a.org", two})),
 	}
-	s := begin(t, text(address, [2]any{"a.org", one}, [2]any{"b.org", two}, [2]any{"c.org", three}))
+	s := startProcess(t, configText(address, [2]any{"a.org", one}, [2]any{"b.org", two}, [2]any{"c.org", three}))
 	client := &http.Transport{MaxIdleConnsPerHost: 64}
 
 	var turn atomic.Int64 // odd while a reload goes on; a half of it is the number of reloads
@@ -149,7 +149,7 @@
 			host := []string{"a.org", "b.org", "c.org"}[n%3]
 			for !stop.Load() {
 				before := turn.Load()
-				status, body, err := ask(client, address[0], host)
+				status, body, err := sendRequest(client, address[0], host)
 				after := turn.Load()
 				asked.Add(1)
 				swapped := before/2%2 == 1
@@ -183,23 +183,23 @@
 	if asked.Load() < transactions || gone.Load() == 0 {
 		t.Errorf("%d asked, %d of them of a pool that had gone", asked.Load(), gone.Load())
 	}
-	finish(t, s, client, one, two, three)
+	closeAndVerify(t, s, client, one, two, three)
 }
 
 // A pool that is removed with transactions open finishes them; a pool that stays keeps its connections and what its
 // module knows; one whose terms change is another, with the old one's list; a plan that can't be put in force changes
 // nothing.
-func TestReloadKeepsWhatStays(t *testing.T) {
-	one, two := newStand(t, "one"), newStand(t, "two")
+func TestReloadKeepsUnchangedPools(t *testing.T) {
+	one, two := newTestUpstream(t, "one"), newTestUpstream(t, "two")
 	list := filepath.Join(t.TempDir(), "list.toml")
 	os.WriteFile(list, fmt.Appendf(nil, "[[upstreams]]\nname = \"u\"\naddress = %q\n", two.Listener.Addr()), 0o600)
-	address := []string{free(t), free(t)}
-	both := text(address[:1], [2]any{"a.org", one}, [2]any{"b.org", two})
-	s := begin(t, both)
+	address := []string{freeAddress(t), freeAddress(t)}
+	both := configText(address[:1], [2]any{"a.org", one}, [2]any{"b.org", two})
+	s := startProcess(t, both)
 	client := &http.Transport{MaxIdleConnsPerHost: 64}
 	must := func(host string, want int) {
 		t.Helper()
-		if status, body, err := ask(client, address[0], host); err != nil || status != want {
+		if status, body, err := sendRequest(client, address[0], host); err != nil || status != want {
 			t.Fatalf("%s: %d %q %v", host, status, body, err)
 		}
 	}
@@ -207,16 +207,16 @@
 	must("b.org", 200)
 	kept, conns := s.pools["p0"].Pool, one.conns.Load()
 
-	two.takes.Store(int64(300 * time.Millisecond))
+	two.delay.Store(int64(300 * time.Millisecond))
 	slow := make(chan string, 5)
 	for range cap(slow) {
 		go func() {
-			status, body, _ := ask(client, address[0], "b.org")
+			status, body, _ := sendRequest(client, address[0], "b.org")
 			slow <- fmt.Sprint(status, " ", body)
 		}()
 	}
 	time.Sleep(50 * time.Millisecond)
-	if err := s.Reload(parse(t, text(address[:1], [2]any{"a.org", one}))); err != nil {
+	if err := s.Reload(parse(t, configText(address[:1], [2]any{"a.org", one}))); err != nil {
 		t.Fatal(err)
 	}
 	must("b.org", 404)
@@ -237,24 +237,24 @@
 	}
 	defer taken.Close()
 	before := s.plan
-	if err := s.Reload(parse(t, text([]string{address[1], taken.Addr().String()}, [2]any{"a.org", two}))); err == nil || s.plan != before {
+	if err := s.Reload(parse(t, configText([]string{address[1], taken.Addr().String()}, [2]any{"a.org", two}))); err == nil || s.plan != before {
 		t.Errorf("taken: %v", err)
 	}
 	must("a.org", 200)
-	if _, _, err := ask(client, address[1], "a.org"); err == nil {
+	if _, _, err := sendRequest(client, address[1], "a.org"); err == nil {
 		t.Error("a listener of a plan that was refused answers")
 	}
-	if err := s.Reload(parse(t, text(address[1:], [2]any{"a.org", one}))); err != nil {
+	if err := s.Reload(parse(t, configText(address[1:], [2]any{"a.org", one}))); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := ask(&http.Transport{DisableKeepAlives: true}, address[0], "a.org"); err == nil {
+	if _, _, err := sendRequest(&http.Transport{DisableKeepAlives: true}, address[0], "a.org"); err == nil {
 		t.Error("a listener that was removed answers")
 	}
 	address = address[1:]
 	must("a.org", 200)
 
 	// Other limits towards upstreams make another pool, which serves from its first moment; another source tells the same pool.
-	changed := strings.Replace(text(address, [2]any{"a.org", one}), "[pools.p0]\n", "[pools.p0]\ndial_timeout = \"700ms\"\n", 1)
+	changed := strings.Replace(configText(address, [2]any{"a.org", one}), "[pools.p0]\n", "[pools.p0]\ndial_timeout = \"700ms\"\n", 1)
 	if err := s.Reload(parse(t, changed)); err != nil {
 		t.Fatal(err)
 	}
@@ -282,9 +282,9 @@
 	if err := s.Reload(parse(t, changed[:from]+fmt.Sprintf("upstreams_file = %q", list)+changed[to:])); err != nil {
 		t.Fatal(err)
 	}
-	two.takes.Store(0)
+	two.delay.Store(0)
 	for n := 0; ; n++ {
-		if _, body, _ := ask(client, address[0], "a.org"); body == "two a.org" {
+		if _, body, _ := sendRequest(client, address[0], "a.org"); body == "two a.org" {
 			break
 		} else if n == 300 {
 			t.Fatalf("still answered by %q", body)
@@ -299,7 +299,7 @@
 	os.WriteFile(list, []byte("empty = true\n"), 0o600)
 	for n := 0; ; n++ {
 		start := time.Now()
-		status, body, err := ask(client, address[0], "a.org")
+		status, body, err := sendRequest(client, address[0], "a.org")
 		if err != nil || status != 200 && status != 503 {
 			t.Fatalf("%d %q %v", status, body, err)
 		}
@@ -314,23 +314,23 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	finish(t, s, client, one, two)
+	closeAndVerify(t, s, client, one, two)
 }
 
 // A pool whose tariffs change stays as it is, with what it has learnt: what is open ends under the terms that it came
 // under, and what comes is served under the new ones.
-func TestTermsChangeInPlace(t *testing.T) {
-	one := newStand(t, "one")
-	one.takes.Store(int64(300 * time.Millisecond))
-	address := []string{free(t)}
-	first := text(address, [2]any{"a.org", one})
+func TestTariffsChangeInPlace(t *testing.T) {
+	one := newTestUpstream(t, "one")
+	one.delay.Store(int64(300 * time.Millisecond))
+	address := []string{freeAddress(t)}
+	first := configText(address, [2]any{"a.org", one})
 	second := strings.NewReplacer("[tariffs.view]", "[tariffs.look]", `"view"`, `"look"`, `"5s"`, `"250ms"`, `"2s"`, `"200ms"`).Replace(first)
-	s := begin(t, first)
+	s := startProcess(t, first)
 	client := &http.Transport{MaxIdleConnsPerHost: 64}
 	before := s.pools["p0"].Pool
 	open := make(chan string)
 	go func() {
-		status, body, err := ask(client, address[0], "a.org")
+		status, body, err := sendRequest(client, address[0], "a.org")
 		open <- fmt.Sprint(status, body, err)
 	}()
 	time.Sleep(100 * time.Millisecond)
@@ -343,8 +343,8 @@
 	if got := <-open; !strings.HasPrefix(got, "200") {
 		t.Errorf("what was open ended with %s", got)
 	}
-	if status, _, err := ask(client, address[0], "a.org"); status != 503 || err != nil { // 250 ms are too short for it
+	if status, _, err := sendRequest(client, address[0], "a.org"); status != 503 || err != nil { // 250 ms are too short for it
 		t.Errorf("under the new terms: %d %v", status, err)
 	}
-	finish(t, s, client, one)
+	closeAndVerify(t, s, client, one)
 }
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -11,32 +11,32 @@
 
 // Entry is one line of a list.
 type Entry[Name comparable] struct {
-	Name    Name
-	Zone    string
-	Kind    string // of machine, if told
-	Address string // where it is reached, if the door reaches it by address
-	Up      logic.Upstream
-	Ends    bool // drains: it finishes what it has
-	Gone    bool
+	Name     Name
+	Zone     string
+	Kind     string // of machine, if told
+	Address  string // where it is reached, if the door reaches it by address
+	Upstream logic.Upstream
+	Draining bool // drains: it finishes what it has
+	Removed  bool
 }
 
-// Number orders upstreams: it is the same at every balancer, as the name is.
-func Number(name string) uint32 {
-	number := fnv.New32a()
-	number.Write([]byte(name))
-	return number.Sum32()
+// UpstreamID orders upstreams: it is the same at every balancer, as the name is.
+func UpstreamID(name string) uint32 {
+	hash := fnv.New32a()
+	hash.Write([]byte(name))
+	return hash.Sum32()
 }
 
-// Place is one upstream's stay at one address. Danger: addresses are used again, and what is kept of one upstream
+// Endpoint is one upstream's stay at one address. Danger: addresses are used again, and what is kept of one upstream
 // (connections first of all) must not pass for its successor's.
-type Place struct {
-	Host    string // never used again
-	Address string
-	Kept    *atomic.Int32 // connections to it that wait for a push; whoever owns them counts
+type Endpoint struct {
+	Host      string // never used again
+	Address   string
+	IdleConns *atomic.Int32 // connections to it that wait for a push; whoever owns them counts
 }
 
-// Module is what is told of the list: a Balancer, or what the lab sets in its place.
-type Module interface {
+// Engine is what is told of the list: a Balancer, or what the lab sets in its place.
+type Engine interface {
 	Known(i int) bool
 	Join() int
 	List(i int, u logic.Upstream, now int64)
@@ -47,125 +47,125 @@
 
 // Roster knows which index stands for which upstream of one balancer.
 type Roster[Name comparable] struct {
-	b     Module
-	zones map[string]int
-	kinds map[string]int
-	index map[Name]int
-	names []Name
-	place []Place
-	entry []Entry[Name]
-	at    map[string]int // index by address, as far as any is told
-	stays int            // so far
+	engine         Engine
+	zoneNumbers    map[string]int
+	kindNumbers    map[string]int
+	indexByName    map[Name]int
+	names          []Name
+	endpoints      []Endpoint
+	entries        []Entry[Name]
+	indexByAddress map[string]int // index by address, as far as any is told
+	endpointCount  int            // so far
 }
 
 // New starts an empty roster; zones are numbered by their place.
-func New[Name comparable](b Module, zones []string) *Roster[Name] {
-	r := &Roster[Name]{b: b, zones: map[string]int{}, kinds: map[string]int{"": 0}, index: map[Name]int{}, at: map[string]int{}}
+func New[Name comparable](engine Engine, zones []string) *Roster[Name] {
+	r := &Roster[Name]{engine: engine, zoneNumbers: map[string]int{}, kindNumbers: map[string]int{"": 0}, indexByName: map[Name]int{}, indexByAddress: map[string]int{}}
 	for _, z := range zones {
-		numbered(r.zones, z)
+		numberOf(r.zoneNumbers, z)
 	}
 	return r
 }
 
 // Change is what a report of the list has changed.
 type Change struct {
-	Left               []string // hosts
-	Joined, Ends, Gone int      // upstreams that are new, drain from now on, and are no longer listed
-	Listed             int      // in all, from now on
-	Odd                int      // entries left out: another upstream is at their address
-	Born               int64    // the latest start among the new ones, 0 if none was told
+	ReleasedHosts             []string // hosts
+	Joined, Draining, Removed int      // upstreams that are new, drain from now on, and are no longer listed
+	Listed                    int      // in all, from now on
+	Conflicts                 int      // entries left out: another upstream is at their address
+	NewestStart               int64    // the latest start among the new ones, 0 if none was told
 }
 
 // Apply hands a report of the list on, entry by entry, and tells what has changed by it. Who is missing from a whole
 // list has left.
-func (r *Roster[Name]) Apply(entries []Entry[Name], whole bool, now int64) (c Change) {
-	here, stands := map[Name]bool{}, map[Name]bool{}
+func (r *Roster[Name]) Apply(entries []Entry[Name], complete bool, now int64) (change Change) {
+	listed, present := map[Name]bool{}, map[Name]bool{}
 	for _, e := range entries {
-		here[e.Name], stands[e.Name] = true, !e.Gone
+		listed[e.Name], present[e.Name] = true, !e.Removed
 	}
 	for _, e := range entries {
-		i, known := r.index[e.Name]
-		if e.Gone {
+		i, known := r.indexByName[e.Name]
+		if e.Removed {
 			if known {
-				r.leave(i, &c)
+				r.remove(i, &change)
 			}
 			continue
 		}
 		// Danger: one machine under two names would get two parts, and be paid twice while it is cold. The later start
 		// stands; of two that started alike, who serves; of two that serve, who came last, unless one report tells both.
-		if j, taken := r.at[e.Address]; taken && r.names[j] != e.Name && r.b.Known(j) {
-			has := r.entry[j]
-			alike := e.Up.StartedAt == has.Up.StartedAt
-			if e.Up.StartedAt < has.Up.StartedAt || alike && e.Ends && !has.Ends || alike && e.Ends == has.Ends && stands[has.Name] {
-				if c.Odd++; known && r.b.Known(i) {
-					r.leave(i, &c)
+		if j, taken := r.indexByAddress[e.Address]; taken && r.names[j] != e.Name && r.engine.Known(j) {
+			other := r.entries[j]
+			sameStart := e.Upstream.StartedAt == other.Upstream.StartedAt
+			if e.Upstream.StartedAt < other.Upstream.StartedAt || sameStart && e.Draining && !other.Draining || sameStart && e.Draining == other.Draining && present[other.Name] {
+				if change.Conflicts++; known && r.engine.Known(i) {
+					r.remove(i, &change)
 				}
 				continue
 			}
-			r.leave(j, &c)
+			r.remove(j, &change)
 		}
-		if !known || !r.b.Known(i) {
+		if !known || !r.engine.Known(i) {
 			i = r.join(e.Name)
-			c.Joined, c.Born = c.Joined+1, max(c.Born, e.Up.StartedAt)
+			change.Joined, change.NewestStart = change.Joined+1, max(change.NewestStart, e.Upstream.StartedAt)
 		}
-		if r.place[i].Address != e.Address {
-			r.move(i, e.Address, &c)
+		if r.endpoints[i].Address != e.Address {
+			r.setAddress(i, e.Address, &change)
 		}
-		if e.Ends && !r.entry[i].Ends {
-			c.Ends++
+		if e.Draining && !r.entries[i].Draining {
+			change.Draining++
 		}
-		r.entry[i] = e
-		e.Up.Zone, e.Up.Kind = numbered(r.zones, e.Zone), numbered(r.kinds, e.Kind)
-		r.b.List(i, e.Up, now)
-		if e.Ends {
-			r.b.Drain(i)
+		r.entries[i] = e
+		e.Upstream.Zone, e.Upstream.Kind = numberOf(r.zoneNumbers, e.Zone), numberOf(r.kindNumbers, e.Kind)
+		r.engine.List(i, e.Upstream, now)
+		if e.Draining {
+			r.engine.Drain(i)
 		}
 	}
-	if whole {
+	if complete {
 		for i, name := range r.names {
-			if !here[name] {
-				r.leave(i, &c)
+			if !listed[name] {
+				r.remove(i, &change)
 			}
 		}
 	}
 	for i := range r.names {
-		if r.b.Known(i) {
-			c.Listed++
+		if r.engine.Known(i) {
+			change.Listed++
 		}
 	}
-	r.b.Listed(true, now)
-	return c
+	r.engine.Listed(true, now)
+	return change
 }
 
-func (r *Roster[Name]) leave(i int, c *Change) {
-	if r.b.Known(i) {
-		c.Gone++
+func (r *Roster[Name]) remove(i int, change *Change) {
+	if r.engine.Known(i) {
+		change.Removed++
 	}
-	r.b.Leave(i)
-	r.move(i, "", c)
+	r.engine.Leave(i)
+	r.setAddress(i, "", change)
 }
 
-// move begins a stay and ends the one before.
-func (r *Roster[Name]) move(i int, address string, c *Change) {
-	if was := r.place[i].Address; was != "" {
-		if c.Left = append(c.Left, r.place[i].Host); r.at[was] == i {
-			delete(r.at, was)
+// setAddress begins a stay and ends the one before.
+func (r *Roster[Name]) setAddress(i int, address string, change *Change) {
+	if before := r.endpoints[i].Address; before != "" {
+		if change.ReleasedHosts = append(change.ReleasedHosts, r.endpoints[i].Host); r.indexByAddress[before] == i {
+			delete(r.indexByAddress, before)
 		}
 	}
 	if address != "" {
-		r.at[address] = i
+		r.indexByAddress[address] = i
 	}
-	r.stays++
-	r.place[i] = Place{"u" + strconv.Itoa(r.stays), address, new(atomic.Int32)}
+	r.endpointCount++
+	r.endpoints[i] = Endpoint{"u" + strconv.Itoa(r.endpointCount), address, new(atomic.Int32)}
 }
 
-// Zone is the number of a zone.
-func (r *Roster[Name]) Zone(name string) int { return numbered(r.zones, name) }
+// ZoneNumber is the number of a zone.
+func (r *Roster[Name]) ZoneNumber(name string) int { return numberOf(r.zoneNumbers, name) }
 
 // Entries is the list as it stands.
 func (r *Roster[Name]) Entries() (all []Entry[Name]) {
-	for i, e := range r.entry {
-		if r.b.Known(i) {
+	for i, e := range r.entries {
+		if r.engine.Known(i) {
 			all = append(all, e)
 		}
 	}
@@ -174,39 +174,39 @@
 
 // Index finds an upstream by its name.
 func (r *Roster[Name]) Index(name Name) (i int, known bool) {
-	i, known = r.index[name]
+	i, known = r.indexByName[name]
 	return i, known
 }
 
 // Name is the upstream behind an index.
 func (r *Roster[Name]) Name(i int) Name { return r.names[i] }
 
-// Place is where the upstream behind an index is reached.
-func (r *Roster[Name]) Place(i int) Place { return r.place[i] }
+// Endpoint is where the upstream behind an index is reached.
+func (r *Roster[Name]) Endpoint(i int) Endpoint { return r.endpoints[i] }
 
-// Group is the zone and cell of the upstream behind an index, as the list names them.
-func (r *Roster[Name]) Group(i int) (zone string, cell int) {
-	return r.entry[i].Zone, r.entry[i].Up.Cell
+// ZoneAndCell is the zone and cell of the upstream behind an index, as the list names them.
+func (r *Roster[Name]) ZoneAndCell(i int) (zone string, cell int) {
+	return r.entries[i].Zone, r.entries[i].Upstream.Cell
 }
 
 // join gives an upstream an index; an index used before is taken from the one that had it.
 func (r *Roster[Name]) join(name Name) int {
-	i := r.b.Join()
+	i := r.engine.Join()
 	if i == len(r.names) {
-		r.names, r.place = append(r.names, name), append(r.place, Place{Kept: new(atomic.Int32)})
-		r.entry = append(r.entry, Entry[Name]{})
+		r.names, r.endpoints = append(r.names, name), append(r.endpoints, Endpoint{IdleConns: new(atomic.Int32)})
+		r.entries = append(r.entries, Entry[Name]{})
 	} else {
-		if r.index[r.names[i]] == i {
-			delete(r.index, r.names[i])
+		if r.indexByName[r.names[i]] == i {
+			delete(r.indexByName, r.names[i])
 		}
-		r.names[i], r.entry[i] = name, Entry[Name]{}
+		r.names[i], r.entries[i] = name, Entry[Name]{}
 	}
-	r.index[name] = i
+	r.indexByName[name] = i
 	return i
 }
 
-// numbered is the number of a name, the next one if it is new.
-func numbered(names map[string]int, name string) int {
+// numberOf is the number of a name, the next one if it is new.
+func numberOf(names map[string]int, name string) int {
 	n, known := names[name]
 	if !known {
 		n = len(names)
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -9,7 +9,7 @@
 	"ottershift/logic"
 )
 
-func empty(t *testing.T) (*logic.Balancer, *Roster[string]) {
+func newEmpty(t *testing.T) (*logic.Balancer, *Roster[string]) {
 	t.Helper()
 	b, err := logic.New(&logic.Config{
 		Balancers: 1, MaxAttempts: 1, ColdShare: 1, Tariffs: []*logic.Tariff{{ContractTime: 1}},
@@ -20,10 +20,10 @@
 	return b, New[string](b, []string{"a"})
 }
 
-func TestNamesKeepTheirIndexUntilItIsTaken(t *testing.T) {
-	b, r := empty(t)
+func TestNamesKeepIndexUntilReused(t *testing.T) {
+	b, r := newEmpty(t)
 	entry := func(name, address string) Entry[string] {
-		return Entry[string]{Name: name, Zone: "b", Address: address, Up: logic.Upstream{Weight: 1}}
+		return Entry[string]{Name: name, Zone: "b", Address: address, Upstream: logic.Upstream{Weight: 1}}
 	}
 	at := func(name string) int {
 		t.Helper()
@@ -36,15 +36,15 @@
 	r.Apply([]Entry[string]{entry("u", "1"), entry("v", "2")}, true, 1)
 	u, v := at("u"), at("v")
 	r.Apply([]Entry[string]{entry("u", "3")}, false, 2) // a change says nothing of the rest
-	if at("u") != u || r.Place(u).Address != "3" || !b.Known(v) {
+	if at("u") != u || r.Endpoint(u).Address != "3" || !b.Known(v) {
 		t.Error("a change of address is not taken, or moved somebody")
 	}
 	r.Apply([]Entry[string]{entry("u", "3")}, true, 3) // who is missing from a whole list has left
 	if b.Known(v) {
 		t.Error("v is still there")
 	}
-	r.Apply([]Entry[string]{entry("w", "4"), {Name: "never", Gone: true}}, false, 4)
-	if at("w") != v || r.Place(v).Address != "4" {
+	r.Apply([]Entry[string]{entry("w", "4"), {Name: "never", Removed: true}}, false, 4)
+	if at("w") != v || r.Endpoint(v).Address != "4" {
 		t.Error("w didn't take the place that v left")
 	}
 	if _, known := r.Index("v"); known { // Danger: news of v would be taken for w's
@@ -57,28 +57,28 @@
 }
 
 // Danger: what grows with each upstream that ever was ends the process in the end.
-func TestUpstreamsComeAndGoForGood(t *testing.T) {
-	_, r := empty(t)
+func TestRemovedUpstreamsAreForgotten(t *testing.T) {
+	_, r := newEmpty(t)
 	hosts, gone := map[string]bool{}, 0
 	for n := range 5000 {
 		c := r.Apply([]Entry[string]{
-			{Name: strconv.Itoa(n), Zone: "a", Address: strconv.Itoa(n % 8), Up: logic.Upstream{Weight: 1}},
-			{Name: strconv.Itoa(n - 3), Gone: true},
+			{Name: strconv.Itoa(n), Zone: "a", Address: strconv.Itoa(n % 8), Upstream: logic.Upstream{Weight: 1}},
+			{Name: strconv.Itoa(n - 3), Removed: true},
 		}, false, int64(n))
 		i, _ := r.Index(strconv.Itoa(n))
-		hosts[r.Place(i).Host] = true
-		gone += len(c.Left)
+		hosts[r.Endpoint(i).Host] = true
+		gone += len(c.ReleasedHosts)
 	}
-	if len(r.index) > 8 || len(r.names) > 8 || len(hosts) != 5000 || gone != 4997 {
-		t.Errorf("%d names, %d places, %d hosts, of which %d left", len(r.index), len(r.names), len(hosts), gone)
+	if len(r.indexByName) > 8 || len(r.names) > 8 || len(hosts) != 5000 || gone != 4997 {
+		t.Errorf("%d names, %d places, %d hosts, of which %d left", len(r.indexByName), len(r.names), len(hosts), gone)
 	}
 }
 
 // One machine under two names, a name twice, an older list: what stands is one upstream for each address and name.
-func TestEntriesThatContradictEachOther(t *testing.T) {
-	b, r := empty(t)
+func TestConflictingEntries(t *testing.T) {
+	b, r := newEmpty(t)
 	entry := func(name, address string, born int64, ends bool) Entry[string] {
-		return Entry[string]{Name: name, Zone: "a", Address: address, Up: logic.Upstream{Weight: 1, StartedAt: born}, Ends: ends}
+		return Entry[string]{Name: name, Zone: "a", Address: address, Upstream: logic.Upstream{Weight: 1, StartedAt: born}, Draining: ends}
 	}
 	for n, c := range []struct {
 		told    []Entry[string]
@@ -94,7 +94,7 @@
 		{nil, 0, "", ""},
 		{[]Entry[string]{entry("u", "1", 0, true), entry("v", "1", 0, false)}, 0, "v ", ""}, // who drains makes way
 	} {
-		if got := r.Apply(c.told, true, int64(n+1)); got.Odd != c.odd || got.Listed != len(strings.Fields(c.listed)) {
+		if got := r.Apply(c.told, true, int64(n+1)); got.Conflicts != c.odd || got.Listed != len(strings.Fields(c.listed)) {
 			t.Errorf("list %d: %+v", n, got)
 		}
 		var names []string
@@ -105,12 +105,12 @@
 		if got := strings.Join(names, ""); got != c.listed {
 			t.Errorf("list %d: stands %q, want %q", n, got, c.listed)
 		}
-		if i, known := r.Index("u"); known && b.Known(i) && r.Place(i).Address != c.address {
-			t.Errorf("list %d: u is at %q", n, r.Place(i).Address)
+		if i, known := r.Index("u"); known && b.Known(i) && r.Endpoint(i).Address != c.address {
+			t.Errorf("list %d: u is at %q", n, r.Endpoint(i).Address)
 		}
 	}
 	// A successor at the same address, told before the one that it follows is: nothing of it may be lost.
-	r.Apply([]Entry[string]{entry("y", "1", 0, false), {Name: "v", Gone: true}}, false, 99)
+	r.Apply([]Entry[string]{entry("y", "1", 0, false), {Name: "v", Removed: true}}, false, 99)
 	if all := r.Entries(); len(all) != 1 || all[0].Name != "y" {
 		t.Errorf("after a successor at v's address there are %v", all)
 	}
@@ -118,23 +118,23 @@
 	if all := r.Entries(); len(all) != 1 || all[0].Name != "y" {
 		t.Errorf("after late news of v there are %v", all)
 	}
-	if len(r.at) > 1 {
-		t.Errorf("addresses of those that left are kept: %v", r.at)
+	if len(r.indexByAddress) > 1 {
+		t.Errorf("addresses of those that left are kept: %v", r.indexByAddress)
 	}
 }
 
-// kinds writes down the kinds of upstreams as a module is told them.
-type kinds struct {
+// kindRecorder writes down the kinds of upstreams as a module is told them.
+type kindRecorder struct {
 	*logic.Balancer
 	all []int
 }
 
-func (k *kinds) List(_ int, u logic.Upstream, _ int64) { k.all = append(k.all, u.Kind) }
+func (k *kindRecorder) List(_ int, u logic.Upstream, _ int64) { k.all = append(k.all, u.Kind) }
 
 // Kinds have the same number whenever they come, and none is the number of those that tell none.
 func TestKindsAreNumbered(t *testing.T) {
-	b, _ := empty(t)
-	k := &kinds{Balancer: b}
+	b, _ := newEmpty(t)
+	k := &kindRecorder{Balancer: b}
 	r := New[string](k, nil)
 	for n, kind := range []string{"", "large", "small", "large", ""} {
 		r.Apply([]Entry[string]{{Name: strconv.Itoa(n), Kind: kind}}, false, 1)
--- a/internal/simwire/read.go
+++ b/internal/simwire/read.go
@@ -153,10 +153,10 @@
 		number := uint32(e.GetUint64("upstream"))
 		list = append(list, roster.Entry[uint32]{
 			Name: number, Zone: string(e.GetStringBytes("site")), Kind: string(e.GetStringBytes("family_type")),
-			Up: logic.Upstream{
+			Upstream: logic.Upstream{
 				ID: number, Weight: weight, Cell: e.GetInt("pod"), StartedAt: e.GetInt64("born") * microsecond,
 			},
-			Gone: state == "Gone", Ends: state == "Terminating",
+			Removed: state == "Gone", Draining: state == "Terminating",
 		})
 	}
 	s.sheets[n] = list
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -12,277 +12,279 @@
 
 // Counts are what the other would have done, in transactions but for Compared.
 type Counts struct {
-	Compared  int // first pushes that both sent
-	Elsewhere int // of these, to another upstream
-	Waiting   int // sent, where the other had it wait or had turned it away
-	Sooner    int // not sent yet, where the other had sent it
-	Copies    int // not sent again, where the other would have
-	Fewer     int // sent again, where the other had not
-	GivenUp   int // ended by the other while it went on here
-	Kept      int // deferred or forfeited here, where the other went on
+	Compared      int // first pushes that both sent
+	OtherUpstream int // of these, to another upstream
+	Later         int // sent, where the other had it wait or had turned it away
+	Earlier       int // not sent yet, where the other had sent it
+	MoreAttempts  int // not sent again, where the other would have
+	FewerAttempts int // sent again, where the other had not
+	EndedInShadow int // ended by the other while it went on here
+	OpenInShadow  int // deferred or forfeited here, where the other went on
 }
 
 // Add adds another's.
-func (c *Counts) Add(o Counts) {
-	c.Compared, c.Elsewhere = c.Compared+o.Compared, c.Elsewhere+o.Elsewhere
-	c.Waiting, c.Sooner = c.Waiting+o.Waiting, c.Sooner+o.Sooner
-	c.Copies, c.Fewer = c.Copies+o.Copies, c.Fewer+o.Fewer
-	c.GivenUp, c.Kept = c.GivenUp+o.GivenUp, c.Kept+o.Kept
+func (c *Counts) Add(other Counts) {
+	c.Compared, c.OtherUpstream = c.Compared+other.Compared, c.OtherUpstream+other.OtherUpstream
+	c.Later, c.Earlier = c.Later+other.Later, c.Earlier+other.Earlier
+	c.MoreAttempts, c.FewerAttempts = c.MoreAttempts+other.MoreAttempts, c.FewerAttempts+other.FewerAttempts
+	c.EndedInShadow, c.OpenInShadow = c.EndedInShadow+other.EndedInShadow, c.OpenInShadow+other.OpenInShadow
 }
 
-// Module is both balancers.
-type Module struct {
-	before, after *logic.Balancer
-	to, back      []int // index at the other, and back from there
-	cases         map[*logic.Transaction]*pair
-	round         []*pair // with a decision in this round
-	counts        Counts
-	probes        []int // that the other asked for
-	w             logic.Writer
-	now           int64
-	wakes         [2]int64
+// Engine is both balancers.
+type Engine struct {
+	current, shadow           *logic.Balancer
+	shadowIndex, currentIndex []int // index at the other, and back from there
+	pairs                     map[*logic.Transaction]*pair
+	roundPairs                []*pair // with a decision in this round
+	counts                    Counts
+	shadowProbes              []int // that the other asked for
+	writer                    logic.Writer
+	now                       int64
+	wakeAt                    [2]int64
 }
 
 // pair is one transaction as both have it.
 type pair struct {
-	t      *logic.Transaction
-	other  logic.Transaction
-	queued bool
-	sent   int  // of its pushes, compared
-	sooner bool // counted, as are the next three
-	copied bool
-	waited bool
-	ended  bool
-	refuse bool // deferred or forfeited here
+	current         *logic.Transaction
+	shadow          logic.Transaction
+	queued          bool
+	compared        int  // of its pushes, compared
+	countedEarlier  bool // counted, as are the next three
+	countedAttempts bool
+	countedLater    bool
+	countedEnding   bool
+	refused         bool // deferred or forfeited here
 }
 
 // New starts both, each with terms of its own.
-func New(before, after *logic.Config, now int64) (*Module, error) {
-	b, err := logic.New(before, now)
+func New(current, shadow *logic.Config, now int64) (*Engine, error) {
+	currentBalancer, err := logic.New(current, now)
 	if err != nil {
 		return nil, err
 	}
-	a, err := logic.New(after, now)
+	shadowBalancer, err := logic.New(shadow, now)
 	if err != nil {
 		return nil, err
 	}
-	return &Module{before: b, after: a, cases: map[*logic.Transaction]*pair{}, wakes: [2]int64{math.MaxInt64, math.MaxInt64}}, nil
+	return &Engine{current: currentBalancer, shadow: shadowBalancer, pairs: map[*logic.Transaction]*pair{}, wakeAt: [2]int64{math.MaxInt64, math.MaxInt64}}, nil
 }
 
 // Counts takes the counts and starts new ones.
-func (m *Module) Counts() Counts {
-	c := m.counts
-	m.counts = Counts{}
+func (e *Engine) Counts() Counts {
+	c := e.counts
+	e.counts = Counts{}
 	return c
 }
 
 // Known implements desk.Module, as do the methods below.
-func (m *Module) Known(i int) bool { return m.before.Known(i) }
+func (e *Engine) Known(i int) bool { return e.current.Known(i) }
 
-func (m *Module) Join() int {
-	i, j := m.before.Join(), m.after.Join()
-	for len(m.to) <= i {
-		m.to = append(m.to, 0)
+func (e *Engine) Join() int {
+	i, j := e.current.Join(), e.shadow.Join()
+	for len(e.shadowIndex) <= i {
+		e.shadowIndex = append(e.shadowIndex, 0)
 	}
-	for len(m.back) <= j {
-		m.back = append(m.back, 0)
+	for len(e.currentIndex) <= j {
+		e.currentIndex = append(e.currentIndex, 0)
 	}
-	m.to[i], m.back[j] = j, i
+	e.shadowIndex[i], e.currentIndex[j] = j, i
 	return i
 }
 
-func (m *Module) List(i int, u logic.Upstream, now int64) {
-	m.before.List(i, u, now)
-	m.after.List(m.to[i], u, now)
+func (e *Engine) List(i int, u logic.Upstream, now int64) {
+	e.current.List(i, u, now)
+	e.shadow.List(e.shadowIndex[i], u, now)
 }
 
-func (m *Module) Drain(i int) {
-	m.before.Drain(i)
-	m.after.Drain(m.to[i])
+func (e *Engine) Drain(i int) {
+	e.current.Drain(i)
+	e.shadow.Drain(e.shadowIndex[i])
 }
 
-func (m *Module) Leave(i int) {
-	m.before.Leave(i)
-	m.after.Leave(m.to[i])
+func (e *Engine) Leave(i int) {
+	e.current.Leave(i)
+	e.shadow.Leave(e.shadowIndex[i])
 }
 
-func (m *Module) Listed(ok bool, now int64) {
-	m.before.Listed(ok, now)
-	m.after.Listed(ok, now)
+func (e *Engine) Listed(ok bool, now int64) {
+	e.current.Listed(ok, now)
+	e.shadow.Listed(ok, now)
 }
 
-func (m *Module) PeerReport(peer int, raw []byte, now int64) { m.after.PeerReport(peer, raw, now) }
+func (e *Engine) PeerReport(peer int, raw []byte, now int64) { e.shadow.PeerReport(peer, raw, now) }
 
-func (m *Module) Arrive(t *logic.Transaction, tariff, customer int, work, left int64, again bool, now int64) {
-	p := &pair{t: t}
-	p.other.UserData, p.other.SendOnce, p.other.BodyPending = p, t.SendOnce, t.BodyPending
-	m.cases[t] = p
-	m.before.Arrive(t, tariff, customer, work, left, again, now)
-	m.after.Arrive(&p.other, tariff, customer, work, left, again, now)
+func (e *Engine) Arrive(t *logic.Transaction, tariff, customer int, work, left int64, resent bool, now int64) {
+	p := &pair{current: t}
+	p.shadow.UserData, p.shadow.SendOnce, p.shadow.BodyPending = p, t.SendOnce, t.BodyPending
+	e.pairs[t] = p
+	e.current.Arrive(t, tariff, customer, work, left, resent, now)
+	e.shadow.Arrive(&p.shadow, tariff, customer, work, left, resent, now)
 }
 
-func (m *Module) BodyReceived(t *logic.Transaction, left, now int64) {
-	m.before.BodyReceived(t, left, now)
-	if p := m.cases[t]; p != nil {
-		m.after.BodyReceived(&p.other, left, now)
+func (e *Engine) BodyReceived(t *logic.Transaction, left, now int64) {
+	e.current.BodyReceived(t, left, now)
+	if p := e.pairs[t]; p != nil {
+		e.shadow.BodyReceived(&p.shadow, left, now)
 	}
 }
 
 // Reconfigure is not taken while shapes are compared: what the two would have done apart could not be told any more.
-func (m *Module) Reconfigure(*logic.Config, int64) error {
+func (e *Engine) Reconfigure(*logic.Config, int64) error {
 	return errors.New("watch: other terms are not taken while it is on")
 }
 
-func (m *Module) UpstreamCounts() (listed, avoided int) { return m.before.UpstreamCounts() }
+func (e *Engine) UpstreamCounts() (listed, avoided int) { return e.current.UpstreamCounts() }
 
-func (m *Module) Stats() logic.Stats { return m.before.Stats() }
+func (e *Engine) Stats() logic.Stats { return e.current.Stats() }
 
-func (m *Module) TakeEvents(take func(logic.EjectionEvent)) { m.before.TakeEvents(take) }
+func (e *Engine) TakeEvents(take func(logic.EjectionEvent)) { e.current.TakeEvents(take) }
 
-func (m *Module) Outcome(t *logic.Transaction, n int, r logic.Result, took int64, final bool, now int64) {
-	m.before.Outcome(t, n, r, took, final, now)
-	if p := m.cases[t]; p != nil {
-		if n < p.sent {
-			m.after.Outcome(&p.other, n, r, took, final, now)
+func (e *Engine) Outcome(t *logic.Transaction, n int, r logic.Result, took int64, final bool, now int64) {
+	e.current.Outcome(t, n, r, took, final, now)
+	if p := e.pairs[t]; p != nil {
+		if n < p.compared {
+			e.shadow.Outcome(&p.shadow, n, r, took, final, now)
 		}
-		m.settle(p, now)
+		e.settleShadow(p, now)
 	}
 }
 
-func (m *Module) ClientGone(t *logic.Transaction) {
-	m.before.ClientGone(t)
-	if p := m.cases[t]; p != nil {
-		m.settle(p, m.now)
+func (e *Engine) ClientGone(t *logic.Transaction) {
+	e.current.ClientGone(t)
+	if p := e.pairs[t]; p != nil {
+		e.settleShadow(p, e.now)
 	}
 }
 
-// settle ends a transaction at the other once it has ended here, and forgets it once nothing of it is out.
-func (m *Module) settle(p *pair, now int64) {
-	if !p.t.Answered() {
+// settleShadow ends a transaction at the other once it has ended here, and forgets it once nothing of it is out.
+func (e *Engine) settleShadow(p *pair, now int64) {
+	if !p.current.Answered() {
 		return
 	}
-	m.after.ClientGone(&p.other)
-	for n := p.sent; n < p.other.AttemptCount(); n++ { // what only the other sent
-		m.after.Outcome(&p.other, n, logic.Unsent, 0, true, now)
+	e.shadow.ClientGone(&p.shadow)
+	for n := p.compared; n < p.shadow.AttemptCount(); n++ { // what only the other sent
+		e.shadow.Outcome(&p.shadow, n, logic.Unsent, 0, true, now)
 	}
-	if p.t.Closed() {
-		delete(m.cases, p.t)
+	if p.current.Closed() {
+		delete(e.pairs, p.current)
 	}
 }
 
-func (m *Module) ProbeResult(i int, ok bool) { m.before.ProbeResult(i, ok) }
+func (e *Engine) ProbeResult(i int, ok bool) { e.current.ProbeResult(i, ok) }
 
 // Round has both decide and compares.
-func (m *Module) Round(now int64, w logic.Writer) {
-	m.w, m.now = w, now
-	m.before.Round(now, here{m})
-	m.after.Round(now, there{m})
-	for _, p := range m.round {
+func (e *Engine) Round(now int64, w logic.Writer) {
+	e.writer, e.now = w, now
+	e.current.Round(now, currentWriter{e})
+	e.shadow.Round(now, shadowWriter{e})
+	for _, p := range e.roundPairs {
 		p.queued = false
-		m.compare(p)
+		e.compare(p)
 	}
-	m.round = m.round[:0]
-	for _, j := range m.probes { // it isn't sent a probe of its own: it returns as where none are allowed
-		m.after.ProbeResult(j, true)
+	e.roundPairs = e.roundPairs[:0]
+	for _, j := range e.shadowProbes { // it isn't sent a probe of its own: it returns as where none are allowed
+		e.shadow.ProbeResult(j, true)
 	}
-	m.probes = m.probes[:0]
-	for k := range m.wakes {
-		if m.wakes[k] <= now {
-			m.wakes[k] = math.MaxInt64
+	e.shadowProbes = e.shadowProbes[:0]
+	for k := range e.wakeAt {
+		if e.wakeAt[k] <= now {
+			e.wakeAt[k] = math.MaxInt64
 		}
 	}
-	if at := min(m.wakes[0], m.wakes[1]); at != math.MaxInt64 {
+	if at := min(e.wakeAt[0], e.wakeAt[1]); at != math.MaxInt64 {
 		w.Wake(at)
 	}
-	m.w = nil
+	e.writer = nil
 }
 
 // compare looks at one transaction at the end of a round in which either decided on it.
-func (m *Module) compare(p *pair) {
+func (e *Engine) compare(p *pair) {
 	// What both have sent: it went where it went here.
-	for ; p.sent < min(p.t.AttemptCount(), p.other.AttemptCount()); p.sent++ {
-		real := m.to[p.t.Upstream(p.sent)]
-		if p.sent == 0 {
-			m.counts.Compared++
-			if p.other.Upstream(0) != real {
-				m.counts.Elsewhere++
+	for ; p.compared < min(p.current.AttemptCount(), p.shadow.AttemptCount()); p.compared++ {
+		upstream := e.shadowIndex[p.current.Upstream(p.compared)]
+		if p.compared == 0 {
+			e.counts.Compared++
+			if p.shadow.Upstream(0) != upstream {
+				e.counts.OtherUpstream++
 			}
 		}
-		m.after.SetUpstream(&p.other, p.sent, real)
+		e.shadow.SetUpstream(&p.shadow, p.compared, upstream)
 	}
-	mine, others := p.t.AttemptCount(), p.other.AttemptCount()
+	current, shadow := p.current.AttemptCount(), p.shadow.AttemptCount()
 	switch {
-	case mine > 0 && others == 0:
-		count(&p.waited, &m.counts.Waiting)
-	case mine == 0 && others > 0 && !p.t.Answered():
-		count(&p.sooner, &m.counts.Sooner)
-	case mine > others:
-		count(&p.copied, &m.counts.Fewer)
-	case others > mine && mine > 0:
-		count(&p.copied, &m.counts.Copies)
+	case current > 0 && shadow == 0:
+		countOnce(&p.countedLater, &e.counts.Later)
+	case current == 0 && shadow > 0 && !p.current.Answered():
+		countOnce(&p.countedEarlier, &e.counts.Earlier)
+	case current > shadow:
+		countOnce(&p.countedAttempts, &e.counts.FewerAttempts)
+	case shadow > current && current > 0:
+		countOnce(&p.countedAttempts, &e.counts.MoreAttempts)
 	}
-	if p.refuse && !p.other.Answered() {
-		count(&p.ended, &m.counts.Kept)
-	} else if p.other.Answered() && !p.t.Answered() && others > 0 {
-		count(&p.ended, &m.counts.GivenUp)
+	if p.refused && !p.shadow.Answered() {
+		countOnce(&p.countedEnding, &e.counts.OpenInShadow)
+	} else if p.shadow.Answered() && !p.current.Answered() && shadow > 0 {
+		countOnce(&p.countedEnding, &e.counts.EndedInShadow)
 	}
-	m.settle(p, m.now)
+	e.settleShadow(p, e.now)
 }
 
-// count counts a transaction once.
-func count(done *bool, n *int) {
+// countOnce counts a transaction once.
+func countOnce(done *bool, n *int) {
 	if !*done {
 		*done = true
 		*n++
 	}
 }
 
-func (m *Module) queue(p *pair) {
+func (e *Engine) addToRound(p *pair) {
 	if p != nil && !p.queued {
 		p.queued = true
-		m.round = append(m.round, p)
+		e.roundPairs = append(e.roundPairs, p)
 	}
 }
 
-// here passes on what is decided, and takes note.
-type here struct{ *Module }
+// currentWriter passes on what is decided, and takes note.
+type currentWriter struct{ *Engine }
 
-func (h here) HasIdleConn(i int) bool { return h.w.HasIdleConn(i) }
-func (h here) Send(t *logic.Transaction, i int, until int64) {
-	h.queue(h.cases[t])
-	h.w.Send(t, i, until)
+func (w currentWriter) HasIdleConn(i int) bool { return w.writer.HasIdleConn(i) }
+func (w currentWriter) Send(t *logic.Transaction, i int, until int64) {
+	w.addToRound(w.pairs[t])
+	w.writer.Send(t, i, until)
 }
-func (h here) Cancel(t *logic.Transaction, n int) { h.w.Cancel(t, n) }
-func (h here) Defer(t *logic.Transaction, why logic.Reason, backoff int64) {
-	h.refused(t)
-	h.w.Defer(t, why, backoff)
+func (w currentWriter) Cancel(t *logic.Transaction, n int) { w.writer.Cancel(t, n) }
+func (w currentWriter) Defer(t *logic.Transaction, why logic.Reason, backoff int64) {
+	w.markRefused(t)
+	w.writer.Defer(t, why, backoff)
 }
-func (h here) Forfeit(t *logic.Transaction, why logic.Reason) {
-	h.refused(t)
-	h.w.Forfeit(t, why)
+func (w currentWriter) Forfeit(t *logic.Transaction, why logic.Reason) {
+	w.markRefused(t)
+	w.writer.Forfeit(t, why)
 }
-func (h here) refused(t *logic.Transaction) {
-	if p := h.cases[t]; p != nil {
-		p.refuse = true
-		h.queue(p)
+func (w currentWriter) markRefused(t *logic.Transaction) {
+	if p := w.pairs[t]; p != nil {
+		p.refused = true
+		w.addToRound(p)
 	}
 }
-func (h here) Probe(i int)            { h.w.Probe(i) }
-func (h here) SendReport(int, []byte) {}
-func (h here) Follow()                { h.w.Follow() }
-func (h here) Wake(at int64)          { h.wakes[0] = at }
-func (h here) Note(text string)       { h.w.Note(text) }
-
-// there takes note of what the other would have done. None of it is done.
-type there struct{ *Module }
-
-func (o there) HasIdleConn(j int) bool                              { return o.w.HasIdleConn(o.back[j]) }
-func (o there) Send(t *logic.Transaction, _ int, _ int64)           { o.queue(t.UserData.(*pair)) }
-func (o there) Cancel(*logic.Transaction, int)                      {}
-func (o there) Defer(t *logic.Transaction, _ logic.Reason, _ int64) { o.queue(t.UserData.(*pair)) }
-func (o there) Forfeit(t *logic.Transaction, _ logic.Reason)        { o.queue(t.UserData.(*pair)) }
-func (o there) Probe(j int)                                         { o.probes = append(o.probes, j) }
-func (o there) SendReport(peer int, raw []byte)                     { o.w.SendReport(peer, raw) }
-func (o there) Follow()                                             {} // the list is followed here
-func (o there) Wake(at int64)                                       { o.wakes[1] = at }
-func (o there) Note(string)                                         {}
+func (w currentWriter) Probe(i int)            { w.writer.Probe(i) }
+func (w currentWriter) SendReport(int, []byte) {}
+func (w currentWriter) Follow()                { w.writer.Follow() }
+func (w currentWriter) Wake(at int64)          { w.wakeAt[0] = at }
+func (w currentWriter) Note(text string)       { w.writer.Note(text) }
+
+// shadowWriter takes note of what the other would have done. None of it is done.
+type shadowWriter struct{ *Engine }
+
+func (w shadowWriter) HasIdleConn(j int) bool                    { return w.writer.HasIdleConn(w.currentIndex[j]) }
+func (w shadowWriter) Send(t *logic.Transaction, _ int, _ int64) { w.addToRound(t.UserData.(*pair)) }
+func (w shadowWriter) Cancel(*logic.Transaction, int)            {}
+func (w shadowWriter) Defer(t *logic.Transaction, _ logic.Reason, _ int64) {
+	w.addToRound(t.UserData.(*pair))
+}
+func (w shadowWriter) Forfeit(t *logic.Transaction, _ logic.Reason) { w.addToRound(t.UserData.(*pair)) }
+func (w shadowWriter) Probe(j int)                                  { w.shadowProbes = append(w.shadowProbes, j) }
+func (w shadowWriter) SendReport(peer int, raw []byte)              { w.writer.SendReport(peer, raw) }
+func (w shadowWriter) Follow()                                      {} // the list is followed here
+func (w shadowWriter) Wake(at int64)                                { w.wakeAt[1] = at }
+func (w shadowWriter) Note(string)                                  {}
