--- a/internal/fleet/count.go
+++ b/internal/fleet/count.go
@@ -9,37 +9,37 @@
 	"time"
 )
 
-// Options are what to count.
+// Options selects what Summarize covers.
 type Options struct {
-	Step     time.Duration // what a row of Rows stands for
-	From, To time.Duration // since the first line; To 0 for the end
+	Step     time.Duration // length of a row, at least one second
+	From, To time.Duration // since the first line; a To of 0 is the end of the logs
 }
 
-// Row is one step of time over all balancers.
+// Row summarizes one step of time over all balancers.
 type Row struct {
-	AtSeconds     float64            `json:"at_s"`    // since the first line
-	Alive         int                `json:"alive"`   // balancers between their first line and their last
-	OutdatedLists int                `json:"behind"`  // balancers whose list is older than the newest told in their tier
-	Ejected       int                `json:"aside"`   // pairs of a balancer and an upstream that it has set aside
-	Events        map[string]int     `json:"events"`  // by kind
-	Balancers     map[string]int     `json:"nodes"`   // balancers of which these were, by kind
-	Losses        map[string]float64 `json:"losses"`  // of this step
-	Figures       map[string]float64 `json:"figures"` // of tallies, spread evenly over the time that they cover
+	AtSeconds     float64            `json:"at_s"`    // since Summary.Start
+	Alive         int                `json:"alive"`   // balancers between their first and last line
+	OutdatedLists int                `json:"behind"`  // balancers whose list is older than the newest one received in their tier
+	Ejected       int                `json:"aside"`   // pairs of a balancer and an upstream that it has ejected
+	Events        map[string]int     `json:"events"`  // number of events by kind
+	Balancers     map[string]int     `json:"nodes"`   // number of balancers with an event of that kind
+	Losses        map[string]float64 `json:"losses"`  // from the log lines of each second
+	Figures       map[string]float64 `json:"figures"` // from tallies, distributed evenly over the time that they cover
 }
 
-// Peak is the step in which the most balancers did the same.
+// Peak is the step in which the most balancers had an event of one kind.
 type Peak struct {
 	Kind      string  `json:"kind"`
 	AtSeconds float64 `json:"at_s"`
 	Balancers int     `json:"balancers"`
 	Alive     int     `json:"alive"`
-	Events    int     `json:"events"` // of this kind, ever
+	Events    int     `json:"events"` // of this kind over the whole time
 }
 
-// Ejections is how long the fleet held something of an upstream.
+// Ejections summarizes the ejections of one upstream by all balancers.
 type Ejections struct {
 	Upstream        string         `json:"upstream"`
-	Balancers       int            `json:"balancers"` // that set it aside
+	Balancers       int            `json:"balancers"`
 	MaxAtOnce       int            `json:"most_at_once"`
 	MaxAtSeconds    float64        `json:"most_at_s"`
 	BalancerSeconds float64        `json:"balancer_seconds"`
@@ -50,7 +50,7 @@
 	NotReinstated   int            `json:"not_back"`
 }
 
-// ListVersion is one version of the list in one tier.
+// ListVersion describes how one version of the list spread over the balancers of a tier. Delays are in seconds.
 type ListVersion struct {
 	Tier          string  `json:"tier"`
 	Index         int64   `json:"index"`
@@ -58,21 +58,21 @@
 	MedianDelay   float64 `json:"half_after_s"`
 	MaxDelay      float64 `json:"last_after_s"`
 	Balancers     int     `json:"balancers"`
-	NeverReceived int     `json:"never"` // balancers that were alive then and went on without it or a later one
+	NeverReceived int     `json:"never"` // balancers that were running then and received neither this version nor a later one
 }
 
-// Process is one process.
+// Process summarizes the log of one process.
 type Process struct {
 	File            string             `json:"file"`
 	Name            string             `json:"name"`
 	Tier            string             `json:"tier"`
 	Arrived         float64            `json:"arrived"`
-	Lost            float64            `json:"lost"` // deferred and forfeited by the module, and deferred before it
+	Lost            float64            `json:"lost"` // transactions deferred or forfeited by the decision engine, or deferred before it
 	Reasons         map[string]float64 `json:"reasons"`
 	ListRegressions int                `json:"list_went_back"`
 }
 
-// Summary is what a fleet did together.
+// Summary summarizes the logs of a fleet.
 type Summary struct {
 	Start         time.Time          `json:"start"`
 	LengthSeconds float64            `json:"length_s"`
@@ -80,7 +80,7 @@
 	Balancers     int                `json:"balancers"`
 	Lines         int                `json:"lines"`
 	UnreadLines   int                `json:"unread_lines"`
-	LibraryLines  int                `json:"library_lines"` // "Unsolicited response", by http.Transport itself
+	LibraryLines  int                `json:"library_lines"` // "Unsolicited response" lines, which http.Transport logs directly
 	ParseErrors   []ParseError       `json:"faults"`
 	Losses        map[string]float64 `json:"losses"`
 	Figures       map[string]float64 `json:"figures"`
@@ -90,22 +90,23 @@
 	Ejections     []*Ejections       `json:"upstreams"`
 	Versions      []*ListVersion     `json:"versions"`
 	Processes     []*Process         `json:"members"`
-	ListDelays    []float64          `json:"list_late_s"` // of upstreams that the list told as new, sorted
+	ListDelays    []float64          `json:"list_late_s"` // delays until new upstreams were listed, sorted
 }
 
-// interval is one time that one balancer had an upstream set aside.
+// interval is the time of one ejection, in Unix nanoseconds.
 type interval struct {
 	from, to int64
 }
 
+// maxRows limits the number of rows of a Summary.
 const maxRows = 20_000
 
-// Summarize counts. Steps are made longer where there would be too many of them.
+// Summarize summarizes the logs. It doubles the step as long as there would be more than maxRows rows.
 func (l *Logs) Summarize(options Options) (*Summary, error) {
 	first, last := int64(math.MaxInt64), int64(0)
-	for _, n := range l.processes {
-		if n.lines > 0 {
-			first, last = min(first, n.first), max(last, n.last)
+	for _, log := range l.processes {
+		if log.lines > 0 {
+			first, last = min(first, log.first), max(last, log.last)
 		}
 	}
 	first -= first % int64(time.Second)
@@ -130,8 +131,8 @@
 		})
 	}
 	builder := &summaryBuilder{Summary: summary, from: from, to: to, step: step, ejections: map[string]*Ejections{}, intervals: map[string][]interval{}}
-	for _, n := range l.processes {
-		builder.addProcess(n)
+	for _, log := range l.processes {
+		builder.addProcess(log)
 	}
 	builder.findPeaks()
 	builder.addEjections()
@@ -141,6 +142,7 @@
 	return summary, nil
 }
 
+// summaryBuilder holds the state of Summarize. Times are in Unix nanoseconds.
 type summaryBuilder struct {
 	*Summary
 	from, to, step int64
@@ -148,13 +150,18 @@
 	intervals      map[string][]interval
 }
 
+// seconds converts a time to seconds since the start of the summary.
 func (b *summaryBuilder) seconds(t int64) float64 { return float64(t-b.from) / 1e9 }
-func (b *summaryBuilder) within(t int64) bool     { return t >= b.from && t <= b.to }
+
+// within reports whether a time is covered by the summary.
+func (b *summaryBuilder) within(t int64) bool { return t >= b.from && t <= b.to }
+
+// row returns the index of the row of a time, or of the nearest row.
 func (b *summaryBuilder) row(t int64) int {
 	return int(min(max(t-b.from, 0)/b.step, int64(len(b.Rows)-1)))
 }
 
-// addProcess counts what one process tells.
+// addProcess adds the log of one process.
 func (b *summaryBuilder) addProcess(log *processLog) {
 	b.Balancers, b.Lines, b.UnreadLines, b.LibraryLines = b.Balancers+1, b.Lines+log.lines, b.UnreadLines+log.unreadLines, b.LibraryLines+log.libraryLines
 	b.ParseErrors = append(b.ParseErrors, log.parseErrors...)
@@ -166,7 +173,7 @@
 	for row := b.row(log.first); row <= b.row(log.last); row++ {
 		b.Rows[row].Alive++
 	}
-	lastRow := map[string]int{} // kind: 1 + the row in which it was counted last
+	lastRow := map[string]int{} // by kind: 1 + index of the row in which it was last counted
 	ejectedAt := map[string]int64{}
 	reasons := map[string]string{}
 	index := int64(math.MinInt64)
@@ -174,11 +181,11 @@
 		switch event.kind {
 		case "aside":
 			if _, ejected := ejectedAt[event.upstream]; !ejected {
-				ejectedAt[event.upstream], reasons[event.upstream] = event.at, event.why
+				ejectedAt[event.upstream], reasons[event.upstream] = event.at, event.detail
 			}
 		case "back":
 			if since, ejected := ejectedAt[event.upstream]; ejected {
-				b.addEjection(event.upstream, reasons[event.upstream], since, event.at, true, event.why == "cold")
+				b.addEjection(event.upstream, reasons[event.upstream], since, event.at, true, event.detail == "cold")
 				delete(ejectedAt, event.upstream)
 			}
 		case "list_told":
@@ -202,7 +209,7 @@
 			b.Rows[row].Balancers[event.kind]++
 		}
 	}
-	for upstream, since := range ejectedAt { // what leaves the list never comes back
+	for upstream, since := range ejectedAt { // upstreams that are removed from the list are never reinstated
 		b.addEjection(upstream, reasons[upstream], since, log.last, false, false)
 	}
 	for _, sample := range log.losses {
@@ -224,7 +231,7 @@
 	}
 }
 
-// distribute deals a figure of a tally out over the time that it covers.
+// distribute divides a figure of a tally among the rows of the time that it covers.
 func (b *summaryBuilder) distribute(s sample) {
 	since, span := s.since, float64(max(s.at-s.since, 1))
 	for since < s.at {
@@ -240,7 +247,7 @@
 	}
 }
 
-// addEjection counts one time that a balancer had an upstream set aside.
+// addEjection adds one ejection of an upstream by a balancer.
 func (b *summaryBuilder) addEjection(upstream, reason string, from, to int64, reinstated, cold bool) {
 	if to < b.from || from > b.to {
 		return
@@ -266,7 +273,7 @@
 	}
 }
 
-// findPeaks finds for each kind the step in which the most did it.
+// findPeaks finds, for each kind of event, the step in which the most balancers had one.
 func (b *summaryBuilder) findPeaks() {
 	for _, kind := range sortedKeys(b.Events) {
 		peak := Peak{Kind: kind, Events: b.Events[kind]}
@@ -279,7 +286,8 @@
 	}
 }
 
-// addEjections finds how many balancers had each set aside at once.
+// addEjections adds the ejections of all upstreams, with the largest number of balancers that ejected each one at the same
+// time.
 func (b *summaryBuilder) addEjections() {
 	for _, name := range sortedKeys(b.ejections) {
 		ejections := b.ejections[name]
@@ -291,7 +299,7 @@
 		for _, s := range b.intervals[name] {
 			edges = append(edges, edge{s.from, 1}, edge{s.to, -1})
 		}
-		slices.SortFunc(edges, func(a, ejections edge) int { return cmp.Or(cmp.Compare(a.at, ejections.at), ejections.step-a.step) })
+		slices.SortFunc(edges, func(a, b edge) int { return cmp.Or(cmp.Compare(a.at, b.at), b.step-a.step) })
 		open := 0
 		for _, e := range edges {
 			if open += e.step; open > ejections.MaxAtOnce {
@@ -300,12 +308,11 @@
 		}
 		b.Ejections = append(b.Ejections, ejections)
 	}
-	slices.SortStableFunc(b.Ejections, func(a, ejections *Ejections) int { return cmp.Compare(ejections.BalancerSeconds, a.BalancerSeconds) })
+	slices.SortStableFunc(b.Ejections, func(a, b *Ejections) int { return cmp.Compare(b.BalancerSeconds, a.BalancerSeconds) })
 }
 
-// addListVersions follows how each version of a tier's list spread. Danger: discovery may start its versions anew, so what is
-// lower than what a balancer had is told as gone back, and nobody is held to be behind a version that came later and
-// is lower.
+// addListVersions determines how each version of a tier's list spread. Discovery may restart its numbering, so a lower version
+// than before counts as a regression, and a balancer is not considered outdated relative to a lower version that came later.
 func (b *summaryBuilder) addListVersions(logs []*processLog) {
 	type update struct {
 		at    int64
@@ -342,33 +349,33 @@
 				continue
 			}
 			current := updates[0].index
-			for _, t := range updates {
-				if t.at < end {
-					current = t.index
+			for _, received := range updates {
+				if received.at < end {
+					current = received.index
 				}
 			}
-			for v, at := range first {
-				if v.tier == log.tier && v.index > current && at > first[key{log.tier, current}] && at+int64(time.Second) < end { // a second for the way
+			for published, at := range first {
+				if published.tier == log.tier && published.index > current && at > first[key{log.tier, current}] && at+int64(time.Second) < end { // allows one second for delivery
 					b.Rows[k].OutdatedLists++
 					break
 				}
 			}
 		}
 	}
-	for v, at := range first {
+	for published, at := range first {
 		if !b.within(at) {
 			continue
 		}
-		version := &ListVersion{Tier: v.tier, Index: v.index, FirstSeconds: b.seconds(at)}
+		version := &ListVersion{Tier: published.tier, Index: published.index, FirstSeconds: b.seconds(at)}
 		var delays []float64
 		for _, log := range logs {
-			if log.tier != v.tier || log.first > at || log.last <= at {
+			if log.tier != published.tier || log.first > at || log.last <= at {
 				continue
 			}
 			delay, followsList := math.Inf(1), false
 			for _, e := range log.events {
 				if e.kind == "list_told" {
-					if followsList = true; e.index >= v.index && e.at >= at {
+					if followsList = true; e.index >= published.index && e.at >= at {
 						delay = math.Min(delay, float64(e.at-at)/1e9)
 					}
 				}
@@ -392,8 +399,9 @@
 	b.Versions = all
 }
 
-func sortedKeys[V any](of map[string]V) (all []string) {
-	for name := range of {
+// sortedKeys returns the keys of a map in order.
+func sortedKeys[V any](m map[string]V) (all []string) {
+	for name := range m {
 		all = append(all, name)
 	}
 	slices.Sort(all)
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -10,6 +10,7 @@
 	"time"
 )
 
+// writeFiles writes log files, in which @ stands for the date, hour and minute.
 func writeFiles(t *testing.T, dir string, files map[string]string) {
 	t.Helper()
 	for name, text := range files {
@@ -23,19 +24,21 @@
 	}
 }
 
-func summarize(t *testing.T, dir string, o Options) *Summary {
+// summarize reads and summarizes all logs of a directory.
+func summarize(t *testing.T, dir string, options Options) *Summary {
 	t.Helper()
-	l, err := Read(dir, func(float64) {})
+	logs, err := Read(dir, func(float64) {})
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := l.Summarize(o)
+	summary, err := logs.Summarize(options)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return c
+	return summary
 }
 
+// sampleLogs are the logs of two balancers of tier 0 and one of tier 1.
 var sampleLogs = map[string]string{
 	"a.log": `time=@00.100000Z level=INFO event=start pool=main name=a discovery=x tier=0 known=3 index=4
 time=@00.200000Z level=INFO event=watch pool=main step=told index=4 whole=true entries=3
@@ -61,69 +64,73 @@
 `,
 }
 
+// TestSummarize checks all parts of the summary of sampleLogs.
 func TestSummarize(t *testing.T) {
 	dir := t.TempDir()
 	writeFiles(t, dir, sampleLogs)
-	c := summarize(t, dir, Options{Step: time.Second})
-	if c.Balancers != 3 || c.Lines != 19 || c.UnreadLines != 0 || c.Losses["deferred_no_room"] != 6 || c.Losses["room"] != 0 {
-		t.Errorf("%d balancers, %d lines, %d wrong, %v", c.Balancers, c.Lines, c.UnreadLines, c.Losses)
+	summary := summarize(t, dir, Options{Step: time.Second})
+	if summary.Balancers != 3 || summary.Lines != 19 || summary.UnreadLines != 0 || summary.Losses["deferred_no_room"] != 6 || summary.Losses["room"] != 0 {
+		t.Errorf("%d balancers, %d lines, %d unread, %v", summary.Balancers, summary.Lines, summary.UnreadLines, summary.Losses)
 	}
-	u := c.Ejections[0]
-	if len(c.Ejections) != 1 || u.MaxAtOnce != 3 || u.MaxAtSeconds != 2.9 || u.Count != 3 || u.Reasons["errored"] != 2 || u.ReinstatedCold != 1 || u.NotReinstated != 2 {
-		t.Errorf("beliefs: %+v", u)
+	ejections := summary.Ejections[0]
+	if len(summary.Ejections) != 1 || ejections.MaxAtOnce != 3 || ejections.MaxAtSeconds != 2.9 || ejections.Count != 3 || ejections.Reasons["errored"] != 2 || ejections.ReinstatedCold != 1 || ejections.NotReinstated != 2 {
+		t.Errorf("ejections: %+v", ejections)
 	}
-	if r := c.Rows[2]; r.Balancers["aside"] != 3 || r.Losses["deferred_no_room"] != 5 || r.Alive != 3 || r.Ejected != 3 {
-		t.Errorf("the second in which all three set u-1 aside: %+v", r)
+	if row := summary.Rows[2]; row.Balancers["aside"] != 3 || row.Losses["deferred_no_room"] != 5 || row.Alive != 3 || row.Ejected != 3 {
+		t.Errorf("the second in which all three balancers ejected u-1: %+v", row)
 	}
-	// b is behind from a second after a was told until it is itself; c is in another tier, and its list went back.
+	// The list of b is outdated from one second after a received version 5 until b receives it. c is in another tier, and its
+	// list regressed.
 	for k, want := range []int{0, 0, 0, 0, 0, 1, 1, 0} {
-		if got := c.Rows[k].OutdatedLists; got != want {
-			t.Errorf("second %d: %d behind, want %d", k, got, want)
+		if got := summary.Rows[k].OutdatedLists; got != want {
+			t.Errorf("second %d: %d outdated lists, want %d", k, got, want)
 		}
 	}
 	sum := 0.0
-	for _, r := range c.Rows {
-		sum += r.Figures["arrived"]
+	for _, row := range summary.Rows {
+		sum += row.Figures["arrived"]
 	}
-	if int(sum+0.5) != 114 || int(c.Figures["arrived"]+0.5) != 114 || c.Rows[3].Figures["arrived"] < 10 {
-		t.Errorf("arrived %.1f over all rows, %.1f in the fourth", sum, c.Rows[3].Figures["arrived"])
+	if int(sum+0.5) != 114 || int(summary.Figures["arrived"]+0.5) != 114 || summary.Rows[3].Figures["arrived"] < 10 {
+		t.Errorf("%.1f arrived over all rows, %.1f in the fourth", sum, summary.Rows[3].Figures["arrived"])
 	}
-	if m := c.Processes[0]; m.Name != "a" || m.Lost != 5 || m.Arrived != 100 || len(c.ListDelays) != 1 || c.ListDelays[0] != 3.5 {
-		t.Errorf("%+v, late %v", m, c.ListDelays)
+	if process := summary.Processes[0]; process.Name != "a" || process.Lost != 5 || process.Arrived != 100 || len(summary.ListDelays) != 1 || summary.ListDelays[0] != 3.5 {
+		t.Errorf("%+v, list delays %v", process, summary.ListDelays)
 	}
-	for _, m := range c.Processes {
-		if m.Name == "c" && m.ListRegressions != 1 {
-			t.Errorf("c's list went back %d times", m.ListRegressions)
+	for _, process := range summary.Processes {
+		if process.Name == "c" && process.ListRegressions != 1 {
+			t.Errorf("%d regressions of the list of c, want 1", process.ListRegressions)
 		}
 	}
-	for _, v := range c.Versions {
-		if v.Tier == "0" && v.Index == 5 && (v.Balancers != 2 || v.MaxDelay != 3.5 || v.NeverReceived != 0) {
-			t.Errorf("version 5: %+v", v)
+	for _, version := range summary.Versions {
+		if version.Tier == "0" && version.Index == 5 && (version.Balancers != 2 || version.MaxDelay != 3.5 || version.NeverReceived != 0) {
+			t.Errorf("version 5: %+v", version)
 		}
 	}
 	var text, page, data bytes.Buffer
-	c.Text(&text, 40)
-	if err := c.HTML(&page); err != nil || !strings.Contains(page.String(), "deferred_no_room") {
+	summary.Text(&text, 40)
+	if err := summary.HTML(&page); err != nil || !strings.Contains(page.String(), "deferred_no_room") {
 		t.Error(err)
 	}
-	if err := c.JSON(&data); err != nil || !json.Valid(data.Bytes()) || !strings.Contains(text.String(), "u-1") {
+	if err := summary.JSON(&data); err != nil || !json.Valid(data.Bytes()) || !strings.Contains(text.String(), "u-1") {
 		t.Error(err, text.String())
 	}
 }
 
+// Options.From and To limit the summary to the events and figures between them.
 func TestTimeWindow(t *testing.T) {
 	dir := t.TempDir()
 	writeFiles(t, dir, sampleLogs)
-	c := summarize(t, dir, Options{Step: 2 * time.Second, From: 6 * time.Second, To: 9 * time.Second})
-	if c.Losses["deferred_no_room"] != 1 || c.Events["start"] != 0 || len(c.Rows) != 2 || c.Figures["arrived"] > 50 {
-		t.Errorf("%v %v, %d rows, %v", c.Losses, c.Events, len(c.Rows), c.Figures)
+	summary := summarize(t, dir, Options{Step: 2 * time.Second, From: 6 * time.Second, To: 9 * time.Second})
+	if summary.Losses["deferred_no_room"] != 1 || summary.Events["start"] != 0 || len(summary.Rows) != 2 || summary.Figures["arrived"] > 50 {
+		t.Errorf("%v %v, %d rows, %v", summary.Losses, summary.Events, len(summary.Rows), summary.Figures)
 	}
-	l, _ := Read(dir, func(float64) {})
-	if _, err := l.Summarize(Options{From: time.Hour}); err == nil {
-		t.Error("counted what was never logged")
+	logs, _ := Read(dir, func(float64) {})
+	if _, err := logs.Summarize(Options{From: time.Hour}); err == nil {
+		t.Error("no error for a time after the end of the logs")
 	}
 }
 
+// Lines that cannot be parsed are skipped, counted and reported with their number.
 func TestUnreadableLinesAreReported(t *testing.T) {
 	dir := t.TempDir()
 	writeFiles(t, dir, map[string]string{
@@ -132,25 +139,26 @@
 			"time=@03Z event=losses at_edge=1 dead=\"no end",
 		"empty.log": "",
 	})
-	c := summarize(t, dir, Options{})
-	if c.Balancers != 1 || c.Lines != 3 || c.UnreadLines != 6 || c.Losses["deferred_no_room"] != 2 || c.Losses["at_edge"] != 3 {
-		t.Errorf("%d balancers, %d lines, %d wrong, %v", c.Balancers, c.Lines, c.UnreadLines, c.Losses)
+	summary := summarize(t, dir, Options{})
+	if summary.Balancers != 1 || summary.Lines != 3 || summary.UnreadLines != 6 || summary.Losses["deferred_no_room"] != 2 || summary.Losses["at_edge"] != 3 {
+		t.Errorf("%d balancers, %d lines, %d unread, %v", summary.Balancers, summary.Lines, summary.UnreadLines, summary.Losses)
 	}
-	if f := c.ParseErrors[1]; f.File != "a.log" || f.Line != 5 {
-		t.Errorf("%v", c.ParseErrors)
+	if f := summary.ParseErrors[1]; f.File != "a.log" || f.Line != 5 {
+		t.Errorf("%v", summary.ParseErrors)
 	}
-	for _, of := range []string{filepath.Join(dir, "none"), t.TempDir()} {
-		if _, err := Read(of, func(float64) {}); err == nil {
-			t.Errorf("%s: read", of)
+	for _, path := range []string{filepath.Join(dir, "none"), t.TempDir()} {
+		if _, err := Read(path, func(float64) {}); err == nil {
+			t.Errorf("%s: no error for a directory that is missing or empty", path)
 		}
 	}
-	nothing := t.TempDir()
-	writeFiles(t, nothing, map[string]string{"x": "hello\n"})
-	if _, err := Read(nothing, func(float64) {}); err == nil || !strings.Contains(err.Error(), "no line of") {
+	otherDir := t.TempDir()
+	writeFiles(t, otherDir, map[string]string{"x": "hello\n"})
+	if _, err := Read(otherDir, func(float64) {}); err == nil || !strings.Contains(err.Error(), "none contains a line of") {
 		t.Error(err)
 	}
 }
 
+// Reading 300 logs of 600 lines takes at most 20 s.
 func TestManyFilesWithinTimeLimit(t *testing.T) {
 	dir := t.TempDir()
 	var text strings.Builder
@@ -164,10 +172,10 @@
 	}
 	writeFiles(t, dir, files)
 	start := time.Now()
-	if c := summarize(t, dir, Options{}); c.Losses["deferred_no_room"] != 300*600 {
-		t.Errorf("%v", c.Losses)
+	if summary := summarize(t, dir, Options{}); summary.Losses["deferred_no_room"] != 300*600 {
+		t.Errorf("%v", summary.Losses)
 	}
 	if took := time.Since(start); took > 20*time.Second {
-		t.Errorf("18 MB took %v", took)
+		t.Errorf("reading took %v, want at most 20 s", took)
 	}
 }
--- a/internal/fleet/read.go
+++ b/internal/fleet/read.go
@@ -1,5 +1,5 @@
-// Package fleet counts across the logs of many balancers what they did together: who did the same in the same second,
-// who held the same wrong belief and for how long, who deferred what and why.
+// Package fleet summarizes the logs of many balancers: which events happened at many balancers in the same second, which
+// upstreams were ejected by many and for how long, and which transactions were deferred, where and why.
 package fleet
 
 import (
@@ -26,36 +26,37 @@
 
 const (
 	maxLineBytes      = 1 << 20
-	maxReportedErrors = 8 // of a file that are told; all are counted
+	maxReportedErrors = 8 // reported for each file; all are counted
 )
 
-// ParseError is a line that could not be read.
+// ParseError describes a line that could not be parsed.
 type ParseError struct {
 	File string `json:"file"`
 	Line int    `json:"line"`
 	Text string `json:"fault"`
 }
 
+// String returns the error with its file and line.
 func (e ParseError) String() string { return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.Text) }
 
-// event is something that happened at one moment.
+// event is an event of a log.
 type event struct {
-	at       int64
-	kind     string // "aside", "back", "told", "open", "broken", "list", "start", "drain"
+	at       int64  // Unix nanoseconds
+	kind     string // "start", "drain", "panic", "reload", "aside", "back", "list_told", "list_open", "list_broken" and others
 	upstream string
-	why      string
+	detail   string
 	index    int64
-	value    float64 // of what changed, or the delay in seconds
+	value    float64 // delay in seconds of "list_changed"
 }
 
-// sample is a figure of one second or, of a tally, of the time since the tally before.
+// sample is a figure that covers one second or, in a tally, the time since the previous one. Times are in Unix nanoseconds.
 type sample struct {
 	at, since int64
 	name      string
 	value     float64
 }
 
-// processLog is what one file tells: the life of one process.
+// processLog is the content of one file, the log of one process.
 type processLog struct {
 	file         string
 	name         string
@@ -66,16 +67,17 @@
 	losses       []sample
 	tallies      []sample
 	parseErrors  []ParseError
-	unreadLines  int // lines that could not be read
-	libraryLines int // lines of the library, which are no log of ours
+	unreadLines  int // lines that could not be parsed
+	libraryLines int // lines logged by net/http itself
 }
 
-// Logs are those of a fleet.
+// Logs holds the logs of a fleet.
 type Logs struct {
 	processes []*processLog
 }
 
-// Read reads all files of a folder and of the folders in it, several at a time; progress is told the part that is done.
+// Read reads all files below a directory, several in parallel. It calls progress with the fraction that is done, from several
+// goroutines.
 func Read(dir string, progress func(done float64)) (*Logs, error) {
 	var files []string
 	var size int64
@@ -92,9 +94,9 @@
 		return nil, err
 	}
 	if len(files) == 0 {
-		return nil, fmt.Errorf("%s: no files in it", dir)
+		return nil, fmt.Errorf("%s: directory contains no files", dir)
 	}
-	l := &Logs{processes: make([]*processLog, len(files))}
+	logs := &Logs{processes: make([]*processLog, len(files))}
 	var done atomic.Int64
 	var workers sync.WaitGroup
 	jobs := make(chan int)
@@ -108,7 +110,7 @@
 				if err != nil {
 					name = files[n]
 				}
-				l.processes[n], errs[n] = readFile(files[n], name, func(bytes int) {
+				logs.processes[n], errs[n] = readFile(files[n], name, func(bytes int) {
 					if now := done.Add(int64(bytes)); size > 0 {
 						progress(min(1, float64(now)/float64(size)))
 					}
@@ -124,15 +126,15 @@
 	if err := errors.Join(errs...); err != nil {
 		return nil, err
 	}
-	l.processes = slices.DeleteFunc(l.processes, func(n *processLog) bool { return n.lines+n.unreadLines+n.libraryLines == 0 })
-	slices.SortFunc(l.processes, func(a, b *processLog) int { return cmp.Compare(a.file, b.file) })
-	if !slices.ContainsFunc(l.processes, func(n *processLog) bool { return n.lines > 0 }) {
-		return nil, fmt.Errorf("%s: %d files, no line of a balancer's log in them", dir, len(files))
+	logs.processes = slices.DeleteFunc(logs.processes, func(n *processLog) bool { return n.lines+n.unreadLines+n.libraryLines == 0 })
+	slices.SortFunc(logs.processes, func(a, b *processLog) int { return cmp.Compare(a.file, b.file) })
+	if !slices.ContainsFunc(logs.processes, func(n *processLog) bool { return n.lines > 0 }) {
+		return nil, fmt.Errorf("%s: %d files, none contains a line of a balancer's log", dir, len(files))
 	}
-	return l, nil
+	return logs, nil
 }
 
-// readFile reads one file to its end; what makes no sense is left out, told and counted.
+// readFile reads one file. Lines that cannot be parsed are skipped, counted and reported.
 func readFile(path, name string, progress func(bytes int)) (*processLog, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -143,11 +145,13 @@
 	return p, p.read(f, progress)
 }
 
+// unsolicited is part of a message that http.Transport logs directly, in another format.
 var unsolicited = []byte("Unsolicited response received on idle HTTP channel")
 
+// read reads all lines of a log.
 func (p *processLog) read(from io.Reader, progress func(bytes int)) error {
 	lines := bufio.NewReaderSize(from, 64<<10)
-	record := record{interned: map[string]string{}}
+	parsed := record{interned: map[string]string{}}
 	var lastTally int64
 	bytesRead := 0
 	for lineNumber := 1; ; lineNumber++ {
@@ -160,14 +164,14 @@
 			return fmt.Errorf("%s: %w", p.file, err)
 		}
 		if text := bytes.TrimSpace(line); bytes.Contains(text, unsolicited) {
-			p.libraryLines++ // what http.Transport says by itself
+			p.libraryLines++
 		} else if tooLong {
-			p.addParseError(lineNumber, fmt.Sprintf("a line of over %d bytes", maxLineBytes))
+			p.addParseError(lineNumber, fmt.Sprintf("line exceeds %d bytes", maxLineBytes))
 		} else if len(text) > 0 {
-			if parseErr := record.parse(text); parseErr != nil {
+			if parseErr := parsed.parse(text); parseErr != nil {
 				p.addParseError(lineNumber, parseErr.Error())
 			} else {
-				p.add(&record, &lastTally)
+				p.add(&parsed, &lastTally)
 			}
 		}
 		if err == io.EOF {
@@ -176,7 +180,7 @@
 	}
 }
 
-// readLine reads a line; of one that is too long the rest is passed over.
+// readLine reads a line. It skips the rest of a line of more than maxLineBytes.
 func readLine(from *bufio.Reader) (line []byte, tooLong bool, err error) {
 	for {
 		part, err := from.ReadSlice('\n')
@@ -190,22 +194,25 @@
 	}
 }
 
+// addParseError counts a line that cannot be parsed, and records the first ones of a file.
 func (p *processLog) addParseError(line int, text string) {
 	if p.unreadLines++; len(p.parseErrors) < maxReportedErrors {
 		p.parseErrors = append(p.parseErrors, ParseError{p.file, line, text})
 	}
 }
 
-// record is one line: its time, its event and its fields in their order.
+// record is a parsed line: its time in Unix nanoseconds, its event and its fields in order. It is reused for all lines of a
+// file.
 type record struct {
 	at       int64
 	event    string
 	names    []string
 	values   []string
-	interned map[string]string // texts that come again and again, kept once
+	interned map[string]string // frequent strings, stored once
 	json     fastjson.Parser
 }
 
+// intern returns a string that is shared with earlier equal ones. The table is limited to 16384 strings.
 func (r *record) intern(text []byte) string {
 	if s, known := r.interned[string(text)]; known {
 		return s
@@ -217,6 +224,7 @@
 	return s
 }
 
+// get returns the value of a field, or "" without one.
 func (r *record) get(name string) string {
 	if k := slices.Index(r.names, name); k >= 0 {
 		return r.values[k]
@@ -228,13 +236,13 @@
 	r.names, r.values = append(r.names, r.intern(name)), append(r.values, r.intern(value))
 }
 
-// parse reads a line of key=value text or of JSON.
+// parse parses a line of key=value text or of JSON.
 func (r *record) parse(text []byte) error {
 	r.names, r.values = r.names[:0], r.values[:0]
 	if text[0] == '{' {
 		v, err := r.json.ParseBytes(text)
 		if err != nil {
-			return errors.New("no JSON")
+			return errors.New("invalid JSON")
 		}
 		v.GetObject().Visit(func(name []byte, v *fastjson.Value) {
 			if v.Type() == fastjson.TypeString {
@@ -257,90 +265,91 @@
 	r.event = r.get("event")
 	at, err := time.Parse(time.RFC3339Nano, r.get("time"))
 	if err != nil || r.event == "" {
-		return errors.New("no line of a balancer's log: time or event is missing")
+		return errors.New("not a line of a balancer's log: time or event is missing")
 	}
 	r.at = at.UnixNano()
 	return nil
 }
 
-// gauges are the figures that say how things stand and add up to nothing.
+// gauges names the figures that describe a current state and must not be added up.
 var gauges = map[string]bool{
 	"room": true, "in_hand": true, "in_hand_mean": true, "line": true, "slow": true, "slow_base": true, "strength": true, "best": true,
 	"own": true, "aside": true, "cold": true, "bucket": true, "open": true, "clients": true, "upstream_connections": true,
 	"bytes_in_hand": true, "owed": true,
 }
 
-// add keeps what a line tells.
-func (p *processLog) add(record *record, lastTally *int64) {
-	if p.lines++; p.first == 0 || record.at < p.first {
-		p.first = record.at
+// add adds the event or the figures of a line.
+func (p *processLog) add(line *record, lastTally *int64) {
+	if p.lines++; p.first == 0 || line.at < p.first {
+		p.first = line.at
 	}
-	p.last = max(p.last, record.at)
+	p.last = max(p.last, line.at)
 	if *lastTally == 0 {
-		*lastTally = record.at
+		*lastTally = line.at
 	}
-	event := event{at: record.at, upstream: record.get("upstream"), why: record.get("why")}
-	switch step := record.get("step"); record.event {
+	newEvent := event{at: line.at, upstream: line.get("upstream"), detail: line.get("why")}
+	switch step := line.get("step"); line.event {
 	case "start":
-		event.kind = "start"
-		p.name, p.tier = cmp.Or(record.get("name"), p.name), cmp.Or(record.get("tier"), p.tier)
-		if record.get("discovery") == "" && record.get("tier") == "" {
-			return // of a listener or of the second address
+		newEvent.kind = "start"
+		p.name, p.tier = cmp.Or(line.get("name"), p.name), cmp.Or(line.get("tier"), p.tier)
+		if line.get("discovery") == "" && line.get("tier") == "" {
+			return // start of a listener or of the administrative address
 		}
 	case "drain", "panic":
-		if event.kind = record.event; step != "" && step != "begin" {
+		if newEvent.kind = line.event; step != "" && step != "begin" {
 			return
 		}
 	case "reload":
-		if event.kind = record.event; step != "taken" {
+		if newEvent.kind = line.event; step != "taken" {
 			return
 		}
 	case "upstream":
-		if event.kind = step; step == "back" && record.get("cold") == "true" {
-			event.why = "cold"
+		if newEvent.kind = step; step == "back" && line.get("cold") == "true" {
+			newEvent.detail = "cold"
 		}
 	case "watch":
-		if event.kind = "list_" + step; step == "broken" {
-			event.why = record.get("fault")
+		if newEvent.kind = "list_" + step; step == "broken" {
+			newEvent.detail = line.get("fault")
 		}
-		event.index, _ = strconv.ParseInt(record.get("index"), 10, 64)
+		newEvent.index, _ = strconv.ParseInt(line.get("index"), 10, 64)
 	case "list":
-		event.kind = "list_" + step
-		if late, err := time.ParseDuration(record.get("late")); err == nil {
-			event.value = late.Seconds()
+		newEvent.kind = "list_" + step
+		if late, err := time.ParseDuration(line.get("late")); err == nil {
+			newEvent.value = late.Seconds()
 		}
 	case "cluster":
-		switch event.kind = "cluster_" + step; step {
+		switch newEvent.kind = "cluster_" + step; step {
 		case "member":
-			event.kind, event.why = "member_"+record.get("state"), record.get("member")
+			newEvent.kind, newEvent.detail = "member_"+line.get("state"), line.get("member")
 		case "over", "refused":
 		default:
 			return
 		}
 	case "losses", "tally":
-		p.addFigures(record, *lastTally)
-		if record.event == "tally" {
-			*lastTally = record.at
+		p.addFigures(line, *lastTally)
+		if line.event == "tally" {
+			*lastTally = line.at
 		}
 		return
 	default:
 		return
 	}
-	p.events = append(p.events, event)
+	p.events = append(p.events, newEvent)
 }
 
-func (p *processLog) addFigures(record *record, since int64) {
-	for k, name := range record.names {
-		value, err := strconv.ParseFloat(record.values[k], 64)
+// addFigures adds the figures of a line. A tally covers at most the minute before it.
+func (p *processLog) addFigures(line *record, since int64) {
+	for k, name := range line.names {
+		value, err := strconv.ParseFloat(line.values[k], 64)
 		if err != nil || value == 0 || gauges[name] {
 			continue
 		}
-		sample := sample{at: record.at, since: max(since, record.at-int64(time.Minute)), name: name, value: value}
-		if record.event == "losses" {
-			sample.since = record.at - int64(time.Second)
-			p.losses = append(p.losses, sample)
+		newSample := sample{at: line.at, since: max(since, line.at-int64(time.Minute)), name: name, value: value}
+		if line.event == "losses" {
+			newSample.since = line.at - int64(time.Second)
+			p.losses = append(p.losses, newSample)
 		} else {
-			p.tallies = append(p.tallies, sample)
+			p.tallies = append(p.tallies, newSample)
 		}
 	}
 }
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -11,14 +11,14 @@
 	"ottershift/internal/draw"
 )
 
-// JSON writes all of it for machines.
+// JSON writes the summary as JSON.
 func (s *Summary) JSON(to io.Writer) error {
 	out := json.NewEncoder(to)
 	out.SetIndent("", " ")
 	return out.Encode(s)
 }
 
-// reasons are those for which anything was lost, the most frequent first.
+// reasons returns the reasons for lost transactions, the most frequent first.
 func (s *Summary) reasons() []string {
 	all := slices.DeleteFunc(sortedKeys(s.Losses), func(name string) bool {
 		return !strings.HasPrefix(name, "deferred_") && !strings.HasPrefix(name, "forfeited_") && name != "at_edge"
@@ -27,16 +27,16 @@
 	return all
 }
 
-// Text writes it for people; rows is how many of each table are shown.
+// Text writes the summary as tables of at most the given number of rows each.
 func (s *Summary) Text(to io.Writer, rows int) {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
 	line := func(cells ...any) {
 		for _, cell := range cells {
-			switch v := cell.(type) {
+			switch value := cell.(type) {
 			case float64:
-				fmt.Fprintf(w, "%s\t", formatNumber(v))
+				fmt.Fprintf(w, "%s\t", formatNumber(value))
 			default:
-				fmt.Fprintf(w, "%v\t", v)
+				fmt.Fprintf(w, "%v\t", value)
 			}
 		}
 		fmt.Fprintln(w)
@@ -47,15 +47,15 @@
 	}
 	fmt.Fprintf(to, "%d balancers, %d lines from %s on, %.0f s", s.Balancers, s.Lines, s.Start.Format("2006-01-02T15:04:05Z"), s.LengthSeconds)
 	if s.UnreadLines > 0 {
-		fmt.Fprintf(to, "; %d lines could not be read, told on standard error", s.UnreadLines)
+		fmt.Fprintf(to, "; %d lines could not be parsed, see standard error", s.UnreadLines)
 	}
 	fmt.Fprintln(to)
 
-	table("What was lost, by reason (exact to the second); what else was counted then:")
+	table("Lost transactions by reason, and other counts of the same log lines (exact to the second):")
 	for _, name := range sortedKeys(s.Losses) {
 		line(name, s.Losses[name])
 	}
-	table("Tallies of all balancers (a process that is killed takes up to ten seconds with it):")
+	table("Tallies of all balancers (up to ten seconds are missing for a process that was killed):")
 	for _, name := range sortedKeys(s.Figures) {
 		line(name, s.Figures[name])
 	}
@@ -65,7 +65,7 @@
 	for _, name := range reasons {
 		head = append(head, name)
 	}
-	table(fmt.Sprintf("By step of %s s (arrived and dials from tallies, spread evenly; aside: pairs of balancer and upstream):", formatNumber(s.StepSeconds)))
+	table(fmt.Sprintf("Steps of %s s (arrived and dials from tallies, distributed evenly; aside: pairs of balancer and ejected upstream):", formatNumber(s.StepSeconds)))
 	line(head...)
 	shown := 0
 	for _, r := range s.Rows {
@@ -84,30 +84,30 @@
 		line(cells...)
 	}
 
-	table("The most balancers that did the same within one step:")
+	table("Most balancers with the same event within one step:")
 	line("what", "balancers", "of", "at_s", "in all")
 	for _, h := range s.Peaks {
 		line(h.Kind, h.Balancers, h.Alive, h.AtSeconds, h.Events)
 	}
 
-	table("Upstreams that were set aside, by balancer-seconds:")
+	table("Ejected upstreams, by balancer-seconds:")
 	line("upstream", "balancers at once", "at_s", "seconds", "longest", "times", "back as cold", "not back", "why")
 	for _, b := range s.Ejections[:min(rows, len(s.Ejections))] {
 		line(b.Upstream, b.MaxAtOnce, b.MaxAtSeconds, b.BalancerSeconds, b.LongestSeconds, b.Count, b.ReinstatedCold, b.NotReinstated, formatCounts(b.Reasons))
 	}
 
-	table("Versions of the list, those that took longest to spread first:")
+	table("Versions of the list, slowest to spread first:")
 	line("tier", "version", "first at_s", "half after_s", "last after_s", "balancers", "never")
 	slow := slices.Clone(s.Versions)
 	slices.SortStableFunc(slow, func(a, b *ListVersion) int { return int(1e3 * (b.MaxDelay - a.MaxDelay)) })
-	for _, v := range slow[:min(rows, len(slow))] {
-		line(v.Tier, v.Index, v.FirstSeconds, v.MedianDelay, v.MaxDelay, v.Balancers, v.NeverReceived)
+	for _, version := range slow[:min(rows, len(slow))] {
+		line(version.Tier, version.Index, version.FirstSeconds, version.MedianDelay, version.MaxDelay, version.Balancers, version.NeverReceived)
 	}
 	if n := len(s.ListDelays); n > 0 {
 		line("new upstreams told after_s:", "half", s.ListDelays[n/2], "9 in 10", s.ListDelays[n*9/10], "most", s.ListDelays[n-1])
 	}
 
-	table("Balancers that lost the most:")
+	table("Balancers with the most lost transactions:")
 	line("file", "tier", "arrived", "lost", "in 100", "by reason")
 	for _, m := range s.Processes[:min(rows, len(s.Processes))] {
 		line(m.File, m.Tier, m.Arrived, m.Lost, 100*m.Lost/max(m.Arrived, 1), formatCounts(m.Reasons))
@@ -115,85 +115,89 @@
 	w.Flush()
 }
 
-func dialCount(f map[string]float64) float64 {
-	return f["dial_first"] + f["dial_again"] + f["dial_busy"] + f["dial_probe"]
+// dialCount returns the number of connections opened to upstreams.
+func dialCount(figures map[string]float64) float64 {
+	return figures["dial_first"] + figures["dial_again"] + figures["dial_busy"] + figures["dial_probe"]
 }
 
+// formatNumber formats a number with at most one decimal.
 func formatNumber(v float64) string {
 	text := fmt.Sprintf("%.1f", v)
 	return strings.TrimSuffix(text, ".0")
 }
 
-func formatCounts[N int | float64](of map[string]N) string {
+// formatCounts formats a map as a list sorted by key.
+func formatCounts[N int | float64](counts map[string]N) string {
 	var all []string
-	for _, name := range sortedKeys(of) {
-		all = append(all, fmt.Sprintf("%s %s", name, formatNumber(float64(of[name]))))
+	for _, name := range sortedKeys(counts) {
+		all = append(all, fmt.Sprintf("%s %s", name, formatNumber(float64(counts[name]))))
 	}
 	return strings.Join(all, ", ")
 }
 
+// colours are those of the series of a chart.
 var colours = []string{"#a22", "#b80", "#89b", "#3a7", "#639", "#27a", "#222", "#a50", "#466", "#c6a"}
 
-// HTML writes one page with pictures, which needs nothing else.
+// HTML writes the summary as a self-contained page with charts.
 func (s *Summary) HTML(to io.Writer) error {
 	var b strings.Builder
-	draw.Page(&b, "A fleet's logs")
+	draw.Page(&b, "Fleet logs")
 	fmt.Fprintf(&b, "<p>%d balancers, %d lines from %s on, %.0f s.</p>", s.Balancers, s.Lines, s.Start.Format("2006-01-02T15:04:05Z"), s.LengthSeconds)
-	p := &draw.Plot{Length: max(s.LengthSeconds, s.StepSeconds), Step: s.StepSeconds}
-	values := func(of func(r *Row) float64) (all []float64) {
+	plot := &draw.Plot{Length: max(s.LengthSeconds, s.StepSeconds), Step: s.StepSeconds}
+	values := func(value func(r *Row) float64) (all []float64) {
 		for _, r := range s.Rows {
-			all = append(all, of(r))
+			all = append(all, value(r))
 		}
 		return all
 	}
-	bars := func(caption string, all []draw.Series) {
-		most := 0.0
+	addChart := func(caption string, all []draw.Series) {
+		highest := 0.0
 		for k := range s.Rows {
 			sum := 0.0
 			for _, s := range all {
 				sum += s.Values[k]
 			}
-			most = max(most, sum)
+			highest = max(highest, sum)
 		}
-		y, ticks := draw.Linear(most)
+		y, ticks := draw.Linear(highest)
 		b.WriteString("<figure>")
-		p.Frame(&b, caption, ticks, y, "%.0f")
-		p.Bars(&b, all, y)
+		plot.Frame(&b, caption, ticks, y, "%.0f")
+		plot.Bars(&b, all, y)
 		b.WriteString("</svg></figure>")
 	}
 	var lost []draw.Series
 	for k, name := range s.reasons()[:min(6, len(s.reasons()))] {
 		lost = append(lost, draw.Series{Name: name, Colour: colours[k], Values: values(func(r *Row) float64 { return r.Losses[name] / s.StepSeconds })})
 	}
-	bars("Lost a second, by reason", lost)
-	pick := func(names ...string) (all []draw.Series) {
+	addChart("Lost transactions per second, by reason", lost)
+	figureSeries := func(names ...string) (all []draw.Series) {
 		for k, name := range names {
 			all = append(all, draw.Series{Name: name, Colour: colours[k], Values: values(func(r *Row) float64 { return r.Figures[name] / s.StepSeconds })})
 		}
 		return all
 	}
-	bars("What became of transactions a second, by tallies", pick("settled", "deferred", "forfeited", "vanished"))
-	bars("Connections opened to upstreams a second, by reason", pick("dial_first", "dial_again", "dial_busy", "dial_probe"))
-	bars("Connections to upstreams closed a second, by reason", pick("close_called_off", "close_by_upstream", "close_idle", "close_left"))
-	bars("Copies and retries a second", pick("copies", "retries"))
-	events := func(names ...string) (all []draw.Series) {
+	addChart("Transactions per second by outcome, from tallies", figureSeries("settled", "deferred", "forfeited", "vanished"))
+	addChart("Connections to upstreams opened per second, by reason", figureSeries("dial_first", "dial_again", "dial_busy", "dial_probe"))
+	addChart("Connections to upstreams closed per second, by reason", figureSeries("close_called_off", "close_by_upstream", "close_idle", "close_left"))
+	addChart("Hedges and retries per second", figureSeries("copies", "retries"))
+	eventSeries := func(names ...string) (all []draw.Series) {
 		for k, name := range names {
 			all = append(all, draw.Series{Name: name, Colour: colours[k], Values: values(func(r *Row) float64 { return float64(r.Balancers[name]) })})
 		}
 		return all
 	}
-	bars("Balancers that did the same within a step", events("list_told", "list_open", "list_broken", "aside", "back", "start"))
-	bars("Pairs of a balancer and an upstream that it has set aside", []draw.Series{
+	addChart("Balancers with the same event within a step", eventSeries("list_told", "list_open", "list_broken", "aside", "back", "start"))
+	addChart("Pairs of a balancer and an upstream that it has ejected", []draw.Series{
 		{Name: "aside", Colour: colours[4], Values: values(func(r *Row) float64 { return float64(r.Ejected) })},
 	})
-	bars("Balancers whose list is older than the newest told", []draw.Series{
+	addChart("Balancers whose list is older than the newest one received", []draw.Series{
 		{Name: "behind", Colour: colours[5], Values: values(func(r *Row) float64 { return float64(r.OutdatedLists) })},
 	})
-	b.WriteString("<h2>Upstreams set aside</h2><table><tr><th>upstream</th><th>balancers at once</th><th>balancer-seconds</th><th>why</th></tr>")
+	b.WriteString("<h2>Ejected upstreams</h2><table><tr><th>upstream</th><th>balancers at once</th><th>balancer-seconds</th><th>why</th></tr>")
 	for _, u := range s.Ejections[:min(30, len(s.Ejections))] {
 		fmt.Fprintf(&b, "<tr><td>%s</td><td>%d</td><td>%.1f</td><td>%s</td></tr>", draw.Esc(u.Upstream), u.MaxAtOnce, u.BalancerSeconds, draw.Esc(formatCounts(u.Reasons)))
 	}
-	b.WriteString("</table><h2>Balancers that lost the most</h2><table><tr><th>file</th><th>tier</th><th>arrived</th><th>lost</th><th>by reason</th></tr>")
+	b.WriteString("</table><h2>Balancers with the most lost transactions</h2><table><tr><th>file</th><th>tier</th><th>arrived</th><th>lost</th><th>by reason</th></tr>")
 	for _, m := range s.Processes[:min(30, len(s.Processes))] {
 		fmt.Fprintf(&b, "<tr><td>%s</td><td>%s</td><td>%.0f</td><td>%.0f</td><td>%s</td></tr>",
 			draw.Esc(m.File), draw.Esc(m.Tier), m.Arrived, m.Lost, draw.Esc(formatCounts(m.Reasons)))
--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -1,5 +1,5 @@
-// Package ops is the second address, for the operators' staff: a line to a connection, one call, one answer. It knows
-// sockets and lines only; who is asked decides.
+// Package ops implements the administrative address of a balancer. A client sends one command line per connection and gets one
+// response. The package handles sockets and lines only; a Balancer carries out the commands.
 package ops
 
 import (
@@ -16,38 +16,38 @@
 )
 
 const (
-	// MaxConnections is how many connections are held at once; descriptors for them are set aside.
+	// MaxConnections is the maximum number of connections served at once. File descriptors are reserved for them.
 	MaxConnections         = 16
-	maxCommandBytes        = 64               // bytes of a call
-	maxClusterCommandBytes = 512              // and of one to staff
-	commandTimeout         = 5 * time.Second  // until a caller without a call is let go
-	clusterCommandTimeout  = 10 * time.Second // until what needs a majority of keepers is
-	writeTimeout           = time.Second      // until an answer that nobody reads is
-	maxAnswerBytes         = 512 << 20        // bytes that staff's side takes: the views of some hundred members, or a ledger
+	maxCommandBytes        = 64
+	maxClusterCommandBytes = 512              // for CLUSTER commands, which have arguments
+	commandTimeout         = 5 * time.Second  // for the client to send its command
+	clusterCommandTimeout  = 10 * time.Second // for CLUSTER commands, which may need a majority of the voters
+	writeTimeout           = time.Second      // for the client to read the response
+	maxAnswerBytes         = 512 << 20        // read by Call: enough for the views of some hundred members, or for a ledger
 )
 
-// Balancer is what can be asked.
+// Balancer carries out the commands.
 type Balancer interface {
-	Health() error // nil if it takes clients, else why not
+	Health() error // nil if the balancer accepts clients, else the reason why it does not
 	WriteFigures(to io.Writer) error
 	Leave() error
 	Join() error
-	WriteMembers(to io.Writer, all bool) error // of its cluster; an error if it is in none
+	WriteMembers(to io.Writer, all bool) error // members of the cluster; an error outside a cluster
 	ClusterCommand(to io.Writer, words []string) error
 }
 
-// Server answers at one address.
+// Server serves the commands at one address.
 type Server struct {
 	listener net.Listener
 	balancer Balancer
 
 	mu         sync.Mutex
-	pending    list.List // without a whole call yet, the oldest first
+	pending    list.List // connections that are being served, the oldest first
 	closed     bool
 	goroutines sync.WaitGroup
 }
 
-// Open listens, and answers until Close.
+// Open listens at an address and serves commands until Close.
 func Open(address string, balancer Balancer) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -58,7 +58,7 @@
 	return s, nil
 }
 
-// Close ends it.
+// Close stops the server and waits for its goroutines.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
@@ -70,13 +70,14 @@
 	s.goroutines.Wait()
 }
 
+// accept accepts connections until the listener is closed.
 func (s *Server) accept() {
 	for {
 		conn, err := s.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // Danger: short of descriptors; tried again, since nobody else would say how things stand
+		if err != nil { // out of file descriptors, when operators need this address in particular, hence the retry
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
@@ -86,7 +87,7 @@
 			conn.Close()
 			return
 		}
-		// Danger: callers that hold their connection and say nothing would keep everybody else out.
+		// The oldest connection is closed if there are too many. Otherwise idle clients could lock out all others.
 		if s.pending.Len() >= MaxConnections {
 			s.pending.Remove(s.pending.Front()).(net.Conn).Close()
 		}
@@ -96,19 +97,19 @@
 	}
 }
 
-// serve is the life of one connection.
-func (s *Server) serve(conn net.Conn, element *list.Element) {
+// serve handles one connection.
+func (s *Server) serve(conn net.Conn, pending *list.Element) {
 	defer conn.Close()
 	defer func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.pending.Remove(element) // no fault if it has made room
+		s.pending.Remove(pending) // no effect if accept has removed it already
 	}()
 	conn.SetReadDeadline(time.Now().Add(commandTimeout))
 	reader := bufio.NewReaderSize(conn, maxClusterCommandBytes)
 	line, err := reader.ReadSlice('\n')
 	if err != nil && (err != io.EOF || len(line) == 0) && err != bufio.ErrBufferFull {
-		return // Danger: half a line that is cut by silence is no call
+		return // a line that is cut off by the timeout is no command
 	}
 	conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	words := strings.Fields(string(line))
@@ -150,6 +151,7 @@
 	}
 }
 
+// writeResult writes SUCCESS, or FAILURE with an error.
 func writeResult(to io.Writer, err error) {
 	if err != nil {
 		fmt.Fprintf(to, "FAILURE %s\n", err)
@@ -158,7 +160,8 @@
 	io.WriteString(to, "SUCCESS\n")
 }
 
-// Call asks a balancer at its second address, for staff; ok tells whether it said yes, or told all its figures.
+// Call sends a command to the administrative address of a balancer. ok reports whether the response is SUCCESS, or is complete
+// up to its final EOT line.
 func Call(address, command string, within time.Duration) (text string, ok bool, err error) {
 	conn, err := net.DialTimeout("tcp", address, within)
 	if err != nil {
--- a/internal/process/cluster.go
+++ b/internal/process/cluster.go
@@ -15,7 +15,8 @@
 	"ottershift/internal/terms"
 )
 
-// membership is the process's part in its cluster. Without [cluster] there is none: no goroutine, socket or file.
+// membership is the participation of a process in its cluster. A process whose configuration has no [cluster] table has
+// no membership, and runs no goroutine, opens no socket and writes no file for it.
 type membership struct {
 	*cluster.Cluster
 	process        *Process
@@ -30,14 +31,17 @@
 }
 
 const (
-	memberChangeDelay = 200 * time.Millisecond // that members change before pools are told
-	leaveTimeout      = 500 * time.Millisecond // at the end of a process
-	// deadMemberRetention is how long a member that is held dead counts as a balancer still: it may live behind a link that is cut,
-	// and what all send cold upstreams has to stay within bounds.
+	// memberChangeDelay is the time from the first change of the member list until the pools are updated. Further
+	// changes within it are applied together.
+	memberChangeDelay = 200 * time.Millisecond
+	// leaveTimeout limits how long a process that exits waits for its departure from the cluster.
+	leaveTimeout = 500 * time.Millisecond
+	// deadMemberRetention is how long a member that is considered dead still counts as a balancer. It may be alive behind
+	// a broken link, and the load that all balancers together send to cold upstreams has to stay limited.
 	deadMemberRetention = 10 * time.Minute
 )
 
-// joinCluster takes part in the cluster of a plan, if it names one.
+// joinCluster joins the cluster of a configuration, if it has one.
 func (proc *Process) joinCluster(p *plan.Plan) error {
 	if p.Cluster == nil {
 		return nil
@@ -46,7 +50,9 @@
 	if err != nil {
 		return err
 	}
-	m := &membership{process: proc, membersChanged: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{}), lastStatusAt: time.Now()}
+	m := &membership{
+		process: proc, membersChanged: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{}), lastStatusAt: time.Now(),
+	}
 	m.Cluster, err = cluster.Open(cluster.Options{
 		Settings: p.Cluster, Ops: p.Ops, Build: buildVersion(), Seed: proc.seed, Log: proc.eventLog, Lab: lab, Status: m.status, Changed: m.notifyMembersChanged,
 	})
@@ -60,7 +66,8 @@
 	return nil
 }
 
-// buildVersion is which one this is, as others are told.
+// buildVersion returns the version of this build that is sent to the other members: the first 12 digits of the revision
+// if it is known, else the module version.
 func buildVersion() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -74,7 +81,7 @@
 	return info.Main.Version
 }
 
-// close leaves the cluster by intent, once.
+// close announces the departure to the cluster and leaves it. Later calls do nothing.
 func (m *membership) close() {
 	m.closeOnce.Do(func() {
 		close(m.stop)
@@ -83,7 +90,8 @@
 	})
 }
 
-// closeWithTimeout does so within a time: a process that was told to end doesn't wait for keepers that it can't reach.
+// closeWithTimeout calls close and waits for it no longer than leaveTimeout, since a process that is told to exit must not
+// wait for voters that it cannot reach.
 func (m *membership) closeWithTimeout() {
 	done := make(chan struct{})
 	go func() {
@@ -96,7 +104,8 @@
 	}
 }
 
-// announceLeaving passes on whether clients are to go elsewhere, if that was done.
+// announceLeaving tells the cluster whether this process wants its clients to go elsewhere. It does nothing if err is set,
+// and returns err.
 func (proc *Process) announceLeaving(leaving bool, err error) error {
 	if m := proc.clusterMembership(); err == nil && m != nil {
 		m.Leaving(leaving)
@@ -104,7 +113,7 @@
 	return err
 }
 
-// notifyMembersChanged has pools told of other members soon.
+// notifyMembersChanged has the pools updated after memberChangeDelay. It does not block.
 func (m *membership) notifyMembersChanged() {
 	select {
 	case m.membersChanged <- struct{}{}:
@@ -112,9 +121,10 @@
 	}
 }
 
+// run updates the pools whenever the members change, and announces the pools of this process when they change.
 func (m *membership) run() {
 	defer close(m.done)
-	ticker := time.NewTicker(deadMemberRetention / 10) // who is held dead counts for some time only
+	ticker := time.NewTicker(deadMemberRetention / 10) // dead members stop counting without an event
 	defer ticker.Stop()
 	for {
 		select {
@@ -135,7 +145,7 @@
 	}
 }
 
-// poolsChanged reports whether this process offers other pools than it told last.
+// poolsChanged reports whether the pools of this process differ from those at the previous call.
 func (m *membership) poolsChanged() bool {
 	m.process.mu.Lock()
 	defer m.process.mu.Unlock()
@@ -144,7 +154,7 @@
 	return !slices.Equal(names, m.announcedPools)
 }
 
-// status is what others are told of this process.
+// status returns the state of this process that is sent to the other members.
 func (m *membership) status() member.Status {
 	process := m.process
 	process.mu.Lock()
@@ -170,13 +180,14 @@
 	return status
 }
 
-// effectiveBook is a pool's book with the members that count at present, and their names.
+// effectiveBook returns the settings of a pool. If its balancers are the members of the cluster, the settings are adapted to
+// the members that count at present, whose names are returned together with the index of this process.
 func (proc *Process) effectiveBook(settings *plan.Pool) (book *terms.Book, names []string, own int) {
 	if !settings.Book.Fleet || proc.membership == nil {
 		return settings.Book, nil, 0
 	}
 	names, own = proc.membership.Counted(settings.Name, deadMemberRetention)
-	if own < 0 { // it has not said yet what it offers
+	if own < 0 { // this process has not announced its pools yet
 		names = append(names, proc.membership.Settings().Self)
 		slices.Sort(names)
 		own = slices.Index(names, proc.membership.Settings().Self)
@@ -184,7 +195,8 @@
 	return settings.Book.Among(max(settings.Book.Terms.Balancers, len(names)), own), names, own
 }
 
-// updateBalancerCounts tells pools whose balancers are the cluster's how many there are now. It keeps what they have learnt.
+// updateBalancerCounts updates the number of balancers of all pools whose balancers are the members of the cluster. The
+// pools keep their learned state.
 func (proc *Process) updateBalancerCounts() {
 	proc.mu.Lock()
 	defer proc.mu.Unlock()
@@ -195,6 +207,7 @@
 	}
 }
 
+// updateBalancerCount updates the number of balancers of one pool and its route to them, if they have changed.
 func (proc *Process) updateBalancerCount(p *pool) {
 	book, names, own := proc.effectiveBook(p.settings)
 	before := p.Book().Terms
@@ -202,7 +215,7 @@
 		return
 	}
 	if err := p.Retune(book); err != nil {
-		proc.eventLog.Error("cluster", "step", "counted", "pool", p.Name, "fault", err) // a fault of ours: it was checked
+		proc.eventLog.Error("cluster", "step", "counted", "pool", p.Name, "fault", err) // a bug, since the settings were validated before
 		return
 	}
 	p.memberNames = names
@@ -210,7 +223,7 @@
 	proc.eventLog.Info("cluster", "step", "counted", "pool", p.Name, "balancers", book.Terms.Balancers, "members", len(names), "index", own)
 }
 
-// WriteMembers implements ops.Balancer.
+// WriteMembers writes the known members of the cluster. It implements ops.Balancer.
 func (proc *Process) WriteMembers(to io.Writer, all bool) error {
 	m := proc.clusterMembership()
 	if m == nil {
@@ -219,7 +232,7 @@
 	return m.Members(to, all)
 }
 
-// ClusterCommand implements ops.Balancer.
+// ClusterCommand runs an operator's command on the cluster. It implements ops.Balancer.
 func (proc *Process) ClusterCommand(to io.Writer, words []string) error {
 	m := proc.clusterMembership()
 	if m == nil {
@@ -228,14 +241,14 @@
 	return m.Staff(to, words)
 }
 
-// clusterMembership is this process's part in its cluster, nil if it has none, or not yet.
+// clusterMembership returns the membership of this process, or nil if it has not joined a cluster.
 func (proc *Process) clusterMembership() *membership {
 	proc.mu.Lock()
 	defer proc.mu.Unlock()
 	return proc.membership
 }
 
-// reloadCluster takes over what may change of a cluster in service, and names what may not.
+// reloadCluster applies the cluster settings that can change in service, and warns about those that need a restart.
 func (proc *Process) reloadCluster(oldPlan, newPlan *plan.Plan, warnIfChanged func(key string, changed bool)) {
 	before, after := oldPlan.Cluster, newPlan.Cluster
 	if before == nil || after == nil {
@@ -255,7 +268,8 @@
 	warnIfChanged("cluster.groups", before.Groups != after.Groups)
 	warnIfChanged("cluster.ledger", (before.Ledger == nil) != (after.Ledger == nil))
 	if before.Ledger != nil && after.Ledger != nil {
-		warnIfChanged("cluster.ledger.policy", before.Ledger.Policy != after.Ledger.Policy && (before.Ledger.Policy == "local" || after.Ledger.Policy == "local"))
+		warnIfChanged("cluster.ledger.policy",
+			before.Ledger.Policy != after.Ledger.Policy && (before.Ledger.Policy == "local" || after.Ledger.Policy == "local"))
 	}
 	proc.mu.Lock()
 	defer proc.mu.Unlock()
--- a/internal/process/cluster_test.go
+++ b/internal/process/cluster_test.go
@@ -20,12 +20,13 @@
 	"ottershift/internal/plan"
 )
 
-// clusterConfig is a configuration of one pool whose balancers are the members.
+// clusterConfig returns a configuration of one pool whose balancers are the members of a cluster.
 func clusterConfig(t *testing.T, name, listen, address, join string, upstream *testUpstream) string {
 	return fmt.Sprintf("name = %q\n", name) + poolConfig(listen, "peers = \"cluster\"\nbalancers = 1", upstream) +
 		fmt.Sprintf("[cluster]\nname = \"zuid\"\naddress = %q\njoin = [%q]\nprobe_every = \"50ms\"\nrejoin_every = \"200ms\"\n", address, join)
 }
 
+// waitFor waits up to 6 s for a condition.
 func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for range 300 {
@@ -34,60 +35,61 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	t.Error("not soon: " + what)
+	t.Error("timed out waiting until " + what)
 }
 
-// Without [cluster] nothing of it runs: no goroutine, no descriptor.
+// A process without a [cluster] table runs no goroutine of the cluster packages and opens no socket for them.
 func TestNoGoroutinesWithoutCluster(t *testing.T) {
 	u := newTestUpstream(t, "u")
-	s := startProcess(t, configText([]string{freeAddress(t)}, [2]any{"a", u}))
+	proc := startProcess(t, configText([]string{freeAddress(t)}, [2]any{"a", u}))
 	stacks := make([]byte, 1<<20)
 	all := string(stacks[:runtime.Stack(stacks, true)])
 	for _, word := range []string{"internal/cluster", "memberlist"} {
 		if strings.Contains(all, word) {
-			t.Errorf("a goroutine of %s runs", word)
+			t.Errorf("a goroutine of %s is running", word)
 		}
 	}
-	if s.membership != nil {
-		t.Error("it is in a cluster")
+	if proc.membership != nil {
+		t.Error("the process has joined a cluster")
 	}
-	if err := s.WriteMembers(&bytes.Buffer{}, false); err == nil {
-		t.Error("it tells of members")
+	if err := proc.WriteMembers(&bytes.Buffer{}, false); err == nil {
+		t.Error("members are listed without a cluster")
 	}
-	closeAndVerify(t, s, http.DefaultTransport.(*http.Transport), u)
+	closeAndVerify(t, proc, http.DefaultTransport.(*http.Transport), u)
 }
 
-// Two processes count one another as balancers of the pool, keep their modules over every change, and tell one another
-// what they hold; who leaves by intent counts no more, and nothing of it is left. Keys that need a restart are told.
+// Two processes count each other as balancers of a pool, keep their decision engines when the number changes, and exchange
+// load reports. A process that leaves is no longer counted and releases everything. A reload names the keys that need a
+// restart.
 func TestMembersCountAsBalancers(t *testing.T) {
 	u := newTestUpstream(t, "u")
-	var out bytes.Buffer
-	at, there, listen := freeAddress(t), freeAddress(t), freeAddress(t)
-	told := clusterConfig(t, "b1", listen, at, there, u)
-	a, err := Start(parse(t, told), slog.New(slog.NewTextHandler(&out, nil)), &slog.LevelVar{})
+	var logOutput bytes.Buffer
+	address, peerAddress, listen := freeAddress(t), freeAddress(t), freeAddress(t)
+	config := clusterConfig(t, "b1", listen, address, peerAddress, u)
+	a, err := Start(parse(t, config), slog.New(slog.NewTextHandler(&logOutput, nil)), &slog.LevelVar{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := startProcess(t, clusterConfig(t, "b2", freeAddress(t), there, at, u))
-	balancers := func(s *Process) (n, index int) {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		m := s.pools["p"].Book().Terms
+	b := startProcess(t, clusterConfig(t, "b2", freeAddress(t), peerAddress, address, u))
+	balancers := func(proc *Process) (n, index int) {
+		proc.mu.Lock()
+		defer proc.mu.Unlock()
+		m := proc.pools["p"].Book().Terms
 		return m.Balancers, m.Index
 	}
 	pool := a.pools["p"].Pool
-	waitFor(t, "both count two", func() bool {
+	waitFor(t, "both processes count two balancers", func() bool {
 		n, i := balancers(a)
 		m, k := balancers(b)
 		return n == 2 && m == 2 && i == 0 && k == 1
 	})
 	if a.pools["p"].Pool != pool {
-		t.Error("the pool was made anew")
+		t.Error("the pool was replaced")
 	}
-	// What b sends on is told to a.
+	// Process b reports its open attempts to a.
 	u.delay.Store(int64(500 * time.Millisecond))
-	got := make(peerReports, 64)
-	a.membership.Follow("p", []string{"b1", "b2"}, 0, 1, got)
+	reports := make(peerReports, 64)
+	a.membership.Follow("p", []string{"b1", "b2"}, 0, 1, reports)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -96,19 +98,19 @@
 			a.Body.Close()
 		}
 	}()
-	got.waitForAttempt(t)
+	reports.waitForAttempt(t)
 	<-done
 	u.delay.Store(0)
 
 	if err := b.Leave(); err != nil {
 		t.Error(err)
 	}
-	waitFor(t, "its leave is seen", func() bool {
-		var seen bytes.Buffer
-		var v member.View
-		a.WriteMembers(&seen, true)
-		json.NewDecoder(bytes.NewReader(seen.Bytes())).Decode(&v)
-		return len(v.Members) == 2 && v.Members[1].Leaving && strings.Count(seen.String(), "\n") == 2
+	waitFor(t, "process a sees that b is leaving", func() bool {
+		var output bytes.Buffer
+		var view member.View
+		a.WriteMembers(&output, true)
+		json.NewDecoder(bytes.NewReader(output.Bytes())).Decode(&view)
+		return len(view.Members) == 2 && view.Members[1].Leaving && strings.Count(output.String(), "\n") == 2
 	})
 	var figures bytes.Buffer
 	a.WriteFigures(&figures)
@@ -116,30 +118,30 @@
 		t.Errorf("figures:\n%s", figures.String())
 	}
 	b.Drain()
-	waitFor(t, "a counts itself alone", func() bool { n, _ := balancers(a); return n == 1 })
-	if err := a.Reload(parse(t, strings.Replace(told, "[cluster]\n", "[cluster]\nzone = \"x\"\nthrough = { b2 = \"127.0.0.1:1\" }\n", 1))); err != nil {
+	waitFor(t, "process a counts one balancer", func() bool { n, _ := balancers(a); return n == 1 })
+	if err := a.Reload(parse(t, strings.Replace(config, "[cluster]\n", "[cluster]\nzone = \"x\"\nthrough = { b2 = \"127.0.0.1:1\" }\n", 1))); err != nil {
 		t.Error(err)
 	}
 	b.Close()
 	closeAndVerify(t, a, http.DefaultTransport.(*http.Transport), u)
-	if !strings.Contains(out.String(), "key=cluster.zone") || strings.Contains(out.String(), "key=cluster.name") {
-		t.Errorf("what needs a restart was told wrongly:\n%s", out.String())
+	if !strings.Contains(logOutput.String(), "key=cluster.zone") || strings.Contains(logOutput.String(), "key=cluster.name") {
+		t.Errorf("wrong keys reported as needing a restart:\n%s", logOutput.String())
 	}
 }
 
-// A member whose address is taken doesn't start, and nothing is left of it.
+// A member whose cluster address is in use does not start, and leaves no goroutine behind.
 func TestClusterAddressTaken(t *testing.T) {
 	u := newTestUpstream(t, "u")
-	at := freeAddress(t)
-	s := startProcess(t, clusterConfig(t, "b1", freeAddress(t), at, freeAddress(t), u))
-	if _, err := Start(parse(t, clusterConfig(t, "b2", freeAddress(t), at, freeAddress(t), u)), slog.New(slog.DiscardHandler), &slog.LevelVar{}); err == nil {
-		t.Error("two members have one address")
+	address := freeAddress(t)
+	proc := startProcess(t, clusterConfig(t, "b1", freeAddress(t), address, freeAddress(t), u))
+	if _, err := Start(parse(t, clusterConfig(t, "b2", freeAddress(t), address, freeAddress(t), u)), slog.New(slog.DiscardHandler), &slog.LevelVar{}); err == nil {
+		t.Error("two members were started with the same address")
 	}
-	closeAndVerify(t, s, http.DefaultTransport.(*http.Transport), u)
+	closeAndVerify(t, proc, http.DefaultTransport.(*http.Transport), u)
 	goleak.VerifyNone(t)
 }
 
-// Guards are left out for the lab's own children only.
+// Safeguards can only be turned off in processes that were started by the lab itself.
 func TestLabOptionsOnlyForLabChildren(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "lab")
 	t.Setenv(cluster.Variable, file)
@@ -150,13 +152,13 @@
 		`nonsense`: false,
 	} {
 		os.WriteFile(file, []byte(text), 0o600)
-		if l, err := cluster.InLab(); (err == nil) != ok || (l != nil) != ok {
+		if lab, err := cluster.InLab(); (err == nil) != ok || (lab != nil) != ok {
 			t.Errorf("%s: %v", text, err)
 		}
 	}
 }
 
-// All that is wrong with [cluster] is told with its line, and what would be right.
+// Each error in [cluster] is reported with its line and the expected value.
 func TestClusterConfigErrors(t *testing.T) {
 	u := newTestUpstream(t, "u")
 	base := "name = \"b1\"\n" + poolConfig("127.0.0.1:1", "", u)
@@ -172,19 +174,19 @@
 		"[cluster]\nname = \"z\"\naddress = \"127.0.0.1:7101\"\ndirectory = \"d\"\nvoters = [\"b2\", \"b3\"]\nthrough = { b9 = \"127.0.0.1:7\" }": "2 keepers bear the loss of 0, as 1 do|no voter is called so",
 	} {
 		_, faults := plan.Parse("f.toml", []byte(base+text), os.LookupEnv)
-		said := fmt.Sprint(faults)
-		for _, w := range strings.Split(want, "|") {
-			if !strings.Contains(said, w) {
-				t.Errorf("%s\nwants %q, told %s", text, w, said)
+		message := fmt.Sprint(faults)
+		for _, part := range strings.Split(want, "|") {
+			if !strings.Contains(message, part) {
+				t.Errorf("%s\ngot %[3]s, want %[2]q", text, part, message)
 			}
 		}
 		for _, f := range faults {
 			if f.Line == 0 && strings.HasPrefix(f.Key, "cluster.") {
-				t.Errorf("without a line: %v", f)
+				t.Errorf("error without a line: %v", f)
 			}
 		}
 	}
 	if p, faults := plan.Parse("f.toml", []byte("name = \"b1\"\n"+poolConfig("127.0.0.1:1", "peers = \"cluster\"", u)), os.LookupEnv); p != nil {
-		t.Errorf("peers of no cluster: %v", faults)
+		t.Errorf("accepted peers = \"cluster\" without a [cluster] table: %v", faults)
 	}
 }
--- a/internal/process/ledger.go
+++ b/internal/process/ledger.go
@@ -13,7 +13,7 @@
 	"ottershift/logic"
 )
 
-// configureClaims has what must not run twice claimed, as the settings in force say.
+// configureClaims turns claims of transactions that must not run twice on or off, according to the current settings.
 func (proc *Process) configureClaims() {
 	if proc.membership == nil {
 		return
@@ -25,17 +25,18 @@
 	}
 }
 
-// ledgerClaims put the front's words into the ledger's.
+// ledgerClaims translates the claims of the HTTP front end to those of the ledger.
 type ledgerClaims struct {
 	ledger   *ledger.Ledger
 	settings *config.Settings
 }
 
-// Begin implements httpwire.Claims.
+// Begin creates the claim of a transaction. It implements httpwire.Claims.
 func (c *ledgerClaims) Begin(request httpwire.Claimed) httpwire.Claim {
 	tariff := request.Kind
 	ask := ledger.Ask{
-		Pool: request.Pool, Customer: request.Customer, Tariff: request.Tariff, Tag: request.Tag, ID: request.ID, Once: tariff.Idempotency == logic.NonIdempotent, Contract: time.Duration(tariff.ContractTime),
+		Pool: request.Pool, Customer: request.Customer, Tariff: request.Tariff, Tag: request.Tag, ID: request.ID,
+		Once: tariff.Idempotency == logic.NonIdempotent, Contract: time.Duration(tariff.ContractTime),
 		Body: request.Body, Again: request.Again, Binds: tariff.Idempotency == logic.Keyed && tariff.DedupScope != logic.Everywhere,
 	}
 	window := time.Duration(tariff.DedupWindow)
@@ -46,19 +47,20 @@
 	return &transactionClaim{c.ledger.Begin(ask, request.Left), tariff}
 }
 
-// transactionClaim is one transaction's claim.
+// transactionClaim is the claim of one transaction. It implements httpwire.Claim.
 type transactionClaim struct {
 	*ledger.Claim
 	tariff *logic.Tariff
 }
 
-// Open implements httpwire.Claim, as do the methods below.
+// Open asks the ledger whether the transaction may run, and returns the location that it is bound to, or nil if it may run
+// anywhere.
 func (c *transactionClaim) Open(ctx context.Context) (*desk.Location, httpwire.Fate) {
-	result := c.Claim.Open(ctx)
-	switch result.Fate {
+	permit := c.Claim.Open(ctx)
+	switch permit.Fate {
 	case ledger.Go:
-		if result.Bound {
-			return c.groupLocation(result.Group), httpwire.Goes
+		if permit.Bound {
+			return c.groupLocation(permit.Group), httpwire.Goes
 		}
 		return nil, httpwire.Goes
 	case ledger.Forfeit:
@@ -69,7 +71,8 @@
 	return nil, httpwire.Defers
 }
 
-// groupName names the upstreams that know a transaction's repeats, "" where that binds nothing.
+// groupName returns the name of the group of upstreams that recognise repeats of the transaction, or "" if a repeat may go
+// to any upstream.
 func (c *transactionClaim) groupName(zone string, cell int) string {
 	switch {
 	case c.tariff.Idempotency != logic.Keyed || c.tariff.DedupScope == logic.Everywhere:
@@ -80,6 +83,7 @@
 	return zone + "/" + strconv.Itoa(cell)
 }
 
+// groupLocation is the inverse of groupName.
 func (c *transactionClaim) groupLocation(group string) *desk.Location {
 	if c.tariff.DedupScope == logic.SameZone {
 		return &desk.Location{Zone: group}
@@ -89,10 +93,12 @@
 	return &desk.Location{Zone: group[:separator], Cell: cell}
 }
 
+// Take claims the transaction for an attempt.
 func (c *transactionClaim) Take(ctx context.Context, to *desk.Attempt, moved bool) error {
 	return c.Claim.Take(ctx, c.groupName(to.Zone, to.Cell), ledger.Clip(to.Name), moved)
 }
 
+// End reports the outcome of the transaction to the ledger.
 func (c *transactionClaim) End(outcome httpwire.End) {
 	c.Claim.End(map[httpwire.End]byte{
 		httpwire.NeverRan: ledger.EndNever, httpwire.Answered: ledger.EndAnswered, httpwire.MayHaveRun: ledger.EndUnknown,
--- a/internal/process/peers_test.go
+++ b/internal/process/peers_test.go
@@ -16,12 +16,12 @@
 	"ottershift/internal/peers"
 )
 
-// peerReports hears as the other balancer of a pool, whose part the test plays.
+// peerReports receives load reports in place of the other balancer of a pool.
 type peerReports chan []byte
 
 func (r peerReports) Told(_, _ int, raw []byte) { r <- append([]byte(nil), raw...) }
 
-// waitForAttempt waits for word of one push that is out.
+// waitForAttempt waits for a report of exactly one open attempt.
 func (r peerReports) waitForAttempt(t *testing.T) []byte {
 	t.Helper()
 	for {
@@ -31,52 +31,53 @@
 				return raw
 			}
 		case <-time.After(5 * time.Second):
-			t.Fatal("no word of a push")
+			t.Fatal("no report of an attempt within 5 s")
 		}
 	}
 }
 
-// poolConfig is a configuration of one pool with more keys, over some stand-ins.
+// poolConfig returns a configuration of one pool with additional keys, over the given upstreams.
 func poolConfig(listen, more string, upstreams ...*testUpstream) string {
 	text := fmt.Sprintf(baseConfig+"[listeners.l]\naddress = %q\n[[routes]]\npool = \"p\"\n[pools.p]\ndefault_tariff = \"view\"\n%s\n", listen, more)
-	for _, s := range upstreams {
-		text += fmt.Sprintf("[[pools.p.upstreams]]\nname = %q\naddress = %q\nkind = \"k\"\n", s.name, s.Listener.Addr())
+	for _, upstream := range upstreams {
+		text += fmt.Sprintf("[[pools.p.upstreams]]\nname = %q\naddress = %q\nkind = \"k\"\n", upstream.name, upstream.Listener.Addr())
 	}
 	return text
 }
 
-// The move as an operator makes it: the pool first watches, deciding as ever and counting what a crowd at its peer would
-// have changed; then, by SIGHUP, it keeps clear of what its peer says is full, also when one is added; then it goes back.
-// Where its own address is another's it doesn't start, and a reload to that changes nothing.
+// The steps by which an operator turns on peers: in shadow mode the pool decides as before and counts what the load reports of
+// a peer would have changed. After a reload it avoids the upstream that the peer reports as loaded, also with a third
+// balancer, and a further reload turns this off again. A process whose own peer address is in use does not start, and a
+// reload to such a configuration changes nothing.
 func TestPeersAfterShadowModeAndBack(t *testing.T) {
 	goleak.VerifyNone(t)
-	a, b, listen, at, there := newTestUpstream(t, "a"), newTestUpstream(t, "b"), freeAddress(t), freeAddress(t), freeAddress(t)
+	a, b, listen, address, peerAddress := newTestUpstream(t, "a"), newTestUpstream(t, "b"), freeAddress(t), freeAddress(t), freeAddress(t)
 	a.delay.Store(int64(60 * time.Millisecond))
 	b.delay.Store(int64(60 * time.Millisecond))
-	m := make(peerReports, 1024)
-	link, err := peers.Open(there)
-	route, fault := peers.NewRoute("p", []string{at, there}, 1, m)
+	reports := make(peerReports, 1024)
+	link, err := peers.Open(peerAddress)
+	route, routeErr := peers.NewRoute("p", []string{address, peerAddress}, 1, reports)
 	file := filepath.Join(t.TempDir(), "log")
-	log, bad := os.Create(file)
-	if err := errors.Join(err, fault, bad); err != nil {
+	log, fileErr := os.Create(file)
+	if err := errors.Join(err, routeErr, fileErr); err != nil {
 		t.Fatal(err)
 	}
 	defer log.Close()
 	link.Follow(route)
-	shape := fmt.Sprintf("balancers = 2\npeers = [%q, %q]\nweights = \"live\"\n", at, there)
-	taken := parse(t, poolConfig(listen, fmt.Sprintf("balancers = 2\npeers = [%q, %q]", there, at), a))
-	if _, err := Start(taken, slog.New(slog.DiscardHandler), &slog.LevelVar{}); err == nil || !strings.Contains(err.Error(), "pool p: peers: listen udp") {
-		t.Fatal("at an address that another has: ", err)
+	peerConfig := fmt.Sprintf("balancers = 2\npeers = [%q, %q]\nweights = \"live\"\n", address, peerAddress)
+	takenConfig := parse(t, poolConfig(listen, fmt.Sprintf("balancers = 2\npeers = [%q, %q]", peerAddress, address), a))
+	if _, err := Start(takenConfig, slog.New(slog.DiscardHandler), &slog.LevelVar{}); err == nil || !strings.Contains(err.Error(), "pool p: peers: listen udp") {
+		t.Fatal("start with a peer address in use: ", err)
 	}
-	s, err := Start(parse(t, poolConfig(listen, shape+"watch = true", a, b)), slog.New(slog.NewTextHandler(log, nil)), &slog.LevelVar{})
+	proc, err := Start(parse(t, poolConfig(listen, peerConfig+"watch = true", a, b)), slog.New(slog.NewTextHandler(log, nil)), &slog.LevelVar{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	client := &http.Transport{MaxIdleConnsPerHost: 4}
-	// full tells how many of twelve go where the first went, of which the peer says that it has five more there.
-	full := func(tell bool) (full int) {
-		first := ""
-		for time.Sleep(30 * time.Millisecond); len(m) > 0; <-m { // danger: old word would name the wrong one
+	// full returns how many of twelve requests go to the upstream of the first. The peer reports five attempts there.
+	countToLoaded := func(sendReport bool) (countToLoaded int) {
+		loaded := ""
+		for time.Sleep(30 * time.Millisecond); len(reports) > 0; <-reports { // discards old reports, which would name the wrong upstream
 		}
 		for n := range 13 {
 			done := make(chan string, 1)
@@ -87,59 +88,59 @@
 				}
 				done <- strings.Fields(body + " -")[0]
 			}()
-			if tell && n == 0 {
-				word := m.waitForAttempt(t)
-				link.Tell(1, 0, []byte{30, word[1], word[1], word[1], word[1], word[1]})
+			if sendReport && n == 0 {
+				report := reports.waitForAttempt(t)
+				link.Tell(1, 0, []byte{30, report[1], report[1], report[1], report[1], report[1]})
 			}
 			if body := <-done; n == 0 {
-				first = body
-			} else if body == first {
-				full++
+				loaded = body
+			} else if body == loaded {
+				countToLoaded++
 			}
 		}
-		return full
+		return countToLoaded
 	}
 	reload := func(more string) {
 		t.Helper()
-		if err := s.Reload(parse(t, poolConfig(listen, more, a, b))); err != nil {
+		if err := proc.Reload(parse(t, poolConfig(listen, more, a, b))); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if n := full(true); n < 4 || n > 8 {
-		t.Errorf("%d of 12 went to the full one while it watched; it decides as ever, by turns", n)
+	if n := countToLoaded(true); n < 4 || n > 8 {
+		t.Errorf("%d of 12 went to the loaded upstream in shadow mode, want about half", n)
 	}
-	reload(shape)
+	reload(peerConfig)
 	counts := ""
 	for n := 0; !strings.Contains(counts, "step=end"); n++ {
 		if n == 500 {
-			t.Fatal("the pool that watched has not gone")
+			t.Fatal("the pool in shadow mode was not closed")
 		}
 		time.Sleep(10 * time.Millisecond)
 		text, _ := os.ReadFile(file)
 		counts = string(text)
 	}
 	if !strings.Contains(counts, "elsewhere=") || strings.Contains(counts, "compared=0") || strings.Contains(counts, "elsewhere=0") {
-		t.Errorf("no count of what would have gone elsewhere: %s", counts)
+		t.Errorf("no count of requests for other upstreams: %s", counts)
 	}
-	if s.Reload(taken) == nil {
-		t.Error("reloaded to an address that another has")
+	if proc.Reload(takenConfig) == nil {
+		t.Error("reloaded to a peer address in use")
 	}
-	if n := full(true); n > 1 {
-		t.Errorf("%d of 12 went to the upstream that the peer says is full", n)
+	if n := countToLoaded(true); n > 1 {
+		t.Errorf("%d of 12 went to the upstream that the peer reports as loaded", n)
 	}
-	reload(fmt.Sprintf("balancers = 3\npeers = [%q, %q, %q]\n", at, there, freeAddress(t)))
-	if n := full(true); n > 1 {
-		t.Errorf("%d of 12 went to the upstream that the peer says is full, one of three balancers", n)
+	reload(fmt.Sprintf("balancers = 3\npeers = [%q, %q, %q]\n", address, peerAddress, freeAddress(t)))
+	if n := countToLoaded(true); n > 1 {
+		t.Errorf("%d of 12 went to the upstream that the peer reports as loaded, with three balancers", n)
 	}
 	reload("balancers = 2")
-	if n := full(false); n < 4 || n > 8 {
-		t.Errorf("%d of 12 went to the same one after going back; it decides as ever, by turns", n)
+	if n := countToLoaded(false); n < 4 || n > 8 {
+		t.Errorf("%d of 12 went to the same upstream after peers were turned off, want about half", n)
 	}
-	if l, err := peers.Open(at); err != nil { // nobody listens there any more
+	if l, err := peers.Open(address); err != nil { // the address is free again
 		t.Error(err)
 	} else {
 		l.Close()
 	}
 	link.Close()
-	closeAndVerify(t, s, client, a, b)
+	closeAndVerify(t, proc, client, a, b)
 }
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -1,5 +1,5 @@
-// Package process puts a plan to work: it makes the front, its listeners, the pools and the sources of their lists, and
-// changes all of them in service when another plan comes.
+// Package process runs a balancer according to a configuration. It creates the HTTP front end, its listeners, the pools and
+// the sources of their upstream lists, and changes all of them in service when the configuration is reloaded.
 package process
 
 import (
@@ -34,49 +34,50 @@
 	"ottershift/internal/roster"
 )
 
-// Process is what runs.
+// Process is a running balancer process.
 type Process struct {
 	log, eventLog  *slog.Logger
 	logLevel       *slog.LevelVar
 	seed           uint64
 	counters       figures.Process
 	ops            *ops.Server
-	relaySeat      *relay.Seat // among the processes of this balancer, nil where it is replaced by nobody
-	processCount   int         // processes that are this balancer, this one included
+	relaySeat      *relay.Seat // registration among the processes of this balancer, nil without an inherited listener
+	processCount   int         // processes that act as this balancer, this one included
 	cancel         context.CancelFunc
 	front          *httpwire.Front
 	plan           *plan.Plan
 	listenerErrors chan error
-	membership     *membership // nil without [cluster]
+	membership     *membership // nil if the configuration has no [cluster]
 
 	mu        sync.Mutex
 	pools     map[string]*pool
 	listeners map[string]*httpwire.Listener // by address
-	peerLinks map[string]*peers.Link        // to other balancers, by the address here
+	peerLinks map[string]*peers.Link        // links to other balancers, by local address
 	retiring  sync.WaitGroup
 }
 
-// pool is a pool of the plan that is in force.
+// pool is a pool of the current configuration.
 type pool struct {
 	*httpwire.Pool
 	settings     *plan.Pool
-	subscription *discovery.Watch   // if it follows discovery
-	stopList     context.CancelFunc // ends the source of its list
-	peerLink     *peers.Link        // to the others, if they tell one another what they hold
+	subscription *discovery.Watch   // set if the list comes from discovery
+	stopList     context.CancelFunc // stops the source of the upstream list
+	peerLink     *peers.Link        // link to the other balancers, if they exchange load reports
 	peerRoute    *peers.Route
-	memberNames  []string      // members that count as its balancers, where the cluster says
-	listReceived chan struct{} // closed once its source has told something
+	memberNames  []string      // cluster members that count as balancers of the pool
+	listReceived chan struct{} // closed after the first update from the list source
 	receivedOnce sync.Once
 }
 
-const maxListWait = 1500 * time.Millisecond // that a list is waited for before clients are taken
+// maxListWait limits how long a process waits for a list before it accepts clients.
+const maxListWait = 1500 * time.Millisecond
 
-// Start puts a plan to work. Nothing of it is left if that fails.
+// Start runs a configuration. If it fails, everything that it has started is stopped.
 func Start(p *plan.Plan, log *slog.Logger, level *slog.LevelVar) (*Process, error) {
 	return StartWithEngine(p, log, level, desk.NewBalancer)
 }
 
-// StartWithEngine does so with another module, for the lab.
+// StartWithEngine is like Start with another decision engine, for simulations.
 func StartWithEngine(p *plan.Plan, log *slog.Logger, level *slog.LevelVar, newEngine desk.EngineFactory) (*Process, error) {
 	proc := &Process{
 		log: log, eventLog: logs.Own(log), logLevel: level, seed: p.Seed, front: httpwire.New(log, newEngine), plan: &plan.Plan{},
@@ -117,7 +118,7 @@
 	return proc, nil
 }
 
-// stopServices ends what is there besides pools and listeners.
+// stopServices stops everything other than pools and listeners.
 func (proc *Process) stopServices() {
 	proc.cancel()
 	if proc.ops != nil {
@@ -131,7 +132,8 @@
 	}
 }
 
-// setProcessCount has the process keep to its part of what all processes of this balancer may hold together.
+// setProcessCount sets how many processes act as this balancer, and limits this process to its share of the balancer's
+// resources.
 func (proc *Process) setProcessCount(count int) {
 	proc.mu.Lock()
 	defer proc.mu.Unlock()
@@ -146,10 +148,10 @@
 	}
 }
 
-// Health implements ops.Balancer, as do the methods below.
+// Health returns nil if the process accepts clients, else the reason why it does not. It implements ops.Balancer.
 func (proc *Process) Health() error { return proc.front.Takes() }
 
-// WriteFigures writes what has become of transactions and pushes so far.
+// WriteFigures writes the metrics of the process. It implements ops.Balancer.
 func (proc *Process) WriteFigures(to io.Writer) error {
 	proc.mu.Lock()
 	platform := proc.plan.Platform
@@ -173,16 +175,17 @@
 	return nil
 }
 
-// Leave has clients go elsewhere, until Join.
+// Leave makes health checks fail and ends client connections until Join, so that clients go elsewhere. It implements
+// ops.Balancer.
 func (proc *Process) Leave() error { return proc.announceLeaving(true, proc.front.Leave()) }
 
-// Join takes clients again.
+// Join reverts Leave. It implements ops.Balancer.
 func (proc *Process) Join() error { return proc.announceLeaving(false, proc.front.Join()) }
 
-// ListenerErrors tells why a listener ended by itself.
+// ListenerErrors returns the channel that receives the error of a listener that failed.
 func (proc *Process) ListenerErrors() <-chan error { return proc.listenerErrors }
 
-// Drain serves to the end what has been taken. The process is to exit after it.
+// Drain stops accepting clients and waits for the open transactions to finish. The process has to exit afterwards.
 func (proc *Process) Drain() {
 	var relayed []*httpwire.Listener
 	if proc.relaySeat != nil && proc.relaySeat.Count() > 1 {
@@ -197,7 +200,7 @@
 	}
 }
 
-// Close gives back all that is left after a drain, for those that go on.
+// Close releases what is left after Drain. Only callers that continue to run without exiting need it.
 func (proc *Process) Close() {
 	proc.mu.Lock()
 	pools := proc.pools
@@ -213,7 +216,8 @@
 	proc.stopServices()
 }
 
-// Reload puts another plan in force, all of it or nothing; a plan that could not be read is counted by Refused.
+// Reload switches to another configuration, completely or not at all. Configurations that cannot be parsed are counted with
+// CountInvalidConfig instead.
 func (proc *Process) Reload(p *plan.Plan) error {
 	start, before, cores := time.Now(), proc.plan, p.Limits.Cores
 	apply := proc.apply
@@ -242,11 +246,11 @@
 	return nil
 }
 
-// CountInvalidConfig counts a file that made no sense.
+// CountInvalidConfig counts a configuration file that could not be parsed.
 func (proc *Process) CountInvalidConfig() { proc.counters.Invalid.Add(1) }
 
-// applyToPlatformPool goes from one plan of the platform's to another: its pool stays, and with it all that it has learnt. What was
-// said at the start of listeners, cores and the second address stays.
+// applyToPlatformPool switches to another configuration in the platform's format. The pool is kept with its learned state.
+// Listeners, the number of cores and the administrative address stay as they were at the start.
 func (proc *Process) applyToPlatformPool(p *plan.Plan) error {
 	proc.mu.Lock()
 	defer proc.mu.Unlock()
@@ -270,7 +274,7 @@
 	return nil
 }
 
-// apply goes from the plan in force to another. First comes all that may fail, and is undone if anything does.
+// apply switches from the current configuration to another. All steps that can fail come first, and are undone if one fails.
 func (proc *Process) apply(p *plan.Plan) (err error) {
 	proc.mu.Lock()
 	defer proc.mu.Unlock()
@@ -286,11 +290,11 @@
 		for _, l := range opened {
 			proc.front.Close(l)
 		}
-		for _, n := range created {
-			proc.retire(n)
+		for _, target := range created {
+			proc.retire(target)
 		}
-		for at, l := range links {
-			if l != proc.peerLinks[at] {
+		for address, l := range links {
+			if l != proc.peerLinks[address] {
 				l.Close()
 			}
 		}
@@ -299,23 +303,23 @@
 	for _, l := range p.Listeners {
 		listeners[l.Address] = proc.listeners[l.Address]
 		if listeners[l.Address] == nil {
-			var n *httpwire.Listener
+			var listener *httpwire.Listener
 			if l.Inherited > 0 {
-				if n, err = proc.front.Inherit(l.Name, l.Address, l.Inherited); err != nil {
+				if listener, err = proc.front.Inherit(l.Name, l.Address, l.Inherited); err != nil {
 					return fmt.Errorf("PROXY_LISTEN_FD: %w", err)
 				}
-			} else if n, err = proc.front.Listen(l.Name, l.Address); err != nil {
+			} else if listener, err = proc.front.Listen(l.Name, l.Address); err != nil {
 				return err
 			}
-			opened, listeners[l.Address] = append(opened, n), n
+			opened, listeners[l.Address] = append(opened, listener), listener
 		}
 	}
 	pools, reconfigured := map[string]*pool{}, map[string]bool{}
 	for _, settings := range p.Pools {
-		if at := ownPeerAddress(settings); at != "" {
-			if links[at] = proc.peerLinks[at]; links[at] == nil {
-				if links[at], err = peers.Open(at); err != nil {
-					delete(links, at)
+		if address := ownPeerAddress(settings); address != "" {
+			if links[address] = proc.peerLinks[address]; links[address] == nil {
+				if links[address], err = peers.Open(address); err != nil {
+					delete(links, address)
 					return fmt.Errorf("pool %s: %w", settings.Name, err)
 				}
 			}
@@ -324,7 +328,8 @@
 			pools[settings.Name] = current
 			continue
 		}
-		// Danger: made anew it would know nothing of its upstreams, and feed cold ones beside its predecessor.
+		// A new pool would know nothing about its upstreams, and would send load to cold ones in addition to the old pool.
+		// Hence the existing one is reconfigured where that is possible.
 		if current := proc.pools[settings.Name]; current != nil && current.Shards() == p.Limits.Cores && current.settings.Book.Fits(settings.Book) {
 			if err := settings.Book.Terms.Validate(); err != nil {
 				return fmt.Errorf("pool %s: %w", settings.Name, err)
@@ -332,49 +337,49 @@
 			pools[settings.Name], reconfigured[settings.Name] = current, true
 			continue
 		}
-		n, err := proc.newPool(settings)
+		target, err := proc.newPool(settings)
 		if err != nil {
 			return fmt.Errorf("pool %s: %w", settings.Name, err)
 		}
-		created[settings.Name], pools[settings.Name] = n, n
-		if n.peerLink = links[ownPeerAddress(settings)]; n.peerLink != nil {
-			if n.peerRoute, err = peers.NewRoute(settings.Name, settings.Book.Peers, n.Shards(), n.Pool); err != nil {
+		created[settings.Name], pools[settings.Name] = target, target
+		if target.peerLink = links[ownPeerAddress(settings)]; target.peerLink != nil {
+			if target.peerRoute, err = peers.NewRoute(settings.Name, settings.Book.Peers, target.Shards(), target.Pool); err != nil {
 				return fmt.Errorf("pool %s: %w", settings.Name, err)
 			}
 		}
 	}
 
-	// From here on nothing fails. Danger: a pool that is shown before it has a list would refuse all that comes.
-	for name, n := range created {
-		initial := n.settings.List.Fixed
-		if n.settings.List.File != "" {
-			initial, _ = listfile.Read(n.settings.List.File) // its source says what is wrong with it
+	// No step below can fail. New pools get a list before requests are routed to them, since a pool without one rejects all.
+	for name, target := range created {
+		initial := target.settings.List.Fixed
+		if target.settings.List.File != "" {
+			initial, _ = listfile.Read(target.settings.List.File) // errors are reported by the list source
 		}
-		if n.settings.List.Discovery != "" {
-			if initial = n.settings.List.Known.Entries; proc.pools[name] != nil {
+		if target.settings.List.Discovery != "" {
+			if initial = target.settings.List.Known.Entries; proc.pools[name] != nil {
 				initial = proc.pools[name].Entries()
 			}
 		}
 		if len(initial) > 0 {
-			n.Pool.List(initial, true)
+			target.Pool.List(initial, true)
 		}
 	}
 	for _, settings := range p.Pools {
 		if reconfigured[settings.Name] {
 			book, _, _ := proc.effectiveBook(settings)
 			if err := pools[settings.Name].Retune(book); err != nil {
-				proc.eventLog.Error("reload", "step", "terms", "pool", settings.Name, "fault", err) // a fault of ours: it was checked
+				proc.eventLog.Error("reload", "step", "terms", "pool", settings.Name, "fault", err) // a bug, since the settings were validated above
 			}
 		}
 	}
 	board := &httpwire.Board{Table: p.Table, Pools: map[string]*httpwire.Pool{}}
 	shares := map[*httpwire.Pool]httpwire.Share{}
 	for _, settings := range p.Pools {
-		n := pools[settings.Name]
-		board.Pools[settings.Name] = n.Pool
-		shares[n.Pool] = httpwire.Share{Part: settings.Share, Open: settings.Open, Connections: settings.Connections, Bodies: settings.Bodies}
+		target := pools[settings.Name]
+		board.Pools[settings.Name] = target.Pool
+		shares[target.Pool] = httpwire.Share{Part: settings.Share, Open: settings.Open, Connections: settings.Connections, Bodies: settings.Bodies}
 		if p.Platform {
-			board.Only = n.Pool
+			board.Only = target.Pool
 		}
 	}
 	if p.Platform {
@@ -384,16 +389,16 @@
 	}
 	proc.front.Show(board)
 	for _, settings := range p.Pools {
-		n, kept := pools[settings.Name], created[settings.Name] == nil
-		if !kept || !sameList(n.settings.List, settings.List) {
-			proc.followList(n, settings.List, kept)
+		target, kept := pools[settings.Name], created[settings.Name] == nil
+		if !kept || !sameList(target.settings.List, settings.List) {
+			proc.followList(target, settings.List, kept)
 		}
-		n.settings = settings
+		target.settings = settings
 	}
-	for _, n := range created {
-		if n.peerLink != nil {
-			n.peerLink.Follow(n.peerRoute)
-			n.Speak(n.peerLink)
+	for _, target := range created {
+		if target.peerLink != nil {
+			target.peerLink.Follow(target.peerRoute)
+			target.Speak(target.peerLink)
 		}
 	}
 	for address, old := range proc.peerLinks {
@@ -404,25 +409,25 @@
 	proc.peerLinks = links
 	for name, old := range proc.pools {
 		if pools[name] != old {
-			old.Speak(nil) // Danger: its successor speaks under the same number
+			old.Speak(nil) // its successor sends load reports under the same balancer index
 			proc.retire(old)
 		}
 	}
 	for _, l := range p.Listeners {
-		n := listeners[l.Address]
-		n.Rename(l.Name)
+		listener := listeners[l.Address]
+		listener.Rename(l.Name)
 		if proc.listeners[l.Address] == nil {
 			ready := make(chan struct{})
 			if close(ready); l.Inherited > 0 && proc.processCount > 1 {
 				ready = pools[p.Pools[0].Name].listReceived
 			}
 			go func() {
-				// Danger: the process before has newer news of the list than what is known from before.
+				// The process that serves at present knows a newer list than the one that this process was started with.
 				select {
 				case <-ready:
 				case <-time.After(maxListWait):
 				}
-				if err := proc.front.Serve(n); err != nil {
+				if err := proc.front.Serve(listener); err != nil {
 					proc.listenerErrors <- err
 				}
 			}()
@@ -441,14 +446,14 @@
 	return nil
 }
 
-// applyLimits sets what the whole process may have.
+// applyLimits sets the limits of the process: cores, memory, descriptors and the log level.
 func (proc *Process) applyLimits(p *plan.Plan) {
 	if p.Limits.Descriptors == 0 {
-		return // none in force yet
+		return // the initial, empty configuration
 	}
 	runtime.GOMAXPROCS(p.Limits.Cores)
 	if p.Limits.Memory > 0 {
-		// Danger: over the limit the process is killed, and all processes of a balancer count as one.
+		// The limit is enforced by killing, and applies to all processes of a balancer together.
 		debug.SetMemoryLimit(p.Limits.Memory * 6 / 10 / int64(proc.processCount))
 	}
 	descriptors := p.Limits.Descriptors
@@ -461,7 +466,7 @@
 	proc.logLevel.Set(logs.Level(p.Log.Level))
 }
 
-// ownPeerAddress is the address at which the other balancers of a pool reach this one, "" if they don't.
+// ownPeerAddress returns the address at which the other balancers of a pool reach this one, or "" if the pool has no peers.
 func ownPeerAddress(settings *plan.Pool) string {
 	if len(settings.Book.Peers) == 0 {
 		return ""
@@ -469,9 +474,9 @@
 	return settings.Book.Peers[settings.Book.Terms.Index]
 }
 
-// newPool makes a pool, without the source of its list.
+// newPool creates a pool. The source of its upstream list is started later, by followList.
 func (proc *Process) newPool(settings *plan.Pool) (*pool, error) {
-	if settings.Book.Terms.Seed == 0 { // Danger: pools of one seed would all draw the same chances
+	if settings.Book.Terms.Seed == 0 { // with the same seed, all pools would draw the same random numbers
 		hash := fnv.New64a()
 		hash.Write([]byte(settings.Name))
 		settings.Book.Terms.Seed = proc.seed ^ hash.Sum64()
@@ -485,13 +490,15 @@
 	return &pool{Pool: created, settings: settings, stopList: func() {}, listReceived: make(chan struct{})}, nil
 }
 
-// List implements lists.Sink for sources, whose first word is waited for where another process serves meanwhile.
+// List implements lists.Sink for the list source. A process that replaces another one waits for the first call before it
+// accepts clients.
 func (p *pool) List(entries []roster.Entry[string], complete bool) {
 	p.Pool.List(entries, complete)
 	p.receivedOnce.Do(func() { close(p.listReceived) })
 }
 
-// followList has a pool's list told by a source from now on; again says that it was told by another before.
+// followList starts the source of a pool's upstream list and stops the previous one. replaced tells that the pool had
+// another source before.
 func (proc *Process) followList(target *pool, list plan.List, replaced bool) {
 	target.stopList()
 	target.subscription = nil
@@ -500,7 +507,7 @@
 	case list.Discovery != "":
 		index := list.Known.Index
 		if replaced {
-			index = discovery.Unknown // Danger: versions of one source mean nothing to another
+			index = discovery.Unknown // versions of one source are meaningless to another
 		}
 		if list.Shared && proc.membership != nil {
 			source = proc.membership.List(target.Name, target, func(to lists.Sink) lists.Source {
@@ -523,12 +530,12 @@
 	}()
 	target.stopList = func() {
 		stop()
-		<-ended // Danger: what the old source still had to tell would come after the new one's first word
+		<-ended // otherwise late updates of the old source could arrive after the first one of the new source
 	}
 }
 
-// retire ends a pool in its own time. Danger: upstreams may be told to drain meanwhile, so its list is followed until
-// the end.
+// retire closes a pool in the background, once its open transactions have ended. Its list is followed until then, since
+// upstreams may start to drain meanwhile.
 func (proc *Process) retire(p *pool) {
 	proc.retiring.Add(1)
 	go func() {
@@ -538,6 +545,7 @@
 	}()
 }
 
+// sameList reports whether two list settings name the same source.
 func sameList(a, b plan.List) bool {
 	return a.File == b.File && a.Every == b.Every && a.Discovery == b.Discovery && a.Shared == b.Shared && slices.Equal(a.Fixed, b.Fixed)
 }
--- a/internal/process/process_test.go
+++ b/internal/process/process_test.go
@@ -20,12 +20,12 @@
 	"ottershift/internal/plan"
 )
 
-// testUpstream is a stand-in for the upstreams of a pool: it says its name after some time, and counts what is open to it.
+// testUpstream is an HTTP server that responds with its name after a delay, and counts the connections open to it.
 type testUpstream struct {
 	*httptest.Server
-	name  string
-	delay atomic.Int64 // nanoseconds
-	conns atomic.Int64
+	name      string
+	delay     atomic.Int64 // nanoseconds
+	openConns atomic.Int64
 }
 
 func newTestUpstream(t *testing.T, name string) *testUpstream {
@@ -37,9 +37,9 @@
 	upstream.Config.ConnState = func(_ net.Conn, now http.ConnState) {
 		switch now {
 		case http.StateNew:
-			upstream.conns.Add(1)
+			upstream.openConns.Add(1)
 		case http.StateClosed:
-			upstream.conns.Add(-1)
+			upstream.openConns.Add(-1)
 		}
 	}
 	upstream.Start()
@@ -54,7 +54,7 @@
 hard_stop = "5s"
 `
 
-// configText is a configuration: host and stand by pool, and addresses to listen on.
+// configText returns a configuration with listeners at the given addresses. Each pool is given by its host and its upstream.
 func configText(listen []string, pools ...[2]any) string {
 	var b strings.Builder
 	b.WriteString(baseConfig)
@@ -87,16 +87,16 @@
 	return proc
 }
 
-// closeAndVerify ends a process and sees that nothing of it is left.
+// closeAndVerify stops a process and checks that no connections and goroutines are left.
 func closeAndVerify(t *testing.T, proc *Process, client *http.Transport, upstreams ...*testUpstream) {
 	t.Helper()
 	client.CloseIdleConnections()
 	proc.front.Drain()
 	proc.Close()
 	for _, u := range upstreams {
-		for n := 0; u.conns.Load() != 0; n++ {
+		for n := 0; u.openConns.Load() != 0; n++ {
 			if n == 200 {
-				t.Errorf("%d connections to %s are left", u.conns.Load(), u.name)
+				t.Errorf("%d connections to %s are left", u.openConns.Load(), u.name)
 				break
 			}
 			time.Sleep(10 * time.Millisecond)
@@ -127,85 +127,85 @@
 	return response.StatusCode, string(text), err
 }
 
-// The hosts of two pools are swapped again and again under load, while a third pool comes and goes: no transaction is
-// lost, each is answered by a pool that was its host's at some moment of its life, and at the end nothing is left.
+// Reloads under load swap the hosts of two pools, and add and remove a third pool. No transaction is lost, each is served by a
+// pool that its host had at some time during the transaction, and no resources are left at the end.
 func TestReloadsUnderLoad(t *testing.T) {
 	one, two, three := newTestUpstream(t, "one"), newTestUpstream(t, "two"), newTestUpstream(t, "three")
 	three.delay.Store(int64(20 * time.Millisecond))
 	address := []string{freeAddress(t)}
-	plans := []*plan.Plan{
+	configs := []*plan.Plan{
 		parse(t, configText(address, [2]any{"a.org", one}, [2]any{"b.org", two}, [2]any{"c.org", three})),
 		parse(t, configText(address, [2]any{"b.org", one}, [2]any{"a.org", two})),
 	}
-	s := startProcess(t, configText(address, [2]any{"a.org", one}, [2]any{"b.org", two}, [2]any{"c.org", three}))
+	proc := startProcess(t, configText(address, [2]any{"a.org", one}, [2]any{"b.org", two}, [2]any{"c.org", three}))
 	client := &http.Transport{MaxIdleConnsPerHost: 64}
 
-	var turn atomic.Int64 // odd while a reload goes on; a half of it is the number of reloads
+	var reloadSteps atomic.Int64 // odd while a reload is under way; half of it is the number of reloads
 	var stop atomic.Bool
 	var load sync.WaitGroup
-	var asked, gone atomic.Int64
+	var requests, notFound atomic.Int64
 	for n := range 12 {
 		load.Go(func() {
 			host := []string{"a.org", "b.org", "c.org"}[n%3]
 			for !stop.Load() {
-				before := turn.Load()
+				before := reloadSteps.Load()
 				status, body, err := sendRequest(client, address[0], host)
-				after := turn.Load()
-				asked.Add(1)
+				after := reloadSteps.Load()
+				requests.Add(1)
 				swapped := before/2%2 == 1
 				want := map[string]string{"a.org": "one", "b.org": "two", "c.org": "three"}[host]
 				if swapped {
 					want = map[string]string{"a.org": "two", "b.org": "one"}[host]
 				}
-				still := before == after && before%2 == 0
+				unchanged := before == after && before%2 == 0
 				switch {
-				case host == "c.org" && status == http.StatusNotFound && (!still || want == ""):
-					gone.Add(1)
+				case host == "c.org" && status == http.StatusNotFound && (!unchanged || want == ""):
+					notFound.Add(1)
 				case err != nil || status != http.StatusOK || !strings.HasSuffix(body, host):
-					t.Errorf("%s was answered %d %q, %v", host, status, body, err)
-				case still && body != want+" "+host:
-					t.Errorf("%s was answered by %q instead of %q", host, body, want)
+					t.Errorf("%s got %d %q, %v", host, status, body, err)
+				case unchanged && body != want+" "+host:
+					t.Errorf("%s was served by %q, want %q", host, body, want)
 				}
 			}
 		})
 	}
-	const reloads, transactions, most = 60, 500, 3000
-	for n := 0; n < reloads || asked.Load() < transactions && n < most; n++ { // a busy machine asks less in the time of 60 reloads
+	const minReloads, minRequests, maxReloads = 60, 500, 3000
+	for n := 0; n < minReloads || requests.Load() < minRequests && n < maxReloads; n++ { // a busy machine sends fewer requests during 60 reloads
 		time.Sleep(20 * time.Millisecond)
-		turn.Add(1)
-		if err := s.Reload(plans[(n+1)%2]); err != nil {
+		reloadSteps.Add(1)
+		if err := proc.Reload(configs[(n+1)%2]); err != nil {
 			t.Error(err)
 		}
-		turn.Add(1)
+		reloadSteps.Add(1)
 	}
 	stop.Store(true)
 	load.Wait()
-	if asked.Load() < transactions || gone.Load() == 0 {
-		t.Errorf("%d asked, %d of them of a pool that had gone", asked.Load(), gone.Load())
+	if requests.Load() < minRequests || notFound.Load() == 0 {
+		t.Errorf("%d requests, %d of them for a removed pool", requests.Load(), notFound.Load())
 	}
-	closeAndVerify(t, s, client, one, two, three)
+	closeAndVerify(t, proc, client, one, two, three)
 }
 
-// A pool that is removed with transactions open finishes them; a pool that stays keeps its connections and what its
-// module knows; one whose terms change is another, with the old one's list; a plan that can't be put in force changes
+// A reload lets a removed pool finish its open transactions. An unchanged pool keeps its connections and its decision engine. A
+// pool with other upstream limits is replaced and gets the list of the old one. A configuration that cannot be applied changes
 // nothing.
 func TestReloadKeepsUnchangedPools(t *testing.T) {
 	one, two := newTestUpstream(t, "one"), newTestUpstream(t, "two")
-	list := filepath.Join(t.TempDir(), "list.toml")
-	os.WriteFile(list, fmt.Appendf(nil, "[[upstreams]]\nname = \"u\"\naddress = %q\n", two.Listener.Addr()), 0o600)
+	listFile := filepath.Join(t.TempDir(), "list.toml")
+	os.WriteFile(listFile, fmt.Appendf(nil, "[[upstreams]]\nname = \"u\"\naddress = %q\n", two.Listener.Addr()), 0o600)
 	address := []string{freeAddress(t), freeAddress(t)}
-	both := configText(address[:1], [2]any{"a.org", one}, [2]any{"b.org", two})
-	s := startProcess(t, both)
+	config := configText(address[:1], [2]any{"a.org", one}, [2]any{"b.org", two})
+	proc := startProcess(t, config)
 	client := &http.Transport{MaxIdleConnsPerHost: 64}
-	must := func(host string, want int) {
+	expectStatus := func(host string, want int) {
 		t.Helper()
 		if status, body, err := sendRequest(client, address[0], host); err != nil || status != want {
 			t.Fatalf("%s: %d %q %v", host, status, body, err)
 		}
 	}
-	must("a.org", 200)
-	must("b.org", 200)
-	kept, conns := s.pools["p0"].Pool, one.conns.Load()
+	expectStatus("a.org", 200)
+	expectStatus("b.org", 200)
+	keptPool, conns := proc.pools["p0"].Pool, one.openConns.Load()
 
 	two.delay.Store(int64(300 * time.Millisecond))
 	slow := make(chan string, 5)
@@ -216,70 +216,70 @@
 		}()
 	}
 	time.Sleep(50 * time.Millisecond)
-	if err := s.Reload(parse(t, configText(address[:1], [2]any{"a.org", one}))); err != nil {
+	if err := proc.Reload(parse(t, configText(address[:1], [2]any{"a.org", one}))); err != nil {
 		t.Fatal(err)
 	}
-	must("b.org", 404)
+	expectStatus("b.org", 404)
 	for range cap(slow) {
 		if got := <-slow; got != "200 two b.org" {
-			t.Errorf("open when its pool was removed: %s", got)
+			t.Errorf("transaction open when its pool was removed got %s", got)
 		}
 	}
-	must("a.org", 200)
-	if s.pools["p0"].Pool != kept || one.conns.Load() != conns {
-		t.Errorf("a pool that stayed is another, or has %d connections instead of %d", one.conns.Load(), conns)
+	expectStatus("a.org", 200)
+	if proc.pools["p0"].Pool != keptPool || one.openConns.Load() != conns {
+		t.Errorf("an unchanged pool was replaced, or has %d connections, want %d", one.openConns.Load(), conns)
 	}
 
-	// Listeners come and go; what can't be put in force is undone.
-	taken, err := net.Listen("tcp", "127.0.0.1:0")
+	// Listeners are added and removed. A configuration that cannot be applied is undone.
+	takenListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer taken.Close()
-	before := s.plan
-	if err := s.Reload(parse(t, configText([]string{address[1], taken.Addr().String()}, [2]any{"a.org", two}))); err == nil || s.plan != before {
-		t.Errorf("taken: %v", err)
+	defer takenListener.Close()
+	before := proc.plan
+	if err := proc.Reload(parse(t, configText([]string{address[1], takenListener.Addr().String()}, [2]any{"a.org", two}))); err == nil || proc.plan != before {
+		t.Errorf("reload with an address in use: %v", err)
 	}
-	must("a.org", 200)
+	expectStatus("a.org", 200)
 	if _, _, err := sendRequest(client, address[1], "a.org"); err == nil {
-		t.Error("a listener of a plan that was refused answers")
+		t.Error("a listener of a refused configuration responds")
 	}
-	if err := s.Reload(parse(t, configText(address[1:], [2]any{"a.org", one}))); err != nil {
+	if err := proc.Reload(parse(t, configText(address[1:], [2]any{"a.org", one}))); err != nil {
 		t.Fatal(err)
 	}
 	if _, _, err := sendRequest(&http.Transport{DisableKeepAlives: true}, address[0], "a.org"); err == nil {
-		t.Error("a listener that was removed answers")
+		t.Error("a removed listener responds")
 	}
 	address = address[1:]
-	must("a.org", 200)
+	expectStatus("a.org", 200)
 
-	// Other limits towards upstreams make another pool, which serves from its first moment; another source tells the same pool.
+	// Other upstream limits replace the pool, and the new one serves at once. Another list source keeps the pool.
 	changed := strings.Replace(configText(address, [2]any{"a.org", one}), "[pools.p0]\n", "[pools.p0]\ndial_timeout = \"700ms\"\n", 1)
-	if err := s.Reload(parse(t, changed)); err != nil {
+	if err := proc.Reload(parse(t, changed)); err != nil {
 		t.Fatal(err)
 	}
-	must("a.org", 200)
-	if kept == s.pools["p0"].Pool {
-		t.Error("a pool of other limits is the same")
+	expectStatus("a.org", 200)
+	if keptPool == proc.pools["p0"].Pool {
+		t.Error("a pool with other limits was not replaced")
 	}
-	// Another number of cores makes all pools anew, each with as many shards; all of them have the list.
-	if err := s.Reload(parse(t, "limits.cores = 3\n"+changed)); err != nil {
+	// Another number of cores replaces all pools. They have one shard for each core, and all shards have the list.
+	if err := proc.Reload(parse(t, "limits.cores = 3\n"+changed)); err != nil {
 		t.Fatal(err)
 	}
-	if n := s.pools["p0"].Shards(); n != 3 {
-		t.Errorf("%d shards on three cores", n)
+	if n := proc.pools["p0"].Shards(); n != 3 {
+		t.Errorf("%d shards, want 3", n)
 	}
-	for range 6 { // each client of its own, so that every shard is met
+	for range 6 { // each on a new connection, so that every shard gets a request
 		client.CloseIdleConnections()
-		must("a.org", 200)
+		expectStatus("a.org", 200)
 	}
-	if err := s.Reload(parse(t, changed)); err != nil {
+	if err := proc.Reload(parse(t, changed)); err != nil {
 		t.Fatal(err)
 	}
-	kept = s.pools["p0"].Pool
-	from := strings.Index(changed, "upstreams = ")
-	to := from + strings.IndexByte(changed[from:], '\n')
-	if err := s.Reload(parse(t, changed[:from]+fmt.Sprintf("upstreams_file = %q", list)+changed[to:])); err != nil {
+	keptPool = proc.pools["p0"].Pool
+	lineStart := strings.Index(changed, "upstreams = ")
+	lineEnd := lineStart + strings.IndexByte(changed[lineStart:], '\n')
+	if err := proc.Reload(parse(t, changed[:lineStart]+fmt.Sprintf("upstreams_file = %q", listFile)+changed[lineEnd:])); err != nil {
 		t.Fatal(err)
 	}
 	two.delay.Store(0)
@@ -287,16 +287,16 @@
 		if _, body, _ := sendRequest(client, address[0], "a.org"); body == "two a.org" {
 			break
 		} else if n == 300 {
-			t.Fatalf("still answered by %q", body)
+			t.Fatalf("still served by %q", body)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	if kept != s.pools["p0"].Pool {
-		t.Error("a pool whose list comes from elsewhere is another")
+	if keptPool != proc.pools["p0"].Pool {
+		t.Error("a pool was replaced because its list source changed")
 	}
 
-	// The last upstream leaves in the middle of traffic: what comes is deferred at once, and served when it is back.
-	os.WriteFile(list, []byte("empty = true\n"), 0o600)
+	// Once the last upstream is removed from the list, transactions are deferred without delay.
+	os.WriteFile(listFile, []byte("empty = true\n"), 0o600)
 	for n := 0; ; n++ {
 		start := time.Now()
 		status, body, err := sendRequest(client, address[0], "a.org")
@@ -305,46 +305,46 @@
 		}
 		if status == 503 {
 			if took := time.Since(start); took > 200*time.Millisecond {
-				t.Errorf("deferred after %s", took)
+				t.Errorf("deferred after %s, want at most 200 ms", took)
 			}
 			break
 		}
 		if n == 300 {
-			t.Fatal("still answered")
+			t.Fatal("still served without an upstream")
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	closeAndVerify(t, s, client, one, two)
+	closeAndVerify(t, proc, client, one, two)
 }
 
-// A pool whose tariffs change stays as it is, with what it has learnt: what is open ends under the terms that it came
-// under, and what comes is served under the new ones.
+// A pool keeps its learned state when its tariffs change. Open transactions end under the old tariffs, and new ones are served
+// under the new ones.
 func TestTariffsChangeInPlace(t *testing.T) {
 	one := newTestUpstream(t, "one")
 	one.delay.Store(int64(300 * time.Millisecond))
 	address := []string{freeAddress(t)}
-	first := configText(address, [2]any{"a.org", one})
-	second := strings.NewReplacer("[tariffs.view]", "[tariffs.look]", `"view"`, `"look"`, `"5s"`, `"250ms"`, `"2s"`, `"200ms"`).Replace(first)
-	s := startProcess(t, first)
+	oldConfig := configText(address, [2]any{"a.org", one})
+	newConfig := strings.NewReplacer("[tariffs.view]", "[tariffs.look]", `"view"`, `"look"`, `"5s"`, `"250ms"`, `"2s"`, `"200ms"`).Replace(oldConfig)
+	proc := startProcess(t, oldConfig)
 	client := &http.Transport{MaxIdleConnsPerHost: 64}
-	before := s.pools["p0"].Pool
+	before := proc.pools["p0"].Pool
 	open := make(chan string)
 	go func() {
 		status, body, err := sendRequest(client, address[0], "a.org")
 		open <- fmt.Sprint(status, body, err)
 	}()
 	time.Sleep(100 * time.Millisecond)
-	if err := s.Reload(parse(t, second)); err != nil {
+	if err := proc.Reload(parse(t, newConfig)); err != nil {
 		t.Fatal(err)
 	}
-	if s.pools["p0"].Pool != before {
-		t.Error("the pool was made anew")
+	if proc.pools["p0"].Pool != before {
+		t.Error("the pool was replaced")
 	}
 	if got := <-open; !strings.HasPrefix(got, "200") {
-		t.Errorf("what was open ended with %s", got)
+		t.Errorf("the open transaction ended with %s", got)
 	}
-	if status, _, err := sendRequest(client, address[0], "a.org"); status != 503 || err != nil { // 250 ms are too short for it
-		t.Errorf("under the new terms: %d %v", status, err)
+	if status, _, err := sendRequest(client, address[0], "a.org"); status != 503 || err != nil { // the upstream takes longer than the new hard stop
+		t.Errorf("under the new tariffs: got %d %v, want 503", status, err)
 	}
-	closeAndVerify(t, s, client, one)
+	closeAndVerify(t, proc, client, one)
 }
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -1,4 +1,5 @@
-// Package roster turns lists of named upstreams into the module's indexes: who joins, who changes, who leaves.
+// Package roster maps upstream names to the indexes of the decision engine, and tells the engine which upstreams are added,
+// changed and removed by an update of the list.
 package roster
 
 import (
@@ -9,33 +10,34 @@
 	"ottershift/logic"
 )
 
-// Entry is one line of a list.
+// Entry is one entry of an upstream list.
 type Entry[Name comparable] struct {
 	Name     Name
 	Zone     string
-	Kind     string // of machine, if told
-	Address  string // where it is reached, if the door reaches it by address
+	Kind     string // kind of machine, if known
+	Address  string // host and port, if the front end connects by address
 	Upstream logic.Upstream
-	Draining bool // drains: it finishes what it has
-	Removed  bool
+	Draining bool // finishes its open transactions and gets no new ones
+	Removed  bool // no longer listed
 }
 
-// UpstreamID orders upstreams: it is the same at every balancer, as the name is.
+// UpstreamID returns the ID by which the engine orders upstreams. It depends on the name only, and is the same at all
+// balancers.
 func UpstreamID(name string) uint32 {
 	hash := fnv.New32a()
 	hash.Write([]byte(name))
 	return hash.Sum32()
 }
 
-// Endpoint is one upstream's stay at one address. Danger: addresses are used again, and what is kept of one upstream
-// (connections first of all) must not pass for its successor's.
+// Endpoint identifies the use of an address by one upstream. Addresses are reused, and state of one upstream, connections in
+// particular, must not be attributed to the next one at its address.
 type Endpoint struct {
-	Host      string // never used again
+	Host      string // unique, never reused
 	Address   string
-	IdleConns *atomic.Int32 // connections to it that wait for a push; whoever owns them counts
+	IdleConns *atomic.Int32 // idle connections to it, counted by the owner of the connections
 }
 
-// Engine is what is told of the list: a Balancer, or what the lab sets in its place.
+// Engine receives the changes of the list: a logic.Balancer, or a substitute for simulations.
 type Engine interface {
 	Known(i int) bool
 	Join() int
@@ -45,7 +47,7 @@
 	Listed(ok bool, now int64)
 }
 
-// Roster knows which index stands for which upstream of one balancer.
+// Roster maps the upstreams of one engine to their indexes.
 type Roster[Name comparable] struct {
 	engine         Engine
 	zoneNumbers    map[string]int
@@ -54,30 +56,32 @@
 	names          []Name
 	endpoints      []Endpoint
 	entries        []Entry[Name]
-	indexByAddress map[string]int // index by address, as far as any is told
-	endpointCount  int            // so far
+	indexByAddress map[string]int // upstreams without an address are left out
+	endpointCount  int            // endpoints created so far
 }
 
-// New starts an empty roster; zones are numbered by their place.
+// New returns an empty roster. Zones are numbered in the given order.
 func New[Name comparable](engine Engine, zones []string) *Roster[Name] {
-	r := &Roster[Name]{engine: engine, zoneNumbers: map[string]int{}, kindNumbers: map[string]int{"": 0}, indexByName: map[Name]int{}, indexByAddress: map[string]int{}}
+	r := &Roster[Name]{
+		engine: engine, zoneNumbers: map[string]int{}, kindNumbers: map[string]int{"": 0}, indexByName: map[Name]int{}, indexByAddress: map[string]int{},
+	}
 	for _, z := range zones {
 		numberOf(r.zoneNumbers, z)
 	}
 	return r
 }
 
-// Change is what a report of the list has changed.
+// Change describes the effects of an update of the list.
 type Change struct {
-	ReleasedHosts             []string // hosts
-	Joined, Draining, Removed int      // upstreams that are new, drain from now on, and are no longer listed
-	Listed                    int      // in all, from now on
-	Conflicts                 int      // entries left out: another upstream is at their address
-	NewestStart               int64    // the latest start among the new ones, 0 if none was told
+	ReleasedHosts             []string // hosts of endpoints that are no longer in use
+	Joined, Draining, Removed int      // numbers of upstreams that are new, start to drain, and are no longer listed
+	Listed                    int      // number of upstreams after the update
+	Conflicts                 int      // entries ignored because another upstream has their address
+	NewestStart               int64    // latest start time of the new upstreams, 0 if unknown
 }
 
-// Apply hands a report of the list on, entry by entry, and tells what has changed by it. Who is missing from a whole
-// list has left.
+// Apply passes an update of the list to the engine and returns what it changed. A complete update removes the upstreams
+// that it does not contain.
 func (r *Roster[Name]) Apply(entries []Entry[Name], complete bool, now int64) (change Change) {
 	listed, present := map[Name]bool{}, map[Name]bool{}
 	for _, e := range entries {
@@ -91,18 +95,20 @@
 			}
 			continue
 		}
-		// Danger: one machine under two names would get two parts, and be paid twice while it is cold. The later start
-		// stands; of two that started alike, who serves; of two that serve, who came last, unless one report tells both.
-		if j, taken := r.indexByAddress[e.Address]; taken && r.names[j] != e.Name && r.engine.Known(j) {
-			other := r.entries[j]
+		// A machine listed under two names would get twice its share of load, also while it is cold. The entry with the
+		// later start time is kept. With the same start time it is the one that is not draining, else the later one,
+		// or the first one if both are in the same update.
+		if holder, taken := r.indexByAddress[e.Address]; taken && r.names[holder] != e.Name && r.engine.Known(holder) {
+			other := r.entries[holder]
 			sameStart := e.Upstream.StartedAt == other.Upstream.StartedAt
-			if e.Upstream.StartedAt < other.Upstream.StartedAt || sameStart && e.Draining && !other.Draining || sameStart && e.Draining == other.Draining && present[other.Name] {
+			if e.Upstream.StartedAt < other.Upstream.StartedAt || sameStart && e.Draining && !other.Draining ||
+				sameStart && e.Draining == other.Draining && present[other.Name] {
 				if change.Conflicts++; known && r.engine.Known(i) {
 					r.remove(i, &change)
 				}
 				continue
 			}
-			r.remove(j, &change)
+			r.remove(holder, &change)
 		}
 		if !known || !r.engine.Known(i) {
 			i = r.join(e.Name)
@@ -137,6 +143,7 @@
 	return change
 }
 
+// remove removes an upstream from the engine and releases its endpoint.
 func (r *Roster[Name]) remove(i int, change *Change) {
 	if r.engine.Known(i) {
 		change.Removed++
@@ -145,7 +152,7 @@
 	r.setAddress(i, "", change)
 }
 
-// setAddress begins a stay and ends the one before.
+// setAddress gives an upstream a new endpoint and releases the previous one.
 func (r *Roster[Name]) setAddress(i int, address string, change *Change) {
 	if before := r.endpoints[i].Address; before != "" {
 		if change.ReleasedHosts = append(change.ReleasedHosts, r.endpoints[i].Host); r.indexByAddress[before] == i {
@@ -159,10 +166,10 @@
 	r.endpoints[i] = Endpoint{"u" + strconv.Itoa(r.endpointCount), address, new(atomic.Int32)}
 }
 
-// ZoneNumber is the number of a zone.
+// ZoneNumber returns the number of a zone. New zones get the next free number.
 func (r *Roster[Name]) ZoneNumber(name string) int { return numberOf(r.zoneNumbers, name) }
 
-// Entries is the list as it stands.
+// Entries returns the current list.
 func (r *Roster[Name]) Entries() (all []Entry[Name]) {
 	for i, e := range r.entries {
 		if r.engine.Known(i) {
@@ -172,24 +179,24 @@
 	return all
 }
 
-// Index finds an upstream by its name.
-func (r *Roster[Name]) Index(name Name) (i int, known bool) {
-	i, known = r.indexByName[name]
-	return i, known
+// Index returns the index of an upstream.
+func (r *Roster[Name]) Index(name Name) (index int, known bool) {
+	index, known = r.indexByName[name]
+	return index, known
 }
 
-// Name is the upstream behind an index.
+// Name returns the name of the upstream with index i.
 func (r *Roster[Name]) Name(i int) Name { return r.names[i] }
 
-// Endpoint is where the upstream behind an index is reached.
+// Endpoint returns the endpoint of the upstream with index i.
 func (r *Roster[Name]) Endpoint(i int) Endpoint { return r.endpoints[i] }
 
-// ZoneAndCell is the zone and cell of the upstream behind an index, as the list names them.
+// ZoneAndCell returns the zone and cell of the upstream with index i, as named in the list.
 func (r *Roster[Name]) ZoneAndCell(i int) (zone string, cell int) {
 	return r.entries[i].Zone, r.entries[i].Upstream.Cell
 }
 
-// join gives an upstream an index; an index used before is taken from the one that had it.
+// join adds an upstream to the engine. If the engine reuses an index, the name that had it before loses it.
 func (r *Roster[Name]) join(name Name) int {
 	i := r.engine.Join()
 	if i == len(r.names) {
@@ -205,7 +212,7 @@
 	return i
 }
 
-// numberOf is the number of a name, the next one if it is new.
+// numberOf returns the number of a name. A new name gets the next number.
 func numberOf(names map[string]int, name string) int {
 	n, known := names[name]
 	if !known {
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -22,24 +22,25 @@
 
 type engine interface {
 	roster.Engine
-	Arrive(t *logic.Transaction, tariff, customer int, work, left int64, again bool, now int64)
+	Arrive(t *logic.Transaction, tariff, customer int, work, left int64, resent bool, now int64)
 	Outcome(t *logic.Transaction, n int, r logic.Result, took int64, final bool, now int64)
 	PeerReport(peer int, raw []byte, now int64)
 	Round(now int64, w logic.Writer)
 }
 
-// recorder is a caller that writes down all decisions.
+// recorder is a logic.Writer that records all decisions.
 type recorder struct {
-	logic.Writer    // what is never asked of it would be a fault
+	logic.Writer    // nil, so that calls of other methods panic
 	decisions       []string
 	reports         [][]byte
-	attempts        []openAttempt
+	openAttempts    []openAttempt
 	now, lastSentAt int64
 	ids             map[*logic.Transaction]int
 
-	checked, mismatched int // messages, against what is out
+	checked, mismatched int // load reports compared with the open attempts
 }
 
+// openAttempt is an attempt without a result.
 type openAttempt struct {
 	transaction *logic.Transaction
 	n, upstream int
@@ -51,7 +52,7 @@
 }
 func (r *recorder) Send(t *logic.Transaction, i int, _ int64) {
 	r.record("push %d to %d", r.ids[t], i)
-	r.attempts = append(r.attempts, openAttempt{t, t.AttemptCount() - 1, i, r.now, r.now + 20*ms + int64(i)*40*ms})
+	r.openAttempts = append(r.openAttempts, openAttempt{t, t.AttemptCount() - 1, i, r.now, r.now + 20*ms + int64(i)*40*ms})
 	r.lastSentAt = r.now
 }
 func (r *recorder) Cancel(t *logic.Transaction, n int) { r.record("cancel %d.%d", r.ids[t], n) }
@@ -63,7 +64,7 @@
 func (r *recorder) HasIdleConn(int) bool                         { return false }
 func (r *recorder) Wake(int64)                                   {}
 
-// runTraffic has a module decide on seeded traffic that is too much for its upstreams now and then.
+// runTraffic feeds an engine with random traffic from a fixed seed that overloads its upstreams at times.
 func runTraffic(e engine, peerReport func(step int) []byte) *recorder {
 	r := &recorder{now: 1e12, ids: map[*logic.Transaction]int{}}
 	random := rand.New(rand.NewPCG(3, 4))
@@ -83,7 +84,7 @@
 		if raw := peerReport(step); raw != nil {
 			e.PeerReport(1+step%3, raw, r.now)
 		}
-		r.attempts = slices.DeleteFunc(r.attempts, func(p openAttempt) bool {
+		r.openAttempts = slices.DeleteFunc(r.openAttempts, func(p openAttempt) bool {
 			if p.due <= r.now {
 				e.Outcome(p.transaction, p.n, logic.Settled, r.now-p.sent, true, r.now)
 			}
@@ -95,85 +96,86 @@
 	return r
 }
 
-// check sees that peers are told where a push really went, once there was time to say so.
+// check compares the last load report with the open attempt, if there is exactly one that the report can cover.
 func (r *recorder) check() {
-	if len(r.reports) == 0 || len(r.attempts) != 1 || r.now < r.lastSentAt+30*ms || r.attempts[0].due <= r.now+20*ms {
+	if len(r.reports) == 0 || len(r.openAttempts) != 1 || r.now < r.lastSentAt+30*ms || r.openAttempts[0].due <= r.now+20*ms {
 		return
 	}
 	raw := r.reports[len(r.reports)-1]
-	if r.checked++; len(raw) != 2 || int(raw[1]&31) != r.attempts[0].upstream {
+	if r.checked++; len(raw) != 2 || int(raw[1]&31) != r.openAttempts[0].upstream {
 		r.mismatched++
 	}
 }
 
 func noReports(int) []byte { return nil }
 
-// newShadowEngine is a balancer that watches settings with peers, live weights, or neither.
+// newShadowEngine returns an engine that evaluates settings with peers, live weights, both or neither.
 func newShadowEngine(t *testing.T, peers, live bool) *Engine {
-	after := testConfig()
-	after.Peers, after.LiveWeights = peers, live
-	e, err := New(testConfig(), after, 1e12)
+	shadow := testConfig()
+	shadow.Peers, shadow.LiveWeights = peers, live
+	e, err := New(testConfig(), shadow, 1e12)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return e
 }
 
-// Whoever watches must not be able to tell from its answers that it does: all decisions are those of before.
+// Shadow mode must not change any decision: all of them have to equal those of an engine without a shadow.
 func TestDecisionsFollowCurrentConfig(t *testing.T) {
-	alone, err := logic.New(testConfig(), 1e12)
+	balancer, err := logic.New(testConfig(), 1e12)
 	if err != nil {
 		t.Fatal(err)
 	}
-	both := newShadowEngine(t, true, true)
-	crowd := func(step int) []byte {
+	shadowEngine := newShadowEngine(t, true, true)
+	peerReport := func(step int) []byte {
 		if step%10 == 0 {
 			return []byte{200, byte(step), 1, 2, 3}
 		}
 		return nil
 	}
-	want, got := runTraffic(alone, crowd), runTraffic(both, crowd)
+	want, got := runTraffic(balancer, peerReport), runTraffic(shadowEngine, peerReport)
 	if !slices.Equal(want.decisions, got.decisions) {
-		t.Fatalf("%d decisions, %d before, and not the same", len(got.decisions), len(want.decisions))
+		t.Fatalf("decisions differ: %d in shadow mode, %d without", len(got.decisions), len(want.decisions))
 	}
-	c := both.Counts()
-	if c.Compared == 0 || c.OtherUpstream == 0 || c.OtherUpstream > c.Compared {
-		t.Errorf("%+v: weights of 1 to a fifth are one size now, and nothing would have gone elsewhere", c)
+	counts := shadowEngine.Counts()
+	if counts.Compared == 0 || counts.OtherUpstream == 0 || counts.OtherUpstream > counts.Compared {
+		t.Errorf("%+v: want some first attempts at another upstream, since live weights replace configured ones of 1 to 1/5", counts)
 	}
 	if len(got.reports) == 0 || len(want.reports) != 0 {
-		t.Errorf("%d messages to peers that watch as well, %d before", len(got.reports), len(want.reports))
+		t.Errorf("%d load reports in shadow mode, %d without; want some and none", len(got.reports), len(want.reports))
 	}
 	if got.checked < 50 || got.mismatched*20 > got.checked {
-		t.Errorf("%d of %d messages say something else than where pushes are", got.mismatched, got.checked)
+		t.Errorf("%d of %d load reports name another upstream than that of the open attempt", got.mismatched, got.checked)
 	}
-	if len(both.pairs) > 50 {
-		t.Errorf("%d transactions are kept after their end", len(both.pairs))
+	if len(shadowEngine.pairs) > 50 {
+		t.Errorf("%d transactions are kept, want at most 50", len(shadowEngine.pairs))
 	}
-	if c = both.Counts(); c != (Counts{}) {
-		t.Errorf("%+v counted twice", c)
+	if counts = shadowEngine.Counts(); counts != (Counts{}) {
+		t.Errorf("%+v, want zero after a reset", counts)
 	}
 }
 
-// The same settings decide the same; a count would be a fault of the watch. A crowd of peers has the other hold work back.
+// The same settings give the same decisions, so that nothing is counted. Load reports of many attempts at the peers make the
+// shadow queue transactions.
 func TestDifferencesAreClassified(t *testing.T) {
 	same := newShadowEngine(t, false, false)
 	runTraffic(same, noReports)
-	c := same.Counts()
-	if c.Compared < 100 {
-		t.Fatalf("%+v: hardly anything was compared", c)
+	counts := same.Counts()
+	if counts.Compared < 100 {
+		t.Fatalf("%+v: want at least 100 comparisons", counts)
 	}
-	if c.Compared = 0; c != (Counts{}) {
-		t.Errorf("%+v", c)
+	if counts.Compared = 0; counts != (Counts{}) {
+		t.Errorf("%+v", counts)
 	}
-	crowd := []byte{250}
-	for x := range 256 { // any check: one of eight fits
+	report := []byte{250}
+	for x := range 256 { // covers all checksums, of which one in eight matches
 		if x&31 < 5 {
-			crowd = append(crowd, byte(x), byte(x), byte(x), byte(x), byte(x))
+			report = append(report, byte(x), byte(x), byte(x), byte(x), byte(x))
 		}
 	}
-	crowded := newShadowEngine(t, true, false)
-	runTraffic(crowded, func(int) []byte { return crowd })
-	if c := crowded.Counts(); c.Later == 0 {
-		t.Errorf("%+v: no transaction would have waited for room", c)
+	loaded := newShadowEngine(t, true, false)
+	runTraffic(loaded, func(int) []byte { return report })
+	if counts := loaded.Counts(); counts.Later == 0 {
+		t.Errorf("%+v: want transactions queued by the shadow", counts)
 	}
 }
