--- a/internal/cluster/peers.go
+++ b/internal/cluster/peers.go
@@ -47,7 +47,7 @@
 
 // Follow has what is said of a pool given to a sink, among these members; it takes the place of the route before.
 func (c *Cluster) Follow(pool string, names []string, own, parts int, sink Sink) *Route {
-	r := &Route{c, roster.UpstreamID(pool), parts, names, own, sink}
+	r := &Route{c, roster.NameHash(pool), parts, names, own, sink}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.pools[r.pool] = r
@@ -62,7 +62,7 @@
 func (c *Cluster) Unfollow(pool string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.pools, roster.UpstreamID(pool))
+	delete(c.pools, roster.NameHash(pool))
 }
 
 // Tell implements httpwire.Speaker. It never waits: what finds no room is lost.
--- a/internal/cluster/shared/core.go
+++ b/internal/cluster/shared/core.go
@@ -38,7 +38,7 @@
 
 func (e Entry) entry() roster.Entry[string] {
 	r := roster.Entry[string]{Name: e.Name, Zone: e.Zone, Kind: e.Kind, Address: e.Address, Draining: e.Ends, Removed: e.Gone}
-	r.Upstream.ID, r.Upstream.Weight, r.Upstream.Cell, r.Upstream.StartedAt = roster.UpstreamID(e.Name), e.Weight, e.Cell, e.Born
+	r.Upstream.ID, r.Upstream.Weight, r.Upstream.Cell, r.Upstream.StartedAt = roster.NameHash(e.Name), e.Weight, e.Cell, e.Born
 	return r
 }
 
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -68,7 +68,7 @@
 		r.Entries = append(r.Entries, roster.Entry[string]{
 			Name: name, Zone: string(e.GetStringBytes("zone")), Kind: string(e.GetStringBytes("type")), Address: address,
 			Upstream: logic.Upstream{
-				ID: roster.UpstreamID(name), Weight: weight, Cell: e.GetInt("group"),
+				ID: roster.NameHash(name), Weight: weight, Cell: e.GetInt("group"),
 				StartedAt: e.GetInt64("since_ms") * millisec,
 			},
 			Removed: status == "DELETED", Draining: status == "DRAINING",
--- a/internal/fleet/count.go
+++ b/internal/fleet/count.go
@@ -19,7 +19,7 @@
 type Row struct {
 	AtSeconds     float64            `json:"at_s"`    // since Summary.Start
 	Alive         int                `json:"alive"`   // balancers between their first and last line
-	OutdatedLists int                `json:"behind"`  // balancers whose list is older than the newest one received in their tier
+	OutdatedLists int                `json:"behind"`  // balancers with a list older than the newest in their tier
 	Ejected       int                `json:"aside"`   // pairs of a balancer and an upstream that it has ejected
 	Events        map[string]int     `json:"events"`  // number of events by kind
 	Balancers     map[string]int     `json:"nodes"`   // number of balancers with an event of that kind
@@ -39,7 +39,7 @@
 // Ejections summarizes the ejections of one upstream by all balancers.
 type Ejections struct {
 	Upstream        string         `json:"upstream"`
-	Balancers       int            `json:"balancers"`
+	Balancers       int            `json:"balancers"` // balancers that ejected it
 	MaxAtOnce       int            `json:"most_at_once"`
 	MaxAtSeconds    float64        `json:"most_at_s"`
 	BalancerSeconds float64        `json:"balancer_seconds"`
@@ -58,7 +58,7 @@
 	MedianDelay   float64 `json:"half_after_s"`
 	MaxDelay      float64 `json:"last_after_s"`
 	Balancers     int     `json:"balancers"`
-	NeverReceived int     `json:"never"` // balancers that were running then and received neither this version nor a later one
+	NeverReceived int     `json:"never"` // running balancers that received neither this version nor a later one
 }
 
 // Process summarizes the log of one process.
@@ -67,7 +67,7 @@
 	Name            string             `json:"name"`
 	Tier            string             `json:"tier"`
 	Arrived         float64            `json:"arrived"`
-	Lost            float64            `json:"lost"` // transactions deferred or forfeited by the decision engine, or deferred before it
+	Lost            float64            `json:"lost"` // deferred or forfeited by the decision engine, or deferred before it
 	Reasons         map[string]float64 `json:"reasons"`
 	ListRegressions int                `json:"list_went_back"`
 }
@@ -80,7 +80,7 @@
 	Balancers     int                `json:"balancers"`
 	Lines         int                `json:"lines"`
 	UnreadLines   int                `json:"unread_lines"`
-	LibraryLines  int                `json:"library_lines"` // "Unsolicited response" lines, which http.Transport logs directly
+	LibraryLines  int                `json:"library_lines"` // "Unsolicited response" lines of http.Transport
 	ParseErrors   []ParseError       `json:"faults"`
 	Losses        map[string]float64 `json:"losses"`
 	Figures       map[string]float64 `json:"figures"`
@@ -115,22 +115,26 @@
 		to = min(to, first+int64(options.To))
 	}
 	if from > to {
-		return nil, fmt.Errorf("nothing was logged after %v: the logs cover %v", options.From, time.Duration(last-first).Round(time.Second))
+		return nil, fmt.Errorf("nothing was logged after %v: the logs cover %v",
+			options.From, time.Duration(last-first).Round(time.Second))
 	}
 	step := int64(max(options.Step, time.Second))
 	for (to-from)/step >= maxRows {
 		step *= 2
 	}
 	summary := &Summary{
-		Start: time.Unix(0, from).UTC(), LengthSeconds: float64(to-from) / 1e9, StepSeconds: float64(step) / 1e9, Losses: map[string]float64{},
-		Figures: map[string]float64{}, Events: map[string]int{},
+		Start: time.Unix(0, from).UTC(), LengthSeconds: float64(to-from) / 1e9, StepSeconds: float64(step) / 1e9,
+		Losses: map[string]float64{}, Figures: map[string]float64{}, Events: map[string]int{},
 	}
 	for n := range (to-from)/step + 1 {
 		summary.Rows = append(summary.Rows, &Row{
-			AtSeconds: float64(n*step) / 1e9, Events: map[string]int{}, Balancers: map[string]int{}, Losses: map[string]float64{}, Figures: map[string]float64{},
+			AtSeconds: float64(n*step) / 1e9, Events: map[string]int{}, Balancers: map[string]int{},
+			Losses: map[string]float64{}, Figures: map[string]float64{},
 		})
 	}
-	builder := &summaryBuilder{Summary: summary, from: from, to: to, step: step, ejections: map[string]*Ejections{}, intervals: map[string][]interval{}}
+	builder := &summaryBuilder{
+		Summary: summary, from: from, to: to, step: step, ejections: map[string]*Ejections{}, intervals: map[string][]interval{},
+	}
 	for _, log := range l.processes {
 		builder.addProcess(log)
 	}
@@ -163,7 +167,8 @@
 
 // addProcess adds the log of one process.
 func (b *summaryBuilder) addProcess(log *processLog) {
-	b.Balancers, b.Lines, b.UnreadLines, b.LibraryLines = b.Balancers+1, b.Lines+log.lines, b.UnreadLines+log.unreadLines, b.LibraryLines+log.libraryLines
+	b.Balancers, b.Lines, b.UnreadLines, b.LibraryLines =
+		b.Balancers+1, b.Lines+log.lines, b.UnreadLines+log.unreadLines, b.LibraryLines+log.libraryLines
 	b.ParseErrors = append(b.ParseErrors, log.parseErrors...)
 	process := &Process{File: log.file, Name: log.name, Tier: log.tier, Reasons: map[string]float64{}}
 	b.Processes = append(b.Processes, process)
@@ -218,7 +223,8 @@
 		}
 		b.Rows[b.row(sample.at-1)].Losses[sample.name] += sample.value
 		b.Losses[sample.name] += sample.value
-		if strings.HasPrefix(sample.name, "deferred_") || strings.HasPrefix(sample.name, "forfeited_") || sample.name == "at_edge" {
+		if strings.HasPrefix(sample.name, "deferred_") || strings.HasPrefix(sample.name, "forfeited_") ||
+			sample.name == "at_edge" {
 			process.Lost += sample.value
 			process.Reasons[sample.name] += sample.value
 		}
@@ -286,8 +292,8 @@
 	}
 }
 
-// addEjections adds the ejections of all upstreams, with the largest number of balancers that ejected each one at the same
-// time.
+// addEjections adds the ejections of all upstreams, with the largest number of balancers that ejected each one at the
+// same time.
 func (b *summaryBuilder) addEjections() {
 	for _, name := range sortedKeys(b.ejections) {
 		ejections := b.ejections[name]
@@ -311,8 +317,9 @@
 	slices.SortStableFunc(b.Ejections, func(a, b *Ejections) int { return cmp.Compare(b.BalancerSeconds, a.BalancerSeconds) })
 }
 
-// addListVersions determines how each version of a tier's list spread. Discovery may restart its numbering, so a lower version
-// than before counts as a regression, and a balancer is not considered outdated relative to a lower version that came later.
+// addListVersions determines how each version of a tier's list spread. Discovery may restart its numbering, so a lower
+// version than before counts as a regression, and a balancer is not considered outdated relative to a lower version
+// that came later.
 func (b *summaryBuilder) addListVersions(logs []*processLog) {
 	type update struct {
 		at    int64
@@ -355,7 +362,9 @@
 				}
 			}
 			for published, at := range first {
-				if published.tier == log.tier && published.index > current && at > first[key{log.tier, current}] && at+int64(time.Second) < end { // allows one second for delivery
+				// A newer version has one second for its delivery.
+				if published.tier == log.tier && published.index > current && at > first[key{log.tier, current}] &&
+					at+int64(time.Second) < end {
 					b.Rows[k].OutdatedLists++
 					break
 				}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -73,14 +73,15 @@
 		t.Errorf("%d balancers, %d lines, %d unread, %v", summary.Balancers, summary.Lines, summary.UnreadLines, summary.Losses)
 	}
 	ejections := summary.Ejections[0]
-	if len(summary.Ejections) != 1 || ejections.MaxAtOnce != 3 || ejections.MaxAtSeconds != 2.9 || ejections.Count != 3 || ejections.Reasons["errored"] != 2 || ejections.ReinstatedCold != 1 || ejections.NotReinstated != 2 {
+	if len(summary.Ejections) != 1 || ejections.MaxAtOnce != 3 || ejections.MaxAtSeconds != 2.9 || ejections.Count != 3 ||
+		ejections.Reasons["errored"] != 2 || ejections.ReinstatedCold != 1 || ejections.NotReinstated != 2 {
 		t.Errorf("ejections: %+v", ejections)
 	}
 	if row := summary.Rows[2]; row.Balancers["aside"] != 3 || row.Losses["deferred_no_room"] != 5 || row.Alive != 3 || row.Ejected != 3 {
 		t.Errorf("the second in which all three balancers ejected u-1: %+v", row)
 	}
-	// The list of b is outdated from one second after a received version 5 until b receives it. c is in another tier, and its
-	// list regressed.
+	// The list of b is outdated from one second after a received version 5 until b receives it. c is in another tier,
+	// and its list regressed.
 	for k, want := range []int{0, 0, 0, 0, 0, 1, 1, 0} {
 		if got := summary.Rows[k].OutdatedLists; got != want {
 			t.Errorf("second %d: %d outdated lists, want %d", k, got, want)
@@ -93,7 +94,8 @@
 	if int(sum+0.5) != 114 || int(summary.Figures["arrived"]+0.5) != 114 || summary.Rows[3].Figures["arrived"] < 10 {
 		t.Errorf("%.1f arrived over all rows, %.1f in the fourth", sum, summary.Rows[3].Figures["arrived"])
 	}
-	if process := summary.Processes[0]; process.Name != "a" || process.Lost != 5 || process.Arrived != 100 || len(summary.ListDelays) != 1 || summary.ListDelays[0] != 3.5 {
+	if process := summary.Processes[0]; process.Name != "a" || process.Lost != 5 || process.Arrived != 100 ||
+		len(summary.ListDelays) != 1 || summary.ListDelays[0] != 3.5 {
 		t.Errorf("%+v, list delays %v", process, summary.ListDelays)
 	}
 	for _, process := range summary.Processes {
--- a/internal/fleet/read.go
+++ b/internal/fleet/read.go
@@ -1,5 +1,5 @@
-// Package fleet summarizes the logs of many balancers: which events happened at many balancers in the same second, which
-// upstreams were ejected by many and for how long, and which transactions were deferred, where and why.
+// Package fleet summarizes the logs of many balancers: which events happened at many balancers in the same second,
+// which upstreams were ejected by many and for how long, and which transactions were deferred, where and why.
 package fleet
 
 import (
@@ -42,14 +42,15 @@
 // event is an event of a log.
 type event struct {
 	at       int64  // Unix nanoseconds
-	kind     string // "start", "drain", "panic", "reload", "aside", "back", "list_told", "list_open", "list_broken" and others
+	kind     string // such as "start", "drain", "reload", "aside", "back", "list_told", "list_open", "list_broken"
 	upstream string
 	detail   string
 	index    int64
 	value    float64 // delay in seconds of "list_changed"
 }
 
-// sample is a figure that covers one second or, in a tally, the time since the previous one. Times are in Unix nanoseconds.
+// sample is a figure that covers one second or, in a tally, the time since the previous one. Times are in Unix
+// nanoseconds.
 type sample struct {
 	at, since int64
 	name      string
@@ -76,8 +77,8 @@
 	processes []*processLog
 }
 
-// Read reads all files below a directory, several in parallel. It calls progress with the fraction that is done, from several
-// goroutines.
+// Read reads all files below a directory, several in parallel. It calls progress with the fraction that is done, from
+// several goroutines.
 func Read(dir string, progress func(done float64)) (*Logs, error) {
 	var files []string
 	var size int64
@@ -126,9 +127,11 @@
 	if err := errors.Join(errs...); err != nil {
 		return nil, err
 	}
-	logs.processes = slices.DeleteFunc(logs.processes, func(n *processLog) bool { return n.lines+n.unreadLines+n.libraryLines == 0 })
+	logs.processes = slices.DeleteFunc(logs.processes, func(log *processLog) bool {
+		return log.lines+log.unreadLines+log.libraryLines == 0
+	})
 	slices.SortFunc(logs.processes, func(a, b *processLog) int { return cmp.Compare(a.file, b.file) })
-	if !slices.ContainsFunc(logs.processes, func(n *processLog) bool { return n.lines > 0 }) {
+	if !slices.ContainsFunc(logs.processes, func(log *processLog) bool { return log.lines > 0 }) {
 		return nil, fmt.Errorf("%s: %d files, none contains a line of a balancer's log", dir, len(files))
 	}
 	return logs, nil
@@ -201,8 +204,8 @@
 	}
 }
 
-// record is a parsed line: its time in Unix nanoseconds, its event and its fields in order. It is reused for all lines of a
-// file.
+// record is a parsed line: its time in Unix nanoseconds, its event and its fields in order. It is reused for all lines
+// of a file.
 type record struct {
 	at       int64
 	event    string
--- a/internal/listfile/listfile.go
+++ b/internal/listfile/listfile.go
@@ -33,7 +33,7 @@
 				Weight: u.Number("weight", 1, 1e-6, 1e6), Cell: u.Whole("group", 0, 0, 1e9), StartedAt: u.Moment("since"),
 			},
 		}
-		e.Upstream.ID = roster.UpstreamID(e.Name)
+		e.Upstream.ID = roster.NameHash(e.Name)
 		if seen[e.Name] && e.Name != "" {
 			u.F.Fault(settings.Join(u.Path, "name"), "%q is another's name in this list", e.Name)
 		}
--- a/internal/mesh/proxy/partner_policy.go
+++ b/internal/mesh/proxy/partner_policy.go
@@ -167,7 +167,7 @@
 			nodes = append(nodes, n)
 		}
 	}
-	key := func(n *knownNode) uint32 { return roster.UpstreamID(n.Name + gatewaySeparator + p.settings.Node) }
+	key := func(n *knownNode) uint32 { return roster.NameHash(n.Name + gatewaySeparator + p.settings.Node) }
 	slices.SortFunc(nodes, func(a, b *knownNode) int { return cmp.Or(cmp.Compare(key(a), key(b)), strings.Compare(a.Name, b.Name)) })
 	type gatewayAddress struct{ node, zone, address string }
 	var gateways []gatewayAddress
@@ -185,7 +185,7 @@
 			}
 			name := partner + gatewaySeparator + gateway.node
 			entries = append(entries, roster.Entry[string]{Name: name, Zone: gateway.zone, Address: gateway.address,
-				Upstream: logic.Upstream{ID: roster.UpstreamID(name), Weight: weight}})
+				Upstream: logic.Upstream{ID: roster.NameHash(name), Weight: weight}})
 		}
 	}
 	return entries
--- a/internal/mesh/proxy/service_pool.go
+++ b/internal/mesh/proxy/service_pool.go
@@ -244,7 +244,7 @@
 		n := nodes[k]
 		entries = append(entries, roster.Entry[string]{
 			Name: n.Upstream.ID, Zone: n.Zone, Address: n.Inbound, Draining: n.Upstream.Draining || n.Leaving,
-			Upstream: logic.Upstream{ID: roster.UpstreamID(n.Upstream.ID), Weight: n.weight(now) * share},
+			Upstream: logic.Upstream{ID: roster.NameHash(n.Upstream.ID), Weight: n.weight(now) * share},
 		})
 	}
 	return entries
--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -1,5 +1,5 @@
-// Package ops implements the administrative address of a balancer. A client sends one command line per connection and gets one
-// response. The package handles sockets and lines only; a Balancer carries out the commands.
+// Package ops implements the administrative address of a balancer. A client sends one command line per connection and
+// gets one response. The package handles sockets and lines only; a Balancer carries out the commands.
 package ops
 
 import (
@@ -160,8 +160,8 @@
 	io.WriteString(to, "SUCCESS\n")
 }
 
-// Call sends a command to the administrative address of a balancer. ok reports whether the response is SUCCESS, or is complete
-// up to its final EOT line.
+// Call sends a command to the administrative address of a balancer. ok reports whether the response is SUCCESS, or is
+// complete up to its final EOT line.
 func Call(address, command string, within time.Duration) (text string, ok bool, err error) {
 	conn, err := net.DialTimeout("tcp", address, within)
 	if err != nil {
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -37,7 +37,7 @@
 
 // NewRoute finds the balancers' addresses. modules is how many each has, sink takes what they say to this one.
 func NewRoute(pool string, addresses []string, modules int, sink Sink) (*Route, error) {
-	r := &Route{pool: roster.UpstreamID(pool), modules: modules, sink: sink}
+	r := &Route{pool: roster.NameHash(pool), modules: modules, sink: sink}
 	for _, text := range addresses {
 		a, err := net.ResolveUDPAddr("udp", text)
 		if err != nil {
--- a/internal/process/cluster.go
+++ b/internal/process/cluster.go
@@ -36,8 +36,8 @@
 	memberChangeDelay = 200 * time.Millisecond
 	// leaveTimeout limits how long a process that exits waits for its departure from the cluster.
 	leaveTimeout = 500 * time.Millisecond
-	// deadMemberRetention is how long a member that is considered dead still counts as a balancer. It may be alive behind
-	// a broken link, and the load that all balancers together send to cold upstreams has to stay limited.
+	// deadMemberRetention is how long a member that is considered dead still counts as a balancer. It may be alive
+	// behind a broken link, and the load that all balancers together send to cold upstreams has to stay limited.
 	deadMemberRetention = 10 * time.Minute
 )
 
@@ -51,10 +51,12 @@
 		return err
 	}
 	m := &membership{
-		process: proc, membersChanged: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{}), lastStatusAt: time.Now(),
+		process: proc, membersChanged: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{}),
+		lastStatusAt: time.Now(),
 	}
 	m.Cluster, err = cluster.Open(cluster.Options{
-		Settings: p.Cluster, Ops: p.Ops, Build: buildVersion(), Seed: proc.seed, Log: proc.eventLog, Lab: lab, Status: m.status, Changed: m.notifyMembersChanged,
+		Settings: p.Cluster, Ops: p.Ops, Build: buildVersion(), Seed: proc.seed, Log: proc.eventLog, Lab: lab,
+		Status: m.status, Changed: m.notifyMembersChanged,
 	})
 	if err != nil {
 		return err
@@ -90,8 +92,8 @@
 	})
 }
 
-// closeWithTimeout calls close and waits for it no longer than leaveTimeout, since a process that is told to exit must not
-// wait for voters that it cannot reach.
+// closeWithTimeout calls close and waits for it no longer than leaveTimeout, since a process that is told to exit must
+// not wait for voters that it cannot reach.
 func (m *membership) closeWithTimeout() {
 	done := make(chan struct{})
 	go func() {
@@ -104,8 +106,8 @@
 	}
 }
 
-// announceLeaving tells the cluster whether this process wants its clients to go elsewhere. It does nothing if err is set,
-// and returns err.
+// announceLeaving tells the cluster whether this process wants its clients to go elsewhere. It does nothing if err is
+// set, and returns err.
 func (proc *Process) announceLeaving(leaving bool, err error) error {
 	if m := proc.clusterMembership(); err == nil && m != nil {
 		m.Leaving(leaving)
@@ -180,8 +182,8 @@
 	return status
 }
 
-// effectiveBook returns the settings of a pool. If its balancers are the members of the cluster, the settings are adapted to
-// the members that count at present, whose names are returned together with the index of this process.
+// effectiveBook returns the settings of a pool. If its balancers are the members of the cluster, the settings are
+// adapted to the members that count at present, whose names are returned together with the index of this process.
 func (proc *Process) effectiveBook(settings *plan.Pool) (book *terms.Book, names []string, own int) {
 	if !settings.Book.Fleet || proc.membership == nil {
 		return settings.Book, nil, 0
@@ -215,12 +217,14 @@
 		return
 	}
 	if err := p.Retune(book); err != nil {
-		proc.eventLog.Error("cluster", "step", "counted", "pool", p.Name, "fault", err) // a bug, since the settings were validated before
+		// This is a bug, since the settings were validated before.
+		proc.eventLog.Error("cluster", "step", "counted", "pool", p.Name, "fault", err)
 		return
 	}
 	p.memberNames = names
 	p.Speak(proc.membership.Follow(p.Name, names, own, p.Shards(), p.Pool))
-	proc.eventLog.Info("cluster", "step", "counted", "pool", p.Name, "balancers", book.Terms.Balancers, "members", len(names), "index", own)
+	proc.eventLog.Info("cluster", "step", "counted", "pool", p.Name, "balancers", book.Terms.Balancers,
+		"members", len(names), "index", own)
 }
 
 // WriteMembers writes the known members of the cluster. It implements ops.Balancer.
--- a/internal/process/cluster_test.go
+++ b/internal/process/cluster_test.go
@@ -58,9 +58,9 @@
 	closeAndVerify(t, proc, http.DefaultTransport.(*http.Transport), u)
 }
 
-// Two processes count each other as balancers of a pool, keep their decision engines when the number changes, and exchange
-// load reports. A process that leaves is no longer counted and releases everything. A reload names the keys that need a
-// restart.
+// Two processes count each other as balancers of a pool, keep their decision engines when the number changes, and
+// exchange load reports. A process that leaves is no longer counted and releases everything. A reload names the keys
+// that need a restart.
 func TestMembersCountAsBalancers(t *testing.T) {
 	u := newTestUpstream(t, "u")
 	var logOutput bytes.Buffer
@@ -74,14 +74,14 @@
 	balancers := func(proc *Process) (n, index int) {
 		proc.mu.Lock()
 		defer proc.mu.Unlock()
-		m := proc.pools["p"].Book().Terms
-		return m.Balancers, m.Index
+		terms := proc.pools["p"].Book().Terms
+		return terms.Balancers, terms.Index
 	}
 	pool := a.pools["p"].Pool
 	waitFor(t, "both processes count two balancers", func() bool {
 		n, i := balancers(a)
-		m, k := balancers(b)
-		return n == 2 && m == 2 && i == 0 && k == 1
+		terms, k := balancers(b)
+		return n == 2 && terms == 2 && i == 0 && k == 1
 	})
 	if a.pools["p"].Pool != pool {
 		t.Error("the pool was replaced")
--- a/internal/process/ledger.go
+++ b/internal/process/ledger.go
@@ -53,8 +53,8 @@
 	tariff *logic.Tariff
 }
 
-// Open asks the ledger whether the transaction may run, and returns the location that it is bound to, or nil if it may run
-// anywhere.
+// Open asks the ledger whether the transaction may run, and returns the location that it is bound to, or nil if it may
+// run anywhere.
 func (c *transactionClaim) Open(ctx context.Context) (*desk.Location, httpwire.Fate) {
 	permit := c.Claim.Open(ctx)
 	switch permit.Fate {
@@ -71,8 +71,8 @@
 	return nil, httpwire.Defers
 }
 
-// groupName returns the name of the group of upstreams that recognise repeats of the transaction, or "" if a repeat may go
-// to any upstream.
+// groupName returns the name of the group of upstreams that recognise repeats of the transaction, or "" if a repeat may
+// go to any upstream.
 func (c *transactionClaim) groupName(zone string, cell int) string {
 	switch {
 	case c.tariff.Idempotency != logic.Keyed || c.tariff.DedupScope == logic.Everywhere:
--- a/internal/process/ledger_test.go
+++ b/internal/process/ledger_test.go
@@ -58,9 +58,9 @@
 
 // ledgerConfig returns a configuration of one pool whose upstreams are cells, with a ledger held by the given voters.
 func ledgerConfig(name, listen, address, dir, voters, more string, cells ...*testCell) string {
-	var b strings.Builder
-	fmt.Fprintf(&b, "name = %q\nlimits.descriptors = 2000\n", name)
-	b.WriteString(`[tariffs.view]
+	var text strings.Builder
+	fmt.Fprintf(&text, "name = %q\nlimits.descriptors = 2000\n", name)
+	text.WriteString(`[tariffs.view]
 repeat = "repeatable"
 contract_time = "1s"
 hard_stop = "2s"
@@ -75,14 +75,14 @@
 contract_time = "1s"
 hard_stop = "2s"
 `)
-	fmt.Fprintf(&b, "[listeners.l]\naddress = %q\n[[routes]]\npool = \"p\"\n[pools.p]\ndefault_tariff = \"view\"\nmax_pushes = 3\n", listen)
+	fmt.Fprintf(&text, "[listeners.l]\naddress = %q\n[[routes]]\npool = \"p\"\n[pools.p]\ndefault_tariff = \"view\"\nmax_pushes = 3\n", listen)
 	for _, c := range cells {
-		fmt.Fprintf(&b, "[[pools.p.upstreams]]\nname = %q\naddress = %q\ngroup = %d\n", c.name, c.Listener.Addr(), c.name[0]-'a'+1)
+		fmt.Fprintf(&text, "[[pools.p.upstreams]]\nname = %q\naddress = %q\ngroup = %d\n", c.name, c.Listener.Addr(), c.name[0]-'a'+1)
 	}
-	fmt.Fprintf(&b, "[cluster]\nname = \"zuid\"\naddress = %q\ndirectory = %q\nvoters = [%s]\nelection = \"100ms\"\nlease = \"300ms\"\nprobe_every = \"50ms\"\n",
+	fmt.Fprintf(&text, "[cluster]\nname = \"zuid\"\naddress = %q\ndirectory = %q\nvoters = [%s]\nelection = \"100ms\"\nlease = \"300ms\"\nprobe_every = \"50ms\"\n",
 		address, dir, voters)
-	fmt.Fprintf(&b, "[cluster.ledger]\nwithin = \"300ms\"\n%s\n", more)
-	return b.String()
+	fmt.Fprintf(&text, "[cluster.ledger]\nwithin = \"300ms\"\n%s\n", more)
+	return text.String()
 }
 
 // sendKeyed sends one transaction of a tariff with an idempotency key, unless that is empty.
@@ -121,9 +121,9 @@
 	waitFor(t, "the ledger is reachable", func() bool { l := proc.membership.Ledger(); return l != nil && !l.Down() })
 }
 
-// A ledger with a single voter. A repeat only goes where the first transaction may have run, also after a restart without a
-// recorded outcome. Non-idempotent transactions that may have run are forfeited, those that never ran are sent. A key with
-// another body is refused if same_body is set. A reload turns the ledger off and on.
+// A ledger with a single voter. A repeat only goes where the first transaction may have run, also after a restart
+// without a recorded outcome. Non-idempotent transactions that may have run are forfeited, those that never ran are
+// sent. A key with another body is refused if same_body is set. A reload turns the ledger off and on.
 func TestLedgerSingleVoter(t *testing.T) {
 	a, b := newTestCell(t, "a"), newTestCell(t, "b")
 	listen, at, dir := freeAddress(t), freeAddress(t), t.TempDir()
@@ -165,7 +165,8 @@
 		t.Errorf("repeat of a rejected transaction got status %d, and ran at %v", status, upstreamsRun("p2", a, b))
 	}
 
-	// A repeat that arrives while the first transaction runs waits for it to end or is deferred, but never runs in parallel.
+	// A repeat that arrives while the first transaction runs waits for it to end or is deferred, but never runs in
+	// parallel.
 	gate := make(chan struct{})
 	for _, c := range []*testCell{a, b} {
 		c.mu.Lock()
--- a/internal/process/peers_test.go
+++ b/internal/process/peers_test.go
@@ -45,10 +45,10 @@
 	return text
 }
 
-// The steps by which an operator turns on peers: in shadow mode the pool decides as before and counts what the load reports of
-// a peer would have changed. After a reload it avoids the upstream that the peer reports as loaded, also with a third
-// balancer, and a further reload turns this off again. A process whose own peer address is in use does not start, and a
-// reload to such a configuration changes nothing.
+// The steps by which an operator turns on peers: in shadow mode the pool decides as before and counts what the load
+// reports of a peer would have changed. After a reload it avoids the upstream that the peer reports as loaded, also
+// with a third balancer, and a further reload turns this off again. A process whose own peer address is in use does not
+// start, and a reload to such a configuration changes nothing.
 func TestPeersAfterShadowModeAndBack(t *testing.T) {
 	goleak.VerifyNone(t)
 	a, b, listen, address, peerAddress := newTestUpstream(t, "a"), newTestUpstream(t, "b"), freeAddress(t), freeAddress(t), freeAddress(t)
@@ -77,7 +77,8 @@
 	// full returns how many of twelve requests go to the upstream of the first. The peer reports five attempts there.
 	countToLoaded := func(sendReport bool) (countToLoaded int) {
 		loaded := ""
-		for time.Sleep(30 * time.Millisecond); len(reports) > 0; <-reports { // discards old reports, which would name the wrong upstream
+		// Old reports are discarded, since they would name the wrong upstream.
+		for time.Sleep(30 * time.Millisecond); len(reports) > 0; <-reports {
 		}
 		for n := range 13 {
 			done := make(chan string, 1)
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -1,5 +1,5 @@
-// Package process runs a balancer according to a configuration. It creates the HTTP front end, its listeners, the pools and
-// the sources of their upstream lists, and changes all of them in service when the configuration is reloaded.
+// Package process runs a balancer according to a configuration. It creates the HTTP front end, its listeners, the pools
+// and the sources of their upstream lists, and changes all of them in service when the configuration is reloaded.
 package process
 
 import (
@@ -81,7 +81,8 @@
 func StartWithEngine(p *plan.Plan, log *slog.Logger, level *slog.LevelVar, newEngine desk.EngineFactory) (*Process, error) {
 	proc := &Process{
 		log: log, eventLog: logs.Own(log), logLevel: level, seed: p.Seed, front: httpwire.New(log, newEngine), plan: &plan.Plan{},
-		listenerErrors: make(chan error, 1), pools: map[string]*pool{}, listeners: map[string]*httpwire.Listener{}, peerLinks: map[string]*peers.Link{},
+		listenerErrors: make(chan error, 1), pools: map[string]*pool{}, listeners: map[string]*httpwire.Listener{},
+		peerLinks: map[string]*peers.Link{},
 	}
 	if proc.seed == 0 {
 		proc.seed = rand.Uint64()
@@ -216,8 +217,8 @@
 	proc.stopServices()
 }
 
-// Reload switches to another configuration, completely or not at all. Configurations that cannot be parsed are counted with
-// CountInvalidConfig instead.
+// Reload switches to another configuration, completely or not at all. Configurations that cannot be parsed are counted
+// with CountInvalidConfig instead.
 func (proc *Process) Reload(p *plan.Plan) error {
 	start, before, cores := time.Now(), proc.plan, p.Limits.Cores
 	apply := proc.apply
@@ -249,8 +250,8 @@
 // CountInvalidConfig counts a configuration file that could not be parsed.
 func (proc *Process) CountInvalidConfig() { proc.counters.Invalid.Add(1) }
 
-// applyToPlatformPool switches to another configuration in the platform's format. The pool is kept with its learned state.
-// Listeners, the number of cores and the administrative address stay as they were at the start.
+// applyToPlatformPool switches to another configuration in the platform's format. The pool is kept with its learned
+// state. Listeners, the number of cores and the administrative address stay as they were at the start.
 func (proc *Process) applyToPlatformPool(p *plan.Plan) error {
 	proc.mu.Lock()
 	defer proc.mu.Unlock()
@@ -262,7 +263,8 @@
 		if err := current.Retune(settings.Book); err != nil {
 			return err
 		}
-		proc.eventLog.Info("reload", "step", "terms", "tariffs", len(settings.Book.Tariffs), "attempts", settings.Book.Terms.MaxAttempts)
+		proc.eventLog.Info("reload", "step", "terms", "tariffs", len(settings.Book.Tariffs),
+			"attempts", settings.Book.Terms.MaxAttempts)
 	}
 	address := settings.List.Discovery
 	proc.eventLog.Info("reload", "step", "list", "discovery", address, "moved", current.subscription.Move(address))
@@ -274,7 +276,8 @@
 	return nil
 }
 
-// apply switches from the current configuration to another. All steps that can fail come first, and are undone if one fails.
+// apply switches from the current configuration to another. All steps that can fail come first, and are undone if one
+// fails.
 func (proc *Process) apply(p *plan.Plan) (err error) {
 	proc.mu.Lock()
 	defer proc.mu.Unlock()
@@ -324,13 +327,15 @@
 				}
 			}
 		}
-		if current := proc.pools[settings.Name]; current != nil && current.settings.Print == settings.Print && current.Shards() == p.Limits.Cores {
+		if current := proc.pools[settings.Name]; current != nil && current.settings.Print == settings.Print &&
+			current.Shards() == p.Limits.Cores {
 			pools[settings.Name] = current
 			continue
 		}
-		// A new pool would know nothing about its upstreams, and would send load to cold ones in addition to the old pool.
-		// Hence the existing one is reconfigured where that is possible.
-		if current := proc.pools[settings.Name]; current != nil && current.Shards() == p.Limits.Cores && current.settings.Book.Fits(settings.Book) {
+		// A new pool would know nothing about its upstreams, and would send load to cold ones in addition to the old
+		// pool. Hence the existing one is reconfigured where that is possible.
+		if current := proc.pools[settings.Name]; current != nil && current.Shards() == p.Limits.Cores &&
+			current.settings.Book.Fits(settings.Book) {
 			if err := settings.Book.Terms.Validate(); err != nil {
 				return fmt.Errorf("pool %s: %w", settings.Name, err)
 			}
@@ -349,7 +354,8 @@
 		}
 	}
 
-	// No step below can fail. New pools get a list before requests are routed to them, since a pool without one rejects all.
+	// No step below can fail. New pools get a list before requests are routed to them, since a pool without one rejects
+	// all.
 	for name, target := range created {
 		initial := target.settings.List.Fixed
 		if target.settings.List.File != "" {
@@ -368,7 +374,8 @@
 		if reconfigured[settings.Name] {
 			book, _, _ := proc.effectiveBook(settings)
 			if err := pools[settings.Name].Retune(book); err != nil {
-				proc.eventLog.Error("reload", "step", "terms", "pool", settings.Name, "fault", err) // a bug, since the settings were validated above
+				// This is a bug, since the settings were validated above.
+				proc.eventLog.Error("reload", "step", "terms", "pool", settings.Name, "fault", err)
 			}
 		}
 	}
@@ -377,7 +384,9 @@
 	for _, settings := range p.Pools {
 		target := pools[settings.Name]
 		board.Pools[settings.Name] = target.Pool
-		shares[target.Pool] = httpwire.Share{Part: settings.Share, Open: settings.Open, Connections: settings.Connections, Bodies: settings.Bodies}
+		shares[target.Pool] = httpwire.Share{
+			Part: settings.Share, Open: settings.Open, Connections: settings.Connections, Bodies: settings.Bodies,
+		}
 		if p.Platform {
 			board.Only = target.Pool
 		}
@@ -422,7 +431,8 @@
 				ready = pools[p.Pools[0].Name].listReceived
 			}
 			go func() {
-				// The process that serves at present knows a newer list than the one that this process was started with.
+				// The process that serves at present knows a newer list than the one that this process was started
+				// with.
 				select {
 				case <-ready:
 				case <-time.After(maxListWait):
@@ -466,7 +476,8 @@
 	proc.logLevel.Set(logs.Level(p.Log.Level))
 }
 
-// ownPeerAddress returns the address at which the other balancers of a pool reach this one, or "" if the pool has no peers.
+// ownPeerAddress returns the address at which the other balancers of a pool reach this one, or "" if the pool has no
+// peers.
 func ownPeerAddress(settings *plan.Pool) string {
 	if len(settings.Book.Peers) == 0 {
 		return ""
@@ -490,8 +501,8 @@
 	return &pool{Pool: created, settings: settings, stopList: func() {}, listReceived: make(chan struct{})}, nil
 }
 
-// List implements lists.Sink for the list source. A process that replaces another one waits for the first call before it
-// accepts clients.
+// List implements lists.Sink for the list source. A process that replaces another one waits for the first call before
+// it accepts clients.
 func (p *pool) List(entries []roster.Entry[string], complete bool) {
 	p.Pool.List(entries, complete)
 	p.receivedOnce.Do(func() { close(p.listReceived) })
@@ -515,7 +526,8 @@
 			})
 			break
 		}
-		target.subscription = discovery.New(target, target.Log(), list.Discovery, target.Book().Terms.FollowList, index, target.Book().DialTimeout)
+		target.subscription = discovery.New(
+			target, target.Log(), list.Discovery, target.Book().Terms.FollowList, index, target.Book().DialTimeout)
 		source = target.subscription
 	case list.File != "":
 		source = &listfile.File{Path: list.File, Every: list.Every, Sink: target, Log: target.Log()}
@@ -547,5 +559,6 @@
 
 // sameList reports whether two list settings name the same source.
 func sameList(a, b plan.List) bool {
-	return a.File == b.File && a.Every == b.Every && a.Discovery == b.Discovery && a.Shared == b.Shared && slices.Equal(a.Fixed, b.Fixed)
+	return a.File == b.File && a.Every == b.Every && a.Discovery == b.Discovery && a.Shared == b.Shared &&
+		slices.Equal(a.Fixed, b.Fixed)
 }
--- a/internal/process/process_test.go
+++ b/internal/process/process_test.go
@@ -54,19 +54,20 @@
 hard_stop = "5s"
 `
 
-// configText returns a configuration with listeners at the given addresses. Each pool is given by its host and its upstream.
+// configText returns a configuration with listeners at the given addresses. Each pool is given by its host and its
+// upstream.
 func configText(listen []string, pools ...[2]any) string {
-	var b strings.Builder
-	b.WriteString(baseConfig)
+	var text strings.Builder
+	text.WriteString(baseConfig)
 	for n, address := range listen {
-		fmt.Fprintf(&b, "[listeners.l%d]\naddress = %q\n", n, address)
+		fmt.Fprintf(&text, "[listeners.l%d]\naddress = %q\n", n, address)
 	}
 	for n, p := range pools {
 		upstream := p[1].(*testUpstream)
-		fmt.Fprintf(&b, "[pools.p%d]\ndefault_tariff = \"view\"\nupstreams = [{ name = \"u\", address = %q }]\n", n, upstream.Listener.Addr())
-		fmt.Fprintf(&b, "[[routes]]\nname = \"r%d\"\nhosts = [%q]\npool = \"p%d\"\n", n, p[0], n)
+		fmt.Fprintf(&text, "[pools.p%d]\ndefault_tariff = \"view\"\nupstreams = [{ name = \"u\", address = %q }]\n", n, upstream.Listener.Addr())
+		fmt.Fprintf(&text, "[[routes]]\nname = \"r%d\"\nhosts = [%q]\npool = \"p%d\"\n", n, p[0], n)
 	}
-	return b.String()
+	return text.String()
 }
 
 func parse(t testing.TB, config string) *plan.Plan {
@@ -127,8 +128,8 @@
 	return response.StatusCode, string(text), err
 }
 
-// Reloads under load swap the hosts of two pools, and add and remove a third pool. No transaction is lost, each is served by a
-// pool that its host had at some time during the transaction, and no resources are left at the end.
+// Reloads under load swap the hosts of two pools, and add and remove a third pool. No transaction is lost, each is
+// served by a pool that its host had at some time during the transaction, and no resources are left at the end.
 func TestReloadsUnderLoad(t *testing.T) {
 	one, two, three := newTestUpstream(t, "one"), newTestUpstream(t, "two"), newTestUpstream(t, "three")
 	three.delay.Store(int64(20 * time.Millisecond))
@@ -142,19 +143,19 @@
 
 	var reloadSteps atomic.Int64 // odd while a reload is under way; half of it is the number of reloads
 	var stop atomic.Bool
-	var load sync.WaitGroup
+	var clients sync.WaitGroup
 	var requests, notFound atomic.Int64
 	for n := range 12 {
-		load.Go(func() {
+		clients.Go(func() {
 			host := []string{"a.org", "b.org", "c.org"}[n%3]
 			for !stop.Load() {
 				before := reloadSteps.Load()
 				status, body, err := sendRequest(client, address[0], host)
 				after := reloadSteps.Load()
 				requests.Add(1)
-				swapped := before/2%2 == 1
+				hostsSwapped := before/2%2 == 1
 				want := map[string]string{"a.org": "one", "b.org": "two", "c.org": "three"}[host]
-				if swapped {
+				if hostsSwapped {
 					want = map[string]string{"a.org": "two", "b.org": "one"}[host]
 				}
 				unchanged := before == after && before%2 == 0
@@ -170,7 +171,7 @@
 		})
 	}
 	const minReloads, minRequests, maxReloads = 60, 500, 3000
-	for n := 0; n < minReloads || requests.Load() < minRequests && n < maxReloads; n++ { // a busy machine sends fewer requests during 60 reloads
+	for n := 0; n < minReloads || requests.Load() < minRequests && n < maxReloads; n++ { // 60 reloads may end before a busy machine has sent 500
 		time.Sleep(20 * time.Millisecond)
 		reloadSteps.Add(1)
 		if err := proc.Reload(configs[(n+1)%2]); err != nil {
@@ -179,16 +180,16 @@
 		reloadSteps.Add(1)
 	}
 	stop.Store(true)
-	load.Wait()
+	clients.Wait()
 	if requests.Load() < minRequests || notFound.Load() == 0 {
 		t.Errorf("%d requests, %d of them for a removed pool", requests.Load(), notFound.Load())
 	}
 	closeAndVerify(t, proc, client, one, two, three)
 }
 
-// A reload lets a removed pool finish its open transactions. An unchanged pool keeps its connections and its decision engine. A
-// pool with other upstream limits is replaced and gets the list of the old one. A configuration that cannot be applied changes
-// nothing.
+// A reload lets a removed pool finish its open transactions. An unchanged pool keeps its connections and its decision
+// engine. A pool with other upstream limits is replaced and gets the list of the old one. A configuration that cannot
+// be applied changes nothing.
 func TestReloadKeepsUnchangedPools(t *testing.T) {
 	one, two := newTestUpstream(t, "one"), newTestUpstream(t, "two")
 	listFile := filepath.Join(t.TempDir(), "list.toml")
@@ -317,8 +318,8 @@
 	closeAndVerify(t, proc, client, one, two)
 }
 
-// A pool keeps its learned state when its tariffs change. Open transactions end under the old tariffs, and new ones are served
-// under the new ones.
+// A pool keeps its learned state when its tariffs change. Open transactions end under the old tariffs, and new ones are
+// served under the new ones.
 func TestTariffsChangeInPlace(t *testing.T) {
 	one := newTestUpstream(t, "one")
 	one.delay.Store(int64(300 * time.Millisecond))
@@ -343,7 +344,8 @@
 	if got := <-open; !strings.HasPrefix(got, "200") {
 		t.Errorf("the open transaction ended with %s", got)
 	}
-	if status, _, err := sendRequest(client, address[0], "a.org"); status != 503 || err != nil { // the upstream takes longer than the new hard stop
+	// The upstream takes longer than the new hard stop of 250 ms.
+	if status, _, err := sendRequest(client, address[0], "a.org"); status != 503 || err != nil {
 		t.Errorf("under the new tariffs: got %d %v, want 503", status, err)
 	}
 	closeAndVerify(t, proc, client, one)
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -1,5 +1,5 @@
-// Package roster maps upstream names to the indexes of the decision engine, and tells the engine which upstreams are added,
-// changed and removed by an update of the list.
+// Package roster maps upstream names to the indexes of the decision engine, and tells the engine which upstreams are
+// added, changed and removed by an update of the list.
 package roster
 
 import (
@@ -21,16 +21,16 @@
 	Removed  bool // no longer listed
 }
 
-// UpstreamID returns the ID by which the engine orders upstreams. It depends on the name only, and is the same at all
-// balancers.
-func UpstreamID(name string) uint32 {
+// NameHash returns the number of a name, for instance the ID by which engines order upstreams. It depends on the name only,
+// and is the same at all balancers.
+func NameHash(name string) uint32 {
 	hash := fnv.New32a()
 	hash.Write([]byte(name))
 	return hash.Sum32()
 }
 
-// Endpoint identifies the use of an address by one upstream. Addresses are reused, and state of one upstream, connections in
-// particular, must not be attributed to the next one at its address.
+// Endpoint identifies the use of an address by one upstream. Addresses are reused, and state of one upstream,
+// connections in particular, must not be attributed to the next one at its address.
 type Endpoint struct {
 	Host      string // unique, never reused
 	Address   string
@@ -63,7 +63,8 @@
 // New returns an empty roster. Zones are numbered in the given order.
 func New[Name comparable](engine Engine, zones []string) *Roster[Name] {
 	r := &Roster[Name]{
-		engine: engine, zoneNumbers: map[string]int{}, kindNumbers: map[string]int{"": 0}, indexByName: map[Name]int{}, indexByAddress: map[string]int{},
+		engine: engine, zoneNumbers: map[string]int{}, kindNumbers: map[string]int{"": 0},
+		indexByName: map[Name]int{}, indexByAddress: map[string]int{},
 	}
 	for _, z := range zones {
 		numberOf(r.zoneNumbers, z)
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -21,8 +21,8 @@
 	return b, New[string](b, []string{"a"})
 }
 
-// A name keeps its index through changes of its address. The index of a removed upstream goes to a new one, and the old name
-// must not refer to it any more.
+// A name keeps its index through changes of its address. The index of a removed upstream goes to a new one, and the old
+// name must not refer to it any more.
 func TestNamesKeepIndexUntilReused(t *testing.T) {
 	b, r := newEmpty(t)
 	entry := func(name, address string) Entry[string] {
@@ -77,7 +77,8 @@
 	}
 }
 
-// Lists with two names at one address or a repeated name, and outdated lists: one upstream is kept for each address and name.
+// Lists with two names at one address or a repeated name, and outdated lists: one upstream is kept for each address and
+// name.
 func TestConflictingEntries(t *testing.T) {
 	b, r := newEmpty(t)
 	entry := func(name, address string, startedAt int64, draining bool) Entry[string] {
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -1,7 +1,7 @@
 // Package watch implements the shadow mode for new settings. One decision engine makes the decisions under the current
-// settings, while a second one, the shadow, gets the same events under the new settings. Decisions in which the shadow differs
-// are counted. Nothing that the shadow decides is carried out, except that its load reports are sent to its peers: they run
-// in shadow mode as well, and would lack input otherwise.
+// settings, while a second one, the shadow, gets the same events under the new settings. Decisions in which the shadow
+// differs are counted. Nothing that the shadow decides is carried out, except that its load reports are sent to its
+// peers: they run in shadow mode as well, and would lack input otherwise.
 package watch
 
 import (
@@ -68,7 +68,8 @@
 		return nil, err
 	}
 	return &Engine{
-		current: currentBalancer, shadow: shadowBalancer, pairs: map[*logic.Transaction]*pair{}, wakeAt: [2]int64{math.MaxInt64, math.MaxInt64},
+		current: currentBalancer, shadow: shadowBalancer, pairs: map[*logic.Transaction]*pair{},
+		wakeAt: [2]int64{math.MaxInt64, math.MaxInt64},
 	}, nil
 }
 
@@ -172,8 +173,8 @@
 	}
 }
 
-// settleShadow ends a transaction in the shadow once it has ended in the current engine, and removes it once it has no open
-// attempts.
+// settleShadow ends a transaction in the shadow once it has ended in the current engine, and removes it once it has no
+// open attempts.
 func (e *Engine) settleShadow(p *pair, now int64) {
 	if !p.current.Answered() {
 		return
@@ -200,7 +201,7 @@
 		e.compare(p)
 	}
 	e.roundPairs = e.roundPairs[:0]
-	for _, j := range e.shadowProbes { // probes of the shadow are not sent, and count as successful like where probes are disabled
+	for _, j := range e.shadowProbes { // not sent, counted as successful as with probes disabled
 		e.shadow.ProbeResult(j, true)
 	}
 	e.shadowProbes = e.shadowProbes[:0]
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -155,8 +155,8 @@
 	}
 }
 
-// The same settings give the same decisions, so that nothing is counted. Load reports of many attempts at the peers make the
-// shadow queue transactions.
+// The same settings give the same decisions, so that nothing is counted. Load reports of many attempts at the peers
+// make the shadow queue transactions.
 func TestDifferencesAreClassified(t *testing.T) {
 	same := newShadowEngine(t, false, false)
 	runTraffic(same, noReports)
