--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -95,8 +95,8 @@
 	startTable("Ejected upstreams, by balancer-seconds:")
 	line("upstream", "balancers at once", "at_s", "seconds", "longest", "times", "back as cold", "not back", "why")
 	for _, ejections := range s.Ejections[:min(rows, len(s.Ejections))] {
-		line(ejections.Upstream, ejections.MaxAtOnce, ejections.MaxAtSeconds, ejections.BalancerSeconds, ejections.LongestSeconds, ejections.Count, ejections.ReinstatedCold,
-			ejections.NotReinstated, formatCounts(ejections.Reasons))
+		line(ejections.Upstream, ejections.MaxAtOnce, ejections.MaxAtSeconds, ejections.BalancerSeconds,
+			ejections.LongestSeconds, ejections.Count, ejections.ReinstatedCold, ejections.NotReinstated, formatCounts(ejections.Reasons))
 	}
 
 	startTable("Versions of the list, slowest to spread first:")
@@ -114,7 +114,8 @@
 	startTable("Balancers with the most lost transactions:")
 	line("file", "tier", "arrived", "lost", "in 100", "by reason")
 	for _, process := range s.Processes[:min(rows, len(s.Processes))] {
-		line(process.File, process.Tier, process.Arrived, process.Lost, 100*process.Lost/max(process.Arrived, 1), formatCounts(process.Reasons))
+		line(process.File, process.Tier, process.Arrived, process.Lost, 100*process.Lost/max(process.Arrived, 1),
+			formatCounts(process.Reasons))
 	}
 	table.Flush()
 }
--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -42,7 +42,7 @@
 	balancer Balancer
 
 	mu         sync.Mutex
-	pending    list.List // connections that are being served, the oldest first
+	conns      list.List // connections that are being served, the oldest first
 	closed     bool
 	goroutines sync.WaitGroup
 }
@@ -62,7 +62,7 @@
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
-	for e := s.pending.Front(); e != nil; e = e.Next() {
+	for e := s.conns.Front(); e != nil; e = e.Next() {
 		e.Value.(net.Conn).Close()
 	}
 	s.mu.Unlock()
@@ -88,22 +88,22 @@
 			return
 		}
 		// The oldest connection is closed if there are too many. Otherwise idle clients could lock out all others.
-		if s.pending.Len() >= MaxConnections {
-			s.pending.Remove(s.pending.Front()).(net.Conn).Close()
+		if s.conns.Len() >= MaxConnections {
+			s.conns.Remove(s.conns.Front()).(net.Conn).Close()
 		}
-		element := s.pending.PushBack(conn)
+		element := s.conns.PushBack(conn)
 		s.mu.Unlock()
 		s.goroutines.Go(func() { s.serve(conn, element) })
 	}
 }
 
 // serve handles one connection.
-func (s *Server) serve(conn net.Conn, pending *list.Element) {
+func (s *Server) serve(conn net.Conn, element *list.Element) {
 	defer conn.Close()
 	defer func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.pending.Remove(pending) // no effect if accept has removed it already
+		s.conns.Remove(element) // no effect if accept has removed it already
 	}()
 	conn.SetReadDeadline(time.Now().Add(commandTimeout))
 	reader := bufio.NewReaderSize(conn, maxClusterCommandBytes)
--- a/internal/process/process_test.go
+++ b/internal/process/process_test.go
@@ -171,7 +171,8 @@
 		})
 	}
 	const minReloads, minRequests, maxReloads = 60, 500, 3000
-	for n := 0; n < minReloads || requests.Load() < minRequests && n < maxReloads; n++ { // 60 reloads may end before a busy machine has sent 500
+	// On a busy machine, 60 reloads may end before 500 requests have been sent.
+	for n := 0; n < minReloads || requests.Load() < minRequests && n < maxReloads; n++ {
 		time.Sleep(20 * time.Millisecond)
 		reloadSteps.Add(1)
 		if err := proc.Reload(configs[(n+1)%2]); err != nil {
