--- a/internal/cluster/shared/core.go
+++ b/internal/cluster/shared/core.go
@@ -35,13 +35,13 @@
 
 // fromRoster converts an entry of the roster for sending.
 func fromRoster(e roster.Entry[string]) Entry {
-	return Entry{e.Name, e.Zone, e.Kind, e.Address, e.Up.Weight, e.Up.Cell, e.Up.StartedAt, e.Ends, e.Gone}
+	return Entry{e.Name, e.Zone, e.Kind, e.Address, e.Upstream.Weight, e.Upstream.Cell, e.Upstream.StartedAt, e.Draining, e.Removed}
 }
 
 // toRoster converts a received entry for the roster.
 func (e Entry) toRoster() roster.Entry[string] {
-	r := roster.Entry[string]{Name: e.Name, Zone: e.Zone, Kind: e.Kind, Address: e.Address, Ends: e.Draining, Gone: e.Removed}
-	r.Up.ID, r.Up.Weight, r.Up.Cell, r.Up.StartedAt = roster.Number(e.Name), e.Weight, e.Cell, e.Born
+	r := roster.Entry[string]{Name: e.Name, Zone: e.Zone, Kind: e.Kind, Address: e.Address, Draining: e.Draining, Removed: e.Removed}
+	r.Upstream.ID, r.Upstream.Weight, r.Upstream.Cell, r.Upstream.StartedAt = roster.NameHash(e.Name), e.Weight, e.Cell, e.Born
 	return r
 }
 
--- a/internal/cluster/shared/core_test.go
+++ b/internal/cluster/shared/core_test.go
@@ -40,8 +40,8 @@
 // entries returns the current entries of upstreams.
 func (sim *simulation) entries(names ...string) (entries []roster.Entry[string]) {
 	for _, n := range names {
-		entries = append(entries, roster.Entry[string]{Name: n, Address: "a", Ends: sim.status[n] == "drains",
-			Gone: sim.status[n] == "gone"})
+		entries = append(entries, roster.Entry[string]{Name: n, Address: "a", Draining: sim.status[n] == "drains",
+			Removed: sim.status[n] == "gone"})
 	}
 	return entries
 }
@@ -63,9 +63,9 @@
 	}
 	for _, e := range entries {
 		switch {
-		case e.Gone:
+		case e.Removed:
 			delete(member.list, e.Name)
-		case e.Ends:
+		case e.Draining:
 			member.list[e.Name] = "drains"
 		default:
 			member.list[e.Name] = "serves"
--- a/internal/fleet/read.go
+++ b/internal/fleet/read.go
@@ -1,5 +1,5 @@
-// Package fleet counts across the logs of many balancers what they did together: who did the same in the same second,
-// who held the same wrong belief and for how long, who deferred what and why.
+// Package fleet summarizes the logs of many balancers: which events happened at many balancers in the same second,
+// which upstreams were ejected by many and for how long, and which transactions were deferred, where and why.
 package fleet
 
 import (
@@ -25,57 +25,60 @@
 )
 
 const (
-	mostLine   = 1 << 20
-	mostFaults = 8 // of a file that are told; all are counted
+	maxLineBytes      = 1 << 20
+	maxReportedErrors = 8 // reported for each file; all are counted
 )
 
-// Fault is a line that could not be read.
-type Fault struct {
+// ParseError describes a line that could not be parsed.
+type ParseError struct {
 	File string `json:"file"`
 	Line int    `json:"line"`
 	Text string `json:"fault"`
 }
 
-func (f Fault) String() string { return fmt.Sprintf("%s:%d: %s", f.File, f.Line, f.Text) }
+// String returns the error with its file and line.
+func (e ParseError) String() string { return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.Text) }
 
-// event is something that happened at one moment.
+// event is an event of a log.
 type event struct {
-	at       int64
-	kind     string // "aside", "back", "told", "open", "broken", "list", "start", "drain"
+	at       int64  // Unix nanoseconds
+	kind     string // such as "start", "drain", "reload", "aside", "back", "list_told", "list_open", "list_broken"
 	upstream string
-	why      string
+	detail   string
 	index    int64
-	number   float64 // of what changed, or the delay in seconds
+	value    float64 // delay in seconds of "list_changed"
 }
 
-// sample is a figure of one second or, of a tally, of the time since the tally before.
+// sample is a figure that covers one second or, in a tally, the time since the previous one. Times are in Unix
+// nanoseconds.
 type sample struct {
 	at, since int64
 	name      string
-	n         float64
+	value     float64
 }
 
-// node is what one file tells: the life of one process.
-type node struct {
-	file        string
-	name        string
-	tier        string
-	first, last int64
-	lines       int
-	events      []event
-	losses      []sample
-	tallies     []sample
-	faults      []Fault
-	wrong       int // lines that could not be read
-	others      int // lines of the library, which are no log of ours
+// processLog is the content of one file, the log of one process.
+type processLog struct {
+	file         string
+	name         string
+	tier         string
+	first, last  int64
+	lines        int
+	events       []event
+	losses       []sample
+	tallies      []sample
+	parseErrors  []ParseError
+	unreadLines  int // lines that could not be parsed
+	libraryLines int // lines logged by net/http itself
 }
 
-// Logs are those of a fleet.
+// Logs holds the logs of a fleet.
 type Logs struct {
-	nodes []*node
+	processes []*processLog
 }
 
-// Read reads all files of a folder and of the folders in it, several at a time; progress is told the part that is done.
+// Read reads all files below a directory, several in parallel. It calls progress with the fraction that is done, from
+// several goroutines.
 func Read(dir string, progress func(done float64)) (*Logs, error) {
 	var files []string
 	var size int64
@@ -83,8 +86,8 @@
 		if err != nil {
 			return err
 		}
-		if about, err := d.Info(); err == nil && d.Type().IsRegular() {
-			files, size = append(files, path), size+about.Size()
+		if info, err := d.Info(); err == nil && d.Type().IsRegular() {
+			files, size = append(files, path), size+info.Size()
 		}
 		return nil
 	})
@@ -92,23 +95,23 @@
 		return nil, err
 	}
 	if len(files) == 0 {
-		return nil, fmt.Errorf("%s: no files in it", dir)
+		return nil, fmt.Errorf("%s: directory contains no files", dir)
 	}
-	l := &Logs{nodes: make([]*node, len(files))}
+	logs := &Logs{processes: make([]*processLog, len(files))}
 	var done atomic.Int64
-	var work sync.WaitGroup
-	next := make(chan int)
+	var workers sync.WaitGroup
+	jobs := make(chan int)
 	errs := make([]error, len(files))
 	for range min(runtime.GOMAXPROCS(0), len(files)) {
-		work.Add(1)
+		workers.Add(1)
 		go func() {
-			defer work.Done()
-			for n := range next {
+			defer workers.Done()
+			for n := range jobs {
 				name, err := filepath.Rel(dir, files[n])
 				if err != nil {
 					name = files[n]
 				}
-				l.nodes[n], errs[n] = readFile(files[n], name, func(bytes int) {
+				logs.processes[n], errs[n] = readFile(files[n], name, func(bytes int) {
 					if now := done.Add(int64(bytes)); size > 0 {
 						progress(min(1, float64(now)/float64(size)))
 					}
@@ -117,57 +120,61 @@
 		}()
 	}
 	for n := range files {
-		next <- n
+		jobs <- n
 	}
-	close(next)
-	work.Wait()
+	close(jobs)
+	workers.Wait()
 	if err := errors.Join(errs...); err != nil {
 		return nil, err
 	}
-	l.nodes = slices.DeleteFunc(l.nodes, func(n *node) bool { return n.lines+n.wrong+n.others == 0 })
-	slices.SortFunc(l.nodes, func(a, b *node) int { return cmp.Compare(a.file, b.file) })
-	if !slices.ContainsFunc(l.nodes, func(n *node) bool { return n.lines > 0 }) {
-		return nil, fmt.Errorf("%s: %d files, no line of a balancer's log in them", dir, len(files))
+	logs.processes = slices.DeleteFunc(logs.processes, func(log *processLog) bool {
+		return log.lines+log.unreadLines+log.libraryLines == 0
+	})
+	slices.SortFunc(logs.processes, func(a, b *processLog) int { return cmp.Compare(a.file, b.file) })
+	if !slices.ContainsFunc(logs.processes, func(log *processLog) bool { return log.lines > 0 }) {
+		return nil, fmt.Errorf("%s: %d files, none contains a line of a balancer's log", dir, len(files))
 	}
-	return l, nil
+	return logs, nil
 }
 
-// readFile reads one file to its end; what makes no sense is left out, told and counted.
-func readFile(path, name string, progress func(bytes int)) (*node, error) {
+// readFile reads one file. Lines that cannot be parsed are skipped, counted and reported.
+func readFile(path, name string, progress func(bytes int)) (*processLog, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	n := &node{file: name, name: strings.TrimSuffix(name, filepath.Ext(name))}
-	return n, n.read(f, progress)
+	p := &processLog{file: name, name: strings.TrimSuffix(name, filepath.Ext(name))}
+	return p, p.read(f, progress)
 }
 
+// unsolicited is part of a message that http.Transport logs directly, in another format.
 var unsolicited = []byte("Unsolicited response received on idle HTTP channel")
 
-func (n *node) read(from io.Reader, progress func(bytes int)) error {
+// read reads all lines of a log.
+func (p *processLog) read(from io.Reader, progress func(bytes int)) error {
 	lines := bufio.NewReaderSize(from, 64<<10)
-	r := record{known: map[string]string{}}
-	var tallied int64
+	parsed := record{interned: map[string]string{}}
+	var lastTally int64
 	bytesRead := 0
-	for number := 1; ; number++ {
-		line, long, err := next(lines)
+	for lineNumber := 1; ; lineNumber++ {
+		line, tooLong, err := readLine(lines)
 		if bytesRead += len(line) + 1; bytesRead > 1<<18 || err != nil {
 			progress(bytesRead)
 			bytesRead = 0
 		}
 		if err != nil && err != io.EOF {
-			return fmt.Errorf("%s: %w", n.file, err)
+			return fmt.Errorf("%s: %w", p.file, err)
 		}
 		if text := bytes.TrimSpace(line); bytes.Contains(text, unsolicited) {
-			n.others++ // what http.Transport says by itself
-		} else if long {
-			n.fault(number, fmt.Sprintf("a line of over %d bytes", mostLine))
+			p.libraryLines++
+		} else if tooLong {
+			p.addParseError(lineNumber, fmt.Sprintf("line exceeds %d bytes", maxLineBytes))
 		} else if len(text) > 0 {
-			if wrong := r.parse(text); wrong != nil {
-				n.fault(number, wrong.Error())
+			if parseErr := parsed.parse(text); parseErr != nil {
+				p.addParseError(lineNumber, parseErr.Error())
 			} else {
-				n.take(&r, &tallied)
+				p.add(&parsed, &lastTally)
 			}
 		}
 		if err == io.EOF {
@@ -176,47 +183,51 @@
 	}
 }
 
-// next reads a line; of one that is too long the rest is passed over.
-func next(from *bufio.Reader) (line []byte, long bool, err error) {
+// readLine reads a line. It skips the rest of a line of more than maxLineBytes.
+func readLine(from *bufio.Reader) (line []byte, tooLong bool, err error) {
 	for {
 		part, err := from.ReadSlice('\n')
-		if !long {
+		if !tooLong {
 			line = append(line, part...)
-			long = len(line) > mostLine
+			tooLong = len(line) > maxLineBytes
 		}
 		if err != bufio.ErrBufferFull {
-			return line, long, err
+			return line, tooLong, err
 		}
 	}
 }
 
-func (n *node) fault(line int, text string) {
-	if n.wrong++; len(n.faults) < mostFaults {
-		n.faults = append(n.faults, Fault{n.file, line, text})
+// addParseError counts a line that cannot be parsed, and records the first ones of a file.
+func (p *processLog) addParseError(line int, text string) {
+	if p.unreadLines++; len(p.parseErrors) < maxReportedErrors {
+		p.parseErrors = append(p.parseErrors, ParseError{p.file, line, text})
 	}
 }
 
-// record is one line: its time, its event and its fields in their order.
+// record is a parsed line: its time in Unix nanoseconds, its event and its fields in order. It is reused for all lines
+// of a file.
 type record struct {
-	at     int64
-	event  string
-	names  []string
-	values []string
-	known  map[string]string // texts that come again and again, kept once
-	json   fastjson.Parser
+	at       int64
+	event    string
+	names    []string
+	values   []string
+	interned map[string]string // frequent strings, stored once
+	json     fastjson.Parser
 }
 
-func (r *record) keep(text []byte) string {
-	if s, known := r.known[string(text)]; known {
+// intern returns a string that is shared with earlier equal ones. The table is limited to 16384 strings.
+func (r *record) intern(text []byte) string {
+	if s, known := r.interned[string(text)]; known {
 		return s
 	}
 	s := string(text)
-	if len(r.known) < 1<<14 {
-		r.known[s] = s
+	if len(r.interned) < 1<<14 {
+		r.interned[s] = s
 	}
 	return s
 }
 
+// get returns the value of a field, or "" without one.
 func (r *record) get(name string) string {
 	if k := slices.Index(r.names, name); k >= 0 {
 		return r.values[k]
@@ -225,16 +236,16 @@
 }
 
 func (r *record) add(name, value []byte) {
-	r.names, r.values = append(r.names, r.keep(name)), append(r.values, r.keep(value))
+	r.names, r.values = append(r.names, r.intern(name)), append(r.values, r.intern(value))
 }
 
-// parse reads a line of key=value text or of JSON.
+// parse parses a line of key=value text or of JSON.
 func (r *record) parse(text []byte) error {
 	r.names, r.values = r.names[:0], r.values[:0]
 	if text[0] == '{' {
 		v, err := r.json.ParseBytes(text)
 		if err != nil {
-			return errors.New("no JSON")
+			return errors.New("invalid JSON")
 		}
 		v.GetObject().Visit(func(name []byte, v *fastjson.Value) {
 			if v.Type() == fastjson.TypeString {
@@ -257,90 +268,91 @@
 	r.event = r.get("event")
 	at, err := time.Parse(time.RFC3339Nano, r.get("time"))
 	if err != nil || r.event == "" {
-		return errors.New("no line of a balancer's log: time or event is missing")
+		return errors.New("not a line of a balancer's log: time or event is missing")
 	}
 	r.at = at.UnixNano()
 	return nil
 }
 
-// stands are the figures that say how things stand and add up to nothing.
-var stands = map[string]bool{
+// gauges names the figures that describe a current state and must not be added up.
+var gauges = map[string]bool{
 	"room": true, "in_hand": true, "in_hand_mean": true, "line": true, "slow": true, "slow_base": true, "strength": true, "best": true,
 	"own": true, "aside": true, "cold": true, "bucket": true, "open": true, "clients": true, "upstream_connections": true,
 	"bytes_in_hand": true, "owed": true,
 }
 
-// take keeps what a line tells.
-func (n *node) take(r *record, tallied *int64) {
-	if n.lines++; n.first == 0 || r.at < n.first {
-		n.first = r.at
+// add adds the event or the figures of a line.
+func (p *processLog) add(line *record, lastTally *int64) {
+	if p.lines++; p.first == 0 || line.at < p.first {
+		p.first = line.at
 	}
-	n.last = max(n.last, r.at)
-	if *tallied == 0 {
-		*tallied = r.at
+	p.last = max(p.last, line.at)
+	if *lastTally == 0 {
+		*lastTally = line.at
 	}
-	e := event{at: r.at, upstream: r.get("upstream"), why: r.get("why")}
-	switch step := r.get("step"); r.event {
+	newEvent := event{at: line.at, upstream: line.get("upstream"), detail: line.get("why")}
+	switch step := line.get("step"); line.event {
 	case "start":
-		e.kind = "start"
-		n.name, n.tier = cmp.Or(r.get("name"), n.name), cmp.Or(r.get("tier"), n.tier)
-		if r.get("discovery") == "" && r.get("tier") == "" {
-			return // of a listener or of the second address
+		newEvent.kind = "start"
+		p.name, p.tier = cmp.Or(line.get("name"), p.name), cmp.Or(line.get("tier"), p.tier)
+		if line.get("discovery") == "" && line.get("tier") == "" {
+			return // start of a listener or of the administrative address
 		}
 	case "drain", "panic":
-		if e.kind = r.event; step != "" && step != "begin" {
+		if newEvent.kind = line.event; step != "" && step != "begin" {
 			return
 		}
 	case "reload":
-		if e.kind = r.event; step != "taken" {
+		if newEvent.kind = line.event; step != "taken" {
 			return
 		}
 	case "upstream":
-		if e.kind = step; step == "back" && r.get("cold") == "true" {
-			e.why = "cold"
+		if newEvent.kind = step; step == "back" && line.get("cold") == "true" {
+			newEvent.detail = "cold"
 		}
 	case "watch":
-		if e.kind = "list_" + step; step == "broken" {
-			e.why = r.get("fault")
+		if newEvent.kind = "list_" + step; step == "broken" {
+			newEvent.detail = line.get("fault")
 		}
-		e.index, _ = strconv.ParseInt(r.get("index"), 10, 64)
+		newEvent.index, _ = strconv.ParseInt(line.get("index"), 10, 64)
 	case "list":
-		e.kind = "list_" + step
-		if late, err := time.ParseDuration(r.get("late")); err == nil {
-			e.number = late.Seconds()
+		newEvent.kind = "list_" + step
+		if late, err := time.ParseDuration(line.get("late")); err == nil {
+			newEvent.value = late.Seconds()
 		}
 	case "cluster":
-		switch e.kind = "cluster_" + step; step {
+		switch newEvent.kind = "cluster_" + step; step {
 		case "member":
-			e.kind, e.why = "member_"+r.get("state"), r.get("member")
+			newEvent.kind, newEvent.detail = "member_"+line.get("state"), line.get("member")
 		case "over", "refused":
 		default:
 			return
 		}
 	case "losses", "tally":
-		n.figures(r, *tallied)
-		if r.event == "tally" {
-			*tallied = r.at
+		p.addFigures(line, *lastTally)
+		if line.event == "tally" {
+			*lastTally = line.at
 		}
 		return
 	default:
 		return
 	}
-	n.events = append(n.events, e)
+	p.events = append(p.events, newEvent)
 }
 
-func (n *node) figures(r *record, since int64) {
-	for k, name := range r.names {
-		v, err := strconv.ParseFloat(r.values[k], 64)
-		if err != nil || v == 0 || stands[name] {
+// addFigures adds the figures of a line. A tally covers at most the minute before it.
+func (p *processLog) addFigures(line *record, since int64) {
+	for k, name := range line.names {
+		value, err := strconv.ParseFloat(line.values[k], 64)
+		if err != nil || value == 0 || gauges[name] {
 			continue
 		}
-		s := sample{at: r.at, since: max(since, r.at-int64(time.Minute)), name: name, n: v}
-		if r.event == "losses" {
-			s.since = r.at - int64(time.Second)
-			n.losses = append(n.losses, s)
+		newSample := sample{at: line.at, since: max(since, line.at-int64(time.Minute)), name: name, value: value}
+		if line.event == "losses" {
+			newSample.since = line.at - int64(time.Second)
+			p.losses = append(p.losses, newSample)
 		} else {
-			n.tallies = append(n.tallies, s)
+			p.tallies = append(p.tallies, newSample)
 		}
 	}
 }
--- a/internal/httpwire/attempt.go
+++ b/internal/httpwire/attempt.go
@@ -205,7 +205,7 @@
 }
 
 // sendProbe reports whether an upstream answers a probe within twice the dial timeout.
-func (sh *shard) sendProbe(ctx context.Context, place roster.Place) bool {
+func (sh *shard) sendProbe(ctx context.Context, place roster.Endpoint) bool {
 	deadline := time.Now().Add(2 * sh.settings.Load().DialTimeout)
 	ctx, end := context.WithDeadline(ctx, deadline)
 	defer end()
--- a/internal/httpwire/httpwire_test.go
+++ b/internal/httpwire/httpwire_test.go
@@ -47,8 +47,8 @@
 }
 
 // placeOf returns the place of an upstream that listens at listener.
-func placeOf(listener net.Listener) roster.Place {
-	return roster.Place{Host: "u1", Address: listener.Addr().String(), Kept: new(atomic.Int32)}
+func placeOf(listener net.Listener) roster.Endpoint {
+	return roster.Endpoint{Host: "u1", Address: listener.Addr().String(), IdleConns: new(atomic.Int32)}
 }
 
 // FuzzRequest checks that every request is either refused with a valid error or forwarded as the client sent it,
@@ -129,7 +129,7 @@
 // repeated is deferred, other work is forfeited.
 func TestPanicInAttemptReportsAnOutcome(t *testing.T) {
 	front, sh := newTestFrontEnd(t)
-	sh.desk.List([]roster.Entry[string]{{Name: "u", Zone: "a", Up: logic.Upstream{Weight: 1}}}, true)
+	sh.desk.List([]roster.Entry[string]{{Name: "u", Zone: "a", Upstream: logic.Upstream{Weight: 1}}}, true)
 	sh.conns.transport = nil
 	t.Cleanup(func() { sh.conns.transport = &http.Transport{} })
 	for path, want := range map[string]int{"/view": http.StatusServiceUnavailable, "/load": http.StatusBadGateway} {
--- a/internal/httpwire/log.go
+++ b/internal/httpwire/log.go
@@ -127,9 +127,9 @@
 	pool.logState.ended = ended
 	if pool.settings.Load().Watch {
 		watched := sum.Watched
-		pool.log.Info("shape", "compared", watched.Compared, "elsewhere", watched.Elsewhere, "waiting", watched.Waiting,
-			"sooner", watched.Sooner, "copies", watched.Copies, "fewer", watched.Fewer,
-			"given_up", watched.GivenUp, "kept", watched.Kept)
+		pool.log.Info("shape", "compared", watched.Compared, "elsewhere", watched.OtherUpstream, "waiting", watched.Later,
+			"sooner", watched.Earlier, "copies", watched.MoreAttempts, "fewer", watched.FewerAttempts,
+			"given_up", watched.EndedInShadow, "kept", watched.OpenInShadow)
 	}
 	tracker := pool.front.tracker
 	_, out, bodies, refused := pool.limits.usage()
--- a/internal/httpwire/pool.go
+++ b/internal/httpwire/pool.go
@@ -159,17 +159,17 @@
 	var change roster.Change
 	for _, sh := range pool.shards {
 		change = sh.desk.List(entries, complete)
-		sh.conns.removeHosts(change.Left)
+		sh.conns.removeHosts(change.ReleasedHosts)
 	}
 	first := pool.hasList.Swap(true)
 	if late := time.Duration(0); !complete || !first ||
-		change.Joined+change.Ends+change.Gone > 0 || change.Odd != pool.invalidEntries {
-		pool.invalidEntries = change.Odd
-		if first && change.Born > 0 { // upstreams that started before the first list were not reported late
-			late = time.Since(time.Unix(0, change.Born))
+		change.Joined+change.Draining+change.Removed > 0 || change.Conflicts != pool.invalidEntries {
+		pool.invalidEntries = change.Conflicts
+		if first && change.NewestStart > 0 { // upstreams that started before the first list were not reported late
+			late = time.Since(time.Unix(0, change.NewestStart))
 		}
 		pool.log.Info("list", "step", "changed", "whole", complete, "entries", len(entries), "joined", change.Joined,
-			"draining", change.Ends, "gone", change.Gone, "listed", change.Listed, "odd", change.Odd,
+			"draining", change.Draining, "gone", change.Removed, "listed", change.Listed, "odd", change.Conflicts,
 			"late", late.Round(time.Millisecond))
 	}
 }
--- a/internal/httpwire/smuggling_test.go
+++ b/internal/httpwire/smuggling_test.go
@@ -69,7 +69,7 @@
 	front, sh := newTestFrontEnd(f)
 	upstream, parsed, malformed, hidden := strictUpstream(f)
 	sh.desk.List([]roster.Entry[string]{
-		{Name: "u", Zone: "a", Address: upstream.Addr().String(), Up: logic.Upstream{Weight: 1}},
+		{Name: "u", Zone: "a", Address: upstream.Addr().String(), Upstream: logic.Upstream{Weight: 1}},
 	}, true)
 	listener, err := front.Listen("main", "127.0.0.1:0")
 	if err != nil {
--- a/internal/httpwire/upstream_conn.go
+++ b/internal/httpwire/upstream_conn.go
@@ -46,13 +46,13 @@
 
 var errUnexpectedBytes = errors.New("unexpected bytes on the upstream connection outside of an exchange")
 
-func newUpstreamConn(tcpConn *net.TCPConn, owner *upstreamConns, place roster.Place) (*upstreamConn, error) {
+func newUpstreamConn(tcpConn *net.TCPConn, owner *upstreamConns, place roster.Endpoint) (*upstreamConn, error) {
 	raw, err := tcpConn.SyscallConn()
 	if err != nil {
 		return nil, err
 	}
 	conn := &upstreamConn{trackedConn: trackedConn{TCPConn: tcpConn, count: &owner.tracker.upstreams}, owner: owner,
-		host: place.Host, rawConn: raw, idleCount: place.Kept}
+		host: place.Host, rawConn: raw, idleCount: place.IdleConns}
 	conn.changed = sync.NewCond(&conn.mu)
 	conn.setIdle(true)
 	return conn, nil
--- a/internal/httpwire/upstream_conns.go
+++ b/internal/httpwire/upstream_conns.go
@@ -62,14 +62,14 @@
 
 // target is the destination and deadline of a connection attempt.
 type target struct {
-	roster.Place
+	roster.Endpoint
 	deadline time.Time
 	probe    bool
 }
 
 // withTarget returns a context that carries the address for a dial. The connection pool of http.Transport is keyed
 // by host.
-func withTarget(ctx context.Context, place roster.Place, deadline time.Time, probe bool) context.Context {
+func withTarget(ctx context.Context, place roster.Endpoint, deadline time.Time, probe bool) context.Context {
 	return context.WithValue(ctx, targetKey{}, target{place, deadline, probe})
 }
 
@@ -101,7 +101,7 @@
 				}
 				return nil, err
 			}
-			conn, err := newUpstreamConn(tcpConn.(*net.TCPConn), conns, dest.Place)
+			conn, err := newUpstreamConn(tcpConn.(*net.TCPConn), conns, dest.Endpoint)
 			removed := finishDial()
 			if err != nil {
 				conns.release()
--- a/internal/process/ledger.go
+++ b/internal/process/ledger.go
@@ -13,52 +13,54 @@
 	"ottershift/logic"
 )
 
-// claiming has what must not run twice claimed, as the settings in force say.
-func (s *Process) claiming() {
-	if s.fleet == nil {
+// configureClaims turns claims of transactions that must not run twice on or off, according to the current settings.
+func (proc *Process) configureClaims() {
+	if proc.membership == nil {
 		return
 	}
-	if l := s.fleet.Ledger(); l != nil {
-		s.front.SetOwnershipRegistry(&claims{l, s.fleet.Settings()})
+	if ledger := proc.membership.Ledger(); ledger != nil {
+		proc.front.SetOwnershipRegistry(&ledgerClaims{ledger, proc.membership.Settings()})
 	} else {
-		s.front.SetOwnershipRegistry(nil)
+		proc.front.SetOwnershipRegistry(nil)
 	}
 }
 
-// claims put the front's words into the ledger's.
-type claims struct {
-	l *ledger.Ledger
-	s *config.Settings
+// ledgerClaims translates the claims of the HTTP front end to those of the ledger.
+type ledgerClaims struct {
+	ledger   *ledger.Ledger
+	settings *config.Settings
 }
 
-// Begin implements httpwire.Claims.
-func (x *claims) Begin(q httpwire.OwnershipRequest) httpwire.Ownership {
-	f := q.Settings
-	a := ledger.Request{
-		Pool: q.Pool, Customer: q.Customer, Tariff: q.Tariff, IdempotencyKey: q.IdempotencyKey, ID: q.ID, OnceOnly: f.Idempotency == logic.NonIdempotent, ContractTime: time.Duration(f.ContractTime),
-		BodyHash: q.BodyHash, IsRetry: q.ClientRetry, GroupScoped: f.Idempotency == logic.Keyed && f.DedupScope != logic.Everywhere,
+// Begin creates the claim of a transaction. It implements httpwire.Claims.
+func (c *ledgerClaims) Begin(request httpwire.OwnershipRequest) httpwire.Ownership {
+	tariff := request.Settings
+	ask := ledger.Request{
+		Pool: request.Pool, Customer: request.Customer, Tariff: request.Tariff, IdempotencyKey: request.IdempotencyKey, ID: request.ID,
+		OnceOnly: tariff.Idempotency == logic.NonIdempotent, ContractTime: time.Duration(tariff.ContractTime),
+		BodyHash: request.BodyHash, IsRetry: request.ClientRetry, GroupScoped: tariff.Idempotency == logic.Keyed && tariff.DedupScope != logic.Everywhere,
 	}
-	window := time.Duration(f.DedupWindow)
-	if a.OnceOnly {
-		window = max(window, x.s.Ledger.OnceFor)
+	window := time.Duration(tariff.DedupWindow)
+	if ask.OnceOnly {
+		window = max(window, c.settings.Ledger.OnceFor)
 	}
-	a.Retention = x.s.Kept(window, time.Duration(f.HardStop))
-	return &held{x.l.NewClaim(a, q.Timeout), f}
+	ask.Retention = c.settings.Kept(window, time.Duration(tariff.HardStop))
+	return &transactionClaim{c.ledger.NewClaim(ask, request.Timeout), tariff}
 }
 
-// held is one transaction's claim.
-type held struct {
+// transactionClaim is the claim of one transaction. It implements httpwire.Claim.
+type transactionClaim struct {
 	*ledger.Claim
-	f *logic.Tariff
+	tariff *logic.Tariff
 }
 
-// Check implements httpwire.Claim, as do the methods below.
-func (h *held) Check(ctx context.Context) (*desk.Location, httpwire.Admission) {
-	w := h.Claim.Check(ctx)
-	switch w.Action {
+// Check asks the ledger whether the transaction may run, and returns the location that it is bound to, or nil if it may
+// run anywhere.
+func (c *transactionClaim) Check(ctx context.Context) (*desk.Location, httpwire.Admission) {
+	permit := c.Claim.Check(ctx)
+	switch permit.Action {
 	case ledger.ActionSend:
-		if w.Bound {
-			return h.bound(w.Group), httpwire.Admit
+		if permit.Bound {
+			return c.groupLocation(permit.Group), httpwire.Admit
 		}
 		return nil, httpwire.Admit
 	case ledger.ActionForfeit:
@@ -69,32 +71,36 @@
 	return nil, httpwire.Defer
 }
 
-// group names the upstreams that know a transaction's repeats, "" where that binds nothing.
-func (h *held) group(zone string, cell int) string {
+// groupName returns the name of the group of upstreams that recognise repeats of the transaction, or "" if a repeat may
+// go to any upstream.
+func (c *transactionClaim) groupName(zone string, cell int) string {
 	switch {
-	case h.f.Idempotency != logic.Keyed || h.f.DedupScope == logic.Everywhere:
+	case c.tariff.Idempotency != logic.Keyed || c.tariff.DedupScope == logic.Everywhere:
 		return ""
-	case h.f.DedupScope == logic.SameZone:
+	case c.tariff.DedupScope == logic.SameZone:
 		return zone
 	}
 	return zone + "/" + strconv.Itoa(cell)
 }
 
-func (h *held) bound(group string) *desk.Location {
-	if h.f.DedupScope == logic.SameZone {
+// groupLocation is the inverse of groupName.
+func (c *transactionClaim) groupLocation(group string) *desk.Location {
+	if c.tariff.DedupScope == logic.SameZone {
 		return &desk.Location{Zone: group}
 	}
-	i := max(0, strings.LastIndexByte(group, '/'))
-	cell, _ := strconv.Atoi(group[min(i+1, len(group)):])
-	return &desk.Location{Zone: group[:i], Cell: cell}
+	separator := max(0, strings.LastIndexByte(group, '/'))
+	cell, _ := strconv.Atoi(group[min(separator+1, len(group)):])
+	return &desk.Location{Zone: group[:separator], Cell: cell}
 }
 
-func (h *held) Acquire(ctx context.Context, to *desk.Attempt, moves bool) error {
-	return h.Claim.Acquire(ctx, h.group(to.Zone, to.Cell), ledger.Truncate(to.Name), moves)
+// Acquire claims the transaction for an attempt.
+func (c *transactionClaim) Acquire(ctx context.Context, to *desk.Attempt, moved bool) error {
+	return c.Claim.Acquire(ctx, c.groupName(to.Zone, to.Cell), ledger.Truncate(to.Name), moved)
 }
 
-func (h *held) Release(how httpwire.Completion) {
-	h.Claim.Release(map[httpwire.Completion]byte{
+// Release reports the outcome of the transaction to the ledger.
+func (c *transactionClaim) Release(outcome httpwire.Completion) {
+	c.Claim.Release(map[httpwire.Completion]byte{
 		httpwire.NeverRan: ledger.OutcomeNeverRan, httpwire.Answered: ledger.OutcomeAnswered, httpwire.MayHaveRun: ledger.OutcomeUnknown,
-	}[how])
+	}[outcome])
 }
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -1,5 +1,5 @@
-// Package process puts a plan to work: it makes the front, its listeners, the pools and the sources of their lists, and
-// changes all of them in service when another plan comes.
+// Package process runs a balancer according to a configuration. It creates the HTTP front end, its listeners, the pools
+// and the sources of their upstream lists, and changes all of them in service when the configuration is reloaded.
 package process
 
 import (
@@ -34,510 +34,531 @@
 	"ottershift/internal/roster"
 )
 
-// Process is what runs.
+// Process is a running balancer process.
 type Process struct {
-	log, own *slog.Logger
-	level    *slog.LevelVar
-	seed     uint64
-	counts   figures.Process
-	ops      *ops.Server
-	seat     *relay.Slot // among the processes of this balancer, nil where it is replaced by nobody
-	beside   int         // processes that are this balancer, this one included
-	end      context.CancelFunc
-	front    *httpwire.FrontEnd
-	plan     *plan.Plan
-	ended    chan error
-	fleet    *fleet // nil without [cluster]
+	log, eventLog  *slog.Logger
+	logLevel       *slog.LevelVar
+	seed           uint64
+	counters       figures.Process
+	ops            *ops.Server
+	relaySeat      *relay.Slot // registration among the processes of this balancer, nil without an inherited listener
+	processCount   int         // processes that act as this balancer, this one included
+	cancel         context.CancelFunc
+	front          *httpwire.FrontEnd
+	plan           *plan.Plan
+	listenerErrors chan error
+	membership     *membership // nil if the configuration has no [cluster]
 
 	mu        sync.Mutex
 	pools     map[string]*pool
 	listeners map[string]*httpwire.Listener // by address
-	links     map[string]*peers.Link        // to other balancers, by the address here
+	peerLinks map[string]*peers.Link        // links to other balancers, by local address
 	retiring  sync.WaitGroup
 }
 
-// pool is a pool of the plan that is in force.
+// pool is a pool of the current configuration.
 type pool struct {
 	*httpwire.Pool
-	told  *plan.Pool
-	watch *discovery.Watch   // if it follows discovery
-	stop  context.CancelFunc // ends the source of its list
-	link  *peers.Link        // to the others, if they tell one another what they hold
-	route *peers.Route
-	among []string      // members that count as its balancers, where the cluster says
-	heard chan struct{} // closed once its source has told something
-	once  sync.Once
+	settings     *plan.Pool
+	subscription *discovery.Watch   // set if the list comes from discovery
+	stopList     context.CancelFunc // stops the source of the upstream list
+	peerLink     *peers.Link        // link to the other balancers, if they exchange load reports
+	peerRoute    *peers.Route
+	memberNames  []string      // cluster members that count as balancers of the pool
+	listReceived chan struct{} // closed after the first update from the list source
+	receivedOnce sync.Once
 }
 
-const mostUnheard = 1500 * time.Millisecond // that a list is waited for before clients are taken
+// maxListWait limits how long a process waits for a list before it accepts clients.
+const maxListWait = 1500 * time.Millisecond
 
-// Start puts a plan to work. Nothing of it is left if that fails.
+// Start runs a configuration. If it fails, everything that it has started is stopped.
 func Start(p *plan.Plan, log *slog.Logger, level *slog.LevelVar) (*Process, error) {
-	return StartWith(p, log, level, desk.NewBalancer)
+	return StartWithEngine(p, log, level, desk.NewBalancer)
 }
 
-// StartWith does so with another module, for the lab.
-func StartWith(p *plan.Plan, log *slog.Logger, level *slog.LevelVar, module desk.EngineFactory) (*Process, error) {
-	s := &Process{
-		log: log, own: logs.Own(log), level: level, seed: p.Seed, front: httpwire.New(log, module), plan: &plan.Plan{},
-		ended: make(chan error, 1), pools: map[string]*pool{}, listeners: map[string]*httpwire.Listener{}, links: map[string]*peers.Link{},
-	}
-	if s.seed == 0 {
-		s.seed = rand.Uint64()
-	}
-	s.beside = 1
-	ctx, end := context.WithCancel(context.Background())
-	s.end = end
+// StartWithEngine is like Start with another decision engine, for simulations.
+func StartWithEngine(p *plan.Plan, log *slog.Logger, level *slog.LevelVar, newEngine desk.EngineFactory) (*Process, error) {
+	proc := &Process{
+		log: log, eventLog: logs.Own(log), logLevel: level, seed: p.Seed, front: httpwire.New(log, newEngine), plan: &plan.Plan{},
+		listenerErrors: make(chan error, 1), pools: map[string]*pool{}, listeners: map[string]*httpwire.Listener{},
+		peerLinks: map[string]*peers.Link{},
+	}
+	if proc.seed == 0 {
+		proc.seed = rand.Uint64()
+	}
+	proc.processCount = 1
+	ctx, cancel := context.WithCancel(context.Background())
+	proc.cancel = cancel
 	if slices.ContainsFunc(p.Listeners, func(l plan.Listener) bool { return l.Inherited > 0 }) {
 		var err error
-		if s.seat, err = relay.Acquire(os.TempDir(), p.Name); err != nil {
-			s.own.Warn("relay", "step", "alone", "fault", err)
+		if proc.relaySeat, err = relay.Acquire(os.TempDir(), p.Name); err != nil {
+			proc.eventLog.Warn("relay", "step", "alone", "fault", err)
 		} else {
-			s.beside = s.seat.Count()
+			proc.processCount = proc.relaySeat.Count()
 		}
 	}
 	if p.Ops != "" {
 		var err error
-		if s.ops, err = ops.Open(p.Ops, s); err != nil {
-			s.finish()
+		if proc.ops, err = ops.Open(p.Ops, proc); err != nil {
+			proc.stopServices()
 			return nil, fmt.Errorf("ops: %w", err)
 		}
 	}
-	if err := s.joinCluster(p); err != nil {
-		s.finish()
+	if err := proc.joinCluster(p); err != nil {
+		proc.stopServices()
 		return nil, err
 	}
-	if err := s.change(p); err != nil {
-		s.finish()
+	if err := proc.apply(p); err != nil {
+		proc.stopServices()
 		return nil, err
 	}
-	if s.seat != nil {
-		go s.seat.Watch(ctx, s.share)
+	if proc.relaySeat != nil {
+		go proc.relaySeat.Watch(ctx, proc.setProcessCount)
 	}
-	return s, nil
+	return proc, nil
 }
 
-// finish ends what is there besides pools and listeners.
-func (s *Process) finish() {
-	s.end()
-	if s.ops != nil {
-		s.ops.Close()
+// stopServices stops everything other than pools and listeners.
+func (proc *Process) stopServices() {
+	proc.cancel()
+	if proc.ops != nil {
+		proc.ops.Close()
 	}
-	if s.fleet != nil {
-		s.fleet.close()
+	if proc.membership != nil {
+		proc.membership.close()
 	}
-	if s.seat != nil {
-		s.seat.Release()
+	if proc.relaySeat != nil {
+		proc.relaySeat.Release()
 	}
 }
 
-// share has the process keep to its part of what all processes of this balancer may hold together.
-func (s *Process) share(beside int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.own.Info("relay", "step", "counted", "processes", beside)
-	s.beside = beside
-	s.limit(s.plan)
-	for _, p := range s.pools {
-		p.SetProcesses(beside)
-	}
-	if s.plan.Platform {
-		s.front.SetUnlimited(s.plan.Limits.Bodies / int64(beside))
+// setProcessCount sets how many processes act as this balancer, and limits this process to its share of the balancer's
+// resources.
+func (proc *Process) setProcessCount(count int) {
+	proc.mu.Lock()
+	defer proc.mu.Unlock()
+	proc.eventLog.Info("relay", "step", "counted", "processes", count)
+	proc.processCount = count
+	proc.applyLimits(proc.plan)
+	for _, p := range proc.pools {
+		p.SetProcesses(count)
+	}
+	if proc.plan.Platform {
+		proc.front.SetUnlimited(proc.plan.Limits.Bodies / int64(count))
 	}
 }
 
-// Health implements ops.Balancer, as do the methods below.
-func (s *Process) Health() error { return s.front.Ready() }
+// Health returns nil if the process accepts clients, else the reason why it does not. It implements ops.Balancer.
+func (proc *Process) Health() error { return proc.front.Ready() }
 
-// Figures writes what has become of transactions and pushes so far.
-func (s *Process) Figures(to io.Writer) error {
-	s.mu.Lock()
-	platform := s.plan.Platform
-	pools := slices.Collect(maps.Values(s.pools))
-	s.mu.Unlock()
+// WriteFigures writes the metrics of the process. It implements ops.Balancer.
+func (proc *Process) WriteFigures(to io.Writer) error {
+	proc.mu.Lock()
+	platform := proc.plan.Platform
+	pools := slices.Collect(maps.Values(proc.pools))
+	proc.mu.Unlock()
 	var views []figures.View
 	for _, p := range pools {
-		v := p.View()
+		view := p.View()
 		if platform {
-			v.Name = ""
+			view.Name = ""
 		}
-		views = append(views, v)
+		views = append(views, view)
 	}
 	slices.SortFunc(views, func(a, b figures.View) int { return cmp.Compare(a.Name, b.Name) })
-	if err := figures.Write(to, &s.counts, views); err != nil {
+	if err := figures.Write(to, &proc.counters, views); err != nil {
 		return err
 	}
-	if f := s.inFleet(); f != nil {
-		f.Figures(to)
+	if m := proc.clusterMembership(); m != nil {
+		m.Figures(to)
 	}
 	return nil
 }
 
-// Leave has clients go elsewhere, until Join.
-func (s *Process) Leave() error { return s.leaving(true, s.front.Leave()) }
+// Leave makes health checks fail and ends client connections until Join, so that clients go elsewhere. It implements
+// ops.Balancer.
+func (proc *Process) Leave() error { return proc.announceLeaving(true, proc.front.Leave()) }
 
-// Join takes clients again.
-func (s *Process) Join() error { return s.leaving(false, s.front.Join()) }
+// Join reverts Leave. It implements ops.Balancer.
+func (proc *Process) Join() error { return proc.announceLeaving(false, proc.front.Join()) }
 
-// Ended tells why a listener ended by itself.
-func (s *Process) Ended() <-chan error { return s.ended }
+// ListenerErrors returns the channel that receives the error of a listener that failed.
+func (proc *Process) ListenerErrors() <-chan error { return proc.listenerErrors }
 
-// Drain serves to the end what has been taken. The process is to exit after it.
-func (s *Process) Drain() {
+// Drain stops accepting clients and waits for the open transactions to finish. The process has to exit afterwards.
+func (proc *Process) Drain() {
 	var relayed []*httpwire.Listener
-	if s.seat != nil && s.seat.Count() > 1 {
-		s.mu.Lock()
-		relayed = slices.Collect(maps.Values(s.listeners))
-		s.mu.Unlock()
+	if proc.relaySeat != nil && proc.relaySeat.Count() > 1 {
+		proc.mu.Lock()
+		relayed = slices.Collect(maps.Values(proc.listeners))
+		proc.mu.Unlock()
 	}
-	s.leaving(true, nil)
-	s.front.Drain(relayed...)
-	if f := s.inFleet(); f != nil {
-		f.leave()
+	proc.announceLeaving(true, nil)
+	proc.front.Drain(relayed...)
+	if m := proc.clusterMembership(); m != nil {
+		m.closeWithTimeout()
 	}
 }
 
-// Close gives back all that is left after a drain, for those that go on.
-func (s *Process) Close() {
-	s.mu.Lock()
-	pools := s.pools
-	s.pools = nil
-	s.mu.Unlock()
+// Close releases what is left after Drain. Only callers that continue to run without exiting need it.
+func (proc *Process) Close() {
+	proc.mu.Lock()
+	pools := proc.pools
+	proc.pools = nil
+	proc.mu.Unlock()
 	for _, p := range pools {
-		s.retire(p)
+		proc.retire(p)
 	}
-	s.retiring.Wait()
-	for _, l := range s.links {
+	proc.retiring.Wait()
+	for _, l := range proc.peerLinks {
 		l.Close()
 	}
-	s.finish()
+	proc.stopServices()
 }
 
-// Reload puts another plan in force, all of it or nothing; a plan that could not be read is counted by Refused.
-func (s *Process) Reload(p *plan.Plan) error {
-	start, before, cores := time.Now(), s.plan, p.Limits.Cores
-	change := s.change
+// Reload switches to another configuration, completely or not at all. Configurations that cannot be parsed are counted
+// with CountInvalidConfig instead.
+func (proc *Process) Reload(p *plan.Plan) error {
+	start, before, cores := time.Now(), proc.plan, p.Limits.Cores
+	apply := proc.apply
 	if p.Platform {
-		change = s.retune
+		apply = proc.applyToPlatformPool
 	}
-	if err := change(p); err != nil {
+	if err := apply(p); err != nil {
 		return err
 	}
-	s.counts.Loaded.Add(1)
-	s.own.Info("reload", "step", "taken", "pools", len(p.Pools), "routes", len(p.Routes), "listeners", len(p.Listeners),
+	proc.counters.Loaded.Add(1)
+	proc.eventLog.Info("reload", "step", "taken", "pools", len(p.Pools), "routes", len(p.Routes), "listeners", len(p.Listeners),
 		"pools_before", len(before.Pools), "took", time.Since(start).Round(time.Microsecond))
-	later := func(key string, changed bool) {
+	warnIfChanged := func(key string, changed bool) {
 		if changed {
-			s.own.Warn("reload", "step", "later", "key", key, "fault", "takes effect at the next start")
+			proc.eventLog.Warn("reload", "step", "later", "key", key, "fault", "takes effect at the next start")
 		}
 	}
-	later("log.format", p.Log.Format != before.Log.Format)
-	later("ops", p.Ops != before.Ops)
-	s.reloadCluster(before, p, later)
+	warnIfChanged("log.format", p.Log.Format != before.Log.Format)
+	warnIfChanged("ops", p.Ops != before.Ops)
+	proc.reloadCluster(before, p, warnIfChanged)
 	if p.Platform {
-		later("listen", p.Listeners[0].Address != before.Listeners[0].Address)
-		later("limits.cores", cores != before.Limits.Cores)
-		later("name", p.Name != before.Name)
+		warnIfChanged("listen", p.Listeners[0].Address != before.Listeners[0].Address)
+		warnIfChanged("limits.cores", cores != before.Limits.Cores)
+		warnIfChanged("name", p.Name != before.Name)
 	}
 	return nil
 }
 
-// Refused counts a file that made no sense.
-func (s *Process) Refused() { s.counts.Invalid.Add(1) }
+// CountInvalidConfig counts a configuration file that could not be parsed.
+func (proc *Process) CountInvalidConfig() { proc.counters.Invalid.Add(1) }
 
-// retune goes from one plan of the platform's to another: its pool stays, and with it all that it has learnt. What was
-// said at the start of listeners, cores and the second address stays.
-func (s *Process) retune(p *plan.Plan) error {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if key := p.Lacks(s.plan); key != "" {
+// applyToPlatformPool switches to another configuration in the platform's format. The pool is kept with its learned
+// state. Listeners, the number of cores and the administrative address stay as they were at the start.
+func (proc *Process) applyToPlatformPool(p *plan.Plan) error {
+	proc.mu.Lock()
+	defer proc.mu.Unlock()
+	if key := p.Lacks(proc.plan); key != "" {
 		return fmt.Errorf("%s is missing", key)
 	}
-	now, told := s.pools[p.Pools[0].Name], p.Pools[0]
-	if now.told.Print != told.Print {
-		if err := now.Reconfigure(told.Book); err != nil {
+	current, settings := proc.pools[p.Pools[0].Name], p.Pools[0]
+	if current.settings.Print != settings.Print {
+		if err := current.Reconfigure(settings.Book); err != nil {
 			return err
 		}
-		s.own.Info("reload", "step", "terms", "tariffs", len(told.Book.Tariffs), "attempts", told.Book.Terms.MaxAttempts)
-	}
-	to := told.List.Discovery
-	s.own.Info("reload", "step", "list", "discovery", to, "moved", now.watch.Move(to))
-	now.told = told
-	p.Limits.Cores = s.plan.Limits.Cores
-	s.plan = p
-	s.limit(s.plan)
-	s.front.SetUnlimited(s.plan.Limits.Bodies / int64(s.beside))
+		proc.eventLog.Info("reload", "step", "terms", "tariffs", len(settings.Book.Tariffs),
+			"attempts", settings.Book.Terms.MaxAttempts)
+	}
+	address := settings.List.Discovery
+	proc.eventLog.Info("reload", "step", "list", "discovery", address, "moved", current.subscription.Move(address))
+	current.settings = settings
+	p.Limits.Cores = proc.plan.Limits.Cores
+	proc.plan = p
+	proc.applyLimits(proc.plan)
+	proc.front.SetUnlimited(proc.plan.Limits.Bodies / int64(proc.processCount))
 	return nil
 }
 
-// change goes from the plan in force to another. First comes all that may fail, and is undone if anything does.
-func (s *Process) change(p *plan.Plan) (err error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.limit(p)
+// apply switches from the current configuration to another. All steps that can fail come first, and are undone if one
+// fails.
+func (proc *Process) apply(p *plan.Plan) (err error) {
+	proc.mu.Lock()
+	defer proc.mu.Unlock()
+	proc.applyLimits(p)
 	var opened []*httpwire.Listener
-	made := map[string]*pool{}
+	created := map[string]*pool{}
 	links := map[string]*peers.Link{}
 	defer func() {
 		if err == nil {
 			return
 		}
-		s.limit(s.plan)
+		proc.applyLimits(proc.plan)
 		for _, l := range opened {
-			s.front.CloseListener(l)
+			proc.front.CloseListener(l)
 		}
-		for _, n := range made {
-			s.retire(n)
+		for _, target := range created {
+			proc.retire(target)
 		}
-		for at, l := range links {
-			if l != s.links[at] {
+		for address, l := range links {
+			if l != proc.peerLinks[address] {
 				l.Close()
 			}
 		}
 	}()
-	wanted := map[string]*httpwire.Listener{}
+	listeners := map[string]*httpwire.Listener{}
 	for _, l := range p.Listeners {
-		wanted[l.Address] = s.listeners[l.Address]
-		if wanted[l.Address] == nil {
-			var n *httpwire.Listener
+		listeners[l.Address] = proc.listeners[l.Address]
+		if listeners[l.Address] == nil {
+			var listener *httpwire.Listener
 			if l.Inherited > 0 {
-				if n, err = s.front.Inherit(l.Name, l.Address, l.Inherited); err != nil {
+				if listener, err = proc.front.Inherit(l.Name, l.Address, l.Inherited); err != nil {
 					return fmt.Errorf("PROXY_LISTEN_FD: %w", err)
 				}
-			} else if n, err = s.front.Listen(l.Name, l.Address); err != nil {
+			} else if listener, err = proc.front.Listen(l.Name, l.Address); err != nil {
 				return err
 			}
-			opened, wanted[l.Address] = append(opened, n), n
+			opened, listeners[l.Address] = append(opened, listener), listener
 		}
 	}
-	pools, retuned := map[string]*pool{}, map[string]bool{}
-	for _, told := range p.Pools {
-		if at := here(told); at != "" {
-			if links[at] = s.links[at]; links[at] == nil {
-				if links[at], err = peers.Open(at); err != nil {
-					delete(links, at)
-					return fmt.Errorf("pool %s: %w", told.Name, err)
+	pools, reconfigured := map[string]*pool{}, map[string]bool{}
+	for _, settings := range p.Pools {
+		if address := ownPeerAddress(settings); address != "" {
+			if links[address] = proc.peerLinks[address]; links[address] == nil {
+				if links[address], err = peers.Open(address); err != nil {
+					delete(links, address)
+					return fmt.Errorf("pool %s: %w", settings.Name, err)
 				}
 			}
 		}
-		if now := s.pools[told.Name]; now != nil && now.told.Print == told.Print && now.Shards() == p.Limits.Cores {
-			pools[told.Name] = now
+		if current := proc.pools[settings.Name]; current != nil && current.settings.Print == settings.Print &&
+			current.Shards() == p.Limits.Cores {
+			pools[settings.Name] = current
 			continue
 		}
-		// Danger: made anew it would know nothing of its upstreams, and feed cold ones beside its predecessor.
-		if now := s.pools[told.Name]; now != nil && now.Shards() == p.Limits.Cores && now.told.Book.Fits(told.Book) {
-			if err := told.Book.Terms.Validate(); err != nil {
-				return fmt.Errorf("pool %s: %w", told.Name, err)
+		// A new pool would know nothing about its upstreams, and would send load to cold ones in addition to the old
+		// pool. Hence the existing one is reconfigured where that is possible.
+		if current := proc.pools[settings.Name]; current != nil && current.Shards() == p.Limits.Cores &&
+			current.settings.Book.Fits(settings.Book) {
+			if err := settings.Book.Terms.Validate(); err != nil {
+				return fmt.Errorf("pool %s: %w", settings.Name, err)
 			}
-			pools[told.Name], retuned[told.Name] = now, true
+			pools[settings.Name], reconfigured[settings.Name] = current, true
 			continue
 		}
-		n, err := s.make(told)
+		target, err := proc.newPool(settings)
 		if err != nil {
-			return fmt.Errorf("pool %s: %w", told.Name, err)
+			return fmt.Errorf("pool %s: %w", settings.Name, err)
 		}
-		made[told.Name], pools[told.Name] = n, n
-		if n.link = links[here(told)]; n.link != nil {
-			if n.route, err = peers.NewRoute(told.Name, told.Book.Peers, n.Shards(), n.Pool); err != nil {
-				return fmt.Errorf("pool %s: %w", told.Name, err)
+		created[settings.Name], pools[settings.Name] = target, target
+		if target.peerLink = links[ownPeerAddress(settings)]; target.peerLink != nil {
+			if target.peerRoute, err = peers.NewRoute(settings.Name, settings.Book.Peers, target.Shards(), target.Pool); err != nil {
+				return fmt.Errorf("pool %s: %w", settings.Name, err)
 			}
 		}
 	}
 
-	// From here on nothing fails. Danger: a pool that is shown before it has a list would refuse all that comes.
-	for name, n := range made {
-		first := n.told.List.Fixed
-		if n.told.List.File != "" {
-			first, _ = listfile.Read(n.told.List.File) // its source says what is wrong with it
+	// No step below can fail. New pools get a list before requests are routed to them, since a pool without one rejects
+	// all.
+	for name, target := range created {
+		initial := target.settings.List.Fixed
+		if target.settings.List.File != "" {
+			initial, _ = listfile.Read(target.settings.List.File) // errors are reported by the list source
 		}
-		if n.told.List.Discovery != "" {
-			if first = n.told.List.Known.Entries; s.pools[name] != nil {
-				first = s.pools[name].Entries()
+		if target.settings.List.Discovery != "" {
+			if initial = target.settings.List.Known.Entries; proc.pools[name] != nil {
+				initial = proc.pools[name].Entries()
 			}
 		}
-		if len(first) > 0 {
-			n.Pool.List(first, true)
+		if len(initial) > 0 {
+			target.Pool.List(initial, true)
 		}
 	}
-	for _, told := range p.Pools {
-		if retuned[told.Name] {
-			book, _, _ := s.among(told)
-			if err := pools[told.Name].Reconfigure(book); err != nil {
-				s.own.Error("reload", "step", "terms", "pool", told.Name, "fault", err) // a fault of ours: it was checked
+	for _, settings := range p.Pools {
+		if reconfigured[settings.Name] {
+			book, _, _ := proc.effectiveBook(settings)
+			if err := pools[settings.Name].Reconfigure(book); err != nil {
+				// This is a bug, since the settings were validated above.
+				proc.eventLog.Error("reload", "step", "terms", "pool", settings.Name, "fault", err)
 			}
 		}
 	}
 	board := &httpwire.Routing{Table: p.Table, Pools: map[string]*httpwire.Pool{}}
-	parts := map[*httpwire.Pool]httpwire.Share{}
-	for _, told := range p.Pools {
-		n := pools[told.Name]
-		board.Pools[told.Name] = n.Pool
-		parts[n.Pool] = httpwire.Share{Guarantee: told.Share, Transactions: told.Open, Connections: told.Connections, Bodies: told.Bodies}
+	shares := map[*httpwire.Pool]httpwire.Share{}
+	for _, settings := range p.Pools {
+		target := pools[settings.Name]
+		board.Pools[settings.Name] = target.Pool
+		shares[target.Pool] = httpwire.Share{
+			Guarantee: settings.Share, Transactions: settings.Open, Connections: settings.Connections, Bodies: settings.Bodies,
+		}
 		if p.Platform {
-			board.SinglePool = n.Pool
+			board.SinglePool = target.Pool
 		}
 	}
 	if p.Platform {
-		s.front.SetUnlimited(p.Limits.Bodies / int64(s.beside))
+		proc.front.SetUnlimited(p.Limits.Bodies / int64(proc.processCount))
 	} else {
-		s.front.SetShares(p.Limits.Bodies, p.Limits.Within, p.Limits.Refusals, parts)
+		proc.front.SetShares(p.Limits.Bodies, p.Limits.Within, p.Limits.Refusals, shares)
 	}
-	s.front.SetRouting(board)
-	for _, told := range p.Pools {
-		n, kept := pools[told.Name], made[told.Name] == nil
-		if !kept || !same(n.told.List, told.List) {
-			s.follow(n, told.List, kept)
+	proc.front.SetRouting(board)
+	for _, settings := range p.Pools {
+		target, kept := pools[settings.Name], created[settings.Name] == nil
+		if !kept || !sameList(target.settings.List, settings.List) {
+			proc.followList(target, settings.List, kept)
 		}
-		n.told = told
+		target.settings = settings
 	}
-	for _, n := range made {
-		if n.link != nil {
-			n.link.Follow(n.route)
-			n.SetReportSender(n.link)
+	for _, target := range created {
+		if target.peerLink != nil {
+			target.peerLink.Follow(target.peerRoute)
+			target.SetReportSender(target.peerLink)
 		}
 	}
-	for address, old := range s.links {
+	for address, old := range proc.peerLinks {
 		if links[address] != old {
 			old.Close()
 		}
 	}
-	s.links = links
-	for name, old := range s.pools {
+	proc.peerLinks = links
+	for name, old := range proc.pools {
 		if pools[name] != old {
-			old.SetReportSender(nil) // Danger: its successor speaks under the same number
-			s.retire(old)
+			old.SetReportSender(nil) // its successor sends load reports under the same balancer index
+			proc.retire(old)
 		}
 	}
 	for _, l := range p.Listeners {
-		n := wanted[l.Address]
-		n.Rename(l.Name)
-		if s.listeners[l.Address] == nil {
-			heard := make(chan struct{})
-			if close(heard); l.Inherited > 0 && s.beside > 1 {
-				heard = pools[p.Pools[0].Name].heard
+		listener := listeners[l.Address]
+		listener.Rename(l.Name)
+		if proc.listeners[l.Address] == nil {
+			ready := make(chan struct{})
+			if close(ready); l.Inherited > 0 && proc.processCount > 1 {
+				ready = pools[p.Pools[0].Name].listReceived
 			}
 			go func() {
-				// Danger: the process before has newer news of the list than what is known from before.
+				// The process that serves at present knows a newer list than the one that this process was started
+				// with.
 				select {
-				case <-heard:
-				case <-time.After(mostUnheard):
+				case <-ready:
+				case <-time.After(maxListWait):
 				}
-				if err := s.front.Serve(n); err != nil {
-					s.ended <- err
+				if err := proc.front.Serve(listener); err != nil {
+					proc.listenerErrors <- err
 				}
 			}()
 		}
 	}
-	for address, old := range s.listeners {
-		if wanted[address] == nil {
-			s.front.CloseListener(old)
+	for address, old := range proc.listeners {
+		if listeners[address] == nil {
+			proc.front.CloseListener(old)
 		}
 	}
-	s.pools, s.listeners, s.plan = pools, wanted, p
-	s.claiming()
-	if s.fleet != nil {
-		s.fleet.changed()
+	proc.pools, proc.listeners, proc.plan = pools, listeners, p
+	proc.configureClaims()
+	if proc.membership != nil {
+		proc.membership.notifyMembersChanged()
 	}
 	return nil
 }
 
-// limit sets what the whole process may have.
-func (s *Process) limit(p *plan.Plan) {
+// applyLimits sets the limits of the process: cores, memory, descriptors and the log level.
+func (proc *Process) applyLimits(p *plan.Plan) {
 	if p.Limits.Descriptors == 0 {
-		return // none in force yet
+		return // the initial, empty configuration
 	}
 	runtime.GOMAXPROCS(p.Limits.Cores)
 	if p.Limits.Memory > 0 {
-		// Danger: over the limit the process is killed, and all processes of a balancer count as one.
-		debug.SetMemoryLimit(p.Limits.Memory * 6 / 10 / int64(s.beside))
+		// The limit is enforced by killing, and applies to all processes of a balancer together.
+		debug.SetMemoryLimit(p.Limits.Memory * 6 / 10 / int64(proc.processCount))
 	}
 	descriptors := p.Limits.Descriptors
-	var has syscall.Rlimit
-	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &has) == nil && has.Cur < uint64(descriptors) && !p.Platform {
-		s.own.Warn("limit", "key", "limits.descriptors", "asked", descriptors, "has", has.Cur)
-		descriptors = int(has.Cur)
+	var limit syscall.Rlimit
+	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit) == nil && limit.Cur < uint64(descriptors) && !p.Platform {
+		proc.eventLog.Warn("limit", "key", "limits.descriptors", "asked", descriptors, "has", limit.Cur)
+		descriptors = int(limit.Cur)
 	}
-	s.front.SetLimits(descriptors/s.beside, p.Limits.Cores)
-	s.level.Set(logs.Level(p.Log.Level))
+	proc.front.SetLimits(descriptors/proc.processCount, p.Limits.Cores)
+	proc.logLevel.Set(logs.Level(p.Log.Level))
 }
 
-// here is the address at which the other balancers of a pool reach this one, "" if they don't.
-func here(told *plan.Pool) string {
-	if len(told.Book.Peers) == 0 {
+// ownPeerAddress returns the address at which the other balancers of a pool reach this one, or "" if the pool has no
+// peers.
+func ownPeerAddress(settings *plan.Pool) string {
+	if len(settings.Book.Peers) == 0 {
 		return ""
 	}
-	return told.Book.Peers[told.Book.Terms.Index]
+	return settings.Book.Peers[settings.Book.Terms.Index]
 }
 
-// make makes a pool, without the source of its list.
-func (s *Process) make(told *plan.Pool) (*pool, error) {
-	if told.Book.Terms.Seed == 0 { // Danger: pools of one seed would all draw the same chances
-		number := fnv.New64a()
-		number.Write([]byte(told.Name))
-		told.Book.Terms.Seed = s.seed ^ number.Sum64()
-	}
-	book, _, _ := s.among(told)
-	n, err := s.front.NewPool(told.Name, book)
+// newPool creates a pool. The source of its upstream list is started later, by followList.
+func (proc *Process) newPool(settings *plan.Pool) (*pool, error) {
+	if settings.Book.Terms.Seed == 0 { // with the same seed, all pools would draw the same random numbers
+		hash := fnv.New64a()
+		hash.Write([]byte(settings.Name))
+		settings.Book.Terms.Seed = proc.seed ^ hash.Sum64()
+	}
+	book, _, _ := proc.effectiveBook(settings)
+	created, err := proc.front.NewPool(settings.Name, book)
 	if err != nil {
 		return nil, err
 	}
-	n.SetProcesses(s.beside)
-	return &pool{Pool: n, told: told, stop: func() {}, heard: make(chan struct{})}, nil
+	created.SetProcesses(proc.processCount)
+	return &pool{Pool: created, settings: settings, stopList: func() {}, listReceived: make(chan struct{})}, nil
 }
 
-// List implements lists.Sink for sources, whose first word is waited for where another process serves meanwhile.
-func (n *pool) List(entries []roster.Entry[string], whole bool) {
-	n.Pool.List(entries, whole)
-	n.once.Do(func() { close(n.heard) })
+// List implements lists.Sink for the list source. A process that replaces another one waits for the first call before
+// it accepts clients.
+func (p *pool) List(entries []roster.Entry[string], complete bool) {
+	p.Pool.List(entries, complete)
+	p.receivedOnce.Do(func() { close(p.listReceived) })
 }
 
-// follow has a pool's list told by a source from now on; again says that it was told by another before.
-func (s *Process) follow(n *pool, l plan.List, again bool) {
-	n.stop()
-	n.watch = nil
-	var from lists.Source
+// followList starts the source of a pool's upstream list and stops the previous one. replaced tells that the pool had
+// another source before.
+func (proc *Process) followList(target *pool, list plan.List, replaced bool) {
+	target.stopList()
+	target.subscription = nil
+	var source lists.Source
 	switch {
-	case l.Discovery != "":
-		index := l.Known.Index
-		if again {
-			index = discovery.Unknown // Danger: versions of one source mean nothing to another
+	case list.Discovery != "":
+		index := list.Known.Index
+		if replaced {
+			index = discovery.Unknown // versions of one source are meaningless to another
 		}
-		if l.Shared && s.fleet != nil {
-			from = s.fleet.List(n.Name, n, func(to lists.Sink) lists.Source {
-				return discovery.New(to, n.Log(), l.Discovery, false, discovery.Unknown, n.Settings().DialTimeout)
+		if list.Shared && proc.membership != nil {
+			source = proc.membership.List(target.Name, target, func(to lists.Sink) lists.Source {
+				return discovery.New(to, target.Log(), list.Discovery, false, discovery.Unknown, target.Settings().DialTimeout)
 			})
 			break
 		}
-		n.watch = discovery.New(n, n.Log(), l.Discovery, n.Settings().Terms.FollowList, index, n.Settings().DialTimeout)
-		from = n.watch
-	case l.File != "":
-		from = &listfile.File{Path: l.File, Every: l.Every, Sink: n, Log: n.Log()}
+		target.subscription = discovery.New(
+			target, target.Log(), list.Discovery, target.Settings().Terms.FollowList, index, target.Settings().DialTimeout)
+		source = target.subscription
+	case list.File != "":
+		source = &listfile.File{Path: list.File, Every: list.Every, Sink: target, Log: target.Log()}
 	default:
-		from = &listfixed.List{Entries: l.Fixed, Sink: n}
+		source = &listfixed.List{Entries: list.Fixed, Sink: target}
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		from.Run(ctx)
+		source.Run(ctx)
 	}()
-	n.stop = func() {
+	target.stopList = func() {
 		stop()
-		<-ended // Danger: what the old source still had to tell would come after the new one's first word
+		<-ended // otherwise late updates of the old source could arrive after the first one of the new source
 	}
 }
 
-// retire ends a pool in its own time. Danger: upstreams may be told to drain meanwhile, so its list is followed until
-// the end.
-func (s *Process) retire(old *pool) {
-	s.retiring.Add(1)
+// retire closes a pool in the background, once its open transactions have ended. Its list is followed until then, since
+// upstreams may start to drain meanwhile.
+func (proc *Process) retire(p *pool) {
+	proc.retiring.Add(1)
 	go func() {
-		defer s.retiring.Done()
-		old.Retire()
-		old.stop()
+		defer proc.retiring.Done()
+		p.Retire()
+		p.stopList()
 	}()
 }
 
-func same(a, b plan.List) bool {
-	return a.File == b.File && a.Every == b.Every && a.Discovery == b.Discovery && a.Shared == b.Shared && slices.Equal(a.Fixed, b.Fixed)
+// sameList reports whether two list settings name the same source.
+func sameList(a, b plan.List) bool {
+	return a.File == b.File && a.Every == b.Every && a.Discovery == b.Discovery && a.Shared == b.Shared &&
+		slices.Equal(a.Fixed, b.Fixed)
 }
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -1,4 +1,5 @@
-// Package roster turns lists of named upstreams into the module's indexes: who joins, who changes, who leaves.
+// Package roster maps upstream names to the indexes of the decision engine, and tells the engine which upstreams are
+// added, changed and removed by an update of the list.
 package roster
 
 import (
@@ -9,34 +10,35 @@
 	"ottershift/logic"
 )
 
-// Entry is one line of a list.
+// Entry is one entry of an upstream list.
 type Entry[Name comparable] struct {
-	Name    Name
-	Zone    string
-	Kind    string // of machine, if told
-	Address string // where it is reached, if the door reaches it by address
-	Up      logic.Upstream
-	Ends    bool // drains: it finishes what it has
-	Gone    bool
+	Name     Name
+	Zone     string
+	Kind     string // kind of machine, if known
+	Address  string // host and port, if the front end connects by address
+	Upstream logic.Upstream
+	Draining bool // finishes its open transactions and gets no new ones
+	Removed  bool // no longer listed
 }
 
-// Number orders upstreams: it is the same at every balancer, as the name is.
-func Number(name string) uint32 {
-	number := fnv.New32a()
-	number.Write([]byte(name))
-	return number.Sum32()
+// NameHash returns the number of a name, for instance the ID by which engines order upstreams. It depends on the name only,
+// and is the same at all balancers.
+func NameHash(name string) uint32 {
+	hash := fnv.New32a()
+	hash.Write([]byte(name))
+	return hash.Sum32()
 }
 
-// Place is one upstream's stay at one address. Danger: addresses are used again, and what is kept of one upstream
-// (connections first of all) must not pass for its successor's.
-type Place struct {
-	Host    string // never used again
-	Address string
-	Kept    *atomic.Int32 // connections to it that wait for a push; whoever owns them counts
+// Endpoint identifies the use of an address by one upstream. Addresses are reused, and state of one upstream,
+// connections in particular, must not be attributed to the next one at its address.
+type Endpoint struct {
+	Host      string // unique, never reused
+	Address   string
+	IdleConns *atomic.Int32 // idle connections to it, counted by the owner of the connections
 }
 
-// Module is what is told of the list: a Balancer, or what the lab sets in its place.
-type Module interface {
+// Engine receives the changes of the list: a logic.Balancer, or a substitute for simulations.
+type Engine interface {
 	Known(i int) bool
 	Join() int
 	List(i int, u logic.Upstream, now int64)
@@ -45,168 +47,174 @@
 	Listed(ok bool, now int64)
 }
 
-// Roster knows which index stands for which upstream of one balancer.
+// Roster maps the upstreams of one engine to their indexes.
 type Roster[Name comparable] struct {
-	b     Module
-	zones map[string]int
-	kinds map[string]int
-	index map[Name]int
-	names []Name
-	place []Place
-	entry []Entry[Name]
-	at    map[string]int // index by address, as far as any is told
-	stays int            // so far
+	engine         Engine
+	zoneNumbers    map[string]int
+	kindNumbers    map[string]int
+	indexByName    map[Name]int
+	names          []Name
+	endpoints      []Endpoint
+	entries        []Entry[Name]
+	indexByAddress map[string]int // upstreams without an address are left out
+	endpointCount  int            // endpoints created so far
 }
 
-// New starts an empty roster; zones are numbered by their place.
-func New[Name comparable](b Module, zones []string) *Roster[Name] {
-	r := &Roster[Name]{b: b, zones: map[string]int{}, kinds: map[string]int{"": 0}, index: map[Name]int{}, at: map[string]int{}}
+// New returns an empty roster. Zones are numbered in the given order.
+func New[Name comparable](engine Engine, zones []string) *Roster[Name] {
+	r := &Roster[Name]{
+		engine: engine, zoneNumbers: map[string]int{}, kindNumbers: map[string]int{"": 0},
+		indexByName: map[Name]int{}, indexByAddress: map[string]int{},
+	}
 	for _, z := range zones {
-		numbered(r.zones, z)
+		numberOf(r.zoneNumbers, z)
 	}
 	return r
 }
 
-// Change is what a report of the list has changed.
+// Change describes the effects of an update of the list.
 type Change struct {
-	Left               []string // hosts
-	Joined, Ends, Gone int      // upstreams that are new, drain from now on, and are no longer listed
-	Listed             int      // in all, from now on
-	Odd                int      // entries left out: another upstream is at their address
-	Born               int64    // the latest start among the new ones, 0 if none was told
+	ReleasedHosts             []string // hosts of endpoints that are no longer in use
+	Joined, Draining, Removed int      // numbers of upstreams that are new, start to drain, and are no longer listed
+	Listed                    int      // number of upstreams after the update
+	Conflicts                 int      // entries ignored because another upstream has their address
+	NewestStart               int64    // latest start time of the new upstreams, 0 if unknown
 }
 
-// Apply hands a report of the list on, entry by entry, and tells what has changed by it. Who is missing from a whole
-// list has left.
-func (r *Roster[Name]) Apply(entries []Entry[Name], whole bool, now int64) (c Change) {
-	here, stands := map[Name]bool{}, map[Name]bool{}
+// Apply passes an update of the list to the engine and returns what it changed. A complete update removes the upstreams
+// that it does not contain.
+func (r *Roster[Name]) Apply(entries []Entry[Name], complete bool, now int64) (change Change) {
+	listed, present := map[Name]bool{}, map[Name]bool{}
 	for _, e := range entries {
-		here[e.Name], stands[e.Name] = true, !e.Gone
+		listed[e.Name], present[e.Name] = true, !e.Removed
 	}
 	for _, e := range entries {
-		i, known := r.index[e.Name]
-		if e.Gone {
+		i, known := r.indexByName[e.Name]
+		if e.Removed {
 			if known {
-				r.leave(i, &c)
+				r.remove(i, &change)
 			}
 			continue
 		}
-		// Danger: one machine under two names would get two parts, and be paid twice while it is cold. The later start
-		// stands; of two that started alike, who serves; of two that serve, who came last, unless one report tells both.
-		if j, taken := r.at[e.Address]; taken && r.names[j] != e.Name && r.b.Known(j) {
-			has := r.entry[j]
-			alike := e.Up.StartedAt == has.Up.StartedAt
-			if e.Up.StartedAt < has.Up.StartedAt || alike && e.Ends && !has.Ends || alike && e.Ends == has.Ends && stands[has.Name] {
-				if c.Odd++; known && r.b.Known(i) {
-					r.leave(i, &c)
+		// A machine listed under two names would get twice its share of load, also while it is cold. The entry with the
+		// later start time is kept. With the same start time it is the one that is not draining, else the later one,
+		// or the first one if both are in the same update.
+		if holder, taken := r.indexByAddress[e.Address]; taken && r.names[holder] != e.Name && r.engine.Known(holder) {
+			other := r.entries[holder]
+			sameStart := e.Upstream.StartedAt == other.Upstream.StartedAt
+			if e.Upstream.StartedAt < other.Upstream.StartedAt || sameStart && e.Draining && !other.Draining ||
+				sameStart && e.Draining == other.Draining && present[other.Name] {
+				if change.Conflicts++; known && r.engine.Known(i) {
+					r.remove(i, &change)
 				}
 				continue
 			}
-			r.leave(j, &c)
+			r.remove(holder, &change)
 		}
-		if !known || !r.b.Known(i) {
+		if !known || !r.engine.Known(i) {
 			i = r.join(e.Name)
-			c.Joined, c.Born = c.Joined+1, max(c.Born, e.Up.StartedAt)
+			change.Joined, change.NewestStart = change.Joined+1, max(change.NewestStart, e.Upstream.StartedAt)
 		}
-		if r.place[i].Address != e.Address {
-			r.move(i, e.Address, &c)
+		if r.endpoints[i].Address != e.Address {
+			r.setAddress(i, e.Address, &change)
 		}
-		if e.Ends && !r.entry[i].Ends {
-			c.Ends++
+		if e.Draining && !r.entries[i].Draining {
+			change.Draining++
 		}
-		r.entry[i] = e
-		e.Up.Zone, e.Up.Kind = numbered(r.zones, e.Zone), numbered(r.kinds, e.Kind)
-		r.b.List(i, e.Up, now)
-		if e.Ends {
-			r.b.Drain(i)
+		r.entries[i] = e
+		e.Upstream.Zone, e.Upstream.Kind = numberOf(r.zoneNumbers, e.Zone), numberOf(r.kindNumbers, e.Kind)
+		r.engine.List(i, e.Upstream, now)
+		if e.Draining {
+			r.engine.Drain(i)
 		}
 	}
-	if whole {
+	if complete {
 		for i, name := range r.names {
-			if !here[name] {
-				r.leave(i, &c)
+			if !listed[name] {
+				r.remove(i, &change)
 			}
 		}
 	}
 	for i := range r.names {
-		if r.b.Known(i) {
-			c.Listed++
+		if r.engine.Known(i) {
+			change.Listed++
 		}
 	}
-	r.b.Listed(true, now)
-	return c
+	r.engine.Listed(true, now)
+	return change
 }
 
-func (r *Roster[Name]) leave(i int, c *Change) {
-	if r.b.Known(i) {
-		c.Gone++
+// remove removes an upstream from the engine and releases its endpoint.
+func (r *Roster[Name]) remove(i int, change *Change) {
+	if r.engine.Known(i) {
+		change.Removed++
 	}
-	r.b.Leave(i)
-	r.move(i, "", c)
+	r.engine.Leave(i)
+	r.setAddress(i, "", change)
 }
 
-// move begins a stay and ends the one before.
-func (r *Roster[Name]) move(i int, address string, c *Change) {
-	if was := r.place[i].Address; was != "" {
-		if c.Left = append(c.Left, r.place[i].Host); r.at[was] == i {
-			delete(r.at, was)
+// setAddress gives an upstream a new endpoint and releases the previous one.
+func (r *Roster[Name]) setAddress(i int, address string, change *Change) {
+	if before := r.endpoints[i].Address; before != "" {
+		if change.ReleasedHosts = append(change.ReleasedHosts, r.endpoints[i].Host); r.indexByAddress[before] == i {
+			delete(r.indexByAddress, before)
 		}
 	}
 	if address != "" {
-		r.at[address] = i
+		r.indexByAddress[address] = i
 	}
-	r.stays++
-	r.place[i] = Place{"u" + strconv.Itoa(r.stays), address, new(atomic.Int32)}
+	r.endpointCount++
+	r.endpoints[i] = Endpoint{"u" + strconv.Itoa(r.endpointCount), address, new(atomic.Int32)}
 }
 
-// Zone is the number of a zone.
-func (r *Roster[Name]) Zone(name string) int { return numbered(r.zones, name) }
+// ZoneNumber returns the number of a zone. New zones get the next free number.
+func (r *Roster[Name]) ZoneNumber(name string) int { return numberOf(r.zoneNumbers, name) }
 
-// Entries is the list as it stands.
+// Entries returns the current list.
 func (r *Roster[Name]) Entries() (all []Entry[Name]) {
-	for i, e := range r.entry {
-		if r.b.Known(i) {
+	for i, e := range r.entries {
+		if r.engine.Known(i) {
 			all = append(all, e)
 		}
 	}
 	return all
 }
 
-// Index finds an upstream by its name.
-func (r *Roster[Name]) Index(name Name) (i int, known bool) {
-	i, known = r.index[name]
-	return i, known
+// Index returns the index of an upstream.
+func (r *Roster[Name]) Index(name Name) (index int, known bool) {
+	index, known = r.indexByName[name]
+	return index, known
 }
 
-// Name is the upstream behind an index.
+// Name returns the name of the upstream with index i.
 func (r *Roster[Name]) Name(i int) Name { return r.names[i] }
 
-// Place is where the upstream behind an index is reached.
-func (r *Roster[Name]) Place(i int) Place { return r.place[i] }
+// Endpoint returns the endpoint of the upstream with index i.
+func (r *Roster[Name]) Endpoint(i int) Endpoint { return r.endpoints[i] }
 
-// Group is the zone and cell of the upstream behind an index, as the list names them.
-func (r *Roster[Name]) Group(i int) (zone string, cell int) {
-	return r.entry[i].Zone, r.entry[i].Up.Cell
+// ZoneAndCell returns the zone and cell of the upstream with index i, as named in the list.
+func (r *Roster[Name]) ZoneAndCell(i int) (zone string, cell int) {
+	return r.entries[i].Zone, r.entries[i].Upstream.Cell
 }
 
-// join gives an upstream an index; an index used before is taken from the one that had it.
+// join adds an upstream to the engine. If the engine reuses an index, the name that had it before loses it.
 func (r *Roster[Name]) join(name Name) int {
-	i := r.b.Join()
+	i := r.engine.Join()
 	if i == len(r.names) {
-		r.names, r.place = append(r.names, name), append(r.place, Place{Kept: new(atomic.Int32)})
-		r.entry = append(r.entry, Entry[Name]{})
+		r.names, r.endpoints = append(r.names, name), append(r.endpoints, Endpoint{IdleConns: new(atomic.Int32)})
+		r.entries = append(r.entries, Entry[Name]{})
 	} else {
-		if r.index[r.names[i]] == i {
-			delete(r.index, r.names[i])
+		if r.indexByName[r.names[i]] == i {
+			delete(r.indexByName, r.names[i])
 		}
-		r.names[i], r.entry[i] = name, Entry[Name]{}
+		r.names[i], r.entries[i] = name, Entry[Name]{}
 	}
-	r.index[name] = i
+	r.indexByName[name] = i
 	return i
 }
 
-// numbered is the number of a name, the next one if it is new.
-func numbered(names map[string]int, name string) int {
+// numberOf returns the number of a name. A new name gets the next number.
+func numberOf(names map[string]int, name string) int {
 	n, known := names[name]
 	if !known {
 		n = len(names)
