--- a/cmd/ottershift/check.go
+++ b/cmd/ottershift/check.go
@@ -34,7 +34,7 @@
 				for _, b := range s.Bounds(n) {
 					fmt.Fprintf(c.OutOrStdout(), "bound: %s\n", b)
 				}
-				for _, b := range p.Rates() {
+				for _, b := range p.ClaimRates() {
 					fmt.Fprintf(c.OutOrStdout(), "bound: %s\n", b)
 				}
 			}
@@ -46,7 +46,7 @@
 // tell writes faults, a line each.
 func tell(w io.Writer, all []faults.Fault) (faulty, remarks int) {
 	for _, f := range all {
-		if f.Remark {
+		if f.Warning {
 			remarks++
 			fmt.Fprintf(w, "remark: %v\n", f)
 		} else {
@@ -82,11 +82,11 @@
 			if err != nil {
 				return err
 			}
-			host, ok := routes.Host(to.Host)
+			host, ok := routes.NormalizeHost(to.Host)
 			if !ok {
 				return fmt.Errorf("the host %q makes no sense: it would be answered 400", to.Host)
 			}
-			path, ok := routes.Path(to.EscapedPath())
+			path, ok := routes.NormalizePath(to.EscapedPath())
 			if !ok {
 				return fmt.Errorf("the path %q makes no sense: it would be answered 400", to.EscapedPath())
 			}
@@ -101,7 +101,7 @@
 			if listener == "" && len(p.Listeners) == 1 {
 				listener = p.Listeners[0].Name
 			}
-			return explain(c.OutOrStdout(), p, &routes.Query{
+			return explain(c.OutOrStdout(), p, &routes.Request{
 				Listener: listener, Host: host, Path: path, Method: args[1],
 				Header: func(name string) (string, bool) {
 					v := said[http.CanonicalHeaderKey(name)]
@@ -115,7 +115,7 @@
 	return c
 }
 
-func explain(w io.Writer, p *plan.Plan, q *routes.Query) error {
+func explain(w io.Writer, p *plan.Plan, q *routes.Request) error {
 	fmt.Fprintf(w, "%s host %q path %q, as they are looked up\n", q.Method, q.Host, q.Path)
 	all := p.Table.Explain(q)
 	taken := false
@@ -125,11 +125,11 @@
 		if tariff == "" {
 			tariff = "as it says itself"
 		}
-		why := m.Lost
+		why := m.Reason
 		if why == "" {
 			why, taken = "TAKES IT", true
 		}
-		fmt.Fprintf(out, "route %s\tpool %s\ttariff %s\tat %s\t%s\n", m.Route.Name, m.Route.Pool, tariff, m.Where, why)
+		fmt.Fprintf(out, "route %s\tpool %s\ttariff %s\tat %s\t%s\n", m.Route.Name, m.Route.Pool, tariff, m.Location, why)
 	}
 	out.Flush()
 	if !taken {
--- a/cmd/ottershift/cluster.go
+++ b/cmd/ottershift/cluster.go
@@ -51,7 +51,7 @@
 				fmt.Fprintln(c.OutOrStdout(), strings.Join(lines, "\n"))
 				return nil
 			}
-			var o cluster.Owners
+			var o cluster.DutyReport
 			if len(lines) == 0 || json.Unmarshal([]byte(lines[0]), &o) != nil {
 				return errors.New("no answer")
 			}
@@ -65,7 +65,7 @@
 				fmt.Fprintf(out, "%s\t%s\t%d\t%s\t%d\n", d.Duty, dash(d.Owner), d.Token, left, d.Highest)
 			}
 			out.Flush()
-			fmt.Fprintf(c.OutOrStdout(), "as known by %s, session %d; %d acts of old owners refused here, %d sessions ended\n", o.Name, o.Session, o.Refused, o.Ended)
+			fmt.Fprintf(c.OutOrStdout(), "as known by %s, session %d; %d acts of old owners refused here, %d sessions ended\n", o.Name, o.Session, o.Refused, o.EndedSessions)
 			return nil
 		},
 	}
@@ -99,7 +99,7 @@
 			fmt.Fprintln(out, "KEEPER\tGROUP\tROLE\tLEADER\tTERM\tCOMMIT\tAPPLIED\tSNAPSHOT\tAGE\tSEATS\tFAULT")
 			well := 0
 			for _, line := range lines {
-				var k cluster.Keeper
+				var k cluster.VoterStatus
 				if err := json.Unmarshal([]byte(line), &k); err != nil {
 					return err
 				}
--- a/cmd/ottershift/ledger.go
+++ b/cmd/ottershift/ledger.go
@@ -181,18 +181,18 @@
 			}
 			wrong := false
 			for _, line := range lines {
-				var v cluster.Verified
+				var v cluster.Verification
 				if err := json.Unmarshal([]byte(line), &v); err != nil {
 					return err
 				}
-				fmt.Fprintf(c.OutOrStdout(), "group %d: copies compared after %s, up to entry %d; they differed after %d\n", v.Group, count(v.Compared, "command"), v.Entry, v.Wrong)
+				fmt.Fprintf(c.OutOrStdout(), "group %d: copies compared after %s, up to entry %d; they differed after %d\n", v.Group, count(v.Compared, "command"), v.Entry, v.Mismatches)
 				if len(v.Missing) > 0 {
 					fmt.Fprintf(c.OutOrStdout(), "group %d: not asked, or without an answer: %s\n", v.Group, strings.Join(v.Missing, ", "))
 				}
-				for _, d := range v.Differ {
+				for _, d := range v.Differences {
 					fmt.Fprintln(c.OutOrStdout(), d)
 				}
-				wrong = wrong || v.Wrong > 0 || v.Compared == 0
+				wrong = wrong || v.Mismatches > 0 || v.Compared == 0
 			}
 			if wrong {
 				return errSaid
--- a/cmd/ottershift/ottershift_test.go
+++ b/cmd/ottershift/ottershift_test.go
@@ -1215,12 +1215,12 @@
 			return
 		}
 		pool := o.Pools[0]
-		d, err := desk.New(pool.Book, &figures.Pool{}, slog.New(slog.DiscardHandler), desk.NewBalancer)
+		d, err := desk.New(pool.Settings, &figures.Pool{}, slog.New(slog.DiscardHandler), desk.NewBalancer)
 		if err != nil {
 			return
 		}
-		d.List(pool.List.Known.Entries, true)
-		for n := range pool.Book.Terms.Tariffs {
+		d.List(pool.Upstreams.Initial.Entries, true)
+		for n := range pool.Settings.Engine.Tariffs {
 			d.ClientGone(d.Arrive(desk.Arrival{Tariff: n, Customer: -1, Timeout: time.Second}))
 		}
 	})
--- a/cmd/ottershift/serve.go
+++ b/cmd/ottershift/serve.go
@@ -88,15 +88,15 @@
 		return err
 	}
 	own := logs.Own(log)
-	if p.Ops != "" {
-		own.Info("start", "name", p.Name, "ops", p.Ops)
+	if p.OpsAddress != "" {
+		own.Info("start", "name", p.Name, "ops", p.OpsAddress)
 	}
 	for _, l := range p.Listeners {
 		own.Info("start", "name", p.Name, "listen", l.Address, "listener", l.Name)
 	}
 	for _, told := range p.Pools {
-		log.Info("start", "pool", told.Name, "name", p.Name, "discovery", told.List.Discovery, "tier", told.Book.Terms.Tier,
-			"known", len(told.List.Known.Entries)+len(told.List.Fixed), "index", told.List.Known.Index)
+		log.Info("start", "pool", told.Name, "name", p.Name, "discovery", told.Upstreams.Discovery, "tier", told.Settings.Engine.Tier,
+			"known", len(told.Upstreams.Initial.Entries)+len(told.Upstreams.Static), "index", told.Upstreams.Initial.Index)
 	}
 	for {
 		select {
@@ -115,7 +115,7 @@
 			s.Refused()
 			own.Error("reload", "step", "kept", "fault", err)
 			for _, f := range wrong {
-				if !f.Remark {
+				if !f.Warning {
 					own.Error("reload", "step", "fault", "fault", f)
 				}
 			}
@@ -128,7 +128,7 @@
 
 func remarks(log *slog.Logger, all []faults.Fault) {
 	for _, f := range all {
-		if f.Remark {
+		if f.Warning {
 			logs.Own(log).Debug("remark", "text", f)
 		}
 	}
--- /dev/null
+++ b/internal/cluster/consensus.go
@@ -0,0 +1,385 @@
+package cluster
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"slices"
+	"sync"
+	"time"
+
+	"ottershift/internal/cluster/disk"
+	"ottershift/internal/cluster/keep"
+	"ottershift/internal/cluster/link"
+	"ottershift/internal/cluster/member"
+	"ottershift/internal/cluster/owner"
+	"ottershift/internal/cluster/pack"
+	"ottershift/internal/cluster/shared"
+	"ottershift/internal/lists"
+)
+
+// Methods of calls between members.
+const (
+	methodListUpdate   uint16 = 20 // of a shared list's owner
+	methodListSnapshot uint16 = 21
+)
+
+const (
+	commandTimeout         = 2 * time.Second        // for a command
+	sessionCheckInterval   = 100 * time.Millisecond // between two looks at whether this run's session stands
+	sessionConfirmInterval = time.Second            // between two confirmed looks at it
+	sessionEndInterval     = 250 * time.Millisecond // between two looks for sessions to end
+	listUpdateTimeout      = 300 * time.Millisecond
+)
+
+// consensus is this process's part in what is agreed: a keeper where it is a voter, its session, and the duties it may own.
+type consensus struct {
+	cluster     *Cluster
+	replicas    []*keep.Keeper // of each group; none where it is no keeper
+	clients     []*keep.Client // of each group
+	firstClient *keep.Client   // of the first, which holds sessions and duties
+	owners      *owner.Owners
+	ctx         context.Context
+	cancel      context.CancelFunc
+	wg          sync.WaitGroup
+	wake        chan struct{}
+
+	mu            sync.Mutex
+	lists         map[string]*shared.List // by pool
+	draining      bool
+	endToken      uint64 // token under which this member ends sessions, 0 if it doesn't
+	endedSessions int64  // sessions it has ended
+	heldDuties    map[string]owner.Held
+}
+
+// openConsensus takes part; before the link serves.
+func openConsensus(cluster *Cluster) (*consensus, error) {
+	settings := cluster.options.Settings
+	cs := &consensus{cluster: cluster, lists: map[string]*shared.List{}, heldDuties: map[string]owner.Held{}, wake: make(chan struct{}, 1)}
+	cs.ctx, cs.cancel = context.WithCancel(context.Background())
+	fenced, once := true, true
+	if lab := cluster.options.Lab; lab != nil {
+		fenced, once = !lab.disables("fence"), !lab.disables("once")
+	}
+	for group := range settings.Groups {
+		if slices.Contains(settings.Voters, settings.Self) {
+			dir := keep.Group(settings.Directory, group)
+			replica, err := keep.NewKeeper(keep.Options{
+				Cluster: settings.Name, Name: settings.Self, Voters: settings.Voters, Group: group, Dir: dir, FS: cluster.directory(dir), Way: localTransport{cluster.link, settings.Self}, Election: settings.ElectionTimeout,
+				Lease: keep.Lease{For: settings.Lease, Drift: settings.ClockDrift}, Guards: keep.Guards{Fence: fenced, Once: once}, Log: cluster.options.Log,
+				Parts: cluster.ledgerParts(),
+			})
+			if err != nil {
+				return nil, fmt.Errorf("cluster: keeper: %w", err)
+			}
+			cs.replicas = append(cs.replicas, replica)
+		}
+		client := keep.NewClient(localTransport{cluster.link, settings.Self}, settings.Self, settings.Voters, group)
+		client.Believes = cluster.options.Lab != nil && cluster.options.Lab.disables("reads")
+		cs.clients = append(cs.clients, client)
+	}
+	cs.firstClient = cs.clients[0]
+	cluster.link.Handle(methodListUpdate, cs.handleListUpdate)
+	cluster.link.Handle(methodListSnapshot, cs.handleListSnapshot)
+	return cs, nil
+}
+
+// start runs it, once the link serves and the member is there.
+func (cs *consensus) start() {
+	settings := cs.cluster.options.Settings
+	for _, replica := range cs.replicas {
+		replica.Begin()
+	}
+	fenced := cs.cluster.options.Lab == nil || !cs.cluster.options.Lab.disables("fence")
+	lease := keep.Lease{For: settings.Lease, Drift: settings.ClockDrift}.Owner()
+	cs.owners = owner.Begin(owner.Options{
+		Self: settings.Self, Terms: owner.TermsOf(lease), Seed: cs.cluster.options.Seed, Keepers: dutyStore{cs}, Members: cs.eligibleOwners, Fenced: fenced, Log: cs.cluster.options.Log,
+	})
+	cs.owners.Do(keep.Sessions, (*sessionEnder)(cs))
+	cs.wg.Go(cs.maintainSessions)
+	cs.wg.Go(cs.endSessions)
+}
+
+func (cs *consensus) stop() {
+	cs.owners.Close() // duties are handed over before the session ends
+	ctx, cancel := context.WithTimeout(cs.ctx, commandTimeout/4)
+	for _, client := range cs.clients {
+		if epoch, ok := client.Session(); ok {
+			client.Do(ctx, keep.Command{Kind: keep.End, Other: cs.cluster.options.Settings.Self, Number: epoch})
+		}
+	}
+	cancel()
+	cs.cancel()
+	cs.wg.Wait()
+	for _, replica := range cs.replicas {
+		replica.Close()
+	}
+}
+
+// localTransport calls this process's own handlers without the link.
+type localTransport struct {
+	*link.Link
+	self string
+}
+
+func (transport localTransport) Call(ctx context.Context, name string, method uint16, body []byte) ([]byte, error) {
+	if name == transport.self {
+		return transport.Link.CallLocal(ctx, method, body)
+	}
+	return transport.Link.Call(ctx, name, method, body)
+}
+
+// maintainSessions keeps this run known to the keepers, by the epoch that it has among members.
+func (cs *consensus) maintainSessions() {
+	confirmedAt := make([]time.Time, len(cs.clients))
+	for {
+		for group, client := range cs.clients {
+			cs.checkSession(group, client, &confirmedAt[group])
+		}
+		select {
+		case <-time.After(sessionCheckInterval):
+		case <-cs.ctx.Done():
+			return
+		}
+	}
+}
+
+// checkSession opens a session in a group where there is none of this run, and now and then whether it stands.
+func (cs *consensus) checkSession(group int, client *keep.Client, confirmedAt *time.Time) {
+	self := cs.cluster.gossip.Self()
+	epoch, ok := client.Session()
+	ctx, cancel := context.WithTimeout(cs.ctx, commandTimeout)
+	defer cancel()
+	if superseded := cs.cluster.gossip.Superseded(); !superseded && (!ok || epoch != self.Epoch) {
+		known, err := client.Open(ctx, self.Epoch, self.Run)
+		switch {
+		case err == nil:
+			cs.cluster.options.Log.Info("cluster", "step", "session", "epoch", known, "group", group)
+		case errors.Is(err, keep.ErrMemberOver) && known == self.Epoch:
+			// It was ended, as of a member that is gone: this process goes on as another run. What the old one held is not its own.
+			cs.cluster.gossip.RenewEpoch(known)
+		case errors.Is(err, keep.ErrMemberOver):
+			cs.cluster.gossip.ObserveNewerSelf(member.ID{Name: self.Name, Epoch: known, Run: 1<<64 - 1}, true)
+		}
+	} else if ok && time.Since(*confirmedAt) > sessionConfirmInterval {
+		*confirmedAt = time.Now()
+		if state, err := client.Read(ctx, false); err == nil {
+			for _, s := range state.Sessions {
+				if s.Member == self.Name && (s.Epoch > epoch || s.Epoch == epoch && !s.Open) {
+					client.Lost()
+				}
+			}
+		}
+	}
+}
+
+// eligibleOwners are who else may own duties: alive, not leaving.
+func (cs *consensus) eligibleOwners() (owners []owner.Member, willing bool) {
+	for _, m := range cs.cluster.gossip.AliveMembers() {
+		if !m.Draining {
+			owners = append(owners, owner.Member{Name: m.Name})
+		}
+	}
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	return owners, !cs.draining && !cs.cluster.gossip.Superseded()
+}
+
+// dutyStore is the client as the owners use it.
+type dutyStore struct{ cs *consensus }
+
+func (store dutyStore) Session() (uint64, bool) { return store.cs.firstClient.Session() }
+
+func (store dutyStore) Held(ctx context.Context) (map[string]owner.Held, error) {
+	state, err := store.cs.firstClient.Read(ctx, false)
+	if err != nil {
+		return nil, err
+	}
+	duties := map[string]owner.Held{}
+	for _, d := range state.Duties {
+		duties[d.Name] = owner.Held{Token: d.Token, Owner: d.Owner, Epoch: d.Epoch}
+	}
+	store.cs.mu.Lock()
+	defer store.cs.mu.Unlock()
+	store.cs.heldDuties = duties
+	return duties, nil
+}
+
+func (store dutyStore) Take(ctx context.Context, duty string) (uint64, bool, error) {
+	answer, err := store.cs.firstClient.Do(ctx, keep.Command{Kind: keep.Take, Duty: duty})
+	return answer.Token, answer.Code == keep.OK, err
+}
+
+func (store dutyStore) Give(ctx context.Context, duty string, token uint64, to string) error {
+	kind := keep.Drop
+	if to != "" {
+		kind = keep.Give
+	}
+	_, err := store.cs.firstClient.Do(ctx, keep.Command{Kind: kind, Duty: duty, Token: token, Other: to})
+	return err
+}
+
+func (store dutyStore) Renew(ctx context.Context, tokens map[string]uint64) (map[string]uint64, error) {
+	return store.cs.firstClient.Renew(ctx, tokens)
+}
+
+// sessionEnder is the duty of ending the sessions of members that are gone.
+type sessionEnder consensus
+
+func (ender *sessionEnder) Begin(tenure owner.Tenure) { (*consensus)(ender).setEndToken(tenure.Token) }
+func (ender *sessionEnder) End(owner.Tenure)          { (*consensus)(ender).setEndToken(0) }
+
+func (cs *consensus) setEndToken(token uint64) {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	cs.endToken = token
+}
+
+// endSessions ends sessions under its token while it owns that. Hearsay says who is gone; that ends a session, and no rule rests on
+// its being right: a member that lives takes another.
+func (cs *consensus) endSessions() {
+	for {
+		select {
+		case <-time.After(sessionEndInterval):
+		case <-cs.ctx.Done():
+			return
+		}
+		cs.mu.Lock()
+		token := cs.endToken
+		cs.mu.Unlock()
+		if token == 0 {
+			continue
+		}
+		ctx, cancel := context.WithTimeout(cs.ctx, commandTimeout)
+		state, err := cs.firstClient.Read(ctx, false)
+		for _, s := range state.Sessions {
+			if err != nil || !s.Open || s.Member == cs.cluster.options.Settings.Self || !cs.cluster.gossip.RunEnded(s.Member, s.Epoch, cs.cluster.options.Settings.Lease) {
+				continue
+			}
+			if current, owned := cs.owners.May(keep.Sessions); !owned || current != token {
+				break
+			}
+			answer, err := cs.firstClient.Do(ctx, keep.Command{Kind: keep.End, Other: s.Member, Number: s.Epoch, Token: token})
+			if err == nil && answer.Code == keep.OK {
+				cs.cluster.options.Log.Info("cluster", "step", "ended", "member", s.Member, "epoch", s.Epoch, "token", token)
+				cs.mu.Lock()
+				cs.endedSessions++
+				cs.mu.Unlock()
+			}
+		}
+		if err == nil {
+			cs.endInOtherGroups(ctx, state.Sessions, token)
+		}
+		cancel()
+	}
+}
+
+// endInOtherGroups ends in the other groups what has ended in the first, which holds the duty of it. They keep the highest token seen.
+func (cs *consensus) endInOtherGroups(ctx context.Context, first []keep.Session, token uint64) {
+	for _, client := range cs.clients[1:] {
+		state, err := client.Read(ctx, false)
+		if err != nil {
+			continue
+		}
+		for _, s := range state.Sessions {
+			i := slices.IndexFunc(first, func(session keep.Session) bool { return session.Member == s.Member })
+			if !s.Open || i < 0 || first[i].Epoch < s.Epoch || first[i].Epoch == s.Epoch && first[i].Open {
+				continue
+			}
+			if current, owned := cs.owners.May(keep.Sessions); !owned || current != token {
+				return
+			}
+			client.Do(ctx, keep.Command{Kind: keep.Close, Other: s.Member, Number: s.Epoch, Token: token})
+		}
+	}
+}
+
+// List is a pool's list by way of one member that asks for all; own makes the source that asks discovery.
+func (c *Cluster) List(pool string, sink lists.Sink, newSource func(lists.Sink) lists.Source) lists.Source {
+	if c.consensus == nil {
+		return newSource(sink)
+	}
+	cs := c.consensus
+	fenced := c.options.Lab == nil || !c.options.Lab.disables("fence")
+	list := shared.New(pool, sink, newSource, listTransport{cs}, cs.owners, fenced, c.options.Log)
+	return listSource{cs, pool, list}
+}
+
+// listSource is known to the cluster while it runs.
+type listSource struct {
+	cs   *consensus
+	pool string
+	list *shared.List
+}
+
+func (source listSource) Run(ctx context.Context) {
+	source.cs.mu.Lock()
+	source.cs.lists[source.pool] = source.list
+	source.cs.mu.Unlock()
+	defer func() {
+		source.cs.mu.Lock()
+		defer source.cs.mu.Unlock()
+		if source.cs.lists[source.pool] == source.list {
+			delete(source.cs.lists, source.pool)
+		}
+	}()
+	source.list.Run(ctx)
+}
+
+// listTransport is how words of a list go.
+type listTransport struct{ cs *consensus }
+
+func (transport listTransport) Post(name string, raw []byte) {
+	transport.cs.cluster.link.Post(name, methodListUpdate, raw, listUpdateTimeout)
+}
+
+func (transport listTransport) Whole(ctx context.Context, name, pool string) ([]byte, error) {
+	return transport.cs.cluster.link.Call(ctx, name, methodListSnapshot, []byte(pool))
+}
+
+func (transport listTransport) Offering(pool string) (others []string) {
+	for _, m := range transport.cs.cluster.gossip.MembersServing(pool, 0) {
+		if m.Name != transport.cs.cluster.options.Settings.Self {
+			others = append(others, m.Name)
+		}
+	}
+	return others
+}
+
+func (transport listTransport) Owner(duty string) string {
+	transport.cs.mu.Lock()
+	defer transport.cs.mu.Unlock()
+	return transport.cs.heldDuties[duty].Owner
+}
+
+func (cs *consensus) sharedList(pool string) *shared.List {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	return cs.lists[pool]
+}
+
+func (cs *consensus) handleListUpdate(_ context.Context, from string, body []byte) ([]byte, error) {
+	var update shared.Word
+	if err := pack.Unpack(body, &update); err != nil {
+		return nil, err
+	}
+	if list := cs.sharedList(update.Pool); list != nil {
+		list.Heard(from, &update)
+	}
+	return nil, nil
+}
+
+func (cs *consensus) handleListSnapshot(_ context.Context, _ string, body []byte) ([]byte, error) {
+	if list := cs.sharedList(string(body)); list != nil {
+		return list.Whole(), nil
+	}
+	return nil, errors.New("no such list here")
+}
+
+// directory is a member's directory, with the lab's faults where it has put them.
+func (c *Cluster) directory(path string) disk.FS {
+	if c.options.Lab != nil && c.options.Lab.DiskFaultFile != "" {
+		return disk.Faulty{Dir: disk.Dir(path), FaultFile: c.options.Lab.DiskFaultFile}
+	}
+	return disk.Dir(path)
+}
--- a/internal/cluster/disk/disk.go
+++ b/internal/cluster/disk/disk.go
@@ -28,35 +28,35 @@
 		return err
 	}
 	path := filepath.Join(string(d), name)
-	f, err := os.OpenFile(path+".new", os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
+	file, err := os.OpenFile(path+".new", os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
 		return err
 	}
-	_, err = f.Write(content)
+	_, err = file.Write(content)
 	// Danger: a rename may reach the disk before what it names does.
-	if err = errors.Join(err, f.Sync(), f.Close()); err != nil {
+	if err = errors.Join(err, file.Sync(), file.Close()); err != nil {
 		return err
 	}
 	if err = os.Rename(path+".new", path); err != nil {
 		return err
 	}
-	in, err := os.Open(string(d))
+	directory, err := os.Open(string(d))
 	if err != nil {
 		return err
 	}
-	return errors.Join(in.Sync(), in.Close())
+	return errors.Join(directory.Sync(), directory.Close())
 }
 
 // Faulty is a directory whose writes fail while a file beside it says so: "full", "read-only" or "sync".
 type Faulty struct {
 	Dir
-	Says string // path of that file
+	FaultFile string // path of that file
 }
 
 // Replace implements FS.
 func (f Faulty) Replace(name string, content []byte) error {
-	says, _ := os.ReadFile(f.Says)
-	switch string(says) {
+	fault, _ := os.ReadFile(f.FaultFile)
+	switch string(fault) {
 	case "full":
 		return &os.PathError{Op: "write", Path: name, Err: syscall.ENOSPC}
 	case "read-only":
--- a/internal/cluster/member/core.go
+++ b/internal/cluster/member/core.go
@@ -392,7 +392,7 @@
 		}
 	}
 	gap := now - c.lastTick
-	stalled := c.lastTick != 0 && gap > stallProbes*int64(c.settings.Probe)
+	stalled := c.lastTick != 0 && gap > stallProbes*int64(c.settings.ProbeInterval)
 	c.lastTick = now
 	if c.superseded {
 		return
@@ -403,7 +403,7 @@
 		c.rng.Shuffle(len(targets), func(i, j int) { targets[i], targets[j] = targets[j], targets[i] })
 		count := 0
 		for _, m := range targets {
-			if m.State == Alive && count < config.AtOnce {
+			if m.State == Alive && count < config.RejoinParallelism {
 				c.actions.ExchangeState(m.Name, m.Address)
 				count++
 			}
@@ -412,7 +412,7 @@
 	if now < c.nextRejoin {
 		return
 	}
-	interval := int64(c.settings.Rejoin)
+	interval := int64(c.settings.RejoinInterval)
 	c.nextRejoin = now + interval*3/4 + c.rng.Int64N(max(1, interval/2))
 	type target struct{ name, address string }
 	var targets []target
@@ -420,7 +420,7 @@
 	for _, m := range c.sorted() {
 		if m.State == Alive {
 			alive[m.Address] = true
-			alive[c.settings.Through[m.Name]] = true
+			alive[c.settings.AddressOverrides[m.Name]] = true
 		}
 	}
 	for _, m := range c.sorted() {
@@ -436,11 +436,11 @@
 			targets = append(targets, target{"", address})
 		}
 	}
-	for i := range min(config.AtOnce, len(targets)) {
+	for i := range min(config.RejoinParallelism, len(targets)) {
 		next := targets[(c.rejoinOffset+i)%len(targets)]
 		c.actions.ExchangeState(next.name, next.address)
 	}
-	if c.rejoinOffset += config.AtOnce; len(targets) > 0 {
+	if c.rejoinOffset += config.RejoinParallelism; len(targets) > 0 {
 		c.rejoinOffset %= len(targets)
 	}
 }
--- a/internal/cluster/member/core_test.go
+++ b/internal/cluster/member/core_test.go
@@ -48,7 +48,7 @@
 	violation string // first violated invariant
 }
 
-var testSettings = &config.Settings{Name: "c", Probe: 100 * time.Millisecond, Rejoin: time.Second}
+var testSettings = &config.Settings{Name: "c", ProbeInterval: 100 * time.Millisecond, RejoinInterval: time.Second}
 
 func (s *simulation) fail(text string, values ...any) {
 	if s.violation == "" {
--- a/internal/cluster/member/gossip.go
+++ b/internal/cluster/member/gossip.go
@@ -185,11 +185,11 @@
 	conf.Name, conf.Transport, conf.Delegate, conf.Events, conf.Alive, conf.Ping = self.ID.String(), transport, callbacks, callbacks, callbacks, callbacks
 	bound := g.options.Transport.Addr()
 	conf.AdvertiseAddr, conf.AdvertisePort, conf.BindAddr, conf.BindPort = bound.IP.String(), bound.Port, bound.IP.String(), bound.Port
-	conf.ProbeInterval, conf.ProbeTimeout, conf.TCPTimeout = settings.Probe, settings.Probe/2, config.Exchange
-	conf.SuspicionMult, conf.SuspicionMaxTimeoutMult, conf.AwarenessMaxMultiplier = config.Suspicion, config.Suspected, config.Slower
-	conf.IndirectChecks, conf.RetransmitMult = config.Indirect, config.Retransmit
-	conf.GossipInterval, conf.GossipNodes, conf.GossipToTheDeadTime = settings.Probe/config.GossipPart, config.GossipTo, time.Minute
-	conf.PushPullInterval = config.ExchangeEach * settings.Probe
+	conf.ProbeInterval, conf.ProbeTimeout, conf.TCPTimeout = settings.ProbeInterval, settings.ProbeInterval/2, config.ExchangeTimeout
+	conf.SuspicionMult, conf.SuspicionMaxTimeoutMult, conf.AwarenessMaxMultiplier = config.SuspicionMultiplier, config.SuspicionMaxFactor, config.MaxProbeSlowdown
+	conf.IndirectChecks, conf.RetransmitMult = config.IndirectProbes, config.RetransmitMultiplier
+	conf.GossipInterval, conf.GossipNodes, conf.GossipToTheDeadTime = settings.ProbeInterval/config.GossipRoundsPerProbe, config.GossipFanout, time.Minute
+	conf.PushPullInterval = config.ExchangeProbes * settings.ProbeInterval
 	conf.EnableCompression = false
 	conf.LogOutput, conf.Logger = nil, log.New(libraryLog{g.options.Log}, "", 0)
 	list, err := memberlist.Create(conf)
@@ -233,7 +233,7 @@
 // loop ticks the core, runs its queued actions and broadcasts the status.
 func (g *Gossip) loop() {
 	defer close(g.done)
-	tick := time.NewTicker(min(tickInterval, g.options.Settings.Probe/4))
+	tick := time.NewTicker(min(tickInterval, g.options.Settings.ProbeInterval/4))
 	defer tick.Stop()
 	for {
 		g.mu.Lock()
@@ -443,7 +443,7 @@
 			return m.State == Left || m.State == Superseded || m.State == Dead && now-m.StateSince > int64(deadFor)
 		}
 	}
-	return now > int64(2*deadFor) && now > int64(g.options.Settings.Death(g.core.AliveCount()))
+	return now > int64(2*deadFor) && now > int64(g.options.Settings.DeathBound(g.core.AliveCount()))
 }
 
 // Superseded reports whether a newer run of this name has superseded this one.
@@ -473,7 +473,7 @@
 func (g *Gossip) UpdateSettings(settings *config.Settings) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.options.Settings.Join, g.options.Settings.Through = settings.Join, settings.Through
+	g.options.Settings.Join, g.options.Settings.AddressOverrides = settings.Join, settings.AddressOverrides
 }
 
 // Self returns the record of this run.
--- a/internal/cluster/member/virtual_test.go
+++ b/internal/cluster/member/virtual_test.go
@@ -129,7 +129,7 @@
 
 // fastSettings returns settings with short probe and rejoin intervals.
 func fastSettings(self string, join ...string) *config.Settings {
-	return &config.Settings{Name: "c", Self: self, Address: "?", Join: join, Probe: 200 * time.Millisecond, Rejoin: time.Second}
+	return &config.Settings{Name: "c", Self: self, Address: "?", Join: join, ProbeInterval: 200 * time.Millisecond, RejoinInterval: time.Second}
 }
 
 func address(n int) string { return fmt.Sprintf("127.0.%d.%d:7000", n/250, n%250+1) }
@@ -233,7 +233,7 @@
 // TestNetworkFaults checks on a virtual clock that all views recover within the bound after various network faults.
 func TestNetworkFaults(t *testing.T) {
 	settings := fastSettings("")
-	limit := settings.Return(5)
+	limit := settings.ConvergenceBound(5)
 	for _, test := range []struct {
 		name string
 		play func(t *testing.T, network *testNetwork, nodes []*testNode)
@@ -253,7 +253,7 @@
 				time.Sleep(duration)
 				network.update(func() { network.blocked = func(_, _ string) bool { return false } })
 			}
-			suspicion := config.Suspicion * settings.Probe
+			suspicion := config.SuspicionMultiplier * settings.ProbeInterval
 			for range 5 {
 				isolate(suspicion / 2)
 				if alive := nodes[0].aliveRuns(); len(alive) != 5 {
@@ -347,7 +347,7 @@
 		{"other members know the epoch, no disk, wall clock an hour back", nil, 1000 - 3600, false},
 		{"epoch on disk, no member reachable", disk.Dir(filepath.Join(dir, "kept")), 0, true},
 		{"no member reachable, no disk, wall clock back: epoch is renewed on first contact", nil, 0, true},
-		{"disk full", disk.Faulty{Dir: disk.Dir(filepath.Join(dir, "full")), Says: filepath.Join(dir, "says")}, 0, false},
+		{"disk full", disk.Faulty{Dir: disk.Dir(filepath.Join(dir, "full")), FaultFile: filepath.Join(dir, "says")}, 0, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			os.WriteFile(filepath.Join(dir, "says"), []byte("full"), 0o600)
@@ -391,7 +391,7 @@
 	}
 }
 
-func returnBound(members int) time.Duration { return fastSettings("", "a").Return(members) }
+func returnBound(members int) time.Duration { return fastSettings("", "a").ConvergenceBound(members) }
 
 // TestLeaveAndDeath checks that an intentional leave is not reported as a failure, and that the death of a member is detected
 // within the bound.
@@ -416,7 +416,7 @@
 			}
 		}
 		nodes[3].kill()
-		bound := fastSettings("").Death(4)
+		bound := fastSettings("").DeathBound(4)
 		if elapsed, ok := waitForViews(nodes[:3], bound, hasCount(3)); !ok {
 			t.Errorf("death not detected by all after %s", elapsed)
 		}
@@ -440,7 +440,9 @@
 			synctest.Test(t, func(t *testing.T) {
 				network := newTestNetwork(uint64(size))
 				network.loss = loss
-				configure := func(settings *config.Settings) { settings.Probe, settings.Rejoin = config.Probe, config.Rejoin }
+				configure := func(settings *config.Settings) {
+					settings.ProbeInterval, settings.RejoinInterval = config.DefaultProbeInterval, config.DefaultRejoinInterval
+				}
 				var mu sync.Mutex
 				declaredDead := map[string]int{}
 				var nodes []*testNode
@@ -476,7 +478,7 @@
 				falseDeaths := len(declaredDead)
 				clear(declaredDead)
 				mu.Unlock()
-				bound := nodes[0].gossip.options.Settings.Death(size)
+				bound := nodes[0].gossip.options.Settings.DeathBound(size)
 				var detection []time.Duration
 				for victim := range min(5, size/3) {
 					node := nodes[len(nodes)-1-victim]
--- a/internal/cluster/peers.go
+++ b/internal/cluster/peers.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	mostSaid   = 256 // bytes that one module says to another at once
-	mostQueued = 256 // such messages that wait to be sent; beyond it they are dropped
-	peersHead  = 9   // pool, sender's part, receiver's part, length of the sender's name
+	maxPeerMessageBytes   = 256 // bytes that one module says to another at once
+	maxQueuedPeerMessages = 256 // such messages that wait to be sent; beyond it they are dropped
+	peerHeaderBytes       = 9   // pool, sender's part, receiver's part, length of the sender's name
 )
 
 // Sink takes what peers say; numbers are those of modules over all balancers. The bytes are its own only until it returns.
@@ -20,98 +20,98 @@
 	Told(from, to int, raw []byte)
 }
 
-// Route carries what the balancers of one pool say to one another, among the members that count at present. Datagrams
+// PeerRoute carries what the balancers of one pool say to one another, among the members that count at present. Datagrams
 // name their sender, not its number: two members may number the others differently while their views differ.
-type Route struct {
-	c     *Cluster
-	pool  uint32
-	parts int
-	names []string // by index
-	own   int
-	sink  Sink
+type PeerRoute struct {
+	cluster *Cluster
+	pool    uint32
+	shards  int
+	members []string // by index
+	self    int
+	sink    Sink
 }
 
-type said struct {
-	name    string
+type peerMessage struct {
+	member  string
 	payload []byte
 }
 
-// Counted are the members that count as balancers of a pool, by name: the living, and those held dead for less than a
+// PoolBalancers are the members that count as balancers of a pool, by name: the living, and those held dead for less than a
 // time, since they may be behind a link that is cut and still send. Who left by intent doesn't count.
-func (c *Cluster) Counted(pool string, dead time.Duration) (names []string, own int) {
-	for _, m := range c.gossip.MembersServing(pool, dead) {
+func (c *Cluster) PoolBalancers(pool string, maxDeadTime time.Duration) (names []string, self int) {
+	for _, m := range c.gossip.MembersServing(pool, maxDeadTime) {
 		names = append(names, m.Name)
 	}
-	return names, slices.Index(names, c.o.Settings.Self)
+	return names, slices.Index(names, c.options.Settings.Self)
 }
 
-// Follow has what is said of a pool given to a sink, among these members; it takes the place of the route before.
-func (c *Cluster) Follow(pool string, names []string, own, parts int, sink Sink) *Route {
-	r := &Route{c, roster.Number(pool), parts, names, own, sink}
+// OpenPeerRoute has what is said of a pool given to a sink, among these members; it takes the place of the route before.
+func (c *Cluster) OpenPeerRoute(pool string, members []string, self, shards int, sink Sink) *PeerRoute {
+	route := &PeerRoute{c, roster.Number(pool), shards, members, self, sink}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.pools[r.pool] = r
-	if c.said == nil {
-		c.said = make(chan said, mostQueued)
-		c.all.Go(c.speak)
+	c.peerRoutes[route.pool] = route
+	if c.peerMessages == nil {
+		c.peerMessages = make(chan peerMessage, maxQueuedPeerMessages)
+		c.wg.Go(c.sendPeerMessages)
 	}
-	return r
+	return route
 }
 
-// Unfollow ends a pool's route.
-func (c *Cluster) Unfollow(pool string) {
+// ClosePeerRoute ends a pool's route.
+func (c *Cluster) ClosePeerRoute(pool string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.pools, roster.Number(pool))
+	delete(c.peerRoutes, roster.Number(pool))
 }
 
 // Tell implements httpwire.Speaker. It never waits: what finds no room is lost.
-func (r *Route) Tell(from, to int, raw []byte) {
-	i := to / r.parts
-	if to < 0 || i >= len(r.names) || i == r.own || len(raw) > mostSaid {
+func (route *PeerRoute) Tell(from, to int, raw []byte) {
+	receiver := to / route.shards
+	if to < 0 || receiver >= len(route.members) || receiver == route.self || len(raw) > maxPeerMessageBytes {
 		return
 	}
-	self := r.c.o.Settings.Self
-	b := make([]byte, 0, peersHead+len(self)+len(raw))
-	b = binary.BigEndian.AppendUint32(b, r.pool)
-	b = binary.BigEndian.AppendUint16(b, uint16(from%r.parts))
-	b = binary.BigEndian.AppendUint16(b, uint16(to%r.parts))
-	b = append(append(append(b, byte(len(self))), self...), raw...)
+	self := route.cluster.options.Settings.Self
+	message := make([]byte, 0, peerHeaderBytes+len(self)+len(raw))
+	message = binary.BigEndian.AppendUint32(message, route.pool)
+	message = binary.BigEndian.AppendUint16(message, uint16(from%route.shards))
+	message = binary.BigEndian.AppendUint16(message, uint16(to%route.shards))
+	message = append(append(append(message, byte(len(self))), self...), raw...)
 	select {
-	case r.c.said <- said{r.names[i], b}:
+	case route.cluster.peerMessages <- peerMessage{route.members[receiver], message}:
 	default:
 	}
 }
 
-// speak sends what modules say.
-func (c *Cluster) speak() {
+// sendPeerMessages sends what modules say.
+func (c *Cluster) sendPeerMessages() {
 	for {
 		select {
-		case s := <-c.said:
-			if address, known := c.gossip.Resolve(s.name); known {
-				c.link.Send(link.KindPeers, s.name, address, s.payload) // lost if it fails: so may any be
+		case message := <-c.peerMessages:
+			if address, known := c.gossip.Resolve(message.member); known {
+				c.link.Send(link.KindPeers, message.member, address, message.payload) // lost if it fails: so may any be
 			}
-		case <-c.end:
+		case <-c.done:
 			return
 		}
 	}
 }
 
-// told hands on what a peer says; what names no known sender, pool or part is passed over.
-func (c *Cluster) told(b []byte) {
-	if len(b) < peersHead || len(b) < peersHead+int(b[8]) || len(b) > peersHead+255+mostSaid {
+// handlePeerMessage hands on what a peer says; what names no known sender, pool or part is passed over.
+func (c *Cluster) handlePeerMessage(message []byte) {
+	if len(message) < peerHeaderBytes || len(message) < peerHeaderBytes+int(message[8]) || len(message) > peerHeaderBytes+255+maxPeerMessageBytes {
 		return
 	}
 	c.mu.Lock()
-	r := c.pools[binary.BigEndian.Uint32(b)]
+	route := c.peerRoutes[binary.BigEndian.Uint32(message)]
 	c.mu.Unlock()
-	if r == nil {
+	if route == nil {
 		return
 	}
-	from, to := int(binary.BigEndian.Uint16(b[4:])), int(binary.BigEndian.Uint16(b[6:]))
-	i := slices.Index(r.names, string(b[peersHead:peersHead+int(b[8])]))
-	if i < 0 || i == r.own || r.own < 0 || from >= r.parts || to >= r.parts {
+	from, to := int(binary.BigEndian.Uint16(message[4:])), int(binary.BigEndian.Uint16(message[6:]))
+	sender := slices.Index(route.members, string(message[peerHeaderBytes:peerHeaderBytes+int(message[8])]))
+	if sender < 0 || sender == route.self || route.self < 0 || from >= route.shards || to >= route.shards {
 		return
 	}
-	r.sink.Told(i*r.parts+from, r.own*r.parts+to, b[peersHead+int(b[8]):])
+	route.sink.Told(sender*route.shards+from, route.self*route.shards+to, message[peerHeaderBytes+int(message[8]):])
 }
--- a/internal/desk/desk.go
+++ b/internal/desk/desk.go
@@ -130,7 +130,7 @@
 	closed        bool
 	counters      Counters
 	metrics       *figures.Pool
-	book          *terms.Book                // the current settings
+	book          *terms.Settings            // the current settings
 	sendReport    func(peer int, raw []byte) // to another balancer; nil if there is no transport
 	inspector     inspector                  // nil if the engine has none
 	watch         *watch.Module              // set if live weights and peers are only evaluated in shadow mode
@@ -140,19 +140,19 @@
 }
 
 // New returns a Dispatcher with a new engine.
-func New(book *terms.Book, metrics *figures.Pool, log *slog.Logger, newEngine EngineFactory) (*Dispatcher, error) {
+func New(book *terms.Settings, metrics *figures.Pool, log *slog.Logger, newEngine EngineFactory) (*Dispatcher, error) {
 	d := &Dispatcher{
 		log: log, metrics: metrics, book: book, epoch: time.Now(),
 		follow: make(chan struct{}, 1), probes: make(chan Probe, 256), open: map[*Handle]struct{}{},
 	}
-	d.attemptBuffer.Store(min(maxAttempts(book.Terms), 64))
+	d.attemptBuffer.Store(min(maxAttempts(book.Engine), 64))
 	var engine Engine
 	var err error
-	if book.Watch {
-		d.watch, err = watch.New(book.Before().Terms, book.Terms, d.now())
+	if book.Shadow {
+		d.watch, err = watch.New(book.WithoutLiveAndPeers().Engine, book.Engine, d.now())
 		engine = d.watch
 	} else {
-		engine, err = newEngine(book.Terms, d.now())
+		engine, err = newEngine(book.Engine, d.now())
 	}
 	if err != nil {
 		return nil, err
@@ -275,7 +275,7 @@
 func (d *Dispatcher) class(a Arrival) *figures.Class {
 	config := a.Config
 	if config == nil {
-		config = d.book.Terms
+		config = d.book.Engine
 	}
 	return config.Tariffs[a.Tariff].UserData.(*figures.Class)
 }
@@ -399,7 +399,7 @@
 }
 
 // Reconfigure replaces the settings for new transactions. Open ones keep the settings under which they arrived.
-func (d *Dispatcher) Reconfigure(book *terms.Book) (err error) {
+func (d *Dispatcher) Reconfigure(book *terms.Settings) (err error) {
 	ok := d.update(func(now int64) {
 		engine, can := d.engine.(interface {
 			Reconfigure(config *logic.Config, now int64) error
@@ -409,13 +409,13 @@
 			return
 		}
 		if d.book != nil { // under the lock, as the engine keeps learning with the earlier book
-			book.Keep(d.book)
+			book.KeepLearned(d.book)
 		}
-		book.Terms.Zone = d.roster.Zone(book.Zones[book.Terms.Zone]) // zone numbers of the list do not change
-		if err = engine.Reconfigure(book.Terms, now); err == nil {
+		book.Engine.Zone = d.roster.Zone(book.Zones[book.Engine.Zone]) // zone numbers of the list do not change
+		if err = engine.Reconfigure(book.Engine, now); err == nil {
 			d.attachClasses(book)
 			d.book = book
-			d.attemptBuffer.Store(min(max(maxAttempts(book.Terms), d.attemptBuffer.Load()), 64))
+			d.attemptBuffer.Store(min(max(maxAttempts(book.Engine), d.attemptBuffer.Load()), 64))
 		}
 	})
 	if !ok {
@@ -425,12 +425,12 @@
 }
 
 // attachClasses attaches the metrics class of each tariff of a book.
-func (d *Dispatcher) attachClasses(book *terms.Book) {
-	names := make([]string, len(book.Terms.Tariffs))
+func (d *Dispatcher) attachClasses(book *terms.Settings) {
+	names := make([]string, len(book.Engine.Tariffs))
 	for name, n := range book.Tariffs {
 		names[n] = name
 	}
-	for n, tariff := range book.Terms.Tariffs {
+	for n, tariff := range book.Engine.Tariffs {
 		tariff.UserData = d.metrics.Class(names[n])
 	}
 }
--- a/internal/desk/desk_test.go
+++ b/internal/desk/desk_test.go
@@ -16,7 +16,7 @@
 
 func newTestDispatcher(t *testing.T, tariffs ...*logic.Tariff) *Dispatcher {
 	t.Helper()
-	d, err := New(&terms.Book{Zones: []string{"a"}, Terms: &logic.Config{
+	d, err := New(&terms.Settings{Zones: []string{"a"}, Engine: &logic.Config{
 		Seed: 3, Balancers: 1, Tier: 1, Tariffs: tariffs, MaxAttempts: 3, Hedging: true, Cancelling: true,
 		Probing: true, ColdShare: 0.2, WarmUp: int64(time.Second), OverloadFactor: 3, OverloadSpan: int64(time.Second),
 	}}, &figures.Pool{}, slog.New(slog.DiscardHandler), NewBalancer)
--- a/internal/httpwire/claims.go
+++ b/internal/httpwire/claims.go
@@ -92,13 +92,13 @@
 	if claims == nil {
 		return nil
 	}
-	t := q.book.Terms.Tariffs[q.tariff]
+	t := q.book.Engine.Tariffs[q.tariff]
 	if t.Idempotency == logic.Idempotent {
 		return nil
 	}
 	c := Claimed{
 		Pool: p.Name, Kind: t, Tag: q.header.Get("Idempotency-Key"), ID: q.id, Left: q.left, Again: q.again, Customer: q.header.Get("X-Org"),
-		Tariff: q.book.Name(q.tariff),
+		Tariff: q.book.TariffName(q.tariff),
 	}
 	if q.rest == nil && len(q.body) > 0 {
 		c.Body = max(1, xxhash.Sum64(q.body))
--- a/internal/httpwire/httpwire_test.go
+++ b/internal/httpwire/httpwire_test.go
@@ -24,7 +24,7 @@
 
 // front is a front with one pool, which takes all.
 func front(t testing.TB) (*Front, *shard) {
-	book := terms.Read(fastjson.MustParse(`{"fleet_size":1,"layer":1,"zone":"a","limits":{"max_pushes":2},
+	book := terms.Decode(fastjson.MustParse(`{"fleet_size":1,"layer":1,"zone":"a","limits":{"max_pushes":2},
 		"guarantees":{"cold_from":0.5},"tenants":[{"name":"acme","quota_rps":9}],
 		"tariffs":[{"name":"view","hard_stop":1000000,"effect":"idempotent"},
 		{"name":"load","hard_stop":1000000,"effect":"deduplicated"}]}`), 1)
--- a/internal/httpwire/outbound.go
+++ b/internal/httpwire/outbound.go
@@ -72,7 +72,7 @@
 	return context.WithValue(ctx, placeKey{}, way{at, until, probe})
 }
 
-func newOutbound(s *sockets, p *part, book *terms.Book) *outbound {
+func newOutbound(s *sockets, p *part, book *terms.Settings) *outbound {
 	b := &outbound{sockets: s, part: p, hosts: map[string]map[*outward]struct{}{}, dials: map[string]*dials{},
 		had: map[string]struct{}{}}
 	dialer := net.Dialer{Timeout: book.DialTimeout}
@@ -81,7 +81,7 @@
 		MaxResponseHeaderBytes: mostHeader,
 		MaxIdleConns:           int(s.limit.Load() / 3), MaxIdleConnsPerHost: int(s.limit.Load() / 3),
 		// Danger: what is written to a connection that its upstream has closed may have run.
-		IdleConnTimeout: book.IdleClose * 9 / 10,
+		IdleConnTimeout: book.IdleTimeout * 9 / 10,
 		DialContext: func(ctx context.Context, network, _ string) (net.Conn, error) {
 			to := ctx.Value(placeKey{}).(way)
 			if err := b.count(to.until); err != nil {
--- a/internal/httpwire/pool.go
+++ b/internal/httpwire/pool.go
@@ -18,7 +18,7 @@
 	Name   string
 	front  *Front
 	shards []*shard
-	book   atomic.Pointer[terms.Book]
+	book   atomic.Pointer[terms.Settings]
 	counts *figures.Pool
 	looks  sync.Mutex
 	tally  tally
@@ -47,12 +47,12 @@
 
 // told is what a shard goes by: its part of the book in force, and the one before for tariffs that were dropped.
 type told struct {
-	book, before *terms.Book
+	book, before *terms.Settings
 	since        time.Time // book holds
 }
 
 // NewPool makes a pool, which takes transactions once a board shows it. Retire ends it.
-func (f *Front) NewPool(name string, book *terms.Book) (*Pool, error) {
+func (f *Front) NewPool(name string, book *terms.Settings) (*Pool, error) {
 	p := &Pool{
 		Name: name, front: f, counts: &figures.Pool{}, log: f.base.With("pool", name), ids: ids{open: map[string]struct{}{}},
 		empty: make(chan struct{}),
@@ -62,7 +62,7 @@
 	for n := range f.cores {
 		sh := &shard{Pool: p}
 		var err error
-		own := book.Part(n, f.cores)
+		own := book.Shard(n, f.cores)
 		sh.told.Store(&told{book: own})
 		if sh.desk, err = desk.New(own, p.counts, p.log, f.module); err != nil {
 			for _, made := range p.shards {
@@ -94,10 +94,10 @@
 
 // Retune puts another book in force. What is open keeps the one that it came under; what is told as before keeps what
 // was learnt under it.
-func (p *Pool) Retune(book *terms.Book) error {
+func (p *Pool) Retune(book *terms.Settings) error {
 	for n, sh := range p.shards {
 		before := sh.told.Load().book
-		own := book.Part(n, len(p.shards))
+		own := book.Shard(n, len(p.shards))
 		if err := sh.desk.Reconfigure(own); err != nil {
 			return err
 		}
@@ -129,7 +129,7 @@
 func (p *Pool) Speak(s Speaker) {
 	for n, sh := range p.shards {
 		var say func(to int, raw []byte)
-		if from := p.book.Load().Terms.Index*len(p.shards) + n; s != nil {
+		if from := p.book.Load().Engine.Index*len(p.shards) + n; s != nil {
 			say = func(to int, raw []byte) { s.Tell(from, to, raw) }
 		}
 		sh.desk.SetReportSender(say)
@@ -138,7 +138,7 @@
 
 // Told implements peers.Sink.
 func (p *Pool) Told(from, to int, raw []byte) {
-	if n := to - p.book.Load().Terms.Index*len(p.shards); n >= 0 && n < len(p.shards) {
+	if n := to - p.book.Load().Engine.Index*len(p.shards); n >= 0 && n < len(p.shards) {
 		p.shards[n].desk.PeerReport(from, raw)
 	}
 }
@@ -147,7 +147,7 @@
 func (p *Pool) Shards() int { return len(p.shards) }
 
 // Book is what the pool was told.
-func (p *Pool) Book() *terms.Book { return p.book.Load() }
+func (p *Pool) Book() *terms.Settings { return p.book.Load() }
 
 // Log logs what concerns the pool.
 func (p *Pool) Log() *slog.Logger { return p.log }
@@ -203,7 +203,7 @@
 
 // longest is the longest hard stop of its tariffs.
 func (p *Pool) longest() (longest time.Duration) {
-	for _, t := range p.book.Load().Terms.Tariffs {
+	for _, t := range p.book.Load().Engine.Tariffs {
 		longest = max(longest, time.Duration(t.HardStop))
 	}
 	return longest
--- a/internal/httpwire/push.go
+++ b/internal/httpwire/push.go
@@ -104,7 +104,7 @@
 		return logic.Unsent, false // what came was the answer to something else
 	}
 	status := answer.StatusCode
-	settled := status == http.StatusOK || p.book.Load().Plain && status >= 200 && status < 400
+	settled := status == http.StatusOK || p.book.Load().PlainHTTP && status >= 200 && status < 400
 	// Danger: 429 says to a client that its transaction has not run, which only the module may say.
 	rejected := status >= 400 && status < 500 && status != http.StatusTooManyRequests
 	if !settled {
@@ -204,7 +204,7 @@
 		GotConn: on.board,
 	})
 	r := (&http.Request{
-		Method: http.MethodGet, URL: &url.URL{Scheme: "http", Host: at.Host, Path: p.book.Load().Probe},
+		Method: http.MethodGet, URL: &url.URL{Scheme: "http", Host: at.Host, Path: p.book.Load().ProbePath},
 		Header: http.Header{"User-Agent": {""}}, Body: once{bytes.NewReader(nil)},
 	}).WithContext(ctx)
 	answer, err := p.out.transport.RoundTrip(r)
--- a/internal/httpwire/request.go
+++ b/internal/httpwire/request.go
@@ -22,10 +22,10 @@
 )
 
 const (
-	mostBody = terms.MostBody // of a message that is held for certain
-	mostFull = 48 << 20       // of any message
-	mostHeld = 4              // part of what all bodies may take that one may
-	mostWait = time.Hour      // what a client may ask for
+	mostBody = terms.GuaranteedBodyBytes // of a message that is held for certain
+	mostFull = 48 << 20                  // of any message
+	mostHeld = 4                         // part of what all bodies may take that one may
+	mostWait = time.Hour                 // what a client may ask for
 	underway = 5 * time.Millisecond
 
 	// A client that never ends its message has an error or a close within three seconds of connecting. Danger: half
@@ -39,7 +39,7 @@
 
 // transaction is what a client sent, as the protocol has it.
 type transaction struct {
-	book     *terms.Book // that it came under
+	book     *terms.Settings // that it came under
 	id       string
 	tariff   int
 	customer int // -1 for none
@@ -58,7 +58,7 @@
 // arrival is what the desk is told.
 func (q *transaction) arrival() desk.Arrival {
 	return desk.Arrival{
-		Config: q.book.Terms, Tariff: q.tariff, Customer: q.customer, Timeout: q.left, ClientRetry: q.again, BodyPending: q.rest != nil,
+		Config: q.book.Engine, Tariff: q.tariff, Customer: q.customer, Timeout: q.left, ClientRetry: q.again, BodyPending: q.rest != nil,
 	}
 }
 
@@ -71,19 +71,19 @@
 func bad(text string) *fault { return &fault{http.StatusBadRequest, text} }
 
 // read decodes what a client sent but for its body, which take reads. tariff is what its route says, "" for nothing.
-func read(r *http.Request, book *terms.Book, tariff string) (*transaction, *fault) {
+func read(r *http.Request, book *terms.Settings, tariff string) (*transaction, *fault) {
 	q := &transaction{book: book, method: r.Method, host: r.Host, url: r.URL, customer: -1, length: r.ContentLength}
 	for _, name := range []string{"X-Txn", "X-Lane", "X-Org", "X-Remaining", "Idempotency-Key"} {
 		if len(r.Header[name]) > 1 {
 			return nil, bad("more than one " + name) // Danger: who reads the other would take it for another's
 		}
 	}
-	if !book.Plain && r.Method != http.MethodGet && r.Method != http.MethodPost {
+	if !book.PlainHTTP && r.Method != http.MethodGet && r.Method != http.MethodPost {
 		return nil, bad("the method is neither GET nor POST")
 	}
 	q.header = endToEnd(r.Header)
 	if q.id = r.Header.Get("X-Txn"); q.id == "" {
-		if !book.Plain {
+		if !book.PlainHTTP {
 			return nil, bad("no X-Txn")
 		}
 		q.id = strconv.FormatUint(rand.Uint64(), 16)
@@ -93,7 +93,7 @@
 	if q.tariff, no = kind(r, book, tariff); no != nil {
 		return nil, no
 	}
-	f := book.Terms.Tariffs[q.tariff]
+	f := book.Engine.Tariffs[q.tariff]
 	if f.Idempotency == logic.Keyed && r.Header.Get("Idempotency-Key") == "" {
 		return nil, bad("a tagged transaction without Idempotency-Key") // Danger: its repeats would be unknown
 	}
@@ -113,7 +113,7 @@
 	// Danger: the client counts from when it sent, and an answer given at its hard stop is still on the way then.
 	q.left = max(0, q.left-underway)
 	q.again = r.Header.Get("X-Resent") == "1"
-	if book.Plain {
+	if book.PlainHTTP {
 		forwarded(q.header, r.RemoteAddr)
 	}
 	if r.ContentLength > mostFull {
@@ -124,7 +124,7 @@
 
 // kind is a transaction's tariff: what its route says; else what it says of itself, by X-Lane or the first part of its
 // path; else the pool's own.
-func kind(r *http.Request, book *terms.Book, said string) (tariff int, no *fault) {
+func kind(r *http.Request, book *terms.Settings, said string) (tariff int, no *fault) {
 	if said != "" {
 		n, known := book.Tariffs[said]
 		if !known { // Danger: routes and terms change one after the other, and number 0 is another tariff
@@ -136,16 +136,16 @@
 	name := r.Header.Get("X-Lane")
 	if name == "" {
 		name = first
-	} else if name != first && !book.Plain {
+	} else if name != first && !book.PlainHTTP {
 		return 0, bad("X-Lane and path differ")
 	}
 	if n, known := book.Tariffs[name]; known {
 		return n, nil
 	}
-	if book.Default < 0 || r.Header.Get("X-Lane") != "" {
+	if book.DefaultTariff < 0 || r.Header.Get("X-Lane") != "" {
 		return 0, &fault{http.StatusNotFound, "unknown tariff"}
 	}
-	return book.Default, nil
+	return book.DefaultTariff, nil
 }
 
 // forwarded tells an upstream where a transaction came from.
@@ -275,7 +275,7 @@
 		return q, no
 	}
 	old, still := read(r, t.before, tariff)
-	if still == nil && time.Since(t.since) < time.Duration(t.before.Terms.Tariffs[old.tariff].HardStop) {
+	if still == nil && time.Since(t.since) < time.Duration(t.before.Engine.Tariffs[old.tariff].HardStop) {
 		return old, nil
 	}
 	return q, no
--- a/internal/httpwire/serve.go
+++ b/internal/httpwire/serve.go
@@ -222,7 +222,7 @@
 func (f *Front) turn(w http.ResponseWriter, p *shard, q *transaction) {
 	p.desk.CountDeferred(q.arrival())
 	w.Header()["Connection"] = []string{"close"} // Danger: its body may be on its way yet
-	f.defers(w, time.Duration(q.book.Terms.Backoff(q.book.Terms.Tariffs[q.tariff])))
+	f.defers(w, time.Duration(q.book.Engine.Backoff(q.book.Engine.Tariffs[q.tariff])))
 }
 
 // route finds the pool of a message, which it is counted into, and the tariff if its route says one. What no route
@@ -240,7 +240,7 @@
 	if r.Method == http.MethodConnect {
 		return nil, "", &fault{http.StatusNotImplemented, "a balancer is no tunnel"}
 	}
-	q := routes.Query{Method: r.Method}
+	q := routes.Request{Method: r.Method}
 	for {
 		board := f.board.Load()
 		if board.Only != nil {
@@ -271,7 +271,7 @@
 
 // query is what a message says to the route table. Its path goes on as it was routed. Danger: an upstream that reads it
 // in another way would let through what a route of ours guards.
-func query(r *http.Request, client *counted) (q routes.Query, no *fault) {
+func query(r *http.Request, client *counted) (q routes.Request, no *fault) {
 	var ok bool
 	q.Method, q.Header = r.Method, func(name string) (string, bool) {
 		if v := r.Header[name]; len(v) == 1 {
@@ -282,11 +282,11 @@
 	if client != nil {
 		q.Listener = client.listener.name()
 	}
-	if q.Host, ok = routes.Host(r.Host); !ok {
+	if q.Host, ok = routes.NormalizeHost(r.Host); !ok {
 		return q, bad("the host makes no sense")
 	}
 	sent := r.URL.EscapedPath()
-	if q.Path, ok = routes.Path(sent); !ok {
+	if q.Path, ok = routes.NormalizePath(sent); !ok {
 		return q, bad("the path makes no sense")
 	}
 	if q.Path != sent {
--- a/internal/httpwire/tally.go
+++ b/internal/httpwire/tally.go
@@ -122,7 +122,7 @@
 		now[e] -= p.tally.ended[e]
 	}
 	p.tally.ended = ended
-	if p.book.Load().Watch {
+	if p.book.Load().Shadow {
 		w := t.Watched
 		p.log.Info("shape", "compared", w.Compared, "elsewhere", w.Elsewhere, "waiting", w.Waiting, "sooner", w.Sooner,
 			"copies", w.Copies, "fewer", w.Fewer, "given_up", w.GivenUp, "kept", w.Kept)
--- a/internal/lab/judge/cluster.go
+++ b/internal/lab/judge/cluster.go
@@ -43,7 +43,7 @@
 	}
 	n := j.e.Balancers
 	s := j.e.Cluster.Settings
-	f := &fleet{j: j, e: j.e, r: j.r, death: int64(s.Death(n)) + slack, back: int64(s.Return(n)) + slack}
+	f := &fleet{j: j, e: j.e, r: j.r, death: int64(s.DeathBound(n)) + slack, back: int64(s.ConvergenceBound(n)) + slack}
 	slices.SortStableFunc(j.r.Views, func(a, b record.View) int { return int(max(-1, min(1, a.At-b.At))) })
 	for _, rule := range clusterRules {
 		before := f.count
@@ -54,7 +54,7 @@
 	fig["cluster"] = float64(f.count)
 	fig["death_seen"], fig["death_bound"] = float64(f.worst)/float64(second), float64(f.death)/float64(second)
 	if j.e.Cluster.Voters > 0 {
-		fig["no_owner"], fig["no_owner_bound"] = float64(f.without)/float64(second), float64(int64(s.NoOwner(n))+slack)/float64(second)
+		fig["no_owner"], fig["no_owner_bound"] = float64(f.without)/float64(second), float64(int64(s.NoOwnerBound(n))+slack)/float64(second)
 		fig["refused"] = float64(j.r.Refused)
 	}
 	fig["views_back"], fig["views_bound"] = float64(f.slowest)/float64(second), float64(f.back)/float64(second)
@@ -244,7 +244,7 @@
 		if before, some := last[c.Duty]; some {
 			before = max(before, f.apart(before, c.At))
 			f.without = max(f.without, c.At-before)
-			if limit := int64(f.e.Cluster.Settings.NoOwner(f.e.Balancers)) + slack; c.At-before > limit {
+			if limit := int64(f.e.Cluster.Settings.NoOwnerBound(f.e.Balancers)) + slack; c.At-before > limit {
 				f.breach("owners", "%s had no owner from %s to %s (%.1f s at most)", c.Duty, at(before), at(c.At), float64(limit)/float64(second))
 			}
 		}
--- a/internal/lab/judge/ledger.go
+++ b/internal/lab/judge/ledger.go
@@ -119,7 +119,7 @@
 // outside is what was earned of what was asked for while no claim may be deferred: not within the stated time after anything went
 // wrong between members, nor without a majority of keepers. By tariff.
 func (f *fleet) outside() {
-	bound := int64(f.e.Cluster.Settings.Without())
+	bound := int64(f.e.Cluster.Settings.ClaimOutageBound())
 	var spans []record.Span
 	for _, o := range f.r.Outages {
 		spans = append(spans, record.Span{From: o.From, To: o.From + bound})
--- a/internal/lab/run/cluster.go
+++ b/internal/lab/run/cluster.go
@@ -110,9 +110,9 @@
 			t.Join = append(t.Join, s.mesh.Address(n, other))
 		}
 	}
-	lab := cluster.Lab{Process: os.Getpid(), Disk: t.disk}
+	lab := cluster.Lab{ParentPID: os.Getpid(), DiskFaultFile: t.disk}
 	if guard, some := strings.CutPrefix(s.o.Variant, "without-"); some && guard != "ledger" {
-		lab.Without = []string{guard}
+		lab.DisabledGuards = []string{guard}
 	}
 	raw, err := json.Marshal(lab)
 	if err != nil {
@@ -139,7 +139,7 @@
 
 // keeps reports whether the members keep a ledger.
 func (s *stage) keeps() bool {
-	return s.clustered() && s.e.Cluster.Settings.Ledger.Claims() && s.o.Variant != "without-ledger"
+	return s.clustered() && s.e.Cluster.Settings.Ledger.Enabled() && s.o.Variant != "without-ledger"
 }
 
 // look reads lines of the ledger at members, by chance, for as long as the run goes on.
@@ -273,7 +273,7 @@
 func (s *stage) claim(b *balancer, process int) {
 	from := s.now()
 	text, ok, err := ops.Call(b.seat.Ops, "CLUSTER owners", answers)
-	var o cluster.Owners
+	var o cluster.DutyReport
 	if err != nil || !ok || json.NewDecoder(strings.NewReader(text)).Decode(&o) != nil {
 		return
 	}
@@ -477,6 +477,6 @@
 // environment is a member's.
 func (b *balancer) environment(c *exec.Cmd) {
 	if b.seat != nil {
-		c.Env = append(os.Environ(), cluster.Variable+"="+b.seat.lab)
+		c.Env = append(os.Environ(), cluster.LabVariable+"="+b.seat.lab)
 	}
 }
--- a/internal/lab/run/run_test.go
+++ b/internal/lab/run/run_test.go
@@ -63,7 +63,7 @@
 	}
 	b := &bad{kind: kind, list: map[string]listed{}}
 	ready := make(chan struct{})
-	go b.follow(p.Pools[0].List.Discovery, ready)
+	go b.follow(p.Pools[0].Upstreams.Discovery, ready)
 	<-ready
 	if kind == "dies" {
 		time.AfterFunc(1500*time.Millisecond, func() { os.Exit(3) })
--- a/internal/lab/spec/cluster.go
+++ b/internal/lab/spec/cluster.go
@@ -77,16 +77,16 @@
 	}
 	base, _ := t.Raw("cluster").(map[string]any)
 	u := t.Table("cluster")
-	c := &Cluster{Zones: u.Texts("zones"), Voters: u.Whole("voters", 0, 0, 64), base: base}
+	c := &Cluster{Zones: u.Strings("zones"), Voters: u.Int("voters", 0, 0, 64), base: base}
 	delete(base, "zones")
 	delete(base, "voters")
 	for _, key := range []string{"name", "address", "directory", "join", "through", "zone"} {
 		if _, some := base[key]; some {
-			r.Fault(settings.Join(u.Path, key), "is the lab's own to set")
+			r.Fault(settings.JoinPath(u.Path, key), "is the lab's own to set")
 		}
 	}
 	if c.Voters > r.e.Balancers {
-		r.Fault(settings.Join(u.Path, "voters"), "there are %d balancers", r.e.Balancers)
+		r.Fault(settings.JoinPath(u.Path, "voters"), "there are %d balancers", r.e.Balancers)
 	}
 	r.e.Cluster = c
 }
@@ -118,17 +118,17 @@
 
 // linkFault reads what a fault of links says.
 func (r *reader) linkFault(u *settings.Table, f *Fault) {
-	from, to := u.Texts("from"), u.Texts("to")
+	from, to := u.Strings("from"), u.Strings("to")
 	l := &Link{
-		OneWay: u.Flag("one_way", false), Delay: u.Time("delay", 0, 0), Jitter: u.Time("jitter", 0, 0), Part: u.Number("part", 0.1, 0, 1),
-		Pace: int(u.Size("pace", 1<<10, 1)), some: u.Whole("some", 0, 0, 64),
+		OneWay: u.Bool("one_way", false), Delay: u.Duration("delay", 0, 0), Jitter: u.Duration("jitter", 0, 0), Part: u.Number("part", 0.1, 0, 1),
+		Pace: int(u.Size("pace", 1<<10, 1)), some: u.Int("some", 0, 0, 64),
 	}
 	if !strings.HasPrefix(f.Kind, "link-") {
 		return
 	}
 	f.Link = l
 	if r.e.Cluster == nil {
-		r.Fault(settings.Join(u.Path, "kind"), "there is no [cluster] whose links it could meet")
+		r.Fault(settings.JoinPath(u.Path, "kind"), "there is no [cluster] whose links it could meet")
 		return
 	}
 	l.From, l.To = r.members(u, "from", from), r.members(u, "to", to)
@@ -154,7 +154,7 @@
 			}
 		}
 		if !found {
-			r.Fault(settings.Join(u.Path, key), "%q is no member, which are called \"b1\", \"b2\", or \"zone NAME\"", name)
+			r.Fault(settings.JoinPath(u.Path, key), "%q is no member, which are called \"b1\", \"b2\", or \"zone NAME\"", name)
 		}
 	}
 	return all
--- a/internal/lab/spec/spec.go
+++ b/internal/lab/spec/spec.go
@@ -177,7 +177,7 @@
 	}
 	r := &reader{File: f, e: &Experiment{Name: strings.TrimSuffix(filepath.Base(path), ".toml"), Short: short, base: map[string]any{}}}
 	r.read(t)
-	if f.Failed() {
+	if f.Finish() {
 		return nil, f.Faults
 	}
 	return r.e, f.Faults
@@ -192,13 +192,13 @@
 
 func (r *reader) read(t *settings.Table) {
 	e := r.e
-	e.Title, e.About = t.Must("title", "what it shows, in a line"), t.Text("about", "")
-	e.Seed = uint64(t.Whole("seed", 1, 0, 1<<53))
-	e.Length = int64(t.Time("length", 30*time.Second, time.Second))
-	e.Settle = int64(t.Time("settle", 3*time.Second, 0))
-	e.Balancers = t.Whole("balancers", 1, 1, 64)
-	e.Listed = int64(t.Time("list_takes", 10*time.Millisecond, 0))
-	if e.Variants = t.Texts("variants"); len(e.Variants) == 0 {
+	e.Title, e.About = t.RequiredText("title", "what it shows, in a line"), t.Text("about", "")
+	e.Seed = uint64(t.Int("seed", 1, 0, 1<<53))
+	e.Length = int64(t.Duration("length", 30*time.Second, time.Second))
+	e.Settle = int64(t.Duration("settle", 3*time.Second, 0))
+	e.Balancers = t.Int("balancers", 1, 1, 64)
+	e.Listed = int64(t.Duration("list_takes", 10*time.Millisecond, 0))
+	if e.Variants = t.Strings("variants"); len(e.Variants) == 0 {
 		e.Variants = []string{"design"}
 	}
 	for i, v := range e.Variants {
@@ -207,9 +207,9 @@
 		}
 	}
 	s := t.Table("short")
-	length, settle := int64(s.Time("length", 5*time.Second, time.Second)), int64(s.Time("settle", time.Second, 0))
+	length, settle := int64(s.Duration("length", 5*time.Second, time.Second)), int64(s.Duration("settle", time.Second, 0))
 	rates := s.Number("rates", 1, 0.01, 1)
-	s.End()
+	s.ReportUnknownKeys()
 	r.scale, r.rates = 1, 1
 	if e.Short {
 		r.scale, r.rates = float64(length)/float64(e.Length), rates
@@ -226,7 +226,7 @@
 	r.clients(t)
 	r.faults(t)
 	r.verdict(t)
-	t.End()
+	t.ReportUnknownKeys()
 }
 
 // balancer keeps what is a balancer's configuration.
@@ -236,7 +236,7 @@
 			r.e.base[key] = v
 		}
 	}
-	for _, name := range t.Table("tariffs").Names() {
+	for _, name := range t.Table("tariffs").Keys() {
 		r.e.Tariffs = append(r.e.Tariffs, &Tariff{Name: name, Sizes: work.Sizes{Kind: "exponential", Mean: 10e6}})
 	}
 	// Danger: upstreams warm up sooner in the short form, and a balancer that isn't told so spares them for far longer.
@@ -249,8 +249,8 @@
 			}
 		}
 	}
-	r.e.Customers = t.Table("customers").Names()
-	r.e.Pools = t.Table("pools").Names()
+	r.e.Customers = t.Table("customers").Keys()
+	r.e.Pools = t.Table("pools").Keys()
 	if len(r.e.Tariffs) == 0 {
 		r.Fault("tariffs", "there is none; write [tariffs.NAME] as in a balancer's configuration")
 	}
@@ -264,7 +264,7 @@
 	name := t.Text(key, unsaid)
 	i := slices.Index(names, name)
 	if i < 0 {
-		r.Fault(settings.Join(t.Path, key), "%q is none of %s", name, strings.Join(names, ", "))
+		r.Fault(settings.JoinPath(t.Path, key), "%q is none of %s", name, strings.Join(names, ", "))
 		return 0
 	}
 	return i
@@ -286,7 +286,7 @@
 
 // work reads how much work transactions are, by tariff.
 func (r *reader) work(t *settings.Table) {
-	names, all := t.Named("work")
+	names, all := t.NamedTables("work")
 	for n, name := range names {
 		i := slices.Index(r.e.tariffs(), name)
 		if i < 0 {
@@ -295,8 +295,8 @@
 		}
 		u := all[n]
 		z := work.Sizes{
-			Kind:  u.One("kind", "exponential", "fixed", "exponential", "lognormal", "pareto", "values"),
-			Mean:  float64(u.Time("mean", 10*time.Millisecond, 10*time.Microsecond)),
+			Kind:  u.Choice("kind", "exponential", "fixed", "exponential", "lognormal", "pareto", "values"),
+			Mean:  float64(u.Duration("mean", 10*time.Millisecond, 10*time.Microsecond)),
 			Sigma: u.Number("sigma", 1, 0.01, 5), Alpha: u.Number("alpha", 1.5, 0.1, 10), Most: u.Number("most", 100, 1.1, 1e6),
 		}
 		if file := u.Text("file", ""); file != "" {
@@ -307,8 +307,8 @@
 		if z.Kind == "values" && len(z.Values) == 0 {
 			r.Fault(u.Path, "values come from a file, one time a line")
 		}
-		r.e.Tariffs[i].Sizes, r.e.Tariffs[i].Fixed = z, u.Flag("same_everywhere", false)
-		u.End()
+		r.e.Tariffs[i].Sizes, r.e.Tariffs[i].Fixed = z, u.Bool("same_everywhere", false)
+		u.ReportUnknownKeys()
 	}
 }
 
@@ -319,7 +319,7 @@
 	}
 	text, err := os.ReadFile(name)
 	if err != nil {
-		r.Fault(settings.Join(t.Path, key), "%v", err)
+		r.Fault(settings.JoinPath(t.Path, key), "%v", err)
 		return nil
 	}
 	for n, line := range strings.Split(string(text), "\n") {
@@ -332,7 +332,7 @@
 			d, err = time.ParseDuration(line + "s")
 		}
 		if err != nil || d < 0 {
-			r.Fault(settings.Join(t.Path, key), "%s:%d: %q is no time", name, n+1, line)
+			r.Fault(settings.JoinPath(t.Path, key), "%s:%d: %q is no time", name, n+1, line)
 			return nil
 		}
 		all = append(all, int64(d))
@@ -342,33 +342,33 @@
 
 // upstreams reads [upstreams.NAME].
 func (r *reader) upstreams(t *settings.Table) {
-	names, all := t.Named("upstreams")
+	names, all := t.NamedTables("upstreams")
 	for n, name := range names {
 		u := all[n]
 		g := &Group{
-			Name: name, Pool: r.place(u, "pool", name, r.e.Pools), Count: u.Whole("count", 1, 1, 2000), Zone: u.Text("zone", "a"),
-			Cells: u.Whole("cells", 1, 1, 1000),
+			Name: name, Pool: r.place(u, "pool", name, r.e.Pools), Count: u.Int("count", 1, 1, 2000), Zone: u.Text("zone", "a"),
+			Cells: u.Int("cells", 1, 1, 1000),
 			Terms: work.Terms{
-				Cores: u.Whole("cores", 2, 1, 1024), Speed: u.Number("speed", 1, 0.001, 1000), Queue: u.Whole("queue", 200, 0, 1<<20),
-				ColdShare: u.Number("cold_share", 0.2, 0.001, 1), Ramp: int64(u.Time("ramp", 10*time.Second, 0)),
-				Multiple: u.Number("fall_multiple", 3, 1, 1000), Span: int64(u.Time("fall_span", time.Second, time.Millisecond)),
+				Cores: u.Int("cores", 2, 1, 1024), Speed: u.Number("speed", 1, 0.001, 1000), Queue: u.Int("queue", 200, 0, 1<<20),
+				ColdShare: u.Number("cold_share", 0.2, 0.001, 1), Ramp: int64(u.Duration("ramp", 10*time.Second, 0)),
+				Multiple: u.Number("fall_multiple", 3, 1, 1000), Span: int64(u.Duration("fall_span", time.Second, time.Millisecond)),
 			},
 		}
 		g.Ramp = int64(float64(g.Ramp) * r.scale)
 		j := u.Table("jam")
 		g.JamAt, g.JamSlow, g.JamEnds = j.Number("at", 0, 0, 1e6), j.Number("slow", 2, 1, 1000), j.Number("ends", 1, 0, 1e6)
-		j.End()
+		j.ReportUnknownKeys()
 		if c := u.Table("calls"); u.Has("calls") {
 			g.Calls = &Calls{
 				Pool: r.place(c, "pool", "", r.e.Pools), Tariff: r.place(c, "tariff", first(r.e.tariffs()), r.e.tariffs()),
-				Least: c.Whole("least", 1, 0, 100), Most: c.Whole("most", 1, 0, 100),
+				Least: c.Int("least", 1, 0, 100), Most: c.Int("most", 1, 0, 100),
 			}
 			if g.Calls.Most < g.Calls.Least {
 				r.Fault(c.Path, "most is under least")
 			}
-			c.End()
+			c.ReportUnknownKeys()
 		}
-		u.End()
+		u.ReportUnknownKeys()
 		r.e.Groups = append(r.e.Groups, g)
 		for i := range g.Count {
 			r.e.Upstreams = append(r.e.Upstreams, Upstream{Name: fmt.Sprintf("%s-%d", name, i+1), Group: g, Cell: i % g.Cells})
@@ -438,7 +438,7 @@
 
 // configuration checks what a balancer would be told, and takes the tariffs from it.
 func (r *reader) configuration() {
-	if r.Failed() {
+	if r.Finish() {
 		return
 	}
 	lists := make([]string, len(r.e.Pools))
@@ -447,7 +447,7 @@
 	}
 	p, faults := plan.Parse(r.Name, r.e.Configuration(0, "127.0.0.1:1", lists, true, r.e.Clustered(0, Seat{Address: "127.0.0.1:2", Ops: "127.0.0.1:3", Dir: os.TempDir()})), os.LookupEnv)
 	for _, f := range faults {
-		if !f.Remark {
+		if !f.Warning {
 			r.Fault(f.Key, "%s", f.Text)
 		}
 	}
@@ -457,15 +457,15 @@
 	if r.e.Cluster != nil {
 		r.e.Cluster.Settings = p.Cluster
 	}
-	book := p.Pools[0].Book
+	book := p.Pools[0].Settings
 	for _, q := range p.Pools {
-		if len(q.Book.Tariffs) > len(book.Tariffs) {
-			book = q.Book
+		if len(q.Settings.Tariffs) > len(book.Tariffs) {
+			book = q.Settings
 		}
 	}
 	for _, f := range r.e.Tariffs {
 		if i, known := book.Tariffs[f.Name]; known {
-			f.Tariff = book.Terms.Tariffs[i]
+			f.Tariff = book.Engine.Tariffs[i]
 		} else {
 			r.Fault("tariffs."+f.Name, "one pool at least has all tariffs here")
 		}
@@ -478,31 +478,31 @@
 		c := &Clients{
 			Name: u.Text("name", fmt.Sprintf("clients-%d", n+1)), Pool: r.place(u, "pool", first(r.e.Pools), r.e.Pools),
 			Tariff: r.place(u, "tariff", first(r.e.tariffs()), r.e.tariffs()), Customer: u.Text("customer", ""),
-			Rate: u.Number("rate", 10, 0, 1e6) * r.rates, Shape: u.One("shape", "poisson", "poisson", "constant"),
-			Wave: u.Number("wave", 0, 0, 1), Period: r.scaled(u.Time("period", 10*time.Second, time.Millisecond)),
-			Patience: int64(u.Time("patience", 0, 0)), Retries: u.Whole("retries", 0, 0, 100),
-			Pause: int64(u.Time("pause", 100*time.Millisecond, 0)), Heeds: u.Flag("heeds_advice", true), Marks: u.Flag("marks_retries", true),
-			Kept: u.One("connections", "kept", "kept", "new") == "kept", Body: int(u.Size("body", 0, 0)),
-			Keyed: u.Flag("keyed", false), Repeats: u.Flag("repeats", false), After: int64(u.Time("again_after", 0, 0)),
+			Rate: u.Number("rate", 10, 0, 1e6) * r.rates, Shape: u.Choice("shape", "poisson", "poisson", "constant"),
+			Wave: u.Number("wave", 0, 0, 1), Period: r.scaled(u.Duration("period", 10*time.Second, time.Millisecond)),
+			Patience: int64(u.Duration("patience", 0, 0)), Retries: u.Int("retries", 0, 0, 100),
+			Pause: int64(u.Duration("pause", 100*time.Millisecond, 0)), Heeds: u.Bool("heeds_advice", true), Marks: u.Bool("marks_retries", true),
+			Kept: u.Choice("connections", "kept", "kept", "new") == "kept", Body: int(u.Size("body", 0, 0)),
+			Keyed: u.Bool("keyed", false), Repeats: u.Bool("repeats", false), After: int64(u.Duration("again_after", 0, 0)),
 		}
 		if c.After > 0 && !c.Repeats {
-			r.Fault(settings.Join(u.Path, "again_after"), "asks a second time while the first is out, which is for clients that say repeats = true")
+			r.Fault(settings.JoinPath(u.Path, "again_after"), "asks a second time while the first is out, which is for clients that say repeats = true")
 		}
 		if c.Customer != "" && !slices.Contains(r.e.Customers, c.Customer) {
-			r.Fault(settings.Join(u.Path, "customer"), "%q is no customer", c.Customer)
+			r.Fault(settings.JoinPath(u.Path, "customer"), "%q is no customer", c.Customer)
 		}
 		if len(r.e.Tariffs) > c.Tariff && r.e.Tariffs[c.Tariff].Tariff != nil && c.Patience == 0 {
 			c.Patience = r.e.Tariffs[c.Tariff].HardStop
 		}
 		for _, s := range u.Tables("steps") {
-			c.Steps = append(c.Steps, Step{r.scaled(s.Time("at", 0, 0)), s.Number("factor", 1, 0, 1e4)})
-			s.End()
+			c.Steps = append(c.Steps, Step{r.scaled(s.Duration("at", 0, 0)), s.Number("factor", 1, 0, 1e4)})
+			s.ReportUnknownKeys()
 		}
 		if file := u.Text("trace", ""); file != "" {
 			c.Trace = r.times(u, "trace", file)
 			slices.Sort(c.Trace)
 		}
-		u.End()
+		u.ReportUnknownKeys()
 		r.e.Clients = append(r.e.Clients, c)
 	}
 	if len(r.e.Clients) == 0 {
@@ -516,19 +516,19 @@
 func (r *reader) faults(t *settings.Table) {
 	for n, u := range t.Tables("faults") {
 		f := &Fault{
-			Kind: u.One("kind", "", kinds...), At: r.scaled(u.Time("at", 0, 0)), For: r.scaled(u.Time("for", 0, 0)),
+			Kind: u.Choice("kind", "", kinds...), At: r.scaled(u.Duration("at", 0, 0)), For: r.scaled(u.Duration("for", 0, 0)),
 			Factor: u.Number("factor", 0, 0, 1e4), Pool: r.place(u, "pool", first(r.e.Pools), r.e.Pools),
-			Name: u.Text("name", ""), After: u.Text("after", ""), Moves: u.Flag("moves", false),
+			Name: u.Text("name", ""), After: u.Text("after", ""), Moves: u.Bool("moves", false),
 		}
 		r.linkFault(u, f)
 		if f.After != "" && !slices.ContainsFunc(r.e.Faults, func(g *Fault) bool { return g.Name == f.After }) {
-			r.Fault(settings.Join(u.Path, "after"), "no fault before it is called %q", f.After)
+			r.Fault(settings.JoinPath(u.Path, "after"), "no fault before it is called %q", f.After)
 		}
-		share, times := u.Number("share", 1, 0, 1), u.Whole("times", 1, 1, 1000)
-		within := r.scaled(u.Time("within", 0, 0))
-		named := u.Texts("upstreams")
-		balancers := u.Texts("balancers")
-		u.End()
+		share, times := u.Number("share", 1, 0, 1), u.Int("times", 1, 1, 1000)
+		within := r.scaled(u.Duration("within", 0, 0))
+		named := u.Strings("upstreams")
+		balancers := u.Strings("balancers")
+		u.ReportUnknownKeys()
 		chance := chanceOf(r.e.Seed, "fault", n)
 		for range times {
 			g := *f
@@ -547,7 +547,7 @@
 					}
 				}
 				if len(all) == 0 {
-					r.Fault(settings.Join(u.Path, "upstreams"), "no upstream and no group is called so")
+					r.Fault(settings.JoinPath(u.Path, "upstreams"), "no upstream and no group is called so")
 				}
 				chance.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 				g.Upstreams = all[:int(share*float64(len(all))+0.999)]
@@ -567,7 +567,7 @@
 		}
 		n, err := strconv.Atoi(strings.TrimPrefix(name, "b"))
 		if err != nil || n < 1 || n > r.e.Balancers {
-			r.Fault(settings.Join(t.Path, "balancers"), "%q is no balancer, which are counted from \"1\"", name)
+			r.Fault(settings.JoinPath(t.Path, "balancers"), "%q is no balancer, which are counted from \"1\"", name)
 			continue
 		}
 		all = append(all, n-1)
@@ -582,14 +582,14 @@
 // verdict reads what is wanted.
 func (r *reader) verdict(t *settings.Table) {
 	v := t.Table("verdict")
-	for i, name := range v.Texts("convicts") {
+	for i, name := range v.Strings("convicts") {
 		if !slices.Contains(r.e.Variants, name) {
 			r.Fault(fmt.Sprintf("verdict.convicts[%d]", i), "%q is no variant of this experiment", name)
 		}
 		r.e.Convicts = append(r.e.Convicts, name)
 	}
 	for _, key := range []string{"always", "full"} {
-		for i, text := range v.Texts(key) {
+		for i, text := range v.Strings(key) {
 			c, err := r.condition(text)
 			if err != "" {
 				r.Fault(fmt.Sprintf("verdict.%s[%d]", key, i), "%q: %s", text, err)
@@ -600,7 +600,7 @@
 			}
 		}
 	}
-	v.End()
+	v.ReportUnknownKeys()
 }
 
 func (r *reader) condition(text string) (c Condition, fault string) {
--- a/internal/listfile/listfile.go
+++ b/internal/listfile/listfile.go
@@ -26,19 +26,19 @@
 	seen := map[string]bool{}
 	for _, u := range t.Tables("upstreams") {
 		e := roster.Entry[string]{
-			Name:    u.Must("name", "what the log calls it"),
+			Name:    u.RequiredText("name", "what the log calls it"),
 			Address: u.Address("address", "where it is reached, such as \"127.0.0.1:9001\""),
-			Zone:    u.Text("zone", ""), Kind: u.Text("kind", ""), Ends: u.Flag("draining", false),
+			Zone:    u.Text("zone", ""), Kind: u.Text("kind", ""), Ends: u.Bool("draining", false),
 			Up: logic.Upstream{
-				Weight: u.Number("weight", 1, 1e-6, 1e6), Cell: u.Whole("group", 0, 0, 1e9), StartedAt: u.Moment("since"),
+				Weight: u.Number("weight", 1, 1e-6, 1e6), Cell: u.Int("group", 0, 0, 1e9), StartedAt: u.Timestamp("since"),
 			},
 		}
 		e.Up.ID = roster.Number(e.Name)
 		if seen[e.Name] && e.Name != "" {
-			u.F.Fault(settings.Join(u.Path, "name"), "%q is another's name in this list", e.Name)
+			u.File.Fault(settings.JoinPath(u.Path, "name"), "%q is another's name in this list", e.Name)
 		}
 		seen[e.Name] = true
-		u.End()
+		u.ReportUnknownKeys()
 		all = append(all, e)
 	}
 	return all
@@ -70,11 +70,11 @@
 	if t == nil {
 		return nil, f.Faults[0]
 	}
-	count, empty := t.Whole("count", -1, 0, 1<<24), t.Flag("empty", false)
+	count, empty := t.Int("count", -1, 0, 1<<24), t.Bool("empty", false)
 	all := Entries(t)
-	t.End()
+	t.ReportUnknownKeys()
 	switch {
-	case f.Failed():
+	case f.Finish():
 		return nil, f.Faults[0]
 	case count >= 0 && count != len(all):
 		return nil, fmt.Errorf("%s: count says %d, there are %d upstreams", path, count, len(all))
--- a/internal/mesh/proxy/service_pool.go
+++ b/internal/mesh/proxy/service_pool.go
@@ -36,7 +36,7 @@
 	name         string
 	desk         *desk.Dispatcher
 	counters     *figures.Pool
-	book         *terms.Book
+	book         *terms.Settings
 	tariffOrder  []serviceLevel        // order of the service levels in book
 	tariffs      map[serviceLevel]int  // index of each service level in book
 	limitedTerms map[int]*logic.Config // the terms of book, by the maximum number of attempts
@@ -92,7 +92,7 @@
 	tries := route.Forwarding.MaxAttempts
 	limitedTerms := p.limitedTerms[tries]
 	if limitedTerms == nil {
-		copied := *p.book.Terms
+		copied := *p.book.Engine
 		copied.MaxAttempts = tries
 		limitedTerms = &copied
 		p.limitedTerms[tries] = limitedTerms
@@ -101,7 +101,7 @@
 }
 
 // setBook replaces the terms of the load balancer.
-func (p *servicePool) setBook(book *terms.Book, tariffOrder []serviceLevel) {
+func (p *servicePool) setBook(book *terms.Settings, tariffOrder []serviceLevel) {
 	p.book, p.tariffOrder, p.tariffs, p.limitedTerms = book, tariffOrder,
 		make(map[serviceLevel]int, len(tariffOrder)), map[int]*logic.Config{}
 	for at, key := range tariffOrder {
@@ -115,7 +115,7 @@
 	book, tariffOrder := p.bookFor(newRoutes)
 	existing := p.pools[service]
 	if existing != nil {
-		if sameTerms(existing.book.Terms, book.Terms) && slices.Equal(existing.tariffOrder, tariffOrder) {
+		if sameTerms(existing.book.Engine, book.Engine) && slices.Equal(existing.tariffOrder, tariffOrder) {
 			return nil
 		}
 		err := existing.desk.Reconfigure(book)
@@ -150,7 +150,7 @@
 
 // bookFor returns the terms of a service's load balancer: this proxy's rank among all proxies, and the service levels
 // of the routes. The caller holds mu.
-func (p *Proxy) bookFor(routes []*routing.Route) (book *terms.Book, tariffOrder []serviceLevel) {
+func (p *Proxy) bookFor(routes []*routing.Route) (book *terms.Settings, tariffOrder []serviceLevel) {
 	balancers, ordinal := p.nodeRank()
 	moduleTerms := &logic.Config{
 		Seed: rand.Uint64(), FreeRefusals: freeRefusals, Balancers: balancers, Index: ordinal, Tier: 1,
@@ -159,7 +159,7 @@
 		// no limits for cold upstreams: see weight
 		ColdShare: 1, OverloadFactor: 1, OverloadSpan: int64(time.Second), OverQuotaFactor: 1,
 	}
-	book = &terms.Book{Terms: moduleTerms, Tariffs: map[string]int{}, Customers: map[string]int{}, Default: -1}
+	book = &terms.Settings{Engine: moduleTerms, Tariffs: map[string]int{}, Customers: map[string]int{}, DefaultTariff: -1}
 	seen := map[serviceLevel]bool{}
 	for _, route := range routes {
 		if route.Class == routing.Streamed {
@@ -176,7 +176,7 @@
 		moduleTerms.Tariffs = append(moduleTerms.Tariffs, key.tariff())
 	}
 	book.Zones = append(book.Zones, p.zones...)
-	book.Complete(p.settings.Zone)
+	book.ApplyDefaults(p.settings.Zone)
 	return book, tariffOrder
 }
 
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -17,35 +17,35 @@
 
 // Plan is all that a process is told.
 type Plan struct {
-	Name      string
-	Platform  bool // one pool for all that comes, by the platform's protocol
-	Seed      uint64
-	Listeners []Listener
-	Pools     []*Pool
-	Routes    []routes.Route
-	Table     *routes.Table // of Routes; nil on the platform
-	Limits    Limits
-	Log       Log
-	Ops       string           // the second address, for staff; "" for none
-	Cluster   *config.Settings // nil where it is in none
+	Name       string
+	Platform   bool // one pool for all that comes, by the platform's protocol
+	Seed       uint64
+	Listeners  []Listener
+	Pools      []*Pool
+	Routes     []routes.Route
+	Table      *routes.Table // of Routes; nil on the platform
+	Limits     Limits
+	Log        Log
+	OpsAddress string           // the second address, for staff; "" for none
+	Cluster    *config.Settings // nil where it is in none
 
-	keys []string // of the platform's file
+	platformKeys []string // of the platform's file
 }
 
 // Listener is an address where clients connect.
 type Listener struct {
 	Name, Address string
-	Inherited     int // the descriptor that listens there already, 0 for none
+	InheritedFD   int // the descriptor that listens there already, 0 for none
 }
 
 // Limits are what all pools have in common.
 type Limits struct {
-	Cores       int
-	Memory      int64 // bytes, 0 for no bound
-	Descriptors int
-	Bodies      int64         // bytes of bodies in hand
-	Within      time.Duration // until a pool has what is guaranteed to it back
-	Refusals    float64       // a second, over all pools, before refused connections rest
+	Cores        int
+	MemoryBytes  int64 // bytes, 0 for no bound
+	Descriptors  int
+	BodyBytes    int64         // bytes of bodies in hand
+	ReturnWithin time.Duration // until a pool has what is guaranteed to it back
+	RefusalRate  float64       // a second, over all pools, before refused connections rest
 }
 
 // Log says how lines are logged.
@@ -53,75 +53,75 @@
 
 // Pool is one service.
 type Pool struct {
-	Name  string
-	Book  *terms.Book
-	Print string  // two books of one print say the same
-	Share float64 // of what is common, guaranteed; below zero if not stated
+	Name        string
+	Settings    *terms.Settings
+	Fingerprint string  // two books of one print say the same
+	Share       float64 // of what is common, guaranteed; below zero if not stated
 
-	Open, Connections int64 // most that it may hold; 0 for all there is
-	Bodies            int64
+	MaxTransactions, MaxConnections int64 // most that it may hold; 0 for all there is
+	MaxBodyBytes                    int64
 
-	List List
+	Upstreams UpstreamSource
 }
 
-// List is where a pool's list of upstreams comes from: one of the three.
-type List struct {
-	Fixed     []roster.Entry[string]
-	File      string
-	Every     time.Duration // between two looks at File
-	Discovery string
-	Shared    bool             // one member of the cluster asks for all
-	Known     discovery.Report // from before
+// UpstreamSource is where a pool's list of upstreams comes from: one of the three.
+type UpstreamSource struct {
+	Static       []roster.Entry[string]
+	File         string
+	PollInterval time.Duration // between two looks at File
+	Discovery    string
+	Shared       bool             // one member of the cluster asks for all
+	Initial      discovery.Report // from before
 }
 
 // Defaults, for both formats.
 const (
-	descriptors  = 1024 // that a process has by custom
-	bodies       = 64 << 20
-	bodiesOf     = 4 // part of the memory, where that is stated
-	returnWithin = time.Second
-	refusals     = 4000
+	defaultDescriptors  = 1024 // that a process has by custom
+	defaultBodyBytes    = 64 << 20
+	bodyMemoryFraction  = 4 // part of the memory, where that is stated
+	defaultReturnWithin = time.Second
+	defaultRefusalRate  = 4000
 )
 
 // limits fills in what isn't said.
-func (l *Limits) complete() {
+func (l *Limits) applyDefaults() {
 	if l.Cores <= 0 {
 		l.Cores = 1
 	}
 	if l.Descriptors <= 0 {
-		l.Descriptors = descriptors
+		l.Descriptors = defaultDescriptors
 	}
-	if l.Bodies <= 0 {
-		if l.Bodies = bodies; l.Memory > 0 {
-			l.Bodies = l.Memory / bodiesOf
+	if l.BodyBytes <= 0 {
+		if l.BodyBytes = defaultBodyBytes; l.MemoryBytes > 0 {
+			l.BodyBytes = l.MemoryBytes / bodyMemoryFraction
 		}
 	}
-	if l.Within <= 0 {
-		l.Within = returnWithin
+	if l.ReturnWithin <= 0 {
+		l.ReturnWithin = defaultReturnWithin
 	}
-	if l.Refusals <= 0 {
-		l.Refusals = refusals
+	if l.RefusalRate <= 0 {
+		l.RefusalRate = defaultRefusalRate
 	}
 }
 
-// Rates are the bounds on what the ledger remembers, a line for each tariff that it is for.
-func (p *Plan) Rates() (lines []string) {
-	s := p.Cluster
-	if s == nil || !s.Ledger.Claims() {
+// ClaimRates are the bounds on what the ledger remembers, a line for each tariff that it is for.
+func (p *Plan) ClaimRates() (lines []string) {
+	clusterSettings := p.Cluster
+	if clusterSettings == nil || !clusterSettings.Ledger.Enabled() {
 		return nil
 	}
 	for _, pool := range p.Pools {
-		for n, f := range pool.Book.Terms.Tariffs {
-			if f.Idempotency == logic.Idempotent {
+		for number, tariff := range pool.Settings.Engine.Tariffs {
+			if tariff.Idempotency == logic.Idempotent {
 				continue
 			}
-			window := time.Duration(f.DedupWindow)
-			if f.Idempotency == logic.NonIdempotent {
-				window = max(window, s.Ledger.OnceFor)
+			window := time.Duration(tariff.DedupWindow)
+			if tariff.Idempotency == logic.NonIdempotent {
+				window = max(window, clusterSettings.Ledger.OnceOnlyRetention)
 			}
-			stop := time.Duration(f.HardStop)
+			hardStop := time.Duration(tariff.HardStop)
 			lines = append(lines, fmt.Sprintf("pool %s, tariff %s: a key is remembered for %s, so %.0f a second for long if it were alone: keys / ((window + hard_stop) x (1 + drift) + 1s)",
-				pool.Name, pool.Book.Name(n), s.Kept(window, stop), s.Rate(window, stop)))
+				pool.Name, pool.Settings.TariffName(number), clusterSettings.ClaimRetention(window, hardStop), clusterSettings.MaxClaimRate(window, hardStop)))
 		}
 	}
 	slices.Sort(lines)
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -13,9 +13,9 @@
 	"ottershift/internal/terms"
 )
 
-func nothing(string) (string, bool) { return "", false }
+func noEnvironment(string) (string, bool) { return "", false }
 
-const whole = `name = "n"
+const completeFile = `name = "n"
 [listeners.public]
 address = "127.0.0.1:8000"
 [tariffs.view]
@@ -69,7 +69,7 @@
 paths = ["/a//b"]
 listeners = ["inside"]
 `
-	p, faults := Parse("f.toml", []byte(text), nothing)
+	p, faults := Parse("f.toml", []byte(text), noEnvironment)
 	if p != nil {
 		t.Fatal("taken")
 	}
@@ -103,7 +103,7 @@
 }
 
 func TestNoTOML(t *testing.T) {
-	p, faults := Parse("f.toml", []byte(whole+"[pools\n"), nothing)
+	p, faults := Parse("f.toml", []byte(completeFile+"[pools\n"), noEnvironment)
 	if p != nil || len(faults) != 1 || faults[0].Line != 12 {
 		t.Errorf("%+v", faults)
 	}
@@ -112,13 +112,13 @@
 // Variables fill in texts, numbers and yes or no; what isn't set has its other value or is a fault.
 func TestEnvironment(t *testing.T) {
 	env := map[string]string{"PORT": "8123", "SHARE": "0.25", "COPIES": "false"}
-	text := strings.Replace(whole, "127.0.0.1:8000", "${HOST:-127.0.0.1}:${PORT}", 1)
+	text := strings.Replace(completeFile, "127.0.0.1:8000", "${HOST:-127.0.0.1}:${PORT}", 1)
 	text = strings.Replace(text, "[pools.album]\n", "[pools.album]\nshare = \"${SHARE}\"\nsecond_copies = \"${COPIES}\"\n", 1)
 	p, faults := Parse("f.toml", []byte(text), func(name string) (string, bool) { v, ok := env[name]; return v, ok })
 	if p == nil {
 		t.Fatal(faults)
 	}
-	if p.Listeners[0].Address != "127.0.0.1:8123" || p.Pools[0].Share != 0.25 || p.Pools[0].Book.Terms.Hedging {
+	if p.Listeners[0].Address != "127.0.0.1:8123" || p.Pools[0].Share != 0.25 || p.Pools[0].Settings.Engine.Hedging {
 		t.Errorf("%+v %+v", p.Listeners, p.Pools[0])
 	}
 }
@@ -138,18 +138,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	text := strings.Replace(whole, "upstreams = [{ name = \"a\", address = \"127.0.0.1:9001\" }]",
+	text := strings.Replace(completeFile, "upstreams = [{ name = \"a\", address = \"127.0.0.1:9001\" }]",
 		"protocol = \"platform\"\nzone = \"a\"\nzones = [\"a\"]\ndiscovery = \"127.0.0.1:8500\"", 1)
-	b, faults := Parse("f.toml", []byte("limits.descriptors = 300\n"+text), nothing)
+	b, faults := Parse("f.toml", []byte("limits.descriptors = 300\n"+text), noEnvironment)
 	if b == nil {
 		t.Fatal(faults)
 	}
-	one, other := *a.Pools[0].Book, *b.Pools[0].Book
-	one.Terms.Seed = 0
+	one, other := *a.Pools[0].Settings, *b.Pools[0].Settings
+	one.Engine.Seed = 0
 	if !reflect.DeepEqual(one, other) {
-		t.Errorf("%+v\n%+v\n%+v\n%+v", one, other, one.Terms, other.Terms)
+		t.Errorf("%+v\n%+v\n%+v\n%+v", one, other, one.Engine, other.Engine)
 	}
-	if a.Limits.Bodies = b.Limits.Bodies; a.Limits != b.Limits {
+	if a.Limits.BodyBytes = b.Limits.BodyBytes; a.Limits != b.Limits {
 		t.Errorf("%+v %+v", a.Limits, b.Limits)
 	}
 }
@@ -181,15 +181,15 @@
 
 // FuzzParse: whatever stands in a file, it is taken or refused with words, and never both.
 func FuzzParse(f *testing.F) {
-	f.Add(whole)
+	f.Add(completeFile)
 	text, _ := os.ReadFile("../../examples/every-key.toml")
 	f.Add(string(text))
 	for _, c := range [][2]string{{`"`, ""}, {"=", "= -"}, {"[", "[["}, {"500ms", "${A"}, {"pool", "a.b.c"}, {"127", "[{a=[[]]}]"}} {
-		f.Add(strings.ReplaceAll(whole, c[0], c[1]))
+		f.Add(strings.ReplaceAll(completeFile, c[0], c[1]))
 	}
 	f.Fuzz(func(t *testing.T, text string) {
-		p, faults := Parse(filepath.Join(t.TempDir(), "f.toml"), []byte(text), nothing)
-		wrong := slices.ContainsFunc(faults, func(x settings.Fault) bool { return !x.Remark })
+		p, faults := Parse(filepath.Join(t.TempDir(), "f.toml"), []byte(text), noEnvironment)
+		wrong := slices.ContainsFunc(faults, func(x settings.Fault) bool { return !x.Warning })
 		if (p == nil) != wrong {
 			t.Errorf("%v %v", p, faults)
 		}
@@ -213,35 +213,35 @@
 		{"balancers = 2\npeers = [\"127.0.0.1:1\", \"127.0.0.1:2\"]\n[pools.www]\nbalancers = 2\n" +
 			"peers = [\"127.0.0.1:1\", \"127.0.0.1:3\"]", `pools.www.peers[0]: "127.0.0.1:1" is where another pool is told`},
 	} {
-		_, faults := Parse("f.toml", []byte(strings.Replace(whole, "[pools.album]\n", "[pools.album]\n"+c[0]+"\n", 1)), nothing)
+		_, faults := Parse("f.toml", []byte(strings.Replace(completeFile, "[pools.album]\n", "[pools.album]\n"+c[0]+"\n", 1)), noEnvironment)
 		if !slices.ContainsFunc(faults, func(f settings.Fault) bool { return strings.Contains(f.Error(), c[1]) }) {
 			t.Errorf("%s: not said: %s; said %v", c[0], c[1], faults)
 		}
 	}
-	read := func(text string) *terms.Book {
-		p, faults := Parse("f.toml", []byte(strings.Replace(whole, "[pools.album]\n", "[pools.album]\n"+text, 1)), nothing)
+	read := func(text string) *terms.Settings {
+		p, faults := Parse("f.toml", []byte(strings.Replace(completeFile, "[pools.album]\n", "[pools.album]\n"+text, 1)), noEnvironment)
 		if p == nil {
 			t.Fatal(faults)
 		}
-		return p.Pools[0].Book
+		return p.Pools[0].Settings
 	}
 	b := read("balancers = 2\nweights = \"live\"\npeers = [\"127.0.0.1:1\", \"127.0.0.1:2\"]\nwatch = true\n")
-	if !b.Terms.LiveWeights || !b.Terms.Peers || !b.Watch || len(b.Peers) != 2 {
-		t.Errorf("%+v %+v", b, b.Terms)
+	if !b.Engine.LiveWeights || !b.Engine.Peers || !b.Shadow || len(b.PeerAddresses) != 2 {
+		t.Errorf("%+v %+v", b, b.Engine)
 	}
-	for _, b := range []*terms.Book{read(""), b.Before()} {
-		if b.Terms.LiveWeights || b.Terms.Peers || b.Watch || b.Terms.Balancers == 0 {
-			t.Errorf("unsaid, or before: %+v %+v", b, b.Terms)
+	for _, b := range []*terms.Settings{read(""), b.WithoutLiveAndPeers()} {
+		if b.Engine.LiveWeights || b.Engine.Peers || b.Shadow || b.Engine.Balancers == 0 {
+			t.Errorf("unsaid, or before: %+v %+v", b, b.Engine)
 		}
 	}
 }
 
 func TestSecondAddressIsTheProcesss(t *testing.T) {
-	p, _ := Parse("f.toml", []byte("ops = \"127.0.0.1:1\"\n"+whole), nothing)
-	if p == nil || p.Ops != "127.0.0.1:1" {
+	p, _ := Parse("f.toml", []byte("ops = \"127.0.0.1:1\"\n"+completeFile), noEnvironment)
+	if p == nil || p.OpsAddress != "127.0.0.1:1" {
 		t.Errorf("%+v", p)
 	}
-	if p, _ := Parse("f.toml", []byte(strings.Replace(whole, "[pools.album]", "[pools.album]\nops = \"127.0.0.1:1\"", 1)), nothing); p != nil {
+	if p, _ := Parse("f.toml", []byte(strings.Replace(completeFile, "[pools.album]", "[pools.album]\nops = \"127.0.0.1:1\"", 1)), noEnvironment); p != nil {
 		t.Error("a pool has one of its own")
 	}
 }
--- a/internal/plan/platform.go
+++ b/internal/plan/platform.go
@@ -20,30 +20,30 @@
 	if err != nil {
 		return nil, err
 	}
-	v, err := fastjson.ParseBytes(text)
+	document, err := fastjson.ParseBytes(text)
 	if err != nil {
 		return nil, fmt.Errorf("%s: not JSON: %w", path, err)
 	}
-	or := func(field, variable string) string {
-		if text := v.GetStringBytes(field); len(text) > 0 {
+	fieldOrEnv := func(field, variable string) string {
+		if text := document.GetStringBytes(field); len(text) > 0 {
 			return string(text)
 		}
 		return os.Getenv(variable)
 	}
-	listen, asked := or("listen", "PROXY_LISTEN"), or("discovery", "PROXY_DISCOVERY")
+	listen, discoveryAddress := fieldOrEnv("listen", "PROXY_LISTEN"), fieldOrEnv("discovery", "PROXY_DISCOVERY")
 	switch {
 	case listen == "":
 		return nil, fmt.Errorf("%s: no address to listen on", path)
-	case asked == "":
+	case discoveryAddress == "":
 		return nil, fmt.Errorf("%s: no address of discovery", path)
-	case v.Get("settings") == nil || v.Get("settings").Type() != fastjson.TypeObject:
+	case document.Get("settings") == nil || document.Get("settings").Type() != fastjson.TypeObject:
 		return nil, fmt.Errorf("%s: no settings", path)
 	}
-	seed, err := strconv.ParseUint(string(v.GetStringBytes("seed")), 16, 64)
+	seed, err := strconv.ParseUint(string(document.GetStringBytes("seed")), 16, 64)
 	if err != nil {
 		return nil, fmt.Errorf("%s: the seed is not a hexadecimal number", path)
 	}
-	if err := sound(v.Get("settings")); err != nil {
+	if err := validate(document.Get("settings")); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	inherited := 0
@@ -53,56 +53,56 @@
 		}
 	}
 	pool := &Pool{
-		Name: "main", Print: string(v.Get("settings").MarshalTo(nil)), Book: terms.Read(v.Get("settings"), seed), Share: -1, List: List{Discovery: asked},
+		Name: "main", Fingerprint: string(document.Get("settings").MarshalTo(nil)), Settings: terms.Decode(document.Get("settings"), seed), Share: -1, Upstreams: UpstreamSource{Discovery: discoveryAddress},
 	}
-	pool.Book.Terms.Peers = false // Danger: no peer's address is told here, and a crowd that can't be heard of looks like none
-	if known := v.Get("known"); known != nil && known.Type() != fastjson.TypeNull {
-		if pool.List.Known, _, err = discovery.Read(known); err != nil {
+	pool.Settings.Engine.Peers = false // Danger: no peer's address is told here, and a crowd that can't be heard of looks like none
+	if known := document.Get("known"); known != nil && known.Type() != fastjson.TypeNull {
+		if pool.Upstreams.Initial, _, err = discovery.Read(known); err != nil {
 			return nil, fmt.Errorf("%s: known: %w", path, err)
 		}
 	}
 	p := &Plan{
-		Name: or("name", "PROXY_NAME"), Platform: true, Seed: seed, Pools: []*Pool{pool},
-		Listeners: []Listener{{"main", listen, inherited}}, Ops: or("ops", "PROXY_OPS"), keys: paths(v),
+		Name: fieldOrEnv("name", "PROXY_NAME"), Platform: true, Seed: seed, Pools: []*Pool{pool},
+		Listeners: []Listener{{"main", listen, inherited}}, OpsAddress: fieldOrEnv("ops", "PROXY_OPS"), platformKeys: keyPaths(document),
 		Limits: Limits{
-			Cores: int(v.GetFloat64("limits", "cores")), Memory: int64(v.GetFloat64("limits", "memory_mb") * (1 << 20)), Descriptors: v.GetInt("limits", "sockets"),
+			Cores: int(document.GetFloat64("limits", "cores")), MemoryBytes: int64(document.GetFloat64("limits", "memory_mb") * (1 << 20)), Descriptors: document.GetInt("limits", "sockets"),
 		},
 	}
-	p.Limits.complete()
+	p.Limits.applyDefaults()
 	return p, nil
 }
 
-const longestTime = 24 * 3600 * 1e6 // microseconds; a longer one is a slip
+const maxTimeMicros = 24 * 3600 * 1e6 // microseconds; a longer one is a slip
 
-// sound names what makes no sense in settings. Danger: read leniently, a slip in one figure would have the balancer give
+// validate names what makes no sense in settings. Danger: read leniently, a slip in one figure would have the balancer give
 // up all that comes, or send it out for ever.
-func sound(v *fastjson.Value) error {
+func validate(v *fastjson.Value) error {
 	if most := v.Get("limits", "max_pushes"); most != nil {
 		if n, err := most.Int(); err != nil || n < 1 {
 			return fmt.Errorf("settings.limits.max_pushes: %s is no positive number of attempts", most)
 		}
 	}
 	seen := map[string]bool{}
-	for n, c := range v.GetArray("tariffs") {
-		at, name := fmt.Sprintf("settings.tariffs[%d]", n), string(c.GetStringBytes("name"))
+	for n, tariff := range v.GetArray("tariffs") {
+		tariffPath, name := fmt.Sprintf("settings.tariffs[%d]", n), string(tariff.GetStringBytes("name"))
 		switch {
-		case c.Type() != fastjson.TypeObject:
-			return fmt.Errorf("%s: not an object", at)
+		case tariff.Type() != fastjson.TypeObject:
+			return fmt.Errorf("%s: not an object", tariffPath)
 		case name == "":
-			return fmt.Errorf("%s.name: it has none", at)
+			return fmt.Errorf("%s.name: it has none", tariffPath)
 		case seen[name]:
-			return fmt.Errorf("%s.name: %q is there twice", at, name)
+			return fmt.Errorf("%s.name: %q is there twice", tariffPath, name)
 		}
 		seen[name] = true
 		for _, key := range []string{"contract_time", "hard_stop"} {
-			if f := c.GetFloat64(key); !c.Exists(key) {
-				return fmt.Errorf("%s.%s: it is missing", at, key)
-			} else if !(f > 0 && f <= longestTime) {
-				return fmt.Errorf("%s.%s: %s is no positive time in microseconds", at, key, c.Get(key))
+			if micros := tariff.GetFloat64(key); !tariff.Exists(key) {
+				return fmt.Errorf("%s.%s: it is missing", tariffPath, key)
+			} else if !(micros > 0 && micros <= maxTimeMicros) {
+				return fmt.Errorf("%s.%s: %s is no positive time in microseconds", tariffPath, key, tariff.Get(key))
 			}
 		}
-		if effect := string(c.GetStringBytes("effect")); effect != "idempotent" && effect != "deduplicated" && effect != "at_most_once" {
-			return fmt.Errorf("%s.effect: %q is none", at, effect)
+		if effect := string(tariff.GetStringBytes("effect")); effect != "idempotent" && effect != "deduplicated" && effect != "at_most_once" {
+			return fmt.Errorf("%s.effect: %q is none", tariffPath, effect)
 		}
 	}
 	if zone, zones := string(v.GetStringBytes("zone")), v.GetArray("zones"); len(zones) > 0 &&
@@ -112,9 +112,9 @@
 	return nil
 }
 
-// paths are those of all keys of a configuration but for the list in it; those of a list of objects are the ones that
+// keyPaths are those of all keys of a configuration but for the list in it; those of a list of objects are the ones that
 // each of them has.
-func paths(v *fastjson.Value) (all []string) {
+func keyPaths(v *fastjson.Value) (all []string) {
 	var walk func(v *fastjson.Value, at string) map[string]bool
 	walk = func(v *fastjson.Value, at string) map[string]bool {
 		found := map[string]bool{}
@@ -142,14 +142,14 @@
 	return slices.Sorted(maps.Keys(walk(v, "")))
 }
 
-// onlyTagged are keys of a tariff that say something of tagged ones alone.
-var onlyTagged = []string{"settings.tariffs[].group", "settings.tariffs[].dedup_window", "settings.tariffs[].aim_stretch"}
+// keyedTariffKeys are keys of a tariff that say something of tagged ones alone.
+var keyedTariffKeys = []string{"settings.tariffs[].group", "settings.tariffs[].dedup_window", "settings.tariffs[].aim_stretch"}
 
-// Lacks names the first key that an earlier plan has and this one doesn't, "" for none. Danger: a file that is being
+// MissingKey names the first key that an earlier plan has and this one doesn't, "" for none. Danger: a file that is being
 // written, or was cut, may still be JSON, and what it lacks would count as zero.
-func (p *Plan) Lacks(earlier *Plan) string {
-	for _, key := range earlier.keys {
-		if !slices.Contains(p.keys, key) && !slices.Contains(onlyTagged, key) && key != "known" {
+func (p *Plan) MissingKey(earlier *Plan) string {
+	for _, key := range earlier.platformKeys {
+		if !slices.Contains(p.platformKeys, key) && !slices.Contains(keyedTariffKeys, key) && key != "known" {
 			return key
 		}
 	}
--- a/internal/plan/pools.go
+++ b/internal/plan/pools.go
@@ -36,303 +36,303 @@
 	if root == nil {
 		return nil, f.Faults
 	}
-	r := &reader{File: f, p: &Plan{}, tariffs: map[string]*logic.Tariff{}, customers: map[string]float64{}, here: map[string]bool{}}
+	r := &reader{File: f, plan: &Plan{}, tariffs: map[string]*logic.Tariff{}, customers: map[string]float64{}, ownPeerAddresses: map[string]bool{}}
 	r.root(root)
-	if f.Failed() {
+	if f.Finish() {
 		return nil, f.Faults
 	}
-	return r.p, f.Faults
+	return r.plan, f.Faults
 }
 
 // reader is on the way from a file to a plan.
 type reader struct {
 	*settings.File
-	p         *Plan
-	tariffs   map[string]*logic.Tariff
-	customers map[string]float64 // rates
-	routed    map[string]bool    // pools that a route goes to
-	shares    float64
-	here      map[string]bool // addresses at which pools are told by peers
+	plan             *Plan
+	tariffs          map[string]*logic.Tariff
+	customers        map[string]float64 // rates
+	routedPools      map[string]bool    // pools that a route goes to
+	shareSum         float64
+	ownPeerAddresses map[string]bool // addresses at which pools are told by peers
 }
 
 func (r *reader) root(t *settings.Table) {
-	r.p.Name = t.Text("name", "ottershift")
-	r.p.Seed = uint64(t.Number("seed", 0, 0, math.MaxInt64))
+	r.plan.Name = t.Text("name", "ottershift")
+	r.plan.Seed = uint64(t.Number("seed", 0, 0, math.MaxInt64))
 
 	if t.Has("ops") {
-		r.p.Ops = t.Address("ops", "the second address, such as \"127.0.0.1:9901\"")
+		r.plan.OpsAddress = t.Address("ops", "the second address, such as \"127.0.0.1:9901\"")
 	}
 
 	r.cluster(t)
 
-	l := t.Table("limits")
-	r.p.Limits = Limits{
-		Cores:       l.Whole("cores", 0, 1, 1024),
-		Memory:      l.Size("memory", 0, 16<<20),
-		Descriptors: l.Whole("descriptors", 0, 64, 1<<20),
-		Bodies:      l.Size("bodies", 0, 1<<20),
-		Within:      l.Time("return_within", 0, 50*time.Millisecond),
-		Refusals:    l.Number("refusals", 0, 1, 1e6),
-	}
-	l.End()
-	r.p.Limits.complete()
+	limits := t.Table("limits")
+	r.plan.Limits = Limits{
+		Cores:        limits.Int("cores", 0, 1, 1024),
+		MemoryBytes:  limits.Size("memory", 0, 16<<20),
+		Descriptors:  limits.Int("descriptors", 0, 64, 1<<20),
+		BodyBytes:    limits.Size("bodies", 0, 1<<20),
+		ReturnWithin: limits.Duration("return_within", 0, 50*time.Millisecond),
+		RefusalRate:  limits.Number("refusals", 0, 1, 1e6),
+	}
+	limits.ReportUnknownKeys()
+	r.plan.Limits.applyDefaults()
 
-	g := t.Table("log")
-	r.p.Log = Log{g.One("level", "info", "debug", "info", "warn", "error"), g.One("format", "text", "text", "json")}
-	g.End()
+	logTable := t.Table("log")
+	r.plan.Log = Log{logTable.Choice("level", "info", "debug", "info", "warn", "error"), logTable.Choice("format", "text", "text", "json")}
+	logTable.ReportUnknownKeys()
 
-	names, all := t.Named("tariffs")
+	names, all := t.NamedTables("tariffs")
 	for i, name := range names {
-		r.tariffs[name] = tariff(all[i])
+		r.tariffs[name] = readTariff(all[i])
 	}
-	names, all = t.Named("customers")
+	names, all = t.NamedTables("customers")
 	for i, name := range names {
 		r.customers[name] = all[i].Number("rate", 0, 0, 1e9)
 		if !all[i].Has("rate") {
 			r.Fault(all[i].Path, "rate is missing: transactions a second within its share")
 		}
-		all[i].End()
+		all[i].ReportUnknownKeys()
 	}
 
-	taken := map[string]string{}
-	names, all = t.Named("listeners")
+	listenerByAddress := map[string]string{}
+	names, all = t.NamedTables("listeners")
 	for i, name := range names {
 		address := all[i].Address("address", "where clients connect, such as \"127.0.0.1:8000\"")
-		if other := taken[address]; other != "" && address != "" {
+		if other := listenerByAddress[address]; other != "" && address != "" {
 			r.Fault(all[i].Path, "listens where %q does: several services go through one listener by routes", other)
 		}
-		taken[address] = name
-		all[i].End()
-		r.p.Listeners = append(r.p.Listeners, Listener{Name: name, Address: address})
+		listenerByAddress[address] = name
+		all[i].ReportUnknownKeys()
+		r.plan.Listeners = append(r.plan.Listeners, Listener{Name: name, Address: address})
 	}
 	if len(names) == 0 {
 		r.Fault("listeners", "there is none; write [listeners.NAME] with an address")
 	}
 
-	names, all = t.Named("pools")
+	names, all = t.NamedTables("pools")
 	for i, name := range names {
 		r.pool(name, all[i])
 	}
 	if len(names) == 0 {
 		r.Fault("pools", "there is none; write [pools.NAME]")
 	}
-	if r.shares > 1+1e-9 {
-		r.Fault("pools", "the shares of all add up to %.4g; they are parts of one", r.shares)
+	if r.shareSum > 1+1e-9 {
+		r.Fault("pools", "the shares of all add up to %.4g; they are parts of one", r.shareSum)
 	}
 	r.routes(t)
-	t.End()
+	t.ReportUnknownKeys()
 }
 
-// tariff reads what is promised for one kind of transaction.
-func tariff(t *settings.Table) *logic.Tariff {
-	f := &logic.Tariff{
-		ContractTime: int64(t.Time("contract_time", 0, time.Millisecond)),
-		HardStop:     int64(t.Time("hard_stop", 0, time.Millisecond)),
-		DedupWindow:  int64(t.Time("remembered", 0, 0)),
+// readTariff reads what is promised for one kind of transaction.
+func readTariff(t *settings.Table) *logic.Tariff {
+	tariff := &logic.Tariff{
+		ContractTime: int64(t.Duration("contract_time", 0, time.Millisecond)),
+		HardStop:     int64(t.Duration("hard_stop", 0, time.Millisecond)),
+		DedupWindow:  int64(t.Duration("remembered", 0, 0)),
 		WorkFactor:   t.Number("stretch", 0, 0, 1000),
 		Earnings:     t.Number("earnings", 1, 0, 1e9),
 		LateEarnings: t.Number("late_earnings", 0.5, 0, 1),
 	}
 	for _, key := range []string{"contract_time", "hard_stop"} {
 		if !t.Has(key) {
-			t.F.Fault(t.Path, "%s is missing, such as \"1s\"", key)
+			t.File.Fault(t.Path, "%s is missing, such as \"1s\"", key)
 		}
 	}
-	if f.HardStop > 0 && f.ContractTime > f.HardStop {
-		t.F.Fault(settings.Join(t.Path, "contract_time"), "%s is beyond the hard stop, %s",
-			time.Duration(f.ContractTime), time.Duration(f.HardStop))
+	if tariff.HardStop > 0 && tariff.ContractTime > tariff.HardStop {
+		t.File.Fault(settings.JoinPath(t.Path, "contract_time"), "%s is beyond the hard stop, %s",
+			time.Duration(tariff.ContractTime), time.Duration(tariff.HardStop))
 	}
-	switch t.One("repeat", "once-only", "once-only", "tagged", "repeatable") {
+	switch t.Choice("repeat", "once-only", "once-only", "tagged", "repeatable") {
 	case "tagged":
-		f.Idempotency = logic.Keyed
-		if f.DedupWindow == 0 {
-			t.F.Fault(t.Path, "remembered is missing: how long upstreams know the repeat of a tagged transaction")
+		tariff.Idempotency = logic.Keyed
+		if tariff.DedupWindow == 0 {
+			t.File.Fault(t.Path, "remembered is missing: how long upstreams know the repeat of a tagged transaction")
 		}
 	case "repeatable":
-		f.Idempotency = logic.Idempotent
+		tariff.Idempotency = logic.Idempotent
 	}
-	switch t.One("group", "cell", "cell", "zone", "all") {
+	switch t.Choice("group", "cell", "cell", "zone", "all") {
 	case "zone":
-		f.DedupScope = logic.SameZone
+		tariff.DedupScope = logic.SameZone
 	case "all":
-		f.DedupScope = logic.Everywhere
+		tariff.DedupScope = logic.Everywhere
 	}
-	t.End()
-	return f
+	t.ReportUnknownKeys()
+	return tariff
 }
 
 // pool reads one pool.
 func (r *reader) pool(name string, t *settings.Table) {
-	m := &logic.Config{
-		Balancers: t.Whole("balancers", 1, 1, 1e6), Index: t.Whole("index", 0, 0, 1e6), Tier: t.Whole("layer", 0, 0, 100),
-		MaxAttempts: t.Whole("max_pushes", 3, 1, 64), Hedging: t.Flag("second_copies", true),
-		Cancelling: t.Flag("cancelling", true), Probing: t.Flag("probes", true),
-		AdviseBackoff: t.Flag("advise_backoff", true), MaxBackoff: int64(t.Time("max_backoff", 2*time.Second, 0)),
+	engine := &logic.Config{
+		Balancers: t.Int("balancers", 1, 1, 1e6), Index: t.Int("index", 0, 0, 1e6), Tier: t.Int("layer", 0, 0, 100),
+		MaxAttempts: t.Int("max_pushes", 3, 1, 64), Hedging: t.Bool("second_copies", true),
+		Cancelling: t.Bool("cancelling", true), Probing: t.Bool("probes", true),
+		AdviseBackoff: t.Bool("advise_backoff", true), MaxBackoff: int64(t.Duration("max_backoff", 2*time.Second, 0)),
 		CrossZonePrice: t.Number("cross_zone_price", 0, 0, 1e6),
-		ColdShare:      t.Number("cold_share", 0.2, 0.01, 1), WarmUp: int64(t.Time("warm_up", 10*time.Second, 0)),
-		OverloadFactor: t.Number("fall_multiple", 3, 1, 1e3), OverloadSpan: int64(t.Time("fall_span", time.Second, time.Millisecond)),
+		ColdShare:      t.Number("cold_share", 0.2, 0.01, 1), WarmUp: int64(t.Duration("warm_up", 10*time.Second, 0)),
+		OverloadFactor: t.Number("fall_multiple", 3, 1, 1e3), OverloadSpan: int64(t.Duration("fall_span", time.Second, time.Millisecond)),
 		OverQuotaFactor: t.Number("beyond_share", 0.2, 0, 1),
 	}
-	b := &terms.Book{
-		Terms: m, Tariffs: map[string]int{}, Customers: map[string]int{}, Default: -1,
-		DialTimeout: t.Time("dial_timeout", 0, time.Millisecond), IdleClose: t.Time("idle_close", time.Minute, 100*time.Millisecond),
-		Plain: t.One("protocol", "plain", "plain", "platform") == "plain", Probe: t.Text("probe_path", ""),
-		Zones: t.Texts("zones"),
+	poolSettings := &terms.Settings{
+		Engine: engine, Tariffs: map[string]int{}, Customers: map[string]int{}, DefaultTariff: -1,
+		DialTimeout: t.Duration("dial_timeout", 0, time.Millisecond), IdleTimeout: t.Duration("idle_close", time.Minute, 100*time.Millisecond),
+		PlainHTTP: t.Choice("protocol", "plain", "plain", "platform") == "plain", ProbePath: t.Text("probe_path", ""),
+		Zones: t.Strings("zones"),
 	}
-	m.LiveWeights = t.One("weights", "nominal", "nominal", "live") == "live"
-	b.Peers, b.Watch = r.peers(b, t), t.Flag("watch", false)
-	m.Peers = len(b.Peers) > 0 || b.Fleet
-	if b.Watch && !m.Peers && !m.LiveWeights {
-		r.Fault(settings.Join(t.Path, "watch"), "there is nothing to watch: neither weights = \"live\" nor peers is there")
+	engine.LiveWeights = t.Choice("weights", "nominal", "nominal", "live") == "live"
+	poolSettings.PeerAddresses, poolSettings.Shadow = r.peers(poolSettings, t), t.Bool("watch", false)
+	engine.Peers = len(poolSettings.PeerAddresses) > 0 || poolSettings.ClusterPeers
+	if poolSettings.Shadow && !engine.Peers && !engine.LiveWeights {
+		r.Fault(settings.JoinPath(t.Path, "watch"), "there is nothing to watch: neither weights = \"live\" nor peers is there")
 	}
-	if m.Index >= m.Balancers {
-		r.Fault(t.Path, "index is %d, but there are %d balancers, counted from 0", m.Index, m.Balancers)
+	if engine.Index >= engine.Balancers {
+		r.Fault(t.Path, "index is %d, but there are %d balancers, counted from 0", engine.Index, engine.Balancers)
 	}
-	if !strings.HasPrefix(b.Probe, "/") && b.Probe != "" {
-		r.Fault(settings.Join(t.Path, "probe_path"), "%q does not begin with \"/\"", b.Probe)
+	if !strings.HasPrefix(poolSettings.ProbePath, "/") && poolSettings.ProbePath != "" {
+		r.Fault(settings.JoinPath(t.Path, "probe_path"), "%q does not begin with \"/\"", poolSettings.ProbePath)
 	}
-	b.Complete(t.Text("zone", ""))
-	r.kinds(b, t)
+	poolSettings.ApplyDefaults(t.Text("zone", ""))
+	r.tariffsAndCustomers(poolSettings, t)
 
-	p := &Pool{Name: name, Book: b, Share: t.Number("share", -1, 0, 1)}
-	r.shares += max(0, p.Share)
+	pool := &Pool{Name: name, Settings: poolSettings, Share: t.Number("share", -1, 0, 1)}
+	r.shareSum += max(0, pool.Share)
 
-	l := t.Table("limits")
-	p.Open = int64(l.Whole("open", 0, 1, 1e6))
-	p.Connections = int64(l.Whole("connections", 0, 1, 1e6))
-	p.Bodies = l.Size("bodies", 0, terms.MostBody)
-	l.End()
-	r.list(p, t)
-	t.End()
+	limits := t.Table("limits")
+	pool.MaxTransactions = int64(limits.Int("open", 0, 1, 1e6))
+	pool.MaxConnections = int64(limits.Int("connections", 0, 1, 1e6))
+	pool.MaxBodyBytes = limits.Size("bodies", 0, terms.GuaranteedBodyBytes)
+	limits.ReportUnknownKeys()
+	r.upstreams(pool, t)
+	t.ReportUnknownKeys()
 
-	text, err := json.Marshal(b)
+	text, err := json.Marshal(poolSettings)
 	if err != nil {
 		r.Fault(t.Path, "%v", err)
 	}
-	p.Print = string(text)
-	r.p.Pools = append(r.p.Pools, p)
+	pool.Fingerprint = string(text)
+	r.plan.Pools = append(r.plan.Pools, pool)
 }
 
 // peers reads where the balancers of a pool are told what the others hold.
-func (r *reader) peers(b *terms.Book, t *settings.Table) []string {
-	m := b.Terms
-	all, path := t.Texts("peers"), settings.Join(t.Path, "peers")
+func (r *reader) peers(poolSettings *terms.Settings, t *settings.Table) []string {
+	engine := poolSettings.Engine
+	all, path := t.Strings("peers"), settings.JoinPath(t.Path, "peers")
 	if !t.Has("peers") {
 		return nil
 	}
 	if len(all) == 1 && all[0] == "cluster" {
-		b.Fleet = true
+		poolSettings.ClusterPeers = true
 		switch {
-		case r.p.Cluster == nil:
+		case r.plan.Cluster == nil:
 			r.Fault(path, "there is no [cluster] whose members it could take")
 		case t.Has("index"):
-			r.Fault(settings.Join(t.Path, "index"), "the cluster numbers the balancers; leave it out, or write peers as addresses")
-		case t.Flag("watch", false):
-			r.Fault(settings.Join(t.Path, "watch"), "a shape that is watched can't change with the members; write peers as addresses, or leave watch out")
+			r.Fault(settings.JoinPath(t.Path, "index"), "the cluster numbers the balancers; leave it out, or write peers as addresses")
+		case t.Bool("watch", false):
+			r.Fault(settings.JoinPath(t.Path, "watch"), "a shape that is watched can't change with the members; write peers as addresses, or leave watch out")
 		case !t.Has("balancers"):
-			r.Remark(path, "cut off from all others for long this balancer would count as the only one, and cold upstreams be sent too much by all "+
+			r.Warn(path, "cut off from all others for long this balancer would count as the only one, and cold upstreams be sent too much by all "+
 				"together; write balancers = N, as many as there are meant to be: never fewer are counted")
 		}
 		return nil
 	}
-	if len(all) != m.Balancers {
-		r.Fault(path, "there are %d addresses for %d balancers; write one for each, by index", len(all), m.Balancers)
-	} else if m.Balancers == 1 {
+	if len(all) != engine.Balancers {
+		r.Fault(path, "there are %d addresses for %d balancers; write one for each, by index", len(all), engine.Balancers)
+	} else if engine.Balancers == 1 {
 		r.Fault(path, "one balancer has no peers; leave it out")
 	}
 	for i, text := range all {
 		at := fmt.Sprintf("%s[%d]", path, i)
-		if wrong := settings.Reachable(text); wrong != "" {
-			r.Fault(at, "%q %s", text, wrong)
+		if problem := settings.AddressProblem(text); problem != "" {
+			r.Fault(at, "%q %s", text, problem)
 		} else if slices.Contains(all[:i], text) {
 			r.Fault(at, "%q is another's", text)
-		} else if i == m.Index && r.here[text] {
+		} else if i == engine.Index && r.ownPeerAddresses[text] {
 			r.Fault(at, "%q is where another pool is told; each has an address of its own", text)
-		} else if i == m.Index {
-			r.here[text] = true
+		} else if i == engine.Index {
+			r.ownPeerAddresses[text] = true
 		}
 	}
 	return all
 }
 
-// kinds gives a pool its tariffs and customers, all of them if it names none.
-func (r *reader) kinds(b *terms.Book, t *settings.Table) {
-	names, given := t.Texts("tariffs"), t.Has("tariffs")
-	if !given {
-		names = keys(r.tariffs)
+// tariffsAndCustomers gives a pool its tariffs and customers, all of them if it names none.
+func (r *reader) tariffsAndCustomers(poolSettings *terms.Settings, t *settings.Table) {
+	names, listed := t.Strings("tariffs"), t.Has("tariffs")
+	if !listed {
+		names = sortedKeys(r.tariffs)
 	}
 	for i, name := range names {
-		f := r.tariffs[name]
+		tariff := r.tariffs[name]
 		switch {
-		case f == nil:
-			r.Fault(fmt.Sprintf("%s[%d]", settings.Join(t.Path, "tariffs"), i), "%q is no tariff%s", name, among(keys(r.tariffs)))
+		case tariff == nil:
+			r.Fault(fmt.Sprintf("%s[%d]", settings.JoinPath(t.Path, "tariffs"), i), "%q is no tariff%s", name, availableNames(sortedKeys(r.tariffs)))
 			continue
-		case has(b.Tariffs, name):
-			r.Fault(settings.Join(t.Path, "tariffs"), "%q stands there twice", name)
+		case hasKey(poolSettings.Tariffs, name):
+			r.Fault(settings.JoinPath(t.Path, "tariffs"), "%q stands there twice", name)
 			continue
 		}
-		own := *f // Danger: the module keeps state in it
-		b.Tariffs[name] = len(b.Terms.Tariffs)
-		b.Terms.Tariffs = append(b.Terms.Tariffs, &own)
+		own := *tariff // Danger: the module keeps state in it
+		poolSettings.Tariffs[name] = len(poolSettings.Engine.Tariffs)
+		poolSettings.Engine.Tariffs = append(poolSettings.Engine.Tariffs, &own)
 	}
 	if len(names) == 0 {
 		r.Fault(t.Path, "it has no tariff; write [tariffs.NAME] with contract_time and hard_stop")
 	}
 	if name := t.Text("default_tariff", ""); name != "" {
-		if n, known := b.Tariffs[name]; known {
-			b.Default = n
+		if n, known := poolSettings.Tariffs[name]; known {
+			poolSettings.DefaultTariff = n
 		} else {
-			r.Fault(settings.Join(t.Path, "default_tariff"), "%q is no tariff of this pool%s", name, among(keys(b.Tariffs)))
+			r.Fault(settings.JoinPath(t.Path, "default_tariff"), "%q is no tariff of this pool%s", name, availableNames(sortedKeys(poolSettings.Tariffs)))
 		}
 	}
-	names = t.Texts("customers")
+	names = t.Strings("customers")
 	if !t.Has("customers") {
-		names = keys(r.customers)
+		names = sortedKeys(r.customers)
 	}
 	for i, name := range names {
-		if !has(r.customers, name) {
-			r.Fault(fmt.Sprintf("%s[%d]", settings.Join(t.Path, "customers"), i), "%q is no customer%s", name, among(keys(r.customers)))
+		if !hasKey(r.customers, name) {
+			r.Fault(fmt.Sprintf("%s[%d]", settings.JoinPath(t.Path, "customers"), i), "%q is no customer%s", name, availableNames(sortedKeys(r.customers)))
 			continue
 		}
-		b.Customers[name] = len(b.Terms.Customers)
-		b.Terms.Customers = append(b.Terms.Customers, &logic.Customer{Rate: r.customers[name]})
+		poolSettings.Customers[name] = len(poolSettings.Engine.Customers)
+		poolSettings.Engine.Customers = append(poolSettings.Engine.Customers, &logic.Customer{Rate: r.customers[name]})
 	}
 }
 
-// list reads where a pool's list of upstreams comes from.
-func (r *reader) list(p *Pool, t *settings.Table) {
-	var kinds []string
+// upstreams reads where a pool's list of upstreams comes from.
+func (r *reader) upstreams(pool *Pool, t *settings.Table) {
+	var sources []string
 	for _, key := range []string{"upstreams", "upstreams_file", "discovery"} {
 		if t.Has(key) {
-			kinds = append(kinds, key)
+			sources = append(sources, key)
 		}
 	}
 	switch {
-	case len(kinds) == 0:
+	case len(sources) == 0:
 		r.Fault(t.Path, "it has no list; write upstreams, upstreams_file or discovery")
-	case len(kinds) > 1:
-		r.Fault(settings.Join(t.Path, kinds[1]), "a list comes from one place, and %s is there", kinds[0])
+	case len(sources) > 1:
+		r.Fault(settings.JoinPath(t.Path, sources[1]), "a list comes from one place, and %s is there", sources[0])
 	}
-	p.List.Fixed = listfile.Entries(t)
+	pool.Upstreams.Static = listfile.Entries(t)
 	if name := t.Text("upstreams_file", ""); name != "" {
-		if p.List.File = name; !filepath.IsAbs(name) {
-			p.List.File = filepath.Join(filepath.Dir(r.Name), name)
+		if pool.Upstreams.File = name; !filepath.IsAbs(name) {
+			pool.Upstreams.File = filepath.Join(filepath.Dir(r.Name), name)
 		}
 		// Danger: a pool whose file can't be read at its start has nobody; that is to be known before it starts.
-		if _, err := listfile.Read(p.List.File); err != nil {
-			r.Fault(settings.Join(t.Path, "upstreams_file"), "%v", err)
+		if _, err := listfile.Read(pool.Upstreams.File); err != nil {
+			r.Fault(settings.JoinPath(t.Path, "upstreams_file"), "%v", err)
 		}
 	}
-	p.List.Every = t.Time("upstreams_every", 500*time.Millisecond, 10*time.Millisecond)
-	p.List.Discovery = t.Address("discovery", "")
-	p.Book.Terms.FollowList = t.One("discovery_mode", "push", "push", "ask") == "ask" && p.List.Discovery != ""
-	p.List.Known.Index = discovery.Unknown
-	if p.List.Shared = t.Flag("share_list", false); p.List.Shared {
-		path := settings.Join(t.Path, "share_list")
+	pool.Upstreams.PollInterval = t.Duration("upstreams_every", 500*time.Millisecond, 10*time.Millisecond)
+	pool.Upstreams.Discovery = t.Address("discovery", "")
+	pool.Settings.Engine.FollowList = t.Choice("discovery_mode", "push", "push", "ask") == "ask" && pool.Upstreams.Discovery != ""
+	pool.Upstreams.Initial.Index = discovery.Unknown
+	if pool.Upstreams.Shared = t.Bool("share_list", false); pool.Upstreams.Shared {
+		path := settings.JoinPath(t.Path, "share_list")
 		switch {
-		case r.p.Cluster == nil || len(r.p.Cluster.Voters) == 0:
+		case r.plan.Cluster == nil || len(r.plan.Cluster.Voters) == 0:
 			r.Fault(path, "one member asks for all under a token, which keepers give: there is no [cluster] with voters")
-		case p.List.Discovery == "" || p.Book.Terms.FollowList:
+		case pool.Upstreams.Discovery == "" || pool.Settings.Engine.FollowList:
 			r.Fault(path, "only a list that discovery pushes can be shared; write discovery, and no discovery_mode = \"ask\"")
 		}
 	}
@@ -340,73 +340,73 @@
 
 // routes reads the route table.
 func (r *reader) routes(t *settings.Table) {
-	r.routed = map[string]bool{}
+	r.routedPools = map[string]bool{}
 	all := t.Tables("routes")
 	names := map[string]bool{}
-	for i, u := range all {
+	for i, table := range all {
 		route := routes.Route{
-			Name: u.Text("name", fmt.Sprintf("route-%d", i+1)), Hosts: u.Texts("hosts"), Paths: u.Texts("paths"),
-			Prefixes: u.Texts("prefixes"), Methods: u.Texts("methods"), Listeners: u.Texts("listeners"),
-			Pool: u.Must("pool", "which takes its transactions"), Tariff: u.Text("tariff", ""),
+			Name: table.Text("name", fmt.Sprintf("route-%d", i+1)), Hosts: table.Strings("hosts"), Paths: table.Strings("paths"),
+			Prefixes: table.Strings("prefixes"), Methods: table.Strings("methods"), Listeners: table.Strings("listeners"),
+			Pool: table.RequiredText("pool", "which takes its transactions"), Tariff: table.Text("tariff", ""),
 		}
-		headers := u.Table("headers")
-		for _, name := range headers.Names() {
+		headers := table.Table("headers")
+		for _, name := range headers.Keys() {
 			route.Headers = append(route.Headers, routes.Header{Name: http.CanonicalHeaderKey(name), Value: headers.Text(name, "")})
 		}
-		if class := u.Text("class", ""); class != "" {
+		if class := table.Text("class", ""); class != "" {
 			route.Headers = append(route.Headers, routes.Header{Name: "X-Lane", Value: class})
 		}
 		if names[route.Name] {
-			r.Fault(settings.Join(u.Path, "name"), "%q is another's name", route.Name)
+			r.Fault(settings.JoinPath(table.Path, "name"), "%q is another's name", route.Name)
 		}
 		names[route.Name] = true
 		for _, l := range route.Listeners {
-			if !slices.ContainsFunc(r.p.Listeners, func(x Listener) bool { return x.Name == l }) {
-				r.Fault(settings.Join(u.Path, "listeners"), "%q is no listener", l)
+			if !slices.ContainsFunc(r.plan.Listeners, func(x Listener) bool { return x.Name == l }) {
+				r.Fault(settings.JoinPath(table.Path, "listeners"), "%q is no listener", l)
 			}
 		}
-		i := slices.IndexFunc(r.p.Pools, func(p *Pool) bool { return p.Name == route.Pool })
+		i := slices.IndexFunc(r.plan.Pools, func(p *Pool) bool { return p.Name == route.Pool })
 		switch {
 		case i < 0 && route.Pool != "":
-			var there []string
-			for _, p := range r.p.Pools {
-				there = append(there, p.Name)
+			var poolNames []string
+			for _, p := range r.plan.Pools {
+				poolNames = append(poolNames, p.Name)
 			}
-			r.Fault(settings.Join(u.Path, "pool"), "%q is no pool%s", route.Pool, among(there))
-		case i >= 0 && route.Tariff != "" && !has(r.p.Pools[i].Book.Tariffs, route.Tariff):
-			r.Fault(settings.Join(u.Path, "tariff"), "%q is no tariff of pool %q%s", route.Tariff, route.Pool,
-				among(keys(r.p.Pools[i].Book.Tariffs)))
+			r.Fault(settings.JoinPath(table.Path, "pool"), "%q is no pool%s", route.Pool, availableNames(poolNames))
+		case i >= 0 && route.Tariff != "" && !hasKey(r.plan.Pools[i].Settings.Tariffs, route.Tariff):
+			r.Fault(settings.JoinPath(table.Path, "tariff"), "%q is no tariff of pool %q%s", route.Tariff, route.Pool,
+				availableNames(sortedKeys(r.plan.Pools[i].Settings.Tariffs)))
 		}
-		r.routed[route.Pool] = true
-		u.End()
-		r.p.Routes = append(r.p.Routes, route)
+		r.routedPools[route.Pool] = true
+		table.ReportUnknownKeys()
+		r.plan.Routes = append(r.plan.Routes, route)
 	}
 	if len(all) == 0 {
 		r.Fault("routes", "there is none; write [[routes]] with a pool")
 	}
-	for _, p := range r.p.Pools {
-		if !r.routed[p.Name] && len(all) > 0 {
-			r.Remark("pools."+p.Name, "no route goes to it")
+	for _, p := range r.plan.Pools {
+		if !r.routedPools[p.Name] && len(all) > 0 {
+			r.Warn("pools."+p.Name, "no route goes to it")
 		}
 	}
 	var faults []routes.Fault
-	r.p.Table, faults = routes.New(r.p.Routes)
+	r.plan.Table, faults = routes.New(r.plan.Routes)
 	for _, x := range faults {
-		path := all[x.Route].Path
-		text := fmt.Sprintf("route %q %s", r.p.Routes[x.Route].Name, x.Text)
+		path := all[x.RouteIndex].Path
+		text := fmt.Sprintf("route %q %s", r.plan.Routes[x.RouteIndex].Name, x.Text)
 		if x.Key != "" {
-			path, text = settings.Join(path, x.Key), x.Text
+			path, text = settings.JoinPath(path, x.Key), x.Text
 		}
-		if x.Remark {
-			r.Remark(path, "%s", text)
+		if x.Warning {
+			r.Warn(path, "%s", text)
 		} else {
 			r.Fault(path, "%s", text)
 		}
 	}
 }
 
-// keys are in the order of the alphabet.
-func keys[V any](m map[string]V) (all []string) {
+// sortedKeys are in the order of the alphabet.
+func sortedKeys[V any](m map[string]V) (all []string) {
 	for k := range m {
 		all = append(all, k)
 	}
@@ -414,12 +414,12 @@
 	return all
 }
 
-func has[V any](m map[string]V, key string) bool {
+func hasKey[V any](m map[string]V, key string) bool {
 	_, some := m[key]
 	return some
 }
 
-func among(words []string) string {
+func availableNames(words []string) string {
 	if len(words) == 0 || len(words) > 20 {
 		return ""
 	}
--- a/internal/process/cluster.go
+++ b/internal/process/cluster.go
@@ -42,13 +42,13 @@
 	if p.Cluster == nil {
 		return nil
 	}
-	lab, err := cluster.InLab()
+	lab, err := cluster.ReadLab()
 	if err != nil {
 		return err
 	}
 	f := &fleet{s: s, kick: make(chan struct{}, 1), end: make(chan struct{}), done: make(chan struct{}), lastAt: time.Now()}
 	f.Cluster, err = cluster.Open(cluster.Options{
-		Settings: p.Cluster, Ops: p.Ops, Build: build(), Seed: s.seed, Log: s.own, Lab: lab, Status: f.status, Changed: f.changed,
+		Settings: p.Cluster, OpsAddress: p.OpsAddress, Build: build(), Seed: s.seed, Log: s.own, Lab: lab, Status: f.status, MembersChanged: f.changed,
 	})
 	if err != nil {
 		return err
@@ -99,7 +99,7 @@
 // leaving passes on whether clients are to go elsewhere, if that was done.
 func (s *Process) leaving(yes bool, err error) error {
 	if f := s.inFleet(); err == nil && f != nil {
-		f.Leaving(yes)
+		f.SetDraining(yes)
 	}
 	return err
 }
@@ -130,7 +130,7 @@
 		}
 		f.s.recount()
 		if f.offers() {
-			f.Tell()
+			f.BroadcastStatus()
 		}
 	}
 }
@@ -171,17 +171,17 @@
 }
 
 // among is a pool's book with the members that count at present, and their names.
-func (s *Process) among(told *plan.Pool) (b *terms.Book, names []string, own int) {
-	if !told.Book.Fleet || s.fleet == nil {
-		return told.Book, nil, 0
+func (s *Process) among(told *plan.Pool) (b *terms.Settings, names []string, own int) {
+	if !told.Settings.ClusterPeers || s.fleet == nil {
+		return told.Settings, nil, 0
 	}
-	names, own = s.fleet.Counted(told.Name, countedFor)
+	names, own = s.fleet.PoolBalancers(told.Name, countedFor)
 	if own < 0 { // it has not said yet what it offers
 		names = append(names, s.fleet.Settings().Self)
 		slices.Sort(names)
 		own = slices.Index(names, s.fleet.Settings().Self)
 	}
-	return told.Book.Among(max(told.Book.Terms.Balancers, len(names)), own), names, own
+	return told.Settings.ForBalancer(max(told.Settings.Engine.Balancers, len(names)), own), names, own
 }
 
 // recount tells pools whose balancers are the cluster's how many there are now. It keeps what they have learnt.
@@ -189,7 +189,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, p := range s.pools {
-		if p.told.Book.Fleet {
+		if p.told.Settings.ClusterPeers {
 			s.recountPool(p)
 		}
 	}
@@ -197,8 +197,8 @@
 
 func (s *Process) recountPool(p *pool) {
 	b, names, own := s.among(p.told)
-	was := p.Book().Terms
-	if slices.Equal(names, p.among) && was.Balancers == b.Terms.Balancers && was.Index == b.Terms.Index {
+	was := p.Book().Engine
+	if slices.Equal(names, p.among) && was.Balancers == b.Engine.Balancers && was.Index == b.Engine.Index {
 		return
 	}
 	if err := p.Retune(b); err != nil {
@@ -206,8 +206,8 @@
 		return
 	}
 	p.among = names
-	p.Speak(s.fleet.Follow(p.Name, names, own, p.Shards(), p.Pool))
-	s.own.Info("cluster", "step", "counted", "pool", p.Name, "balancers", b.Terms.Balancers, "members", len(names), "index", own)
+	p.Speak(s.fleet.OpenPeerRoute(p.Name, names, own, p.Shards(), p.Pool))
+	s.own.Info("cluster", "step", "counted", "pool", p.Name, "balancers", b.Engine.Balancers, "members", len(names), "index", own)
 }
 
 // Members implements ops.Balancer.
@@ -216,7 +216,7 @@
 	if f == nil {
 		return errors.New("this process is in no cluster: its configuration has no [cluster]")
 	}
-	return f.Members(to, all)
+	return f.WriteMembers(to, all)
 }
 
 // Cluster implements ops.Balancer.
@@ -225,7 +225,7 @@
 	if f == nil {
 		return errors.New("this process is in no cluster: its configuration has no [cluster]")
 	}
-	return f.Staff(to, words)
+	return f.RunCommand(to, words)
 }
 
 // inFleet is this process's part in its cluster, nil if it has none, or not yet.
@@ -242,16 +242,16 @@
 		later("cluster", (a == nil) != (b == nil))
 		return
 	}
-	s.fleet.Divert(b)
+	s.fleet.UpdateSettings(b)
 	later("name", a.Self != b.Self)
 	later("cluster.name", a.Name != b.Name)
 	later("cluster.address", a.Address != b.Address)
 	later("cluster.directory", a.Directory != b.Directory)
 	later("cluster.zone", a.Zone != b.Zone)
 	later("cluster.voters", !slices.Equal(a.Voters, b.Voters))
-	later("cluster.probe_every", a.Probe != b.Probe)
-	later("cluster.rejoin_every", a.Rejoin != b.Rejoin)
-	later("cluster.election", a.Election != b.Election)
+	later("cluster.probe_every", a.ProbeInterval != b.ProbeInterval)
+	later("cluster.rejoin_every", a.RejoinInterval != b.RejoinInterval)
+	later("cluster.election", a.ElectionTimeout != b.ElectionTimeout)
 	later("cluster.groups", a.Groups != b.Groups)
 	later("cluster.ledger", (a.Ledger == nil) != (b.Ledger == nil))
 	if a.Ledger != nil && b.Ledger != nil {
@@ -260,5 +260,5 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.claiming()
-	later("cluster.lease", a.Lease != b.Lease || a.Drift != b.Drift)
+	later("cluster.lease", a.Lease != b.Lease || a.ClockDrift != b.ClockDrift)
 }
--- a/internal/process/cluster_test.go
+++ b/internal/process/cluster_test.go
@@ -72,7 +72,7 @@
 	balancers := func(s *Process) (n, index int) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		m := s.pools["p"].Book().Terms
+		m := s.pools["p"].Book().Engine
 		return m.Balancers, m.Index
 	}
 	pool := a.pools["p"].Pool
@@ -87,7 +87,7 @@
 	// What b sends on is told to a.
 	u.takes.Store(int64(500 * time.Millisecond))
 	got := make(mate, 64)
-	a.fleet.Follow("p", []string{"b1", "b2"}, 0, 1, got)
+	a.fleet.OpenPeerRoute("p", []string{"b1", "b2"}, 0, 1, got)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -142,7 +142,7 @@
 // Guards are left out for the lab's own children only.
 func TestLabOnly(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "lab")
-	t.Setenv(cluster.Variable, file)
+	t.Setenv(cluster.LabVariable, file)
 	for text, ok := range map[string]bool{
 		fmt.Sprintf(`{"process": %d, "without": ["epochs"]}`, os.Getppid()): true,
 		fmt.Sprintf(`{"process": %d, "without": ["sense"]}`, os.Getppid()):  false,
@@ -150,7 +150,7 @@
 		`nonsense`: false,
 	} {
 		os.WriteFile(file, []byte(text), 0o600)
-		if l, err := cluster.InLab(); (err == nil) != ok || (l != nil) != ok {
+		if l, err := cluster.ReadLab(); (err == nil) != ok || (l != nil) != ok {
 			t.Errorf("%s: %v", text, err)
 		}
 	}
--- a/internal/process/ledger.go
+++ b/internal/process/ledger.go
@@ -40,9 +40,9 @@
 	}
 	window := time.Duration(f.DedupWindow)
 	if a.Once {
-		window = max(window, x.s.Ledger.OnceFor)
+		window = max(window, x.s.Ledger.OnceOnlyRetention)
 	}
-	a.Keep = x.s.Kept(window, time.Duration(f.HardStop))
+	a.Keep = x.s.ClaimRetention(window, time.Duration(f.HardStop))
 	return &held{x.l.Begin(a, q.Left), f}
 }
 
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -88,7 +88,7 @@
 	s.beside = 1
 	ctx, end := context.WithCancel(context.Background())
 	s.end = end
-	if slices.ContainsFunc(p.Listeners, func(l plan.Listener) bool { return l.Inherited > 0 }) {
+	if slices.ContainsFunc(p.Listeners, func(l plan.Listener) bool { return l.InheritedFD > 0 }) {
 		var err error
 		if s.seat, err = relay.Take(os.TempDir(), p.Name); err != nil {
 			s.own.Warn("relay", "step", "alone", "fault", err)
@@ -96,9 +96,9 @@
 			s.beside = s.seat.Count()
 		}
 	}
-	if p.Ops != "" {
+	if p.OpsAddress != "" {
 		var err error
-		if s.ops, err = ops.Open(p.Ops, s); err != nil {
+		if s.ops, err = ops.Open(p.OpsAddress, s); err != nil {
 			s.finish()
 			return nil, fmt.Errorf("ops: %w", err)
 		}
@@ -142,7 +142,7 @@
 		p.Beside(beside)
 	}
 	if s.plan.Platform {
-		s.front.Alone(s.plan.Limits.Bodies / int64(beside))
+		s.front.Alone(s.plan.Limits.BodyBytes / int64(beside))
 	}
 }
 
@@ -168,7 +168,7 @@
 		return err
 	}
 	if f := s.inFleet(); f != nil {
-		f.Figures(to)
+		f.WriteMetrics(to)
 	}
 	return nil
 }
@@ -232,7 +232,7 @@
 		}
 	}
 	later("log.format", p.Log.Format != before.Log.Format)
-	later("ops", p.Ops != before.Ops)
+	later("ops", p.OpsAddress != before.OpsAddress)
 	s.reloadCluster(before, p, later)
 	if p.Platform {
 		later("listen", p.Listeners[0].Address != before.Listeners[0].Address)
@@ -250,23 +250,23 @@
 func (s *Process) retune(p *plan.Plan) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if key := p.Lacks(s.plan); key != "" {
+	if key := p.MissingKey(s.plan); key != "" {
 		return fmt.Errorf("%s is missing", key)
 	}
 	now, told := s.pools[p.Pools[0].Name], p.Pools[0]
-	if now.told.Print != told.Print {
-		if err := now.Retune(told.Book); err != nil {
+	if now.told.Fingerprint != told.Fingerprint {
+		if err := now.Retune(told.Settings); err != nil {
 			return err
 		}
-		s.own.Info("reload", "step", "terms", "tariffs", len(told.Book.Tariffs), "attempts", told.Book.Terms.MaxAttempts)
+		s.own.Info("reload", "step", "terms", "tariffs", len(told.Settings.Tariffs), "attempts", told.Settings.Engine.MaxAttempts)
 	}
-	to := told.List.Discovery
+	to := told.Upstreams.Discovery
 	s.own.Info("reload", "step", "list", "discovery", to, "moved", now.watch.Move(to))
 	now.told = told
 	p.Limits.Cores = s.plan.Limits.Cores
 	s.plan = p
 	s.limit(s.plan)
-	s.front.Alone(s.plan.Limits.Bodies / int64(s.beside))
+	s.front.Alone(s.plan.Limits.BodyBytes / int64(s.beside))
 	return nil
 }
 
@@ -300,8 +300,8 @@
 		wanted[l.Address] = s.listeners[l.Address]
 		if wanted[l.Address] == nil {
 			var n *httpwire.Listener
-			if l.Inherited > 0 {
-				if n, err = s.front.Inherit(l.Name, l.Address, l.Inherited); err != nil {
+			if l.InheritedFD > 0 {
+				if n, err = s.front.Inherit(l.Name, l.Address, l.InheritedFD); err != nil {
 					return fmt.Errorf("PROXY_LISTEN_FD: %w", err)
 				}
 			} else if n, err = s.front.Listen(l.Name, l.Address); err != nil {
@@ -320,13 +320,13 @@
 				}
 			}
 		}
-		if now := s.pools[told.Name]; now != nil && now.told.Print == told.Print && now.Shards() == p.Limits.Cores {
+		if now := s.pools[told.Name]; now != nil && now.told.Fingerprint == told.Fingerprint && now.Shards() == p.Limits.Cores {
 			pools[told.Name] = now
 			continue
 		}
 		// Danger: made anew it would know nothing of its upstreams, and feed cold ones beside its predecessor.
-		if now := s.pools[told.Name]; now != nil && now.Shards() == p.Limits.Cores && now.told.Book.Fits(told.Book) {
-			if err := told.Book.Terms.Validate(); err != nil {
+		if now := s.pools[told.Name]; now != nil && now.Shards() == p.Limits.Cores && now.told.Settings.CanReplace(told.Settings) {
+			if err := told.Settings.Engine.Validate(); err != nil {
 				return fmt.Errorf("pool %s: %w", told.Name, err)
 			}
 			pools[told.Name], retuned[told.Name] = now, true
@@ -338,7 +338,7 @@
 		}
 		made[told.Name], pools[told.Name] = n, n
 		if n.link = links[here(told)]; n.link != nil {
-			if n.route, err = peers.NewRoute(told.Name, told.Book.Peers, n.Shards(), n.Pool); err != nil {
+			if n.route, err = peers.NewRoute(told.Name, told.Settings.PeerAddresses, n.Shards(), n.Pool); err != nil {
 				return fmt.Errorf("pool %s: %w", told.Name, err)
 			}
 		}
@@ -346,12 +346,12 @@
 
 	// From here on nothing fails. Danger: a pool that is shown before it has a list would refuse all that comes.
 	for name, n := range made {
-		first := n.told.List.Fixed
-		if n.told.List.File != "" {
-			first, _ = listfile.Read(n.told.List.File) // its source says what is wrong with it
+		first := n.told.Upstreams.Static
+		if n.told.Upstreams.File != "" {
+			first, _ = listfile.Read(n.told.Upstreams.File) // its source says what is wrong with it
 		}
-		if n.told.List.Discovery != "" {
-			if first = n.told.List.Known.Entries; s.pools[name] != nil {
+		if n.told.Upstreams.Discovery != "" {
+			if first = n.told.Upstreams.Initial.Entries; s.pools[name] != nil {
 				first = s.pools[name].Entries()
 			}
 		}
@@ -372,21 +372,21 @@
 	for _, told := range p.Pools {
 		n := pools[told.Name]
 		board.Pools[told.Name] = n.Pool
-		parts[n.Pool] = httpwire.Share{Part: told.Share, Open: told.Open, Connections: told.Connections, Bodies: told.Bodies}
+		parts[n.Pool] = httpwire.Share{Part: told.Share, Open: told.MaxTransactions, Connections: told.MaxConnections, Bodies: told.MaxBodyBytes}
 		if p.Platform {
 			board.Only = n.Pool
 		}
 	}
 	if p.Platform {
-		s.front.Alone(p.Limits.Bodies / int64(s.beside))
+		s.front.Alone(p.Limits.BodyBytes / int64(s.beside))
 	} else {
-		s.front.Deal(p.Limits.Bodies, p.Limits.Within, p.Limits.Refusals, parts)
+		s.front.Deal(p.Limits.BodyBytes, p.Limits.ReturnWithin, p.Limits.RefusalRate, parts)
 	}
 	s.front.Show(board)
 	for _, told := range p.Pools {
 		n, kept := pools[told.Name], made[told.Name] == nil
-		if !kept || !same(n.told.List, told.List) {
-			s.follow(n, told.List, kept)
+		if !kept || !same(n.told.Upstreams, told.Upstreams) {
+			s.follow(n, told.Upstreams, kept)
 		}
 		n.told = told
 	}
@@ -413,7 +413,7 @@
 		n.Rename(l.Name)
 		if s.listeners[l.Address] == nil {
 			heard := make(chan struct{})
-			if close(heard); l.Inherited > 0 && s.beside > 1 {
+			if close(heard); l.InheritedFD > 0 && s.beside > 1 {
 				heard = pools[p.Pools[0].Name].heard
 			}
 			go func() {
@@ -447,9 +447,9 @@
 		return // none in force yet
 	}
 	runtime.GOMAXPROCS(p.Limits.Cores)
-	if p.Limits.Memory > 0 {
+	if p.Limits.MemoryBytes > 0 {
 		// Danger: over the limit the process is killed, and all processes of a balancer count as one.
-		debug.SetMemoryLimit(p.Limits.Memory * 6 / 10 / int64(s.beside))
+		debug.SetMemoryLimit(p.Limits.MemoryBytes * 6 / 10 / int64(s.beside))
 	}
 	descriptors := p.Limits.Descriptors
 	var has syscall.Rlimit
@@ -463,18 +463,18 @@
 
 // here is the address at which the other balancers of a pool reach this one, "" if they don't.
 func here(told *plan.Pool) string {
-	if len(told.Book.Peers) == 0 {
+	if len(told.Settings.PeerAddresses) == 0 {
 		return ""
 	}
-	return told.Book.Peers[told.Book.Terms.Index]
+	return told.Settings.PeerAddresses[told.Settings.Engine.Index]
 }
 
 // make makes a pool, without the source of its list.
 func (s *Process) make(told *plan.Pool) (*pool, error) {
-	if told.Book.Terms.Seed == 0 { // Danger: pools of one seed would all draw the same chances
+	if told.Settings.Engine.Seed == 0 { // Danger: pools of one seed would all draw the same chances
 		number := fnv.New64a()
 		number.Write([]byte(told.Name))
-		told.Book.Terms.Seed = s.seed ^ number.Sum64()
+		told.Settings.Engine.Seed = s.seed ^ number.Sum64()
 	}
 	book, _, _ := s.among(told)
 	n, err := s.front.NewPool(told.Name, book)
@@ -492,13 +492,13 @@
 }
 
 // follow has a pool's list told by a source from now on; again says that it was told by another before.
-func (s *Process) follow(n *pool, l plan.List, again bool) {
+func (s *Process) follow(n *pool, l plan.UpstreamSource, again bool) {
 	n.stop()
 	n.watch = nil
 	var from lists.Source
 	switch {
 	case l.Discovery != "":
-		index := l.Known.Index
+		index := l.Initial.Index
 		if again {
 			index = discovery.Unknown // Danger: versions of one source mean nothing to another
 		}
@@ -508,12 +508,12 @@
 			})
 			break
 		}
-		n.watch = discovery.New(n, n.Log(), l.Discovery, n.Book().Terms.FollowList, index, n.Book().DialTimeout)
+		n.watch = discovery.New(n, n.Log(), l.Discovery, n.Book().Engine.FollowList, index, n.Book().DialTimeout)
 		from = n.watch
 	case l.File != "":
-		from = &listfile.File{Path: l.File, Every: l.Every, Sink: n, Log: n.Log()}
+		from = &listfile.File{Path: l.File, Every: l.PollInterval, Sink: n, Log: n.Log()}
 	default:
-		from = &listfixed.List{Entries: l.Fixed, Sink: n}
+		from = &listfixed.List{Entries: l.Static, Sink: n}
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -538,6 +538,6 @@
 	}()
 }
 
-func same(a, b plan.List) bool {
-	return a.File == b.File && a.Every == b.Every && a.Discovery == b.Discovery && a.Shared == b.Shared && slices.Equal(a.Fixed, b.Fixed)
+func same(a, b plan.UpstreamSource) bool {
+	return a.File == b.File && a.PollInterval == b.PollInterval && a.Discovery == b.Discovery && a.Shared == b.Shared && slices.Equal(a.Static, b.Static)
 }
--- a/internal/routes/normal.go
+++ b/internal/routes/normalize.go
@@ -2,19 +2,19 @@
 
 import "strings"
 
-// Host brings a host to the form in which it is looked up: small letters, no port, no final dot. It is not ok if it
+// NormalizeHost brings a host to the form in which it is looked up: small letters, no port, no final dot. It is not ok if it
 // can't be a host; an absent one is "" and matches routes for any host only.
-func Host(host string) (plain string, ok bool) {
+func NormalizeHost(host string) (normalized string, ok bool) {
 	name := host
 	if strings.HasPrefix(name, "[") { // an IPv6 address keeps its brackets
 		end := strings.IndexByte(name, ']')
-		if end < 0 || !port(name[end+1:]) {
+		if end < 0 || !isPortSuffix(name[end+1:]) {
 			return "", false
 		}
 		return strings.ToLower(name[:end+1]), true
 	}
 	if colon := strings.IndexByte(name, ':'); colon >= 0 {
-		if !port(name[colon:]) {
+		if !isPortSuffix(name[colon:]) {
 			return "", false
 		}
 		name = name[:colon]
@@ -30,11 +30,11 @@
 	return strings.ToLower(name), true
 }
 
-func port(text string) bool {
+func isPortSuffix(text string) bool {
 	return text == "" || text[0] == ':' && len(text) <= 6 && strings.Trim(text[1:], "0123456789") == ""
 }
 
-// Path brings a path, as it stands encoded in a request, to its normal form. Danger: where the balancer and the
+// NormalizePath brings a path, as it stands encoded in a request, to its normal form. Danger: where the balancer and the
 // upstream read a path in two ways, one guards what the other lets through; so what is routed is what is sent on.
 //
 //   - an encoded letter, digit, "-", ".", "_" or "~" is decoded, any other stays encoded, in capitals: %2f is never a "/"
@@ -43,34 +43,34 @@
 //   - a final "/" stays
 //
 // An encoded zero or a "%" without two hexadecimal digits is not ok.
-func Path(path string) (plain string, ok bool) {
+func NormalizePath(path string) (normalized string, ok bool) {
 	if path == "" {
 		return "/", true
 	}
 	if path[0] != '/' {
 		return "", false
 	}
-	if normal(path) {
+	if isNormalized(path) {
 		return path, true
 	}
 	var out strings.Builder
 	for i := 0; i < len(path); i++ {
-		c := path[i]
-		if c != '%' {
-			if c == 0 {
+		char := path[i]
+		if char != '%' {
+			if char == 0 {
 				return "", false
 			}
-			out.WriteByte(c)
+			out.WriteByte(char)
 			continue
 		}
-		if i+2 >= len(path) || !hex(path[i+1]) || !hex(path[i+2]) {
+		if i+2 >= len(path) || !isHexDigit(path[i+1]) || !isHexDigit(path[i+2]) {
 			return "", false
 		}
-		switch c = digit(path[i+1])<<4 | digit(path[i+2]); {
-		case c == 0:
+		switch char = hexValue(path[i+1])<<4 | hexValue(path[i+2]); {
+		case char == 0:
 			return "", false
-		case unreserved(c):
-			out.WriteByte(c)
+		case isUnreserved(char):
+			out.WriteByte(char)
 		default:
 			out.WriteString(strings.ToUpper(path[i : i+3]))
 		}
@@ -98,8 +98,8 @@
 	return "/" + strings.Join(kept, "/"), true
 }
 
-// normal reports whether a path is in its normal form for certain, which nearly all are.
-func normal(path string) bool {
+// isNormalized reports whether a path is in its normal form for certain, which nearly all are.
+func isNormalized(path string) bool {
 	for i := 0; i < len(path); i++ {
 		switch path[i] {
 		case '%', 0:
@@ -113,9 +113,11 @@
 	return true
 }
 
-func hex(c byte) bool { return c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F' }
+func isHexDigit(c byte) bool {
+	return c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F'
+}
 
-func digit(c byte) byte {
+func hexValue(c byte) byte {
 	switch {
 	case c >= 'a':
 		return c - 'a' + 10
@@ -125,6 +127,6 @@
 	return c - '0'
 }
 
-func unreserved(c byte) bool {
+func isUnreserved(c byte) bool {
 	return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || strings.IndexByte("-._~", c) >= 0
 }
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -19,7 +19,7 @@
 		".": "!", "..": "!", "a..b": "!", ".a": "!", "a:b": "!", "a:80:90": "!", "a:123456": "!", "[::1": "!", "[::1]x": "!",
 		"a/b": "!", "a@b": "!", "a b": "!", ":80": "!", "a%2eb": "!",
 	} {
-		if got, ok := Host(host); ok != (want != "!") || ok && got != want {
+		if got, ok := NormalizeHost(host); ok != (want != "!") || ok && got != want {
 			t.Errorf("%q is %q, %t", host, got, ok)
 		}
 	}
@@ -34,7 +34,7 @@
 		"/%c3%a9": "/%C3%A9", "/a%252e": "/a%252e",
 		"/..": "!", "/../a": "!", "/a/../..": "!", "/%2e%2e/a": "!", "/%00": "!", "/%": "!", "/%2": "!", "/%zz": "!", "album": "!", "*": "!",
 	} {
-		got, ok := Path(path)
+		got, ok := NormalizePath(path)
 		if ok != (want != "!") || ok && got != want {
 			t.Errorf("%q is %q, %t", path, got, ok)
 		}
@@ -47,11 +47,11 @@
 		f.Add(s)
 	}
 	f.Fuzz(func(t *testing.T, path string) {
-		plain, ok := Path(path)
+		plain, ok := NormalizePath(path)
 		if !ok {
 			return
 		}
-		if again, ok := Path(plain); !ok || again != plain {
+		if again, ok := NormalizePath(plain); !ok || again != plain {
 			t.Errorf("%q is %q, and that is %q", path, plain, again)
 		}
 		for _, s := range strings.Split(strings.TrimSuffix(plain[1:], "/"), "/") {
@@ -62,8 +62,8 @@
 	})
 }
 
-// better is the precedence as docs/routes.md words it, for one host and path of two routes that both match.
-func better(a, b entry) bool {
+// hasPrecedence is the precedence as docs/routes.md words it, for one host and path of two routes that both match.
+func hasPrecedence(a, b entry) bool {
 	rank := func(e entry) []int {
 		host := 1 << 20
 		if suffix, wild := strings.CutPrefix(e.host, "*."); wild {
@@ -81,7 +81,7 @@
 			}
 			return -n
 		}
-		return []int{host, path, few(len(e.methods)), len(e.headers), few(len(e.lists)), -anyValues(e.headers)}
+		return []int{host, path, few(len(e.methods)), len(e.headers), few(len(e.listeners)), -countWildcards(e.headers)}
 	}
 	return slices.Compare(rank(a), rank(b)) > 0
 }
@@ -124,7 +124,7 @@
 				said.Set(name, v)
 			}
 		}
-		q := &Query{
+		q := &Request{
 			Host:   rapid.SampledFrom([]string{"a.x.org", "b.x.org", "c.x.org", "d.c.x.org", "x.org", "y.org", "z", ""}).Draw(t, "host"),
 			Path:   rapid.SampledFrom([]string{"/", "/p", "/p/", "/p/q", "/p/q/", "/p/q/r/s", "/pp", "/p/qq"}).Draw(t, "path"),
 			Method: rapid.SampledFrom([]string{"GET", "POST", "DELETE"}).Draw(t, "method"), Listener: "l",
@@ -141,7 +141,7 @@
 						if e.prefix {
 							path = q.Path == e.path || strings.HasPrefix(q.Path, e.path+"/")
 						}
-						if host && path && e.takes(q) && (best == nil || better(*e, *best)) {
+						if host && path && e.matches(q) && (best == nil || hasPrecedence(*e, *best)) {
 							best = e
 						}
 					}
@@ -149,7 +149,7 @@
 			}
 		}
 		got, again := table.Find(q), other.Find(q)
-		if (got == nil) != (best == nil) || got != nil && got.Name != best.Name && better(*best, find(table, got, q)) {
+		if (got == nil) != (best == nil) || got != nil && got.Name != best.Name && hasPrecedence(*best, findEntry(table, got, q)) {
 			t.Fatalf("%+v found %+v, best is %+v", q, got, best)
 		}
 		if (got == nil) != (again == nil) || got != nil && got.Name != again.Name {
@@ -157,7 +157,7 @@
 		}
 		takes := 0
 		for _, m := range table.Explain(q) {
-			if m.Lost == "" {
+			if m.Reason == "" {
 				takes++
 				if m.Route != got {
 					t.Fatalf("explained as %q, found %q", m.Route.Name, got.Name)
@@ -170,10 +170,10 @@
 	})
 }
 
-// find is the first entry of a route that takes a query.
-func find(t *Table, r *Route, q *Query) (found entry) {
+// findEntry is the first entry of a route that takes a query.
+func findEntry(t *Table, r *Route, q *Request) (found entry) {
 	t.walk(q, func(e *entry) bool {
-		if e.Route == r && e.takes(q) {
+		if e.Route == r && e.matches(q) {
 			found = *e
 		}
 		return found.Route == nil
@@ -221,10 +221,10 @@
 		}
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
-			var queries []Query
+			var queries []Request
 			for i := range 1000 {
 				k := i * 7919 % n
-				queries = append(queries, Query{
+				queries = append(queries, Request{
 					Host: fmt.Sprintf("h%d.example.org", k/10), Path: fmt.Sprintf("/part/%d/photos/%d", k%10, i), Method: "GET",
 				})
 			}
--- a/internal/simwire/read.go
+++ b/internal/simwire/read.go
@@ -202,8 +202,8 @@
 	s.instances[number] = in
 	in.touch()
 	in.guard(func() {
-		in.book = terms.Read(v.Get("env"), v.GetUint64("prng"))
-		b, err := logic.New(in.book.Terms, s.now)
+		in.book = terms.Decode(v.Get("env"), v.GetUint64("prng"))
+		b, err := logic.New(in.book.Engine, s.now)
 		if err != nil {
 			s.except(in, err.Error())
 			return
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -35,7 +35,7 @@
 	number int
 	queued bool
 	server *server
-	book   *terms.Book
+	book   *terms.Settings
 	roster *roster.Roster[uint32]
 	calls  map[string]*logic.Transaction
 }
--- a/internal/terms/terms.go
+++ b/internal/terms/terms.go
@@ -11,51 +11,51 @@
 )
 
 const (
-	microsecond = 1000
-	unsaidDial  = time.Second // where nothing is said; without any limit a push to a machine cut off would hang
-	unsaidProbe = "/ping"     // as the platform has it
+	nanosPerMicrosecond = 1000
+	defaultDialTimeout  = time.Second // where nothing is said; without any limit a push to a machine cut off would hang
+	defaultProbePath    = "/ping"     // as the platform has it
 )
 
-// MostBody is the bytes of a message that are held for certain, either way.
-const MostBody = 64 << 10
+// GuaranteedBodyBytes is the bytes of a message that are held for certain, either way.
+const GuaranteedBodyBytes = 64 << 10
 
-// Book is the settings as a balancer uses them: the module's terms, the names behind its numbers, and what only
+// Settings is the settings as a balancer uses them: the module's terms, the names behind its numbers, and what only
 // a network is told.
-type Book struct {
-	Terms     *logic.Config
+type Settings struct {
+	Engine    *logic.Config `json:"Terms"`
 	Tariffs   map[string]int
 	Customers map[string]int
 	Zones     []string // their places are the numbers in Terms
 
 	DialTimeout time.Duration // until a connection counts as not to be had
-	IdleClose   time.Duration // an upstream closes what stood idle so long
+	IdleTimeout time.Duration `json:"IdleClose"` // an upstream closes what stood idle so long
 
-	Plain   bool   // ordinary HTTP towards clients and upstreams, not the platform's protocol
-	Default int    // tariff of a plain transaction that names none; -1 for none
-	Probe   string // path of a probe
+	PlainHTTP     bool   `json:"Plain"`   // ordinary HTTP towards clients and upstreams, not the platform's protocol
+	DefaultTariff int    `json:"Default"` // tariff of a plain transaction that names none; -1 for none
+	ProbePath     string `json:"Probe"`   // path of a probe
 
-	Peers []string // addresses of the balancers, by index, that tell one another what they hold; none where they don't
-	Fleet bool     // the balancers are the members of the cluster; Terms.Balancers is the least that count
-	Watch bool     // decides without live weights and peers, and counts what these would have changed
+	PeerAddresses []string `json:"Peers"` // addresses of the balancers, by index, that tell one another what they hold; none where they don't
+	ClusterPeers  bool     `json:"Fleet"` // the balancers are the members of the cluster; Terms.Balancers is the least that count
+	Shadow        bool     `json:"Watch"` // decides without live weights and peers, and counts what these would have changed
 }
 
-// Complete fills in what isn't said, for every format.
-func (b *Book) Complete(zone string) {
-	if b.DialTimeout <= 0 {
-		b.DialTimeout = unsaidDial
+// ApplyDefaults fills in what isn't said, for every format.
+func (settings *Settings) ApplyDefaults(zone string) {
+	if settings.DialTimeout <= 0 {
+		settings.DialTimeout = defaultDialTimeout
 	}
-	if b.Probe == "" {
-		b.Probe = unsaidProbe
+	if settings.ProbePath == "" {
+		settings.ProbePath = defaultProbePath
 	}
-	if b.Terms.Zone = slices.Index(b.Zones, zone); b.Terms.Zone < 0 {
-		b.Terms.Zone = len(b.Zones)
-		b.Zones = append(b.Zones, zone)
+	if settings.Engine.Zone = slices.Index(settings.Zones, zone); settings.Engine.Zone < 0 {
+		settings.Engine.Zone = len(settings.Zones)
+		settings.Zones = append(settings.Zones, zone)
 	}
 }
 
-// Name is a tariff's by its number.
-func (b *Book) Name(tariff int) string {
-	for name, n := range b.Tariffs {
+// TariffName is a tariff's by its number.
+func (settings *Settings) TariffName(tariff int) string {
+	for name, n := range settings.Tariffs {
 		if n == tariff {
 			return name
 		}
@@ -63,117 +63,117 @@
 	return ""
 }
 
-// Part is the book of one of several modules that share a balancer's work, as if each were a balancer. Danger: the module
+// Shard is the book of one of several modules that share a balancer's work, as if each were a balancer. Danger: the module
 // keeps state in tariffs and customers, so each has its own.
-func (b *Book) Part(n, of int) *Book {
-	part, t := *b, *b.Terms
-	t.Balancers, t.Index = t.Balancers*of, t.Index*of+n
-	t.Seed += uint64(n) * 0x9e3779b97f4a7c15
-	t.Tariffs, t.Customers = nil, nil
-	for _, f := range b.Terms.Tariffs {
-		own := *f
-		t.Tariffs = append(t.Tariffs, &own)
-	}
-	for _, c := range b.Terms.Customers {
-		own := *c
-		t.Customers = append(t.Customers, &own)
-	}
-	part.Terms = &t
-	return &part
+func (settings *Settings) Shard(index, count int) *Settings {
+	shard, engine := *settings, *settings.Engine
+	engine.Balancers, engine.Index = engine.Balancers*count, engine.Index*count+index
+	engine.Seed += uint64(index) * 0x9e3779b97f4a7c15
+	engine.Tariffs, engine.Customers = nil, nil
+	for _, tariff := range settings.Engine.Tariffs {
+		own := *tariff
+		engine.Tariffs = append(engine.Tariffs, &own)
+	}
+	for _, customer := range settings.Engine.Customers {
+		own := *customer
+		engine.Customers = append(engine.Customers, &own)
+	}
+	shard.Engine = &engine
+	return &shard
 }
 
-// Keep takes over from an earlier book what was learnt of tariffs and customers that are told as before.
-func (b *Book) Keep(earlier *Book) {
-	for name, n := range b.Tariffs {
-		if m, was := earlier.Tariffs[name]; was && b.Terms.Tariffs[n].Same(earlier.Terms.Tariffs[m]) {
-			b.Terms.Tariffs[n] = earlier.Terms.Tariffs[m]
+// KeepLearned takes over from an earlier book what was learnt of tariffs and customers that are told as before.
+func (settings *Settings) KeepLearned(earlier *Settings) {
+	for name, n := range settings.Tariffs {
+		if m, was := earlier.Tariffs[name]; was && settings.Engine.Tariffs[n].Same(earlier.Engine.Tariffs[m]) {
+			settings.Engine.Tariffs[n] = earlier.Engine.Tariffs[m]
 		}
 	}
-	for name, n := range b.Customers {
-		if m, was := earlier.Customers[name]; was && b.Terms.Customers[n].Rate == earlier.Terms.Customers[m].Rate {
-			b.Terms.Customers[n] = earlier.Terms.Customers[m]
+	for name, n := range settings.Customers {
+		if m, was := earlier.Customers[name]; was && settings.Engine.Customers[n].Rate == earlier.Engine.Customers[m].Rate {
+			settings.Engine.Customers[n] = earlier.Engine.Customers[m]
 		}
 	}
 }
 
-// Fits reports whether a pool that goes by this book can take another in service: all that is built by it stays.
-func (b *Book) Fits(other *Book) bool {
-	s, t := b.Terms, other.Terms
-	if b.Fleet && other.Fleet { // who the balancers are changes in service there
-		s, t = &logic.Config{Tier: s.Tier, LiveWeights: s.LiveWeights}, &logic.Config{Tier: t.Tier, LiveWeights: t.LiveWeights}
+// CanReplace reports whether a pool that goes by this book can take another in service: all that is built by it stays.
+func (settings *Settings) CanReplace(other *Settings) bool {
+	own, wanted := settings.Engine, other.Engine
+	if settings.ClusterPeers && other.ClusterPeers { // who the balancers are changes in service there
+		own, wanted = &logic.Config{Tier: own.Tier, LiveWeights: own.LiveWeights}, &logic.Config{Tier: wanted.Tier, LiveWeights: wanted.LiveWeights}
 	}
-	return b.Fleet == other.Fleet && b.DialTimeout == other.DialTimeout && b.IdleClose == other.IdleClose && b.Plain == other.Plain && b.Probe == other.Probe &&
-		!b.Watch && !other.Watch && slices.Equal(b.Peers, other.Peers) && s.Peers == t.Peers && s.LiveWeights == t.LiveWeights &&
-		s.Balancers == t.Balancers && s.Index == t.Index && s.Tier == t.Tier
+	return settings.ClusterPeers == other.ClusterPeers && settings.DialTimeout == other.DialTimeout && settings.IdleTimeout == other.IdleTimeout && settings.PlainHTTP == other.PlainHTTP && settings.ProbePath == other.ProbePath &&
+		!settings.Shadow && !other.Shadow && slices.Equal(settings.PeerAddresses, other.PeerAddresses) && own.Peers == wanted.Peers && own.LiveWeights == wanted.LiveWeights &&
+		own.Balancers == wanted.Balancers && own.Index == wanted.Index && own.Tier == wanted.Tier
 }
 
-// Among is the book of one of so many balancers, of which this is the one at an index.
-func (b *Book) Among(balancers, index int) *Book {
-	one := b.Part(0, 1)
-	one.Terms.Balancers, one.Terms.Index, one.Terms.Peers = balancers, index, balancers > 1
-	return one
+// ForBalancer is the book of one of so many balancers, of which this is the one at an index.
+func (settings *Settings) ForBalancer(balancers, index int) *Settings {
+	balancer := settings.Shard(0, 1)
+	balancer.Engine.Balancers, balancer.Engine.Index, balancer.Engine.Peers = balancers, index, balancers > 1
+	return balancer
 }
 
-// Before is the book without what came with the newer shape: live weights and peers.
-func (b *Book) Before() *Book {
-	before := b.Part(0, 1)
-	before.Terms.LiveWeights, before.Terms.Peers, before.Watch = false, false, false
-	return before
+// WithoutLiveAndPeers is the book without what came with the newer shape: live weights and peers.
+func (settings *Settings) WithoutLiveAndPeers() *Settings {
+	reduced := settings.Shard(0, 1)
+	reduced.Engine.LiveWeights, reduced.Engine.Peers, reduced.Shadow = false, false, false
+	return reduced
 }
 
-// Read decodes the settings. What is absent stays zero: logic.New refuses what it can't work with.
-func Read(env *fastjson.Value, seed uint64) *Book {
-	limits, rules := env.Get("limits"), env.Get("guarantees")
-	t := &logic.Config{
+// Decode decodes the settings. What is absent stays zero: logic.New refuses what it can't work with.
+func Decode(env *fastjson.Value, seed uint64) *Settings {
+	limits, guarantees := env.Get("limits"), env.Get("guarantees")
+	engine := &logic.Config{
 		Seed: seed, Balancers: env.GetInt("fleet_size"), Index: env.GetInt("self_index"),
 		Tier:        env.GetInt("layer"),
 		MaxAttempts: limits.GetInt("max_pushes"), Hedging: limits.GetBool("second_copies"),
 		Cancelling: limits.GetBool("cancelling"), Probing: limits.GetBool("probes"),
-		AdviseBackoff: limits.GetBool("retry_after"), MaxBackoff: limits.GetInt64("max_retry_after") * microsecond,
+		AdviseBackoff: limits.GetBool("retry_after"), MaxBackoff: limits.GetInt64("max_retry_after") * nanosPerMicrosecond,
 		LiveWeights: string(env.GetStringBytes("weight_source")) == "live", Peers: limits.GetBool("peers"),
 		FollowList: string(env.GetStringBytes("registry_mode")) == "ask",
-		ColdShare:  rules.GetFloat64("cold_from"), WarmUp: rules.GetInt64("ramp_time") * microsecond,
-		OverloadFactor: rules.GetFloat64("fall_multiple"), OverloadSpan: rules.GetInt64("overload_for") * microsecond,
+		ColdShare:  guarantees.GetFloat64("cold_from"), WarmUp: guarantees.GetInt64("ramp_time") * nanosPerMicrosecond,
+		OverloadFactor: guarantees.GetFloat64("fall_multiple"), OverloadSpan: guarantees.GetInt64("overload_for") * nanosPerMicrosecond,
 		CrossZonePrice: env.GetFloat64("fees", "cross_zone"), OverQuotaFactor: env.GetFloat64("beyond_share_earnings"),
 	}
-	b := &Book{
-		Terms: t, Tariffs: map[string]int{}, Customers: map[string]int{}, Default: -1,
+	settings := &Settings{
+		Engine: engine, Tariffs: map[string]int{}, Customers: map[string]int{}, DefaultTariff: -1,
 		DialTimeout: time.Duration(limits.GetInt64("dial_timeout")) * time.Microsecond,
-		IdleClose:   time.Duration(limits.GetInt64("idle_close")) * time.Microsecond,
+		IdleTimeout: time.Duration(limits.GetInt64("idle_close")) * time.Microsecond,
 	}
 	for _, z := range env.GetArray("zones") {
-		b.Zones = append(b.Zones, string(z.GetStringBytes()))
+		settings.Zones = append(settings.Zones, string(z.GetStringBytes()))
 	}
-	b.Complete(string(env.GetStringBytes("zone")))
+	settings.ApplyDefaults(string(env.GetStringBytes("zone")))
 	for n, c := range env.GetArray("tariffs") {
-		b.Tariffs[string(c.GetStringBytes("name"))] = n
-		t.Tariffs = append(t.Tariffs, tariff(c))
+		settings.Tariffs[string(c.GetStringBytes("name"))] = n
+		engine.Tariffs = append(engine.Tariffs, decodeTariff(c))
 	}
 	for n, c := range env.GetArray("tenants") {
-		b.Customers[string(c.GetStringBytes("name"))] = n
-		t.Customers = append(t.Customers, &logic.Customer{Rate: c.GetFloat64("quota_rps")})
+		settings.Customers[string(c.GetStringBytes("name"))] = n
+		engine.Customers = append(engine.Customers, &logic.Customer{Rate: c.GetFloat64("quota_rps")})
 	}
-	return b
+	return settings
 }
 
-func tariff(c *fastjson.Value) *logic.Tariff {
-	f := &logic.Tariff{
-		DedupWindow: c.GetInt64("dedup_window") * microsecond, ContractTime: c.GetInt64("contract_time") * microsecond,
-		HardStop:   c.GetInt64("hard_stop") * microsecond,
-		WorkFactor: c.GetFloat64("aim_stretch"), Earnings: c.GetFloat64("earnings"),
-		LateEarnings: c.GetFloat64("late_earnings"),
+func decodeTariff(value *fastjson.Value) *logic.Tariff {
+	decoded := &logic.Tariff{
+		DedupWindow: value.GetInt64("dedup_window") * nanosPerMicrosecond, ContractTime: value.GetInt64("contract_time") * nanosPerMicrosecond,
+		HardStop:   value.GetInt64("hard_stop") * nanosPerMicrosecond,
+		WorkFactor: value.GetFloat64("aim_stretch"), Earnings: value.GetFloat64("earnings"),
+		LateEarnings: value.GetFloat64("late_earnings"),
 	}
-	switch string(c.GetStringBytes("effect")) {
+	switch string(value.GetStringBytes("effect")) {
 	case "idempotent":
-		f.Idempotency = logic.Idempotent
+		decoded.Idempotency = logic.Idempotent
 	case "deduplicated":
-		f.Idempotency = logic.Keyed
+		decoded.Idempotency = logic.Keyed
 	}
-	switch string(c.GetStringBytes("group")) {
+	switch string(value.GetStringBytes("group")) {
 	case "all":
-		f.DedupScope = logic.Everywhere
+		decoded.DedupScope = logic.Everywhere
 	case "zone":
-		f.DedupScope = logic.SameZone
+		decoded.DedupScope = logic.SameZone
 	}
-	return f
+	return decoded
 }
