--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -1,5 +1,6 @@
-// Package cluster is the wing in which processes are one fleet: who is there (member), how they speak (link). A process
-// opens it where its settings have a [cluster] table; without one nothing of it runs.
+// Package cluster joins processes into one cluster. It combines membership (package member), the transport between
+// members (package link), replicated state, duties and the ledger. A process opens it if its settings have a [cluster]
+// table.
 package cluster
 
 import (
@@ -18,37 +19,37 @@
 	"ottershift/internal/cluster/member"
 )
 
-// Options say how a process takes part.
+// Options configure the membership of this process.
 type Options struct {
 	Settings       *config.Settings
-	OpsAddress     string // its second address, told to others
+	OpsAddress     string // address for operations, announced to the other members
 	Build          string
 	Seed           uint64
 	Log            *slog.Logger
-	Lab            *Lab // nil but where the lab started the process
+	Lab            *Lab // nil unless the test harness started the process
 	Status         func() member.Status
-	MembersChanged func() // the members may have changed; may be nil
+	MembersChanged func() // called when the members may have changed; may be nil
 }
 
-// Cluster is this process among the others.
+// Cluster is the membership of this process in the cluster.
 type Cluster struct {
 	options   Options
 	link      *link.Link
 	gossip    *member.Gossip
-	consensus *consensus    // nil without voters
-	ledger    *ledgerAccess // nil without a ledger
+	consensus *consensus    // nil if there are no voters
+	ledger    *ledgerAccess // nil if there is no ledger
 
 	done chan struct{}
 	wg   sync.WaitGroup
 
 	mu           sync.Mutex
-	peerRoutes   map[uint32]*PeerRoute // of peers, by pool
+	peerRoutes   map[uint32]*PeerRoute // by pool number
 	peerMessages chan peerMessage
 }
 
-const viewTimeout = 700 * time.Millisecond // for another's view
+const viewTimeout = 700 * time.Millisecond // for collecting the views of other members
 
-// Open takes part.
+// Open joins the cluster.
 func Open(o Options) (*Cluster, error) {
 	c := &Cluster{options: o, peerRoutes: map[uint32]*PeerRoute{}, done: make(chan struct{})}
 	var err error
@@ -102,10 +103,10 @@
 	return c, nil
 }
 
-// Settings are what it goes by.
+// Settings returns the settings with which the cluster was opened.
 func (c *Cluster) Settings() *config.Settings { return c.options.Settings }
 
-// UpdateSettings takes over the settings that change in service.
+// UpdateSettings applies those settings that can change while the process runs.
 func (c *Cluster) UpdateSettings(settings *config.Settings) {
 	c.link.SetAddressOverrides(settings.AddressOverrides)
 	c.gossip.UpdateSettings(settings)
@@ -113,14 +114,14 @@
 		access.mu.Lock()
 		updated := *settings.Ledger
 		if policy := access.settings.Policy; policy == "local" || updated.Policy == "local" {
-			updated.Policy = policy // takes effect at the next start
+			updated.Policy = policy // a change from or to "local" takes effect at the next start
 		}
 		access.settings = &updated
 		access.mu.Unlock()
 	}
 }
 
-// SetDraining tells the others whether this process takes no new clients, by intent.
+// SetDraining announces whether this process is draining, which means that it deliberately accepts no new clients.
 func (c *Cluster) SetDraining(draining bool) {
 	if cs := c.consensus; cs != nil {
 		cs.mu.Lock()
@@ -130,10 +131,10 @@
 	c.gossip.SetDraining(draining)
 }
 
-// BroadcastStatus has the others told at once how this process is.
+// BroadcastStatus sends the status of this process to the other members immediately.
 func (c *Cluster) BroadcastStatus() { c.gossip.BroadcastStatus() }
 
-// Close leaves by intent and ends it.
+// Close leaves the cluster deliberately and releases all resources.
 func (c *Cluster) Close() {
 	close(c.done)
 	c.wg.Wait()
@@ -158,7 +159,8 @@
 	}
 }
 
-// WriteMembers writes what is held here of all members, as a line of JSON; all asks each living one as well.
+// WriteMembers writes this process's view of all members as a line of JSON. With all set, it adds a line with the view of
+// each live member.
 func (c *Cluster) WriteMembers(to io.Writer, all bool) error {
 	out := bufio.NewWriter(to)
 	encoder := json.NewEncoder(out)
@@ -176,7 +178,7 @@
 	return out.Flush()
 }
 
-// WriteMetrics writes the cluster's figures, a line each.
+// WriteMetrics writes the cluster's metrics, one per line.
 func (c *Cluster) WriteMetrics(to io.Writer) {
 	states := map[string]int{}
 	v := c.gossip.View()
--- a/internal/cluster/consensus.go
+++ b/internal/cluster/consensus.go
@@ -18,26 +18,27 @@
 	"ottershift/internal/lists"
 )
 
-// Methods of calls between members.
+// Method numbers of RPCs between members.
 const (
-	methodListUpdate   uint16 = 20 // of a shared list's owner
-	methodListSnapshot uint16 = 21
+	methodListUpdate   uint16 = 20 // update sent by the owner of a shared upstream list
+	methodListSnapshot uint16 = 21 // request for a member's complete shared list
 )
 
 const (
-	commandTimeout         = 2 * time.Second        // for a command
-	sessionCheckInterval   = 100 * time.Millisecond // between two looks at whether this run's session stands
-	sessionConfirmInterval = time.Second            // between two confirmed looks at it
-	sessionEndInterval     = 250 * time.Millisecond // between two looks for sessions to end
-	listUpdateTimeout      = 300 * time.Millisecond
+	commandTimeout         = 2 * time.Second        // timeout of one command to the voters
+	sessionCheckInterval   = 100 * time.Millisecond // interval between checks of the local session state
+	sessionConfirmInterval = time.Second            // interval between checks of the session against the replicated state
+	sessionEndInterval     = 250 * time.Millisecond // interval between scans for sessions of departed members
+	listUpdateTimeout      = 300 * time.Millisecond // timeout of one list update to one member
 )
 
-// consensus is this process's part in what is agreed: a keeper where it is a voter, its session, and the duties it may own.
+// consensus is this process's part in the replicated state: a replica of each group if the process is a voter, its
+// session, and the duties it may own.
 type consensus struct {
 	cluster     *Cluster
-	replicas    []*keep.Keeper // of each group; none where it is no keeper
-	clients     []*keep.Client // of each group
-	firstClient *keep.Client   // of the first, which holds sessions and duties
+	replicas    []*keep.Keeper // by group; empty if this process is not a voter
+	clients     []*keep.Client // by group
+	firstClient *keep.Client   // client of group 0, which stores sessions and duties
 	owners      *owner.Owners
 	ctx         context.Context
 	cancel      context.CancelFunc
@@ -45,14 +46,15 @@
 	wake        chan struct{}
 
 	mu            sync.Mutex
-	lists         map[string]*shared.List // by pool
+	lists         map[string]*shared.List // by pool name
 	draining      bool
-	endToken      uint64 // token under which this member ends sessions, 0 if it doesn't
-	endedSessions int64  // sessions it has ended
+	endToken      uint64 // fencing token of the session-ending duty, 0 if this member does not own it
+	endedSessions int64  // number of sessions that this member has ended
 	heldDuties    map[string]owner.Held
 }
 
-// openConsensus takes part; before the link serves.
+// openConsensus creates the local replicas and clients and registers the RPC handlers. It must run before the link
+// starts serving.
 func openConsensus(cluster *Cluster) (*consensus, error) {
 	settings := cluster.options.Settings
 	cs := &consensus{cluster: cluster, lists: map[string]*shared.List{}, heldDuties: map[string]owner.Held{}, wake: make(chan struct{}, 1)}
@@ -84,7 +86,7 @@
 	return cs, nil
 }
 
-// start runs it, once the link serves and the member is there.
+// start starts the replicas and the background loops. The link must already be serving and gossip must be started.
 func (cs *consensus) start() {
 	settings := cs.cluster.options.Settings
 	for _, replica := range cs.replicas {
@@ -100,8 +102,9 @@
 	cs.wg.Go(cs.endSessions)
 }
 
+// stop releases the duties of this process, ends its sessions and closes the replicas.
 func (cs *consensus) stop() {
-	cs.owners.Close() // duties are handed over before the session ends
+	cs.owners.Close() // hands duties over while the session is still open
 	ctx, cancel := context.WithTimeout(cs.ctx, commandTimeout/4)
 	for _, client := range cs.clients {
 		if epoch, ok := client.Session(); ok {
@@ -116,7 +119,7 @@
 	}
 }
 
-// localTransport calls this process's own handlers without the link.
+// localTransport is a link whose calls to this process itself run the handler directly, without the network.
 type localTransport struct {
 	*link.Link
 	self string
@@ -129,7 +132,7 @@
 	return transport.Link.Call(ctx, name, method, body)
 }
 
-// maintainSessions keeps this run known to the keepers, by the epoch that it has among members.
+// maintainSessions keeps a session open for this run in every group, under the epoch from gossip.
 func (cs *consensus) maintainSessions() {
 	confirmedAt := make([]time.Time, len(cs.clients))
 	for {
@@ -144,7 +147,8 @@
 	}
 }
 
-// checkSession opens a session in a group where there is none of this run, and now and then whether it stands.
+// checkSession opens a session in the group if this run has none. Otherwise it verifies every sessionConfirmInterval that
+// the session is still open.
 func (cs *consensus) checkSession(group int, client *keep.Client, confirmedAt *time.Time) {
 	self := cs.cluster.gossip.Self()
 	epoch, ok := client.Session()
@@ -156,7 +160,8 @@
 		case err == nil:
 			cs.cluster.options.Log.Info("cluster", "step", "session", "epoch", known, "group", group)
 		case errors.Is(err, keep.ErrMemberOver) && known == self.Epoch:
-			// It was ended, as of a member that is gone: this process goes on as another run. What the old one held is not its own.
+			// The session was ended because this member was taken for dead. The process continues under a new epoch, as
+			// another run, and does not own the duties of the previous one.
 			cs.cluster.gossip.RenewEpoch(known)
 		case errors.Is(err, keep.ErrMemberOver):
 			cs.cluster.gossip.ObserveNewerSelf(member.ID{Name: self.Name, Epoch: known, Run: 1<<64 - 1}, true)
@@ -173,7 +178,8 @@
 	}
 }
 
-// eligibleOwners are who else may own duties: alive, not leaving.
+// eligibleOwners returns the members that may own duties, which are alive and not draining, and whether this process is
+// willing to own duties.
 func (cs *consensus) eligibleOwners() (owners []owner.Member, willing bool) {
 	for _, m := range cs.cluster.gossip.AliveMembers() {
 		if !m.Draining {
@@ -185,7 +191,7 @@
 	return owners, !cs.draining && !cs.cluster.gossip.Superseded()
 }
 
-// dutyStore is the client as the owners use it.
+// dutyStore adapts the client of the first group to the interface that the duty owners use.
 type dutyStore struct{ cs *consensus }
 
 func (store dutyStore) Session() (uint64, bool) { return store.cs.firstClient.Session() }
@@ -223,11 +229,14 @@
 	return store.cs.firstClient.Renew(ctx, tokens)
 }
 
-// sessionEnder is the duty of ending the sessions of members that are gone.
+// sessionEnder implements the duty of ending the sessions of departed members.
 type sessionEnder consensus
 
+// Begin starts ending sessions under the fencing token of the tenure.
 func (ender *sessionEnder) Begin(tenure owner.Tenure) { (*consensus)(ender).setEndToken(tenure.Token) }
-func (ender *sessionEnder) End(owner.Tenure)          { (*consensus)(ender).setEndToken(0) }
+
+// End stops ending sessions.
+func (ender *sessionEnder) End(owner.Tenure) { (*consensus)(ender).setEndToken(0) }
 
 func (cs *consensus) setEndToken(token uint64) {
 	cs.mu.Lock()
@@ -235,8 +244,8 @@
 	cs.endToken = token
 }
 
-// endSessions ends sessions under its token while it owns that. Hearsay says who is gone; that ends a session, and no rule rests on
-// its being right: a member that lives takes another.
+// endSessions ends the sessions of departed members while this process owns the duty. Gossip reports which members are
+// gone. Correctness does not depend on that report: a live member whose session is ended opens another one.
 func (cs *consensus) endSessions() {
 	for {
 		select {
@@ -274,7 +283,8 @@
 	}
 }
 
-// endInOtherGroups ends in the other groups what has ended in the first, which holds the duty of it. They keep the highest token seen.
+// endInOtherGroups ends in the other groups the sessions that have ended in the first group, which stores the duty. The
+// other groups remember the highest fencing token seen and refuse lower ones.
 func (cs *consensus) endInOtherGroups(ctx context.Context, first []keep.Session, token uint64) {
 	for _, client := range cs.clients[1:] {
 		state, err := client.Read(ctx, false)
@@ -294,7 +304,8 @@
 	}
 }
 
-// List is a pool's list by way of one member that asks for all; own makes the source that asks discovery.
+// List returns a source of the pool's upstream list that one member fetches for the whole cluster. newSource makes the
+// source that queries discovery; it is used directly in a cluster without voters.
 func (c *Cluster) List(pool string, sink lists.Sink, newSource func(lists.Sink) lists.Source) lists.Source {
 	if c.consensus == nil {
 		return newSource(sink)
@@ -305,13 +316,14 @@
 	return listSource{cs, pool, list}
 }
 
-// listSource is known to the cluster while it runs.
+// listSource is a shared list that is registered with the cluster while it runs.
 type listSource struct {
 	cs   *consensus
 	pool string
 	list *shared.List
 }
 
+// Run implements lists.Source.
 func (source listSource) Run(ctx context.Context) {
 	source.cs.mu.Lock()
 	source.cs.lists[source.pool] = source.list
@@ -326,7 +338,7 @@
 	source.list.Run(ctx)
 }
 
-// listTransport is how words of a list go.
+// listTransport carries the updates of shared lists between members.
 type listTransport struct{ cs *consensus }
 
 func (transport listTransport) Post(name string, raw []byte) {
@@ -373,10 +385,10 @@
 	if list := cs.sharedList(string(body)); list != nil {
 		return list.Whole(), nil
 	}
-	return nil, errors.New("no such list here")
+	return nil, errors.New("this member does not follow the requested list")
 }
 
-// directory is a member's directory, with the lab's faults where it has put them.
+// directory returns a member's directory, with injected write faults if the test harness has configured them.
 func (c *Cluster) directory(path string) disk.FS {
 	if c.options.Lab != nil && c.options.Lab.DiskFaultFile != "" {
 		return disk.Faulty{Dir: disk.Dir(path), FaultFile: c.options.Lab.DiskFaultFile}
--- a/internal/cluster/disk/disk.go
+++ b/internal/cluster/disk/disk.go
@@ -1,5 +1,5 @@
-// Package disk is the small part of a file system that a member's directory needs. The real one is the operating
-// system's; the lab puts one with faults in its place.
+// Package disk is the part of a file system that a member's directory needs. Dir uses the operating system's file system;
+// Faulty injects write faults for the test harness.
 package disk
 
 import (
@@ -9,14 +9,15 @@
 	"syscall"
 )
 
-// FS keeps whole files durably.
+// FS stores whole files durably.
 type FS interface {
+	// Read returns the content of a file.
 	Read(name string) ([]byte, error)
-	// Replace puts a file in the place of the one before, all of it or nothing, and returns once it is on the disk.
+	// Replace replaces a file atomically and returns once the new content is on disk.
 	Replace(name string, content []byte) error
 }
 
-// Dir is a real directory.
+// Dir is the path of a directory in the file system of the operating system.
 type Dir string
 
 // Read implements FS.
@@ -33,7 +34,7 @@
 		return err
 	}
 	_, err = file.Write(content)
-	// Danger: a rename may reach the disk before what it names does.
+	// The rename may reach the disk before the content of the file, so the file is synced first.
 	if err = errors.Join(err, file.Sync(), file.Close()); err != nil {
 		return err
 	}
@@ -47,10 +48,10 @@
 	return errors.Join(directory.Sync(), directory.Close())
 }
 
-// Faulty is a directory whose writes fail while a file beside it says so: "full", "read-only" or "sync".
+// Faulty is a directory whose writes fail while the fault file contains "full", "read-only" or "sync".
 type Faulty struct {
 	Dir
-	FaultFile string // path of that file
+	FaultFile string // path of the fault file
 }
 
 // Replace implements FS.
--- a/internal/cluster/lab.go
+++ b/internal/cluster/lab.go
@@ -8,22 +8,23 @@
 	"slices"
 )
 
-// LabVariable names the file by which the lab tells a process that it started what else holds there.
+// LabVariable is the environment variable with the path of the file in which the test harness ("ottershift lab") configures
+// a process that it starts.
 const LabVariable = "OTTERSHIFT_LAB"
 
-// Lab is what the lab tells a process of its own: guards to leave out, so that a judge can be seen to convict, and faults
-// of its directory.
+// Lab is the configuration that the test harness gives its own processes: safety guards to disable, which shows that the
+// checker detects the resulting violations, and faults to inject into the directory.
 type Lab struct {
-	ParentPID      int      `json:"process"` // the lab's own, whose child this must be
+	ParentPID      int      `json:"process"` // process ID of the test harness, which must be the parent
 	DisabledGuards []string `json:"without,omitempty"`
-	DiskFaultFile  string   `json:"disk,omitempty"` // file that says which fault the directory has
+	DiskFaultFile  string   `json:"disk,omitempty"` // path of the file that names the injected fault
 }
 
-// LabGuards are the guards that can be left out.
+// LabGuards lists the guards that the test harness can disable.
 var LabGuards = []string{"refutation", "epochs", "fence", "once", "reads"}
 
-// ReadLab reads what the lab says, nil where there is no lab. Danger: a process in service that left a guard out would do
-// harm, so anyone but the lab's own child is refused.
+// ReadLab reads the configuration from the test harness; it returns nil if there is none. A production process that runs
+// without a guard would violate the cluster's guarantees, so the file is accepted only in a child process of the harness.
 func ReadLab() (*Lab, error) {
 	path := os.Getenv(LabVariable)
 	if path == "" {
--- a/internal/cluster/ledger.go
+++ b/internal/cluster/ledger.go
@@ -17,31 +17,33 @@
 )
 
 const (
-	localGroup   = 64                     // number of the group that a machine is in by itself; above every agreed one
-	flushTimeout = 200 * time.Millisecond // for ends that wait, when a process ends
+	localGroup   = 64                     // number of the single-member group of policy "local"; above all replicated group numbers
+	flushTimeout = 200 * time.Millisecond // limit for flushing buffered completions at shutdown
 )
 
-// ledgerAccess is this process's way to the ledger, and its own group of keepers where that is kept on its disk alone.
+// ledgerAccess is this process's access to the ledger of claims. Under policy "local" it includes a replication group of
+// its own, whose only replica is on this machine's disk.
 type ledgerAccess struct {
 	cluster      *Cluster
 	groups       []*keep.Client
-	localReplica *keep.Keeper // policy "local"
+	localReplica *keep.Keeper // nil unless the policy is "local"
 	ctx          context.Context
 	cancel       context.CancelFunc
 	wg           sync.WaitGroup
 
 	mu       sync.Mutex
-	ledger   *ledger.Ledger // nil until anything is claimed
-	settings *config.Ledger // in force
+	ledger   *ledger.Ledger // nil until Cluster.Ledger first finds claims enabled
+	settings *config.Ledger // settings in force
 }
 
-// ledgerParts are what keepers agree on beside runs and duties. A keeper holds them whatever its own process uses.
+// ledgerParts returns the state machines that replicas run beside sessions and duties. A replica runs them whether or not
+// its own process uses the ledger.
 func (c *Cluster) ledgerParts() map[byte]keep.Part {
 	fenced := c.options.Lab == nil || !c.options.Lab.disables("fence")
 	return map[byte]keep.Part{ledger.Part: ledger.NewBook(ledger.Guards{Fence: fenced}, rand.Uint64())}
 }
 
-// openLedger takes part in the ledger, where the settings name one.
+// openLedger opens the access to the ledger if the settings have one.
 func (c *Cluster) openLedger() error {
 	settings := c.options.Settings
 	if settings.Ledger == nil {
@@ -51,7 +53,7 @@
 	access.ctx, access.cancel = context.WithCancel(context.Background())
 	if settings.Ledger.Policy != "local" {
 		if c.consensus == nil {
-			return nil // it is off, and there are no keepers that it could be turned on with
+			return nil // the policy must be "off", and without voters it cannot be turned on later
 		}
 		access.groups = c.consensus.clients
 		c.ledger = access
@@ -74,7 +76,7 @@
 	return nil
 }
 
-// openSession opens this run at the machine's own group.
+// openSession opens a session for this run in the local group, retrying until it succeeds.
 func (access *ledgerAccess) openSession() {
 	epoch := access.cluster.gossip.Self().Epoch
 	for {
@@ -95,6 +97,7 @@
 	}
 }
 
+// close flushes buffered completions and releases all resources.
 func (access *ledgerAccess) close() {
 	access.mu.Lock()
 	current := access.ledger
@@ -110,6 +113,7 @@
 	}
 }
 
+// writeMetrics writes the metrics of the ledger, if it is in use.
 func (access *ledgerAccess) writeMetrics(to io.Writer) {
 	access.mu.Lock()
 	current := access.ledger
@@ -119,8 +123,8 @@
 	}
 }
 
-// Ledger is the way to claim by the settings in force; nil where nothing is claimed. Its numbers go on over changes, so there is
-// one for the life of a process.
+// Ledger returns the ledger under the settings in force, or nil if claims are disabled. Its sequence numbers continue
+// across changes of settings, so a process has one ledger for its whole life.
 func (c *Cluster) Ledger() *ledger.Ledger {
 	access := c.ledger
 	if access == nil {
@@ -145,7 +149,7 @@
 	return access.ledger
 }
 
-// Ask asks the ledger of each group, in turn; at names a keeper whose own copy is meant, "" for what is agreed.
+// query reads a page from the ledger of one group. voter selects the local copy of that voter; "" reads the agreed state.
 func (access *ledgerAccess) query(ctx context.Context, voter string, group int, query *ledger.Query) (page ledger.Page, err error) {
 	var raw []byte
 	if voter == "" {
@@ -159,13 +163,13 @@
 	return page, err
 }
 
-// find tells what fits, of one group.
+// find calls emit for each entry of one group that matches the query.
 func (access *ledgerAccess) find(ctx context.Context, voter string, group int, q ledger.Query, emit func(ledger.Entry) error) error {
 	return ledger.Each(q, func(q *ledger.Query) (ledger.Page, error) { return access.query(ctx, voter, group, q) }, emit)
 }
 
-// verify holds the keepers' copies of each group against one another: their sums after the same entry, and where these differ
-// the records.
+// verify compares the replicas of each group: their checksums after the same log entry and, where these differ, the
+// records.
 func (access *ledgerAccess) verify(ctx context.Context, emit func(result Verification) error) error {
 	for group := range access.groups {
 		result := Verification{Group: group}
@@ -219,12 +223,12 @@
 	return nil
 }
 
-// Verification is what comparing a group's copies found.
+// Verification is the result of comparing the replicas of one group.
 type Verification struct {
 	Group       int      `json:"group"`
-	Compared    int      `json:"compared"` // entries after which all copies were compared
-	Entry       uint64   `json:"entry"`    // the last of them
-	Mismatches  int      `json:"wrong"`    // after which they differed
+	Compared    int      `json:"compared"` // log entries after which the checksums of all reachable replicas were compared
+	Entry       uint64   `json:"entry"`    // index of the last of these entries
+	Mismatches  int      `json:"wrong"`    // number of these entries after which the checksums differed
 	Missing     []string `json:"missing,omitempty"`
 	Differences []string `json:"differ,omitempty"`
 }
--- a/internal/cluster/operator.go
+++ b/internal/cluster/operator.go
@@ -15,18 +15,18 @@
 	"ottershift/internal/cluster/owner"
 )
 
-const operatorTimeout = 8 * time.Second // for an order of staff's
+const operatorTimeout = 8 * time.Second // limit for one operator command
 
-// DutyReport is what a member tells of duties.
+// DutyReport describes the session and the duties of a member.
 type DutyReport struct {
 	Name          string        `json:"name"`
-	Session       uint64        `json:"session,omitempty"` // epoch known to the keepers, 0 for none
+	Session       uint64        `json:"session,omitempty"` // epoch of the open session, 0 if there is none
 	Duties        []owner.Stand `json:"duties"`
-	Refused       int64         `json:"refused"` // acts of old owners that were refused here
+	Refused       int64         `json:"refused"` // actions of former owners that were refused here
 	EndedSessions int64         `json:"ended"`   // sessions that this member has ended
 }
 
-// VoterStatus is how one keeper stands.
+// VoterStatus is the status of one voter in one group.
 type VoterStatus struct {
 	Name  string `json:"name"`
 	Group int    `json:"group"`
@@ -34,11 +34,11 @@
 	Fault string `json:"fault,omitempty"`
 }
 
-// runLedgerCommand tells of the ledger: find JSON, verify, stand.
+// runLedgerCommand runs an operator command on the ledger: find JSON, verify or stand.
 func (c *Cluster) runLedgerCommand(to io.Writer, words []string) error {
 	access := c.ledger
 	if access == nil || len(words) == 0 {
-		return errors.New("this process keeps no ledger: its configuration has no [cluster.ledger]")
+		return errors.New("this process has no ledger: its configuration has no [cluster.ledger] table")
 	}
 	ctx, cancel := context.WithTimeout(access.ctx, operatorTimeout)
 	defer cancel()
@@ -47,7 +47,7 @@
 	case "find":
 		var query ledger.Query
 		if len(words) < 2 || json.Unmarshal([]byte(strings.Join(words[1:], " ")), &query) != nil {
-			return errors.New("find what? write a query as JSON behind it")
+			return errors.New("find requires a query in JSON")
 		}
 		if query.What != "look" {
 			query.What = "find"
@@ -72,7 +72,7 @@
 		}
 		return nil
 	}
-	return fmt.Errorf("no call %q of the ledger; there are find QUERY, verify, stand", words[0])
+	return fmt.Errorf("unknown ledger command %q; the commands are find QUERY, verify, stand", words[0])
 }
 
 func (c *Cluster) dutyReport() DutyReport {
@@ -86,14 +86,14 @@
 	return report
 }
 
-// RunCommand does what staff asks: owners, status, replace NAME, transfer NAME, snapshot.
+// RunCommand runs an operator command: owners, status, replace NAME, transfer NAME, snapshot or ledger.
 func (c *Cluster) RunCommand(to io.Writer, words []string) error {
 	cs := c.consensus
 	if strings.EqualFold(words[0], "ledger") {
 		return c.runLedgerCommand(to, words[1:])
 	}
 	if cs == nil {
-		return errors.New("this cluster has no keepers: its [cluster] names no voters")
+		return errors.New("this cluster has no voters: its [cluster] table lists none")
 	}
 	ctx, cancel := context.WithTimeout(cs.ctx, operatorTimeout)
 	defer cancel()
@@ -123,9 +123,9 @@
 		return nil
 	case "replace", "transfer":
 		if name == "" {
-			return fmt.Errorf("%s whom? write the keeper's name behind it", command)
+			return fmt.Errorf("%s requires the name of a voter", command)
 		}
-		for _, client := range cs.clients { // in every group
+		for _, client := range cs.clients { // a voter has a replica in every group
 			if _, err := client.Order(ctx, keep.Order{What: command, Name: name}); err != nil {
 				return err
 			}
@@ -139,5 +139,5 @@
 		_, err = fmt.Fprintln(to, base64.StdEncoding.EncodeToString(raw))
 		return err
 	}
-	return fmt.Errorf("no call %q; there are owners, status, replace NAME, transfer NAME, snapshot, ledger", words[0])
+	return fmt.Errorf("unknown command %q; the commands are owners, status, replace NAME, transfer NAME, snapshot, ledger", words[0])
 }
--- a/internal/cluster/peers.go
+++ b/internal/cluster/peers.go
@@ -10,23 +10,24 @@
 )
 
 const (
-	maxPeerMessageBytes   = 256 // bytes that one module says to another at once
-	maxQueuedPeerMessages = 256 // such messages that wait to be sent; beyond it they are dropped
-	peerHeaderBytes       = 9   // pool, sender's part, receiver's part, length of the sender's name
+	maxPeerMessageBytes   = 256 // bytes of one message between decision engines
+	maxQueuedPeerMessages = 256 // messages waiting to be sent; further ones are dropped
+	peerHeaderBytes       = 9   // pool number, sender's shard, receiver's shard, length of the sender's name
 )
 
-// Sink takes what peers say; numbers are those of modules over all balancers. The bytes are its own only until it returns.
+// Sink receives the messages of peers. from and to number the decision engines over all balancers. raw is valid only until
+// Told returns.
 type Sink interface {
 	Told(from, to int, raw []byte)
 }
 
-// PeerRoute carries what the balancers of one pool say to one another, among the members that count at present. Datagrams
-// name their sender, not its number: two members may number the others differently while their views differ.
+// PeerRoute carries messages between the balancers of one pool, for a fixed list of members. Datagrams contain the name of
+// the sender instead of its number, because two members may number the others differently while their views differ.
 type PeerRoute struct {
 	cluster *Cluster
 	pool    uint32
 	shards  int
-	members []string // by index
+	members []string // by balancer index
 	self    int
 	sink    Sink
 }
@@ -36,8 +37,9 @@
 	payload []byte
 }
 
-// PoolBalancers are the members that count as balancers of a pool, by name: the living, and those held dead for less than a
-// time, since they may be behind a link that is cut and still send. Who left by intent doesn't count.
+// PoolBalancers returns the names of the members that count as balancers of a pool, and the index of this process. They are
+// the live members and those considered dead for less than maxDeadTime, which may be behind a broken link and still send
+// requests. Members that left deliberately do not count.
 func (c *Cluster) PoolBalancers(pool string, maxDeadTime time.Duration) (names []string, self int) {
 	for _, m := range c.gossip.MembersServing(pool, maxDeadTime) {
 		names = append(names, m.Name)
@@ -45,7 +47,8 @@
 	return names, slices.Index(names, c.options.Settings.Self)
 }
 
-// OpenPeerRoute has what is said of a pool given to a sink, among these members; it takes the place of the route before.
+// OpenPeerRoute opens a route between the given members that delivers messages of the pool to the sink. It replaces the
+// previous route of the pool.
 func (c *Cluster) OpenPeerRoute(pool string, members []string, self, shards int, sink Sink) *PeerRoute {
 	route := &PeerRoute{c, roster.Number(pool), shards, members, self, sink}
 	c.mu.Lock()
@@ -58,38 +61,38 @@
 	return route
 }
 
-// ClosePeerRoute ends a pool's route.
+// ClosePeerRoute closes the route of a pool.
 func (c *Cluster) ClosePeerRoute(pool string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.peerRoutes, roster.Number(pool))
 }
 
-// Tell implements httpwire.Speaker. It never waits: what finds no room is lost.
-func (route *PeerRoute) Tell(from, to int, raw []byte) {
-	receiver := to / route.shards
-	if to < 0 || receiver >= len(route.members) || receiver == route.self || len(raw) > maxPeerMessageBytes {
+// Tell implements httpwire.Speaker. It never blocks: a message is dropped if the queue is full.
+func (r *PeerRoute) Tell(from, to int, raw []byte) {
+	receiver := to / r.shards
+	if to < 0 || receiver >= len(r.members) || receiver == r.self || len(raw) > maxPeerMessageBytes {
 		return
 	}
-	self := route.cluster.options.Settings.Self
+	self := r.cluster.options.Settings.Self
 	message := make([]byte, 0, peerHeaderBytes+len(self)+len(raw))
-	message = binary.BigEndian.AppendUint32(message, route.pool)
-	message = binary.BigEndian.AppendUint16(message, uint16(from%route.shards))
-	message = binary.BigEndian.AppendUint16(message, uint16(to%route.shards))
+	message = binary.BigEndian.AppendUint32(message, r.pool)
+	message = binary.BigEndian.AppendUint16(message, uint16(from%r.shards))
+	message = binary.BigEndian.AppendUint16(message, uint16(to%r.shards))
 	message = append(append(append(message, byte(len(self))), self...), raw...)
 	select {
-	case route.cluster.peerMessages <- peerMessage{route.members[receiver], message}:
+	case r.cluster.peerMessages <- peerMessage{r.members[receiver], message}:
 	default:
 	}
 }
 
-// sendPeerMessages sends what modules say.
+// sendPeerMessages sends the queued messages until the cluster is closed.
 func (c *Cluster) sendPeerMessages() {
 	for {
 		select {
 		case message := <-c.peerMessages:
 			if address, known := c.gossip.Resolve(message.member); known {
-				c.link.Send(link.KindPeers, message.member, address, message.payload) // lost if it fails: so may any be
+				c.link.Send(link.KindPeers, message.member, address, message.payload) // errors are ignored, as delivery is not guaranteed
 			}
 		case <-c.done:
 			return
@@ -97,7 +100,8 @@
 	}
 }
 
-// handlePeerMessage hands on what a peer says; what names no known sender, pool or part is passed over.
+// handlePeerMessage passes a message from a peer to the sink of its pool. Messages with an unknown sender, pool or shard
+// are ignored.
 func (c *Cluster) handlePeerMessage(message []byte) {
 	if len(message) < peerHeaderBytes || len(message) < peerHeaderBytes+int(message[8]) || len(message) > peerHeaderBytes+255+maxPeerMessageBytes {
 		return
--- a/internal/routes/normalize.go
+++ b/internal/routes/normalize.go
@@ -2,8 +2,8 @@
 
 import "strings"
 
-// NormalizeHost brings a host to the form in which it is looked up: small letters, no port, no final dot. It is not ok if it
-// can't be a host; an absent one is "" and matches routes for any host only.
+// NormalizeHost returns the form of a host under which it is looked up: lower case, without port and final dot. ok is false
+// if the text cannot be a host. An absent host is "" and matches only routes for any host.
 func NormalizeHost(host string) (normalized string, ok bool) {
 	name := host
 	if strings.HasPrefix(name, "[") { // an IPv6 address keeps its brackets
@@ -34,15 +34,17 @@
 	return text == "" || text[0] == ':' && len(text) <= 6 && strings.Trim(text[1:], "0123456789") == ""
 }
 
-// NormalizePath brings a path, as it stands encoded in a request, to its normal form. Danger: where the balancer and the
-// upstream read a path in two ways, one guards what the other lets through; so what is routed is what is sent on.
+// NormalizePath returns the normal form of the encoded path of a request. If the balancer and the upstream interpreted a path
+// differently, a request could bypass a rule that protects a path. Therefore the path used for routing is the path that is
+// forwarded.
 //
-//   - an encoded letter, digit, "-", ".", "_" or "~" is decoded, any other stays encoded, in capitals: %2f is never a "/"
-//   - "//" is "/"
-//   - "." and ".." are taken out by segment; a path that leaves its root so is not ok
-//   - a final "/" stays
+//   - an encoded letter, digit, "-", ".", "_" or "~" is decoded; any other byte stays encoded, in upper case, so that %2f never
+//     becomes "/"
+//   - "//" becomes "/"
+//   - "." and ".." segments are resolved; a path that would leave the root is not ok
+//   - a final "/" is kept
 //
-// An encoded zero or a "%" without two hexadecimal digits is not ok.
+// An encoded zero byte or a "%" without two hexadecimal digits is not ok.
 func NormalizePath(path string) (normalized string, ok bool) {
 	if path == "" {
 		return "/", true
@@ -98,7 +100,8 @@
 	return "/" + strings.Join(kept, "/"), true
 }
 
-// isNormalized reports whether a path is in its normal form for certain, which nearly all are.
+// isNormalized reports whether a path is certainly in its normal form, as most paths are. It may return false for a path that
+// is.
 func isNormalized(path string) bool {
 	for i := 0; i < len(path); i++ {
 		switch path[i] {
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -1,5 +1,5 @@
-// Package routes decides which route takes a transaction. It has no I/O: a Table is made once from all routes and only
-// read from then on. How it decides is in docs/routes.md.
+// Package routes selects the route of a transaction. It does no I/O: a Table is built once from all routes and is read-only
+// afterwards. The precedence rules are in docs/routes.md.
 package routes
 
 import (
@@ -9,62 +9,64 @@
 	"strings"
 )
 
-// Route says what it takes and where that goes. Several hosts and paths stand for one entry each.
+// Route is a set of conditions and the pool that handles the matching transactions. Each combination of host and path makes
+// one entry of the table.
 type Route struct {
 	Name      string
 	Hosts     []string // "album.example.org", "*.example.org" or "*"; none: any
-	Paths     []string // exact ones
-	Prefixes  []string // by whole segments; neither paths nor prefixes: any path
+	Paths     []string // exact paths
+	Prefixes  []string // matched by whole segments; without paths and prefixes: any path
 	Methods   []string // none: any
-	Headers   []Header // all must hold
-	Listeners []string // by name; none: any
+	Headers   []Header // all must match
+	Listeners []string // names; none: any
 	Pool      string
-	Tariff    string // none: the transaction names it
+	Tariff    string // "" if the transaction names its tariff
 }
 
-// Header is a condition: the header's one value, or any if Value is "*".
+// Header is a condition on a header: the value that it must have, or "*" for any value.
 type Header struct{ Name, Value string }
 
-// Request is what a transaction says of itself. Host and Path are as Host and Path return them.
+// Request holds the properties of a transaction that decide its route. Host and Path are normalized by NormalizeHost and
+// NormalizePath.
 type Request struct {
 	Listener, Host, Path, Method string
-	Header                       func(name string) (value string, said bool)
+	Header                       func(name string) (value string, present bool)
 }
 
-// entry is a route at one host and one path.
+// entry is a route for one host and one path.
 type entry struct {
 	*Route
-	routeIndex int    // its place among the routes as they were given, for the words of check only
+	routeIndex int    // index in the list given to New; used only in faults
 	host       string // "*." before a suffix, "*" for any
 	path       string
 	prefix     bool
-	methods    []string // sorted, each once
-	headers    []Header // sorted
-	listeners  []string // of listeners, sorted
+	methods    []string // sorted, without duplicates
+	headers    []Header // sorted, without duplicates
+	listeners  []string // names, sorted, without duplicates
 }
 
-// hostEntries is all that is routed under one host.
+// hostEntries holds all entries for one host.
 type hostEntries struct {
 	exact       map[string][]*entry
 	prefix      map[string][]*entry
-	maxSegments int // segments of the longest prefix
+	maxSegments int // number of segments of the longest prefix
 }
 
-// Table finds routes.
+// Table finds the route of a transaction.
 type Table struct {
 	hosts           map[string]*hostEntries // exact names, "*.suffix" and "*"
-	maxSuffixLabels int                     // labels of the longest suffix
+	maxSuffixLabels int                     // number of labels of the longest suffix
 }
 
-// Fault is a route that can't be used, or something to know of a route that can.
+// Fault is an error in a route, or a warning about a valid one.
 type Fault struct {
-	RouteIndex int // its place as given
+	RouteIndex int // index in the list given to New
 	Key        string
 	Text       string
 	Warning    bool
 }
 
-// New makes a table of routes. Faults that are no remarks make it nil.
+// New builds a table of routes. The table is nil if any fault is not a warning.
 func New(given []Route) (*Table, []Fault) {
 	t := &Table{hosts: map[string]*hostEntries{}}
 	var faults []Fault
@@ -73,12 +75,12 @@
 		e := entry{Route: route, routeIndex: index}
 		for _, m := range route.Methods {
 			if m == "" || m != strings.ToUpper(m) || strings.Trim(m, "ABCDEFGHIJKLMNOPQRSTUVWXYZ-") != "" {
-				faults = append(faults, Fault{index, "methods", fmt.Sprintf("%q is no method; they are written in capitals", m), false})
+				faults = append(faults, Fault{index, "methods", fmt.Sprintf("%q is not a method; methods are written in capitals", m), false})
 			}
 		}
 		for _, h := range route.Headers {
 			if h.Name == "" || h.Value == "" {
-				faults = append(faults, Fault{index, "headers", "a header has a name and a value; \"*\" stands for any value", false})
+				faults = append(faults, Fault{index, "headers", "a header condition needs a name and a value; \"*\" stands for any value", false})
 			}
 		}
 		e.methods, e.listeners = sortedUnique(route.Methods, cmp.Compare), sortedUnique(route.Listeners, cmp.Compare)
@@ -99,7 +101,7 @@
 				normalized, ok := NormalizeHost(suffix)
 				if !ok || normalized == "" || normalized != strings.ToLower(suffix) || strings.Contains(normalized, "*") {
 					faults = append(faults, Fault{index, "hosts", fmt.Sprintf(
-						"%q is no host: a name, \"*.\" and a name, or \"*\"; without port and final dot", name), false})
+						"%q is no host; write a name, \"*.\" and a name, or \"*\", without port and final dot", name), false})
 					continue
 				}
 				if e.host = normalized; wildcard {
@@ -121,13 +123,14 @@
 	return t, faults
 }
 
+// sortedUnique returns a sorted copy of the list without duplicates.
 func sortedUnique[T comparable](list []T, by func(a, b T) int) []T {
 	list = slices.Clone(list)
 	slices.SortFunc(list, by)
 	return slices.Compact(list)
 }
 
-// add puts an entry at its path.
+// add adds an entry for a path to the table and appends a fault if the path is invalid.
 func (t *Table) add(e entry, path string, prefix bool, faults []Fault) []Fault {
 	key := "paths"
 	if prefix {
@@ -135,9 +138,9 @@
 	}
 	normalized, ok := NormalizePath(path)
 	if !ok || !strings.HasPrefix(path, "/") || normalized != path {
-		text := fmt.Sprintf("%q is no path in its normal form", path)
+		text := fmt.Sprintf("%q is not a path in its normal form", path)
 		if ok && strings.HasPrefix(path, "/") {
-			text += fmt.Sprintf("; that is %q", normalized)
+			text += fmt.Sprintf("; the normal form is %q", normalized)
 		}
 		return append(faults, Fault{e.routeIndex, key, text, false})
 	}
@@ -162,8 +165,8 @@
 	return faults
 }
 
-// compareEntries is the order of entries at one host and path: the narrower one first. It is total, and hangs on what the
-// routes say, never on where they stand.
+// compareEntries orders the entries for one host and path, more specific ones first. The order is total and depends only on
+// the conditions of the routes, never on their position in the file.
 func compareEntries(a, b *entry) int {
 	return cmp.Or(
 		compareCounts(len(a.methods), len(b.methods)),
@@ -178,7 +181,7 @@
 	)
 }
 
-// compareCounts puts the shorter list first, but none, which stands for all, last.
+// compareCounts orders shorter lists first, but an empty one, which matches anything, last.
 func compareCounts(a, b int) int {
 	if (a == 0) != (b == 0) {
 		return cmp.Compare(b, a)
@@ -195,9 +198,9 @@
 	return n
 }
 
-const maxWarnings = 100 // of one table: what nobody reads helps nobody
+const maxWarnings = 100 // per table; longer lists of warnings are not read
 
-// sortEntries puts all entries in order, and finds those that can't be told apart and those that overlap.
+// sortEntries sorts all entries and reports those that are indistinguishable as faults and those that overlap as warnings.
 func (t *Table) sortEntries(faults []Fault) []Fault {
 	var names []string
 	for name := range t.hosts {
@@ -219,20 +222,20 @@
 				for i, e := range list {
 					if i > 0 && compareEntries(list[i-1], e) == 0 {
 						faults = append(faults, Fault{e.routeIndex, "", fmt.Sprintf(
-							"can't be told from route %q: the same at %s", list[i-1].Name, e.location()), false})
+							"cannot be told from route %q: both have the same conditions at %s", list[i-1].Name, e.location()), false})
 						continue
 					}
 					for _, preceding := range list[:i] {
 						if warnings < maxWarnings && e.overlaps(preceding) {
 							warnings++
 							faults = append(faults, Fault{e.routeIndex, "", fmt.Sprintf(
-								"overlaps route %q at %s, which goes first: %s", preceding.Name, e.location(), precedenceReason(preceding, e)), true})
+								"overlaps route %q at %s, which takes precedence: %s", preceding.Name, e.location(), precedenceReason(preceding, e)), true})
 						}
 					}
 				}
 				if outer := t.enclosing(entries, list[0]); outer != nil && outer.Route != list[0].Route && warnings < maxWarnings {
 					warnings++
-					faults = append(faults, Fault{list[0].routeIndex, "", fmt.Sprintf("lies within route %q, and goes first: %s",
+					faults = append(faults, Fault{list[0].routeIndex, "", fmt.Sprintf("lies within route %q and takes precedence: %s",
 						outer.Name, precedenceReason(list[0], outer)), true})
 				}
 			}
@@ -241,7 +244,7 @@
 	return faults
 }
 
-// enclosing is the next wider entry at the same host that some of the same transactions match.
+// enclosing returns the next less specific entry for the same host that can match some of the same transactions.
 func (t *Table) enclosing(entries *hostEntries, e *entry) *entry {
 	path := e.path
 	if e.prefix {
@@ -263,6 +266,7 @@
 	}
 }
 
+// location returns the host and path of the entry for messages.
 func (e *entry) location() string {
 	location := e.host + e.path
 	if e.prefix {
@@ -271,7 +275,7 @@
 	return location
 }
 
-// overlaps reports whether some transaction could match the conditions of both.
+// overlaps reports whether a transaction could match the conditions of both entries.
 func (e *entry) overlaps(other *entry) bool {
 	return intersect(e.methods, other.methods) && intersect(e.listeners, other.listeners) &&
 		!slices.ContainsFunc(e.headers, func(h Header) bool {
@@ -281,32 +285,33 @@
 		})
 }
 
+// intersect reports whether two lists of allowed values share one; an empty list allows any value.
 func intersect(a, b []string) bool {
 	return len(a) == 0 || len(b) == 0 || slices.ContainsFunc(a, func(x string) bool { return slices.Contains(b, x) })
 }
 
-// matches reports whether an entry's conditions hold.
+// matches reports whether the request meets the conditions of the entry.
 func (e *entry) matches(request *Request) bool { return e.mismatch(request) == "" }
 
-// mismatch is the condition that doesn't hold.
+// mismatch describes the first condition that the request does not meet; it returns "" if it meets all.
 func (e *entry) mismatch(request *Request) string {
 	if len(e.methods) > 0 && !slices.Contains(e.methods, request.Method) {
-		return "its method is another"
+		return "the method differs"
 	}
 	if len(e.listeners) > 0 && !slices.Contains(e.listeners, request.Listener) {
-		return "its listener is another"
+		return "the listener differs"
 	}
 	for _, h := range e.headers {
 		if value, present := request.Header(h.Name); !present || h.Value != "*" && value != h.Value {
-			return "its header " + h.Name + " is another"
+			return "the header " + h.Name + " differs"
 		}
 	}
 	return ""
 }
 
-// Find is the route that takes a transaction, nil for none. It looks under the exact host, then under ever shorter
-// suffixes, then under any host; there at the exact path, then at ever shorter prefixes. Its cost hangs on the labels
-// and segments of what is asked, not on the number of routes.
+// Find returns the route of a transaction, or nil if there is none. It looks up the exact host, then shorter and shorter
+// suffixes, then any host; for each of them the exact path, then shorter and shorter prefixes. The cost depends on the
+// number of labels and segments in the request, not on the number of routes.
 func (t *Table) Find(request *Request) (found *Route) {
 	t.walk(request, func(e *entry) bool {
 		if e.matches(request) {
@@ -317,14 +322,14 @@
 	return found
 }
 
-// walk shows all entries whose host and path match, the first to go first, until told to stop.
+// walk calls visit for all entries whose host and path match, in order of precedence, until visit returns false.
 func (t *Table) walk(request *Request, visit func(e *entry) bool) {
 	if request.Host != "" {
 		if entries := t.hosts[request.Host]; entries != nil && !entries.walk(request.Path, visit) {
 			return
 		}
 		if t.maxSuffixLabels > 0 {
-			// A suffix stands for at least one label more.
+			// A suffix matches only hosts with at least one more label.
 			rest, labels := request.Host, strings.Count(request.Host, ".")
 			for ; labels > 0; labels-- {
 				rest = rest[strings.IndexByte(rest, '.')+1:]
@@ -342,6 +347,7 @@
 	}
 }
 
+// walk calls visit for the entries of one host whose path matches. It returns false if visit did.
 func (h *hostEntries) walk(path string, visit func(e *entry) bool) bool {
 	for _, e := range h.exact[path] {
 		if !visit(e) {
@@ -368,14 +374,14 @@
 	}
 }
 
-// Match is a route that a transaction's host and path fit, and why it doesn't take it; empty if it does.
+// Match is a route whose host and path match a transaction, and the reason why it is not the selected one; "" if it is.
 type Match struct {
 	Route    *Route
 	Location string
 	Reason   string
 }
 
-// Explain shows all routes whose host and path fit, the one that takes the transaction (if any) without a reason.
+// Explain returns all routes whose host and path match, in order of precedence. The selected one, if any, has no reason.
 func (t *Table) Explain(request *Request) (matches []Match) {
 	var first *entry
 	t.walk(request, func(e *entry) bool {
@@ -393,7 +399,7 @@
 	return matches
 }
 
-// precedenceReason names what puts a before b.
+// precedenceReason describes why a takes precedence over b.
 func precedenceReason(a, b *entry) string {
 	switch {
 	case a.host != b.host && b.host == "*":
@@ -415,5 +421,5 @@
 	case countWildcards(a.headers) != countWildcards(b.headers):
 		return "a header's named value goes before any value"
 	}
-	return "methods, headers, listeners in the order of the alphabet"
+	return "methods, headers and listeners in alphabetical order"
 }
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// FuzzPath: a normal form is its own, and holds nothing that could be read in two ways.
+// FuzzPath checks that normalization is idempotent and that no normal form contains anything ambiguous.
 func FuzzPath(f *testing.F) {
 	for _, s := range []string{"/a/../b", "/%2e%2E//x/.", "/a%2F..", "//..//", "/.%2e/%2e."} {
 		f.Add(s)
@@ -62,7 +62,7 @@
 	})
 }
 
-// hasPrecedence is the precedence as docs/routes.md words it, for one host and path of two routes that both match.
+// hasPrecedence is the precedence as defined in docs/routes.md, for entries of two routes that both match.
 func hasPrecedence(a, b entry) bool {
 	rank := func(e entry) []int {
 		host := 1 << 20
@@ -86,7 +86,7 @@
 	return slices.Compare(rank(a), rank(b)) > 0
 }
 
-// The route found is the best of all that match, whatever the order in which they stand.
+// Find must return the matching route with the highest precedence, whatever the order of the routes.
 func TestFindIsTheBestOfAllThatMatch(t *testing.T) {
 	hosts := []string{"a.x.org", "b.x.org", "*.x.org", "*.org", "*", "x.org"}
 	paths := []string{"/", "/p", "/p/q", "/p/q/r", "/p/qq"}
@@ -170,7 +170,7 @@
 	})
 }
 
-// findEntry is the first entry of a route that takes a query.
+// findEntry returns the first entry of the route that matches the request.
 func findEntry(t *Table, r *Route, q *Request) (found entry) {
 	t.walk(q, func(e *entry) bool {
 		if e.Route == r && e.matches(q) {
@@ -186,8 +186,8 @@
 		a, b Route
 		want string
 	}{
-		"same":       {Route{Hosts: []string{"a"}}, Route{Hosts: []string{"b", "a"}, Prefixes: []string{"/"}}, "can't be told"},
-		"methods":    {Route{Methods: []string{"GET", "PUT"}}, Route{Methods: []string{"PUT", "GET", "GET"}}, "can't be told"},
+		"same":       {Route{Hosts: []string{"a"}}, Route{Hosts: []string{"b", "a"}, Prefixes: []string{"/"}}, "cannot be told"},
+		"methods":    {Route{Methods: []string{"GET", "PUT"}}, Route{Methods: []string{"PUT", "GET", "GET"}}, "cannot be told"},
 		"overlap":    {Route{Methods: []string{"GET"}}, Route{}, "overlaps"},
 		"headers":    {Route{Headers: []Header{{"A", "1"}}}, Route{Headers: []Header{{"B", "1"}}}, "overlaps"},
 		"within":     {Route{Prefixes: []string{"/a"}}, Route{Prefixes: []string{"/a/b/c"}}, "lies within"},
@@ -195,7 +195,7 @@
 		"methods ok": {Route{Methods: []string{"GET"}}, Route{Methods: []string{"PUT"}}, ""},
 		"segments":   {Route{Prefixes: []string{"/a"}}, Route{Prefixes: []string{"/ab"}}, ""},
 		"host":       {Route{Hosts: []string{"a"}}, Route{Hosts: []string{"A:80"}}, "is no host"},
-		"path":       {Route{}, Route{Paths: []string{"/a/../b"}}, `that is "/b"`},
+		"path":       {Route{}, Route{Paths: []string{"/a/../b"}}, `the normal form is "/b"`},
 		"method":     {Route{}, Route{Methods: []string{"get"}}, "capitals"},
 	} {
 		c.a.Name, c.b.Name = "one", "two"
@@ -206,7 +206,7 @@
 	}
 }
 
-// BenchmarkFind shows what a look-up costs by the number of routes.
+// BenchmarkFind measures a lookup with different numbers of routes.
 func BenchmarkFind(b *testing.B) {
 	for _, n := range []int{10, 1000, 100_000} {
 		var all []Route
--- a/internal/terms/terms.go
+++ b/internal/terms/terms.go
@@ -1,4 +1,5 @@
-// Package terms decodes the settings that a balancer is given at its start, for every door it may serve.
+// Package terms holds the settings of a pool as the decision engine (package logic) uses them, and decodes the platform's
+// format of them.
 package terms
 
 import (
@@ -12,50 +13,51 @@
 
 const (
 	nanosPerMicrosecond = 1000
-	defaultDialTimeout  = time.Second // where nothing is said; without any limit a push to a machine cut off would hang
-	defaultProbePath    = "/ping"     // as the platform has it
+	defaultDialTimeout  = time.Second // without a limit, an attempt at an unreachable machine would hang
+	defaultProbePath    = "/ping"     // the path that the platform uses
 )
 
-// GuaranteedBodyBytes is the bytes of a message that are held for certain, either way.
+// GuaranteedBodyBytes is the part of a request or response body for which buffer space is always available.
 const GuaranteedBodyBytes = 64 << 10
 
-// Settings is the settings as a balancer uses them: the module's terms, the names behind its numbers, and what only
-// a network is told.
+// Settings are the settings of a pool: the configuration of the decision engine, the names of the entries that it identifies
+// by number, and the settings that only the network side uses. The tags keep the field names of the encoding from which a
+// pool's fingerprint is made.
 type Settings struct {
-	Engine    *logic.Config `json:"Terms"`
-	Tariffs   map[string]int
-	Customers map[string]int
-	Zones     []string // their places are the numbers in Terms
+	Engine    *logic.Config  `json:"Terms"`
+	Tariffs   map[string]int // numbers in Engine, by name
+	Customers map[string]int // numbers in Engine, by name
+	Zones     []string       // the index is the number in Engine
 
-	DialTimeout time.Duration // until a connection counts as not to be had
-	IdleTimeout time.Duration `json:"IdleClose"` // an upstream closes what stood idle so long
+	DialTimeout time.Duration // timeout for connecting to an upstream
+	IdleTimeout time.Duration `json:"IdleClose"` // upstreams close connections that are idle this long
 
-	PlainHTTP     bool   `json:"Plain"`   // ordinary HTTP towards clients and upstreams, not the platform's protocol
-	DefaultTariff int    `json:"Default"` // tariff of a plain transaction that names none; -1 for none
-	ProbePath     string `json:"Probe"`   // path of a probe
+	PlainHTTP     bool   `json:"Plain"`   // ordinary HTTP to clients and upstreams instead of the platform's protocol
+	DefaultTariff int    `json:"Default"` // tariff of plain HTTP transactions that name none; -1 for none
+	ProbePath     string `json:"Probe"`   // path of probe requests
 
-	PeerAddresses []string `json:"Peers"` // addresses of the balancers, by index, that tell one another what they hold; none where they don't
-	ClusterPeers  bool     `json:"Fleet"` // the balancers are the members of the cluster; Terms.Balancers is the least that count
-	Shadow        bool     `json:"Watch"` // decides without live weights and peers, and counts what these would have changed
+	PeerAddresses []string `json:"Peers"` // by balancer index: where the balancers exchange their state; empty if they don't
+	ClusterPeers  bool     `json:"Fleet"` // the balancers are the members of the cluster; at least Engine.Balancers are assumed
+	Shadow        bool     `json:"Watch"` // decide without live weights and peers, and count what these would have changed
 }
 
-// ApplyDefaults fills in what isn't said, for every format.
-func (settings *Settings) ApplyDefaults(zone string) {
-	if settings.DialTimeout <= 0 {
-		settings.DialTimeout = defaultDialTimeout
+// ApplyDefaults fills in missing settings, for all formats, and sets the number of the zone.
+func (s *Settings) ApplyDefaults(zone string) {
+	if s.DialTimeout <= 0 {
+		s.DialTimeout = defaultDialTimeout
 	}
-	if settings.ProbePath == "" {
-		settings.ProbePath = defaultProbePath
+	if s.ProbePath == "" {
+		s.ProbePath = defaultProbePath
 	}
-	if settings.Engine.Zone = slices.Index(settings.Zones, zone); settings.Engine.Zone < 0 {
-		settings.Engine.Zone = len(settings.Zones)
-		settings.Zones = append(settings.Zones, zone)
+	if s.Engine.Zone = slices.Index(s.Zones, zone); s.Engine.Zone < 0 {
+		s.Engine.Zone = len(s.Zones)
+		s.Zones = append(s.Zones, zone)
 	}
 }
 
-// TariffName is a tariff's by its number.
-func (settings *Settings) TariffName(tariff int) string {
-	for name, n := range settings.Tariffs {
+// TariffName returns the name of a tariff by its number, or "" if there is none.
+func (s *Settings) TariffName(tariff int) string {
+	for name, n := range s.Tariffs {
 		if n == tariff {
 			return name
 		}
@@ -63,18 +65,18 @@
 	return ""
 }
 
-// Shard is the book of one of several modules that share a balancer's work, as if each were a balancer. Danger: the module
-// keeps state in tariffs and customers, so each has its own.
-func (settings *Settings) Shard(index, count int) *Settings {
-	shard, engine := *settings, *settings.Engine
+// Shard returns the settings of one of several decision engines that share a balancer's work, each acting as a balancer of
+// its own. Tariffs and customers are copied, because the engine keeps state in them.
+func (s *Settings) Shard(index, count int) *Settings {
+	shard, engine := *s, *s.Engine
 	engine.Balancers, engine.Index = engine.Balancers*count, engine.Index*count+index
 	engine.Seed += uint64(index) * 0x9e3779b97f4a7c15
 	engine.Tariffs, engine.Customers = nil, nil
-	for _, tariff := range settings.Engine.Tariffs {
+	for _, tariff := range s.Engine.Tariffs {
 		own := *tariff
 		engine.Tariffs = append(engine.Tariffs, &own)
 	}
-	for _, customer := range settings.Engine.Customers {
+	for _, customer := range s.Engine.Customers {
 		own := *customer
 		engine.Customers = append(engine.Customers, &own)
 	}
@@ -82,46 +84,48 @@
 	return &shard
 }
 
-// KeepLearned takes over from an earlier book what was learnt of tariffs and customers that are told as before.
-func (settings *Settings) KeepLearned(earlier *Settings) {
-	for name, n := range settings.Tariffs {
-		if m, was := earlier.Tariffs[name]; was && settings.Engine.Tariffs[n].Same(earlier.Engine.Tariffs[m]) {
-			settings.Engine.Tariffs[n] = earlier.Engine.Tariffs[m]
+// KeepLearned takes over the learned state of those tariffs and customers that are the same in the earlier settings.
+func (s *Settings) KeepLearned(earlier *Settings) {
+	for name, n := range s.Tariffs {
+		if m, was := earlier.Tariffs[name]; was && s.Engine.Tariffs[n].Same(earlier.Engine.Tariffs[m]) {
+			s.Engine.Tariffs[n] = earlier.Engine.Tariffs[m]
 		}
 	}
-	for name, n := range settings.Customers {
-		if m, was := earlier.Customers[name]; was && settings.Engine.Customers[n].Rate == earlier.Engine.Customers[m].Rate {
-			settings.Engine.Customers[n] = earlier.Engine.Customers[m]
+	for name, n := range s.Customers {
+		if m, was := earlier.Customers[name]; was && s.Engine.Customers[n].Rate == earlier.Engine.Customers[m].Rate {
+			s.Engine.Customers[n] = earlier.Engine.Customers[m]
 		}
 	}
 }
 
-// CanReplace reports whether a pool that goes by this book can take another in service: all that is built by it stays.
-func (settings *Settings) CanReplace(other *Settings) bool {
-	own, wanted := settings.Engine, other.Engine
-	if settings.ClusterPeers && other.ClusterPeers { // who the balancers are changes in service there
-		own, wanted = &logic.Config{Tier: own.Tier, LiveWeights: own.LiveWeights}, &logic.Config{Tier: wanted.Tier, LiveWeights: wanted.LiveWeights}
+// CanReplace reports whether a running pool with these settings can switch to the other ones, which must not change anything
+// that is built only once.
+func (s *Settings) CanReplace(other *Settings) bool {
+	engine, otherEngine := s.Engine, other.Engine
+	if s.ClusterPeers && other.ClusterPeers { // the balancers of a cluster may change while the pool runs
+		engine, otherEngine = &logic.Config{Tier: engine.Tier, LiveWeights: engine.LiveWeights}, &logic.Config{Tier: otherEngine.Tier, LiveWeights: otherEngine.LiveWeights}
 	}
-	return settings.ClusterPeers == other.ClusterPeers && settings.DialTimeout == other.DialTimeout && settings.IdleTimeout == other.IdleTimeout && settings.PlainHTTP == other.PlainHTTP && settings.ProbePath == other.ProbePath &&
-		!settings.Shadow && !other.Shadow && slices.Equal(settings.PeerAddresses, other.PeerAddresses) && own.Peers == wanted.Peers && own.LiveWeights == wanted.LiveWeights &&
-		own.Balancers == wanted.Balancers && own.Index == wanted.Index && own.Tier == wanted.Tier
+	return s.ClusterPeers == other.ClusterPeers && s.DialTimeout == other.DialTimeout && s.IdleTimeout == other.IdleTimeout && s.PlainHTTP == other.PlainHTTP && s.ProbePath == other.ProbePath &&
+		!s.Shadow && !other.Shadow && slices.Equal(s.PeerAddresses, other.PeerAddresses) && engine.Peers == otherEngine.Peers && engine.LiveWeights == otherEngine.LiveWeights &&
+		engine.Balancers == otherEngine.Balancers && engine.Index == otherEngine.Index && engine.Tier == otherEngine.Tier
 }
 
-// ForBalancer is the book of one of so many balancers, of which this is the one at an index.
-func (settings *Settings) ForBalancer(balancers, index int) *Settings {
-	balancer := settings.Shard(0, 1)
+// ForBalancer returns the settings of the balancer at an index among a number of balancers.
+func (s *Settings) ForBalancer(balancers, index int) *Settings {
+	balancer := s.Shard(0, 1)
 	balancer.Engine.Balancers, balancer.Engine.Index, balancer.Engine.Peers = balancers, index, balancers > 1
 	return balancer
 }
 
-// WithoutLiveAndPeers is the book without what came with the newer shape: live weights and peers.
-func (settings *Settings) WithoutLiveAndPeers() *Settings {
-	reduced := settings.Shard(0, 1)
+// WithoutLiveAndPeers returns the settings without live weights, peers and shadow mode.
+func (s *Settings) WithoutLiveAndPeers() *Settings {
+	reduced := s.Shard(0, 1)
 	reduced.Engine.LiveWeights, reduced.Engine.Peers, reduced.Shadow = false, false, false
 	return reduced
 }
 
-// Decode decodes the settings. What is absent stays zero: logic.New refuses what it can't work with.
+// Decode decodes the settings from the platform's JSON. Missing values stay zero; logic.New refuses those that it cannot
+// work with.
 func Decode(env *fastjson.Value, seed uint64) *Settings {
 	limits, guarantees := env.Get("limits"), env.Get("guarantees")
 	engine := &logic.Config{
@@ -156,6 +160,7 @@
 	return settings
 }
 
+// decodeTariff decodes one tariff.
 func decodeTariff(value *fastjson.Value) *logic.Tariff {
 	decoded := &logic.Tariff{
 		DedupWindow: value.GetInt64("dedup_window") * nanosPerMicrosecond, ContractTime: value.GetInt64("contract_time") * nanosPerMicrosecond,
