--- a/internal/cluster/consensus.go
+++ b/internal/cluster/consensus.go
@@ -323,6 +323,7 @@
 	list *shared.List
 }
 
+// Run implements lists.Source.
 // Run implements lists.Source.
 func (source listSource) Run(ctx context.Context) {
 	source.cs.mu.Lock()
--- a/internal/cluster/ledger.go
+++ b/internal/cluster/ledger.go
@@ -226,9 +226,9 @@
 // Verification is the result of comparing the replicas of one group.
 type Verification struct {
 	Group       int      `json:"group"`
-	Compared    int      `json:"compared"` // log entries after which the checksums of all reachable replicas were compared
-	Entry       uint64   `json:"entry"`    // index of the last of these entries
-	Mismatches  int      `json:"wrong"`    // number of these entries after which the checksums differed
-	Missing     []string `json:"missing,omitempty"`
+	Compared    int      `json:"compared"`          // log entries after which the checksums of all reachable replicas were compared
+	Entry       uint64   `json:"entry"`             // index of the last of these entries
+	Mismatches  int      `json:"wrong"`             // number of these entries after which the checksums differed
+	Missing     []string `json:"missing,omitempty"` // voters that did not answer
 	Differences []string `json:"differ,omitempty"`
 }
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -1,5 +1,5 @@
-// Package plan reads what a process is told: listeners, pools, routes and limits. There are two formats, the platform's
-// JSON for one pool (platform.go) and TOML for any number (pools.go); both end in a Plan.
+// Package plan reads the configuration of a process: listeners, pools, routes and limits. There are two formats: the platform's
+// JSON for a single pool (platform.go) and TOML for any number of pools (pools.go). Both are decoded into a Plan.
 package plan
 
 import (
@@ -15,75 +15,75 @@
 	"ottershift/logic"
 )
 
-// Plan is all that a process is told.
+// Plan is the configuration of a process.
 type Plan struct {
 	Name       string
-	Platform   bool // one pool for all that comes, by the platform's protocol
+	Platform   bool // one pool for all transactions, with the platform's protocol
 	Seed       uint64
 	Listeners  []Listener
 	Pools      []*Pool
 	Routes     []routes.Route
-	Table      *routes.Table // of Routes; nil on the platform
+	Table      *routes.Table // built from Routes; nil on the platform
 	Limits     Limits
 	Log        Log
-	OpsAddress string           // the second address, for staff; "" for none
-	Cluster    *config.Settings // nil where it is in none
+	OpsAddress string           // address for operations; "" for none
+	Cluster    *config.Settings // nil if the process is not in a cluster
 
-	platformKeys []string // of the platform's file
+	platformKeys []string // paths of all keys in the platform's file
 }
 
 // Listener is an address where clients connect.
 type Listener struct {
 	Name, Address string
-	InheritedFD   int // the descriptor that listens there already, 0 for none
+	InheritedFD   int // inherited descriptor of a socket that already listens there, 0 for none
 }
 
-// Limits are what all pools have in common.
+// Limits are the resource limits shared by all pools.
 type Limits struct {
 	Cores        int
-	MemoryBytes  int64 // bytes, 0 for no bound
+	MemoryBytes  int64 // 0 for no limit
 	Descriptors  int
-	BodyBytes    int64         // bytes of bodies in hand
-	ReturnWithin time.Duration // until a pool has what is guaranteed to it back
-	RefusalRate  float64       // a second, over all pools, before refused connections rest
+	BodyBytes    int64         // bytes of buffered request and response bodies
+	ReturnWithin time.Duration // maximum time until a pool regains its guaranteed share
+	RefusalRate  float64       // per second, over all pools; above it, refused connections are paused after the answer
 }
 
-// Log says how lines are logged.
+// Log holds the level and format of log lines.
 type Log struct{ Level, Format string }
 
-// Pool is one service.
+// Pool is the configuration of one pool of upstreams.
 type Pool struct {
 	Name        string
 	Settings    *terms.Settings
-	Fingerprint string  // two books of one print say the same
-	Share       float64 // of what is common, guaranteed; below zero if not stated
+	Fingerprint string  // equal for equal settings
+	Share       float64 // guaranteed fraction of the shared limits; negative if not configured
 
-	MaxTransactions, MaxConnections int64 // most that it may hold; 0 for all there is
+	MaxTransactions, MaxConnections int64 // 0 for no limit below that of the process
 	MaxBodyBytes                    int64
 
 	Upstreams UpstreamSource
 }
 
-// UpstreamSource is where a pool's list of upstreams comes from: one of the three.
+// UpstreamSource is the source of a pool's list of upstreams: Static, File or Discovery.
 type UpstreamSource struct {
 	Static       []roster.Entry[string]
 	File         string
-	PollInterval time.Duration // between two looks at File
+	PollInterval time.Duration // interval between checks of File
 	Discovery    string
-	Shared       bool             // one member of the cluster asks for all
-	Initial      discovery.Report // from before
+	Shared       bool             // one member of the cluster queries discovery for all
+	Initial      discovery.Report // list known from a previous run
 }
 
-// Defaults, for both formats.
+// Defaults for both formats.
 const (
-	defaultDescriptors  = 1024 // that a process has by custom
-	defaultBodyBytes    = 64 << 20
-	bodyMemoryFraction  = 4 // part of the memory, where that is stated
+	defaultDescriptors  = 1024     // the usual limit of a process
+	defaultBodyBytes    = 64 << 20 // without a memory limit
+	bodyMemoryFraction  = 4        // with a memory limit, bodies get one part in this many of it
 	defaultReturnWithin = time.Second
 	defaultRefusalRate  = 4000
 )
 
-// limits fills in what isn't said.
+// applyDefaults replaces missing limits by defaults.
 func (l *Limits) applyDefaults() {
 	if l.Cores <= 0 {
 		l.Cores = 1
@@ -104,7 +104,7 @@
 	}
 }
 
-// ClaimRates are the bounds on what the ledger remembers, a line for each tariff that it is for.
+// ClaimRates describes the sustainable rate of claims, in a line for each tariff whose transactions are claimed.
 func (p *Plan) ClaimRates() (lines []string) {
 	clusterSettings := p.Cluster
 	if clusterSettings == nil || !clusterSettings.Ledger.Enabled() {
@@ -120,7 +120,7 @@
 				window = max(window, clusterSettings.Ledger.OnceOnlyRetention)
 			}
 			hardStop := time.Duration(tariff.HardStop)
-			lines = append(lines, fmt.Sprintf("pool %s, tariff %s: a key is remembered for %s, so %.0f a second for long if it were alone: keys / ((window + hard_stop) x (1 + drift) + 1s)",
+			lines = append(lines, fmt.Sprintf("pool %s, tariff %s: a key is remembered for %s, so at most %.0f transactions per second are sustainable if there is no other tariff: keys / ((window + hard_stop) x (1 + drift) + 1s)",
 				pool.Name, pool.Settings.TariffName(number), clusterSettings.ClaimRetention(window, hardStop), clusterSettings.MaxClaimRate(window, hardStop)))
 		}
 	}
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -28,7 +28,7 @@
 pool = "album"
 `
 
-// Every fault of a file is named at once, with its line, its key and what would be right.
+// All faults of a file are reported at once, each with its line, its key and a valid alternative.
 func TestAllFaultsAtOnce(t *testing.T) {
 	text := `name = 7
 [limits]
@@ -71,22 +71,22 @@
 `
 	p, faults := Parse("f.toml", []byte(text), noEnvironment)
 	if p != nil {
-		t.Fatal("taken")
+		t.Fatal("a file with faults was accepted")
 	}
 	want := []string{
-		`1: name: 7 is no text`, `3: limits.memory: "192 Megabytes" is no size`, `4: limits.descriptors: 10 lies outside 64`,
+		`1: name: 7 is not a string`, `3: limits.memory: "192 Megabytes" is not a size`, `4: limits.descriptors: 10 lies outside 64`,
 		`6: listeners.public.address: "127.0.0.1" is no address`, `8: listeners.other.adress: is no key here; address is`,
 		`7: listeners.other.address: is missing`, `10: tariffs.view.repeat: "idempotent" is none of once-only, tagged, repeatable`,
-		`11: tariffs.view.contract_time: 3s is beyond the hard stop, 2s`, `15: tariffs.up.contract_time: 500 is no time`,
+		`11: tariffs.view.contract_time: 3s is beyond the hard stop, 2s`, `15: tariffs.up.contract_time: 500 is not a duration`,
 		`13: tariffs.up: hard_stop is missing`, `13: tariffs.up: remembered is missing`,
 		`17: pools.album.tariffs[1]: "views" is no tariff; there are up, view`, `18: pools.album.share: 1.5 lies outside 0 to 1`,
-		`19: pools.album.max_pushes: 2.5 is no whole number`, `22: pools.album.upstreams[1].name: "a" is another's name`,
-		`22: pools.album.upstreams[1].address: "127.0.0.1:90010" has no port`, `24: pools.album.upstreams_file: a list comes from one place`,
-		`24: pools.album.upstreams_file: stat none.toml: no such file`, `25: pools.www: it has no list`,
+		`19: pools.album.max_pushes: 2.5 is not a whole number`, `22: pools.album.upstreams[1].name: "a" is another's name`,
+		`22: pools.album.upstreams[1].address: "127.0.0.1:90010" has no port`, `24: pools.album.upstreams_file: a pool has a single source of upstreams`,
+		`24: pools.album.upstreams_file: stat none.toml: no such file`, `25: pools.www: the pool has no list of upstreams`,
 		`27: pools.www.second_copies: "yes" is neither true nor false`, `28: pools.www.limits.open: the environment has no UNSET`,
-		`31: routes[0].pool: "albun" is no pool; there are album, www`, `32: routes[0].hosts: "ALBUM:80" is no host`,
-		`34: routes[1].name: "one" is another's name`, `36: routes[1].tariff: "wiew" is no tariff of pool "www"`,
-		`37: routes[1].paths: "/a//b" is no path in its normal form; that is "/a/b"`, `38: routes[1].listeners: "inside" is no listener`,
+		`31: routes[0].pool: "albun" is not a pool; there are album, www`, `32: routes[0].hosts: "ALBUM:80" is no host`,
+		`34: routes[1].name: "one" is already the name of another route`, `36: routes[1].tariff: "wiew" is not a tariff of pool "www"`,
+		`37: routes[1].paths: "/a//b" is not a path in its normal form; the normal form is "/a/b"`, `38: routes[1].listeners: "inside" is not a listener`,
 	}
 	var got []string
 	for _, f := range faults {
@@ -94,11 +94,11 @@
 	}
 	for _, w := range want {
 		if !slices.ContainsFunc(got, func(g string) bool { return strings.HasPrefix(g, w) }) {
-			t.Errorf("not said: %s", w)
+			t.Errorf("fault missing: %s", w)
 		}
 	}
 	if t.Failed() || len(got) > len(want)+3 {
-		t.Errorf("said:\n%s", strings.Join(got, "\n"))
+		t.Errorf("faults:\n%s", strings.Join(got, "\n"))
 	}
 }
 
@@ -109,7 +109,7 @@
 	}
 }
 
-// Variables fill in texts, numbers and yes or no; what isn't set has its other value or is a fault.
+// Environment variables are expanded in strings, numbers and booleans. An unset one yields its default or a fault.
 func TestEnvironment(t *testing.T) {
 	env := map[string]string{"PORT": "8123", "SHARE": "0.25", "COPIES": "false"}
 	text := strings.Replace(completeFile, "127.0.0.1:8000", "${HOST:-127.0.0.1}:${PORT}", 1)
@@ -123,7 +123,7 @@
 	}
 }
 
-// Both formats end in the same values, and what neither says is the same in both.
+// Both formats decode to the same values and have the same defaults.
 func TestBothFormatsMeanTheSame(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	json := `{"listen":"127.0.0.1:8000","discovery":"127.0.0.1:8500","seed":"7","limits":{"sockets":300},
@@ -154,7 +154,7 @@
 	}
 }
 
-// The examples are in order, and every key that stands in one is told of in the page.
+// The examples are valid, and docs/configuration.md describes each of their keys.
 func TestExamples(t *testing.T) {
 	page, err := os.ReadFile("../../docs/configuration.md")
 	if err != nil {
@@ -173,13 +173,13 @@
 		text, _ := os.ReadFile(file)
 		for _, m := range regexp.MustCompile(`(?m)(?:^|[{,])\s*([a-z_]+) =`).FindAllSubmatch(text, -1) {
 			if !strings.Contains(string(page), "`"+string(m[1])+"`") {
-				t.Errorf("%s: docs/configuration.md does not tell of %s", file, m[1])
+				t.Errorf("%s: docs/configuration.md does not describe %s", file, m[1])
 			}
 		}
 	}
 }
 
-// FuzzParse: whatever stands in a file, it is taken or refused with words, and never both.
+// FuzzParse checks that any text is either accepted, or refused with faults that have a message.
 func FuzzParse(f *testing.F) {
 	f.Add(completeFile)
 	text, _ := os.ReadFile("../../examples/every-key.toml")
@@ -201,21 +201,21 @@
 	})
 }
 
-// What came with the newer shape of deployment is checked like all else, and left out it changes nothing.
+// The settings for live weights, peers and shadow mode are checked, and without them these features are off.
 func TestNewerShape(t *testing.T) {
 	for _, c := range [][2]string{
 		{"weights = \"love\"", `pools.album.weights: "love" is none of nominal, live`},
-		{"watch = true", `pools.album.watch: there is nothing to watch`},
-		{"peers = [\"127.0.0.1:1\"]", `pools.album.peers: one balancer has no peers`},
+		{"watch = true", `pools.album.watch: requires weights = "live" or peers`},
+		{"peers = [\"127.0.0.1:1\"]", `pools.album.peers: a single balancer has no peers`},
 		{"balancers = 2\npeers = [\"127.0.0.1:1\"]", `pools.album.peers: there are 1 addresses for 2 balancers`},
 		{"balancers = 2\npeers = [\"127.0.0.1:1\", \"127.0.0.1\"]", `pools.album.peers[1]: "127.0.0.1" is no address`},
-		{"balancers = 2\npeers = [\"127.0.0.1:1\", \"127.0.0.1:1\"]", `pools.album.peers[1]: "127.0.0.1:1" is another's`},
+		{"balancers = 2\npeers = [\"127.0.0.1:1\", \"127.0.0.1:1\"]", `pools.album.peers[1]: "127.0.0.1:1" is already the address of another balancer`},
 		{"balancers = 2\npeers = [\"127.0.0.1:1\", \"127.0.0.1:2\"]\n[pools.www]\nbalancers = 2\n" +
-			"peers = [\"127.0.0.1:1\", \"127.0.0.1:3\"]", `pools.www.peers[0]: "127.0.0.1:1" is where another pool is told`},
+			"peers = [\"127.0.0.1:1\", \"127.0.0.1:3\"]", `pools.www.peers[0]: "127.0.0.1:1" is already the peer address of another pool`},
 	} {
 		_, faults := Parse("f.toml", []byte(strings.Replace(completeFile, "[pools.album]\n", "[pools.album]\n"+c[0]+"\n", 1)), noEnvironment)
 		if !slices.ContainsFunc(faults, func(f settings.Fault) bool { return strings.Contains(f.Error(), c[1]) }) {
-			t.Errorf("%s: not said: %s; said %v", c[0], c[1], faults)
+			t.Errorf("%s: fault missing: %s; got %v", c[0], c[1], faults)
 		}
 	}
 	read := func(text string) *terms.Settings {
@@ -231,17 +231,18 @@
 	}
 	for _, b := range []*terms.Settings{read(""), b.WithoutLiveAndPeers()} {
 		if b.Engine.LiveWeights || b.Engine.Peers || b.Shadow || b.Engine.Balancers == 0 {
-			t.Errorf("unsaid, or before: %+v %+v", b, b.Engine)
+			t.Errorf("the features are not off: %+v %+v", b, b.Engine)
 		}
 	}
 }
 
+// The address for operations belongs to the process and is refused in a pool.
 func TestSecondAddressIsTheProcesss(t *testing.T) {
 	p, _ := Parse("f.toml", []byte("ops = \"127.0.0.1:1\"\n"+completeFile), noEnvironment)
 	if p == nil || p.OpsAddress != "127.0.0.1:1" {
 		t.Errorf("%+v", p)
 	}
 	if p, _ := Parse("f.toml", []byte(strings.Replace(completeFile, "[pools.album]", "[pools.album]\nops = \"127.0.0.1:1\"", 1)), noEnvironment); p != nil {
-		t.Error("a pool has one of its own")
+		t.Error("a pool with an ops address was accepted")
 	}
 }
--- a/internal/plan/platform.go
+++ b/internal/plan/platform.go
@@ -14,7 +14,7 @@
 	"ottershift/internal/terms"
 )
 
-// ReadPlatform decodes the platform's configuration; the environment fills in what it leaves out.
+// ReadPlatform decodes the platform's configuration file. Environment variables supply missing fields.
 func ReadPlatform(path string) (*Plan, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -49,13 +49,13 @@
 	inherited := 0
 	if text := os.Getenv("PROXY_LISTEN_FD"); text != "" {
 		if inherited, err = strconv.Atoi(text); err != nil || inherited < 3 {
-			return nil, fmt.Errorf("PROXY_LISTEN_FD: %q is no descriptor that a process can inherit", text)
+			return nil, fmt.Errorf("PROXY_LISTEN_FD: %q is not an inheritable descriptor", text)
 		}
 	}
 	pool := &Pool{
 		Name: "main", Fingerprint: string(document.Get("settings").MarshalTo(nil)), Settings: terms.Decode(document.Get("settings"), seed), Share: -1, Upstreams: UpstreamSource{Discovery: discoveryAddress},
 	}
-	pool.Settings.Engine.Peers = false // Danger: no peer's address is told here, and a crowd that can't be heard of looks like none
+	pool.Settings.Engine.Peers = false // this format has no peer addresses, and load from unknown peers would look like no load
 	if known := document.Get("known"); known != nil && known.Type() != fastjson.TypeNull {
 		if pool.Upstreams.Initial, _, err = discovery.Read(known); err != nil {
 			return nil, fmt.Errorf("%s: known: %w", path, err)
@@ -72,14 +72,14 @@
 	return p, nil
 }
 
-const maxTimeMicros = 24 * 3600 * 1e6 // microseconds; a longer one is a slip
+const maxTimeMicros = 24 * 3600 * 1e6 // longer times are assumed to be mistakes
 
-// validate names what makes no sense in settings. Danger: read leniently, a slip in one figure would have the balancer give
-// up all that comes, or send it out for ever.
+// validate reports the first invalid value in the settings. If mistakes were tolerated, one wrong number could make the
+// balancer reject all transactions or retry them endlessly.
 func validate(v *fastjson.Value) error {
 	if most := v.Get("limits", "max_pushes"); most != nil {
 		if n, err := most.Int(); err != nil || n < 1 {
-			return fmt.Errorf("settings.limits.max_pushes: %s is no positive number of attempts", most)
+			return fmt.Errorf("settings.limits.max_pushes: %s is not a positive number of attempts", most)
 		}
 	}
 	seen := map[string]bool{}
@@ -87,33 +87,33 @@
 		tariffPath, name := fmt.Sprintf("settings.tariffs[%d]", n), string(tariff.GetStringBytes("name"))
 		switch {
 		case tariff.Type() != fastjson.TypeObject:
-			return fmt.Errorf("%s: not an object", tariffPath)
+			return fmt.Errorf("%s: is not an object", tariffPath)
 		case name == "":
-			return fmt.Errorf("%s.name: it has none", tariffPath)
+			return fmt.Errorf("%s.name: is missing", tariffPath)
 		case seen[name]:
-			return fmt.Errorf("%s.name: %q is there twice", tariffPath, name)
+			return fmt.Errorf("%s.name: %q occurs twice", tariffPath, name)
 		}
 		seen[name] = true
 		for _, key := range []string{"contract_time", "hard_stop"} {
 			if micros := tariff.GetFloat64(key); !tariff.Exists(key) {
-				return fmt.Errorf("%s.%s: it is missing", tariffPath, key)
+				return fmt.Errorf("%s.%s: is missing", tariffPath, key)
 			} else if !(micros > 0 && micros <= maxTimeMicros) {
-				return fmt.Errorf("%s.%s: %s is no positive time in microseconds", tariffPath, key, tariff.Get(key))
+				return fmt.Errorf("%s.%s: %s is not a positive time in microseconds up to 24 hours", tariffPath, key, tariff.Get(key))
 			}
 		}
 		if effect := string(tariff.GetStringBytes("effect")); effect != "idempotent" && effect != "deduplicated" && effect != "at_most_once" {
-			return fmt.Errorf("%s.effect: %q is none", tariffPath, effect)
+			return fmt.Errorf("%s.effect: %q is not a known effect", tariffPath, effect)
 		}
 	}
 	if zone, zones := string(v.GetStringBytes("zone")), v.GetArray("zones"); len(zones) > 0 &&
 		!slices.ContainsFunc(zones, func(z *fastjson.Value) bool { return string(z.GetStringBytes()) == zone }) {
-		return fmt.Errorf("settings.zone: %q is none of the zones", zone)
+		return fmt.Errorf("settings.zone: %q is not one of the zones", zone)
 	}
 	return nil
 }
 
-// keyPaths are those of all keys of a configuration but for the list in it; those of a list of objects are the ones that
-// each of them has.
+// keyPaths returns the sorted paths of all keys of a configuration, except those inside the list of known upstreams. Of a
+// list of objects, it returns the keys that every object has.
 func keyPaths(v *fastjson.Value) (all []string) {
 	var walk func(v *fastjson.Value, at string) map[string]bool
 	walk = func(v *fastjson.Value, at string) map[string]bool {
@@ -142,11 +142,11 @@
 	return slices.Sorted(maps.Keys(walk(v, "")))
 }
 
-// keyedTariffKeys are keys of a tariff that say something of tagged ones alone.
+// keyedTariffKeys are keys of a tariff that only concern tagged (deduplicated) transactions.
 var keyedTariffKeys = []string{"settings.tariffs[].group", "settings.tariffs[].dedup_window", "settings.tariffs[].aim_stretch"}
 
-// MissingKey names the first key that an earlier plan has and this one doesn't, "" for none. Danger: a file that is being
-// written, or was cut, may still be JSON, and what it lacks would count as zero.
+// MissingKey returns the first key that an earlier plan has and this one does not, or "". A file that is being written or is
+// truncated may still be valid JSON, and its missing values would be read as zero.
 func (p *Plan) MissingKey(earlier *Plan) string {
 	for _, key := range earlier.platformKeys {
 		if !slices.Contains(p.platformKeys, key) && !slices.Contains(keyedTariffKeys, key) && key != "known" {
--- a/internal/plan/pools.go
+++ b/internal/plan/pools.go
@@ -20,8 +20,7 @@
 	"ottershift/logic"
 )
 
-// Read decodes a TOML file. All that is wrong with it comes at once, as do remarks; the plan is nil if anything is
-// wrong.
+// Read decodes a TOML file. It returns all faults and warnings at once; the plan is nil if any of them is a fault.
 func Read(path string) (*Plan, []settings.Fault) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -30,7 +29,8 @@
 	return Parse(path, text, os.LookupEnv)
 }
 
-// Parse does the same with a text; paths in it are taken from the folder of its name.
+// Parse decodes a TOML text like Read. Relative paths in it are relative to the folder of name; getenv looks up environment
+// variables.
 func Parse(name string, text []byte, getenv func(string) (string, bool)) (*Plan, []settings.Fault) {
 	f, root := settings.Parse(name, text, getenv)
 	if root == nil {
@@ -44,23 +44,24 @@
 	return r.plan, f.Faults
 }
 
-// reader is on the way from a file to a plan.
+// reader holds the state of decoding a file into a plan.
 type reader struct {
 	*settings.File
 	plan             *Plan
 	tariffs          map[string]*logic.Tariff
-	customers        map[string]float64 // rates
-	routedPools      map[string]bool    // pools that a route goes to
-	shareSum         float64
-	ownPeerAddresses map[string]bool // addresses at which pools are told by peers
+	customers        map[string]float64 // transactions per second, by name
+	routedPools      map[string]bool    // names of pools with a route
+	shareSum         float64            // of the configured shares of all pools
+	ownPeerAddresses map[string]bool    // peer addresses of this process, over all pools
 }
 
+// root reads the whole file.
 func (r *reader) root(t *settings.Table) {
 	r.plan.Name = t.Text("name", "ottershift")
 	r.plan.Seed = uint64(t.Number("seed", 0, 0, math.MaxInt64))
 
 	if t.Has("ops") {
-		r.plan.OpsAddress = t.Address("ops", "the second address, such as \"127.0.0.1:9901\"")
+		r.plan.OpsAddress = t.Address("ops", "the address for operations, such as \"127.0.0.1:9901\"")
 	}
 
 	r.cluster(t)
@@ -89,7 +90,7 @@
 	for i, name := range names {
 		r.customers[name] = all[i].Number("rate", 0, 0, 1e9)
 		if !all[i].Has("rate") {
-			r.Fault(all[i].Path, "rate is missing: transactions a second within its share")
+			r.Fault(all[i].Path, "rate is missing: the transactions per second within the quota of the customer")
 		}
 		all[i].ReportUnknownKeys()
 	}
@@ -99,14 +100,14 @@
 	for i, name := range names {
 		address := all[i].Address("address", "where clients connect, such as \"127.0.0.1:8000\"")
 		if other := listenerByAddress[address]; other != "" && address != "" {
-			r.Fault(all[i].Path, "listens where %q does: several services go through one listener by routes", other)
+			r.Fault(all[i].Path, "has the same address as %q; use routes to serve several pools through one listener", other)
 		}
 		listenerByAddress[address] = name
 		all[i].ReportUnknownKeys()
 		r.plan.Listeners = append(r.plan.Listeners, Listener{Name: name, Address: address})
 	}
 	if len(names) == 0 {
-		r.Fault("listeners", "there is none; write [listeners.NAME] with an address")
+		r.Fault("listeners", "none are configured; write [listeners.NAME] with an address")
 	}
 
 	names, all = t.NamedTables("pools")
@@ -114,16 +115,16 @@
 		r.pool(name, all[i])
 	}
 	if len(names) == 0 {
-		r.Fault("pools", "there is none; write [pools.NAME]")
+		r.Fault("pools", "none are configured; write [pools.NAME]")
 	}
 	if r.shareSum > 1+1e-9 {
-		r.Fault("pools", "the shares of all add up to %.4g; they are parts of one", r.shareSum)
+		r.Fault("pools", "the shares of all pools add up to %.4g; the maximum is 1", r.shareSum)
 	}
 	r.routes(t)
 	t.ReportUnknownKeys()
 }
 
-// readTariff reads what is promised for one kind of transaction.
+// readTariff reads the guarantees for one kind of transaction.
 func readTariff(t *settings.Table) *logic.Tariff {
 	tariff := &logic.Tariff{
 		ContractTime: int64(t.Duration("contract_time", 0, time.Millisecond)),
@@ -146,7 +147,7 @@
 	case "tagged":
 		tariff.Idempotency = logic.Keyed
 		if tariff.DedupWindow == 0 {
-			t.File.Fault(t.Path, "remembered is missing: how long upstreams know the repeat of a tagged transaction")
+			t.File.Fault(t.Path, "remembered is missing: how long upstreams recognize the repetition of a tagged transaction")
 		}
 	case "repeatable":
 		tariff.Idempotency = logic.Idempotent
@@ -183,10 +184,10 @@
 	poolSettings.PeerAddresses, poolSettings.Shadow = r.peers(poolSettings, t), t.Bool("watch", false)
 	engine.Peers = len(poolSettings.PeerAddresses) > 0 || poolSettings.ClusterPeers
 	if poolSettings.Shadow && !engine.Peers && !engine.LiveWeights {
-		r.Fault(settings.JoinPath(t.Path, "watch"), "there is nothing to watch: neither weights = \"live\" nor peers is there")
+		r.Fault(settings.JoinPath(t.Path, "watch"), "requires weights = \"live\" or peers")
 	}
 	if engine.Index >= engine.Balancers {
-		r.Fault(t.Path, "index is %d, but there are %d balancers, counted from 0", engine.Index, engine.Balancers)
+		r.Fault(t.Path, "index is %d, but there are only %d balancers, counted from 0", engine.Index, engine.Balancers)
 	}
 	if !strings.HasPrefix(poolSettings.ProbePath, "/") && poolSettings.ProbePath != "" {
 		r.Fault(settings.JoinPath(t.Path, "probe_path"), "%q does not begin with \"/\"", poolSettings.ProbePath)
@@ -213,7 +214,7 @@
 	r.plan.Pools = append(r.plan.Pools, pool)
 }
 
-// peers reads where the balancers of a pool are told what the others hold.
+// peers reads the addresses at which the balancers of a pool exchange their state.
 func (r *reader) peers(poolSettings *terms.Settings, t *settings.Table) []string {
 	engine := poolSettings.Engine
 	all, path := t.Strings("peers"), settings.JoinPath(t.Path, "peers")
@@ -224,30 +225,30 @@
 		poolSettings.ClusterPeers = true
 		switch {
 		case r.plan.Cluster == nil:
-			r.Fault(path, "there is no [cluster] whose members it could take")
+			r.Fault(path, "peers = \"cluster\" requires a [cluster] table")
 		case t.Has("index"):
-			r.Fault(settings.JoinPath(t.Path, "index"), "the cluster numbers the balancers; leave it out, or write peers as addresses")
+			r.Fault(settings.JoinPath(t.Path, "index"), "the cluster assigns the indexes of the balancers; remove index, or list the addresses of the peers")
 		case t.Bool("watch", false):
-			r.Fault(settings.JoinPath(t.Path, "watch"), "a shape that is watched can't change with the members; write peers as addresses, or leave watch out")
+			r.Fault(settings.JoinPath(t.Path, "watch"), "watch does not support peers that change with the members of the cluster; list the addresses of the peers, or remove watch")
 		case !t.Has("balancers"):
-			r.Warn(path, "cut off from all others for long this balancer would count as the only one, and cold upstreams be sent too much by all "+
-				"together; write balancers = N, as many as there are meant to be: never fewer are counted")
+			r.Warn(path, "a balancer that is cut off from all others for long would assume that it is the only one, and all balancers together "+
+				"would overload cold upstreams; write balancers = N, the planned number, as the minimum that is assumed")
 		}
 		return nil
 	}
 	if len(all) != engine.Balancers {
-		r.Fault(path, "there are %d addresses for %d balancers; write one for each, by index", len(all), engine.Balancers)
+		r.Fault(path, "there are %d addresses for %d balancers; write one for each, in the order of their indexes", len(all), engine.Balancers)
 	} else if engine.Balancers == 1 {
-		r.Fault(path, "one balancer has no peers; leave it out")
+		r.Fault(path, "a single balancer has no peers; remove peers")
 	}
 	for i, text := range all {
 		at := fmt.Sprintf("%s[%d]", path, i)
 		if problem := settings.AddressProblem(text); problem != "" {
 			r.Fault(at, "%q %s", text, problem)
 		} else if slices.Contains(all[:i], text) {
-			r.Fault(at, "%q is another's", text)
+			r.Fault(at, "%q is already the address of another balancer", text)
 		} else if i == engine.Index && r.ownPeerAddresses[text] {
-			r.Fault(at, "%q is where another pool is told; each has an address of its own", text)
+			r.Fault(at, "%q is already the peer address of another pool; each pool needs its own", text)
 		} else if i == engine.Index {
 			r.ownPeerAddresses[text] = true
 		}
@@ -255,7 +256,7 @@
 	return all
 }
 
-// tariffsAndCustomers gives a pool its tariffs and customers, all of them if it names none.
+// tariffsAndCustomers reads the tariffs and customers of a pool; by default a pool has all of them.
 func (r *reader) tariffsAndCustomers(poolSettings *terms.Settings, t *settings.Table) {
 	names, listed := t.Strings("tariffs"), t.Has("tariffs")
 	if !listed {
@@ -268,21 +269,21 @@
 			r.Fault(fmt.Sprintf("%s[%d]", settings.JoinPath(t.Path, "tariffs"), i), "%q is no tariff%s", name, availableNames(sortedKeys(r.tariffs)))
 			continue
 		case hasKey(poolSettings.Tariffs, name):
-			r.Fault(settings.JoinPath(t.Path, "tariffs"), "%q stands there twice", name)
+			r.Fault(settings.JoinPath(t.Path, "tariffs"), "%q is listed twice", name)
 			continue
 		}
-		own := *tariff // Danger: the module keeps state in it
+		own := *tariff // the decision engine keeps state in it, so pools must not share it
 		poolSettings.Tariffs[name] = len(poolSettings.Engine.Tariffs)
 		poolSettings.Engine.Tariffs = append(poolSettings.Engine.Tariffs, &own)
 	}
 	if len(names) == 0 {
-		r.Fault(t.Path, "it has no tariff; write [tariffs.NAME] with contract_time and hard_stop")
+		r.Fault(t.Path, "the pool has no tariff; write [tariffs.NAME] with contract_time and hard_stop")
 	}
 	if name := t.Text("default_tariff", ""); name != "" {
 		if n, known := poolSettings.Tariffs[name]; known {
 			poolSettings.DefaultTariff = n
 		} else {
-			r.Fault(settings.JoinPath(t.Path, "default_tariff"), "%q is no tariff of this pool%s", name, availableNames(sortedKeys(poolSettings.Tariffs)))
+			r.Fault(settings.JoinPath(t.Path, "default_tariff"), "%q is not a tariff of this pool%s", name, availableNames(sortedKeys(poolSettings.Tariffs)))
 		}
 	}
 	names = t.Strings("customers")
@@ -291,7 +292,7 @@
 	}
 	for i, name := range names {
 		if !hasKey(r.customers, name) {
-			r.Fault(fmt.Sprintf("%s[%d]", settings.JoinPath(t.Path, "customers"), i), "%q is no customer%s", name, availableNames(sortedKeys(r.customers)))
+			r.Fault(fmt.Sprintf("%s[%d]", settings.JoinPath(t.Path, "customers"), i), "%q is not a customer%s", name, availableNames(sortedKeys(r.customers)))
 			continue
 		}
 		poolSettings.Customers[name] = len(poolSettings.Engine.Customers)
@@ -299,7 +300,7 @@
 	}
 }
 
-// upstreams reads where a pool's list of upstreams comes from.
+// upstreams reads the source of a pool's list of upstreams.
 func (r *reader) upstreams(pool *Pool, t *settings.Table) {
 	var sources []string
 	for _, key := range []string{"upstreams", "upstreams_file", "discovery"} {
@@ -309,16 +310,16 @@
 	}
 	switch {
 	case len(sources) == 0:
-		r.Fault(t.Path, "it has no list; write upstreams, upstreams_file or discovery")
+		r.Fault(t.Path, "the pool has no list of upstreams; write upstreams, upstreams_file or discovery")
 	case len(sources) > 1:
-		r.Fault(settings.JoinPath(t.Path, sources[1]), "a list comes from one place, and %s is there", sources[0])
+		r.Fault(settings.JoinPath(t.Path, sources[1]), "a pool has a single source of upstreams, and %s is already set", sources[0])
 	}
 	pool.Upstreams.Static = listfile.Entries(t)
 	if name := t.Text("upstreams_file", ""); name != "" {
 		if pool.Upstreams.File = name; !filepath.IsAbs(name) {
 			pool.Upstreams.File = filepath.Join(filepath.Dir(r.Name), name)
 		}
-		// Danger: a pool whose file can't be read at its start has nobody; that is to be known before it starts.
+		// A pool whose file cannot be read has no upstreams, so this is reported before the process starts.
 		if _, err := listfile.Read(pool.Upstreams.File); err != nil {
 			r.Fault(settings.JoinPath(t.Path, "upstreams_file"), "%v", err)
 		}
@@ -331,9 +332,9 @@
 		path := settings.JoinPath(t.Path, "share_list")
 		switch {
 		case r.plan.Cluster == nil || len(r.plan.Cluster.Voters) == 0:
-			r.Fault(path, "one member asks for all under a token, which keepers give: there is no [cluster] with voters")
+			r.Fault(path, "the member that queries discovery for all is agreed on by voters, and there is no [cluster] with voters")
 		case pool.Upstreams.Discovery == "" || pool.Settings.Engine.FollowList:
-			r.Fault(path, "only a list that discovery pushes can be shared; write discovery, and no discovery_mode = \"ask\"")
+			r.Fault(path, "only a list that discovery pushes can be shared; set discovery, and do not set discovery_mode = \"ask\"")
 		}
 	}
 }
@@ -347,7 +348,7 @@
 		route := routes.Route{
 			Name: table.Text("name", fmt.Sprintf("route-%d", i+1)), Hosts: table.Strings("hosts"), Paths: table.Strings("paths"),
 			Prefixes: table.Strings("prefixes"), Methods: table.Strings("methods"), Listeners: table.Strings("listeners"),
-			Pool: table.RequiredText("pool", "which takes its transactions"), Tariff: table.Text("tariff", ""),
+			Pool: table.RequiredText("pool", "the pool that handles its transactions"), Tariff: table.Text("tariff", ""),
 		}
 		headers := table.Table("headers")
 		for _, name := range headers.Keys() {
@@ -357,12 +358,12 @@
 			route.Headers = append(route.Headers, routes.Header{Name: "X-Lane", Value: class})
 		}
 		if names[route.Name] {
-			r.Fault(settings.JoinPath(table.Path, "name"), "%q is another's name", route.Name)
+			r.Fault(settings.JoinPath(table.Path, "name"), "%q is already the name of another route", route.Name)
 		}
 		names[route.Name] = true
 		for _, l := range route.Listeners {
 			if !slices.ContainsFunc(r.plan.Listeners, func(x Listener) bool { return x.Name == l }) {
-				r.Fault(settings.JoinPath(table.Path, "listeners"), "%q is no listener", l)
+				r.Fault(settings.JoinPath(table.Path, "listeners"), "%q is not a listener", l)
 			}
 		}
 		i := slices.IndexFunc(r.plan.Pools, func(p *Pool) bool { return p.Name == route.Pool })
@@ -372,9 +373,9 @@
 			for _, p := range r.plan.Pools {
 				poolNames = append(poolNames, p.Name)
 			}
-			r.Fault(settings.JoinPath(table.Path, "pool"), "%q is no pool%s", route.Pool, availableNames(poolNames))
+			r.Fault(settings.JoinPath(table.Path, "pool"), "%q is not a pool%s", route.Pool, availableNames(poolNames))
 		case i >= 0 && route.Tariff != "" && !hasKey(r.plan.Pools[i].Settings.Tariffs, route.Tariff):
-			r.Fault(settings.JoinPath(table.Path, "tariff"), "%q is no tariff of pool %q%s", route.Tariff, route.Pool,
+			r.Fault(settings.JoinPath(table.Path, "tariff"), "%q is not a tariff of pool %q%s", route.Tariff, route.Pool,
 				availableNames(sortedKeys(r.plan.Pools[i].Settings.Tariffs)))
 		}
 		r.routedPools[route.Pool] = true
@@ -382,11 +383,11 @@
 		r.plan.Routes = append(r.plan.Routes, route)
 	}
 	if len(all) == 0 {
-		r.Fault("routes", "there is none; write [[routes]] with a pool")
+		r.Fault("routes", "none are configured; write [[routes]] with a pool")
 	}
 	for _, p := range r.plan.Pools {
 		if !r.routedPools[p.Name] && len(all) > 0 {
-			r.Warn("pools."+p.Name, "no route goes to it")
+			r.Warn("pools."+p.Name, "no route leads to this pool")
 		}
 	}
 	var faults []routes.Fault
@@ -405,7 +406,7 @@
 	}
 }
 
-// sortedKeys are in the order of the alphabet.
+// sortedKeys returns the keys of a map in alphabetical order.
 func sortedKeys[V any](m map[string]V) (all []string) {
 	for k := range m {
 		all = append(all, k)
@@ -414,11 +415,13 @@
 	return all
 }
 
+// hasKey reports whether a map has a key.
 func hasKey[V any](m map[string]V, key string) bool {
 	_, some := m[key]
 	return some
 }
 
+// availableNames lists the valid names for a message; it returns "" if there are none or more than 20.
 func availableNames(words []string) string {
 	if len(words) == 0 || len(words) > 20 {
 		return ""
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads TOML files: each key by what its value must be, with all that is wrong at once, each fault with
-// its line, its key and what would be right.
+// Package settings reads TOML files. Each key is read as the type that its value must have. All faults of a file are reported
+// at once, each with its line, its key and a valid alternative.
 package settings
 
 import (
@@ -17,24 +17,25 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// File is a TOML file as it is read: its values, where they stand, and what is wrong with it so far. The library's
-// own decoding into a struct ends at the first value of a wrong type; here all faults are found at once.
+// File is a TOML file that is being read: the lines of its keys and the faults found so far. The library's own decoding into
+// a struct stops at the first value of a wrong type, so it cannot report all faults at once.
 type File struct {
 	Name   string
 	Faults []Fault
-	lines  map[string]int // by key
+	lines  map[string]int // line numbers by key
 	getenv func(string) (string, bool)
 }
 
-// Fault is something wrong with a file, or something to know that is no fault.
+// Fault is an error in a file, or a warning about valid content.
 type Fault struct {
 	File    string
-	Line    int // 0 if it isn't known
+	Line    int // 0 if unknown
 	Key     string
 	Text    string
 	Warning bool
 }
 
+// Error returns the message with file, line and key.
 func (f Fault) Error() string {
 	message := f.File
 	if f.Line > 0 {
@@ -46,23 +47,25 @@
 	return message + ": " + f.Text
 }
 
-// Finish reports whether anything is wrong, and leaves all that was noted in the order of its lines.
+// Finish sorts the faults by line, removes duplicates and reports whether any of them is an error.
 func (f *File) Finish() bool {
 	slices.SortStableFunc(f.Faults, func(a, b Fault) int { return a.Line - b.Line })
-	// Danger: a fault that is found twice, by a value and by what hangs on it, hides the others.
+	// A fault may be found twice, in a value and in a check that depends on it; repetitions would hide the other faults.
 	f.Faults = slices.Compact(f.Faults)
 	return slices.ContainsFunc(f.Faults, func(x Fault) bool { return !x.Warning })
 }
 
-// Table is one table of a file. Each key is read once, by what its value must be; end names those never asked for.
+// Table is one table of a file. Each key is read as the type that its value must have. ReportUnknownKeys reports the keys that
+// were never read.
 type Table struct {
 	File      *File
 	Path      string
 	values    map[string]any
-	requested []string // asked for
+	requested []string // keys that were read
 }
 
-// Parse reads a text; a text that is no TOML has its one fault in the file.
+// Parse parses a text. If it is not valid TOML, the table is nil and the file has one fault. getenv looks up environment
+// variables.
 func Parse(name string, text []byte, getenv func(string) (string, bool)) (*File, *Table) {
 	f := &File{Name: name, lines: map[string]int{}, getenv: getenv}
 	root := &Table{File: f, values: map[string]any{}}
@@ -80,11 +83,11 @@
 	return f, root
 }
 
-// recordLines notes the line of each key.
+// recordLines records the line of each key.
 func (f *File) recordLines(text []byte) {
 	var p unstable.Parser
 	p.Reset(text)
-	counts := map[string]int{} // of arrays of tables
+	counts := map[string]int{} // number of elements seen of each array of tables
 	tablePath := ""
 	record := func(base string, key unstable.Iterator) string {
 		for key.Next() {
@@ -136,7 +139,7 @@
 	}
 }
 
-// JoinPath is the name of a key in a table.
+// JoinPath returns the full path of a key in a table.
 func JoinPath(path, key string) string {
 	if path == "" {
 		return key
@@ -144,7 +147,7 @@
 	return path + "." + key
 }
 
-// line is where a key stands, or what it stands in.
+// line returns the line of a key, or of the closest enclosing key whose line is known.
 func (f *File) line(path string) int {
 	for path != "" {
 		if n := f.lines[path]; n > 0 {
@@ -155,20 +158,20 @@
 	return 0
 }
 
-// Fault notes what is wrong with a key.
+// Fault records an error in the value of a key.
 func (f *File) Fault(path, text string, values ...any) {
 	f.Faults = append(f.Faults, Fault{f.Name, f.line(path), path, fmt.Sprintf(text, values...), false})
 }
 
-// Warn notes what is no fault.
+// Warn records a warning about the value of a key.
 func (f *File) Warn(path, text string, values ...any) {
 	f.Faults = append(f.Faults, Fault{f.Name, f.line(path), path, fmt.Sprintf(text, values...), true})
 }
 
-// expandedText is a text that a variable was put into: such a one may stand for a number or a yes or no.
+// expandedText is a string in which a variable was expanded. Unlike other strings it may represent a number or a boolean.
 type expandedText string
 
-// expand puts the environment's variables into texts: ${NAME}, or ${NAME:-what else}.
+// expand replaces environment variables in strings: ${NAME}, or ${NAME:-default}.
 func (t *Table) expand(v any, path string) any {
 	switch v := v.(type) {
 	case map[string]any:
@@ -195,7 +198,7 @@
 			value, set := t.File.getenv(name)
 			switch {
 			case !closed:
-				t.File.Fault(path, "a \"${\" without its \"}\"")
+				t.File.Fault(path, "\"${\" without a closing \"}\"")
 				return expandedText("")
 			case set && value != "":
 				out.WriteString(value)
@@ -210,7 +213,7 @@
 	return v
 }
 
-// value returns a key's value, nil if it isn't there.
+// value returns the value of a key, or nil if it is absent, and marks the key as read.
 func (t *Table) value(key string) (value any, path string) {
 	t.requested = append(t.requested, key)
 	if f, some := t.values[key].(expandedText); some {
@@ -219,10 +222,10 @@
 	return t.values[key], JoinPath(t.Path, key)
 }
 
-// Has reports whether a key is there.
+// Has reports whether a key is present.
 func (t *Table) Has(key string) bool { return t.values[key] != nil }
 
-// Text reads a string.
+// Text reads a string. The fallback is returned if the key is absent or its value invalid, as in the methods below.
 func (t *Table) Text(key, fallback string) string {
 	v, path := t.value(key)
 	switch v := v.(type) {
@@ -231,11 +234,11 @@
 	case string:
 		return v
 	}
-	t.File.Fault(path, "%v is no text; write it in quotes", v)
+	t.File.Fault(path, "%v is not a string; write it in quotes", v)
 	return fallback
 }
 
-// RequiredText reads a string that has to be there.
+// RequiredText reads a string that must be present and not empty.
 func (t *Table) RequiredText(key, description string) string {
 	text := t.Text(key, "")
 	if text == "" && !t.File.hasFault(JoinPath(t.Path, key)) {
@@ -244,11 +247,12 @@
 	return text
 }
 
+// hasFault reports whether an error is recorded for a key.
 func (f *File) hasFault(path string) bool {
 	return slices.ContainsFunc(f.Faults, func(x Fault) bool { return !x.Warning && x.Key == path })
 }
 
-// Choice reads one of some words.
+// Choice reads a string that must be one of the choices.
 func (t *Table) Choice(key, fallback string, choices ...string) string {
 	text := t.Text(key, fallback)
 	if !slices.Contains(choices, text) {
@@ -258,7 +262,7 @@
 	return text
 }
 
-// Bool reads a yes or no.
+// Bool reads a boolean.
 func (t *Table) Bool(key string, fallback bool) bool {
 	v, path := t.value(key)
 	switch v := v.(type) {
@@ -275,6 +279,7 @@
 	return fallback
 }
 
+// isExpanded reports whether a variable was expanded in the value of a key.
 func (t *Table) isExpanded(key string) bool {
 	_, some := t.values[key].(expandedText)
 	return some
@@ -298,7 +303,7 @@
 	}
 	switch {
 	case math.IsNaN(n) || math.IsInf(n, 0):
-		t.File.Fault(path, "%s is no number", formatValue(v))
+		t.File.Fault(path, "%s is not a number", formatValue(v))
 	case n < minimum || n > maximum:
 		t.File.Fault(path, "%v lies outside %v to %v", n, minimum, maximum)
 	default:
@@ -307,16 +312,17 @@
 	return fallback
 }
 
-// Int reads a whole number within bounds.
+// Int reads an integer within bounds.
 func (t *Table) Int(key string, fallback, minimum, maximum int) int {
 	n := t.Number(key, float64(fallback), float64(minimum), float64(maximum))
 	if n != math.Trunc(n) {
-		t.File.Fault(JoinPath(t.Path, key), "%v is no whole number", n)
+		t.File.Fault(JoinPath(t.Path, key), "%v is not a whole number", n)
 		return fallback
 	}
 	return int(n)
 }
 
+// maxDuration is the longest duration that Duration accepts.
 const maxDuration = 24 * time.Hour
 
 // Duration reads a duration: "250ms", "1.5s", "2m".
@@ -329,7 +335,7 @@
 	d, err := time.ParseDuration(text)
 	switch {
 	case err != nil:
-		t.File.Fault(path, "%s is no time; write it as \"250ms\", \"1.5s\" or \"2m\"", formatValue(v))
+		t.File.Fault(path, "%s is not a duration; write it as \"250ms\", \"1.5s\" or \"2m\"", formatValue(v))
 	case d < minimum || d > maxDuration:
 		t.File.Fault(path, "%s lies outside %s to %s", d, minimum, maxDuration)
 	default:
@@ -345,7 +351,7 @@
 	{"KiB", 1 << 10}, {"MiB", 1 << 20}, {"GiB", 1 << 30}, {"kB", 1e3}, {"KB", 1e3}, {"MB", 1e6}, {"GB", 1e9}, {"B", 1},
 }
 
-// Size reads an amount of bytes: "64KiB", "8MiB", "1.5GB", or a plain number.
+// Size reads a number of bytes: "64KiB", "8MiB", "1.5GB", or a plain number.
 func (t *Table) Size(key string, fallback, minimum int64) int64 {
 	v, path := t.value(key)
 	n, ok := 0.0, false
@@ -367,16 +373,16 @@
 	}
 	switch {
 	case !ok:
-		t.File.Fault(path, "%s is no size; write it as \"64KiB\" or \"8MiB\"", formatValue(v))
+		t.File.Fault(path, "%s is not a size; write it as \"64KiB\" or \"8MiB\"", formatValue(v))
 	case n < float64(minimum) || n > 1<<50:
-		t.File.Fault(path, "%s is too small or too large; the least is %d bytes", formatValue(v), minimum)
+		t.File.Fault(path, "%s is too small or too large; the minimum is %d bytes", formatValue(v), minimum)
 	default:
 		return int64(n)
 	}
 	return fallback
 }
 
-// Strings reads a list of strings, or one alone.
+// Strings reads a list of strings, or a single string as a list of one.
 func (t *Table) Strings(key string) (all []string) {
 	v, path := t.value(key)
 	switch v := v.(type) {
@@ -391,16 +397,16 @@
 			case expandedText:
 				all = append(all, string(e))
 			default:
-				t.File.Fault(fmt.Sprintf("%s[%d]", path, i), "%s is no text; write it in quotes", formatValue(e))
+				t.File.Fault(fmt.Sprintf("%s[%d]", path, i), "%s is not a string; write it in quotes", formatValue(e))
 			}
 		}
 	default:
-		t.File.Fault(path, "%s is no list; write it as [\"a\", \"b\"]", formatValue(v))
+		t.File.Fault(path, "%s is not a list; write it as [\"a\", \"b\"]", formatValue(v))
 	}
 	return all
 }
 
-// Address reads a host and a port; what says what to write where one must be there, "" where none must.
+// Address reads a host and a port. The description is shown if the address is missing; "" makes the address optional.
 func (t *Table) Address(key, description string) string {
 	text := t.Text(key, "")
 	if text == "" && description != "" {
@@ -415,7 +421,7 @@
 	return text
 }
 
-// AddressProblem says what is wrong with an address.
+// AddressProblem describes what is wrong with an address with port, or returns "" if it is valid.
 func AddressProblem(address string) string {
 	_, port, err := net.SplitHostPort(address)
 	if err != nil {
@@ -427,7 +433,7 @@
 	return ""
 }
 
-// Map reads a table of texts.
+// Map reads a table of strings.
 func (t *Table) Map(key string) map[string]string {
 	table := t.Table(key)
 	m := map[string]string{}
@@ -437,29 +443,29 @@
 	return m
 }
 
-// Table reads a table; one that isn't there is empty.
+// Table reads a table; an absent one is empty.
 func (t *Table) Table(key string) *Table {
 	v, path := t.value(key)
 	m, ok := v.(map[string]any)
 	if !ok && v != nil {
-		t.File.Fault(path, "is no table; write it as [%s]", path)
+		t.File.Fault(path, "is not a table; write it as [%s]", path)
 	}
 	return &Table{File: t.File, Path: path, values: m}
 }
 
-// NamedTables reads a table of tables, in the order of their names.
+// NamedTables reads a table of tables, sorted by name.
 func (t *Table) NamedTables(key string) (names []string, all []*Table) {
 	table := t.Table(key)
 	for _, name := range table.Keys() {
 		if name == "" || strings.Trim(name, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_") != "" {
-			t.File.Fault(JoinPath(table.Path, name), "%q is no name; letters, digits, \"-\" and \"_\" make one", name)
+			t.File.Fault(JoinPath(table.Path, name), "%q is not a valid name; use letters, digits, \"-\" and \"_\"", name)
 		}
 		names, all = append(names, name), append(all, table.Table(name))
 	}
 	return names, all
 }
 
-// Keys are the keys of a table.
+// Keys returns the keys of a table in alphabetical order.
 func (t *Table) Keys() []string { return slices.Sorted(maps.Keys(t.values)) }
 
 // Tables reads an array of tables.
@@ -467,13 +473,13 @@
 	v, path := t.value(key)
 	list, ok := v.([]any)
 	if !ok && v != nil {
-		t.File.Fault(path, "is no list of tables; write each as [[%s]]", path)
+		t.File.Fault(path, "is not a list of tables; write each as [[%s]]", path)
 	}
 	for i, e := range list {
 		at := fmt.Sprintf("%s[%d]", path, i)
 		m, ok := e.(map[string]any)
 		if !ok {
-			t.File.Fault(at, "is no table")
+			t.File.Fault(at, "is not a table")
 			continue
 		}
 		all = append(all, &Table{File: t.File, Path: at, values: m})
@@ -481,7 +487,7 @@
 	return all
 }
 
-// ReportUnknownKeys names the keys that nobody asked for.
+// ReportUnknownKeys records a fault for each key that was not read.
 func (t *Table) ReportUnknownKeys() {
 	for _, key := range t.Keys() {
 		if slices.Contains(t.requested, key) {
@@ -497,7 +503,7 @@
 	}
 }
 
-// closestKey is the word that was probably meant.
+// closestKey returns the known key that was probably meant, or "" if none is similar.
 func closestKey(unknown string, known []string) (best string) {
 	maxDistance := 1 + len(unknown)/3
 	for _, candidate := range slices.Sorted(slices.Values(known)) {
@@ -508,7 +514,7 @@
 	return best
 }
 
-// editDistance is how many letters are to be put in, taken out or changed.
+// editDistance returns the Levenshtein distance of two strings: the insertions, deletions and changes of bytes.
 func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
@@ -529,6 +535,7 @@
 	return row[len(b)]
 }
 
+// formatValue formats a value for a message.
 func formatValue(v any) string {
 	if text, ok := v.(string); ok {
 		return strconv.Quote(text)
@@ -536,7 +543,7 @@
 	return fmt.Sprint(v)
 }
 
-// Timestamp reads a point in time, in Unix nanoseconds, 0 if there is none.
+// Timestamp reads a point in time as Unix nanoseconds; 0 if it is absent.
 func (t *Table) Timestamp(key string) int64 {
 	v, path := t.value(key)
 	switch v := v.(type) {
@@ -545,16 +552,17 @@
 	case time.Time:
 		return v.UnixNano()
 	}
-	t.File.Fault(path, "%s is no point in time with its zone; write it as 2026-12-01T13:00:00Z", formatValue(v))
+	t.File.Fault(path, "%s is not a point in time with a time zone; write it as 2026-12-01T13:00:00Z", formatValue(v))
 	return 0
 }
 
-// Raw is a key's value as it stands, for what another reader understands; variables in it are filled in.
+// Raw returns the value of a key without checks, for other decoders; variables in it are expanded.
 func (t *Table) Raw(key string) any {
 	v, _ := t.value(key)
 	return unwrapExpanded(v)
 }
 
+// unwrapExpanded returns a copy of the value in which each expandedText is a string.
 func unwrapExpanded(v any) any {
 	switch v := v.(type) {
 	case expandedText:
