--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -54,7 +54,8 @@
 	c := &Cluster{options: o, peerRoutes: map[uint32]*PeerRoute{}, done: make(chan struct{})}
 	var err error
 	c.link, err = link.Listen(link.Options{
-		Cluster: o.Settings.Name, Self: o.Settings.Self, Address: o.Settings.Address, AddressOverrides: o.Settings.AddressOverrides, Seed: o.Seed, Log: o.Log,
+		Cluster: o.Settings.Name, Self: o.Settings.Self, Address: o.Settings.Address,
+		AddressOverrides: o.Settings.AddressOverrides, Seed: o.Seed, Log: o.Log,
 		HandleStream:   func(conn net.Conn) { c.gossip.HandleStream(conn) },
 		HandleDatagram: c.handleDatagram,
 		Resolve:        func(name string) (string, bool) { return c.gossip.Resolve(name) },
@@ -71,7 +72,8 @@
 		guards.Refutation, guards.Epochs = !o.Lab.disables("refutation"), !o.Lab.disables("epochs")
 	}
 	c.gossip, err = member.New(member.Options{
-		Settings: o.Settings, OpsAddress: o.OpsAddress, Build: o.Build, Seed: o.Seed, Guards: guards, FS: fs, Log: o.Log, Transport: c.link, Status: o.Status,
+		Settings: o.Settings, OpsAddress: o.OpsAddress, Build: o.Build, Seed: o.Seed, Guards: guards, FS: fs, Log: o.Log,
+		Transport: c.link, Status: o.Status,
 		StateChanged: func(member.Change) {
 			if o.MembersChanged != nil {
 				o.MembersChanged()
@@ -113,8 +115,8 @@
 	if access := c.ledger; access != nil && settings.Ledger != nil {
 		access.mu.Lock()
 		updated := *settings.Ledger
-		if policy := access.settings.Policy; policy == "local" || updated.Policy == "local" {
-			updated.Policy = policy // a change from or to "local" takes effect at the next start
+		if currentPolicy := access.settings.Policy; currentPolicy == "local" || updated.Policy == "local" {
+			updated.Policy = currentPolicy // a change from or to "local" takes effect at the next start
 		}
 		access.settings = &updated
 		access.mu.Unlock()
@@ -148,6 +150,7 @@
 	c.link.Close()
 }
 
+// handleDatagram passes a datagram from another member to its handler.
 func (c *Cluster) handleDatagram(kind byte, payload []byte, from net.Addr) {
 	switch kind {
 	case link.KindGossip:
@@ -209,7 +212,8 @@
 		{"cluster_stream_bytes_in", counters.StreamBytesIn.Load()}, {"cluster_stream_bytes_out", counters.StreamBytesOut.Load()},
 		{"cluster_spoilt", counters.Corrupt.Load()}, {"cluster_refused", counters.Refused.Load()}, {"cluster_dropped", counters.Dropped.Load()},
 		{"cluster_connections", counters.Connections.Load()},
-		{"cluster_calls", counters.Calls.Load()}, {"cluster_calls_answered", counters.Answered.Load()}, {"cluster_calls_never_sent", counters.NotSent.Load()},
+		{"cluster_calls", counters.Calls.Load()}, {"cluster_calls_answered", counters.Answered.Load()},
+		{"cluster_calls_never_sent", counters.NotSent.Load()},
 		{"cluster_calls_unknown", counters.OutcomeUnknown.Load()}, {"cluster_calls_refused_here", counters.Overloaded.Load()},
 		{"cluster_served", counters.Served.Load()}, {"cluster_busy", counters.Rejected.Load()},
 	} {
--- a/internal/cluster/config/config.go
+++ b/internal/cluster/config/config.go
@@ -76,7 +76,7 @@
 // Parameters of the membership library; durations are multiples of the probe interval. The bounds below are computed from
 // them.
 const (
-	SuspicionMultiplier  = 4  // minimum probe intervals until a suspected member is considered dead, times log10 of the cluster size
+	SuspicionMultiplier  = 4  // minimum probe intervals from suspicion to death, times log10 of the cluster size
 	SuspicionMaxFactor   = 3  // the suspicion lasts up to this many times as long if no other member confirms it
 	MaxProbeSlowdown     = 2  // a member that detects trouble of its own slows its probes down by at most this factor
 	IndirectProbes       = 3  // members asked to probe on behalf of this one
@@ -106,7 +106,8 @@
 // DeathBound returns the maximum time from a member's death until all live members that reach each other consider it dead.
 func (s *Settings) DeathBound(n int) time.Duration {
 	probes := min(2*(n-1), maxMissedProbes) + 1
-	return time.Duration(probes)*MaxProbeSlowdown*s.ProbeInterval + time.Duration(SuspicionMaxFactor*SuspicionMultiplier*log10(n)*float64(s.ProbeInterval)) + s.GossipSpread(n)
+	return time.Duration(probes)*MaxProbeSlowdown*s.ProbeInterval +
+		time.Duration(SuspicionMaxFactor*SuspicionMultiplier*log10(n)*float64(s.ProbeInterval)) + s.GossipSpread(n)
 }
 
 // ConvergenceBound returns the maximum time from the recovery of all connections between n members until all of them consider
@@ -154,7 +155,8 @@
 			fmt.Sprintf("claims are deferred for at most %s after the loss of a leader while a majority of the voters is reachable: 2 x within + 3 x election + 100ms", s.ClaimOutageBound()),
 			fmt.Sprintf("a claim that the voters do not answer is deferred after %s (within), later ones immediately", ledger.ClaimTimeout),
 			fmt.Sprintf("a completion is stored within %s after the end of its transaction, or stays unknown to the other members: lag + within", ledger.BatchDelay+ledger.ClaimTimeout),
-			fmt.Sprintf("keys: %d, using %d MB of memory and %d MB of snapshot on each voter: keys x %d and %d bytes", ledger.MaxKeys, ledger.MaxKeys*RecordBytes>>20, ledger.MaxKeys*SnapshotRecordBytes>>20,
+			fmt.Sprintf("keys: %d, using %d MB of memory and %d MB of snapshot on each voter: keys x %d and %d bytes",
+				ledger.MaxKeys, ledger.MaxKeys*RecordBytes>>20, ledger.MaxKeys*SnapshotRecordBytes>>20,
 				RecordBytes, SnapshotRecordBytes))
 	}
 	return lines
--- a/internal/cluster/consensus.go
+++ b/internal/cluster/consensus.go
@@ -48,16 +48,18 @@
 	mu            sync.Mutex
 	lists         map[string]*shared.List // by pool name
 	draining      bool
-	endToken      uint64 // fencing token of the session-ending duty, 0 if this member does not own it
-	endedSessions int64  // number of sessions that this member has ended
-	heldDuties    map[string]owner.Held
+	endToken      uint64                // fencing token of the session-ending duty, 0 if this member does not own it
+	endedSessions int64                 // number of sessions that this member has ended
+	heldDuties    map[string]owner.Held // last known owners of all duties
 }
 
 // openConsensus creates the local replicas and clients and registers the RPC handlers. It must run before the link
 // starts serving.
 func openConsensus(cluster *Cluster) (*consensus, error) {
 	settings := cluster.options.Settings
-	cs := &consensus{cluster: cluster, lists: map[string]*shared.List{}, heldDuties: map[string]owner.Held{}, wake: make(chan struct{}, 1)}
+	cs := &consensus{
+		cluster: cluster, lists: map[string]*shared.List{}, heldDuties: map[string]owner.Held{}, wake: make(chan struct{}, 1),
+	}
 	cs.ctx, cs.cancel = context.WithCancel(context.Background())
 	fenced, once := true, true
 	if lab := cluster.options.Lab; lab != nil {
@@ -67,12 +69,14 @@
 		if slices.Contains(settings.Voters, settings.Self) {
 			dir := keep.Group(settings.Directory, group)
 			replica, err := keep.NewKeeper(keep.Options{
-				Cluster: settings.Name, Name: settings.Self, Voters: settings.Voters, Group: group, Dir: dir, FS: cluster.directory(dir), Way: localTransport{cluster.link, settings.Self}, Election: settings.ElectionTimeout,
-				Lease: keep.Lease{For: settings.Lease, Drift: settings.ClockDrift}, Guards: keep.Guards{Fence: fenced, Once: once}, Log: cluster.options.Log,
+				Cluster: settings.Name, Name: settings.Self, Voters: settings.Voters, Group: group, Dir: dir,
+				FS: cluster.directory(dir), Way: localTransport{cluster.link, settings.Self}, Election: settings.ElectionTimeout,
+				Lease:  keep.Lease{For: settings.Lease, Drift: settings.ClockDrift},
+				Guards: keep.Guards{Fence: fenced, Once: once}, Log: cluster.options.Log,
 				Parts: cluster.ledgerParts(),
 			})
 			if err != nil {
-				return nil, fmt.Errorf("cluster: keeper: %w", err)
+				return nil, fmt.Errorf("cluster: open replica: %w", err)
 			}
 			cs.replicas = append(cs.replicas, replica)
 		}
@@ -95,7 +99,8 @@
 	fenced := cs.cluster.options.Lab == nil || !cs.cluster.options.Lab.disables("fence")
 	lease := keep.Lease{For: settings.Lease, Drift: settings.ClockDrift}.Owner()
 	cs.owners = owner.Begin(owner.Options{
-		Self: settings.Self, Terms: owner.TermsOf(lease), Seed: cs.cluster.options.Seed, Keepers: dutyStore{cs}, Members: cs.eligibleOwners, Fenced: fenced, Log: cs.cluster.options.Log,
+		Self: settings.Self, Terms: owner.TermsOf(lease), Seed: cs.cluster.options.Seed, Keepers: dutyStore{cs},
+		Members: cs.eligibleOwners, Fenced: fenced, Log: cs.cluster.options.Log,
 	})
 	cs.owners.Do(keep.Sessions, (*sessionEnder)(cs))
 	cs.wg.Go(cs.maintainSessions)
@@ -125,11 +130,12 @@
 	self string
 }
 
-func (transport localTransport) Call(ctx context.Context, name string, method uint16, body []byte) ([]byte, error) {
-	if name == transport.self {
-		return transport.Link.CallLocal(ctx, method, body)
+// Call calls a method of the named member.
+func (t localTransport) Call(ctx context.Context, name string, method uint16, body []byte) ([]byte, error) {
+	if name == t.self {
+		return t.Link.CallLocal(ctx, method, body)
 	}
-	return transport.Link.Call(ctx, name, method, body)
+	return t.Link.Call(ctx, name, method, body)
 }
 
 // maintainSessions keeps a session open for this run in every group, under the epoch from gossip.
@@ -194,8 +200,10 @@
 // dutyStore adapts the client of the first group to the interface that the duty owners use.
 type dutyStore struct{ cs *consensus }
 
+// Session returns the epoch of the open session, if there is one.
 func (store dutyStore) Session() (uint64, bool) { return store.cs.firstClient.Session() }
 
+// Held returns the owners of all duties and remembers them.
 func (store dutyStore) Held(ctx context.Context) (map[string]owner.Held, error) {
 	state, err := store.cs.firstClient.Read(ctx, false)
 	if err != nil {
@@ -211,11 +219,13 @@
 	return duties, nil
 }
 
+// Take requests a duty for this process and returns its fencing token if the request succeeds.
 func (store dutyStore) Take(ctx context.Context, duty string) (uint64, bool, error) {
 	answer, err := store.cs.firstClient.Do(ctx, keep.Command{Kind: keep.Take, Duty: duty})
 	return answer.Token, answer.Code == keep.OK, err
 }
 
+// Give hands a duty over to another member, or releases it if the name is "".
 func (store dutyStore) Give(ctx context.Context, duty string, token uint64, to string) error {
 	kind := keep.Drop
 	if to != "" {
@@ -225,6 +235,7 @@
 	return err
 }
 
+// Renew renews the leases of the duties with these fencing tokens.
 func (store dutyStore) Renew(ctx context.Context, tokens map[string]uint64) (map[string]uint64, error) {
 	return store.cs.firstClient.Renew(ctx, tokens)
 }
@@ -238,6 +249,7 @@
 // End stops ending sessions.
 func (ender *sessionEnder) End(owner.Tenure) { (*consensus)(ender).setEndToken(0) }
 
+// setEndToken sets the fencing token under which endSessions works; 0 stops it.
 func (cs *consensus) setEndToken(token uint64) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -262,7 +274,8 @@
 		ctx, cancel := context.WithTimeout(cs.ctx, commandTimeout)
 		state, err := cs.firstClient.Read(ctx, false)
 		for _, s := range state.Sessions {
-			if err != nil || !s.Open || s.Member == cs.cluster.options.Settings.Self || !cs.cluster.gossip.RunEnded(s.Member, s.Epoch, cs.cluster.options.Settings.Lease) {
+			if err != nil || !s.Open || s.Member == cs.cluster.options.Settings.Self ||
+				!cs.cluster.gossip.RunEnded(s.Member, s.Epoch, cs.cluster.options.Settings.Lease) {
 				continue
 			}
 			if current, owned := cs.owners.May(keep.Sessions); !owned || current != token {
@@ -324,53 +337,58 @@
 }
 
 // Run implements lists.Source.
-// Run implements lists.Source.
-func (source listSource) Run(ctx context.Context) {
-	source.cs.mu.Lock()
-	source.cs.lists[source.pool] = source.list
-	source.cs.mu.Unlock()
+func (s listSource) Run(ctx context.Context) {
+	s.cs.mu.Lock()
+	s.cs.lists[s.pool] = s.list
+	s.cs.mu.Unlock()
 	defer func() {
-		source.cs.mu.Lock()
-		defer source.cs.mu.Unlock()
-		if source.cs.lists[source.pool] == source.list {
-			delete(source.cs.lists, source.pool)
+		s.cs.mu.Lock()
+		defer s.cs.mu.Unlock()
+		if s.cs.lists[s.pool] == s.list {
+			delete(s.cs.lists, s.pool)
 		}
 	}()
-	source.list.Run(ctx)
+	s.list.Run(ctx)
 }
 
 // listTransport carries the updates of shared lists between members.
 type listTransport struct{ cs *consensus }
 
-func (transport listTransport) Post(name string, raw []byte) {
-	transport.cs.cluster.link.Post(name, methodListUpdate, raw, listUpdateTimeout)
+// Post sends an update to a member; it is lost if that fails.
+func (t listTransport) Post(name string, raw []byte) {
+	t.cs.cluster.link.Post(name, methodListUpdate, raw, listUpdateTimeout)
 }
 
-func (transport listTransport) Whole(ctx context.Context, name, pool string) ([]byte, error) {
-	return transport.cs.cluster.link.Call(ctx, name, methodListSnapshot, []byte(pool))
+// Whole returns the complete list of a pool from a member.
+func (t listTransport) Whole(ctx context.Context, name, pool string) ([]byte, error) {
+	return t.cs.cluster.link.Call(ctx, name, methodListSnapshot, []byte(pool))
 }
 
-func (transport listTransport) Offering(pool string) (others []string) {
-	for _, m := range transport.cs.cluster.gossip.MembersServing(pool, 0) {
-		if m.Name != transport.cs.cluster.options.Settings.Self {
+// Offering returns the names of the other members that serve the pool.
+func (t listTransport) Offering(pool string) (others []string) {
+	for _, m := range t.cs.cluster.gossip.MembersServing(pool, 0) {
+		if m.Name != t.cs.cluster.options.Settings.Self {
 			others = append(others, m.Name)
 		}
 	}
 	return others
 }
 
-func (transport listTransport) Owner(duty string) string {
-	transport.cs.mu.Lock()
-	defer transport.cs.mu.Unlock()
-	return transport.cs.heldDuties[duty].Owner
+// Owner returns the last known owner of a duty.
+func (t listTransport) Owner(duty string) string {
+	t.cs.mu.Lock()
+	defer t.cs.mu.Unlock()
+	return t.cs.heldDuties[duty].Owner
 }
 
+// sharedList returns the shared list of a pool, or nil if this process does not run it.
 func (cs *consensus) sharedList(pool string) *shared.List {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	return cs.lists[pool]
 }
 
+// handleListUpdate handles an update of a shared list.
 func (cs *consensus) handleListUpdate(_ context.Context, from string, body []byte) ([]byte, error) {
 	var update shared.Word
 	if err := pack.Unpack(body, &update); err != nil {
@@ -382,6 +400,7 @@
 	return nil, nil
 }
 
+// handleListSnapshot handles a request for a complete shared list.
 func (cs *consensus) handleListSnapshot(_ context.Context, _ string, body []byte) ([]byte, error) {
 	if list := cs.sharedList(string(body)); list != nil {
 		return list.Whole(), nil
--- a/internal/cluster/lab.go
+++ b/internal/cluster/lab.go
@@ -49,4 +49,5 @@
 	return lab, nil
 }
 
+// disables reports whether the test harness disables a guard.
 func (lab *Lab) disables(guard string) bool { return slices.Contains(lab.DisabledGuards, guard) }
--- a/internal/cluster/ledger.go
+++ b/internal/cluster/ledger.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	localGroup   = 64                     // number of the single-member group of policy "local"; above all replicated group numbers
+	localGroup   = 64                     // single-member group of policy "local"; above all replicated group numbers
 	flushTimeout = 200 * time.Millisecond // limit for flushing buffered completions at shutdown
 )
 
@@ -25,8 +25,8 @@
 // its own, whose only replica is on this machine's disk.
 type ledgerAccess struct {
 	cluster      *Cluster
-	groups       []*keep.Client
-	localReplica *keep.Keeper // nil unless the policy is "local"
+	groups       []*keep.Client // by group
+	localReplica *keep.Keeper   // nil unless the policy is "local"
 	ctx          context.Context
 	cancel       context.CancelFunc
 	wg           sync.WaitGroup
@@ -63,8 +63,10 @@
 	transport, voters := localTransport{c.link, settings.Self}, []string{settings.Self}
 	var err error
 	access.localReplica, err = keep.NewKeeper(keep.Options{
-		Cluster: settings.Name, Name: settings.Self, Voters: voters, Group: localGroup, Dir: dir, FS: c.directory(dir), Way: transport, Election: settings.ElectionTimeout,
-		Lease: keep.Lease{For: settings.Lease, Drift: settings.ClockDrift}, Guards: keep.Guards{Fence: true, Once: true}, Parts: c.ledgerParts(), Log: c.options.Log,
+		Cluster: settings.Name, Name: settings.Self, Voters: voters, Group: localGroup, Dir: dir,
+		FS: c.directory(dir), Way: transport, Election: settings.ElectionTimeout,
+		Lease:  keep.Lease{For: settings.Lease, Drift: settings.ClockDrift},
+		Guards: keep.Guards{Fence: true, Once: true}, Parts: c.ledgerParts(), Log: c.options.Log,
 	})
 	if err != nil {
 		return fmt.Errorf("cluster: ledger: %w", err)
@@ -142,7 +144,10 @@
 		for _, g := range access.groups {
 			groups = append(groups, g)
 		}
-		access.ledger = ledger.Begin(ledger.Options{Groups: groups, Within: settings.ClaimTimeout, Lag: settings.BatchDelay, Keys: settings.MaxKeys, Rules: rules, Log: c.options.Log})
+		access.ledger = ledger.Begin(ledger.Options{
+			Groups: groups, Within: settings.ClaimTimeout, Lag: settings.BatchDelay, Keys: settings.MaxKeys, Rules: rules,
+			Log: c.options.Log,
+		})
 	} else {
 		access.ledger.Change(settings.ClaimTimeout, settings.BatchDelay, settings.MaxKeys, rules)
 	}
@@ -150,7 +155,9 @@
 }
 
 // query reads a page from the ledger of one group. voter selects the local copy of that voter; "" reads the agreed state.
-func (access *ledgerAccess) query(ctx context.Context, voter string, group int, query *ledger.Query) (page ledger.Page, err error) {
+func (access *ledgerAccess) query(
+	ctx context.Context, voter string, group int, query *ledger.Query,
+) (page ledger.Page, err error) {
 	var raw []byte
 	if voter == "" {
 		raw, err = access.groups[group].ReadPart(ctx, ledger.Part, pack.Pack(query), false)
@@ -164,7 +171,9 @@
 }
 
 // find calls emit for each entry of one group that matches the query.
-func (access *ledgerAccess) find(ctx context.Context, voter string, group int, q ledger.Query, emit func(ledger.Entry) error) error {
+func (access *ledgerAccess) find(
+	ctx context.Context, voter string, group int, q ledger.Query, emit func(ledger.Entry) error,
+) error {
 	return ledger.Each(q, func(q *ledger.Query) (ledger.Page, error) { return access.query(ctx, voter, group, q) }, emit)
 }
 
@@ -194,11 +203,11 @@
 			}
 			result.Compared++
 			result.Entry = max(result.Entry, index)
-			first, same := uint64(0), true
+			firstSum, same := uint64(0), true
 			for _, voter := range voters {
 				if sum, found := byVoter[voter]; found {
-					same = same && (first == 0 || sum == first)
-					first = sum
+					same = same && (firstSum == 0 || sum == firstSum)
+					firstSum = sum
 				}
 			}
 			if !same {
@@ -212,7 +221,10 @@
 					continue
 				}
 				copies[voter] = []ledger.Entry{}
-				access.find(ctx, voter, group, ledger.Query{What: "find"}, func(e ledger.Entry) error { copies[voter] = append(copies[voter], e); return nil })
+				access.find(ctx, voter, group, ledger.Query{What: "find"}, func(e ledger.Entry) error {
+					copies[voter] = append(copies[voter], e)
+					return nil
+				})
 			}
 			result.Differences = ledger.Differ(copies)
 		}
@@ -226,9 +238,9 @@
 // Verification is the result of comparing the replicas of one group.
 type Verification struct {
 	Group       int      `json:"group"`
-	Compared    int      `json:"compared"`          // log entries after which the checksums of all reachable replicas were compared
+	Compared    int      `json:"compared"`          // log entries after which all reachable replicas were compared
 	Entry       uint64   `json:"entry"`             // index of the last of these entries
 	Mismatches  int      `json:"wrong"`             // number of these entries after which the checksums differed
 	Missing     []string `json:"missing,omitempty"` // voters that did not answer
-	Differences []string `json:"differ,omitempty"`
+	Differences []string `json:"differ,omitempty"`  // descriptions of the differing records
 }
--- a/internal/cluster/operator.go
+++ b/internal/cluster/operator.go
@@ -31,7 +31,7 @@
 	Name  string `json:"name"`
 	Group int    `json:"group"`
 	keep.Status
-	Fault string `json:"fault,omitempty"`
+	Fault string `json:"fault,omitempty"` // why the status is unknown
 }
 
 // runLedgerCommand runs an operator command on the ledger: find JSON, verify or stand.
@@ -75,6 +75,7 @@
 	return fmt.Errorf("unknown ledger command %q; the commands are find QUERY, verify, stand", words[0])
 }
 
+// dutyReport returns the session and the duties of this process.
 func (c *Cluster) dutyReport() DutyReport {
 	cs := c.consensus
 	report := DutyReport{Name: c.options.Settings.Self}
--- a/internal/cluster/peers.go
+++ b/internal/cluster/peers.go
@@ -18,6 +18,7 @@
 // Sink receives the messages of peers. from and to number the decision engines over all balancers. raw is valid only until
 // Told returns.
 type Sink interface {
+	// Told handles a message.
 	Told(from, to int, raw []byte)
 }
 
@@ -32,6 +33,7 @@
 	sink    Sink
 }
 
+// peerMessage is a message that waits to be sent.
 type peerMessage struct {
 	member  string
 	payload []byte
@@ -92,7 +94,8 @@
 		select {
 		case message := <-c.peerMessages:
 			if address, known := c.gossip.Resolve(message.member); known {
-				c.link.Send(link.KindPeers, message.member, address, message.payload) // errors are ignored, as delivery is not guaranteed
+				// Errors are ignored, because delivery is not guaranteed.
+				c.link.Send(link.KindPeers, message.member, address, message.payload)
 			}
 		case <-c.done:
 			return
@@ -103,7 +106,8 @@
 // handlePeerMessage passes a message from a peer to the sink of its pool. Messages with an unknown sender, pool or shard
 // are ignored.
 func (c *Cluster) handlePeerMessage(message []byte) {
-	if len(message) < peerHeaderBytes || len(message) < peerHeaderBytes+int(message[8]) || len(message) > peerHeaderBytes+255+maxPeerMessageBytes {
+	if len(message) < peerHeaderBytes || len(message) < peerHeaderBytes+int(message[8]) ||
+		len(message) > peerHeaderBytes+255+maxPeerMessageBytes {
 		return
 	}
 	c.mu.Lock()
--- a/internal/plan/cluster.go
+++ b/internal/plan/cluster.go
@@ -23,16 +23,21 @@
 		Name: t.RequiredText("name", "members of another cluster are refused, such as \"zuid\""), Self: r.plan.Name,
 		Address: t.Address("address", "TCP and UDP address for traffic between members, such as \"127.0.0.1:7101\""), Directory: t.Text("directory", ""),
 		Join: t.Strings("join"), Voters: t.Strings("voters"), Zone: t.Text("zone", ""), AddressOverrides: t.Map("through"),
-		ProbeInterval: t.Duration("probe_every", config.DefaultProbeInterval, 20*time.Millisecond), RejoinInterval: t.Duration("rejoin_every", config.DefaultRejoinInterval, 100*time.Millisecond),
-		ElectionTimeout: t.Duration("election", config.DefaultElectionTimeout, 100*time.Millisecond), Lease: t.Duration("lease", config.DefaultLease, 300*time.Millisecond),
-		ClockDrift: t.Number("drift", config.DefaultClockDrift, 0, 0.2), Groups: t.Int("groups", 1, 1, 64),
+		ProbeInterval:   t.Duration("probe_every", config.DefaultProbeInterval, 20*time.Millisecond),
+		RejoinInterval:  t.Duration("rejoin_every", config.DefaultRejoinInterval, 100*time.Millisecond),
+		ElectionTimeout: t.Duration("election", config.DefaultElectionTimeout, 100*time.Millisecond),
+		Lease:           t.Duration("lease", config.DefaultLease, 300*time.Millisecond),
+		ClockDrift:      t.Number("drift", config.DefaultClockDrift, 0, 0.2), Groups: t.Int("groups", 1, 1, 64),
 	}
 	r.plan.Cluster = clusterSettings
 	path := func(key string) string { return settings.JoinPath(t.Path, key) }
 	if !root.Has("name") {
 		r.Fault(t.Path, "the process has no name; write name = \"b1\" at the top of the file, with a different name for each member")
 	}
-	for _, n := range []struct{ key, what, text string }{{"name", "the process's name", clusterSettings.Self}, {path("name"), "the cluster's name", clusterSettings.Name}, {path("zone"), "the zone", clusterSettings.Zone}} {
+	for _, n := range []struct{ key, what, text string }{
+		{"name", "the name of the process", clusterSettings.Self}, {path("name"), "the name of the cluster", clusterSettings.Name},
+		{path("zone"), "the name of the zone", clusterSettings.Zone},
+	} {
 		if len(n.text) > maxMemberNameBytes {
 			r.Fault(n.key, "%s has %d bytes; the maximum is %d", n.what, len(n.text), maxMemberNameBytes)
 		}
@@ -49,16 +54,16 @@
 		}
 	}
 	for i, a := range clusterSettings.Join {
-		at := fmt.Sprintf("%s[%d]", path("join"), i)
+		keyPath := fmt.Sprintf("%s[%d]", path("join"), i)
 		if problem := settings.AddressProblem(a); problem != "" {
-			r.Fault(at, "%q %s", a, problem)
+			r.Fault(keyPath, "%q %s", a, problem)
 		} else if slices.Contains(clusterSettings.Join[:i], a) {
-			r.Fault(at, "%q stands there twice", a)
+			r.Fault(keyPath, "%q stands there twice", a)
 		}
 	}
 	for i, v := range clusterSettings.Voters {
 		if slices.Contains(clusterSettings.Voters[:i], v) {
-			r.Fault(fmt.Sprintf("%s[%d]", path("voters"), i), "%q stands there twice; each keeper has one vote", v)
+			r.Fault(fmt.Sprintf("%s[%d]", path("voters"), i), "%q stands there twice; each voter has one vote", v)
 		}
 	}
 	n := len(clusterSettings.Voters)
@@ -75,20 +80,20 @@
 	}
 	through := t.Table("through")
 	for _, name := range through.Keys() {
-		at := settings.JoinPath(through.Path, name)
+		keyPath := settings.JoinPath(through.Path, name)
 		if problem := settings.AddressProblem(clusterSettings.AddressOverrides[name]); problem != "" {
-			r.Fault(at, "%q %s", clusterSettings.AddressOverrides[name], problem)
+			r.Fault(keyPath, "%q %s", clusterSettings.AddressOverrides[name], problem)
 		}
 		switch {
 		case name == clusterSettings.Self:
-			r.Fault(at, "is this process itself")
+			r.Fault(keyPath, "is this process itself")
 		case n > 0 && !slices.Contains(clusterSettings.Voters, name):
-			r.Warn(at, "no voter is called so: the entry takes effect once a member with that name exists")
+			r.Warn(keyPath, "no voter is called so: the entry takes effect once a member with that name exists")
 		}
 	}
 	r.ledger(t, clusterSettings)
 	if clusterSettings.Lease < 2*clusterSettings.ElectionTimeout {
-		r.Warn(path("lease"), "%s is less than twice the election time-out of %s: owners lose their duties whenever the leader changes", clusterSettings.Lease, clusterSettings.ElectionTimeout)
+		r.Warn(path("lease"), "%s is less than twice the election timeout of %s: owners lose their duties whenever the leader changes", clusterSettings.Lease, clusterSettings.ElectionTimeout)
 	}
 	if len(clusterSettings.Join) == 0 && len(clusterSettings.Voters) != 1 {
 		r.Warn(path("join"), "is empty: this member waits for others to join it")
@@ -103,10 +108,12 @@
 		return
 	}
 	ledger := &config.Ledger{
-		Policy: ledgerTable.Choice("policy", "majority", "majority", "local", "off"), ClaimTimeout: ledgerTable.Duration("within", 500*time.Millisecond, 10*time.Millisecond),
-		BatchDelay: ledgerTable.Duration("lag", 20*time.Millisecond, 0), MaxKeys: ledgerTable.Int("keys", 200_000, 100, 1_000_000),
-		OnceOnlyRetention: ledgerTable.Duration("once_only_for", 10*time.Minute, time.Second), WaitForFirst: ledgerTable.Choice("repeats", "wait", "wait", "defer") == "wait",
-		RequireSameBody: ledgerTable.Bool("same_body", false),
+		Policy:       ledgerTable.Choice("policy", "majority", "majority", "local", "off"),
+		ClaimTimeout: ledgerTable.Duration("within", 500*time.Millisecond, 10*time.Millisecond),
+		BatchDelay:   ledgerTable.Duration("lag", 20*time.Millisecond, 0), MaxKeys: ledgerTable.Int("keys", 200_000, 100, 1_000_000),
+		OnceOnlyRetention: ledgerTable.Duration("once_only_for", 10*time.Minute, time.Second),
+		WaitForFirst:      ledgerTable.Choice("repeats", "wait", "wait", "defer") == "wait",
+		RequireSameBody:   ledgerTable.Bool("same_body", false),
 	}
 	clusterSettings.Ledger = ledger
 	switch ledger.Policy {
@@ -152,7 +159,7 @@
 		return ""
 	}
 	for _, a := range all {
-		if n, some := a.(*net.IPNet); some && n.IP.Equal(ip) {
+		if network, ok := a.(*net.IPNet); ok && network.IP.Equal(ip) {
 			return ""
 		}
 	}
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -80,7 +80,7 @@
 	defaultBodyBytes    = 64 << 20 // without a memory limit
 	bodyMemoryFraction  = 4        // with a memory limit, bodies get one part in this many of it
 	defaultReturnWithin = time.Second
-	defaultRefusalRate  = 4000
+	defaultRefusalRate  = 4000 // per second
 )
 
 // applyDefaults replaces missing limits by defaults.
@@ -120,8 +120,10 @@
 				window = max(window, clusterSettings.Ledger.OnceOnlyRetention)
 			}
 			hardStop := time.Duration(tariff.HardStop)
-			lines = append(lines, fmt.Sprintf("pool %s, tariff %s: a key is remembered for %s, so at most %.0f transactions per second are sustainable if there is no other tariff: keys / ((window + hard_stop) x (1 + drift) + 1s)",
-				pool.Name, pool.Settings.TariffName(number), clusterSettings.ClaimRetention(window, hardStop), clusterSettings.MaxClaimRate(window, hardStop)))
+			lines = append(lines, fmt.Sprintf(
+				"pool %s, tariff %s: a key is remembered for %s, so at most %.0f transactions per second are sustainable if there is no other tariff: keys / ((window + hard_stop) x (1 + drift) + 1s)",
+				pool.Name, pool.Settings.TariffName(number), clusterSettings.ClaimRetention(window, hardStop),
+				clusterSettings.MaxClaimRate(window, hardStop)))
 		}
 	}
 	slices.Sort(lines)
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -13,8 +13,10 @@
 	"ottershift/internal/terms"
 )
 
+// noEnvironment is an empty environment.
 func noEnvironment(string) (string, bool) { return "", false }
 
+// completeFile is a minimal valid file.
 const completeFile = `name = "n"
 [listeners.public]
 address = "127.0.0.1:8000"
@@ -102,7 +104,8 @@
 	}
 }
 
-func TestNoTOML(t *testing.T) {
+// A file that is not TOML has a single fault, with the line of the syntax error.
+func TestInvalidTOML(t *testing.T) {
 	p, faults := Parse("f.toml", []byte(completeFile+"[pools\n"), noEnvironment)
 	if p != nil || len(faults) != 1 || faults[0].Line != 12 {
 		t.Errorf("%+v", faults)
@@ -124,7 +127,7 @@
 }
 
 // Both formats decode to the same values and have the same defaults.
-func TestBothFormatsMeanTheSame(t *testing.T) {
+func TestFormatsDecodeEqually(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	json := `{"listen":"127.0.0.1:8000","discovery":"127.0.0.1:8500","seed":"7","limits":{"sockets":300},
 		"settings":{"fleet_size":1,"zone":"a","zones":["a"],"limits":{"cancelling":true,"max_pushes":3,"probes":true,
@@ -202,7 +205,7 @@
 }
 
 // The settings for live weights, peers and shadow mode are checked, and without them these features are off.
-func TestNewerShape(t *testing.T) {
+func TestLiveWeightsAndPeers(t *testing.T) {
 	for _, c := range [][2]string{
 		{"weights = \"love\"", `pools.album.weights: "love" is none of nominal, live`},
 		{"watch = true", `pools.album.watch: requires weights = "live" or peers`},
@@ -237,7 +240,7 @@
 }
 
 // The address for operations belongs to the process and is refused in a pool.
-func TestSecondAddressIsTheProcesss(t *testing.T) {
+func TestOpsAddressOnlyForProcess(t *testing.T) {
 	p, _ := Parse("f.toml", []byte("ops = \"127.0.0.1:1\"\n"+completeFile), noEnvironment)
 	if p == nil || p.OpsAddress != "127.0.0.1:1" {
 		t.Errorf("%+v", p)
--- a/internal/plan/platform.go
+++ b/internal/plan/platform.go
@@ -53,38 +53,42 @@
 		}
 	}
 	pool := &Pool{
-		Name: "main", Fingerprint: string(document.Get("settings").MarshalTo(nil)), Settings: terms.Decode(document.Get("settings"), seed), Share: -1, Upstreams: UpstreamSource{Discovery: discoveryAddress},
+		Name: "main", Fingerprint: string(document.Get("settings").MarshalTo(nil)),
+		Settings: terms.Decode(document.Get("settings"), seed), Share: -1, Upstreams: UpstreamSource{Discovery: discoveryAddress},
 	}
-	pool.Settings.Engine.Peers = false // this format has no peer addresses, and load from unknown peers would look like no load
+	// This format has no peer addresses, and load from unknown peers would look like no load.
+	pool.Settings.Engine.Peers = false
 	if known := document.Get("known"); known != nil && known.Type() != fastjson.TypeNull {
 		if pool.Upstreams.Initial, _, err = discovery.Read(known); err != nil {
 			return nil, fmt.Errorf("%s: known: %w", path, err)
 		}
 	}
-	p := &Plan{
+	plan := &Plan{
 		Name: fieldOrEnv("name", "PROXY_NAME"), Platform: true, Seed: seed, Pools: []*Pool{pool},
 		Listeners: []Listener{{"main", listen, inherited}}, OpsAddress: fieldOrEnv("ops", "PROXY_OPS"), platformKeys: keyPaths(document),
 		Limits: Limits{
-			Cores: int(document.GetFloat64("limits", "cores")), MemoryBytes: int64(document.GetFloat64("limits", "memory_mb") * (1 << 20)), Descriptors: document.GetInt("limits", "sockets"),
+			Cores: int(document.GetFloat64("limits", "cores")), MemoryBytes: int64(document.GetFloat64("limits", "memory_mb") * (1 << 20)),
+			Descriptors: document.GetInt("limits", "sockets"),
 		},
 	}
-	p.Limits.applyDefaults()
-	return p, nil
+	plan.Limits.applyDefaults()
+	return plan, nil
 }
 
+// maxTimeMicros is the longest time that validate accepts, in microseconds.
 const maxTimeMicros = 24 * 3600 * 1e6 // longer times are assumed to be mistakes
 
 // validate reports the first invalid value in the settings. If mistakes were tolerated, one wrong number could make the
 // balancer reject all transactions or retry them endlessly.
-func validate(v *fastjson.Value) error {
-	if most := v.Get("limits", "max_pushes"); most != nil {
-		if n, err := most.Int(); err != nil || n < 1 {
-			return fmt.Errorf("settings.limits.max_pushes: %s is not a positive number of attempts", most)
+func validate(settings *fastjson.Value) error {
+	if maxAttempts := settings.Get("limits", "max_pushes"); maxAttempts != nil {
+		if index, err := maxAttempts.Int(); err != nil || index < 1 {
+			return fmt.Errorf("settings.limits.max_pushes: %s is not a positive number of attempts", maxAttempts)
 		}
 	}
 	seen := map[string]bool{}
-	for n, tariff := range v.GetArray("tariffs") {
-		tariffPath, name := fmt.Sprintf("settings.tariffs[%d]", n), string(tariff.GetStringBytes("name"))
+	for index, tariff := range settings.GetArray("tariffs") {
+		tariffPath, name := fmt.Sprintf("settings.tariffs[%d]", index), string(tariff.GetStringBytes("name"))
 		switch {
 		case tariff.Type() != fastjson.TypeObject:
 			return fmt.Errorf("%s: is not an object", tariffPath)
@@ -105,7 +109,7 @@
 			return fmt.Errorf("%s.effect: %q is not a known effect", tariffPath, effect)
 		}
 	}
-	if zone, zones := string(v.GetStringBytes("zone")), v.GetArray("zones"); len(zones) > 0 &&
+	if zone, zones := string(settings.GetStringBytes("zone")), settings.GetArray("zones"); len(zones) > 0 &&
 		!slices.ContainsFunc(zones, func(z *fastjson.Value) bool { return string(z.GetStringBytes()) == zone }) {
 		return fmt.Errorf("settings.zone: %q is not one of the zones", zone)
 	}
@@ -115,14 +119,14 @@
 // keyPaths returns the sorted paths of all keys of a configuration, except those inside the list of known upstreams. Of a
 // list of objects, it returns the keys that every object has.
 func keyPaths(v *fastjson.Value) (all []string) {
-	var walk func(v *fastjson.Value, at string) map[string]bool
-	walk = func(v *fastjson.Value, at string) map[string]bool {
+	var walk func(v *fastjson.Value, prefix string) map[string]bool
+	walk = func(v *fastjson.Value, prefix string) map[string]bool {
 		found := map[string]bool{}
 		switch v.Type() {
 		case fastjson.TypeObject:
 			o, _ := v.Object()
 			o.Visit(func(key []byte, v *fastjson.Value) {
-				path := at + string(key)
+				path := prefix + string(key)
 				found[path] = true
 				if path != "known" {
 					maps.Copy(found, walk(v, path+"."))
@@ -130,11 +134,11 @@
 			})
 		case fastjson.TypeArray:
 			for n, v := range v.GetArray() {
-				each := walk(v, strings.TrimSuffix(at, ".")+"[].")
+				elementKeys := walk(v, strings.TrimSuffix(prefix, ".")+"[].")
 				if n == 0 {
-					found = each
+					found = elementKeys
 				}
-				maps.DeleteFunc(found, func(key string, _ bool) bool { return !each[key] })
+				maps.DeleteFunc(found, func(key string, _ bool) bool { return !elementKeys[key] })
 			}
 		}
 		return found
--- a/internal/plan/pools.go
+++ b/internal/plan/pools.go
@@ -36,7 +36,10 @@
 	if root == nil {
 		return nil, f.Faults
 	}
-	r := &reader{File: f, plan: &Plan{}, tariffs: map[string]*logic.Tariff{}, customers: map[string]float64{}, ownPeerAddresses: map[string]bool{}}
+	r := &reader{
+		File: f, plan: &Plan{}, tariffs: map[string]*logic.Tariff{}, customers: map[string]float64{},
+		ownPeerAddresses: map[string]bool{},
+	}
 	r.root(root)
 	if f.Finish() {
 		return nil, f.Faults
@@ -82,37 +85,37 @@
 	r.plan.Log = Log{logTable.Choice("level", "info", "debug", "info", "warn", "error"), logTable.Choice("format", "text", "text", "json")}
 	logTable.ReportUnknownKeys()
 
-	names, all := t.NamedTables("tariffs")
+	names, tables := t.NamedTables("tariffs")
 	for i, name := range names {
-		r.tariffs[name] = readTariff(all[i])
+		r.tariffs[name] = readTariff(tables[i])
 	}
-	names, all = t.NamedTables("customers")
+	names, tables = t.NamedTables("customers")
 	for i, name := range names {
-		r.customers[name] = all[i].Number("rate", 0, 0, 1e9)
-		if !all[i].Has("rate") {
-			r.Fault(all[i].Path, "rate is missing: the transactions per second within the quota of the customer")
+		r.customers[name] = tables[i].Number("rate", 0, 0, 1e9)
+		if !tables[i].Has("rate") {
+			r.Fault(tables[i].Path, "rate is missing: the transactions per second within the quota of the customer")
 		}
-		all[i].ReportUnknownKeys()
+		tables[i].ReportUnknownKeys()
 	}
 
 	listenerByAddress := map[string]string{}
-	names, all = t.NamedTables("listeners")
+	names, tables = t.NamedTables("listeners")
 	for i, name := range names {
-		address := all[i].Address("address", "where clients connect, such as \"127.0.0.1:8000\"")
+		address := tables[i].Address("address", "where clients connect, such as \"127.0.0.1:8000\"")
 		if other := listenerByAddress[address]; other != "" && address != "" {
-			r.Fault(all[i].Path, "has the same address as %q; use routes to serve several pools through one listener", other)
+			r.Fault(tables[i].Path, "has the same address as %q; use routes to serve several pools through one listener", other)
 		}
 		listenerByAddress[address] = name
-		all[i].ReportUnknownKeys()
+		tables[i].ReportUnknownKeys()
 		r.plan.Listeners = append(r.plan.Listeners, Listener{Name: name, Address: address})
 	}
 	if len(names) == 0 {
 		r.Fault("listeners", "none are configured; write [listeners.NAME] with an address")
 	}
 
-	names, all = t.NamedTables("pools")
+	names, tables = t.NamedTables("pools")
 	for i, name := range names {
-		r.pool(name, all[i])
+		r.pool(name, tables[i])
 	}
 	if len(names) == 0 {
 		r.Fault("pools", "none are configured; write [pools.NAME]")
@@ -217,11 +220,11 @@
 // peers reads the addresses at which the balancers of a pool exchange their state.
 func (r *reader) peers(poolSettings *terms.Settings, t *settings.Table) []string {
 	engine := poolSettings.Engine
-	all, path := t.Strings("peers"), settings.JoinPath(t.Path, "peers")
+	addresses, path := t.Strings("peers"), settings.JoinPath(t.Path, "peers")
 	if !t.Has("peers") {
 		return nil
 	}
-	if len(all) == 1 && all[0] == "cluster" {
+	if len(addresses) == 1 && addresses[0] == "cluster" {
 		poolSettings.ClusterPeers = true
 		switch {
 		case r.plan.Cluster == nil:
@@ -236,24 +239,24 @@
 		}
 		return nil
 	}
-	if len(all) != engine.Balancers {
-		r.Fault(path, "there are %d addresses for %d balancers; write one for each, in the order of their indexes", len(all), engine.Balancers)
+	if len(addresses) != engine.Balancers {
+		r.Fault(path, "there are %d addresses for %d balancers; write one for each, in the order of their indexes", len(addresses), engine.Balancers)
 	} else if engine.Balancers == 1 {
 		r.Fault(path, "a single balancer has no peers; remove peers")
 	}
-	for i, text := range all {
-		at := fmt.Sprintf("%s[%d]", path, i)
+	for i, text := range addresses {
+		keyPath := fmt.Sprintf("%s[%d]", path, i)
 		if problem := settings.AddressProblem(text); problem != "" {
-			r.Fault(at, "%q %s", text, problem)
-		} else if slices.Contains(all[:i], text) {
-			r.Fault(at, "%q is already the address of another balancer", text)
+			r.Fault(keyPath, "%q %s", text, problem)
+		} else if slices.Contains(addresses[:i], text) {
+			r.Fault(keyPath, "%q is already the address of another balancer", text)
 		} else if i == engine.Index && r.ownPeerAddresses[text] {
-			r.Fault(at, "%q is already the peer address of another pool; each pool needs its own", text)
+			r.Fault(keyPath, "%q is already the peer address of another pool; each pool needs its own", text)
 		} else if i == engine.Index {
 			r.ownPeerAddresses[text] = true
 		}
 	}
-	return all
+	return addresses
 }
 
 // tariffsAndCustomers reads the tariffs and customers of a pool; by default a pool has all of them.
@@ -272,16 +275,16 @@
 			r.Fault(settings.JoinPath(t.Path, "tariffs"), "%q is listed twice", name)
 			continue
 		}
-		own := *tariff // the decision engine keeps state in it, so pools must not share it
+		copied := *tariff // the decision engine keeps state in it, so pools must not share it
 		poolSettings.Tariffs[name] = len(poolSettings.Engine.Tariffs)
-		poolSettings.Engine.Tariffs = append(poolSettings.Engine.Tariffs, &own)
+		poolSettings.Engine.Tariffs = append(poolSettings.Engine.Tariffs, &copied)
 	}
 	if len(names) == 0 {
 		r.Fault(t.Path, "the pool has no tariff; write [tariffs.NAME] with contract_time and hard_stop")
 	}
 	if name := t.Text("default_tariff", ""); name != "" {
-		if n, known := poolSettings.Tariffs[name]; known {
-			poolSettings.DefaultTariff = n
+		if number, known := poolSettings.Tariffs[name]; known {
+			poolSettings.DefaultTariff = number
 		} else {
 			r.Fault(settings.JoinPath(t.Path, "default_tariff"), "%q is not a tariff of this pool%s", name, availableNames(sortedKeys(poolSettings.Tariffs)))
 		}
@@ -342,9 +345,9 @@
 // routes reads the route table.
 func (r *reader) routes(t *settings.Table) {
 	r.routedPools = map[string]bool{}
-	all := t.Tables("routes")
+	tables := t.Tables("routes")
 	names := map[string]bool{}
-	for i, table := range all {
+	for i, table := range tables {
 		route := routes.Route{
 			Name: table.Text("name", fmt.Sprintf("route-%d", i+1)), Hosts: table.Strings("hosts"), Paths: table.Strings("paths"),
 			Prefixes: table.Strings("prefixes"), Methods: table.Strings("methods"), Listeners: table.Strings("listeners"),
@@ -361,9 +364,9 @@
 			r.Fault(settings.JoinPath(table.Path, "name"), "%q is already the name of another route", route.Name)
 		}
 		names[route.Name] = true
-		for _, l := range route.Listeners {
-			if !slices.ContainsFunc(r.plan.Listeners, func(x Listener) bool { return x.Name == l }) {
-				r.Fault(settings.JoinPath(table.Path, "listeners"), "%q is not a listener", l)
+		for _, name := range route.Listeners {
+			if !slices.ContainsFunc(r.plan.Listeners, func(fault Listener) bool { return fault.Name == name }) {
+				r.Fault(settings.JoinPath(table.Path, "listeners"), "%q is not a listener", name)
 			}
 		}
 		i := slices.IndexFunc(r.plan.Pools, func(p *Pool) bool { return p.Name == route.Pool })
@@ -382,23 +385,23 @@
 		table.ReportUnknownKeys()
 		r.plan.Routes = append(r.plan.Routes, route)
 	}
-	if len(all) == 0 {
+	if len(tables) == 0 {
 		r.Fault("routes", "none are configured; write [[routes]] with a pool")
 	}
 	for _, p := range r.plan.Pools {
-		if !r.routedPools[p.Name] && len(all) > 0 {
+		if !r.routedPools[p.Name] && len(tables) > 0 {
 			r.Warn("pools."+p.Name, "no route leads to this pool")
 		}
 	}
 	var faults []routes.Fault
 	r.plan.Table, faults = routes.New(r.plan.Routes)
-	for _, x := range faults {
-		path := all[x.RouteIndex].Path
-		text := fmt.Sprintf("route %q %s", r.plan.Routes[x.RouteIndex].Name, x.Text)
-		if x.Key != "" {
-			path, text = settings.JoinPath(path, x.Key), x.Text
+	for _, fault := range faults {
+		path := tables[fault.RouteIndex].Path
+		text := fmt.Sprintf("route %q %s", r.plan.Routes[fault.RouteIndex].Name, fault.Text)
+		if fault.Key != "" {
+			path, text = settings.JoinPath(path, fault.Key), fault.Text
 		}
-		if x.Warning {
+		if fault.Warning {
 			r.Warn(path, "%s", text)
 		} else {
 			r.Fault(path, "%s", text)
@@ -407,24 +410,24 @@
 }
 
 // sortedKeys returns the keys of a map in alphabetical order.
-func sortedKeys[V any](m map[string]V) (all []string) {
+func sortedKeys[V any](m map[string]V) (keys []string) {
 	for k := range m {
-		all = append(all, k)
+		keys = append(keys, k)
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(keys)
+	return keys
 }
 
 // hasKey reports whether a map has a key.
 func hasKey[V any](m map[string]V, key string) bool {
-	_, some := m[key]
-	return some
+	_, found := m[key]
+	return found
 }
 
 // availableNames lists the valid names for a message; it returns "" if there are none or more than 20.
-func availableNames(words []string) string {
-	if len(words) == 0 || len(words) > 20 {
+func availableNames(names []string) string {
+	if len(names) == 0 || len(names) > 20 {
 		return ""
 	}
-	return "; there are " + strings.Join(words, ", ")
+	return "; there are " + strings.Join(names, ", ")
 }
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -325,7 +325,7 @@
 			continue
 		}
 		// Danger: made anew it would know nothing of its upstreams, and feed cold ones beside its predecessor.
-		if now := s.pools[told.Name]; now != nil && now.Shards() == p.Limits.Cores && now.told.Settings.CanReplace(told.Settings) {
+		if now := s.pools[told.Name]; now != nil && now.Shards() == p.Limits.Cores && now.told.Settings.CanSwitchTo(told.Settings) {
 			if err := told.Settings.Engine.Validate(); err != nil {
 				return fmt.Errorf("pool %s: %w", told.Name, err)
 			}
--- a/internal/routes/normalize.go
+++ b/internal/routes/normalize.go
@@ -30,6 +30,7 @@
 	return strings.ToLower(name), true
 }
 
+// isPortSuffix reports whether the text is empty or a colon followed by at most five digits.
 func isPortSuffix(text string) bool {
 	return text == "" || text[0] == ':' && len(text) <= 6 && strings.Trim(text[1:], "0123456789") == ""
 }
@@ -116,10 +117,12 @@
 	return true
 }
 
+// isHexDigit reports whether a byte is a hexadecimal digit.
 func isHexDigit(c byte) bool {
 	return c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F'
 }
 
+// hexValue returns the value of a hexadecimal digit.
 func hexValue(c byte) byte {
 	switch {
 	case c >= 'a':
@@ -130,6 +133,7 @@
 	return c - '0'
 }
 
+// isUnreserved reports whether a byte is an unreserved character of RFC 3986.
 func isUnreserved(c byte) bool {
 	return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || strings.IndexByte("-._~", c) >= 0
 }
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -39,7 +39,7 @@
 	routeIndex int    // index in the list given to New; used only in faults
 	host       string // "*." before a suffix, "*" for any
 	path       string
-	prefix     bool
+	prefix     bool     // path is a prefix
 	methods    []string // sorted, without duplicates
 	headers    []Header // sorted, without duplicates
 	listeners  []string // names, sorted, without duplicates
@@ -47,21 +47,21 @@
 
 // hostEntries holds all entries for one host.
 type hostEntries struct {
-	exact       map[string][]*entry
-	prefix      map[string][]*entry
-	maxSegments int // number of segments of the longest prefix
+	exact       map[string][]*entry // by path
+	prefix      map[string][]*entry // by prefix without final "/"
+	maxSegments int                 // number of segments of the longest prefix
 }
 
 // Table finds the route of a transaction.
 type Table struct {
-	hosts           map[string]*hostEntries // exact names, "*.suffix" and "*"
+	hosts           map[string]*hostEntries // by exact name, "*.suffix" or "*"
 	maxSuffixLabels int                     // number of labels of the longest suffix
 }
 
 // Fault is an error in a route, or a warning about a valid one.
 type Fault struct {
-	RouteIndex int // index in the list given to New
-	Key        string
+	RouteIndex int    // index in the list given to New
+	Key        string // key of the route that is wrong; "" for the route as a whole
 	Text       string
 	Warning    bool
 }
@@ -189,6 +189,7 @@
 	return cmp.Compare(a, b)
 }
 
+// countWildcards returns the number of headers that may have any value.
 func countWildcards(headers []Header) (n int) {
 	for _, h := range headers {
 		if h.Value == "*" {
@@ -212,12 +213,12 @@
 		entries := t.hosts[name]
 		for _, byPath := range []map[string][]*entry{entries.exact, entries.prefix} {
 			var paths []string
-			for p := range byPath {
-				paths = append(paths, p)
+			for path := range byPath {
+				paths = append(paths, path)
 			}
 			slices.Sort(paths)
-			for _, p := range paths {
-				list := byPath[p]
+			for _, path := range paths {
+				list := byPath[path]
 				slices.SortStableFunc(list, compareEntries)
 				for i, e := range list {
 					if i > 0 && compareEntries(list[i-1], e) == 0 {
@@ -279,8 +280,8 @@
 func (e *entry) overlaps(other *entry) bool {
 	return intersect(e.methods, other.methods) && intersect(e.listeners, other.listeners) &&
 		!slices.ContainsFunc(e.headers, func(h Header) bool {
-			return slices.ContainsFunc(other.headers, func(g Header) bool {
-				return h.Name == g.Name && h.Value != g.Value && h.Value != "*" && g.Value != "*"
+			return slices.ContainsFunc(other.headers, func(otherHeader Header) bool {
+				return h.Name == otherHeader.Name && h.Value != otherHeader.Value && h.Value != "*" && otherHeader.Value != "*"
 			})
 		})
 }
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -11,6 +11,7 @@
 	"pgregory.net/rapid"
 )
 
+// TestHost checks normalized hosts; "!" marks those that must be refused.
 func TestHost(t *testing.T) {
 	for host, want := range map[string]string{
 		"": "", "album.example.org": "album.example.org", "Album.EXAMPLE.org.": "album.example.org",
@@ -25,6 +26,7 @@
 	}
 }
 
+// TestPath checks normalized paths; "!" marks those that must be refused.
 func TestPath(t *testing.T) {
 	for path, want := range map[string]string{
 		"": "/", "/": "/", "/album": "/album", "/album/": "/album/", "/album/../opslag": "/opslag", "/album/..": "/",
@@ -66,7 +68,7 @@
 func hasPrecedence(a, b entry) bool {
 	rank := func(e entry) []int {
 		host := 1 << 20
-		if suffix, wild := strings.CutPrefix(e.host, "*."); wild {
+		if suffix, wildcard := strings.CutPrefix(e.host, "*."); wildcard {
 			host = len(suffix)
 		} else if e.host == "*" {
 			host = 0
@@ -75,26 +77,26 @@
 		if e.prefix {
 			path = strings.Count(e.path, "/")
 		}
-		few := func(n int) int {
+		fewerFirst := func(n int) int {
 			if n == 0 {
 				return -1 << 20
 			}
 			return -n
 		}
-		return []int{host, path, few(len(e.methods)), len(e.headers), few(len(e.listeners)), -countWildcards(e.headers)}
+		return []int{host, path, fewerFirst(len(e.methods)), len(e.headers), fewerFirst(len(e.listeners)), -countWildcards(e.headers)}
 	}
 	return slices.Compare(rank(a), rank(b)) > 0
 }
 
 // Find must return the matching route with the highest precedence, whatever the order of the routes.
-func TestFindIsTheBestOfAllThatMatch(t *testing.T) {
+func TestFindReturnsHighestPrecedence(t *testing.T) {
 	hosts := []string{"a.x.org", "b.x.org", "*.x.org", "*.org", "*", "x.org"}
 	paths := []string{"/", "/p", "/p/q", "/p/q/r", "/p/qq"}
 	list := func(from []string, most int) *rapid.Generator[[]string] {
 		return rapid.SliceOfNDistinct(rapid.SampledFrom(from), 0, most, rapid.ID)
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		var all []Route
+		var given []Route
 		for n := range rapid.IntRange(1, 12).Draw(t, "routes") {
 			r := Route{
 				Name: fmt.Sprint(n), Hosts: list(hosts, 3).Draw(t, "hosts"), Paths: list(paths, 2).Draw(t, "paths"),
@@ -104,76 +106,76 @@
 			for _, name := range list([]string{"X-A", "X-B"}, 2).Draw(t, "headers") {
 				r.Headers = append(r.Headers, Header{name, rapid.SampledFrom([]string{"1", "*"}).Draw(t, "value")})
 			}
-			all = append(all, r)
+			given = append(given, r)
 		}
-		table, faults := New(all)
-		shuffled := slices.Clone(all)
-		rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "order"), 0)).Shuffle(len(all), func(i, j int) {
+		table, faults := New(given)
+		shuffled := slices.Clone(given)
+		rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "order"), 0)).Shuffle(len(given), func(i, j int) {
 			shuffled[i], shuffled[j] = shuffled[j], shuffled[i]
 		})
-		other, _ := New(shuffled)
-		if table == nil || other == nil {
-			if (table == nil) != (other == nil) {
+		shuffledTable, _ := New(shuffled)
+		if table == nil || shuffledTable == nil {
+			if (table == nil) != (shuffledTable == nil) {
 				t.Fatalf("a fault in one order only: %v", faults)
 			}
 			return
 		}
-		said := http.Header{}
+		headers := http.Header{}
 		for _, name := range []string{"X-A", "X-B"} {
 			if v := rapid.SampledFrom([]string{"", "1", "2"}).Draw(t, name); v != "" {
-				said.Set(name, v)
+				headers.Set(name, v)
 			}
 		}
-		q := &Request{
+		request := &Request{
 			Host:   rapid.SampledFrom([]string{"a.x.org", "b.x.org", "c.x.org", "d.c.x.org", "x.org", "y.org", "z", ""}).Draw(t, "host"),
 			Path:   rapid.SampledFrom([]string{"/", "/p", "/p/", "/p/q", "/p/q/", "/p/q/r/s", "/pp", "/p/qq"}).Draw(t, "path"),
 			Method: rapid.SampledFrom([]string{"GET", "POST", "DELETE"}).Draw(t, "method"), Listener: "l",
-			Header: func(name string) (string, bool) { return said.Get(name), said.Get(name) != "" },
+			Header: func(name string) (string, bool) { return headers.Get(name), headers.Get(name) != "" },
 		}
 		var best *entry
 		for _, h := range table.hosts {
-			for _, at := range []map[string][]*entry{h.exact, h.prefix} {
-				for _, list := range at {
+			for _, byPath := range []map[string][]*entry{h.exact, h.prefix} {
+				for _, list := range byPath {
 					for _, e := range list {
 						suffix, wild := strings.CutPrefix(e.host, "*.")
-						host := e.host == "*" || e.host == q.Host && q.Host != "" || wild && strings.HasSuffix(q.Host, "."+suffix)
-						path := e.path == q.Path
+						host := e.host == "*" || e.host == request.Host && request.Host != "" || wild && strings.HasSuffix(request.Host, "."+suffix)
+						path := e.path == request.Path
 						if e.prefix {
-							path = q.Path == e.path || strings.HasPrefix(q.Path, e.path+"/")
+							path = request.Path == e.path || strings.HasPrefix(request.Path, e.path+"/")
 						}
-						if host && path && e.matches(q) && (best == nil || hasPrecedence(*e, *best)) {
+						if host && path && e.matches(request) && (best == nil || hasPrecedence(*e, *best)) {
 							best = e
 						}
 					}
 				}
 			}
 		}
-		got, again := table.Find(q), other.Find(q)
-		if (got == nil) != (best == nil) || got != nil && got.Name != best.Name && hasPrecedence(*best, findEntry(table, got, q)) {
-			t.Fatalf("%+v found %+v, best is %+v", q, got, best)
+		got, foundShuffled := table.Find(request), shuffledTable.Find(request)
+		if (got == nil) != (best == nil) || got != nil && got.Name != best.Name && hasPrecedence(*best, findEntry(table, got, request)) {
+			t.Fatalf("%+v found %+v, best is %+v", request, got, best)
 		}
-		if (got == nil) != (again == nil) || got != nil && got.Name != again.Name {
-			t.Fatalf("%+v found %+v in one order and %+v in another", q, got, again)
+		if (got == nil) != (foundShuffled == nil) || got != nil && got.Name != foundShuffled.Name {
+			t.Fatalf("%+v found %+v in one order and %+v in another", request, got, foundShuffled)
 		}
-		takes := 0
-		for _, m := range table.Explain(q) {
+		selected := 0
+		for _, m := range table.Explain(request) {
 			if m.Reason == "" {
-				takes++
+				selected++
 				if m.Route != got {
-					t.Fatalf("explained as %q, found %q", m.Route.Name, got.Name)
+					t.Fatalf("Explain selects %q, Find %q", m.Route.Name, got.Name)
 				}
 			}
 		}
-		if takes > 1 || (takes == 1) != (got != nil) {
-			t.Fatalf("%d explained to take it", takes)
+		if selected > 1 || (selected == 1) != (got != nil) {
+			t.Fatalf("Explain selects %d routes", selected)
 		}
 	})
 }
 
 // findEntry returns the first entry of the route that matches the request.
-func findEntry(t *Table, r *Route, q *Request) (found entry) {
-	t.walk(q, func(e *entry) bool {
-		if e.Route == r && e.matches(q) {
+func findEntry(t *Table, r *Route, request *Request) (found entry) {
+	t.walk(request, func(e *entry) bool {
+		if e.Route == r && e.matches(request) {
 			found = *e
 		}
 		return found.Route == nil
@@ -181,7 +183,8 @@
 	return found
 }
 
-func TestFaultsAndRemarks(t *testing.T) {
+// Indistinguishable routes and invalid conditions are faults, overlapping routes are warnings.
+func TestFaultsAndWarnings(t *testing.T) {
 	for name, c := range map[string]struct {
 		a, b Route
 		want string
@@ -209,13 +212,13 @@
 // BenchmarkFind measures a lookup with different numbers of routes.
 func BenchmarkFind(b *testing.B) {
 	for _, n := range []int{10, 1000, 100_000} {
-		var all []Route
+		var given []Route
 		for i := range n {
-			all = append(all, Route{
+			given = append(given, Route{
 				Name: fmt.Sprint(i), Hosts: []string{fmt.Sprintf("h%d.example.org", i/10)}, Prefixes: []string{fmt.Sprintf("/part/%d", i%10)},
 			})
 		}
-		table, faults := New(all)
+		table, faults := New(given)
 		if table == nil {
 			b.Fatal(faults)
 		}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -216,8 +216,8 @@
 // value returns the value of a key, or nil if it is absent, and marks the key as read.
 func (t *Table) value(key string) (value any, path string) {
 	t.requested = append(t.requested, key)
-	if f, some := t.values[key].(expandedText); some {
-		return string(f), JoinPath(t.Path, key)
+	if text, ok := t.values[key].(expandedText); ok {
+		return string(text), JoinPath(t.Path, key)
 	}
 	return t.values[key], JoinPath(t.Path, key)
 }
@@ -281,8 +281,8 @@
 
 // isExpanded reports whether a variable was expanded in the value of a key.
 func (t *Table) isExpanded(key string) bool {
-	_, some := t.values[key].(expandedText)
-	return some
+	_, ok := t.values[key].(expandedText)
+	return ok
 }
 
 // Number reads a number within bounds.
@@ -344,6 +344,7 @@
 	return fallback
 }
 
+// sizeUnits are the suffixes that Size accepts; a suffix of another one must follow it.
 var sizeUnits = []struct {
 	name  string
 	bytes float64
@@ -363,7 +364,7 @@
 	case string:
 		number, unit := v, 1.0
 		for _, u := range sizeUnits {
-			if rest, some := strings.CutSuffix(v, u.name); some {
+			if rest, ok := strings.CutSuffix(v, u.name); ok {
 				number, unit = strings.TrimSpace(rest), u.bytes
 				break
 			}
@@ -383,27 +384,27 @@
 }
 
 // Strings reads a list of strings, or a single string as a list of one.
-func (t *Table) Strings(key string) (all []string) {
+func (t *Table) Strings(key string) (texts []string) {
 	v, path := t.value(key)
 	switch v := v.(type) {
 	case nil:
 	case string:
 		return []string{v}
 	case []any:
-		for i, e := range v {
-			switch e := e.(type) {
+		for i, element := range v {
+			switch element := element.(type) {
 			case string:
-				all = append(all, e)
+				texts = append(texts, element)
 			case expandedText:
-				all = append(all, string(e))
+				texts = append(texts, string(element))
 			default:
-				t.File.Fault(fmt.Sprintf("%s[%d]", path, i), "%s is not a string; write it in quotes", formatValue(e))
+				t.File.Fault(fmt.Sprintf("%s[%d]", path, i), "%s is not a string; write it in quotes", formatValue(element))
 			}
 		}
 	default:
 		t.File.Fault(path, "%s is not a list; write it as [\"a\", \"b\"]", formatValue(v))
 	}
-	return all
+	return texts
 }
 
 // Address reads a host and a port. The description is shown if the address is missing; "" makes the address optional.
@@ -454,37 +455,37 @@
 }
 
 // NamedTables reads a table of tables, sorted by name.
-func (t *Table) NamedTables(key string) (names []string, all []*Table) {
+func (t *Table) NamedTables(key string) (names []string, tables []*Table) {
 	table := t.Table(key)
 	for _, name := range table.Keys() {
 		if name == "" || strings.Trim(name, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_") != "" {
 			t.File.Fault(JoinPath(table.Path, name), "%q is not a valid name; use letters, digits, \"-\" and \"_\"", name)
 		}
-		names, all = append(names, name), append(all, table.Table(name))
+		names, tables = append(names, name), append(tables, table.Table(name))
 	}
-	return names, all
+	return names, tables
 }
 
 // Keys returns the keys of a table in alphabetical order.
 func (t *Table) Keys() []string { return slices.Sorted(maps.Keys(t.values)) }
 
 // Tables reads an array of tables.
-func (t *Table) Tables(key string) (all []*Table) {
+func (t *Table) Tables(key string) (tables []*Table) {
 	v, path := t.value(key)
 	list, ok := v.([]any)
 	if !ok && v != nil {
 		t.File.Fault(path, "is not a list of tables; write each as [[%s]]", path)
 	}
-	for i, e := range list {
-		at := fmt.Sprintf("%s[%d]", path, i)
-		m, ok := e.(map[string]any)
+	for i, element := range list {
+		elementPath := fmt.Sprintf("%s[%d]", path, i)
+		m, ok := element.(map[string]any)
 		if !ok {
-			t.File.Fault(at, "is not a table")
+			t.File.Fault(elementPath, "is not a table")
 			continue
 		}
-		all = append(all, &Table{File: t.File, Path: at, values: m})
+		tables = append(tables, &Table{File: t.File, Path: elementPath, values: m})
 	}
-	return all
+	return tables
 }
 
 // ReportUnknownKeys records a fault for each key that was not read.
@@ -574,11 +575,11 @@
 		}
 		return m
 	case []any:
-		all := make([]any, len(v))
+		list := make([]any, len(v))
 		for i := range v {
-			all[i] = unwrapExpanded(v[i])
+			list[i] = unwrapExpanded(v[i])
 		}
-		return all
+		return list
 	}
 	return v
 }
--- a/internal/terms/terms.go
+++ b/internal/terms/terms.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	nanosPerMicrosecond = 1000
+	nanosPerMicrosecond = 1000        // the platform states times in microseconds, the engine uses nanoseconds
 	defaultDialTimeout  = time.Second // without a limit, an attempt at an unreachable machine would hang
 	defaultProbePath    = "/ping"     // the path that the platform uses
 )
@@ -73,12 +73,12 @@
 	engine.Seed += uint64(index) * 0x9e3779b97f4a7c15
 	engine.Tariffs, engine.Customers = nil, nil
 	for _, tariff := range s.Engine.Tariffs {
-		own := *tariff
-		engine.Tariffs = append(engine.Tariffs, &own)
+		copied := *tariff
+		engine.Tariffs = append(engine.Tariffs, &copied)
 	}
 	for _, customer := range s.Engine.Customers {
-		own := *customer
-		engine.Customers = append(engine.Customers, &own)
+		copied := *customer
+		engine.Customers = append(engine.Customers, &copied)
 	}
 	shard.Engine = &engine
 	return &shard
@@ -86,27 +86,31 @@
 
 // KeepLearned takes over the learned state of those tariffs and customers that are the same in the earlier settings.
 func (s *Settings) KeepLearned(earlier *Settings) {
-	for name, n := range s.Tariffs {
-		if m, was := earlier.Tariffs[name]; was && s.Engine.Tariffs[n].Same(earlier.Engine.Tariffs[m]) {
-			s.Engine.Tariffs[n] = earlier.Engine.Tariffs[m]
+	for name, number := range s.Tariffs {
+		if earlierNumber, found := earlier.Tariffs[name]; found && s.Engine.Tariffs[number].Same(earlier.Engine.Tariffs[earlierNumber]) {
+			s.Engine.Tariffs[number] = earlier.Engine.Tariffs[earlierNumber]
 		}
 	}
-	for name, n := range s.Customers {
-		if m, was := earlier.Customers[name]; was && s.Engine.Customers[n].Rate == earlier.Engine.Customers[m].Rate {
-			s.Engine.Customers[n] = earlier.Engine.Customers[m]
+	for name, number := range s.Customers {
+		if earlierNumber, found := earlier.Customers[name]; found && s.Engine.Customers[number].Rate == earlier.Engine.Customers[earlierNumber].Rate {
+			s.Engine.Customers[number] = earlier.Engine.Customers[earlierNumber]
 		}
 	}
 }
 
-// CanReplace reports whether a running pool with these settings can switch to the other ones, which must not change anything
-// that is built only once.
-func (s *Settings) CanReplace(other *Settings) bool {
+// CanSwitchTo reports whether a running pool with these settings can switch to the other ones. That is possible if nothing
+// changes that is built only at the start of the pool.
+func (s *Settings) CanSwitchTo(other *Settings) bool {
 	engine, otherEngine := s.Engine, other.Engine
 	if s.ClusterPeers && other.ClusterPeers { // the balancers of a cluster may change while the pool runs
-		engine, otherEngine = &logic.Config{Tier: engine.Tier, LiveWeights: engine.LiveWeights}, &logic.Config{Tier: otherEngine.Tier, LiveWeights: otherEngine.LiveWeights}
-	}
-	return s.ClusterPeers == other.ClusterPeers && s.DialTimeout == other.DialTimeout && s.IdleTimeout == other.IdleTimeout && s.PlainHTTP == other.PlainHTTP && s.ProbePath == other.ProbePath &&
-		!s.Shadow && !other.Shadow && slices.Equal(s.PeerAddresses, other.PeerAddresses) && engine.Peers == otherEngine.Peers && engine.LiveWeights == otherEngine.LiveWeights &&
+		engine, otherEngine = &logic.Config{Tier: engine.Tier, LiveWeights: engine.LiveWeights},
+			&logic.Config{Tier: otherEngine.Tier, LiveWeights: otherEngine.LiveWeights}
+	}
+	return s.ClusterPeers == other.ClusterPeers && s.DialTimeout == other.DialTimeout &&
+		s.IdleTimeout == other.IdleTimeout &&
+		s.PlainHTTP == other.PlainHTTP && s.ProbePath == other.ProbePath &&
+		!s.Shadow && !other.Shadow && slices.Equal(s.PeerAddresses, other.PeerAddresses) &&
+		engine.Peers == otherEngine.Peers && engine.LiveWeights == otherEngine.LiveWeights &&
 		engine.Balancers == otherEngine.Balancers && engine.Index == otherEngine.Index && engine.Tier == otherEngine.Tier
 }
 
@@ -126,34 +130,34 @@
 
 // Decode decodes the settings from the platform's JSON. Missing values stay zero; logic.New refuses those that it cannot
 // work with.
-func Decode(env *fastjson.Value, seed uint64) *Settings {
-	limits, guarantees := env.Get("limits"), env.Get("guarantees")
+func Decode(document *fastjson.Value, seed uint64) *Settings {
+	limits, guarantees := document.Get("limits"), document.Get("guarantees")
 	engine := &logic.Config{
-		Seed: seed, Balancers: env.GetInt("fleet_size"), Index: env.GetInt("self_index"),
-		Tier:        env.GetInt("layer"),
+		Seed: seed, Balancers: document.GetInt("fleet_size"), Index: document.GetInt("self_index"),
+		Tier:        document.GetInt("layer"),
 		MaxAttempts: limits.GetInt("max_pushes"), Hedging: limits.GetBool("second_copies"),
 		Cancelling: limits.GetBool("cancelling"), Probing: limits.GetBool("probes"),
 		AdviseBackoff: limits.GetBool("retry_after"), MaxBackoff: limits.GetInt64("max_retry_after") * nanosPerMicrosecond,
-		LiveWeights: string(env.GetStringBytes("weight_source")) == "live", Peers: limits.GetBool("peers"),
-		FollowList: string(env.GetStringBytes("registry_mode")) == "ask",
+		LiveWeights: string(document.GetStringBytes("weight_source")) == "live", Peers: limits.GetBool("peers"),
+		FollowList: string(document.GetStringBytes("registry_mode")) == "ask",
 		ColdShare:  guarantees.GetFloat64("cold_from"), WarmUp: guarantees.GetInt64("ramp_time") * nanosPerMicrosecond,
 		OverloadFactor: guarantees.GetFloat64("fall_multiple"), OverloadSpan: guarantees.GetInt64("overload_for") * nanosPerMicrosecond,
-		CrossZonePrice: env.GetFloat64("fees", "cross_zone"), OverQuotaFactor: env.GetFloat64("beyond_share_earnings"),
+		CrossZonePrice: document.GetFloat64("fees", "cross_zone"), OverQuotaFactor: document.GetFloat64("beyond_share_earnings"),
 	}
 	settings := &Settings{
 		Engine: engine, Tariffs: map[string]int{}, Customers: map[string]int{}, DefaultTariff: -1,
 		DialTimeout: time.Duration(limits.GetInt64("dial_timeout")) * time.Microsecond,
 		IdleTimeout: time.Duration(limits.GetInt64("idle_close")) * time.Microsecond,
 	}
-	for _, z := range env.GetArray("zones") {
+	for _, z := range document.GetArray("zones") {
 		settings.Zones = append(settings.Zones, string(z.GetStringBytes()))
 	}
-	settings.ApplyDefaults(string(env.GetStringBytes("zone")))
-	for n, c := range env.GetArray("tariffs") {
+	settings.ApplyDefaults(string(document.GetStringBytes("zone")))
+	for n, c := range document.GetArray("tariffs") {
 		settings.Tariffs[string(c.GetStringBytes("name"))] = n
 		engine.Tariffs = append(engine.Tariffs, decodeTariff(c))
 	}
-	for n, c := range env.GetArray("tenants") {
+	for n, c := range document.GetArray("tenants") {
 		settings.Customers[string(c.GetStringBytes("name"))] = n
 		engine.Customers = append(engine.Customers, &logic.Customer{Rate: c.GetFloat64("quota_rps")})
 	}
