--- a/internal/cluster/disk/disk.go
+++ b/internal/cluster/disk/disk.go
@@ -1,5 +1,5 @@
-// Package disk is the small part of a file system that a member's directory needs. The real one is the operating
-// system's; the lab puts one with faults in its place.
+// Package disk is the part of a file system that a member's directory needs. Dir uses the operating system's file system;
+// Faulty injects write faults for the test harness.
 package disk
 
 import (
@@ -9,14 +9,15 @@
 	"syscall"
 )
 
-// FS keeps whole files durably.
+// FS stores whole files durably.
 type FS interface {
+	// Read returns the content of a file.
 	Read(name string) ([]byte, error)
-	// Replace puts a file in the place of the one before, all of it or nothing, and returns once it is on the disk.
+	// Replace replaces a file atomically and returns once the new content is on disk.
 	Replace(name string, content []byte) error
 }
 
-// Dir is a real directory.
+// Dir is the path of a directory in the file system of the operating system.
 type Dir string
 
 // Read implements FS.
@@ -28,35 +29,35 @@
 		return err
 	}
 	path := filepath.Join(string(d), name)
-	f, err := os.OpenFile(path+".new", os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
+	file, err := os.OpenFile(path+".new", os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
 		return err
 	}
-	_, err = f.Write(content)
-	// Danger: a rename may reach the disk before what it names does.
-	if err = errors.Join(err, f.Sync(), f.Close()); err != nil {
+	_, err = file.Write(content)
+	// The rename may reach the disk before the content of the file, so the file is synced first.
+	if err = errors.Join(err, file.Sync(), file.Close()); err != nil {
 		return err
 	}
 	if err = os.Rename(path+".new", path); err != nil {
 		return err
 	}
-	in, err := os.Open(string(d))
+	directory, err := os.Open(string(d))
 	if err != nil {
 		return err
 	}
-	return errors.Join(in.Sync(), in.Close())
+	return errors.Join(directory.Sync(), directory.Close())
 }
 
-// Faulty is a directory whose writes fail while a file beside it says so: "full", "read-only" or "sync".
+// Faulty is a directory whose writes fail while the fault file contains "full", "read-only" or "sync".
 type Faulty struct {
 	Dir
-	Says string // path of that file
+	FaultFile string // path of the fault file
 }
 
 // Replace implements FS.
 func (f Faulty) Replace(name string, content []byte) error {
-	says, _ := os.ReadFile(f.Says)
-	switch string(says) {
+	fault, _ := os.ReadFile(f.FaultFile)
+	switch string(fault) {
 	case "full":
 		return &os.PathError{Op: "write", Path: name, Err: syscall.ENOSPC}
 	case "read-only":
--- a/internal/httpwire/attempt.go
+++ b/internal/httpwire/attempt.go
@@ -112,7 +112,7 @@
 		return logic.Unsent, false // unexpected data, not a response to this request
 	}
 	status := resp.StatusCode
-	settled := status == http.StatusOK || sh.settings.Load().Plain && status >= 200 && status < 400
+	settled := status == http.StatusOK || sh.settings.Load().PlainHTTP && status >= 200 && status < 400
 	// 429 tells a client that its transaction has not run, which only the decision engine may state.
 	rejected := status >= 400 && status < 500 && status != http.StatusTooManyRequests
 	if !settled {
@@ -215,7 +215,7 @@
 		GotConn: ex.attach,
 	})
 	req := (&http.Request{
-		Method: http.MethodGet, URL: &url.URL{Scheme: "http", Host: place.Host, Path: sh.settings.Load().Probe},
+		Method: http.MethodGet, URL: &url.URL{Scheme: "http", Host: place.Host, Path: sh.settings.Load().ProbePath},
 		Header: http.Header{"User-Agent": {""}}, Body: singleUseBody{bytes.NewReader(nil)},
 	}).WithContext(ctx)
 	resp, err := sh.conns.transport.RoundTrip(req)
--- a/internal/httpwire/httpwire_test.go
+++ b/internal/httpwire/httpwire_test.go
@@ -24,7 +24,7 @@
 
 // newTestFrontEnd returns a front end with one pool, which receives all requests, and its only shard.
 func newTestFrontEnd(t testing.TB) (*FrontEnd, *shard) {
-	settings := terms.Read(fastjson.MustParse(`{"fleet_size":1,"layer":1,"zone":"a","limits":{"max_pushes":2},
+	settings := terms.Decode(fastjson.MustParse(`{"fleet_size":1,"layer":1,"zone":"a","limits":{"max_pushes":2},
 		"guarantees":{"cold_from":0.5},"tenants":[{"name":"acme","quota_rps":9}],
 		"tariffs":[{"name":"view","hard_stop":1000000,"effect":"idempotent"},
 		{"name":"load","hard_stop":1000000,"effect":"deduplicated"}]}`), 1)
--- a/internal/httpwire/log.go
+++ b/internal/httpwire/log.go
@@ -125,7 +125,7 @@
 		delta[e] -= pool.logState.ended[e]
 	}
 	pool.logState.ended = ended
-	if pool.settings.Load().Watch {
+	if pool.settings.Load().Shadow {
 		watched := sum.Watched
 		pool.log.Info("shape", "compared", watched.Compared, "elsewhere", watched.OtherUpstream, "waiting", watched.Later,
 			"sooner", watched.Earlier, "copies", watched.MoreAttempts, "fewer", watched.FewerAttempts,
--- a/internal/httpwire/ownership.go
+++ b/internal/httpwire/ownership.go
@@ -98,14 +98,14 @@
 	if registry == nil {
 		return nil
 	}
-	tariff := txn.settings.Terms.Tariffs[txn.tariff]
+	tariff := txn.settings.Engine.Tariffs[txn.tariff]
 	if tariff.Idempotency == logic.Idempotent {
 		return nil
 	}
 	request := OwnershipRequest{
 		Pool: sh.Name, Settings: tariff, IdempotencyKey: txn.header.Get("Idempotency-Key"), ID: txn.id,
 		Timeout: txn.timeout, ClientRetry: txn.clientRetry, Customer: txn.header.Get("X-Org"),
-		Tariff: txn.settings.Name(txn.tariff),
+		Tariff: txn.settings.TariffName(txn.tariff),
 	}
 	if txn.upload == nil && len(txn.body) > 0 {
 		request.BodyHash = max(1, xxhash.Sum64(txn.body))
--- a/internal/httpwire/pool.go
+++ b/internal/httpwire/pool.go
@@ -18,7 +18,7 @@
 	Name     string
 	front    *FrontEnd
 	shards   []*shard
-	settings atomic.Pointer[terms.Book]
+	settings atomic.Pointer[terms.Settings]
 	metrics  *figures.Pool
 	logMu    sync.Mutex
 	logState logState
@@ -47,12 +47,12 @@
 
 // shardSettings holds a shard's part of the current settings, and the previous ones for tariffs that were removed.
 type shardSettings struct {
-	current, previous *terms.Book
+	current, previous *terms.Settings
 	changed           time.Time // start of current
 }
 
 // NewPool creates a pool, which receives transactions once the routing includes it. Retire ends it.
-func (front *FrontEnd) NewPool(name string, settings *terms.Book) (*Pool, error) {
+func (front *FrontEnd) NewPool(name string, settings *terms.Settings) (*Pool, error) {
 	pool := &Pool{
 		Name: name, front: front, metrics: &figures.Pool{}, log: front.poolLog.With("pool", name),
 		openIDs: idRegistry{open: map[string]struct{}{}}, drained: make(chan struct{}),
@@ -62,7 +62,7 @@
 	for n := range front.cores {
 		sh := &shard{Pool: pool}
 		var err error
-		own := settings.Part(n, front.cores)
+		own := settings.Shard(n, front.cores)
 		sh.settingsHistory.Store(&shardSettings{current: own})
 		if sh.desk, err = desk.New(own, pool.metrics, pool.log, front.newEngine); err != nil {
 			for _, created := range pool.shards {
@@ -94,10 +94,10 @@
 
 // Reconfigure replaces the settings. Open transactions keep the settings under which they arrived, and the engine
 // keeps its measurements of unchanged parts.
-func (pool *Pool) Reconfigure(settings *terms.Book) error {
+func (pool *Pool) Reconfigure(settings *terms.Settings) error {
 	for n, sh := range pool.shards {
 		before := sh.settingsHistory.Load().current
-		own := settings.Part(n, len(pool.shards))
+		own := settings.Shard(n, len(pool.shards))
 		if err := sh.desk.Reconfigure(own); err != nil {
 			return err
 		}
@@ -130,7 +130,7 @@
 func (pool *Pool) SetReportSender(sender ReportSender) {
 	for n, sh := range pool.shards {
 		var send func(to int, raw []byte)
-		if from := pool.settings.Load().Terms.Index*len(pool.shards) + n; sender != nil {
+		if from := pool.settings.Load().Engine.Index*len(pool.shards) + n; sender != nil {
 			send = func(to int, raw []byte) { sender.Tell(from, to, raw) }
 		}
 		sh.desk.SetReportSender(send)
@@ -139,7 +139,7 @@
 
 // Told passes a load report on to one of the pool's engines. It implements peers.Sink.
 func (pool *Pool) Told(from, to int, raw []byte) {
-	if n := to - pool.settings.Load().Terms.Index*len(pool.shards); n >= 0 && n < len(pool.shards) {
+	if n := to - pool.settings.Load().Engine.Index*len(pool.shards); n >= 0 && n < len(pool.shards) {
 		pool.shards[n].desk.PeerReport(from, raw)
 	}
 }
@@ -148,7 +148,7 @@
 func (pool *Pool) Shards() int { return len(pool.shards) }
 
 // Settings returns the current settings of the pool.
-func (pool *Pool) Settings() *terms.Book { return pool.settings.Load() }
+func (pool *Pool) Settings() *terms.Settings { return pool.settings.Load() }
 
 // Log returns the pool's logger.
 func (pool *Pool) Log() *slog.Logger { return pool.log }
@@ -209,7 +209,7 @@
 
 // maxHardStop returns the longest hard stop of the pool's tariffs.
 func (pool *Pool) maxHardStop() (longest time.Duration) {
-	for _, t := range pool.settings.Load().Terms.Tariffs {
+	for _, t := range pool.settings.Load().Engine.Tariffs {
 		longest = max(longest, time.Duration(t.HardStop))
 	}
 	return longest
--- a/internal/httpwire/request.go
+++ b/internal/httpwire/request.go
@@ -22,11 +22,11 @@
 )
 
 const (
-	maxReservedBody  = terms.MostBody       // bytes of a body that are always buffered completely
-	maxBody          = 48 << 20             // bytes of any body
-	maxBodyShare     = 4                    // one body may use at most 1/maxBodyShare of the memory for bodies
-	maxTimeout       = time.Hour            // that a client may ask for
-	transitAllowance = 5 * time.Millisecond // for the transfer to the client
+	maxReservedBody  = terms.GuaranteedBodyBytes // bytes of a body that are always buffered completely
+	maxBody          = 48 << 20                  // bytes of any body
+	maxBodyShare     = 4                         // one body may use at most 1/maxBodyShare of the memory for bodies
+	maxTimeout       = time.Hour                 // that a client may ask for
+	transitAllowance = 5 * time.Millisecond      // for the transfer to the client
 
 	// A client that never completes its request gets an error or a closed connection within three seconds of
 	// connecting, because an incomplete request holds a descriptor just like a transaction.
@@ -39,7 +39,7 @@
 
 // transaction is a decoded request of a client.
 type transaction struct {
-	settings    *terms.Book // in force when it arrived
+	settings    *terms.Settings // in force when it arrived
 	id          string
 	tariff      int
 	customer    int // -1 for none
@@ -58,7 +58,7 @@
 // arrival returns the description of the transaction for the desk.
 func (txn *transaction) arrival() desk.Arrival {
 	return desk.Arrival{
-		Config: txn.settings.Terms, Tariff: txn.tariff, Customer: txn.customer, Timeout: txn.timeout,
+		Config: txn.settings.Engine, Tariff: txn.tariff, Customer: txn.customer, Timeout: txn.timeout,
 		ClientRetry: txn.clientRetry, BodyPending: txn.upload != nil,
 	}
 }
@@ -73,7 +73,7 @@
 
 // decodeRequest decodes a request except for its body, which readBody reads. tariff is the one set by its route,
 // "" for none.
-func decodeRequest(req *http.Request, settings *terms.Book, tariff string) (*transaction, *requestError) {
+func decodeRequest(req *http.Request, settings *terms.Settings, tariff string) (*transaction, *requestError) {
 	txn := &transaction{settings: settings, method: req.Method, host: req.Host, url: req.URL, customer: -1,
 		length: req.ContentLength}
 	for _, name := range []string{"X-Txn", "X-Lane", "X-Org", "X-Remaining", "Idempotency-Key"} {
@@ -81,12 +81,12 @@
 			return nil, badRequest("more than one " + name) // otherwise two readers could use different values
 		}
 	}
-	if !settings.Plain && req.Method != http.MethodGet && req.Method != http.MethodPost {
+	if !settings.PlainHTTP && req.Method != http.MethodGet && req.Method != http.MethodPost {
 		return nil, badRequest("the method is neither GET nor POST")
 	}
 	txn.header = endToEndHeaders(req.Header)
 	if txn.id = req.Header.Get("X-Txn"); txn.id == "" {
-		if !settings.Plain {
+		if !settings.PlainHTTP {
 			return nil, badRequest("no X-Txn")
 		}
 		txn.id = strconv.FormatUint(rand.Uint64(), 16)
@@ -96,7 +96,7 @@
 	if txn.tariff, reqErr = tariffOf(req, settings, tariff); reqErr != nil {
 		return nil, reqErr
 	}
-	config := settings.Terms.Tariffs[txn.tariff]
+	config := settings.Engine.Tariffs[txn.tariff]
 	if config.Idempotency == logic.Keyed && req.Header.Get("Idempotency-Key") == "" {
 		// Without the key, repeats would not be recognised.
 		return nil, badRequest("a tagged transaction without Idempotency-Key")
@@ -117,7 +117,7 @@
 	// The client's time starts when it sends, and an answer at the hard stop still has to reach it.
 	txn.timeout = max(0, txn.timeout-transitAllowance)
 	txn.clientRetry = req.Header.Get("X-Resent") == "1"
-	if settings.Plain {
+	if settings.PlainHTTP {
 		addForwarded(txn.header, req.RemoteAddr)
 	}
 	if req.ContentLength > maxBody {
@@ -128,7 +128,7 @@
 
 // tariffOf returns the tariff of a request: the one set by its route, otherwise the one named by X-Lane or the
 // first part of the path, otherwise the default of the pool.
-func tariffOf(req *http.Request, settings *terms.Book, routeTariff string) (tariff int, reqErr *requestError) {
+func tariffOf(req *http.Request, settings *terms.Settings, routeTariff string) (tariff int, reqErr *requestError) {
 	if routeTariff != "" {
 		n, known := settings.Tariffs[routeTariff]
 		if !known { // routes and settings are updated one after the other, and number 0 would be another tariff
@@ -140,16 +140,16 @@
 	name := req.Header.Get("X-Lane")
 	if name == "" {
 		name = first
-	} else if name != first && !settings.Plain {
+	} else if name != first && !settings.PlainHTTP {
 		return 0, badRequest("X-Lane and path differ")
 	}
 	if n, known := settings.Tariffs[name]; known {
 		return n, nil
 	}
-	if settings.Default < 0 || req.Header.Get("X-Lane") != "" {
+	if settings.DefaultTariff < 0 || req.Header.Get("X-Lane") != "" {
 		return 0, &requestError{http.StatusNotFound, "unknown tariff"}
 	}
-	return settings.Default, nil
+	return settings.DefaultTariff, nil
 }
 
 // addForwarded adds headers that tell an upstream where a request came from.
@@ -285,7 +285,7 @@
 		return txn, reqErr
 	}
 	old, oldErr := decodeRequest(req, history.previous, tariff)
-	if oldErr == nil && time.Since(history.changed) < time.Duration(history.previous.Terms.Tariffs[old.tariff].HardStop) {
+	if oldErr == nil && time.Since(history.changed) < time.Duration(history.previous.Engine.Tariffs[old.tariff].HardStop) {
 		return old, nil
 	}
 	return txn, reqErr
--- a/internal/httpwire/serve.go
+++ b/internal/httpwire/serve.go
@@ -230,7 +230,7 @@
 func (front *FrontEnd) deferEarly(w http.ResponseWriter, sh *shard, txn *transaction) {
 	sh.desk.CountDeferred(txn.arrival())
 	w.Header()["Connection"] = []string{"close"} // the body may still be arriving
-	front.writeDeferral(w, time.Duration(txn.settings.Terms.Backoff(txn.settings.Terms.Tariffs[txn.tariff])))
+	front.writeDeferral(w, time.Duration(txn.settings.Engine.Backoff(txn.settings.Engine.Tariffs[txn.tariff])))
 }
 
 // findPool finds the pool of a request and counts the request in it. It also returns the tariff if the route sets
@@ -249,7 +249,7 @@
 	if req.Method == http.MethodConnect {
 		return nil, "", &requestError{http.StatusNotImplemented, "a balancer is no tunnel"}
 	}
-	query := routes.Query{Method: req.Method}
+	query := routes.Request{Method: req.Method}
 	for {
 		routing := front.routing.Load()
 		if routing.SinglePool != nil {
@@ -280,7 +280,7 @@
 
 // routeQuery returns the query of a request for the route table. The request is forwarded with the path that was
 // routed, because an upstream that normalises the path differently would bypass the restrictions of a route.
-func routeQuery(req *http.Request, client *trackedConn) (query routes.Query, reqErr *requestError) {
+func routeQuery(req *http.Request, client *trackedConn) (query routes.Request, reqErr *requestError) {
 	var ok bool
 	query.Method, query.Header = req.Method, func(name string) (string, bool) {
 		if v := req.Header[name]; len(v) == 1 {
@@ -291,11 +291,11 @@
 	if client != nil {
 		query.Listener = client.listener.name()
 	}
-	if query.Host, ok = routes.Host(req.Host); !ok {
+	if query.Host, ok = routes.NormalizeHost(req.Host); !ok {
 		return query, badRequest("the host makes no sense")
 	}
 	sent := req.URL.EscapedPath()
-	if query.Path, ok = routes.Path(sent); !ok {
+	if query.Path, ok = routes.NormalizePath(sent); !ok {
 		return query, badRequest("the path makes no sense")
 	}
 	if query.Path != sent {
--- a/internal/httpwire/upstream_conns.go
+++ b/internal/httpwire/upstream_conns.go
@@ -73,7 +73,7 @@
 	return context.WithValue(ctx, targetKey{}, target{place, deadline, probe})
 }
 
-func newUpstreamConns(tracker *connTracker, limits *poolLimits, settings *terms.Book) *upstreamConns {
+func newUpstreamConns(tracker *connTracker, limits *poolLimits, settings *terms.Settings) *upstreamConns {
 	conns := &upstreamConns{tracker: tracker, limits: limits, byHost: map[string]map[*upstreamConn]struct{}{},
 		dialing: map[string]*pendingDials{}, knownHosts: map[string]struct{}{}}
 	dialer := net.Dialer{Timeout: settings.DialTimeout}
@@ -83,7 +83,7 @@
 		MaxIdleConns:           int(tracker.limit.Load() / 3), MaxIdleConnsPerHost: int(tracker.limit.Load() / 3),
 		// A request written to a connection that its upstream has closed may have run, so idle connections are
 		// closed here first.
-		IdleConnTimeout: settings.IdleClose * 9 / 10,
+		IdleConnTimeout: settings.IdleTimeout * 9 / 10,
 		DialContext: func(ctx context.Context, network, _ string) (net.Conn, error) {
 			dest := ctx.Value(targetKey{}).(target)
 			if err := conns.reserve(dest.deadline); err != nil {
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -1,5 +1,5 @@
-// Package plan reads what a process is told: listeners, pools, routes and limits. There are two formats, the platform's
-// JSON for one pool (platform.go) and TOML for any number (pools.go); both end in a Plan.
+// Package plan reads the configuration of a process: listeners, pools, routes and limits. There are two formats: the platform's
+// JSON for a single pool (platform.go) and TOML for any number of pools (pools.go). Both are decoded into a Plan.
 package plan
 
 import (
@@ -15,113 +15,115 @@
 	"ottershift/logic"
 )
 
-// Plan is all that a process is told.
+// Plan is the configuration of a process.
 type Plan struct {
-	Name      string
-	Platform  bool // one pool for all that comes, by the platform's protocol
-	Seed      uint64
-	Listeners []Listener
-	Pools     []*Pool
-	Routes    []routes.Route
-	Table     *routes.Table // of Routes; nil on the platform
-	Limits    Limits
-	Log       Log
-	Ops       string           // the second address, for staff; "" for none
-	Cluster   *config.Settings // nil where it is in none
+	Name       string
+	Platform   bool // one pool for all transactions, with the platform's protocol
+	Seed       uint64
+	Listeners  []Listener
+	Pools      []*Pool
+	Routes     []routes.Route
+	Table      *routes.Table // built from Routes; nil on the platform
+	Limits     Limits
+	Log        Log
+	OpsAddress string           // address for operations; "" for none
+	Cluster    *config.Settings // nil if the process is not in a cluster
 
-	keys []string // of the platform's file
+	platformKeys []string // paths of all keys in the platform's file
 }
 
 // Listener is an address where clients connect.
 type Listener struct {
 	Name, Address string
-	Inherited     int // the descriptor that listens there already, 0 for none
+	InheritedFD   int // inherited descriptor of a socket that already listens there, 0 for none
 }
 
-// Limits are what all pools have in common.
+// Limits are the resource limits shared by all pools.
 type Limits struct {
-	Cores       int
-	Memory      int64 // bytes, 0 for no bound
-	Descriptors int
-	Bodies      int64         // bytes of bodies in hand
-	Within      time.Duration // until a pool has what is guaranteed to it back
-	Refusals    float64       // a second, over all pools, before refused connections rest
+	Cores        int
+	MemoryBytes  int64 // 0 for no limit
+	Descriptors  int
+	BodyBytes    int64         // bytes of buffered request and response bodies
+	ReturnWithin time.Duration // maximum time until a pool regains its guaranteed share
+	RefusalRate  float64       // per second, over all pools; above it, refused connections are paused after the answer
 }
 
-// Log says how lines are logged.
+// Log holds the level and format of log lines.
 type Log struct{ Level, Format string }
 
-// Pool is one service.
+// Pool is the configuration of one pool of upstreams.
 type Pool struct {
-	Name  string
-	Book  *terms.Book
-	Print string  // two books of one print say the same
-	Share float64 // of what is common, guaranteed; below zero if not stated
+	Name        string
+	Settings    *terms.Settings
+	Fingerprint string  // equal for equal settings
+	Share       float64 // guaranteed fraction of the shared limits; negative if not configured
 
-	Open, Connections int64 // most that it may hold; 0 for all there is
-	Bodies            int64
+	MaxTransactions, MaxConnections int64 // 0 for no limit below that of the process
+	MaxBodyBytes                    int64
 
-	List List
+	Upstreams UpstreamSource
 }
 
-// List is where a pool's list of upstreams comes from: one of the three.
-type List struct {
-	Fixed     []roster.Entry[string]
-	File      string
-	Every     time.Duration // between two looks at File
-	Discovery string
-	Shared    bool             // one member of the cluster asks for all
-	Known     discovery.Report // from before
+// UpstreamSource is the source of a pool's list of upstreams: Static, File or Discovery.
+type UpstreamSource struct {
+	Static       []roster.Entry[string]
+	File         string
+	PollInterval time.Duration // interval between checks of File
+	Discovery    string
+	Shared       bool             // one member of the cluster queries discovery for all
+	Initial      discovery.Report // list known from a previous run
 }
 
-// Defaults, for both formats.
+// Defaults for both formats.
 const (
-	descriptors  = 1024 // that a process has by custom
-	bodies       = 64 << 20
-	bodiesOf     = 4 // part of the memory, where that is stated
-	returnWithin = time.Second
-	refusals     = 4000
+	defaultDescriptors  = 1024     // the usual limit of a process
+	defaultBodyBytes    = 64 << 20 // without a memory limit
+	bodyMemoryFraction  = 4        // with a memory limit, bodies get one part in this many of it
+	defaultReturnWithin = time.Second
+	defaultRefusalRate  = 4000 // per second
 )
 
-// limits fills in what isn't said.
-func (l *Limits) complete() {
+// applyDefaults replaces missing limits by defaults.
+func (l *Limits) applyDefaults() {
 	if l.Cores <= 0 {
 		l.Cores = 1
 	}
 	if l.Descriptors <= 0 {
-		l.Descriptors = descriptors
+		l.Descriptors = defaultDescriptors
 	}
-	if l.Bodies <= 0 {
-		if l.Bodies = bodies; l.Memory > 0 {
-			l.Bodies = l.Memory / bodiesOf
+	if l.BodyBytes <= 0 {
+		if l.BodyBytes = defaultBodyBytes; l.MemoryBytes > 0 {
+			l.BodyBytes = l.MemoryBytes / bodyMemoryFraction
 		}
 	}
-	if l.Within <= 0 {
-		l.Within = returnWithin
+	if l.ReturnWithin <= 0 {
+		l.ReturnWithin = defaultReturnWithin
 	}
-	if l.Refusals <= 0 {
-		l.Refusals = refusals
+	if l.RefusalRate <= 0 {
+		l.RefusalRate = defaultRefusalRate
 	}
 }
 
-// Rates are the bounds on what the ledger remembers, a line for each tariff that it is for.
-func (p *Plan) Rates() (lines []string) {
-	s := p.Cluster
-	if s == nil || !s.Ledger.Claims() {
+// ClaimRates describes the sustainable rate of claims, in a line for each tariff whose transactions are claimed.
+func (p *Plan) ClaimRates() (lines []string) {
+	clusterSettings := p.Cluster
+	if clusterSettings == nil || !clusterSettings.Ledger.Enabled() {
 		return nil
 	}
 	for _, pool := range p.Pools {
-		for n, f := range pool.Book.Terms.Tariffs {
-			if f.Idempotency == logic.Idempotent {
+		for number, tariff := range pool.Settings.Engine.Tariffs {
+			if tariff.Idempotency == logic.Idempotent {
 				continue
 			}
-			window := time.Duration(f.DedupWindow)
-			if f.Idempotency == logic.NonIdempotent {
-				window = max(window, s.Ledger.OnceFor)
+			window := time.Duration(tariff.DedupWindow)
+			if tariff.Idempotency == logic.NonIdempotent {
+				window = max(window, clusterSettings.Ledger.OnceOnlyRetention)
 			}
-			stop := time.Duration(f.HardStop)
-			lines = append(lines, fmt.Sprintf("pool %s, tariff %s: a key is remembered for %s, so %.0f a second for long if it were alone: keys / ((window + hard_stop) x (1 + drift) + 1s)",
-				pool.Name, pool.Book.Name(n), s.Kept(window, stop), s.Rate(window, stop)))
+			hardStop := time.Duration(tariff.HardStop)
+			lines = append(lines, fmt.Sprintf(
+				"pool %s, tariff %s: a key is remembered for %s, so at most %.0f transactions per second are sustainable if there is no other tariff: keys / ((window + hard_stop) x (1 + drift) + 1s)",
+				pool.Name, pool.Settings.TariffName(number), clusterSettings.ClaimRetention(window, hardStop),
+				clusterSettings.MaxClaimRate(window, hardStop)))
 		}
 	}
 	slices.Sort(lines)
--- a/internal/process/cluster.go
+++ b/internal/process/cluster.go
@@ -46,7 +46,7 @@
 	if p.Cluster == nil {
 		return nil
 	}
-	lab, err := cluster.InLab()
+	lab, err := cluster.ReadLab()
 	if err != nil {
 		return err
 	}
@@ -55,8 +55,8 @@
 		lastStatusAt: time.Now(),
 	}
 	m.Cluster, err = cluster.Open(cluster.Options{
-		Settings: p.Cluster, Ops: p.Ops, Build: buildVersion(), Seed: proc.seed, Log: proc.eventLog, Lab: lab,
-		Status: m.status, Changed: m.notifyMembersChanged,
+		Settings: p.Cluster, OpsAddress: p.OpsAddress, Build: buildVersion(), Seed: proc.seed, Log: proc.eventLog, Lab: lab,
+		Status: m.status, MembersChanged: m.notifyMembersChanged,
 	})
 	if err != nil {
 		return err
@@ -110,7 +110,7 @@
 // set, and returns err.
 func (proc *Process) announceLeaving(leaving bool, err error) error {
 	if m := proc.clusterMembership(); err == nil && m != nil {
-		m.Leaving(leaving)
+		m.SetDraining(leaving)
 	}
 	return err
 }
@@ -142,7 +142,7 @@
 		}
 		m.process.updateBalancerCounts()
 		if m.poolsChanged() {
-			m.Tell()
+			m.BroadcastStatus()
 		}
 	}
 }
@@ -184,17 +184,17 @@
 
 // effectiveBook returns the settings of a pool. If its balancers are the members of the cluster, the settings are
 // adapted to the members that count at present, whose names are returned together with the index of this process.
-func (proc *Process) effectiveBook(settings *plan.Pool) (book *terms.Book, names []string, own int) {
-	if !settings.Book.Fleet || proc.membership == nil {
-		return settings.Book, nil, 0
+func (proc *Process) effectiveBook(settings *plan.Pool) (book *terms.Settings, names []string, own int) {
+	if !settings.Settings.ClusterPeers || proc.membership == nil {
+		return settings.Settings, nil, 0
 	}
-	names, own = proc.membership.Counted(settings.Name, deadMemberRetention)
+	names, own = proc.membership.PoolBalancers(settings.Name, deadMemberRetention)
 	if own < 0 { // this process has not announced its pools yet
 		names = append(names, proc.membership.Settings().Self)
 		slices.Sort(names)
 		own = slices.Index(names, proc.membership.Settings().Self)
 	}
-	return settings.Book.Among(max(settings.Book.Terms.Balancers, len(names)), own), names, own
+	return settings.Settings.ForBalancer(max(settings.Settings.Engine.Balancers, len(names)), own), names, own
 }
 
 // updateBalancerCounts updates the number of balancers of all pools whose balancers are the members of the cluster. The
@@ -203,7 +203,7 @@
 	proc.mu.Lock()
 	defer proc.mu.Unlock()
 	for _, p := range proc.pools {
-		if p.settings.Book.Fleet {
+		if p.settings.Settings.ClusterPeers {
 			proc.updateBalancerCount(p)
 		}
 	}
@@ -212,8 +212,8 @@
 // updateBalancerCount updates the number of balancers of one pool and its route to them, if they have changed.
 func (proc *Process) updateBalancerCount(p *pool) {
 	book, names, own := proc.effectiveBook(p.settings)
-	before := p.Settings().Terms
-	if slices.Equal(names, p.memberNames) && before.Balancers == book.Terms.Balancers && before.Index == book.Terms.Index {
+	before := p.Settings().Engine
+	if slices.Equal(names, p.memberNames) && before.Balancers == book.Engine.Balancers && before.Index == book.Engine.Index {
 		return
 	}
 	if err := p.Reconfigure(book); err != nil {
@@ -222,8 +222,8 @@
 		return
 	}
 	p.memberNames = names
-	p.SetReportSender(proc.membership.Follow(p.Name, names, own, p.Shards(), p.Pool))
-	proc.eventLog.Info("cluster", "step", "counted", "pool", p.Name, "balancers", book.Terms.Balancers,
+	p.SetReportSender(proc.membership.OpenPeerRoute(p.Name, names, own, p.Shards(), p.Pool))
+	proc.eventLog.Info("cluster", "step", "counted", "pool", p.Name, "balancers", book.Engine.Balancers,
 		"members", len(names), "index", own)
 }
 
@@ -233,7 +233,7 @@
 	if m == nil {
 		return errors.New("this process is in no cluster: its configuration has no [cluster]")
 	}
-	return m.Members(to, all)
+	return m.WriteMembers(to, all)
 }
 
 // ClusterCommand runs an operator's command on the cluster. It implements ops.Balancer.
@@ -242,7 +242,7 @@
 	if m == nil {
 		return errors.New("this process is in no cluster: its configuration has no [cluster]")
 	}
-	return m.Staff(to, words)
+	return m.RunCommand(to, words)
 }
 
 // clusterMembership returns the membership of this process, or nil if it has not joined a cluster.
@@ -259,16 +259,16 @@
 		warnIfChanged("cluster", (before == nil) != (after == nil))
 		return
 	}
-	proc.membership.Divert(after)
+	proc.membership.UpdateSettings(after)
 	warnIfChanged("name", before.Self != after.Self)
 	warnIfChanged("cluster.name", before.Name != after.Name)
 	warnIfChanged("cluster.address", before.Address != after.Address)
 	warnIfChanged("cluster.directory", before.Directory != after.Directory)
 	warnIfChanged("cluster.zone", before.Zone != after.Zone)
 	warnIfChanged("cluster.voters", !slices.Equal(before.Voters, after.Voters))
-	warnIfChanged("cluster.probe_every", before.Probe != after.Probe)
-	warnIfChanged("cluster.rejoin_every", before.Rejoin != after.Rejoin)
-	warnIfChanged("cluster.election", before.Election != after.Election)
+	warnIfChanged("cluster.probe_every", before.ProbeInterval != after.ProbeInterval)
+	warnIfChanged("cluster.rejoin_every", before.RejoinInterval != after.RejoinInterval)
+	warnIfChanged("cluster.election", before.ElectionTimeout != after.ElectionTimeout)
 	warnIfChanged("cluster.groups", before.Groups != after.Groups)
 	warnIfChanged("cluster.ledger", (before.Ledger == nil) != (after.Ledger == nil))
 	if before.Ledger != nil && after.Ledger != nil {
@@ -278,5 +278,5 @@
 	proc.mu.Lock()
 	defer proc.mu.Unlock()
 	proc.configureClaims()
-	warnIfChanged("cluster.lease", before.Lease != after.Lease || before.Drift != after.Drift)
+	warnIfChanged("cluster.lease", before.Lease != after.Lease || before.ClockDrift != after.ClockDrift)
 }
--- a/internal/process/cluster_test.go
+++ b/internal/process/cluster_test.go
@@ -74,7 +74,7 @@
 	balancers := func(proc *Process) (n, index int) {
 		proc.mu.Lock()
 		defer proc.mu.Unlock()
-		terms := proc.pools["p"].Settings().Terms
+		terms := proc.pools["p"].Settings().Engine
 		return terms.Balancers, terms.Index
 	}
 	pool := a.pools["p"].Pool
@@ -89,7 +89,7 @@
 	// Process b reports its open attempts to a.
 	u.delay.Store(int64(500 * time.Millisecond))
 	reports := make(peerReports, 64)
-	a.membership.Follow("p", []string{"b1", "b2"}, 0, 1, reports)
+	a.membership.OpenPeerRoute("p", []string{"b1", "b2"}, 0, 1, reports)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -144,7 +144,7 @@
 // Safeguards can only be turned off in processes that were started by the lab itself.
 func TestLabOptionsOnlyForLabChildren(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "lab")
-	t.Setenv(cluster.Variable, file)
+	t.Setenv(cluster.LabVariable, file)
 	for text, ok := range map[string]bool{
 		fmt.Sprintf(`{"process": %d, "without": ["epochs"]}`, os.Getppid()): true,
 		fmt.Sprintf(`{"process": %d, "without": ["sense"]}`, os.Getppid()):  false,
@@ -152,7 +152,7 @@
 		`nonsense`: false,
 	} {
 		os.WriteFile(file, []byte(text), 0o600)
-		if lab, err := cluster.InLab(); (err == nil) != ok || (lab != nil) != ok {
+		if lab, err := cluster.ReadLab(); (err == nil) != ok || (lab != nil) != ok {
 			t.Errorf("%s: %v", text, err)
 		}
 	}
--- a/internal/process/ledger.go
+++ b/internal/process/ledger.go
@@ -41,9 +41,9 @@
 	}
 	window := time.Duration(tariff.DedupWindow)
 	if ask.OnceOnly {
-		window = max(window, c.settings.Ledger.OnceFor)
+		window = max(window, c.settings.Ledger.OnceOnlyRetention)
 	}
-	ask.Retention = c.settings.Kept(window, time.Duration(tariff.HardStop))
+	ask.Retention = c.settings.ClaimRetention(window, time.Duration(tariff.HardStop))
 	return &transactionClaim{c.ledger.NewClaim(ask, request.Timeout), tariff}
 }
 
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -90,7 +90,7 @@
 	proc.processCount = 1
 	ctx, cancel := context.WithCancel(context.Background())
 	proc.cancel = cancel
-	if slices.ContainsFunc(p.Listeners, func(l plan.Listener) bool { return l.Inherited > 0 }) {
+	if slices.ContainsFunc(p.Listeners, func(l plan.Listener) bool { return l.InheritedFD > 0 }) {
 		var err error
 		if proc.relaySeat, err = relay.Acquire(os.TempDir(), p.Name); err != nil {
 			proc.eventLog.Warn("relay", "step", "alone", "fault", err)
@@ -98,9 +98,9 @@
 			proc.processCount = proc.relaySeat.Count()
 		}
 	}
-	if p.Ops != "" {
+	if p.OpsAddress != "" {
 		var err error
-		if proc.ops, err = ops.Open(p.Ops, proc); err != nil {
+		if proc.ops, err = ops.Open(p.OpsAddress, proc); err != nil {
 			proc.stopServices()
 			return nil, fmt.Errorf("ops: %w", err)
 		}
@@ -145,7 +145,7 @@
 		p.SetProcesses(count)
 	}
 	if proc.plan.Platform {
-		proc.front.SetUnlimited(proc.plan.Limits.Bodies / int64(count))
+		proc.front.SetUnlimited(proc.plan.Limits.BodyBytes / int64(count))
 	}
 }
 
@@ -171,7 +171,7 @@
 		return err
 	}
 	if m := proc.clusterMembership(); m != nil {
-		m.Figures(to)
+		m.WriteMetrics(to)
 	}
 	return nil
 }
@@ -237,7 +237,7 @@
 		}
 	}
 	warnIfChanged("log.format", p.Log.Format != before.Log.Format)
-	warnIfChanged("ops", p.Ops != before.Ops)
+	warnIfChanged("ops", p.OpsAddress != before.OpsAddress)
 	proc.reloadCluster(before, p, warnIfChanged)
 	if p.Platform {
 		warnIfChanged("listen", p.Listeners[0].Address != before.Listeners[0].Address)
@@ -255,24 +255,24 @@
 func (proc *Process) applyToPlatformPool(p *plan.Plan) error {
 	proc.mu.Lock()
 	defer proc.mu.Unlock()
-	if key := p.Lacks(proc.plan); key != "" {
+	if key := p.MissingKey(proc.plan); key != "" {
 		return fmt.Errorf("%s is missing", key)
 	}
 	current, settings := proc.pools[p.Pools[0].Name], p.Pools[0]
-	if current.settings.Print != settings.Print {
-		if err := current.Reconfigure(settings.Book); err != nil {
+	if current.settings.Fingerprint != settings.Fingerprint {
+		if err := current.Reconfigure(settings.Settings); err != nil {
 			return err
 		}
-		proc.eventLog.Info("reload", "step", "terms", "tariffs", len(settings.Book.Tariffs),
-			"attempts", settings.Book.Terms.MaxAttempts)
+		proc.eventLog.Info("reload", "step", "terms", "tariffs", len(settings.Settings.Tariffs),
+			"attempts", settings.Settings.Engine.MaxAttempts)
 	}
-	address := settings.List.Discovery
+	address := settings.Upstreams.Discovery
 	proc.eventLog.Info("reload", "step", "list", "discovery", address, "moved", current.subscription.Move(address))
 	current.settings = settings
 	p.Limits.Cores = proc.plan.Limits.Cores
 	proc.plan = p
 	proc.applyLimits(proc.plan)
-	proc.front.SetUnlimited(proc.plan.Limits.Bodies / int64(proc.processCount))
+	proc.front.SetUnlimited(proc.plan.Limits.BodyBytes / int64(proc.processCount))
 	return nil
 }
 
@@ -307,8 +307,8 @@
 		listeners[l.Address] = proc.listeners[l.Address]
 		if listeners[l.Address] == nil {
 			var listener *httpwire.Listener
-			if l.Inherited > 0 {
-				if listener, err = proc.front.Inherit(l.Name, l.Address, l.Inherited); err != nil {
+			if l.InheritedFD > 0 {
+				if listener, err = proc.front.Inherit(l.Name, l.Address, l.InheritedFD); err != nil {
 					return fmt.Errorf("PROXY_LISTEN_FD: %w", err)
 				}
 			} else if listener, err = proc.front.Listen(l.Name, l.Address); err != nil {
@@ -327,7 +327,7 @@
 				}
 			}
 		}
-		if current := proc.pools[settings.Name]; current != nil && current.settings.Print == settings.Print &&
+		if current := proc.pools[settings.Name]; current != nil && current.settings.Fingerprint == settings.Fingerprint &&
 			current.Shards() == p.Limits.Cores {
 			pools[settings.Name] = current
 			continue
@@ -335,8 +335,8 @@
 		// A new pool would know nothing about its upstreams, and would send load to cold ones in addition to the old
 		// pool. Hence the existing one is reconfigured where that is possible.
 		if current := proc.pools[settings.Name]; current != nil && current.Shards() == p.Limits.Cores &&
-			current.settings.Book.Fits(settings.Book) {
-			if err := settings.Book.Terms.Validate(); err != nil {
+			current.settings.Settings.CanSwitchTo(settings.Settings) {
+			if err := settings.Settings.Engine.Validate(); err != nil {
 				return fmt.Errorf("pool %s: %w", settings.Name, err)
 			}
 			pools[settings.Name], reconfigured[settings.Name] = current, true
@@ -348,7 +348,7 @@
 		}
 		created[settings.Name], pools[settings.Name] = target, target
 		if target.peerLink = links[ownPeerAddress(settings)]; target.peerLink != nil {
-			if target.peerRoute, err = peers.NewRoute(settings.Name, settings.Book.Peers, target.Shards(), target.Pool); err != nil {
+			if target.peerRoute, err = peers.NewRoute(settings.Name, settings.Settings.PeerAddresses, target.Shards(), target.Pool); err != nil {
 				return fmt.Errorf("pool %s: %w", settings.Name, err)
 			}
 		}
@@ -357,12 +357,12 @@
 	// No step below can fail. New pools get a list before requests are routed to them, since a pool without one rejects
 	// all.
 	for name, target := range created {
-		initial := target.settings.List.Fixed
-		if target.settings.List.File != "" {
-			initial, _ = listfile.Read(target.settings.List.File) // errors are reported by the list source
+		initial := target.settings.Upstreams.Static
+		if target.settings.Upstreams.File != "" {
+			initial, _ = listfile.Read(target.settings.Upstreams.File) // errors are reported by the list source
 		}
-		if target.settings.List.Discovery != "" {
-			if initial = target.settings.List.Known.Entries; proc.pools[name] != nil {
+		if target.settings.Upstreams.Discovery != "" {
+			if initial = target.settings.Upstreams.Initial.Entries; proc.pools[name] != nil {
 				initial = proc.pools[name].Entries()
 			}
 		}
@@ -385,22 +385,22 @@
 		target := pools[settings.Name]
 		board.Pools[settings.Name] = target.Pool
 		shares[target.Pool] = httpwire.Share{
-			Guarantee: settings.Share, Transactions: settings.Open, Connections: settings.Connections, Bodies: settings.Bodies,
+			Guarantee: settings.Share, Transactions: settings.MaxTransactions, Connections: settings.MaxConnections, Bodies: settings.MaxBodyBytes,
 		}
 		if p.Platform {
 			board.SinglePool = target.Pool
 		}
 	}
 	if p.Platform {
-		proc.front.SetUnlimited(p.Limits.Bodies / int64(proc.processCount))
+		proc.front.SetUnlimited(p.Limits.BodyBytes / int64(proc.processCount))
 	} else {
-		proc.front.SetShares(p.Limits.Bodies, p.Limits.Within, p.Limits.Refusals, shares)
+		proc.front.SetShares(p.Limits.BodyBytes, p.Limits.ReturnWithin, p.Limits.RefusalRate, shares)
 	}
 	proc.front.SetRouting(board)
 	for _, settings := range p.Pools {
 		target, kept := pools[settings.Name], created[settings.Name] == nil
-		if !kept || !sameList(target.settings.List, settings.List) {
-			proc.followList(target, settings.List, kept)
+		if !kept || !sameList(target.settings.Upstreams, settings.Upstreams) {
+			proc.followList(target, settings.Upstreams, kept)
 		}
 		target.settings = settings
 	}
@@ -427,7 +427,7 @@
 		listener.Rename(l.Name)
 		if proc.listeners[l.Address] == nil {
 			ready := make(chan struct{})
-			if close(ready); l.Inherited > 0 && proc.processCount > 1 {
+			if close(ready); l.InheritedFD > 0 && proc.processCount > 1 {
 				ready = pools[p.Pools[0].Name].listReceived
 			}
 			go func() {
@@ -462,9 +462,9 @@
 		return // the initial, empty configuration
 	}
 	runtime.GOMAXPROCS(p.Limits.Cores)
-	if p.Limits.Memory > 0 {
+	if p.Limits.MemoryBytes > 0 {
 		// The limit is enforced by killing, and applies to all processes of a balancer together.
-		debug.SetMemoryLimit(p.Limits.Memory * 6 / 10 / int64(proc.processCount))
+		debug.SetMemoryLimit(p.Limits.MemoryBytes * 6 / 10 / int64(proc.processCount))
 	}
 	descriptors := p.Limits.Descriptors
 	var limit syscall.Rlimit
@@ -479,18 +479,18 @@
 // ownPeerAddress returns the address at which the other balancers of a pool reach this one, or "" if the pool has no
 // peers.
 func ownPeerAddress(settings *plan.Pool) string {
-	if len(settings.Book.Peers) == 0 {
+	if len(settings.Settings.PeerAddresses) == 0 {
 		return ""
 	}
-	return settings.Book.Peers[settings.Book.Terms.Index]
+	return settings.Settings.PeerAddresses[settings.Settings.Engine.Index]
 }
 
 // newPool creates a pool. The source of its upstream list is started later, by followList.
 func (proc *Process) newPool(settings *plan.Pool) (*pool, error) {
-	if settings.Book.Terms.Seed == 0 { // with the same seed, all pools would draw the same random numbers
+	if settings.Settings.Engine.Seed == 0 { // with the same seed, all pools would draw the same random numbers
 		hash := fnv.New64a()
 		hash.Write([]byte(settings.Name))
-		settings.Book.Terms.Seed = proc.seed ^ hash.Sum64()
+		settings.Settings.Engine.Seed = proc.seed ^ hash.Sum64()
 	}
 	book, _, _ := proc.effectiveBook(settings)
 	created, err := proc.front.NewPool(settings.Name, book)
@@ -510,13 +510,13 @@
 
 // followList starts the source of a pool's upstream list and stops the previous one. replaced tells that the pool had
 // another source before.
-func (proc *Process) followList(target *pool, list plan.List, replaced bool) {
+func (proc *Process) followList(target *pool, list plan.UpstreamSource, replaced bool) {
 	target.stopList()
 	target.subscription = nil
 	var source lists.Source
 	switch {
 	case list.Discovery != "":
-		index := list.Known.Index
+		index := list.Initial.Index
 		if replaced {
 			index = discovery.Unknown // versions of one source are meaningless to another
 		}
@@ -527,12 +527,12 @@
 			break
 		}
 		target.subscription = discovery.New(
-			target, target.Log(), list.Discovery, target.Settings().Terms.FollowList, index, target.Settings().DialTimeout)
+			target, target.Log(), list.Discovery, target.Settings().Engine.FollowList, index, target.Settings().DialTimeout)
 		source = target.subscription
 	case list.File != "":
-		source = &listfile.File{Path: list.File, Every: list.Every, Sink: target, Log: target.Log()}
+		source = &listfile.File{Path: list.File, Every: list.PollInterval, Sink: target, Log: target.Log()}
 	default:
-		source = &listfixed.List{Entries: list.Fixed, Sink: target}
+		source = &listfixed.List{Entries: list.Static, Sink: target}
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -558,7 +558,7 @@
 }
 
 // sameList reports whether two list settings name the same source.
-func sameList(a, b plan.List) bool {
-	return a.File == b.File && a.Every == b.Every && a.Discovery == b.Discovery && a.Shared == b.Shared &&
-		slices.Equal(a.Fixed, b.Fixed)
+func sameList(a, b plan.UpstreamSource) bool {
+	return a.File == b.File && a.PollInterval == b.PollInterval && a.Discovery == b.Discovery && a.Shared == b.Shared &&
+		slices.Equal(a.Static, b.Static)
 }
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -1,5 +1,5 @@
-// Package routes decides which route takes a transaction. It has no I/O: a Table is made once from all routes and only
-// read from then on. How it decides is in docs/routes.md.
+// Package routes selects the route of a transaction. It does no I/O: a Table is built once from all routes and is read-only
+// afterwards. The precedence rules are in docs/routes.md.
 package routes
 
 import (
@@ -9,104 +9,106 @@
 	"strings"
 )
 
-// Route says what it takes and where that goes. Several hosts and paths stand for one entry each.
+// Route is a set of conditions and the pool that handles the matching transactions. Each combination of host and path makes
+// one entry of the table.
 type Route struct {
 	Name      string
 	Hosts     []string // "album.example.org", "*.example.org" or "*"; none: any
-	Paths     []string // exact ones
-	Prefixes  []string // by whole segments; neither paths nor prefixes: any path
+	Paths     []string // exact paths
+	Prefixes  []string // matched by whole segments; without paths and prefixes: any path
 	Methods   []string // none: any
-	Headers   []Header // all must hold
-	Listeners []string // by name; none: any
+	Headers   []Header // all must match
+	Listeners []string // names; none: any
 	Pool      string
-	Tariff    string // none: the transaction names it
+	Tariff    string // "" if the transaction names its tariff
 }
 
-// Header is a condition: the header's one value, or any if Value is "*".
+// Header is a condition on a header: the value that it must have, or "*" for any value.
 type Header struct{ Name, Value string }
 
-// Query is what a transaction says of itself. Host and Path are as Host and Path return them.
-type Query struct {
+// Request holds the properties of a transaction that decide its route. Host and Path are normalized by NormalizeHost and
+// NormalizePath.
+type Request struct {
 	Listener, Host, Path, Method string
-	Header                       func(name string) (value string, said bool)
+	Header                       func(name string) (value string, present bool)
 }
 
-// entry is a route at one host and one path.
+// entry is a route for one host and one path.
 type entry struct {
 	*Route
-	rank    int    // its place among the routes as they were given, for the words of check only
-	host    string // "*." before a suffix, "*" for any
-	path    string
-	prefix  bool
-	methods []string // sorted, each once
-	headers []Header // sorted
-	lists   []string // of listeners, sorted
+	routeIndex int    // index in the list given to New; used only in faults
+	host       string // "*." before a suffix, "*" for any
+	path       string
+	prefix     bool     // path is a prefix
+	methods    []string // sorted, without duplicates
+	headers    []Header // sorted, without duplicates
+	listeners  []string // names, sorted, without duplicates
 }
 
-// host is all that is routed under one host.
-type host struct {
-	exact  map[string][]*entry
-	prefix map[string][]*entry
-	deep   int // segments of the longest prefix
+// hostEntries holds all entries for one host.
+type hostEntries struct {
+	exact       map[string][]*entry // by path
+	prefix      map[string][]*entry // by prefix without final "/"
+	maxSegments int                 // number of segments of the longest prefix
 }
 
-// Table finds routes.
+// Table finds the route of a transaction.
 type Table struct {
-	hosts map[string]*host // exact names, "*.suffix" and "*"
-	deep  int              // labels of the longest suffix
+	hosts           map[string]*hostEntries // by exact name, "*.suffix" or "*"
+	maxSuffixLabels int                     // number of labels of the longest suffix
 }
 
-// Fault is a route that can't be used, or something to know of a route that can.
+// Fault is an error in a route, or a warning about a valid one.
 type Fault struct {
-	Route  int // its place as given
-	Key    string
-	Text   string
-	Remark bool
+	RouteIndex int    // index in the list given to New
+	Key        string // key of the route that is wrong; "" for the route as a whole
+	Text       string
+	Warning    bool
 }
 
-// New makes a table of routes. Faults that are no remarks make it nil.
-func New(all []Route) (*Table, []Fault) {
-	t := &Table{hosts: map[string]*host{}}
+// New builds a table of routes. The table is nil if any fault is not a warning.
+func New(given []Route) (*Table, []Fault) {
+	t := &Table{hosts: map[string]*hostEntries{}}
 	var faults []Fault
-	for rank := range all {
-		r := &all[rank]
-		e := entry{Route: r, rank: rank}
-		for _, m := range r.Methods {
+	for index := range given {
+		route := &given[index]
+		e := entry{Route: route, routeIndex: index}
+		for _, m := range route.Methods {
 			if m == "" || m != strings.ToUpper(m) || strings.Trim(m, "ABCDEFGHIJKLMNOPQRSTUVWXYZ-") != "" {
-				faults = append(faults, Fault{rank, "methods", fmt.Sprintf("%q is no method; they are written in capitals", m), false})
+				faults = append(faults, Fault{index, "methods", fmt.Sprintf("%q is not a method; methods are written in capitals", m), false})
 			}
 		}
-		for _, h := range r.Headers {
+		for _, h := range route.Headers {
 			if h.Name == "" || h.Value == "" {
-				faults = append(faults, Fault{rank, "headers", "a header has a name and a value; \"*\" stands for any value", false})
+				faults = append(faults, Fault{index, "headers", "a header condition needs a name and a value; \"*\" stands for any value", false})
 			}
 		}
-		e.methods, e.lists = sorted(r.Methods, cmp.Compare), sorted(r.Listeners, cmp.Compare)
-		e.headers = sorted(r.Headers, func(a, b Header) int {
+		e.methods, e.listeners = sortedUnique(route.Methods, cmp.Compare), sortedUnique(route.Listeners, cmp.Compare)
+		e.headers = sortedUnique(route.Headers, func(a, b Header) int {
 			return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Value, b.Value))
 		})
-		hosts := r.Hosts
+		hosts := route.Hosts
 		if len(hosts) == 0 {
 			hosts = []string{"*"}
 		}
-		prefixes := r.Prefixes
-		if len(r.Paths)+len(prefixes) == 0 {
+		prefixes := route.Prefixes
+		if len(route.Paths)+len(prefixes) == 0 {
 			prefixes = []string{"/"}
 		}
 		for _, name := range hosts {
 			if e.host = name; name != "*" {
-				suffix, wild := strings.CutPrefix(name, "*.")
-				plain, ok := Host(suffix)
-				if !ok || plain == "" || plain != strings.ToLower(suffix) || strings.Contains(plain, "*") {
-					faults = append(faults, Fault{rank, "hosts", fmt.Sprintf(
-						"%q is no host: a name, \"*.\" and a name, or \"*\"; without port and final dot", name), false})
+				suffix, wildcard := strings.CutPrefix(name, "*.")
+				normalized, ok := NormalizeHost(suffix)
+				if !ok || normalized == "" || normalized != strings.ToLower(suffix) || strings.Contains(normalized, "*") {
+					faults = append(faults, Fault{index, "hosts", fmt.Sprintf(
+						"%q is no host; write a name, \"*.\" and a name, or \"*\", without port and final dot", name), false})
 					continue
 				}
-				if e.host = plain; wild {
-					e.host = "*." + plain
+				if e.host = normalized; wildcard {
+					e.host = "*." + normalized
 				}
 			}
-			for _, p := range r.Paths {
+			for _, p := range route.Paths {
 				faults = t.add(e, p, false, faults)
 			}
 			for _, p := range prefixes {
@@ -114,79 +116,81 @@
 			}
 		}
 	}
-	faults = t.sort(faults)
-	if slices.ContainsFunc(faults, func(f Fault) bool { return !f.Remark }) {
+	faults = t.sortEntries(faults)
+	if slices.ContainsFunc(faults, func(f Fault) bool { return !f.Warning }) {
 		return nil, faults
 	}
 	return t, faults
 }
 
-func sorted[T comparable](list []T, by func(a, b T) int) []T {
+// sortedUnique returns a sorted copy of the list without duplicates.
+func sortedUnique[T comparable](list []T, by func(a, b T) int) []T {
 	list = slices.Clone(list)
 	slices.SortFunc(list, by)
 	return slices.Compact(list)
 }
 
-// add puts an entry at its path.
+// add adds an entry for a path to the table and appends a fault if the path is invalid.
 func (t *Table) add(e entry, path string, prefix bool, faults []Fault) []Fault {
 	key := "paths"
 	if prefix {
 		key = "prefixes"
 	}
-	plain, ok := Path(path)
-	if !ok || !strings.HasPrefix(path, "/") || plain != path {
-		text := fmt.Sprintf("%q is no path in its normal form", path)
+	normalized, ok := NormalizePath(path)
+	if !ok || !strings.HasPrefix(path, "/") || normalized != path {
+		text := fmt.Sprintf("%q is not a path in its normal form", path)
 		if ok && strings.HasPrefix(path, "/") {
-			text += fmt.Sprintf("; that is %q", plain)
+			text += fmt.Sprintf("; the normal form is %q", normalized)
 		}
-		return append(faults, Fault{e.rank, key, text, false})
+		return append(faults, Fault{e.routeIndex, key, text, false})
 	}
 	if prefix {
 		path = strings.TrimSuffix(path, "/") // "/album/" and "/album" are the same prefix
 	}
 	e.path, e.prefix = path, prefix
-	h := t.hosts[e.host]
-	if h == nil {
-		h = &host{exact: map[string][]*entry{}, prefix: map[string][]*entry{}}
-		t.hosts[e.host] = h
+	entries := t.hosts[e.host]
+	if entries == nil {
+		entries = &hostEntries{exact: map[string][]*entry{}, prefix: map[string][]*entry{}}
+		t.hosts[e.host] = entries
 	}
 	if prefix {
-		h.prefix[path] = append(h.prefix[path], &e)
-		h.deep = max(h.deep, strings.Count(path, "/"))
+		entries.prefix[path] = append(entries.prefix[path], &e)
+		entries.maxSegments = max(entries.maxSegments, strings.Count(path, "/"))
 	} else {
-		h.exact[path] = append(h.exact[path], &e)
+		entries.exact[path] = append(entries.exact[path], &e)
 	}
-	if suffix, wild := strings.CutPrefix(e.host, "*."); wild {
-		t.deep = max(t.deep, strings.Count(suffix, ".")+1)
+	if suffix, wildcard := strings.CutPrefix(e.host, "*."); wildcard {
+		t.maxSuffixLabels = max(t.maxSuffixLabels, strings.Count(suffix, ".")+1)
 	}
 	return faults
 }
 
-// before is the order of entries at one host and path: the narrower one first. It is total, and hangs on what the
-// routes say, never on where they stand.
-func before(a, b *entry) int {
+// compareEntries orders the entries for one host and path, more specific ones first. The order is total and depends only on
+// the conditions of the routes, never on their position in the file.
+func compareEntries(a, b *entry) int {
 	return cmp.Or(
-		fewer(len(a.methods), len(b.methods)),
+		compareCounts(len(a.methods), len(b.methods)),
 		cmp.Compare(len(b.headers), len(a.headers)),
-		fewer(len(a.lists), len(b.lists)),
-		cmp.Compare(anyValues(a.headers), anyValues(b.headers)),
+		compareCounts(len(a.listeners), len(b.listeners)),
+		cmp.Compare(countWildcards(a.headers), countWildcards(b.headers)),
 		slices.Compare(a.methods, b.methods),
 		slices.CompareFunc(a.headers, b.headers, func(x, y Header) int {
 			return cmp.Or(cmp.Compare(x.Name, y.Name), cmp.Compare(x.Value, y.Value))
 		}),
-		slices.Compare(a.lists, b.lists),
+		slices.Compare(a.listeners, b.listeners),
 	)
 }
 
-// fewer puts the shorter list first, but none, which stands for all, last.
-func fewer(a, b int) int {
+// compareCounts orders shorter lists first, but an empty one, which matches anything, last.
+func compareCounts(a, b int) int {
 	if (a == 0) != (b == 0) {
 		return cmp.Compare(b, a)
 	}
 	return cmp.Compare(a, b)
 }
 
-func anyValues(headers []Header) (n int) {
+// countWildcards returns the number of headers that may have any value.
+func countWildcards(headers []Header) (n int) {
 	for _, h := range headers {
 		if h.Value == "*" {
 			n++
@@ -195,45 +199,45 @@
 	return n
 }
 
-const mostRemarks = 100 // of one table: what nobody reads helps nobody
+const maxWarnings = 100 // per table; longer lists of warnings are not read
 
-// sort puts all entries in order, and finds those that can't be told apart and those that overlap.
-func (t *Table) sort(faults []Fault) []Fault {
+// sortEntries sorts all entries and reports those that are indistinguishable as faults and those that overlap as warnings.
+func (t *Table) sortEntries(faults []Fault) []Fault {
 	var names []string
 	for name := range t.hosts {
 		names = append(names, name)
 	}
 	slices.Sort(names)
-	remarks := 0
+	warnings := 0
 	for _, name := range names {
-		h := t.hosts[name]
-		for _, at := range []map[string][]*entry{h.exact, h.prefix} {
+		entries := t.hosts[name]
+		for _, byPath := range []map[string][]*entry{entries.exact, entries.prefix} {
 			var paths []string
-			for p := range at {
-				paths = append(paths, p)
+			for path := range byPath {
+				paths = append(paths, path)
 			}
 			slices.Sort(paths)
-			for _, p := range paths {
-				list := at[p]
-				slices.SortStableFunc(list, before)
+			for _, path := range paths {
+				list := byPath[path]
+				slices.SortStableFunc(list, compareEntries)
 				for i, e := range list {
-					if i > 0 && before(list[i-1], e) == 0 {
-						faults = append(faults, Fault{e.rank, "", fmt.Sprintf(
-							"can't be told from route %q: the same at %s", list[i-1].Name, e.where()), false})
+					if i > 0 && compareEntries(list[i-1], e) == 0 {
+						faults = append(faults, Fault{e.routeIndex, "", fmt.Sprintf(
+							"cannot be told from route %q: both have the same conditions at %s", list[i-1].Name, e.location()), false})
 						continue
 					}
-					for _, o := range list[:i] {
-						if remarks < mostRemarks && e.overlaps(o) {
-							remarks++
-							faults = append(faults, Fault{e.rank, "", fmt.Sprintf(
-								"overlaps route %q at %s, which goes first: %s", o.Name, e.where(), why(o, e)), true})
+					for _, preceding := range list[:i] {
+						if warnings < maxWarnings && e.overlaps(preceding) {
+							warnings++
+							faults = append(faults, Fault{e.routeIndex, "", fmt.Sprintf(
+								"overlaps route %q at %s, which takes precedence: %s", preceding.Name, e.location(), precedenceReason(preceding, e)), true})
 						}
 					}
 				}
-				if outer := t.around(h, list[0]); outer != nil && outer.Route != list[0].Route && remarks < mostRemarks {
-					remarks++
-					faults = append(faults, Fault{list[0].rank, "", fmt.Sprintf("lies within route %q, and goes first: %s",
-						outer.Name, why(list[0], outer)), true})
+				if outer := t.enclosing(entries, list[0]); outer != nil && outer.Route != list[0].Route && warnings < maxWarnings {
+					warnings++
+					faults = append(faults, Fault{list[0].routeIndex, "", fmt.Sprintf("lies within route %q and takes precedence: %s",
+						outer.Name, precedenceReason(list[0], outer)), true})
 				}
 			}
 		}
@@ -241,8 +245,8 @@
 	return faults
 }
 
-// around is the next wider entry at the same host that some of the same transactions match.
-func (t *Table) around(h *host, e *entry) *entry {
+// enclosing returns the next less specific entry for the same host that can match some of the same transactions.
+func (t *Table) enclosing(entries *hostEntries, e *entry) *entry {
 	path := e.path
 	if e.prefix {
 		if path == "" {
@@ -251,9 +255,9 @@
 		path = path[:strings.LastIndexByte(path, '/')]
 	}
 	for {
-		for _, o := range h.prefix[path] {
-			if e.overlaps(o) {
-				return o
+		for _, candidate := range entries.prefix[path] {
+			if e.overlaps(candidate) {
+				return candidate
 			}
 		}
 		if path == "" {
@@ -263,53 +267,55 @@
 	}
 }
 
-func (e *entry) where() string {
-	what := e.host + e.path
+// location returns the host and path of the entry for messages.
+func (e *entry) location() string {
+	location := e.host + e.path
 	if e.prefix {
-		what += "/..."
+		location += "/..."
 	}
-	return what
+	return location
 }
 
-// overlaps reports whether some transaction could match the conditions of both.
-func (e *entry) overlaps(o *entry) bool {
-	return meet(e.methods, o.methods) && meet(e.lists, o.lists) &&
+// overlaps reports whether a transaction could match the conditions of both entries.
+func (e *entry) overlaps(other *entry) bool {
+	return intersect(e.methods, other.methods) && intersect(e.listeners, other.listeners) &&
 		!slices.ContainsFunc(e.headers, func(h Header) bool {
-			return slices.ContainsFunc(o.headers, func(g Header) bool {
-				return h.Name == g.Name && h.Value != g.Value && h.Value != "*" && g.Value != "*"
+			return slices.ContainsFunc(other.headers, func(otherHeader Header) bool {
+				return h.Name == otherHeader.Name && h.Value != otherHeader.Value && h.Value != "*" && otherHeader.Value != "*"
 			})
 		})
 }
 
-func meet(a, b []string) bool {
+// intersect reports whether two lists of allowed values share one; an empty list allows any value.
+func intersect(a, b []string) bool {
 	return len(a) == 0 || len(b) == 0 || slices.ContainsFunc(a, func(x string) bool { return slices.Contains(b, x) })
 }
 
-// takes reports whether an entry's conditions hold.
-func (e *entry) takes(q *Query) bool { return e.misses(q) == "" }
+// matches reports whether the request meets the conditions of the entry.
+func (e *entry) matches(request *Request) bool { return e.mismatch(request) == "" }
 
-// misses is the condition that doesn't hold.
-func (e *entry) misses(q *Query) string {
-	if len(e.methods) > 0 && !slices.Contains(e.methods, q.Method) {
-		return "its method is another"
+// mismatch describes the first condition that the request does not meet; it returns "" if it meets all.
+func (e *entry) mismatch(request *Request) string {
+	if len(e.methods) > 0 && !slices.Contains(e.methods, request.Method) {
+		return "the method differs"
 	}
-	if len(e.lists) > 0 && !slices.Contains(e.lists, q.Listener) {
-		return "its listener is another"
+	if len(e.listeners) > 0 && !slices.Contains(e.listeners, request.Listener) {
+		return "the listener differs"
 	}
 	for _, h := range e.headers {
-		if value, said := q.Header(h.Name); !said || h.Value != "*" && value != h.Value {
-			return "its header " + h.Name + " is another"
+		if value, present := request.Header(h.Name); !present || h.Value != "*" && value != h.Value {
+			return "the header " + h.Name + " differs"
 		}
 	}
 	return ""
 }
 
-// Find is the route that takes a transaction, nil for none. It looks under the exact host, then under ever shorter
-// suffixes, then under any host; there at the exact path, then at ever shorter prefixes. Its cost hangs on the labels
-// and segments of what is asked, not on the number of routes.
-func (t *Table) Find(q *Query) (found *Route) {
-	t.walk(q, func(e *entry) bool {
-		if e.takes(q) {
+// Find returns the route of a transaction, or nil if there is none. It looks up the exact host, then shorter and shorter
+// suffixes, then any host; for each of them the exact path, then shorter and shorter prefixes. The cost depends on the
+// number of labels and segments in the request, not on the number of routes.
+func (t *Table) Find(request *Request) (found *Route) {
+	t.walk(request, func(e *entry) bool {
+		if e.matches(request) {
 			found = e.Route
 		}
 		return found == nil
@@ -317,34 +323,35 @@
 	return found
 }
 
-// walk shows all entries whose host and path match, the first to go first, until told to stop.
-func (t *Table) walk(q *Query, show func(e *entry) bool) {
-	if q.Host != "" {
-		if h := t.hosts[q.Host]; h != nil && !h.walk(q.Path, show) {
+// walk calls visit for all entries whose host and path match, in order of precedence, until visit returns false.
+func (t *Table) walk(request *Request, visit func(e *entry) bool) {
+	if request.Host != "" {
+		if entries := t.hosts[request.Host]; entries != nil && !entries.walk(request.Path, visit) {
 			return
 		}
-		if t.deep > 0 {
-			// A suffix stands for at least one label more.
-			rest, labels := q.Host, strings.Count(q.Host, ".")
+		if t.maxSuffixLabels > 0 {
+			// A suffix matches only hosts with at least one more label.
+			rest, labels := request.Host, strings.Count(request.Host, ".")
 			for ; labels > 0; labels-- {
 				rest = rest[strings.IndexByte(rest, '.')+1:]
-				if labels > t.deep {
+				if labels > t.maxSuffixLabels {
 					continue
 				}
-				if h := t.hosts["*."+rest]; h != nil && !h.walk(q.Path, show) {
+				if entries := t.hosts["*."+rest]; entries != nil && !entries.walk(request.Path, visit) {
 					return
 				}
 			}
 		}
 	}
-	if h := t.hosts["*"]; h != nil {
-		h.walk(q.Path, show)
+	if entries := t.hosts["*"]; entries != nil {
+		entries.walk(request.Path, visit)
 	}
 }
 
-func (h *host) walk(path string, show func(e *entry) bool) bool {
+// walk calls visit for the entries of one host whose path matches. It returns false if visit did.
+func (h *hostEntries) walk(path string, visit func(e *entry) bool) bool {
 	for _, e := range h.exact[path] {
-		if !show(e) {
+		if !visit(e) {
 			return false
 		}
 	}
@@ -352,12 +359,12 @@
 		return true
 	}
 	path = strings.TrimSuffix(path, "/")
-	for extra := strings.Count(path, "/") - h.deep; extra > 0; extra-- {
+	for extra := strings.Count(path, "/") - h.maxSegments; extra > 0; extra-- {
 		path = path[:strings.LastIndexByte(path, '/')]
 	}
 	for {
 		for _, e := range h.prefix[path] {
-			if !show(e) {
+			if !visit(e) {
 				return false
 			}
 		}
@@ -368,33 +375,33 @@
 	}
 }
 
-// Match is a route that a transaction's host and path fit, and why it doesn't take it; empty if it does.
+// Match is a route whose host and path match a transaction, and the reason why it is not the selected one; "" if it is.
 type Match struct {
-	Route *Route
-	Where string
-	Lost  string
+	Route    *Route
+	Location string
+	Reason   string
 }
 
-// Explain shows all routes whose host and path fit, the one that takes the transaction (if any) without a reason.
-func (t *Table) Explain(q *Query) (all []Match) {
+// Explain returns all routes whose host and path match, in order of precedence. The selected one, if any, has no reason.
+func (t *Table) Explain(request *Request) (matches []Match) {
 	var first *entry
-	t.walk(q, func(e *entry) bool {
-		m := Match{e.Route, e.where(), e.misses(q)}
+	t.walk(request, func(e *entry) bool {
+		m := Match{e.Route, e.location(), e.mismatch(request)}
 		switch {
-		case m.Lost != "":
+		case m.Reason != "":
 		case first == nil:
 			first = e
 		default:
-			m.Lost = "after " + first.Name + ": " + why(first, e)
+			m.Reason = "after " + first.Name + ": " + precedenceReason(first, e)
 		}
-		all = append(all, m)
+		matches = append(matches, m)
 		return true
 	})
-	return all
+	return matches
 }
 
-// why names what puts a before b.
-func why(a, b *entry) string {
+// precedenceReason describes why a takes precedence over b.
+func precedenceReason(a, b *entry) string {
 	switch {
 	case a.host != b.host && b.host == "*":
 		return "a named host goes before any host"
@@ -410,10 +417,10 @@
 		return "fewer methods go first"
 	case len(a.headers) != len(b.headers):
 		return "more headers go first"
-	case len(a.lists) != len(b.lists):
+	case len(a.listeners) != len(b.listeners):
 		return "fewer listeners go first"
-	case anyValues(a.headers) != anyValues(b.headers):
+	case countWildcards(a.headers) != countWildcards(b.headers):
 		return "a header's named value goes before any value"
 	}
-	return "methods, headers, listeners in the order of the alphabet"
+	return "methods, headers and listeners in alphabetical order"
 }
--- a/internal/terms/terms.go
+++ b/internal/terms/terms.go
@@ -1,4 +1,5 @@
-// Package terms decodes the settings that a balancer is given at its start, for every door it may serve.
+// Package terms holds the settings of a pool as the decision engine (package logic) uses them, and decodes the platform's
+// format of them.
 package terms
 
 import (
@@ -11,51 +12,52 @@
 )
 
 const (
-	microsecond = 1000
-	unsaidDial  = time.Second // where nothing is said; without any limit a push to a machine cut off would hang
-	unsaidProbe = "/ping"     // as the platform has it
+	nanosPerMicrosecond = 1000        // the platform states times in microseconds, the engine uses nanoseconds
+	defaultDialTimeout  = time.Second // without a limit, an attempt at an unreachable machine would hang
+	defaultProbePath    = "/ping"     // the path that the platform uses
 )
 
-// MostBody is the bytes of a message that are held for certain, either way.
-const MostBody = 64 << 10
+// GuaranteedBodyBytes is the part of a request or response body for which buffer space is always available.
+const GuaranteedBodyBytes = 64 << 10
 
-// Book is the settings as a balancer uses them: the module's terms, the names behind its numbers, and what only
-// a network is told.
-type Book struct {
-	Terms     *logic.Config
-	Tariffs   map[string]int
-	Customers map[string]int
-	Zones     []string // their places are the numbers in Terms
+// Settings are the settings of a pool: the configuration of the decision engine, the names of the entries that it identifies
+// by number, and the settings that only the network side uses. The tags keep the field names of the encoding from which a
+// pool's fingerprint is made.
+type Settings struct {
+	Engine    *logic.Config  `json:"Terms"`
+	Tariffs   map[string]int // numbers in Engine, by name
+	Customers map[string]int // numbers in Engine, by name
+	Zones     []string       // the index is the number in Engine
 
-	DialTimeout time.Duration // until a connection counts as not to be had
-	IdleClose   time.Duration // an upstream closes what stood idle so long
+	DialTimeout time.Duration // timeout for connecting to an upstream
+	IdleTimeout time.Duration `json:"IdleClose"` // upstreams close connections that are idle this long
 
-	Plain   bool   // ordinary HTTP towards clients and upstreams, not the platform's protocol
-	Default int    // tariff of a plain transaction that names none; -1 for none
-	Probe   string // path of a probe
+	PlainHTTP     bool   `json:"Plain"`   // ordinary HTTP to clients and upstreams instead of the platform's protocol
+	DefaultTariff int    `json:"Default"` // tariff of plain HTTP transactions that name none; -1 for none
+	ProbePath     string `json:"Probe"`   // path of probe requests
 
-	Peers []string // addresses of the balancers, by index, that tell one another what they hold; none where they don't
-	Fleet bool     // the balancers are the members of the cluster; Terms.Balancers is the least that count
-	Watch bool     // decides without live weights and peers, and counts what these would have changed
+	PeerAddresses []string `json:"Peers"` // by balancer index: where the balancers exchange their state; empty if they don't
+	ClusterPeers  bool     `json:"Fleet"` // the balancers are the members of the cluster; at least Engine.Balancers are assumed
+	Shadow        bool     `json:"Watch"` // decide without live weights and peers, and count what these would have changed
 }
 
-// Complete fills in what isn't said, for every format.
-func (b *Book) Complete(zone string) {
-	if b.DialTimeout <= 0 {
-		b.DialTimeout = unsaidDial
+// ApplyDefaults fills in missing settings, for all formats, and sets the number of the zone.
+func (s *Settings) ApplyDefaults(zone string) {
+	if s.DialTimeout <= 0 {
+		s.DialTimeout = defaultDialTimeout
 	}
-	if b.Probe == "" {
-		b.Probe = unsaidProbe
+	if s.ProbePath == "" {
+		s.ProbePath = defaultProbePath
 	}
-	if b.Terms.Zone = slices.Index(b.Zones, zone); b.Terms.Zone < 0 {
-		b.Terms.Zone = len(b.Zones)
-		b.Zones = append(b.Zones, zone)
+	if s.Engine.Zone = slices.Index(s.Zones, zone); s.Engine.Zone < 0 {
+		s.Engine.Zone = len(s.Zones)
+		s.Zones = append(s.Zones, zone)
 	}
 }
 
-// Name is a tariff's by its number.
-func (b *Book) Name(tariff int) string {
-	for name, n := range b.Tariffs {
+// TariffName returns the name of a tariff by its number, or "" if there is none.
+func (s *Settings) TariffName(tariff int) string {
+	for name, n := range s.Tariffs {
 		if n == tariff {
 			return name
 		}
@@ -63,117 +65,124 @@
 	return ""
 }
 
-// Part is the book of one of several modules that share a balancer's work, as if each were a balancer. Danger: the module
-// keeps state in tariffs and customers, so each has its own.
-func (b *Book) Part(n, of int) *Book {
-	part, t := *b, *b.Terms
-	t.Balancers, t.Index = t.Balancers*of, t.Index*of+n
-	t.Seed += uint64(n) * 0x9e3779b97f4a7c15
-	t.Tariffs, t.Customers = nil, nil
-	for _, f := range b.Terms.Tariffs {
-		own := *f
-		t.Tariffs = append(t.Tariffs, &own)
-	}
-	for _, c := range b.Terms.Customers {
-		own := *c
-		t.Customers = append(t.Customers, &own)
-	}
-	part.Terms = &t
-	return &part
+// Shard returns the settings of one of several decision engines that share a balancer's work, each acting as a balancer of
+// its own. Tariffs and customers are copied, because the engine keeps state in them.
+func (s *Settings) Shard(index, count int) *Settings {
+	shard, engine := *s, *s.Engine
+	engine.Balancers, engine.Index = engine.Balancers*count, engine.Index*count+index
+	engine.Seed += uint64(index) * 0x9e3779b97f4a7c15
+	engine.Tariffs, engine.Customers = nil, nil
+	for _, tariff := range s.Engine.Tariffs {
+		copied := *tariff
+		engine.Tariffs = append(engine.Tariffs, &copied)
+	}
+	for _, customer := range s.Engine.Customers {
+		copied := *customer
+		engine.Customers = append(engine.Customers, &copied)
+	}
+	shard.Engine = &engine
+	return &shard
 }
 
-// Keep takes over from an earlier book what was learnt of tariffs and customers that are told as before.
-func (b *Book) Keep(earlier *Book) {
-	for name, n := range b.Tariffs {
-		if m, was := earlier.Tariffs[name]; was && b.Terms.Tariffs[n].Same(earlier.Terms.Tariffs[m]) {
-			b.Terms.Tariffs[n] = earlier.Terms.Tariffs[m]
+// KeepLearned takes over the learned state of those tariffs and customers that are the same in the earlier settings.
+func (s *Settings) KeepLearned(earlier *Settings) {
+	for name, number := range s.Tariffs {
+		if earlierNumber, found := earlier.Tariffs[name]; found && s.Engine.Tariffs[number].Same(earlier.Engine.Tariffs[earlierNumber]) {
+			s.Engine.Tariffs[number] = earlier.Engine.Tariffs[earlierNumber]
 		}
 	}
-	for name, n := range b.Customers {
-		if m, was := earlier.Customers[name]; was && b.Terms.Customers[n].Rate == earlier.Terms.Customers[m].Rate {
-			b.Terms.Customers[n] = earlier.Terms.Customers[m]
+	for name, number := range s.Customers {
+		if earlierNumber, found := earlier.Customers[name]; found && s.Engine.Customers[number].Rate == earlier.Engine.Customers[earlierNumber].Rate {
+			s.Engine.Customers[number] = earlier.Engine.Customers[earlierNumber]
 		}
 	}
 }
 
-// Fits reports whether a pool that goes by this book can take another in service: all that is built by it stays.
-func (b *Book) Fits(other *Book) bool {
-	s, t := b.Terms, other.Terms
-	if b.Fleet && other.Fleet { // who the balancers are changes in service there
-		s, t = &logic.Config{Tier: s.Tier, LiveWeights: s.LiveWeights}, &logic.Config{Tier: t.Tier, LiveWeights: t.LiveWeights}
-	}
-	return b.Fleet == other.Fleet && b.DialTimeout == other.DialTimeout && b.IdleClose == other.IdleClose && b.Plain == other.Plain && b.Probe == other.Probe &&
-		!b.Watch && !other.Watch && slices.Equal(b.Peers, other.Peers) && s.Peers == t.Peers && s.LiveWeights == t.LiveWeights &&
-		s.Balancers == t.Balancers && s.Index == t.Index && s.Tier == t.Tier
+// CanSwitchTo reports whether a running pool with these settings can switch to the other ones. That is possible if nothing
+// changes that is built only at the start of the pool.
+func (s *Settings) CanSwitchTo(other *Settings) bool {
+	engine, otherEngine := s.Engine, other.Engine
+	if s.ClusterPeers && other.ClusterPeers { // the balancers of a cluster may change while the pool runs
+		engine, otherEngine = &logic.Config{Tier: engine.Tier, LiveWeights: engine.LiveWeights},
+			&logic.Config{Tier: otherEngine.Tier, LiveWeights: otherEngine.LiveWeights}
+	}
+	return s.ClusterPeers == other.ClusterPeers && s.DialTimeout == other.DialTimeout &&
+		s.IdleTimeout == other.IdleTimeout &&
+		s.PlainHTTP == other.PlainHTTP && s.ProbePath == other.ProbePath &&
+		!s.Shadow && !other.Shadow && slices.Equal(s.PeerAddresses, other.PeerAddresses) &&
+		engine.Peers == otherEngine.Peers && engine.LiveWeights == otherEngine.LiveWeights &&
+		engine.Balancers == otherEngine.Balancers && engine.Index == otherEngine.Index && engine.Tier == otherEngine.Tier
 }
 
-// Among is the book of one of so many balancers, of which this is the one at an index.
-func (b *Book) Among(balancers, index int) *Book {
-	one := b.Part(0, 1)
-	one.Terms.Balancers, one.Terms.Index, one.Terms.Peers = balancers, index, balancers > 1
-	return one
+// ForBalancer returns the settings of the balancer at an index among a number of balancers.
+func (s *Settings) ForBalancer(balancers, index int) *Settings {
+	balancer := s.Shard(0, 1)
+	balancer.Engine.Balancers, balancer.Engine.Index, balancer.Engine.Peers = balancers, index, balancers > 1
+	return balancer
 }
 
-// Before is the book without what came with the newer shape: live weights and peers.
-func (b *Book) Before() *Book {
-	before := b.Part(0, 1)
-	before.Terms.LiveWeights, before.Terms.Peers, before.Watch = false, false, false
-	return before
+// WithoutLiveAndPeers returns the settings without live weights, peers and shadow mode.
+func (s *Settings) WithoutLiveAndPeers() *Settings {
+	reduced := s.Shard(0, 1)
+	reduced.Engine.LiveWeights, reduced.Engine.Peers, reduced.Shadow = false, false, false
+	return reduced
 }
 
-// Read decodes the settings. What is absent stays zero: logic.New refuses what it can't work with.
-func Read(env *fastjson.Value, seed uint64) *Book {
-	limits, rules := env.Get("limits"), env.Get("guarantees")
-	t := &logic.Config{
-		Seed: seed, Balancers: env.GetInt("fleet_size"), Index: env.GetInt("self_index"),
-		Tier:        env.GetInt("layer"),
+// Decode decodes the settings from the platform's JSON. Missing values stay zero; logic.New refuses those that it cannot
+// work with.
+func Decode(document *fastjson.Value, seed uint64) *Settings {
+	limits, guarantees := document.Get("limits"), document.Get("guarantees")
+	engine := &logic.Config{
+		Seed: seed, Balancers: document.GetInt("fleet_size"), Index: document.GetInt("self_index"),
+		Tier:        document.GetInt("layer"),
 		MaxAttempts: limits.GetInt("max_pushes"), Hedging: limits.GetBool("second_copies"),
 		Cancelling: limits.GetBool("cancelling"), Probing: limits.GetBool("probes"),
-		AdviseBackoff: limits.GetBool("retry_after"), MaxBackoff: limits.GetInt64("max_retry_after") * microsecond,
-		LiveWeights: string(env.GetStringBytes("weight_source")) == "live", Peers: limits.GetBool("peers"),
-		FollowList: string(env.GetStringBytes("registry_mode")) == "ask",
-		ColdShare:  rules.GetFloat64("cold_from"), WarmUp: rules.GetInt64("ramp_time") * microsecond,
-		OverloadFactor: rules.GetFloat64("fall_multiple"), OverloadSpan: rules.GetInt64("overload_for") * microsecond,
-		CrossZonePrice: env.GetFloat64("fees", "cross_zone"), OverQuotaFactor: env.GetFloat64("beyond_share_earnings"),
-	}
-	b := &Book{
-		Terms: t, Tariffs: map[string]int{}, Customers: map[string]int{}, Default: -1,
+		AdviseBackoff: limits.GetBool("retry_after"), MaxBackoff: limits.GetInt64("max_retry_after") * nanosPerMicrosecond,
+		LiveWeights: string(document.GetStringBytes("weight_source")) == "live", Peers: limits.GetBool("peers"),
+		FollowList: string(document.GetStringBytes("registry_mode")) == "ask",
+		ColdShare:  guarantees.GetFloat64("cold_from"), WarmUp: guarantees.GetInt64("ramp_time") * nanosPerMicrosecond,
+		OverloadFactor: guarantees.GetFloat64("fall_multiple"), OverloadSpan: guarantees.GetInt64("overload_for") * nanosPerMicrosecond,
+		CrossZonePrice: document.GetFloat64("fees", "cross_zone"), OverQuotaFactor: document.GetFloat64("beyond_share_earnings"),
+	}
+	settings := &Settings{
+		Engine: engine, Tariffs: map[string]int{}, Customers: map[string]int{}, DefaultTariff: -1,
 		DialTimeout: time.Duration(limits.GetInt64("dial_timeout")) * time.Microsecond,
-		IdleClose:   time.Duration(limits.GetInt64("idle_close")) * time.Microsecond,
+		IdleTimeout: time.Duration(limits.GetInt64("idle_close")) * time.Microsecond,
 	}
-	for _, z := range env.GetArray("zones") {
-		b.Zones = append(b.Zones, string(z.GetStringBytes()))
+	for _, z := range document.GetArray("zones") {
+		settings.Zones = append(settings.Zones, string(z.GetStringBytes()))
 	}
-	b.Complete(string(env.GetStringBytes("zone")))
-	for n, c := range env.GetArray("tariffs") {
-		b.Tariffs[string(c.GetStringBytes("name"))] = n
-		t.Tariffs = append(t.Tariffs, tariff(c))
+	settings.ApplyDefaults(string(document.GetStringBytes("zone")))
+	for n, c := range document.GetArray("tariffs") {
+		settings.Tariffs[string(c.GetStringBytes("name"))] = n
+		engine.Tariffs = append(engine.Tariffs, decodeTariff(c))
 	}
-	for n, c := range env.GetArray("tenants") {
-		b.Customers[string(c.GetStringBytes("name"))] = n
-		t.Customers = append(t.Customers, &logic.Customer{Rate: c.GetFloat64("quota_rps")})
+	for n, c := range document.GetArray("tenants") {
+		settings.Customers[string(c.GetStringBytes("name"))] = n
+		engine.Customers = append(engine.Customers, &logic.Customer{Rate: c.GetFloat64("quota_rps")})
 	}
-	return b
+	return settings
 }
 
-func tariff(c *fastjson.Value) *logic.Tariff {
-	f := &logic.Tariff{
-		DedupWindow: c.GetInt64("dedup_window") * microsecond, ContractTime: c.GetInt64("contract_time") * microsecond,
-		HardStop:   c.GetInt64("hard_stop") * microsecond,
-		WorkFactor: c.GetFloat64("aim_stretch"), Earnings: c.GetFloat64("earnings"),
-		LateEarnings: c.GetFloat64("late_earnings"),
+// decodeTariff decodes one tariff.
+func decodeTariff(value *fastjson.Value) *logic.Tariff {
+	decoded := &logic.Tariff{
+		DedupWindow: value.GetInt64("dedup_window") * nanosPerMicrosecond, ContractTime: value.GetInt64("contract_time") * nanosPerMicrosecond,
+		HardStop:   value.GetInt64("hard_stop") * nanosPerMicrosecond,
+		WorkFactor: value.GetFloat64("aim_stretch"), Earnings: value.GetFloat64("earnings"),
+		LateEarnings: value.GetFloat64("late_earnings"),
 	}
-	switch string(c.GetStringBytes("effect")) {
+	switch string(value.GetStringBytes("effect")) {
 	case "idempotent":
-		f.Idempotency = logic.Idempotent
+		decoded.Idempotency = logic.Idempotent
 	case "deduplicated":
-		f.Idempotency = logic.Keyed
+		decoded.Idempotency = logic.Keyed
 	}
-	switch string(c.GetStringBytes("group")) {
+	switch string(value.GetStringBytes("group")) {
 	case "all":
-		f.DedupScope = logic.Everywhere
+		decoded.DedupScope = logic.Everywhere
 	case "zone":
-		f.DedupScope = logic.SameZone
+		decoded.DedupScope = logic.SameZone
 	}
-	return f
+	return decoded
 }
