--- a/cmd/ottershift/serve.go
+++ b/cmd/ottershift/serve.go
@@ -70,7 +70,7 @@
 
 func stopped(log *slog.Logger, err error) error {
 	if err != nil {
-		logs.Own(log).Error("stop", "fault", err)
+		logs.WithoutPool(log).Error("stop", "fault", err)
 		return errSaid
 	}
 	return nil
@@ -87,7 +87,7 @@
 	if err != nil {
 		return err
 	}
-	own := logs.Own(log)
+	own := logs.WithoutPool(log)
 	if p.Ops != "" {
 		own.Info("start", "name", p.Name, "ops", p.Ops)
 	}
@@ -96,7 +96,7 @@
 	}
 	for _, told := range p.Pools {
 		log.Info("start", "pool", told.Name, "name", p.Name, "discovery", told.List.Discovery, "tier", told.Book.Terms.Tier,
-			"known", len(told.List.Known.Entries)+len(told.List.Fixed), "index", told.List.Known.Index)
+			"known", len(told.List.Known.Entries)+len(told.List.Fixed), "index", told.List.Known.Version)
 	}
 	for {
 		select {
@@ -129,7 +129,7 @@
 func remarks(log *slog.Logger, all []faults.Fault) {
 	for _, f := range all {
 		if f.Remark {
-			logs.Own(log).Debug("remark", "text", f)
+			logs.WithoutPool(log).Debug("remark", "text", f)
 		}
 	}
 }
--- a/internal/cluster/peers.go
+++ b/internal/cluster/peers.go
@@ -17,7 +17,7 @@
 
 // Sink takes what peers say; numbers are those of modules over all balancers. The bytes are its own only until it returns.
 type Sink interface {
-	Told(from, to int, raw []byte)
+	HandleReport(from, to int, raw []byte)
 }
 
 // Route carries what the balancers of one pool say to one another, among the members that count at present. Datagrams
@@ -65,8 +65,8 @@
 	delete(c.pools, roster.Number(pool))
 }
 
-// Tell implements httpwire.Speaker. It never waits: what finds no room is lost.
-func (r *Route) Tell(from, to int, raw []byte) {
+// SendReport implements httpwire.Speaker. It never waits: what finds no room is lost.
+func (r *Route) SendReport(from, to int, raw []byte) {
 	i := to / r.parts
 	if to < 0 || i >= len(r.names) || i == r.own || len(raw) > mostSaid {
 		return
@@ -113,5 +113,5 @@
 	if i < 0 || i == r.own || r.own < 0 || from >= r.parts || to >= r.parts {
 		return
 	}
-	r.sink.Told(i*r.parts+from, r.own*r.parts+to, b[peersHead+int(b[8]):])
+	r.sink.HandleReport(i*r.parts+from, r.own*r.parts+to, b[peersHead+int(b[8]):])
 }
--- a/internal/cluster/shared/shared.go
+++ b/internal/cluster/shared/shared.go
@@ -157,10 +157,10 @@
 	l.wake()
 }
 
-// List implements lists.Sink for the source that asks discovery: what it tells this member goes to its own pool, and to all
+// Update implements lists.Sink for the source that asks discovery: what it tells this member goes to its own pool, and to all
 // others if it asks for all.
-func (l *List) List(entries []roster.Entry[string], whole bool) {
-	l.sink.List(entries, whole)
+func (l *List) Update(entries []roster.Entry[string], whole bool) {
+	l.sink.Update(entries, whole)
 	l.mu.Lock()
 	var w Word
 	own := l.core.Owner()
@@ -173,15 +173,15 @@
 	}
 }
 
-// Unlisted and Follow implement lists.Sink.
-func (l *List) Unlisted() {
+// SourceLost and Follow implement lists.Sink.
+func (l *List) SourceLost() {
 	l.mu.Lock()
 	l.core.Untold()
 	l.mu.Unlock()
-	l.sink.Unlisted()
+	l.sink.SourceLost()
 }
 
-func (l *List) Follow() <-chan struct{} { return l.sink.Follow() }
+func (l *List) Requested() <-chan struct{} { return l.sink.Requested() }
 
 // pass sends a word to all who follow the pool. Danger: between the question and the sending the process may be held up; the
 // token in the word is what makes that harmless.
@@ -206,7 +206,7 @@
 	ask = ask && !l.pending
 	l.pending = l.pending || ask
 	if len(tell) > 0 || whole {
-		l.sink.List(tell, whole) // in the order in which they came
+		l.sink.Update(tell, whole) // in the order in which they came
 	}
 	l.mu.Unlock()
 	if ask {
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -22,102 +22,102 @@
 )
 
 const (
-	upstreams = 3   // for each pool
-	rate      = 80  // transactions a second for each pool
-	screen    = 500 // milliseconds between two pictures
+	upstreamsPerPool  = 3   // for each pool
+	requestsPerSecond = 80  // transactions a second for each pool
+	refreshMillis     = 500 // milliseconds between two pictures
 )
 
-// service is one pool and what its clients have seen.
-type service struct {
-	name, host string
-	usual      time.Duration // an answer takes
-	upstreams  []*upstream
+// servicePool is one pool and what its clients have seen.
+type servicePool struct {
+	name, host     string
+	typicalLatency time.Duration // an answer takes
+	upstreams      []*fakeUpstream
 
-	mu      sync.Mutex
-	all     figures // since the start
-	lately  figures // since the last picture
-	failing figures // while its upstream fails
+	mu            sync.Mutex
+	all           stats // since the start
+	recent        stats // since the last picture
+	duringFailure stats // while its upstream fails
 }
 
-// figures are answers by kind and their times.
-type figures struct {
+// stats are answers by kind and their times.
+type stats struct {
 	settled, deferred, failed int
-	took                      []time.Duration
+	latencies                 []time.Duration
 }
 
-func (f *figures) add(status int, took time.Duration) {
+func (stats *stats) add(status int, latency time.Duration) {
 	switch status {
 	case http.StatusOK:
-		f.settled++
+		stats.settled++
 	case http.StatusServiceUnavailable:
-		f.deferred++
+		stats.deferred++
 	default:
-		f.failed++
+		stats.failed++
 	}
-	f.took = append(f.took, took)
+	stats.latencies = append(stats.latencies, latency)
 }
 
-func (f *figures) asked() int { return f.settled + f.deferred + f.failed }
+func (stats *stats) total() int { return stats.settled + stats.deferred + stats.failed }
 
 // quantile is the time within which a part was answered.
-func (f *figures) quantile(part float64) time.Duration {
-	if len(f.took) == 0 {
+func (stats *stats) quantile(fraction float64) time.Duration {
+	if len(stats.latencies) == 0 {
 		return 0
 	}
-	all := slices.Sorted(slices.Values(f.took))
-	return all[min(len(all)-1, int(part*float64(len(all))))].Round(100 * time.Microsecond)
+	all := slices.Sorted(slices.Values(stats.latencies))
+	return all[min(len(all)-1, int(fraction*float64(len(all))))].Round(100 * time.Microsecond)
 }
 
-// upstream is a stand-in: it answers after some time, or hangs while it fails.
-type upstream struct {
-	name    string
-	address string
-	server  *http.Server
-	usual   time.Duration
-	came    atomic.Int64
-	hangs   atomic.Bool
+// fakeUpstream is a stand-in: it answers after some time, or hangs while it fails.
+type fakeUpstream struct {
+	name           string
+	address        string
+	server         *http.Server
+	typicalLatency time.Duration
+	received       atomic.Int64
+	hanging        atomic.Bool
 }
 
-func (u *upstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if u.hangs.Load() {
+func (upstream *fakeUpstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if upstream.hanging.Load() {
 		<-r.Context().Done()
 		return
 	}
 	if r.URL.Path == "/ping" {
 		return
 	}
-	u.came.Add(1)
+	upstream.received.Add(1)
 	// Mostly near the usual time, now and then several times that.
-	took := time.Duration((0.5 + rand.ExpFloat64()/2) * float64(u.usual))
+	latency := time.Duration((0.5 + rand.ExpFloat64()/2) * float64(upstream.typicalLatency))
 	select {
-	case <-time.After(took):
-		fmt.Fprintf(w, "%s from %s\n", r.URL.Path, u.name)
+	case <-time.After(latency):
+		fmt.Fprintf(w, "%s from %s\n", r.URL.Path, upstream.name)
 	case <-r.Context().Done():
 	}
 }
 
-func newUpstream(name string, usual time.Duration) (*upstream, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+func newFakeUpstream(name string, typicalLatency time.Duration) (*fakeUpstream, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	u := &upstream{name: name, address: l.Addr().String(), usual: usual}
-	u.server = &http.Server{Handler: u, ErrorLog: logs.Lines(slog.New(slog.DiscardHandler), "")}
-	go u.server.Serve(l)
-	return u, nil
+	upstream := &fakeUpstream{name: name, address: listener.Addr().String(), typicalLatency: typicalLatency}
+	upstream.server = &http.Server{Handler: upstream, ErrorLog: logs.NewLineLogger(slog.New(slog.DiscardHandler), "")}
+	go upstream.server.Serve(listener)
+	return upstream, nil
 }
 
 // configuration is what the balancer is told; an installation has such a file of its own.
-func configuration(listen string, all []*service) string {
+func configuration(listen string, pools []*servicePool) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "name = \"demo\"\n[listeners.public]\naddress = %q\n", listen)
 	b.WriteString("[tariffs.page]\nrepeat = \"repeatable\"\ncontract_time = \"400ms\"\nhard_stop = \"1s\"\n")
-	for _, s := range all {
-		fmt.Fprintf(&b, "[pools.%s]\ndefault_tariff = \"page\"\n", s.name)
-		for _, u := range s.upstreams {
-			fmt.Fprintf(&b, "[[pools.%s.upstreams]]\nname = %q\naddress = %q\n", s.name, u.name, u.address)
+	for _, pool := range pools {
+		fmt.Fprintf(&b, "[pools.%s]\ndefault_tariff = \"page\"\n", pool.name)
+		for _, upstream := range pool.upstreams {
+			fmt.Fprintf(&b, "[[pools.%s.upstreams]]\nname = %q\naddress = %q\n", pool.name, upstream.name, upstream.address)
 		}
-		fmt.Fprintf(&b, "[[routes]]\nname = %q\nhosts = [%q]\npool = %q\n", s.name, s.host, s.name)
+		fmt.Fprintf(&b, "[[routes]]\nname = %q\nhosts = [%q]\npool = %q\n", pool.name, pool.host, pool.name)
 	}
 	return b.String()
 }
@@ -127,33 +127,33 @@
 	if length < 2*time.Second {
 		return fmt.Errorf("a demo of %s shows nothing; it lasts at least 2s", length)
 	}
-	all := []*service{
-		{name: "album", host: "album.example.org", usual: 20 * time.Millisecond},
-		{name: "opslag", host: "opslag.example.org", usual: 35 * time.Millisecond},
-		{name: "www", host: "www.example.org", usual: 8 * time.Millisecond},
+	pools := []*servicePool{
+		{name: "album", host: "album.example.org", typicalLatency: 20 * time.Millisecond},
+		{name: "opslag", host: "opslag.example.org", typicalLatency: 35 * time.Millisecond},
+		{name: "www", host: "www.example.org", typicalLatency: 8 * time.Millisecond},
 	}
-	for _, s := range all {
-		for n := range upstreams {
-			u, err := newUpstream(fmt.Sprintf("%s-%d", s.name, n+1), s.usual)
+	for _, pool := range pools {
+		for n := range upstreamsPerPool {
+			upstream, err := newFakeUpstream(fmt.Sprintf("%s-%d", pool.name, n+1), pool.typicalLatency)
 			if err != nil {
 				return err
 			}
-			defer u.server.Close()
-			s.upstreams = append(s.upstreams, u)
+			defer upstream.server.Close()
+			pool.upstreams = append(pool.upstreams, upstream)
 		}
 	}
-	free, err := net.Listen("tcp", "127.0.0.1:0")
+	reserved, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	listen := free.Addr().String()
-	free.Close()
-	p, faults := plan.Parse("demo.toml", []byte(configuration(listen, all)), func(string) (string, bool) { return "", false })
-	if p == nil {
+	listen := reserved.Addr().String()
+	reserved.Close()
+	config, faults := plan.Parse("demo.toml", []byte(configuration(listen, pools)), func(string) (string, bool) { return "", false })
+	if config == nil {
 		return faults[0]
 	}
 	log, level := logs.New(io.Discard, "text")
-	balancer, err := process.Start(p, log, level)
+	balancer, err := process.Start(config, log, level)
 	if err != nil {
 		return err
 	}
@@ -161,83 +161,83 @@
 	defer balancer.Drain()
 
 	fmt.Fprintf(w, "Three pools of %d upstreams behind one balancer on %s, %d transactions a second to each, for %s.\n",
-		upstreams, listen, rate, length)
-	bad := all[0].upstreams[1]
+		upstreamsPerPool, listen, requestsPerSecond, length)
+	failing := pools[0].upstreams[1]
 	start := time.Now()
-	from, to := length*3/10, length*6/10
-	ctx, end := context.WithTimeout(ctx, length)
-	defer end()
+	failAt, recoverAt := length*3/10, length*6/10
+	ctx, cancel := context.WithTimeout(ctx, length)
+	defer cancel()
 	client := &http.Transport{MaxIdleConnsPerHost: 64}
 	defer client.CloseIdleConnections()
-	var asking sync.WaitGroup
-	for _, s := range all {
-		asking.Go(func() { s.ask(ctx, client, listen, bad) })
+	var senders sync.WaitGroup
+	for _, pool := range pools {
+		senders.Go(func() { pool.sendRequests(ctx, client, listen, failing) })
 	}
-	pictures := time.NewTicker(screen * time.Millisecond)
-	defer pictures.Stop()
+	refresh := time.NewTicker(refreshMillis * time.Millisecond)
+	defer refresh.Stop()
 	for n := 0; ctx.Err() == nil; n++ {
 		select {
-		case <-pictures.C:
+		case <-refresh.C:
 		case <-ctx.Done():
 		}
 		now := time.Since(start)
-		if hangs := now >= from && now < to; hangs != bad.hangs.Load() {
-			bad.hangs.Store(hangs)
+		if hanging := now >= failAt && now < recoverAt; hanging != failing.hanging.Load() {
+			failing.hanging.Store(hanging)
 			if !live {
-				fmt.Fprintf(w, "%5.1fs  %s %s\n", now.Seconds(), bad.name, map[bool]string{true: "stops answering", false: "answers again"}[hangs])
+				fmt.Fprintf(w, "%5.1fs  %s %s\n", now.Seconds(), failing.name, map[bool]string{true: "stops answering", false: "answers again"}[hanging])
 			}
 		}
 		if live || n%4 == 3 {
-			picture(w, all, bad, now, live, n > 0)
+			writeStatus(w, pools, failing, now, live, n > 0)
 		}
 	}
-	asking.Wait()
-	bad.hangs.Store(false)
-	sum(w, all, bad, to-from)
+	senders.Wait()
+	failing.hanging.Store(false)
+	writeSummary(w, pools, failing, recoverAt-failAt)
 	return nil
 }
 
-// ask sends transactions at their times, whatever became of those before.
-func (s *service) ask(ctx context.Context, client *http.Transport, to string, bad *upstream) {
-	var open sync.WaitGroup
-	defer open.Wait()
+// sendRequests sends transactions at their times, whatever became of those before.
+func (pool *servicePool) sendRequests(ctx context.Context, client *http.Transport, listen string, failing *fakeUpstream) {
+	var requests sync.WaitGroup
+	defer requests.Wait()
 	for next := time.Now(); ctx.Err() == nil; {
-		next = next.Add(time.Duration(rand.ExpFloat64() / rate * float64(time.Second)))
+		next = next.Add(time.Duration(rand.ExpFloat64() / requestsPerSecond * float64(time.Second)))
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(time.Until(next)):
 		}
-		open.Go(func() {
-			began := time.Now()
-			r, err := http.NewRequest(http.MethodGet, fmt.Sprintf("http://%s/page/%d", to, rand.IntN(1000)), nil)
+		requests.Go(func() {
+			start := time.Now()
+			request, err := http.NewRequest(http.MethodGet, fmt.Sprintf("http://%s/page/%d", listen, rand.IntN(1000)), nil)
 			if err != nil {
 				return
 			}
-			r.Host = s.host
+			request.Host = pool.host
 			status := 0
-			if a, err := client.RoundTrip(r); err == nil {
-				io.Copy(io.Discard, a.Body)
-				a.Body.Close()
-				status = a.StatusCode
+			if response, err := client.RoundTrip(request); err == nil {
+				io.Copy(io.Discard, response.Body)
+				response.Body.Close()
+				status = response.StatusCode
 			}
-			took := time.Since(began)
-			s.mu.Lock()
-			defer s.mu.Unlock()
-			s.all.add(status, took)
-			s.lately.add(status, took)
-			if bad.hangs.Load() {
-				s.failing.add(status, took)
+			latency := time.Since(start)
+			pool.mu.Lock()
+			defer pool.mu.Unlock()
+			pool.all.add(status, latency)
+			pool.recent.add(status, latency)
+			if failing.hanging.Load() {
+				pool.duringFailure.add(status, latency)
 			}
 		})
 	}
 }
 
-// picture shows what was seen since the last one.
-func picture(w io.Writer, all []*service, bad *upstream, now time.Duration, live, again bool) {
+// writeStatus shows what was seen since the last one.
+func writeStatus(w io.Writer, pools []*servicePool, failing *fakeUpstream, now time.Duration, live, redraw bool) {
 	var b strings.Builder
-	if live && again {
-		fmt.Fprintf(&b, "\x1b[%dA", 2+len(all)*(1+upstreams)) // to the top of the last one
+	if live && redraw {
+		fmt.Fprintf(&b, "\x1b[%dA", 2+len(pools)*(1+upstreamsPerPool)) // to the top of the last one
 	}
 	line := func(format string, values ...any) {
 		if live {
@@ -247,49 +247,49 @@
 	}
 	if live {
 		state := "all upstreams answer"
-		if bad.hangs.Load() {
-			state = bad.name + " does not answer"
+		if failing.hanging.Load() {
+			state = failing.name + " does not answer"
 		}
 		line("%5.1fs  %s", now.Seconds(), state)
 		line("%-12s %8s %9s %9s %9s %9s", "pool", "asked", "settled", "deferred", "median", "99 in 100")
 	}
-	for _, s := range all {
-		s.mu.Lock()
-		f := s.lately
-		s.lately = figures{}
-		s.mu.Unlock()
+	for _, pool := range pools {
+		pool.mu.Lock()
+		current := pool.recent
+		pool.recent = stats{}
+		pool.mu.Unlock()
 		if !live {
-			line("%5.1fs  %-7s asked=%d settled=%d deferred=%d failed=%d median=%s p99=%s", now.Seconds(), s.name,
-				f.asked(), f.settled, f.deferred, f.failed, f.quantile(0.5), f.quantile(0.99))
+			line("%5.1fs  %-7s asked=%d settled=%d deferred=%d failed=%d median=%s p99=%s", now.Seconds(), pool.name,
+				current.total(), current.settled, current.deferred, current.failed, current.quantile(0.5), current.quantile(0.99))
 			continue
 		}
-		line("%-12s %8d %9d %9d %9s %9s", s.name, f.asked(), f.settled, f.deferred, f.quantile(0.5), f.quantile(0.99))
-		for _, u := range s.upstreams {
+		line("%-12s %8d %9d %9d %9s %9s", pool.name, current.total(), current.settled, current.deferred, current.quantile(0.5), current.quantile(0.99))
+		for _, upstream := range pool.upstreams {
 			mark := ""
-			if u.hangs.Load() {
+			if upstream.hanging.Load() {
 				mark = "  fails"
 			}
-			line("  %-10s %8d in all%s", u.name, u.came.Load(), mark)
+			line("  %-10s %8d in all%s", upstream.name, upstream.received.Load(), mark)
 		}
 	}
 	io.WriteString(w, b.String())
 }
 
-// sum says in sentences what was seen.
-func sum(w io.Writer, all []*service, bad *upstream, failed time.Duration) {
+// writeSummary says in sentences what was seen.
+func writeSummary(w io.Writer, pools []*servicePool, failing *fakeUpstream, outage time.Duration) {
 	fmt.Fprintln(w)
-	for _, s := range all {
-		s.mu.Lock()
-		f := s.all
-		s.mu.Unlock()
+	for _, pool := range pools {
+		pool.mu.Lock()
+		current := pool.all
+		pool.mu.Unlock()
 		fmt.Fprintf(w, "%s was asked %d times: %d settled, %d deferred, %d failed; half were answered within %s, 99 in 100 within %s.\n",
-			s.name, f.asked(), f.settled, f.deferred, f.failed, f.quantile(0.5), f.quantile(0.99))
+			pool.name, current.total(), current.settled, current.deferred, current.failed, current.quantile(0.5), current.quantile(0.99))
 	}
-	f := &all[0].failing
-	if f.asked() > 0 {
+	current := &pools[0].duringFailure
+	if current.total() > 0 {
 		fmt.Fprintf(w, "%s did not answer for %s. In that time its pool settled %.1f in 100 of %d, 99 in 100 within %s:\n"+
 			"what it left unanswered was copied to another upstream, and after a few it was set aside until it answered again.\n",
-			bad.name, failed.Round(100*time.Millisecond), 100*float64(f.settled)/float64(f.asked()), f.asked(), f.quantile(0.99))
+			failing.name, outage.Round(100*time.Millisecond), 100*float64(current.settled)/float64(current.total()), current.total(), current.quantile(0.99))
 	}
 	fmt.Fprintln(w, "The other pools noticed nothing of it: each has its own list, health, limits and decisions.")
 }
--- a/internal/desk/desk.go
+++ b/internal/desk/desk.go
@@ -66,7 +66,7 @@
 	answer    chan Answer
 	sent      []*Attempt
 	pending   int // number of attempts without a result
-	class     *figures.Class
+	class     *figures.TariffCounter
 	done      bool // has its answer, or the client is gone
 	streaming bool // its answer is being streamed, without the engine
 }
@@ -249,7 +249,7 @@
 	ok := d.update(func(now int64) {
 		d.open[h] = struct{}{}
 		d.counters.Arrived++
-		d.metrics.Open.Add(1)
+		d.metrics.InFlight.Add(1)
 		h.class = d.class(a)
 		if a.DelaySend {
 			h.tx.EarliestSend = never
@@ -272,12 +272,12 @@
 }
 
 // class returns the metrics class in which an arrival is counted.
-func (d *Dispatcher) class(a Arrival) *figures.Class {
+func (d *Dispatcher) class(a Arrival) *figures.TariffCounter {
 	config := a.Config
 	if config == nil {
 		config = d.book.Terms
 	}
-	return config.Tariffs[a.Tariff].UserData.(*figures.Class)
+	return config.Tariffs[a.Tariff].UserData.(*figures.TariffCounter)
 }
 
 // BodyReceived reports that the last byte of a transaction has arrived. The client waits for the timeout from now on.
@@ -333,11 +333,11 @@
 // StreamEnded reports the end of a streamed answer.
 func (d *Dispatcher) StreamEnded(h *Handle, p *Attempt, complete bool) {
 	p.cancel(context.Canceled)
-	d.metrics.Open.Add(-1)
+	d.metrics.InFlight.Add(-1)
 	if complete {
-		h.class.End(Settled)
+		h.class.Count(Settled)
 	} else {
-		h.class.End(Forfeited)
+		h.class.Count(Forfeited)
 	}
 }
 
@@ -347,7 +347,7 @@
 		if !h.done {
 			h.done = true
 			d.counters.ClientsGone++
-			d.metrics.Open.Add(-1)
+			d.metrics.InFlight.Add(-1)
 			delete(d.open, h)
 			d.engine.ClientGone(&h.tx)
 		}
@@ -373,7 +373,7 @@
 		if withdrawn = !h.done; withdrawn {
 			h.done = true
 			d.counters.Arrived--
-			d.metrics.Open.Add(-1)
+			d.metrics.InFlight.Add(-1)
 			delete(d.open, h)
 			d.engine.ClientGone(&h.tx)
 		}
@@ -387,7 +387,7 @@
 	defer d.mu.Unlock()
 	d.counters.Arrived++
 	d.counters.DeferredAtEdge++
-	d.class(a).End(Deferred)
+	d.class(a).Count(Deferred)
 }
 
 // CountEnded counts a transaction that ended in another way before it reached the engine.
@@ -395,7 +395,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.counters.Arrived++
-	d.class(a).End(ending)
+	d.class(a).Count(ending)
 }
 
 // Reconfigure replaces the settings for new transactions. Open ones keep the settings under which they arrived.
@@ -431,7 +431,7 @@
 		names[n] = name
 	}
 	for n, tariff := range book.Terms.Tariffs {
-		tariff.UserData = d.metrics.Class(names[n])
+		tariff.UserData = d.metrics.Tariff(names[n])
 	}
 }
 
@@ -529,9 +529,9 @@
 	}
 	h.done = true
 	if !h.streaming {
-		d.metrics.Open.Add(-1)
+		d.metrics.InFlight.Add(-1)
 		if h.class != nil {
-			h.class.End(a.Ending)
+			h.class.Count(a.Ending)
 		}
 	}
 	delete(d.open, h)
--- a/internal/desk/desk_test.go
+++ b/internal/desk/desk_test.go
@@ -96,10 +96,10 @@
 		}
 		wait.Wait()
 		counters, ended := d.TakeCounters(), 0
-		for _, n := range d.metrics.Ended() {
+		for _, n := range d.metrics.EndingTotals() {
 			ended += int(n)
 		}
-		if n := d.metrics.Open.Load(); n != 0 {
+		if n := d.metrics.InFlight.Load(); n != 0 {
 			t.Errorf("%d transactions counted as open", n)
 		}
 		if counters.Open != 0 || counters.Arrived != 200 || ended+counters.ClientsGone != 200 {
--- a/internal/figures/figures.go
+++ b/internal/figures/figures.go
@@ -18,100 +18,100 @@
 	Settled Ending = iota
 	Deferred
 	Forfeited
-	Rejected // an upstream found the transaction itself at fault; its reply goes on
-	Endings  = iota
+	Rejected    // an upstream found the transaction itself at fault; its reply goes on
+	EndingCount = iota
 )
 
-// Class counts the endings of one tariff.
-type Class struct {
+// TariffCounter counts the endings of one tariff.
+type TariffCounter struct {
 	name  string
-	ended [Endings]atomic.Int64
+	ended [EndingCount]atomic.Int64
 }
 
-// End counts an ending.
-func (c *Class) End(e Ending) { c.ended[e].Add(1) }
+// Count counts an ending.
+func (counter *TariffCounter) Count(ending Ending) { counter.ended[ending].Add(1) }
 
 // Pool counts for one pool. A tariff that is dropped keeps its counts.
 type Pool struct {
-	Open  atomic.Int64 // transactions taken and not ended
-	Sends atomic.Int64 // pushes whose last byte was written
+	InFlight     atomic.Int64 // transactions taken and not ended
+	AttemptsSent atomic.Int64 // pushes whose last byte was written
 
 	mu      sync.Mutex
-	classes []*Class // in the order in which they came
+	tariffs []*TariffCounter // in the order in which they came
 }
 
-// Class is where the endings of a tariff are counted; it is shown from now on.
-func (p *Pool) Class(name string) *Class {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, c := range p.classes {
-		if c.name == name {
-			return c
+// Tariff is where the endings of a tariff are counted; it is shown from now on.
+func (pool *Pool) Tariff(name string) *TariffCounter {
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	for _, counter := range pool.tariffs {
+		if counter.name == name {
+			return counter
 		}
 	}
-	c := &Class{name: name}
-	p.classes = append(p.classes, c)
-	return c
+	counter := &TariffCounter{name: name}
+	pool.tariffs = append(pool.tariffs, counter)
+	return counter
 }
 
-// Ended sums the endings of all tariffs.
-func (p *Pool) Ended() (all [Endings]int64) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, c := range p.classes {
-		for e := range c.ended {
-			all[e] += c.ended[e].Load()
+// EndingTotals sums the endings of all tariffs.
+func (pool *Pool) EndingTotals() (totals [EndingCount]int64) {
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	for _, counter := range pool.tariffs {
+		for ending := range counter.ended {
+			totals[ending] += counter.ended[ending].Load()
 		}
 	}
-	return all
+	return totals
 }
 
 // Process counts what concerns no pool.
 type Process struct {
-	Loaded  atomic.Int64 // files taken at SIGHUP
-	Invalid atomic.Int64 // and turned down
+	ConfigsLoaded   atomic.Int64 // files taken at SIGHUP
+	ConfigsRejected atomic.Int64 // and turned down
 }
 
-// View is a pool as it is shown.
-type View struct {
+// PoolView is a pool as it is shown.
+type PoolView struct {
 	Name              string // "" where there is one pool, which needs none
-	Counts            *Pool
+	Counters          *Pool
 	Listed, Unhealthy int
 }
 
 // Write writes all figures, a line each.
-func Write(to io.Writer, p *Process, pools []View) error {
+func Write(to io.Writer, process *Process, pools []PoolView) error {
 	out := bufio.NewWriter(to)
-	for _, v := range pools {
-		v.Counts.mu.Lock()
-		classes := v.Counts.classes
-		v.Counts.mu.Unlock()
-		for _, c := range classes {
-			answered, errored := c.ended[Settled].Load(), c.ended[Forfeited].Load()+c.ended[Rejected].Load()
-			for _, s := range []struct {
+	for _, view := range pools {
+		view.Counters.mu.Lock()
+		tariffs := view.Counters.tariffs
+		view.Counters.mu.Unlock()
+		for _, counter := range tariffs {
+			answered, errored := counter.ended[Settled].Load(), counter.ended[Forfeited].Load()+counter.ended[Rejected].Load()
+			for _, sample := range []struct {
 				state string
 				n     int64
-			}{{"answered", answered}, {"deferred", c.ended[Deferred].Load()}, {"errored", errored}} {
-				fmt.Fprintf(out, "proxy_transactions{%sgroup=\"%s\",state=\"%s\"} %d\n", label(v.Name, ","), escape.Replace(c.name), s.state, s.n)
+			}{{"answered", answered}, {"deferred", counter.ended[Deferred].Load()}, {"errored", errored}} {
+				fmt.Fprintf(out, "proxy_transactions{%sgroup=\"%s\",state=\"%s\"} %d\n", poolLabel(view.Name, ","), escape.Replace(counter.name), sample.state, sample.n)
 			}
 		}
-		of := label(v.Name, "")
-		if of != "" {
-			of = "{" + of + "}"
+		labels := poolLabel(view.Name, "")
+		if labels != "" {
+			labels = "{" + labels + "}"
 		}
 		fmt.Fprintf(out, "proxy_sends%s %d\nproxy_current%s %d\nproxy_cluster_size%s %d\nproxy_cluster_unhealthy%s %d\n",
-			of, v.Counts.Sends.Load(), of, v.Counts.Open.Load(), of, v.Listed, of, v.Unhealthy)
+			labels, view.Counters.AttemptsSent.Load(), labels, view.Counters.InFlight.Load(), labels, view.Listed, labels, view.Unhealthy)
 	}
-	fmt.Fprintf(out, "proxy_conf_loaded %d\nproxy_conf_invalid %d\n", p.Loaded.Load(), p.Invalid.Load())
+	fmt.Fprintf(out, "proxy_conf_loaded %d\nproxy_conf_invalid %d\n", process.ConfigsLoaded.Load(), process.ConfigsRejected.Load())
 	return out.Flush()
 }
 
 // escape keeps a name inside its quotes and its line.
 var escape = strings.NewReplacer("\\", "\\\\", "\"", "\\\"", "\n", "\\n")
 
-func label(pool, behind string) string {
+func poolLabel(pool, suffix string) string {
 	if pool == "" {
 		return ""
 	}
-	return `pool="` + escape.Replace(pool) + `"` + behind
+	return `pool="` + escape.Replace(pool) + `"` + suffix
 }
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -137,9 +137,9 @@
 // HTML writes one page with pictures, which needs nothing else.
 func (c *Count) HTML(to io.Writer) error {
 	var b strings.Builder
-	draw.Page(&b, "A fleet's logs")
+	draw.WritePageHead(&b, "A fleet's logs")
 	fmt.Fprintf(&b, "<p>%d balancers, %d lines from %s on, %.0f s.</p>", c.Nodes, c.Lines, c.Start.Format("2006-01-02T15:04:05Z"), c.Length)
-	p := &draw.Plot{Length: max(c.Length, c.Every), Step: c.Every}
+	p := &draw.Plot{Duration: max(c.Length, c.Every), Step: c.Every}
 	values := func(of func(r *Row) float64) (all []float64) {
 		for _, r := range c.Rows {
 			all = append(all, of(r))
@@ -155,9 +155,9 @@
 			}
 			most = max(most, sum)
 		}
-		y, ticks := draw.Linear(most)
+		y, ticks := draw.LinearScale(most)
 		b.WriteString("<figure>")
-		p.Frame(&b, caption, ticks, y, "%.0f")
+		p.OpenWithAxes(&b, caption, ticks, y, "%.0f")
 		p.Bars(&b, all, y)
 		b.WriteString("</svg></figure>")
 	}
@@ -191,12 +191,12 @@
 	})
 	b.WriteString("<h2>Upstreams set aside</h2><table><tr><th>upstream</th><th>balancers at once</th><th>balancer-seconds</th><th>why</th></tr>")
 	for _, u := range c.Beliefs[:min(30, len(c.Beliefs))] {
-		fmt.Fprintf(&b, "<tr><td>%s</td><td>%d</td><td>%.1f</td><td>%s</td></tr>", draw.Esc(u.Upstream), u.Most, u.Seconds, draw.Esc(list(u.Why)))
+		fmt.Fprintf(&b, "<tr><td>%s</td><td>%d</td><td>%.1f</td><td>%s</td></tr>", draw.EscapeHTML(u.Upstream), u.Most, u.Seconds, draw.EscapeHTML(list(u.Why)))
 	}
 	b.WriteString("</table><h2>Balancers that lost the most</h2><table><tr><th>file</th><th>tier</th><th>arrived</th><th>lost</th><th>by reason</th></tr>")
 	for _, m := range c.Members[:min(30, len(c.Members))] {
 		fmt.Fprintf(&b, "<tr><td>%s</td><td>%s</td><td>%.0f</td><td>%.0f</td><td>%s</td></tr>",
-			draw.Esc(m.File), draw.Esc(m.Tier), m.Arrived, m.Lost, draw.Esc(list(m.Reasons)))
+			draw.EscapeHTML(m.File), draw.EscapeHTML(m.Tier), m.Arrived, m.Lost, draw.EscapeHTML(list(m.Reasons)))
 	}
 	b.WriteString("</table></html>\n")
 	_, err := io.WriteString(to, b.String())
--- a/internal/httpwire/pool.go
+++ b/internal/httpwire/pool.go
@@ -115,14 +115,14 @@
 }
 
 // View is the pool as the second address shows it.
-func (p *Pool) View() figures.View {
+func (p *Pool) View() figures.PoolView {
 	listed, avoided := p.shards[0].desk.UpstreamCounts()
-	return figures.View{Name: p.Name, Counts: p.counts, Listed: listed, Unhealthy: avoided}
+	return figures.PoolView{Name: p.Name, Counters: p.counts, Listed: listed, Unhealthy: avoided}
 }
 
 // Speaker carries what one module says to another, by their numbers over all balancers.
 type Speaker interface {
-	Tell(from, to int, raw []byte)
+	SendReport(from, to int, raw []byte)
 }
 
 // Speak has the pool's modules say what they say to others through a speaker, or nothing any more through nil.
@@ -130,14 +130,14 @@
 	for n, sh := range p.shards {
 		var say func(to int, raw []byte)
 		if from := p.book.Load().Terms.Index*len(p.shards) + n; s != nil {
-			say = func(to int, raw []byte) { s.Tell(from, to, raw) }
+			say = func(to int, raw []byte) { s.SendReport(from, to, raw) }
 		}
 		sh.desk.SetReportSender(say)
 	}
 }
 
-// Told implements peers.Sink.
-func (p *Pool) Told(from, to int, raw []byte) {
+// HandleReport implements peers.Sink.
+func (p *Pool) HandleReport(from, to int, raw []byte) {
 	if n := to - p.book.Load().Terms.Index*len(p.shards); n >= 0 && n < len(p.shards) {
 		p.shards[n].desk.PeerReport(from, raw)
 	}
@@ -152,8 +152,8 @@
 // Log logs what concerns the pool.
 func (p *Pool) Log() *slog.Logger { return p.log }
 
-// List implements lists.Sink, as do Unlisted and Follow.
-func (p *Pool) List(entries []roster.Entry[string], whole bool) {
+// Update implements lists.Sink, as do Unlisted and Follow.
+func (p *Pool) Update(entries []roster.Entry[string], whole bool) {
 	var c roster.Change
 	for _, sh := range p.shards {
 		c = sh.desk.List(entries, whole)
@@ -170,15 +170,15 @@
 	}
 }
 
-// Unlisted implements lists.Sink.
-func (p *Pool) Unlisted() {
+// SourceLost implements lists.Sink.
+func (p *Pool) SourceLost() {
 	for _, sh := range p.shards {
 		sh.desk.Unlisted()
 	}
 }
 
-// Follow implements lists.Sink. All shards are told whatever one of them asks for.
-func (p *Pool) Follow() <-chan struct{} { return p.shards[0].desk.Follow() }
+// Requested implements lists.Sink. All shards are told whatever one of them asks for.
+func (p *Pool) Requested() <-chan struct{} { return p.shards[0].desk.Follow() }
 
 // Entries is the pool's list as it stands.
 func (p *Pool) Entries() []roster.Entry[string] { return p.shards[0].desk.Entries() }
--- a/internal/httpwire/push.go
+++ b/internal/httpwire/push.go
@@ -72,7 +72,7 @@
 		GotConn: on.board,
 		WroteRequest: func(i httptrace.WroteRequestInfo) {
 			if cut.Store(i.Err != nil); i.Err == nil {
-				p.counts.Sends.Add(1)
+				p.counts.AttemptsSent.Add(1)
 			}
 		},
 	})
--- a/internal/httpwire/serve.go
+++ b/internal/httpwire/serve.go
@@ -54,12 +54,12 @@
 
 // New makes a front, which serves nobody until it has a board; module decides for each of its pools.
 func New(log *slog.Logger, module desk.EngineFactory) *Front {
-	f := &Front{module: module, cores: 1, log: logs.Own(log), base: log, sockets: newSockets(), common: newCommon()}
+	f := &Front{module: module, cores: 1, log: logs.WithoutPool(log), base: log, sockets: newSockets(), common: newCommon()}
 	f.board.Store(&Board{})
 	f.server = &http.Server{
 		Handler: f, ReadHeaderTimeout: headLimit, IdleTimeout: idleLimit, MaxHeaderBytes: mostHeader,
 		ConnState: f.sockets.state, ConnContext: withClient, DisableGeneralOptionsHandler: true, // no answers but ours
-		ErrorLog: logs.Lines(logs.Own(log), "http"),
+		ErrorLog: logs.NewLineLogger(logs.WithoutPool(log), "http"),
 	}
 	return f
 }
--- a/internal/httpwire/share.go
+++ b/internal/httpwire/share.go
@@ -14,9 +14,9 @@
 	mu     sync.Mutex
 	epoch  time.Time
 	free   bool // one pool alone, without limits of its own: it may have all, and sockets bound it
-	open   *shares.Dealer
-	out    *shares.Dealer
-	bodies *shares.Dealer
+	open   *shares.Limiter
+	out    *shares.Limiter
+	bodies *shares.Limiter
 	parts  map[*part]struct{}
 }
 
@@ -25,10 +25,10 @@
 // part is a pool's.
 type part struct {
 	common  *common
-	open    *shares.Account
-	out     *shares.Account
-	bodies  *shares.Account
-	pace    shares.Pace
+	open    *shares.Quota
+	out     *shares.Quota
+	bodies  *shares.Quota
+	pace    shares.RefusalPacer
 	weight  atomic.Int64 // transactions guaranteed
 	clients int          // connections whose last transaction came to this pool; under the lock of sockets
 }
@@ -45,7 +45,7 @@
 func (c *common) enter() *part {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p := &part{common: c, open: c.open.Open(), out: c.out.Open(), bodies: c.bodies.Open()}
+	p := &part{common: c, open: c.open.AddQuota(), out: c.out.AddQuota(), bodies: c.bodies.AddQuota()}
 	c.parts[p] = struct{}{}
 	return p
 }
@@ -55,9 +55,9 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.parts, p)
-	c.open.Close(p.open)
-	c.out.Close(p.out)
-	c.bodies.Close(p.bodies)
+	c.open.RemoveQuota(p.open)
+	c.out.RemoveQuota(p.out)
+	c.bodies.RemoveQuota(p.bodies)
 }
 
 // Share is what a pool is to have.
@@ -71,9 +71,9 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.free = true
-	c.bodies.Resize(bodies)
+	c.bodies.SetCapacity(bodies)
 	for p := range c.parts {
-		c.bodies.Set(p.bodies, bodies, bodies)
+		c.bodies.Configure(p.bodies, bodies, bodies)
 	}
 }
 
@@ -88,17 +88,17 @@
 	var said []float64
 	for p := range c.parts {
 		if _, named := to[p]; !named {
-			c.open.Set(p.open, 0, 0)
-			c.out.Set(p.out, 0, math.MaxInt64) // what it has taken it may still push
-			c.bodies.Set(p.bodies, 0, math.MaxInt64)
+			c.open.Configure(p.open, 0, 0)
+			c.out.Configure(p.out, 0, math.MaxInt64) // what it has taken it may still push
+			c.bodies.Configure(p.bodies, 0, math.MaxInt64)
 			continue
 		}
 		parts, said = append(parts, p), append(said, to[p].Part)
 	}
-	c.open.Resize(clients)
-	c.bodies.Resize(bodies)
-	for _, d := range []*shares.Dealer{c.open, c.out, c.bodies} {
-		d.Within(int64(within))
+	c.open.SetCapacity(clients)
+	c.bodies.SetCapacity(bodies)
+	for _, d := range []*shares.Limiter{c.open, c.out, c.bodies} {
+		d.SetReclaimTime(int64(within))
 	}
 	open, out, held := shares.Split(clients, said), shares.Split(spare, said), shares.Split(bodies, said)
 	rates := shares.Split(int64(refusals), said)
@@ -108,15 +108,15 @@
 		p.weight.Store(p.open.Guarantee())
 		set(c.out, p.out, out[i], s.Connections)
 		set(c.bodies, p.bodies, held[i], s.Bodies)
-		p.pace = shares.NewPace(float64(rates[i]), int64(mostRest))
+		p.pace = shares.NewRefusalPacer(float64(rates[i]), int64(mostRest))
 	}
 }
 
-func set(d *shares.Dealer, a *shares.Account, guarantee, most int64) {
+func set(d *shares.Limiter, a *shares.Quota, guarantee, most int64) {
 	if most <= 0 {
 		most = math.MaxInt64
 	}
-	d.Set(a, min(guarantee, most), most)
+	d.Configure(a, min(guarantee, most), most)
 }
 
 // take is asked for each transaction before its body is read; rest is what a connection that is refused has to rest.
@@ -126,13 +126,13 @@
 	defer c.mu.Unlock()
 	now := c.now()
 	if c.free {
-		c.open.Force(p.open, 1)
+		c.open.ForceAcquire(p.open, 1)
 		return true, 0
 	}
-	if c.open.Take(p.open, 1, now+int64(left), now) {
+	if c.open.Acquire(p.open, 1, now+int64(left), now) {
 		return true, 0
 	}
-	return false, time.Duration(p.pace.Rest(now))
+	return false, time.Duration(p.pace.Delay(now))
 }
 
 // inHand is what a transaction holds of its pool's part, until end.
@@ -151,7 +151,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
-	if all > mostBody+1 && max(all*mostHeld, (c.bodies.Used()+bytes)*2) > c.bodies.Capacity() || !c.bodies.Take(h.part.bodies, bytes, now+int64(h.left), now) {
+	if all > mostBody+1 && max(all*mostHeld, (c.bodies.Used()+bytes)*2) > c.bodies.Capacity() || !c.bodies.Acquire(h.part.bodies, bytes, now+int64(h.left), now) {
 		return false
 	}
 	h.bytes += bytes
@@ -164,7 +164,7 @@
 	defer h.part.common.mu.Unlock()
 	if !h.over { // else nobody keeps it
 		h.bytes += bytes
-		h.part.common.bodies.Force(h.part.bodies, bytes)
+		h.part.common.bodies.ForceAcquire(h.part.bodies, bytes)
 	}
 }
 
@@ -174,9 +174,9 @@
 	defer h.part.common.mu.Unlock()
 	h.over = true
 	if h.open {
-		h.part.common.open.Give(h.part.open, 1)
+		h.part.common.open.Release(h.part.open, 1)
 	}
-	h.part.common.bodies.Give(h.part.bodies, h.bytes)
+	h.part.common.bodies.Release(h.part.bodies, h.bytes)
 }
 
 // dial is asked for each connection to an upstream; room is what the descriptors leave for all of them. short tells
@@ -186,17 +186,17 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.free {
-		c.out.Force(p.out, 1)
+		c.out.ForceAcquire(p.out, 1)
 		return true, nil
 	}
 	now := c.now()
-	c.out.Resize(room)
-	if c.out.Take(p.out, 1, now+int64(time.Until(until)), now) {
+	c.out.SetCapacity(room)
+	if c.out.Acquire(p.out, 1, now+int64(time.Until(until)), now) {
 		return true, nil
 	}
 	short = append(short, p)
 	for o := range c.parts {
-		if o != p && o.out.Over() {
+		if o != p && o.out.OverGuarantee() {
 			short = append(short, o)
 		}
 	}
@@ -206,7 +206,7 @@
 // hangUp takes a connection to an upstream back.
 func (p *part) hangUp() {
 	p.common.mu.Lock()
-	p.common.out.Give(p.out, 1)
+	p.common.out.Release(p.out, 1)
 	p.common.mu.Unlock()
 }
 
@@ -214,8 +214,8 @@
 func (p *part) holds() (open, out, bodies, owed int64) {
 	p.common.mu.Lock()
 	defer p.common.mu.Unlock()
-	_, a := p.open.Refused()
-	_, b := p.out.Refused()
-	_, c := p.bodies.Refused()
+	_, a := p.open.TakeRefusals()
+	_, b := p.out.TakeRefusals()
+	_, c := p.bodies.TakeRefusals()
 	return p.open.Used(), p.out.Used(), p.bodies.Used(), a + b + c
 }
--- a/internal/httpwire/sockets.go
+++ b/internal/httpwire/sockets.go
@@ -205,7 +205,7 @@
 func (s *sockets) crowded() (kept *list.List) {
 	var most *part
 	for p, l := range s.kept {
-		if l.Len() > 0 && (most == nil || shares.Crowds(p.clients, p.weight.Load(), most.clients, most.weight.Load())) {
+		if l.Len() > 0 && (most == nil || shares.MoreLoaded(p.clients, p.weight.Load(), most.clients, most.weight.Load())) {
 			kept, most = l, p
 		}
 	}
--- a/internal/httpwire/tally.go
+++ b/internal/httpwire/tally.go
@@ -17,9 +17,9 @@
 
 // tally is what has been logged of a pool, under the lock of its looks.
 type tally struct {
-	sum      desk.Counters          // since the last tally in the log
-	ended    [figures.Endings]int64 // at that time
-	moved    [traffics]int64        // at the last look
+	sum      desk.Counters              // since the last tally in the log
+	ended    [figures.EndingCount]int64 // at that time
+	moved    [traffics]int64            // at the last look
 	sumMoved [traffics]int64
 }
 
@@ -116,7 +116,7 @@
 	if t.Arrived == 0 && t.Open == 0 {
 		return
 	}
-	ended := p.counts.Ended()
+	ended := p.counts.EndingTotals()
 	now := ended
 	for e := range now {
 		now[e] -= p.tally.ended[e]
--- a/internal/lab/report/html.go
+++ b/internal/lab/report/html.go
@@ -15,7 +15,7 @@
 // HTML writes a page that needs nothing else.
 func (o *Outcome) HTML(w io.Writer) error {
 	var b strings.Builder
-	draw.Page(&b, o.Name)
+	draw.WritePageHead(&b, o.Name)
 	fmt.Fprintf(&b, `<p>%s</p><p>%s</p><p class="%s"><b>verdict: %s</b></p><ul>`, esc(o.Title), esc(o.About), o.Verdict, o.Verdict)
 	for _, word := range o.Words {
 		fmt.Fprintf(&b, "<li>%s</li>", esc(word))
@@ -79,11 +79,11 @@
 	return files, nil
 }
 
-func esc(text string) string { return draw.Esc(text) }
+func esc(text string) string { return draw.EscapeHTML(text) }
 
 // plot is what the pictures have in common.
 func (o *Outcome) plot() *draw.Plot {
-	p := &draw.Plot{Length: o.Length}
+	p := &draw.Plot{Duration: o.Length}
 	for _, f := range o.Faults {
 		p.Spans = append(p.Spans, draw.Span{Name: f.Kind, From: f.From, To: f.To})
 	}
@@ -121,13 +121,13 @@
 	}
 	from := math.Floor(math.Log10(math.Min(low, most)))
 	to := math.Max(from+1, math.Ceil(math.Log10(most)))
-	y := func(v float64) float64 { return draw.Top + draw.PlotHigh*(1-(math.Log10(v)-from)/(to-from)) }
+	y := func(v float64) float64 { return draw.MarginTop + draw.PlotHeight*(1-(math.Log10(v)-from)/(to-from)) }
 	var ticks []float64
 	for p := from; p <= to; p++ {
 		ticks = append(ticks, math.Pow(10, p))
 	}
 	p := o.plot()
-	p.Frame(b, "Latency of what was settled, from when it was due, milliseconds", ticks, y, "%g")
+	p.OpenWithAxes(b, "Latency of what was settled, from when it was due, milliseconds", ticks, y, "%g")
 	for n, l := range lines {
 		p.Line(b, l, n, y)
 	}
@@ -147,9 +147,9 @@
 	for _, s := range r.Seconds {
 		most = math.Max(most, float64(s.Asked))
 	}
-	y, ticks := draw.Linear(most)
+	y, ticks := draw.LinearScale(most)
 	p := o.plot()
-	p.Frame(b, "What became of what was due in each second", ticks, y, "%.0f")
+	p.OpenWithAxes(b, "What became of what was due in each second", ticks, y, "%.0f")
 	p.Bars(b, all, y)
 	b.WriteString("</svg>")
 }
@@ -168,9 +168,9 @@
 			most = math.Max(most, v)
 		}
 	}
-	y := func(v float64) float64 { return draw.Top + draw.PlotHigh*(1-(v-0.9)/(most-0.9)) }
+	y := func(v float64) float64 { return draw.MarginTop + draw.PlotHeight*(1-(v-0.9)/(most-0.9)) }
 	p := o.plot()
-	p.Frame(b, "Pushes for each first push", []float64{1, most}, y, "%.2f")
+	p.OpenWithAxes(b, "Pushes for each first push", []float64{1, most}, y, "%.2f")
 	p.Line(b, draw.Series{Name: "pushes", Colour: "#639", Values: values}, 0, y)
 	b.WriteString("</svg>")
 }
@@ -181,12 +181,12 @@
 	for _, u := range r.Upstream {
 		most = max(most, u.Pushes)
 	}
-	bar := draw.PlotWide / math.Max(1, float64(len(r.Upstream)))
-	draw.Open(b, fmt.Sprintf("Pushes by upstream (at most %d); dark: turned away", most), 90)
+	bar := draw.PlotWidth / math.Max(1, float64(len(r.Upstream)))
+	draw.OpenSVG(b, fmt.Sprintf("Pushes by upstream (at most %d); dark: turned away", most), 90)
 	for i, u := range r.Upstream {
 		h, t := 80*float64(u.Pushes)/float64(most), 80*float64(u.Turned)/float64(most)
 		fmt.Fprintf(b, `<rect x="%.1f" y="%.1f" width="%.1f" height="%.1f" fill="#27a"><title>%s: %d pushes, %d turned away</title></rect><rect x="%.1f" y="%.1f" width="%.1f" height="%.1f" fill="#124"/>`,
-			draw.Left+bar*float64(i), 85-h, bar*0.85, h, esc(u.Name), u.Pushes, u.Turned, draw.Left+bar*float64(i), 85-t, bar*0.85, t)
+			draw.MarginLeft+bar*float64(i), 85-h, bar*0.85, h, esc(u.Name), u.Pushes, u.Turned, draw.MarginLeft+bar*float64(i), 85-t, bar*0.85, t)
 	}
 	b.WriteString("</svg>")
 }
--- a/internal/listfile/listfile.go
+++ b/internal/listfile/listfile.go
@@ -19,155 +19,155 @@
 	"ottershift/logic"
 )
 
-const mostFile = 64 << 20 // bytes
+const maxFileBytes = 64 << 20 // bytes
 
-// Entries reads [[upstreams]] of a table.
-func Entries(t *settings.Table) (all []roster.Entry[string]) {
+// ParseEntries reads [[upstreams]] of a table.
+func ParseEntries(table *settings.Table) (entries []roster.Entry[string]) {
 	seen := map[string]bool{}
-	for _, u := range t.Tables("upstreams") {
-		e := roster.Entry[string]{
-			Name:    u.Must("name", "what the log calls it"),
-			Address: u.Address("address", "where it is reached, such as \"127.0.0.1:9001\""),
-			Zone:    u.Text("zone", ""), Kind: u.Text("kind", ""), Ends: u.Flag("draining", false),
+	for _, upstream := range table.Tables("upstreams") {
+		entry := roster.Entry[string]{
+			Name:    upstream.Must("name", "what the log calls it"),
+			Address: upstream.Address("address", "where it is reached, such as \"127.0.0.1:9001\""),
+			Zone:    upstream.Text("zone", ""), Kind: upstream.Text("kind", ""), Ends: upstream.Flag("draining", false),
 			Up: logic.Upstream{
-				Weight: u.Number("weight", 1, 1e-6, 1e6), Cell: u.Whole("group", 0, 0, 1e9), StartedAt: u.Moment("since"),
+				Weight: upstream.Number("weight", 1, 1e-6, 1e6), Cell: upstream.Whole("group", 0, 0, 1e9), StartedAt: upstream.Moment("since"),
 			},
 		}
-		e.Up.ID = roster.Number(e.Name)
-		if seen[e.Name] && e.Name != "" {
-			u.F.Fault(settings.Join(u.Path, "name"), "%q is another's name in this list", e.Name)
+		entry.Up.ID = roster.Number(entry.Name)
+		if seen[entry.Name] && entry.Name != "" {
+			upstream.F.Fault(settings.Join(upstream.Path, "name"), "%q is another's name in this list", entry.Name)
 		}
-		seen[e.Name] = true
-		u.End()
-		all = append(all, e)
+		seen[entry.Name] = true
+		upstream.End()
+		entries = append(entries, entry)
 	}
-	return all
+	return entries
 }
 
-// Read takes a file. Danger: a file that is half written, or empty because its writer died, is not a list of nobody;
+// ReadFile takes a file. Danger: a file that is half written, or empty because its writer died, is not a list of nobody;
 // a list of nobody says so by "empty = true", and one that states its count must have it.
-func Read(path string) ([]roster.Entry[string], error) {
-	text, err := read(path)
+func ReadFile(path string) ([]roster.Entry[string], error) {
+	content, err := readContent(path)
 	if err != nil {
 		return nil, err
 	}
-	return parse(path, text)
+	return parseList(path, content)
 }
 
-func read(path string) ([]byte, error) {
-	about, err := os.Stat(path)
+func readContent(path string) ([]byte, error) {
+	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
-	if about.Size() > mostFile {
-		return nil, fmt.Errorf("%s: over %d bytes", path, mostFile)
+	if info.Size() > maxFileBytes {
+		return nil, fmt.Errorf("%s: over %d bytes", path, maxFileBytes)
 	}
 	return os.ReadFile(path)
 }
 
-func parse(path string, text []byte) ([]roster.Entry[string], error) {
-	f, t := settings.Parse(path, text, os.LookupEnv)
-	if t == nil {
-		return nil, f.Faults[0]
+func parseList(path string, content []byte) ([]roster.Entry[string], error) {
+	file, table := settings.Parse(path, content, os.LookupEnv)
+	if table == nil {
+		return nil, file.Faults[0]
 	}
-	count, empty := t.Whole("count", -1, 0, 1<<24), t.Flag("empty", false)
-	all := Entries(t)
-	t.End()
+	count, empty := table.Whole("count", -1, 0, 1<<24), table.Flag("empty", false)
+	entries := ParseEntries(table)
+	table.End()
 	switch {
-	case f.Failed():
-		return nil, f.Faults[0]
-	case count >= 0 && count != len(all):
-		return nil, fmt.Errorf("%s: count says %d, there are %d upstreams", path, count, len(all))
-	case len(all) == 0 && !empty:
+	case file.Failed():
+		return nil, file.Faults[0]
+	case count >= 0 && count != len(entries):
+		return nil, fmt.Errorf("%s: count says %d, there are %d upstreams", path, count, len(entries))
+	case len(entries) == 0 && !empty:
 		return nil, fmt.Errorf("%s: no upstreams; a list of nobody says empty = true", path)
 	}
-	return all, nil
+	return entries, nil
 }
 
 // File follows one file.
 type File struct {
-	Path  string
-	Every time.Duration // between two looks
-	Sink  lists.Sink
-	Log   *slog.Logger
+	Path     string
+	Interval time.Duration // between two looks
+	Sink     lists.Sink
+	Log      *slog.Logger
 }
 
-// state is what tells one version of a file from another without reading it.
-type state struct {
-	node uint64
-	time time.Time
-	size int64
+// fileState is what tells one version of a file from another without reading it.
+type fileState struct {
+	inode    uint64
+	modified time.Time
+	size     int64
 }
 
-func look(path string) (state, error) {
-	about, err := os.Stat(path)
+func statFile(path string) (fileState, error) {
+	info, err := os.Stat(path)
 	if err != nil {
-		return state{}, err
+		return fileState{}, err
 	}
-	return state{about.Sys().(*syscall.Stat_t).Ino, about.ModTime(), about.Size()}, nil
+	return fileState{info.Sys().(*syscall.Stat_t).Ino, info.ModTime(), info.Size()}, nil
 }
 
 // Run implements lists.Source. Danger: a file may be read while it is written, and replaced within the grain of its
 // time; so it is read once it has stayed the same between two looks.
-func (l *File) Run(ctx context.Context) {
-	var told []byte
-	var seen, done state
-	var said string // what is wrong, said once and not with each look
-	tick := time.NewTicker(l.Every)
-	defer tick.Stop()
+func (file *File) Run(ctx context.Context) {
+	var content []byte
+	var previous, loaded fileState
+	var reported string // what is wrong, said once and not with each look
+	ticker := time.NewTicker(file.Interval)
+	defer ticker.Stop()
 	for first := true; ; first = false {
-		now, err := look(l.Path)
+		current, err := statFile(file.Path)
 		switch {
 		case err != nil:
-			done = state{} // also one that comes back as it was is read again
-		case now == done || now != seen && !first:
-			err = errSame
+			loaded = fileState{} // also one that comes back as it was is read again
+		case current == loaded || current != previous && !first:
+			err = errUnchanged
 		default:
-			told, err = l.take(told)
-			if done = now; first {
-				done = state{}
+			content, err = file.load(content)
+			if loaded = current; first {
+				loaded = fileState{}
 			}
 		}
-		seen = now
-		if text := plain(err); err != errSame && text != said {
-			if said = text; text != "" {
-				l.Log.Warn("list", "step", "kept", "file", l.Path, "fault", text)
+		previous = current
+		if text := errorText(err); err != errUnchanged && text != reported {
+			if reported = text; text != "" {
+				file.Log.Warn("list", "step", "kept", "file", file.Path, "fault", text)
 			}
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-l.Sink.Follow():
-			told, done = nil, state{} // asked for: all of it is told again
-		case <-tick.C:
+		case <-file.Sink.Requested():
+			content, loaded = nil, fileState{} // asked for: all of it is told again
+		case <-ticker.C:
 		}
 	}
 }
 
-var errSame = errors.New("as it was")
+var errUnchanged = errors.New("as it was")
 
-// take reads the file and tells it, unless it says the same as before.
-func (l *File) take(before []byte) (told []byte, err error) {
-	text, err := read(l.Path)
-	if err != nil || bytes.Equal(text, before) {
-		return before, err
+// load reads the file and tells it, unless it says the same as before.
+func (file *File) load(previous []byte) (content []byte, err error) {
+	fresh, err := readContent(file.Path)
+	if err != nil || bytes.Equal(fresh, previous) {
+		return previous, err
 	}
-	all, err := parse(l.Path, text)
+	entries, err := parseList(file.Path, fresh)
 	if err != nil {
-		return before, err
+		return previous, err
 	}
-	l.Log.Info("list", "step", "taken", "file", l.Path, "upstreams", len(all))
-	l.Sink.List(all, true)
-	return text, nil
+	file.Log.Info("list", "step", "taken", "file", file.Path, "upstreams", len(entries))
+	file.Sink.Update(entries, true)
+	return fresh, nil
 }
 
-func plain(err error) string {
-	var at *fs.PathError
+func errorText(err error) string {
+	var pathError *fs.PathError
 	switch {
 	case err == nil:
 		return ""
-	case errors.As(err, &at):
-		return at.Err.Error()
+	case errors.As(err, &pathError):
+		return pathError.Err.Error()
 	}
 	return err.Error()
 }
--- a/internal/listfile/listfile_test.go
+++ b/internal/listfile/listfile_test.go
@@ -14,57 +14,57 @@
 	"ottershift/internal/roster"
 )
 
-// sink keeps the last list that it was told.
-type sink struct {
-	mu     sync.Mutex
-	names  string
-	told   int
-	follow chan struct{}
+// recordingSink keeps the last list that it was told.
+type recordingSink struct {
+	mu      sync.Mutex
+	names   string
+	updates int
+	follow  chan struct{}
 }
 
-func (s *sink) List(all []roster.Entry[string], whole bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.names = ""
-	for _, e := range all {
-		s.names += e.Name
+func (sink *recordingSink) Update(entries []roster.Entry[string], full bool) {
+	sink.mu.Lock()
+	defer sink.mu.Unlock()
+	sink.names = ""
+	for _, entry := range entries {
+		sink.names += entry.Name
 	}
-	s.told++
+	sink.updates++
 }
-func (s *sink) Unlisted()               {}
-func (s *sink) Follow() <-chan struct{} { return s.follow }
+func (sink *recordingSink) SourceLost()                {}
+func (sink *recordingSink) Requested() <-chan struct{} { return sink.follow }
 
-func (s *sink) is(names string) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.names == names
+func (sink *recordingSink) hasNames(names string) bool {
+	sink.mu.Lock()
+	defer sink.mu.Unlock()
+	return sink.names == names
 }
 
-type heard struct {
+type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (h *heard) Write(b []byte) (int, error) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.text.Write(b)
+func (buffer *logBuffer) Write(b []byte) (int, error) {
+	buffer.mu.Lock()
+	defer buffer.mu.Unlock()
+	return buffer.text.Write(b)
 }
 
-func (h *heard) count(what string) int {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return strings.Count(h.text.String(), what)
+func (buffer *logBuffer) count(text string) int {
+	buffer.mu.Lock()
+	defer buffer.mu.Unlock()
+	return strings.Count(buffer.text.String(), text)
 }
 
-func upstream(name string) string {
+func upstreamTable(name string) string {
 	return fmt.Sprintf("[[upstreams]]\nname = %q\naddress = \"127.0.0.1:9001\"\n", name)
 }
 
 // Danger: a file that is half written, empty or gone is not a list of nobody. The old list stays until a whole one comes.
-func TestOnlyAWholeFileIsAList(t *testing.T) {
+func TestOnlyCompleteFileReplacesList(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list.toml")
-	put := func(text string) {
+	replaceFile := func(text string) {
 		t.Helper()
 		if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -73,54 +73,54 @@
 			t.Fatal(err)
 		}
 	}
-	s, h := &sink{follow: make(chan struct{})}, &heard{}
-	put(upstream("a") + upstream("b"))
+	sink, logged := &recordingSink{follow: make(chan struct{})}, &logBuffer{}
+	replaceFile(upstreamTable("a") + upstreamTable("b"))
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		(&File{Path: path, Every: 10 * time.Millisecond, Sink: s, Log: slog.New(slog.NewTextHandler(h, nil))}).Run(ctx)
+		(&File{Path: path, Interval: 10 * time.Millisecond, Sink: sink, Log: slog.New(slog.NewTextHandler(logged, nil))}).Run(ctx)
 	}()
-	soon := func(what string, is func() bool) {
+	eventually := func(what string, condition func() bool) {
 		t.Helper()
 		for range 300 {
-			if is() {
+			if condition() {
 				return
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
 		t.Fatalf("not so after three seconds: %s", what)
 	}
-	soon("the first list", func() bool { return s.is("ab") })
-	for n, bad := range []string{
-		"", upstream("a")[:20], "count = 2\n" + upstream("a"), "# nothing\n", upstream("a") + upstream("a"), "\x00\x01",
-		strings.Replace(upstream("a"), "9001", "0", 1), upstream("a") + "empty = 3\n",
+	eventually("the first list", func() bool { return sink.hasNames("ab") })
+	for n, invalid := range []string{
+		"", upstreamTable("a")[:20], "count = 2\n" + upstreamTable("a"), "# nothing\n", upstreamTable("a") + upstreamTable("a"), "\x00\x01",
+		strings.Replace(upstreamTable("a"), "9001", "0", 1), upstreamTable("a") + "empty = 3\n",
 	} {
-		put(bad)
-		soon(fmt.Sprintf("a word on %q", bad), func() bool { return h.count("step=kept") == n+1 })
-		if !s.is("ab") {
-			t.Errorf("%q was taken", bad)
+		replaceFile(invalid)
+		eventually(fmt.Sprintf("a word on %q", invalid), func() bool { return logged.count("step=kept") == n+1 })
+		if !sink.hasNames("ab") {
+			t.Errorf("%q was taken", invalid)
 		}
 	}
 	os.Remove(path)
-	soon("a word on its going", func() bool { return h.count("no such file") == 1 })
-	put(upstream("a") + upstream("b"))
+	eventually("a word on its going", func() bool { return logged.count("no such file") == 1 })
+	replaceFile(upstreamTable("a") + upstreamTable("b"))
 	time.Sleep(50 * time.Millisecond)
-	if s.told != 1 {
-		t.Errorf("the same list was told %d times", s.told)
+	if sink.updates != 1 {
+		t.Errorf("the same list was told %d times", sink.updates)
 	}
 	// Written in place, in two halves: the first is a list by itself, but does not stay.
-	f, _ := os.Create(path)
-	for _, half := range []string{upstream("c"), upstream("d")} {
-		f.WriteString(half)
+	file, _ := os.Create(path)
+	for _, half := range []string{upstreamTable("c"), upstreamTable("d")} {
+		file.WriteString(half)
 		time.Sleep(3 * time.Millisecond)
 	}
-	f.Close()
-	soon("what was written in place", func() bool { return s.is("cd") })
-	put("empty = true\n")
-	soon("a list of nobody", func() bool { return s.is("") })
-	s.follow <- struct{}{}
-	soon("the list that was asked for", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return s.told == 4 })
+	file.Close()
+	eventually("what was written in place", func() bool { return sink.hasNames("cd") })
+	replaceFile("empty = true\n")
+	eventually("a list of nobody", func() bool { return sink.hasNames("") })
+	sink.follow <- struct{}{}
+	eventually("the list that was asked for", func() bool { sink.mu.Lock(); defer sink.mu.Unlock(); return sink.updates == 4 })
 	stop()
 	<-ended
 }
--- a/internal/listfixed/listfixed.go
+++ b/internal/listfixed/listfixed.go
@@ -8,20 +8,20 @@
 	"ottershift/internal/roster"
 )
 
-// List tells its entries once, and again when it is asked for.
-type List struct {
+// Source tells its entries once, and again when it is asked for.
+type Source struct {
 	Entries []roster.Entry[string]
 	Sink    lists.Sink
 }
 
 // Run implements lists.Source.
-func (l *List) Run(ctx context.Context) {
+func (source *Source) Run(ctx context.Context) {
 	for {
-		l.Sink.List(l.Entries, true)
+		source.Sink.Update(source.Entries, true)
 		select {
 		case <-ctx.Done():
 			return
-		case <-l.Sink.Follow():
+		case <-source.Sink.Requested():
 		}
 	}
 }
--- a/internal/lists/lists.go
+++ b/internal/lists/lists.go
@@ -16,10 +16,10 @@
 
 // Sink is told a list.
 type Sink interface {
-	// List takes a report: the whole list, or what has changed of it.
-	List(entries []roster.Entry[string], whole bool)
-	// Unlisted says that the list could not be had, or that following it has ended.
-	Unlisted()
-	// Follow tells when the list is asked for, where it must be.
-	Follow() <-chan struct{}
+	// Update takes a report: the whole list, or what has changed of it.
+	Update(entries []roster.Entry[string], whole bool)
+	// SourceLost says that the list could not be had, or that following it has ended.
+	SourceLost()
+	// Requested tells when the list is asked for, where it must be.
+	Requested() <-chan struct{}
 }
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -14,20 +14,20 @@
 // what concerns none.
 func New(w io.Writer, format string) (*slog.Logger, *slog.LevelVar) {
 	level := &slog.LevelVar{}
-	options := &slog.HandlerOptions{Level: level, ReplaceAttr: func(groups []string, a slog.Attr) slog.Attr {
+	options := &slog.HandlerOptions{Level: level, ReplaceAttr: func(groups []string, attr slog.Attr) slog.Attr {
 		if len(groups) > 0 {
-			return a
+			return attr
 		}
-		switch a.Key {
+		switch attr.Key {
 		case slog.MessageKey:
-			a.Key = "event"
+			attr.Key = "event"
 		case slog.TimeKey:
-			a.Value = slog.StringValue(a.Value.Time().UTC().Format("2006-01-02T15:04:05.000000Z07:00"))
+			attr.Value = slog.StringValue(attr.Value.Time().UTC().Format("2006-01-02T15:04:05.000000Z07:00"))
 		}
-		if d, some := a.Value.Any().(time.Duration); some {
-			a.Value = slog.StringValue(d.String()) // JSON has nanoseconds else
+		if duration, isDuration := attr.Value.Any().(time.Duration); isDuration {
+			attr.Value = slog.StringValue(duration.String()) // JSON has nanoseconds else
 		}
-		return a
+		return attr
 	}}
 	if format == "json" {
 		return slog.New(slog.NewJSONHandler(w, options)), level
@@ -35,27 +35,27 @@
 	return slog.New(slog.NewTextHandler(w, options)), level
 }
 
-// Own logs what concerns no pool.
-func Own(l *slog.Logger) *slog.Logger { return l.With("pool", "-") }
+// WithoutPool logs what concerns no pool.
+func WithoutPool(logger *slog.Logger) *slog.Logger { return logger.With("pool", "-") }
 
-// Level finds a level by its name; what it doesn't know is info.
-func Level(name string) (level slog.Level) {
+// ParseLevel finds a level by its name; what it doesn't know is info.
+func ParseLevel(name string) (level slog.Level) {
 	level.UnmarshalText([]byte(name))
 	return level
 }
 
-// Lines is a logger for a library that writes lines: each becomes a fault of an event.
-func Lines(l *slog.Logger, event string) *log.Logger {
-	return slog.NewLogLogger(lines{l.Handler(), event}, slog.LevelWarn)
+// NewLineLogger is a logger for a library that writes lines: each becomes a fault of an event.
+func NewLineLogger(logger *slog.Logger, event string) *log.Logger {
+	return slog.NewLogLogger(lineHandler{logger.Handler(), event}, slog.LevelWarn)
 }
 
-type lines struct {
+type lineHandler struct {
 	slog.Handler
 	event string
 }
 
-func (h lines) Handle(ctx context.Context, r slog.Record) error {
-	out := slog.NewRecord(r.Time, r.Level, h.event, 0)
-	out.AddAttrs(slog.String("fault", r.Message))
-	return h.Handler.Handle(ctx, out)
+func (handler lineHandler) Handle(ctx context.Context, record slog.Record) error {
+	out := slog.NewRecord(record.Time, record.Level, handler.event, 0)
+	out.AddAttrs(slog.String("fault", record.Message))
+	return handler.Handler.Handle(ctx, out)
 }
--- a/internal/mesh/simulation/scale/plot.go
+++ b/internal/mesh/simulation/scale/plot.go
@@ -32,14 +32,14 @@
 func (r *Report) SVG() string {
 	var b strings.Builder
 	rows := (len(plotted) + plotColumns - 1) / plotColumns
-	draw.Open(&b, r.Title, float64(rows)*(plotHeight+plotGap)+plotGap)
+	draw.OpenSVG(&b, r.Title, float64(rows)*(plotHeight+plotGap)+plotGap)
 	drawn := 0
 	for _, wanted := range plotted {
 		for _, s := range r.Slopes {
 			if s.Phase != wanted.phase || s.Figure != wanted.figure {
 				continue
 			}
-			x := draw.Left + float64(drawn%plotColumns)*(plotWidth+draw.Left)
+			x := draw.MarginLeft + float64(drawn%plotColumns)*(plotWidth+draw.MarginLeft)
 			y := plotGap + float64(drawn/plotColumns)*(plotHeight+plotGap)
 			plotSlope(&b, s, x, y)
 			drawn++
@@ -59,7 +59,7 @@
 	}
 	x := func(size float64) float64 { return left + plotWidth*size/float64(largest) }
 	y := func(value float64) float64 { return top + plotHeight*(1-min(max(value/most, 0), 1)) }
-	fmt.Fprintf(b, `<text x="%.1f" y="%.1f">%s: %s, %s</text>`, left, top-8, draw.Esc(string(s.Phase)), draw.Esc(s.Figure), draw.Esc(s.Unit))
+	fmt.Fprintf(b, `<text x="%.1f" y="%.1f">%s: %s, %s</text>`, left, top-8, draw.EscapeHTML(string(s.Phase)), draw.EscapeHTML(s.Figure), draw.EscapeHTML(s.Unit))
 	fmt.Fprintf(b, `<path d="M%.1f %.1fV%.1fH%.1f" fill="none" stroke="#889"/>`, left, top, top+plotHeight, left+plotWidth)
 	fmt.Fprintf(b, `<text x="%.1f" y="%.1f" text-anchor="end">%s</text><text x="%.1f" y="%.1f" text-anchor="end">0</text>`, left-4, top+10, number(most), left-4, top+plotHeight)
 	fmt.Fprintf(b, `<path d="M%.1f %.1fL%.1f %.1f" stroke="%s" stroke-dasharray="4 3"/>`, x(0), y(s.Base), x(float64(largest)), y(s.Base+s.PerNode*float64(largest)), plotColour)
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,5 +1,5 @@
-// Package peers carries what the balancers of a pool say to one another, as datagrams. They may come late or not at all;
-// nothing waits for them.
+// Package peers exchanges load reports between the balancers of a pool as UDP datagrams. Datagrams may be delayed or
+// lost; nothing waits for them.
 package peers
 
 import (
@@ -15,126 +15,131 @@
 )
 
 const (
-	head    = 12  // pool, sender, receiver
-	most    = 256 // that is said at once
-	waiting = 256 // datagrams that wait to be sent; beyond it they are dropped
+	headerBytes     = 12  // pool, sender and receiver, 4 bytes each
+	maxPayloadBytes = 256 // of one report
+	sendQueueLength = 256 // datagrams; when it is full, further ones are dropped
 
-	pause = 10 * time.Millisecond // after a fault of the socket
+	readErrorDelay = 10 * time.Millisecond // a socket that fails all the time must not keep a core busy
 )
 
-// Sink takes what peers say; numbers are those of modules. The bytes are its own only until it returns.
-type Sink interface {
-	Told(from, to int, raw []byte)
+// ReportHandler receives the reports of peers. Sender and receiver are numbers of decision engines, counted over all
+// balancers of the pool. The bytes of a report are valid only until HandleReport returns.
+type ReportHandler interface {
+	HandleReport(from, to int, report []byte)
 }
 
-// Route is who the balancers of a pool are, by index.
-type Route struct {
-	pool    uint32
-	modules int // of each balancer
-	to      []netip.AddrPort
-	sink    Sink
+// PeerSet holds the addresses of the balancers of a pool, by index.
+type PeerSet struct {
+	pool      uint32
+	engines   int // decision engines of each balancer
+	addresses []netip.AddrPort
+	handler   ReportHandler
 }
 
-// NewRoute finds the balancers' addresses. modules is how many each has, sink takes what they say to this one.
-func NewRoute(pool string, addresses []string, modules int, sink Sink) (*Route, error) {
-	r := &Route{pool: roster.Number(pool), modules: modules, sink: sink}
+// NewPeerSet resolves the balancers' addresses. Each balancer has the given number of engines, and handler receives the
+// reports to this one.
+func NewPeerSet(pool string, addresses []string, engines int, handler ReportHandler) (*PeerSet, error) {
+	set := &PeerSet{pool: roster.Number(pool), engines: engines, handler: handler}
 	for _, text := range addresses {
-		a, err := net.ResolveUDPAddr("udp", text)
+		address, err := net.ResolveUDPAddr("udp", text)
 		if err != nil {
 			return nil, fmt.Errorf("peers: %w", err)
 		}
-		r.to = append(r.to, plain(a.AddrPort()))
+		set.addresses = append(set.addresses, unmap(address.AddrPort()))
 	}
-	return r, nil
+	return set, nil
 }
 
-// plain is an address of the fourth version as such, also where a socket of the sixth tells it.
-func plain(a netip.AddrPort) netip.AddrPort { return netip.AddrPortFrom(a.Addr().Unmap(), a.Port()) }
+// unmap returns IPv4-mapped IPv6 addresses, as an IPv6 socket reports them, as IPv4 addresses.
+func unmap(address netip.AddrPort) netip.AddrPort {
+	return netip.AddrPortFrom(address.Addr().Unmap(), address.Port())
+}
 
-// Link is one balancer's own address among the others of its pool.
-type Link struct {
-	conn  *net.UDPConn
-	out   chan datagram
-	end   chan struct{}
-	route atomic.Pointer[Route]
+// Socket sends and receives the reports of one balancer.
+type Socket struct {
+	conn      *net.UDPConn
+	sendQueue chan datagram
+	closed    chan struct{}
+	peers     atomic.Pointer[PeerSet]
 }
 
 type datagram struct {
-	to  netip.AddrPort
-	raw []byte
+	to      netip.AddrPort
+	payload []byte
 }
 
-// Open listens at an address; nobody is heard or told before there is a route.
-func Open(address string) (*Link, error) {
-	at, err := net.ResolveUDPAddr("udp", address)
+// Open listens at an address. No reports are sent or received before SetPeers.
+func Open(address string) (*Socket, error) {
+	local, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
 		return nil, fmt.Errorf("peers: %w", err)
 	}
-	l := &Link{out: make(chan datagram, waiting), end: make(chan struct{})}
-	if l.conn, err = net.ListenUDP("udp", at); err != nil {
+	socket := &Socket{sendQueue: make(chan datagram, sendQueueLength), closed: make(chan struct{})}
+	if socket.conn, err = net.ListenUDP("udp", local); err != nil {
 		return nil, fmt.Errorf("peers: %w", err)
 	}
-	go l.send()
-	go l.receive()
-	return l, nil
+	go socket.send()
+	go socket.receive()
+	return socket, nil
 }
 
-// Follow puts a route in the place of the one before.
-func (l *Link) Follow(r *Route) { l.route.Store(r) }
+// SetPeers replaces the set of peers.
+func (socket *Socket) SetPeers(set *PeerSet) { socket.peers.Store(set) }
 
-// Close ends the link.
-func (l *Link) Close() {
-	close(l.end)
-	l.conn.Close()
+// Close closes the socket and ends its goroutines.
+func (socket *Socket) Close() {
+	close(socket.closed)
+	socket.conn.Close()
 }
 
-// Tell sends what one module says to another. It never waits: what finds no room is lost.
-func (l *Link) Tell(from, to int, raw []byte) {
-	r := l.route.Load()
-	if r == nil || to < 0 || to/r.modules >= len(r.to) || len(raw) > most {
+// SendReport sends a report from one decision engine to another. It never blocks: the report is dropped when the queue
+// is full.
+func (socket *Socket) SendReport(from, to int, report []byte) {
+	set := socket.peers.Load()
+	if set == nil || to < 0 || to/set.engines >= len(set.addresses) || len(report) > maxPayloadBytes {
 		return
 	}
-	d := make([]byte, head, head+len(raw))
-	binary.BigEndian.PutUint32(d, r.pool)
-	binary.BigEndian.PutUint32(d[4:], uint32(from))
-	binary.BigEndian.PutUint32(d[8:], uint32(to))
+	payload := make([]byte, headerBytes, headerBytes+len(report))
+	binary.BigEndian.PutUint32(payload, set.pool)
+	binary.BigEndian.PutUint32(payload[4:], uint32(from))
+	binary.BigEndian.PutUint32(payload[8:], uint32(to))
 	select {
-	case l.out <- datagram{r.to[to/r.modules], append(d, raw...)}:
+	case socket.sendQueue <- datagram{set.addresses[to/set.engines], append(payload, report...)}:
 	default:
 	}
 }
 
-func (l *Link) send() {
+func (socket *Socket) send() {
 	for {
 		select {
-		case d := <-l.out:
-			l.conn.WriteToUDPAddrPort(d.raw, d.to) // lost if it fails: so may any be
-		case <-l.end:
+		case d := <-socket.sendQueue:
+			socket.conn.WriteToUDPAddrPort(d.payload, d.to) // errors are ignored, since any datagram may be lost
+		case <-socket.closed:
 			return
 		}
 	}
 }
 
-// receive hands on what peers say. Danger: anyone may send a datagram; only what comes from the address of the balancer
-// that it names as its sender is heard.
-func (l *Link) receive() {
-	room := make([]byte, head+most+1)
+// receive passes reports to the handler. Anyone can send a datagram to this address, so a report is accepted only from
+// the address of the balancer that it names as its sender.
+func (socket *Socket) receive() {
+	buffer := make([]byte, headerBytes+maxPayloadBytes+1)
 	for {
-		n, at, err := l.conn.ReadFromUDPAddrPort(room)
+		n, source, err := socket.conn.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			time.Sleep(pause) // danger: a fault that stays would keep a core busy
+			time.Sleep(readErrorDelay)
 			continue
 		}
-		r := l.route.Load()
-		if r == nil || n < head || n > head+most || binary.BigEndian.Uint32(room) != r.pool {
+		set := socket.peers.Load()
+		if set == nil || n < headerBytes || n > headerBytes+maxPayloadBytes || binary.BigEndian.Uint32(buffer) != set.pool {
 			continue
 		}
-		from, to := int(binary.BigEndian.Uint32(room[4:])), int(binary.BigEndian.Uint32(room[8:]))
-		if from/r.modules < len(r.to) && r.to[from/r.modules] == plain(at) {
-			r.sink.Told(from, to, room[head:n])
+		from, to := int(binary.BigEndian.Uint32(buffer[4:])), int(binary.BigEndian.Uint32(buffer[8:]))
+		if from/set.engines < len(set.addresses) && set.addresses[from/set.engines] == unmap(source) {
+			set.handler.HandleReport(from, to, buffer[headerBytes:n])
 		}
 	}
 }
--- a/internal/plan/platform.go
+++ b/internal/plan/platform.go
@@ -57,7 +57,7 @@
 	}
 	pool.Book.Terms.Peers = false // Danger: no peer's address is told here, and a crowd that can't be heard of looks like none
 	if known := v.Get("known"); known != nil && known.Type() != fastjson.TypeNull {
-		if pool.List.Known, _, err = discovery.Read(known); err != nil {
+		if pool.List.Known, _, err = discovery.ParseReport(known); err != nil {
 			return nil, fmt.Errorf("%s: known: %w", path, err)
 		}
 	}
--- a/internal/plan/pools.go
+++ b/internal/plan/pools.go
@@ -313,20 +313,20 @@
 	case len(kinds) > 1:
 		r.Fault(settings.Join(t.Path, kinds[1]), "a list comes from one place, and %s is there", kinds[0])
 	}
-	p.List.Fixed = listfile.Entries(t)
+	p.List.Fixed = listfile.ParseEntries(t)
 	if name := t.Text("upstreams_file", ""); name != "" {
 		if p.List.File = name; !filepath.IsAbs(name) {
 			p.List.File = filepath.Join(filepath.Dir(r.Name), name)
 		}
 		// Danger: a pool whose file can't be read at its start has nobody; that is to be known before it starts.
-		if _, err := listfile.Read(p.List.File); err != nil {
+		if _, err := listfile.ReadFile(p.List.File); err != nil {
 			r.Fault(settings.Join(t.Path, "upstreams_file"), "%v", err)
 		}
 	}
 	p.List.Every = t.Time("upstreams_every", 500*time.Millisecond, 10*time.Millisecond)
 	p.List.Discovery = t.Address("discovery", "")
 	p.Book.Terms.FollowList = t.One("discovery_mode", "push", "push", "ask") == "ask" && p.List.Discovery != ""
-	p.List.Known.Index = discovery.Unknown
+	p.List.Known.Version = discovery.UnknownVersion
 	if p.List.Shared = t.Flag("share_list", false); p.List.Shared {
 		path := settings.Join(t.Path, "share_list")
 		switch {
--- a/internal/process/cluster.go
+++ b/internal/process/cluster.go
@@ -153,8 +153,8 @@
 	ended := int64(0)
 	for name, p := range s.pools {
 		v := p.View()
-		st.OpenTransactions += v.Counts.Open.Load()
-		for _, n := range v.Counts.Ended() {
+		st.OpenTransactions += v.Counters.InFlight.Load()
+		for _, n := range v.Counters.EndingTotals() {
 			ended += n
 		}
 		if len(st.Pools) < member.MaxPools {
--- a/internal/process/peers_test.go
+++ b/internal/process/peers_test.go
@@ -19,7 +19,7 @@
 // mate hears as the other balancer of a pool, whose part the test plays.
 type mate chan []byte
 
-func (m mate) Told(_, _ int, raw []byte) { m <- append([]byte(nil), raw...) }
+func (m mate) HandleReport(_, _ int, raw []byte) { m <- append([]byte(nil), raw...) }
 
 // flying waits for word of one push that is out.
 func (m mate) flying(t *testing.T) []byte {
@@ -55,14 +55,14 @@
 	b.takes.Store(int64(60 * time.Millisecond))
 	m := make(mate, 1024)
 	link, err := peers.Open(there)
-	route, fault := peers.NewRoute("p", []string{at, there}, 1, m)
+	route, fault := peers.NewPeerSet("p", []string{at, there}, 1, m)
 	file := filepath.Join(t.TempDir(), "log")
 	log, bad := os.Create(file)
 	if err := errors.Join(err, fault, bad); err != nil {
 		t.Fatal(err)
 	}
 	defer log.Close()
-	link.Follow(route)
+	link.SetPeers(route)
 	shape := fmt.Sprintf("balancers = 2\npeers = [%q, %q]\nweights = \"live\"\n", at, there)
 	taken := parse(t, shaped(listen, fmt.Sprintf("balancers = 2\npeers = [%q, %q]", there, at), a))
 	if _, err := Start(taken, slog.New(slog.DiscardHandler), &slog.LevelVar{}); err == nil || !strings.Contains(err.Error(), "pool p: peers: listen udp") {
@@ -89,7 +89,7 @@
 			}()
 			if tell && n == 0 {
 				word := m.flying(t)
-				link.Tell(1, 0, []byte{30, word[1], word[1], word[1], word[1], word[1]})
+				link.SendReport(1, 0, []byte{30, word[1], word[1], word[1], word[1], word[1]})
 			}
 			if body := <-done; n == 0 {
 				first = body
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -52,7 +52,7 @@
 	mu        sync.Mutex
 	pools     map[string]*pool
 	listeners map[string]*httpwire.Listener // by address
-	links     map[string]*peers.Link        // to other balancers, by the address here
+	links     map[string]*peers.Socket      // to other balancers, by the address here
 	retiring  sync.WaitGroup
 }
 
@@ -62,8 +62,8 @@
 	told  *plan.Pool
 	watch *discovery.Watch   // if it follows discovery
 	stop  context.CancelFunc // ends the source of its list
-	link  *peers.Link        // to the others, if they tell one another what they hold
-	route *peers.Route
+	link  *peers.Socket      // to the others, if they tell one another what they hold
+	route *peers.PeerSet
 	among []string      // members that count as its balancers, where the cluster says
 	heard chan struct{} // closed once its source has told something
 	once  sync.Once
@@ -79,8 +79,8 @@
 // StartWith does so with another module, for the lab.
 func StartWith(p *plan.Plan, log *slog.Logger, level *slog.LevelVar, module desk.EngineFactory) (*Process, error) {
 	s := &Process{
-		log: log, own: logs.Own(log), level: level, seed: p.Seed, front: httpwire.New(log, module), plan: &plan.Plan{},
-		ended: make(chan error, 1), pools: map[string]*pool{}, listeners: map[string]*httpwire.Listener{}, links: map[string]*peers.Link{},
+		log: log, own: logs.WithoutPool(log), level: level, seed: p.Seed, front: httpwire.New(log, module), plan: &plan.Plan{},
+		ended: make(chan error, 1), pools: map[string]*pool{}, listeners: map[string]*httpwire.Listener{}, links: map[string]*peers.Socket{},
 	}
 	if s.seed == 0 {
 		s.seed = rand.Uint64()
@@ -155,7 +155,7 @@
 	platform := s.plan.Platform
 	pools := slices.Collect(maps.Values(s.pools))
 	s.mu.Unlock()
-	var views []figures.View
+	var views []figures.PoolView
 	for _, p := range pools {
 		v := p.View()
 		if platform {
@@ -163,7 +163,7 @@
 		}
 		views = append(views, v)
 	}
-	slices.SortFunc(views, func(a, b figures.View) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(views, func(a, b figures.PoolView) int { return cmp.Compare(a.Name, b.Name) })
 	if err := figures.Write(to, &s.counts, views); err != nil {
 		return err
 	}
@@ -223,7 +223,7 @@
 	if err := change(p); err != nil {
 		return err
 	}
-	s.counts.Loaded.Add(1)
+	s.counts.ConfigsLoaded.Add(1)
 	s.own.Info("reload", "step", "taken", "pools", len(p.Pools), "routes", len(p.Routes), "listeners", len(p.Listeners),
 		"pools_before", len(before.Pools), "took", time.Since(start).Round(time.Microsecond))
 	later := func(key string, changed bool) {
@@ -243,7 +243,7 @@
 }
 
 // Refused counts a file that made no sense.
-func (s *Process) Refused() { s.counts.Invalid.Add(1) }
+func (s *Process) Refused() { s.counts.ConfigsRejected.Add(1) }
 
 // retune goes from one plan of the platform's to another: its pool stays, and with it all that it has learnt. What was
 // said at the start of listeners, cores and the second address stays.
@@ -261,7 +261,7 @@
 		s.own.Info("reload", "step", "terms", "tariffs", len(told.Book.Tariffs), "attempts", told.Book.Terms.MaxAttempts)
 	}
 	to := told.List.Discovery
-	s.own.Info("reload", "step", "list", "discovery", to, "moved", now.watch.Move(to))
+	s.own.Info("reload", "step", "list", "discovery", to, "moved", now.watch.SetAddress(to))
 	now.told = told
 	p.Limits.Cores = s.plan.Limits.Cores
 	s.plan = p
@@ -277,7 +277,7 @@
 	s.limit(p)
 	var opened []*httpwire.Listener
 	made := map[string]*pool{}
-	links := map[string]*peers.Link{}
+	links := map[string]*peers.Socket{}
 	defer func() {
 		if err == nil {
 			return
@@ -338,7 +338,7 @@
 		}
 		made[told.Name], pools[told.Name] = n, n
 		if n.link = links[here(told)]; n.link != nil {
-			if n.route, err = peers.NewRoute(told.Name, told.Book.Peers, n.Shards(), n.Pool); err != nil {
+			if n.route, err = peers.NewPeerSet(told.Name, told.Book.Peers, n.Shards(), n.Pool); err != nil {
 				return fmt.Errorf("pool %s: %w", told.Name, err)
 			}
 		}
@@ -348,7 +348,7 @@
 	for name, n := range made {
 		first := n.told.List.Fixed
 		if n.told.List.File != "" {
-			first, _ = listfile.Read(n.told.List.File) // its source says what is wrong with it
+			first, _ = listfile.ReadFile(n.told.List.File) // its source says what is wrong with it
 		}
 		if n.told.List.Discovery != "" {
 			if first = n.told.List.Known.Entries; s.pools[name] != nil {
@@ -356,7 +356,7 @@
 			}
 		}
 		if len(first) > 0 {
-			n.Pool.List(first, true)
+			n.Pool.Update(first, true)
 		}
 	}
 	for _, told := range p.Pools {
@@ -392,7 +392,7 @@
 	}
 	for _, n := range made {
 		if n.link != nil {
-			n.link.Follow(n.route)
+			n.link.SetPeers(n.route)
 			n.Speak(n.link)
 		}
 	}
@@ -458,7 +458,7 @@
 		descriptors = int(has.Cur)
 	}
 	s.front.Limit(descriptors/s.beside, p.Limits.Cores)
-	s.level.Set(logs.Level(p.Log.Level))
+	s.level.Set(logs.ParseLevel(p.Log.Level))
 }
 
 // here is the address at which the other balancers of a pool reach this one, "" if they don't.
@@ -485,9 +485,9 @@
 	return &pool{Pool: n, told: told, stop: func() {}, heard: make(chan struct{})}, nil
 }
 
-// List implements lists.Sink for sources, whose first word is waited for where another process serves meanwhile.
-func (n *pool) List(entries []roster.Entry[string], whole bool) {
-	n.Pool.List(entries, whole)
+// Update implements lists.Sink for sources, whose first word is waited for where another process serves meanwhile.
+func (n *pool) Update(entries []roster.Entry[string], whole bool) {
+	n.Pool.Update(entries, whole)
 	n.once.Do(func() { close(n.heard) })
 }
 
@@ -498,22 +498,22 @@
 	var from lists.Source
 	switch {
 	case l.Discovery != "":
-		index := l.Known.Index
+		index := l.Known.Version
 		if again {
-			index = discovery.Unknown // Danger: versions of one source mean nothing to another
+			index = discovery.UnknownVersion // Danger: versions of one source mean nothing to another
 		}
 		if l.Shared && s.fleet != nil {
 			from = s.fleet.List(n.Name, n, func(to lists.Sink) lists.Source {
-				return discovery.New(to, n.Log(), l.Discovery, false, discovery.Unknown, n.Book().DialTimeout)
+				return discovery.New(to, n.Log(), l.Discovery, false, discovery.UnknownVersion, n.Book().DialTimeout)
 			})
 			break
 		}
 		n.watch = discovery.New(n, n.Log(), l.Discovery, n.Book().Terms.FollowList, index, n.Book().DialTimeout)
 		from = n.watch
 	case l.File != "":
-		from = &listfile.File{Path: l.File, Every: l.Every, Sink: n, Log: n.Log()}
+		from = &listfile.File{Path: l.File, Interval: l.Every, Sink: n, Log: n.Log()}
 	default:
-		from = &listfixed.List{Entries: l.Fixed, Sink: n}
+		from = &listfixed.Source{Entries: l.Fixed, Sink: n}
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
--- a/internal/shares/shares.go
+++ b/internal/shares/shares.go
@@ -1,214 +1,221 @@
-// Package shares deals out what several pools of one process have in common: transactions open, connections to
-// upstreams, bytes of bodies in hand. It has no I/O and no clock: who calls it tells the time and owns the lock.
+// Package shares divides the limits that several pools of one process share: open transactions, connections to
+// upstreams and buffered body bytes. It has no I/O and no clock: the caller passes the time and holds the lock.
 //
-// Each pool has a guaranteed part and may borrow what lies idle. Three things see that a lender has it back:
-//   - Of an idle guarantee only what its owner has not used lately is lent, and a quarter of it never.
-//   - Nothing is lent into a guarantee for longer than the stated time: what is borrowed ends by itself.
-//   - Once an owner was refused under its guarantee, nothing more of that is lent until it has not asked for a while.
+// Each pool has a guarantee and may borrow idle capacity. Three rules let the owner of a guarantee reclaim it:
+//   - Only the part of an idle guarantee that its owner has not used recently is lent, and a quarter of it never is.
+//   - Capacity is lent out of a guarantee for at most the reclaim time. Each loan has an end and needs no revocation.
+//   - After an owner was refused under its guarantee, no more of that guarantee is lent until the owner has not asked
+//     for it for a while.
 //
-// So an owner has at once what it used lately and a quarter more, and all of its guarantee within the stated time.
+// An owner therefore gets its recent use plus a quarter of its guarantee immediately, and all of its guarantee within
+// the reclaim time.
 package shares
 
 import "fmt"
 
-// cushion is the part of a guarantee that is never lent.
-const cushion = 4
+// minReserveDivisor sets the part of a guarantee that is never lent: one divided by it.
+const minReserveDivisor = 4
 
-// Account is one pool's share of one thing.
-type Account struct {
-	guarantee, ceiling int64
-	used               int64
-	peak               [2]int64 // most that it used or wanted in this span and the one before
-	held               int64    // kept free for it
-	idle               int64    // of its guarantee
-	refused, owed      int64    // since they were last read: refusals, and those of them under its guarantee
+// Quota is one pool's share of a Limiter.
+type Quota struct {
+	guarantee, ceiling             int64
+	used                           int64
+	peak                           [2]int64 // highest use or demand in the current and the previous span
+	reserved                       int64    // unused part of the guarantee that is not lent
+	idle                           int64    // unused part of the guarantee
+	refused, refusedUnderGuarantee int64    // since the last TakeRefusals: all refusals, and those under the guarantee
 }
 
-// Used is what a pool holds now.
-func (a *Account) Used() int64 { return a.used }
+// Used returns how much the pool holds.
+func (quota *Quota) Used() int64 { return quota.used }
 
-// Over reports whether a pool holds more than is guaranteed to it.
-func (a *Account) Over() bool { return a.used > a.guarantee }
+// OverGuarantee reports whether the pool holds more than its guarantee.
+func (quota *Quota) OverGuarantee() bool { return quota.used > quota.guarantee }
 
-// Guarantee is a pool's part for certain.
-func (a *Account) Guarantee() int64 { return a.guarantee }
+// Guarantee returns the pool's guarantee.
+func (quota *Quota) Guarantee() int64 { return quota.guarantee }
 
-// Refused counts refusals since the last call, and those under the pool's guarantee.
-func (a *Account) Refused() (all, owed int64) {
-	all, owed = a.refused, a.owed
-	a.refused, a.owed = 0, 0
-	return all, owed
+// TakeRefusals returns the number of refusals since the last call, and how many of them were under the guarantee.
+func (quota *Quota) TakeRefusals() (all, underGuarantee int64) {
+	all, underGuarantee = quota.refused, quota.refusedUnderGuarantee
+	quota.refused, quota.refusedUnderGuarantee = 0, 0
+	return all, underGuarantee
 }
 
-// Dealer deals out one thing.
-type Dealer struct {
-	capacity int64
-	within   int64 // nanoseconds until a guarantee is back
-	turn     int64 // when the span ends
-	accounts []*Account
-	used     int64 // sums over all accounts
-	held     int64
-	idle     int64
+// Limiter divides one limit among pools.
+type Limiter struct {
+	capacity    int64
+	reclaimTime int64 // nanoseconds within which a guarantee can be reclaimed
+	spanEnd     int64 // when the current span of recent use ends, in nanoseconds
+	quotas      []*Quota
+	used        int64 // this and the next two are sums over all quotas
+	reserved    int64
+	idle        int64
 }
 
-// New makes a dealer of so much, which gives guarantees back within so many nanoseconds.
-func New(capacity, within, now int64) *Dealer {
-	return &Dealer{capacity: capacity, within: within, turn: now + within}
+// New returns a limiter with the given capacity and reclaim time; reclaimTime and now are in nanoseconds.
+func New(capacity, reclaimTime, now int64) *Limiter {
+	return &Limiter{capacity: capacity, reclaimTime: reclaimTime, spanEnd: now + reclaimTime}
 }
 
-// Open starts an account; Set says what it holds.
-func (d *Dealer) Open() *Account {
-	a := &Account{}
-	d.accounts = append(d.accounts, a)
-	return a
+// AddQuota adds an empty quota; Configure sets its guarantee and ceiling.
+func (limiter *Limiter) AddQuota() *Quota {
+	quota := &Quota{}
+	limiter.quotas = append(limiter.quotas, quota)
+	return quota
 }
 
-// Close ends an account, which must hold nothing any more.
-func (d *Dealer) Close(a *Account) {
-	d.Set(a, 0, 0)
-	for i, other := range d.accounts {
-		if other == a {
-			d.accounts = append(d.accounts[:i], d.accounts[i+1:]...)
+// RemoveQuota removes a quota, which must no longer hold anything.
+func (limiter *Limiter) RemoveQuota(quota *Quota) {
+	limiter.Configure(quota, 0, 0)
+	for i, other := range limiter.quotas {
+		if other == quota {
+			limiter.quotas = append(limiter.quotas[:i], limiter.quotas[i+1:]...)
 			return
 		}
 	}
 }
 
-// Set changes what is guaranteed to a pool and the most that it may hold. What it holds beyond stays until given.
-func (d *Dealer) Set(a *Account, guarantee, ceiling int64) {
-	a.guarantee, a.ceiling = guarantee, ceiling
-	d.settle(a)
+// Configure sets the guarantee of a pool and the most that it may hold. Any excess that it holds stays until released.
+func (limiter *Limiter) Configure(quota *Quota, guarantee, ceiling int64) {
+	quota.guarantee, quota.ceiling = guarantee, ceiling
+	limiter.updateSums(quota)
 }
 
-// Resize changes what there is.
-func (d *Dealer) Resize(capacity int64) { d.capacity = capacity }
+// SetCapacity sets the total capacity.
+func (limiter *Limiter) SetCapacity(capacity int64) { limiter.capacity = capacity }
 
-// Capacity is how much there is.
-func (d *Dealer) Capacity() int64 { return d.capacity }
+// Capacity returns the total capacity.
+func (limiter *Limiter) Capacity() int64 { return limiter.capacity }
 
-// Used is how much of it all pools hold.
-func (d *Dealer) Used() int64 { return d.used }
+// Used returns how much all pools hold together.
+func (limiter *Limiter) Used() int64 { return limiter.used }
 
-// Within changes the time within which guarantees are back.
-func (d *Dealer) Within(within int64) { d.within = within }
+// SetReclaimTime sets the time in nanoseconds within which guarantees can be reclaimed.
+func (limiter *Limiter) SetReclaimTime(reclaimTime int64) { limiter.reclaimTime = reclaimTime }
 
-// Take gives a pool n more until some time at the latest, if it may have them.
-func (d *Dealer) Take(a *Account, n, until, now int64) bool {
-	d.tick(now)
-	if !d.may(a, n, until, now) {
-		a.refused++
+// Acquire reports whether the pool gets n more units, which it releases at the time until at the latest.
+func (limiter *Limiter) Acquire(quota *Quota, n, until, now int64) bool {
+	limiter.advance(now)
+	if !limiter.allowed(quota, n, until, now) {
+		quota.refused++
 		return false
 	}
-	d.add(a, n)
+	limiter.add(quota, n)
 	return true
 }
 
-func (d *Dealer) may(a *Account, n, until, now int64) bool {
-	if a.used+n > a.ceiling {
+// allowed reports whether the pool may acquire n units. It records a refusal under the guarantee.
+func (limiter *Limiter) allowed(quota *Quota, n, until, now int64) bool {
+	if quota.used+n > quota.ceiling {
 		return false
 	}
-	if a.used+n <= a.guarantee {
-		if d.used+n <= d.capacity {
+	if quota.used+n <= quota.guarantee {
+		if limiter.used+n <= limiter.capacity {
 			return true
 		}
-		// Danger: it is lent out. From now on all of it is called back, or borrowers would take in turns what ends.
-		a.owed++
-		a.peak[0] = a.guarantee
-		d.settle(a)
+		// The guarantee is lent out. Reserve all of it from now on; else borrowers would take each unit that is released.
+		quota.refusedUnderGuarantee++
+		quota.peak[0] = quota.guarantee
+		limiter.updateSums(quota)
 		return false
 	}
-	if d.used+n+d.held-a.held > d.capacity {
+	if limiter.used+n+limiter.reserved-quota.reserved > limiter.capacity {
 		return false
 	}
-	// Danger: what is lent out of another's guarantee for long is no guarantee.
-	return d.used+n+d.idle-a.idle <= d.capacity || until <= now+d.within
+	// Loans out of another pool's guarantee end within the reclaim time; longer ones would void the guarantee.
+	return limiter.used+n+limiter.idle-quota.idle <= limiter.capacity || until <= now+limiter.reclaimTime
 }
 
-// Force gives a pool n more whatever there is: what came can't be sent back. It narrows what is taken next.
-func (d *Dealer) Force(a *Account, n int64) { d.add(a, n) }
+// ForceAcquire adds n units regardless of the limits, for data that has already arrived. They count against later
+// calls of Acquire.
+func (limiter *Limiter) ForceAcquire(quota *Quota, n int64) { limiter.add(quota, n) }
 
-// Give takes n back.
-func (d *Dealer) Give(a *Account, n int64) {
-	if n > a.used {
-		panic(fmt.Sprintf("shares: %d given back of %d", n, a.used))
+// Release returns n units of the pool.
+func (limiter *Limiter) Release(quota *Quota, n int64) {
+	if n > quota.used {
+		panic(fmt.Sprintf("shares: released %d units of %d held", n, quota.used))
 	}
-	d.add(a, -n)
+	limiter.add(quota, -n)
 }
 
-func (d *Dealer) add(a *Account, n int64) {
-	a.used += n
-	d.used += n
-	a.peak[0] = max(a.peak[0], a.used)
-	d.settle(a)
+func (limiter *Limiter) add(quota *Quota, n int64) {
+	quota.used += n
+	limiter.used += n
+	quota.peak[0] = max(quota.peak[0], quota.used)
+	limiter.updateSums(quota)
 }
 
-// settle brings the sums up to what an account holds now.
-func (d *Dealer) settle(a *Account) {
-	recent := max(a.peak[0], a.peak[1])
-	held := max(0, min(a.guarantee, recent+(a.guarantee+cushion-1)/cushion)-a.used)
-	idle := max(0, a.guarantee-a.used)
-	d.held += held - a.held
-	d.idle += idle - a.idle
-	a.held, a.idle = held, idle
+// updateSums recalculates the reserved and idle parts of a quota and updates the sums of the limiter.
+func (limiter *Limiter) updateSums(quota *Quota) {
+	recent := max(quota.peak[0], quota.peak[1])
+	reserved := max(0, min(quota.guarantee, recent+(quota.guarantee+minReserveDivisor-1)/minReserveDivisor)-quota.used)
+	idle := max(0, quota.guarantee-quota.used)
+	limiter.reserved += reserved - quota.reserved
+	limiter.idle += idle - quota.idle
+	quota.reserved, quota.idle = reserved, idle
 }
 
-// tick lets use that is long past be forgotten.
-func (d *Dealer) tick(now int64) {
-	if now < d.turn {
+// advance starts a new span when the current one has ended, which drops the use of the span before the previous one.
+func (limiter *Limiter) advance(now int64) {
+	if now < limiter.spanEnd {
 		return
 	}
-	// Danger: after a stop of the process several spans have gone by at once.
-	gone := now >= d.turn+d.within
-	d.turn = now + d.within
-	for _, a := range d.accounts {
-		a.peak[1], a.peak[0] = a.peak[0], a.used
-		if gone {
-			a.peak[1] = a.used
+	// Several spans can have passed at once when the process was stopped.
+	expired := now >= limiter.spanEnd+limiter.reclaimTime
+	limiter.spanEnd = now + limiter.reclaimTime
+	for _, quota := range limiter.quotas {
+		quota.peak[1], quota.peak[0] = quota.peak[0], quota.used
+		if expired {
+			quota.peak[1] = quota.used
 		}
-		d.settle(a)
+		limiter.updateSums(quota)
 	}
 }
 
-// Split deals parts of a total by shares. A share below zero is not stated: those divide evenly what the others
-// leave. Rounding leaves units over, never too few.
+// Split divides a total by shares. A negative share is unset: unset shares divide the remainder evenly. The parts are
+// rounded down, so their sum does not exceed the total.
 func Split(total int64, shares []float64) []int64 {
-	left, unsaid := 1.0, 0
-	for _, s := range shares {
-		if s < 0 {
-			unsaid++
+	remaining, unstated := 1.0, 0
+	for _, share := range shares {
+		if share < 0 {
+			unstated++
 		} else {
-			left -= s
+			remaining -= share
 		}
 	}
 	parts := make([]int64, len(shares))
-	for i, s := range shares {
-		if s < 0 {
-			s = max(0, left) / float64(unsaid)
+	for i, share := range shares {
+		if share < 0 {
+			share = max(0, remaining) / float64(unstated)
 		}
-		parts[i] = int64(s*float64(total) + 1e-6)
+		parts[i] = int64(share*float64(total) + 1e-6)
 	}
 	return parts
 }
 
-// Crowds reports whether one pool's clients hold more for its guarantee than another's: it makes room before that one.
-func Crowds(clients int, guarantee int64, others int, otherGuarantee int64) bool {
-	return float64(clients)/float64(max(guarantee, 1)) > float64(others)/float64(max(otherGuarantee, 1))
+// MoreLoaded reports whether a pool has more clients in proportion to its guarantee than another pool. The more loaded
+// pool gives up connections first.
+func MoreLoaded(clients int, guarantee int64, otherClients int, otherGuarantee int64) bool {
+	return float64(clients)/float64(max(guarantee, 1)) > float64(otherClients)/float64(max(otherGuarantee, 1))
 }
 
-// Pace spaces out what a pool is refused, so that refusing can't use up the core: a connection that was refused has
-// its answer at once, and rests before its next message is read.
-type Pace struct {
-	each int64 // nanoseconds between two
-	most int64 // of rest
-	next int64
+// RefusalPacer limits the rate of a pool's refusals so that they can't use up the core. A refused connection gets its
+// answer immediately, and its next message is read after a delay.
+type RefusalPacer struct {
+	interval int64 // nanoseconds between two refusals
+	maxDelay int64 // in nanoseconds
+	nextAt   int64 // nanoseconds
 }
 
-// NewPace allows so many a second without a rest, and rests of so many nanoseconds at most.
-func NewPace(rate float64, most int64) Pace { return Pace{each: int64(1e9 / max(rate, 1)), most: most} }
+// NewRefusalPacer returns a pacer that allows rate refusals a second without delay. maxDelay is in nanoseconds.
+func NewRefusalPacer(rate float64, maxDelay int64) RefusalPacer {
+	return RefusalPacer{interval: int64(1e9 / max(rate, 1)), maxDelay: maxDelay}
+}
 
-// Rest is how long the connection that is refused now rests.
-func (p *Pace) Rest(now int64) int64 {
-	// Danger: without a bound on what is behind, one burst would keep the connections of the next minutes waiting.
-	p.next = min(max(p.next, now)+p.each, now+p.most+p.each)
-	return max(0, p.next-now-p.each)
+// Delay returns how long, in nanoseconds, to wait before reading again from the connection that is refused now.
+func (pacer *RefusalPacer) Delay(now int64) int64 {
+	// Without a bound on the backlog, one burst would delay the connections of the following minutes.
+	pacer.nextAt = min(max(pacer.nextAt, now)+pacer.interval, now+pacer.maxDelay+pacer.interval)
+	return max(0, pacer.nextAt-now-pacer.interval)
 }
--- a/internal/shares/shares_test.go
+++ b/internal/shares/shares_test.go
@@ -9,169 +9,169 @@
 
 const ms = int64(1e6)
 
-// whole checks what must hold after every step.
-func whole(t interface{ Fatalf(string, ...any) }, d *Dealer, forced int64) {
-	var used, held, idle int64
-	for _, a := range d.accounts {
-		used, held, idle = used+a.used, held+a.held, idle+a.idle
-		if a.used < 0 || a.used > a.ceiling+forced {
-			t.Fatalf("%+v", a)
+// checkInvariants checks the bounds and sums that hold after every step.
+func checkInvariants(t interface{ Fatalf(string, ...any) }, limiter *Limiter, forced int64) {
+	var used, reserved, idle int64
+	for _, quota := range limiter.quotas {
+		used, reserved, idle = used+quota.used, reserved+quota.reserved, idle+quota.idle
+		if quota.used < 0 || quota.used > quota.ceiling+forced {
+			t.Fatalf("use out of bounds: %+v", quota)
 		}
-		if a.used < a.guarantee && a.held > a.guarantee-a.used {
-			t.Fatalf("more is kept free than is guaranteed: %+v", a)
+		if quota.used < quota.guarantee && quota.reserved > quota.guarantee-quota.used {
+			t.Fatalf("reserved more than the unused guarantee: %+v", quota)
 		}
 	}
-	if used != d.used || held != d.held || idle != d.idle {
-		t.Fatalf("sums %d %d %d, accounts %d %d %d", d.used, d.held, d.idle, used, held, idle)
+	if used != limiter.used || reserved != limiter.reserved || idle != limiter.idle {
+		t.Fatalf("limiter sums used, reserved, idle: %d %d %d; sums of the quotas: %d %d %d", limiter.used, limiter.reserved, limiter.idle, used, reserved, idle)
 	}
-	if d.used > d.capacity+forced {
-		t.Fatalf("%d of %d dealt out", d.used, d.capacity)
+	if limiter.used > limiter.capacity+forced {
+		t.Fatalf("%d units acquired of a capacity of %d", limiter.used, limiter.capacity)
 	}
 }
 
-// Whatever is asked in whatever order: no more is dealt out than there is, nobody has more than its ceiling, and who
-// asks within what it used lately and a quarter of its guarantee has it at once.
-func TestNeverMoreThanThereIs(t *testing.T) {
+// TestCapacityAndReservesHold checks that in any order of calls the capacity and the ceilings hold, and that a pool
+// immediately gets what is within its recent use plus a quarter of its guarantee.
+func TestCapacityAndReservesHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacity := rapid.Int64Range(4, 200).Draw(t, "capacity")
-		d := New(capacity, 100*ms, 0)
-		var said []float64
+		limiter := New(capacity, 100*ms, 0)
+		var shares []float64
 		for range rapid.IntRange(1, 5).Draw(t, "pools") {
-			d.Open()
-			said = append(said, -1)
+			limiter.AddQuota()
+			shares = append(shares, -1)
 		}
-		for i, g := range Split(capacity, said) {
-			d.Set(d.accounts[i], g, rapid.Int64Range(g, capacity).Draw(t, "ceiling"))
+		for i, guarantee := range Split(capacity, shares) {
+			limiter.Configure(limiter.quotas[i], guarantee, rapid.Int64Range(guarantee, capacity).Draw(t, "ceiling"))
 		}
 		now, forced := int64(0), int64(0)
 		t.Repeat(map[string]func(*rapid.T){
 			"take": func(t *rapid.T) {
-				a := rapid.SampledFrom(d.accounts).Draw(t, "who")
+				quota := rapid.SampledFrom(limiter.quotas).Draw(t, "who")
 				n := rapid.Int64Range(1, 9).Draw(t, "n")
-				sure := forced == 0 && a.used+n <= a.guarantee && n <= a.held
-				if ok := d.Take(a, n, now+rapid.Int64Range(0, 300).Draw(t, "ms")*ms, now); sure && !ok {
-					t.Fatalf("refused %d of what is kept free: %+v", n, a)
+				reserved := forced == 0 && quota.used+n <= quota.guarantee && n <= quota.reserved
+				if ok := limiter.Acquire(quota, n, now+rapid.Int64Range(0, 300).Draw(t, "ms")*ms, now); reserved && !ok {
+					t.Fatalf("refused %d units that were reserved: %+v", n, quota)
 				}
 			},
 			"give": func(t *rapid.T) {
-				a := rapid.SampledFrom(d.accounts).Draw(t, "who")
-				if n := rapid.Int64Range(0, a.used).Draw(t, "n"); n > 0 {
-					d.Give(a, n)
+				quota := rapid.SampledFrom(limiter.quotas).Draw(t, "who")
+				if n := rapid.Int64Range(0, quota.used).Draw(t, "n"); n > 0 {
+					limiter.Release(quota, n)
 				}
 			},
 			"force": func(t *rapid.T) {
 				n := rapid.Int64Range(1, 9).Draw(t, "n")
 				forced += n
-				d.Force(rapid.SampledFrom(d.accounts).Draw(t, "who"), n)
+				limiter.ForceAcquire(rapid.SampledFrom(limiter.quotas).Draw(t, "who"), n)
 			},
 			"pass": func(t *rapid.T) { now += rapid.Int64Range(0, 250).Draw(t, "ms") * ms },
-			"":     func(t *rapid.T) { whole(t, d, forced) },
+			"":     func(t *rapid.T) { checkInvariants(t, limiter, forced) },
 		})
 	})
 }
 
-// A pool that was idle while others borrowed has a quarter of its guarantee at once, and all of it within the stated
-// time, however greedy they are and however long they hold what they may hold long.
-func TestGuaranteeIsBackInTime(t *testing.T) {
-	const capacity, within = 90, 100 * ms
+// TestGuaranteeIsReclaimedInTime checks that a pool that was idle while others borrowed gets a quarter of its guarantee
+// immediately and all of it within the reclaim time, while the borrowers acquire as much and for as long as they can.
+func TestGuaranteeIsReclaimedInTime(t *testing.T) {
+	const capacity, reclaimTime = 90, 100 * ms
 	for seed := range uint64(50) {
-		chance := rand.New(rand.NewPCG(seed, 1))
-		d := New(capacity, within, 0)
-		var all []*Account
-		for _, g := range Split(capacity, []float64{0.4, -1, -1}) {
-			a := d.Open()
-			d.Set(a, g, capacity)
-			all = append(all, a)
+		random := rand.New(rand.NewPCG(seed, 1))
+		limiter := New(capacity, reclaimTime, 0)
+		var quotas []*Quota
+		for _, guarantee := range Split(capacity, []float64{0.4, -1, -1}) {
+			quota := limiter.AddQuota()
+			limiter.Configure(quota, guarantee, capacity)
+			quotas = append(quotas, quota)
 		}
-		lender := all[0]
-		type hold struct {
-			a     *Account
+		owner := quotas[0]
+		type loan struct {
+			a     *Quota
 			until int64
 		}
-		var holds []hold
-		asks := 500 * ms
-		for now := int64(0); now <= asks+within; now += ms {
-			kept := holds[:0]
-			for _, h := range holds {
-				if h.until <= now {
-					d.Give(h.a, 1)
+		var loans []loan
+		reclaimAt := 500 * ms
+		for now := int64(0); now <= reclaimAt+reclaimTime; now += ms {
+			kept := loans[:0]
+			for _, loan := range loans {
+				if loan.until <= now {
+					limiter.Release(loan.a, 1)
 				} else {
-					kept = append(kept, h)
+					kept = append(kept, loan)
 				}
 			}
-			holds = kept
+			loans = kept
 			for range 20 {
-				a := all[1+chance.IntN(2)]
-				if until := now + 1 + chance.Int64N(400*ms); d.Take(a, 1, until, now) {
-					holds = append(holds, hold{a, until})
+				quota := quotas[1+random.IntN(2)]
+				if until := now + 1 + random.Int64N(400*ms); limiter.Acquire(quota, 1, until, now) {
+					loans = append(loans, loan{quota, until})
 				}
 			}
-			if now < asks {
+			if now < reclaimAt {
 				continue
 			}
-			for d.Take(lender, 1, now+1000*ms, now) {
-				if lender.used == lender.guarantee {
+			for limiter.Acquire(owner, 1, now+1000*ms, now) {
+				if owner.used == owner.guarantee {
 					break
 				}
 			}
-			if now == asks && lender.used < lender.guarantee/cushion {
-				t.Fatalf("seed %d: %d of %d at once", seed, lender.used, lender.guarantee)
+			if now == reclaimAt && owner.used < owner.guarantee/minReserveDivisor {
+				t.Fatalf("seed %d: acquired %d of a guarantee of %d immediately", seed, owner.used, owner.guarantee)
 			}
-			whole(t, d, 0)
+			checkInvariants(t, limiter, 0)
 		}
-		if lender.used != lender.guarantee {
-			t.Errorf("seed %d: %d of %d after the stated time", seed, lender.used, lender.guarantee)
+		if owner.used != owner.guarantee {
+			t.Errorf("seed %d: holds %d of a guarantee of %d after the reclaim time", seed, owner.used, owner.guarantee)
 		}
-		if borrowed := all[1].used + all[2].used; borrowed != capacity-lender.guarantee {
-			t.Errorf("seed %d: the others hold %d of what is theirs, %d", seed, borrowed, capacity-lender.guarantee)
+		if borrowed := quotas[1].used + quotas[2].used; borrowed != capacity-owner.guarantee {
+			t.Errorf("seed %d: the other pools hold %d, want %d", seed, borrowed, capacity-owner.guarantee)
 		}
 	}
 }
 
-// What lies idle is lent: a pool alone has all but the cushions of the others.
+// TestIdleGuaranteeIsLent checks that a single active pool can acquire all but the minimum reserves of the others.
 func TestIdleGuaranteeIsLent(t *testing.T) {
-	d := New(100, 100*ms, 0)
-	a, b := d.Open(), d.Open()
-	d.Set(a, 50, 100)
-	d.Set(b, 50, 100)
-	now, got := int64(0), 0
-	for d.Take(a, 1, now+ms, now) {
-		got++
+	limiter := New(100, 100*ms, 0)
+	borrower, owner := limiter.AddQuota(), limiter.AddQuota()
+	limiter.Configure(borrower, 50, 100)
+	limiter.Configure(owner, 50, 100)
+	now, acquired := int64(0), 0
+	for limiter.Acquire(borrower, 1, now+ms, now) {
+		acquired++
 	}
-	if got != 100-(50+cushion-1)/cushion {
-		t.Errorf("%d of 100", got)
+	if acquired != 100-(50+minReserveDivisor-1)/minReserveDivisor {
+		t.Errorf("acquired %d units of 100", acquired)
 	}
-	if d.Take(a, 1, now+500*ms, now) {
-		t.Error("lent for longer than the stated time")
+	if limiter.Acquire(borrower, 1, now+500*ms, now) {
+		t.Error("lent for longer than the reclaim time")
 	}
 }
 
-// Refusals are spaced at their rate, and no connection rests longer than it may, also after a burst and after a stop.
-func TestPace(t *testing.T) {
-	p := NewPace(1000, 50*ms)
+// TestRefusalPacer checks that a burst of refusals is delayed by at most the maximum, and that no delay is left later.
+func TestRefusalPacer(t *testing.T) {
+	pacer := NewRefusalPacer(1000, 50*ms)
 	longest, now := int64(0), int64(0)
 	for range 10_000 {
-		longest = max(longest, p.Rest(now))
+		longest = max(longest, pacer.Delay(now))
 	}
 	if longest != 50*ms {
-		t.Errorf("%d", longest)
+		t.Errorf("longest delay %d, want %d", longest, 50*ms)
 	}
-	if rest := p.Rest(now + 10_000*ms); rest != 0 {
-		t.Errorf("rests %d long after the burst", rest)
+	if delay := pacer.Delay(now + 10_000*ms); delay != 0 {
+		t.Errorf("delay %d long after the burst, want 0", delay)
 	}
 }
 
-func BenchmarkTake(b *testing.B) {
+func BenchmarkAcquire(b *testing.B) {
 	for _, pools := range []int{3, 1000} {
 		b.Run(map[int]string{3: "3", 1000: "1000"}[pools], func(b *testing.B) {
-			d := New(int64(pools)*100, 1e9, 0)
+			limiter := New(int64(pools)*100, 1e9, 0)
 			for range pools {
-				d.Set(d.Open(), 100, 1000)
+				limiter.Configure(limiter.AddQuota(), 100, 1000)
 			}
 			for i := 0; b.Loop(); i++ {
-				a := d.accounts[i%pools]
-				if d.Take(a, 1, int64(i)*1000, int64(i)*1000) {
-					d.Give(a, 1)
+				quota := limiter.quotas[i%pools]
+				if limiter.Acquire(quota, 1, int64(i)*1000, int64(i)*1000) {
+					limiter.Release(quota, 1)
 				}
 			}
 		})
--- a/internal/simwire/read.go
+++ b/internal/simwire/read.go
@@ -11,217 +11,217 @@
 	"ottershift/logic"
 )
 
-var results = map[string]logic.Result{
+var resultByCode = map[string]logic.Result{
 	"served": logic.Settled, "server_error": logic.Errored, "turned_away": logic.Refused,
 	"no_answer": logic.TimedOut, "no_connection": logic.Unreachable, "connection_lost": logic.Disconnected,
 	"called_off": logic.Cancelled, "not_sent": logic.Unsent,
 }
 
-// read takes one message; it reports true when a reply is complete.
-func (s *server) read(v *fastjson.Value) bool {
-	if v.Type() != fastjson.TypeObject {
-		s.fault("a message is an object, not %s", v.Type())
+// handleMessage takes one message; it reports true when a reply is complete.
+func (srv *server) handleMessage(message *fastjson.Value) bool {
+	if message.Type() != fastjson.TypeObject {
+		srv.reportError("a message is an object, not %s", message.Type())
 		return false
 	}
-	kind := string(v.GetStringBytes("type"))
-	switch kind {
+	messageType := string(message.GetStringBytes("type"))
+	switch messageType {
 	case "clock":
-		at := v.GetInt64("at_time") * microsecond
-		if !v.Exists("at_time") || at < s.now {
-			s.fault("clock without a time, or one that runs backwards")
+		at := message.GetInt64("at_time") * nanosPerMicro
+		if !message.Exists("at_time") || at < srv.now {
+			srv.reportError("clock without a time, or one that runs backwards")
 			return false
 		}
-		s.now = at
-		s.frame = v.GetInt64("frame")
+		srv.now = at
+		srv.frame = message.GetInt64("frame")
 		return false
 	case "go":
-		s.reply()
+		srv.endFrame()
 		return true
 	case "register":
-		s.register(v)
+		srv.registerList(message)
 		return false
 	}
-	number, err := v.Get("i").Int()
+	number, err := message.Get("i").Int()
 	if err != nil {
-		s.fault("%q names no instance", kind)
+		srv.reportError("%q names no instance", messageType)
 		return false
 	}
-	if kind == "configure" {
-		s.configure(number, v)
+	if messageType == "configure" {
+		srv.configure(number, message)
 		return false
 	}
-	in := s.instances[number]
-	if in == nil {
-		s.fault("%q for instance %d, which is not running", kind, number)
+	inst := srv.instances[number]
+	if inst == nil {
+		srv.reportError("%q for instance %d, which is not running", messageType, number)
 		return false
 	}
-	if kind == "teardown" {
-		delete(s.instances, number)
-		in.logic = nil
+	if messageType == "teardown" {
+		delete(srv.instances, number)
+		inst.balancer = nil
 		return false
 	}
-	in.touch()
-	in.guard(func() { in.read(kind, v) })
+	inst.markPending()
+	inst.catchPanic(func() { inst.handleEvent(messageType, message) })
 	return false
 }
 
-// read turns one event of an instance into a call on its balancer.
-func (in *instance) read(kind string, v *fastjson.Value) {
-	s, b := in.server, in.logic
-	if b == nil {
+// handleEvent turns one event of an instance into a call on its balancer.
+func (inst *instance) handleEvent(messageType string, message *fastjson.Value) {
+	srv, balancer := inst.server, inst.balancer
+	if balancer == nil {
 		return
 	}
-	switch kind {
+	switch messageType {
 	case "elapsed":
 		// A round follows in any case.
 	case "note_from":
-		raw, err := hex.DecodeString(string(v.GetStringBytes("raw")))
+		raw, err := hex.DecodeString(string(message.GetStringBytes("raw")))
 		if err != nil {
-			s.fault("note_from with bytes %q", v.GetStringBytes("raw"))
+			srv.reportError("note_from with bytes %q", message.GetStringBytes("raw"))
 			return
 		}
-		b.PeerReport(v.GetInt("who"), raw, s.now)
+		balancer.PeerReport(message.GetInt("who"), raw, srv.now)
 	case "incoming":
-		id := string(v.GetStringBytes("call"))
-		tariff, known := in.book.Tariffs[string(v.GetStringBytes("band"))]
-		if id == "" || !known || in.calls[id] != nil {
-			s.fault("incoming %q: no id, an id used before, or an unknown tariff", id)
+		id := string(message.GetStringBytes("call"))
+		tariff, known := inst.book.Tariffs[string(message.GetStringBytes("band"))]
+		if id == "" || !known || inst.transactions[id] != nil {
+			srv.reportError("incoming %q: no id, an id used before, or an unknown tariff", id)
 			return
 		}
-		customer, known := in.book.Customers[string(v.GetStringBytes("user_group"))]
+		customer, known := inst.book.Customers[string(message.GetStringBytes("user_group"))]
 		if !known {
 			customer = -1
 		}
-		t := &logic.Transaction{UserData: id}
-		in.calls[id] = t
-		b.Arrive(t, tariff, customer, v.GetInt64("expected")*microsecond, v.GetInt64("patience_left")*microsecond,
-			v.GetBool("is_retry"), s.now)
+		tx := &logic.Transaction{UserData: id}
+		inst.transactions[id] = tx
+		balancer.Arrive(tx, tariff, customer, message.GetInt64("expected")*nanosPerMicro, message.GetInt64("patience_left")*nanosPerMicro,
+			message.GetBool("is_retry"), srv.now)
 	case "finished", "ack_first":
-		t, n := in.calls[string(v.GetStringBytes("call"))], v.GetInt("shot")
-		if t == nil || n < 0 || n >= t.AttemptCount() {
-			s.fault("%s for call %q, push %d, which is not out", kind, v.GetStringBytes("call"), n)
+		tx, attempt := inst.transactions[string(message.GetStringBytes("call"))], message.GetInt("shot")
+		if tx == nil || attempt < 0 || attempt >= tx.AttemptCount() {
+			srv.reportError("%s for call %q, push %d, which is not out", messageType, message.GetStringBytes("call"), attempt)
 			return
 		}
-		if kind == "ack_first" {
-			b.StreamStarted(t, n)
+		if messageType == "ack_first" {
+			balancer.StreamStarted(tx, attempt)
 			return
 		}
-		result, known := results[string(v.GetStringBytes("state_code"))]
+		result, known := resultByCode[string(message.GetStringBytes("state_code"))]
 		if !known {
-			s.fault("finished with unknown code %q", v.GetStringBytes("state_code"))
+			srv.reportError("finished with unknown code %q", message.GetStringBytes("state_code"))
 			return
 		}
-		b.Outcome(t, n, result, v.GetInt64("wait_time")*microsecond, v.GetBool("finished"), s.now)
-		in.drop(t)
+		balancer.Outcome(tx, attempt, result, message.GetInt64("wait_time")*nanosPerMicro, message.GetBool("finished"), srv.now)
+		inst.forgetIfClosed(tx)
 	case "vanished":
-		if t := in.calls[string(v.GetStringBytes("call"))]; t != nil {
-			b.ClientGone(t)
-			in.drop(t)
+		if tx := inst.transactions[string(message.GetStringBytes("call"))]; tx != nil {
+			balancer.ClientGone(tx)
+			inst.forgetIfClosed(tx)
 		}
 	case "checked":
-		id := uint32(v.GetUint64("upstream"))
-		if i, known := in.roster.Index(id); known {
-			b.ProbeResult(i, string(v.GetStringBytes("state_code")) == "served")
+		id := uint32(message.GetUint64("upstream"))
+		if i, known := inst.roster.Index(id); known {
+			balancer.ProbeResult(i, string(message.GetStringBytes("state_code")) == "served")
 		} else {
-			s.fault("checked for upstream %d, which is on no list", id)
+			srv.reportError("checked for upstream %d, which is on no list", id)
 		}
 	case "members":
-		in.members(v)
+		inst.applyList(message)
 	default:
-		s.fault("unknown message %q", kind)
+		srv.reportError("unknown message %q", messageType)
 	}
 }
 
-// register keeps a list for the members messages that point to it.
-func (s *server) register(v *fastjson.Value) {
-	n := v.GetInt("sheet")
-	if n < 0 || n >= len(s.sheets) {
-		s.fault("register: no list has number %d", n)
+// registerList keeps a list for the members messages that point to it.
+func (srv *server) registerList(message *fastjson.Value) {
+	listNumber := message.GetInt("sheet")
+	if listNumber < 0 || listNumber >= len(srv.lists) {
+		srv.reportError("register: no list has number %d", listNumber)
 		return
 	}
-	list := s.sheets[n][:0]
-	for _, e := range v.GetArray("nodes_list") {
+	list := srv.lists[listNumber][:0]
+	for _, entry := range message.GetArray("nodes_list") {
 		weight := 1.0
-		if e.Exists("share") {
-			weight = e.GetFloat64("share")
+		if entry.Exists("share") {
+			weight = entry.GetFloat64("share")
 		}
-		state := string(e.GetStringBytes("state"))
+		state := string(entry.GetStringBytes("state"))
 		if state != "Ready" && state != "Terminating" && state != "Gone" {
-			s.fault("register: upstream %d in unknown state %q", e.GetUint64("upstream"), state)
+			srv.reportError("register: upstream %d in unknown state %q", entry.GetUint64("upstream"), state)
 			continue
 		}
-		number := uint32(e.GetUint64("upstream"))
+		number := uint32(entry.GetUint64("upstream"))
 		list = append(list, roster.Entry[uint32]{
-			Name: number, Zone: string(e.GetStringBytes("site")), Kind: string(e.GetStringBytes("family_type")),
+			Name: number, Zone: string(entry.GetStringBytes("site")), Kind: string(entry.GetStringBytes("family_type")),
 			Up: logic.Upstream{
-				ID: number, Weight: weight, Cell: e.GetInt("pod"), StartedAt: e.GetInt64("born") * microsecond,
+				ID: number, Weight: weight, Cell: entry.GetInt("pod"), StartedAt: entry.GetInt64("born") * nanosPerMicro,
 			},
 			Gone: state == "Gone", Ends: state == "Terminating",
 		})
 	}
-	s.sheets[n] = list
+	srv.lists[listNumber] = list
 }
 
-// members hands a report of the list on.
-func (in *instance) members(v *fastjson.Value) {
-	form := string(v.GetStringBytes("form"))
+// applyList hands a report of the list on.
+func (inst *instance) applyList(message *fastjson.Value) {
+	form := string(message.GetStringBytes("form"))
 	if form == "broken" {
-		in.logic.Listed(false, in.server.now)
+		inst.balancer.Listed(false, inst.server.now)
 		return
 	}
-	n := v.GetInt("sheet")
-	if form != "patch" && form != "whole" && form != "stale_copy" || n < 0 || n >= len(in.server.sheets) {
-		in.server.fault("members of unknown form %q or list %d", form, n)
+	listNumber := message.GetInt("sheet")
+	if form != "patch" && form != "whole" && form != "stale_copy" || listNumber < 0 || listNumber >= len(inst.server.lists) {
+		inst.server.reportError("members of unknown form %q or list %d", form, listNumber)
 		return
 	}
-	in.roster.Apply(in.server.sheets[n], form != "patch", in.server.now)
+	inst.roster.Apply(inst.server.lists[listNumber], form != "patch", inst.server.now)
 }
 
-// drop forgets a transaction once nothing can be said of it any more.
-func (in *instance) drop(t *logic.Transaction) {
-	if t.Closed() {
-		delete(in.calls, t.UserData.(string))
+// forgetIfClosed forgets a transaction once nothing can be said of it any more.
+func (inst *instance) forgetIfClosed(tx *logic.Transaction) {
+	if tx.Closed() {
+		delete(inst.transactions, tx.UserData.(string))
 	}
 }
 
-func (in *instance) touch() {
-	if !in.queued {
-		in.queued = true
-		in.server.touched = append(in.server.touched, in)
+func (inst *instance) markPending() {
+	if !inst.queued {
+		inst.queued = true
+		inst.server.pending = append(inst.server.pending, inst)
 	}
 }
 
 // configure starts an instance, in place of one that ran under its number.
-func (s *server) configure(number int, v *fastjson.Value) {
-	in := &instance{
-		number: number, server: s, calls: map[string]*logic.Transaction{},
-	}
-	if old := s.instances[number]; old != nil {
-		old.logic = nil
-	}
-	s.instances[number] = in
-	in.touch()
-	in.guard(func() {
-		in.book = terms.Read(v.Get("env"), v.GetUint64("prng"))
-		b, err := logic.New(in.book.Terms, s.now)
+func (srv *server) configure(number int, message *fastjson.Value) {
+	inst := &instance{
+		number: number, server: srv, transactions: map[string]*logic.Transaction{},
+	}
+	if previous := srv.instances[number]; previous != nil {
+		previous.balancer = nil
+	}
+	srv.instances[number] = inst
+	inst.markPending()
+	inst.catchPanic(func() {
+		inst.book = terms.Read(message.Get("env"), message.GetUint64("prng"))
+		balancer, err := logic.New(inst.book.Terms, srv.now)
 		if err != nil {
-			s.except(in, err.Error())
+			srv.writeException(inst, err.Error())
 			return
 		}
-		in.logic, in.roster = b, roster.New[uint32](b, in.book.Zones)
+		inst.balancer, inst.roster = balancer, roster.New[uint32](balancer, inst.book.Zones)
 	})
 }
 
-// reply lets every balancer that was told something decide, and closes the frame.
-func (s *server) reply() {
-	for _, in := range s.touched {
-		in.queued = false
-		if in.logic != nil {
-			in.guard(func() { in.logic.Round(s.now, in) })
+// endFrame lets every balancer that was told something decide, and closes the frame.
+func (srv *server) endFrame() {
+	for _, inst := range srv.pending {
+		inst.queued = false
+		if inst.balancer != nil {
+			inst.catchPanic(func() { inst.balancer.Round(srv.now, inst) })
 		}
 	}
-	s.touched = s.touched[:0]
-	s.out.WriteString(`{"type":"ok","frame":`)
-	s.out.Write(strconv.AppendInt(s.out.AvailableBuffer(), s.frame, 10))
-	s.out.WriteString("}\n")
+	srv.pending = srv.pending[:0]
+	srv.out.WriteString(`{"type":"ok","frame":`)
+	srv.out.Write(strconv.AppendInt(srv.out.AvailableBuffer(), srv.frame, 10))
+	srv.out.WriteString("}\n")
 }
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -15,15 +15,15 @@
 	"ottershift/logic"
 )
 
-const microsecond = 1000
+const nanosPerMicro = 1000
 
 // server hosts the instances of one process.
 type server struct {
 	out       bytes.Buffer
-	complain  io.Writer
-	sheets    [16][]roster.Entry[uint32]
+	errors    io.Writer
+	lists     [16][]roster.Entry[uint32]
 	instances map[int]*instance
-	touched   []*instance
+	pending   []*instance
 	now       int64
 	line      int
 	frame     int64
@@ -31,45 +31,45 @@
 
 // instance is one balancer with its names: it is the Writer of its decisions.
 type instance struct {
-	logic  *logic.Balancer
-	number int
-	queued bool
-	server *server
-	book   *terms.Book
-	roster *roster.Roster[uint32]
-	calls  map[string]*logic.Transaction
+	balancer     *logic.Balancer
+	number       int
+	queued       bool
+	server       *server
+	book         *terms.Book
+	roster       *roster.Roster[uint32]
+	transactions map[string]*logic.Transaction
 }
 
 // Serve answers every frame of in on out until in ends. What it can't make sense of it names on complain and
 // skips.
-func Serve(in io.Reader, out, complain io.Writer) error {
-	s := &server{complain: complain, instances: map[int]*instance{}}
+func Serve(in io.Reader, out, errors io.Writer) error {
+	srv := &server{errors: errors, instances: map[int]*instance{}}
 	lines := bufio.NewReaderSize(in, 1<<20)
 	var parser fastjson.Parser
-	var long []byte
+	var partial []byte
 	for {
 		line, err := lines.ReadSlice('\n')
 		if err == bufio.ErrBufferFull {
-			long = append(long, line...)
+			partial = append(partial, line...)
 			continue
 		}
-		if len(long) > 0 {
-			long = append(long, line...)
-			line = long
+		if len(partial) > 0 {
+			partial = append(partial, line...)
+			line = partial
 		}
-		s.line++
+		srv.line++
 		if len(bytes.TrimSpace(line)) > 0 {
-			v, fault := parser.ParseBytes(line)
-			if fault != nil {
-				s.fault("not JSON: %v", fault)
-			} else if done := s.read(v); done {
-				if _, fault := out.Write(s.out.Bytes()); fault != nil {
-					return fault
+			message, failure := parser.ParseBytes(line)
+			if failure != nil {
+				srv.reportError("not JSON: %v", failure)
+			} else if done := srv.handleMessage(message); done {
+				if _, failure := out.Write(srv.out.Bytes()); failure != nil {
+					return failure
 				}
-				s.out.Reset()
+				srv.out.Reset()
 			}
 		}
-		long = long[:0]
+		partial = partial[:0]
 		if err == io.EOF {
 			return nil
 		}
@@ -79,6 +79,6 @@
 	}
 }
 
-func (s *server) fault(format string, values ...any) {
-	fmt.Fprintf(s.complain, "simwire: line %d: %s\n", s.line, fmt.Sprintf(format, values...))
+func (srv *server) reportError(format string, values ...any) {
+	fmt.Fprintf(srv.errors, "simwire: line %d: %s\n", srv.line, fmt.Sprintf(format, values...))
 }
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -6,24 +6,24 @@
 	"testing"
 )
 
-const start = `{"type":"clock","at_time":1000000,"frame":1}
+const startFrame = `{"type":"clock","at_time":1000000,"frame":1}
 {"type":"register","sheet":0,"nodes_list":[{"site":"a","share":1,"pod":0,"state":"Ready","upstream":11},{"site":"a","share":1,"pod":0,"state":"Ready","upstream":22}]}
 {"type":"configure","i":3,"prng":5,"env":{"fleet_size":1,"layer":0,"zone":"a","zones":["a"],"tariffs":[{"name":"x","contract_time":1000000,"hard_stop":2500000,"effect":"idempotent","earnings":1}],"limits":{"cancelling":true,"max_pushes":3,"probes":true,"second_copies":true},"guarantees":{"cold_from":0.2,"ramp_time":9000000,"fall_multiple":2,"overload_for":1000000}}}
 {"type":"members","i":3,"form":"stale_copy","serial":1,"sheet":0}
 {"type":"go"}
 `
 
-func serve(t *testing.T, frames string) (out, complaints string) {
+func serve(t *testing.T, frames string) (out, reported string) {
 	t.Helper()
-	var reply, complain strings.Builder
-	if err := Serve(strings.NewReader(frames), &reply, &complain); err != nil {
+	var reply, errors strings.Builder
+	if err := Serve(strings.NewReader(frames), &reply, &errors); err != nil {
 		t.Fatal(err)
 	}
-	return reply.String(), complain.String()
+	return reply.String(), errors.String()
 }
 
-func TestTransactionThroughTheWire(t *testing.T) {
-	out, complaints := serve(t, start+`{"type":"clock","at_time":1005000,"frame":2}
+func TestTransaction(t *testing.T) {
+	out, reported := serve(t, startFrame+`{"type":"clock","at_time":1005000,"frame":2}
 {"type":"incoming","i":3,"call":"00ab","band":"x","patience_left":2000000}
 {"type":"go"}
 {"type":"clock","at_time":1055000,"frame":3}
@@ -37,13 +37,13 @@
 			t.Errorf("no %s in\n%s", want, out)
 		}
 	}
-	if complaints != "" {
-		t.Error(complaints)
+	if reported != "" {
+		t.Error(reported)
 	}
 }
 
-func TestFaultsAreNamedAndSkipped(t *testing.T) {
-	for _, c := range []struct{ line, fault string }{
+func TestInvalidMessagesAreReportedAndSkipped(t *testing.T) {
+	for _, test := range []struct{ line, fault string }{
 		{`{"type":"incoming",`, "line 7: not JSON"},
 		{`[1]`, "a message is an object"},
 		{`{"type":"sing","i":3}`, `unknown message "sing"`},
@@ -52,45 +52,45 @@
 		{`{"type":"checked","i":3,"upstream":99,"state_code":"served"}`, "upstream 99"},
 		{`{"type":"incoming","i":3,"call":"78","band":"y","patience_left":1}`, "unknown tariff"},
 	} {
-		out, complaints := serve(t, start+`{"type":"clock","at_time":1005000,"frame":2}`+"\n"+c.line+"\n"+`{"type":"go"}`+"\n")
-		if !strings.Contains(complaints, c.fault) || !strings.Contains(out, `{"type":"ok","frame":2}`) {
-			t.Errorf("%s: complaint %q, reply\n%s", c.line, complaints, out)
+		out, reported := serve(t, startFrame+`{"type":"clock","at_time":1005000,"frame":2}`+"\n"+test.line+"\n"+`{"type":"go"}`+"\n")
+		if !strings.Contains(reported, test.fault) || !strings.Contains(out, `{"type":"ok","frame":2}`) {
+			t.Errorf("%s: complaint %q, reply\n%s", test.line, reported, out)
 		}
 	}
 }
 
-func TestTermsThatCannotWorkAreRefused(t *testing.T) {
-	out, _ := serve(t, strings.Replace(start, `"max_pushes":3`, `"max_pushes":0`, 1))
+func TestInvalidConfigurationIsRejected(t *testing.T) {
+	out, _ := serve(t, strings.Replace(startFrame, `"max_pushes":3`, `"max_pushes":0`, 1))
 	if !strings.Contains(out, `{"type":"exception","i":3,"line":"terms: no push is allowed"}`) {
 		t.Error(out)
 	}
 }
 
 // Balancers that may speak to one another do so by say, and hear by note_from; nonsense is named and harms nobody.
-func TestPeersThroughTheWire(t *testing.T) {
+func TestPeerReports(t *testing.T) {
 	peers := strings.NewReplacer(`"fleet_size":1`, `"fleet_size":2,"self_index":1,"weight_source":"live"`,
-		`"probes":true`, `"probes":true,"peers":true`, `"pod":0,`, `"pod":0,"family_type":"k",`).Replace(start)
-	ask := func(env string, requests int, lines ...string) (out, complaints string) {
+		`"probes":true`, `"probes":true,"peers":true`, `"pod":0,`, `"pod":0,"family_type":"k",`).Replace(startFrame)
+	run := func(env string, requests int, lines ...string) (out, reported string) {
 		for n := range requests {
 			lines = append(lines, fmt.Sprintf(`{"type":"incoming","i":3,"call":"a%d","band":"x","patience_left":2000000}`, n))
 		}
 		return serve(t, env+`{"type":"clock","at_time":1200000,"frame":2}`+"\n"+strings.Join(lines, "\n")+"\n"+`{"type":"go"}`+"\n")
 	}
-	first, _ := ask(peers, 1)
-	_, word, _ := strings.Cut(first[strings.Index(first, `"frame":1}`):], `"dst":0,"raw":"`)
-	_, full, found := strings.Cut(first, `"upstream":`)
-	if !found || len(word) < 5 || word[4] != '"' {
+	first, _ := run(peers, 1)
+	_, report, _ := strings.Cut(first[strings.Index(first, `"frame":1}`):], `"dst":0,"raw":"`)
+	_, loaded, found := strings.Cut(first, `"upstream":`)
+	if !found || len(report) < 5 || report[4] != '"' {
 		t.Fatalf("no word of a push that is out in\n%s", first)
 	}
-	out, complaints := ask(peers, 3, `{"type":"note_from","i":3,"who":0,"raw":"20`+strings.Repeat(word[2:4], 4)+`"}`,
+	out, reported := run(peers, 3, `{"type":"note_from","i":3,"who":0,"raw":"20`+strings.Repeat(report[2:4], 4)+`"}`,
 		`{"type":"note_from","i":3,"who":77,"raw":"zz"}`, `{"type":"note_from","i":3,"who":-1}`)
-	if strings.Count(out, `"type":"call_out"`) != 3 || strings.Contains(out, `"upstream":`+full[:2]) {
-		t.Errorf("a peer has four pushes at %s, and it was sent more:\n%s", full[:2], out)
+	if strings.Count(out, `"type":"call_out"`) != 3 || strings.Contains(out, `"upstream":`+loaded[:2]) {
+		t.Errorf("a peer has four pushes at %s, and it was sent more:\n%s", loaded[:2], out)
 	}
-	if strings.Count(complaints, "\n") != 1 || !strings.Contains(complaints, `note_from with bytes "zz"`) {
-		t.Errorf("complaints %q", complaints)
+	if strings.Count(reported, "\n") != 1 || !strings.Contains(reported, `note_from with bytes "zz"`) {
+		t.Errorf("complaints %q", reported)
 	}
-	if alone, _ := ask(start, 1); strings.Contains(alone, `"type":"say"`) {
+	if alone, _ := run(startFrame, 1); strings.Contains(alone, `"type":"say"`) {
 		t.Error("said something where nothing may be said")
 	}
 }
--- a/internal/simwire/write.go
+++ b/internal/simwire/write.go
@@ -9,90 +9,94 @@
 	"ottershift/logic"
 )
 
-// start opens a message of the instance; field, text and stop go on with it.
-func (in *instance) start(kind string) *instance {
-	in.server.out.WriteString(`{"type":"`)
-	in.server.out.WriteString(kind)
-	in.server.out.WriteByte('"')
-	return in.field("i", int64(in.number))
+// startMessage opens a message of the instance; field, text and stop go on with it.
+func (inst *instance) startMessage(messageType string) *instance {
+	inst.server.out.WriteString(`{"type":"`)
+	inst.server.out.WriteString(messageType)
+	inst.server.out.WriteByte('"')
+	return inst.intField("i", int64(inst.number))
 }
 
-func (in *instance) field(name string, value int64) *instance {
-	out := &in.server.out
+func (inst *instance) intField(name string, value int64) *instance {
+	out := &inst.server.out
 	out.WriteString(`,"`)
 	out.WriteString(name)
 	out.WriteString(`":`)
 	out.Write(strconv.AppendInt(out.AvailableBuffer(), value, 10))
-	return in
+	return inst
 }
 
-func (in *instance) text(name, value string) *instance {
+func (inst *instance) stringField(name, value string) *instance {
 	quoted, _ := json.Marshal(value) // a string always has a JSON form
-	fmt.Fprintf(&in.server.out, `,"%s":%s`, name, quoted)
-	return in
+	fmt.Fprintf(&inst.server.out, `,"%s":%s`, name, quoted)
+	return inst
 }
 
-func (in *instance) call(t *logic.Transaction) *instance {
-	out := &in.server.out
+func (inst *instance) callField(tx *logic.Transaction) *instance {
+	out := &inst.server.out
 	out.WriteString(`,"call":"`) // hex digits, as they came
-	out.WriteString(t.UserData.(string))
+	out.WriteString(tx.UserData.(string))
 	out.WriteByte('"')
-	return in
+	return inst
 }
 
-func (in *instance) stop() { in.server.out.WriteString("}\n") }
+func (inst *instance) endMessage() { inst.server.out.WriteString("}\n") }
 
 // Send implements logic.Writer, as do the methods below.
-func (in *instance) Send(t *logic.Transaction, upstream int, until int64) {
-	in.start("call_out").call(t).field("upstream", int64(in.roster.Name(upstream))).field("not_past", until/microsecond).stop()
+func (inst *instance) Send(tx *logic.Transaction, upstream int, until int64) {
+	inst.startMessage("call_out").callField(tx).intField("upstream", int64(inst.roster.Name(upstream))).intField("not_past", until/nanosPerMicro).endMessage()
 }
 
-func (in *instance) Cancel(t *logic.Transaction, push int) {
-	in.start("abandon").call(t).field("shot", int64(push)).stop()
+func (inst *instance) Cancel(tx *logic.Transaction, attempt int) {
+	inst.startMessage("abandon").callField(tx).intField("shot", int64(attempt)).endMessage()
 }
 
-func (in *instance) Defer(t *logic.Transaction, _ logic.Reason, backoff int64) {
-	in.start("say_no").call(t).field("backoff", backoff/microsecond).stop()
-	in.drop(t)
+func (inst *instance) Defer(tx *logic.Transaction, _ logic.Reason, backoff int64) {
+	inst.startMessage("say_no").callField(tx).intField("backoff", backoff/nanosPerMicro).endMessage()
+	inst.forgetIfClosed(tx)
 }
 
-func (in *instance) Forfeit(t *logic.Transaction, _ logic.Reason) {
-	in.start("lose").call(t).stop()
-	in.drop(t)
+func (inst *instance) Forfeit(tx *logic.Transaction, _ logic.Reason) {
+	inst.startMessage("lose").callField(tx).endMessage()
+	inst.forgetIfClosed(tx)
 }
 
-func (in *instance) Probe(upstream int) {
-	in.start("ping").field("upstream", int64(in.roster.Name(upstream))).stop()
+func (inst *instance) Probe(upstream int) {
+	inst.startMessage("ping").intField("upstream", int64(inst.roster.Name(upstream))).endMessage()
 }
 
-func (in *instance) SendReport(peer int, raw []byte) {
-	in.start("say").field("dst", int64(peer)).text("raw", hex.EncodeToString(raw)).stop()
+func (inst *instance) SendReport(peer int, report []byte) {
+	inst.startMessage("say").intField("dst", int64(peer)).stringField("raw", hex.EncodeToString(report)).endMessage()
 }
 
-func (in *instance) Follow() {
-	out := &in.start("follow").server.out
+func (inst *instance) Follow() {
+	out := &inst.startMessage("follow").server.out
 	out.WriteString(`,"want":true}` + "\n")
 }
 
 // Wake rounds up: woken before the time, the balancer would have to ask again.
-func (in *instance) Wake(at int64) {
-	in.start("after").field("moment", (at+microsecond-1)/microsecond).field("handle", 0).stop()
+func (inst *instance) Wake(at int64) {
+	inst.startMessage("after").intField("moment", (at+nanosPerMicro-1)/nanosPerMicro).intField("handle", 0).endMessage()
 }
 
-func (in *instance) Note(text string) { in.start("journal_line").text("line", text).stop() }
+func (inst *instance) Note(text string) {
+	inst.startMessage("journal_line").stringField("line", text).endMessage()
+}
 
-func (s *server) except(in *instance, text string) { in.start("exception").text("line", text).stop() }
+func (srv *server) writeException(inst *instance, text string) {
+	inst.startMessage("exception").stringField("line", text).endMessage()
+}
 
-// guard reports a panic of the module to the bench instead of swallowing it; the instance is finished then.
-func (in *instance) guard(call func()) {
+// catchPanic reports a panic of the module to the bench instead of swallowing it; the instance is finished then.
+func (inst *instance) catchPanic(call func()) {
 	defer func() {
-		if fault := recover(); fault != nil {
-			in.logic = nil
-			in.server.except(in, fmt.Sprint(fault))
+		if recovered := recover(); recovered != nil {
+			inst.balancer = nil
+			inst.server.writeException(inst, fmt.Sprint(recovered))
 		}
 	}()
 	call()
 }
 
 // HasIdleConn is not told on this wire.
-func (in *instance) HasIdleConn(int) bool { return false }
+func (inst *instance) HasIdleConn(int) bool { return false }
