--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,5 +1,5 @@
-// Package demo shows a balancer at work: three small pools of stand-in upstreams, a balancer before them, some traffic
-// and one upstream that fails, all in one process on loopback.
+// Package demo runs a demonstration of a balancer in one process on loopback: three small pools of simulated upstreams,
+// a balancer in front of them, some traffic and one upstream that fails.
 package demo
 
 import (
@@ -22,53 +22,55 @@
 )
 
 const (
-	upstreamsPerPool  = 3   // for each pool
-	requestsPerSecond = 80  // transactions a second for each pool
-	refreshMillis     = 500 // milliseconds between two pictures
+	upstreamsPerPool  = 3
+	requestsPerSecond = 80  // of each pool
+	refreshMillis     = 500 // between two updates of the status
 )
 
-// servicePool is one pool and what its clients have seen.
+// servicePool is one pool and the results that its clients have observed.
 type servicePool struct {
 	name, host     string
-	typicalLatency time.Duration // an answer takes
+	typicalLatency time.Duration // of its upstreams
 	upstreams      []*fakeUpstream
 
 	mu            sync.Mutex
-	all           stats // since the start
-	recent        stats // since the last picture
-	duringFailure stats // while its upstream fails
+	all           latencyStats // since the start
+	recent        latencyStats // since the last status
+	duringFailure latencyStats // while the failing upstream hangs
 }
 
-// stats are answers by kind and their times.
-type stats struct {
+// latencyStats counts answers by kind and keeps their latencies.
+type latencyStats struct {
 	settled, deferred, failed int
 	latencies                 []time.Duration
 }
 
-func (stats *stats) add(status int, latency time.Duration) {
+// add records one answer; a status of 0 stands for a transport error.
+func (s *latencyStats) add(status int, latency time.Duration) {
 	switch status {
 	case http.StatusOK:
-		stats.settled++
+		s.settled++
 	case http.StatusServiceUnavailable:
-		stats.deferred++
+		s.deferred++
 	default:
-		stats.failed++
+		s.failed++
 	}
-	stats.latencies = append(stats.latencies, latency)
+	s.latencies = append(s.latencies, latency)
 }
 
-func (stats *stats) total() int { return stats.settled + stats.deferred + stats.failed }
+// total returns the number of all answers.
+func (s *latencyStats) total() int { return s.settled + s.deferred + s.failed }
 
-// quantile is the time within which a part was answered.
-func (stats *stats) quantile(fraction float64) time.Duration {
-	if len(stats.latencies) == 0 {
+// quantile returns the latency within which the given fraction was answered, rounded to 0.1 ms.
+func (s *latencyStats) quantile(fraction float64) time.Duration {
+	if len(s.latencies) == 0 {
 		return 0
 	}
-	all := slices.Sorted(slices.Values(stats.latencies))
-	return all[min(len(all)-1, int(fraction*float64(len(all))))].Round(100 * time.Microsecond)
+	sorted := slices.Sorted(slices.Values(s.latencies))
+	return sorted[min(len(sorted)-1, int(fraction*float64(len(sorted))))].Round(100 * time.Microsecond)
 }
 
-// fakeUpstream is a stand-in: it answers after some time, or hangs while it fails.
+// fakeUpstream is a simulated upstream. It answers after a random latency, or hangs while it fails.
 type fakeUpstream struct {
 	name           string
 	address        string
@@ -78,6 +80,7 @@
 	hanging        atomic.Bool
 }
 
+// ServeHTTP implements http.Handler.
 func (upstream *fakeUpstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if upstream.hanging.Load() {
 		<-r.Context().Done()
@@ -87,7 +90,7 @@
 		return
 	}
 	upstream.received.Add(1)
-	// Mostly near the usual time, now and then several times that.
+	// The latency is mostly near the typical one and sometimes several times as long.
 	latency := time.Duration((0.5 + rand.ExpFloat64()/2) * float64(upstream.typicalLatency))
 	select {
 	case <-time.After(latency):
@@ -96,6 +99,7 @@
 	}
 }
 
+// newFakeUpstream starts an upstream on a free loopback port.
 func newFakeUpstream(name string, typicalLatency time.Duration) (*fakeUpstream, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -107,7 +111,7 @@
 	return upstream, nil
 }
 
-// configuration is what the balancer is told; an installation has such a file of its own.
+// configuration returns the balancer's configuration in the format of a configuration file.
 func configuration(listen string, pools []*servicePool) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "name = \"demo\"\n[listeners.public]\naddress = %q\n", listen)
@@ -122,10 +126,11 @@
 	return b.String()
 }
 
-// Run plays the demo for some time, and writes to w a picture that moves, if live, or plain lines.
+// Run runs the demo for the given time. It writes its status to w, as a display that is redrawn in place if live, else as
+// plain lines.
 func Run(ctx context.Context, w io.Writer, length time.Duration, live bool) error {
 	if length < 2*time.Second {
-		return fmt.Errorf("a demo of %s shows nothing; it lasts at least 2s", length)
+		return fmt.Errorf("demo duration %s is too short; the minimum is 2s", length)
 	}
 	pools := []*servicePool{
 		{name: "album", host: "album.example.org", typicalLatency: 20 * time.Millisecond},
@@ -142,13 +147,14 @@
 			pool.upstreams = append(pool.upstreams, upstream)
 		}
 	}
-	reserved, err := net.Listen("tcp", "127.0.0.1:0")
+	freePort, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	listen := reserved.Addr().String()
-	reserved.Close()
-	config, faults := plan.Parse("demo.toml", []byte(configuration(listen, pools)), func(string) (string, bool) { return "", false })
+	listen := freePort.Addr().String()
+	freePort.Close()
+	config, faults := plan.Parse("demo.toml", []byte(configuration(listen, pools)),
+		func(string) (string, bool) { return "", false })
 	if config == nil {
 		return faults[0]
 	}
@@ -160,7 +166,7 @@
 	defer balancer.Close()
 	defer balancer.Drain()
 
-	fmt.Fprintf(w, "Three pools of %d upstreams behind one balancer on %s, %d transactions a second to each, for %s.\n",
+	fmt.Fprintf(w, "Three pools of %d upstreams behind one balancer on %s, %d transactions a second to each pool, for %s.\n",
 		upstreamsPerPool, listen, requestsPerSecond, length)
 	failing := pools[0].upstreams[1]
 	start := time.Now()
@@ -184,7 +190,8 @@
 		if hanging := now >= failAt && now < recoverAt; hanging != failing.hanging.Load() {
 			failing.hanging.Store(hanging)
 			if !live {
-				fmt.Fprintf(w, "%5.1fs  %s %s\n", now.Seconds(), failing.name, map[bool]string{true: "stops answering", false: "answers again"}[hanging])
+				fmt.Fprintf(w, "%5.1fs  %s %s\n", now.Seconds(), failing.name,
+					map[bool]string{true: "stops answering", false: "answers again"}[hanging])
 			}
 		}
 		if live || n%4 == 3 {
@@ -197,7 +204,7 @@
 	return nil
 }
 
-// sendRequests sends transactions at their times, whatever became of those before.
+// sendRequests sends requests at random times at the constant mean rate, independent of the answers to earlier ones.
 func (pool *servicePool) sendRequests(ctx context.Context, client *http.Transport, listen string, failing *fakeUpstream) {
 	var requests sync.WaitGroup
 	defer requests.Wait()
@@ -233,11 +240,11 @@
 	}
 }
 
-// writeStatus shows what was seen since the last one.
+// writeStatus writes the results since the last status.
 func writeStatus(w io.Writer, pools []*servicePool, failing *fakeUpstream, now time.Duration, live, redraw bool) {
 	var b strings.Builder
 	if live && redraw {
-		fmt.Fprintf(&b, "\x1b[%dA", 2+len(pools)*(1+upstreamsPerPool)) // to the top of the last one
+		fmt.Fprintf(&b, "\x1b[%dA", 2+len(pools)*(1+upstreamsPerPool)) // moves the cursor to the first line of the last status
 	}
 	line := func(format string, values ...any) {
 		if live {
@@ -251,45 +258,48 @@
 			state = failing.name + " does not answer"
 		}
 		line("%5.1fs  %s", now.Seconds(), state)
-		line("%-12s %8s %9s %9s %9s %9s", "pool", "asked", "settled", "deferred", "median", "99 in 100")
+		line("%-12s %8s %9s %9s %9s %9s", "pool", "asked", "settled", "deferred", "median", "p99")
 	}
 	for _, pool := range pools {
 		pool.mu.Lock()
 		current := pool.recent
-		pool.recent = stats{}
+		pool.recent = latencyStats{}
 		pool.mu.Unlock()
 		if !live {
 			line("%5.1fs  %-7s asked=%d settled=%d deferred=%d failed=%d median=%s p99=%s", now.Seconds(), pool.name,
 				current.total(), current.settled, current.deferred, current.failed, current.quantile(0.5), current.quantile(0.99))
 			continue
 		}
-		line("%-12s %8d %9d %9d %9s %9s", pool.name, current.total(), current.settled, current.deferred, current.quantile(0.5), current.quantile(0.99))
+		line("%-12s %8d %9d %9d %9s %9s", pool.name, current.total(), current.settled, current.deferred,
+			current.quantile(0.5), current.quantile(0.99))
 		for _, upstream := range pool.upstreams {
 			mark := ""
 			if upstream.hanging.Load() {
-				mark = "  fails"
+				mark = "  not answering"
 			}
-			line("  %-10s %8d in all%s", upstream.name, upstream.received.Load(), mark)
+			line("  %-10s %8d in total%s", upstream.name, upstream.received.Load(), mark)
 		}
 	}
 	io.WriteString(w, b.String())
 }
 
-// writeSummary says in sentences what was seen.
+// writeSummary writes the results of the whole run in sentences.
 func writeSummary(w io.Writer, pools []*servicePool, failing *fakeUpstream, outage time.Duration) {
 	fmt.Fprintln(w)
 	for _, pool := range pools {
 		pool.mu.Lock()
 		current := pool.all
 		pool.mu.Unlock()
-		fmt.Fprintf(w, "%s was asked %d times: %d settled, %d deferred, %d failed; half were answered within %s, 99 in 100 within %s.\n",
-			pool.name, current.total(), current.settled, current.deferred, current.failed, current.quantile(0.5), current.quantile(0.99))
+		fmt.Fprintf(w, "%s got %d requests: %d settled, %d deferred, %d failed; latency: median %s, 99th percentile %s.\n",
+			pool.name, current.total(), current.settled, current.deferred, current.failed,
+			current.quantile(0.5), current.quantile(0.99))
 	}
 	current := &pools[0].duringFailure
 	if current.total() > 0 {
-		fmt.Fprintf(w, "%s did not answer for %s. In that time its pool settled %.1f in 100 of %d, 99 in 100 within %s:\n"+
-			"what it left unanswered was copied to another upstream, and after a few it was set aside until it answered again.\n",
-			failing.name, outage.Round(100*time.Millisecond), 100*float64(current.settled)/float64(current.total()), current.total(), current.quantile(0.99))
+		fmt.Fprintf(w, "%s did not answer for %s. In that time its pool settled %.1f%% of %d requests, 99th percentile %s:\n"+
+			"unanswered requests were hedged to another upstream, and the failing one was ejected until it answered again.\n",
+			failing.name, outage.Round(100*time.Millisecond), 100*float64(current.settled)/float64(current.total()),
+			current.total(), current.quantile(0.99))
 	}
-	fmt.Fprintln(w, "The other pools noticed nothing of it: each has its own list, health, limits and decisions.")
+	fmt.Fprintln(w, "The other pools were not affected: each has its own list, health checks, limits and decision engine.")
 }
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,4 +1,4 @@
-// Package discovery follows the list of upstreams and tells of each change.
+// Package discovery watches the list of upstreams at the discovery service and reports each change.
 package discovery
 
 import (
@@ -25,29 +25,29 @@
 )
 
 const (
-	heartbeatInterval   = 2 * time.Second                            // an empty line comes at least so often
-	silenceTimeout      = 2*heartbeatInterval + heartbeatInterval/10 // after which a watch is broken
-	maxReportBytes      = 16 << 20                                   // bytes of one report
-	listPath            = "/catalog/members"                         // of the list
-	nanosPerMilli       = int64(time.Millisecond)                    // of since_ms, in nanoseconds
-	minReconnectDelay   = 250 * time.Millisecond                     // until a broken watch is opened anew, where the module doesn't say
-	maxReconnectDelay   = 4 * time.Second                            // and after many failures
-	maxFirstReportDelay = 500 * time.Millisecond                     // but where nothing has been heard at an address yet
+	heartbeatInterval   = 2 * time.Second                            // discovery sends an empty line at least this often
+	silenceTimeout      = 2*heartbeatInterval + heartbeatInterval/10 // without any data, after which a watch is closed
+	maxReportBytes      = 16 << 20
+	listPath            = "/catalog/members"
+	nanosPerMilli       = int64(time.Millisecond)
+	minReconnectDelay   = 250 * time.Millisecond // initial mean delay before a broken watch is reopened, unless on demand
+	maxReconnectDelay   = 4 * time.Second        // bound of the exponential backoff
+	maxFirstReportDelay = 500 * time.Millisecond // bound of the backoff before the first report from an address
 )
 
-// UnknownVersion is the version of a list where none was told.
+// UnknownVersion is the version of a list before any report.
 const UnknownVersion = -1
 
-var errAddressChanged = errors.New("moved to another address")
+var errAddressChanged = errors.New("discovery address changed")
 
-// Report is the list, or what changed of it.
+// Report is the full list of upstreams, or the changes since the previous report.
 type Report struct {
 	Version int64
-	Full    bool
+	Full    bool // a snapshot, not a set of changes
 	Entries []roster.Entry[string]
 }
 
-// ParseReport decodes one report. Entries that make no sense are left out and counted.
+// ParseReport decodes one report. It omits invalid entries and counts them.
 func ParseReport(value *fastjson.Value) (report Report, invalid int, err error) {
 	if value.Type() != fastjson.TypeObject || value.Get("endpoints").Type() != fastjson.TypeArray {
 		return report, 0, errors.New("not a list of endpoints")
@@ -77,25 +77,27 @@
 	return report, invalid, nil
 }
 
-// Watch follows discovery at one address at a time.
+// Watch watches the list at one discovery address at a time.
 type Watch struct {
 	sink      lists.Sink
 	log       *slog.Logger
-	onDemand  bool // only when the module asks
+	onDemand  bool // connect only when the decision engine requests the list
 	transport *http.Transport
 
 	mu             sync.Mutex
 	address        string
 	version        int64
-	cancel         context.CancelCauseFunc // of the watch that is open
+	cancel         context.CancelCauseFunc // cancels the current watch
 	addressChanged chan struct{}
-	invalidEntries int // entries of the last report that made no sense, told once
+	invalidEntries int // number of invalid entries in the last report, logged when it changes
 }
 
-// New makes a watch that goes on after the version that is known already.
-func New(sink lists.Sink, log *slog.Logger, address string, onDemand bool, version int64, dialTimeout time.Duration) *Watch {
+// New returns a watch that continues after the given version of the list, or starts from UnknownVersion.
+func New(sink lists.Sink, log *slog.Logger, address string, onDemand bool, version int64,
+	dialTimeout time.Duration) *Watch {
 	return &Watch{
-		sink: sink, log: log, address: address, onDemand: onDemand, version: version, addressChanged: make(chan struct{}, 1),
+		sink: sink, log: log, address: address, onDemand: onDemand, version: version,
+		addressChanged: make(chan struct{}, 1),
 		transport: &http.Transport{
 			DisableKeepAlives: true, DisableCompression: true, MaxResponseHeaderBytes: 32 << 10,
 			DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext,
@@ -103,27 +105,26 @@
 	}
 }
 
-// SetAddress has the list followed at another address from now on, and tells whether it is another.
+// SetAddress switches to a discovery address and reports whether it differs from the previous one.
 func (watch *Watch) SetAddress(address string) bool {
 	watch.mu.Lock()
 	defer watch.mu.Unlock()
 	if address == watch.address {
 		return false
 	}
-	// Danger: a version of the old address may stand for something else at the new one, and what has changed
-	// since would never be told.
+	// The same version can mean a different list at the new address. Continuing after it would miss changes for good.
 	watch.address, watch.version = address, UnknownVersion
 	if watch.cancel != nil {
 		watch.cancel(errAddressChanged)
 	}
 	select {
 	case watch.addressChanged <- struct{}{}:
-	default: // the last move has not been noticed yet
+	default: // the previous address change is still pending
 	}
 	return true
 }
 
-// Run implements lists.Source.
+// Run implements lists.Source. It reopens a broken watch with a randomized exponential backoff.
 func (watch *Watch) Run(ctx context.Context) {
 	for delay := minReconnectDelay; ; {
 		if watch.onDemand {
@@ -144,14 +145,15 @@
 		watch.log.Warn("watch", "step", "broken", "heard", received, "fault", err)
 		watch.sink.SourceLost()
 		if watch.onDemand {
-			continue // the module says when to ask again
+			continue // the decision engine requests the next watch
 		}
 		if received {
 			delay = minReconnectDelay
 		}
 		select {
 		case <-time.After(delay/2 + rand.N(delay)):
-			// Danger: after a move the list in hand grows old, and what it doesn't tell is held against us soon.
+			// After an address change the current list becomes stale, and changes missing from it soon count as the
+			// balancer's errors.
 			if delay = min(2*delay, maxReconnectDelay); watch.awaitingFirstReport() {
 				delay = min(delay, maxFirstReportDelay)
 			}
@@ -163,20 +165,22 @@
 	}
 }
 
-// readStream opens one watch and reads it to its end.
+// readStream opens one watch and reads reports until it ends. It reports whether it received any.
 func (watch *Watch) readStream(parent context.Context) (received bool, err error) {
 	ctx, cancel := context.WithCancelCause(parent)
 	defer cancel(nil)
 	select {
-	case <-watch.addressChanged: // noticed herewith
+	case <-watch.addressChanged: // the address read below is the new one
 	default:
 	}
 	watch.mu.Lock()
 	address, version := watch.address, watch.version
 	watch.cancel = cancel
 	watch.mu.Unlock()
-	// Danger: a machine that is cut off says nothing, and the connection stays open.
-	silenceTimer := time.AfterFunc(silenceTimeout, func() { cancel(errors.New("silent for two beats")) })
+	// When the network to discovery is cut, the connection stays open and silent.
+	silenceTimer := time.AfterFunc(silenceTimeout, func() {
+		cancel(errors.New("no data or heartbeat from discovery for two intervals"))
+	})
 	defer silenceTimer.Stop()
 	query := "watch=1"
 	if version != UnknownVersion {
@@ -202,18 +206,19 @@
 		}
 		silenceTimer.Reset(silenceTimeout)
 		if line = append(line, part...); len(line) > maxReportBytes {
-			return received, errors.New("a report is too long")
+			return received, errors.New("report exceeds the maximum size")
 		}
 		if err != nil {
 			continue
 		}
-		if text := bytes.TrimSpace(line); len(text) > 0 {
-			value, err := parser.ParseBytes(text)
+		if content := bytes.TrimSpace(line); len(content) > 0 {
+			value, err := parser.ParseBytes(content)
 			if err != nil {
 				return received, err
 			}
-			// One call does: discovery is small, and a second one each would have it turn balancers away. Danger:
-			// changes say nothing of what changed before them, so the whole list must have come at some time.
+			// Usually the watch starts with a snapshot and is the only request: discovery has little capacity and
+			// would reject balancers if each sent two. Without a snapshot the full list is fetched, since a report of
+			// changes lacks all earlier ones.
 			if watch.awaitingFirstReport() && !value.GetBool("snapshot") {
 				if err := watch.fetchFullList(ctx, address); err != nil {
 					return received, cause(ctx, err)
@@ -229,7 +234,7 @@
 	}
 }
 
-// request asks discovery something.
+// request sends one query to discovery and returns the response if its status is 200.
 func (watch *Watch) request(ctx context.Context, address, query string) (*http.Response, error) {
 	response, err := watch.transport.RoundTrip((&http.Request{
 		Method: http.MethodGet, URL: &url.URL{Scheme: "http", Host: address, Path: listPath, RawQuery: query},
@@ -237,37 +242,37 @@
 	}).WithContext(ctx))
 	if err == nil && response.StatusCode != http.StatusOK {
 		response.Body.Close()
-		err = fmt.Errorf("status %d", response.StatusCode)
+		err = fmt.Errorf("discovery returned status %d", response.StatusCode)
 	}
 	return response, err
 }
 
-// awaitingFirstReport reports whether an address has told nothing yet.
+// awaitingFirstReport reports whether no report has been received from the current address.
 func (watch *Watch) awaitingFirstReport() bool {
 	watch.mu.Lock()
 	defer watch.mu.Unlock()
 	return watch.version == UnknownVersion
 }
 
-// fetchFullList takes the whole list.
+// fetchFullList fetches the full list and applies it.
 func (watch *Watch) fetchFullList(ctx context.Context, address string) error {
 	response, err := watch.request(ctx, address, "")
 	if err != nil {
 		return err
 	}
 	defer response.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(response.Body, maxReportBytes))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxReportBytes))
 	if err != nil {
 		return err
 	}
-	value, err := fastjson.ParseBytes(text)
+	value, err := fastjson.ParseBytes(body)
 	if err != nil {
 		return err
 	}
 	return watch.apply(ctx, value, true)
 }
 
-// apply hands a report on, unless the watch has been ended meanwhile.
+// apply passes a report to the sink, unless the watch has been cancelled in the meantime.
 func (watch *Watch) apply(ctx context.Context, value *fastjson.Value, full bool) error {
 	report, invalid, err := ParseReport(value)
 	if err != nil {
@@ -279,18 +284,19 @@
 	watch.invalidEntries = invalid
 	watch.mu.Lock()
 	if err = ctx.Err(); err == nil {
-		// Danger: after a restart of discovery its versions may start anew; the last one told counts, not the highest.
+		// Versions can restart from the beginning when discovery restarts, so the last one counts, not the highest.
 		watch.version = report.Version
 	}
 	watch.mu.Unlock()
 	if err == nil {
-		watch.log.Info("watch", "step", "told", "index", report.Version, "whole", report.Full || full, "entries", len(report.Entries))
+		watch.log.Info("watch", "step", "told", "index", report.Version, "whole", report.Full || full,
+			"entries", len(report.Entries))
 		watch.sink.Update(report.Entries, report.Full || full)
 	}
 	return err
 }
 
-// cause prefers why we ended a watch to how the library put it.
+// cause returns the reason for which the watch was cancelled, if any, instead of the error of the HTTP library.
 func cause(ctx context.Context, err error) error {
 	if reason := context.Cause(ctx); reason != nil {
 		return reason
--- a/internal/listfile/listfile.go
+++ b/internal/listfile/listfile.go
@@ -1,5 +1,5 @@
-// Package listfile is a list of upstreams in a file of its own, which is watched. The file is TOML, as in
-// docs/configuration.md.
+// Package listfile reads the list of upstreams from a TOML file and watches the file for changes. The format is
+// described in docs/configuration.md.
 package listfile
 
 import (
@@ -19,18 +19,19 @@
 	"ottershift/logic"
 )
 
-const maxFileBytes = 64 << 20 // bytes
+const maxFileBytes = 64 << 20
 
-// ParseEntries reads [[upstreams]] of a table.
+// ParseEntries reads the [[upstreams]] of a table and records faults in its file.
 func ParseEntries(table *settings.Table) (entries []roster.Entry[string]) {
 	seen := map[string]bool{}
 	for _, upstream := range table.Tables("upstreams") {
 		entry := roster.Entry[string]{
-			Name:    upstream.Must("name", "what the log calls it"),
-			Address: upstream.Address("address", "where it is reached, such as \"127.0.0.1:9001\""),
+			Name:    upstream.Must("name", "the upstream's name in logs"),
+			Address: upstream.Address("address", "the upstream's address, such as \"127.0.0.1:9001\""),
 			Zone:    upstream.Text("zone", ""), Kind: upstream.Text("kind", ""), Ends: upstream.Flag("draining", false),
 			Up: logic.Upstream{
-				Weight: upstream.Number("weight", 1, 1e-6, 1e6), Cell: upstream.Whole("group", 0, 0, 1e9), StartedAt: upstream.Moment("since"),
+				Weight: upstream.Number("weight", 1, 1e-6, 1e6), Cell: upstream.Whole("group", 0, 0, 1e9),
+				StartedAt: upstream.Moment("since"),
 			},
 		}
 		entry.Up.ID = roster.Number(entry.Name)
@@ -44,8 +45,8 @@
 	return entries
 }
 
-// ReadFile takes a file. Danger: a file that is half written, or empty because its writer died, is not a list of nobody;
-// a list of nobody says so by "empty = true", and one that states its count must have it.
+// ReadFile reads a list file. A file that is partially written, or empty because its writer crashed, must not pass for
+// an empty list. An empty list therefore needs "empty = true", and a stated count must match the entries.
 func ReadFile(path string) ([]roster.Entry[string], error) {
 	content, err := readContent(path)
 	if err != nil {
@@ -54,17 +55,19 @@
 	return parseList(path, content)
 }
 
+// readContent returns the content of a file up to maxFileBytes in size.
 func readContent(path string) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
 	if info.Size() > maxFileBytes {
-		return nil, fmt.Errorf("%s: over %d bytes", path, maxFileBytes)
+		return nil, fmt.Errorf("%s: file exceeds %d bytes", path, maxFileBytes)
 	}
 	return os.ReadFile(path)
 }
 
+// parseList parses and validates the content of a list file.
 func parseList(path string, content []byte) ([]roster.Entry[string], error) {
 	file, table := settings.Parse(path, content, os.LookupEnv)
 	if table == nil {
@@ -77,22 +80,22 @@
 	case file.Failed():
 		return nil, file.Faults[0]
 	case count >= 0 && count != len(entries):
-		return nil, fmt.Errorf("%s: count says %d, there are %d upstreams", path, count, len(entries))
+		return nil, fmt.Errorf("%s: count is %d, but the file lists %d upstreams", path, count, len(entries))
 	case len(entries) == 0 && !empty:
-		return nil, fmt.Errorf("%s: no upstreams; a list of nobody says empty = true", path)
+		return nil, fmt.Errorf("%s: no upstreams; an intentionally empty list needs empty = true", path)
 	}
 	return entries, nil
 }
 
-// File follows one file.
+// File is a lists.Source that watches one file.
 type File struct {
 	Path     string
-	Interval time.Duration // between two looks
+	Interval time.Duration // between two checks of the file
 	Sink     lists.Sink
 	Log      *slog.Logger
 }
 
-// fileState is what tells one version of a file from another without reading it.
+// fileState is the metadata by which versions of a file are distinguished without reading it.
 type fileState struct {
 	inode    uint64
 	modified time.Time
@@ -107,19 +110,19 @@
 	return fileState{info.Sys().(*syscall.Stat_t).Ino, info.ModTime(), info.Size()}, nil
 }
 
-// Run implements lists.Source. Danger: a file may be read while it is written, and replaced within the grain of its
-// time; so it is read once it has stayed the same between two looks.
+// Run implements lists.Source. A file can be read while it is being written, or replaced within the resolution of its
+// modification time. It is therefore read only after its metadata was the same at two successive checks.
 func (file *File) Run(ctx context.Context) {
 	var content []byte
 	var previous, loaded fileState
-	var reported string // what is wrong, said once and not with each look
+	var reported string // last error text that was logged, so that it is not repeated with each check
 	ticker := time.NewTicker(file.Interval)
 	defer ticker.Stop()
 	for first := true; ; first = false {
 		current, err := statFile(file.Path)
 		switch {
 		case err != nil:
-			loaded = fileState{} // also one that comes back as it was is read again
+			loaded = fileState{} // a file that reappears unchanged is read again, too
 		case current == loaded || current != previous && !first:
 			err = errUnchanged
 		default:
@@ -138,15 +141,15 @@
 		case <-ctx.Done():
 			return
 		case <-file.Sink.Requested():
-			content, loaded = nil, fileState{} // asked for: all of it is told again
+			content, loaded = nil, fileState{} // the full list was requested, so it is sent again
 		case <-ticker.C:
 		}
 	}
 }
 
-var errUnchanged = errors.New("as it was")
+var errUnchanged = errors.New("file unchanged")
 
-// load reads the file and tells it, unless it says the same as before.
+// load reads the file and passes its list to the sink, unless the content is the previous one.
 func (file *File) load(previous []byte) (content []byte, err error) {
 	fresh, err := readContent(file.Path)
 	if err != nil || bytes.Equal(fresh, previous) {
@@ -161,6 +164,7 @@
 	return fresh, nil
 }
 
+// errorText returns the text of an error without operation and path, or "" for nil.
 func errorText(err error) string {
 	var pathError *fs.PathError
 	switch {
--- a/internal/listfile/listfile_test.go
+++ b/internal/listfile/listfile_test.go
@@ -14,12 +14,12 @@
 	"ottershift/internal/roster"
 )
 
-// recordingSink keeps the last list that it was told.
+// recordingSink records the names of the last list and counts the updates.
 type recordingSink struct {
-	mu      sync.Mutex
-	names   string
-	updates int
-	follow  chan struct{}
+	mu        sync.Mutex
+	names     string
+	updates   int
+	requested chan struct{}
 }
 
 func (sink *recordingSink) Update(entries []roster.Entry[string], full bool) {
@@ -32,7 +32,7 @@
 	sink.updates++
 }
 func (sink *recordingSink) SourceLost()                {}
-func (sink *recordingSink) Requested() <-chan struct{} { return sink.follow }
+func (sink *recordingSink) Requested() <-chan struct{} { return sink.requested }
 
 func (sink *recordingSink) hasNames(names string) bool {
 	sink.mu.Lock()
@@ -61,7 +61,8 @@
 	return fmt.Sprintf("[[upstreams]]\nname = %q\naddress = \"127.0.0.1:9001\"\n", name)
 }
 
-// Danger: a file that is half written, empty or gone is not a list of nobody. The old list stays until a whole one comes.
+// TestOnlyCompleteFileReplacesList checks that a file that is partially written, invalid, empty or deleted does not pass
+// for an empty list: the previous list stays until there is a complete new one.
 func TestOnlyCompleteFileReplacesList(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list.toml")
 	replaceFile := func(text string) {
@@ -73,15 +74,15 @@
 			t.Fatal(err)
 		}
 	}
-	sink, logged := &recordingSink{follow: make(chan struct{})}, &logBuffer{}
+	sink, logs := &recordingSink{requested: make(chan struct{})}, &logBuffer{}
 	replaceFile(upstreamTable("a") + upstreamTable("b"))
 	ctx, stop := context.WithCancel(t.Context())
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(ended)
-		(&File{Path: path, Interval: 10 * time.Millisecond, Sink: sink, Log: slog.New(slog.NewTextHandler(logged, nil))}).Run(ctx)
+		defer close(done)
+		(&File{Path: path, Interval: 10 * time.Millisecond, Sink: sink, Log: slog.New(slog.NewTextHandler(logs, nil))}).Run(ctx)
 	}()
-	eventually := func(what string, condition func() bool) {
+	eventually := func(event string, condition func() bool) {
 		t.Helper()
 		for range 300 {
 			if condition() {
@@ -89,38 +90,39 @@
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
-		t.Fatalf("not so after three seconds: %s", what)
+		t.Fatalf("not within 3 s: %s", event)
 	}
-	eventually("the first list", func() bool { return sink.hasNames("ab") })
+	eventually("the first list is sent", func() bool { return sink.hasNames("ab") })
 	for n, invalid := range []string{
-		"", upstreamTable("a")[:20], "count = 2\n" + upstreamTable("a"), "# nothing\n", upstreamTable("a") + upstreamTable("a"), "\x00\x01",
+		"", upstreamTable("a")[:20], "count = 2\n" + upstreamTable("a"), "# nothing\n",
+		upstreamTable("a") + upstreamTable("a"), "\x00\x01",
 		strings.Replace(upstreamTable("a"), "9001", "0", 1), upstreamTable("a") + "empty = 3\n",
 	} {
 		replaceFile(invalid)
-		eventually(fmt.Sprintf("a word on %q", invalid), func() bool { return logged.count("step=kept") == n+1 })
+		eventually(fmt.Sprintf("the rejection of %q is logged", invalid), func() bool { return logs.count("step=kept") == n+1 })
 		if !sink.hasNames("ab") {
-			t.Errorf("%q was taken", invalid)
+			t.Errorf("%q replaced the list", invalid)
 		}
 	}
 	os.Remove(path)
-	eventually("a word on its going", func() bool { return logged.count("no such file") == 1 })
+	eventually("the missing file is logged", func() bool { return logs.count("no such file") == 1 })
 	replaceFile(upstreamTable("a") + upstreamTable("b"))
 	time.Sleep(50 * time.Millisecond)
 	if sink.updates != 1 {
-		t.Errorf("the same list was told %d times", sink.updates)
+		t.Errorf("the same list was sent %d times", sink.updates)
 	}
-	// Written in place, in two halves: the first is a list by itself, but does not stay.
+	// The file is written in place in two halves. The first half alone is a valid list, but changes before it is read.
 	file, _ := os.Create(path)
 	for _, half := range []string{upstreamTable("c"), upstreamTable("d")} {
 		file.WriteString(half)
 		time.Sleep(3 * time.Millisecond)
 	}
 	file.Close()
-	eventually("what was written in place", func() bool { return sink.hasNames("cd") })
+	eventually("the list written in place is sent", func() bool { return sink.hasNames("cd") })
 	replaceFile("empty = true\n")
-	eventually("a list of nobody", func() bool { return sink.hasNames("") })
-	sink.follow <- struct{}{}
-	eventually("the list that was asked for", func() bool { sink.mu.Lock(); defer sink.mu.Unlock(); return sink.updates == 4 })
+	eventually("an empty list is sent", func() bool { return sink.hasNames("") })
+	sink.requested <- struct{}{}
+	eventually("the requested list is sent", func() bool { sink.mu.Lock(); defer sink.mu.Unlock(); return sink.updates == 4 })
 	stop()
-	<-ended
+	<-done
 }
--- a/internal/listfixed/listfixed.go
+++ b/internal/listfixed/listfixed.go
@@ -1,4 +1,4 @@
-// Package listfixed is a list of upstreams that stands in the configuration.
+// Package listfixed is the source of a list of upstreams that is part of the configuration.
 package listfixed
 
 import (
@@ -8,7 +8,7 @@
 	"ottershift/internal/roster"
 )
 
-// Source tells its entries once, and again when it is asked for.
+// Source is a lists.Source that sends its entries once and again on each request.
 type Source struct {
 	Entries []roster.Entry[string]
 	Sink    lists.Sink
--- a/internal/lists/lists.go
+++ b/internal/lists/lists.go
@@ -1,5 +1,5 @@
-// Package lists says what a pool's list of upstreams comes from and goes to. Each kind of source is a package of its
-// own: listfixed, listfile, discovery.
+// Package lists defines the interfaces between the sources of a pool's list of upstreams and its receiver. The sources
+// are in the packages listfixed, listfile and discovery.
 package lists
 
 import (
@@ -8,18 +8,18 @@
 	"ottershift/internal/roster"
 )
 
-// Source tells a list.
+// Source sends a list of upstreams to a Sink.
 type Source interface {
-	// Run tells the list and all that changes of it, until the context ends.
+	// Run sends the list and all changes to it until the context ends.
 	Run(ctx context.Context)
 }
 
-// Sink is told a list.
+// Sink receives a list of upstreams.
 type Sink interface {
-	// Update takes a report: the whole list, or what has changed of it.
-	Update(entries []roster.Entry[string], whole bool)
-	// SourceLost says that the list could not be had, or that following it has ended.
+	// Update receives the full list or the changes to it.
+	Update(entries []roster.Entry[string], full bool)
+	// SourceLost reports that the list could not be fetched, or that the watch on it has ended.
 	SourceLost()
-	// Requested tells when the list is asked for, where it must be.
+	// Requested returns a channel that delivers the requests for the list, for sources that send it on demand.
 	Requested() <-chan struct{}
 }
--- a/internal/shares/shares.go
+++ b/internal/shares/shares.go
@@ -97,7 +97,7 @@
 // Acquire reports whether the pool gets n more units, which it releases at the time until at the latest.
 func (limiter *Limiter) Acquire(quota *Quota, n, until, now int64) bool {
 	limiter.advance(now)
-	if !limiter.allowed(quota, n, until, now) {
+	if !limiter.allow(quota, n, until, now) {
 		quota.refused++
 		return false
 	}
@@ -105,8 +105,8 @@
 	return true
 }
 
-// allowed reports whether the pool may acquire n units. It records a refusal under the guarantee.
-func (limiter *Limiter) allowed(quota *Quota, n, until, now int64) bool {
+// allow reports whether the pool may acquire n units. It records a refusal under the guarantee.
+func (limiter *Limiter) allow(quota *Quota, n, until, now int64) bool {
 	if quota.used+n > quota.ceiling {
 		return false
 	}
@@ -195,7 +195,7 @@
 }
 
 // MoreLoaded reports whether a pool has more clients in proportion to its guarantee than another pool. The more loaded
-// pool gives up connections first.
+// pool has to make room first.
 func MoreLoaded(clients int, guarantee int64, otherClients int, otherGuarantee int64) bool {
 	return float64(clients)/float64(max(guarantee, 1)) > float64(otherClients)/float64(max(otherGuarantee, 1))
 }
--- a/internal/shares/shares_test.go
+++ b/internal/shares/shares_test.go
@@ -85,21 +85,21 @@
 		}
 		owner := quotas[0]
 		type loan struct {
-			a     *Quota
+			quota *Quota
 			until int64
 		}
 		var loans []loan
 		reclaimAt := 500 * ms
 		for now := int64(0); now <= reclaimAt+reclaimTime; now += ms {
-			kept := loans[:0]
+			remaining := loans[:0]
 			for _, loan := range loans {
 				if loan.until <= now {
-					limiter.Release(loan.a, 1)
+					limiter.Release(loan.quota, 1)
 				} else {
-					kept = append(kept, loan)
+					remaining = append(remaining, loan)
 				}
 			}
-			loans = kept
+			loans = remaining
 			for range 20 {
 				quota := quotas[1+random.IntN(2)]
 				if until := now + 1 + random.Int64N(400*ms); limiter.Acquire(quota, 1, until, now) {
@@ -154,7 +154,7 @@
 		longest = max(longest, pacer.Delay(now))
 	}
 	if longest != 50*ms {
-		t.Errorf("longest delay %d, want %d", longest, 50*ms)
+		t.Errorf("longest delay %d, want 50 ms", longest)
 	}
 	if delay := pacer.Delay(now + 10_000*ms); delay != 0 {
 		t.Errorf("delay %d long after the burst, want 0", delay)
--- a/internal/simwire/read.go
+++ b/internal/simwire/read.go
@@ -11,16 +11,17 @@
 	"ottershift/logic"
 )
 
+// resultByCode maps the state codes of the wire to results of attempts.
 var resultByCode = map[string]logic.Result{
 	"served": logic.Settled, "server_error": logic.Errored, "turned_away": logic.Refused,
 	"no_answer": logic.TimedOut, "no_connection": logic.Unreachable, "connection_lost": logic.Disconnected,
 	"called_off": logic.Cancelled, "not_sent": logic.Unsent,
 }
 
-// handleMessage takes one message; it reports true when a reply is complete.
+// handleMessage processes one message. It returns true when the reply to the frame is complete.
 func (srv *server) handleMessage(message *fastjson.Value) bool {
 	if message.Type() != fastjson.TypeObject {
-		srv.reportError("a message is an object, not %s", message.Type())
+		srv.reportError("a message is an object, but got %s", message.Type())
 		return false
 	}
 	messageType := string(message.GetStringBytes("type"))
@@ -28,7 +29,7 @@
 	case "clock":
 		at := message.GetInt64("at_time") * nanosPerMicro
 		if !message.Exists("at_time") || at < srv.now {
-			srv.reportError("clock without a time, or one that runs backwards")
+			srv.reportError("clock without at_time, or earlier than the last one")
 			return false
 		}
 		srv.now = at
@@ -41,22 +42,22 @@
 		srv.registerList(message)
 		return false
 	}
-	number, err := message.Get("i").Int()
+	instanceNumber, err := message.Get("i").Int()
 	if err != nil {
-		srv.reportError("%q names no instance", messageType)
+		srv.reportError("%q without a valid instance number", messageType)
 		return false
 	}
 	if messageType == "configure" {
-		srv.configure(number, message)
+		srv.configure(instanceNumber, message)
 		return false
 	}
-	inst := srv.instances[number]
+	inst := srv.instances[instanceNumber]
 	if inst == nil {
-		srv.reportError("%q for instance %d, which is not running", messageType, number)
+		srv.reportError("%q for instance %d, which is not running", messageType, instanceNumber)
 		return false
 	}
 	if messageType == "teardown" {
-		delete(srv.instances, number)
+		delete(srv.instances, instanceNumber)
 		inst.balancer = nil
 		return false
 	}
@@ -65,7 +66,7 @@
 	return false
 }
 
-// handleEvent turns one event of an instance into a call on its balancer.
+// handleEvent translates one event of an instance into a call on its balancer.
 func (inst *instance) handleEvent(messageType string, message *fastjson.Value) {
 	srv, balancer := inst.server, inst.balancer
 	if balancer == nil {
@@ -73,11 +74,11 @@
 	}
 	switch messageType {
 	case "elapsed":
-		// A round follows in any case.
+		// The instance is marked as pending and gets a round at the end of the frame.
 	case "note_from":
 		raw, err := hex.DecodeString(string(message.GetStringBytes("raw")))
 		if err != nil {
-			srv.reportError("note_from with bytes %q", message.GetStringBytes("raw"))
+			srv.reportError("note_from with bytes %q, which are not hexadecimal", message.GetStringBytes("raw"))
 			return
 		}
 		balancer.PeerReport(message.GetInt("who"), raw, srv.now)
@@ -85,7 +86,7 @@
 		id := string(message.GetStringBytes("call"))
 		tariff, known := inst.book.Tariffs[string(message.GetStringBytes("band"))]
 		if id == "" || !known || inst.transactions[id] != nil {
-			srv.reportError("incoming %q: no id, an id used before, or an unknown tariff", id)
+			srv.reportError("incoming %q: empty id, id already in use, or unknown tariff", id)
 			return
 		}
 		customer, known := inst.book.Customers[string(message.GetStringBytes("user_group"))]
@@ -94,12 +95,13 @@
 		}
 		tx := &logic.Transaction{UserData: id}
 		inst.transactions[id] = tx
-		balancer.Arrive(tx, tariff, customer, message.GetInt64("expected")*nanosPerMicro, message.GetInt64("patience_left")*nanosPerMicro,
-			message.GetBool("is_retry"), srv.now)
+		balancer.Arrive(tx, tariff, customer, message.GetInt64("expected")*nanosPerMicro,
+			message.GetInt64("patience_left")*nanosPerMicro, message.GetBool("is_retry"), srv.now)
 	case "finished", "ack_first":
 		tx, attempt := inst.transactions[string(message.GetStringBytes("call"))], message.GetInt("shot")
 		if tx == nil || attempt < 0 || attempt >= tx.AttemptCount() {
-			srv.reportError("%s for call %q, push %d, which is not out", messageType, message.GetStringBytes("call"), attempt)
+			srv.reportError("%s for call %q, attempt %d, which was not started",
+				messageType, message.GetStringBytes("call"), attempt)
 			return
 		}
 		if messageType == "ack_first" {
@@ -108,7 +110,7 @@
 		}
 		result, known := resultByCode[string(message.GetStringBytes("state_code"))]
 		if !known {
-			srv.reportError("finished with unknown code %q", message.GetStringBytes("state_code"))
+			srv.reportError("finished with unknown state_code %q", message.GetStringBytes("state_code"))
 			return
 		}
 		balancer.Outcome(tx, attempt, result, message.GetInt64("wait_time")*nanosPerMicro, message.GetBool("finished"), srv.now)
@@ -123,7 +125,7 @@
 		if i, known := inst.roster.Index(id); known {
 			balancer.ProbeResult(i, string(message.GetStringBytes("state_code")) == "served")
 		} else {
-			srv.reportError("checked for upstream %d, which is on no list", id)
+			srv.reportError("checked for upstream %d, which is not listed", id)
 		}
 	case "members":
 		inst.applyList(message)
@@ -132,11 +134,11 @@
 	}
 }
 
-// registerList keeps a list for the members messages that point to it.
+// registerList stores a list for the members messages that refer to it.
 func (srv *server) registerList(message *fastjson.Value) {
 	listNumber := message.GetInt("sheet")
 	if listNumber < 0 || listNumber >= len(srv.lists) {
-		srv.reportError("register: no list has number %d", listNumber)
+		srv.reportError("register: list number %d out of range", listNumber)
 		return
 	}
 	list := srv.lists[listNumber][:0]
@@ -162,7 +164,7 @@
 	srv.lists[listNumber] = list
 }
 
-// applyList hands a report of the list on.
+// applyList passes a list, a set of changes or the loss of the list's source to the balancer.
 func (inst *instance) applyList(message *fastjson.Value) {
 	form := string(message.GetStringBytes("form"))
 	if form == "broken" {
@@ -171,19 +173,20 @@
 	}
 	listNumber := message.GetInt("sheet")
 	if form != "patch" && form != "whole" && form != "stale_copy" || listNumber < 0 || listNumber >= len(inst.server.lists) {
-		inst.server.reportError("members of unknown form %q or list %d", form, listNumber)
+		inst.server.reportError("members with unknown form %q or list number %d out of range", form, listNumber)
 		return
 	}
 	inst.roster.Apply(inst.server.lists[listNumber], form != "patch", inst.server.now)
 }
 
-// forgetIfClosed forgets a transaction once nothing can be said of it any more.
+// forgetIfClosed removes a transaction for which no further events are possible.
 func (inst *instance) forgetIfClosed(tx *logic.Transaction) {
 	if tx.Closed() {
 		delete(inst.transactions, tx.UserData.(string))
 	}
 }
 
+// markPending schedules a round of the instance at the end of the frame.
 func (inst *instance) markPending() {
 	if !inst.queued {
 		inst.queued = true
@@ -191,15 +194,15 @@
 	}
 }
 
-// configure starts an instance, in place of one that ran under its number.
-func (srv *server) configure(number int, message *fastjson.Value) {
+// configure starts an instance and replaces the one with the same number, if any.
+func (srv *server) configure(instanceNumber int, message *fastjson.Value) {
 	inst := &instance{
-		number: number, server: srv, transactions: map[string]*logic.Transaction{},
+		number: instanceNumber, server: srv, transactions: map[string]*logic.Transaction{},
 	}
-	if previous := srv.instances[number]; previous != nil {
+	if previous := srv.instances[instanceNumber]; previous != nil {
 		previous.balancer = nil
 	}
-	srv.instances[number] = inst
+	srv.instances[instanceNumber] = inst
 	inst.markPending()
 	inst.catchPanic(func() {
 		inst.book = terms.Read(message.Get("env"), message.GetUint64("prng"))
@@ -212,7 +215,7 @@
 	})
 }
 
-// endFrame lets every balancer that was told something decide, and closes the frame.
+// endFrame runs a round of every balancer that received an event and completes the reply to the frame.
 func (srv *server) endFrame() {
 	for _, inst := range srv.pending {
 		inst.queued = false
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -1,5 +1,5 @@
-// Package simwire plays balancers on the bench's wire: it turns frames into calls on logic.Balancer and its
-// decisions into replies. Ids, JSON, microseconds and the set of instances are known here and nowhere else.
+// Package simwire connects balancers to the simulator: it translates the simulator's frames into calls on logic.Balancer
+// and its decisions into replies. Call ids, JSON, microseconds and the set of instances are confined to this package.
 package simwire
 
 import (
@@ -17,33 +17,34 @@
 
 const nanosPerMicro = 1000
 
-// server hosts the instances of one process.
+// server holds the instances of one process and the reply to the current frame.
 type server struct {
 	out       bytes.Buffer
-	errors    io.Writer
-	lists     [16][]roster.Entry[uint32]
+	errorLog  io.Writer
+	lists     [16][]roster.Entry[uint32] // registered lists, by number
 	instances map[int]*instance
-	pending   []*instance
-	now       int64
-	line      int
-	frame     int64
+	pending   []*instance // to get a round at the end of the frame
+	now       int64       // nanoseconds
+	line      int         // number of the current input line
+	frame     int64       // number of the current frame
 }
 
-// instance is one balancer with its names: it is the Writer of its decisions.
+// instance is one balancer with the mapping between its indexes and the names on the wire. It is the logic.Writer of
+// its decisions.
 type instance struct {
-	balancer     *logic.Balancer
+	balancer     *logic.Balancer // nil if it could not be created, has been replaced, or has panicked
 	number       int
-	queued       bool
+	queued       bool // is in server.pending
 	server       *server
 	book         *terms.Book
 	roster       *roster.Roster[uint32]
-	transactions map[string]*logic.Transaction
+	transactions map[string]*logic.Transaction // by call id
 }
 
-// Serve answers every frame of in on out until in ends. What it can't make sense of it names on complain and
-// skips.
-func Serve(in io.Reader, out, errors io.Writer) error {
-	srv := &server{errors: errors, instances: map[int]*instance{}}
+// Serve reads frames from in and writes the reply to each of them to out until in ends. It skips invalid messages and
+// reports them to errorLog.
+func Serve(in io.Reader, out, errorLog io.Writer) error {
+	srv := &server{errorLog: errorLog, instances: map[int]*instance{}}
 	lines := bufio.NewReaderSize(in, 1<<20)
 	var parser fastjson.Parser
 	var partial []byte
@@ -59,12 +60,12 @@
 		}
 		srv.line++
 		if len(bytes.TrimSpace(line)) > 0 {
-			message, failure := parser.ParseBytes(line)
-			if failure != nil {
-				srv.reportError("not JSON: %v", failure)
+			message, parseErr := parser.ParseBytes(line)
+			if parseErr != nil {
+				srv.reportError("not JSON: %v", parseErr)
 			} else if done := srv.handleMessage(message); done {
-				if _, failure := out.Write(srv.out.Bytes()); failure != nil {
-					return failure
+				if _, writeErr := out.Write(srv.out.Bytes()); writeErr != nil {
+					return writeErr
 				}
 				srv.out.Reset()
 			}
@@ -79,6 +80,7 @@
 	}
 }
 
+// reportError reports an invalid message with the number of its line.
 func (srv *server) reportError(format string, values ...any) {
-	fmt.Fprintf(srv.errors, "simwire: line %d: %s\n", srv.line, fmt.Sprintf(format, values...))
+	fmt.Fprintf(srv.errorLog, "simwire: line %d: %s\n", srv.line, fmt.Sprintf(format, values...))
 }
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -6,6 +6,7 @@
 	"testing"
 )
 
+// startFrame is a first frame that configures instance 3 with two upstreams.
 const startFrame = `{"type":"clock","at_time":1000000,"frame":1}
 {"type":"register","sheet":0,"nodes_list":[{"site":"a","share":1,"pod":0,"state":"Ready","upstream":11},{"site":"a","share":1,"pod":0,"state":"Ready","upstream":22}]}
 {"type":"configure","i":3,"prng":5,"env":{"fleet_size":1,"layer":0,"zone":"a","zones":["a"],"tariffs":[{"name":"x","contract_time":1000000,"hard_stop":2500000,"effect":"idempotent","earnings":1}],"limits":{"cancelling":true,"max_pushes":3,"probes":true,"second_copies":true},"guarantees":{"cold_from":0.2,"ramp_time":9000000,"fall_multiple":2,"overload_for":1000000}}}
@@ -13,13 +14,14 @@
 {"type":"go"}
 `
 
+// serve returns the replies to the frames and the reported errors.
 func serve(t *testing.T, frames string) (out, reported string) {
 	t.Helper()
-	var reply, errors strings.Builder
-	if err := Serve(strings.NewReader(frames), &reply, &errors); err != nil {
+	var reply, errorLog strings.Builder
+	if err := Serve(strings.NewReader(frames), &reply, &errorLog); err != nil {
 		t.Fatal(err)
 	}
-	return reply.String(), errors.String()
+	return reply.String(), errorLog.String()
 }
 
 func TestTransaction(t *testing.T) {
@@ -54,7 +56,7 @@
 	} {
 		out, reported := serve(t, startFrame+`{"type":"clock","at_time":1005000,"frame":2}`+"\n"+test.line+"\n"+`{"type":"go"}`+"\n")
 		if !strings.Contains(reported, test.fault) || !strings.Contains(out, `{"type":"ok","frame":2}`) {
-			t.Errorf("%s: complaint %q, reply\n%s", test.line, reported, out)
+			t.Errorf("%s: reported %q, reply\n%s", test.line, reported, out)
 		}
 	}
 }
@@ -66,7 +68,8 @@
 	}
 }
 
-// Balancers that may speak to one another do so by say, and hear by note_from; nonsense is named and harms nobody.
+// TestPeerReports checks that balancers with peers send load reports by say and take them in by note_from, and that
+// malformed reports are reported and otherwise ignored.
 func TestPeerReports(t *testing.T) {
 	peers := strings.NewReplacer(`"fleet_size":1`, `"fleet_size":2,"self_index":1,"weight_source":"live"`,
 		`"probes":true`, `"probes":true,"peers":true`, `"pod":0,`, `"pod":0,"family_type":"k",`).Replace(startFrame)
@@ -74,23 +77,24 @@
 		for n := range requests {
 			lines = append(lines, fmt.Sprintf(`{"type":"incoming","i":3,"call":"a%d","band":"x","patience_left":2000000}`, n))
 		}
-		return serve(t, env+`{"type":"clock","at_time":1200000,"frame":2}`+"\n"+strings.Join(lines, "\n")+"\n"+`{"type":"go"}`+"\n")
+		return serve(t, env+`{"type":"clock","at_time":1200000,"frame":2}`+"\n"+strings.Join(lines, "\n")+"\n"+
+			`{"type":"go"}`+"\n")
 	}
 	first, _ := run(peers, 1)
 	_, report, _ := strings.Cut(first[strings.Index(first, `"frame":1}`):], `"dst":0,"raw":"`)
 	_, loaded, found := strings.Cut(first, `"upstream":`)
 	if !found || len(report) < 5 || report[4] != '"' {
-		t.Fatalf("no word of a push that is out in\n%s", first)
+		t.Fatalf("no load report on the started attempt in\n%s", first)
 	}
 	out, reported := run(peers, 3, `{"type":"note_from","i":3,"who":0,"raw":"20`+strings.Repeat(report[2:4], 4)+`"}`,
 		`{"type":"note_from","i":3,"who":77,"raw":"zz"}`, `{"type":"note_from","i":3,"who":-1}`)
 	if strings.Count(out, `"type":"call_out"`) != 3 || strings.Contains(out, `"upstream":`+loaded[:2]) {
-		t.Errorf("a peer has four pushes at %s, and it was sent more:\n%s", loaded[:2], out)
+		t.Errorf("a peer reports four attempts at upstream %s, and it was chosen again:\n%s", loaded[:2], out)
 	}
 	if strings.Count(reported, "\n") != 1 || !strings.Contains(reported, `note_from with bytes "zz"`) {
-		t.Errorf("complaints %q", reported)
+		t.Errorf("reported %q, want just the malformed bytes", reported)
 	}
-	if alone, _ := run(startFrame, 1); strings.Contains(alone, `"type":"say"`) {
-		t.Error("said something where nothing may be said")
+	if single, _ := run(startFrame, 1); strings.Contains(single, `"type":"say"`) {
+		t.Error("sent a load report although reports are off")
 	}
 }
