--- a/cmd/ottershift/serve.go
+++ b/cmd/ottershift/serve.go
@@ -70,7 +70,7 @@
 
 func stopped(log *slog.Logger, err error) error {
 	if err != nil {
-		logs.Own(log).Error("stop", "fault", err)
+		logs.WithoutPool(log).Error("stop", "fault", err)
 		return errSaid
 	}
 	return nil
@@ -87,7 +87,7 @@
 	if err != nil {
 		return err
 	}
-	own := logs.Own(log)
+	own := logs.WithoutPool(log)
 	if p.OpsAddress != "" {
 		own.Info("start", "name", p.Name, "ops", p.OpsAddress)
 	}
@@ -96,7 +96,7 @@
 	}
 	for _, told := range p.Pools {
 		log.Info("start", "pool", told.Name, "name", p.Name, "discovery", told.Upstreams.Discovery, "tier", told.Settings.Engine.Tier,
-			"known", len(told.Upstreams.Initial.Entries)+len(told.Upstreams.Static), "index", told.Upstreams.Initial.Index)
+			"known", len(told.Upstreams.Initial.Entries)+len(told.Upstreams.Static), "index", told.Upstreams.Initial.Version)
 	}
 	for {
 		select {
@@ -129,7 +129,7 @@
 func remarks(log *slog.Logger, all []faults.Fault) {
 	for _, f := range all {
 		if f.Warning {
-			logs.Own(log).Debug("remark", "text", f)
+			logs.WithoutPool(log).Debug("remark", "text", f)
 		}
 	}
 }
--- a/internal/cluster/peers.go
+++ b/internal/cluster/peers.go
@@ -18,8 +18,8 @@
 // Sink receives the messages of peers. from and to number the decision engines over all balancers. raw is valid only until
 // Told returns.
 type Sink interface {
-	// Told handles a message.
-	Told(from, to int, raw []byte)
+	// HandleReport handles a message.
+	HandleReport(from, to int, raw []byte)
 }
 
 // PeerRoute carries messages between the balancers of one pool, for a fixed list of members. Datagrams contain the name of
@@ -70,8 +70,8 @@
 	delete(c.peerRoutes, roster.NameHash(pool))
 }
 
-// Tell implements httpwire.Speaker. It never blocks: a message is dropped if the queue is full.
-func (r *PeerRoute) Tell(from, to int, raw []byte) {
+// SendReport implements httpwire.Speaker. It never blocks: a message is dropped if the queue is full.
+func (r *PeerRoute) SendReport(from, to int, raw []byte) {
 	receiver := to / r.shards
 	if to < 0 || receiver >= len(r.members) || receiver == r.self || len(raw) > maxPeerMessageBytes {
 		return
@@ -121,5 +121,5 @@
 	if sender < 0 || sender == route.self || route.self < 0 || from >= route.shards || to >= route.shards {
 		return
 	}
-	route.sink.Told(sender*route.shards+from, route.self*route.shards+to, message[peerHeaderBytes+int(message[8]):])
+	route.sink.HandleReport(sender*route.shards+from, route.self*route.shards+to, message[peerHeaderBytes+int(message[8]):])
 }
--- a/internal/cluster/shared/shared.go
+++ b/internal/cluster/shared/shared.go
@@ -162,10 +162,10 @@
 	list.wake()
 }
 
-// List implements lists.Sink for the source that queries discovery: it passes the entries to the pool of this member
+// Update implements lists.Sink for the source that queries discovery: it passes the entries to the pool of this member
 // and, if this member is the owner, to all others.
-func (list *List) List(entries []roster.Entry[string], snapshot bool) {
-	list.sink.List(entries, snapshot)
+func (list *List) Update(entries []roster.Entry[string], snapshot bool) {
+	list.sink.Update(entries, snapshot)
 	list.mu.Lock()
 	var update Update
 	broadcast := list.core.IsOwner()
@@ -178,16 +178,16 @@
 	}
 }
 
-// Unlisted implements lists.Sink.
-func (list *List) Unlisted() {
+// SourceLost implements lists.Sink.
+func (list *List) SourceLost() {
 	list.mu.Lock()
 	list.core.HandleDiscoveryLost()
 	list.mu.Unlock()
-	list.sink.Unlisted()
+	list.sink.SourceLost()
 }
 
-// Follow implements lists.Sink.
-func (list *List) Follow() <-chan struct{} { return list.sink.Follow() }
+// Requested implements lists.Sink.
+func (list *List) Requested() <-chan struct{} { return list.sink.Requested() }
 
 // broadcast sends an update to all members that serve the pool. The process may be delayed between the check and the
 // sending; the fencing token in the update makes that harmless.
@@ -212,7 +212,7 @@
 	fetch = fetch && !list.fetching
 	list.fetching = list.fetching || fetch
 	if len(changes) > 0 || snapshot {
-		list.sink.List(changes, snapshot) // under the lock, to keep the order of arrival
+		list.sink.Update(changes, snapshot) // under the lock, to keep the order of arrival
 	}
 	list.mu.Unlock()
 	if fetch {
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -146,10 +146,10 @@
 // HTML writes the summary as a self-contained page with charts.
 func (s *Summary) HTML(to io.Writer) error {
 	var b strings.Builder
-	draw.Page(&b, "Fleet logs")
+	draw.WritePageHead(&b, "Fleet logs")
 	fmt.Fprintf(&b, "<p>%d balancers, %d lines from %s on, %.0f s.</p>",
 		s.Balancers, s.Lines, s.Start.Format("2006-01-02T15:04:05Z"), s.LengthSeconds)
-	plot := &draw.Plot{Length: max(s.LengthSeconds, s.StepSeconds), Step: s.StepSeconds}
+	plot := &draw.Plot{Duration: max(s.LengthSeconds, s.StepSeconds), Step: s.StepSeconds}
 	values := func(value func(r *Row) float64) (all []float64) {
 		for _, r := range s.Rows {
 			all = append(all, value(r))
@@ -165,9 +165,9 @@
 			}
 			highest = max(highest, sum)
 		}
-		y, ticks := draw.Linear(highest)
+		y, ticks := draw.LinearScale(highest)
 		b.WriteString("<figure>")
-		plot.Frame(&b, caption, ticks, y, "%.0f")
+		plot.OpenWithAxes(&b, caption, ticks, y, "%.0f")
 		plot.Bars(&b, all, y)
 		b.WriteString("</svg></figure>")
 	}
@@ -211,12 +211,12 @@
 	b.WriteString("<h2>Ejected upstreams</h2><table><tr><th>upstream</th><th>balancers at once</th><th>balancer-seconds</th><th>why</th></tr>")
 	for _, ejections := range s.Ejections[:min(30, len(s.Ejections))] {
 		fmt.Fprintf(&b, "<tr><td>%s</td><td>%d</td><td>%.1f</td><td>%s</td></tr>",
-			draw.Esc(ejections.Upstream), ejections.MaxAtOnce, ejections.BalancerSeconds, draw.Esc(formatCounts(ejections.Reasons)))
+			draw.EscapeHTML(ejections.Upstream), ejections.MaxAtOnce, ejections.BalancerSeconds, draw.EscapeHTML(formatCounts(ejections.Reasons)))
 	}
 	b.WriteString("</table><h2>Balancers with the most lost transactions</h2><table><tr><th>file</th><th>tier</th><th>arrived</th><th>lost</th><th>by reason</th></tr>")
 	for _, process := range s.Processes[:min(30, len(s.Processes))] {
 		fmt.Fprintf(&b, "<tr><td>%s</td><td>%s</td><td>%.0f</td><td>%.0f</td><td>%s</td></tr>",
-			draw.Esc(process.File), draw.Esc(process.Tier), process.Arrived, process.Lost, draw.Esc(formatCounts(process.Reasons)))
+			draw.EscapeHTML(process.File), draw.EscapeHTML(process.Tier), process.Arrived, process.Lost, draw.EscapeHTML(formatCounts(process.Reasons)))
 	}
 	b.WriteString("</table></html>\n")
 	_, err := io.WriteString(to, b.String())
--- a/internal/httpwire/attempt.go
+++ b/internal/httpwire/attempt.go
@@ -77,7 +77,7 @@
 		GotConn: ex.attach,
 		WroteRequest: func(i httptrace.WroteRequestInfo) {
 			if writeFailed.Store(i.Err != nil); i.Err == nil {
-				sh.metrics.Sends.Add(1)
+				sh.metrics.AttemptsSent.Add(1)
 			}
 		},
 	})
--- a/internal/httpwire/conn_tracker.go
+++ b/internal/httpwire/conn_tracker.go
@@ -209,7 +209,7 @@
 	var most *poolLimits
 	for limits, conns := range tracker.idle {
 		if conns.Len() > 0 && (most == nil ||
-			shares.Crowds(limits.clientConns, limits.guaranteed.Load(), most.clientConns, most.guaranteed.Load())) {
+			shares.MoreLoaded(limits.clientConns, limits.guaranteed.Load(), most.clientConns, most.guaranteed.Load())) {
 			idle, most = conns, limits
 		}
 	}
--- a/internal/httpwire/limits.go
+++ b/internal/httpwire/limits.go
@@ -15,9 +15,9 @@
 	mu           sync.Mutex
 	epoch        time.Time
 	unlimited    bool // for a single pool without limits, which is bounded by connTracker alone
-	transactions *shares.Dealer
-	connections  *shares.Dealer
-	bodies       *shares.Dealer
+	transactions *shares.Limiter
+	connections  *shares.Limiter
+	bodies       *shares.Limiter
 	pools        map[*poolLimits]struct{}
 }
 
@@ -26,10 +26,10 @@
 // poolLimits is the part of one pool in the shared resources.
 type poolLimits struct {
 	shared       *sharedLimits
-	transactions *shares.Account
-	connections  *shares.Account
-	bodies       *shares.Account
-	refusalPace  shares.Pace
+	transactions *shares.Quota
+	connections  *shares.Quota
+	bodies       *shares.Quota
+	refusalPace  shares.RefusalPacer
 	guaranteed   atomic.Int64 // guaranteed number of transactions
 	clientConns  int          // connections whose last transaction came to this pool; under the lock of connTracker
 }
@@ -46,8 +46,8 @@
 func (shared *sharedLimits) addPool() *poolLimits {
 	shared.mu.Lock()
 	defer shared.mu.Unlock()
-	limits := &poolLimits{shared: shared, transactions: shared.transactions.Open(), connections: shared.connections.Open(),
-		bodies: shared.bodies.Open()}
+	limits := &poolLimits{shared: shared, transactions: shared.transactions.AddQuota(), connections: shared.connections.AddQuota(),
+		bodies: shared.bodies.AddQuota()}
 	shared.pools[limits] = struct{}{}
 	return limits
 }
@@ -57,9 +57,9 @@
 	shared.mu.Lock()
 	defer shared.mu.Unlock()
 	delete(shared.pools, limits)
-	shared.transactions.Close(limits.transactions)
-	shared.connections.Close(limits.connections)
-	shared.bodies.Close(limits.bodies)
+	shared.transactions.RemoveQuota(limits.transactions)
+	shared.connections.RemoveQuota(limits.connections)
+	shared.bodies.RemoveQuota(limits.bodies)
 }
 
 // Share is the share of a pool in the shared resources.
@@ -73,9 +73,9 @@
 	shared.mu.Lock()
 	defer shared.mu.Unlock()
 	shared.unlimited = true
-	shared.bodies.Resize(bodies)
+	shared.bodies.SetCapacity(bodies)
 	for limits := range shared.pools {
-		shared.bodies.Set(limits.bodies, bodies, bodies)
+		shared.bodies.Configure(limits.bodies, bodies, bodies)
 	}
 }
 
@@ -93,17 +93,17 @@
 	var fractions []float64
 	for limits := range shared.pools {
 		if _, named := shareOf[limits]; !named {
-			shared.transactions.Set(limits.transactions, 0, 0)
-			shared.connections.Set(limits.connections, 0, math.MaxInt64) // for attempts of accepted transactions
-			shared.bodies.Set(limits.bodies, 0, math.MaxInt64)
+			shared.transactions.Configure(limits.transactions, 0, 0)
+			shared.connections.Configure(limits.connections, 0, math.MaxInt64) // for attempts of accepted transactions
+			shared.bodies.Configure(limits.bodies, 0, math.MaxInt64)
 			continue
 		}
 		participants, fractions = append(participants, limits), append(fractions, shareOf[limits].Guarantee)
 	}
-	shared.transactions.Resize(clients)
-	shared.bodies.Resize(bodies)
-	for _, dealer := range []*shares.Dealer{shared.transactions, shared.connections, shared.bodies} {
-		dealer.Within(int64(reclaimTime))
+	shared.transactions.SetCapacity(clients)
+	shared.bodies.SetCapacity(bodies)
+	for _, dealer := range []*shares.Limiter{shared.transactions, shared.connections, shared.bodies} {
+		dealer.SetReclaimTime(int64(reclaimTime))
 	}
 	open, out, held := shares.Split(clients, fractions), shares.Split(spare, fractions), shares.Split(bodies, fractions)
 	rates := shares.Split(int64(refusals), fractions)
@@ -113,15 +113,15 @@
 		limits.guaranteed.Store(limits.transactions.Guarantee())
 		setShare(shared.connections, limits.connections, out[i], share.Connections)
 		setShare(shared.bodies, limits.bodies, held[i], share.Bodies)
-		limits.refusalPace = shares.NewPace(float64(rates[i]), int64(maxRefusalDelay))
+		limits.refusalPace = shares.NewRefusalPacer(float64(rates[i]), int64(maxRefusalDelay))
 	}
 }
 
-func setShare(dealer *shares.Dealer, account *shares.Account, guarantee, most int64) {
+func setShare(dealer *shares.Limiter, account *shares.Quota, guarantee, most int64) {
 	if most <= 0 {
 		most = math.MaxInt64
 	}
-	dealer.Set(account, min(guarantee, most), most)
+	dealer.Configure(account, min(guarantee, most), most)
 }
 
 // admit decides on each transaction before its body is read; delay is how long a refused connection has to wait.
@@ -131,13 +131,13 @@
 	defer shared.mu.Unlock()
 	now := shared.now()
 	if shared.unlimited {
-		shared.transactions.Force(limits.transactions, 1)
+		shared.transactions.ForceAcquire(limits.transactions, 1)
 		return true, 0
 	}
-	if shared.transactions.Take(limits.transactions, 1, now+int64(timeout), now) {
+	if shared.transactions.Acquire(limits.transactions, 1, now+int64(timeout), now) {
 		return true, 0
 	}
-	return false, time.Duration(limits.refusalPace.Rest(now))
+	return false, time.Duration(limits.refusalPace.Delay(now))
 }
 
 // reservation is what a transaction holds of its pool's part until release. Its fields are guarded by the lock of
@@ -159,7 +159,7 @@
 	defer shared.mu.Unlock()
 	now := shared.now()
 	if all > maxReservedBody+1 && max(all*maxBodyShare, (shared.bodies.Used()+bytes)*2) > shared.bodies.Capacity() ||
-		!shared.bodies.Take(held.limits.bodies, bytes, now+int64(held.timeout), now) {
+		!shared.bodies.Acquire(held.limits.bodies, bytes, now+int64(held.timeout), now) {
 		return false
 	}
 	held.bytes += bytes
@@ -173,7 +173,7 @@
 	defer held.limits.shared.mu.Unlock()
 	if !held.released { // otherwise the response is not kept
 		held.bytes += bytes
-		held.limits.shared.bodies.Force(held.limits.bodies, bytes)
+		held.limits.shared.bodies.ForceAcquire(held.limits.bodies, bytes)
 	}
 }
 
@@ -183,9 +183,9 @@
 	defer held.limits.shared.mu.Unlock()
 	held.released = true
 	if held.admitted {
-		held.limits.shared.transactions.Give(held.limits.transactions, 1)
+		held.limits.shared.transactions.Release(held.limits.transactions, 1)
 	}
-	held.limits.shared.bodies.Give(held.limits.bodies, held.bytes)
+	held.limits.shared.bodies.Release(held.limits.bodies, held.bytes)
 }
 
 // reserveConn decides on each new connection to an upstream. room is how many all pools together may have by the
@@ -196,17 +196,17 @@
 	shared.mu.Lock()
 	defer shared.mu.Unlock()
 	if shared.unlimited {
-		shared.connections.Force(limits.connections, 1)
+		shared.connections.ForceAcquire(limits.connections, 1)
 		return true, nil
 	}
 	now := shared.now()
-	shared.connections.Resize(room)
-	if shared.connections.Take(limits.connections, 1, now+int64(time.Until(deadline)), now) {
+	shared.connections.SetCapacity(room)
+	if shared.connections.Acquire(limits.connections, 1, now+int64(time.Until(deadline)), now) {
 		return true, nil
 	}
 	over = append(over, limits)
 	for other := range shared.pools {
-		if other != limits && other.connections.Over() {
+		if other != limits && other.connections.OverGuarantee() {
 			over = append(over, other)
 		}
 	}
@@ -216,7 +216,7 @@
 // releaseConn returns a connection to an upstream.
 func (limits *poolLimits) releaseConn() {
 	limits.shared.mu.Lock()
-	limits.shared.connections.Give(limits.connections, 1)
+	limits.shared.connections.Release(limits.connections, 1)
 	limits.shared.mu.Unlock()
 }
 
@@ -224,8 +224,8 @@
 func (limits *poolLimits) usage() (open, out, bodies, refused int64) {
 	limits.shared.mu.Lock()
 	defer limits.shared.mu.Unlock()
-	_, a := limits.transactions.Refused()
-	_, b := limits.connections.Refused()
-	_, c := limits.bodies.Refused()
+	_, a := limits.transactions.TakeRefusals()
+	_, b := limits.connections.TakeRefusals()
+	_, c := limits.bodies.TakeRefusals()
 	return limits.transactions.Used(), limits.connections.Used(), limits.bodies.Used(), a + b + c
 }
--- a/internal/httpwire/log.go
+++ b/internal/httpwire/log.go
@@ -17,9 +17,9 @@
 
 // logState is what has been logged of a pool, guarded by logMu.
 type logState struct {
-	sum        desk.Counters           // since the last tally line
-	ended      [figures.Endings]int64  // at the last tally line
-	connTotals [connCounterCount]int64 // at the last sample
+	sum        desk.Counters              // since the last tally line
+	ended      [figures.EndingCount]int64 // at the last tally line
+	connTotals [connCounterCount]int64    // at the last sample
 	connSum    [connCounterCount]int64
 }
 
@@ -119,7 +119,7 @@
 	if sum.Arrived == 0 && sum.Open == 0 {
 		return
 	}
-	ended := pool.metrics.Ended()
+	ended := pool.metrics.EndingTotals()
 	delta := ended
 	for e := range delta {
 		delta[e] -= pool.logState.ended[e]
--- a/internal/httpwire/pool.go
+++ b/internal/httpwire/pool.go
@@ -115,15 +115,15 @@
 }
 
 // View returns the pool's data for the admin address.
-func (pool *Pool) View() figures.View {
+func (pool *Pool) View() figures.PoolView {
 	listed, avoided := pool.shards[0].desk.UpstreamCounts()
-	return figures.View{Name: pool.Name, Counts: pool.metrics, Listed: listed, Unhealthy: avoided}
+	return figures.PoolView{Name: pool.Name, Counters: pool.metrics, Listed: listed, Unhealthy: avoided}
 }
 
 // ReportSender sends load reports between decision engines, which are numbered across all balancers.
 type ReportSender interface {
-	// Tell sends a report from one engine to another.
-	Tell(from, to int, raw []byte)
+	// SendReport sends a report from one engine to another.
+	SendReport(from, to int, raw []byte)
 }
 
 // SetReportSender sets the sender for the load reports of the pool's engines; nil stops them.
@@ -131,14 +131,14 @@
 	for n, sh := range pool.shards {
 		var send func(to int, raw []byte)
 		if from := pool.settings.Load().Engine.Index*len(pool.shards) + n; sender != nil {
-			send = func(to int, raw []byte) { sender.Tell(from, to, raw) }
+			send = func(to int, raw []byte) { sender.SendReport(from, to, raw) }
 		}
 		sh.desk.SetReportSender(send)
 	}
 }
 
-// Told passes a load report on to one of the pool's engines. It implements peers.Sink.
-func (pool *Pool) Told(from, to int, raw []byte) {
+// HandleReport passes a load report on to one of the pool's engines. It implements peers.Sink.
+func (pool *Pool) HandleReport(from, to int, raw []byte) {
 	if n := to - pool.settings.Load().Engine.Index*len(pool.shards); n >= 0 && n < len(pool.shards) {
 		pool.shards[n].desk.PeerReport(from, raw)
 	}
@@ -153,9 +153,9 @@
 // Log returns the pool's logger.
 func (pool *Pool) Log() *slog.Logger { return pool.log }
 
-// List applies an update of the list of upstreams, or a complete list if complete is set, and logs what it changed. It
+// Update applies an update of the list of upstreams, or a complete list if complete is set, and logs what it changed. It
 // implements lists.Sink, as do Unlisted and Follow.
-func (pool *Pool) List(entries []roster.Entry[string], complete bool) {
+func (pool *Pool) Update(entries []roster.Entry[string], complete bool) {
 	var change roster.Change
 	for _, sh := range pool.shards {
 		change = sh.desk.List(entries, complete)
@@ -174,16 +174,16 @@
 	}
 }
 
-// Unlisted implements lists.Sink.
-func (pool *Pool) Unlisted() {
+// SourceLost implements lists.Sink.
+func (pool *Pool) SourceLost() {
 	for _, sh := range pool.shards {
 		sh.desk.Unlisted()
 	}
 }
 
-// Follow implements lists.Sink. A request of the first shard's engine stands for all, as every list update goes to
+// Requested implements lists.Sink. A request of the first shard's engine stands for all, as every list update goes to
 // all shards.
-func (pool *Pool) Follow() <-chan struct{} { return pool.shards[0].desk.Follow() }
+func (pool *Pool) Requested() <-chan struct{} { return pool.shards[0].desk.Follow() }
 
 // Entries returns the pool's current list of upstreams.
 func (pool *Pool) Entries() []roster.Entry[string] { return pool.shards[0].desk.Entries() }
--- a/internal/httpwire/serve.go
+++ b/internal/httpwire/serve.go
@@ -57,14 +57,14 @@
 // New creates a front end, which rejects all requests until SetRouting is called. newEngine creates the
 // decision engine of each pool.
 func New(log *slog.Logger, newEngine desk.EngineFactory) *FrontEnd {
-	front := &FrontEnd{newEngine: newEngine, cores: 1, log: logs.Own(log), poolLog: log, tracker: newConnTracker(),
+	front := &FrontEnd{newEngine: newEngine, cores: 1, log: logs.WithoutPool(log), poolLog: log, tracker: newConnTracker(),
 		limits: newSharedLimits()}
 	front.routing.Store(&Routing{})
 	front.server = &http.Server{
 		Handler: front, ReadHeaderTimeout: headTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ConnState: front.tracker.stateChanged, ConnContext: withClient,
 		DisableGeneralOptionsHandler: true, // OPTIONS * is not answered by net/http
-		ErrorLog:                     logs.Lines(logs.Own(log), "http"),
+		ErrorLog:                     logs.NewLineLogger(logs.WithoutPool(log), "http"),
 	}
 	return front
 }
--- a/internal/listfile/listfile.go
+++ b/internal/listfile/listfile.go
@@ -1,5 +1,5 @@
-// Package listfile is a list of upstreams in a file of its own, which is watched. The file is TOML, as in
-// docs/configuration.md.
+// Package listfile reads the list of upstreams from a TOML file and watches the file for changes. The format is
+// described in docs/configuration.md.
 package listfile
 
 import (
@@ -19,155 +19,159 @@
 	"ottershift/logic"
 )
 
-const mostFile = 64 << 20 // bytes
+const maxFileBytes = 64 << 20
 
-// Entries reads [[upstreams]] of a table.
-func Entries(t *settings.Table) (all []roster.Entry[string]) {
+// ParseEntries reads the [[upstreams]] of a table and records faults in its file.
+func ParseEntries(table *settings.Table) (entries []roster.Entry[string]) {
 	seen := map[string]bool{}
-	for _, u := range t.Tables("upstreams") {
-		e := roster.Entry[string]{
-			Name:    u.RequiredText("name", "what the log calls it"),
-			Address: u.Address("address", "where it is reached, such as \"127.0.0.1:9001\""),
-			Zone:    u.Text("zone", ""), Kind: u.Text("kind", ""), Draining: u.Bool("draining", false),
+	for _, upstream := range table.Tables("upstreams") {
+		entry := roster.Entry[string]{
+			Name:    upstream.RequiredText("name", "the upstream's name in logs"),
+			Address: upstream.Address("address", "the upstream's address, such as \"127.0.0.1:9001\""),
+			Zone:    upstream.Text("zone", ""), Kind: upstream.Text("kind", ""), Draining: upstream.Bool("draining", false),
 			Upstream: logic.Upstream{
-				Weight: u.Number("weight", 1, 1e-6, 1e6), Cell: u.Int("group", 0, 0, 1e9), StartedAt: u.Timestamp("since"),
+				Weight: upstream.Number("weight", 1, 1e-6, 1e6), Cell: upstream.Int("group", 0, 0, 1e9),
+				StartedAt: upstream.Timestamp("since"),
 			},
 		}
-		e.Upstream.ID = roster.NameHash(e.Name)
-		if seen[e.Name] && e.Name != "" {
-			u.File.Fault(settings.JoinPath(u.Path, "name"), "%q is another's name in this list", e.Name)
+		entry.Upstream.ID = roster.NameHash(entry.Name)
+		if seen[entry.Name] && entry.Name != "" {
+			upstream.File.Fault(settings.JoinPath(upstream.Path, "name"), "%q is another's name in this list", entry.Name)
 		}
-		seen[e.Name] = true
-		u.ReportUnknownKeys()
-		all = append(all, e)
+		seen[entry.Name] = true
+		upstream.ReportUnknownKeys()
+		entries = append(entries, entry)
 	}
-	return all
+	return entries
 }
 
-// Read takes a file. Danger: a file that is half written, or empty because its writer died, is not a list of nobody;
-// a list of nobody says so by "empty = true", and one that states its count must have it.
-func Read(path string) ([]roster.Entry[string], error) {
-	text, err := read(path)
+// ReadFile reads a list file. A file that is partially written, or empty because its writer crashed, must not pass for
+// an empty list. An empty list therefore needs "empty = true", and a stated count must match the entries.
+func ReadFile(path string) ([]roster.Entry[string], error) {
+	content, err := readContent(path)
 	if err != nil {
 		return nil, err
 	}
-	return parse(path, text)
+	return parseList(path, content)
 }
 
-func read(path string) ([]byte, error) {
-	about, err := os.Stat(path)
+// readContent returns the content of a file up to maxFileBytes in size.
+func readContent(path string) ([]byte, error) {
+	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
-	if about.Size() > mostFile {
-		return nil, fmt.Errorf("%s: over %d bytes", path, mostFile)
+	if info.Size() > maxFileBytes {
+		return nil, fmt.Errorf("%s: file exceeds %d bytes", path, maxFileBytes)
 	}
 	return os.ReadFile(path)
 }
 
-func parse(path string, text []byte) ([]roster.Entry[string], error) {
-	f, t := settings.Parse(path, text, os.LookupEnv)
-	if t == nil {
-		return nil, f.Faults[0]
+// parseList parses and validates the content of a list file.
+func parseList(path string, content []byte) ([]roster.Entry[string], error) {
+	file, table := settings.Parse(path, content, os.LookupEnv)
+	if table == nil {
+		return nil, file.Faults[0]
 	}
-	count, empty := t.Int("count", -1, 0, 1<<24), t.Bool("empty", false)
-	all := Entries(t)
-	t.ReportUnknownKeys()
+	count, empty := table.Int("count", -1, 0, 1<<24), table.Bool("empty", false)
+	entries := ParseEntries(table)
+	table.ReportUnknownKeys()
 	switch {
-	case f.Finish():
-		return nil, f.Faults[0]
-	case count >= 0 && count != len(all):
-		return nil, fmt.Errorf("%s: count says %d, there are %d upstreams", path, count, len(all))
-	case len(all) == 0 && !empty:
-		return nil, fmt.Errorf("%s: no upstreams; a list of nobody says empty = true", path)
+	case file.Finish():
+		return nil, file.Faults[0]
+	case count >= 0 && count != len(entries):
+		return nil, fmt.Errorf("%s: count is %d, but the file lists %d upstreams", path, count, len(entries))
+	case len(entries) == 0 && !empty:
+		return nil, fmt.Errorf("%s: no upstreams; an intentionally empty list needs empty = true", path)
 	}
-	return all, nil
+	return entries, nil
 }
 
-// File follows one file.
+// File is a lists.Source that watches one file.
 type File struct {
-	Path  string
-	Every time.Duration // between two looks
-	Sink  lists.Sink
-	Log   *slog.Logger
+	Path     string
+	Interval time.Duration // between two checks of the file
+	Sink     lists.Sink
+	Log      *slog.Logger
 }
 
-// state is what tells one version of a file from another without reading it.
-type state struct {
-	node uint64
-	time time.Time
-	size int64
+// fileState is the metadata by which versions of a file are distinguished without reading it.
+type fileState struct {
+	inode    uint64
+	modified time.Time
+	size     int64
 }
 
-func look(path string) (state, error) {
-	about, err := os.Stat(path)
+func statFile(path string) (fileState, error) {
+	info, err := os.Stat(path)
 	if err != nil {
-		return state{}, err
+		return fileState{}, err
 	}
-	return state{about.Sys().(*syscall.Stat_t).Ino, about.ModTime(), about.Size()}, nil
+	return fileState{info.Sys().(*syscall.Stat_t).Ino, info.ModTime(), info.Size()}, nil
 }
 
-// Run implements lists.Source. Danger: a file may be read while it is written, and replaced within the grain of its
-// time; so it is read once it has stayed the same between two looks.
-func (l *File) Run(ctx context.Context) {
-	var told []byte
-	var seen, done state
-	var said string // what is wrong, said once and not with each look
-	tick := time.NewTicker(l.Every)
-	defer tick.Stop()
+// Run implements lists.Source. A file can be read while it is being written, or replaced within the resolution of its
+// modification time. It is therefore read only after its metadata was the same at two successive checks.
+func (file *File) Run(ctx context.Context) {
+	var content []byte
+	var previous, loaded fileState
+	var reported string // last error text that was logged, so that it is not repeated with each check
+	ticker := time.NewTicker(file.Interval)
+	defer ticker.Stop()
 	for first := true; ; first = false {
-		now, err := look(l.Path)
+		current, err := statFile(file.Path)
 		switch {
 		case err != nil:
-			done = state{} // also one that comes back as it was is read again
-		case now == done || now != seen && !first:
-			err = errSame
+			loaded = fileState{} // a file that reappears unchanged is read again, too
+		case current == loaded || current != previous && !first:
+			err = errUnchanged
 		default:
-			told, err = l.take(told)
-			if done = now; first {
-				done = state{}
+			content, err = file.load(content)
+			if loaded = current; first {
+				loaded = fileState{}
 			}
 		}
-		seen = now
-		if text := plain(err); err != errSame && text != said {
-			if said = text; text != "" {
-				l.Log.Warn("list", "step", "kept", "file", l.Path, "fault", text)
+		previous = current
+		if text := errorText(err); err != errUnchanged && text != reported {
+			if reported = text; text != "" {
+				file.Log.Warn("list", "step", "kept", "file", file.Path, "fault", text)
 			}
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-l.Sink.Follow():
-			told, done = nil, state{} // asked for: all of it is told again
-		case <-tick.C:
+		case <-file.Sink.Requested():
+			content, loaded = nil, fileState{} // the full list was requested, so it is sent again
+		case <-ticker.C:
 		}
 	}
 }
 
-var errSame = errors.New("as it was")
+var errUnchanged = errors.New("file unchanged")
 
-// take reads the file and tells it, unless it says the same as before.
-func (l *File) take(before []byte) (told []byte, err error) {
-	text, err := read(l.Path)
-	if err != nil || bytes.Equal(text, before) {
-		return before, err
+// load reads the file and passes its list to the sink, unless the content is the previous one.
+func (file *File) load(previous []byte) (content []byte, err error) {
+	fresh, err := readContent(file.Path)
+	if err != nil || bytes.Equal(fresh, previous) {
+		return previous, err
 	}
-	all, err := parse(l.Path, text)
+	entries, err := parseList(file.Path, fresh)
 	if err != nil {
-		return before, err
+		return previous, err
 	}
-	l.Log.Info("list", "step", "taken", "file", l.Path, "upstreams", len(all))
-	l.Sink.List(all, true)
-	return text, nil
+	file.Log.Info("list", "step", "taken", "file", file.Path, "upstreams", len(entries))
+	file.Sink.Update(entries, true)
+	return fresh, nil
 }
 
-func plain(err error) string {
-	var at *fs.PathError
+// errorText returns the text of an error without operation and path, or "" for nil.
+func errorText(err error) string {
+	var pathError *fs.PathError
 	switch {
 	case err == nil:
 		return ""
-	case errors.As(err, &at):
-		return at.Err.Error()
+	case errors.As(err, &pathError):
+		return pathError.Err.Error()
 	}
 	return err.Error()
 }
--- a/internal/plan/platform.go
+++ b/internal/plan/platform.go
@@ -59,7 +59,7 @@
 	// This format has no peer addresses, and load from unknown peers would look like no load.
 	pool.Settings.Engine.Peers = false
 	if known := document.Get("known"); known != nil && known.Type() != fastjson.TypeNull {
-		if pool.Upstreams.Initial, _, err = discovery.Read(known); err != nil {
+		if pool.Upstreams.Initial, _, err = discovery.ParseReport(known); err != nil {
 			return nil, fmt.Errorf("%s: known: %w", path, err)
 		}
 	}
--- a/internal/plan/pools.go
+++ b/internal/plan/pools.go
@@ -317,20 +317,20 @@
 	case len(sources) > 1:
 		r.Fault(settings.JoinPath(t.Path, sources[1]), "a pool has a single source of upstreams, and %s is already set", sources[0])
 	}
-	pool.Upstreams.Static = listfile.Entries(t)
+	pool.Upstreams.Static = listfile.ParseEntries(t)
 	if name := t.Text("upstreams_file", ""); name != "" {
 		if pool.Upstreams.File = name; !filepath.IsAbs(name) {
 			pool.Upstreams.File = filepath.Join(filepath.Dir(r.Name), name)
 		}
 		// A pool whose file cannot be read has no upstreams, so this is reported before the process starts.
-		if _, err := listfile.Read(pool.Upstreams.File); err != nil {
+		if _, err := listfile.ReadFile(pool.Upstreams.File); err != nil {
 			r.Fault(settings.JoinPath(t.Path, "upstreams_file"), "%v", err)
 		}
 	}
 	pool.Upstreams.PollInterval = t.Duration("upstreams_every", 500*time.Millisecond, 10*time.Millisecond)
 	pool.Upstreams.Discovery = t.Address("discovery", "")
 	pool.Settings.Engine.FollowList = t.Choice("discovery_mode", "push", "push", "ask") == "ask" && pool.Upstreams.Discovery != ""
-	pool.Upstreams.Initial.Index = discovery.Unknown
+	pool.Upstreams.Initial.Version = discovery.UnknownVersion
 	if pool.Upstreams.Shared = t.Bool("share_list", false); pool.Upstreams.Shared {
 		path := settings.JoinPath(t.Path, "share_list")
 		switch {
--- a/internal/process/cluster.go
+++ b/internal/process/cluster.go
@@ -165,8 +165,8 @@
 	ended := int64(0)
 	for name, p := range process.pools {
 		view := p.View()
-		status.OpenTransactions += view.Counts.Open.Load()
-		for _, n := range view.Counts.Ended() {
+		status.OpenTransactions += view.Counters.InFlight.Load()
+		for _, n := range view.Counters.EndingTotals() {
 			ended += n
 		}
 		if len(status.Pools) < member.MaxPools {
--- a/internal/process/peers_test.go
+++ b/internal/process/peers_test.go
@@ -19,7 +19,7 @@
 // peerReports receives load reports in place of the other balancer of a pool.
 type peerReports chan []byte
 
-func (r peerReports) Told(_, _ int, raw []byte) { r <- append([]byte(nil), raw...) }
+func (r peerReports) HandleReport(_, _ int, raw []byte) { r <- append([]byte(nil), raw...) }
 
 // waitForAttempt waits for a report of exactly one open attempt.
 func (r peerReports) waitForAttempt(t *testing.T) []byte {
@@ -56,14 +56,14 @@
 	b.delay.Store(int64(60 * time.Millisecond))
 	reports := make(peerReports, 1024)
 	link, err := peers.Open(peerAddress)
-	route, routeErr := peers.NewRoute("p", []string{address, peerAddress}, 1, reports)
+	route, routeErr := peers.NewPeerSet("p", []string{address, peerAddress}, 1, reports)
 	file := filepath.Join(t.TempDir(), "log")
 	log, fileErr := os.Create(file)
 	if err := errors.Join(err, routeErr, fileErr); err != nil {
 		t.Fatal(err)
 	}
 	defer log.Close()
-	link.Follow(route)
+	link.SetPeers(route)
 	peerConfig := fmt.Sprintf("balancers = 2\npeers = [%q, %q]\nweights = \"live\"\n", address, peerAddress)
 	takenConfig := parse(t, poolConfig(listen, fmt.Sprintf("balancers = 2\npeers = [%q, %q]", peerAddress, address), a))
 	if _, err := Start(takenConfig, slog.New(slog.DiscardHandler), &slog.LevelVar{}); err == nil || !strings.Contains(err.Error(), "pool p: peers: listen udp") {
@@ -91,7 +91,7 @@
 			}()
 			if sendReport && n == 0 {
 				report := reports.waitForAttempt(t)
-				link.Tell(1, 0, []byte{30, report[1], report[1], report[1], report[1], report[1]})
+				link.SendReport(1, 0, []byte{30, report[1], report[1], report[1], report[1], report[1]})
 			}
 			if body := <-done; n == 0 {
 				loaded = body
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -52,7 +52,7 @@
 	mu        sync.Mutex
 	pools     map[string]*pool
 	listeners map[string]*httpwire.Listener // by address
-	peerLinks map[string]*peers.Link        // links to other balancers, by local address
+	peerLinks map[string]*peers.Socket      // links to other balancers, by local address
 	retiring  sync.WaitGroup
 }
 
@@ -62,8 +62,8 @@
 	settings     *plan.Pool
 	subscription *discovery.Watch   // set if the list comes from discovery
 	stopList     context.CancelFunc // stops the source of the upstream list
-	peerLink     *peers.Link        // link to the other balancers, if they exchange load reports
-	peerRoute    *peers.Route
+	peerLink     *peers.Socket      // link to the other balancers, if they exchange load reports
+	peerRoute    *peers.PeerSet
 	memberNames  []string      // cluster members that count as balancers of the pool
 	listReceived chan struct{} // closed after the first update from the list source
 	receivedOnce sync.Once
@@ -80,9 +80,9 @@
 // StartWithEngine is like Start with another decision engine, for simulations.
 func StartWithEngine(p *plan.Plan, log *slog.Logger, level *slog.LevelVar, newEngine desk.EngineFactory) (*Process, error) {
 	proc := &Process{
-		log: log, eventLog: logs.Own(log), logLevel: level, seed: p.Seed, front: httpwire.New(log, newEngine), plan: &plan.Plan{},
+		log: log, eventLog: logs.WithoutPool(log), logLevel: level, seed: p.Seed, front: httpwire.New(log, newEngine), plan: &plan.Plan{},
 		listenerErrors: make(chan error, 1), pools: map[string]*pool{}, listeners: map[string]*httpwire.Listener{},
-		peerLinks: map[string]*peers.Link{},
+		peerLinks: map[string]*peers.Socket{},
 	}
 	if proc.seed == 0 {
 		proc.seed = rand.Uint64()
@@ -158,7 +158,7 @@
 	platform := proc.plan.Platform
 	pools := slices.Collect(maps.Values(proc.pools))
 	proc.mu.Unlock()
-	var views []figures.View
+	var views []figures.PoolView
 	for _, p := range pools {
 		view := p.View()
 		if platform {
@@ -166,7 +166,7 @@
 		}
 		views = append(views, view)
 	}
-	slices.SortFunc(views, func(a, b figures.View) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(views, func(a, b figures.PoolView) int { return cmp.Compare(a.Name, b.Name) })
 	if err := figures.Write(to, &proc.counters, views); err != nil {
 		return err
 	}
@@ -228,7 +228,7 @@
 	if err := apply(p); err != nil {
 		return err
 	}
-	proc.counters.Loaded.Add(1)
+	proc.counters.ConfigsLoaded.Add(1)
 	proc.eventLog.Info("reload", "step", "taken", "pools", len(p.Pools), "routes", len(p.Routes), "listeners", len(p.Listeners),
 		"pools_before", len(before.Pools), "took", time.Since(start).Round(time.Microsecond))
 	warnIfChanged := func(key string, changed bool) {
@@ -248,7 +248,7 @@
 }
 
 // CountInvalidConfig counts a configuration file that could not be parsed.
-func (proc *Process) CountInvalidConfig() { proc.counters.Invalid.Add(1) }
+func (proc *Process) CountInvalidConfig() { proc.counters.ConfigsRejected.Add(1) }
 
 // applyToPlatformPool switches to another configuration in the platform's format. The pool is kept with its learned
 // state. Listeners, the number of cores and the administrative address stay as they were at the start.
@@ -267,7 +267,7 @@
 			"attempts", settings.Settings.Engine.MaxAttempts)
 	}
 	address := settings.Upstreams.Discovery
-	proc.eventLog.Info("reload", "step", "list", "discovery", address, "moved", current.subscription.Move(address))
+	proc.eventLog.Info("reload", "step", "list", "discovery", address, "moved", current.subscription.SetAddress(address))
 	current.settings = settings
 	p.Limits.Cores = proc.plan.Limits.Cores
 	proc.plan = p
@@ -284,7 +284,7 @@
 	proc.applyLimits(p)
 	var opened []*httpwire.Listener
 	created := map[string]*pool{}
-	links := map[string]*peers.Link{}
+	links := map[string]*peers.Socket{}
 	defer func() {
 		if err == nil {
 			return
@@ -348,7 +348,7 @@
 		}
 		created[settings.Name], pools[settings.Name] = target, target
 		if target.peerLink = links[ownPeerAddress(settings)]; target.peerLink != nil {
-			if target.peerRoute, err = peers.NewRoute(settings.Name, settings.Settings.PeerAddresses, target.Shards(), target.Pool); err != nil {
+			if target.peerRoute, err = peers.NewPeerSet(settings.Name, settings.Settings.PeerAddresses, target.Shards(), target.Pool); err != nil {
 				return fmt.Errorf("pool %s: %w", settings.Name, err)
 			}
 		}
@@ -359,7 +359,7 @@
 	for name, target := range created {
 		initial := target.settings.Upstreams.Static
 		if target.settings.Upstreams.File != "" {
-			initial, _ = listfile.Read(target.settings.Upstreams.File) // errors are reported by the list source
+			initial, _ = listfile.ReadFile(target.settings.Upstreams.File) // errors are reported by the list source
 		}
 		if target.settings.Upstreams.Discovery != "" {
 			if initial = target.settings.Upstreams.Initial.Entries; proc.pools[name] != nil {
@@ -367,7 +367,7 @@
 			}
 		}
 		if len(initial) > 0 {
-			target.Pool.List(initial, true)
+			target.Pool.Update(initial, true)
 		}
 	}
 	for _, settings := range p.Pools {
@@ -406,7 +406,7 @@
 	}
 	for _, target := range created {
 		if target.peerLink != nil {
-			target.peerLink.Follow(target.peerRoute)
+			target.peerLink.SetPeers(target.peerRoute)
 			target.SetReportSender(target.peerLink)
 		}
 	}
@@ -473,7 +473,7 @@
 		descriptors = int(limit.Cur)
 	}
 	proc.front.SetLimits(descriptors/proc.processCount, p.Limits.Cores)
-	proc.logLevel.Set(logs.Level(p.Log.Level))
+	proc.logLevel.Set(logs.ParseLevel(p.Log.Level))
 }
 
 // ownPeerAddress returns the address at which the other balancers of a pool reach this one, or "" if the pool has no
@@ -501,10 +501,10 @@
 	return &pool{Pool: created, settings: settings, stopList: func() {}, listReceived: make(chan struct{})}, nil
 }
 
-// List implements lists.Sink for the list source. A process that replaces another one waits for the first call before
+// Update implements lists.Sink for the list source. A process that replaces another one waits for the first call before
 // it accepts clients.
-func (p *pool) List(entries []roster.Entry[string], complete bool) {
-	p.Pool.List(entries, complete)
+func (p *pool) Update(entries []roster.Entry[string], complete bool) {
+	p.Pool.Update(entries, complete)
 	p.receivedOnce.Do(func() { close(p.listReceived) })
 }
 
@@ -516,13 +516,13 @@
 	var source lists.Source
 	switch {
 	case list.Discovery != "":
-		index := list.Initial.Index
+		index := list.Initial.Version
 		if replaced {
-			index = discovery.Unknown // versions of one source are meaningless to another
+			index = discovery.UnknownVersion // versions of one source are meaningless to another
 		}
 		if list.Shared && proc.membership != nil {
 			source = proc.membership.List(target.Name, target, func(to lists.Sink) lists.Source {
-				return discovery.New(to, target.Log(), list.Discovery, false, discovery.Unknown, target.Settings().DialTimeout)
+				return discovery.New(to, target.Log(), list.Discovery, false, discovery.UnknownVersion, target.Settings().DialTimeout)
 			})
 			break
 		}
@@ -530,9 +530,9 @@
 			target, target.Log(), list.Discovery, target.Settings().Engine.FollowList, index, target.Settings().DialTimeout)
 		source = target.subscription
 	case list.File != "":
-		source = &listfile.File{Path: list.File, Every: list.PollInterval, Sink: target, Log: target.Log()}
+		source = &listfile.File{Path: list.File, Interval: list.PollInterval, Sink: target, Log: target.Log()}
 	default:
-		source = &listfixed.List{Entries: list.Static, Sink: target}
+		source = &listfixed.Source{Entries: list.Static, Sink: target}
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -1,5 +1,5 @@
-// Package simwire plays balancers on the bench's wire: it turns frames into calls on logic.Balancer and its
-// decisions into replies. Ids, JSON, microseconds and the set of instances are known here and nowhere else.
+// Package simwire connects balancers to the simulator: it translates the simulator's frames into calls on logic.Balancer
+// and its decisions into replies. Call ids, JSON, microseconds and the set of instances are confined to this package.
 package simwire
 
 import (
@@ -15,61 +15,62 @@
 	"ottershift/logic"
 )
 
-const microsecond = 1000
+const nanosPerMicro = 1000
 
-// server hosts the instances of one process.
+// server holds the instances of one process and the reply to the current frame.
 type server struct {
 	out       bytes.Buffer
-	complain  io.Writer
-	sheets    [16][]roster.Entry[uint32]
+	errorLog  io.Writer
+	lists     [16][]roster.Entry[uint32] // registered lists, by number
 	instances map[int]*instance
-	touched   []*instance
-	now       int64
-	line      int
-	frame     int64
+	pending   []*instance // to get a round at the end of the frame
+	now       int64       // nanoseconds
+	line      int         // number of the current input line
+	frame     int64       // number of the current frame
 }
 
-// instance is one balancer with its names: it is the Writer of its decisions.
+// instance is one balancer with the mapping between its indexes and the names on the wire. It is the logic.Writer of
+// its decisions.
 type instance struct {
-	logic  *logic.Balancer
-	number int
-	queued bool
-	server *server
-	book   *terms.Settings
-	roster *roster.Roster[uint32]
-	calls  map[string]*logic.Transaction
+	balancer     *logic.Balancer // nil if it could not be created, has been replaced, or has panicked
+	number       int
+	queued       bool // is in server.pending
+	server       *server
+	book         *terms.Settings
+	roster       *roster.Roster[uint32]
+	transactions map[string]*logic.Transaction // by call id
 }
 
-// Serve answers every frame of in on out until in ends. What it can't make sense of it names on complain and
-// skips.
-func Serve(in io.Reader, out, complain io.Writer) error {
-	s := &server{complain: complain, instances: map[int]*instance{}}
+// Serve reads frames from in and writes the reply to each of them to out until in ends. It skips invalid messages and
+// reports them to errorLog.
+func Serve(in io.Reader, out, errorLog io.Writer) error {
+	srv := &server{errorLog: errorLog, instances: map[int]*instance{}}
 	lines := bufio.NewReaderSize(in, 1<<20)
 	var parser fastjson.Parser
-	var long []byte
+	var partial []byte
 	for {
 		line, err := lines.ReadSlice('\n')
 		if err == bufio.ErrBufferFull {
-			long = append(long, line...)
+			partial = append(partial, line...)
 			continue
 		}
-		if len(long) > 0 {
-			long = append(long, line...)
-			line = long
+		if len(partial) > 0 {
+			partial = append(partial, line...)
+			line = partial
 		}
-		s.line++
+		srv.line++
 		if len(bytes.TrimSpace(line)) > 0 {
-			v, fault := parser.ParseBytes(line)
-			if fault != nil {
-				s.fault("not JSON: %v", fault)
-			} else if done := s.read(v); done {
-				if _, fault := out.Write(s.out.Bytes()); fault != nil {
-					return fault
+			message, parseErr := parser.ParseBytes(line)
+			if parseErr != nil {
+				srv.reportError("not JSON: %v", parseErr)
+			} else if done := srv.handleMessage(message); done {
+				if _, writeErr := out.Write(srv.out.Bytes()); writeErr != nil {
+					return writeErr
 				}
-				s.out.Reset()
+				srv.out.Reset()
 			}
 		}
-		long = long[:0]
+		partial = partial[:0]
 		if err == io.EOF {
 			return nil
 		}
@@ -79,6 +80,7 @@
 	}
 }
 
-func (s *server) fault(format string, values ...any) {
-	fmt.Fprintf(s.complain, "simwire: line %d: %s\n", s.line, fmt.Sprintf(format, values...))
+// reportError reports an invalid message with the number of its line.
+func (srv *server) reportError(format string, values ...any) {
+	fmt.Fprintf(srv.errorLog, "simwire: line %d: %s\n", srv.line, fmt.Sprintf(format, values...))
 }
