--- a/internal/mesh/simulation/ask.go
+++ b/internal/mesh/simulation/ask.go
@@ -20,41 +20,42 @@
 	"ottershift/internal/mesh/federation"
 )
 
-// Error is the class of faults in questions.
+// Error is the error class of this package.
 var Error = errs.Class("meshsim")
 
-// duration is a time in a question: "1.5s".
+// duration is a time span in nanoseconds, written in a question as "1.5s".
 type duration int64
 
 // MarshalText implements encoding.TextMarshaler.
-func (s duration) MarshalText() ([]byte, error) { return []byte(time.Duration(s).String()), nil }
+func (d duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
-func (s *duration) UnmarshalText(text []byte) error {
-	d, err := time.ParseDuration(string(text))
-	if err == nil && d < 0 {
-		err = fmt.Errorf("%q is below 0", text)
+func (d *duration) UnmarshalText(text []byte) error {
+	parsed, err := time.ParseDuration(string(text))
+	if err == nil && parsed < 0 {
+		err = fmt.Errorf("%q is negative", text)
 	}
-	*s = duration(d)
+	*d = duration(parsed)
 	return err
 }
 
-// Question is a file that asks what would be.
+// Question is a what-if question, read from a TOML file. It runs the partner, credit or mesh scenario whose number of
+// proxies is set, else the core scenario.
 type Question struct {
 	Title   string
-	Seeds   int              // days for each row
-	Seed    uint64           // of the first of them
-	Core    coreSettings     // a day of a core
-	Mesh    meshSettings     // or of a whole mesh
-	Partner partnerSettings  // or of a partner's narrowings
-	Credit  creditSettings   // or of burst credit
-	Run     runSettings      // and the mesh of real processes that run plays
-	Vary    map[string][]any // a row for each value, or for each pair of values of two
-	Holds   string           // "always": no rule breaks on any row; "never": on each row one does
-	Ask     []string         // what to show, all where left out
+	Seeds   int              // runs for each row
+	Seed    uint64           // of the first run; each next run adds 1
+	Core    coreSettings     // the voting controllers
+	Mesh    meshSettings     // a whole mesh
+	Partner partnerSettings  // narrowing of a partner's exports
+	Credit  creditSettings   // burst credit
+	Run     runSettings      // a mesh of real processes, played by the run command
+	Vary    map[string][]any // values of at most two settings; each combination gives a row
+	Holds   string           // "always": no row has a violation; "never": each row has one
+	Ask     []string         // figures to print, empty for all
 }
 
-// coreSettings is a day of a core as a question has it.
+// coreSettings is the [core] table of a question.
 type coreSettings struct {
 	Controllers, Founders, Tolerate, Puts, Reads, Readers int
 	Length, Delay, Jitter, Sync, Handling, Grace          duration
@@ -71,29 +72,29 @@
 	Faults []Fault
 }
 
-// defaultCore is what a question has where it doesn't say otherwise.
+// defaultCore returns the settings that apply where a question sets none.
 func defaultCore() coreSettings {
 	return coreSettings{Controllers: 4, Founders: 3, Tolerate: 1, Length: duration(30 * S), CatchUp: duration(4 * S), Grace: duration(6 * S),
 		RepairWithin: duration(5 * S), Delay: duration(Ms / 2), Jitter: duration(Ms), Sync: duration(2 * Ms), Handling: duration(Ms / 4), Puts: 20, Reads: 20}
 }
 
-func (c coreSettings) scenario() CoreScenario {
-	return CoreScenario{Controllers: c.Controllers, Founders: c.Founders, Tolerate: c.Tolerate, Length: int64(c.Length), CatchUp: int64(c.CatchUp),
-		Grace: int64(c.Grace), RepairWithin: int64(c.RepairWithin), Delay: int64(c.Delay), Jitter: int64(c.Jitter), Sync: int64(c.Sync),
-		Handling: int64(c.Handling), Loss: c.Loss, Puts: c.Puts, AtOnce: c.AtOnce, Reads: c.Reads, Readers: c.Readers,
-		AnswersLost: c.AnswersLost, AnswersLate: c.AnswersLate, Resends: c.Resends, Remembered: c.Remembered,
-		FaultCounts: c.FaultCounts, Faults: c.Faults, DisabledGuards: c.DisabledGuards}
+func (settings coreSettings) scenario() CoreScenario {
+	return CoreScenario{Controllers: settings.Controllers, Founders: settings.Founders, Tolerate: settings.Tolerate, Length: int64(settings.Length), CatchUp: int64(settings.CatchUp),
+		Grace: int64(settings.Grace), RepairWithin: int64(settings.RepairWithin), Delay: int64(settings.Delay), Jitter: int64(settings.Jitter), Sync: int64(settings.Sync),
+		Handling: int64(settings.Handling), Loss: settings.Loss, Updates: settings.Puts, ConcurrentUpdates: settings.AtOnce, Reads: settings.Reads, Readers: settings.Readers,
+		LostResponses: settings.AnswersLost, LateResponses: settings.AnswersLate, Resends: settings.Resends, RememberedChanges: settings.Remembered,
+		FaultCounts: settings.FaultCounts, Faults: settings.Faults, DisabledGuards: settings.DisabledGuards}
 }
 
-// ReadQuestion reads a question and names what is wrong with it.
+// ReadQuestion parses a question and validates it.
 func ReadQuestion(text []byte) (*Question, error) {
-	q := &Question{Seeds: 50, Seed: 1, Holds: "always", Core: defaultCore(), Mesh: defaultMesh(), Run: defaultRun(), Credit: defaultCredit(), Partner: defaultPartner()}
+	question := &Question{Seeds: 50, Seed: 1, Holds: "always", Core: defaultCore(), Mesh: defaultMesh(), Run: defaultRun(), Credit: defaultCredit(), Partner: defaultPartner()}
 	d := toml.NewDecoder(strings.NewReader(string(text))).DisallowUnknownFields()
-	if err := d.Decode(q); err != nil {
-		if strict, is := err.(*toml.StrictMissingError); is {
+	if err := d.Decode(question); err != nil {
+		if strict, ok := err.(*toml.StrictMissingError); ok {
 			return nil, Error.New("unknown keys:\n%s", strict.String())
 		}
-		if at, is := err.(*toml.DecodeError); is {
+		if at, ok := err.(*toml.DecodeError); ok {
 			row, column := at.Position()
 			return nil, Error.New("line %d, column %d: %v", row, column, at)
 		}
@@ -105,41 +106,41 @@
 			faults.Add(Error.New("%s: %v", key, err))
 		}
 	}
-	check("seeds", q.Seeds, validation.Min(1), validation.Max(100000))
-	check("core.controllers", q.Core.Controllers, validation.Required, validation.Min(1), validation.Max(64))
-	check("core.founders", q.Core.Founders, validation.Required, validation.Min(1), validation.Max(q.Core.Controllers))
-	check("core.length", int64(q.Core.Length), validation.Min(8*S))
-	check("holds", q.Holds, validation.In("always", "never"))
-	check("partner.proxies", q.Partner.Proxies, validation.Min(0), validation.Max(2000))
-	check("partner.controllers", q.Partner.Controllers, validation.Required, validation.Min(1), validation.Max(9))
-	check("partner.length", int64(q.Partner.Length), validation.Min(30*S))
-	check("partner.guard", q.Partner.Guard, validation.In("", federation.WithoutAuthorization, federation.SinglePolicyCheck, federation.OpenByDefault, federation.RetryAfterNarrowing))
-	check("credit.proxies", q.Credit.Proxies, validation.Min(0), validation.Max(2000))
-	check("credit.regions", q.Credit.Regions, validation.Required, validation.Min(1), validation.Max(100))
-	check("credit.guard", q.Credit.Guard, validation.In("", burstcredit.WithoutDeduplication, burstcredit.WithoutEscrowTimeout, burstcredit.WithoutPrecedence))
-	check("mesh.proxies", q.Mesh.Proxies, validation.Min(0), validation.Max(5000))
-	faults.Add(validateFaults("core", q.Core.Faults, coreKinds, q.Core.Length))
-	faults.Add(validateFaults("mesh", q.Mesh.Faults, meshKinds, q.Mesh.Length))
-	faults.Add(q.Run.validate(check))
-	if len(q.Vary) > 2 {
-		faults.Add(Error.New("vary: two things at most"))
+	check("seeds", question.Seeds, validation.Min(1), validation.Max(100000))
+	check("core.controllers", question.Core.Controllers, validation.Required, validation.Min(1), validation.Max(64))
+	check("core.founders", question.Core.Founders, validation.Required, validation.Min(1), validation.Max(question.Core.Controllers))
+	check("core.length", int64(question.Core.Length), validation.Min(8*S))
+	check("holds", question.Holds, validation.In("always", "never"))
+	check("partner.proxies", question.Partner.Proxies, validation.Min(0), validation.Max(2000))
+	check("partner.controllers", question.Partner.Controllers, validation.Required, validation.Min(1), validation.Max(9))
+	check("partner.length", int64(question.Partner.Length), validation.Min(30*S))
+	check("partner.guard", question.Partner.Guard, validation.In("", federation.WithoutAuthorization, federation.SinglePolicyCheck, federation.OpenByDefault, federation.RetryAfterNarrowing))
+	check("credit.proxies", question.Credit.Proxies, validation.Min(0), validation.Max(2000))
+	check("credit.regions", question.Credit.Regions, validation.Required, validation.Min(1), validation.Max(100))
+	check("credit.guard", question.Credit.Guard, validation.In("", burstcredit.WithoutDeduplication, burstcredit.WithoutEscrowTimeout, burstcredit.WithoutPrecedence))
+	check("mesh.proxies", question.Mesh.Proxies, validation.Min(0), validation.Max(5000))
+	faults.Add(validateFaults("core", question.Core.Faults, coreKinds, question.Core.Length))
+	faults.Add(validateFaults("mesh", question.Mesh.Faults, meshKinds, question.Mesh.Length))
+	faults.Add(question.Run.validate(check))
+	if len(question.Vary) > 2 {
+		faults.Add(Error.New("vary: at most two settings may vary"))
 	}
-	return q, faults.Err()
+	return question, faults.Err()
 }
 
-// Row is one line of an answer.
+// Row is one row of an answer.
 type Row struct {
 	Values []string
 	Days   int
-	Broken int    // days on which a rule broke
-	First  string // the first such, with its seed
+	Broken int    // runs with a violation
+	First  string // the first violation, with its seed
 	Shown  []Figure
 }
 
-// Figure is one figure of a row.
+// Figure is one named value of a row.
 type Figure struct{ Name, Value string }
 
-// variations are the questions for each value, or pair of values.
+// variations returns the names of the varied settings and all combinations of their values.
 func (question *Question) variations() (names []string, all [][]any) {
 	for name := range question.Vary {
 		names = append(names, name)
@@ -158,10 +159,10 @@
 	return names, all
 }
 
-// with is the question with values put in.
+// with returns the question with the named settings replaced.
 func (question *Question) with(names []string, values []any) (*Question, error) {
-	out := *question
-	out.Vary = nil
+	varied := *question
+	varied.Vary = nil
 	for n, name := range names {
 		table, key, found := strings.Cut(name, ".")
 		if !found {
@@ -180,22 +181,22 @@
 		if err != nil {
 			return nil, Error.Wrap(err)
 		}
-		if err := toml.NewDecoder(strings.NewReader(string(raw))).DisallowUnknownFields().Decode(&out); err != nil {
+		if err := toml.NewDecoder(strings.NewReader(string(raw))).DisallowUnknownFields().Decode(&varied); err != nil {
 			return nil, Error.New("vary: %s = %v: %v", name, values[n], err)
 		}
 	}
-	return &out, nil
+	return &varied, nil
 }
 
-// Answer plays all rows of a question. progress is told after each, nil for nobody.
+// Answer runs all rows of a question. progress is called after each row; it may be nil.
 func (question *Question) Answer(progress func(done, all int)) (names []string, rows []Row, err error) {
 	names, all := question.variations()
 	for n, values := range all {
-		one, err := question.with(names, values)
+		varied, err := question.with(names, values)
 		if err != nil {
 			return nil, nil, err
 		}
-		row := one.simulateSeeds()
+		row := varied.simulateSeeds()
 		for _, v := range values {
 			row.Values = append(row.Values, fmt.Sprint(v))
 		}
@@ -207,7 +208,7 @@
 	return names, rows, nil
 }
 
-// MeetsExpectation reports whether the rows are as the question says they have to be.
+// MeetsExpectation reports whether the rows agree with Holds.
 func (question *Question) MeetsExpectation(rows []Row) bool {
 	for _, r := range rows {
 		if (r.Broken == 0) != (question.Holds == "always") {
@@ -217,54 +218,54 @@
 	return true
 }
 
-// simulateSeeds plays the days of one row, beside one another; what is shown doesn't depend on how many processors there are.
+// simulateSeeds runs all seeds of one row in parallel. The figures do not depend on the number of processors.
 func (question *Question) simulateSeeds() Row {
 	row := Row{Days: question.Seeds}
-	type played struct {
-		broken []string
-		shown  map[string]float64
-		times  []durations
+	type runSummary struct {
+		violations []string
+		metrics    map[string]float64
+		durations  []durations
 	}
-	days := make([]played, question.Seeds)
+	runs := make([]runSummary, question.Seeds)
 	runParallel(question.Seeds, func(n int) {
 		switch seed := question.Seed + uint64(n); {
 		case question.Partner.Proxies > 0:
-			d := question.Partner.scenario().Simulate(seed)
-			days[n] = played{d.Broken, d.metrics(), nil}
+			result := question.Partner.scenario().Simulate(seed)
+			runs[n] = runSummary{result.Broken, result.metrics(), nil}
 		case question.Credit.Proxies > 0:
-			d := question.Credit.scenario().Simulate(seed)
-			days[n] = played{d.Broken, d.metrics(), nil}
+			result := question.Credit.scenario().Simulate(seed)
+			runs[n] = runSummary{result.Broken, result.metrics(), nil}
 		case question.Mesh.Proxies > 0:
-			d := question.Mesh.scenario().Simulate(seed)
-			days[n] = played{d.Broken, d.metrics(), nil}
+			result := question.Mesh.scenario().Simulate(seed)
+			runs[n] = runSummary{result.Broken, result.metrics(), nil}
 		default:
-			d := question.Core.scenario().Simulate(seed)
-			days[n] = played{d.Broken, d.metrics(), d.durations()}
+			result := question.Core.scenario().Simulate(seed)
+			runs[n] = runSummary{result.Broken, result.metrics(), result.durations()}
 		}
 	})
-	sums, most := map[string]float64{}, map[string]float64{}
+	sums, maxima := map[string]float64{}, map[string]float64{}
 	var all []durations
 	var names []string
-	for n, d := range days {
-		if len(d.broken) > 0 {
+	for n, result := range runs {
+		if len(result.violations) > 0 {
 			if row.Broken++; row.First == "" {
-				row.First = fmt.Sprintf("seed %d: %s", question.Seed+uint64(n), d.broken[0])
+				row.First = fmt.Sprintf("seed %d: %s", question.Seed+uint64(n), result.violations[0])
 			}
 		}
-		for name, v := range d.shown {
-			if _, is := sums[name]; !is {
+		for name, v := range result.metrics {
+			if _, ok := sums[name]; !ok {
 				names = append(names, name)
 			}
 			sums[name] += v
-			most[name] = math.Max(most[name], v)
+			maxima[name] = math.Max(maxima[name], v)
 		}
-		all = appendDurations(all, d.times)
+		all = appendDurations(all, result.durations)
 	}
 	sort.Strings(names)
 	for _, name := range names {
 		v := sums[name] / float64(question.Seeds)
 		if strings.HasPrefix(name, "most ") {
-			v = most[name]
+			v = maxima[name]
 		}
 		row.Shown = append(row.Shown, Figure{name, fmt.Sprintf("%.4g", v)})
 	}
@@ -277,44 +278,44 @@
 	return row
 }
 
-// durations are spans of virtual time of one kind.
+// durations are the measured virtual times of one kind, in nanoseconds.
 type durations struct {
 	name   string
 	values []int64
 }
 
-// appendDurations puts a day's times to those of the days before it.
-func appendDurations(all, day []durations) []durations {
+// appendDurations adds the times of one run to those of the runs before it.
+func appendDurations(all, run []durations) []durations {
 	if all == nil {
-		all = make([]durations, len(day))
+		all = make([]durations, len(run))
 	}
-	for n, t := range day {
+	for n, t := range run {
 		all[n].name, all[n].values = t.name, append(all[n].values, t.values...)
 	}
 	return all
 }
 
-// figures is how they are spread.
-func (t durations) figures() []Figure {
-	slices.Sort(t.values)
-	last := len(t.values) - 1
+// figures returns the median, the 99th percentile and the maximum.
+func (times durations) figures() []Figure {
+	slices.Sort(times.values)
+	last := len(times.values) - 1
 	figure := func(name string, n int) Figure {
 		if last < 0 {
-			return Figure{t.name + " " + name, "-"}
+			return Figure{times.name + " " + name, "-"}
 		}
-		return Figure{t.name + " " + name, time.Duration(t.values[n]).Round(10 * time.Microsecond).String()}
+		return Figure{times.name + " " + name, time.Duration(times.values[n]).Round(10 * time.Microsecond).String()}
 	}
 	return []Figure{figure("median", max(last, 0)/2), figure("p99", last*99/100), figure("worst", last)}
 }
 
-func (d *CoreResult) durations() []durations {
-	return []durations{{"ack", d.Took}, {"repair", d.Repairs}, {"catch-up", d.CatchUps}}
+func (result *CoreResult) durations() []durations {
+	return []durations{{"ack", result.Took}, {"repair", result.Repairs}, {"catch-up", result.CatchUps}}
 }
 
-func (d *CoreResult) metrics() map[string]float64 {
-	return map[string]float64{"acked": float64(d.Acked), "stale": float64(d.Stale), "unclear": float64(d.Unclear), "reads": float64(d.Read),
-		"slots": float64(d.Decided), "adopted": float64(d.Adopted), "handed over": float64(d.HandOver), "excluded": float64(d.Excluded),
-		"resent": float64(d.Resent), "resent unclear": float64(d.Forgot)}
+func (result *CoreResult) metrics() map[string]float64 {
+	return map[string]float64{"acked": float64(result.Acked), "stale": float64(result.Stale), "unclear": float64(result.Unclear), "reads": float64(result.Read),
+		"slots": float64(result.Decided), "adopted": float64(result.Adopted), "handed over": float64(result.HandOver), "excluded": float64(result.Excluded),
+		"resent": float64(result.Resent), "resent unclear": float64(result.Forgot)}
 }
 
 // PrintAnswer writes an answer as a table.
@@ -349,7 +350,7 @@
 	}
 }
 
-// SimulateSeed plays one day of a question as it stands.
+// SimulateSeed runs the question once, without its variations, and returns the result of its scenario.
 func (question *Question) SimulateSeed(seed uint64) any {
 	if question.Partner.Proxies > 0 {
 		return question.Partner.scenario().Simulate(seed)
@@ -363,7 +364,7 @@
 	return question.Core.scenario().Simulate(seed)
 }
 
-// runParallel does something for so many, beside one another.
+// runParallel calls do with 0 to n-1, on as many goroutines as there are processors.
 func runParallel(n int, do func(int)) {
 	next := make(chan int)
 	var wait sync.WaitGroup
--- a/internal/mesh/simulation/core.go
+++ b/internal/mesh/simulation/core.go
@@ -7,49 +7,49 @@
 	"ottershift/internal/mesh/consensus"
 )
 
-// CoreScenario is a day of a core: processes with disks, links between them, operators who change one configuration, and what
-// goes wrong.
+// CoreScenario is a simulated run of the core: controllers with disks, links between them, operators who update one
+// configuration, and faults. Times are virtual, in nanoseconds.
 type CoreScenario struct {
-	Controllers  int   // processes at first
-	Founders     int   // of them, members from the beginning
-	Tolerate     int   // disks that may be lost at once
-	Length       int64 // of the day; what is wrong ends at 7/10 of it
-	CatchUp      int64 // after its return, a machine still counts as lost
+	Controllers  int   // controllers at the start
+	Founders     int   // how many of them are members from the start
+	Tolerate     int   // disks that may be lost at the same time
+	Length       int64 // of the run; faults end at 7/10 of it
+	CatchUp      int64 // how long a machine still counts as lost after its return
 	Grace        int64 // from SIGTERM to SIGKILL
-	RepairWithin int64 // after the end of trouble, the core has to decide again
+	RepairWithin int64 // how soon after the end of the faults the core has to decide again
 	Delay        int64 // of a link, one way
 	Jitter       int64
-	Sync         int64 // of a disk
-	Handling     int64 // of a message, on a machine that is slowed, for each time that it is slower
+	Sync         int64 // of one disk write
+	Handling     int64 // of a message on a slowed machine, multiplied by its slowdown
 	Loss         float64
 
-	Puts        int     // orders that operators give
-	AtOnce      int     // of them, so many at a time on one version
-	Reads       int     // of operators
-	Readers     int     // balancers, each of which knows one process only
-	AnswersLost float64 // share of the answers to operators
-	AnswersLate float64 // share that comes after the operator has gone on to another process
-	Resends     float64 // share of the confirmed orders that are sent again later
-	Remembered  int     // applied changes; 0 for as many as consensus keeps
+	Updates           int     // updates that operators send
+	ConcurrentUpdates int     // how many of them are sent concurrently on the same version
+	Reads             int     // reads by operators
+	Readers           int     // proxies, each of which knows a single controller
+	LostResponses     float64 // share of the responses to operators that are lost
+	LateResponses     float64 // share that arrives after the operator has moved on to another controller
+	Resends           float64 // share of the acknowledged updates that are sent again later
+	RememberedChanges int     // applied changes by which a controller recognizes an update; 0 for as many as consensus keeps
 
 	FaultCounts
-	Faults []Fault // these, in place of so many by chance
+	Faults []Fault // injected instead of the random faults of FaultCounts, unless nil
 
 	DisabledGuards
 }
 
-// FaultCounts are how many faults of each kind a day has.
+// FaultCounts is how many random faults of each kind a run has.
 type FaultCounts struct {
 	Kills       int `toml:"kills"`
 	KillAlls    int `toml:"kill_alls"`
 	PowerLosses int `toml:"power_losses"`
 	PowerAlls   int `toml:"power_alls"`
-	SendPowers  int `toml:"send_powers"` // of all machines, right after an order was sent
+	SendPowers  int `toml:"send_powers"` // all machines, right after an update was sent
 	Wipes       int `toml:"wipes"`
-	AckWipes    int `toml:"ack_wipes"` // of whoever gave an acknowledgement, right after it, while all others lose power
+	AckWipes    int `toml:"ack_wipes"` // of the controller that acknowledged an update, see AckWipe
 	Cuts        int `toml:"cuts"`
-	LinkCuts    int `toml:"link_cuts"` // of one direction of one link
-	LongCuts    int `toml:"long_cuts"` // of 20 s
+	LinkCuts    int `toml:"link_cuts"` // one direction of one link
+	LongCuts    int `toml:"long_cuts"` // for 20 s
 	Refusals    int `toml:"refusals"`
 	Freezes     int `toml:"freezes"`
 	Slows       int `toml:"slows"`
@@ -57,59 +57,58 @@
 	SlowDisks   int `toml:"slow_disks"`
 	ClockSteps  int `toml:"clock_steps"`
 	Terms       int `toml:"terms"`         // SIGTERM; the machine returns with its disk
-	Replaces    int `toml:"replaces"`      // planned: a new machine, then SIGTERM to the old one
-	ReplaceWipe int `toml:"replace_wipes"` // the same; as it has ended, another loses its disk and all others power
+	Replaces    int `toml:"replaces"`      // planned: a new machine joins, then the old one gets SIGTERM
+	ReplaceWipe int `toml:"replace_wipes"` // see ReplaceWipe
 	MachineLoss int `toml:"machine_losses"`
 }
 
-// DisabledGuards are guards left out, to show that what they guard against is seen without them.
+// DisabledGuards selects guards to leave out, to show that the checks detect the faults that they prevent.
 type DisabledGuards struct {
-	FixedPause      bool `toml:"fixed_pause"`      // proposers that overtake one another wait 1 to 40 ms, however long attempts take
-	UnsyncedAck     bool `toml:"unsynced_ack"`     // answers before the sync
-	StrangerVotes   bool `toml:"stranger_votes"`   // a wiped disk under its old identity
+	FixedPause      bool `toml:"fixed_pause"`      // competing proposers wait 1 to 40 ms, regardless of how long attempts take
+	UnsyncedAck     bool `toml:"unsynced_ack"`     // replicas respond before the write is synced
+	StrangerVotes   bool `toml:"stranger_votes"`   // a wiped disk keeps its old identity and vote
 	NoEpoch         bool `toml:"no_epoch"`         // promises are not kept
-	OldRead         bool `toml:"old_read"`         // reads without a majority
-	LocalAnswers    bool `toml:"local_answers"`    // without contact to a majority, answers from what is known here
-	RefuseForgotten bool `toml:"refuse_forgotten"` // refuses orders that reach back beyond what is remembered
-	EarlyMembership bool `toml:"early_membership"` // a change of members is done before the new member holds the state
-	LeaveFirst      bool `toml:"leave_first"`      // a member that leaves ends first, and others copy after
-	LateLease       bool `toml:"late_lease"`       // how old a majority's word is counts from its answers
+	OldRead         bool `toml:"old_read"`         // reads do not ask a majority
+	LocalAnswers    bool `toml:"local_answers"`    // a controller without contact to a majority responds from its local state
+	RefuseForgotten bool `toml:"refuse_forgotten"` // rejects updates that may have been applied and forgotten
+	EarlyMembership bool `toml:"early_membership"` // a membership change is done before the new member holds the state
+	LeaveFirst      bool `toml:"leave_first"`      // a leaving member ends before its successor holds the state
+	LateLease       bool `toml:"late_lease"`       // a majority confirmation is dated from its responses
 }
 
-// CoreResult is what came of one.
+// CoreResult is the result of a run of a CoreScenario. Times are in nanoseconds.
 type CoreResult struct {
-	Broken   []string // rules, in the order in which they were seen to break
+	Broken   []string // violations, in the order in which they were detected
 	Acked    int
 	Stale    int
 	Unclear  int
 	Read     int
-	Resent   int     // confirmed orders that were sent again and confirmed again
-	Forgot   int     // of them, left without a clear answer
-	Watched  int     // answers to balancers that were told to be current
-	Took     []int64 // of changes that were acknowledged
-	Repairs  []int64 // from the end of trouble to the next decision
-	CatchUps []int64 // from the start of a process to the newest state of then on its disk
+	Resent   int     // acknowledged updates that were sent again and acknowledged again
+	Forgot   int     // acknowledged updates that were sent again and got no clear response
+	Watched  int     // responses to proxies that declared their configuration current
+	Took     []int64 // from call to acknowledgement, for each acknowledged update
+	Repairs  []int64 // from the end of the faults to the next decision
+	CatchUps []int64 // from the start of a process until its disk holds the state that was newest at that time
 	Decided  uint64  // slots
 	Adopted  int
-	HandOver int // planned leaves with the state handed over
+	HandOver int // planned departures with a completed handover
 	History  []Op
-	Excluded int  // faults that Tolerate did not allow at their time
-	Unjudged bool // its history could not be held against a register in time
-	Fewest   int  // disks that ever held the newest acknowledged version, 0 where none was lost
+	Excluded int  // faults that were skipped, as Tolerate did not allow them at that time
+	Unjudged bool // checking the history for linearizability timed out
+	Fewest   int  // fewest disks that held the newest acknowledged version, 0 if not measured
 }
 
-// Op is a call of an operator and what it was told, for those who check histories. An order that is sent again is the same
-// call.
+// Op is a call of an operator and its result, for history checkers. An update that is sent again is the same call.
 type Op struct {
 	Client     int
 	Read       bool
-	On, Put    int64 // a change from one version to another
-	Got        int64 // what a read returned
-	OK, Stale  bool  // neither: nobody knows
+	On, Put    int64 // a change from version On to version Put
+	Got        int64 // the version that a read returned
+	OK, Stale  bool  // neither: the result is unknown
 	Call, Back int64
 }
 
-// coreSimulation is a day as it is played.
+// coreSimulation is the state of a run.
 type coreSimulation struct {
 	*Simulator
 	CoreScenario
@@ -118,19 +117,20 @@
 	diskRand        *rand.Rand
 	processes       []*coreProcess
 	byAddress       map[string]*coreProcess
-	linkCuts        map[link]int64 // until then
+	linkCuts        map[link]int64 // end of the cut of each link
 	initialState    *consensus.State
-	disksCreated    int // identities of disks
+	disksCreated    int // counts disk identities
 	oracle          oracle
 	triggeredFaults triggeredFaults
 
 	faultsUntil int64
 }
 
-// faultFreeStart is how long nothing goes wrong at first: a core that is to bear the loss of two grows from its three founders.
+// faultFreeStart is how long a run has no faults at first. A core that has to tolerate the loss of two disks grows
+// from its three founders in that time.
 const faultFreeStart = 4 * S
 
-// Simulate plays one day.
+// Simulate runs the scenario once.
 func (scenario CoreScenario) Simulate(seed uint64) *CoreResult {
 	sim := newCoreWorld(scenario, seed)
 	sim.startInitialProcesses()
@@ -149,7 +149,7 @@
 	return sim
 }
 
-// startInitialProcesses makes the processes of the first start.
+// startInitialProcesses starts the controllers, the founders with the initial state on their disks.
 func (sim *coreSimulation) startInitialProcesses() {
 	var founders []string
 	for n := range sim.Founders {
@@ -165,7 +165,7 @@
 	}
 }
 
-// newEmptyDisk is a disk that has nothing on it, under an identity of its own.
+// newEmptyDisk returns an empty disk with a new identity.
 func (sim *coreSimulation) newEmptyDisk(machine int) *consensus.Replica {
 	sim.disksCreated++
 	return &consensus.Replica{ID: fmt.Sprintf("disk-%d-%d", machine, sim.disksCreated), Decided: &consensus.State{}}
@@ -173,7 +173,7 @@
 
 func address(n int) string { return fmt.Sprintf("10.0.0.%d:1", n) }
 
-// reportViolation notes a broken rule.
+// reportViolation records a violated rule.
 func (sim *coreSimulation) reportViolation(format string, args ...any) {
 	sim.result.Broken = append(sim.result.Broken, fmt.Sprintf("%.3fs ", float64(sim.Now)/1e9)+fmt.Sprintf(format, args...))
 }
--- a/internal/mesh/simulation/core_calls.go
+++ b/internal/mesh/simulation/core_calls.go
@@ -1,19 +1,19 @@
 package simulation
 
-// call is an operator's call: to one process, and after silence, a refused connection or an unclear answer to the next,
-// with the same words. Answers that come late count all the same.
+// call is an operator's call. It goes to one controller; after a timeout, a refused connection or an unclear response
+// it goes to the next one with the same content. Late responses count as well.
 type call struct {
 	sim         *coreSimulation
 	first       int
-	maxAttempts int // so many at most
+	maxAttempts int // on controllers
 	attempts    int
 	done        bool
-	handle      func(b *coreProcess, respond func(callResponse))
-	onResponse  func(callResponse) // each clear answer
-	onEnd       func()             // with a clear answer or without
+	handle      func(proc *coreProcess, respond func(callResponse))
+	onResponse  func(callResponse) // called with each clear response
+	onEnd       func()             // called once, with or without a clear response
 }
 
-// tryNext calls the next process.
+// tryNext calls the next controller.
 func (call *call) tryNext() {
 	if call.done {
 		return
@@ -26,23 +26,23 @@
 	listed := call.sim.listedProcesses()
 	proc := listed[(call.first+call.attempts)%len(listed)]
 	call.attempts++
-	left := false
-	leave := func() {
-		if !left {
-			left = true
+	movedOn := false
+	moveOn := func() {
+		if !movedOn {
+			movedOn = true
 			call.sim.After(callPause, call.tryNext)
 		}
 	}
-	call.sim.After(callTimeout, leave)
+	call.sim.After(callTimeout, moveOn)
 	call.sim.After(call.sim.Delay, func() {
-		call.sim.arrive(message{to: proc, deliver: func() { call.deliver(proc, leave) }, refused: leave})
+		call.sim.arrive(message{to: proc, deliver: func() { call.deliver(proc, moveOn) }, refused: moveOn})
 	})
 }
 
-// processListDelay is how late operators' list of processes is.
+// processListDelay is how long operators still list a controller that is gone.
 const processListDelay = 3 * S
 
-// listedProcesses are the processes that operators know of.
+// listedProcesses returns the controllers that operators know.
 func (sim *coreSimulation) listedProcesses() []*coreProcess {
 	all := make([]*coreProcess, 0, len(sim.processes))
 	for _, proc := range sim.processes {
@@ -53,37 +53,37 @@
 	return all
 }
 
-// deliver is the call at a process; its answer may get lost or come late.
-func (call *call) deliver(proc *coreProcess, leave func()) {
-	came := call.sim.Now
-	call.handle(proc, func(a callResponse) {
-		if a.responseStatus != statusUnknown {
-			call.sim.observeResponse(proc, came, a.String())
+// deliver runs the call at a controller. The response may be lost or late.
+func (call *call) deliver(proc *coreProcess, moveOn func()) {
+	arrivedAt := call.sim.Now
+	call.handle(proc, func(response callResponse) {
+		if response.responseStatus != statusUnknown {
+			call.sim.observeResponse(proc, arrivedAt, response.String())
 		}
-		later := call.sim.Delay
-		switch chance := call.sim.networkRand.Float64(); {
-		case chance < call.sim.AnswersLost:
+		delay := call.sim.Delay
+		switch draw := call.sim.networkRand.Float64(); {
+		case draw < call.sim.LostResponses:
 			return
-		case chance < call.sim.AnswersLost+call.sim.AnswersLate:
-			later += minLateResponse + int64(call.sim.networkRand.Float64()*float64(maxLateResponse-minLateResponse))
+		case draw < call.sim.LostResponses+call.sim.LateResponses:
+			delay += minLateResponse + int64(call.sim.networkRand.Float64()*float64(maxLateResponse-minLateResponse))
 		}
-		call.sim.After(later, func() { call.receive(a, leave) })
+		call.sim.After(delay, func() { call.receive(response, moveOn) })
 	})
 }
 
-func (call *call) receive(a callResponse, leave func()) {
-	if a.responseStatus == statusUnknown {
-		leave()
+func (call *call) receive(response callResponse, moveOn func()) {
+	if response.responseStatus == statusUnknown {
+		moveOn()
 		return
 	}
-	call.onResponse(a)
+	call.onResponse(response)
 	if !call.done {
 		call.done = true
 		call.onEnd()
 	}
 }
 
-// String is what a process did to the call.
+// String returns what a controller did with the call, as a verb for violation messages.
 func (status responseStatus) String() string {
 	return [...]string{statusUnknown: "left open", statusAccepted: "confirmed", statusRejected: "refused"}[status]
 }
--- a/internal/mesh/simulation/core_closing.go
+++ b/internal/mesh/simulation/core_closing.go
@@ -13,17 +13,17 @@
 	finalReadAttempts = 8
 )
 
-// catchUp is how a process comes back to what was decided when it started.
+// catchUp tracks how a started process catches up with the state that was newest at its start.
 type catchUp struct {
 	pending bool
 	target  uint64
 }
 
-// beginCatchUp starts the clock of a process that has started.
+// beginCatchUp starts the catch-up deadline of a process that has started.
 func (sim *coreSimulation) beginCatchUp(proc *coreProcess) {
 	proc.catchUp = catchUp{pending: true, target: sim.oracle.newestIndex}
 	if sim.oracle.newestIndex == 0 {
-		proc.catchUp.pending = false // the first start
+		proc.catchUp.pending = false // the initial start
 		return
 	}
 	if proc.disk.Decided.Index >= proc.catchUp.target {
@@ -33,12 +33,12 @@
 	started := sim.Now
 	sim.after(proc, sim.CatchUp, func() {
 		if proc.catchUp.pending && sim.faultsUntil <= started {
-			sim.reportViolation("catch-up: process %d is behind %v after its start, with no trouble", proc.number, time.Duration(sim.CatchUp))
+			sim.reportViolation("catch-up: process %d has not caught up %v after its start, without faults", proc.number, time.Duration(sim.CatchUp))
 		}
 	})
 }
 
-// noteCatchUp is called with each write that reaches the disk.
+// noteCatchUp is called after each write that reaches the disk.
 func (sim *coreSimulation) noteCatchUp(proc *coreProcess) {
 	if proc.catchUp.pending && proc.disk.Decided.Index >= proc.catchUp.target {
 		proc.catchUp.pending = false
@@ -46,7 +46,7 @@
 	}
 }
 
-// extendFaultPeriod notes that something is wrong until some time, after which the core has to decide again.
+// extendFaultPeriod records that a fault lasts until a given time, after which the core has to decide again.
 func (sim *coreSimulation) extendFaultPeriod(until int64) {
 	if until <= sim.faultsUntil {
 		return
@@ -59,30 +59,30 @@
 	})
 }
 
-// repair is a core that is to decide again after trouble.
+// repair measures how soon the core decides again after faults.
 type repair struct {
 	sim   *coreSimulation
-	since int64 // the end of the trouble
+	since int64 // end of the faults
 	done  bool
 }
 
-// awaitRepair has the core decide something, at one process after the other, and notes how long that took since the end of
-// trouble. Where there is new trouble it doesn't count.
+// awaitRepair has one controller after the other propose a change, and records how long after the end of the faults
+// one is decided. A new fault ends the measurement.
 func (sim *coreSimulation) awaitRepair(since int64) {
-	r := &repair{sim: sim, since: since}
-	r.probe(sim.networkRand.IntN(len(sim.processes)))
+	repair := &repair{sim: sim, since: since}
+	repair.probe(sim.networkRand.IntN(len(sim.processes)))
 	sim.After(sim.RepairWithin, func() {
-		if r.expected() {
-			sim.reportViolation("no repair: nothing is decided %v after the end of trouble", time.Duration(sim.RepairWithin))
+		if repair.expected() {
+			sim.reportViolation("no repair: no decision within %v after the end of the faults", time.Duration(sim.RepairWithin))
 		}
-		r.done = true
+		repair.done = true
 	})
 }
 
-// expected reports whether the core is still to decide, and nothing new is wrong.
+// expected reports whether a decision is still awaited and no new fault has been injected.
 func (repair *repair) expected() bool { return !repair.done && repair.sim.faultsUntil == repair.since }
 
-// probe has a process decide something new that is no order, and after it the next.
+// probe has a controller propose a change that is not an operator's update, and afterwards the next controller.
 func (repair *repair) probe(n int) {
 	if !repair.expected() {
 		return
@@ -93,11 +93,11 @@
 		next()
 		return
 	}
-	count := func(s *consensus.State) (*consensus.State, error) {
-		return s.WithBalancerCount(s.BalancerCount + 1), nil
+	change := func(state *consensus.State) (*consensus.State, error) {
+		return state.WithBalancerCount(state.BalancerCount + 1), nil
 	}
-	sim.propose(proc, probeTimeout, count, func(o outcome) {
-		if o.decided && repair.expected() {
+	sim.propose(proc, probeTimeout, change, func(result outcome) {
+		if result.decided && repair.expected() {
 			repair.done = true
 			sim.result.Repairs = append(sim.result.Repairs, sim.Now-repair.since)
 		}
@@ -105,8 +105,8 @@
 	})
 }
 
-// checkEnd looks, with everything mended, whether the core is whole, bears another lost disk, and has what was
-// acknowledged.
+// checkEnd checks, without any faults, that the core recovers, tolerates the loss of another disk, and still has all
+// acknowledged updates.
 func (sim *coreSimulation) checkEnd() {
 	sim.RunUntil(max(sim.Now, sim.faultsUntil) + max(sim.CatchUp, sim.RepairWithin))
 	sim.Loss = 0
@@ -119,7 +119,7 @@
 	sim.checkHistory()
 }
 
-// checkDiskLoss takes a member's disk: with nothing else wrong it is back, and the core whole, after CatchUp.
+// checkDiskLoss wipes the disk of one member. Without other faults it is back, and the core complete, after CatchUp.
 func (sim *coreSimulation) checkDiskLoss() {
 	newest := sim.oracle.decided[sim.oracle.newestIndex]
 	if newest == nil {
@@ -132,27 +132,27 @@
 	for _, m := range newest.Core {
 		proc := sim.byAddress[m.Address]
 		if !proc.up || proc.memory.ID != m.ID {
-			sim.reportViolation("not whole: member %s is away %v after the last disk that was lost", m.ID, time.Duration(sim.CatchUp))
+			sim.reportViolation("not whole: member %s has not returned %v after the last disk loss", m.ID, time.Duration(sim.CatchUp))
 		}
 	}
 }
 
 func (sim *coreSimulation) checkFinalRead() {
-	answered := false
-	for n := 0; n < finalReadAttempts && !answered; n++ {
+	responded := false
+	for n := 0; n < finalReadAttempts && !responded; n++ {
 		proc := sim.processes[n%len(sim.processes)]
 		if !proc.up {
 			continue
 		}
-		sim.readNewest(proc, func(o outcome) {
-			if o.decided && !answered {
-				answered = true
-				sim.checkNewestState(o.state)
+		sim.readNewest(proc, func(result outcome) {
+			if result.decided && !responded {
+				responded = true
+				sim.checkNewestState(result.state)
 			}
 		})
 		sim.RunUntil(sim.Now + 2*S)
 	}
-	if !answered {
-		sim.reportViolation("no answer: a core that has all it needs does not read")
+	if !responded {
+		sim.reportViolation("no answer: the core does not respond to reads although no fault is left")
 	}
 }
--- a/internal/mesh/simulation/core_fault_draws.go
+++ b/internal/mesh/simulation/core_fault_draws.go
@@ -2,14 +2,14 @@
 
 import "math/rand/v2"
 
-// faultDraw is so many faults of some kinds, each between least and least+spread milliseconds long.
+// faultDraw is a number of random faults of the given kinds, each between least and least+spread milliseconds long.
 type faultDraw struct {
 	count         int
 	kinds         []string
 	least, spread int
 }
 
-// faultDraws are what a day's counts ask for.
+// faultDraws returns the draws for the counts. A kind that is listed twice is twice as likely.
 func (t FaultCounts) faultDraws() []faultDraw {
 	return []faultDraw{
 		{t.Kills, []string{Kill}, 200, 3000},
@@ -33,7 +33,7 @@
 	}
 }
 
-// drawFaults are the faults of a day, by chance from how many of each there are to be.
+// drawFaults returns random faults, as many of each kind as FaultCounts says.
 func (scenario CoreScenario) drawFaults(rng *rand.Rand) (all []Fault) {
 	last := scenario.Length * 7 / 10
 	for _, of := range scenario.FaultCounts.faultDraws() {
@@ -45,11 +45,11 @@
 			all = append(all, f)
 		}
 	}
-	all = append(all, scenario.drawTriggeredFaults(AckWipe, scenario.AckWipes, max(scenario.Puts/2, 1), rng)...)
-	return append(all, scenario.drawTriggeredFaults(SendPower, scenario.SendPowers, max(scenario.Puts*3/4, 1), rng)...)
+	all = append(all, scenario.drawTriggeredFaults(AckWipe, scenario.AckWipes, max(scenario.Updates/2, 1), rng)...)
+	return append(all, scenario.drawTriggeredFaults(SendPower, scenario.SendPowers, max(scenario.Updates*3/4, 1), rng)...)
 }
 
-// drawTriggeredFaults are faults that come upon the nth event of the day, one each.
+// drawTriggeredFaults returns faults that are triggered by the nth event of the run, at most one for each event.
 func (scenario CoreScenario) drawTriggeredFaults(kind string, count, events int, rng *rand.Rand) (all []Fault) {
 	drawn := map[int]bool{}
 	for range count {
--- a/internal/mesh/simulation/core_faults.go
+++ b/internal/mesh/simulation/core_faults.go
@@ -5,62 +5,65 @@
 const (
 	slowMachineFactor = 40
 	slowDiskFactor    = 30
-	restartStagger    = 90 * Ms // where all go down, each comes back so much later than the one before
+	restartStagger    = 90 * Ms // when all machines go down, each returns this much later than the one before
 )
 
-// triggeredFaults are faults that come upon an event of the day.
+// triggeredFaults are the faults that an event of the run triggers, by the number of the event.
 type triggeredFaults struct {
-	sim               *coreSimulation
-	afterConfirmation map[int]Fault
-	afterOrder        map[int]Fault
-	confirmationCount int
+	sim                  *coreSimulation
+	afterAcknowledgement map[int]Fault
+	afterUpdate          map[int]Fault
+	acknowledgements     int
 }
 
-// scheduleFaults does what goes wrong. Disks are lost within what is to be borne at once, everything else as it comes.
+// scheduleFaults schedules the given or random faults. Disk losses are limited to what Tolerate allows at the same
+// time; other faults are not limited.
 func (sim *coreSimulation) scheduleFaults() {
 	faults := sim.Faults
 	if faults == nil {
 		faults = sim.drawFaults(sim.Rand("trouble"))
 	}
-	sim.triggeredFaults = triggeredFaults{sim: sim, afterConfirmation: map[int]Fault{}, afterOrder: map[int]Fault{}}
+	sim.triggeredFaults = triggeredFaults{sim: sim, afterAcknowledgement: map[int]Fault{}, afterUpdate: map[int]Fault{}}
 	for _, f := range faults {
 		switch f.Kind {
 		case AckWipe:
-			sim.triggeredFaults.afterConfirmation[f.After] = f
+			sim.triggeredFaults.afterAcknowledgement[f.After] = f
 		case SendPower:
-			sim.triggeredFaults.afterOrder[f.After] = f
+			sim.triggeredFaults.afterUpdate[f.After] = f
 		default:
 			sim.After(int64(f.At), func() { sim.inject(f) })
 		}
 	}
 }
 
-// allowed reports whether trouble may come now.
+// allowed reports whether faults may be injected now.
 func (faults *triggeredFaults) allowed() bool {
 	return faults.sim.Now >= faultFreeStart && faults.sim.Now <= faults.sim.Length*7/10
 }
 
-// confirmed is called with each confirmation as it leaves a process.
-func (faults *triggeredFaults) confirmed(by *coreProcess) {
-	faults.confirmationCount++
-	f, is := faults.afterConfirmation[faults.confirmationCount]
-	if !is || !faults.allowed() {
+// acknowledgementSent is called with each acknowledgement as it leaves a controller. An AckWipe fault wipes the disks of that
+// controller and of as many others as Tolerate allows, while all others lose power.
+func (faults *triggeredFaults) acknowledgementSent(proc *coreProcess) {
+	faults.acknowledgements++
+	f, ok := faults.afterAcknowledgement[faults.acknowledgements]
+	if !ok || !faults.allowed() {
 		return
 	}
 	sim := faults.sim
 	sim.After(sim.Delay+Ms/4, func() {
-		if sim.lost() > 0 || !by.up {
+		if sim.lost() > 0 || !proc.up {
 			sim.result.Excluded++
 			return
 		}
-		for _, victim := range sim.chooseWiped(by) {
+		for _, victim := range sim.chooseWiped(proc) {
 			sim.stop(victim, int64(f.For), outage{wipe: true, power: true})
 		}
-		sim.stopAllExcept(by, 200*Ms+int64(f.For)/2, outage{power: true})
+		sim.stopAllExcept(proc, 200*Ms+int64(f.For)/2, outage{power: true})
 	})
 }
 
-// chooseWiped is whose disks are lost together with one: as many as may be borne, the others drawn from the core.
+// chooseWiped returns the processes whose disks are lost together with that of first: as many as Tolerate allows, the
+// others drawn from the core.
 func (sim *coreSimulation) chooseWiped(first *coreProcess) []*coreProcess {
 	victims := []*coreProcess{first}
 	core := sim.newestCore()
@@ -75,10 +78,10 @@
 	return victims
 }
 
-// sent is called with each order as it is given; what follows comes within the time that it takes to be decided.
-func (faults *triggeredFaults) sent(order int) {
-	f, is := faults.afterOrder[order]
-	if !is || !faults.allowed() {
+// updateSent is called with each update as it is sent. Its fault comes within the time that a decision takes.
+func (faults *triggeredFaults) updateSent(number int) {
+	f, ok := faults.afterUpdate[number]
+	if !ok || !faults.allowed() {
 		return
 	}
 	sim := faults.sim
@@ -86,14 +89,14 @@
 	sim.After(soon, func() { sim.stopAllExcept(nil, int64(f.For), outage{power: true}) })
 }
 
-// inject has one fault happen.
-func (sim *coreSimulation) inject(f Fault) {
-	proc, length := sim.processes[f.Who%len(sim.processes)], int64(f.For)
+// inject injects one fault.
+func (sim *coreSimulation) inject(fault Fault) {
+	proc, length := sim.processes[fault.Who%len(sim.processes)], int64(fault.For)
 	if proc.retired {
 		sim.result.Excluded++
 		return
 	}
-	switch f.Kind {
+	switch fault.Kind {
 	case Kill:
 		sim.stop(proc, length, outage{fate: sim.drawFate()})
 	case KillAll:
@@ -103,22 +106,22 @@
 	case PowerAll:
 		sim.stopAllExcept(nil, length, outage{power: true})
 	case Wipe, WipeAlone:
-		sim.wipe(proc, length, f.Kind == WipeAlone)
+		sim.wipe(proc, length, fault.Kind == WipeAlone)
 	case Term:
 		sim.restartGracefully(proc, length)
 	case Replace, ReplaceBack, ReplaceWipe:
-		sim.replace(proc, f)
+		sim.replace(proc, fault)
 	case MachineLoss:
 		sim.loseMachine(proc, length)
 	case ClockStep:
 		proc.wallClockOffset += length - 5*S
 	default:
 		sim.markLost(proc, length)
-		sim.impair(proc, f.Kind, sim.Now+length)
+		sim.impair(proc, fault.Kind, sim.Now+length)
 	}
 }
 
-// impair has a process go on with something in its way.
+// impair applies a fault that a process survives.
 func (sim *coreSimulation) impair(proc *coreProcess, kind string, until int64) {
 	switch kind {
 	case Cut, CutOff, CutDeaf:
@@ -151,7 +154,7 @@
 	}
 }
 
-// markLost notes that a machine counts as lost for a while, and for CatchUp after.
+// markLost counts a machine as lost for the duration of its fault, and for CatchUp afterwards.
 func (sim *coreSimulation) markLost(proc *coreProcess, length int64) {
 	proc.lostUntil = max(proc.lostUntil, sim.Now+length+sim.CatchUp)
 	sim.extendFaultPeriod(sim.Now + length)
@@ -159,17 +162,17 @@
 
 // outage is how a process ends.
 type outage struct {
-	wipe  bool // its disk is lost
-	power bool // its machine says nothing
+	wipe  bool // the disk is lost
+	power bool // the machine loses power and does not respond
 	fate  unsyncedFate
 }
 
-// stop takes a process away for a while.
-func (sim *coreSimulation) stop(proc *coreProcess, length int64, how outage) {
+// stop ends a process and starts it again later.
+func (sim *coreSimulation) stop(proc *coreProcess, length int64, outage outage) {
 	if !proc.up {
 		return
 	}
-	sim.endIncarnation(proc, how)
+	sim.endIncarnation(proc, outage)
 	sim.markLost(proc, length)
 	sim.After(length, func() {
 		if !proc.retired {
@@ -179,13 +182,13 @@
 	sim.observeFewest()
 }
 
-// endIncarnation ends a life.
-func (sim *coreSimulation) endIncarnation(proc *coreProcess, how outage) {
-	sim.discardWrites(proc, how.fate)
-	proc.up, proc.powered = false, !how.power
+// endIncarnation ends the current run of a process.
+func (sim *coreSimulation) endIncarnation(proc *coreProcess, outage outage) {
+	sim.discardWrites(proc, outage.fate)
+	proc.up, proc.powered = false, !outage.power
 	proc.incarnation++
 	proc.catchUp.pending = false
-	if how.wipe {
+	if outage.wipe {
 		sim.wipeDisk(proc)
 	}
 }
@@ -193,22 +196,22 @@
 func (sim *coreSimulation) wipeDisk(proc *coreProcess) {
 	before := proc.disk.ID
 	proc.disk = sim.newEmptyDisk(proc.number)
-	if sim.StrangerVotes { // it takes itself for the founder that it was
+	if sim.StrangerVotes { // it keeps its founder identity
 		proc.disk.ID, proc.disk.Decided = before, sim.initialState
 	}
 }
 
-// stopAllExcept takes all but one away, or all, each for a little longer than the one before.
-func (sim *coreSimulation) stopAllExcept(but *coreProcess, length int64, how outage) {
-	how.fate = sim.drawFate()
+// stopAllExcept stops all processes but one, or all if it is nil. Each returns a little later than the one before.
+func (sim *coreSimulation) stopAllExcept(except *coreProcess, length int64, outage outage) {
+	outage.fate = sim.drawFate()
 	for n, proc := range sim.processes {
-		if proc != but {
-			sim.stop(proc, length+int64(n)*restartStagger, how)
+		if proc != except {
+			sim.stop(proc, length+int64(n)*restartStagger, outage)
 		}
 	}
 }
 
-// wipe takes a machine and its disk, where that may be borne.
+// wipe stops a machine and wipes its disk, if Tolerate allows it.
 func (sim *coreSimulation) wipe(proc *coreProcess, length int64, othersLosePower bool) {
 	if sim.lost() >= sim.Tolerate || !proc.up {
 		sim.result.Excluded++
@@ -220,7 +223,7 @@
 	}
 }
 
-// lost counts the machines that count as lost.
+// lost counts the machines that currently count as lost.
 func (sim *coreSimulation) lost() (n int) {
 	for _, proc := range sim.processes {
 		if sim.Now < proc.lostUntil || !proc.up && !proc.retired {
@@ -230,10 +233,10 @@
 	return n
 }
 
-// newestCore is the core as it was last seen decided.
+// newestCore returns the members of the core in the newest decided state.
 func (sim *coreSimulation) newestCore() []consensus.Member {
-	if s := sim.oracle.decided[sim.oracle.newestIndex]; s != nil {
-		return s.Core
+	if state := sim.oracle.decided[sim.oracle.newestIndex]; state != nil {
+		return state.Core
 	}
 	return sim.initialState.Core
 }
--- a/internal/mesh/simulation/core_history.go
+++ b/internal/mesh/simulation/core_history.go
@@ -6,17 +6,18 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// historyTimeout is of the real clock. A history of many calls of which nobody knows the end can take for ever to search.
+// historyTimeout is wall-clock time. Without it, checking a history with many calls of unknown result can take
+// practically forever.
 const historyTimeout = 2 * time.Second
 
-// register is one version that changes only from what the change was made on. A change of which nobody knows the end has
-// happened, or not, at any time after it was called.
+// register models one version that a compare-and-set changes. A change with an unknown result may take effect at any
+// time after its call, or never.
 var register = (&porcupine.NondeterministicModel{
 	Init: func() []any { return []any{int64(0)} },
 	Step: func(state, input, _ any) []any { return stepRegister(state.(int64), input.(Op)) },
 }).ToModel()
 
-// stepRegister is what the register may hold after a call, nothing where the call can't have ended so.
+// stepRegister returns the versions that are possible after a call, none if the call cannot have had its result.
 func stepRegister(version int64, op Op) []any {
 	onTop := version == op.On
 	switch {
@@ -32,7 +33,7 @@
 	return []any{version}
 }
 
-// checkHistory holds the calls of the operators, as they saw them, against one register.
+// checkHistory checks that the operators' calls are linearizable on one register.
 func (sim *coreSimulation) checkHistory() {
 	var calls []porcupine.Operation
 	for _, op := range sim.result.History {
--- a/internal/mesh/simulation/core_maintenance.go
+++ b/internal/mesh/simulation/core_maintenance.go
@@ -7,30 +7,30 @@
 	"ottershift/internal/mesh/consensus"
 )
 
-// pendingSettleDelay is how long something stands undecided before the first process in the agreed order settles it; each next one
-// waits as much longer.
+// pendingSettleDelay is how long an accepted value may stay undecided before the first process by duty rank settles
+// it. Each following rank waits that much longer.
 const pendingSettleDelay = 150 * Ms
 
-// maintain is what a process does by itself four times a second: tell the others of itself, look where the core stands,
-// settle what hangs, keep the core whole.
+// maintain is the periodic work of a controller: gossip, compare its state with a majority, settle pending values,
+// and replace lost members.
 func (sim *coreSimulation) maintain(proc *coreProcess) {
 	sim.gossip(proc)
-	s := proc.memory.Decided
-	if len(s.Core) == 0 {
+	state := proc.memory.Decided
+	if len(state.Core) == 0 {
 		return
 	}
-	asked := sim.Now
-	read, request := consensus.NewMajorityRead(s)
-	sim.broadcast(proc, s, request, readTimeout, func(response consensus.Response) bool {
+	askedAt := sim.Now
+	read, request := consensus.NewMajorityRead(state)
+	sim.broadcast(proc, state, request, readTimeout, func(response consensus.Response) bool {
 		if !read.HandleResponse(response) {
 			return false
 		}
-		sim.afterRead(proc, s, read, asked)
+		sim.afterRead(proc, state, read, askedAt)
 		return true
 	}, func() {})
 }
 
-// gossip tells the others that this process is there, and what is decided to who is behind.
+// gossip announces the process to the others, and sends the decided state to those that are behind.
 func (sim *coreSimulation) gossip(proc *coreProcess) {
 	self, index, leaving := proc.member(), proc.memory.Decided.Index, proc.leaving
 	for _, to := range sim.processes {
@@ -46,14 +46,14 @@
 	}
 }
 
-// afterRead acts on what a majority has said of the state.
-func (sim *coreSimulation) afterRead(proc *coreProcess, s *consensus.State, read *consensus.MajorityRead, asked int64) {
+// afterRead acts on the result of a majority read.
+func (sim *coreSimulation) afterRead(proc *coreProcess, state *consensus.State, read *consensus.MajorityRead, askedAt int64) {
 	if ahead := read.Ahead(); ahead != nil {
 		sim.learn(proc, ahead)
 		return
 	}
 	if read.Newest() {
-		proc.confirmedAt = max(proc.confirmedAt, asked)
+		proc.confirmedAt = max(proc.confirmedAt, askedAt)
 		if sim.LateLease {
 			proc.confirmedAt = sim.Now
 		}
@@ -66,17 +66,17 @@
 	if proc.changing {
 		return
 	}
-	rank := s.DutyRank(proc.memory.ID, sim.peerStatuses(proc))
+	rank := state.DutyRank(proc.memory.ID, sim.peerStatuses(proc))
 	switch {
 	case proc.pendingSince > 0 && sim.Now-proc.pendingSince > pendingSettleDelay*int64(1+rank):
 		proc.changing = true
 		sim.propose(proc, membershipTimeout, noChange, func(outcome) { proc.changing = false })
 	case rank == 0 && !proc.leaving:
-		sim.maintainMembership(proc, s)
+		sim.maintainMembership(proc, state)
 	}
 }
 
-// notePending notes since when something has stood accepted that nobody is known to have decided.
+// notePending records since when an accepted value is not known to be decided.
 func (proc *coreProcess) notePending(pending bool, now int64) {
 	switch {
 	case !pending:
@@ -86,8 +86,8 @@
 	}
 }
 
-// peerStatuses are the other processes as a process has heard of them, in the order of their addresses. Who leaves and is
-// no member is as good as gone.
+// peerStatuses returns the other processes as this process last heard of them, ordered by address. A leaving process
+// that is no member counts as gone.
 func (sim *coreSimulation) peerStatuses(proc *coreProcess) []consensus.PeerStatus {
 	others := make([]consensus.PeerStatus, 0, len(proc.peers))
 	for _, p := range proc.peers {
--- a/internal/mesh/simulation/core_membership.go
+++ b/internal/mesh/simulation/core_membership.go
@@ -7,27 +7,28 @@
 )
 
 const (
-	storedCheckInterval   = 100 * Ms // between two askings whether a state is held
+	storedCheckInterval   = 100 * Ms // between two requests whether a state is stored
 	handOverRetryInterval = 100 * Ms // between two attempts of a leaving process to find a successor
 )
 
-// maintainMembership has the core take in who is to make it whole.
-func (sim *coreSimulation) maintainMembership(proc *coreProcess, s *consensus.State) {
-	wanted, is := s.PlanMembership(proc.member(), sim.peerStatuses(proc), sim.Now-proc.startedAt)
-	if !is {
+// maintainMembership carries out the membership change that the state's plan asks for, if any.
+func (sim *coreSimulation) maintainMembership(proc *coreProcess, state *consensus.State) {
+	change, ok := state.PlanMembership(proc.member(), sim.peerStatuses(proc), sim.Now-proc.startedAt)
+	if !ok {
 		return
 	}
 	proc.changing = true
-	sim.changeMembership(proc, s, wanted, func(bool) { proc.changing = false })
+	sim.changeMembership(proc, state, change, func(bool) { proc.changing = false })
 }
 
-// changeMembership carries a change of members out: a quorum holds what the last change led to, and the new member the
-// state, before it is proposed; it is done when the new member and a quorum of the new core hold what was decided.
-func (sim *coreSimulation) changeMembership(proc *coreProcess, s *consensus.State, wanted consensus.MembershipChange, done func(held bool)) {
+// changeMembership carries out a membership change. Before the proposal, a quorum has to store the result of the
+// previous change, and the new member the current state. The change is done when the new member and a quorum of the
+// new core have stored the decision.
+func (sim *coreSimulation) changeMembership(proc *coreProcess, state *consensus.State, change consensus.MembershipChange, done func(stored bool)) {
 	propose := func() {
-		apply := func(newest *consensus.State) (*consensus.State, error) { return newest.ApplyMembership(wanted), nil }
-		sim.propose(proc, membershipTimeout, apply, func(o outcome) {
-			if !o.decided || !membershipApplied(o.state, wanted) {
+		apply := func(newest *consensus.State) (*consensus.State, error) { return newest.ApplyMembership(change), nil }
+		sim.propose(proc, membershipTimeout, apply, func(result outcome) {
+			if !result.decided || !membershipApplied(result.state, change) {
 				done(false)
 				return
 			}
@@ -36,20 +37,20 @@
 				done(true)
 				return
 			}
-			sim.confirmStored(proc, o.state, wanted.Add.ID, done)
+			sim.confirmStored(proc, result.state, change.Add.ID, done)
 		})
 	}
 	if sim.EarlyMembership {
 		propose()
 		return
 	}
-	sim.confirmStored(proc, s, "", func(held bool) {
-		if !held {
+	sim.confirmStored(proc, state, "", func(stored bool) {
+		if !stored {
 			done(false)
 			return
 		}
-		sim.catchUpNewMember(proc, s, wanted.Add, func(held bool) {
-			if !held {
+		sim.catchUpNewMember(proc, state, change.Add, func(stored bool) {
+			if !stored {
 				done(false)
 				return
 			}
@@ -58,37 +59,37 @@
 	})
 }
 
-// membershipApplied reports whether a state is as a change of members wanted it. Another change may have taken the same new member
-// in for another that leaves.
-func membershipApplied(s *consensus.State, wanted consensus.MembershipChange) bool {
-	return s.HasMember(wanted.Add.ID) && !s.HasMember(wanted.Remove)
+// membershipApplied reports whether a state is what a membership change asked for. Another change may have added the
+// same new member in place of another one that leaves.
+func membershipApplied(state *consensus.State, change consensus.MembershipChange) bool {
+	return state.HasMember(change.Add.ID) && !state.HasMember(change.Remove)
 }
 
-// storedCheck counts who holds a state on disk.
+// storedCheck counts which members have stored a state on disk.
 type storedCheck struct {
 	sim        *coreSimulation
 	process    *coreProcess
 	state      *consensus.State
 	members    []consensus.Member
-	requiredID string // an identity that has to hold it, empty for none
-	quorum     int    // and so many of those asked
-	invite     bool   // it is asked whether it will be a member, too: who leaves won't
+	requiredID string // the member that has to store it, empty for none
+	quorum     int    // number of members that have to store it
+	invite     bool   // also asks whether the process will be a member; a leaving process refuses
 	until      int64
 	stored     map[string]bool
 	finished   bool
-	done       func(held bool)
+	done       func(stored bool)
 }
 
-// confirmStored asks until a quorum of a state's core, and the one named, hold it on disk.
-func (sim *coreSimulation) confirmStored(proc *coreProcess, s *consensus.State, need string, done func(held bool)) {
-	h := &storedCheck{sim: sim, process: proc, state: s, members: s.Core, requiredID: need, quorum: s.Quorum(), done: done}
-	h.begin()
+// confirmStored asks until a quorum of the state's core, and the required member, have stored the state on disk.
+func (sim *coreSimulation) confirmStored(proc *coreProcess, state *consensus.State, requiredID string, done func(stored bool)) {
+	check := &storedCheck{sim: sim, process: proc, state: state, members: state.Core, requiredID: requiredID, quorum: state.Quorum(), done: done}
+	check.begin()
 }
 
-// catchUpNewMember asks until a process that is to be a member holds the state on disk.
-func (sim *coreSimulation) catchUpNewMember(proc *coreProcess, s *consensus.State, m consensus.Member, done func(held bool)) {
-	h := &storedCheck{sim: sim, process: proc, state: s, members: []consensus.Member{m}, requiredID: m.ID, invite: true, done: done}
-	h.begin()
+// catchUpNewMember asks until a process that is to become a member has stored the state on disk.
+func (sim *coreSimulation) catchUpNewMember(proc *coreProcess, state *consensus.State, member consensus.Member, done func(stored bool)) {
+	check := &storedCheck{sim: sim, process: proc, state: state, members: []consensus.Member{member}, requiredID: member.ID, invite: true, done: done}
+	check.begin()
 }
 
 func (check *storedCheck) begin() {
@@ -96,7 +97,7 @@
 	check.round()
 }
 
-// round asks those of whom it is not known yet, and again after a while.
+// round asks all members whose result is still open, and repeats that after an interval.
 func (check *storedCheck) round() {
 	if check.finished {
 		return
@@ -130,7 +131,8 @@
 	}})
 }
 
-// acceptInvitation reports whether a process will be a member. Once it has said so it doesn't end before that is settled.
+// acceptInvitation reports whether the process will be a member. Once it accepts, it does not end before the change
+// is settled.
 func (proc *coreProcess) acceptInvitation(now int64) bool {
 	if proc.leaving {
 		return false
@@ -140,8 +142,8 @@
 }
 
 func (check *storedCheck) handleResponse(response consensus.Response) {
-	isAsked := slices.ContainsFunc(check.members, func(m consensus.Member) bool { return m.ID == response.ID })
-	if check.finished || !isAsked || response.Index < check.state.Index {
+	expected := slices.ContainsFunc(check.members, func(m consensus.Member) bool { return m.ID == response.ID })
+	if check.finished || !expected || response.Index < check.state.Index {
 		return
 	}
 	check.stored[response.ID] = true
@@ -157,19 +159,19 @@
 	return len(check.stored) >= check.quorum
 }
 
-func (check *storedCheck) end(held bool) {
+func (check *storedCheck) end(stored bool) {
 	check.finished = true
-	check.done(held)
+	check.done(stored)
 }
 
-// terminate is a SIGTERM: a member hands its place over to a process that is there, and ends; without one, or after the
-// grace, it ends as it is.
+// terminate handles a SIGTERM. A member hands its place to another process and ends. Without a successor, or when the
+// grace period is over, it ends without a handover.
 func (sim *coreSimulation) terminate(proc *coreProcess, ended func(handedOver bool)) {
 	proc.leaving = true
-	over := false
+	done := false
 	end := func(handedOver bool) {
-		if !over {
-			over = true
+		if !done {
+			done = true
 			ended(handedOver)
 		}
 	}
@@ -187,50 +189,50 @@
 }
 
 func (sim *coreSimulation) handOver(proc *coreProcess, end func(handedOver bool)) {
-	again := func() { sim.after(proc, handOverRetryInterval, func() { sim.handOver(proc, end) }) }
-	s := proc.memory.Decided
-	successor, is := sim.successor(proc, s)
+	retry := func() { sim.after(proc, handOverRetryInterval, func() { sim.handOver(proc, end) }) }
+	state := proc.memory.Decided
+	successor, ok := sim.successor(proc, state)
 	switch {
 	case proc.changing:
-		again()
-	case !s.HasMember(proc.memory.ID):
-		sim.leaveAsNonMember(proc, s, end, again)
-	case !is:
+		retry()
+	case !state.HasMember(proc.memory.ID):
+		sim.leaveAsNonMember(proc, state, end, retry)
+	case !ok:
 		end(false)
 	default:
 		proc.changing = true
-		sim.changeMembership(proc, s, consensus.MembershipChange{Remove: proc.memory.ID, Add: successor}, func(held bool) {
+		sim.changeMembership(proc, state, consensus.MembershipChange{Remove: proc.memory.ID, Add: successor}, func(stored bool) {
 			proc.changing = false
-			if held && !proc.memory.Decided.HasMember(proc.memory.ID) { // it may have been taken in again
+			if stored && !proc.memory.Decided.HasMember(proc.memory.ID) { // it may have been added again
 				sim.result.HandOver++
 				end(true)
 				return
 			}
-			again()
+			retry()
 		})
 	}
 }
 
-// leaveAsNonMember ends a process that is no member, once those who are hold the state that says so and no invitation is
-// open.
-func (sim *coreSimulation) leaveAsNonMember(proc *coreProcess, s *consensus.State, end func(bool), again func()) {
-	if len(s.Core) == 0 {
+// leaveAsNonMember ends a process that is no member, once the members have stored the state that says so and no
+// invitation is open.
+func (sim *coreSimulation) leaveAsNonMember(proc *coreProcess, state *consensus.State, end func(bool), retry func()) {
+	if len(state.Core) == 0 {
 		end(true)
 		return
 	}
-	sim.confirmStored(proc, s, "", func(held bool) {
-		if held && sim.Now >= proc.invitedUntil && !proc.memory.Decided.HasMember(proc.memory.ID) {
+	sim.confirmStored(proc, state, "", func(stored bool) {
+		if stored && sim.Now >= proc.invitedUntil && !proc.memory.Decided.HasMember(proc.memory.ID) {
 			end(true)
 			return
 		}
-		again()
+		retry()
 	})
 }
 
-// successor is who takes a leaving member's place: the first process that is there and is no member.
-func (sim *coreSimulation) successor(proc *coreProcess, s *consensus.State) (consensus.Member, bool) {
+// successor returns the first reachable process that is no member, to replace a leaving one.
+func (sim *coreSimulation) successor(proc *coreProcess, state *consensus.State) (consensus.Member, bool) {
 	for _, other := range sim.peerStatuses(proc) {
-		if other.SilentFor < consensus.CandidateTimeout && !s.HasMember(other.ID) {
+		if other.SilentFor < consensus.CandidateTimeout && !state.HasMember(other.ID) {
 			return other.Member, true
 		}
 	}
--- a/internal/mesh/simulation/core_operators.go
+++ b/internal/mesh/simulation/core_operators.go
@@ -12,11 +12,11 @@
 
 var (
 	errStale  = errors.New("another version is current")
-	errTooOld = errors.New("the order reaches back beyond what is remembered")
+	errTooOld = errors.New("the update is older than the remembered changes")
 )
 
 const (
-	callTimeout     = S // after which an operator goes on to another process
+	callTimeout     = S // after which an operator calls another controller
 	callPause       = 50 * Ms
 	updateAttempts  = 6
 	readAttempts    = 4
@@ -24,7 +24,7 @@
 	maxLateResponse = 2500 * Ms
 )
 
-// update is a change of the configuration that an operator wants, and what came of it. Its identity is its digest.
+// update is an operator's change of the configuration and its result. The digest identifies it.
 type update struct {
 	digest        string
 	base, version int64
@@ -34,7 +34,7 @@
 
 func (update *update) content() json.RawMessage { return json.RawMessage(`"` + update.digest + `"`) }
 
-// responseStatus is a process's answer to a call.
+// responseStatus is how a controller responded to a call. The comments give the HTTP status.
 type responseStatus uint8
 
 const (
@@ -43,68 +43,68 @@
 	statusRejected                       // 412
 )
 
-// callResponse is what a process says to a call; a read's has the version.
+// callResponse is a controller's response to a call; that to a read has the version.
 type callResponse struct {
 	responseStatus
 	version int64
 }
 
-// operators give orders and read.
+// operators send updates and reads.
 type operators struct {
 	sim          *coreSimulation
 	rng          *rand.Rand
-	knownVersion int64 // the version that was last seen by anybody
+	knownVersion int64 // newest version that any operator has seen
 }
 
-// scheduleOperators spreads the orders and reads over the day.
+// scheduleOperators distributes the updates and reads over the run.
 func (sim *coreSimulation) scheduleOperators() {
 	operators := &operators{sim: sim, rng: sim.Rand("operators")}
-	atOnce := max(sim.AtOnce, 1)
-	for n := 0; n < sim.Puts; n += atOnce {
+	concurrent := max(sim.ConcurrentUpdates, 1)
+	for n := 0; n < sim.Updates; n += concurrent {
 		at := int64(operators.rng.Float64() * float64(sim.Length*8/10))
-		for k := n; k < min(n+atOnce, sim.Puts); k++ {
+		for k := n; k < min(n+concurrent, sim.Updates); k++ {
 			sim.After(at, func() { operators.submitUpdate(k) })
 		}
 	}
 	for n := range sim.Reads {
 		at := int64(operators.rng.Float64() * float64(sim.Length*9/10))
-		sim.After(at, func() { operators.read(sim.Puts + n) })
+		sim.After(at, func() { operators.read(sim.Updates + n) })
 	}
 }
 
-// submitUpdate gives an order on top of the version that was last seen. Several may pick the same number.
+// submitUpdate sends an update based on the newest version seen. Several updates may choose the same version number.
 func (operators *operators) submitUpdate(client int) {
 	sim := operators.sim
-	next := &update{digest: fmt.Sprint("order-", client), base: operators.knownVersion, version: operators.knownVersion + int64(1+operators.rng.IntN(3))}
-	next.op = Op{Client: client, On: next.base, Put: next.version, Call: sim.Now}
-	sim.oracle.updates = append(sim.oracle.updates, next)
-	sim.triggeredFaults.sent(len(sim.oracle.updates))
-	operators.send(next, updateAttempts, func(a callResponse) { operators.handleResponse(next, a.responseStatus) }, func() { operators.finishUpdate(next) })
+	update := &update{digest: fmt.Sprint("order-", client), base: operators.knownVersion, version: operators.knownVersion + int64(1+operators.rng.IntN(3))}
+	update.op = Op{Client: client, On: update.base, Put: update.version, Call: sim.Now}
+	sim.oracle.updates = append(sim.oracle.updates, update)
+	sim.triggeredFaults.updateSent(len(sim.oracle.updates))
+	operators.send(update, updateAttempts, func(a callResponse) { operators.handleResponse(update, a.responseStatus) }, func() { operators.finishUpdate(update) })
 }
 
-// finishUpdate judges an order whose calls have all been made: in a calm time it has an answer.
-func (operators *operators) finishUpdate(of *update) {
+// finishUpdate checks an update after its last call. Without recent faults it must have a clear response.
+func (operators *operators) finishUpdate(update *update) {
 	sim := operators.sim
-	if !of.op.OK && !of.op.Stale && sim.faultsUntil+sim.CatchUp <= of.op.Call {
-		sim.reportViolation("no acknowledgement: %s has no clear answer after %v, with no trouble", of.digest, time.Duration(sim.Now-of.op.Call))
+	if !update.op.OK && !update.op.Stale && sim.faultsUntil+sim.CatchUp <= update.op.Call {
+		sim.reportViolation("no acknowledgement: %s got no clear response within %v, without faults", update.digest, time.Duration(sim.Now-update.op.Call))
 	}
 }
 
-// send has an order sent, to one process after the other.
-func (operators *operators) send(sent *update, calls int, answered func(callResponse), ended func()) {
-	c := &call{
-		sim: operators.sim, first: operators.rng.IntN(len(operators.sim.processes)), maxAttempts: calls, onResponse: answered, onEnd: ended,
-		handle: func(proc *coreProcess, respond func(callResponse)) { operators.sim.handleUpdate(proc, sent, respond) },
+// send sends an update to one controller after the other.
+func (operators *operators) send(update *update, maxAttempts int, onResponse func(callResponse), onEnd func()) {
+	call := &call{
+		sim: operators.sim, first: operators.rng.IntN(len(operators.sim.processes)), maxAttempts: maxAttempts, onResponse: onResponse, onEnd: onEnd,
+		handle: func(proc *coreProcess, respond func(callResponse)) { operators.sim.handleUpdate(proc, update, respond) },
 	}
-	c.tryNext()
+	call.tryNext()
 }
 
-// handleResponse is a clear answer to an order, which may come after others.
-func (operators *operators) handleResponse(to *update, v responseStatus) {
-	sim, op := operators.sim, &to.op
-	if v == statusRejected {
-		if to.rejections++; op.OK {
-			sim.reportViolation("refused: %s was confirmed, sent again and refused with 412", to.digest)
+// handleResponse records a clear response to an update, which may follow other responses.
+func (operators *operators) handleResponse(update *update, status responseStatus) {
+	sim, op := operators.sim, &update.op
+	if status == statusRejected {
+		if update.rejections++; op.OK {
+			sim.reportViolation("refused: %s was acknowledged, sent again and rejected with 412", update.digest)
 		} else if !op.Stale {
 			op.Stale, op.Back = true, sim.Now
 		}
@@ -114,46 +114,46 @@
 		return
 	}
 	if op.Stale {
-		sim.reportViolation("refused: %s was refused with 412, and then confirmed", to.digest)
+		sim.reportViolation("refused: %s was rejected with 412 and then acknowledged", update.digest)
 		return
 	}
 	op.OK, op.Back = true, sim.Now
 	sim.result.Took = append(sim.result.Took, op.Back-op.Call)
-	operators.knownVersion = max(operators.knownVersion, to.version)
-	sim.observeConfirmation(to)
+	operators.knownVersion = max(operators.knownVersion, update.version)
+	sim.observeAcknowledgement(update)
 	if operators.rng.Float64() < sim.Resends {
-		operators.scheduleResend(to)
+		operators.scheduleResend(update)
 	}
 }
 
-// scheduleResend has a confirmed order sent again, soon or much later.
-func (operators *operators) scheduleResend(again *update) {
+// scheduleResend sends an acknowledged update again, soon or much later.
+func (operators *operators) scheduleResend(update *update) {
 	sim := operators.sim
-	later := int64(operators.rng.Float64() * float64(max(sim.Length*9/10-sim.Now, 0)))
+	delay := int64(operators.rng.Float64() * float64(max(sim.Length*9/10-sim.Now, 0)))
 	if operators.rng.IntN(2) == 0 {
-		later = min(later, S)
+		delay = min(delay, S)
 	}
-	sim.After(later, func() {
-		confirmed := false
-		operators.send(again, 1, func(a callResponse) {
-			if confirmed = a.responseStatus == statusAccepted; confirmed {
+	sim.After(delay, func() {
+		acknowledged := false
+		operators.send(update, 1, func(a callResponse) {
+			if acknowledged = a.responseStatus == statusAccepted; acknowledged {
 				sim.result.Resent++
 			}
-			operators.handleResponse(again, a.responseStatus)
+			operators.handleResponse(update, a.responseStatus)
 		}, func() {
-			if !confirmed {
+			if !acknowledged {
 				sim.result.Forgot++
 			}
 		})
 	})
 }
 
-// read asks for the newest configuration.
+// read reads the newest configuration.
 func (operators *operators) read(client int) {
 	sim := operators.sim
 	op := Op{Client: client, Read: true, Call: sim.Now}
 	floor := sim.oracle.newestVersion
-	c := &call{
+	call := &call{
 		sim: sim, first: operators.rng.IntN(len(sim.processes)), maxAttempts: readAttempts, onEnd: func() {},
 		handle: sim.handleRead,
 		onResponse: func(a callResponse) {
@@ -163,16 +163,16 @@
 			op.OK, op.Got, op.Back = true, a.version, sim.Now
 			sim.result.Read++
 			if op.Got < floor {
-				sim.reportViolation("old read: version %d was acknowledged before it was called, %d is read", floor, op.Got)
+				sim.reportViolation("old read: version %d was acknowledged before the call, but the read returns %d", floor, op.Got)
 			}
 			operators.knownVersion = max(operators.knownVersion, op.Got)
 			sim.result.History = append(sim.result.History, op)
 		},
 	}
-	c.tryNext()
+	call.tryNext()
 }
 
-// finishHistory adds the orders to the history, as they ended.
+// finishHistory adds the updates with their results to the history.
 func (sim *coreSimulation) finishHistory() {
 	for _, update := range sim.oracle.updates {
 		switch {
@@ -187,37 +187,38 @@
 	}
 }
 
-// remembered are the applied changes by which a process knows an order again.
-func (sim *coreSimulation) remembered(s *consensus.State) []consensus.AppliedChange {
-	all := s.AppliedChanges
-	if sim.Remembered > 0 && len(all) > sim.Remembered {
-		return all[len(all)-sim.Remembered:]
+// remembered returns the applied changes by which a controller recognizes an update.
+func (sim *coreSimulation) remembered(state *consensus.State) []consensus.AppliedChange {
+	all := state.AppliedChanges
+	if sim.RememberedChanges > 0 && len(all) > sim.RememberedChanges {
+		return all[len(all)-sim.RememberedChanges:]
 	}
 	return all
 }
 
-// certainlyNotApplied reports whether an order that is not among the applied changes can't have been applied and forgotten.
+// certainlyNotApplied reports whether an update that is not among the applied changes cannot have been applied and
+// forgotten.
 func (sim *coreSimulation) certainlyNotApplied(known consensus.AppliedChanges, update *update) bool {
 	switch {
 	case sim.RefuseForgotten:
 		return true
-	case sim.Remembered > 0: // a window of the question's own
-		return len(known) < sim.Remembered || max(update.version, update.base) >= known[0].Edition
+	case sim.RememberedChanges > 0: // the limit that the question sets
+		return len(known) < sim.RememberedChanges || max(update.version, update.base) >= known[0].Edition
 	}
 	return known.CertainlyNotApplied(update.version, update.base)
 }
 
-// applyUpdate is what a process makes of an order on top of the newest state.
+// applyUpdate returns the transform that applies an update to the newest state.
 func (sim *coreSimulation) applyUpdate(update *update) transform {
-	return func(s *consensus.State) (*consensus.State, error) {
-		known := sim.remembered(s)
+	return func(state *consensus.State) (*consensus.State, error) {
+		known := sim.remembered(state)
 		for _, a := range known {
 			if a.Digest == update.digest {
 				return nil, nil
 			}
 		}
-		if s.Edition == update.base {
-			return s.WithConfiguration(update.version, update.content(), update.digest), nil
+		if state.Edition == update.base {
+			return state.WithConfiguration(update.version, update.content(), update.digest), nil
 		}
 		if sim.certainlyNotApplied(known, update) {
 			return nil, errStale
@@ -226,16 +227,16 @@
 	}
 }
 
-// handleUpdate is a process's turn with an order: one after the other, as the controller has it.
+// handleUpdate handles an update at a controller, one at a time, as the real controller does.
 func (sim *coreSimulation) handleUpdate(proc *coreProcess, update *update, respond func(callResponse)) {
 	until := sim.Now + stepTimeout
 	proc.queuedUpdates = append(proc.queuedUpdates, func() {
-		sim.propose(proc, max(until-sim.Now, 0), sim.applyUpdate(update), func(out outcome) {
-			out = sim.answerLocally(proc, out, sim.applyUpdate(update))
+		sim.propose(proc, max(until-sim.Now, 0), sim.applyUpdate(update), func(result outcome) {
+			result = sim.answerLocally(proc, result, sim.applyUpdate(update))
 			sim.startNextUpdate(proc)
-			respond(callResponse{responseStatus: statusOf(out)})
-			if statusOf(out) == statusAccepted {
-				sim.triggeredFaults.confirmed(proc)
+			respond(callResponse{responseStatus: statusOf(result)})
+			if statusOf(result) == statusAccepted {
+				sim.triggeredFaults.acknowledgementSent(proc)
 			}
 		})
 	})
@@ -252,34 +253,35 @@
 	}
 }
 
-func statusOf(o outcome) responseStatus {
+func statusOf(result outcome) responseStatus {
 	switch {
-	case !o.decided, errors.Is(o.err, errTooOld):
+	case !result.decided, errors.Is(result.err, errTooOld):
 		return statusUnknown
-	case o.err != nil:
+	case result.err != nil:
 		return statusRejected
 	}
 	return statusAccepted
 }
 
-// answerLocally is the variant that answers from what is known here where no majority does.
-func (sim *coreSimulation) answerLocally(proc *coreProcess, o outcome, what transform) outcome {
-	if !sim.LocalAnswers || o.decided {
-		return o
+// answerLocally responds from the local state if no majority responds. It applies only if LocalAnswers disables the
+// guard.
+func (sim *coreSimulation) answerLocally(proc *coreProcess, result outcome, transform transform) outcome {
+	if !sim.LocalAnswers || result.decided {
+		return result
 	}
-	s := proc.memory.Decided
-	next, err := what(s)
-	return outcome{state: s, err: err, decided: next == nil}
+	state := proc.memory.Decided
+	next, err := transform(state)
+	return outcome{state: state, err: err, decided: next == nil}
 }
 
-// handleRead is a process's turn with a read.
+// handleRead handles a read at a controller.
 func (sim *coreSimulation) handleRead(proc *coreProcess, respond func(callResponse)) {
-	sim.readNewest(proc, func(out outcome) {
-		out = sim.answerLocally(proc, out, noChange)
-		if !out.decided {
+	sim.readNewest(proc, func(result outcome) {
+		result = sim.answerLocally(proc, result, noChange)
+		if !result.decided {
 			respond(callResponse{})
 			return
 		}
-		respond(callResponse{statusAccepted, out.state.Edition})
+		respond(callResponse{statusAccepted, result.state.Edition})
 	})
 }
--- a/internal/mesh/simulation/core_process.go
+++ b/internal/mesh/simulation/core_process.go
@@ -4,57 +4,57 @@
 	"ottershift/internal/mesh/consensus"
 )
 
-// coreProcess is a controller on its machine: what its disk holds, what its memory holds, and the trouble that it is in.
-// All times are of the steady clock, but for timeOfDay.
+// coreProcess is a controller on its machine: the contents of its disk and memory, and the faults that affect it. All
+// times are on the monotonic clock, except wallClockOffset.
 type coreProcess struct {
 	number        int
 	address       string
-	pendingWrites []*diskWrite // that have not reached the disk, oldest first
+	pendingWrites []*diskWrite // not yet on disk, oldest first
 
 	up           bool
 	powered      bool
-	retired      bool // gone for good
+	retired      bool // never returns
 	retiredAt    int64
-	invitedUntil int64 // a change that makes it a member may be under way
-	leaving      bool  // it has had SIGTERM
+	invitedUntil int64 // until then a change that makes it a member may be in progress
+	leaving      bool  // it has received SIGTERM
 	incarnation  int
-	startedAt    int64 // of this life
+	startedAt    int64 // of the current incarnation
 
 	disk          *consensus.Replica
 	memory        *consensus.Replica
-	diskBusyUntil int64 // until then the disk is at work
+	diskBusyUntil int64 // the disk is busy until then
 	round         uint64
 	peers         map[string]peer
-	changing      bool // a change of its own is under way
+	changing      bool // a change of its own is in progress
 	queuedUpdates []func()
 	updating      bool
 
-	pendingSince int64 // something has stood accepted, 0 for nothing
-	confirmedAt  int64 // when a majority was asked that said that nothing came after this copy
+	pendingSince int64 // since when an accepted value is undecided, 0 for none
+	confirmedAt  int64 // when the last majority read was sent that found no newer state
 
 	frozenUntil      int64
-	mutedUntil       int64 // it reaches nobody
-	deafUntil        int64 // it hears nobody
+	mutedUntil       int64 // it reaches no others until then
+	deafUntil        int64 // it hears no others until then
 	isolatedSince    int64
-	refusesUntil     int64 // connections
-	stalledUntil     int64 // its disk does nothing
+	refusesUntil     int64 // it refuses connections until then
+	stalledUntil     int64 // its disk completes no writes until then
 	slowDisk         slowdown
 	slowMachine      slowdown
-	machineBusyUntil int64 // until then a slowed machine is at work on what has arrived
-	wallClockOffset  int64 // by how much it is off; nothing reads it
-	lostUntil        int64 // by the rules of what is to be borne
+	machineBusyUntil int64 // a slowed machine is busy with earlier messages until then
+	wallClockOffset  int64 // error of the wall clock; nothing reads it
+	lostUntil        int64 // counts as lost against Tolerate until then
 
 	catchUp catchUp
 }
 
-// peer is what a process has heard of another one.
+// peer is what a process has last heard of another one.
 type peer struct {
 	member  consensus.Member
 	heardAt int64
 	leaving bool
 }
 
-// slowdown is how many times longer something takes, and until when.
+// slowdown is a factor by which something is slower, and until when.
 type slowdown struct {
 	factor int64
 	until  int64
@@ -67,10 +67,10 @@
 	return 1
 }
 
-// maintenanceInterval is how often a process looks after the core by itself.
+// maintenanceInterval is how often a controller does its periodic work.
 const maintenanceInterval = 250 * Ms
 
-// addProcess starts a process on a machine of its own.
+// addProcess starts a process on a new machine.
 func (sim *coreSimulation) addProcess(disk *consensus.Replica) *coreProcess {
 	n := len(sim.processes)
 	proc := &coreProcess{number: n, address: address(n), disk: disk}
@@ -80,7 +80,7 @@
 	return proc
 }
 
-// start begins a life with what is on the disk.
+// start begins a new incarnation with the contents of the disk.
 func (sim *coreSimulation) start(proc *coreProcess) {
 	proc.incarnation++
 	proc.up, proc.powered, proc.leaving, proc.startedAt = true, true, false, sim.Now
@@ -98,33 +98,33 @@
 	sim.after(proc, maintenanceInterval, func() { sim.maintainPeriodically(proc) })
 }
 
-// isCurrent says whether what was begun in a life may go on.
+// isCurrent reports whether the process still runs the given incarnation.
 func (proc *coreProcess) isCurrent(incarnation int) bool {
 	return proc.up && proc.incarnation == incarnation
 }
 
-// member is the process as the core counts it.
+// member returns the process as a member of the core.
 func (proc *coreProcess) member() consensus.Member {
 	return consensus.Member{ID: proc.memory.ID, Address: proc.address, Zone: proc.address}
 }
 
-// isolated reports whether the process can't both reach and hear anybody.
+// isolated reports whether the process cannot send to others or cannot hear them.
 func (proc *coreProcess) isolated(now int64) bool {
 	return now < proc.mutedUntil || now < proc.deafUntil
 }
 
-// after has a process do something later: in the same life, and not while it is frozen.
-func (sim *coreSimulation) after(proc *coreProcess, d int64, do func()) {
+// after schedules an action of a process. It runs only in the same incarnation, and not while the process is frozen.
+func (sim *coreSimulation) after(proc *coreProcess, delay int64, action func()) {
 	incarnation := proc.incarnation
-	sim.After(d, func() { sim.resume(proc, incarnation, do) })
+	sim.After(delay, func() { sim.resume(proc, incarnation, action) })
 }
 
-func (sim *coreSimulation) resume(proc *coreProcess, incarnation int, do func()) {
+func (sim *coreSimulation) resume(proc *coreProcess, incarnation int, action func()) {
 	switch {
 	case !proc.isCurrent(incarnation):
 	case sim.Now < proc.frozenUntil:
-		sim.After(proc.frozenUntil-sim.Now, func() { sim.resume(proc, incarnation, do) })
+		sim.After(proc.frozenUntil-sim.Now, func() { sim.resume(proc, incarnation, action) })
 	default:
-		do()
+		action()
 	}
 }
--- a/internal/mesh/simulation/core_proposer.go
+++ b/internal/mesh/simulation/core_proposer.go
@@ -12,27 +12,27 @@
 	membershipTimeout = 2 * S // for a change that the core itself needs
 )
 
-// broadcast is one request to all members of a core and what comes back.
+// broadcast is one request to all members of a core, and their responses.
 type broadcast struct {
 	sim        *coreSimulation
 	from       *coreProcess
 	state      *consensus.State
-	finished   map[string]bool // members that have answered or refused
+	finished   map[string]bool // addresses of the members that have responded or refused
 	done       bool
 	onResponse func(consensus.Response) (enough bool)
-	onFailure  func() // there will be no more answers, or none in time
+	onFailure  func() // called if no further responses come, or none in time
 }
 
-// broadcast puts a request to the core of a state. receive takes answers until it says that it has enough; else failed is called,
-// once.
-func (sim *coreSimulation) broadcast(from *coreProcess, of *consensus.State, request consensus.Request, within int64, receive func(consensus.Response) bool, failed func()) {
-	proc := &broadcast{sim: sim, from: from, state: of, finished: map[string]bool{}, onResponse: receive, onFailure: failed}
-	for _, m := range of.Core {
+// broadcast sends a request to the core of a state. onResponse is called with each response until it returns true. If
+// it never does, onFailure is called once.
+func (sim *coreSimulation) broadcast(from *coreProcess, state *consensus.State, request consensus.Request, timeout int64, onResponse func(consensus.Response) bool, onFailure func()) {
+	broadcast := &broadcast{sim: sim, from: from, state: state, finished: map[string]bool{}, onResponse: onResponse, onFailure: onFailure}
+	for _, m := range state.Core {
 		if to := sim.byAddress[m.Address]; to != nil {
-			proc.request(to, request)
+			broadcast.request(to, request)
 		}
 	}
-	sim.after(from, within, proc.giveUp)
+	sim.after(from, timeout, broadcast.giveUp)
 }
 
 func (broadcast *broadcast) request(to *coreProcess, request consensus.Request) {
@@ -60,7 +60,8 @@
 	}
 }
 
-// markFinished notes that a member says no more; once all have, there is nothing to wait for.
+// markFinished records that a member sends no more responses. When all members are finished, there is nothing left to
+// wait for.
 func (broadcast *broadcast) markFinished(member *coreProcess) {
 	broadcast.finished[member.address] = true
 	if len(broadcast.finished) == len(broadcast.state.Core) {
@@ -75,34 +76,34 @@
 	}
 }
 
-// transform makes a new state of the newest; nil for no change.
+// transform derives a new state from the newest one; nil means no change.
 type transform func(*consensus.State) (*consensus.State, error)
 
-// outcome is how a change ended. Without Decided nobody knows.
+// outcome is the result of a change. If decided is false, the result is unknown.
 type outcome struct {
 	state   *consensus.State
 	err     error
 	decided bool
 }
 
-// proposer is one change on its way to a decision, as the controller carries it out.
+// proposer carries one change to a decision, as the real controller does.
 type proposer struct {
 	sim          *coreSimulation
 	process      *coreProcess
-	until        int64 // it gives up then
+	until        int64 // gives up at this time
 	attempts     int64
-	attemptStart int64 // of the last attempt
+	attemptStart int64 // start of the latest attempt
 	transform    transform
 	done         func(outcome)
 }
 
-// propose has the core agree on what a function makes of the newest state.
-func (sim *coreSimulation) propose(proc *coreProcess, within int64, what transform, done func(outcome)) {
-	p := &proposer{sim: sim, process: proc, until: sim.Now + within, transform: what, done: done}
-	p.attempt()
+// propose has the core agree on the result of a transform of the newest state.
+func (sim *coreSimulation) propose(proc *coreProcess, timeout int64, transform transform, done func(outcome)) {
+	proposer := &proposer{sim: sim, process: proc, until: sim.Now + timeout, transform: transform, done: done}
+	proposer.attempt()
 }
 
-// noChange is asked of the state but that it is the newest.
+// noChange leaves the state as it is. Proposing it only confirms that the state is the newest.
 func noChange(*consensus.State) (*consensus.State, error) { return nil, nil }
 
 func (proposer *proposer) attempt() {
@@ -119,10 +120,10 @@
 	proposer.step(proposal, base, first)
 }
 
-// step puts one step of an attempt to the core.
+// step sends one step of an attempt to the core.
 func (proposer *proposer) step(proposal *consensus.Proposal, base *consensus.State, request consensus.Request) {
-	within := min(stepTimeout, proposer.until-proposer.sim.Now)
-	proposer.sim.broadcast(proposer.process, base, request, within, func(response consensus.Response) bool { return proposer.receive(proposal, base, response) }, proposer.backOff)
+	timeout := min(stepTimeout, proposer.until-proposer.sim.Now)
+	proposer.sim.broadcast(proposer.process, base, request, timeout, func(response consensus.Response) bool { return proposer.receive(proposal, base, response) }, proposer.backOff)
 }
 
 func (proposer *proposer) receive(proposal *consensus.Proposal, base *consensus.State, response consensus.Response) (enough bool) {
@@ -160,14 +161,15 @@
 	}
 }
 
-// retryNow begins another attempt on top of what has been learned.
+// retryNow begins another attempt on top of the learned state.
 func (proposer *proposer) retryNow() {
 	proposer.attempts++
 	proposer.sim.after(proposer.process, Ms+int64(proposer.sim.networkRand.IntN(20))*Ms, proposer.attempt)
 }
 
-// backOff begins another attempt after one that failed, and a pause: two that go on at the same pace overtake one another
-// for ever. The pause is by chance of up to some lengths of the attempt: whoever is first then has the time of a whole one.
+// backOff begins another attempt after a failed one and a random pause. Without the pause, two proposers at the same
+// pace would keep overtaking each other. The pause is up to several times the length of the attempt, so that the
+// first to resume has time for a whole attempt.
 func (proposer *proposer) backOff() {
 	if proposer.sim.FixedPause {
 		proposer.sim.after(proposer.process, proposer.fixedPause(), proposer.attempt)
@@ -180,38 +182,38 @@
 	proposer.sim.after(proposer.process, Ms+int64(proposer.sim.networkRand.Float64()*float64(took*lengths)), proposer.attempt)
 }
 
-// maxBackoffFactor bounds the pause, in lengths of an attempt.
+// maxBackoffFactor bounds the pause, in multiples of the length of an attempt.
 const maxBackoffFactor = 4
 
-// fixedPause is 1 to 40 ms, however long attempts take.
+// fixedPause returns 1 to 40 ms, regardless of how long attempts take.
 func (proposer *proposer) fixedPause() int64 {
 	return (1+proposer.attempts*7%20)*Ms + int64(proposer.sim.networkRand.IntN(20))*Ms
 }
 
-// announce tells all others a decision.
-func (sim *coreSimulation) announce(proc *coreProcess, s *consensus.State) {
+// announce sends a decision to all other processes.
+func (sim *coreSimulation) announce(proc *coreProcess, state *consensus.State) {
 	for _, to := range sim.processes {
 		if to != proc && !to.retired {
-			sim.send(message{from: proc, to: to, deliver: func() { sim.learn(to, s) }})
+			sim.send(message{from: proc, to: to, deliver: func() { sim.learn(to, state) }})
 		}
 	}
 }
 
-// readNewest asks for the newest state beyond doubt.
+// readNewest reads the newest state, confirmed by a majority or by a decision.
 func (sim *coreSimulation) readNewest(proc *coreProcess, done func(outcome)) {
-	s := proc.memory.Decided
+	state := proc.memory.Decided
 	if sim.OldRead {
-		done(outcome{state: s, decided: s.Edition > 0})
+		done(outcome{state: state, decided: state.Edition > 0})
 		return
 	}
 	settle := func() { sim.propose(proc, stepTimeout, noChange, done) }
-	read, request := consensus.NewMajorityRead(s)
-	sim.broadcast(proc, s, request, readTimeout, func(response consensus.Response) bool {
+	read, request := consensus.NewMajorityRead(state)
+	sim.broadcast(proc, state, request, readTimeout, func(response consensus.Response) bool {
 		if !read.HandleResponse(response) {
 			return false
 		}
 		if read.Newest() {
-			done(outcome{state: s, decided: true})
+			done(outcome{state: state, decided: true})
 			return true
 		}
 		if ahead := read.Ahead(); ahead != nil {
--- a/internal/mesh/simulation/core_readers.go
+++ b/internal/mesh/simulation/core_readers.go
@@ -4,21 +4,22 @@
 
 const watchInterval = 500 * Ms
 
-// reader is a balancer that knows one process only. It takes a configuration where the process says that it is current.
+// reader is a proxy that knows a single controller. It takes a configuration only if the controller declares it
+// current.
 type reader struct {
 	sim     *coreSimulation
 	process *coreProcess
 }
 
-// scheduleReaders deals the balancers out to the processes of the first start.
+// scheduleReaders distributes the proxies over the initial controllers.
 func (sim *coreSimulation) scheduleReaders() {
 	for n := range sim.Readers {
-		r := &reader{sim, sim.processes[n%len(sim.processes)]}
-		sim.After(int64(n)*watchInterval/int64(sim.Readers), r.watch)
+		reader := &reader{sim, sim.processes[n%len(sim.processes)]}
+		sim.After(int64(n)*watchInterval/int64(sim.Readers), reader.watch)
 	}
 }
 
-// watch asks again and again, to the end of the day.
+// watch polls periodically until shortly before the end of the run.
 func (reader *reader) watch() {
 	sim := reader.sim
 	if sim.Now > sim.Length*9/10 {
@@ -28,7 +29,8 @@
 	sim.After(watchInterval, reader.watch)
 }
 
-// checkResponse is the process's: it is current as long as a majority's word is fresh, counted from before that was asked for.
+// checkResponse checks the controller's response. A configuration is current as long as the last majority
+// confirmation is fresh, counted from when it was requested.
 func (reader *reader) checkResponse() {
 	sim, proc := reader.sim, reader.process
 	if sim.Now-proc.confirmedAt >= federation.QuorumFreshness {
@@ -37,6 +39,6 @@
 	sim.result.Watched++
 	floor := sim.oracle.newestAt(sim.Now - federation.QuorumFreshness)
 	if version := proc.memory.Decided.Edition; version < floor {
-		sim.reportViolation("old while current: process %d says that version %d is current, %d was acknowledged", proc.number, version, floor)
+		sim.reportViolation("old while current: process %d declares version %d current, but %d was acknowledged", proc.number, version, floor)
 	}
 }
--- a/internal/mesh/simulation/core_replacement.go
+++ b/internal/mesh/simulation/core_replacement.go
@@ -1,19 +1,20 @@
 package simulation
 
 const (
-	settleMargin       = 300 * Ms // after CatchUp, before the old machine is told to leave
+	settleMargin       = 300 * Ms // after CatchUp, before the old machine gets SIGTERM
 	lossSampleInterval = 100 * Ms
 )
 
-// join starts a new machine, with an empty disk, at an address of its own.
+// join starts a new machine with an empty disk and its own address.
 func (sim *coreSimulation) join() *coreProcess {
 	proc := sim.addProcess(sim.newEmptyDisk(len(sim.processes)))
 	sim.markLost(proc, 0)
 	return proc
 }
 
-// replace is planned: a new machine joins, and when it has had its time the old one gets SIGTERM and is gone.
-func (sim *coreSimulation) replace(old *coreProcess, f Fault) {
+// replace is a planned replacement: a new machine joins, and after CatchUp and a margin the old one gets SIGTERM and
+// is retired.
+func (sim *coreSimulation) replace(old *coreProcess, fault Fault) {
 	if !old.up || old.leaving {
 		sim.result.Excluded++
 		return
@@ -25,11 +26,11 @@
 			sim.result.Excluded++
 			return
 		}
-		sim.retireGracefully(old, f)
+		sim.retireGracefully(old, fault)
 	})
 }
 
-func (sim *coreSimulation) retireGracefully(old *coreProcess, f Fault) {
+func (sim *coreSimulation) retireGracefully(old *coreProcess, fault Fault) {
 	worst := sim.sampleLosses(old)
 	incarnation := old.incarnation
 	sim.extendFaultPeriod(sim.Now + sim.Grace)
@@ -37,33 +38,33 @@
 		if !old.isCurrent(incarnation) {
 			return
 		}
-		if !handedOver && *worst > sim.Tolerate { // more was lost at once than is to be borne
+		if !handedOver && *worst > sim.Tolerate { // more machines were lost than Tolerate allows
 			sim.result.Excluded++
-			sim.stop(old, int64(f.For), outage{})
+			sim.stop(old, int64(fault.For), outage{})
 			return
 		}
 		sim.endIncarnation(old, outage{power: true})
 		old.retired, old.retiredAt = true, sim.Now
 		sim.observeFewest()
-		sim.afterRetirement(old, f)
+		sim.afterRetirement(old, fault)
 	})
 }
 
-// afterRetirement is what may come right after a machine has left.
-func (sim *coreSimulation) afterRetirement(old *coreProcess, f Fault) {
-	switch f.Kind {
+// afterRetirement injects the fault that follows the departure of a machine, if any.
+func (sim *coreSimulation) afterRetirement(old *coreProcess, fault Fault) {
+	switch fault.Kind {
 	case ReplaceBack:
-		sim.After(int64(f.For), func() {
+		sim.After(int64(fault.For), func() {
 			old.retired = false
 			sim.start(old)
 		})
 	case ReplaceWipe:
 		core := sim.newestCore()
 		for k := range core {
-			victim := sim.byAddress[core[(k+f.Who)%len(core)].Address]
+			victim := sim.byAddress[core[(k+fault.Who)%len(core)].Address]
 			if victim.up && sim.lost() < sim.Tolerate {
-				sim.stop(victim, int64(f.For), outage{wipe: true, power: true})
-				sim.stopAllExcept(victim, int64(f.For)/2, outage{power: true})
+				sim.stop(victim, int64(fault.For), outage{wipe: true, power: true})
+				sim.stopAllExcept(victim, int64(fault.For)/2, outage{power: true})
 				return
 			}
 		}
@@ -71,7 +72,7 @@
 	}
 }
 
-// sampleLosses watches how many machines count as lost at once while a process leaves.
+// sampleLosses tracks the highest number of machines that count as lost while a process leaves.
 func (sim *coreSimulation) sampleLosses(proc *coreProcess) (worst *int) {
 	worst = new(int)
 	incarnation := proc.incarnation
@@ -86,7 +87,7 @@
 	return worst
 }
 
-// restartGracefully is a SIGTERM to a machine that returns with its disk.
+// restartGracefully sends SIGTERM to a machine that returns with its disk.
 func (sim *coreSimulation) restartGracefully(proc *coreProcess, length int64) {
 	if !proc.up || proc.leaving {
 		sim.result.Excluded++
@@ -101,8 +102,8 @@
 	})
 }
 
-// loseMachine takes a machine for good, where that may be borne; a new one joins after a while. The lost one counts as lost
-// until its successor has had CatchUp.
+// loseMachine removes a machine permanently, if Tolerate allows it. A new one joins later. The lost machine counts as
+// lost until CatchUp after that.
 func (sim *coreSimulation) loseMachine(proc *coreProcess, length int64) {
 	if sim.lost() >= sim.Tolerate || !proc.up {
 		sim.result.Excluded++
--- a/internal/mesh/simulation/core_replica.go
+++ b/internal/mesh/simulation/core_replica.go
@@ -4,11 +4,11 @@
 	"ottershift/internal/mesh/consensus"
 )
 
-// diskWrite is a replica on its way to a disk.
+// diskWrite is a replica that is being written to disk.
 type diskWrite struct{ replica consensus.Replica }
 
-// handle is a replica's turn. Requests that change what others rely on wait for the disk, one after the other; what is only
-// learned is in memory at once, and answered when it is on disk.
+// handle handles a request at a replica. Requests that change what others rely on wait for the disk, one after the
+// other. A learned state is in memory at once, and acknowledged when it is on disk.
 func (sim *coreSimulation) handle(proc *coreProcess, request consensus.Request, respond func(consensus.Response)) {
 	switch request.Kind {
 	case consensus.ReadState:
@@ -21,7 +21,7 @@
 	}
 }
 
-// apply changes the replica and answers once the change is on disk.
+// apply changes the replica, and responds when the change is on disk.
 func (sim *coreSimulation) apply(proc *coreProcess, request consensus.Request, respond func(consensus.Response)) {
 	if sim.NoEpoch && request.Kind == consensus.Accept {
 		proc.memory.Promised = consensus.Ballot{}
@@ -37,14 +37,14 @@
 		sim.write(proc, func() {})
 	case changed:
 		sim.write(proc, func() { respond(response) })
-	case request.Kind == consensus.Learn && len(proc.pendingWrites) > 0: // known, and not yet on disk
+	case request.Kind == consensus.Learn && len(proc.pendingWrites) > 0: // learned before, but not yet on disk
 		sim.after(proc, proc.diskBusyUntil-sim.Now, func() { respond(response) })
 	default:
 		respond(response)
 	}
 }
 
-// write brings the replica as it is to the disk.
+// write writes the current replica to disk.
 func (sim *coreSimulation) write(proc *coreProcess, done func()) {
 	written := &diskWrite{*proc.memory}
 	proc.pendingWrites = append(proc.pendingWrites, written)
@@ -61,22 +61,22 @@
 	})
 }
 
-// unsyncedFate is what becomes of the writes under way at an outage.
+// unsyncedFate is what happens to the unsynced writes at an outage.
 type unsyncedFate uint8
 
 const (
 	lostAll unsyncedFate = iota
 	keptAll
-	keptByChance // those up to some one
+	keptByChance // the oldest ones, a random number of them
 	unsyncedFates
 )
 
-// drawFate is the same for all machines of one outage: at some losses of power nothing that was not synced is left.
+// drawFate draws one fate for all machines of an outage. Some power losses discard everything that was not synced.
 func (sim *coreSimulation) drawFate() unsyncedFate {
 	return unsyncedFate(sim.diskRand.IntN(int(unsyncedFates)))
 }
 
-// discardWrites ends the writes under way.
+// discardWrites ends the pending writes; the fate decides how many of them reach the disk.
 func (sim *coreSimulation) discardWrites(proc *coreProcess, fate unsyncedFate) {
 	kept := 0
 	switch fate {
@@ -91,7 +91,7 @@
 	proc.pendingWrites = nil
 }
 
-// learn has a process take what is known to be decided.
-func (sim *coreSimulation) learn(proc *coreProcess, s *consensus.State) {
-	sim.handle(proc, consensus.Request{Kind: consensus.Learn, Value: s}, func(consensus.Response) {})
+// learn has a process learn a decided state.
+func (sim *coreSimulation) learn(proc *coreProcess, state *consensus.State) {
+	sim.handle(proc, consensus.Request{Kind: consensus.Learn, Value: state}, func(consensus.Response) {})
 }
--- a/internal/mesh/simulation/core_test.go
+++ b/internal/mesh/simulation/core_test.go
@@ -20,25 +20,25 @@
 	return normal
 }
 
-// question reads one of the questions that stand in the repository.
+// question reads a question file from the repository.
 func question(t *testing.T, name string) *Question {
 	raw, err := os.ReadFile(filepath.Join("../../../experiments/mesh", name+".toml"))
 	must.NoError(t, err)
 	return parseQuestion(t, string(raw))
 }
 
-// uncheckedHistories counts the days of a core whose history could not be held against a register in time.
-func uncheckedHistories(c CoreScenario, seeds int) int {
+// uncheckedHistories counts the runs whose linearizability check timed out.
+func uncheckedHistories(scenario CoreScenario, seeds int) int {
 	var n atomic.Int64
 	runParallel(seeds, func(k int) {
-		if c.Simulate(uint64(1 + k)).Unjudged {
+		if scenario.Simulate(uint64(1 + k)).Unjudged {
 			n.Add(1)
 		}
 	})
 	return int(n.Load())
 }
 
-// coreQuestions are days on which a core is to keep all rules.
+// coreQuestions name core scenarios that must not violate any rule.
 var coreQuestions = []string{"rough-core", "lost-disks", "two-of-five", "eight-orders", "planned-replacement", "cut-off-twenty-seconds"}
 
 func TestCoreScenariosKeepAllRules(t *testing.T) {
@@ -63,19 +63,20 @@
 	must.Eq(t, 0, rows[0].Broken, must.Sprint(rows[0].First))
 }
 
-// No more than one day in a hundred may have a history that is not held against a register in time.
+// A history whose check times out proves nothing, so at most one run in a hundred may have one.
 func TestMostHistoriesAreCheckedInTime(t *testing.T) {
-	const each = 100
+	const seedsPerQuestion = 100
 	all := 0
 	for _, name := range coreQuestions {
-		n := uncheckedHistories(question(t, name).Core.scenario(), each)
-		t.Logf("%s: %d of %d days", name, n, each)
+		n := uncheckedHistories(question(t, name).Core.scenario(), seedsPerQuestion)
+		t.Logf("%s: %d of %d runs", name, n, seedsPerQuestion)
 		all += n
 	}
-	must.LessEq(t, each*len(coreQuestions)/100, all)
+	must.LessEq(t, seedsPerQuestion*len(coreQuestions)/100, all)
 }
 
-// Each guard left out must be seen to break something on days on which the design breaks nothing, or they prove nothing.
+// Each disabled guard must lead to a violation in a scenario that has none with the guard; otherwise the scenario
+// proves nothing.
 func TestDisabledGuardsAreDetected(t *testing.T) {
 	files, err := filepath.Glob("../../../experiments/mesh/without-*.toml")
 	must.NoError(t, err)
@@ -85,30 +86,30 @@
 		q := question(t, name)
 		must.Eq(t, "never", q.Holds)
 		q.Seeds = max(schedules(600)/10, q.Seeds)
-		convicted := q.simulateSeeds()
+		unguarded := q.simulateSeeds()
 		q.Core.DisabledGuards = DisabledGuards{}
-		held := q.simulateSeeds()
-		t.Logf("%s: convicted on %d of %d seeds, %s", name, convicted.Broken, q.Seeds, convicted.First)
-		must.Eq(t, 0, held.Broken, must.Sprint(name, held.First))
-		must.Positive(t, convicted.Broken, must.Sprint(name))
+		guarded := q.simulateSeeds()
+		t.Logf("%s: violated on %d of %d seeds, %s", name, unguarded.Broken, q.Seeds, unguarded.First)
+		must.Eq(t, 0, guarded.Broken, must.Sprint(name, guarded.First))
+		must.Positive(t, unguarded.Broken, must.Sprint(name))
 	}
 }
 
-// Agreement has no clock at all, and the steps of the time of day change nothing of a day.
+// Consensus must not read a clock: wall-clock jumps must not change the history of a run.
 func TestCoreIgnoresWallClock(t *testing.T) {
 	imports, err := exec.Command("go", "list", "-f", "{{.Imports}}", "ottershift/internal/mesh/consensus").Output()
 	must.NoError(t, err)
 	must.StrNotContains(t, string(imports), "time")
-	c := question(t, "rough-core").Core.scenario()
-	c.Faults = c.drawFaults(NewSimulator(5).Rand("trouble"))
+	scenario := question(t, "rough-core").Core.scenario()
+	scenario.Faults = scenario.drawFaults(NewSimulator(5).Rand("trouble"))
 	steps := func(f Fault) bool { return f.Kind == ClockStep }
-	must.True(t, slices.ContainsFunc(c.Faults, steps))
-	stepped := c.Simulate(5).History
-	c.Faults = slices.DeleteFunc(c.Faults, steps)
-	must.Eq(t, c.Simulate(5).History, stepped)
+	must.True(t, slices.ContainsFunc(scenario.Faults, steps))
+	stepped := scenario.Simulate(5).History
+	scenario.Faults = slices.DeleteFunc(scenario.Faults, steps)
+	must.Eq(t, scenario.Simulate(5).History, stepped)
 }
 
 func TestSameSeedGivesSameHistory(t *testing.T) {
-	c := question(t, "rough-core").Core.scenario()
-	must.Eq(t, c.Simulate(7).History, c.Simulate(7).History)
+	scenario := question(t, "rough-core").Core.scenario()
+	must.Eq(t, scenario.Simulate(7).History, scenario.Simulate(7).History)
 }
--- a/internal/mesh/simulation/credit.go
+++ b/internal/mesh/simulation/credit.go
@@ -8,21 +8,22 @@
 	"ottershift/internal/mesh/burstcredit"
 )
 
-// CreditScenario is a day of burst credit: one tenant whose rush lands in regions at once, balancers that hold escrows, a book that the
-// core keeps, links that lose words, and clients that ask again at other balancers.
+// CreditScenario is a simulated run of burst credit. The burst of one tenant arrives in several regions at the same
+// time, proxies hold escrows, the core keeps the ledger, links lose reports, and clients repeat requests at other
+// proxies. Times are virtual, in nanoseconds.
 type CreditScenario struct {
 	Regions, Proxies         int
 	Length                   int64
-	Delay, Cross             int64 // one way, within a region and between two
+	Delay, CrossRegionDelay  int64 // one way, within a region and between two
 	Loss                     float64
-	Credit, Extra            float64 // tokens at first, and spent a second at most
-	Rate                     float64 // requests a second beyond the tenant's rate, of clients
-	Inner                    float64 // and of calls of services
-	Repeats                  float64 // part of the requests that is asked again elsewhere, up to twice, at once
-	Lost, Fails              float64 // parts of the tries whose answer is lost, and that never ran
-	Kills, Cuts, CoreOutages int     // of proxies; of regions from the core; times that all of the core is away
+	Credit, Extra            float64 // initial tokens; the most that may be spent a second
+	Rate                     float64 // client requests a second above the tenant's rate
+	ServiceRate              float64 // service-to-service requests a second
+	Repeats                  float64 // share of the requests that is repeated at other proxies, up to twice, almost at the same time
+	LostResponses, NotRun    float64 // share of the attempts whose response is lost; share that never runs
+	Kills, Cuts, CoreOutages int     // of proxies; of regions from the core; of the whole core
 	CutFor                   int64
-	Guard                    string // left out
+	Guard                    string // guard to disable, empty for none
 }
 
 type creditSettings struct {
@@ -41,24 +42,24 @@
 		Repeats: 0.2, Lost: 0.05, Fails: 0.1, CutFor: duration(10 * S)}
 }
 
-func (c creditSettings) scenario() CreditScenario {
-	return CreditScenario{Regions: c.Regions, Proxies: c.Proxies, Length: int64(c.Length), Delay: int64(c.Delay), Cross: int64(c.Cross), Loss: c.Loss,
-		Credit: c.Credit, Extra: c.Extra, Rate: c.Rate, Inner: c.Inner, Repeats: c.Repeats, Lost: c.Lost, Fails: c.Fails, Kills: c.Kills,
-		Cuts: c.Cuts, CoreOutages: c.CoreOff, CutFor: int64(c.CutFor), Guard: c.Guard}
+func (settings creditSettings) scenario() CreditScenario {
+	return CreditScenario{Regions: settings.Regions, Proxies: settings.Proxies, Length: int64(settings.Length), Delay: int64(settings.Delay), CrossRegionDelay: int64(settings.Cross), Loss: settings.Loss,
+		Credit: settings.Credit, Extra: settings.Extra, Rate: settings.Rate, ServiceRate: settings.Inner, Repeats: settings.Repeats, LostResponses: settings.Lost, NotRun: settings.Fails, Kills: settings.Kills,
+		Cuts: settings.Cuts, CoreOutages: settings.CoreOff, CutFor: int64(settings.CutFor), Guard: settings.Guard}
 }
 
-// CreditResult is what came of one.
+// CreditResult is the result of a run of a CreditScenario.
 type CreditResult struct {
 	Broken                  []string
-	Asked, Served           int // requests of clients
+	Asked, Served           int // client requests
 	InnerAsked, InnerServed int
-	Spent, Due              float64 // tokens that the book charged, and requests that were due a charge
-	Unheard                 float64 // due a charge and never told: their balancer died first
-	Window, Bound           float64 // the most that was spent in 5 s, and the formula
-	Stranded, StrandedBound float64 // the most that was out at balancers that were cut off
+	Spent, Due              float64 // tokens that the ledger charged; requests that were due a charge
+	Unheard                 float64 // due a charge but never reported, as the proxy ended first
+	Window, Bound           float64 // the most spent in 5 s, and the bound on it
+	Stranded, StrandedBound float64 // the most held by proxies of a region that was cut off, and the bound on it
 	Gap                     float64
 	Reports, Bytes          int
-	Waited                  []int64 // until a token was had
+	Waited                  []int64 // time until a token was available, in nanoseconds
 }
 
 type creditProxy struct {
@@ -77,13 +78,13 @@
 	ledger         *burstcredit.Ledger
 	ledgerTime     int64
 	proxies        []*creditProxy
-	regionCutUntil map[int]int64 // regions, until then
-	coreDownUntil  int64         // the core, until then
+	regionCutUntil map[int]int64 // by region
+	coreDownUntil  int64         // the whole core
 	inbox          []sentReport
 	terms          map[string]burstcredit.Terms
-	due            map[uint64]bool // identities that were due a charge
-	maybeDue       map[uint64]bool // and those of effects that were under way at a balancer that died: nobody knows
-	dueCounts      [2]float64      // of due, calls of services and clients' requests
+	due            map[uint64]bool // IDs of requests that are due a charge
+	maybeDue       map[uint64]bool // IDs of requests with an effect whose proxy ended during the attempt; their result is unknown
+	dueCounts      [2]float64      // number of due requests: service-to-service, client
 	reported       map[uint64]bool
 	spentAt        []int64
 }
@@ -95,13 +96,13 @@
 	sentAt      int64
 }
 
-// Simulate plays one day.
+// Simulate runs the scenario once.
 func (scenario CreditScenario) Simulate(seed uint64) *CreditResult {
 	sim := &creditSimulation{Simulator: NewSimulator(seed), CreditScenario: scenario, ledger: burstcredit.NewLedger(), regionCutUntil: map[int]int64{}, due: map[uint64]bool{}, maybeDue: map[uint64]bool{}, reported: map[uint64]bool{}}
 	sim.networkRand = sim.Rand("net")
 	sim.terms = map[string]burstcredit.Terms{"t": {EarnRatio: 0.5, MaxBalance: 10 * scenario.Credit, Retention: 30 * 86400 * S, ExtraRate: scenario.Extra}}
 	sim.ledger.DisableGuard(scenario.Guard)
-	sim.ledger.GrantTokens("t", scenario.Credit, "operator", "the day's credit")
+	sim.ledger.GrantTokens("t", scenario.Credit, "operator", "initial credit")
 	for n := range scenario.Proxies {
 		proxy := &creditProxy{index: n, region: n % scenario.Regions}
 		sim.proxies = append(sim.proxies, proxy)
@@ -110,7 +111,7 @@
 	sim.settleReports()
 	sim.scheduleFaults()
 	sim.scheduleRequests(true, scenario.Rate)
-	sim.scheduleRequests(false, scenario.Inner)
+	sim.scheduleRequests(false, scenario.ServiceRate)
 	sim.RunUntil(scenario.Length)
 	sim.check()
 	return &sim.result
@@ -123,35 +124,35 @@
 	proxy.wallet = burstcredit.NewWallet(fmt.Sprint("n", proxy.index), fmt.Sprint(incarnation))
 	proxy.wallet.DisableGuard(sim.Guard)
 	proxy.wallet.SetTerms(sim.terms, nil, sim.Proxies, sim.Now)
-	var tell func()
-	tell = func() {
+	var reportPeriodically func()
+	reportPeriodically = func() {
 		if !proxy.up || proxy.incarnation != incarnation {
 			return
 		}
 		if !proxy.reporting && proxy.wallet.ShouldReport(sim.Now) {
 			sim.report(proxy)
 		}
-		sim.After(burstcredit.ReportInterval, tell)
+		sim.After(burstcredit.ReportInterval, reportPeriodically)
 	}
-	sim.After(int64(sim.networkRand.IntN(250))*Ms, tell)
+	sim.After(int64(sim.networkRand.IntN(250))*Ms, reportPeriodically)
 }
 
 func (sim *creditSimulation) latency(region int) int64 {
-	d := sim.Delay
-	if region != 0 { // the core is in the first
-		d = sim.Cross
+	base := sim.Delay
+	if region != 0 { // the core is in region 0
+		base = sim.CrossRegionDelay
 	}
-	return d + int64(sim.networkRand.Float64()*float64(d))
+	return base + int64(sim.networkRand.Float64()*float64(base))
 }
 
-// report sends a balancer's word; without an answer in a second it is sent again, as it was.
+// report sends a proxy's report. Without a response within a second it is sent again unchanged.
 func (sim *creditSimulation) report(proxy *creditProxy) {
 	proxy.reporting = true
-	sent := sentReport{proxy, proxy.incarnation, proxy.wallet.Report(sim.Now), sim.Now}
+	report := sentReport{proxy, proxy.incarnation, proxy.wallet.Report(sim.Now), sim.Now}
 	sim.result.Reports++
-	sim.result.Bytes += 120 + 40*len(sent.report.Demands) + 24*(len(sent.report.Settled)+len(sent.report.OpenEffects))
+	sim.result.Bytes += 120 + 40*len(report.report.Demands) + 24*(len(report.report.Settled)+len(report.report.OpenEffects))
 	sim.After(S, func() {
-		if proxy.incarnation == sent.incarnation {
+		if proxy.incarnation == report.incarnation {
 			proxy.reporting = false
 		}
 	})
@@ -160,16 +161,16 @@
 	}
 	sim.After(sim.latency(proxy.region), func() {
 		if sim.Now >= sim.regionCutUntil[proxy.region] && sim.Now >= sim.coreDownUntil {
-			sim.inbox = append(sim.inbox, sent)
+			sim.inbox = append(sim.inbox, report)
 		}
 	})
 }
 
-// settleReports settles what has come in, in one change of the agreed book, and answers.
+// settleReports applies all received reports in one change of the replicated ledger, and sends the grants.
 func (sim *creditSimulation) settleReports() {
 	sim.After(100*Ms, sim.settleReports)
 	if sim.Now < sim.coreDownUntil {
-		sim.inbox, sim.ledgerTime = nil, sim.Now // nobody keeps the book: its time stands still
+		sim.inbox, sim.ledgerTime = nil, sim.Now // no controller keeps the ledger, so its time does not advance
 		return
 	}
 	if len(sim.inbox) == 0 && sim.Now-sim.ledgerTime < S {
@@ -184,7 +185,7 @@
 			sim.reported[m.ID] = true
 		}
 	}
-	// As the core keeps it: written and read again.
+	// Encode and decode the ledger, as the core does when it stores it.
 	raw, err := sim.ledger.Encode()
 	if err == nil {
 		sim.ledger, err = burstcredit.DecodeLedger(raw)
@@ -212,7 +213,8 @@
 	sim.inbox = nil
 }
 
-// scheduleRequests has requests come, each at a balancer drawn by chance, some of them again elsewhere at once.
+// scheduleRequests generates requests at random proxies, and repeats some of them at other proxies almost at the same
+// time.
 func (sim *creditSimulation) scheduleRequests(client bool, rate float64) {
 	if rate <= 0 {
 		return
@@ -232,40 +234,40 @@
 		} else {
 			sim.result.InnerAsked++
 		}
-		tries := 1
+		attempts := 1
 		if rng.Float64() < sim.Repeats {
-			tries += 1 + rng.IntN(2)
+			attempts += 1 + rng.IntN(2)
 		}
-		for n := range tries {
-			at := sim.proxies[rng.IntN(len(sim.proxies))]
-			sim.After(int64(n)*int64(rng.IntN(80))*Ms, func() { sim.attempt(at, claim, &served, rng) })
+		for n := range attempts {
+			proxy := sim.proxies[rng.IntN(len(sim.proxies))]
+			sim.After(int64(n)*int64(rng.IntN(80))*Ms, func() { sim.attempt(proxy, claim, &served, rng) })
 		}
 		sim.After(int64(rng.ExpFloat64()/rate*1e9), next)
 	}
 	sim.After(2*S, next)
 }
 
-// attempt is one try of a request at one balancer: it waits for a token for 400 ms at most, works, and ends in one way or another.
+// attempt runs one attempt at a proxy. It waits at most 400 ms for a token, runs, and ends in one of several ways.
 func (sim *creditSimulation) attempt(proxy *creditProxy, claim burstcredit.Claim, served *bool, rng *rand.Rand) {
 	if !proxy.up {
 		return
 	}
-	incarnation, began := proxy.incarnation, sim.Now
+	incarnation, startedAt := proxy.incarnation, sim.Now
 	run := func() {
-		sim.result.Waited = append(sim.result.Waited, sim.Now-began)
-		ran, whole := rng.Float64() >= sim.Fails, rng.Float64() >= sim.Lost
+		sim.result.Waited = append(sim.result.Waited, sim.Now-startedAt)
+		ran, delivered := rng.Float64() >= sim.NotRun, rng.Float64() >= sim.LostResponses
 		if ran && claim.HasEffect {
-			sim.After(int64(20+rng.IntN(100))*Ms, func() { sim.markDue(claim) }) // at its upstream, whatever becomes of its balancer
+			sim.After(int64(20+rng.IntN(100))*Ms, func() { sim.markDue(claim) }) // takes effect at the upstream even if the proxy ends
 		}
 		sim.After(int64(130+rng.IntN(400))*Ms, func() {
 			if !proxy.up || proxy.incarnation != incarnation {
 				sim.maybeDue[claim.ID] = sim.maybeDue[claim.ID] || claim.HasEffect
 				return
 			}
-			end := burstcredit.NotDelivered
+			result := burstcredit.NotDelivered
 			switch {
-			case ran && whole:
-				end = burstcredit.Delivered
+			case ran && delivered:
+				result = burstcredit.Delivered
 				sim.markDue(claim)
 				if !*served {
 					*served = true
@@ -276,9 +278,9 @@
 					}
 				}
 			case ran && claim.HasEffect:
-				end = burstcredit.Unknown
+				result = burstcredit.Unknown
 			}
-			proxy.wallet.Finish(claim, end, sim.Now)
+			proxy.wallet.Finish(claim, result, sim.Now)
 		})
 	}
 	switch proxy.wallet.Claim(claim, sim.Now, func(bool) {
--- a/internal/mesh/simulation/credit_faults.go
+++ b/internal/mesh/simulation/credit_faults.go
@@ -21,14 +21,14 @@
 		region := rng.IntN(sim.Regions)
 		sim.After(when(), func() {
 			sim.regionCutUntil[region] = sim.Now + sim.CutFor
-			out := 0.0
+			held := 0.0
 			for _, proxy := range sim.proxies {
 				if proxy.region == region && proxy.up {
 					free, reserved := proxy.wallet.Held("t")
-					out += free + reserved
+					held += free + reserved
 				}
 			}
-			sim.result.Stranded = math.Max(sim.result.Stranded, out)
+			sim.result.Stranded = math.Max(sim.result.Stranded, held)
 		})
 	}
 	for range sim.CoreOutages {
--- a/internal/mesh/simulation/engine.go
+++ b/internal/mesh/simulation/engine.go
@@ -1,5 +1,6 @@
-// Package meshsim plays the mesh's own state machines on a virtual clock: seeded, the same on any machine, thousands of
-// days in seconds. It holds no decision of the mesh; it only stands in for clocks, links, disks, machines and callers.
+// Package simulation runs the mesh's own state machines on a virtual clock. A run is seeded and gives the same result
+// on any machine; thousands of simulated days take seconds. The package makes no decisions on behalf of the mesh: it
+// only models clocks, links, disks, machines and callers.
 package simulation
 
 import (
@@ -8,13 +9,14 @@
 	"math/rand/v2"
 )
 
-// Spans of virtual time, in nanoseconds.
+// Units of virtual time, in nanoseconds.
 const (
 	Ms = int64(1e6)
 	S  = int64(1e9)
 )
 
-// Simulator is a clock and what is going to happen, in order of time and then of order.
+// Simulator is a discrete-event scheduler: a virtual clock and a queue of events, ordered by time and then by the
+// order in which they were scheduled.
 type Simulator struct {
 	Now      int64
 	seed     uint64
@@ -44,23 +46,23 @@
 	return e
 }
 
-// NewSimulator makes one; all chance in it comes from the seed.
+// NewSimulator returns a simulator whose random sources all derive from the seed.
 func NewSimulator(seed uint64) *Simulator { return &Simulator{seed: seed} }
 
-// Rand is an actor's own source: what one actor draws changes nothing for another.
+// Rand returns the random source of an actor. Each actor has its own, so that the draws of one do not affect another.
 func (sim *Simulator) Rand(actor string) *rand.Rand {
 	h := fnv.New64a()
 	h.Write([]byte(actor))
 	return rand.New(rand.NewPCG(sim.seed, h.Sum64()))
 }
 
-// After has something happen later.
+// After schedules an action. A negative delay counts as 0.
 func (sim *Simulator) After(delay int64, action func()) {
 	sim.sequence++
 	heap.Push(&sim.queue, event{sim.Now + max(delay, 0), sim.sequence, action})
 }
 
-// RunUntil lets time go by.
+// RunUntil runs all events up to a time and sets the clock to it.
 func (sim *Simulator) RunUntil(until int64) {
 	for len(sim.queue) > 0 && sim.queue[0].at <= until {
 		e := heap.Pop(&sim.queue).(event)
--- a/internal/mesh/simulation/fault.go
+++ b/internal/mesh/simulation/fault.go
@@ -9,33 +9,33 @@
 	"github.com/zeebo/errs"
 )
 
-// Kinds of faults.
+// Kinds of faults. The values are the names in question files.
 const (
-	Kill           = "kill"             // a process; its port refuses connections
-	KillAll        = "kill_all"         // all of them, within a moment
-	PowerLoss      = "power_loss"       // of a machine; it says nothing
-	PowerAll       = "power_all"        // of all of them
-	SendPower      = "send_power"       // of all of them, right after an order was sent
-	Wipe           = "wipe"             // a machine and its disk
-	WipeAlone      = "wipe_alone"       // the same while all others lose power
-	AckWipe        = "ack_wipe"         // the same of whoever gave an acknowledgement, right after it, and of as many others as may be borne
-	Cut            = "cut"              // a process hears and reaches nobody
-	CutOff         = "cut_off"          // reaches nobody
-	CutDeaf        = "cut_deaf"         // hears nobody
-	CutLink        = "cut_link"         // does not reach the next one
-	Refuse         = "refuse"           // refuses connections
-	Freeze         = "freeze"           // a process stands still
-	Slow           = "slow"             // it handles what arrives many times slower
-	Stall          = "stall"            // its disk stands still
-	SlowDisk       = "slow_disk"        // its disk is many times slower
-	ClockStep      = "clock_step"       // the time of day jumps
+	Kill           = "kill"             // one process ends; its port refuses connections
+	KillAll        = "kill_all"         // all processes end at about the same time
+	PowerLoss      = "power_loss"       // one machine loses power and does not respond at all
+	PowerAll       = "power_all"        // all machines lose power
+	SendPower      = "send_power"       // all machines lose power right after an update was sent
+	Wipe           = "wipe"             // one machine loses power and its disk
+	WipeAlone      = "wipe_alone"       // one machine loses its disk while all others lose power
+	AckWipe        = "ack_wipe"         // the controller that acknowledged an update loses its disk; see acknowledgementSent
+	Cut            = "cut"              // a process neither reaches nor hears others
+	CutOff         = "cut_off"          // a process reaches no others
+	CutDeaf        = "cut_deaf"         // a process hears no others
+	CutLink        = "cut_link"         // a process does not reach the next one
+	Refuse         = "refuse"           // a process refuses connections
+	Freeze         = "freeze"           // a process is suspended
+	Slow           = "slow"             // a process handles messages many times slower
+	Stall          = "stall"            // a disk completes no writes
+	SlowDisk       = "slow_disk"        // a disk is many times slower
+	ClockStep      = "clock_step"       // the wall clock jumps
 	Term           = "term"             // SIGTERM; the machine returns with its disk
-	Replace        = "replace"          // a new machine joins; later SIGTERM to the old one, which is gone for good
-	ReplaceBack    = "replace_and_back" // the same; the old machine returns later with its disk
-	ReplaceWipe    = "replace_wipe"     // replace; as the old one has ended, another loses its disk and all others power
-	MachineLoss    = "machine_loss"     // a machine is gone for good; a new one joins at another address
-	ControllerKill = "controller_kill"  // on a day of a mesh: a process of the core
-	ZoneCut        = "zone_cut"         // a zone is cut off
+	Replace        = "replace"          // a new machine joins; the old one then gets SIGTERM and never returns
+	ReplaceBack    = "replace_and_back" // like Replace, but the old machine returns later with its disk
+	ReplaceWipe    = "replace_wipe"     // like Replace; then another loses its disk and all others lose power
+	MachineLoss    = "machine_loss"     // a machine never returns; a new one joins at another address
+	ControllerKill = "controller_kill"  // in mesh scenarios: a controller ends
+	ZoneCut        = "zone_cut"         // a zone is cut off from the others
 )
 
 var (
@@ -44,16 +44,17 @@
 	meshKinds = []string{Kill, KillAll, Cut, ControllerKill, ZoneCut}
 )
 
-// Fault is one thing that goes wrong.
+// Fault is one injected fault.
 type Fault struct {
 	Kind  string   `toml:"kind"`
 	At    duration `toml:"at,omitempty"`
 	For   duration `toml:"for,omitempty"`
-	Who   int      `toml:"who,omitempty"`   // process, or zone
-	After int      `toml:"after,omitempty"` // of ack_wipe and send_power: the how manieth acknowledgement or order of the day
+	Who   int      `toml:"who,omitempty"`   // index of the process or zone
+	After int      `toml:"after,omitempty"` // number of the triggering event, from 1; see triggered
 }
 
-// triggered reports whether the fault comes upon an event of the day, not at a time.
+// triggered reports whether an event of the run triggers the fault, rather than a point in time. AckWipe is triggered
+// by an acknowledgement, SendPower by an update that is sent.
 func (f Fault) triggered() bool { return f.Kind == AckWipe || f.Kind == SendPower }
 
 func (f Fault) String() string {
@@ -61,12 +62,12 @@
 	case AckWipe:
 		return fmt.Sprintf("%s after acknowledgement %d, for %v", f.Kind, f.After, time.Duration(f.For))
 	case SendPower:
-		return fmt.Sprintf("%s after order %d, for %v", f.Kind, f.After, time.Duration(f.For))
+		return fmt.Sprintf("%s after update %d, for %v", f.Kind, f.After, time.Duration(f.For))
 	}
 	return fmt.Sprintf("%s of %d at %v, for %v", f.Kind, f.Who, time.Duration(f.At).Round(time.Millisecond), time.Duration(f.For))
 }
 
-// validateFaults names what is wrong with a list of them.
+// validateFaults returns an error for each invalid fault of a list.
 func validateFaults(table string, all []Fault, kinds []string, length duration) error {
 	var faults errs.Group
 	names := make([]any, len(kinds))
--- a/internal/mesh/simulation/hunt.go
+++ b/internal/mesh/simulation/hunt.go
@@ -11,17 +11,17 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Finding is a day on which a rule broke, with the fewest faults that were found to break it.
+// Finding is a run with a violation, with its list of faults reduced as far as the search could.
 type Finding struct {
 	Seed           uint64
-	Broken         string // what broke first
-	Runs           int    // played until it was met, and while it was shrunk
+	Broken         string // the first violation
+	Runs           int    // runs until the violation was found
 	ShrinkRuns     int
-	OriginalFaults int // faults of the day as it was met
+	OriginalFaults int // number of faults before they were reduced
 	Faults         []Fault
 }
 
-// candidate is a day that was played: the faults that it had and how near it came to a broken rule.
+// candidate is a schedule of faults and the result of its run.
 type candidate struct {
 	seed      uint64
 	faults    []Fault
@@ -30,13 +30,15 @@
 }
 
 const (
-	generationSize = 64   // days that are played beside one another
-	parentCount    = 12   // of them, the nearest, of which the next come
-	randomShare    = 0.25 // of a generation is drawn by chance alone
+	generationSize = 64   // runs that are evaluated in parallel
+	parentCount    = 12   // highest-scoring candidates from which new ones are mutated
+	randomShare    = 0.25 // share of a generation that is drawn at random
 )
 
-// Search plays days that come ever nearer to a broken rule, at most so many, and shrinks the first that breaks one. Which days it
-// plays depends on the seed alone, on any number of processors. progress is told after each generation, nil for nobody.
+// Search evaluates at most maxRuns schedules. It mutates those that came closest to a violation, and shrinks the
+// first that has one. The schedules depend on the seed alone, not on the number of processors. progress is called
+// after each generation; it may be nil. The second result is the number of schedules evaluated, without those of
+// shrinking.
 func (question *Question) Search(seed uint64, maxRuns int, progress func(runs int, score float64)) (*Finding, int) {
 	rng := rand.New(rand.NewPCG(seed, 0x68756e74))
 	var best []candidate
@@ -53,11 +55,11 @@
 			}
 		}
 		question.evaluateAll(next)
-		for n, d := range next {
-			if d.violation != "" {
-				f := &Finding{Seed: d.seed, Broken: d.violation, Runs: runs + n + 1, OriginalFaults: len(d.faults)}
-				f.Faults, f.ShrinkRuns = question.shrink(d)
-				return f, runs + len(next)
+		for n, candidate := range next {
+			if candidate.violation != "" {
+				finding := &Finding{Seed: candidate.seed, Broken: candidate.violation, Runs: runs + n + 1, OriginalFaults: len(candidate.faults)}
+				finding.Faults, finding.ShrinkRuns = question.shrink(candidate)
+				return finding, runs + len(next)
 			}
 		}
 		runs += len(next)
@@ -71,12 +73,13 @@
 	return nil, maxRuns
 }
 
-// evaluateAll plays days beside one another.
+// evaluateAll evaluates candidates in parallel.
 func (question *Question) evaluateAll(all []candidate) {
 	runParallel(len(all), func(n int) { all[n].violation, all[n].score = question.evaluate(all[n].seed, all[n].faults) })
 }
 
-// evaluate plays one day with given faults, and tells what broke and how near it came.
+// evaluate runs one schedule, and returns its first violation and its score: 1 for a violation, below that the closer
+// the higher.
 func (question *Question) evaluate(seed uint64, faults []Fault) (violation string, score float64) {
 	if faults == nil {
 		faults = []Fault{}
@@ -84,35 +87,35 @@
 	if question.Mesh.Proxies > 0 {
 		scenario := question.Mesh.scenario()
 		scenario.Faults = faults
-		d := scenario.Simulate(seed)
-		if len(d.Broken) > 0 {
-			return d.Broken[0], 1
+		result := scenario.Simulate(seed)
+		if len(result.Broken) > 0 {
+			return result.Broken[0], 1
 		}
-		return "", d.Window / max(d.Bound, 1) // of what may pass in a window
+		return "", result.Window / max(result.Bound, 1) // share of the allowed requests in a window that was used
 	}
 	scenario := question.Core.scenario()
 	scenario.Faults = faults
-	d := scenario.Simulate(seed)
-	if len(d.Broken) > 0 {
-		return d.Broken[0], 1
+	result := scenario.Simulate(seed)
+	if len(result.Broken) > 0 {
+		return result.Broken[0], 1
 	}
-	return "", d.riskScore()
+	return "", result.riskScore()
 }
 
-// riskScore is how tight a day was: few disks that hold what was acknowledged, calls of which nobody knows the end, and long
-// waits.
-func (d *CoreResult) riskScore() float64 {
-	near := 0.1*min(float64(d.Unclear), 5)/5 + 0.1*min(float64(d.Adopted), 6)/6
-	if len(d.Took) > 0 {
-		near += 0.05 * min(float64(slices.Max(d.Took))/float64(4*S), 1)
+// riskScore estimates how close a run came to a violation. It grows when few disks hold the acknowledged version,
+// when calls end without a clear response, and with long waits.
+func (result *CoreResult) riskScore() float64 {
+	score := 0.1*min(float64(result.Unclear), 5)/5 + 0.1*min(float64(result.Adopted), 6)/6
+	if len(result.Took) > 0 {
+		score += 0.05 * min(float64(slices.Max(result.Took))/float64(4*S), 1)
 	}
-	if len(d.Repairs) > 0 {
-		near += 0.05 * min(float64(slices.Max(d.Repairs))/float64(4*S), 1)
+	if len(result.Repairs) > 0 {
+		score += 0.05 * min(float64(slices.Max(result.Repairs))/float64(4*S), 1)
 	}
-	if d.Fewest > 0 {
-		near += 0.6 / float64(d.Fewest)
+	if result.Fewest > 0 {
+		score += 0.6 / float64(result.Fewest)
 	}
-	return near
+	return score
 }
 
 func (question *Question) drawFaults(seed uint64) []Fault {
@@ -124,11 +127,11 @@
 	return question.Core.scenario().drawFaults(NewSimulator(seed).Rand("trouble"))
 }
 
-// faultRange is what the faults of a question may be.
+// faultRange bounds the faults that a search generates.
 type faultRange struct {
 	kinds    []string
-	first    duration // when something may go wrong
-	length   duration // of the day
+	first    duration // earliest time of a fault
+	length   duration // of the run
 	machines int
 }
 
@@ -142,57 +145,58 @@
 const (
 	maxFaults        = 24
 	minFaultDuration = duration(50 * Ms)
-	maxTriggerEvent  = 12 // events of the day upon which a new fault may come
+	maxTriggerEvent  = 12 // highest event number that triggers a new fault
 )
 
-// mutate alters one to three things: a fault's time, place, length or kind, one more upon another, or one less.
+// mutate makes one to three changes: it changes the time, target or duration of a fault, adds a fault near another,
+// or removes one.
 func (question *Question) mutate(all []Fault, rng *rand.Rand) []Fault {
-	r := question.faultRange()
-	out := slices.Clone(all)
+	bounds := question.faultRange()
+	mutated := slices.Clone(all)
 	for range 1 + rng.IntN(3) {
-		if len(out) == 0 || rng.IntN(5) == 0 && len(out) < maxFaults {
-			out = append(out, r.newFault(out, rng))
+		if len(mutated) == 0 || rng.IntN(5) == 0 && len(mutated) < maxFaults {
+			mutated = append(mutated, bounds.newFault(mutated, rng))
 		} else {
-			out = r.mutateFault(out, rng.IntN(len(out)), rng)
+			mutated = bounds.mutateFault(mutated, rng.IntN(len(mutated)), rng)
 		}
 	}
-	for n := range out { // what goes wrong is over by the last fifth of the day, in which all has to come back
-		if !out[n].triggered() {
-			out[n].At = min(max(out[n].At, r.first), r.length*7/10)
+	for n := range mutated { // faults end before the last fifth of the run, in which everything has to recover
+		if !mutated[n].triggered() {
+			mutated[n].At = min(max(mutated[n].At, bounds.first), bounds.length*7/10)
 		}
-		out[n].For = max(minFaultDuration, min(out[n].For, r.length*8/10-out[n].At))
+		mutated[n].For = max(minFaultDuration, min(mutated[n].For, bounds.length*8/10-mutated[n].At))
 	}
-	return out
+	return mutated
 }
 
-// newFault is a new fault, close to one of those that there are.
-func (r faultRange) newFault(beside []Fault, rng *rand.Rand) Fault {
-	f := Fault{Kind: r.kinds[rng.IntN(len(r.kinds))], Who: rng.IntN(r.machines), For: duration(int64(200+rng.IntN(3000)) * Ms)}
-	f.At = duration(faultFreeStart + int64(rng.Float64()*float64(int64(r.length)*7/10-faultFreeStart)))
+// newFault returns a random fault, close in time to one of the given faults.
+func (bounds faultRange) newFault(beside []Fault, rng *rand.Rand) Fault {
+	fault := Fault{Kind: bounds.kinds[rng.IntN(len(bounds.kinds))], Who: rng.IntN(bounds.machines), For: duration(int64(200+rng.IntN(3000)) * Ms)}
+	fault.At = duration(faultFreeStart + int64(rng.Float64()*float64(int64(bounds.length)*7/10-faultFreeStart)))
 	if len(beside) > 0 {
-		f.At = max(0, beside[rng.IntN(len(beside))].At+duration((rng.Float64()-0.5)*float64(S)))
+		fault.At = max(0, beside[rng.IntN(len(beside))].At+duration((rng.Float64()-0.5)*float64(S)))
 	}
-	if f.triggered() {
-		f.At, f.After = 0, 1+rng.IntN(maxTriggerEvent)
+	if fault.triggered() {
+		fault.At, fault.After = 0, 1+rng.IntN(maxTriggerEvent)
 	}
-	return f
+	return fault
 }
 
-// mutateFault changes one fault, or leaves it out.
-func (r faultRange) mutateFault(all []Fault, n int, rng *rand.Rand) []Fault {
-	f := &all[n]
+// mutateFault changes one fault or removes it.
+func (bounds faultRange) mutateFault(all []Fault, n int, rng *rand.Rand) []Fault {
+	fault := &all[n]
 	switch rng.IntN(5) {
 	case 0:
-		f.Who = rng.IntN(r.machines)
+		fault.Who = rng.IntN(bounds.machines)
 	case 1:
-		f.For = max(minFaultDuration, duration(float64(f.For)*(0.3+1.7*rng.Float64())))
+		fault.For = max(minFaultDuration, duration(float64(fault.For)*(0.3+1.7*rng.Float64())))
 	case 2:
 		return withoutFault(all, n)
 	default:
-		if f.triggered() {
-			f.After = max(1, f.After+rng.IntN(5)-2)
+		if fault.triggered() {
+			fault.After = max(1, fault.After+rng.IntN(5)-2)
 		} else {
-			f.At = min(r.length*7/10, max(0, f.At+duration((rng.Float64()-0.5)*float64(2*S))))
+			fault.At = min(bounds.length*7/10, max(0, fault.At+duration((rng.Float64()-0.5)*float64(2*S))))
 		}
 	}
 	return all
@@ -200,47 +204,50 @@
 
 var numbers = regexp.MustCompile(`[0-9.]+`)
 
-// ruleName is what broke, without its figures.
-func ruleName(broken string) string { return strings.TrimSpace(numbers.ReplaceAllString(broken, "")) }
+// ruleName returns the text of a violation without its numbers.
+func ruleName(violation string) string {
+	return strings.TrimSpace(numbers.ReplaceAllString(violation, ""))
+}
 
-// shrink leaves out faults, and shortens those that are left, as long as the same rule breaks.
-func (question *Question) shrink(d candidate) (faults []Fault, played int) {
-	faults = d.faults
-	breaks := func(try []Fault) bool {
-		played++
-		broken, _ := question.evaluate(d.seed, try)
-		return broken != "" && ruleName(broken) == ruleName(d.violation)
+// shrink removes faults and shortens the rest, as long as the same rule is still violated.
+func (question *Question) shrink(found candidate) (faults []Fault, runs int) {
+	faults = found.faults
+	violates := func(reduced []Fault) bool {
+		runs++
+		violation, _ := question.evaluate(found.seed, reduced)
+		return violation != "" && ruleName(violation) == ruleName(found.violation)
 	}
-	for size := max(1, len(faults)/2); size >= 1 && len(faults) > 0; { // halves, quarters, one by one
-		less := false
+	for size := max(1, len(faults)/2); size >= 1 && len(faults) > 0; { // remove halves, then quarters, down to single faults
+		progress := false
 		for from := 0; from < len(faults); {
-			try := slices.Delete(slices.Clone(faults), from, min(from+size, len(faults)))
-			if breaks(try) {
-				faults, less = try, true
+			reduced := slices.Delete(slices.Clone(faults), from, min(from+size, len(faults)))
+			if violates(reduced) {
+				faults, progress = reduced, true
 			} else {
 				from += size
 			}
 		}
-		if size /= 2; size < 1 && less {
+		if size /= 2; size < 1 && progress {
 			size = 1
 		}
 	}
 	for n := range faults {
 		for range 4 {
-			try := slices.Clone(faults)
-			if try[n].For /= 2; try[n].For < minFaultDuration || !breaks(try) {
+			reduced := slices.Clone(faults)
+			if reduced[n].For /= 2; reduced[n].For < minFaultDuration || !violates(reduced) {
 				break
 			}
-			faults = try
+			faults = reduced
 		}
 	}
-	return faults, played
+	return faults, runs
 }
 
-// File is the question that plays a found day again; it holds once the rule is kept.
+// File returns a question that repeats the found run. It expects no violation, so it passes once the fault in the
+// code is fixed.
 func (finding *Finding) File(question *Question) ([]byte, error) {
 	out := *question
-	out.Title = fmt.Sprintf("Found by a hunt: %s (%d of %d faults are left)", finding.Broken, len(finding.Faults), finding.OriginalFaults)
+	out.Title = fmt.Sprintf("Found by a hunt: %s (%d of %d faults left)", finding.Broken, len(finding.Faults), finding.OriginalFaults)
 	out.Run.Faults, out.Seed, out.Seeds, out.Holds, out.Vary, out.Ask = nil, finding.Seed, 1, "always", nil, nil
 	if question.Mesh.Proxies > 0 {
 		out.Mesh.Faults = finding.Faults
--- a/internal/mesh/simulation/hunt_test.go
+++ b/internal/mesh/simulation/hunt_test.go
@@ -14,29 +14,30 @@
 
 const faultyCore = "title = \"hard\"\n[core]\ncontrollers = 4\nputs = 40\nreads = 30\nloss = 0.02\nkills = 2\nkill_alls = 1\nwipes = 2\nack_wipes = 2\ncuts = 2\nfreezes = 1\nstalls = 1\nsync = \"10ms\"\n"
 
-// A guard left out is found, and what is left of the day that found it is what breaks the rule; it is written as a question
-// that breaks as well. On the design the same hunt finds nothing.
+// The search must find a disabled guard and shrink the schedule to the faults that matter. The question written from
+// it must show the violation again, and none with the guard in place. With all guards the same search must find
+// nothing.
 func TestSearchFindsDisabledGuardsAndShrinksTheSchedule(t *testing.T) {
-	for _, planted := range []string{"unsynced_ack = true", "no_epoch = true", "old_read = true"} {
-		q := parseQuestion(t, faultyCore+planted)
+	for _, guard := range []string{"unsynced_ack = true", "no_epoch = true", "old_read = true"} {
+		q := parseQuestion(t, faultyCore+guard)
 		found, _ := q.Search(1, 2000, nil)
-		must.NotNil(t, found, must.Sprint(planted))
-		t.Logf("%s: met on day %d with %d faults, shrunk to %d: %.80s", planted, found.Runs, found.OriginalFaults, len(found.Faults), found.Broken)
-		must.LessEq(t, 3, len(found.Faults), must.Sprint(planted))
+		must.NotNil(t, found, must.Sprint(guard))
+		t.Logf("%s: found in run %d with %d faults, shrunk to %d: %.80s", guard, found.Runs, found.OriginalFaults, len(found.Faults), found.Broken)
+		must.LessEq(t, 3, len(found.Faults), must.Sprint(guard))
 		raw, err := found.File(q)
 		must.NoError(t, err)
 		_, rows, err := parseQuestion(t, string(raw)).Answer(nil)
 		must.NoError(t, err)
-		must.Eq(t, 1, rows[0].Broken, must.Sprint(planted))
-		sound := parseQuestion(t, string(raw))
-		sound.Core.UnsyncedAck, sound.Core.NoEpoch, sound.Core.OldRead = false, false, false
-		_, rows, err = sound.Answer(nil)
+		must.Eq(t, 1, rows[0].Broken, must.Sprint(guard))
+		guarded := parseQuestion(t, string(raw))
+		guarded.Core.UnsyncedAck, guarded.Core.NoEpoch, guarded.Core.OldRead = false, false, false
+		_, rows, err = guarded.Answer(nil)
 		must.NoError(t, err)
-		must.Eq(t, 0, rows[0].Broken, must.Sprint(planted)) // the same day, with its guard
+		must.Eq(t, 0, rows[0].Broken, must.Sprint(guard)) // the same run with the guard enabled
 	}
-	found, played := parseQuestion(t, faultyCore).Search(1, schedules(300), nil)
+	found, runs := parseQuestion(t, faultyCore).Search(1, schedules(300), nil)
 	must.Nil(t, found, must.Sprint(found))
-	must.Eq(t, schedules(300), played)
+	must.Eq(t, schedules(300), runs)
 }
 
 func TestSearchFindsQuotaViolation(t *testing.T) {
--- a/internal/mesh/simulation/mesh.go
+++ b/internal/mesh/simulation/mesh.go
@@ -6,21 +6,22 @@
 	"ottershift/internal/mesh/ratelimit"
 )
 
-// MeshScenario is a day of balancers around a core that agrees: leases, news, and the quota of one tenant, at sizes that nobody
-// has machines for. The core's own agreement is Core's affair; here its processes tell one another what they hear, and
-// the first of them that is there keeps the bank.
+// MeshScenario is a simulated run of proxies around a core: leases, membership changes and the quota of one tenant,
+// at sizes that exceed the available machines. Agreement within the core is left to CoreScenario: here the
+// controllers exchange what they hear, and the first that is up keeps the token bank. Times are virtual, in
+// nanoseconds.
 type MeshScenario struct {
 	Zones, Proxies            int
 	Length                    int64
-	Delay, Cross              int64 // one way, within a zone and between two
-	Rate, Surge               float64
-	Demand                    float64 // of the tenant's rate, that it sends
-	Hot                       float64 // times as much, in the middle third
+	Delay, CrossZoneDelay     int64 // one way, within a zone and between two
+	Rate, Burst               float64
+	Demand                    float64 // requests of the tenant, as a multiple of its rate
+	PeakFactor                float64 // factor on Demand in the middle third of the run
 	Kills, KillAlls, Cuts     int     // of proxies
 	ControllerKills, ZoneCuts int
-	FullBucket, NoGracePeriod bool    // guards left out
-	News                      int     // changes of upstreams, by chance spread over the day
-	Faults                    []Fault // these, in place of so many by chance
+	FullBucket, NoGracePeriod bool    // guards to disable
+	UpstreamChanges           int     // changes of upstreams at random times
+	Faults                    []Fault // injected instead of the random faults, unless nil
 }
 
 type meshSettings struct {
@@ -39,22 +40,22 @@
 	return meshSettings{Zones: 4, Length: duration(30 * S), Delay: duration(Ms / 5), Cross: duration(Ms / 2), Rate: 300, Surge: 300, Demand: 0.7, Hot: 1}
 }
 
-func (m meshSettings) scenario() MeshScenario {
-	return MeshScenario{Zones: m.Zones, Proxies: m.Proxies, Length: int64(m.Length), Delay: int64(m.Delay), Cross: int64(m.Cross), Rate: m.Rate,
-		Surge: m.Surge, Demand: m.Demand, Hot: m.Hot, Kills: m.Kills, KillAlls: m.KillAlls, Cuts: m.Cuts, ControllerKills: m.ControllerKills,
-		ZoneCuts: m.ZoneCuts, FullBucket: m.FullBucket, NoGracePeriod: m.NoGracePeriod, News: m.News, Faults: m.Faults}
+func (settings meshSettings) scenario() MeshScenario {
+	return MeshScenario{Zones: settings.Zones, Proxies: settings.Proxies, Length: int64(settings.Length), Delay: int64(settings.Delay), CrossZoneDelay: int64(settings.Cross), Rate: settings.Rate,
+		Burst: settings.Surge, Demand: settings.Demand, PeakFactor: settings.Hot, Kills: settings.Kills, KillAlls: settings.KillAlls, Cuts: settings.Cuts, ControllerKills: settings.ControllerKills,
+		ZoneCuts: settings.ZoneCuts, FullBucket: settings.FullBucket, NoGracePeriod: settings.NoGracePeriod, UpstreamChanges: settings.News, Faults: settings.Faults}
 }
 
-// MeshResult is what came of one.
+// MeshResult is the result of a run of a MeshScenario.
 type MeshResult struct {
 	Broken                 []string
-	Asked, Passed, Refused int // of the tenant
-	Within                 int // asked while the tenant was within its rate
+	Asked, Passed, Refused int // requests of the tenant
+	Within                 int // requests while the tenant was within its rate
 	RefusedWithin          int
-	Window, Bound          float64 // the most that passed in a window, and what is allowed
-	Asks, Draws, Bytes     int     // calls at the core, and what they carried, by estimate of their JSON
-	ControllerRequests     int     // at the busiest process
-	Stale                  int64   // the longest until all balancers that are there knew a change of an upstream
+	Window, Bound          float64 // the most allowed requests in a window, and the bound on it
+	Asks, Draws, Bytes     int     // polls and token requests at the core, and an estimate of the bytes of their JSON
+	ControllerRequests     int     // polls at the busiest controller
+	Stale                  int64   // longest time until all reachable proxies knew a change of an upstream, in nanoseconds
 }
 
 type meshSimulation struct {
@@ -71,10 +72,10 @@
 	limit        ratelimit.Limit
 }
 
-// Simulate plays one day.
+// Simulate runs the scenario once.
 func (scenario MeshScenario) Simulate(seed uint64) *MeshResult {
 	sim := &meshSimulation{Simulator: NewSimulator(seed), MeshScenario: scenario, zoneCutUntil: map[int]int64{}, coordinator: -1,
-		limit: ratelimit.Limit{Rate: scenario.Rate, Burst: scenario.Surge, Window: 5 * S, OverRatio: 0.1, Slack: 20}}
+		limit: ratelimit.Limit{Rate: scenario.Rate, Burst: scenario.Burst, Window: 5 * S, OverRatio: 0.1, Slack: 20}}
 	sim.networkRand = sim.Rand("net")
 	for z := range scenario.Zones {
 		controller := &controllerModel{index: z}
@@ -94,11 +95,11 @@
 }
 
 func (sim *meshSimulation) latency(a, b int) int64 {
-	d := sim.Delay
+	base := sim.Delay
 	if a != b {
-		d = sim.Cross
+		base = sim.CrossZoneDelay
 	}
-	return d + int64(sim.networkRand.Float64()*float64(d))
+	return base + int64(sim.networkRand.Float64()*float64(base))
 }
 
 func (sim *meshSimulation) zonesSeparated(a, b int) bool {
--- a/internal/mesh/simulation/mesh_faults.go
+++ b/internal/mesh/simulation/mesh_faults.go
@@ -1,6 +1,6 @@
 package simulation
 
-// drawFaults are the faults of a day, by chance from how many of each there are to be.
+// drawFaults returns random faults, as many of each kind as the scenario says.
 func (sim *meshSimulation) drawFaults() (all []Fault) {
 	rng := sim.Rand("trouble")
 	for _, of := range []struct {
@@ -19,9 +19,9 @@
 	return all
 }
 
-// inject has one fault happen.
-func (sim *meshSimulation) inject(f Fault) {
-	length := int64(f.For)
+// inject injects one fault.
+func (sim *meshSimulation) inject(fault Fault) {
+	length := int64(fault.For)
 	restart := func(proxy *proxyModel, down int64) {
 		if !proxy.up {
 			return
@@ -30,26 +30,26 @@
 		proxy.incarnation++
 		sim.After(down, func() { sim.startProxy(proxy) })
 	}
-	switch f.Kind {
+	switch fault.Kind {
 	case Kill:
-		restart(sim.proxies[f.Who%sim.Proxies], length)
+		restart(sim.proxies[fault.Who%sim.Proxies], length)
 	case KillAll:
 		for _, proxy := range sim.proxies {
 			restart(proxy, length+int64(proxy.index%7)*50*Ms)
 		}
 	case Cut:
-		sim.proxies[f.Who%sim.Proxies].cutUntil = sim.Now + length
+		sim.proxies[fault.Who%sim.Proxies].cutUntil = sim.Now + length
 	case ControllerKill:
-		if controller := sim.controllers[f.Who%len(sim.controllers)]; controller.up {
+		if controller := sim.controllers[fault.Who%len(sim.controllers)]; controller.up {
 			controller.up = false
 			sim.After(length, func() { sim.startController(controller) })
 		}
 	case ZoneCut:
-		sim.zoneCutUntil[f.Who%sim.Zones] = sim.Now + length
+		sim.zoneCutUntil[fault.Who%sim.Zones] = sim.Now + length
 	}
 }
 
-// scheduleFaults has things go wrong, and upstreams change.
+// scheduleFaults schedules the faults and the changes of upstreams.
 func (sim *meshSimulation) scheduleFaults() {
 	faults := sim.Faults
 	if faults == nil {
@@ -60,18 +60,18 @@
 	}
 	rng := sim.Rand("news")
 	when := func() int64 { return 5*S + int64(rng.Float64()*float64(max(sim.Length-10*S, S))) }
-	for range sim.News {
+	for range sim.UpstreamChanges {
 		proxy := sim.proxies[rng.IntN(sim.Proxies)]
 		sim.After(when(), func() {
 			if !proxy.up || sim.Now < proxy.cutUntil {
 				return
 			}
 			proxy.node.Seq = max(proxy.node.Seq, 1) + 1
-			up := *proxy.node.Upstream
-			up.Draining = !up.Draining
-			proxy.node.Upstream = &up
+			upstream := *proxy.node.Upstream
+			upstream.Draining = !upstream.Draining
+			proxy.node.Upstream = &upstream
 			seq, at := proxy.node.Seq, sim.Now
-			sim.poll(proxy, proxy.incarnation, 0) // told at once
+			sim.poll(proxy, proxy.incarnation, 0) // report the change at once
 			sim.measurePropagation(proxy, seq, at)
 		})
 	}
--- a/internal/mesh/simulation/mesh_judge.go
+++ b/internal/mesh/simulation/mesh_judge.go
@@ -6,7 +6,7 @@
 	"sort"
 )
 
-// check holds what passed against the rule, in every window.
+// check compares the allowed requests with the quota in every window.
 func (sim *meshSimulation) check() {
 	sort.Slice(sim.passedAt, func(a, b int) bool { return sim.passedAt[a] < sim.passedAt[b] })
 	for a, b := 0, 0; b < len(sim.passedAt); b++ {
@@ -23,11 +23,11 @@
 	}
 }
 
-func (d *MeshResult) metrics() map[string]float64 {
-	share := 0.0
-	if d.Within > 0 {
-		share = float64(d.RefusedWithin) / float64(d.Within)
+func (result *MeshResult) metrics() map[string]float64 {
+	refusedShare := 0.0
+	if result.Within > 0 {
+		refusedShare = float64(result.RefusedWithin) / float64(result.Within)
 	}
-	return map[string]float64{"asked": float64(d.Asked), "refused within": share, "most in a window": d.Window, "most allowed": d.Bound,
-		"asks": float64(d.Asks), "draws": float64(d.Draws), "core KB": float64(d.Bytes) / 1000, "most news ms": float64(d.Stale) / 1e6}
+	return map[string]float64{"asked": float64(result.Asked), "refused within": refusedShare, "most in a window": result.Window, "most allowed": result.Bound,
+		"asks": float64(result.Asks), "draws": float64(result.Draws), "core KB": float64(result.Bytes) / 1000, "most news ms": float64(result.Stale) / 1e6}
 }
--- a/internal/mesh/simulation/mesh_load.go
+++ b/internal/mesh/simulation/mesh_load.go
@@ -4,7 +4,8 @@
 	"ottershift/internal/mesh/ratelimit"
 )
 
-// scheduleDemand is what the tenant sends, at balancers drawn by chance; it moves about in the middle third.
+// scheduleDemand generates the tenant's requests at random proxies. In the middle third of the run the load is
+// concentrated and moves.
 func (sim *meshSimulation) scheduleDemand() {
 	rng := sim.Rand("demand")
 	var next func()
@@ -12,23 +13,23 @@
 		if sim.Now >= sim.Length {
 			return
 		}
-		times, part := sim.Demand, sim.Proxies
+		load, proxies := sim.Demand, sim.Proxies
 		if sim.Now > sim.Length/3 && sim.Now < 2*sim.Length/3 {
-			times *= sim.Hot
-			if sim.Hot > 1 {
-				part = max(1, sim.Proxies/3) // where the rush is, another third each second
+			load *= sim.PeakFactor
+			if sim.PeakFactor > 1 {
+				proxies = max(1, sim.Proxies/3) // a burst reaches a third of the proxies, which changes each second
 			}
 		}
-		proxy := sim.proxies[(rng.IntN(part)+int(sim.Now/S)*7)%sim.Proxies]
+		proxy := sim.proxies[(rng.IntN(proxies)+int(sim.Now/S)*7)%sim.Proxies]
 		if proxy.up {
 			sim.result.Asked++
-			within := times <= 1
+			within := load <= 1
 			if within {
 				sim.result.Within++
 			}
 			sim.takeToken(proxy, 0, within)
 		}
-		sim.After(int64(rng.ExpFloat64()/(sim.Rate*times)*1e9), next)
+		sim.After(int64(rng.ExpFloat64()/(sim.Rate*load)*1e9), next)
 	}
 	sim.After(4*S, next)
 }
@@ -60,7 +61,7 @@
 	}
 }
 
-// measurePropagation measures how long it takes until all who are there know a change.
+// measurePropagation measures how long it takes until all reachable proxies know a change.
 func (sim *meshSimulation) measurePropagation(proxy *proxyModel, seq uint64, at int64) {
 	sim.After(5*Ms, func() {
 		for _, other := range sim.proxies {
--- a/internal/mesh/simulation/mesh_processes.go
+++ b/internal/mesh/simulation/mesh_processes.go
@@ -14,10 +14,10 @@
 	incarnation   int
 	wallet        *ratelimit.Wallet
 	requesting    bool
-	requestAgain  bool // somebody wants another draw after the one under way
+	requestAgain  bool // another token request is needed after the one in progress
 	position      membership.Position
 	node          membership.Node
-	seenSeq       map[string]uint64 // seq by node
+	seenSeq       map[string]uint64 // newest sequence number by node
 	pollID        int
 	waiting       []func()
 	requestTokens func(int)
@@ -29,7 +29,7 @@
 	incarnation int
 	registry    *membership.Registry
 	sentSeq     map[int]uint64
-	watchers    []func() // asks that wait for news
+	watchers    []func() // polls that wait for a change
 	tokenBank   *ratelimit.TokenBank
 	grantsFrom  int64
 	epoch       int
@@ -40,8 +40,8 @@
 	controller.incarnation++
 	controller.up, controller.registry, controller.sentSeq, controller.watchers, controller.tokenBank = true, membership.NewRegistry(), map[int]uint64{}, nil, nil
 	incarnation := controller.incarnation
-	var tend func()
-	tend = func() {
+	var maintain func()
+	maintain = func() {
 		if !controller.up || controller.incarnation != incarnation {
 			return
 		}
@@ -50,40 +50,40 @@
 		}
 		sim.gossip(controller)
 		sim.appointCoordinator()
-		sim.After(250*Ms, tend)
+		sim.After(250*Ms, maintain)
 	}
-	sim.After(int64(sim.networkRand.IntN(250))*Ms, tend)
+	sim.After(int64(sim.networkRand.IntN(250))*Ms, maintain)
 }
 
-// mingle tells the other processes what is new, and who was heard directly.
+// gossip sends membership changes and the renewals of directly connected nodes to the other controllers.
 func (sim *meshSimulation) gossip(controller *controllerModel) {
-	for _, to := range sim.controllers {
-		if to == controller || !to.up || sim.zonesSeparated(controller.index, to.index) {
+	for _, peer := range sim.controllers {
+		if peer == controller || !peer.up || sim.zonesSeparated(controller.index, peer.index) {
 			continue
 		}
-		seq, upto := controller.sentSeq[to.index], controller.registry.Seq()
+		seq, upTo := controller.sentSeq[peer.index], controller.registry.Seq()
 		var records []membership.Record
-		if seq < upto {
+		if seq < upTo {
 			records, _, _ = controller.registry.ChangesSince(seq, sim.Now)
 		}
-		renewals, incarnation := controller.registry.OwnRenewals(sim.Now), to.incarnation
+		renewals, incarnation := controller.registry.OwnRenewals(sim.Now), peer.incarnation
 		sim.result.Bytes += 220*len(records) + 60*len(renewals) + 200
-		sim.After(sim.latency(controller.index, to.index), func() {
-			if !to.up || to.incarnation != incarnation {
+		sim.After(sim.latency(controller.index, peer.index), func() {
+			if !peer.up || peer.incarnation != incarnation {
 				return
 			}
-			news := false
+			changed := false
 			for _, n := range records {
 				if !n.Lost {
-					news = to.registry.Observe(n.Node, n.Age, sim.Now, false) || news
+					changed = peer.registry.Observe(n.Node, n.Age, sim.Now, false) || changed
 				}
 			}
-			renewed, more := to.registry.Renew(renewals, sim.Now)
-			if controller.sentSeq[to.index] = upto; more {
-				controller.sentSeq[to.index] = 0
+			renewed, incomplete := peer.registry.Renew(renewals, sim.Now)
+			if controller.sentSeq[peer.index] = upTo; incomplete {
+				controller.sentSeq[peer.index] = 0
 			}
-			if news || renewed {
-				sim.notifyWatchers(to)
+			if changed || renewed {
+				sim.notifyWatchers(peer)
 			}
 		})
 	}
@@ -97,12 +97,13 @@
 	}
 }
 
-// epochs has the first process that is there take the duty once the one before is gone for as long as it takes to see.
+// appointCoordinator makes the first controller that is up the coordinator, after the time that it takes to detect
+// the loss of the previous one.
 func (sim *meshSimulation) appointCoordinator() {
 	if sim.coordinator >= 0 && sim.controllers[sim.coordinator].up {
 		return
 	}
-	gone := sim.coordinator
+	previous := sim.coordinator
 	sim.coordinator = -2
 	sim.After(950*Ms, func() {
 		for _, controller := range sim.controllers {
@@ -117,7 +118,7 @@
 				return
 			}
 		}
-		sim.coordinator = gone
+		sim.coordinator = previous
 	})
 }
 
@@ -128,38 +129,39 @@
 	proxy.wallet = ratelimit.NewWallet(sim.Now)
 	proxy.wallet.SetLimits(map[string]ratelimit.Limit{"t": sim.limit}, sim.Proxies, sim.Now)
 	if sim.FullBucket {
-		proxy.wallet.ApplyGrants(map[string]ratelimit.TokenGrant{"t": {Tokens: sim.Surge / float64(sim.Proxies) * 6}}, sim.Now, sim.Now)
+		proxy.wallet.ApplyGrants(map[string]ratelimit.TokenGrant{"t": {Tokens: sim.Burst / float64(sim.Proxies) * 6}}, sim.Now, sim.Now)
 	}
 	proxy.node.Name, proxy.node.Incarnation, proxy.node.Zone = fmt.Sprint("n", proxy.index), fmt.Sprint(proxy.incarnation), fmt.Sprint(proxy.zone)
 	proxy.node.Upstream = &membership.Upstream{ID: fmt.Sprint("i", proxy.index), Service: "s", Capacity: 6}
 	sim.poll(proxy, incarnation, 0)
 	proxy.requestTokens = func(at int) { sim.requestTokens(proxy, at) }
-	var beat func()
-	beat = func() {
+	var requestPeriodically func()
+	requestPeriodically = func() {
 		if proxy.up && proxy.incarnation == incarnation {
 			proxy.requestTokens(incarnation)
-			sim.After(350*Ms, beat)
+			sim.After(350*Ms, requestPeriodically)
 		}
 	}
-	sim.After(int64(sim.networkRand.IntN(350))*Ms, beat)
+	sim.After(int64(sim.networkRand.IntN(350))*Ms, requestPeriodically)
 }
 
-// poll is a balancer's loop: it asks one process of the core, its own zone's first, and the next where that is silent.
-func (sim *meshSimulation) poll(proxy *proxyModel, incarnation, turn int) {
+// poll is a proxy's polling loop. It polls a controller, that of its own zone first, and after a timeout the next
+// one.
+func (sim *meshSimulation) poll(proxy *proxyModel, incarnation, attempt int) {
 	if !proxy.up || proxy.incarnation != incarnation {
 		return
 	}
-	controller := sim.controllers[(proxy.zone+turn)%len(sim.controllers)]
+	controller := sim.controllers[(proxy.zone+attempt)%len(sim.controllers)]
 	proxy.pollID++
-	this, over := proxy.pollID, false
+	id, done := proxy.pollID, false
 	proxy.node.Seq = max(proxy.node.Seq, 1)
 	position, node := proxy.position, proxy.node
-	up := *proxy.node.Upstream
-	node.Upstream = &up
+	upstream := *proxy.node.Upstream
+	node.Upstream = &upstream
 	retry := func() {
-		if !over && proxy.pollID == this {
-			over = true
-			sim.poll(proxy, incarnation, turn+1)
+		if !done && proxy.pollID == id {
+			done = true
+			sim.poll(proxy, incarnation, attempt+1)
 		}
 	}
 	sim.After(900*Ms, retry)
@@ -175,12 +177,12 @@
 			sim.notifyWatchers(controller)
 			sim.After(0, func() { sim.gossip(controller) })
 		}
-		answered := false
-		answer := func() {
-			if answered || !controller.up || controller.incarnation != controllerIncarnation {
+		responded := false
+		respond := func() {
+			if responded || !controller.up || controller.incarnation != controllerIncarnation {
 				return
 			}
-			answered = true
+			responded = true
 			seq := position.Seq
 			if position.Controller != fmt.Sprint(controller.index, ".", controllerIncarnation) {
 				seq = 0
@@ -189,10 +191,10 @@
 			at := controller.registry.Seq()
 			sim.result.Bytes += 240 + 220*len(records)
 			sim.After(sim.latency(proxy.zone, controller.index), func() {
-				if over || !proxy.up || proxy.incarnation != incarnation || proxy.pollID != this || sim.Now < proxy.cutUntil {
+				if done || !proxy.up || proxy.incarnation != incarnation || proxy.pollID != id || sim.Now < proxy.cutUntil {
 					return
 				}
-				over = true
+				done = true
 				proxy.position = membership.Position{Controller: fmt.Sprint(controller.index, ".", controllerIncarnation), Seq: at}
 				for _, n := range records {
 					proxy.seenSeq[n.Name] = max(proxy.seenSeq[n.Name], n.Seq)
@@ -200,16 +202,16 @@
 				sim.poll(proxy, incarnation, 0)
 			})
 		}
-		sim.After(600*Ms, answer)
+		sim.After(600*Ms, respond)
 		if position.Controller != fmt.Sprint(controller.index, ".", controllerIncarnation) || position.Seq != controller.registry.Seq() {
-			answer()
+			respond()
 		} else {
-			controller.watchers = append(controller.watchers, func() { sim.After(15*Ms, answer) })
+			controller.watchers = append(controller.watchers, func() { sim.After(15*Ms, respond) })
 		}
 	})
 }
 
-// requestTokens is one draw at the bank.
+// requestTokens sends one request to the token bank.
 func (sim *meshSimulation) requestTokens(proxy *proxyModel, incarnation int) {
 	if proxy.requestAgain = true; proxy.requesting || !proxy.up || proxy.incarnation != incarnation || sim.coordinator < 0 {
 		return
@@ -217,15 +219,15 @@
 	proxy.requestAgain = false
 	controller := sim.controllers[sim.coordinator]
 	proxy.requesting = true
-	d, sent := proxy.wallet.NewRequest(proxy.node.Name, fmt.Sprint(proxy.incarnation), sim.Now), sim.Now
+	request, sentAt := proxy.wallet.NewRequest(proxy.node.Name, fmt.Sprint(proxy.incarnation), sim.Now), sim.Now
 	sim.result.Draws++
 	sim.result.Bytes += 260
-	over := false
+	done := false
 	end := func() {
-		if over || proxy.incarnation != incarnation {
+		if done || proxy.incarnation != incarnation {
 			return
 		}
-		over = true
+		done = true
 		sim.After(12*Ms, func() {
 			if proxy.incarnation == incarnation {
 				proxy.requesting = false
@@ -245,12 +247,12 @@
 		if !controller.up || sim.Now < proxy.cutUntil || sim.zonesSeparated(proxy.zone, controller.index) || controller.tokenBank == nil || sim.Now < controller.grantsFrom || sim.coordinator != controller.index && !sim.NoGracePeriod {
 			return
 		}
-		given := controller.tokenBank.Grant(d, sim.Now)
+		grants := controller.tokenBank.Grant(request, sim.Now)
 		sim.After(sim.latency(proxy.zone, controller.index), func() {
-			if over || proxy.incarnation != incarnation || sim.Now < proxy.cutUntil {
+			if done || proxy.incarnation != incarnation || sim.Now < proxy.cutUntil {
 				return
 			}
-			proxy.wallet.ApplyGrants(given, sent, sim.Now)
+			proxy.wallet.ApplyGrants(grants, sentAt, sim.Now)
 			end()
 		})
 	})
--- a/internal/mesh/simulation/partner.go
+++ b/internal/mesh/simulation/partner.go
@@ -8,19 +8,20 @@
 	"ottershift/internal/mesh/federation"
 )
 
-// PartnerScenario is a day on which a partner narrows and widens what it exports, over and over, under load: balancers at which requests
-// begin, others through which they leave, a core that agrees, one of its processes that takes the partner's word.
+// PartnerScenario is a simulated run in which a partner repeatedly narrows and widens its exports under load.
+// Requests enter at some proxies and leave through others. The core agrees on the imports, and its coordinator
+// fetches the partner's export table. Times are virtual, in nanoseconds.
 type PartnerScenario struct {
 	Proxies, Controllers int
 	Length               int64
 	Delay                int64   // one way
 	Rate                 float64 // requests a second, half of them with an effect
-	Changes              int     // of the partner's table
-	Cuts, Freezes, Kills int     // of balancers from the core; of balancers; of the taker
+	Changes              int     // of the partner's export table
+	Cuts, Freezes, Kills int     // of proxies from the core; of proxies; of the coordinator
 	CutFor               int64
-	Busy                 float64 // part of the requests that wait at the door before they leave
-	Turned               float64 // part that the partner turns away, not run
-	Guard                string  // left out
+	Busy                 float64 // share of the requests that wait at the egress proxy before they leave
+	Rejected             float64 // share that the partner rejects without running it
+	Guard                string  // guard to disable, empty for none
 }
 
 type partnerSettings struct {
@@ -35,29 +36,29 @@
 	return partnerSettings{Controllers: 3, Length: duration(60 * S), Delay: duration(Ms), Rate: 200, Changes: 10, CutFor: duration(8 * S), Busy: 0.05, Turned: 0.05}
 }
 
-func (p partnerSettings) scenario() PartnerScenario {
-	return PartnerScenario{Proxies: p.Proxies, Controllers: p.Controllers, Length: int64(p.Length), Delay: int64(p.Delay), Rate: p.Rate, Changes: p.Changes, Cuts: p.Cuts,
-		Freezes: p.Freezes, Kills: p.Kills, CutFor: int64(p.CutFor), Busy: p.Busy, Turned: p.Turned, Guard: p.Guard}
+func (settings partnerSettings) scenario() PartnerScenario {
+	return PartnerScenario{Proxies: settings.Proxies, Controllers: settings.Controllers, Length: int64(settings.Length), Delay: int64(settings.Delay), Rate: settings.Rate, Changes: settings.Changes, Cuts: settings.Cuts,
+		Freezes: settings.Freezes, Kills: settings.Kills, CutFor: int64(settings.CutFor), Busy: settings.Busy, Rejected: settings.Turned, Guard: settings.Guard}
 }
 
-// PartnerResult is what came of one.
+// PartnerResult is the result of a run of a PartnerScenario. Times are in nanoseconds.
 type PartnerResult struct {
 	Broken            []string
-	Asked, Ran, Twice int // requests with an effect, those that ran, and ran more than once
-	Kept              int // that ran after the narrowing that forbids them was reported done
+	Asked, Ran, Twice int // requests with an effect; executions; repeated executions
+	Kept              int // executions after the narrowing that forbids them was reported complete
 	Reads, ReadsRan   int
-	Refused           int // while the partner's table allowed it, for want of a leave
+	Refused           int // requests that the partner's table allows, refused as the proxy's authorization had expired
 	Narrowings        int
-	Took              []int64 // from the partner's word until it was told that it is done
-	Bound             int64
+	Took              []int64 // from the publication of a narrowing until the partner is told that it is complete
+	Bound             int64   // upper bound on Took
 }
 
 type partnerProxy struct {
-	up           bool
-	cutUntil     int64 // from the core, until then
-	frozenUntil  int64
-	exportPolicy *federation.ExportPolicy
-	controller   int
+	up              bool
+	cutUntil        int64 // from the core
+	frozenUntil     int64
+	exportPolicy    *federation.ExportPolicy
+	controllerIndex int
 }
 
 type partnerController struct {
@@ -70,23 +71,23 @@
 	PartnerScenario
 	result           PartnerResult
 	networkRand      *rand.Rand
-	registry         *federation.ImportRegistry // agreed
+	registry         *federation.ImportRegistry // as the core has agreed
 	controllers      []*partnerController
 	proxies          []*partnerProxy
 	tracker          *federation.NarrowingTracker
 	coordinator      int
-	coordinatorSince int64 // since when the duty is this process's
+	coordinatorSince int64 // when the current coordinator was appointed
 
-	table            *federation.Table // the partner's, now
-	narrowedEdition  int64             // edition since which effects are forbidden without a break, 0 for not
-	completedEdition int64             // edition up to which narrowings were reported done
+	table            *federation.Table // the partner's current export table
+	narrowedEdition  int64             // edition since which effects are continuously forbidden, 0 if they are allowed
+	completedEdition int64             // edition up to which narrowings were reported complete
 	publishedAt      map[int64]int64
 	runCount         map[int]int
 }
 
 var partners = []federation.Partner{{Name: "p", Gateway: "p:1"}}
 
-// Simulate plays one day.
+// Simulate runs the scenario once.
 func (scenario PartnerScenario) Simulate(seed uint64) *PartnerResult {
 	sim := &partnerSimulation{Simulator: NewSimulator(seed), PartnerScenario: scenario, registry: federation.NewImportRegistry(), publishedAt: map[int64]int64{}, runCount: map[int]int{}}
 	sim.networkRand = sim.Rand("net")
@@ -95,7 +96,7 @@
 		sim.controllers = append(sim.controllers, &partnerController{up: true, registry: sim.registry})
 	}
 	for n := range scenario.Proxies {
-		proxy := &partnerProxy{up: true, exportPolicy: federation.NewExportPolicy(nil), controller: n % scenario.Controllers}
+		proxy := &partnerProxy{up: true, exportPolicy: federation.NewExportPolicy(nil), controllerIndex: n % scenario.Controllers}
 		proxy.exportPolicy.DisableGuard(scenario.Guard)
 		sim.proxies = append(sim.proxies, proxy)
 		sim.poll(proxy)
@@ -114,14 +115,14 @@
 	return sim.Delay + int64(sim.networkRand.Float64()*float64(sim.Delay))
 }
 
-// publishTable is the partner's next table, with effects let in or not.
-func (sim *partnerSimulation) publishTable(open bool) {
+// publishTable publishes the partner's next export table, with or without effects allowed.
+func (sim *partnerSimulation) publishTable(allowEffects bool) {
 	edition := int64(1)
 	if sim.table != nil {
 		edition = sim.table.Edition + 1
 	}
 	methods := []string{"GET"}
-	if open {
+	if allowEffects {
 		methods = append(methods, "POST")
 		sim.narrowedEdition = 0
 	} else if sim.narrowedEdition == 0 {
@@ -133,14 +134,14 @@
 	sim.publishedAt[edition] = sim.Now
 }
 
-// appointCoordinator gives the duty to a process of the core.
+// appointCoordinator makes a controller the coordinator.
 func (sim *partnerSimulation) appointCoordinator(n int) {
 	sim.coordinator, sim.coordinatorSince = n, sim.Now
 	sim.tracker = federation.NewNarrowingTracker()
 	sim.tracker.DisableGuard(sim.Guard)
 }
 
-// commit puts a changed book in force: whoever is up learns of it, one after the other.
+// commit commits a change of the import registry. Each controller that is up learns of it after a random delay.
 func (sim *partnerSimulation) commit(change func(*federation.ImportRegistry)) {
 	raw, err := sim.registry.Encode()
 	next := sim.registry
@@ -162,28 +163,28 @@
 	}
 }
 
-// coordinate is the taker's loop: the partner's word, and what is done.
+// coordinate is the coordinator's loop. It fetches the partner's table, and completes and reports narrowings.
 func (sim *partnerSimulation) coordinate() {
 	sim.After(federation.CheckInterval, sim.coordinate)
 	controller := sim.controllers[sim.coordinator]
 	if !controller.up {
 		return
 	}
-	word := sim.table
+	table := sim.table
 	sim.After(2*sim.latency(), func() {
 		if !controller.up {
 			return
 		}
-		sim.commit(func(registry *federation.ImportRegistry) { registry.ApplyTable(word, fmt.Sprint(word.Edition)) })
+		sim.commit(func(registry *federation.ImportRegistry) { registry.ApplyTable(table, fmt.Sprint(table.Edition)) })
 	})
-	for partner, no := range sim.tracker.Due(sim.registry, sim.Now) {
-		sim.commit(func(registry *federation.ImportRegistry) { registry.CompleteNarrowing(partner, no) })
+	for partner, number := range sim.tracker.Due(sim.registry, sim.Now) {
+		sim.commit(func(registry *federation.ImportRegistry) { registry.CompleteNarrowing(partner, number) })
 	}
 	if i := sim.registry.Partners["p"]; i != nil && i.AnnouncedEdition > sim.completedEdition {
 		edition := i.AnnouncedEdition
 		sim.After(sim.latency(), func() {
 			for e := sim.completedEdition + 1; e <= edition; e++ {
-				if at, is := sim.publishedAt[e]; is && e == sim.narrowedEdition {
+				if at, ok := sim.publishedAt[e]; ok && e == sim.narrowedEdition {
 					sim.result.Took = append(sim.result.Took, sim.Now-at)
 				}
 			}
@@ -192,36 +193,36 @@
 	}
 }
 
-// poll is a balancer's loop at the core.
+// poll is a proxy's polling loop at the core.
 func (sim *partnerSimulation) poll(proxy *partnerProxy) {
-	again := func() { sim.After(int64(100+sim.networkRand.IntN(500))*Ms, func() { sim.poll(proxy) }) }
+	retry := func() { sim.After(int64(100+sim.networkRand.IntN(500))*Ms, func() { sim.poll(proxy) }) }
 	if sim.Now < proxy.frozenUntil {
 		sim.After(proxy.frozenUntil-sim.Now, func() { sim.poll(proxy) })
 		return
 	}
-	asked, controller := sim.Now, sim.controllers[proxy.controller]
+	askedAt, controller := sim.Now, sim.controllers[proxy.controllerIndex]
 	if !proxy.up || sim.Now < proxy.cutUntil || !controller.up {
-		proxy.controller = (proxy.controller + 1) % len(sim.controllers)
-		again()
+		proxy.controllerIndex = (proxy.controllerIndex + 1) % len(sim.controllers)
+		retry()
 		return
 	}
 	sim.After(sim.latency(), func() {
 		if !controller.up {
-			again()
+			retry()
 			return
 		}
-		book := controller.registry
+		registry := controller.registry
 		sim.After(sim.latency(), func() {
 			if proxy.up && sim.Now >= proxy.frozenUntil && sim.Now >= proxy.cutUntil {
-				proxy.exportPolicy.Update(book, partners, nil, len(sim.proxies), sim.Now)
-				proxy.exportPolicy.Authorize(book.Revision, asked)
+				proxy.exportPolicy.Update(registry, partners, nil, len(sim.proxies), sim.Now)
+				proxy.exportPolicy.Authorize(registry.Revision, askedAt)
 			}
-			again()
+			retry()
 		})
 	})
 }
 
-// scheduleLoad has requests begin at balancers and leave through others.
+// scheduleLoad generates requests that enter at random proxies and leave through others.
 func (sim *partnerSimulation) scheduleLoad() {
 	rng := sim.Rand("load")
 	id := 0
@@ -238,7 +239,7 @@
 }
 
 func (sim *partnerSimulation) beginRequest(id int, effect bool, rng *rand.Rand) {
-	at := sim.proxies[rng.IntN(len(sim.proxies))]
+	ingress := sim.proxies[rng.IntN(len(sim.proxies))]
 	method := "GET"
 	if effect {
 		method = "POST"
@@ -246,17 +247,17 @@
 	} else {
 		sim.result.Reads++
 	}
-	sim.attempt(id, at, method, 0, rng)
+	sim.attempt(id, ingress, method, 0, rng)
 }
 
-// attempt is one try: decided where it begins, and again where it leaves.
-func (sim *partnerSimulation) attempt(id int, at *partnerProxy, method string, try int, rng *rand.Rand) {
-	if !at.up || sim.Now < at.frozenUntil {
+// attempt is one attempt at a request. The policy is checked where the request enters, and again where it leaves.
+func (sim *partnerSimulation) attempt(id int, ingress *partnerProxy, method string, attempt int, rng *rand.Rand) {
+	if !ingress.up || sim.Now < ingress.frozenUntil {
 		return
 	}
-	again := sim.Guard == federation.RetryAfterNarrowing && try > 0
-	if !again {
-		if _, decision := at.exportPolicy.Decide(method, "p.example", "/scans/1", sim.Now); decision != federation.Open {
+	skipChecks := sim.Guard == federation.RetryAfterNarrowing && attempt > 0
+	if !skipChecks {
+		if _, decision := ingress.exportPolicy.Decide(method, "p.example", "/scans/1", sim.Now); decision != federation.Open {
 			if decision == federation.Unconfirmed && (method == "GET" || sim.narrowedEdition == 0) {
 				sim.result.Refused++
 			}
@@ -264,29 +265,29 @@
 		}
 	}
 	egress := sim.proxies[rng.IntN(len(sim.proxies))]
-	wait := sim.latency()
+	delay := sim.latency()
 	if rng.Float64() < sim.Busy {
-		wait += int64(rng.IntN(4000)) * Ms
+		delay += int64(rng.IntN(4000)) * Ms
 	}
 	var leave func()
 	leave = func() {
 		if sim.Now < egress.frozenUntil {
-			sim.After(egress.frozenUntil-sim.Now, leave) // it goes on where it stood
+			sim.After(egress.frozenUntil-sim.Now, leave) // a suspended process continues where it stopped
 			return
 		}
 		if !egress.up {
 			return
 		}
-		if !again && sim.Guard != federation.SinglePolicyCheck {
+		if !skipChecks && sim.Guard != federation.SinglePolicyCheck {
 			if _, decision := egress.exportPolicy.Admit("p", method, "p.example", "/scans/1", sim.Now); decision != federation.Open {
-				return // turned away, with the proof that it has not run
+				return // rejected, with proof that it did not run
 			}
 		}
 		sim.After(sim.latency(), func() {
-			if rng.Float64() < sim.Turned {
+			if rng.Float64() < sim.Rejected {
 				sim.After(int64(200+rng.IntN(1500))*Ms, func() {
-					if try < 2 {
-						sim.attempt(id, at, method, try+1, rng)
+					if attempt < 2 {
+						sim.attempt(id, ingress, method, attempt+1, rng)
 					}
 				})
 				return
@@ -294,10 +295,10 @@
 			sim.execute(id, method)
 		})
 	}
-	sim.After(wait, leave)
+	sim.After(delay, leave)
 }
 
-// execute is a request at the partner's service.
+// execute runs a request at the partner's service.
 func (sim *partnerSimulation) execute(id int, method string) {
 	if method == "GET" {
 		sim.result.ReadsRan++
@@ -320,7 +321,7 @@
 		at += int64(rng.Float64() * 2 * float64(sim.Length-14*S) / float64(max(sim.Changes, 1)))
 		at = min(at, sim.Length-10*S)
 		sim.After(at, func() { sim.publishTable(n%2 == 1) })
-		if rng.IntN(4) == 0 { // narrowed, widened and narrowed within a second
+		if rng.IntN(4) == 0 { // narrows, widens and narrows again within a second
 			sim.After(at+300*Ms, func() { sim.publishTable(true) })
 			sim.After(at+600*Ms, func() { sim.publishTable(false) })
 		}
@@ -349,22 +350,22 @@
 
 func (sim *partnerSimulation) check() {
 	if sim.result.Kept > 0 {
-		sim.result.Broken = append(sim.result.Broken, fmt.Sprintf("KEPT: %d effects ran after their narrowing was reported done", sim.result.Kept))
+		sim.result.Broken = append(sim.result.Broken, fmt.Sprintf("KEPT: %d effects ran after their narrowing was reported complete", sim.result.Kept))
 	}
 	if sim.result.Twice > 0 {
 		sim.result.Broken = append(sim.result.Broken, fmt.Sprintf("TWICE: %d effects ran again", sim.result.Twice))
 	}
 	if sim.result.Narrowings > 0 && sim.narrowedEdition > 0 && sim.completedEdition < sim.narrowedEdition {
-		sim.result.Broken = append(sim.result.Broken, "UNTOLD: the last narrowing was never reported done")
+		sim.result.Broken = append(sim.result.Broken, "UNTOLD: the last narrowing was never reported complete")
 	}
 }
 
-func (d *PartnerResult) metrics() map[string]float64 {
+func (result *PartnerResult) metrics() map[string]float64 {
 	worst, sum := int64(0), int64(0)
-	for _, t := range d.Took {
+	for _, t := range result.Took {
 		worst, sum = max(worst, t), sum+t
 	}
-	return map[string]float64{"effects": float64(d.Asked), "ran": float64(d.Ran), "kept": float64(d.Kept), "twice": float64(d.Twice),
-		"reads": float64(d.Reads), "reads ran": float64(d.ReadsRan), "no leave": float64(d.Refused), "narrowings": float64(d.Narrowings),
-		"mean done ms": float64(sum) / math.Max(1, float64(len(d.Took))) / 1e6, "most done ms": float64(worst) / 1e6, "most bound ms": float64(d.Bound) / 1e6}
+	return map[string]float64{"effects": float64(result.Asked), "ran": float64(result.Ran), "kept": float64(result.Kept), "twice": float64(result.Twice),
+		"reads": float64(result.Reads), "reads ran": float64(result.ReadsRan), "no leave": float64(result.Refused), "narrowings": float64(result.Narrowings),
+		"mean done ms": float64(sum) / math.Max(1, float64(len(result.Took))) / 1e6, "most done ms": float64(worst) / 1e6, "most bound ms": float64(result.Bound) / 1e6}
 }
