--- a/internal/mesh/simulation/core.go
+++ b/internal/mesh/simulation/core.go
@@ -128,11 +128,11 @@
 
 // faultFreeStart is how long a run has no faults at first. A core that has to tolerate the loss of two disks grows
 // from its three founders in that time.
-const faultFreeStart = 4 * S
+const faultFreeStart = 4 * Second
 
 // Simulate runs the scenario once.
 func (scenario CoreScenario) Simulate(seed uint64) *CoreResult {
-	sim := newCoreWorld(scenario, seed)
+	sim := newCoreSimulation(scenario, seed)
 	sim.startInitialProcesses()
 	sim.scheduleFaults()
 	sim.scheduleOperators()
@@ -143,7 +143,7 @@
 	return &sim.result
 }
 
-func newCoreWorld(c CoreScenario, seed uint64) *coreSimulation {
+func newCoreSimulation(c CoreScenario, seed uint64) *coreSimulation {
 	sim := &coreSimulation{Simulator: NewSimulator(seed), CoreScenario: c, byAddress: map[string]*coreProcess{}, linkCuts: map[link]int64{}, oracle: newOracle()}
 	sim.networkRand, sim.diskRand = sim.Rand("net"), sim.Rand("disks")
 	return sim
--- a/internal/mesh/simulation/core_calls.go
+++ b/internal/mesh/simulation/core_calls.go
@@ -40,7 +40,7 @@
 }
 
 // processListDelay is how long operators still list a controller that is gone.
-const processListDelay = 3 * S
+const processListDelay = 3 * Second
 
 // listedProcesses returns the controllers that operators know.
 func (sim *coreSimulation) listedProcesses() []*coreProcess {
--- a/internal/mesh/simulation/core_fault_draws.go
+++ b/internal/mesh/simulation/core_fault_draws.go
@@ -10,26 +10,26 @@
 }
 
 // faultDraws returns the draws for the counts. A kind that is listed twice is twice as likely.
-func (t FaultCounts) faultDraws() []faultDraw {
+func (counts FaultCounts) faultDraws() []faultDraw {
 	return []faultDraw{
-		{t.Kills, []string{Kill}, 200, 3000},
-		{t.KillAlls, []string{KillAll}, 300, 700},
-		{t.Wipes, []string{Wipe, Wipe, WipeAlone}, 300, 1500},
-		{t.Cuts, []string{Cut, CutOff, CutDeaf}, 500, 4000},
-		{t.Freezes, []string{Freeze}, 300, 4000},
-		{t.Stalls, []string{Stall}, 300, 4000},
-		{t.PowerLosses, []string{PowerLoss}, 300, 3000},
-		{t.PowerAlls, []string{PowerAll}, 300, 700},
-		{t.LinkCuts, []string{CutLink}, 500, 6000},
-		{t.LongCuts, []string{Cut}, 20000, 1},
-		{t.Refusals, []string{Refuse}, 300, 4000},
-		{t.Slows, []string{Slow}, 500, 5000},
-		{t.SlowDisks, []string{SlowDisk}, 500, 5000},
-		{t.ClockSteps, []string{ClockStep}, 1000, 9000},
-		{t.Terms, []string{Term}, 300, 2000},
-		{t.Replaces, []string{Replace, Replace, ReplaceBack}, 500, 3000},
-		{t.ReplaceWipe, []string{ReplaceWipe}, 300, 500},
-		{t.MachineLoss, []string{MachineLoss}, 500, 3000},
+		{counts.Kills, []string{Kill}, 200, 3000},
+		{counts.KillAlls, []string{KillAll}, 300, 700},
+		{counts.Wipes, []string{Wipe, Wipe, WipeAlone}, 300, 1500},
+		{counts.Cuts, []string{Cut, CutOff, CutDeaf}, 500, 4000},
+		{counts.Freezes, []string{Freeze}, 300, 4000},
+		{counts.Stalls, []string{Stall}, 300, 4000},
+		{counts.PowerLosses, []string{PowerLoss}, 300, 3000},
+		{counts.PowerAlls, []string{PowerAll}, 300, 700},
+		{counts.LinkCuts, []string{CutLink}, 500, 6000},
+		{counts.LongCuts, []string{Cut}, 20000, 1},
+		{counts.Refusals, []string{Refuse}, 300, 4000},
+		{counts.Slows, []string{Slow}, 500, 5000},
+		{counts.SlowDisks, []string{SlowDisk}, 500, 5000},
+		{counts.ClockSteps, []string{ClockStep}, 1000, 9000},
+		{counts.Terms, []string{Term}, 300, 2000},
+		{counts.Replaces, []string{Replace, Replace, ReplaceBack}, 500, 3000},
+		{counts.ReplaceWipe, []string{ReplaceWipe}, 300, 500},
+		{counts.MachineLoss, []string{MachineLoss}, 500, 3000},
 	}
 }
 
@@ -41,7 +41,7 @@
 			f := Fault{Kind: of.kinds[rng.IntN(len(of.kinds))]}
 			f.At = duration(faultFreeStart + int64(rng.Float64()*float64(last-faultFreeStart)))
 			f.Who = rng.IntN(scenario.Controllers)
-			f.For = duration(int64(of.least)*Ms + int64(rng.IntN(of.spread))*Ms)
+			f.For = duration(int64(of.least)*Millisecond + int64(rng.IntN(of.spread))*Millisecond)
 			all = append(all, f)
 		}
 	}
@@ -54,7 +54,7 @@
 	drawn := map[int]bool{}
 	for range count {
 		n := 1 + rng.IntN(events)
-		f := Fault{Kind: kind, After: n, For: duration(300*Ms + int64(rng.IntN(300))*Ms)}
+		f := Fault{Kind: kind, After: n, For: duration(300*Millisecond + int64(rng.IntN(300))*Millisecond)}
 		if !drawn[n] {
 			drawn[n] = true
 			all = append(all, f)
--- a/internal/mesh/simulation/core_faults.go
+++ b/internal/mesh/simulation/core_faults.go
@@ -5,7 +5,7 @@
 const (
 	slowMachineFactor = 40
 	slowDiskFactor    = 30
-	restartStagger    = 90 * Ms // when all machines go down, each returns this much later than the one before
+	restartStagger    = 90 * Millisecond // when all machines go down, each returns this much later than the one before
 )
 
 // triggeredFaults are the faults that an event of the run triggers, by the number of the event.
@@ -41,8 +41,8 @@
 	return faults.sim.Now >= faultFreeStart && faults.sim.Now <= faults.sim.Length*7/10
 }
 
-// acknowledgementSent is called with each acknowledgement as it leaves a controller. An AckWipe fault wipes the disks of that
-// controller and of as many others as Tolerate allows, while all others lose power.
+// acknowledgementSent is called with each acknowledgement as it leaves a controller. An AckWipe fault wipes the disks
+// of that controller and of as many others as Tolerate allows, while all others lose power.
 func (faults *triggeredFaults) acknowledgementSent(proc *coreProcess) {
 	faults.acknowledgements++
 	f, ok := faults.afterAcknowledgement[faults.acknowledgements]
@@ -50,7 +50,7 @@
 		return
 	}
 	sim := faults.sim
-	sim.After(sim.Delay+Ms/4, func() {
+	sim.After(sim.Delay+Millisecond/4, func() {
 		if sim.lost() > 0 || !proc.up {
 			sim.result.Excluded++
 			return
@@ -58,7 +58,7 @@
 		for _, victim := range sim.chooseWiped(proc) {
 			sim.stop(victim, int64(f.For), outage{wipe: true, power: true})
 		}
-		sim.stopAllExcept(proc, 200*Ms+int64(f.For)/2, outage{power: true})
+		sim.stopAllExcept(proc, 200*Millisecond+int64(f.For)/2, outage{power: true})
 	})
 }
 
@@ -114,7 +114,7 @@
 	case MachineLoss:
 		sim.loseMachine(proc, length)
 	case ClockStep:
-		proc.wallClockOffset += length - 5*S
+		proc.wallClockOffset += length - 5*Second
 	default:
 		sim.markLost(proc, length)
 		sim.impair(proc, fault.Kind, sim.Now+length)
@@ -219,7 +219,7 @@
 	}
 	sim.stop(proc, length, outage{wipe: true, power: true})
 	if othersLosePower {
-		sim.stopAllExcept(proc, 400*Ms, outage{power: true})
+		sim.stopAllExcept(proc, 400*Millisecond, outage{power: true})
 	}
 }
 
--- a/internal/mesh/simulation/core_closing.go
+++ b/internal/mesh/simulation/core_final_checks.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	probeInterval     = 50 * Ms
-	probeTimeout      = 900 * Ms
-	finalWipeDuration = 300 * Ms
+	probeInterval     = 50 * Millisecond
+	probeTimeout      = 900 * Millisecond
+	finalWipeDuration = 300 * Millisecond
 	finalReadAttempts = 8
 )
 
@@ -150,7 +150,7 @@
 				sim.checkNewestState(result.state)
 			}
 		})
-		sim.RunUntil(sim.Now + 2*S)
+		sim.RunUntil(sim.Now + 2*Second)
 	}
 	if !responded {
 		sim.reportViolation("no answer: the core does not respond to reads although no fault is left")
--- a/internal/mesh/simulation/core_history.go
+++ b/internal/mesh/simulation/core_history.go
@@ -45,7 +45,7 @@
 	}
 	switch porcupine.CheckOperationsTimeout(register, calls, historyTimeout) {
 	case porcupine.Illegal:
-		sim.reportViolation("not linearizable: no order of the operators' calls explains their answers")
+		sim.reportViolation("not linearizable: no order of the operators' calls explains their responses")
 	case porcupine.Unknown:
 		sim.result.Unjudged = true
 	}
--- a/internal/mesh/simulation/core_maintenance.go
+++ b/internal/mesh/simulation/core_maintenance.go
@@ -9,7 +9,7 @@
 
 // pendingSettleDelay is how long an accepted value may stay undecided before the first process by duty rank settles
 // it. Each following rank waits that much longer.
-const pendingSettleDelay = 150 * Ms
+const pendingSettleDelay = 150 * Millisecond
 
 // maintain is the periodic work of a controller: gossip, compare its state with a majority, settle pending values,
 // and replace lost members.
--- a/internal/mesh/simulation/core_membership.go
+++ b/internal/mesh/simulation/core_membership.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	storedCheckInterval   = 100 * Ms // between two requests whether a state is stored
-	handOverRetryInterval = 100 * Ms // between two attempts of a leaving process to find a successor
+	storedCheckInterval   = 100 * Millisecond // between two requests whether a state is stored
+	handOverRetryInterval = 100 * Millisecond // between two attempts of a leaving process to find a successor
 )
 
 // maintainMembership carries out the membership change that the state's plan asks for, if any.
--- a/internal/mesh/simulation/core_operators.go
+++ b/internal/mesh/simulation/core_operators.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	callTimeout     = S // after which an operator calls another controller
-	callPause       = 50 * Ms
+	callTimeout     = Second // after which an operator calls another controller
+	callPause       = 50 * Millisecond
 	updateAttempts  = 6
 	readAttempts    = 4
-	minLateResponse = 1200 * Ms
-	maxLateResponse = 2500 * Ms
+	minLateResponse = 1200 * Millisecond
+	maxLateResponse = 2500 * Millisecond
 )
 
 // update is an operator's change of the configuration and its result. The digest identifies it.
@@ -131,7 +131,7 @@
 	sim := operators.sim
 	delay := int64(operators.rng.Float64() * float64(max(sim.Length*9/10-sim.Now, 0)))
 	if operators.rng.IntN(2) == 0 {
-		delay = min(delay, S)
+		delay = min(delay, Second)
 	}
 	sim.After(delay, func() {
 		acknowledged := false
--- a/internal/mesh/simulation/core_process.go
+++ b/internal/mesh/simulation/core_process.go
@@ -68,7 +68,7 @@
 }
 
 // maintenanceInterval is how often a controller does its periodic work.
-const maintenanceInterval = 250 * Ms
+const maintenanceInterval = 250 * Millisecond
 
 // addProcess starts a process on a new machine.
 func (sim *coreSimulation) addProcess(disk *consensus.Replica) *coreProcess {
@@ -86,11 +86,11 @@
 	proc.up, proc.powered, proc.leaving, proc.startedAt = true, true, false, sim.Now
 	proc.diskBusyUntil, proc.machineBusyUntil, proc.round, proc.pendingWrites = 0, 0, 0, nil
 	proc.peers, proc.changing, proc.queuedUpdates, proc.updating = map[string]peer{}, false, nil, false
-	proc.confirmedAt, proc.pendingSince, proc.invitedUntil = -S, 0, 0
+	proc.confirmedAt, proc.pendingSince, proc.invitedUntil = -Second, 0, 0
 	memory := *proc.disk
 	proc.memory = &memory
 	sim.beginCatchUp(proc)
-	sim.after(proc, int64(sim.networkRand.IntN(250))*Ms, func() { sim.maintainPeriodically(proc) })
+	sim.after(proc, int64(sim.networkRand.IntN(250))*Millisecond, func() { sim.maintainPeriodically(proc) })
 }
 
 func (sim *coreSimulation) maintainPeriodically(proc *coreProcess) {
--- a/internal/mesh/simulation/core_proposer.go
+++ b/internal/mesh/simulation/core_proposer.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	stepTimeout       = 900 * Ms // for one step of an attempt
-	readTimeout       = 400 * Ms
-	membershipTimeout = 2 * S // for a change that the core itself needs
+	stepTimeout       = 900 * Millisecond // for one step of an attempt
+	readTimeout       = 400 * Millisecond
+	membershipTimeout = 2 * Second // for a change that the core itself needs
 )
 
 // broadcast is one request to all members of a core, and their responses.
@@ -164,7 +164,7 @@
 // retryNow begins another attempt on top of the learned state.
 func (proposer *proposer) retryNow() {
 	proposer.attempts++
-	proposer.sim.after(proposer.process, Ms+int64(proposer.sim.networkRand.IntN(20))*Ms, proposer.attempt)
+	proposer.sim.after(proposer.process, Millisecond+int64(proposer.sim.networkRand.IntN(20))*Millisecond, proposer.attempt)
 }
 
 // backOff begins another attempt after a failed one and a random pause. Without the pause, two proposers at the same
@@ -177,9 +177,9 @@
 		return
 	}
 	proposer.attempts++
-	took := max(proposer.sim.Now-proposer.attemptStart, Ms)
+	took := max(proposer.sim.Now-proposer.attemptStart, Millisecond)
 	lengths := min(proposer.attempts, maxBackoffFactor)
-	proposer.sim.after(proposer.process, Ms+int64(proposer.sim.networkRand.Float64()*float64(took*lengths)), proposer.attempt)
+	proposer.sim.after(proposer.process, Millisecond+int64(proposer.sim.networkRand.Float64()*float64(took*lengths)), proposer.attempt)
 }
 
 // maxBackoffFactor bounds the pause, in multiples of the length of an attempt.
@@ -187,7 +187,7 @@
 
 // fixedPause returns 1 to 40 ms, regardless of how long attempts take.
 func (proposer *proposer) fixedPause() int64 {
-	return (1+proposer.attempts*7%20)*Ms + int64(proposer.sim.networkRand.IntN(20))*Ms
+	return (1+proposer.attempts*7%20)*Millisecond + int64(proposer.sim.networkRand.IntN(20))*Millisecond
 }
 
 // announce sends a decision to all other processes.
--- a/internal/mesh/simulation/core_readers.go
+++ b/internal/mesh/simulation/core_readers.go
@@ -2,7 +2,7 @@
 
 import "ottershift/internal/mesh/federation"
 
-const watchInterval = 500 * Ms
+const watchInterval = 500 * Millisecond
 
 // reader is a proxy that knows a single controller. It takes a configuration only if the controller declares it
 // current.
--- a/internal/mesh/simulation/core_replacement.go
+++ b/internal/mesh/simulation/core_replacement.go
@@ -1,8 +1,8 @@
 package simulation
 
 const (
-	settleMargin       = 300 * Ms // after CatchUp, before the old machine gets SIGTERM
-	lossSampleInterval = 100 * Ms
+	settleMargin       = 300 * Millisecond // after CatchUp, before the old machine gets SIGTERM
+	lossSampleInterval = 100 * Millisecond
 )
 
 // join starts a new machine with an empty disk and its own address.
--- a/internal/mesh/simulation/core_replica.go
+++ b/internal/mesh/simulation/core_replica.go
@@ -65,24 +65,24 @@
 type unsyncedFate uint8
 
 const (
-	lostAll unsyncedFate = iota
-	keptAll
-	keptByChance // the oldest ones, a random number of them
-	unsyncedFates
+	discardAll unsyncedFate = iota
+	keepAll
+	keepRandomPrefix // the oldest ones, a random number of them
+	unsyncedFateCount
 )
 
 // drawFate draws one fate for all machines of an outage. Some power losses discard everything that was not synced.
 func (sim *coreSimulation) drawFate() unsyncedFate {
-	return unsyncedFate(sim.diskRand.IntN(int(unsyncedFates)))
+	return unsyncedFate(sim.diskRand.IntN(int(unsyncedFateCount)))
 }
 
 // discardWrites ends the pending writes; the fate decides how many of them reach the disk.
 func (sim *coreSimulation) discardWrites(proc *coreProcess, fate unsyncedFate) {
 	kept := 0
 	switch fate {
-	case keptAll:
+	case keepAll:
 		kept = len(proc.pendingWrites)
-	case keptByChance:
+	case keepRandomPrefix:
 		kept = sim.diskRand.IntN(len(proc.pendingWrites) + 1)
 	}
 	if kept > 0 {
--- a/internal/mesh/simulation/credit.go
+++ b/internal/mesh/simulation/credit.go
@@ -38,8 +38,8 @@
 }
 
 func defaultCredit() creditSettings {
-	return creditSettings{Regions: 2, Length: duration(60 * S), Delay: duration(Ms / 2), Cross: duration(30 * Ms), Credit: 1000, Extra: 50, Rate: 60, Inner: 0,
-		Repeats: 0.2, Lost: 0.05, Fails: 0.1, CutFor: duration(10 * S)}
+	return creditSettings{Regions: 2, Length: duration(60 * Second), Delay: duration(Millisecond / 2), Cross: duration(30 * Millisecond), Credit: 1000, Extra: 50, Rate: 60, Inner: 0,
+		Repeats: 0.2, Lost: 0.05, Fails: 0.1, CutFor: duration(10 * Second)}
 }
 
 func (settings creditSettings) scenario() CreditScenario {
@@ -100,7 +100,7 @@
 func (scenario CreditScenario) Simulate(seed uint64) *CreditResult {
 	sim := &creditSimulation{Simulator: NewSimulator(seed), CreditScenario: scenario, ledger: burstcredit.NewLedger(), regionCutUntil: map[int]int64{}, due: map[uint64]bool{}, maybeDue: map[uint64]bool{}, reported: map[uint64]bool{}}
 	sim.networkRand = sim.Rand("net")
-	sim.terms = map[string]burstcredit.Terms{"t": {EarnRatio: 0.5, MaxBalance: 10 * scenario.Credit, Retention: 30 * 86400 * S, ExtraRate: scenario.Extra}}
+	sim.terms = map[string]burstcredit.Terms{"t": {EarnRatio: 0.5, MaxBalance: 10 * scenario.Credit, Retention: 30 * 86400 * Second, ExtraRate: scenario.Extra}}
 	sim.ledger.DisableGuard(scenario.Guard)
 	sim.ledger.GrantTokens("t", scenario.Credit, "operator", "initial credit")
 	for n := range scenario.Proxies {
@@ -134,7 +134,7 @@
 		}
 		sim.After(burstcredit.ReportInterval, reportPeriodically)
 	}
-	sim.After(int64(sim.networkRand.IntN(250))*Ms, reportPeriodically)
+	sim.After(int64(sim.networkRand.IntN(250))*Millisecond, reportPeriodically)
 }
 
 func (sim *creditSimulation) latency(region int) int64 {
@@ -151,7 +151,7 @@
 	report := sentReport{proxy, proxy.incarnation, proxy.wallet.Report(sim.Now), sim.Now}
 	sim.result.Reports++
 	sim.result.Bytes += 120 + 40*len(report.report.Demands) + 24*(len(report.report.Settled)+len(report.report.OpenEffects))
-	sim.After(S, func() {
+	sim.After(Second, func() {
 		if proxy.incarnation == report.incarnation {
 			proxy.reporting = false
 		}
@@ -168,12 +168,12 @@
 
 // settleReports applies all received reports in one change of the replicated ledger, and sends the grants.
 func (sim *creditSimulation) settleReports() {
-	sim.After(100*Ms, sim.settleReports)
+	sim.After(100*Millisecond, sim.settleReports)
 	if sim.Now < sim.coreDownUntil {
 		sim.inbox, sim.ledgerTime = nil, sim.Now // no controller keeps the ledger, so its time does not advance
 		return
 	}
-	if len(sim.inbox) == 0 && sim.Now-sim.ledgerTime < S {
+	if len(sim.inbox) == 0 && sim.Now-sim.ledgerTime < Second {
 		return
 	}
 	sim.ledger.Advance(sim.Now-sim.ledgerTime, sim.terms)
@@ -223,7 +223,7 @@
 	id := uint64(0)
 	var next func()
 	next = func() {
-		if sim.Now >= sim.Length-5*S {
+		if sim.Now >= sim.Length-5*Second {
 			return
 		}
 		id++
@@ -240,11 +240,11 @@
 		}
 		for n := range attempts {
 			proxy := sim.proxies[rng.IntN(len(sim.proxies))]
-			sim.After(int64(n)*int64(rng.IntN(80))*Ms, func() { sim.attempt(proxy, claim, &served, rng) })
+			sim.After(int64(n)*int64(rng.IntN(80))*Millisecond, func() { sim.attempt(proxy, claim, &served, rng) })
 		}
 		sim.After(int64(rng.ExpFloat64()/rate*1e9), next)
 	}
-	sim.After(2*S, next)
+	sim.After(2*Second, next)
 }
 
 // attempt runs one attempt at a proxy. It waits at most 400 ms for a token, runs, and ends in one of several ways.
@@ -257,9 +257,9 @@
 		sim.result.Waited = append(sim.result.Waited, sim.Now-startedAt)
 		ran, delivered := rng.Float64() >= sim.NotRun, rng.Float64() >= sim.LostResponses
 		if ran && claim.HasEffect {
-			sim.After(int64(20+rng.IntN(100))*Ms, func() { sim.markDue(claim) }) // takes effect at the upstream even if the proxy ends
+			sim.After(int64(20+rng.IntN(100))*Millisecond, func() { sim.markDue(claim) }) // takes effect at the upstream even if the proxy ends
 		}
-		sim.After(int64(130+rng.IntN(400))*Ms, func() {
+		sim.After(int64(130+rng.IntN(400))*Millisecond, func() {
 			if !proxy.up || proxy.incarnation != incarnation {
 				sim.maybeDue[claim.ID] = sim.maybeDue[claim.ID] || claim.HasEffect
 				return
@@ -294,7 +294,7 @@
 		if !proxy.reporting && proxy.wallet.ShouldReport(sim.Now) {
 			sim.report(proxy)
 		}
-		sim.After(400*Ms, func() {
+		sim.After(400*Millisecond, func() {
 			if proxy.incarnation == incarnation {
 				proxy.wallet.Cancel(claim)
 			}
--- a/internal/mesh/simulation/credit_judge.go
+++ b/internal/mesh/simulation/credit_checks.go
@@ -23,7 +23,7 @@
 // check compares the ledger's charges with the requests that ran.
 func (sim *creditSimulation) check() {
 	for range 40 { // without further faults, the remaining reports arrive
-		sim.RunUntil(sim.Now + S/2)
+		sim.RunUntil(sim.Now + Second/2)
 	}
 	status := sim.ledger.Status()[0]
 	sim.result.Spent, sim.result.Due = status.Spent, float64(len(sim.due))
@@ -33,8 +33,8 @@
 		}
 	}
 	heldTokens := 0.0
-	for _, b := range sim.proxies {
-		free, reserved := b.wallet.Held("t")
+	for _, proxy := range sim.proxies {
+		free, reserved := proxy.wallet.Held("t")
 		heldTokens += free + reserved
 	}
 	violation := func(format string, args ...any) {
@@ -60,13 +60,13 @@
 	}
 	// Tokens are outstanding for Ahead, and reserved for the length of a request. Those of proxies that ended are granted
 	// a second time.
-	spent, stranded, _ := sim.terms["t"].Bounds(5 * S)
+	spent, stranded, _ := sim.terms["t"].Bounds(5 * Second)
 	sim.result.Bound, sim.result.StrandedBound = spent+sim.Extra*float64(sim.Kills), stranded
-	for a, b := 0, 0; b < len(sim.spentAt); b++ {
-		for sim.spentAt[b]-sim.spentAt[a] > 5*S {
+	for a, proxy := 0, 0; proxy < len(sim.spentAt); proxy++ {
+		for sim.spentAt[proxy]-sim.spentAt[a] > 5*Second {
 			a++
 		}
-		sim.result.Window = math.Max(sim.result.Window, float64(b-a+1))
+		sim.result.Window = math.Max(sim.result.Window, float64(proxy-a+1))
 	}
 	// A burst of client requests that uses the whole extra rate leaves almost nothing to service-to-service requests.
 	if sim.ServiceRate > 0 && sim.Rate >= sim.Extra && sim.dueCounts[1] < 0.95*(sim.dueCounts[0]+sim.dueCounts[1]) {
--- a/internal/mesh/simulation/credit_faults.go
+++ b/internal/mesh/simulation/credit_faults.go
@@ -6,14 +6,14 @@
 
 func (sim *creditSimulation) scheduleFaults() {
 	rng := sim.Rand("trouble")
-	when := func() int64 { return 3*S + int64(rng.Float64()*float64(sim.Length*7/10)) }
+	when := func() int64 { return 3*Second + int64(rng.Float64()*float64(sim.Length*7/10)) }
 	for range sim.Kills {
 		proxy := sim.proxies[rng.IntN(len(sim.proxies))]
 		sim.After(when(), func() {
 			if proxy.up {
 				proxy.up = false
 				proxy.incarnation++
-				sim.After(500*Ms, func() { sim.startProxy(proxy) })
+				sim.After(500*Millisecond, func() { sim.startProxy(proxy) })
 			}
 		})
 	}
@@ -32,6 +32,6 @@
 		})
 	}
 	for range sim.CoreOutages {
-		sim.After(when(), func() { sim.coreDownUntil = sim.Now + 3*S })
+		sim.After(when(), func() { sim.coreDownUntil = sim.Now + 3*Second })
 	}
 }
--- a/internal/mesh/simulation/engine.go
+++ b/internal/mesh/simulation/engine.go
@@ -11,8 +11,8 @@
 
 // Units of virtual time, in nanoseconds.
 const (
-	Ms = int64(1e6)
-	S  = int64(1e9)
+	Millisecond = int64(1e6)
+	Second      = int64(1e9)
 )
 
 // Simulator is a discrete-event scheduler: a virtual clock and a queue of events, ordered by time and then by the
--- a/internal/mesh/simulation/mesh.go
+++ b/internal/mesh/simulation/mesh.go
@@ -37,7 +37,7 @@
 }
 
 func defaultMesh() meshSettings {
-	return meshSettings{Zones: 4, Length: duration(30 * S), Delay: duration(Ms / 5), Cross: duration(Ms / 2), Rate: 300, Surge: 300, Demand: 0.7, Hot: 1}
+	return meshSettings{Zones: 4, Length: duration(30 * Second), Delay: duration(Millisecond / 5), Cross: duration(Millisecond / 2), Rate: 300, Surge: 300, Demand: 0.7, Hot: 1}
 }
 
 func (settings meshSettings) scenario() MeshScenario {
@@ -75,7 +75,7 @@
 // Simulate runs the scenario once.
 func (scenario MeshScenario) Simulate(seed uint64) *MeshResult {
 	sim := &meshSimulation{Simulator: NewSimulator(seed), MeshScenario: scenario, zoneCutUntil: map[int]int64{}, coordinator: -1,
-		limit: ratelimit.Limit{Rate: scenario.Rate, Burst: scenario.Burst, Window: 5 * S, OverRatio: 0.1, Slack: 20}}
+		limit: ratelimit.Limit{Rate: scenario.Rate, Burst: scenario.Burst, Window: 5 * Second, OverRatio: 0.1, Slack: 20}}
 	sim.networkRand = sim.Rand("net")
 	for z := range scenario.Zones {
 		controller := &controllerModel{index: z}
@@ -85,7 +85,7 @@
 	for n := range scenario.Proxies {
 		proxy := &proxyModel{index: n, zone: n % scenario.Zones}
 		sim.proxies = append(sim.proxies, proxy)
-		sim.After(int64(sim.networkRand.IntN(300))*Ms, func() { sim.startProxy(proxy) })
+		sim.After(int64(sim.networkRand.IntN(300))*Millisecond, func() { sim.startProxy(proxy) })
 	}
 	sim.scheduleFaults()
 	sim.scheduleDemand()
--- a/internal/mesh/simulation/mesh_faults.go
+++ b/internal/mesh/simulation/mesh_faults.go
@@ -12,8 +12,8 @@
 		{sim.ControllerKills, ControllerKill, len(sim.controllers), 300, 4000}, {sim.ZoneCuts, ZoneCut, sim.Zones, 2000, 6000},
 	} {
 		for range of.n {
-			all = append(all, Fault{Kind: of.kind, Who: rng.IntN(of.who), For: duration(int64(of.least+rng.IntN(of.spread)) * Ms),
-				At: duration(5*S + int64(rng.Float64()*float64(max(sim.Length-10*S, S))))})
+			all = append(all, Fault{Kind: of.kind, Who: rng.IntN(of.who), For: duration(int64(of.least+rng.IntN(of.spread)) * Millisecond),
+				At: duration(5*Second + int64(rng.Float64()*float64(max(sim.Length-10*Second, Second))))})
 		}
 	}
 	return all
@@ -35,7 +35,7 @@
 		restart(sim.proxies[fault.Who%sim.Proxies], length)
 	case KillAll:
 		for _, proxy := range sim.proxies {
-			restart(proxy, length+int64(proxy.index%7)*50*Ms)
+			restart(proxy, length+int64(proxy.index%7)*50*Millisecond)
 		}
 	case Cut:
 		sim.proxies[fault.Who%sim.Proxies].cutUntil = sim.Now + length
@@ -59,7 +59,7 @@
 		sim.After(int64(f.At), func() { sim.inject(f) })
 	}
 	rng := sim.Rand("news")
-	when := func() int64 { return 5*S + int64(rng.Float64()*float64(max(sim.Length-10*S, S))) }
+	when := func() int64 { return 5*Second + int64(rng.Float64()*float64(max(sim.Length-10*Second, Second))) }
 	for range sim.UpstreamChanges {
 		proxy := sim.proxies[rng.IntN(sim.Proxies)]
 		sim.After(when(), func() {
--- a/internal/mesh/simulation/mesh_load.go
+++ b/internal/mesh/simulation/mesh_load.go
@@ -20,7 +20,7 @@
 				proxies = max(1, sim.Proxies/3) // a burst reaches a third of the proxies, which changes each second
 			}
 		}
-		proxy := sim.proxies[(rng.IntN(proxies)+int(sim.Now/S)*7)%sim.Proxies]
+		proxy := sim.proxies[(rng.IntN(proxies)+int(sim.Now/Second)*7)%sim.Proxies]
 		if proxy.up {
 			sim.result.Asked++
 			within := load <= 1
@@ -31,7 +31,7 @@
 		}
 		sim.After(int64(rng.ExpFloat64()/(sim.Rate*load)*1e9), next)
 	}
-	sim.After(4*S, next)
+	sim.After(4*Second, next)
 }
 
 func (sim *meshSimulation) takeToken(proxy *proxyModel, round int, within bool) {
@@ -52,7 +52,7 @@
 			}
 		}
 		proxy.waiting = append(proxy.waiting, again)
-		sim.After(60*Ms, again)
+		sim.After(60*Millisecond, again)
 		sim.requestTokens(proxy, proxy.incarnation)
 	default:
 		if sim.result.Refused++; within {
@@ -63,10 +63,10 @@
 
 // measurePropagation measures how long it takes until all reachable proxies know a change.
 func (sim *meshSimulation) measurePropagation(proxy *proxyModel, seq uint64, at int64) {
-	sim.After(5*Ms, func() {
+	sim.After(5*Millisecond, func() {
 		for _, other := range sim.proxies {
 			if other.up && other != proxy && sim.Now >= other.cutUntil && sim.Now >= sim.zoneCutUntil[other.zone] && sim.Now >= sim.zoneCutUntil[proxy.zone] && other.seenSeq[proxy.node.Name] < seq {
-				if sim.Now-at < 5*S && proxy.up {
+				if sim.Now-at < 5*Second && proxy.up {
 					sim.measurePropagation(proxy, seq, at)
 				}
 				return
--- a/internal/mesh/simulation/mesh_processes.go
+++ b/internal/mesh/simulation/mesh_processes.go
@@ -50,9 +50,9 @@
 		}
 		sim.gossip(controller)
 		sim.appointCoordinator()
-		sim.After(250*Ms, maintain)
+		sim.After(250*Millisecond, maintain)
 	}
-	sim.After(int64(sim.networkRand.IntN(250))*Ms, maintain)
+	sim.After(int64(sim.networkRand.IntN(250))*Millisecond, maintain)
 }
 
 // gossip sends membership changes and the renewals of directly connected nodes to the other controllers.
@@ -105,12 +105,12 @@
 	}
 	previous := sim.coordinator
 	sim.coordinator = -2
-	sim.After(950*Ms, func() {
+	sim.After(950*Millisecond, func() {
 		for _, controller := range sim.controllers {
 			if controller.up {
 				sim.coordinator = controller.index
 				sim.epoch++
-				controller.tokenBank, controller.grantsFrom, controller.epoch = ratelimit.NewTokenBank(sim.Now), sim.Now+850*Ms, sim.epoch
+				controller.tokenBank, controller.grantsFrom, controller.epoch = ratelimit.NewTokenBank(sim.Now), sim.Now+850*Millisecond, sim.epoch
 				if sim.NoGracePeriod {
 					controller.tokenBank, controller.grantsFrom = ratelimit.NewTokenBank(sim.Now-ratelimit.GrantExpiry), sim.Now
 				}
@@ -139,10 +139,10 @@
 	requestPeriodically = func() {
 		if proxy.up && proxy.incarnation == incarnation {
 			proxy.requestTokens(incarnation)
-			sim.After(350*Ms, requestPeriodically)
+			sim.After(350*Millisecond, requestPeriodically)
 		}
 	}
-	sim.After(int64(sim.networkRand.IntN(350))*Ms, requestPeriodically)
+	sim.After(int64(sim.networkRand.IntN(350))*Millisecond, requestPeriodically)
 }
 
 // poll is a proxy's polling loop. It polls a controller, that of its own zone first, and after a timeout the next
@@ -164,7 +164,7 @@
 			sim.poll(proxy, incarnation, attempt+1)
 		}
 	}
-	sim.After(900*Ms, retry)
+	sim.After(900*Millisecond, retry)
 	sim.After(sim.latency(proxy.zone, controller.index), func() {
 		if !controller.up || sim.Now < proxy.cutUntil || sim.zonesSeparated(proxy.zone, controller.index) {
 			return
@@ -202,11 +202,11 @@
 				sim.poll(proxy, incarnation, 0)
 			})
 		}
-		sim.After(600*Ms, respond)
+		sim.After(600*Millisecond, respond)
 		if position.Controller != fmt.Sprint(controller.index, ".", controllerIncarnation) || position.Seq != controller.registry.Seq() {
 			respond()
 		} else {
-			controller.watchers = append(controller.watchers, func() { sim.After(15*Ms, respond) })
+			controller.watchers = append(controller.watchers, func() { sim.After(15*Millisecond, respond) })
 		}
 	})
 }
@@ -228,7 +228,7 @@
 			return
 		}
 		done = true
-		sim.After(12*Ms, func() {
+		sim.After(12*Millisecond, func() {
 			if proxy.incarnation == incarnation {
 				proxy.requesting = false
 				if proxy.requestAgain || proxy.wallet.ShouldRequest(sim.Now) {
@@ -242,7 +242,7 @@
 			wake()
 		}
 	}
-	sim.After(300*Ms, end)
+	sim.After(300*Millisecond, end)
 	sim.After(sim.latency(proxy.zone, controller.index), func() {
 		if !controller.up || sim.Now < proxy.cutUntil || sim.zonesSeparated(proxy.zone, controller.index) || controller.tokenBank == nil || sim.Now < controller.grantsFrom || sim.coordinator != controller.index && !sim.NoGracePeriod {
 			return
--- a/internal/mesh/simulation/partner.go
+++ b/internal/mesh/simulation/partner.go
@@ -33,7 +33,7 @@
 }
 
 func defaultPartner() partnerSettings {
-	return partnerSettings{Controllers: 3, Length: duration(60 * S), Delay: duration(Ms), Rate: 200, Changes: 10, CutFor: duration(8 * S), Busy: 0.05, Turned: 0.05}
+	return partnerSettings{Controllers: 3, Length: duration(60 * Second), Delay: duration(Millisecond), Rate: 200, Changes: 10, CutFor: duration(8 * Second), Busy: 0.05, Turned: 0.05}
 }
 
 func (settings partnerSettings) scenario() PartnerScenario {
@@ -129,7 +129,7 @@
 		sim.narrowedEdition = edition
 		sim.result.Narrowings++
 	}
-	sim.table = &federation.Table{Partner: "p", Edition: edition, Lease: federation.Duration(20 * S),
+	sim.table = &federation.Table{Partner: "p", Edition: edition, Lease: federation.Duration(20 * Second),
 		Exports: []federation.Export{{Service: "scans", Host: "p.example", PathPrefix: "/scans/", Methods: methods}}}
 	sim.publishedAt[edition] = sim.Now
 }
@@ -155,7 +155,7 @@
 	change(next)
 	sim.registry = next
 	for _, controller := range sim.controllers {
-		sim.After(int64(sim.networkRand.Float64()*60)*Ms, func() {
+		sim.After(int64(sim.networkRand.Float64()*60)*Millisecond, func() {
 			if controller.up && controller.registry.Revision <= next.Revision {
 				controller.registry = next
 			}
@@ -195,7 +195,7 @@
 
 // poll is a proxy's polling loop at the core.
 func (sim *partnerSimulation) poll(proxy *partnerProxy) {
-	retry := func() { sim.After(int64(100+sim.networkRand.IntN(500))*Ms, func() { sim.poll(proxy) }) }
+	retry := func() { sim.After(int64(100+sim.networkRand.IntN(500))*Millisecond, func() { sim.poll(proxy) }) }
 	if sim.Now < proxy.frozenUntil {
 		sim.After(proxy.frozenUntil-sim.Now, func() { sim.poll(proxy) })
 		return
@@ -228,14 +228,14 @@
 	id := 0
 	var next func()
 	next = func() {
-		if sim.Now > sim.Length-8*S {
+		if sim.Now > sim.Length-8*Second {
 			return
 		}
 		id++
 		sim.beginRequest(id, rng.IntN(2) == 0, rng)
 		sim.After(int64(rng.ExpFloat64()/sim.Rate*1e9), next)
 	}
-	sim.After(3*S, next)
+	sim.After(3*Second, next)
 }
 
 func (sim *partnerSimulation) beginRequest(id int, effect bool, rng *rand.Rand) {
@@ -267,7 +267,7 @@
 	egress := sim.proxies[rng.IntN(len(sim.proxies))]
 	delay := sim.latency()
 	if rng.Float64() < sim.Busy {
-		delay += int64(rng.IntN(4000)) * Ms
+		delay += int64(rng.IntN(4000)) * Millisecond
 	}
 	var leave func()
 	leave = func() {
@@ -285,7 +285,7 @@
 		}
 		sim.After(sim.latency(), func() {
 			if rng.Float64() < sim.Rejected {
-				sim.After(int64(200+rng.IntN(1500))*Ms, func() {
+				sim.After(int64(200+rng.IntN(1500))*Millisecond, func() {
 					if attempt < 2 {
 						sim.attempt(id, ingress, method, attempt+1, rng)
 					}
@@ -315,15 +315,15 @@
 
 func (sim *partnerSimulation) scheduleFaults() {
 	rng := sim.Rand("trouble")
-	when := func() int64 { return 4*S + int64(rng.Float64()*float64(sim.Length-14*S)) }
-	at := 4 * S
+	when := func() int64 { return 4*Second + int64(rng.Float64()*float64(sim.Length-14*Second)) }
+	at := 4 * Second
 	for n := range sim.Changes {
-		at += int64(rng.Float64() * 2 * float64(sim.Length-14*S) / float64(max(sim.Changes, 1)))
-		at = min(at, sim.Length-10*S)
+		at += int64(rng.Float64() * 2 * float64(sim.Length-14*Second) / float64(max(sim.Changes, 1)))
+		at = min(at, sim.Length-10*Second)
 		sim.After(at, func() { sim.publishTable(n%2 == 1) })
 		if rng.IntN(4) == 0 { // narrows, widens and narrows again within a second
-			sim.After(at+300*Ms, func() { sim.publishTable(true) })
-			sim.After(at+600*Ms, func() { sim.publishTable(false) })
+			sim.After(at+300*Millisecond, func() { sim.publishTable(true) })
+			sim.After(at+600*Millisecond, func() { sim.publishTable(false) })
 		}
 	}
 	for range sim.Cuts {
@@ -331,7 +331,7 @@
 		sim.After(when(), func() { proxy.cutUntil = sim.Now + sim.CutFor })
 	}
 	for range sim.Freezes {
-		proxy, length := sim.proxies[rng.IntN(len(sim.proxies))], int64(1000+rng.IntN(6000))*Ms
+		proxy, length := sim.proxies[rng.IntN(len(sim.proxies))], int64(1000+rng.IntN(6000))*Millisecond
 		sim.After(when(), func() { proxy.frozenUntil = sim.Now + length })
 	}
 	for range sim.Kills {
@@ -342,8 +342,8 @@
 			}
 			controller.up = false
 			next := (sim.coordinator + 1) % len(sim.controllers)
-			sim.After(1500*Ms, func() { sim.appointCoordinator(next) })
-			sim.After(3*S, func() { controller.up, controller.registry = true, sim.registry })
+			sim.After(1500*Millisecond, func() { sim.appointCoordinator(next) })
+			sim.After(3*Second, func() { controller.up, controller.registry = true, sim.registry })
 		})
 	}
 }
--- a/internal/mesh/simulation/ask.go
+++ b/internal/mesh/simulation/question.go
@@ -74,8 +74,8 @@
 
 // defaultCore returns the settings that apply where a question sets none.
 func defaultCore() coreSettings {
-	return coreSettings{Controllers: 4, Founders: 3, Tolerate: 1, Length: duration(30 * S), CatchUp: duration(4 * S), Grace: duration(6 * S),
-		RepairWithin: duration(5 * S), Delay: duration(Ms / 2), Jitter: duration(Ms), Sync: duration(2 * Ms), Handling: duration(Ms / 4), Puts: 20, Reads: 20}
+	return coreSettings{Controllers: 4, Founders: 3, Tolerate: 1, Length: duration(30 * Second), CatchUp: duration(4 * Second), Grace: duration(6 * Second),
+		RepairWithin: duration(5 * Second), Delay: duration(Millisecond / 2), Jitter: duration(Millisecond), Sync: duration(2 * Millisecond), Handling: duration(Millisecond / 4), Puts: 20, Reads: 20}
 }
 
 func (settings coreSettings) scenario() CoreScenario {
@@ -109,11 +109,11 @@
 	check("seeds", question.Seeds, validation.Min(1), validation.Max(100000))
 	check("core.controllers", question.Core.Controllers, validation.Required, validation.Min(1), validation.Max(64))
 	check("core.founders", question.Core.Founders, validation.Required, validation.Min(1), validation.Max(question.Core.Controllers))
-	check("core.length", int64(question.Core.Length), validation.Min(8*S))
+	check("core.length", int64(question.Core.Length), validation.Min(8*Second))
 	check("holds", question.Holds, validation.In("always", "never"))
 	check("partner.proxies", question.Partner.Proxies, validation.Min(0), validation.Max(2000))
 	check("partner.controllers", question.Partner.Controllers, validation.Required, validation.Min(1), validation.Max(9))
-	check("partner.length", int64(question.Partner.Length), validation.Min(30*S))
+	check("partner.length", int64(question.Partner.Length), validation.Min(30*Second))
 	check("partner.guard", question.Partner.Guard, validation.In("", federation.WithoutAuthorization, federation.SinglePolicyCheck, federation.OpenByDefault, federation.RetryAfterNarrowing))
 	check("credit.proxies", question.Credit.Proxies, validation.Min(0), validation.Max(2000))
 	check("credit.regions", question.Credit.Regions, validation.Required, validation.Min(1), validation.Max(100))
--- a/internal/mesh/simulation/run.go
+++ b/internal/mesh/simulation/run.go
@@ -24,7 +24,7 @@
 
 func defaultRun() runSettings {
 	return runSettings{Controllers: 3, Proxies: 6, Size: 2000, Zones: []string{"east", "west"}, Services: []string{"album", "album", "archive"},
-		Length: duration(20 * S), Work: duration(20 * Ms), Rate: 150}
+		Length: duration(20 * Second), Work: duration(20 * Millisecond), Rate: 150}
 }
 
 // validate reports each invalid setting through check, and returns the errors of the fault list.
@@ -38,9 +38,9 @@
 	}
 	check("run.zones", settings.Zones, validation.Required)
 	check("run.services", settings.Services, validation.Required)
-	check("run.length", int64(settings.Length), validation.Min(3*S), validation.Max(600*S))
+	check("run.length", int64(settings.Length), validation.Min(3*Second), validation.Max(600*Second))
 	if settings.Versions != 0 {
-		check("run.versions", int64(settings.Versions), validation.Min(10*Ms))
+		check("run.versions", int64(settings.Versions), validation.Min(10*Millisecond))
 	}
 	check("run.rate", settings.Rate, validation.Required, validation.Min(1.0), validation.Max(5000.0))
 	check("run.size", settings.Size, validation.Min(0), validation.Max(8<<20))
@@ -67,8 +67,8 @@
 func Demo() *Question {
 	question := &Question{Title: "Three controllers and six proxies; one of each is killed during the run", Seed: 1, Run: defaultRun()}
 	question.Run.Faults = []Fault{
-		{Kind: processes.KillController, At: duration(5 * S), For: duration(4 * S), Who: 1},
-		{Kind: processes.KillProxy, At: duration(8 * S), For: duration(3 * S), Who: 2},
+		{Kind: processes.KillController, At: duration(5 * Second), For: duration(4 * Second), Who: 1},
+		{Kind: processes.KillProxy, At: duration(8 * Second), For: duration(3 * Second), Who: 2},
 	}
 	return question
 }
--- a/internal/mesh/simulation/hunt.go
+++ b/internal/mesh/simulation/search.go
@@ -107,10 +107,10 @@
 func (result *CoreResult) riskScore() float64 {
 	score := 0.1*min(float64(result.Unclear), 5)/5 + 0.1*min(float64(result.Adopted), 6)/6
 	if len(result.Took) > 0 {
-		score += 0.05 * min(float64(slices.Max(result.Took))/float64(4*S), 1)
+		score += 0.05 * min(float64(slices.Max(result.Took))/float64(4*Second), 1)
 	}
 	if len(result.Repairs) > 0 {
-		score += 0.05 * min(float64(slices.Max(result.Repairs))/float64(4*S), 1)
+		score += 0.05 * min(float64(slices.Max(result.Repairs))/float64(4*Second), 1)
 	}
 	if result.Fewest > 0 {
 		score += 0.6 / float64(result.Fewest)
@@ -144,7 +144,7 @@
 
 const (
 	maxFaults        = 24
-	minFaultDuration = duration(50 * Ms)
+	minFaultDuration = duration(50 * Millisecond)
 	maxTriggerEvent  = 12 // highest event number that triggers a new fault
 )
 
@@ -171,10 +171,10 @@
 
 // newFault returns a random fault, close in time to one of the given faults.
 func (bounds faultRange) newFault(beside []Fault, rng *rand.Rand) Fault {
-	fault := Fault{Kind: bounds.kinds[rng.IntN(len(bounds.kinds))], Who: rng.IntN(bounds.machines), For: duration(int64(200+rng.IntN(3000)) * Ms)}
+	fault := Fault{Kind: bounds.kinds[rng.IntN(len(bounds.kinds))], Who: rng.IntN(bounds.machines), For: duration(int64(200+rng.IntN(3000)) * Millisecond)}
 	fault.At = duration(faultFreeStart + int64(rng.Float64()*float64(int64(bounds.length)*7/10-faultFreeStart)))
 	if len(beside) > 0 {
-		fault.At = max(0, beside[rng.IntN(len(beside))].At+duration((rng.Float64()-0.5)*float64(S)))
+		fault.At = max(0, beside[rng.IntN(len(beside))].At+duration((rng.Float64()-0.5)*float64(Second)))
 	}
 	if fault.triggered() {
 		fault.At, fault.After = 0, 1+rng.IntN(maxTriggerEvent)
@@ -196,7 +196,7 @@
 		if fault.triggered() {
 			fault.After = max(1, fault.After+rng.IntN(5)-2)
 		} else {
-			fault.At = min(bounds.length*7/10, max(0, fault.At+duration((rng.Float64()-0.5)*float64(2*S))))
+			fault.At = min(bounds.length*7/10, max(0, fault.At+duration((rng.Float64()-0.5)*float64(2*Second))))
 		}
 	}
 	return all
