--- a/internal/mesh/simulation/core_calls.go
+++ b/internal/mesh/simulation/core_calls.go
@@ -1,89 +1,89 @@
 package simulation
 
-// call is an operator's call: to one process, and after silence, a refused connection or an unclear answer to the next,
-// with the same words. Answers that come late count all the same.
+// call is an operator's call. It goes to one controller; after a timeout, a refused connection or an unclear response
+// it goes to the next one with the same content. Late responses count as well.
 type call struct {
-	w        *coreWorld
-	first    int
-	calls    int // so many at most
-	made     int
-	over     bool
-	handle   func(b *coreProcess, respond func(answer))
-	answered func(answer) // each clear answer
-	ended    func()       // with a clear answer or without
+	sim         *coreSimulation
+	first       int
+	maxAttempts int // on controllers
+	attempts    int
+	done        bool
+	handle      func(proc *coreProcess, respond func(callResponse))
+	onResponse  func(callResponse) // called with each clear response
+	onEnd       func()             // called once, with or without a clear response
 }
 
-// next calls the next process.
-func (c *call) next() {
-	if c.over {
+// tryNext calls the next controller.
+func (call *call) tryNext() {
+	if call.done {
 		return
 	}
-	if c.made == c.calls {
-		c.over = true
-		c.ended()
+	if call.attempts == call.maxAttempts {
+		call.done = true
+		call.onEnd()
 		return
 	}
-	listed := c.w.listed()
-	b := listed[(c.first+c.made)%len(listed)]
-	c.made++
-	left := false
-	leave := func() {
-		if !left {
-			left = true
-			c.w.After(callPause, c.next)
+	listed := call.sim.listedProcesses()
+	proc := listed[(call.first+call.attempts)%len(listed)]
+	call.attempts++
+	movedOn := false
+	moveOn := func() {
+		if !movedOn {
+			movedOn = true
+			call.sim.After(callPause, call.tryNext)
 		}
 	}
-	c.w.After(callTimeout, leave)
-	c.w.After(c.w.Delay, func() {
-		c.w.arrive(message{to: b, deliver: func() { c.arrived(b, leave) }, refused: leave})
+	call.sim.After(callTimeout, moveOn)
+	call.sim.After(call.sim.Delay, func() {
+		call.sim.arrive(message{to: proc, deliver: func() { call.deliver(proc, moveOn) }, refused: moveOn})
 	})
 }
 
-// listLag is how late operators' list of processes is.
-const listLag = 3 * S
+// processListDelay is how long operators still list a controller that is gone.
+const processListDelay = 3 * Second
 
-// listed are the processes that operators know of.
-func (w *coreWorld) listed() []*coreProcess {
-	all := make([]*coreProcess, 0, len(w.processes))
-	for _, b := range w.processes {
-		if !b.retired || w.Now-b.retiredAt < listLag {
-			all = append(all, b)
+// listedProcesses returns the controllers that operators know.
+func (sim *coreSimulation) listedProcesses() []*coreProcess {
+	all := make([]*coreProcess, 0, len(sim.processes))
+	for _, proc := range sim.processes {
+		if !proc.retired || sim.Now-proc.retiredAt < processListDelay {
+			all = append(all, proc)
 		}
 	}
 	return all
 }
 
-// arrived is the call at a process; its answer may get lost or come late.
-func (c *call) arrived(b *coreProcess, leave func()) {
-	came := c.w.Now
-	c.handle(b, func(a answer) {
-		if a.verdict != unclear {
-			c.w.observeAnswer(b, came, a.String())
+// deliver runs the call at a controller. The response may be lost or late.
+func (call *call) deliver(proc *coreProcess, moveOn func()) {
+	arrivedAt := call.sim.Now
+	call.handle(proc, func(response callResponse) {
+		if response.responseStatus != statusUnknown {
+			call.sim.observeResponse(proc, arrivedAt, response.String())
 		}
-		later := c.w.Delay
-		switch chance := c.w.net.Float64(); {
-		case chance < c.w.AnswersLost:
+		delay := call.sim.Delay
+		switch draw := call.sim.networkRand.Float64(); {
+		case draw < call.sim.LostResponses:
 			return
-		case chance < c.w.AnswersLost+c.w.AnswersLate:
-			later += answersLateBy + int64(c.w.net.Float64()*float64(answersLateMost-answersLateBy))
+		case draw < call.sim.LostResponses+call.sim.LateResponses:
+			delay += minLateResponse + int64(call.sim.networkRand.Float64()*float64(maxLateResponse-minLateResponse))
 		}
-		c.w.After(later, func() { c.receive(a, leave) })
+		call.sim.After(delay, func() { call.receive(response, moveOn) })
 	})
 }
 
-func (c *call) receive(a answer, leave func()) {
-	if a.verdict == unclear {
-		leave()
+func (call *call) receive(response callResponse, moveOn func()) {
+	if response.responseStatus == statusUnknown {
+		moveOn()
 		return
 	}
-	c.answered(a)
-	if !c.over {
-		c.over = true
-		c.ended()
+	call.onResponse(response)
+	if !call.done {
+		call.done = true
+		call.onEnd()
 	}
 }
 
-// String is what a process did to the call.
-func (v verdict) String() string {
-	return [...]string{unclear: "left open", accepted: "confirmed", refused: "refused"}[v]
+// String returns what a controller did with the call, as a verb for violation messages.
+func (status responseStatus) String() string {
+	return [...]string{statusUnknown: "left open", statusAccepted: "confirmed", statusRejected: "refused"}[status]
 }
--- a/internal/mesh/simulation/core_faults.go
+++ b/internal/mesh/simulation/core_faults.go
@@ -5,233 +5,238 @@
 const (
 	slowMachineFactor = 40
 	slowDiskFactor    = 30
-	nextBackAfter     = 90 * Ms // where all go down, each comes back so much later than the one before
+	restartStagger    = 90 * Millisecond // when all machines go down, each returns this much later than the one before
 )
 
-// strikes are faults that come upon an event of the day.
-type strikes struct {
-	w                 *coreWorld
-	afterConfirmation map[int]Fault
-	afterOrder        map[int]Fault
-	confirmations     int
+// triggeredFaults are the faults that an event of the run triggers, by the number of the event.
+type triggeredFaults struct {
+	sim                  *coreSimulation
+	afterAcknowledgement map[int]Fault
+	afterUpdate          map[int]Fault
+	acknowledgements     int
 }
 
-// scheduleFaults does what goes wrong. Disks are lost within what is to be borne at once, everything else as it comes.
-func (w *coreWorld) scheduleFaults() {
-	faults := w.Faults
+// scheduleFaults schedules the given or random faults. Disk losses are limited to what Tolerate allows at the same
+// time; other faults are not limited.
+func (sim *coreSimulation) scheduleFaults() {
+	faults := sim.Faults
 	if faults == nil {
-		faults = w.drawFaults(w.Chance("trouble"))
+		faults = sim.drawFaults(sim.Rand("trouble"))
 	}
-	w.strikes = strikes{w: w, afterConfirmation: map[int]Fault{}, afterOrder: map[int]Fault{}}
+	sim.triggeredFaults = triggeredFaults{sim: sim, afterAcknowledgement: map[int]Fault{}, afterUpdate: map[int]Fault{}}
 	for _, f := range faults {
 		switch f.Kind {
 		case AckWipe:
-			w.strikes.afterConfirmation[f.After] = f
+			sim.triggeredFaults.afterAcknowledgement[f.After] = f
 		case SendPower:
-			w.strikes.afterOrder[f.After] = f
+			sim.triggeredFaults.afterUpdate[f.After] = f
 		default:
-			w.After(int64(f.At), func() { w.befall(f) })
+			sim.After(int64(f.At), func() { sim.inject(f) })
 		}
 	}
 }
 
-// allowed reports whether trouble may come now.
-func (s *strikes) allowed() bool { return s.w.Now >= lead && s.w.Now <= s.w.Length*7/10 }
+// allowed reports whether faults may be injected now.
+func (faults *triggeredFaults) allowed() bool {
+	return faults.sim.Now >= faultFreeStart && faults.sim.Now <= faults.sim.Length*7/10
+}
 
-// confirmed is called with each confirmation as it leaves a process.
-func (s *strikes) confirmed(by *coreProcess) {
-	s.confirmations++
-	f, is := s.afterConfirmation[s.confirmations]
-	if !is || !s.allowed() {
+// acknowledgementSent is called with each acknowledgement as it leaves a controller. An AckWipe fault wipes the disks
+// of that controller and of as many others as Tolerate allows, while all others lose power.
+func (faults *triggeredFaults) acknowledgementSent(proc *coreProcess) {
+	faults.acknowledgements++
+	f, ok := faults.afterAcknowledgement[faults.acknowledgements]
+	if !ok || !faults.allowed() {
 		return
 	}
-	w := s.w
-	w.After(w.Delay+Ms/4, func() {
-		if w.lost() > 0 || !by.up {
-			w.day.Excluded++
+	sim := faults.sim
+	sim.After(sim.Delay+Millisecond/4, func() {
+		if sim.lost() > 0 || !proc.up {
+			sim.result.Excluded++
 			return
 		}
-		for _, victim := range w.wipedWith(by) {
-			w.stop(victim, int64(f.For), outage{wipe: true, power: true})
+		for _, victim := range sim.chooseWiped(proc) {
+			sim.stop(victim, int64(f.For), outage{wipe: true, power: true})
 		}
-		w.stopOthers(by, 200*Ms+int64(f.For)/2, outage{power: true})
+		sim.stopAllExcept(proc, 200*Millisecond+int64(f.For)/2, outage{power: true})
 	})
 }
 
-// wipedWith is whose disks are lost together with one: as many as may be borne, the others drawn from the core.
-func (w *coreWorld) wipedWith(first *coreProcess) []*coreProcess {
+// chooseWiped returns the processes whose disks are lost together with that of first: as many as Tolerate allows, the
+// others drawn from the core.
+func (sim *coreSimulation) chooseWiped(first *coreProcess) []*coreProcess {
 	victims := []*coreProcess{first}
-	core := w.newestCore()
-	for _, n := range w.disks.Perm(len(core)) {
-		if len(victims) >= w.Tolerate {
+	core := sim.newestCore()
+	for _, n := range sim.diskRand.Perm(len(core)) {
+		if len(victims) >= sim.Tolerate {
 			break
 		}
-		if b := w.byAddress[core[n].Address]; b != first {
-			victims = append(victims, b)
+		if proc := sim.byAddress[core[n].Address]; proc != first {
+			victims = append(victims, proc)
 		}
 	}
 	return victims
 }
 
-// sent is called with each order as it is given; what follows comes within the time that it takes to be decided.
-func (s *strikes) sent(order int) {
-	f, is := s.afterOrder[order]
-	if !is || !s.allowed() {
+// updateSent is called with each update as it is sent. Its fault comes within the time that a decision takes.
+func (faults *triggeredFaults) updateSent(number int) {
+	f, ok := faults.afterUpdate[number]
+	if !ok || !faults.allowed() {
 		return
 	}
-	w := s.w
-	soon := int64(w.disks.Float64() * float64(6*w.Delay+2*w.Jitter+3*w.Sync))
-	w.After(soon, func() { w.stopOthers(nil, int64(f.For), outage{power: true}) })
+	sim := faults.sim
+	soon := int64(sim.diskRand.Float64() * float64(6*sim.Delay+2*sim.Jitter+3*sim.Sync))
+	sim.After(soon, func() { sim.stopAllExcept(nil, int64(f.For), outage{power: true}) })
 }
 
-// befall has one fault happen.
-func (w *coreWorld) befall(f Fault) {
-	b, long := w.processes[f.Who%len(w.processes)], int64(f.For)
-	if b.retired {
-		w.day.Excluded++
+// inject injects one fault.
+func (sim *coreSimulation) inject(fault Fault) {
+	proc, length := sim.processes[fault.Who%len(sim.processes)], int64(fault.For)
+	if proc.retired {
+		sim.result.Excluded++
 		return
 	}
-	switch f.Kind {
+	switch fault.Kind {
 	case Kill:
-		w.stop(b, long, outage{fate: w.drawFate()})
+		sim.stop(proc, length, outage{fate: sim.drawFate()})
 	case KillAll:
-		w.stopOthers(nil, long, outage{})
+		sim.stopAllExcept(nil, length, outage{})
 	case PowerLoss:
-		w.stop(b, long, outage{power: true, fate: w.drawFate()})
+		sim.stop(proc, length, outage{power: true, fate: sim.drawFate()})
 	case PowerAll:
-		w.stopOthers(nil, long, outage{power: true})
+		sim.stopAllExcept(nil, length, outage{power: true})
 	case Wipe, WipeAlone:
-		w.wipe(b, long, f.Kind == WipeAlone)
+		sim.wipe(proc, length, fault.Kind == WipeAlone)
 	case Term:
-		w.restartInOrder(b, long)
+		sim.restartGracefully(proc, length)
 	case Replace, ReplaceBack, ReplaceWipe:
-		w.replace(b, f)
+		sim.replace(proc, fault)
 	case MachineLoss:
-		w.loseMachine(b, long)
+		sim.loseMachine(proc, length)
 	case ClockStep:
-		b.timeOfDay += long - 5*S
+		proc.wallClockOffset += length - 5*Second
 	default:
-		w.away(b, long)
-		w.hinder(b, f.Kind, w.Now+long)
+		sim.markLost(proc, length)
+		sim.impair(proc, fault.Kind, sim.Now+length)
 	}
 }
 
-// hinder has a process go on with something in its way.
-func (w *coreWorld) hinder(b *coreProcess, kind string, until int64) {
+// impair applies a fault that a process survives.
+func (sim *coreSimulation) impair(proc *coreProcess, kind string, until int64) {
 	switch kind {
 	case Cut, CutOff, CutDeaf:
-		w.cutOff(b, kind, until)
+		sim.cutOff(proc, kind, until)
 	case CutLink:
-		l := link{b.number, (b.number + 1) % len(w.processes)}
-		w.linkCuts[l] = max(w.linkCuts[l], until)
+		l := link{proc.number, (proc.number + 1) % len(sim.processes)}
+		sim.linkCuts[l] = max(sim.linkCuts[l], until)
 	case Refuse:
-		b.refusesUntil = max(b.refusesUntil, until)
+		proc.refusesUntil = max(proc.refusesUntil, until)
 	case Freeze:
-		b.frozenUntil = max(b.frozenUntil, until)
+		proc.frozenUntil = max(proc.frozenUntil, until)
 	case Slow:
-		b.slowMachine = slowdown{slowMachineFactor, until}
+		proc.slowMachine = slowdown{slowMachineFactor, until}
 	case Stall:
-		b.stalledUntil = max(b.stalledUntil, until)
+		proc.stalledUntil = max(proc.stalledUntil, until)
 	case SlowDisk:
-		b.slowDisk = slowdown{slowDiskFactor, until}
+		proc.slowDisk = slowdown{slowDiskFactor, until}
 	}
 }
 
-func (w *coreWorld) cutOff(b *coreProcess, kind string, until int64) {
-	if !b.isolated(w.Now) {
-		b.isolatedSince = w.Now
+func (sim *coreSimulation) cutOff(proc *coreProcess, kind string, until int64) {
+	if !proc.isolated(sim.Now) {
+		proc.isolatedSince = sim.Now
 	}
 	if kind != CutOff {
-		b.deafUntil = max(b.deafUntil, until)
+		proc.deafUntil = max(proc.deafUntil, until)
 	}
 	if kind != CutDeaf {
-		b.mutedUntil = max(b.mutedUntil, until)
+		proc.mutedUntil = max(proc.mutedUntil, until)
 	}
 }
 
-// away notes that a machine counts as lost for a while, and for CatchUp after.
-func (w *coreWorld) away(b *coreProcess, long int64) {
-	b.lostUntil = max(b.lostUntil, w.Now+long+w.CatchUp)
-	w.troubled(w.Now + long)
+// markLost counts a machine as lost for the duration of its fault, and for CatchUp afterwards.
+func (sim *coreSimulation) markLost(proc *coreProcess, length int64) {
+	proc.lostUntil = max(proc.lostUntil, sim.Now+length+sim.CatchUp)
+	sim.extendFaultPeriod(sim.Now + length)
 }
 
 // outage is how a process ends.
 type outage struct {
-	wipe  bool // its disk is lost
-	power bool // its machine says nothing
+	wipe  bool // the disk is lost
+	power bool // the machine loses power and does not respond
 	fate  unsyncedFate
 }
 
-// stop takes a process away for a while.
-func (w *coreWorld) stop(b *coreProcess, long int64, how outage) {
-	if !b.up {
+// stop ends a process and starts it again later.
+func (sim *coreSimulation) stop(proc *coreProcess, length int64, outage outage) {
+	if !proc.up {
 		return
 	}
-	w.end(b, how)
-	w.away(b, long)
-	w.After(long, func() {
-		if !b.retired {
-			w.start(b)
+	sim.endIncarnation(proc, outage)
+	sim.markLost(proc, length)
+	sim.After(length, func() {
+		if !proc.retired {
+			sim.start(proc)
 		}
 	})
-	w.observeFewest()
+	sim.observeFewest()
 }
 
-// end ends a life.
-func (w *coreWorld) end(b *coreProcess, how outage) {
-	w.interrupt(b, how.fate)
-	b.up, b.powered = false, !how.power
-	b.life++
-	b.catchUp.pending = false
-	if how.wipe {
-		w.wipeDisk(b)
+// endIncarnation ends the current run of a process.
+func (sim *coreSimulation) endIncarnation(proc *coreProcess, outage outage) {
+	sim.discardWrites(proc, outage.fate)
+	proc.up, proc.powered = false, !outage.power
+	proc.incarnation++
+	proc.catchUp.pending = false
+	if outage.wipe {
+		sim.wipeDisk(proc)
 	}
 }
 
-func (w *coreWorld) wipeDisk(b *coreProcess) {
-	before := b.disk.ID
-	b.disk = w.emptyDisk(b.number)
-	if w.StrangerVotes { // it takes itself for the founder that it was
-		b.disk.ID, b.disk.Decided = before, w.founded
+func (sim *coreSimulation) wipeDisk(proc *coreProcess) {
+	before := proc.disk.ID
+	proc.disk = sim.newEmptyDisk(proc.number)
+	if sim.StrangerVotes { // it keeps its founder identity
+		proc.disk.ID, proc.disk.Decided = before, sim.initialState
 	}
 }
 
-// stopOthers takes all but one away, or all, each for a little longer than the one before.
-func (w *coreWorld) stopOthers(but *coreProcess, long int64, how outage) {
-	how.fate = w.drawFate()
-	for n, b := range w.processes {
-		if b != but {
-			w.stop(b, long+int64(n)*nextBackAfter, how)
+// stopAllExcept stops all processes but one, or all if it is nil. Each returns a little later than the one before.
+func (sim *coreSimulation) stopAllExcept(except *coreProcess, length int64, outage outage) {
+	outage.fate = sim.drawFate()
+	for n, proc := range sim.processes {
+		if proc != except {
+			sim.stop(proc, length+int64(n)*restartStagger, outage)
 		}
 	}
 }
 
-// wipe takes a machine and its disk, where that may be borne.
-func (w *coreWorld) wipe(b *coreProcess, long int64, othersLosePower bool) {
-	if w.lost() >= w.Tolerate || !b.up {
-		w.day.Excluded++
+// wipe stops a machine and wipes its disk, if Tolerate allows it.
+func (sim *coreSimulation) wipe(proc *coreProcess, length int64, othersLosePower bool) {
+	if sim.lost() >= sim.Tolerate || !proc.up {
+		sim.result.Excluded++
 		return
 	}
-	w.stop(b, long, outage{wipe: true, power: true})
+	sim.stop(proc, length, outage{wipe: true, power: true})
 	if othersLosePower {
-		w.stopOthers(b, 400*Ms, outage{power: true})
+		sim.stopAllExcept(proc, 400*Millisecond, outage{power: true})
 	}
 }
 
-// lost counts the machines that count as lost.
-func (w *coreWorld) lost() (n int) {
-	for _, b := range w.processes {
-		if w.Now < b.lostUntil || !b.up && !b.retired {
+// lost counts the machines that currently count as lost.
+func (sim *coreSimulation) lost() (n int) {
+	for _, proc := range sim.processes {
+		if sim.Now < proc.lostUntil || !proc.up && !proc.retired {
 			n++
 		}
 	}
 	return n
 }
 
-// newestCore is the core as it was last seen decided.
-func (w *coreWorld) newestCore() []consensus.Member {
-	if s := w.judge.decided[w.judge.newestIndex]; s != nil {
-		return s.Core
+// newestCore returns the members of the core in the newest decided state.
+func (sim *coreSimulation) newestCore() []consensus.Member {
+	if state := sim.oracle.decided[sim.oracle.newestIndex]; state != nil {
+		return state.Core
 	}
-	return w.founded.Core
+	return sim.initialState.Core
 }
--- a/internal/mesh/simulation/core_membership.go
+++ b/internal/mesh/simulation/core_membership.go
@@ -7,49 +7,50 @@
 )
 
 const (
-	holdInterval  = 100 * Ms // between two askings whether a state is held
-	leaveInterval = 100 * Ms // between two attempts of a leaving process to find a successor
+	storedCheckInterval   = 100 * Millisecond // between two requests whether a state is stored
+	handOverRetryInterval = 100 * Millisecond // between two attempts of a leaving process to find a successor
 )
 
-// maintainMembership has the core take in who is to make it whole.
-func (w *coreWorld) maintainMembership(b *coreProcess, s *consensus.State) {
-	wanted, is := s.PlanMembership(b.member(), w.peerStatuses(b), w.Now-b.since)
-	if !is {
+// maintainMembership carries out the membership change that the state's plan asks for, if any.
+func (sim *coreSimulation) maintainMembership(proc *coreProcess, state *consensus.State) {
+	change, ok := state.PlanMembership(proc.member(), sim.peerStatuses(proc), sim.Now-proc.startedAt)
+	if !ok {
 		return
 	}
-	b.acting = true
-	w.changeMembership(b, s, wanted, func(bool) { b.acting = false })
+	proc.changing = true
+	sim.changeMembership(proc, state, change, func(bool) { proc.changing = false })
 }
 
-// changeMembership carries a change of members out: a quorum holds what the last change led to, and the new member the
-// state, before it is proposed; it is done when the new member and a quorum of the new core hold what was decided.
-func (w *coreWorld) changeMembership(b *coreProcess, s *consensus.State, wanted consensus.MembershipChange, done func(held bool)) {
+// changeMembership carries out a membership change. Before the proposal, a quorum has to store the result of the
+// previous change, and the new member the current state. The change is done when the new member and a quorum of the
+// new core have stored the decision.
+func (sim *coreSimulation) changeMembership(proc *coreProcess, state *consensus.State, change consensus.MembershipChange, done func(stored bool)) {
 	propose := func() {
-		apply := func(newest *consensus.State) (*consensus.State, error) { return newest.ApplyMembership(wanted), nil }
-		w.propose(b, ownTimeout, apply, func(o outcome) {
-			if !o.decided || !carriedOut(o.state, wanted) {
+		apply := func(newest *consensus.State) (*consensus.State, error) { return newest.ApplyMembership(change), nil }
+		sim.propose(proc, membershipTimeout, apply, func(result outcome) {
+			if !result.decided || !membershipApplied(result.state, change) {
 				done(false)
 				return
 			}
-			w.day.Adopted++
-			if w.EarlyMembership {
+			sim.result.Adopted++
+			if sim.EarlyMembership {
 				done(true)
 				return
 			}
-			w.confirmHeld(b, o.state, wanted.Add.ID, done)
+			sim.confirmStored(proc, result.state, change.Add.ID, done)
 		})
 	}
-	if w.EarlyMembership {
+	if sim.EarlyMembership {
 		propose()
 		return
 	}
-	w.confirmHeld(b, s, "", func(held bool) {
-		if !held {
+	sim.confirmStored(proc, state, "", func(stored bool) {
+		if !stored {
 			done(false)
 			return
 		}
-		w.catchUpNewMember(b, s, wanted.Add, func(held bool) {
-			if !held {
+		sim.catchUpNewMember(proc, state, change.Add, func(stored bool) {
+			if !stored {
 				done(false)
 				return
 			}
@@ -58,179 +59,180 @@
 	})
 }
 
-// carriedOut reports whether a state is as a change of members wanted it. Another change may have taken the same new member
-// in for another that leaves.
-func carriedOut(s *consensus.State, wanted consensus.MembershipChange) bool {
-	return s.HasMember(wanted.Add.ID) && !s.HasMember(wanted.Remove)
+// membershipApplied reports whether a state is what a membership change asked for. Another change may have added the
+// same new member in place of another one that leaves.
+func membershipApplied(state *consensus.State, change consensus.MembershipChange) bool {
+	return state.HasMember(change.Add.ID) && !state.HasMember(change.Remove)
 }
 
-// holding counts who holds a state on disk.
-type holding struct {
-	w      *coreWorld
-	by     *coreProcess
-	state  *consensus.State
-	ask    []consensus.Member
-	need   string // an identity that has to hold it, empty for none
-	quorum int    // and so many of those asked
-	invite bool   // it is asked whether it will be a member, too: who leaves won't
-	until  int64
-	held   map[string]bool
-	over   bool
-	done   func(held bool)
+// storedCheck counts which members have stored a state on disk.
+type storedCheck struct {
+	sim        *coreSimulation
+	process    *coreProcess
+	state      *consensus.State
+	members    []consensus.Member
+	requiredID string // the member that has to store it, empty for none
+	quorum     int    // number of members that have to store it
+	invite     bool   // also asks whether the process will be a member; a leaving process refuses
+	until      int64
+	stored     map[string]bool
+	finished   bool
+	done       func(stored bool)
 }
 
-// confirmHeld asks until a quorum of a state's core, and the one named, hold it on disk.
-func (w *coreWorld) confirmHeld(b *coreProcess, s *consensus.State, need string, done func(held bool)) {
-	h := &holding{w: w, by: b, state: s, ask: s.Core, need: need, quorum: s.Quorum(), done: done}
-	h.begin()
+// confirmStored asks until a quorum of the state's core, and the required member, have stored the state on disk.
+func (sim *coreSimulation) confirmStored(proc *coreProcess, state *consensus.State, requiredID string, done func(stored bool)) {
+	check := &storedCheck{sim: sim, process: proc, state: state, members: state.Core, requiredID: requiredID, quorum: state.Quorum(), done: done}
+	check.begin()
 }
 
-// catchUpNewMember asks until a process that is to be a member holds the state on disk.
-func (w *coreWorld) catchUpNewMember(b *coreProcess, s *consensus.State, m consensus.Member, done func(held bool)) {
-	h := &holding{w: w, by: b, state: s, ask: []consensus.Member{m}, need: m.ID, invite: true, done: done}
-	h.begin()
+// catchUpNewMember asks until a process that is to become a member has stored the state on disk.
+func (sim *coreSimulation) catchUpNewMember(proc *coreProcess, state *consensus.State, member consensus.Member, done func(stored bool)) {
+	check := &storedCheck{sim: sim, process: proc, state: state, members: []consensus.Member{member}, requiredID: member.ID, invite: true, done: done}
+	check.begin()
 }
 
-func (h *holding) begin() {
-	h.until, h.held = h.w.Now+ownTimeout, map[string]bool{}
-	h.round()
+func (check *storedCheck) begin() {
+	check.until, check.stored = check.sim.Now+membershipTimeout, map[string]bool{}
+	check.round()
 }
 
-// round asks those of whom it is not known yet, and again after a while.
-func (h *holding) round() {
-	if h.over {
+// round asks all members whose result is still open, and repeats that after an interval.
+func (check *storedCheck) round() {
+	if check.finished {
 		return
 	}
-	if h.w.Now >= h.until {
-		h.end(false)
+	if check.sim.Now >= check.until {
+		check.end(false)
 		return
 	}
-	for _, m := range h.ask {
-		if to := h.w.byAddress[m.Address]; to != nil && !h.held[m.ID] {
-			h.request(to)
+	for _, m := range check.members {
+		if to := check.sim.byAddress[m.Address]; to != nil && !check.stored[m.ID] {
+			check.request(to)
 		}
 	}
-	h.w.after(h.by, holdInterval, h.round)
+	check.sim.after(check.process, storedCheckInterval, check.round)
 }
 
-func (h *holding) request(to *coreProcess) {
-	life := h.by.life
-	request := consensus.Request{Kind: consensus.Learn, Value: h.state}
-	h.w.send(message{from: h.by, to: to, deliver: func() {
-		if h.invite && !to.acceptInvitation(h.w.Now) {
+func (check *storedCheck) request(to *coreProcess) {
+	incarnation := check.process.incarnation
+	request := consensus.Request{Kind: consensus.Learn, Value: check.state}
+	check.sim.send(message{from: check.process, to: to, deliver: func() {
+		if check.invite && !to.acceptInvitation(check.sim.Now) {
 			return
 		}
-		h.w.handle(to, request, func(response consensus.Response) {
-			h.w.send(message{from: to, to: h.by, deliver: func() {
-				if h.by.life == life {
-					h.note(response)
+		check.sim.handle(to, request, func(response consensus.Response) {
+			check.sim.send(message{from: to, to: check.process, deliver: func() {
+				if check.process.incarnation == incarnation {
+					check.handleResponse(response)
 				}
 			}})
 		})
 	}})
 }
 
-// acceptInvitation reports whether a process will be a member. Once it has said so it doesn't end before that is settled.
-func (b *coreProcess) acceptInvitation(now int64) bool {
-	if b.leaving {
+// acceptInvitation reports whether the process will be a member. Once it accepts, it does not end before the change
+// is settled.
+func (proc *coreProcess) acceptInvitation(now int64) bool {
+	if proc.leaving {
 		return false
 	}
-	b.invitedUntil = now + 2*ownTimeout
+	proc.invitedUntil = now + 2*membershipTimeout
 	return true
 }
 
-func (h *holding) note(response consensus.Response) {
-	isAsked := slices.ContainsFunc(h.ask, func(m consensus.Member) bool { return m.ID == response.ID })
-	if h.over || !isAsked || response.Index < h.state.Index {
+func (check *storedCheck) handleResponse(response consensus.Response) {
+	expected := slices.ContainsFunc(check.members, func(m consensus.Member) bool { return m.ID == response.ID })
+	if check.finished || !expected || response.Index < check.state.Index {
 		return
 	}
-	h.held[response.ID] = true
-	if h.enough() {
-		h.end(true)
+	check.stored[response.ID] = true
+	if check.satisfied() {
+		check.end(true)
 	}
 }
 
-func (h *holding) enough() bool {
-	if h.need != "" && !h.held[h.need] {
+func (check *storedCheck) satisfied() bool {
+	if check.requiredID != "" && !check.stored[check.requiredID] {
 		return false
 	}
-	return len(h.held) >= h.quorum
+	return len(check.stored) >= check.quorum
 }
 
-func (h *holding) end(held bool) {
-	h.over = true
-	h.done(held)
+func (check *storedCheck) end(stored bool) {
+	check.finished = true
+	check.done(stored)
 }
 
-// terminate is a SIGTERM: a member hands its place over to a process that is there, and ends; without one, or after the
-// grace, it ends as it is.
-func (w *coreWorld) terminate(b *coreProcess, ended func(handedOver bool)) {
-	b.leaving = true
-	over := false
+// terminate handles a SIGTERM. A member hands its place to another process and ends. Without a successor, or when the
+// grace period is over, it ends without a handover.
+func (sim *coreSimulation) terminate(proc *coreProcess, ended func(handedOver bool)) {
+	proc.leaving = true
+	done := false
 	end := func(handedOver bool) {
-		if !over {
-			over = true
+		if !done {
+			done = true
 			ended(handedOver)
 		}
 	}
-	life := b.life
-	w.After(w.Grace, func() {
-		if b.alive(life) {
+	incarnation := proc.incarnation
+	sim.After(sim.Grace, func() {
+		if proc.isCurrent(incarnation) {
 			end(false)
 		}
 	})
-	if w.LeaveFirst {
+	if sim.LeaveFirst {
 		end(false)
 		return
 	}
-	w.handOver(b, end)
+	sim.handOver(proc, end)
 }
 
-func (w *coreWorld) handOver(b *coreProcess, end func(handedOver bool)) {
-	again := func() { w.after(b, leaveInterval, func() { w.handOver(b, end) }) }
-	s := b.memory.Decided
-	successor, is := w.successor(b, s)
+func (sim *coreSimulation) handOver(proc *coreProcess, end func(handedOver bool)) {
+	retry := func() { sim.after(proc, handOverRetryInterval, func() { sim.handOver(proc, end) }) }
+	state := proc.memory.Decided
+	successor, ok := sim.successor(proc, state)
 	switch {
-	case b.acting:
-		again()
-	case !s.HasMember(b.memory.ID):
-		w.leaveAsStranger(b, s, end, again)
-	case !is:
+	case proc.changing:
+		retry()
+	case !state.HasMember(proc.memory.ID):
+		sim.leaveAsNonMember(proc, state, end, retry)
+	case !ok:
 		end(false)
 	default:
-		b.acting = true
-		w.changeMembership(b, s, consensus.MembershipChange{Remove: b.memory.ID, Add: successor}, func(held bool) {
-			b.acting = false
-			if held && !b.memory.Decided.HasMember(b.memory.ID) { // it may have been taken in again
-				w.day.HandOver++
+		proc.changing = true
+		sim.changeMembership(proc, state, consensus.MembershipChange{Remove: proc.memory.ID, Add: successor}, func(stored bool) {
+			proc.changing = false
+			if stored && !proc.memory.Decided.HasMember(proc.memory.ID) { // it may have been added again
+				sim.result.HandOver++
 				end(true)
 				return
 			}
-			again()
+			retry()
 		})
 	}
 }
 
-// leaveAsStranger ends a process that is no member, once those who are hold the state that says so and no invitation is
-// open.
-func (w *coreWorld) leaveAsStranger(b *coreProcess, s *consensus.State, end func(bool), again func()) {
-	if len(s.Core) == 0 {
+// leaveAsNonMember ends a process that is no member, once the members have stored the state that says so and no
+// invitation is open.
+func (sim *coreSimulation) leaveAsNonMember(proc *coreProcess, state *consensus.State, end func(bool), retry func()) {
+	if len(state.Core) == 0 {
 		end(true)
 		return
 	}
-	w.confirmHeld(b, s, "", func(held bool) {
-		if held && w.Now >= b.invitedUntil && !b.memory.Decided.HasMember(b.memory.ID) {
+	sim.confirmStored(proc, state, "", func(stored bool) {
+		if stored && sim.Now >= proc.invitedUntil && !proc.memory.Decided.HasMember(proc.memory.ID) {
 			end(true)
 			return
 		}
-		again()
+		retry()
 	})
 }
 
-// successor is who takes a leaving member's place: the first process that is there and is no member.
-func (w *coreWorld) successor(b *coreProcess, s *consensus.State) (consensus.Member, bool) {
-	for _, other := range w.peerStatuses(b) {
-		if other.SilentFor < consensus.CandidateTimeout && !s.HasMember(other.ID) {
+// successor returns the first reachable process that is no member, to replace a leaving one.
+func (sim *coreSimulation) successor(proc *coreProcess, state *consensus.State) (consensus.Member, bool) {
+	for _, other := range sim.peerStatuses(proc) {
+		if other.SilentFor < consensus.CandidateTimeout && !state.HasMember(other.ID) {
 			return other.Member, true
 		}
 	}
--- a/internal/mesh/simulation/core_operators.go
+++ b/internal/mesh/simulation/core_operators.go
@@ -11,102 +11,102 @@
 )
 
 var (
-	errStale     = errors.New("another version is current")
-	errForgotten = errors.New("the order reaches back beyond what is remembered")
+	errStale  = errors.New("another version is current")
+	errTooOld = errors.New("the update is older than the remembered changes")
 )
 
 const (
-	callTimeout     = S // after which an operator goes on to another process
-	callPause       = 50 * Ms
-	callsOfAnOrder  = 6
-	callsOfARead    = 4
-	answersLateBy   = 1200 * Ms
-	answersLateMost = 2500 * Ms
+	callTimeout     = Second // after which an operator calls another controller
+	callPause       = 50 * Millisecond
+	updateAttempts  = 6
+	readAttempts    = 4
+	minLateResponse = 1200 * Millisecond
+	maxLateResponse = 2500 * Millisecond
 )
 
-// order is a change of the configuration that an operator wants, and what came of it. Its identity is its digest.
-type order struct {
+// update is an operator's change of the configuration and its result. The digest identifies it.
+type update struct {
 	digest        string
-	base, edition int64
+	base, version int64
 	op            Op
-	refusals      int
+	rejections    int
 }
 
-func (o *order) content() json.RawMessage { return json.RawMessage(`"` + o.digest + `"`) }
+func (update *update) content() json.RawMessage { return json.RawMessage(`"` + update.digest + `"`) }
 
-// verdict is a process's answer to a call.
-type verdict uint8
+// responseStatus is how a controller responded to a call. The comments give the HTTP status.
+type responseStatus uint8
 
 const (
-	unclear  verdict = iota // 503
-	accepted                // 200
-	refused                 // 412
+	statusUnknown  responseStatus = iota // 503
+	statusAccepted                       // 200
+	statusRejected                       // 412
 )
 
-// answer is what a process says to a call; a read's has the version.
-type answer struct {
-	verdict
-	edition int64
+// callResponse is a controller's response to a call; that to a read has the version.
+type callResponse struct {
+	responseStatus
+	version int64
 }
 
-// operators give orders and read.
+// operators send updates and reads.
 type operators struct {
-	w      *coreWorld
-	chance *rand.Rand
-	known  int64 // the version that was last seen by anybody
+	sim          *coreSimulation
+	rng          *rand.Rand
+	knownVersion int64 // newest version that any operator has seen
 }
 
-// scheduleOperators spreads the orders and reads over the day.
-func (w *coreWorld) scheduleOperators() {
-	o := &operators{w: w, chance: w.Chance("operators")}
-	atOnce := max(w.AtOnce, 1)
-	for n := 0; n < w.Puts; n += atOnce {
-		at := int64(o.chance.Float64() * float64(w.Length*8/10))
-		for k := n; k < min(n+atOnce, w.Puts); k++ {
-			w.After(at, func() { o.order(k) })
+// scheduleOperators distributes the updates and reads over the run.
+func (sim *coreSimulation) scheduleOperators() {
+	operators := &operators{sim: sim, rng: sim.Rand("operators")}
+	concurrent := max(sim.ConcurrentUpdates, 1)
+	for n := 0; n < sim.Updates; n += concurrent {
+		at := int64(operators.rng.Float64() * float64(sim.Length*8/10))
+		for k := n; k < min(n+concurrent, sim.Updates); k++ {
+			sim.After(at, func() { operators.submitUpdate(k) })
 		}
 	}
-	for n := range w.Reads {
-		at := int64(o.chance.Float64() * float64(w.Length*9/10))
-		w.After(at, func() { o.read(w.Puts + n) })
+	for n := range sim.Reads {
+		at := int64(operators.rng.Float64() * float64(sim.Length*9/10))
+		sim.After(at, func() { operators.read(sim.Updates + n) })
 	}
 }
 
-// order gives an order on top of the version that was last seen. Several may pick the same number.
-func (o *operators) order(client int) {
-	w := o.w
-	next := &order{digest: fmt.Sprint("order-", client), base: o.known, edition: o.known + int64(1+o.chance.IntN(3))}
-	next.op = Op{Client: client, On: next.base, Put: next.edition, Call: w.Now}
-	w.judge.orders = append(w.judge.orders, next)
-	w.strikes.sent(len(w.judge.orders))
-	o.send(next, callsOfAnOrder, func(a answer) { o.answered(next, a.verdict) }, func() { o.ended(next) })
+// submitUpdate sends an update based on the newest version seen. Several updates may choose the same version number.
+func (operators *operators) submitUpdate(client int) {
+	sim := operators.sim
+	update := &update{digest: fmt.Sprint("order-", client), base: operators.knownVersion, version: operators.knownVersion + int64(1+operators.rng.IntN(3))}
+	update.op = Op{Client: client, On: update.base, Put: update.version, Call: sim.Now}
+	sim.oracle.updates = append(sim.oracle.updates, update)
+	sim.triggeredFaults.updateSent(len(sim.oracle.updates))
+	operators.send(update, updateAttempts, func(a callResponse) { operators.handleResponse(update, a.responseStatus) }, func() { operators.finishUpdate(update) })
 }
 
-// ended judges an order whose calls have all been made: in a calm time it has an answer.
-func (o *operators) ended(of *order) {
-	w := o.w
-	if !of.op.OK && !of.op.Stale && w.troubledUntil+w.CatchUp <= of.op.Call {
-		w.broke("no acknowledgement: %s has no clear answer after %v, with no trouble", of.digest, time.Duration(w.Now-of.op.Call))
+// finishUpdate checks an update after its last call. Without recent faults it must have a clear response.
+func (operators *operators) finishUpdate(update *update) {
+	sim := operators.sim
+	if !update.op.OK && !update.op.Stale && sim.faultsUntil+sim.CatchUp <= update.op.Call {
+		sim.reportViolation("no acknowledgement: %s got no clear response within %v, without faults", update.digest, time.Duration(sim.Now-update.op.Call))
 	}
 }
 
-// send has an order sent, to one process after the other.
-func (o *operators) send(sent *order, calls int, answered func(answer), ended func()) {
-	c := &call{
-		w: o.w, first: o.chance.IntN(len(o.w.processes)), calls: calls, answered: answered, ended: ended,
-		handle: func(b *coreProcess, respond func(answer)) { o.w.handleOrder(b, sent, respond) },
+// send sends an update to one controller after the other.
+func (operators *operators) send(update *update, maxAttempts int, onResponse func(callResponse), onEnd func()) {
+	call := &call{
+		sim: operators.sim, first: operators.rng.IntN(len(operators.sim.processes)), maxAttempts: maxAttempts, onResponse: onResponse, onEnd: onEnd,
+		handle: func(proc *coreProcess, respond func(callResponse)) { operators.sim.handleUpdate(proc, update, respond) },
 	}
-	c.next()
+	call.tryNext()
 }
 
-// answered is a clear answer to an order, which may come after others.
-func (o *operators) answered(to *order, v verdict) {
-	w, op := o.w, &to.op
-	if v == refused {
-		if to.refusals++; op.OK {
-			w.broke("refused: %s was confirmed, sent again and refused with 412", to.digest)
+// handleResponse records a clear response to an update, which may follow other responses.
+func (operators *operators) handleResponse(update *update, status responseStatus) {
+	sim, op := operators.sim, &update.op
+	if status == statusRejected {
+		if update.rejections++; op.OK {
+			sim.reportViolation("refused: %s was acknowledged, sent again and rejected with 412", update.digest)
 		} else if !op.Stale {
-			op.Stale, op.Back = true, w.Now
+			op.Stale, op.Back = true, sim.Now
 		}
 		return
 	}
@@ -114,172 +114,174 @@
 		return
 	}
 	if op.Stale {
-		w.broke("refused: %s was refused with 412, and then confirmed", to.digest)
+		sim.reportViolation("refused: %s was rejected with 412 and then acknowledged", update.digest)
 		return
 	}
-	op.OK, op.Back = true, w.Now
-	w.day.Took = append(w.day.Took, op.Back-op.Call)
-	o.known = max(o.known, to.edition)
-	w.observeConfirmation(to)
-	if o.chance.Float64() < w.Resends {
-		o.scheduleResend(to)
+	op.OK, op.Back = true, sim.Now
+	sim.result.Took = append(sim.result.Took, op.Back-op.Call)
+	operators.knownVersion = max(operators.knownVersion, update.version)
+	sim.observeAcknowledgement(update)
+	if operators.rng.Float64() < sim.Resends {
+		operators.scheduleResend(update)
 	}
 }
 
-// scheduleResend has a confirmed order sent again, soon or much later.
-func (o *operators) scheduleResend(again *order) {
-	w := o.w
-	later := int64(o.chance.Float64() * float64(max(w.Length*9/10-w.Now, 0)))
-	if o.chance.IntN(2) == 0 {
-		later = min(later, S)
+// scheduleResend sends an acknowledged update again, soon or much later.
+func (operators *operators) scheduleResend(update *update) {
+	sim := operators.sim
+	delay := int64(operators.rng.Float64() * float64(max(sim.Length*9/10-sim.Now, 0)))
+	if operators.rng.IntN(2) == 0 {
+		delay = min(delay, Second)
 	}
-	w.After(later, func() {
-		confirmed := false
-		o.send(again, 1, func(a answer) {
-			if confirmed = a.verdict == accepted; confirmed {
-				w.day.Resent++
+	sim.After(delay, func() {
+		acknowledged := false
+		operators.send(update, 1, func(a callResponse) {
+			if acknowledged = a.responseStatus == statusAccepted; acknowledged {
+				sim.result.Resent++
 			}
-			o.answered(again, a.verdict)
+			operators.handleResponse(update, a.responseStatus)
 		}, func() {
-			if !confirmed {
-				w.day.Forgot++
+			if !acknowledged {
+				sim.result.Forgot++
 			}
 		})
 	})
 }
 
-// read asks for the newest configuration.
-func (o *operators) read(client int) {
-	w := o.w
-	op := Op{Client: client, Read: true, Call: w.Now}
-	floor := w.judge.newest
-	c := &call{
-		w: w, first: o.chance.IntN(len(w.processes)), calls: callsOfARead, ended: func() {},
-		handle: w.handleRead,
-		answered: func(a answer) {
+// read reads the newest configuration.
+func (operators *operators) read(client int) {
+	sim := operators.sim
+	op := Op{Client: client, Read: true, Call: sim.Now}
+	floor := sim.oracle.newestVersion
+	call := &call{
+		sim: sim, first: operators.rng.IntN(len(sim.processes)), maxAttempts: readAttempts, onEnd: func() {},
+		handle: sim.handleRead,
+		onResponse: func(a callResponse) {
 			if op.OK {
 				return
 			}
-			op.OK, op.Got, op.Back = true, a.edition, w.Now
-			w.day.Read++
+			op.OK, op.Got, op.Back = true, a.version, sim.Now
+			sim.result.Read++
 			if op.Got < floor {
-				w.broke("old read: version %d was acknowledged before it was called, %d is read", floor, op.Got)
+				sim.reportViolation("old read: version %d was acknowledged before the call, but the read returns %d", floor, op.Got)
 			}
-			o.known = max(o.known, op.Got)
-			w.day.History = append(w.day.History, op)
+			operators.knownVersion = max(operators.knownVersion, op.Got)
+			sim.result.History = append(sim.result.History, op)
 		},
 	}
-	c.next()
+	call.tryNext()
 }
 
-// finishHistory adds the orders to the history, as they ended.
-func (w *coreWorld) finishHistory() {
-	for _, o := range w.judge.orders {
+// finishHistory adds the updates with their results to the history.
+func (sim *coreSimulation) finishHistory() {
+	for _, update := range sim.oracle.updates {
 		switch {
-		case o.op.OK:
-			w.day.Acked++
-		case o.op.Stale:
-			w.day.Stale++
+		case update.op.OK:
+			sim.result.Acked++
+		case update.op.Stale:
+			sim.result.Stale++
 		default:
-			w.day.Unclear++
+			sim.result.Unclear++
 		}
-		w.day.History = append(w.day.History, o.op)
+		sim.result.History = append(sim.result.History, update.op)
 	}
 }
 
-// remembered are the applied changes by which a process knows an order again.
-func (w *coreWorld) remembered(s *consensus.State) []consensus.AppliedChange {
-	all := s.AppliedChanges
-	if w.Remembered > 0 && len(all) > w.Remembered {
-		return all[len(all)-w.Remembered:]
+// remembered returns the applied changes by which a controller recognizes an update.
+func (sim *coreSimulation) remembered(state *consensus.State) []consensus.AppliedChange {
+	all := state.AppliedChanges
+	if sim.RememberedChanges > 0 && len(all) > sim.RememberedChanges {
+		return all[len(all)-sim.RememberedChanges:]
 	}
 	return all
 }
 
-// rulesOut reports whether an order that is not among the applied changes can't have been applied and forgotten.
-func (w *coreWorld) rulesOut(known consensus.AppliedChanges, o *order) bool {
+// certainlyNotApplied reports whether an update that is not among the applied changes cannot have been applied and
+// forgotten.
+func (sim *coreSimulation) certainlyNotApplied(known consensus.AppliedChanges, update *update) bool {
 	switch {
-	case w.RefuseForgotten:
+	case sim.RefuseForgotten:
 		return true
-	case w.Remembered > 0: // a window of the question's own
-		return len(known) < w.Remembered || max(o.edition, o.base) >= known[0].Edition
+	case sim.RememberedChanges > 0: // the limit that the question sets
+		return len(known) < sim.RememberedChanges || max(update.version, update.base) >= known[0].Edition
 	}
-	return known.CertainlyNotApplied(o.edition, o.base)
+	return known.CertainlyNotApplied(update.version, update.base)
 }
 
-// applyOrder is what a process makes of an order on top of the newest state.
-func (w *coreWorld) applyOrder(o *order) transform {
-	return func(s *consensus.State) (*consensus.State, error) {
-		known := w.remembered(s)
+// applyUpdate returns the transform that applies an update to the newest state.
+func (sim *coreSimulation) applyUpdate(update *update) transform {
+	return func(state *consensus.State) (*consensus.State, error) {
+		known := sim.remembered(state)
 		for _, a := range known {
-			if a.Digest == o.digest {
+			if a.Digest == update.digest {
 				return nil, nil
 			}
 		}
-		if s.Edition == o.base {
-			return s.WithConfiguration(o.edition, o.content(), o.digest), nil
+		if state.Edition == update.base {
+			return state.WithConfiguration(update.version, update.content(), update.digest), nil
 		}
-		if w.rulesOut(known, o) {
+		if sim.certainlyNotApplied(known, update) {
 			return nil, errStale
 		}
-		return nil, errForgotten
+		return nil, errTooOld
 	}
 }
 
-// handleOrder is a process's turn with an order: one after the other, as the controller has it.
-func (w *coreWorld) handleOrder(b *coreProcess, o *order, respond func(answer)) {
-	until := w.Now + stepTimeout
-	b.orders = append(b.orders, func() {
-		w.propose(b, max(until-w.Now, 0), w.applyOrder(o), func(out outcome) {
-			out = w.answerFromHere(b, out, w.applyOrder(o))
-			w.nextOrder(b)
-			respond(answer{verdict: verdictOf(out)})
-			if verdictOf(out) == accepted {
-				w.strikes.confirmed(b)
+// handleUpdate handles an update at a controller, one at a time, as the real controller does.
+func (sim *coreSimulation) handleUpdate(proc *coreProcess, update *update, respond func(callResponse)) {
+	until := sim.Now + stepTimeout
+	proc.queuedUpdates = append(proc.queuedUpdates, func() {
+		sim.propose(proc, max(until-sim.Now, 0), sim.applyUpdate(update), func(result outcome) {
+			result = sim.answerLocally(proc, result, sim.applyUpdate(update))
+			sim.startNextUpdate(proc)
+			respond(callResponse{responseStatus: statusOf(result)})
+			if statusOf(result) == statusAccepted {
+				sim.triggeredFaults.acknowledgementSent(proc)
 			}
 		})
 	})
-	if !b.ordering {
-		w.nextOrder(b)
+	if !proc.updating {
+		sim.startNextUpdate(proc)
 	}
 }
 
-func (w *coreWorld) nextOrder(b *coreProcess) {
-	if b.ordering = len(b.orders) > 0; b.ordering {
-		next := b.orders[0]
-		b.orders = b.orders[1:]
-		w.after(b, 0, next)
+func (sim *coreSimulation) startNextUpdate(proc *coreProcess) {
+	if proc.updating = len(proc.queuedUpdates) > 0; proc.updating {
+		next := proc.queuedUpdates[0]
+		proc.queuedUpdates = proc.queuedUpdates[1:]
+		sim.after(proc, 0, next)
 	}
 }
 
-func verdictOf(o outcome) verdict {
+func statusOf(result outcome) responseStatus {
 	switch {
-	case !o.decided, errors.Is(o.err, errForgotten):
-		return unclear
-	case o.err != nil:
-		return refused
+	case !result.decided, errors.Is(result.err, errTooOld):
+		return statusUnknown
+	case result.err != nil:
+		return statusRejected
 	}
-	return accepted
+	return statusAccepted
 }
 
-// answerFromHere is the variant that answers from what is known here where no majority does.
-func (w *coreWorld) answerFromHere(b *coreProcess, o outcome, what transform) outcome {
-	if !w.LocalAnswers || o.decided {
-		return o
+// answerLocally responds from the local state if no majority responds. It applies only if LocalAnswers disables the
+// guard.
+func (sim *coreSimulation) answerLocally(proc *coreProcess, result outcome, transform transform) outcome {
+	if !sim.LocalAnswers || result.decided {
+		return result
 	}
-	s := b.memory.Decided
-	next, err := what(s)
-	return outcome{state: s, err: err, decided: next == nil}
+	state := proc.memory.Decided
+	next, err := transform(state)
+	return outcome{state: state, err: err, decided: next == nil}
 }
 
-// handleRead is a process's turn with a read.
-func (w *coreWorld) handleRead(b *coreProcess, respond func(answer)) {
-	w.readNewest(b, func(out outcome) {
-		out = w.answerFromHere(b, out, nothing)
-		if !out.decided {
-			respond(answer{})
+// handleRead handles a read at a controller.
+func (sim *coreSimulation) handleRead(proc *coreProcess, respond func(callResponse)) {
+	sim.readNewest(proc, func(result outcome) {
+		result = sim.answerLocally(proc, result, noChange)
+		if !result.decided {
+			respond(callResponse{})
 			return
 		}
-		respond(answer{accepted, out.state.Edition})
+		respond(callResponse{statusAccepted, result.state.Edition})
 	})
 }
--- a/internal/mesh/simulation/credit.go
+++ b/internal/mesh/simulation/credit.go
@@ -8,293 +8,295 @@
 	"ottershift/internal/mesh/burstcredit"
 )
 
-// Credit is a day of burst credit: one tenant whose rush lands in regions at once, balancers that hold escrows, a book that the
-// core keeps, links that lose words, and clients that ask again at other balancers.
-type Credit struct {
-	Regions, Proxies    int
-	Length              int64
-	Delay, Cross        int64 // one way, within a region and between two
-	Loss                float64
-	Credit, Extra       float64 // tokens at first, and spent a second at most
-	Rate                float64 // requests a second beyond the tenant's rate, of clients
-	Inner               float64 // and of calls of services
-	Repeats             float64 // part of the requests that is asked again elsewhere, up to twice, at once
-	Lost, Fails         float64 // parts of the tries whose answer is lost, and that never ran
-	Kills, Cuts, CoreOf int     // of proxies; of regions from the core; times that all of the core is away
-	CutFor              int64
-	Guard               string // left out
+// CreditScenario is a simulated run of burst credit. The burst of one tenant arrives in several regions at the same
+// time, proxies hold escrows, the core keeps the ledger, links lose reports, and clients repeat requests at other
+// proxies. Times are virtual, in nanoseconds.
+type CreditScenario struct {
+	Regions, Proxies         int
+	Length                   int64
+	Delay, CrossRegionDelay  int64 // one way, within a region and between two
+	Loss                     float64
+	Credit, Extra            float64 // initial tokens; the most that may be spent a second
+	Rate                     float64 // client requests a second above the tenant's rate
+	ServiceRate              float64 // service-to-service requests a second
+	Repeats                  float64 // share of the requests that is repeated at other proxies, up to twice, almost at the same time
+	LostResponses, NotRun    float64 // share of the attempts whose response is lost; share that never runs
+	Kills, Cuts, CoreOutages int     // of proxies; of regions from the core; of the whole core
+	CutFor                   int64
+	Guard                    string // guard to disable, empty for none
 }
 
-type creditFile struct {
+type creditSettings struct {
 	Regions, Proxies, Kills, Cuts int
 	CoreOff                       int `toml:"core_off"`
-	Length, Delay, Cross          span
-	CutFor                        span `toml:"cut_for"`
+	Length, Delay, Cross          duration
+	CutFor                        duration `toml:"cut_for"`
 	Loss, Credit, Extra           float64
 	Rate, Inner, Repeats          float64
 	Lost, Fails                   float64
 	Guard                         string
 }
 
-func plainCredit() creditFile {
-	return creditFile{Regions: 2, Length: span(60 * S), Delay: span(Ms / 2), Cross: span(30 * Ms), Credit: 1000, Extra: 50, Rate: 60, Inner: 0,
-		Repeats: 0.2, Lost: 0.05, Fails: 0.1, CutFor: span(10 * S)}
+func defaultCredit() creditSettings {
+	return creditSettings{Regions: 2, Length: duration(60 * Second), Delay: duration(Millisecond / 2), Cross: duration(30 * Millisecond), Credit: 1000, Extra: 50, Rate: 60, Inner: 0,
+		Repeats: 0.2, Lost: 0.05, Fails: 0.1, CutFor: duration(10 * Second)}
 }
 
-func (c creditFile) credit() Credit {
-	return Credit{Regions: c.Regions, Proxies: c.Proxies, Length: int64(c.Length), Delay: int64(c.Delay), Cross: int64(c.Cross), Loss: c.Loss,
-		Credit: c.Credit, Extra: c.Extra, Rate: c.Rate, Inner: c.Inner, Repeats: c.Repeats, Lost: c.Lost, Fails: c.Fails, Kills: c.Kills,
-		Cuts: c.Cuts, CoreOf: c.CoreOff, CutFor: int64(c.CutFor), Guard: c.Guard}
+func (settings creditSettings) scenario() CreditScenario {
+	return CreditScenario{Regions: settings.Regions, Proxies: settings.Proxies, Length: int64(settings.Length), Delay: int64(settings.Delay), CrossRegionDelay: int64(settings.Cross), Loss: settings.Loss,
+		Credit: settings.Credit, Extra: settings.Extra, Rate: settings.Rate, ServiceRate: settings.Inner, Repeats: settings.Repeats, LostResponses: settings.Lost, NotRun: settings.Fails, Kills: settings.Kills,
+		Cuts: settings.Cuts, CoreOutages: settings.CoreOff, CutFor: int64(settings.CutFor), Guard: settings.Guard}
 }
 
-// CreditDay is what came of one.
-type CreditDay struct {
+// CreditResult is the result of a run of a CreditScenario.
+type CreditResult struct {
 	Broken                  []string
-	Asked, Served           int // requests of clients
+	Asked, Served           int // client requests
 	InnerAsked, InnerServed int
-	Spent, Due              float64 // tokens that the book charged, and requests that were due a charge
-	Unheard                 float64 // due a charge and never told: their balancer died first
-	Window, Bound           float64 // the most that was spent in 5 s, and the formula
-	Stranded, StrandedBound float64 // the most that was out at balancers that were cut off
+	Spent, Due              float64 // tokens that the ledger charged; requests that were due a charge
+	Unheard                 float64 // due a charge but never reported, as the proxy ended first
+	Window, Bound           float64 // the most spent in 5 s, and the bound on it
+	Stranded, StrandedBound float64 // the most held by proxies of a region that was cut off, and the bound on it
 	Gap                     float64
 	Reports, Bytes          int
-	Waited                  []int64 // until a token was had
+	Waited                  []int64 // time until a token was available, in nanoseconds
 }
 
 type creditProxy struct {
-	n, region int
-	up        bool
-	life      int
-	crop      *burstcredit.Wallet
-	flying    bool
+	index, region int
+	up            bool
+	incarnation   int
+	wallet        *burstcredit.Wallet
+	reporting     bool
 }
 
-type creditWorld struct {
-	*World
-	Credit
-	day     CreditDay
-	net     *rand.Rand
-	book    *burstcredit.Ledger
-	passed  int64
-	proxies []*creditProxy
-	cut     map[int]int64 // regions, until then
-	off     int64         // the core, until then
-	inbox   []letter
-	terms   map[string]burstcredit.Terms
-	due     map[uint64]bool // identities that were due a charge
-	may     map[uint64]bool // and those of effects that were under way at a balancer that died: nobody knows
-	owed    [2]float64      // of due, calls of services and clients' requests
-	told    map[uint64]bool
-	spends  []int64
+type creditSimulation struct {
+	*Simulator
+	CreditScenario
+	result         CreditResult
+	networkRand    *rand.Rand
+	ledger         *burstcredit.Ledger
+	ledgerTime     int64
+	proxies        []*creditProxy
+	regionCutUntil map[int]int64 // by region
+	coreDownUntil  int64         // the whole core
+	inbox          []sentReport
+	terms          map[string]burstcredit.Terms
+	due            map[uint64]bool // IDs of requests that are due a charge
+	maybeDue       map[uint64]bool // IDs of requests with an effect whose proxy ended during the attempt; their result is unknown
+	dueCounts      [2]float64      // number of due requests: service-to-service, client
+	reported       map[uint64]bool
+	spentAt        []int64
 }
 
-type letter struct {
-	proxy *creditProxy
-	life  int
-	r     *burstcredit.Report
-	sent  int64
+type sentReport struct {
+	proxy       *creditProxy
+	incarnation int
+	report      *burstcredit.Report
+	sentAt      int64
 }
 
-// Play plays one day.
-func (c Credit) Play(seed uint64) *CreditDay {
-	w := &creditWorld{World: NewWorld(seed), Credit: c, book: burstcredit.NewLedger(), cut: map[int]int64{}, due: map[uint64]bool{}, may: map[uint64]bool{}, told: map[uint64]bool{}}
-	w.net = w.Chance("net")
-	w.terms = map[string]burstcredit.Terms{"t": {EarnRatio: 0.5, MaxBalance: 10 * c.Credit, Retention: 30 * 86400 * S, ExtraRate: c.Extra}}
-	w.book.DisableGuard(c.Guard)
-	w.book.GrantTokens("t", c.Credit, "operator", "the day's credit")
-	for n := range c.Proxies {
-		b := &creditProxy{n: n, region: n % c.Regions}
-		w.proxies = append(w.proxies, b)
-		w.start(b)
+// Simulate runs the scenario once.
+func (scenario CreditScenario) Simulate(seed uint64) *CreditResult {
+	sim := &creditSimulation{Simulator: NewSimulator(seed), CreditScenario: scenario, ledger: burstcredit.NewLedger(), regionCutUntil: map[int]int64{}, due: map[uint64]bool{}, maybeDue: map[uint64]bool{}, reported: map[uint64]bool{}}
+	sim.networkRand = sim.Rand("net")
+	sim.terms = map[string]burstcredit.Terms{"t": {EarnRatio: 0.5, MaxBalance: 10 * scenario.Credit, Retention: 30 * 86400 * Second, ExtraRate: scenario.Extra}}
+	sim.ledger.DisableGuard(scenario.Guard)
+	sim.ledger.GrantTokens("t", scenario.Credit, "operator", "initial credit")
+	for n := range scenario.Proxies {
+		proxy := &creditProxy{index: n, region: n % scenario.Regions}
+		sim.proxies = append(sim.proxies, proxy)
+		sim.startProxy(proxy)
 	}
-	w.core()
-	w.trouble()
-	w.ask(true, c.Rate)
-	w.ask(false, c.Inner)
-	w.Run(c.Length)
-	w.judge()
-	return &w.day
+	sim.settleReports()
+	sim.scheduleFaults()
+	sim.scheduleRequests(true, scenario.Rate)
+	sim.scheduleRequests(false, scenario.ServiceRate)
+	sim.RunUntil(scenario.Length)
+	sim.check()
+	return &sim.result
 }
 
-func (w *creditWorld) start(b *creditProxy) {
-	b.up, b.flying = true, false
-	b.life++
-	life := b.life
-	b.crop = burstcredit.NewWallet(fmt.Sprint("n", b.n), fmt.Sprint(life))
-	b.crop.DisableGuard(w.Guard)
-	b.crop.SetTerms(w.terms, nil, w.Proxies, w.Now)
-	var tell func()
-	tell = func() {
-		if !b.up || b.life != life {
+func (sim *creditSimulation) startProxy(proxy *creditProxy) {
+	proxy.up, proxy.reporting = true, false
+	proxy.incarnation++
+	incarnation := proxy.incarnation
+	proxy.wallet = burstcredit.NewWallet(fmt.Sprint("n", proxy.index), fmt.Sprint(incarnation))
+	proxy.wallet.DisableGuard(sim.Guard)
+	proxy.wallet.SetTerms(sim.terms, nil, sim.Proxies, sim.Now)
+	var reportPeriodically func()
+	reportPeriodically = func() {
+		if !proxy.up || proxy.incarnation != incarnation {
 			return
 		}
-		if !b.flying && b.crop.ShouldReport(w.Now) {
-			w.report(b)
+		if !proxy.reporting && proxy.wallet.ShouldReport(sim.Now) {
+			sim.report(proxy)
 		}
-		w.After(burstcredit.ReportInterval, tell)
+		sim.After(burstcredit.ReportInterval, reportPeriodically)
 	}
-	w.After(int64(w.net.IntN(250))*Ms, tell)
+	sim.After(int64(sim.networkRand.IntN(250))*Millisecond, reportPeriodically)
 }
 
-func (w *creditWorld) link(region int) int64 {
-	d := w.Delay
-	if region != 0 { // the core is in the first
-		d = w.Cross
+func (sim *creditSimulation) latency(region int) int64 {
+	base := sim.Delay
+	if region != 0 { // the core is in region 0
+		base = sim.CrossRegionDelay
 	}
-	return d + int64(w.net.Float64()*float64(d))
+	return base + int64(sim.networkRand.Float64()*float64(base))
 }
 
-// report sends a balancer's word; without an answer in a second it is sent again, as it was.
-func (w *creditWorld) report(b *creditProxy) {
-	b.flying = true
-	l := letter{b, b.life, b.crop.Report(w.Now), w.Now}
-	w.day.Reports++
-	w.day.Bytes += 120 + 40*len(l.r.Demands) + 24*(len(l.r.Settled)+len(l.r.OpenEffects))
-	w.After(S, func() {
-		if b.life == l.life {
-			b.flying = false
+// report sends a proxy's report. Without a response within a second it is sent again unchanged.
+func (sim *creditSimulation) report(proxy *creditProxy) {
+	proxy.reporting = true
+	report := sentReport{proxy, proxy.incarnation, proxy.wallet.Report(sim.Now), sim.Now}
+	sim.result.Reports++
+	sim.result.Bytes += 120 + 40*len(report.report.Demands) + 24*(len(report.report.Settled)+len(report.report.OpenEffects))
+	sim.After(Second, func() {
+		if proxy.incarnation == report.incarnation {
+			proxy.reporting = false
 		}
 	})
-	if w.net.Float64() < w.Loss {
+	if sim.networkRand.Float64() < sim.Loss {
 		return
 	}
-	w.After(w.link(b.region), func() {
-		if w.Now >= w.cut[b.region] && w.Now >= w.off {
-			w.inbox = append(w.inbox, l)
+	sim.After(sim.latency(proxy.region), func() {
+		if sim.Now >= sim.regionCutUntil[proxy.region] && sim.Now >= sim.coreDownUntil {
+			sim.inbox = append(sim.inbox, report)
 		}
 	})
 }
 
-// core settles what has come in, in one change of the agreed book, and answers.
-func (w *creditWorld) core() {
-	w.After(100*Ms, w.core)
-	if w.Now < w.off {
-		w.inbox, w.passed = nil, w.Now // nobody keeps the book: its time stands still
+// settleReports applies all received reports in one change of the replicated ledger, and sends the grants.
+func (sim *creditSimulation) settleReports() {
+	sim.After(100*Millisecond, sim.settleReports)
+	if sim.Now < sim.coreDownUntil {
+		sim.inbox, sim.ledgerTime = nil, sim.Now // no controller keeps the ledger, so its time does not advance
 		return
 	}
-	if len(w.inbox) == 0 && w.Now-w.passed < S {
+	if len(sim.inbox) == 0 && sim.Now-sim.ledgerTime < Second {
 		return
 	}
-	w.book.Advance(w.Now-w.passed, w.terms)
-	w.passed = w.Now
-	reports := make([]*burstcredit.Report, len(w.inbox))
-	for n, l := range w.inbox {
-		reports[n] = l.r
-		for _, m := range l.r.Settled {
-			w.told[m.ID] = true
+	sim.ledger.Advance(sim.Now-sim.ledgerTime, sim.terms)
+	sim.ledgerTime = sim.Now
+	reports := make([]*burstcredit.Report, len(sim.inbox))
+	for n, received := range sim.inbox {
+		reports[n] = received.report
+		for _, m := range received.report.Settled {
+			sim.reported[m.ID] = true
 		}
 	}
-	// As the core keeps it: written and read again.
-	raw, err := w.book.Encode()
+	// Encode and decode the ledger, as the core does when it stores it.
+	raw, err := sim.ledger.Encode()
 	if err == nil {
-		w.book, err = burstcredit.DecodeLedger(raw)
+		sim.ledger, err = burstcredit.DecodeLedger(raw)
 	}
 	if err != nil {
-		w.day.Broken = append(w.day.Broken, err.Error())
+		sim.result.Broken = append(sim.result.Broken, err.Error())
 		return
 	}
-	w.book.DisableGuard(w.Guard)
-	grants := w.book.ProcessReports(reports, w.terms)
-	if gap := math.Abs(w.book.Gap("t")); gap > w.day.Gap {
-		w.day.Gap = gap
+	sim.ledger.DisableGuard(sim.Guard)
+	grants := sim.ledger.ProcessReports(reports, sim.terms)
+	if gap := math.Abs(sim.ledger.Gap("t")); gap > sim.result.Gap {
+		sim.result.Gap = gap
 	}
-	for n, l := range w.inbox {
-		if w.net.Float64() < w.Loss {
+	for n, received := range sim.inbox {
+		if sim.networkRand.Float64() < sim.Loss {
 			continue
 		}
-		w.After(w.link(l.proxy.region), func() {
-			if l.proxy.up && l.proxy.life == l.life && w.Now >= w.cut[l.proxy.region] {
-				l.proxy.flying = false
-				l.proxy.crop.ApplyGrant(grants[n], l.sent, w.Now)
+		sim.After(sim.latency(received.proxy.region), func() {
+			if received.proxy.up && received.proxy.incarnation == received.incarnation && sim.Now >= sim.regionCutUntil[received.proxy.region] {
+				received.proxy.reporting = false
+				received.proxy.wallet.ApplyGrant(grants[n], received.sentAt, sim.Now)
 			}
 		})
 	}
-	w.inbox = nil
+	sim.inbox = nil
 }
 
-// ask has requests come, each at a balancer drawn by chance, some of them again elsewhere at once.
-func (w *creditWorld) ask(client bool, rate float64) {
+// scheduleRequests generates requests at random proxies, and repeats some of them at other proxies almost at the same
+// time.
+func (sim *creditSimulation) scheduleRequests(client bool, rate float64) {
 	if rate <= 0 {
 		return
 	}
-	chance := w.Chance(fmt.Sprint("requests", client))
+	rng := sim.Rand(fmt.Sprint("requests", client))
 	id := uint64(0)
 	var next func()
 	next = func() {
-		if w.Now >= w.Length-5*S {
+		if sim.Now >= sim.Length-5*Second {
 			return
 		}
 		id++
-		k := burstcredit.Claim{Tenant: "t", ID: burstcredit.RequestID(fmt.Sprint(client, id)), HasEffect: chance.Float64() < 0.3, FromClient: client}
+		claim := burstcredit.Claim{Tenant: "t", ID: burstcredit.RequestID(fmt.Sprint(client, id)), HasEffect: rng.Float64() < 0.3, FromClient: client}
 		served := false
 		if client {
-			w.day.Asked++
+			sim.result.Asked++
 		} else {
-			w.day.InnerAsked++
+			sim.result.InnerAsked++
 		}
-		tries := 1
-		if chance.Float64() < w.Repeats {
-			tries += 1 + chance.IntN(2)
+		attempts := 1
+		if rng.Float64() < sim.Repeats {
+			attempts += 1 + rng.IntN(2)
 		}
-		for n := range tries {
-			at := w.proxies[chance.IntN(len(w.proxies))]
-			w.After(int64(n)*int64(chance.IntN(80))*Ms, func() { w.try(at, k, &served, chance) })
+		for n := range attempts {
+			proxy := sim.proxies[rng.IntN(len(sim.proxies))]
+			sim.After(int64(n)*int64(rng.IntN(80))*Millisecond, func() { sim.attempt(proxy, claim, &served, rng) })
 		}
-		w.After(int64(chance.ExpFloat64()/rate*1e9), next)
+		sim.After(int64(rng.ExpFloat64()/rate*1e9), next)
 	}
-	w.After(2*S, next)
+	sim.After(2*Second, next)
 }
 
-// try is one try of a request at one balancer: it waits for a token for 400 ms at most, works, and ends in one way or another.
-func (w *creditWorld) try(b *creditProxy, k burstcredit.Claim, served *bool, chance *rand.Rand) {
-	if !b.up {
+// attempt runs one attempt at a proxy. It waits at most 400 ms for a token, runs, and ends in one of several ways.
+func (sim *creditSimulation) attempt(proxy *creditProxy, claim burstcredit.Claim, served *bool, rng *rand.Rand) {
+	if !proxy.up {
 		return
 	}
-	life, began := b.life, w.Now
+	incarnation, startedAt := proxy.incarnation, sim.Now
 	run := func() {
-		w.day.Waited = append(w.day.Waited, w.Now-began)
-		ran, whole := chance.Float64() >= w.Fails, chance.Float64() >= w.Lost
-		if ran && k.HasEffect {
-			w.After(int64(20+chance.IntN(100))*Ms, func() { w.owe(k) }) // at its upstream, whatever becomes of its balancer
+		sim.result.Waited = append(sim.result.Waited, sim.Now-startedAt)
+		ran, delivered := rng.Float64() >= sim.NotRun, rng.Float64() >= sim.LostResponses
+		if ran && claim.HasEffect {
+			sim.After(int64(20+rng.IntN(100))*Millisecond, func() { sim.markDue(claim) }) // takes effect at the upstream even if the proxy ends
 		}
-		w.After(int64(130+chance.IntN(400))*Ms, func() {
-			if !b.up || b.life != life {
-				w.may[k.ID] = w.may[k.ID] || k.HasEffect
+		sim.After(int64(130+rng.IntN(400))*Millisecond, func() {
+			if !proxy.up || proxy.incarnation != incarnation {
+				sim.maybeDue[claim.ID] = sim.maybeDue[claim.ID] || claim.HasEffect
 				return
 			}
-			end := burstcredit.NotDelivered
+			result := burstcredit.NotDelivered
 			switch {
-			case ran && whole:
-				end = burstcredit.Delivered
-				w.owe(k)
+			case ran && delivered:
+				result = burstcredit.Delivered
+				sim.markDue(claim)
 				if !*served {
 					*served = true
-					if k.FromClient {
-						w.day.Served++
+					if claim.FromClient {
+						sim.result.Served++
 					} else {
-						w.day.InnerServed++
+						sim.result.InnerServed++
 					}
 				}
-			case ran && k.HasEffect:
-				end = burstcredit.Unknown
+			case ran && claim.HasEffect:
+				result = burstcredit.Unknown
 			}
-			b.crop.Finish(k, end, w.Now)
+			proxy.wallet.Finish(claim, result, sim.Now)
 		})
 	}
-	switch b.crop.Claim(k, w.Now, func(bool) {
-		if b.up && b.life == life {
+	switch proxy.wallet.Claim(claim, sim.Now, func(bool) {
+		if proxy.up && proxy.incarnation == incarnation {
 			run()
 		}
 	}) {
 	case burstcredit.Reserved:
 		run()
 	case burstcredit.Queued:
-		if !b.flying && b.crop.ShouldReport(w.Now) {
-			w.report(b)
+		if !proxy.reporting && proxy.wallet.ShouldReport(sim.Now) {
+			sim.report(proxy)
 		}
-		w.After(400*Ms, func() {
-			if b.life == life {
-				b.crop.Cancel(k)
+		sim.After(400*Millisecond, func() {
+			if proxy.incarnation == incarnation {
+				proxy.wallet.Cancel(claim)
 			}
 		})
 	}
--- a/internal/mesh/simulation/mesh.go
+++ b/internal/mesh/simulation/mesh.go
@@ -6,99 +6,102 @@
 	"ottershift/internal/mesh/ratelimit"
 )
 
-// Mesh is a day of balancers around a core that agrees: leases, news, and the quota of one tenant, at sizes that nobody
-// has machines for. The core's own agreement is Core's affair; here its processes tell one another what they hear, and
-// the first of them that is there keeps the bank.
-type Mesh struct {
+// MeshScenario is a simulated run of proxies around a core: leases, membership changes and the quota of one tenant,
+// at sizes that exceed the available machines. Agreement within the core is left to CoreScenario: here the
+// controllers exchange what they hear, and the first that is up keeps the token bank. Times are virtual, in
+// nanoseconds.
+type MeshScenario struct {
 	Zones, Proxies            int
 	Length                    int64
-	Delay, Cross              int64 // one way, within a zone and between two
-	Rate, Surge               float64
-	Demand                    float64 // of the tenant's rate, that it sends
-	Hot                       float64 // times as much, in the middle third
+	Delay, CrossZoneDelay     int64 // one way, within a zone and between two
+	Rate, Burst               float64
+	Demand                    float64 // requests of the tenant, as a multiple of its rate
+	PeakFactor                float64 // factor on Demand in the middle third of the run
 	Kills, KillAlls, Cuts     int     // of proxies
 	ControllerKills, ZoneCuts int
-	FullBucket, NoGracePeriod bool    // guards left out
-	News                      int     // changes of upstreams, by chance spread over the day
-	Faults                    []Fault // these, in place of so many by chance
+	FullBucket, NoGracePeriod bool    // guards to disable
+	UpstreamChanges           int     // changes of upstreams at random times
+	Faults                    []Fault // injected instead of the random faults, unless nil
 }
 
-type meshFile struct {
+type meshSettings struct {
 	Zones, Proxies, Kills, Cuts, News int
 	KillAlls                          int `toml:"kill_alls"`
 	ControllerKills                   int `toml:"controller_kills"`
 	ZoneCuts                          int `toml:"zone_cuts"`
-	Length, Delay, Cross              span
+	Length, Delay, Cross              duration
 	Rate, Surge, Demand, Hot          float64
 	FullBucket                        bool `toml:"full_bucket"`
 	NoGracePeriod                     bool `toml:"no_grace_period"`
 	Faults                            []Fault
 }
 
-func plainMesh() meshFile {
-	return meshFile{Zones: 4, Length: span(30 * S), Delay: span(Ms / 5), Cross: span(Ms / 2), Rate: 300, Surge: 300, Demand: 0.7, Hot: 1}
+func defaultMesh() meshSettings {
+	return meshSettings{Zones: 4, Length: duration(30 * Second), Delay: duration(Millisecond / 5), Cross: duration(Millisecond / 2), Rate: 300, Surge: 300, Demand: 0.7, Hot: 1}
 }
 
-func (m meshFile) mesh() Mesh {
-	return Mesh{Zones: m.Zones, Proxies: m.Proxies, Length: int64(m.Length), Delay: int64(m.Delay), Cross: int64(m.Cross), Rate: m.Rate,
-		Surge: m.Surge, Demand: m.Demand, Hot: m.Hot, Kills: m.Kills, KillAlls: m.KillAlls, Cuts: m.Cuts, ControllerKills: m.ControllerKills,
-		ZoneCuts: m.ZoneCuts, FullBucket: m.FullBucket, NoGracePeriod: m.NoGracePeriod, News: m.News, Faults: m.Faults}
+func (settings meshSettings) scenario() MeshScenario {
+	return MeshScenario{Zones: settings.Zones, Proxies: settings.Proxies, Length: int64(settings.Length), Delay: int64(settings.Delay), CrossZoneDelay: int64(settings.Cross), Rate: settings.Rate,
+		Burst: settings.Surge, Demand: settings.Demand, PeakFactor: settings.Hot, Kills: settings.Kills, KillAlls: settings.KillAlls, Cuts: settings.Cuts, ControllerKills: settings.ControllerKills,
+		ZoneCuts: settings.ZoneCuts, FullBucket: settings.FullBucket, NoGracePeriod: settings.NoGracePeriod, UpstreamChanges: settings.News, Faults: settings.Faults}
 }
 
-// MeshDay is what came of one.
-type MeshDay struct {
+// MeshResult is the result of a run of a MeshScenario.
+type MeshResult struct {
 	Broken                 []string
-	Asked, Passed, Refused int // of the tenant
-	Within                 int // asked while the tenant was within its rate
+	Asked, Passed, Refused int // requests of the tenant
+	Within                 int // requests while the tenant was within its rate
 	RefusedWithin          int
-	Window, Bound          float64 // the most that passed in a window, and what is allowed
-	Asks, Draws, Bytes     int     // calls at the core, and what they carried, by estimate of their JSON
-	ControllerRequests     int     // at the busiest process
-	Stale                  int64   // the longest until all balancers that are there knew a change of an upstream
+	Window, Bound          float64 // the most allowed requests in a window, and the bound on it
+	Asks, Draws, Bytes     int     // polls and token requests at the core, and an estimate of the bytes of their JSON
+	ControllerRequests     int     // polls at the busiest controller
+	Stale                  int64   // longest time until all reachable proxies knew a change of an upstream, in nanoseconds
 }
 
-type meshWorld struct {
-	*World
-	Mesh
-	day         MeshDay
-	net         *rand.Rand
-	controllers []*controllerModel
-	proxies     []*proxyModel
-	pass        []int64
-	reign       int
-	coordinator int
-	cutZ        map[int]int64
-	limit       ratelimit.Limit
+type meshSimulation struct {
+	*Simulator
+	MeshScenario
+	result       MeshResult
+	networkRand  *rand.Rand
+	controllers  []*controllerModel
+	proxies      []*proxyModel
+	passedAt     []int64
+	epoch        int
+	coordinator  int
+	zoneCutUntil map[int]int64
+	limit        ratelimit.Limit
 }
 
-// Play plays one day.
-func (m Mesh) Play(seed uint64) *MeshDay {
-	w := &meshWorld{World: NewWorld(seed), Mesh: m, cutZ: map[int]int64{}, coordinator: -1,
-		limit: ratelimit.Limit{Rate: m.Rate, Burst: m.Surge, Window: 5 * S, OverRatio: 0.1, Slack: 20}}
-	w.net = w.Chance("net")
-	for z := range m.Zones {
-		c := &controllerModel{n: z}
-		w.controllers = append(w.controllers, c)
-		w.startController(c)
+// Simulate runs the scenario once.
+func (scenario MeshScenario) Simulate(seed uint64) *MeshResult {
+	sim := &meshSimulation{Simulator: NewSimulator(seed), MeshScenario: scenario, zoneCutUntil: map[int]int64{}, coordinator: -1,
+		limit: ratelimit.Limit{Rate: scenario.Rate, Burst: scenario.Burst, Window: 5 * Second, OverRatio: 0.1, Slack: 20}}
+	sim.networkRand = sim.Rand("net")
+	for z := range scenario.Zones {
+		controller := &controllerModel{index: z}
+		sim.controllers = append(sim.controllers, controller)
+		sim.startController(controller)
 	}
-	for n := range m.Proxies {
-		b := &proxyModel{n: n, zone: n % m.Zones}
-		w.proxies = append(w.proxies, b)
-		w.After(int64(w.net.IntN(300))*Ms, func() { w.startProxy(b) })
+	for n := range scenario.Proxies {
+		proxy := &proxyModel{index: n, zone: n % scenario.Zones}
+		sim.proxies = append(sim.proxies, proxy)
+		sim.After(int64(sim.networkRand.IntN(300))*Millisecond, func() { sim.startProxy(proxy) })
 	}
-	w.trouble()
-	w.demand()
-	w.Run(m.Length)
-	w.judge()
-	return &w.day
+	sim.scheduleFaults()
+	sim.scheduleDemand()
+	sim.RunUntil(scenario.Length)
+	sim.check()
+	return &sim.result
 }
 
-func (w *meshWorld) link(a, b int) int64 {
-	d := w.Delay
+func (sim *meshSimulation) latency(a, b int) int64 {
+	base := sim.Delay
 	if a != b {
-		d = w.Cross
+		base = sim.CrossZoneDelay
 	}
-	return d + int64(w.net.Float64()*float64(d))
+	return base + int64(sim.networkRand.Float64()*float64(base))
 }
 
-func (w *meshWorld) apart(a, b int) bool { return a != b && (w.Now < w.cutZ[a] || w.Now < w.cutZ[b]) }
+func (sim *meshSimulation) zonesSeparated(a, b int) bool {
+	return a != b && (sim.Now < sim.zoneCutUntil[a] || sim.Now < sim.zoneCutUntil[b])
+}
