--- a/internal/mesh/balancer_faults_test.go
+++ b/internal/mesh/balancer_faults_test.go
@@ -28,9 +28,9 @@
 	if path == "" {
 		os.Exit(m.Run())
 	}
-	b, err := settings.Load(path)
+	cfg, err := settings.Load(path)
 	if err == nil {
-		err = proxy.New(b, quiet).Run(context.Background())
+		err = proxy.New(cfg, discardLogger).Run(context.Background())
 	}
 	fmt.Fprintln(os.Stderr, err)
 	os.Exit(1)
@@ -44,9 +44,9 @@
 	command  *exec.Cmd
 }
 
-func startProxyProcess(t *testing.T, b *settings.Settings) *proxyProcess {
-	p := &proxyProcess{t: t, settings: b, path: filepath.Join(t.TempDir(), "local.conf")}
-	must.NoError(t, testmesh.Write(b, p.path))
+func startProxyProcess(t *testing.T, cfg *settings.Settings) *proxyProcess {
+	p := &proxyProcess{t: t, settings: cfg, path: filepath.Join(t.TempDir(), "local.conf")}
+	must.NoError(t, testmesh.WriteSettings(cfg, p.path))
 	p.start()
 	t.Cleanup(p.kill)
 	return p
@@ -58,8 +58,8 @@
 	must.NoError(p.t, p.command.Start())
 }
 
-// listens waits until other balancers can connect.
-func (p *proxyProcess) listens() {
+// waitUntilListening waits until other balancers can connect.
+func (p *proxyProcess) waitUntilListening() {
 	must.Wait(p.t, wait.InitialSuccess(wait.Timeout(5*time.Second), wait.Gap(time.Millisecond), wait.ErrorFunc(func() error {
 		conn, err := net.Dial("tcp4", p.settings.InboundAddress)
 		if err == nil {
@@ -76,111 +76,111 @@
 	p.command.Wait()
 }
 
-// startBalancerFaults starts a mesh whose second proxy, the one beside the upstream, is a process of its own.
-func startBalancerFaults(t *testing.T) (*answersMesh, *proxyProcess) {
-	var p *proxyProcess
-	plan := defaultAnswersPlan()
-	plan.called = 1
-	plan.startProxy = func(m *mesh, b *settings.Settings) {
-		if b == m.plan.Proxies[1] {
-			p = startProxyProcess(t, b)
+// startProxyFaultMesh starts a mesh whose second proxy, the one beside the upstream, is a process of its own.
+func startProxyFaultMesh(t *testing.T) (*faultMesh, *proxyProcess) {
+	var process *proxyProcess
+	options := defaultFaultMeshOptions()
+	options.calledProxies = 1
+	options.startProxy = func(m *mesh, cfg *settings.Settings) {
+		if cfg == m.plan.Proxies[1] {
+			process = startProxyProcess(t, cfg)
 		} else {
-			m.proxy(b)
+			m.startProxy(cfg)
 		}
 	}
-	return plan.start(t), p
+	return options.start(t), process
 }
 
-// serves waits until the upstream is reached again.
-func (a *answersMesh) serves() {
-	a.until(func() bool { return a.ask(0, requestClasses[0], nil, time.Second).status == http.StatusOK })
+// waitUntilServing waits until the upstream is reached again.
+func (fm *faultMesh) waitUntilServing() {
+	fm.waitUntil(func() bool { return fm.send(0, requestClasses[0], nil, time.Second).status == http.StatusOK })
 }
 
-// balancerFault is what happens to the balancer beside the upstream while a request is on its way to it.
-type balancerFault struct {
-	name  string
-	left  time.Duration // that the caller waits
-	begin func(*answersMesh, *proxyProcess)
-	end   func(*answersMesh, *proxyProcess)
+// proxyFault is what happens to the balancer beside the upstream while a request is on its way to it.
+type proxyFault struct {
+	name     string
+	timeLeft time.Duration // that the caller waits
+	begin    func(*faultMesh, *proxyProcess)
+	end      func(*faultMesh, *proxyProcess)
 }
 
-func thaw(_ *answersMesh, p *proxyProcess) { p.signal(syscall.SIGCONT) }
+func resume(_ *faultMesh, process *proxyProcess) { process.signal(syscall.SIGCONT) }
 
-func freeze(_ *answersMesh, p *proxyProcess) { p.signal(syscall.SIGSTOP) }
+func suspend(_ *faultMesh, process *proxyProcess) { process.signal(syscall.SIGSTOP) }
 
-func replace(a *answersMesh, p *proxyProcess) {
-	p.kill()
-	p.start()
-	a.serves()
+func restart(fm *faultMesh, process *proxyProcess) {
+	process.kill()
+	process.start()
+	fm.waitUntilServing()
 }
 
-// slowUpstream has the request be at work as the balancer is struck.
-func slowUpstream(a *answersMesh, p *proxyProcess, strike syscall.Signal) {
-	a.inject(testmesh.Injection{Fault: testmesh.Thawed, Delay: 40 * time.Millisecond})
-	process := p.command.Process
-	time.AfterFunc(20*time.Millisecond, func() { process.Signal(strike) })
+// signalDuringRequest has the request be at work as the balancer is struck.
+func signalDuringRequest(fm *faultMesh, proxy *proxyProcess, signal syscall.Signal) {
+	fm.inject(testmesh.Injection{Fault: testmesh.DelayedRun, Delay: 40 * time.Millisecond})
+	process := proxy.command.Process
+	time.AfterFunc(20*time.Millisecond, func() { process.Signal(signal) })
 }
 
-var balancerFaults = []balancerFault{
+var proxyFaults = []proxyFault{
 	{
-		name: "frozen before it reads, thawed after the caller's time", left: 100 * time.Millisecond,
-		begin: freeze, end: thaw,
+		name: "frozen before it reads, thawed after the caller's time", timeLeft: 100 * time.Millisecond,
+		begin: suspend, end: resume,
 	},
 	{
-		name: "frozen while the upstream is at work, thawed after the caller's time", left: 100 * time.Millisecond,
-		begin: func(a *answersMesh, p *proxyProcess) { slowUpstream(a, p, syscall.SIGSTOP) }, end: thaw,
+		name: "frozen while the upstream is at work, thawed after the caller's time", timeLeft: 100 * time.Millisecond,
+		begin: func(a *faultMesh, p *proxyProcess) { signalDuringRequest(a, p, syscall.SIGSTOP) }, end: resume,
 	},
 	{
-		name: "frozen before it reads, thawed in time", left: 2 * time.Second,
-		begin: func(a *answersMesh, p *proxyProcess) {
-			freeze(a, p)
-			time.AfterFunc(30*time.Millisecond, func() { thaw(a, p) })
+		name: "frozen before it reads, thawed in time", timeLeft: 2 * time.Second,
+		begin: func(a *faultMesh, p *proxyProcess) {
+			suspend(a, p)
+			time.AfterFunc(30*time.Millisecond, func() { resume(a, p) })
 		},
-		end: func(*answersMesh, *proxyProcess) {},
+		end: func(*faultMesh, *proxyProcess) {},
 	},
 	{
-		name: "killed while the upstream is at work, started again", left: time.Second,
-		begin: func(a *answersMesh, p *proxyProcess) { slowUpstream(a, p, syscall.SIGKILL) }, end: replace,
+		name: "killed while the upstream is at work, started again", timeLeft: time.Second,
+		begin: func(a *faultMesh, p *proxyProcess) { signalDuringRequest(a, p, syscall.SIGKILL) }, end: restart,
 	},
 	{
-		name: "killed before the request, started again", left: time.Second,
-		begin: func(_ *answersMesh, p *proxyProcess) { p.kill() }, end: replace,
+		name: "killed before the request, started again", timeLeft: time.Second,
+		begin: func(_ *faultMesh, p *proxyProcess) { p.kill() }, end: restart,
 	},
 	{
-		name: "replaced by another at the same address before the request", left: time.Second,
-		begin: func(_ *answersMesh, p *proxyProcess) { p.kill(); p.start(); p.listens() }, end: replace,
+		name: "replaced by another at the same address before the request", timeLeft: time.Second,
+		begin: func(_ *faultMesh, p *proxyProcess) { p.kill(); p.start(); p.waitUntilListening() }, end: restart,
 	},
 }
 
 // What happens to the balancer between the caller's and the upstream: whatever its caller is told, a once-only request runs at most
 // once, and one that was promised not to run never runs, also after the thaw.
-func TestFaultsOfTheBalancerBesideTheUpstream(t *testing.T) {
-	a, p := startBalancerFaults(t)
+func TestProxyFaultsBesideUpstream(t *testing.T) {
+	fm, process := startProxyFaultMesh(t)
 	rounds := 5
-	for _, fault := range balancerFaults {
+	for _, fault := range proxyFaults {
 		for _, class := range requestClasses[:2] {
-			o := &outcome{told: map[string]int{}, next: map[string]int{}}
-			late := 0
+			counts := &outcomeCounts{results: map[string]int{}, nextResults: map[string]int{}}
+			ranLater := 0
 			for range rounds {
-				a.serves()
-				fault.begin(a, p)
-				first := a.ask(0, class, nil, fault.left)
+				fm.waitUntilServing()
+				fault.begin(fm, process)
+				first := fm.send(0, class, nil, fault.timeLeft)
 				time.Sleep(20 * time.Millisecond)
-				fault.end(a, p)
+				fault.end(fm, process)
 				time.Sleep(100 * time.Millisecond)
-				a.dropFaults()
+				fm.dropFaults()
 				atEnd := first
-				atEnd.runs = a.runs(first.id)
-				a.check(atEnd, class, fault.name)
+				atEnd.runs = fm.runs(first.id)
+				fm.check(atEnd, class, fault.name)
 				if atEnd.runs > first.runs {
-					late++
+					ranLater++
 				}
-				o.pairs++
-				o.told[first.String()]++
-				o.maxRuns = max(o.maxRuns, atEnd.runs)
+				counts.pairs++
+				counts.results[first.String()]++
+				counts.maxRuns = max(counts.maxRuns, atEnd.runs)
 			}
-			t.Logf("%-70v %-10s %v; ran after the answer %d", fault.name, class.name, o, late)
+			t.Logf("%-70v %-10s %v; ran after the answer %d", fault.name, class.name, counts, ranLater)
 		}
 	}
-	a.noneRanAgain()
+	fm.checkRunLimits()
 }
--- a/internal/mesh/catch_up_test.go
+++ b/internal/mesh/catch_up_test.go
@@ -25,8 +25,8 @@
 	"ottershift/internal/mesh/testmesh"
 )
 
-// catchUpBound is how long a member that comes back may take to hold the newest state: four turns of its own loop.
-const catchUpBound = 4 * time.Second
+// catchUpLimit is how long a member that comes back may take to hold the newest state: four turns of its own loop.
+const catchUpLimit = 4 * time.Second
 
 // catchUpCore is a core of three with faults in its links and disks.
 type catchUpCore struct {
@@ -37,7 +37,7 @@
 	caller  *rpc.Client
 	disks   []*testmesh.Disk
 	stops   []func()
-	edition atomic.Int64 // the newest that was acknowledged
+	version atomic.Int64 // the newest that was acknowledged
 	routes  int
 }
 
@@ -59,27 +59,27 @@
 		status, _ := c.call(0, "timetable.replace", 0, catchUpConfiguration(routes, 1))
 		return status == http.StatusOK
 	}), wait.Timeout(15*time.Second), wait.Gap(20*time.Millisecond)))
-	c.edition.Store(1)
+	c.version.Store(1)
 	return c
 }
 
 // start starts a member, whose saves take so much longer.
-func (c *catchUpCore) start(n int, slower time.Duration) {
-	b := c.plan.Controllers[n]
-	must.NoError(c.t, os.MkdirAll(b.DataDir, 0o755))
-	faulty := c.links.Transport(b.IP)
-	opened, err := controller.Open(b, quiet,
+func (c *catchUpCore) start(n int, saveDelay time.Duration) {
+	cfg := c.plan.Controllers[n]
+	must.NoError(c.t, os.MkdirAll(cfg.DataDir, 0o755))
+	faulty := c.links.Transport(cfg.IP)
+	member, err := controller.Open(cfg, discardLogger,
 		controller.WithTransport(func(next http.RoundTripper) http.RoundTripper { return c.meter.Transport(faulty(next)) }),
 		controller.WithDisk(func(next controller.Disk) controller.Disk {
 			c.disks[n] = testmesh.NewDisk(next)
-			c.disks[n].Slow(slower)
+			c.disks[n].SetDelay(saveDelay)
 			return c.disks[n]
 		}))
 	must.NoError(c.t, err)
-	ctx, end := context.WithCancel(context.Background())
-	over := make(chan struct{})
-	go func() { defer close(over); opened.Run(ctx) }()
-	c.stops[n] = func() { end(); <-over; c.stops[n] = nil }
+	ctx, cancel := context.WithCancel(context.Background())
+	stopped := make(chan struct{})
+	go func() { defer close(stopped); member.Run(ctx) }()
+	c.stops[n] = func() { cancel(); <-stopped; c.stops[n] = nil }
 }
 
 func (c *catchUpCore) stop(n int) {
@@ -88,64 +88,64 @@
 	}
 }
 
-func (c *catchUpCore) call(at int, call string, match int64, body string) (int, string) {
-	url := "http://" + c.plan.Controllers[at].ControlAddress + "/-/rpc?call=" + call
-	r, err := http.NewRequest(http.MethodPost, url, strings.NewReader(body))
+func (c *catchUpCore) call(member int, method string, ifMatch int64, body string) (int, string) {
+	url := "http://" + c.plan.Controllers[member].ControlAddress + "/-/rpc?call=" + method
+	request, err := http.NewRequest(http.MethodPost, url, strings.NewReader(body))
 	must.NoError(c.t, err)
-	r.Header.Set("If-Match", strconv.FormatInt(match, 10))
-	w, err := (&http.Client{Timeout: 3 * time.Second}).Do(r)
+	request.Header.Set("If-Match", strconv.FormatInt(ifMatch, 10))
+	response, err := (&http.Client{Timeout: 3 * time.Second}).Do(request)
 	if err != nil {
 		return 0, err.Error()
 	}
-	defer w.Body.Close()
-	text, _ := io.ReadAll(w.Body)
-	return w.StatusCode, string(text)
+	defer response.Body.Close()
+	text, _ := io.ReadAll(response.Body)
+	return response.StatusCode, string(text)
 }
 
 // change makes so many changes, one after another, at a member.
-func (c *catchUpCore) change(at, changes int) {
+func (c *catchUpCore) change(member, changes int) {
 	for range changes {
-		before, began := c.edition.Load(), time.Now()
-		body := fmt.Sprintf(`{"Edition":%d,"Deliver":{"PostOffices":[{"Town":"a.example","Regulations":[%s]}]}}`, before+1, catchUpRoute(0, before+1))
+		version, start := c.version.Load(), time.Now()
+		body := fmt.Sprintf(`{"Edition":%d,"Deliver":{"PostOffices":[{"Town":"a.example","Regulations":[%s]}]}}`, version+1, catchUpRoute(0, version+1))
 		must.Wait(c.t, wait.InitialSuccess(wait.BoolFunc(func() bool {
-			status, text := c.call(at, "timetable.amend", before, body)
+			status, text := c.call(member, "timetable.amend", version, body)
 			if status >= 400 && status < 500 {
 				c.t.Fatalf("amend: %d %s", status, text)
 			}
 			return status == http.StatusOK
 		}), wait.Timeout(15*time.Second), wait.Gap(5*time.Millisecond)))
-		c.edition.Store(before + 1)
-		if took := time.Since(began); took > time.Second {
-			c.t.Logf("change %d took %v", before+1, took)
+		c.version.Store(version + 1)
+		if duration := time.Since(start); duration > time.Second {
+			c.t.Logf("change %d took %v", version+1, duration)
 		}
 	}
 }
 
-func (c *catchUpCore) status(at int) (*controller.Status, error) {
-	ctx, end := context.WithTimeout(context.Background(), time.Second)
-	defer end()
-	s := &controller.Status{}
-	err := c.caller.Call(ctx, c.plan.Controllers[at].InternalAddress(), rpc.PathStatus, &controller.StatusRequest{}, s)
-	return s, err
+func (c *catchUpCore) status(member int) (*controller.Status, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
+	defer cancel()
+	status := &controller.Status{}
+	err := c.caller.Call(ctx, c.plan.Controllers[member].InternalAddress(), rpc.PathStatus, &controller.StatusRequest{}, status)
+	return status, err
 }
 
-func catchUpRoute(n int, edition int64) string {
+func catchUpRoute(n int, version int64) string {
 	return fmt.Sprintf(`{"Name":"route-%d","MailClass":"repeatable","Target":"300ms","Precedence":2,"Sorting":{"StreetPrefix":"/route-%d/"},`+
-		`"Dispatch":{"Destination":"album","Deadline":"%dms","DeliveryTries":3}}`, n, n, 1000+edition%1000)
+		`"Dispatch":{"Destination":"album","Deadline":"%dms","DeliveryTries":3}}`, n, n, 1000+version%1000)
 }
 
-func catchUpConfiguration(routes int, edition int64) string {
-	all := make([]string, routes)
-	for n := range all {
-		all[n] = catchUpRoute(n, edition)
+func catchUpConfiguration(routes int, version int64) string {
+	routesJSON := make([]string, routes)
+	for n := range routesJSON {
+		routesJSON[n] = catchUpRoute(n, version)
 	}
 	return fmt.Sprintf(`{"Edition":%d,"SizeLimits":{"EnvelopeBytes":16384,"ContentsBytes":67108864,"Envelope":"3000ms","Idle":"15000ms"},`+
 		`"PostOffices":[{"Town":"a.example","Regulations":[%s]}],"Depots":[{"Name":"album","HealthPath":"/health","LineCap":130,"Protocol":"h1"}]}`,
-		edition, strings.Join(all, ","))
+		version, strings.Join(routesJSON, ","))
 }
 
-// diskUse is the size of a member's folder in MB.
-func (c *catchUpCore) diskUse(n int) float64 {
+// dataDirMB is the size of a member's folder in MB.
+func (c *catchUpCore) dataDirMB(n int) float64 {
 	var bytes int64
 	must.NoError(c.t, filepath.WalkDir(c.plan.Controllers[n].DataDir, func(_ string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() {
@@ -161,70 +161,70 @@
 
 // observation is what a member said while it caught up.
 type observation struct {
-	took       time.Duration // until it held the newest state and had a vote
-	refused    int           // answers without a state: 503, or not current
-	fromDisk   int           // times at which an answer out of what it held would have been old
-	oldAnswers []string      // answers with an old state
+	duration       time.Duration // until it held the newest state and had a vote
+	refused        int           // answers without a state: 503, or not current
+	staleOnDisk    int           // times at which an answer out of what it held would have been old
+	staleResponses []string      // answers with an old state
 }
 
-// observe asks a member again and again, until it holds the newest state. For the first span of that time it is cut off.
+// waitForCatchUp asks a member again and again, until it holds the newest state. For the first span of that time it is cut off.
 // Its vote is another one than gone.
-func (c *catchUpCore) observe(n int, cutFor time.Duration, gone string) (o observation) {
-	began := time.Now()
+func (c *catchUpCore) waitForCatchUp(n int, partitionedFor time.Duration, previousID string) (o observation) {
+	start := time.Now()
 	self := c.plan.Controllers[n].IP
-	cut := cutFor > 0
-	for time.Since(began) < 20*time.Second {
-		if cut && time.Since(began) > cutFor {
-			c.links.Heal()
-			cut = false
+	partitioned := partitionedFor > 0
+	for time.Since(start) < 20*time.Second {
+		if partitioned && time.Since(start) > partitionedFor {
+			c.links.Clear()
+			partitioned = false
 		}
-		acknowledged := c.edition.Load()
-		s, err := c.status(n)
+		acknowledged := c.version.Load()
+		status, err := c.status(n)
 		switch {
 		case err != nil:
-		case s.State.Edition < acknowledged && s.Current:
-			o.oldAnswers = append(o.oldAnswers, fmt.Sprintf("current with %d after %d", s.State.Edition, acknowledged))
-		case s.State.Edition < acknowledged:
-			o.fromDisk++
-		case s.Current && identityAt(s.State.Core, self) != gone:
-			o.took = time.Since(began) - cutFor
+		case status.State.Edition < acknowledged && status.Current:
+			o.staleResponses = append(o.staleResponses, fmt.Sprintf("current with %d after %d", status.State.Edition, acknowledged))
+		case status.State.Edition < acknowledged:
+			o.staleOnDisk++
+		case status.Current && memberIDAt(status.State.Core, self) != previousID:
+			o.duration = time.Since(start) - partitionedFor
 			return o
 		}
 		code, text := c.call(n, "timetable.fetch", 0, "")
-		read := struct{ Edition int64 }{}
+		configuration := struct{ Edition int64 }{}
 		switch {
 		case code != http.StatusOK:
 			o.refused++
-		case json.Unmarshal([]byte(text), &read) != nil || read.Edition < acknowledged:
-			o.oldAnswers = append(o.oldAnswers, fmt.Sprintf("200 with %d after %d", read.Edition, acknowledged))
+		case json.Unmarshal([]byte(text), &configuration) != nil || configuration.Edition < acknowledged:
+			o.staleResponses = append(o.staleResponses, fmt.Sprintf("200 with %d after %d", configuration.Edition, acknowledged))
 		}
 	}
 	c.t.Fatal("it has not caught up")
 	return o
 }
 
-// identityAt is the identity with a vote at an IP address, empty for none.
-func identityAt(core []consensus.Member, ip string) string {
-	for _, m := range core {
-		if strings.HasPrefix(m.Address, ip+":") {
-			return m.ID
+// memberIDAt is the identity with a vote at an IP address, empty for none.
+func memberIDAt(core []consensus.Member, ip string) string {
+	for _, member := range core {
+		if strings.HasPrefix(member.Address, ip+":") {
+			return member.ID
 		}
 	}
 	return ""
 }
 
-// cutOff silences all links of a member.
-func (c *catchUpCore) cutOff(n int) {
+// partition silences all links of a member.
+func (c *catchUpCore) partition(n int) {
 	for other, b := range c.plan.Controllers {
 		if other != n {
-			c.links.SetBoth(c.plan.Controllers[n].IP, b.IP, testmesh.LinkSilent)
+			c.links.SetBoth(c.plan.Controllers[n].IP, b.IP, testmesh.LinkDropsRequests)
 		}
 	}
 }
 
 // A member that was away for half of many changes comes back with its disk, with none, with an old copy of it, or with a slow
 // one: it holds the newest state within a bound, and never says an old one before. More changes by OTTERSHIFT_CHANGES.
-func TestAMemberThatComesBackCatchesUp(t *testing.T) {
+func TestRestartedMemberCatchesUp(t *testing.T) {
 	changes := 4
 	if n, err := strconv.Atoi(os.Getenv("OTTERSHIFT_CHANGES")); err == nil {
 		changes = n
@@ -233,47 +233,47 @@
 	for _, routes := range []int{10, 4000} {
 		c := startCatchUpCore(t, routes)
 		dir := c.plan.Controllers[member].DataDir
-		old := t.TempDir()
-		for _, come := range []struct {
+		oldDir := t.TempDir()
+		for _, restart := range []struct {
 			name    string
 			prepare func()
 			slower  time.Duration
 			cutFor  time.Duration
 		}{
 			{"its disk", func() {}, 0, 0},
-			{"its disk, cut off at first", func() { c.cutOff(member) }, 0, 700 * time.Millisecond},
+			{"its disk, cut off at first", func() { c.partition(member) }, 0, 700 * time.Millisecond},
 			{emptyDisk, func() { must.NoError(t, os.RemoveAll(dir)) }, 0, 0},
 			{oldCopy, func() {
 				must.NoError(t, os.RemoveAll(dir))
-				must.NoError(t, os.CopyFS(dir, os.DirFS(old)))
+				must.NoError(t, os.CopyFS(dir, os.DirFS(oldDir)))
 			}, 0, 0},
 			{"a disk 30 times slower", func() {}, 150 * time.Millisecond, 0},
 		} {
-			began := time.Now()
+			start := time.Now()
 			c.change(0, changes/2)
 			c.stop(member)
 			c.change(0, changes-changes/2)
-			perChange := time.Since(began) / time.Duration(changes)
-			gone := ""
-			if come.name == emptyDisk || come.name == oldCopy { // it comes back as a stranger
-				s, err := c.status(0)
+			perChange := time.Since(start) / time.Duration(changes)
+			previousID := ""
+			if restart.name == emptyDisk || restart.name == oldCopy { // it comes back as a stranger
+				status, err := c.status(0)
 				must.NoError(t, err)
-				gone = identityAt(s.State.Core, c.plan.Controllers[member].IP)
+				previousID = memberIDAt(status.State.Core, c.plan.Controllers[member].IP)
 			}
-			come.prepare()
-			c.start(member, come.slower)
-			o := c.observe(member, come.cutFor, gone)
+			restart.prepare()
+			c.start(member, restart.slower)
+			o := c.waitForCatchUp(member, restart.cutFor, previousID)
 			t.Logf("%d routes, %d changes (%v each), back with %s: %v to catch up; %d answers refused, %d would have been old from disk; %.1f MB on disk",
-				routes, changes, perChange.Round(time.Microsecond), come.name, o.took.Round(time.Millisecond), o.refused, o.fromDisk, c.diskUse(0))
-			must.SliceEmpty(t, o.oldAnswers)
-			must.Less(t, catchUpBound, o.took)
-			if come.cutFor > 0 {
-				must.Positive(t, o.fromDisk) // convicted: a replica that answers from its disk without asking a majority
+				routes, changes, perChange.Round(time.Microsecond), restart.name, o.duration.Round(time.Millisecond), o.refused, o.staleOnDisk, c.dataDirMB(0))
+			must.SliceEmpty(t, o.staleResponses)
+			must.Less(t, catchUpLimit, o.duration)
+			if restart.cutFor > 0 {
+				must.Positive(t, o.staleOnDisk) // convicted: a replica that answers from its disk without asking a majority
 				must.Positive(t, o.refused)
 			}
-			if come.name == emptyDisk {
+			if restart.name == emptyDisk {
 				c.stop(member)
-				must.NoError(t, os.CopyFS(old, os.DirFS(dir)))
+				must.NoError(t, os.CopyFS(oldDir, os.DirFS(dir)))
 				c.start(member, 0)
 			}
 		}
@@ -284,7 +284,7 @@
 }
 
 // What a change of the member count costs on the wire, beside a configuration of many routes.
-func TestAChangeOfTheMemberCountIsCheap(t *testing.T) {
+func TestMemberCountChangeSendsLittle(t *testing.T) {
 	const rounds = 8
 	for _, routes := range []int{10, 4000} {
 		c := startCatchUpCore(t, routes)
@@ -293,28 +293,28 @@
 			members++
 			node := membership.Node{Name: fmt.Sprintf("proxy-%d", members), Inbound: fmt.Sprintf("127.0.0.1:%d", 20000+members), Incarnation: "life", Seq: 1}
 			must.Wait(t, wait.InitialSuccess(wait.ErrorFunc(func() error { // its answer carries the whole configuration
-				ctx, end := context.WithTimeout(context.Background(), time.Second)
-				defer end()
+				ctx, cancel := context.WithTimeout(context.Background(), time.Second)
+				defer cancel()
 				return c.caller.Call(ctx, c.plan.Controllers[0].InternalAddress(), rpc.PathWatch, &membership.WatchRequest{Node: node}, &membership.WatchResponse{})
 			}), wait.Timeout(10*time.Second), wait.Gap(2*time.Millisecond)))
 			must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool {
-				s, err := c.status(0)
-				return err == nil && s.State.BalancerCount == members
+				status, err := c.status(0)
+				return err == nil && status.State.BalancerCount == members
 			}), wait.Timeout(10*time.Second), wait.Gap(2*time.Millisecond)))
 		}
 		join() // the first one asks who holds what
 		time.Sleep(300 * time.Millisecond)
-		before, began := c.meter.Sent(), time.Now()
+		sentBefore, start := c.meter.Sent(), time.Now()
 		for range rounds {
 			join()
 		}
 		time.Sleep(100 * time.Millisecond) // the last decision is still on its way
-		each := (c.meter.Sent() - before) / rounds
-		s, err := c.status(0)
+		perChange := (c.meter.Sent() - sentBefore) / rounds
+		status, err := c.status(0)
 		must.NoError(t, err)
 		t.Logf("%d routes, %d KB of configuration: %d bytes sent in the core for a change of the member count, gossip with it; %v each; %d compact requests not understood",
-			routes, len(s.State.Configuration)/1000, each, (time.Since(began) / rounds).Round(time.Millisecond), s.Counts["compact_lacking"])
-		must.Less(t, 100_000, each)
+			routes, len(status.State.Configuration)/1000, perChange, (time.Since(start) / rounds).Round(time.Millisecond), status.Counts["compact_lacking"])
+		must.Less(t, 100_000, perChange)
 		for n := range c.stops {
 			c.stop(n)
 		}
@@ -322,31 +322,31 @@
 }
 
 // After a loss of power of the whole core, with one member lost for good, the others serve what was acknowledged.
-func TestACoreThatRestartsWithoutOneMemberServesAgain(t *testing.T) {
+func TestCoreRestartsWithoutOneMember(t *testing.T) {
 	c := startCatchUpCore(t, 10)
 	for lost := range c.stops {
 		c.change((lost+1)%3, 5)
 		for n := range c.stops {
 			c.stop(n)
 		}
-		began := time.Now()
+		start := time.Now()
 		for n := range c.stops {
 			if n != lost {
 				c.start(n, 0)
 			}
 		}
-		at := (lost + 1) % 3
+		member := (lost + 1) % 3
 		var text string
 		must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool {
 			var status int
-			status, text = c.call(at, "timetable.fetch", 0, "")
+			status, text = c.call(member, "timetable.fetch", 0, "")
 			return status == http.StatusOK
-		}), wait.Timeout(catchUpBound), wait.Gap(5*time.Millisecond)))
-		read := time.Since(began)
-		must.StrContains(t, text, fmt.Sprintf(`"Edition":%d,`, c.edition.Load()))
-		c.change(at, 1)
-		t.Logf("without member %d: read after %v, changed after %v", lost, read.Round(time.Millisecond), time.Since(began).Round(time.Millisecond))
+		}), wait.Timeout(catchUpLimit), wait.Gap(5*time.Millisecond)))
+		readAfter := time.Since(start)
+		must.StrContains(t, text, fmt.Sprintf(`"Edition":%d,`, c.version.Load()))
+		c.change(member, 1)
+		t.Logf("without member %d: read after %v, changed after %v", lost, readAfter.Round(time.Millisecond), time.Since(start).Round(time.Millisecond))
 		c.start(lost, 0)
-		must.SliceEmpty(t, c.observe(lost, 0, "").oldAnswers)
+		must.SliceEmpty(t, c.waitForCatchUp(lost, 0, "").staleResponses)
 	}
 }
--- a/internal/mesh/changes_under_requests_test.go
+++ b/internal/mesh/changes_under_requests_test.go
@@ -14,61 +14,61 @@
 )
 
 // changingConfig has the route of patientConfig with another deadline, or only another route.
-func changingConfig(edition int, routed bool) string {
+func changingConfig(version int, hasOnceRoute bool) string {
 	prefix := "/once/"
-	if !routed {
+	if !hasOnceRoute {
 		prefix = "/other/"
 	}
 	return fmt.Sprintf(`{"Edition":%d,"SizeLimits":{"EnvelopeBytes":16384,"ContentsBytes":67108864,"Envelope":"3000ms","Idle":"%dms"},
 "PostOffices":[{"Town":"a.example","Regulations":[
  {"Name":"once","MailClass":"once_only","Target":"%dms","Precedence":1,"Sorting":{"StreetPrefix":"%s"},"Dispatch":{"Destination":"album","Deadline":"%dms","DeliveryTries":2}}]}],
-"Depots":[{"Name":"album","HealthPath":"/health","LineCap":130,"Protocol":"h1"}]}`, edition, 500+edition%7*100, 2000+edition%5*100, prefix, 5000+edition%3*100)
+"Depots":[{"Name":"album","HealthPath":"/health","LineCap":130,"Protocol":"h1"}]}`, version, 500+version%7*100, 2000+version%5*100, prefix, 5000+version%3*100)
 }
 
 // Versions change the terms, the keep-alive timeout and the route of requests that are at work or wait for a slot. Each request gets an
 // answer: what was let in is served, the others are told that there is no route or no room.
-func TestRequestsUnderChangesAreAnswered(t *testing.T) {
-	m := startPatientMesh(t)
-	m.apps[0].SetWork(60 * time.Millisecond)
-	over := make(chan struct{})
-	var asking sync.WaitGroup
+func TestRequestsDuringConfigurationChangesGetResponses(t *testing.T) {
+	m := startLongDeadlineMesh(t)
+	m.upstreams[0].SetWork(60 * time.Millisecond)
+	stop := make(chan struct{})
+	var clients sync.WaitGroup
 	var mu sync.Mutex
 	counts := map[int]int{}
 	for client := range 6 {
-		asking.Go(func() {
+		clients.Go(func() {
 			for n := 0; ; n++ {
 				select {
-				case <-over:
+				case <-stop:
 					return
 				default:
 				}
 				id := fmt.Sprintf("changed-%d-%d", client, n)
-				got := m.askOnce(id)
+				got := m.sendOnceOnly(id)
 				mu.Lock()
 				counts[got.status]++
 				mu.Unlock()
-				if runs := m.runs(id); got.status <= 0 || runs > 1 || promises(got.status) && runs > 0 || got.status == http.StatusNotFound && runs > 0 {
+				if runs := m.runs(id); got.status <= 0 || runs > 1 || promisesNotExecuted(got.status) && runs > 0 || got.status == http.StatusNotFound && runs > 0 {
 					t.Errorf("%s was told %v and ran %d times", id, got, runs)
 				}
 			}
 		})
 	}
-	for edition := 2; edition <= 60; edition++ {
-		m.until(func() bool {
-			status, _ := m.call(0, "timetable.replace", fmt.Sprint(edition-1), changingConfig(edition, edition%4 != 0))
+	for version := 2; version <= 60; version++ {
+		m.waitUntil(func() bool {
+			status, _ := m.call(0, "timetable.replace", fmt.Sprint(version-1), changingConfig(version, version%4 != 0))
 			return status == http.StatusOK
 		})
 		time.Sleep(20 * time.Millisecond)
 	}
-	close(over)
-	asking.Wait()
+	close(stop)
+	clients.Wait()
 	t.Logf("answers under 59 changes: %v", counts)
 	must.Positive(t, counts[http.StatusOK])
 	must.Positive(t, counts[http.StatusNotFound])
-	figures, err := http.Get("http://" + m.plan.Proxies[0].InternalAddress() + rpc.PathMetrics)
+	response, err := http.Get("http://" + m.plan.Proxies[0].InternalAddress() + rpc.PathMetrics)
 	must.NoError(t, err)
-	defer figures.Body.Close()
-	text, err := io.ReadAll(figures.Body)
+	defer response.Body.Close()
+	text, err := io.ReadAll(response.Body)
 	must.NoError(t, err)
 	must.StrContains(t, string(text), "ottershift_proxy_edition 60\n")
 	must.StrContains(t, string(text), `ottershift_proxy_total{kind="answer_no_route"}`)
--- a/internal/mesh/controller/cluster_test.go
+++ b/internal/mesh/controller/cluster_test.go
@@ -101,7 +101,7 @@
 func (c *cluster) loseMember(n int) {
 	for _, other := range c.nodes {
 		if other != c.nodes[n] {
-			c.links.SetBoth(c.nodes[n].settings.IP, other.settings.IP, testmesh.LinkSilent)
+			c.links.SetBoth(c.nodes[n].settings.IP, other.settings.IP, testmesh.LinkDropsRequests)
 		}
 	}
 }
--- a/internal/mesh/controller/configuration_update_test.go
+++ b/internal/mesh/controller/configuration_update_test.go
@@ -19,8 +19,8 @@
 }
 
 func newReplacement(n int) *configurationUpdate {
-	order := testmesh.NewOrder(n, int64(2*n), int64(2*n+2))
-	return newConfigurationUpdate(callReplace, order.Base, []byte(order.Body))
+	order := testmesh.NewUpdate(n, int64(2*n), int64(2*n+2))
+	return newConfigurationUpdate(callReplace, order.BaseVersion, []byte(order.Body))
 }
 
 // applyReplacements returns the state after n replacements, each on top of the previous one.
@@ -58,7 +58,7 @@
 	must.Eq(t, 100, rejectedByVariant) // without the guard, applied updates are rejected
 
 	decideNeverApplied := func(base, edition int64) error {
-		order := testmesh.NewOrder(-1, base, edition)
+		order := testmesh.NewUpdate(-1, base, edition)
 		_, err := decideOnTopOf(newConfigurationUpdate(callReplace, base, []byte(order.Body)), state)
 		return err
 	}
@@ -114,7 +114,7 @@
 func TestConfigurationsOfTheSameVersionAreDistinguished(t *testing.T) {
 	c := &Controller{}
 	for id := range 2 {
-		state := &consensus.State{Edition: 7, Configuration: []byte(testmesh.NewOrder(id, 0, 7).Body)}
+		state := &consensus.State{Edition: 7, Configuration: []byte(testmesh.NewUpdate(id, 0, 7).Body)}
 		configuration, err := c.parsedConfiguration(state)
 		must.NoError(t, err)
 		must.Eq(t, fmt.Sprintf("order-%d", id), configuration.Routes[0].Name)
--- a/internal/mesh/controller/controller.go
+++ b/internal/mesh/controller/controller.go
@@ -170,8 +170,8 @@
 
 func (c *Controller) now() int64 { return int64(time.Since(c.started)) }
 
-// Reseed replaces the seeds by those of the current settings.
-func (c *Controller) Reseed(cfg *settings.Settings) {
+// UpdateSeeds replaces the seeds by those of the current settings.
+func (c *Controller) UpdateSeeds(cfg *settings.Settings) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.seeds = meshAddresses(c.settings, cfg.Seeds)
--- a/internal/mesh/controller/harness_test.go
+++ b/internal/mesh/controller/harness_test.go
@@ -152,18 +152,18 @@
 func (c *cluster) isolate(n int) {
 	for other := range c.nodes {
 		if other != n {
-			c.links.SetBoth(c.host(n), c.host(other), testmesh.LinkSilent)
+			c.links.SetBoth(c.host(n), c.host(other), testmesh.LinkDropsRequests)
 		}
 	}
 }
 
 func (c *cluster) heal() {
-	c.links.Heal()
-	c.accepts.Heal()
-	c.learns.Heal()
+	c.links.Clear()
+	c.accepts.Clear()
+	c.learns.Clear()
 }
 
-func (c *cluster) send(at int, order *testmesh.Order) testmesh.Answer {
+func (c *cluster) send(at int, order *testmesh.Update) testmesh.Response {
 	return c.operator.Send(c.t.Context(), at, order)
 }
 
@@ -173,18 +173,18 @@
 }
 
 // mustPut sends an order until its outcome is clear, and requires it to be confirmed.
-func (c *cluster) mustPut(at int, order *testmesh.Order) {
+func (c *cluster) mustPut(at int, order *testmesh.Update) {
 	c.t.Helper()
-	var answer testmesh.Answer
+	var answer testmesh.Response
 	c.eventually(func() bool {
 		answer = c.send(at, order)
-		return answer.Outcome() != testmesh.OutcomeUnclear
+		return answer.Outcome() != testmesh.OutcomeUnknown
 	})
 	must.Eq(c.t, testmesh.OutcomeConfirmed, answer.Outcome(), must.Sprint(order.ID, answer.Text))
 }
 
 // mustConfirm repeats orders at each running controller and requires each of them to be confirmed.
-func (c *cluster) mustConfirm(orders ...*testmesh.Order) {
+func (c *cluster) mustConfirm(orders ...*testmesh.Update) {
 	c.t.Helper()
 	for at, node := range c.nodes {
 		for _, order := range orders {
@@ -196,33 +196,33 @@
 }
 
 // fetch reads the newest configuration through one controller.
-func fetch(ctx context.Context, operator *testmesh.Operator, at int) (history.Version, bool) {
+func fetch(ctx context.Context, operator *testmesh.Operator, at int) (history.Configuration, bool) {
 	answer := operator.Call(ctx, at, "timetable.fetch", "", "")
 	switch answer.Status {
 	case http.StatusNotFound:
-		return history.Version{}, true
+		return history.Configuration{}, true
 	case http.StatusOK:
 	default:
-		return history.Version{}, false
+		return history.Configuration{}, false
 	}
 	var document struct {
 		Edition     int64
 		PostOffices []struct{ Regulations []struct{ Name string } }
 	}
 	if err := json.Unmarshal([]byte(answer.Text), &document); err != nil {
-		return history.Version{}, false
+		return history.Configuration{}, false
 	}
 	number, err := strconv.Atoi(strings.TrimPrefix(document.PostOffices[0].Regulations[0].Name, "order-"))
-	return history.Version{Edition: document.Edition, Order: number}, err == nil
+	return history.Configuration{Version: document.Edition, UpdateID: number}, err == nil
 }
 
-func (c *cluster) mustFetch(want history.Version) {
+func (c *cluster) mustFetch(want history.Configuration) {
 	c.t.Helper()
 	for at, node := range c.nodes {
 		if node.stop == nil {
 			continue
 		}
-		var got history.Version
+		var got history.Configuration
 		c.eventually(func() (known bool) {
 			got, known = fetch(c.t.Context(), c.operator, at)
 			return known
--- a/internal/mesh/controller/histories_test.go
+++ b/internal/mesh/controller/histories_test.go
@@ -31,8 +31,8 @@
 
 // injectRandomFaults injects random faults of links, single message types, disks and processes, one after the other.
 func injectRandomFaults(c *cluster, random *rand.Rand, end <-chan struct{}) {
-	linkFaults := []testmesh.LinkFault{testmesh.LinkSilent, testmesh.LinkRefused, testmesh.LinkReset,
-		testmesh.LinkLostResponse, testmesh.LinkLate}
+	linkFaults := []testmesh.LinkFault{testmesh.LinkDropsRequests, testmesh.LinkRefused, testmesh.LinkReset,
+		testmesh.LinkDropsResponses, testmesh.LinkDeliversLate}
 	for {
 		at, other := random.IntN(3), random.IntN(3)
 		fault, delay := linkFaults[random.IntN(len(linkFaults))], time.Duration(random.IntN(900))*time.Millisecond
@@ -52,7 +52,7 @@
 			c.links.Set(testmesh.OperatorHost, c.host(at), fault)
 			c.links.SetDelay(testmesh.OperatorHost, c.host(at), delay)
 		case 6:
-			c.nodes[at].disk.Slow(time.Duration(random.IntN(200)) * time.Millisecond)
+			c.nodes[at].disk.SetDelay(time.Duration(random.IntN(200)) * time.Millisecond)
 		case 7:
 			c.stop(at)
 		case 8:
@@ -61,7 +61,7 @@
 		ended := sleep(time.Duration(200+random.IntN(600))*time.Millisecond, end)
 		c.heal()
 		for n := range 3 {
-			c.nodes[n].disk.Slow(0)
+			c.nodes[n].disk.SetDelay(0)
 			if c.nodes[n].stop == nil {
 				c.start(n)
 			}
@@ -102,7 +102,7 @@
 // runOperator simulates one operator: it sends orders on top of the version last seen, each until its outcome is
 // clear or the attempts are used up, repeats earlier orders byte for byte, and reads.
 func (h *historyRun) runOperator(operator int, random *rand.Rand, end <-chan struct{}) {
-	var sent []*testmesh.Order
+	var sent []*testmesh.Update
 	for !sleep(time.Duration(random.IntN(60))*time.Millisecond, end) {
 		at := random.IntN(3)
 		switch {
@@ -110,11 +110,11 @@
 			h.read(operator, at)
 		case len(sent) > 0 && random.IntN(3) == 0:
 			order := sent[random.IntN(len(sent))]
-			h.history.Answered(order, h.operator.Send(context.Background(), at, order).Outcome())
+			h.history.AddOutcome(order, h.operator.Send(context.Background(), at, order).Outcome())
 		default:
 			base := h.newest.Load()
-			order := testmesh.NewOrder(int(h.orders.Add(1)), base, base+1+int64(random.IntN(2)))
-			if h.sendUntilClear(operator, at, order) == testmesh.OutcomeUnclear {
+			order := testmesh.NewUpdate(int(h.orders.Add(1)), base, base+1+int64(random.IntN(2)))
+			if h.sendUntilClear(operator, at, order) == testmesh.OutcomeUnknown {
 				continue // a further attempt could reveal the outcome after the history has recorded it as unknown
 			}
 			sent = append(sent, order)
@@ -125,29 +125,29 @@
 func (h *historyRun) read(operator, at int) {
 	asked := time.Now()
 	if version, known := fetch(context.Background(), h.operator, at); known {
-		h.history.Read(operator, version, asked, time.Now())
-		h.observeVersion(version.Edition)
+		h.history.AddRead(operator, version, asked, time.Now())
+		h.observeVersion(version.Version)
 	}
 }
 
-func (h *historyRun) sendUntilClear(operator, at int, order *testmesh.Order) testmesh.Outcome {
-	first, outcome := time.Now(), testmesh.OutcomeUnclear
-	for attempt := 0; attempt < maxOrderAttempts && outcome == testmesh.OutcomeUnclear; attempt++ {
+func (h *historyRun) sendUntilClear(operator, at int, order *testmesh.Update) testmesh.Outcome {
+	first, outcome := time.Now(), testmesh.OutcomeUnknown
+	for attempt := 0; attempt < maxOrderAttempts && outcome == testmesh.OutcomeUnknown; attempt++ {
 		time.Sleep(time.Duration(attempt) * orderRetryPause)
 		outcome = h.operator.Send(context.Background(), (at+attempt)%3, order).Outcome()
 	}
-	h.history.Order(operator, order, outcome, first, time.Now())
+	h.history.AddUpdate(operator, order, outcome, first, time.Now())
 	if outcome == testmesh.OutcomeConfirmed {
-		h.observeVersion(order.Edition)
+		h.observeVersion(order.Version)
 	}
 	return outcome
 }
 
 // runHistory records one history and checks it.
-func runHistory(t *testing.T, seed uint64, injectFaults faultScenario, variant func(*controller.Controller)) (history.Verdict, string) {
+func runHistory(t *testing.T, seed uint64, injectFaults faultScenario, variant func(*controller.Controller)) (history.Result, string) {
 	run := &historyRun{cluster: startCluster(t, 3, variant)}
-	run.mustPut(0, testmesh.NewOrder(0, 0, 1))
-	run.history.Order(historyOperators, testmesh.NewOrder(0, 0, 1), testmesh.OutcomeConfirmed, time.Now(), time.Now())
+	run.mustPut(0, testmesh.NewUpdate(0, 0, 1))
+	run.history.AddUpdate(historyOperators, testmesh.NewUpdate(0, 0, 1), testmesh.OutcomeConfirmed, time.Now(), time.Now())
 	run.observeVersion(1)
 	end := make(chan struct{})
 	var all sync.WaitGroup
@@ -186,7 +186,7 @@
 			t.Parallel()
 			verdict, counts := runHistory(t, seed, injectRandomFaults, nil)
 			t.Log(counts)
-			must.Eq(t, "", verdict.Fault)
+			must.Eq(t, "", verdict.Violation)
 			must.False(t, verdict.Unknown)
 		})
 	}
@@ -203,8 +203,8 @@
 			t.Parallel()
 			for seed := range uint64(5) {
 				verdict, counts := runHistory(t, seed, injectRandomFaults, variant)
-				t.Log(counts, verdict.Fault)
-				if verdict.Fault != "" {
+				t.Log(counts, verdict.Violation)
+				if verdict.Violation != "" {
 					return
 				}
 			}
--- a/internal/mesh/controller/membership_test.go
+++ b/internal/mesh/controller/membership_test.go
@@ -24,7 +24,7 @@
 	var startTimer sync.Once
 	restored := make(chan struct{})
 	for _, n := range c.nodes {
-		n.filter.Drop(func(_, _ string, body []byte) bool {
+		n.filter.SetDrop(func(_, _ string, body []byte) bool {
 			if !bytes.Contains(body, []byte(`"learn"`)) || !bytes.Contains(body, []byte(added)) {
 				return false
 			}
@@ -96,7 +96,7 @@
 	must.True(t, c.putVersion(1, 2))
 	c.nodes[0].membership.disabled.handOverWait = true
 	c.terminate(0)
-	c.links.Heal()
+	c.links.Clear()
 	c.start(0)
 	must.Eq(t, old, c.nodes[0].identity())
 	c.eventually("controller 0 has learned the newest state", func() bool { return c.knownState(0).Edition == 2 })
@@ -163,7 +163,7 @@
 	c.eventually("the spare is known", func() bool { return c.knownState(3).Edition == 1 })
 	lagging := c.nodes[2]
 	for _, n := range c.nodes { // node 2 is heard from but learns no decision
-		n.filter.Drop(func(to, path string, _ []byte) bool {
+		n.filter.SetDrop(func(to, path string, _ []byte) bool {
 			return path == rpc.PathConsensus && (n == lagging || to == lagging.settings.IP)
 		})
 	}
@@ -173,7 +173,7 @@
 	t.Logf("stopped after %v", took)
 	must.Less(t, c.nodes[0].settings.Bounds.Grace, took)
 	for _, n := range c.nodes {
-		n.filter.Drop(nil)
+		n.filter.SetDrop(nil)
 	}
 	c.loseMember(1)
 	return c.eventuallyWithin(catchUpTimeout(c), func() bool {
@@ -198,7 +198,7 @@
 	var leaving, left atomic.Bool
 	silent := c.nodes[2] // so that the leaving member is part of each majority
 	for _, n := range c.nodes {
-		n.filter.Drop(func(to, path string, body []byte) bool {
+		n.filter.SetDrop(func(to, path string, body []byte) bool {
 			isolated := path == rpc.PathConsensus && (n == silent || to == silent.settings.IP)
 			return isolated || n == c.nodes[0] && !leaving.Load() && bytes.Contains(body, []byte(`"accept"`))
 		})
@@ -219,9 +219,9 @@
 	leaving.Store(true)
 	c.nodes[0].stop()
 	c.eventuallyWithin(time.Second, func() bool { return c.knownState(1).Edition == 2 })
-	silent.filter.Drop(nil)
-	c.nodes[1].filter.Drop(nil)
-	c.nodes[0].filter.Drop(nil)
+	silent.filter.SetDrop(nil)
+	c.nodes[1].filter.SetDrop(nil)
+	c.nodes[0].filter.SetDrop(nil)
 	<-c.nodes[0].done
 	left.Store(true)
 	calls.Wait()
--- a/internal/mesh/controller/partition_test.go
+++ b/internal/mesh/controller/partition_test.go
@@ -271,13 +271,13 @@
 	out, in     testmesh.LinkFault
 	restarts    bool
 }{
-	{"silent in both directions", 3, testmesh.LinkSilent, testmesh.LinkSilent, false},
-	{"requests of the controller are lost", 3, testmesh.LinkSilent, testmesh.LinkSound, false},
-	{"responses to the controller are lost", 3, testmesh.LinkSound, testmesh.LinkSilent, false},
+	{"silent in both directions", 3, testmesh.LinkDropsRequests, testmesh.LinkDropsRequests, false},
+	{"requests of the controller are lost", 3, testmesh.LinkDropsRequests, testmesh.LinkOK, false},
+	{"responses to the controller are lost", 3, testmesh.LinkOK, testmesh.LinkDropsRequests, false},
 	{"connections are refused", 3, testmesh.LinkRefused, testmesh.LinkRefused, false},
 	{"connections are reset before the response", 3, testmesh.LinkReset, testmesh.LinkReset, false},
-	{"silent in both directions, controller is replaced", 4, testmesh.LinkSilent, testmesh.LinkSilent, false},
-	{"silent in both directions, controller is restarted", 3, testmesh.LinkSilent, testmesh.LinkSilent, true},
+	{"silent in both directions, controller is replaced", 4, testmesh.LinkDropsRequests, testmesh.LinkDropsRequests, false},
+	{"silent in both directions, controller is restarted", 3, testmesh.LinkDropsRequests, testmesh.LinkDropsRequests, true},
 }
 
 func (m *partitionedMesh) partition(out, in testmesh.LinkFault) {
@@ -323,7 +323,7 @@
 			}
 			state, _ := m.controllers[1].replicator.knownState()
 			must.Eq(t, test.controllers == 3, state.HasMember(m.controllers[0].replicator.identity()))
-			m.links.Heal()
+			m.links.Clear()
 			m.checkHealed()
 		})
 	}
@@ -355,9 +355,9 @@
 			lateProxy := m.plan.Proxies[1]
 			m.awaitFirstVersion()
 			m.disableLeaseGuard(guard)
-			m.partition(testmesh.LinkSilent, testmesh.LinkSilent)
+			m.partition(testmesh.LinkDropsRequests, testmesh.LinkDropsRequests)
 			for _, other := range m.plan.Controllers[1:] {
-				m.links.SetBoth(lateProxy.IP, other.IP, testmesh.LinkSilent)
+				m.links.SetBoth(lateProxy.IP, other.IP, testmesh.LinkDropsRequests)
 			}
 			m.put(1)
 			time.Sleep(readLeaseDuration + schedulingSlack)
@@ -374,7 +374,7 @@
 				must.SliceNotEmpty(t, m.findViolations(0))
 				return
 			}
-			m.links.Heal()
+			m.links.Clear()
 			m.eventually(maxSwitchTime, "not ready after the partition", func() bool { return m.ready(lateProxy) })
 			m.eventually(time.Second, "the version is not served after the partition",
 				func() bool { return m.routeStatus(lateProxy, m.edition) == http.StatusOK })
@@ -413,7 +413,7 @@
 		first := <-answered
 		outcomes[first]++
 		must.True(t, first == http.StatusOK || first == http.StatusServiceUnavailable, must.Sprint(round, first))
-		m.links.Heal()
+		m.links.Clear()
 		m.checkHealed()
 	}
 	t.Logf("answers of the isolated controller by status: %v", outcomes)
@@ -441,12 +441,12 @@
 			Demands: map[string]ratelimit.Demand{"acme": {Wanted: 5}}})
 		granted <- err
 	}()
-	m.partition(testmesh.LinkSilent, testmesh.LinkSilent)
+	m.partition(testmesh.LinkDropsRequests, testmesh.LinkDropsRequests)
 	m.eventually(10*time.Second, "no other controller becomes coordinator", func() bool {
 		state, _ := m.controllers[1].replicator.knownState()
 		return state.Coordinator.Incarnation != first.incarnation
 	})
-	m.links.Heal()
+	m.links.Clear()
 	m.eventually(5*time.Second, "the first controller does not learn of the new coordinator", func() bool {
 		state, _ := first.replicator.knownState()
 		return state.Epoch > before.Epoch && first.replicator.isCurrent(state)
--- a/internal/mesh/controller/repair_test.go
+++ b/internal/mesh/controller/repair_test.go
@@ -28,12 +28,12 @@
 	{name: "idle"},
 	{name: "syncs of 60 ms (30 times slower)", step: 60 * time.Millisecond, begin: func(c *cluster) {
 		for _, n := range c.nodes {
-			n.disk.Slow(60 * time.Millisecond)
+			n.disk.SetDelay(60 * time.Millisecond)
 		}
 	}},
 	{name: "round trips of 40 ms, syncs of 10 ms", step: 50 * time.Millisecond, begin: func(c *cluster) {
 		for _, n := range c.nodes {
-			n.disk.Slow(10 * time.Millisecond)
+			n.disk.SetDelay(10 * time.Millisecond)
 			for _, to := range c.nodes {
 				c.links.SetDelay(n.settings.IP, to.settings.IP, 40*time.Millisecond)
 			}
@@ -59,7 +59,7 @@
 			added := []byte(c.nodes[3].identity())
 			var failed atomic.Bool
 			proposer := c.nodes[1]
-			proposer.filter.Drop(func(_, _ string, body []byte) bool {
+			proposer.filter.SetDrop(func(_, _ string, body []byte) bool {
 				announcing := bytes.Contains(body, []byte(`"learn"`)) && bytes.Contains(body, added)
 				if announcing && failed.CompareAndSwap(false, true) {
 					go c.restart(1, 300*time.Millisecond)
@@ -89,7 +89,7 @@
 func (c *cluster) restart(n int, after time.Duration) {
 	c.nodes[n].kill()
 	time.Sleep(after)
-	c.nodes[n].filter.Drop(nil)
+	c.nodes[n].filter.SetDrop(nil)
 	c.start(n)
 }
 
--- a/internal/mesh/controller/updates_test.go
+++ b/internal/mesh/controller/updates_test.go
@@ -23,8 +23,8 @@
 const callerTimeout = time.Second
 
 // sendConcurrently sends orders concurrently, each to the controller given by at, and returns the answers.
-func (c *cluster) sendConcurrently(orders []*testmesh.Order, at func(n int) int) []testmesh.Answer {
-	answers := make([]testmesh.Answer, len(orders))
+func (c *cluster) sendConcurrently(orders []*testmesh.Update, at func(n int) int) []testmesh.Response {
+	answers := make([]testmesh.Response, len(orders))
 	var all sync.WaitGroup
 	for n, order := range orders {
 		all.Go(func() { answers[n] = c.send(at(n), order) })
@@ -36,18 +36,18 @@
 func TestOneOfTwoConcurrentUpdatesToTheSameVersionWins(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, 3, nil)
-	c.mustPut(0, testmesh.NewOrder(1, 0, 1))
+	c.mustPut(0, testmesh.NewUpdate(1, 0, 1))
 	base := int64(1)
 	for round := range 8 {
 		edition := base + 3
-		rivals := []*testmesh.Order{testmesh.NewOrder(10+2*round, base, edition), testmesh.NewOrder(11+2*round, base, edition)}
+		rivals := []*testmesh.Update{testmesh.NewUpdate(10+2*round, base, edition), testmesh.NewUpdate(11+2*round, base, edition)}
 		c.sendConcurrently(rivals, func(n int) int { return (round + n) % 3 })
-		var winner *testmesh.Order
+		var winner *testmesh.Update
 		for _, order := range rivals { // whatever the first answers were, repeating the order reveals its outcome
 			var outcome testmesh.Outcome
 			c.eventually(func() bool {
 				outcome = c.send((round+2)%3, order).Outcome()
-				return outcome != testmesh.OutcomeUnclear
+				return outcome != testmesh.OutcomeUnknown
 			})
 			if outcome == testmesh.OutcomeConfirmed {
 				must.Nil(t, winner)
@@ -55,26 +55,26 @@
 			}
 		}
 		must.NotNil(t, winner)
-		c.mustFetch(history.Version{Edition: edition, Order: winner.ID})
+		c.mustFetch(history.Configuration{Version: edition, UpdateID: winner.ID})
 		base = edition
 	}
 }
 
 func TestOneOfEightConcurrentUpdatesWins(t *testing.T) { // not parallel, because it measures time
 	c := startInMemoryCluster(t)
-	c.mustPut(0, testmesh.NewOrder(1, 0, 1))
+	c.mustPut(0, testmesh.NewUpdate(1, 0, 1))
 	for round, at := range []func(int) int{
 		func(int) int { return 1 },       // all at one controller
 		func(n int) int { return n % 3 }, // distributed
 	} {
-		base, orders := int64(round+1), []*testmesh.Order(nil)
+		base, orders := int64(round+1), []*testmesh.Update(nil)
 		for n := range 8 {
-			orders = append(orders, testmesh.NewOrder(100*(round+1)+n, base, base+1))
+			orders = append(orders, testmesh.NewUpdate(100*(round+1)+n, base, base+1))
 		}
 		confirmed := map[int]bool{}
 		for n, answer := range c.sendConcurrently(orders, at) {
 			must.SliceContains(t, []int{200, 412, 503}, answer.Status, must.Sprint(answer))
-			must.Less(t, callerTimeout, answer.Took)
+			must.Less(t, callerTimeout, answer.Duration)
 			if answer.Status == 200 {
 				confirmed[n] = true
 			}
@@ -86,7 +86,7 @@
 				if outcome == testmesh.OutcomeConfirmed {
 					confirmed[n] = true
 				}
-				return outcome != testmesh.OutcomeUnclear
+				return outcome != testmesh.OutcomeUnknown
 			})
 		}
 		must.MapLen(t, 1, confirmed)
@@ -99,13 +99,13 @@
 func TestRepeatedUpdatesAreConfirmedAfterRestartReplacementAndRestore(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, 4, nil)
-	var orders []*testmesh.Order
+	var orders []*testmesh.Update
 	for n := range 100 {
-		order := testmesh.NewOrder(n, int64(n), int64(n+1))
+		order := testmesh.NewUpdate(n, int64(n), int64(n+1))
 		c.mustPut(n%3, order)
 		orders = append(orders, order)
 	}
-	sample := []*testmesh.Order{orders[0], orders[35], orders[36], orders[99]}
+	sample := []*testmesh.Update{orders[0], orders[35], orders[36], orders[99]}
 	c.mustConfirm(orders...)
 
 	c.stopAll()
@@ -133,9 +133,9 @@
 	must.NoError(t, err)
 	c.start(1)
 	c.mustConfirm(sample...)
-	c.mustFetch(history.Version{Edition: 100, Order: 99})
+	c.mustFetch(history.Configuration{Version: 100, UpdateID: 99})
 	// Never applied, and ruled out by the record of applied changes.
-	must.Eq(t, testmesh.OutcomeStale, c.send(1, testmesh.NewOrder(500, 7, 8)).Outcome())
+	must.Eq(t, testmesh.OutcomeStale, c.send(1, testmesh.NewUpdate(500, 7, 8)).Outcome())
 }
 
 func formatAddresses(state *consensus.State) string {
@@ -149,14 +149,14 @@
 func TestUpdateWithLostResponseIsConfirmedWhenRepeated(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, 3, nil)
-	c.mustPut(0, testmesh.NewOrder(1, 0, 1))
-	for round, fault := range []testmesh.LinkFault{testmesh.LinkLostResponse, testmesh.LinkReset, testmesh.LinkLate} {
+	c.mustPut(0, testmesh.NewUpdate(1, 0, 1))
+	for round, fault := range []testmesh.LinkFault{testmesh.LinkDropsResponses, testmesh.LinkReset, testmesh.LinkDeliversLate} {
 		base := int64(round + 1)
-		order := testmesh.NewOrder(10+round, base, base+1)
+		order := testmesh.NewUpdate(10+round, base, base+1)
 		c.links.Set(testmesh.OperatorHost, c.host(0), fault)
-		must.Eq(t, testmesh.OutcomeUnclear, c.send(0, order).Outcome())
-		c.links.Heal()
-		c.eventually(func() bool { return c.nodes[1].State().Edition == order.Edition }) // it has been applied
+		must.Eq(t, testmesh.OutcomeUnknown, c.send(0, order).Outcome())
+		c.links.Clear()
+		c.eventually(func() bool { return c.nodes[1].State().Edition == order.Version }) // it has been applied
 		c.mustConfirm(order)
 	}
 }
@@ -164,11 +164,11 @@
 func TestInvalidUpdateIsRejectedEachTime(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, 3, nil)
-	c.mustPut(0, testmesh.NewOrder(1, 0, 4))
-	bad := testmesh.NewOrder(2, 4, 6)
+	c.mustPut(0, testmesh.NewUpdate(1, 0, 4))
+	bad := testmesh.NewUpdate(2, 4, 6)
 	bad.Body = strings.ReplaceAll(bad.Body, `"DeliveryTries":2`, `"DeliveryTries":0`)
-	notAbove := testmesh.NewOrder(3, 4, 4)
-	for _, next := range []*testmesh.Order{nil, testmesh.NewOrder(4, 4, 5)} {
+	notAbove := testmesh.NewUpdate(3, 4, 4)
+	for _, next := range []*testmesh.Update{nil, testmesh.NewUpdate(4, 4, 5)} {
 		if next != nil {
 			c.mustPut(1, next)
 		}
@@ -180,7 +180,7 @@
 			}
 		}
 	}
-	c.mustFetch(history.Version{Edition: 5, Order: 4})
+	c.mustFetch(history.Configuration{Version: 5, UpdateID: 4})
 }
 
 // The proposer fails after other members have accepted its proposal and before any of them learns a decision. Another
@@ -192,28 +192,28 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := startCluster(t, 3, nil)
-			c.mustPut(0, testmesh.NewOrder(1, 0, 1))
+			c.mustPut(0, testmesh.NewUpdate(1, 0, 1))
 			for n := 1; n < 3; n++ {
-				fault := testmesh.LinkSilent
+				fault := testmesh.LinkDropsRequests
 				if n <= reached {
-					fault = testmesh.LinkLostResponse
+					fault = testmesh.LinkDropsResponses
 				}
 				c.accepts.Set(c.host(0), c.host(n), fault)
-				c.learns.Set(c.host(0), c.host(n), testmesh.LinkSilent)
+				c.learns.Set(c.host(0), c.host(n), testmesh.LinkDropsRequests)
 			}
-			order := testmesh.NewOrder(2, 1, 2)
-			answered := make(chan testmesh.Answer)
+			order := testmesh.NewUpdate(2, 1, 2)
+			answered := make(chan testmesh.Response)
 			go func() { answered <- c.send(0, order) }()
 			time.Sleep(200 * time.Millisecond)
 			c.isolate(0)
-			must.Eq(t, testmesh.OutcomeUnclear, (<-answered).Outcome())
+			must.Eq(t, testmesh.OutcomeUnknown, (<-answered).Outcome())
 			c.stop(0)
 			c.heal()
 			c.mustPut(1, order)
 			c.mustConfirm(order)
 			c.start(0)
 			c.mustConfirm(order)
-			c.mustFetch(history.Version{Edition: 2, Order: 2})
+			c.mustFetch(history.Configuration{Version: 2, UpdateID: 2})
 		})
 	}
 }
@@ -228,25 +228,25 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := startCluster(t, 3, nil)
-			c.mustPut(0, testmesh.NewOrder(1, 0, 1))
+			c.mustPut(0, testmesh.NewUpdate(1, 0, 1))
 			for n := 1; n < 3; n++ {
-				late(c).Set(c.host(0), c.host(n), testmesh.LinkLate)
+				late(c).Set(c.host(0), c.host(n), testmesh.LinkDeliversLate)
 				late(c).SetDelay(c.host(0), c.host(n), 1200*time.Millisecond)
 			}
-			delayed := testmesh.NewOrder(2, 1, 2)
+			delayed := testmesh.NewUpdate(2, 1, 2)
 			c.send(0, delayed)
-			outcome := testmesh.OutcomeUnclear
+			outcome := testmesh.OutcomeUnknown
 			c.eventually(func() bool { // repeated at another controller
 				outcome = c.send(1, delayed).Outcome()
-				return outcome != testmesh.OutcomeUnclear
+				return outcome != testmesh.OutcomeUnknown
 			})
 			must.Eq(t, testmesh.OutcomeConfirmed, outcome)
-			rest := []*testmesh.Order{testmesh.NewOrder(3, 2, 3), testmesh.NewOrder(4, 3, 4)}
+			rest := []*testmesh.Update{testmesh.NewUpdate(3, 2, 3), testmesh.NewUpdate(4, 3, 4)}
 			c.mustPut(1, rest[0])
 			c.mustPut(2, rest[1])
 			time.Sleep(1300 * time.Millisecond)
 			c.heal()
-			c.mustFetch(history.Version{Edition: 4, Order: 4})
+			c.mustFetch(history.Configuration{Version: 4, UpdateID: 4})
 			c.mustConfirm(append(rest, delayed)...)
 		})
 	}
@@ -256,38 +256,38 @@
 // caller's timeout of one second. An isolated controller must not reject any of them.
 func TestQueuedUpdatesAreAnsweredWithinASecond(t *testing.T) { // not parallel, because it measures time
 	c := startInMemoryCluster(t)
-	c.mustPut(0, testmesh.NewOrder(1, 0, 1))
-	var orders []*testmesh.Order
+	c.mustPut(0, testmesh.NewUpdate(1, 0, 1))
+	var orders []*testmesh.Update
 	for n := range 8 {
-		orders = append(orders, testmesh.NewOrder(10+n, 1, int64(2+n%2)))
+		orders = append(orders, testmesh.NewUpdate(10+n, 1, int64(2+n%2)))
 	}
 	c.isolate(0)
 	longest := time.Duration(0)
 	for range 2 { // the second round must not find leftovers of the first one in the queue
 		for _, answer := range c.sendConcurrently(orders, func(int) int { return 0 }) {
 			must.Eq(t, 503, answer.Status, must.Sprint(answer))
-			must.Less(t, callerTimeout, answer.Took)
-			longest = max(longest, answer.Took)
+			must.Less(t, callerTimeout, answer.Duration)
+			longest = max(longest, answer.Duration)
 		}
 		must.Zero(t, c.nodes[0].QueuedChanges())
 	}
 	t.Logf("isolated controller: last of eight answers after %v", longest)
 	c.heal()
-	c.eventually(func() bool { return c.send(0, orders[0]).Outcome() != testmesh.OutcomeUnclear })
+	c.eventually(func() bool { return c.send(0, orders[0]).Outcome() != testmesh.OutcomeUnknown })
 
 	c.nodes[0].disk.Stall()
 	defer c.nodes[0].disk.Resume()
 	newest, known := fetch(t.Context(), c.operator, 1)
 	must.True(t, known)
 	for n := range orders {
-		orders[n] = testmesh.NewOrder(20+n, newest.Edition, newest.Edition+1)
+		orders[n] = testmesh.NewUpdate(20+n, newest.Version, newest.Version+1)
 	}
 	confirmed := 0
 	longest = 0
 	for _, answer := range c.sendConcurrently(orders, func(int) int { return 0 }) {
 		must.SliceContains(t, []int{200, 412, 503}, answer.Status, must.Sprint(answer))
-		must.Less(t, callerTimeout, answer.Took)
-		longest = max(longest, answer.Took)
+		must.Less(t, callerTimeout, answer.Duration)
+		longest = max(longest, answer.Duration)
 		if answer.Status == 200 {
 			confirmed++
 		}
@@ -299,13 +299,13 @@
 // A membership change must not wait for updates that are queued at its controller, even if none of them can complete.
 func TestMembershipChangePrecedesQueuedUpdates(t *testing.T) { // not parallel, because it measures time
 	c := startInMemoryCluster(t)
-	c.mustPut(0, testmesh.NewOrder(1, 0, 1))
+	c.mustPut(0, testmesh.NewUpdate(1, 0, 1))
 	c.isolate(0)
 	answered := make(chan struct{})
 	go func() {
 		defer close(answered)
 		for n := range 8 {
-			go c.send(0, testmesh.NewOrder(10+n, 1, 2))
+			go c.send(0, testmesh.NewUpdate(10+n, 1, 2))
 		}
 	}()
 	<-answered
@@ -326,24 +326,24 @@
 	for _, sync := range []time.Duration{0, 30 * time.Millisecond, 60 * time.Millisecond} {
 		t.Run(sync.String(), func(t *testing.T) {
 			c := startInMemoryCluster(t)
-			c.mustPut(0, testmesh.NewOrder(1, 0, 1))
+			c.mustPut(0, testmesh.NewUpdate(1, 0, 1))
 			c.isolate(2)
-			c.nodes[0].disk.Slow(sync)
-			c.nodes[1].disk.Slow(sync)
+			c.nodes[0].disk.SetDelay(sync)
+			c.nodes[1].disk.SetDelay(sync)
 			base, unclear := int64(1), 0
 			for round := range 6 {
-				var orders []*testmesh.Order
+				var orders []*testmesh.Update
 				for n := range 8 {
-					orders = append(orders, testmesh.NewOrder(100*(round+1)+n, base, base+1))
+					orders = append(orders, testmesh.NewUpdate(100*(round+1)+n, base, base+1))
 				}
 				for _, answer := range c.sendConcurrently(orders, func(n int) int { return n % 2 }) {
-					if answer.Outcome() == testmesh.OutcomeUnclear {
+					if answer.Outcome() == testmesh.OutcomeUnknown {
 						unclear++
 					}
 				}
 				c.eventually(func() bool {
 					newest, known := fetch(t.Context(), c.operator, 0)
-					base = newest.Edition
+					base = newest.Version
 					return known
 				})
 			}
@@ -358,24 +358,24 @@
 func TestCreditGrantIsAppliedOnce(t *testing.T) {
 	t.Parallel()
 	for name, fault := range map[string]testmesh.LinkFault{"reset": testmesh.LinkReset,
-		"lost": testmesh.LinkLostResponse, "late": testmesh.LinkLate} {
+		"lost": testmesh.LinkDropsResponses, "late": testmesh.LinkDeliversLate} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := startCluster(t, 3, nil)
-			c.mustPut(0, testmesh.NewOrder(1, 0, 1))
+			c.mustPut(0, testmesh.NewUpdate(1, 0, 1))
 			caller := rpc.NewClient(nil)
 			defer caller.Close()
 			granted := 0.0
 			for n := range 6 {
 				c.accepts.Set(c.host(0), c.host(1), fault)
 				c.accepts.Set(c.host(0), c.host(2), fault)
-				heal := time.AfterFunc(time.Duration(n*60)*time.Millisecond, c.accepts.Heal)
+				heal := time.AfterFunc(time.Duration(n*60)*time.Millisecond, c.accepts.Clear)
 				grant := &controller.Order{Tenant: "acme", Tokens: 100, Who: "operator", Why: "test"}
 				err := caller.Call(t.Context(), c.nodes[0].settings.InternalAddress(), rpc.PathCreditOrder, grant,
 					&burstcredit.AccountStatus{})
 				heal.Stop()
 				c.heal()
-				c.mustFetch(history.Version{Edition: 1, Order: 1}) // this read settles pending values
+				c.mustFetch(history.Configuration{Version: 1, UpdateID: 1}) // this read settles pending values
 				account, readErr := controller.FindAccount(c.nodes[0].State().Credit, "acme")
 				must.NoError(t, readErr)
 				applied := account.Balance - granted
--- a/internal/mesh/fast_versions_test.go
+++ b/internal/mesh/fast_versions_test.go
@@ -20,94 +20,94 @@
 	"ottershift/internal/mesh/settings"
 )
 
-// watchMeter counts the answers to watches and those that are current.
-type watchMeter struct {
+// watchCounter counts the answers to watches and those that are current.
+type watchCounter struct {
 	http.RoundTripper
-	answers, current *atomic.Int64
+	responses, current *atomic.Int64
 }
 
-func (m watchMeter) RoundTrip(r *http.Request) (*http.Response, error) {
-	w, err := m.RoundTripper.RoundTrip(r)
-	if err != nil || r.URL.Path != rpc.PathWatch || w.Header.Get("Content-Encoding") != "" {
-		return w, err
+func (c watchCounter) RoundTrip(r *http.Request) (*http.Response, error) {
+	response, err := c.RoundTripper.RoundTrip(r)
+	if err != nil || r.URL.Path != rpc.PathWatch || response.Header.Get("Content-Encoding") != "" {
+		return response, err
 	}
-	body, err := io.ReadAll(w.Body)
-	w.Body.Close()
-	w.Body = io.NopCloser(bytes.NewReader(body))
-	answer := &membership.WatchResponse{}
-	if err == nil && json.Unmarshal(body, answer) == nil {
-		m.answers.Add(1)
-		if answer.Current {
-			m.current.Add(1)
+	body, err := io.ReadAll(response.Body)
+	response.Body.Close()
+	response.Body = io.NopCloser(bytes.NewReader(body))
+	watch := &membership.WatchResponse{}
+	if err == nil && json.Unmarshal(body, watch) == nil {
+		c.responses.Add(1)
+		if watch.Current {
+			c.current.Add(1)
 		}
 	}
-	return w, err
+	return response, err
 }
 
 // While versions follow one another fast, watches are answered as current, each version is in force in time, and a balancer that
 // starts meanwhile gets its first configuration.
-func TestVersionsThatFollowFastAreInForceInTime(t *testing.T) {
-	const bound, lasts = 2500 * time.Millisecond, 4 * time.Second // of Config
+func TestFastVersionsTakeEffectInTime(t *testing.T) {
+	const limit, duration = 2500 * time.Millisecond, 4 * time.Second // of Config
 	for _, perSecond := range []int{3, 10, 30} {
 		t.Run(fmt.Sprint(perSecond), func(t *testing.T) {
 			m := &mesh{t: t}
-			var answers, current atomic.Int64
-			var late *settings.Settings
-			startProxy := func(b *settings.Settings) {
-				if late == nil && b.Node == m.plan.Proxies[2].Node {
-					late = b // it starts later
+			var responses, current atomic.Int64
+			var lateProxy *settings.Settings
+			startProxy := func(cfg *settings.Settings) {
+				if lateProxy == nil && cfg.Node == m.plan.Proxies[2].Node {
+					lateProxy = cfg // it starts later
 					return
 				}
-				m.run(b.Node, proxy.New(b, quiet, proxy.WithTransport(func(to http.RoundTripper) http.RoundTripper {
-					return watchMeter{to, &answers, &current}
+				m.runProcess(cfg.Node, proxy.New(cfg, discardLogger, proxy.WithTransport(func(next http.RoundTripper) http.RoundTripper {
+					return watchCounter{next, &responses, &current}
 				})).Run)
 			}
 			m.startAll(3, 3, 0, 100, startProxy)
-			m.until(func() bool {
+			m.waitUntil(func() bool {
 				status, _ := m.call(0, "timetable.replace", "0", fmt.Sprintf(config, 1))
 				return status == http.StatusOK
 			})
 			for n := range 2 {
-				m.until(func() bool { status, _, _, _ := m.send(n, "GET", "/read/x"); return status == http.StatusOK })
+				m.waitUntil(func() bool { status, _, _, _ := m.send(n, "GET", "/read/x"); return status == http.StatusOK })
 			}
-			answers.Store(0)
+			responses.Store(0)
 			current.Store(0)
 
 			var acknowledged sync.Map // when, by edition
-			edition := 1
-			pace := time.NewTicker(time.Second / time.Duration(perSecond))
-			defer pace.Stop()
-			began := time.Now()
+			version := 1
+			ticker := time.NewTicker(time.Second / time.Duration(perSecond))
+			defer ticker.Stop()
+			start := time.Now()
 			var ready time.Duration
-			for restarted := false; time.Since(began) < lasts; <-pace.C {
-				next := edition + 1
-				body := fmt.Sprintf(`{"Edition":%d,"Deliver":{"PostOffices":[{"Town":"a.example","Regulations":[{"Name":"moving","MailClass":"repeatable","Target":"300ms","Unstamped":true,"Sorting":{"StreetPrefix":"/at/%d/"},"Dispatch":{"Destination":"album","Deadline":"2s","DeliveryTries":3}}]}]}}`, next, next)
-				if status, _ := m.call(edition%3, "timetable.amend", fmt.Sprint(edition), body); status == http.StatusOK {
-					acknowledged.Store(next, time.Now())
-					edition = next
+			for lateStarted := false; time.Since(start) < duration; <-ticker.C {
+				nextVersion := version + 1
+				body := fmt.Sprintf(`{"Edition":%d,"Deliver":{"PostOffices":[{"Town":"a.example","Regulations":[{"Name":"moving","MailClass":"repeatable","Target":"300ms","Unstamped":true,"Sorting":{"StreetPrefix":"/at/%d/"},"Dispatch":{"Destination":"album","Deadline":"2s","DeliveryTries":3}}]}]}}`, nextVersion, nextVersion)
+				if status, _ := m.call(version%3, "timetable.amend", fmt.Sprint(version), body); status == http.StatusOK {
+					acknowledged.Store(nextVersion, time.Now())
+					version = nextVersion
 				}
-				if !restarted && time.Since(began) > lasts/4 {
-					restarted = true
-					startProxy(late)
+				if !lateStarted && time.Since(start) > duration/4 {
+					lateStarted = true
+					startProxy(lateProxy)
 				}
-				if restarted && ready == 0 {
-					w, err := http.Get("http://" + late.ReadinessAddress + "/-/ready")
+				if lateStarted && ready == 0 {
+					response, err := http.Get("http://" + lateProxy.ReadinessAddress + "/-/ready")
 					if err == nil {
-						if w.Body.Close(); w.StatusCode == http.StatusOK {
-							ready = time.Since(began) - lasts/4
+						if response.Body.Close(); response.StatusCode == http.StatusOK {
+							ready = time.Since(start) - duration/4
 						}
 					}
 				}
 			}
-			t.Logf("%d changes a second: %d versions, %d of %d answers current, a started balancer ready after %v", perSecond, edition, current.Load(), answers.Load(), ready)
-			must.Greater(t, 0.8, float64(current.Load())/float64(answers.Load()))
+			t.Logf("%d changes a second: %d versions, %d of %d answers current, a started balancer ready after %v", perSecond, version, current.Load(), responses.Load(), ready)
+			must.Greater(t, 0.8, float64(current.Load())/float64(responses.Load()))
 			must.Positive(t, ready)
-			must.Less(t, bound, ready)
+			must.Less(t, limit, ready)
 			for n := range m.plan.Proxies {
 				must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool {
-					status, _, _, _ := m.send(n, "GET", fmt.Sprintf("/at/%d/x", edition))
+					status, _, _, _ := m.send(n, "GET", fmt.Sprintf("/at/%d/x", version))
 					return status == http.StatusOK
-				}), wait.Timeout(bound), wait.Gap(5*time.Millisecond)))
+				}), wait.Timeout(limit), wait.Gap(5*time.Millisecond)))
 			}
 		})
 	}
--- a/internal/mesh/frozen_test.go
+++ b/internal/mesh/frozen_test.go
@@ -22,137 +22,137 @@
 	"ottershift/internal/mesh/testmesh"
 )
 
-const patience = 40 * time.Second // of callers that wait for a frozen process
+const suspendedCallTimeout = 40 * time.Second // of callers that wait for a frozen process
 
-// frozenFor is how long a controller stands still.
-func frozenFor() time.Duration {
+// suspensionTime is how long a controller stands still.
+func suspensionTime() time.Duration {
 	if span, err := time.ParseDuration(os.Getenv("OTTERSHIFT_CUT")); err == nil {
 		return span
 	}
 	return 2500 * time.Millisecond
 }
 
-// frozenMesh is real processes of controllers.
-type frozenMesh struct {
+// processMesh is real processes of controllers.
+type processMesh struct {
 	t         *testing.T
 	plan      *testmesh.Mesh
 	processes []*testmesh.Process
 	caller    *rpc.Client
 }
 
-func startFrozenMesh(t *testing.T) *frozenMesh {
+func startProcessMesh(t *testing.T) *processMesh {
 	dir := t.TempDir()
-	must.NoError(t, testmesh.Build(dir, "controller"))
+	must.NoError(t, testmesh.BuildPrograms(dir, "controller"))
 	plan, err := testmesh.Plan(3, 0, []string{"east", "west"}, nil, dir)
 	must.NoError(t, err)
-	m := &frozenMesh{t: t, plan: plan, caller: rpc.NewClient(nil)}
-	for _, b := range plan.Controllers {
-		must.NoError(t, os.MkdirAll(b.DataDir, 0o755))
-		p, err := testmesh.StartProcess(dir, "controller", b)
+	m := &processMesh{t: t, plan: plan, caller: rpc.NewClient(nil)}
+	for _, cfg := range plan.Controllers {
+		must.NoError(t, os.MkdirAll(cfg.DataDir, 0o755))
+		process, err := testmesh.StartProcess(dir, "controller", cfg)
 		must.NoError(t, err)
-		t.Cleanup(p.Kill)
-		m.processes = append(m.processes, p)
+		t.Cleanup(process.Kill)
+		m.processes = append(m.processes, process)
 	}
 	return m
 }
 
-func (m *frozenMesh) call(at int, call string, match int, body string) (status int, text string) {
-	r, err := http.NewRequest(http.MethodPost, "http://"+m.plan.Controllers[at].ControlAddress+"/-/rpc?call="+call, strings.NewReader(body))
+func (m *processMesh) call(controller int, method string, ifMatch int, body string) (status int, text string) {
+	request, err := http.NewRequest(http.MethodPost, "http://"+m.plan.Controllers[controller].ControlAddress+"/-/rpc?call="+method, strings.NewReader(body))
 	must.NoError(m.t, err)
-	r.Header.Set("If-Match", fmt.Sprint(match))
-	w, err := (&http.Client{Timeout: patience}).Do(r)
+	request.Header.Set("If-Match", fmt.Sprint(ifMatch))
+	response, err := (&http.Client{Timeout: suspendedCallTimeout}).Do(request)
 	if err != nil {
 		return 0, err.Error()
 	}
-	defer w.Body.Close()
-	raw, _ := io.ReadAll(w.Body)
-	return w.StatusCode, string(raw)
+	defer response.Body.Close()
+	raw, _ := io.ReadAll(response.Body)
+	return response.StatusCode, string(raw)
 }
 
-func (m *frozenMesh) ask(at int, path string, message, answer any) error {
-	ctx, end := context.WithTimeout(context.Background(), patience)
-	defer end()
-	return m.caller.Call(ctx, m.plan.Controllers[at].InternalAddress(), path, message, answer)
+func (m *processMesh) callInternal(controller int, path string, request, response any) error {
+	ctx, cancel := context.WithTimeout(context.Background(), suspendedCallTimeout)
+	defer cancel()
+	return m.caller.Call(ctx, m.plan.Controllers[controller].InternalAddress(), path, request, response)
 }
 
-func (m *frozenMesh) until(is func() bool) {
+func (m *processMesh) waitUntil(condition func() bool) {
 	m.t.Helper()
-	must.Wait(m.t, wait.InitialSuccess(wait.BoolFunc(is), wait.Timeout(15*time.Second), wait.Gap(10*time.Millisecond)))
+	must.Wait(m.t, wait.InitialSuccess(wait.BoolFunc(condition), wait.Timeout(15*time.Second), wait.Gap(10*time.Millisecond)))
 }
 
 // A controller, the coordinator at that, is frozen with questions that it has read and others that wait in its sockets. Once it goes on,
 // it answers none of them by what it knew before.
-func TestAFrozenControllerAnswersNothingByWhatItKnewBefore(t *testing.T) {
-	m := startFrozenMesh(t)
-	edition := 0
+func TestResumedControllerServesNoStaleState(t *testing.T) {
+	m := startProcessMesh(t)
+	version := 0
 	for round := range 3 {
-		before := edition
-		m.until(func() bool {
-			status, _ := m.call(0, "timetable.replace", before, fmt.Sprintf(config, before+10))
+		previous := version
+		m.waitUntil(func() bool {
+			status, _ := m.call(0, "timetable.replace", previous, fmt.Sprintf(config, previous+10))
 			return status == http.StatusOK
 		})
-		edition = before + 10
-		draw := ratelimit.TokenRequest{Node: "proxy-0", Incarnation: "l", Seq: uint64(10 * (round + 1))}
+		version = previous + 10
+		tokenRequest := ratelimit.TokenRequest{Node: "proxy-0", Incarnation: "l", Seq: uint64(10 * (round + 1))}
 		coordinator := -1
-		m.until(func() bool { // whoever grants tokens is the one that is frozen
-			draw.Seq++
+		m.waitUntil(func() bool { // whoever grants tokens is the one that is frozen
+			tokenRequest.Seq++
 			for n := range m.processes {
-				if m.ask(n, rpc.PathTokens, draw, &map[string]ratelimit.TokenGrant{}) == nil {
+				if m.callInternal(n, rpc.PathTokens, tokenRequest, &map[string]ratelimit.TokenGrant{}) == nil {
 					coordinator = n
 				}
 			}
 			return coordinator >= 0
 		})
 		other := (coordinator + 1) % 3
-		held := &membership.WatchResponse{}
+		firstWatch := &membership.WatchResponse{}
 		node := membership.Node{Name: "proxy-0", Incarnation: "l"}
-		must.NoError(t, m.ask(coordinator, rpc.PathWatch, membership.WatchRequest{Node: node}, held))
+		must.NoError(t, m.callInternal(coordinator, rpc.PathWatch, membership.WatchRequest{Node: node}, firstWatch))
 
-		var asked sync.WaitGroup
-		var frozen atomic.Bool
-		check := func(proven bool, what string, answer any) {
-			if !proven && frozen.Load() { // what came before was true
-				t.Errorf("round %d: %s: %+v", round, what, answer)
+		var calls sync.WaitGroup
+		var suspended atomic.Bool
+		check := func(valid bool, call string, response any) {
+			if !valid && suspended.Load() { // what came before was true
+				t.Errorf("round %d: %s: %+v", round, call, response)
 			}
 		}
 		watch := func() {
-			news := &membership.WatchResponse{}
-			request := membership.WatchRequest{Node: node, Position: held.Position, MaxWait: int64(time.Second)}
-			err := m.ask(coordinator, rpc.PathWatch, request, news)
-			check(err != nil || !news.Current || news.Edition == int64(edition+10), "watch", news)
+			response := &membership.WatchResponse{}
+			request := membership.WatchRequest{Node: node, Position: firstWatch.Position, MaxWait: int64(time.Second)}
+			err := m.callInternal(coordinator, rpc.PathWatch, request, response)
+			check(err != nil || !response.Current || response.Edition == int64(version+10), "watch", response)
 		}
-		asked.Go(watch)
+		calls.Go(watch)
 		time.Sleep(100 * time.Millisecond) // it is held by the controller
-		must.NoError(t, m.processes[coordinator].Freeze())
-		frozen.Store(true)
-		asked.Go(watch)
-		asked.Go(func() {
+		must.NoError(t, m.processes[coordinator].Suspend())
+		suspended.Store(true)
+		calls.Go(watch)
+		calls.Go(func() {
 			status, text := m.call(coordinator, "timetable.fetch", 0, "")
-			newest := status == http.StatusOK && strings.Contains(text, fmt.Sprintf(`"Edition":%d,`, edition+10))
+			newest := status == http.StatusOK && strings.Contains(text, fmt.Sprintf(`"Edition":%d,`, version+10))
 			check(newest || status == http.StatusServiceUnavailable, "fetch", text)
 		})
-		asked.Go(func() { // on top of the version that it still knew
-			status, text := m.call(coordinator, "timetable.replace", edition, fmt.Sprintf(config, edition+5))
+		calls.Go(func() { // on top of the version that it still knew
+			status, text := m.call(coordinator, "timetable.replace", version, fmt.Sprintf(config, version+5))
 			check(status == http.StatusServiceUnavailable || status == http.StatusPreconditionFailed, "replace", text)
 		})
-		asked.Go(func() {
+		calls.Go(func() {
 			status := &controller.Status{}
-			err := m.ask(coordinator, rpc.PathStatus, controller.StatusRequest{}, status)
-			check(err != nil || !status.Current || status.State.Edition == int64(edition+10), "status", status)
+			err := m.callInternal(coordinator, rpc.PathStatus, controller.StatusRequest{}, status)
+			check(err != nil || !status.Current || status.State.Edition == int64(version+10), "status", status)
 		})
-		asked.Go(func() {
-			draw.Seq++
-			err := m.ask(coordinator, rpc.PathTokens, draw, &map[string]ratelimit.TokenGrant{})
+		calls.Go(func() {
+			tokenRequest.Seq++
+			err := m.callInternal(coordinator, rpc.PathTokens, tokenRequest, &map[string]ratelimit.TokenGrant{})
 			check(err != nil, "token grant", err)
 		})
-		m.until(func() bool {
-			status, _ := m.call(other, "timetable.replace", edition, fmt.Sprintf(config, edition+10))
+		m.waitUntil(func() bool {
+			status, _ := m.call(other, "timetable.replace", version, fmt.Sprintf(config, version+10))
 			return status == http.StatusOK
 		})
-		time.Sleep(frozenFor())
-		must.NoError(t, m.processes[coordinator].Thaw())
-		asked.Wait()
-		edition += 10
-		m.until(func() bool { status, _ := m.call(0, "timetable.fetch", 0, ""); return status == http.StatusOK })
+		time.Sleep(suspensionTime())
+		must.NoError(t, m.processes[coordinator].Resume())
+		calls.Wait()
+		version += 10
+		m.waitUntil(func() bool { status, _ := m.call(0, "timetable.fetch", 0, ""); return status == http.StatusOK })
 	}
 }
--- a/internal/mesh/imports_test.go
+++ b/internal/mesh/imports_test.go
@@ -9,14 +9,14 @@
 )
 
 // Agreement, membership, discovery, forwarding and replication are this project's own work in the mesh.
-func TestTheMeshLinksNothingThatDoesItsWork(t *testing.T) {
+func TestMeshDependencies(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", "ottershift/cmd/proxy", "ottershift/cmd/controller", "ottershift/cmd/meshctl", "ottershift/cmd/meshsim").Output()
 	must.NoError(t, err)
 	deps := strings.Fields(string(out))
 	must.Greater(t, 100, len(deps))
 	for _, dep := range deps {
-		for _, not := range []string{"hashicorp/memberlist", "hashicorp/raft", "etcd.io/raft", "net/http/httputil", "ottershift/internal/cluster"} {
-			must.StrNotContains(t, dep, not)
+		for _, excluded := range []string{"hashicorp/memberlist", "hashicorp/raft", "etcd.io/raft", "net/http/httputil", "ottershift/internal/cluster"} {
+			must.StrNotContains(t, dep, excluded)
 		}
 	}
 }
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -19,16 +19,16 @@
 	"ottershift/internal/mesh/telemetry"
 )
 
-const rereadEvery = 2 * time.Second // settings may change without a signal
+const settingsPollInterval = 2 * time.Second // settings may change without a signal
 
 // Process is what a program runs.
 type Process interface {
-	Reseed(*settings.Settings)
+	UpdateSeeds(*settings.Settings)
 	Run(context.Context) error
 }
 
 // Main is a program of the mesh: it serves, or checks a settings file.
-func Main(name, help string, make func(*settings.Settings, *slog.Logger) (Process, error)) {
+func Main(name, help string, newProcess func(*settings.Settings, *slog.Logger) (Process, error)) {
 	app := kingpin.New(name, help)
 	path := app.Flag("config", "Settings file.").Envar(settings.FileVariable).String()
 	serve := app.Command("serve", "Serve until SIGTERM; SIGHUP, or a change of the file, puts other seeds in force.").Default()
@@ -37,14 +37,14 @@
 	case err != nil:
 		app.FatalUsage("%v", err)
 	case command == check.FullCommand():
-		b, err := settings.Load(*path)
+		cfg, err := settings.Load(*path)
 		app.FatalIfError(err, "")
-		fmt.Printf("%s: %s in %s, %d seeds\n", *path, b.Node, b.Zone, len(b.Seeds))
+		fmt.Printf("%s: %s in %s, %d seeds\n", *path, cfg.Node, cfg.Zone, len(cfg.Seeds))
 	case command == serve.FullCommand():
-		hangUp := watch(syscall.SIGHUP) // first of all: one that nobody waits for ends the process
-		b, err := settings.Load(*path)
+		reload := notifySignal(syscall.SIGHUP) // first of all: one that nobody waits for ends the process
+		cfg, err := settings.Load(*path)
 		app.FatalIfError(err, "")
-		if err := run(b, *path, hangUp, make); err != nil {
+		if err := run(cfg, *path, reload, newProcess); err != nil {
 			fmt.Fprintf(os.Stderr, "%s: %v\n", name, err)
 			os.Exit(1)
 		}
@@ -52,45 +52,45 @@
 }
 
 // run holds the process to its machine, and tells it what changes.
-func run(b *settings.Settings, path string, hangUp <-chan os.Signal, make func(*settings.Settings, *slog.Logger) (Process, error)) error {
+func run(cfg *settings.Settings, path string, reload <-chan os.Signal, newProcess func(*settings.Settings, *slog.Logger) (Process, error)) error {
 	runtime.GOMAXPROCS(1) // a part of one core: threads beside one another only wait
-	debug.SetMemoryLimit(b.MemoryMB << 20 / 2)
+	debug.SetMemoryLimit(cfg.MemoryMB << 20 / 2)
 	debug.SetGCPercent(50) // memory is scarcer here than time
-	log := telemetry.NewLogger(os.Stderr, b.Node)
-	ctx, end := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
-	defer end()
-	p, err := make(b, log)
+	log := telemetry.NewLogger(os.Stderr, cfg.Node)
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
+	defer stop()
+	process, err := newProcess(cfg, log)
 	if err != nil {
 		return err
 	}
-	go reread(path, hangUp, p, log)
-	return p.Run(ctx)
+	go watchSettings(path, reload, process, log)
+	return process.Run(ctx)
 }
 
-func watch(s os.Signal) <-chan os.Signal {
+func notifySignal(s os.Signal) <-chan os.Signal {
 	c := make(chan os.Signal, 1)
 	signal.Notify(c, s)
 	return c
 }
 
-// reread takes settings that have changed; a file that can't be read changes nothing.
-func reread(path string, hangUp <-chan os.Signal, p Process, log *slog.Logger) {
+// watchSettings takes settings that have changed; a file that can't be read changes nothing.
+func watchSettings(path string, reload <-chan os.Signal, process Process, log *slog.Logger) {
 	var last []byte
-	t := time.NewTicker(rereadEvery)
+	ticker := time.NewTicker(settingsPollInterval)
 	for {
 		text, err := os.ReadFile(path)
 		if err == nil && string(text) != string(last) {
-			if b, err := settings.Parse(string(text)); err != nil {
+			if cfg, err := settings.Parse(string(text)); err != nil {
 				log.Warn("settings", "err", err)
 			} else if last != nil {
-				log.Info("settings", "seeds", b.Seeds)
-				p.Reseed(b)
+				log.Info("settings", "seeds", cfg.Seeds)
+				process.UpdateSeeds(cfg)
 			}
 			last = text
 		}
 		select {
-		case <-t.C:
-		case <-hangUp:
+		case <-ticker.C:
+		case <-reload:
 		}
 	}
 }
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -28,16 +28,16 @@
 
 // mesh is whole processes of both planes on loopback, in one process of ours.
 type mesh struct {
-	t     *testing.T
-	plan  *testmesh.Mesh
-	apps  []*testmesh.Upstream
-	stops map[string]func()
-	ids   int
+	t         *testing.T
+	plan      *testmesh.Mesh
+	upstreams []*testmesh.Upstream
+	stops     map[string]func()
+	lastID    int
 }
 
-func start(t *testing.T, controllers, proxies int, work time.Duration, size int) *mesh {
+func startMesh(t *testing.T, controllers, proxies int, work time.Duration, size int) *mesh {
 	m := &mesh{t: t}
-	m.startAll(controllers, proxies, work, size, m.proxy)
+	m.startAll(controllers, proxies, work, size, m.startProxy)
 	return m
 }
 
@@ -51,42 +51,42 @@
 		for _, stop := range m.stops {
 			stop()
 		}
-		for _, a := range m.apps {
-			a.Stop()
+		for _, upstream := range m.upstreams {
+			upstream.Stop()
 		}
 	})
-	for _, b := range plan.Controllers {
-		must.NoError(t, os.MkdirAll(b.DataDir, 0o755))
-		m.comb(b)
+	for _, cfg := range plan.Controllers {
+		must.NoError(t, os.MkdirAll(cfg.DataDir, 0o755))
+		m.startController(cfg)
 	}
-	for n, b := range plan.Proxies {
-		b.Bounds.Grace = 2 * time.Second
-		startProxy(b)
-		a, err := testmesh.NewUpstream(fmt.Sprintf("i-%d", n), b.Service, b.UpstreamAddress, b.ControlAddress, 8, work, size)
+	for n, cfg := range plan.Proxies {
+		cfg.Bounds.Grace = 2 * time.Second
+		startProxy(cfg)
+		upstream, err := testmesh.NewUpstream(fmt.Sprintf("i-%d", n), cfg.Service, cfg.UpstreamAddress, cfg.ControlAddress, 8, work, size)
 		must.NoError(t, err)
-		m.apps = append(m.apps, a)
+		m.upstreams = append(m.upstreams, upstream)
 	}
 }
 
-var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
+var discardLogger = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-func (m *mesh) run(name string, run func(context.Context) error) {
-	ctx, end := context.WithCancel(context.Background())
-	var over sync.WaitGroup
-	over.Add(1)
-	go func() { defer over.Done(); run(ctx) }()
-	m.stops[name] = func() { end(); over.Wait(); delete(m.stops, name) }
+func (m *mesh) runProcess(name string, run func(context.Context) error) {
+	ctx, cancel := context.WithCancel(context.Background())
+	var done sync.WaitGroup
+	done.Add(1)
+	go func() { defer done.Done(); run(ctx) }()
+	m.stops[name] = func() { cancel(); done.Wait(); delete(m.stops, name) }
 }
 
-func (m *mesh) comb(b *settings.Settings) {
-	c, err := controller.Open(b, quiet)
+func (m *mesh) startController(cfg *settings.Settings) {
+	core, err := controller.Open(cfg, discardLogger)
 	must.NoError(m.t, err)
-	m.run(b.Node, c.Run)
+	m.runProcess(cfg.Node, core.Run)
 }
 
-func (m *mesh) proxy(b *settings.Settings) {
-	b.Bounds.Grace = 2 * time.Second
-	m.run(b.Node, proxy.New(b, quiet).Run)
+func (m *mesh) startProxy(cfg *settings.Settings) {
+	cfg.Bounds.Grace = 2 * time.Second
+	m.runProcess(cfg.Node, proxy.New(cfg, discardLogger).Run)
 }
 
 const config = `{"Edition":%d,"SizeLimits":{"EnvelopeBytes":16384,"ContentsBytes":67108864,"Envelope":"3000ms","Idle":"15000ms"},
@@ -97,89 +97,89 @@
 "Depots":[{"Name":"album","HealthPath":"/health","LineCap":130,"Protocol":"h1"},{"Name":"regie","HealthPath":"/health","LineCap":130,"Protocol":"h1"}]}`
 
 // call is an operator's call at one of the core's processes.
-func (m *mesh) call(at int, call, match, body string) (int, string) {
-	r, err := http.NewRequest(http.MethodPost, "http://"+m.plan.Controllers[at].ControlAddress+"/-/rpc?call="+call, strings.NewReader(body))
+func (m *mesh) call(controller int, method, ifMatch, body string) (int, string) {
+	request, err := http.NewRequest(http.MethodPost, "http://"+m.plan.Controllers[controller].ControlAddress+"/-/rpc?call="+method, strings.NewReader(body))
 	must.NoError(m.t, err)
-	r.Header.Set("If-Match", match)
-	w, err := (&http.Client{Timeout: 3 * time.Second}).Do(r)
+	request.Header.Set("If-Match", ifMatch)
+	response, err := (&http.Client{Timeout: 3 * time.Second}).Do(request)
 	if err != nil {
 		return 0, err.Error()
 	}
-	defer w.Body.Close()
-	text, _ := io.ReadAll(w.Body)
-	return w.StatusCode, string(text)
+	defer response.Body.Close()
+	text, _ := io.ReadAll(response.Body)
+	return response.StatusCode, string(text)
 }
 
 // ready waits until a balancer knows its configuration and so many upstreams answer through it.
-func (m *mesh) until(what func() bool) {
+func (m *mesh) waitUntil(condition func() bool) {
 	m.t.Helper()
-	must.Wait(m.t, wait.InitialSuccess(wait.BoolFunc(what), wait.Timeout(15*time.Second), wait.Gap(20*time.Millisecond)))
+	must.Wait(m.t, wait.InitialSuccess(wait.BoolFunc(condition), wait.Timeout(15*time.Second), wait.Gap(20*time.Millisecond)))
 }
 
-func (m *mesh) send(proxy int, method, path string) (status int, id string, w *http.Response, body string) {
-	m.ids++
-	id = fmt.Sprintf("t%d", m.ids)
-	status, w, body = m.sendAs(proxy, method, path, id)
-	return status, id, w, body
+func (m *mesh) send(proxy int, method, path string) (status int, id string, response *http.Response, body string) {
+	m.lastID++
+	id = fmt.Sprintf("t%d", m.lastID)
+	status, response, body = m.sendWithID(proxy, method, path, id)
+	return status, id, response, body
 }
 
-func (m *mesh) sendAs(proxy int, method, path, id string) (int, *http.Response, string) {
-	r, err := http.NewRequest(method, "http://"+m.plan.Proxies[proxy].OutboundAddress+path, nil)
+func (m *mesh) sendWithID(proxy int, method, path, id string) (int, *http.Response, string) {
+	request, err := http.NewRequest(method, "http://"+m.plan.Proxies[proxy].OutboundAddress+path, nil)
 	must.NoError(m.t, err)
-	r.Host = "a.example"
-	r.Header = http.Header{"X-Attempt-Id": {id}, "X-Time-Left-Ms": {"2000"}, "X-Key": {"k1"}, "X-Sender": {"forged"}, "X-Return-Address": {"forged"}}
-	w, err := (&http.Client{Timeout: 4 * time.Second}).Do(r)
+	request.Host = "a.example"
+	request.Header = http.Header{"X-Attempt-Id": {id}, "X-Time-Left-Ms": {"2000"}, "X-Key": {"k1"}, "X-Sender": {"forged"}, "X-Return-Address": {"forged"}}
+	response, err := (&http.Client{Timeout: 4 * time.Second}).Do(request)
 	if err != nil {
 		return 0, nil, err.Error()
 	}
-	defer w.Body.Close()
-	body, err := io.ReadAll(w.Body)
+	defer response.Body.Close()
+	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		return -1, w, err.Error()
+		return -1, response, err.Error()
 	}
-	return w.StatusCode, w, string(body)
+	return response.StatusCode, response, string(body)
 }
 
 func (m *mesh) runs(id string) (n int) {
-	for _, a := range m.apps {
-		n += a.Runs(id)
+	for _, upstream := range m.upstreams {
+		n += upstream.Runs(id)
 	}
 	return n
 }
 
-func (m *mesh) put(edition int) {
-	m.until(func() bool {
-		status, _ := m.call(0, "timetable.replace", "0", fmt.Sprintf(config, edition))
+func (m *mesh) applyConfig(version int) {
+	m.waitUntil(func() bool {
+		status, _ := m.call(0, "timetable.replace", "0", fmt.Sprintf(config, version))
 		return status == http.StatusOK
 	})
 	for n := range m.plan.Proxies {
-		m.until(func() bool { status, _, _, _ := m.send(n, "GET", "/read/x"); return status == http.StatusOK })
+		m.waitUntil(func() bool { status, _, _, _ := m.send(n, "GET", "/read/x"); return status == http.StatusOK })
 	}
 }
 
-func TestAMeshServesThroughTheLossOfACombAndAForager(t *testing.T) {
-	m := start(t, 3, 4, 0, 100)
+func TestMeshServesAfterLosingControllerAndProxy(t *testing.T) {
+	m := startMesh(t, 3, 4, 0, 100)
 	var status int
-	var w *http.Response
-	m.until(func() bool { status, _, w, _ = m.send(0, "GET", "/read/x"); return status != 0 })
+	var response *http.Response
+	m.waitUntil(func() bool { status, _, response, _ = m.send(0, "GET", "/read/x"); return status != 0 })
 	must.Eq(t, http.StatusServiceUnavailable, status) // no configuration yet: it has not run, come back
-	must.NotEq(t, "", w.Header.Get("Retry-After"))
-	m.put(3)
-	_, id, w, body := m.send(1, "POST", "/once/y?z=1")
+	must.NotEq(t, "", response.Header.Get("Retry-After"))
+	m.applyConfig(3)
+	_, id, response, body := m.send(1, "POST", "/once/y?z=1")
 	must.Eq(t, 1, m.runs(id))
-	must.Eq(t, id, w.Header.Get("X-Attempt-Id"))
+	must.Eq(t, id, response.Header.Get("X-Attempt-Id"))
 	must.Eq(t, 100, len(body))
-	for _, a := range m.apps {
-		if a.Runs(id) == 1 {
-			must.Eq(t, "acme", a.Saw("X-Sender"))
-			must.Eq(t, m.plan.Proxies[1].Service, a.Saw("X-Return-Address"))
-			must.Eq(t, "", a.Saw("X-Key"))
-			must.Eq(t, a.ID, a.Saw("X-Addressee"))
+	for _, upstream := range m.upstreams {
+		if upstream.Runs(id) == 1 {
+			must.Eq(t, "acme", upstream.LastHeader("X-Sender"))
+			must.Eq(t, m.plan.Proxies[1].Service, upstream.LastHeader("X-Return-Address"))
+			must.Eq(t, "", upstream.LastHeader("X-Key"))
+			must.Eq(t, upstream.ID, upstream.LastHeader("X-Addressee"))
 		}
 	}
 	m.stops["controller-1"]()
 	m.stops["proxy-0"]()
-	m.apps[0].Stop()
+	m.upstreams[0].Stop()
 	for n := range 40 {
 		status, id, _, _ := m.send(1+n%3, "GET", "/read/x")
 		must.Eq(t, http.StatusOK, status, must.Sprint(n, id))
@@ -191,50 +191,50 @@
 	must.StrContains(t, text, `"Edition":9`)
 }
 
-func TestAnswersOfUpstreamsThatGoWrong(t *testing.T) {
-	m := start(t, 1, 2, 0, 4000)
-	m.put(1)
-	m.until(func() bool { // both are known at both
+func TestResponsesOfFaultyUpstreams(t *testing.T) {
+	m := startMesh(t, 1, 2, 0, 4000)
+	m.applyConfig(1)
+	m.waitUntil(func() bool { // both are known at both
 		for n := range m.plan.Proxies {
 			m.send(n, "GET", "/read/")
 		}
-		return m.apps[0].Total() > 1 && m.apps[1].Total() > 1
+		return m.upstreams[0].TotalRuns() > 1 && m.upstreams[1].TotalRuns() > 1
 	})
-	all := func(f testmesh.Fault) {
-		for _, a := range m.apps {
-			a.Next(f)
+	injectAll := func(fault testmesh.Fault) {
+		for _, upstream := range m.upstreams {
+			upstream.InjectFaults(fault)
 		}
 	}
-	clear := func() {
-		for _, a := range m.apps {
-			for a.Pending() > 0 {
-				a.Drop()
+	dropAll := func() {
+		for _, upstream := range m.upstreams {
+			for upstream.PendingFaults() > 0 {
+				upstream.DropNextFault()
 			}
 		}
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		fault        testmesh.Fault
 		method, path string
 		status, runs int
 	}{
-		{testmesh.OtherID, "POST", "/once/", 200, 1}, {testmesh.Extra, "POST", "/once/", 200, 1}, {testmesh.Sound, "POST", "/once/", 200, 1},
-		{testmesh.CutShort, "POST", "/once/", 502, 1}, {testmesh.Reset, "POST", "/once/", 502, 1}, {testmesh.Unstamped, "POST", "/once/", 502, 1},
-		{testmesh.Full, "POST", "/once/", 503, 0}, {testmesh.Elsewhere, "POST", "/once/", 503, 0}, {testmesh.Elsewhere, "GET", "/read/", 503, 0}, {testmesh.Error, "POST", "/once/", 500, 1},
+		{testmesh.PrecedingOtherID, "POST", "/once/", 200, 1}, {testmesh.DuplicateResponse, "POST", "/once/", 200, 1}, {testmesh.NoFault, "POST", "/once/", 200, 1},
+		{testmesh.CloseInBody, "POST", "/once/", 502, 1}, {testmesh.Reset, "POST", "/once/", 502, 1}, {testmesh.SuccessWithoutStamp, "POST", "/once/", 502, 1},
+		{testmesh.Unavailable, "POST", "/once/", 503, 0}, {testmesh.Misdirected, "POST", "/once/", 503, 0}, {testmesh.Misdirected, "GET", "/read/", 503, 0}, {testmesh.Error, "POST", "/once/", 500, 1},
 	} {
-		all(c.fault)
-		status, id, _, body := m.send(0, c.method, c.path)
-		must.Eq(t, c.status, status, must.Sprint(c.fault, c.path))
-		must.Eq(t, c.runs, m.runs(id), must.Sprint(c.fault, c.path))
+		injectAll(test.fault)
+		status, id, _, body := m.send(0, test.method, test.path)
+		must.Eq(t, test.status, status, must.Sprint(test.fault, test.path))
+		must.Eq(t, test.runs, m.runs(id), must.Sprint(test.fault, test.path))
 		if status == 200 {
 			must.Eq(t, 4000, len(body))
 		}
-		clear()
+		dropAll()
 	}
 	for range 12 { // the module's bucket is filled by first sends
 		m.send(1, "GET", "/read/")
 	}
-	m.apps[0].Next(testmesh.CutShort) // a repeatable one is sent again, to the other
-	m.apps[1].Next(testmesh.Sound)
+	m.upstreams[0].InjectFaults(testmesh.CloseInBody) // a repeatable one is sent again, to the other
+	m.upstreams[1].InjectFaults(testmesh.NoFault)
 	for range 2 {
 		status, _, _, body := m.send(1, "GET", "/read/")
 		must.Eq(t, 200, status)
@@ -242,25 +242,25 @@
 	}
 }
 
-func TestALongAnswerThatIsCutLooksCut(t *testing.T) {
-	m := start(t, 1, 1, 0, 300<<10)
-	m.put(1)
+func TestTruncatedLongResponseIsVisible(t *testing.T) {
+	m := startMesh(t, 1, 1, 0, 300<<10)
+	m.applyConfig(1)
 	status, _, _, body := m.send(0, "GET", "/read/")
 	must.Eq(t, 200, status)
 	must.Eq(t, 300<<10, len(body))
-	m.apps[0].Next(testmesh.CutShort)
+	m.upstreams[0].InjectFaults(testmesh.CloseInBody)
 	status, _, _, _ = m.send(0, "GET", "/read/")
 	must.Eq(t, -1, status)
 }
 
-func TestAClosingUpstreamGetsNothingMoreAndOneThatLeavesEndsItsWork(t *testing.T) {
-	m := start(t, 1, 2, 300*time.Millisecond, 10)
-	m.put(1)
-	m.until(func() bool { // both are known everywhere
-		before := m.apps[0].Total()
+func TestDrainingUpstreamAndStoppingProxyFinishWork(t *testing.T) {
+	m := startMesh(t, 1, 2, 300*time.Millisecond, 10)
+	m.applyConfig(1)
+	m.waitUntil(func() bool { // both are known everywhere
+		before := m.upstreams[0].TotalRuns()
 		m.send(1, "GET", "/read/x")
 		m.send(1, "GET", "/read/x")
-		return m.apps[0].Total() > before
+		return m.upstreams[0].TotalRuns() > before
 	})
 	var wg sync.WaitGroup
 	results := make(chan int, 8)
@@ -268,12 +268,12 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			status, _, _ := m.sendAs(n%2, "POST", "/once/x", fmt.Sprintf("w%d", n))
+			status, _, _ := m.sendWithID(n%2, "POST", "/once/x", fmt.Sprintf("w%d", n))
 			results <- status
 		}()
 	}
-	m.until(func() bool { return m.apps[0].Total()+m.apps[1].Total() > 8 })
-	must.True(t, m.apps[0].Close())
+	m.waitUntil(func() bool { return m.upstreams[0].TotalRuns()+m.upstreams[1].TotalRuns() > 8 })
+	must.True(t, m.upstreams[0].Drain())
 	m.stops["proxy-0"]() // SIGTERM with work both ways in proxy
 	wg.Wait()
 	close(results)
@@ -282,30 +282,30 @@
 	}
 }
 
-func TestTheOperatorsCalls(t *testing.T) {
-	m := start(t, 3, 0, 0, 0)
-	one := fmt.Sprintf(config, 3)
-	m.until(func() bool { status, _ := m.call(0, "timetable.replace", "0", one); return status == 200 })
-	for _, c := range []struct {
+func TestOperatorCalls(t *testing.T) {
+	m := startMesh(t, 3, 0, 0, 0)
+	configuration := fmt.Sprintf(config, 3)
+	m.waitUntil(func() bool { status, _ := m.call(0, "timetable.replace", "0", configuration); return status == 200 })
+	for _, test := range []struct {
 		at          int
 		call, match string
 		body        string
 		status      int
 	}{
-		{1, "timetable.replace", "0", one, 200},                    // the very same again
-		{2, "timetable.replace", "0", fmt.Sprintf(config, 5), 412}, // another on the same version
-		{0, "timetable.replace", "3", fmt.Sprintf(config, 3), 200}, // known still
-		{0, "timetable.replace", "3", fmt.Sprintf(config, 2), 400}, // not above the current one
-		{1, "timetable.replace", "3", one[:len(one)/2], 400},       // cut short
-		{1, "timetable.replace", "x", fmt.Sprintf(config, 5), 400}, // no version to build on
+		{1, "timetable.replace", "0", configuration, 200},                        // the very same again
+		{2, "timetable.replace", "0", fmt.Sprintf(config, 5), 412},               // another on the same version
+		{0, "timetable.replace", "3", fmt.Sprintf(config, 3), 200},               // known still
+		{0, "timetable.replace", "3", fmt.Sprintf(config, 2), 400},               // not above the current one
+		{1, "timetable.replace", "3", configuration[:len(configuration)/2], 400}, // cut short
+		{1, "timetable.replace", "x", fmt.Sprintf(config, 5), 400},               // no version to build on
 		{1, "timetable.amend", "3", `{"Edition":7,"Withdraw":{"Routes":["read","no-such"]}}`, 200},
 		{2, "timetable.amend", "3", `{"Edition":7,"Withdraw":{"Routes":["read","no-such"]}}`, 200}, // again, after silence
 		{2, "timetable.amend", "7", `{"Edition":8,"Withdraw":{"Depots":["album"]}}`, 400},          // a route goes there
 		{0, "timetable.amend", "3", `{"Edition":9}`, 412},
 		{0, "timetable.burn", "3", ``, 404},
 	} {
-		status, text := m.call(c.at, c.call, c.match, c.body)
-		must.Eq(t, c.status, status, must.Sprint(c.call, c.match, c.body, text))
+		status, text := m.call(test.at, test.call, test.match, test.body)
+		must.Eq(t, test.status, status, must.Sprint(test.call, test.match, test.body, text))
 	}
 	_, text := m.call(1, "timetable.fetch", "", "")
 	must.StrContains(t, text, `"Edition":7`)
@@ -320,87 +320,87 @@
 
 // Burst credit through whole processes: a rush of pages beyond the tenant's rate is served out of what an operator granted, asked
 // for at two balancers; a page that is asked again draws no second time, and the account adds up, also after the core's restart.
-func TestARushOnBurstCredit(t *testing.T) {
-	m := start(t, 1, 3, 0, 100)
-	table := strings.Replace(config, `"RatePerS":10000,"Surge":10000`, `"RatePerS":4,"Surge":0,"Nectar":{"Earn":0.5,"Cap":500,"Keep":"1209600s","Extra":100}`, 1)
-	m.until(func() bool {
-		status, _ := m.call(0, "timetable.replace", "0", fmt.Sprintf(table, 1))
+func TestBurstCredit(t *testing.T) {
+	m := startMesh(t, 1, 3, 0, 100)
+	withCredit := strings.Replace(config, `"RatePerS":10000,"Surge":10000`, `"RatePerS":4,"Surge":0,"Nectar":{"Earn":0.5,"Cap":500,"Keep":"1209600s","Extra":100}`, 1)
+	m.waitUntil(func() bool {
+		status, _ := m.call(0, "timetable.replace", "0", fmt.Sprintf(withCredit, 1))
 		return status == http.StatusOK
 	})
-	var served sync.Map
-	page := func(n, at int) bool {
-		status, _, _, _ := m.send(at, "GET", fmt.Sprintf("/read/p%d", n))
+	var servedPages sync.Map
+	page := func(n, controllerAddress int) bool {
+		status, _, _, _ := m.send(controllerAddress, "GET", fmt.Sprintf("/read/p%d", n))
 		if status == http.StatusOK {
-			served.Store(n, true)
+			servedPages.Store(n, true)
 		}
 		return status == http.StatusOK
 	}
-	m.until(func() bool { return page(0, 0) && page(0, 1) })
-	c := rpc.NewClient(nil)
-	defer c.Close()
-	at := m.plan.Controllers[0].InternalAddress()
-	stand := &burstcredit.AccountStatus{}
-	must.NoError(t, c.Call(context.Background(), at, rpc.PathCreditOrder, &controller.Order{Tenant: "acme", Tokens: 150, Who: "me", Why: "a rush"}, stand))
-	must.Eq(t, 150, stand.Balance)
-	must.Error(t, c.Call(context.Background(), at, rpc.PathCreditOrder, &controller.Order{Tenant: "acme", Tokens: 150}, stand)) // nobody says why
-	rush := func(from, to int) (ok int) {
+	m.waitUntil(func() bool { return page(0, 0) && page(0, 1) })
+	client := rpc.NewClient(nil)
+	defer client.Close()
+	controllerAddress := m.plan.Controllers[0].InternalAddress()
+	status := &burstcredit.AccountStatus{}
+	must.NoError(t, client.Call(context.Background(), controllerAddress, rpc.PathCreditOrder, &controller.Order{Tenant: "acme", Tokens: 150, Who: "me", Why: "a rush"}, status))
+	must.Eq(t, 150, status.Balance)
+	must.Error(t, client.Call(context.Background(), controllerAddress, rpc.PathCreditOrder, &controller.Order{Tenant: "acme", Tokens: 150}, status)) // nobody says why
+	sendPages := func(from, to int) (ok int) {
 		for n := from; n < to; n++ {
-			for _, at := range []int{0, 1} {
-				if page(n, at) {
+			for _, controllerAddress := range []int{0, 1} {
+				if page(n, controllerAddress) {
 					ok++
 				}
 			}
 		}
 		return ok
 	}
-	m.until(func() bool { return rush(1, 3) == 4 }) // the first tokens are drawn
-	ok := rush(100, 160)
+	m.waitUntil(func() bool { return sendPages(1, 3) == 4 }) // the first tokens are drawn
+	ok := sendPages(100, 160)
 	must.Greater(t, 60, ok) // 4 a second alone would have served a few
 	account := func() *burstcredit.AccountStatus {
 		s := &controller.Status{}
-		must.NoError(t, c.Call(context.Background(), at, rpc.PathStatus, &controller.StatusRequest{}, s))
+		must.NoError(t, client.Call(context.Background(), controllerAddress, rpc.PathStatus, &controller.StatusRequest{}, s))
 		a, err := controller.FindAccount(s.State.Credit, "acme")
 		must.NoError(t, err)
 		return a
 	}
-	pages := 0
-	served.Range(func(any, any) bool { pages++; return true })
+	pageCount := 0
+	servedPages.Range(func(any, any) bool { pageCount++; return true })
 	last := -1.0
-	m.until(func() bool { // all has been told
+	m.waitUntil(func() bool { // all has been told
 		a := account()
 		settled := a.Spent == last && a.Spent > 10
 		last = a.Spent
 		return settled
 	})
 	a := account()
-	must.LessEq(t, float64(pages), a.Spent) // asked for twice each, drawn once
+	must.LessEq(t, float64(pageCount), a.Spent) // asked for twice each, drawn once
 	must.Less(t, 1e-6, max(a.Gap, -a.Gap))
 	m.stops["controller-0"]()
-	m.comb(m.plan.Controllers[0])
-	m.until(func() bool {
+	m.startController(m.plan.Controllers[0])
+	m.waitUntil(func() bool {
 		s := &controller.Status{}
-		return c.Call(context.Background(), at, rpc.PathStatus, &controller.StatusRequest{}, s) == nil && len(s.State.Credit) > 0
+		return client.Call(context.Background(), controllerAddress, rpc.PathStatus, &controller.StatusRequest{}, s) == nil && len(s.State.Credit) > 0
 	})
 	must.GreaterEq(t, a.Spent, account().Spent)
 }
 
 // A partner narrows what it exports while work goes on: from the moment at which it is told that this is done, no effect comes
 // any more, reads go on, nothing runs twice, and who asks is told at once.
-func TestAPartnerNarrowsItsExports(t *testing.T) {
-	m := start(t, 1, 3, 0, 100)
+func TestPartnerRestrictsExports(t *testing.T) {
+	m := startMesh(t, 1, 3, 0, 100)
 	partner, err := testmesh.NewPartner("zuid", "127.77.19.1:0")
 	must.NoError(t, err)
 	t.Cleanup(partner.Stop)
-	table := strings.Replace(config, `"Depots"`, fmt.Sprintf(`"Mesh":"us","Partners":[{"Name":"zuid","Gateway":%q,"Target":"300ms","Deadline":"1000ms","Tries":2}],"Depots"`, partner.Address), 1)
-	m.until(func() bool {
-		status, _ := m.call(0, "timetable.replace", "0", fmt.Sprintf(table, 1))
+	withPartner := strings.Replace(config, `"Depots"`, fmt.Sprintf(`"Mesh":"us","Partners":[{"Name":"zuid","Gateway":%q,"Target":"300ms","Deadline":"1000ms","Tries":2}],"Depots"`, partner.Address), 1)
+	m.waitUntil(func() bool {
+		status, _ := m.call(0, "timetable.replace", "0", fmt.Sprintf(withPartner, 1))
 		return status == http.StatusOK
 	})
-	status, text := m.call(0, "timetable.replace", "1", fmt.Sprintf(strings.Replace(table, `"Mesh":"us",`, "", 1), 2))
+	status, text := m.call(0, "timetable.replace", "1", fmt.Sprintf(strings.Replace(withPartner, `"Mesh":"us",`, "", 1), 2))
 	must.Eq(t, 400, status)
 	must.StrContains(t, text, "Mesh")
 	var mu sync.Mutex
-	ask := func(at int, method, path, id string) (int, string) {
+	send := func(at int, method, path, id string) (int, string) {
 		r, err := http.NewRequest(method, "http://"+m.plan.Proxies[at].OutboundAddress+path, nil)
 		must.NoError(t, err)
 		r.Host = "zuid.example"
@@ -414,71 +414,71 @@
 		return w.StatusCode, string(body)
 	}
 	for n := range m.plan.Proxies {
-		m.until(func() bool {
-			status, _ := ask(n, "POST", "/scans/1", fmt.Sprint("first", rand.Uint64()))
+		m.waitUntil(func() bool {
+			status, _ := send(n, "POST", "/scans/1", fmt.Sprint("first", rand.Uint64()))
 			return status == 200
 		})
 	}
 	for path, want := range map[string]int{"/scans/1": 200, "/other/1": 404, "/scans/../scans/1": 404, "/%73cans/1": 404} {
-		status, _ := ask(0, "GET", path, "path"+path)
+		status, _ := send(0, "GET", path, "path"+path)
 		must.Eq(t, want, status, must.Sprint(path))
 	}
-	status, _ = ask(0, "DELETE", "/scans/1", "delete")
+	status, _ = send(0, "DELETE", "/scans/1", "delete")
 	must.Eq(t, http.StatusForbidden, status)
 
-	told := map[string]int{}
-	end := make(chan struct{})
+	statuses := map[string]int{}
+	stop := make(chan struct{})
 	var load sync.WaitGroup
 	for at := range m.plan.Proxies {
 		load.Go(func() {
 			for n := 0; ; n++ {
 				select {
-				case <-end:
+				case <-stop:
 					return
 				default:
 				}
 				id := fmt.Sprintf("e%d-%d", at, n)
-				status, _ := ask(at, "POST", "/scans/1", id)
+				status, _ := send(at, "POST", "/scans/1", id)
 				mu.Lock()
-				told[id] = status
+				statuses[id] = status
 				mu.Unlock()
 			}
 		})
 	}
 	for range 2 {
-		edition := partner.Say("GET")
-		m.until(func() bool { now, _ := partner.Told(); return now >= edition })
-		_, took := partner.Told()
-		t.Logf("edition %d: done after %v", edition, took)
-		status, _ := ask(1, "POST", "/scans/1", fmt.Sprint("late", edition))
+		version := partner.SetMethods("GET")
+		m.waitUntil(func() bool { reported, _ := partner.ReportedVersion(); return reported >= version })
+		_, duration := partner.ReportedVersion()
+		t.Logf("edition %d: done after %v", version, duration)
+		status, _ := send(1, "POST", "/scans/1", fmt.Sprint("late", version))
 		must.Eq(t, http.StatusForbidden, status)
-		status, body := ask(2, "GET", "/scans/1", fmt.Sprint("read", edition))
+		status, body := send(2, "GET", "/scans/1", fmt.Sprint("read", version))
 		must.Eq(t, 200, status)
 		must.Eq(t, "of a partner", body)
-		var out, faults bytes.Buffer
+		var output, errorOutput bytes.Buffer
 		args := []string{"--core", m.plan.Controllers[0].ControlAddress, "--inner", fmt.Sprint(m.plan.Controllers[0].FirstInternalPort), "partners"}
-		must.Eq(t, meshctl.OK, meshctl.Run(args, &out, &faults), must.Sprint(faults.String()))
-		must.StrContains(t, out.String(), "3 of the balancers that ask controller-0 act on word")
-		must.Eq(t, meshctl.OK, meshctl.Run(append(args, "show", "zuid"), &out, &faults))
-		must.StrContains(t, out.String(), "zuid.example")
-		partner.Say("GET", "POST")
-		m.until(func() bool {
-			status, _ := ask(0, "POST", "/scans/1", fmt.Sprint("open", rand.Uint64()))
+		must.Eq(t, meshctl.OK, meshctl.Run(args, &output, &errorOutput), must.Sprint(errorOutput.String()))
+		must.StrContains(t, output.String(), "3 of the balancers that ask controller-0 act on word")
+		must.Eq(t, meshctl.OK, meshctl.Run(append(args, "show", "zuid"), &output, &errorOutput))
+		must.StrContains(t, output.String(), "zuid.example")
+		partner.SetMethods("GET", "POST")
+		m.waitUntil(func() bool {
+			status, _ := send(0, "POST", "/scans/1", fmt.Sprint("open", rand.Uint64()))
 			return status == 200
 		})
 	}
-	close(end)
+	close(stop)
 	load.Wait()
-	must.SliceEmpty(t, partner.Kept())
-	ran, effects := partner.Ran()
-	must.Greater(t, 20, effects)
-	for id, status := range told {
-		must.LessEq(t, 1, ran[id], must.Sprint(id))
+	must.SliceEmpty(t, partner.ForbiddenWrites())
+	runs, writes := partner.Runs()
+	must.Greater(t, 20, writes)
+	for id, status := range statuses {
+		must.LessEq(t, 1, runs[id], must.Sprint(id))
 		if status == 200 {
-			must.Eq(t, 1, ran[id], must.Sprint(id))
+			must.Eq(t, 1, runs[id], must.Sprint(id))
 		}
 		if status == 403 || status == 503 {
-			must.Eq(t, 0, ran[id], must.Sprint(id, status))
+			must.Eq(t, 0, runs[id], must.Sprint(id, status))
 		}
 	}
 }
--- a/internal/mesh/proxy/inbound_test.go
+++ b/internal/mesh/proxy/inbound_test.go
@@ -93,7 +93,7 @@
 // countMisdelivered counts the pairs of requests whose second one gets the late response to the first one.
 func (h *inboundHop) countMisdelivered(pairs int) (n int) {
 	for range pairs {
-		h.upstream.Inject(testmesh.Injection{Fault: testmesh.ErrorWithoutIDLate, Delay: lateResponseDelay})
+		h.upstream.Inject(testmesh.Injection{Fault: testmesh.LateErrorWithoutID, Delay: lateResponseDelay})
 		h.send(h.id())
 		if _, body := h.send(h.id()); strings.Contains(body, testmesh.StrayBody) {
 			n++
@@ -122,7 +122,7 @@
 func (h *inboundHop) countRefusedButRun(requests int, between func()) (n int) {
 	for range requests {
 		id := h.id()
-		h.upstream.Inject(testmesh.Injection{Fault: testmesh.FullTwice, Delay: lateResponseDelay})
+		h.upstream.Inject(testmesh.Injection{Fault: testmesh.UnavailableTwice, Delay: lateResponseDelay})
 		refused, _ := h.send(id)
 		must.True(h.t, refused)
 		between()
@@ -158,12 +158,12 @@
 
 // A request whose response is missing or incomplete may have run and must not be sent again.
 func TestNoResendAfterIncompleteResponse(t *testing.T) {
-	faults := []testmesh.Fault{testmesh.Reset, testmesh.CloseBeforeAnswer, testmesh.ResetInHead, testmesh.ResetInBody, testmesh.CutShort, testmesh.Garbage}
+	faults := []testmesh.Fault{testmesh.Reset, testmesh.CloseBeforeResponse, testmesh.ResetInHeader, testmesh.ResetInBody, testmesh.CloseInBody, testmesh.Garbage}
 	h := startInboundHop(t)
 	countRunTwice := func() (n int) {
 		for _, fault := range faults {
 			id := h.id()
-			h.upstream.Next(fault)
+			h.upstream.InjectFaults(fault)
 			h.send(id)
 			if h.upstream.Runs(id) > 1 {
 				n++
--- a/internal/mesh/proxy/proxy.go
+++ b/internal/mesh/proxy/proxy.go
@@ -139,8 +139,8 @@
 	return addresses
 }
 
-// Reseed replaces the seed controllers with those of the given settings.
-func (p *Proxy) Reseed(proxySettings *settings.Settings) {
+// UpdateSeeds replaces the seed controllers with those of the given settings.
+func (p *Proxy) UpdateSeeds(proxySettings *settings.Settings) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.seeds = seedAddresses(proxySettings)
--- a/internal/mesh/simulation/processes/judge.go
+++ b/internal/mesh/simulation/processes/judge.go
@@ -17,18 +17,18 @@
 func (w *world) judge() {
 	runs := map[string]int{}
 	for n, a := range w.apps {
-		for id, k := range a.All() {
+		for id, k := range a.RunsByAttempt() {
 			runs[id] += k
 			w.out.By[n].Ran += k
 		}
 	}
 	if w.side != nil {
-		ran, effects := w.side.Ran()
+		ran, effects := w.side.Runs()
 		for id, k := range ran {
 			runs[id] += k
 		}
 		w.out.Effects = effects
-		for _, what := range w.side.Kept() {
+		for _, what := range w.side.ForbiddenWrites() {
 			w.breaks("KEPT: %s, after that narrowing was reported done", what)
 		}
 	}
--- a/internal/mesh/simulation/processes/processes_test.go
+++ b/internal/mesh/simulation/processes/processes_test.go
@@ -27,7 +27,7 @@
 		{"DENIED", map[string]*try{"a": {once: false, status: 404}}, nil, [2]int{}},
 		{"RECOVER", nil, nil, [2]int{10, 8}},
 	} {
-		a := testmesh.Ran(c.ran)
+		a := testmesh.NewUpstreamWithRuns(c.ran)
 		w := &world{sent: c.sent, apps: []*testmesh.Upstream{a}, tail: c.tail, out: Outcome{By: make([]Served, 1)}}
 		w.judge()
 		if c.rule == "" {
--- a/internal/mesh/simulation/processes/start.go
+++ b/internal/mesh/simulation/processes/start.go
@@ -54,7 +54,7 @@
 
 // run starts a process with the settings of this moment.
 func (w *world) run(p *process) error {
-	if err := testmesh.Write(p.settings, p.settingsFile); err != nil {
+	if err := testmesh.WriteSettings(p.settings, p.settingsFile); err != nil {
 		return Error.Wrap(err)
 	}
 	p.settings.FirstStart = false // from now on
--- a/internal/mesh/simulation/processes/traffic.go
+++ b/internal/mesh/simulation/processes/traffic.go
@@ -164,12 +164,12 @@
 func (w *world) narrow(ctx context.Context, tell func(string, ...any)) {
 	for n := 0; nap(ctx, w.Partner) == nil; n++ {
 		if n%2 == 1 {
-			w.side.Say("GET", "POST")
+			w.side.SetMethods("GET", "POST")
 			continue
 		}
-		edition := w.side.Say("GET")
+		edition := w.side.SetMethods("GET")
 		for {
-			if told, took := w.side.Told(); told >= edition {
+			if told, took := w.side.ReportedVersion(); told >= edition {
 				w.mu.Lock()
 				w.out.Done = append(w.out.Done, took)
 				w.mu.Unlock()
--- a/internal/mesh/simulation/scale/process.go
+++ b/internal/mesh/simulation/scale/process.go
@@ -30,7 +30,7 @@
 // start starts a program of the mesh by its settings.
 func (p programs) start(program string, b *settings.Settings) (*process, error) {
 	file := filepath.Join(p.work, b.Node+".conf")
-	if err := testmesh.Write(b, file); err != nil {
+	if err := testmesh.WriteSettings(b, file); err != nil {
 		return nil, Error.Wrap(err)
 	}
 	b.FirstStart = false // from now on
--- a/internal/mesh/storage/crash_test.go
+++ b/internal/mesh/storage/crash_test.go
@@ -157,16 +157,16 @@
 	if err := load.run(clean, ignore, ignore); err != nil {
 		panic(err)
 	}
-	for _, name := range clean.Files(storeDirectory) {
+	for _, name := range clean.ListFiles(storeDirectory) {
 		if number, _, _ := strings.Cut(name, "."); number != "" {
 			n, _ := strconv.Atoi(number)
 			result.files = max(result.files, n)
 		}
 	}
-	for point := 1; point <= clean.Operations(); point += stride {
+	for point := 1; point <= clean.OperationCount(); point += stride {
 		disk := testmesh.NewMemoryDisk()
 		prepare(disk)
-		disk.StopAfter = point
+		disk.PowerLossAfter = point
 		var last, next *consensus.Replica
 		load.run(disk, func(r *consensus.Replica) { next = r }, func(r *consensus.Replica) { copied := *r; last = &copied })
 		if last == nil {
@@ -178,7 +178,7 @@
 			if err := check(left, lastText, nextText); err != nil {
 				result.losses++
 				if len(result.lossExamples) < 3 {
-					result.lossExamples = append(result.lossExamples, fmt.Sprintf("point %d: %v, files %v", point, err, left.Files(storeDirectory)))
+					result.lossExamples = append(result.lossExamples, fmt.Sprintf("point %d: %v, files %v", point, err, left.ListFiles(storeDirectory)))
 				}
 			}
 		})
@@ -217,7 +217,7 @@
 
 // Without directory syncs, the same workload loses saves. This shows that the simulation detects their absence.
 func TestSavesAreLostWithoutDirectorySync(t *testing.T) {
-	result := simulateCrashes(workload{2, 2}, 2, 12, func(d *testmesh.MemoryDisk) { d.IgnoreFolderSyncs(true) }, checkHoldsReplica)
+	result := simulateCrashes(workload{2, 2}, 2, 12, func(d *testmesh.MemoryDisk) { d.IgnoreDirectorySyncs(true) }, checkHoldsReplica)
 	t.Logf("%d of %d states with a loss, as %v", result.losses, result.states, result.lossExamples)
 	must.Positive(t, result.losses)
 }
@@ -226,7 +226,7 @@
 // recovery.
 func TestManifestIsLostWithoutItsSync(t *testing.T) {
 	with := simulateCrashes(workload{2, 2}, 2, 12, noPreparation, checkOpensWithoutRecovery)
-	without := simulateCrashes(workload{2, 2}, 2, 12, func(d *testmesh.MemoryDisk) { d.IgnoreSyncFile = true }, checkOpensWithoutRecovery)
+	without := simulateCrashes(workload{2, 2}, 2, 12, func(d *testmesh.MemoryDisk) { d.IgnoreFileSyncs = true }, checkOpensWithoutRecovery)
 	t.Logf("goleveldb needs a recovery in %d of %d states with the sync, in %d of %d without", with.losses, with.states, without.losses, without.states)
 	must.Greater(t, 4*with.losses, without.losses)
 	must.Positive(t, without.losses)
@@ -241,7 +241,7 @@
 		if saved.Decided.Index <= 2 {
 			return
 		}
-		disk.IgnoreFolderSyncs(true) // only after the store has been opened
+		disk.IgnoreDirectorySyncs(true) // only after the store has been opened
 		text := replicaJSON(saved)
 		states += disk.AfterPowerLoss(4, 1, func(left *testmesh.MemoryDisk) {
 			store, replica, err := openMemory(left)
@@ -264,25 +264,25 @@
 		disk := testmesh.NewMemoryDisk()
 		ignore := func(*consensus.Replica) {}
 		must.NoError(t, workload{1, 12}.run(disk, ignore, ignore))
-		for _, name := range disk.Files(storeDirectory) {
+		for _, name := range disk.ListFiles(storeDirectory) {
 			if strings.HasSuffix(name, ".ldb") || strings.HasSuffix(name, ".log") {
-				must.NoError(t, disk.Damage(storeDirectory+"/"+name))
+				must.NoError(t, disk.Corrupt(storeDirectory+"/"+name))
 			}
 		}
 		return disk
 	}
 	initial := func() (string, *consensus.State) { return "another", &consensus.State{Index: 1} }
 	clean := damaged()
-	before := clean.Operations()
+	before := clean.OperationCount()
 	store, replica, initReason, err := OpenOn(clean, smallOptions(), initial)
 	must.NoError(t, err)
 	must.ErrorContains(t, initReason, "put aside")
 	must.Eq(t, "another", replica.ID)
 	store.Close()
 	points, states := 0, 0
-	for stop := before + 1; stop <= clean.Operations(); stop++ {
+	for stop := before + 1; stop <= clean.OperationCount(); stop++ {
 		disk := damaged()
-		disk.StopAfter = stop
+		disk.PowerLossAfter = stop
 		opened, replica, _, err := OpenOn(disk, smallOptions(), initial)
 		acknowledged := err == nil && opened.Save(replica) == nil && !disk.PowerLost() // then saves are acknowledged
 		if opened != nil {
@@ -311,7 +311,7 @@
 	version := int64(0)
 	for n := range 30 {
 		refuses := n%3 == 1
-		disk.Refuse(refuses)
+		disk.SetFailing(refuses)
 		saved := *replica
 		err := saveOneChange(replica, n, &version, func() error { return store.Save(replica) })
 		if refuses {
@@ -322,10 +322,10 @@
 		must.NoError(t, err)
 	}
 	must.NoError(t, store.Close())
-	disk.Refuse(true)
+	disk.SetFailing(true)
 	_, _, err = openWithLargeBuffer(disk)
 	must.Error(t, err)
-	disk.Refuse(false)
+	disk.SetFailing(false)
 	store, again, err := openWithLargeBuffer(disk)
 	must.NoError(t, err)
 	must.Eq(t, replicaJSON(replica), replicaJSON(again))
--- a/internal/mesh/testmesh/disk.go
+++ b/internal/mesh/testmesh/disk.go
@@ -8,47 +8,47 @@
 	"ottershift/internal/mesh/consensus"
 )
 
-// ErrDiskRefuses is what a disk says that takes no writes.
-var ErrDiskRefuses = errors.New("the disk takes no writes")
+// ErrWriteFailed is what a disk says that takes no writes.
+var ErrWriteFailed = errors.New("the disk takes no writes")
 
 // Disk is a replica's disk in a test: it may be slow, stand still or refuse. It passes what it takes on to another disk.
 type Disk struct {
-	mu   sync.Mutex
-	next interface {
+	mu         sync.Mutex
+	underlying interface {
 		Save(*consensus.Replica) error
 	}
 	delay   time.Duration
-	refuses bool
-	stalled chan struct{} // closed when the disk goes on; nil while it does
+	failing bool
+	resumed chan struct{} // closed when the disk goes on; nil while it does
 }
 
 // NewDisk makes a disk in front of another one.
-func NewDisk(next interface {
+func NewDisk(underlying interface {
 	Save(*consensus.Replica) error
 }) *Disk {
-	return &Disk{next: next}
+	return &Disk{underlying: underlying}
 }
 
-// Slow has each save take so much longer.
-func (d *Disk) Slow(delay time.Duration) {
+// SetDelay has each save take so much longer.
+func (d *Disk) SetDelay(delay time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.delay = delay
 }
 
-// Refuse has saves fail, or no longer.
-func (d *Disk) Refuse(refuses bool) {
+// SetFailing has saves fail, or no longer.
+func (d *Disk) SetFailing(failing bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.refuses = refuses
+	d.failing = failing
 }
 
 // Stall has saves wait until Resume.
 func (d *Disk) Stall() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.stalled == nil {
-		d.stalled = make(chan struct{})
+	if d.resumed == nil {
+		d.resumed = make(chan struct{})
 	}
 }
 
@@ -56,23 +56,23 @@
 func (d *Disk) Resume() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.stalled != nil {
-		close(d.stalled)
-		d.stalled = nil
+	if d.resumed != nil {
+		close(d.resumed)
+		d.resumed = nil
 	}
 }
 
 // Save meets the disk's faults and then saves on the disk behind.
 func (d *Disk) Save(replica *consensus.Replica) error {
 	d.mu.Lock()
-	delay, refuses, stalled := d.delay, d.refuses, d.stalled
+	delay, failing, resumed := d.delay, d.failing, d.resumed
 	d.mu.Unlock()
 	time.Sleep(delay)
-	if stalled != nil {
-		<-stalled
+	if resumed != nil {
+		<-resumed
 	}
-	if refuses {
-		return ErrDiskRefuses
+	if failing {
+		return ErrWriteFailed
 	}
-	return d.next.Save(replica)
+	return d.underlying.Save(replica)
 }
--- a/internal/mesh/testmesh/filter.go
+++ b/internal/mesh/testmesh/filter.go
@@ -18,8 +18,8 @@
 	drop func(to, path string, body []byte) bool
 }
 
-// Drop has calls fail for which a function says so; nil ends it. The function may be called by several calls at once.
-func (f *Filter) Drop(drop func(to, path string, body []byte) bool) {
+// SetDrop has calls fail for which a function says so; nil ends it. The function may be called by several calls at once.
+func (f *Filter) SetDrop(drop func(to, path string, body []byte) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.drop = drop
--- a/internal/mesh/testmesh/history/history.go
+++ b/internal/mesh/testmesh/history/history.go
@@ -12,134 +12,134 @@
 	"ottershift/internal/mesh/testmesh"
 )
 
-// Version is a configuration by its edition and the order that set it. Two orders may choose one edition.
-type Version struct {
-	Edition int64
-	Order   int
+// Configuration is a configuration by its edition and the order that set it. Two orders may choose one edition.
+type Configuration struct {
+	Version  int64
+	UpdateID int
 }
 
 // operation is a read or an order with all its tries.
 type operation struct {
-	read    bool
-	version Version // read, or set by the order
-	base    int64
-	outcome testmesh.Outcome
+	read          bool
+	configuration Configuration // read, or set by the order
+	baseVersion   int64
+	outcome       testmesh.Outcome
 }
 
 // History is what operators saw. The zero value is empty.
 type History struct {
-	mu         sync.Mutex
-	operations []porcupine.Operation
-	verdicts   map[int]testmesh.Outcome // of each order, the first that is not unclear
-	reversed   []string
+	mu             sync.Mutex
+	operations     []porcupine.Operation
+	outcomes       map[int]testmesh.Outcome // of each order, the first that is not unclear
+	contradictions []string
 }
 
-// forever is when an order of which nobody knows the end has ended.
-const forever = int64(1) << 62
+// unknownEnd is when an order of which nobody knows the end has ended.
+const unknownEnd = int64(1) << 62
 
-// Order adds an order, from its first try to the answer that told its outcome. An unclear one may take effect at any later
+// AddUpdate adds an order, from its first try to the answer that told its outcome. An unclear one may take effect at any later
 // time.
-func (h *History) Order(operator int, order *testmesh.Order, outcome testmesh.Outcome, first, last time.Time) {
-	h.Answered(order, outcome)
-	end := last.UnixNano()
-	if outcome == testmesh.OutcomeUnclear {
-		end = forever
+func (h *History) AddUpdate(operator int, update *testmesh.Update, outcome testmesh.Outcome, start, end time.Time) {
+	h.AddOutcome(update, outcome)
+	returned := end.UnixNano()
+	if outcome == testmesh.OutcomeUnknown {
+		returned = unknownEnd
 	}
-	h.add(operator, operation{version: Version{order.Edition, order.ID}, base: order.Base, outcome: outcome}, first.UnixNano(), end)
+	h.addOperation(operator, operation{configuration: Configuration{update.Version, update.ID}, baseVersion: update.BaseVersion, outcome: outcome}, start.UnixNano(), returned)
 }
 
-// Answered notes an answer to a further try of an order: it may be unclear, and must not reverse an earlier one.
-func (h *History) Answered(order *testmesh.Order, outcome testmesh.Outcome) {
-	if outcome == testmesh.OutcomeUnclear {
+// AddOutcome notes an answer to a further try of an order: it may be unclear, and must not reverse an earlier one.
+func (h *History) AddOutcome(update *testmesh.Update, outcome testmesh.Outcome) {
+	if outcome == testmesh.OutcomeUnknown {
 		return
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.verdicts == nil {
-		h.verdicts = map[int]testmesh.Outcome{}
+	if h.outcomes == nil {
+		h.outcomes = map[int]testmesh.Outcome{}
 	}
-	before, known := h.verdicts[order.ID]
-	if known && (before == testmesh.OutcomeConfirmed) != (outcome == testmesh.OutcomeConfirmed) {
-		h.reversed = append(h.reversed, fmt.Sprintf("order %d on %d as %d: %v, then %v", order.ID, order.Base, order.Edition, before, outcome))
+	previous, known := h.outcomes[update.ID]
+	if known && (previous == testmesh.OutcomeConfirmed) != (outcome == testmesh.OutcomeConfirmed) {
+		h.contradictions = append(h.contradictions, fmt.Sprintf("order %d on %d as %d: %v, then %v", update.ID, update.BaseVersion, update.Version, previous, outcome))
 	}
 	if !known {
-		h.verdicts[order.ID] = outcome
+		h.outcomes[update.ID] = outcome
 	}
 }
 
-// Read adds a read of the newest configuration.
-func (h *History) Read(operator int, version Version, asked, answered time.Time) {
-	h.add(operator, operation{read: true, version: version}, asked.UnixNano(), answered.UnixNano())
+// AddRead adds a read of the newest configuration.
+func (h *History) AddRead(operator int, configuration Configuration, start, end time.Time) {
+	h.addOperation(operator, operation{read: true, configuration: configuration}, start.UnixNano(), end.UnixNano())
 }
 
-func (h *History) add(operator int, op operation, call, end int64) {
+func (h *History) addOperation(operator int, op operation, call, end int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.operations = append(h.operations, porcupine.Operation{ClientId: operator, Input: op, Call: call, Return: end})
 }
 
 // Counts is how many orders ended in each way, and how many reads there were.
-func (h *History) Counts() (orders map[testmesh.Outcome]int, reads int) {
+func (h *History) Counts() (updates map[testmesh.Outcome]int, reads int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	orders = map[testmesh.Outcome]int{}
-	for _, o := range h.operations {
-		if op := o.Input.(operation); op.read {
+	updates = map[testmesh.Outcome]int{}
+	for _, entry := range h.operations {
+		if op := entry.Input.(operation); op.read {
 			reads++
 		} else {
-			orders[op.outcome]++
+			updates[op.outcome]++
 		}
 	}
-	return orders, reads
+	return updates, reads
 }
 
-// Verdict is the result of a check.
-type Verdict struct {
-	Fault   string // what no register would have answered; empty for nothing
-	Unknown bool   // the search took too long
+// Result is the result of a check.
+type Result struct {
+	Violation string // what no register would have answered; empty for nothing
+	Unknown   bool   // the search took too long
 }
 
 // Check looks for an order of operations in which one register would have answered so.
-func (h *History) Check(timeout time.Duration) Verdict {
+func (h *History) Check(timeout time.Duration) Result {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if len(h.reversed) > 0 {
-		return Verdict{Fault: "an answer was reversed: " + h.reversed[0]}
+	if len(h.contradictions) > 0 {
+		return Result{Violation: "an answer was reversed: " + h.contradictions[0]}
 	}
-	switch porcupine.CheckOperationsTimeout(register, h.operations, timeout) {
+	switch porcupine.CheckOperationsTimeout(registerModel, h.operations, timeout) {
 	case porcupine.Illegal:
-		return Verdict{Fault: "the history is not linearizable"}
+		return Result{Violation: "the history is not linearizable"}
 	case porcupine.Unknown:
-		return Verdict{Unknown: true}
+		return Result{Unknown: true}
 	}
-	return Verdict{}
+	return Result{}
 }
 
-// register is one version that changes only from the edition that a change was made on. The zero version is there before
+// registerModel is one version that changes only from the edition that a change was made on. The zero version is there before
 // the first.
-var register = (&porcupine.NondeterministicModel{
-	Init: func() []any { return []any{Version{}} },
+var registerModel = (&porcupine.NondeterministicModel{
+	Init: func() []any { return []any{Configuration{}} },
 	Step: func(state, input, _ any) []any {
-		now, op := state.(Version), input.(operation)
+		now, op := state.(Configuration), input.(operation)
 		if op.read {
-			return onlyIf(now == op.version, now)
+			return nextIf(now == op.configuration, now)
 		}
 		switch op.outcome {
 		case testmesh.OutcomeConfirmed:
-			return onlyIf(now.Edition == op.base, op.version)
+			return nextIf(now.Version == op.baseVersion, op.configuration)
 		case testmesh.OutcomeStale:
-			return onlyIf(now.Edition != op.base, now)
+			return nextIf(now.Version != op.baseVersion, now)
 		case testmesh.OutcomeInvalid:
 			return []any{now}
 		}
-		if now.Edition == op.base {
-			return []any{now, op.version}
+		if now.Version == op.baseVersion {
+			return []any{now, op.configuration}
 		}
 		return []any{now}
 	},
 }).ToModel()
 
-func onlyIf(possible bool, next Version) []any {
+func nextIf(possible bool, next Configuration) []any {
 	if !possible {
 		return nil
 	}
--- a/internal/mesh/testmesh/links.go
+++ b/internal/mesh/testmesh/links.go
@@ -17,15 +17,15 @@
 
 // Faults of a link, in one direction.
 const (
-	LinkSound        LinkFault = iota
-	LinkSilent                 // requests never arrive; the caller waits until its own end
-	LinkRefused                // connections are refused at once
-	LinkReset                  // requests arrive, the connection is reset before the response
-	LinkLostResponse           // requests arrive and are handled, their responses never come back
-	LinkLate                   // requests arrive after Delay, also once their caller has given up; responses are lost
+	LinkOK             LinkFault = iota
+	LinkDropsRequests            // requests never arrive; the caller waits until its own end
+	LinkRefused                  // connections are refused at once
+	LinkReset                    // requests arrive, the connection is reset before the response
+	LinkDropsResponses           // requests arrive and are handled, their responses never come back
+	LinkDeliversLate             // requests arrive after Delay, also once their caller has given up; responses are lost
 )
 
-var errRefused = &net.OpError{Op: "dial", Net: "tcp4", Err: syscall.ECONNREFUSED}
+var errConnectionRefused = &net.OpError{Op: "dial", Net: "tcp4", Err: syscall.ECONNREFUSED}
 
 // Links injects faults into the calls between processes of a test. A link is named by the IP addresses of its two ends, each
 // direction by itself. The zero value has no faults.
@@ -46,9 +46,9 @@
 }
 
 // SetBoth puts a fault on both directions between two IP addresses.
-func (l *Links) SetBoth(one, other string, fault LinkFault) {
-	l.Set(one, other, fault)
-	l.Set(other, one, fault)
+func (l *Links) SetBoth(first, second string, fault LinkFault) {
+	l.Set(first, second, fault)
+	l.Set(second, first, fault)
 }
 
 // SetDelay has each request from one IP address to another wait before it is sent.
@@ -61,18 +61,18 @@
 	l.delays[[2]string{from, to}] = delay
 }
 
-// Heal takes all faults and delays away.
-func (l *Links) Heal() {
+// Clear takes all faults and delays away.
+func (l *Links) Clear() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.faults, l.delays = nil, nil
 }
 
-func (l *Links) of(from, to string) (LinkFault, time.Duration) {
+func (l *Links) state(from, to string) (LinkFault, time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	link := [2]string{from, to}
-	return l.faults[link], l.delays[link]
+	key := [2]string{from, to}
+	return l.faults[key], l.delays[key]
 }
 
 // Transport wraps the transport of a process at an IP address, so that its calls meet the faults of its links.
@@ -99,10 +99,10 @@
 // response up, too.
 func (t *faultyTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	host := r.URL.Hostname()
-	fault, delay := t.links.of(t.from, host)
-	if fault == LinkLate {
+	fault, delay := t.links.state(t.from, host)
+	if fault == LinkDeliversLate {
 		go t.deliverLate(r, delay)
-		return t.silence(r)
+		return t.waitForTimeout(r)
 	}
 	if delay > 0 {
 		select {
@@ -112,27 +112,27 @@
 		}
 	}
 	switch fault {
-	case LinkSilent:
-		return t.silence(r)
+	case LinkDropsRequests:
+		return t.waitForTimeout(r)
 	case LinkRefused:
-		return nil, errRefused
+		return nil, errConnectionRefused
 	}
 	response, err := t.next.RoundTrip(r)
-	if back, _ := t.links.of(host, t.from); fault == LinkSound && back != LinkSound {
-		fault = LinkLostResponse // the way back of the response is the other direction
+	if reverse, _ := t.links.state(host, t.from); fault == LinkOK && reverse != LinkOK {
+		fault = LinkDropsResponses // the way back of the response is the other direction
 	}
 	switch fault {
 	case LinkReset:
-		t.discard(response, err)
+		t.closeBody(response, err)
 		return nil, syscall.ECONNRESET
-	case LinkLostResponse:
-		t.discard(response, err)
-		return t.silence(r)
+	case LinkDropsResponses:
+		t.closeBody(response, err)
+		return t.waitForTimeout(r)
 	}
 	return response, err
 }
 
-func (t *faultyTransport) silence(r *http.Request) (*http.Response, error) {
+func (t *faultyTransport) waitForTimeout(r *http.Request) (*http.Response, error) {
 	<-r.Context().Done()
 	return nil, errors.Join(r.Context().Err(), syscall.ETIMEDOUT)
 }
@@ -143,13 +143,13 @@
 		return
 	}
 	time.Sleep(delay)
-	late := r.Clone(context.WithoutCancel(r.Context()))
-	late.Body = io.NopCloser(bytes.NewReader(body))
-	response, err := t.next.RoundTrip(late)
-	t.discard(response, err)
+	delayed := r.Clone(context.WithoutCancel(r.Context()))
+	delayed.Body = io.NopCloser(bytes.NewReader(body))
+	response, err := t.next.RoundTrip(delayed)
+	t.closeBody(response, err)
 }
 
-func (t *faultyTransport) discard(response *http.Response, err error) {
+func (t *faultyTransport) closeBody(response *http.Response, err error) {
 	if err == nil {
 		response.Body.Close()
 	}
--- a/internal/mesh/testmesh/memory_disk.go
+++ b/internal/mesh/testmesh/memory_disk.go
@@ -16,21 +16,21 @@
 // stays; of later writes each is there, missing or torn. Each name that was made, renamed or removed since the last sync of
 // its folder is kept or lost by itself.
 type MemoryDisk struct {
-	mu         sync.Mutex
-	root       *node
-	live       names
-	durable    names        // as of the last syncs of their folders
-	pending    []nameChange // since then, in order
-	operations int
-
-	// StopAfter is the number of operations after which the power is gone; 0 for never. What the process does after that has no
+	mu             sync.Mutex
+	root           *node
+	live           directoryEntries
+	durable        directoryEntries // as of the last syncs of their folders
+	pending        []entryChange    // since then, in order
+	operationCount int
+
+	// PowerLossAfter is the number of operations after which the power is gone; 0 for never. What the process does after that has no
 	// effect on what AfterPowerLoss shows. It is not failed: error paths of goleveldb are no part of a loss of power.
-	StopAfter        int
-	stopped          *MemoryDisk // as it was then
-	refuses          bool
-	ignoreFolderSync bool
-	// IgnoreSyncFile has SyncFile do nothing. Syncs by writers go on.
-	IgnoreSyncFile bool
+	PowerLossAfter       int
+	atPowerLoss          *MemoryDisk // as it was then
+	failing              bool
+	ignoreDirectorySyncs bool
+	// IgnoreFileSyncs has SyncFile do nothing. Syncs by writers go on.
+	IgnoreFileSyncs bool
 }
 
 // node is a file or a folder.
@@ -43,56 +43,56 @@
 	return append(slices.Clone(n.synced), slices.Concat(n.unsynced...)...)
 }
 
-type nameKey struct {
-	folder *node
-	name   string
+type entryKey struct {
+	directory *node
+	name      string
 }
 
-type names map[nameKey]*node
+type directoryEntries map[entryKey]*node
 
-// nameChange is one change of a folder: a name is made, goes to another one, or is removed.
-type nameChange struct {
-	from, to nameKey // from is zero for a new name, to for a removed one
+// entryChange is one change of a folder: a name is made, goes to another one, or is removed.
+type entryChange struct {
+	from, to entryKey // from is zero for a new name, to for a removed one
 	node     *node
 }
 
-func (c nameChange) apply(all names) {
-	if c.from.folder != nil && all[c.from] == c.node {
+func (c entryChange) apply(all directoryEntries) {
+	if c.from.directory != nil && all[c.from] == c.node {
 		delete(all, c.from)
 	}
-	if c.to.folder != nil {
+	if c.to.directory != nil {
 		all[c.to] = c.node
 	}
 }
 
 // NewMemoryDisk makes an empty disk.
 func NewMemoryDisk() *MemoryDisk {
-	return &MemoryDisk{root: &node{}, live: names{}, durable: names{}}
+	return &MemoryDisk{root: &node{}, live: directoryEntries{}, durable: directoryEntries{}}
 }
 
-// Refuse has each operation fail that changes something, or no longer.
-func (d *MemoryDisk) Refuse(refuses bool) {
+// SetFailing has each operation fail that changes something, or no longer.
+func (d *MemoryDisk) SetFailing(failing bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.refuses = refuses
+	d.failing = failing
 }
 
-// IgnoreFolderSyncs has syncs of folders do nothing, as if the program did not call them. goleveldb's own go on.
-func (d *MemoryDisk) IgnoreFolderSyncs(ignore bool) {
+// IgnoreDirectorySyncs has syncs of folders do nothing, as if the program did not call them. goleveldb's own go on.
+func (d *MemoryDisk) IgnoreDirectorySyncs(ignore bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.ignoreFolderSync = ignore
+	d.ignoreDirectorySyncs = ignore
 }
 
-// Operations is how many operations have changed or synced something so far.
-func (d *MemoryDisk) Operations() int {
+// OperationCount is how many operations have changed or synced something so far.
+func (d *MemoryDisk) OperationCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.operations
+	return d.operationCount
 }
 
-// Bytes is the size of all files that can be reached.
-func (d *MemoryDisk) Bytes() (n int) {
+// Size is the size of all files that can be reached.
+func (d *MemoryDisk) Size() (n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, file := range d.live {
@@ -101,13 +101,13 @@
 	return n
 }
 
-// operate counts one operation and says whether it may happen.
-func (d *MemoryDisk) operate() error {
-	if d.operations++; d.StopAfter > 0 && d.operations == d.StopAfter+1 {
-		d.stopped = d.clone()
+// beginOperation counts one operation and says whether it may happen.
+func (d *MemoryDisk) beginOperation() error {
+	if d.operationCount++; d.PowerLossAfter > 0 && d.operationCount == d.PowerLossAfter+1 {
+		d.atPowerLoss = d.clone()
 	}
-	if d.refuses {
-		return ErrDiskRefuses
+	if d.failing {
+		return ErrWriteFailed
 	}
 	return nil
 }
@@ -116,52 +116,52 @@
 func (d *MemoryDisk) PowerLost() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.stopped != nil
+	return d.atPowerLoss != nil
 }
 
 // clone copies the disk with what is unsynced.
 func (d *MemoryDisk) clone() *MemoryDisk {
 	copies := map[*node]*node{nil: nil}
-	of := func(n *node) *node {
+	copyOf := func(n *node) *node {
 		if _, done := copies[n]; !done {
 			copies[n] = &node{synced: slices.Clone(n.synced), unsynced: slices.Clone(n.unsynced)}
 		}
 		return copies[n]
 	}
-	key := func(k nameKey) nameKey { return nameKey{of(k.folder), k.name} }
-	out := &MemoryDisk{root: of(d.root), live: names{}, durable: names{}, operations: d.operations,
-		ignoreFolderSync: d.ignoreFolderSync, IgnoreSyncFile: d.IgnoreSyncFile}
-	for k, file := range d.live {
-		out.live[key(k)] = of(file)
+	key := func(entry entryKey) entryKey { return entryKey{copyOf(entry.directory), entry.name} }
+	result := &MemoryDisk{root: copyOf(d.root), live: directoryEntries{}, durable: directoryEntries{}, operationCount: d.operationCount,
+		ignoreDirectorySyncs: d.ignoreDirectorySyncs, IgnoreFileSyncs: d.IgnoreFileSyncs}
+	for entry, file := range d.live {
+		result.live[key(entry)] = copyOf(file)
 	}
-	for k, file := range d.durable {
-		out.durable[key(k)] = of(file)
+	for entry, file := range d.durable {
+		result.durable[key(entry)] = copyOf(file)
 	}
 	for _, change := range d.pending {
-		out.pending = append(out.pending, nameChange{key(change.from), key(change.to), of(change.node)})
+		result.pending = append(result.pending, entryChange{key(change.from), key(change.to), copyOf(change.node)})
 	}
-	return out
+	return result
 }
 
-func (d *MemoryDisk) change(c nameChange) {
+func (d *MemoryDisk) changeEntry(c entryChange) {
 	c.apply(d.live)
 	d.pending = append(d.pending, c)
 }
 
 // key is where a path stands: a name, or one in a folder.
-func (d *MemoryDisk) key(path string) (nameKey, error) {
-	folder, name, nested := strings.Cut(path, "/")
+func (d *MemoryDisk) key(path string) (entryKey, error) {
+	directory, name, nested := strings.Cut(path, "/")
 	if !nested {
-		return nameKey{d.root, path}, nil
+		return entryKey{d.root, path}, nil
 	}
-	inside := d.live[nameKey{d.root, folder}]
-	if inside == nil {
-		return nameKey{}, os.ErrNotExist
+	parent := d.live[entryKey{d.root, directory}]
+	if parent == nil {
+		return entryKey{}, os.ErrNotExist
 	}
-	return nameKey{inside, name}, nil
+	return entryKey{parent, name}, nil
 }
 
-func (d *MemoryDisk) find(path string) (nameKey, *node, error) {
+func (d *MemoryDisk) find(path string) (entryKey, *node, error) {
 	key, err := d.key(path)
 	if err != nil {
 		return key, nil, err
@@ -176,14 +176,14 @@
 func (d *MemoryDisk) MakeDirectory(name string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	key := nameKey{d.root, name}
+	key := entryKey{d.root, name}
 	if d.live[key] != nil {
 		return nil
 	}
-	if err := d.operate(); err != nil {
+	if err := d.beginOperation(); err != nil {
 		return err
 	}
-	d.change(nameChange{to: key, node: &node{}})
+	d.changeEntry(entryChange{to: key, node: &node{}})
 	return nil
 }
 
@@ -199,38 +199,38 @@
 	if err != nil {
 		return err
 	}
-	if err := d.operate(); err != nil {
+	if err := d.beginOperation(); err != nil {
 		return err
 	}
-	d.change(nameChange{source, target, file})
+	d.changeEntry(entryChange{source, target, file})
 	return nil
 }
 
 // SyncDirectory brings the names in a folder to the disk; the empty name is that of the outer folder.
 func (d *MemoryDisk) SyncDirectory(name string) error {
 	d.mu.Lock()
-	ignore := d.ignoreFolderSync
+	ignore := d.ignoreDirectorySyncs
 	d.mu.Unlock()
 	if ignore {
 		return nil
 	}
-	return d.syncNames(name)
+	return d.syncEntries(name)
 }
 
-func (d *MemoryDisk) syncNames(name string) error {
+func (d *MemoryDisk) syncEntries(name string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	folder := d.root
+	directory := d.root
 	if name != "" {
-		if folder = d.live[nameKey{d.root, name}]; folder == nil {
+		if directory = d.live[entryKey{d.root, name}]; directory == nil {
 			return os.ErrNotExist
 		}
 	}
-	if err := d.operate(); err != nil {
+	if err := d.beginOperation(); err != nil {
 		return err
 	}
-	d.pending = slices.DeleteFunc(d.pending, func(c nameChange) bool {
-		if c.from.folder != folder && c.to.folder != folder {
+	d.pending = slices.DeleteFunc(d.pending, func(c entryChange) bool {
+		if c.from.directory != directory && c.to.directory != directory {
 			return false
 		}
 		c.apply(d.durable)
@@ -246,18 +246,18 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := d.operate(); err != nil {
+	if err := d.beginOperation(); err != nil {
 		return nil, err
 	}
 	file := &node{}
-	d.change(nameChange{to: key, node: file})
+	d.changeEntry(entryChange{to: key, node: file})
 	return file, nil
 }
 
 func (d *MemoryDisk) write(file *node, data []byte) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.operate(); err != nil {
+	if err := d.beginOperation(); err != nil {
 		return err
 	}
 	file.unsynced = append(file.unsynced, slices.Clone(data))
@@ -267,7 +267,7 @@
 func (d *MemoryDisk) sync(file *node) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.operate(); err != nil {
+	if err := d.beginOperation(); err != nil {
 		return err
 	}
 	file.synced, file.unsynced = file.content(), nil
@@ -301,28 +301,28 @@
 	if err != nil {
 		return err
 	}
-	if err := d.operate(); err != nil {
+	if err := d.beginOperation(); err != nil {
 		return err
 	}
-	d.change(nameChange{from: key, node: file})
+	d.changeEntry(entryChange{from: key, node: file})
 	return nil
 }
 
-func (d *MemoryDisk) list(folder string) (all []string) {
+func (d *MemoryDisk) list(directory string) (entries []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	inside := d.live[nameKey{d.root, folder}]
+	parent := d.live[entryKey{d.root, directory}]
 	for key := range d.live {
-		if key.folder == inside {
-			all = append(all, key.name)
+		if key.directory == parent {
+			entries = append(entries, key.name)
 		}
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(entries)
+	return entries
 }
 
-// Damage overwrites the middle of a file, as a fault of the disk itself would.
-func (d *MemoryDisk) Damage(path string) error {
+// Corrupt overwrites the middle of a file, as a fault of the disk itself would.
+func (d *MemoryDisk) Corrupt(path string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	_, file, err := d.find(path)
@@ -336,24 +336,24 @@
 	return nil
 }
 
-// Files lists the files in a folder.
-func (d *MemoryDisk) Files(folder string) []string { return d.list(folder) }
+// ListFiles lists the files in a folder.
+func (d *MemoryDisk) ListFiles(directory string) []string { return d.list(directory) }
 
 // The fates of an unsynced write.
 const (
 	writeMissing = iota
-	writeThere
+	writeKept
 	writeTorn
-	writeFates
+	writeFateCount
 )
 
 // AfterPowerLoss calls take with disks that a loss of power at this moment may leave: every one up to a bound, beyond it as
 // many seeded samples, with those among them in which names, or writes, are all kept or all lost.
-func (d *MemoryDisk) AfterPowerLoss(bound int, seed uint64, take func(*MemoryDisk)) (states int) {
+func (d *MemoryDisk) AfterPowerLoss(limit int, seed uint64, visit func(*MemoryDisk)) (states int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.stopped != nil {
-		return d.stopped.AfterPowerLoss(bound, seed, take)
+	if d.atPowerLoss != nil {
+		return d.atPowerLoss.AfterPowerLoss(limit, seed, visit)
 	}
 	files := d.unsyncedFiles()
 	writes := 0
@@ -361,22 +361,22 @@
 		writes += len(file.unsynced)
 	}
 	combinations := 1
-	for n := 0; n < writes && combinations <= bound; n++ {
-		combinations *= writeFates
+	for n := 0; n < writes && combinations <= limit; n++ {
+		combinations *= writeFateCount
 	}
-	for n := 0; n < len(d.pending) && combinations <= bound; n++ {
+	for n := 0; n < len(d.pending) && combinations <= limit; n++ {
 		combinations *= 2
 	}
-	random := rand.New(rand.NewPCG(seed, uint64(d.operations)))
-	for n := range min(combinations, bound) {
-		choose := func(of int) int { return random.IntN(of) }
+	random := rand.New(rand.NewPCG(seed, uint64(d.operationCount)))
+	for n := range min(combinations, limit) {
+		choose := func(choices int) int { return random.IntN(choices) }
 		switch rest := n; {
-		case combinations <= bound:
-			choose = func(of int) int { chosen := rest % of; rest /= of; return chosen }
+		case combinations <= limit:
+			choose = func(choices int) int { chosen := rest % choices; rest /= choices; return chosen }
 		case n < 4: // names lost or kept, writes missing or there
-			choose = func(of int) int { return (n >> (of - 2)) & 1 }
+			choose = func(choices int) int { return (n >> (choices - 2)) & 1 }
 		}
-		take(d.outcome(files, choose))
+		visit(d.stateAfterPowerLoss(files, choose))
 		states++
 	}
 	return states
@@ -398,53 +398,53 @@
 	return files
 }
 
-// outcome is one disk that may be left.
-func (d *MemoryDisk) outcome(files []*node, choose func(of int) int) *MemoryDisk {
-	left := NewMemoryDisk()
-	left.root, left.ignoreFolderSync, left.IgnoreSyncFile = d.root, d.ignoreFolderSync, d.IgnoreSyncFile
-	after := names{}
+// stateAfterPowerLoss is one disk that may be left.
+func (d *MemoryDisk) stateAfterPowerLoss(files []*node, choose func(of int) int) *MemoryDisk {
+	state := NewMemoryDisk()
+	state.root, state.ignoreDirectorySyncs, state.IgnoreFileSyncs = d.root, d.ignoreDirectorySyncs, d.IgnoreFileSyncs
+	entriesAfter := directoryEntries{}
 	for key, file := range d.durable {
-		after[key] = file
+		entriesAfter[key] = file
 	}
 	for _, change := range d.pending {
 		if choose(2) == 1 {
-			change.apply(after)
+			change.apply(entriesAfter)
 		}
 	}
 	contents := map[*node]*node{d.root: d.root}
 	for _, file := range files {
-		contents[file] = &node{synced: file.tear(choose)}
+		contents[file] = &node{synced: file.contentAfterPowerLoss(choose)}
 	}
-	copied := func(file *node) *node {
+	copyOf := func(file *node) *node {
 		if contents[file] == nil {
 			contents[file] = &node{synced: slices.Clone(file.synced)}
 		}
 		return contents[file]
 	}
-	for key, file := range after {
-		left.live[nameKey{copied(key.folder), key.name}] = copied(file)
+	for key, file := range entriesAfter {
+		state.live[entryKey{copyOf(key.directory), key.name}] = copyOf(file)
 	}
-	for key, file := range left.live {
-		left.durable[key] = file
+	for key, file := range state.live {
+		state.durable[key] = file
 	}
-	return left
+	return state
 }
 
-// tear is what is left of a file whose last writes were not synced. A missing write before one that is there leaves zeros.
-func (n *node) tear(choose func(of int) int) []byte {
+// contentAfterPowerLoss is what is left of a file whose last writes were not synced. A missing write before one that is there leaves zeros.
+func (n *node) contentAfterPowerLoss(choose func(of int) int) []byte {
 	data := slices.Clone(n.synced)
 	end := len(data)
 	for _, write := range n.unsynced {
-		place := make([]byte, len(write))
-		switch choose(writeFates) {
-		case writeThere:
-			copy(place, write)
+		written := make([]byte, len(write))
+		switch choose(writeFateCount) {
+		case writeKept:
+			copy(written, write)
 			end = len(data) + len(write)
 		case writeTorn:
-			copy(place, write[:len(write)/2])
+			copy(written, write[:len(write)/2])
 			end = len(data) + len(write)
 		}
-		data = append(data, place...)
+		data = append(data, written...)
 	}
 	return data[:end]
 }
--- a/internal/mesh/testmesh/memory_storage.go
+++ b/internal/mesh/testmesh/memory_storage.go
@@ -14,8 +14,8 @@
 // memoryStorage is goleveldb's storage in a folder of a MemoryDisk, with the steps of its own storage of files: CURRENT is
 // backed up, written under a name of its own, renamed, and the folder synced.
 type memoryStorage struct {
-	disk   *MemoryDisk
-	folder string
+	disk      *MemoryDisk
+	directory string
 }
 
 const (
@@ -24,27 +24,27 @@
 )
 
 // OpenStorage opens goleveldb's files in a folder.
-func (d *MemoryDisk) OpenStorage(folder string) (storage.Storage, error) {
-	return memoryStorage{d, folder}, nil
+func (d *MemoryDisk) OpenStorage(directory string) (storage.Storage, error) {
+	return memoryStorage{d, directory}, nil
 }
 
 // SyncFile brings one of goleveldb's files to the disk.
-func (d *MemoryDisk) SyncFile(folder string, file storage.FileDesc) error {
-	if d.IgnoreSyncFile {
+func (d *MemoryDisk) SyncFile(directory string, file storage.FileDesc) error {
+	if d.IgnoreFileSyncs {
 		return nil
 	}
-	return d.syncPath(folder + "/" + file.String())
+	return d.syncPath(directory + "/" + file.String())
 }
 
-func (s memoryStorage) path(name string) string { return s.folder + "/" + name }
+func (s memoryStorage) path(name string) string { return s.directory + "/" + name }
 
-func (s memoryStorage) Lock() (storage.Locker, error) { return unlocked{}, nil }
+func (s memoryStorage) Lock() (storage.Locker, error) { return noopLocker{}, nil }
 func (s memoryStorage) Log(string)                    {}
 func (s memoryStorage) Close() error                  { return nil }
 
-type unlocked struct{}
+type noopLocker struct{}
 
-func (unlocked) Unlock() {}
+func (noopLocker) Unlock() {}
 
 func (s memoryStorage) writeSynced(name, content string) error {
 	file, err := s.disk.create(s.path(name))
@@ -60,11 +60,11 @@
 // SetMeta names the current manifest.
 func (s memoryStorage) SetMeta(fd storage.FileDesc) error {
 	content := fd.String() + "\n"
-	if before, err := s.disk.read(s.path(currentName)); err == nil {
-		if string(before) == content {
+	if previous, err := s.disk.read(s.path(currentName)); err == nil {
+		if string(previous) == content {
 			return nil
 		}
-		if err := s.writeSynced(currentBackup, string(before)); err != nil {
+		if err := s.writeSynced(currentBackup, string(previous)); err != nil {
 			return err
 		}
 	}
@@ -75,7 +75,7 @@
 	if err := s.disk.Rename(s.path(name), s.path(currentName)); err != nil {
 		return err
 	}
-	return s.disk.syncNames(s.folder) // goleveldb's own
+	return s.disk.syncEntries(s.directory) // goleveldb's own
 }
 
 // GetMeta finds the current manifest: the newest of a pending one and CURRENT, else the backup.
@@ -100,7 +100,7 @@
 	if !try(currentName) {
 		try(currentBackup)
 	}
-	for _, name := range s.disk.list(s.folder) {
+	for _, name := range s.disk.list(s.directory) {
 		if _, err := strconv.Atoi(strings.TrimPrefix(name, currentName+".")); err == nil {
 			pending = append(pending, name)
 			try(name)
@@ -122,27 +122,27 @@
 	if err != nil {
 		return fd, err
 	}
-	line, whole := bytes.CutSuffix(content, []byte("\n"))
-	fd, is := parseName(string(line))
-	if !whole || !is {
+	line, complete := bytes.CutSuffix(content, []byte("\n"))
+	fd, valid := parseFileName(string(line))
+	if !complete || !valid {
 		return fd, &storage.ErrCorrupted{Err: errors.New("corrupted or incomplete CURRENT file")}
 	}
 	_, err = s.disk.read(s.path(fd.String()))
 	return fd, err
 }
 
-func parseName(name string) (fd storage.FileDesc, is bool) {
+func parseFileName(name string) (fd storage.FileDesc, valid bool) {
 	if _, err := fmt.Sscanf(name, "MANIFEST-%d", &fd.Num); err == nil {
 		fd.Type = storage.TypeManifest
 		return fd, true
 	}
-	number, kind, _ := strings.Cut(name, ".")
+	number, extension, _ := strings.Cut(name, ".")
 	num, err := strconv.ParseInt(number, 10, 64)
 	if err != nil {
 		return fd, false
 	}
 	fd.Num = num
-	switch kind {
+	switch extension {
 	case "log":
 		fd.Type = storage.TypeJournal
 	case "ldb":
@@ -155,13 +155,13 @@
 	return fd, true
 }
 
-func (s memoryStorage) List(kind storage.FileType) (all []storage.FileDesc, _ error) {
-	for _, name := range s.disk.list(s.folder) {
-		if fd, is := parseName(name); is && fd.Type&kind != 0 {
-			all = append(all, fd)
+func (s memoryStorage) List(kind storage.FileType) (files []storage.FileDesc, _ error) {
+	for _, name := range s.disk.list(s.directory) {
+		if fd, valid := parseFileName(name); valid && fd.Type&kind != 0 {
+			files = append(files, fd)
 		}
 	}
-	return all, nil
+	return files, nil
 }
 
 func (s memoryStorage) Open(fd storage.FileDesc) (storage.Reader, error) {
@@ -209,7 +209,7 @@
 		return err
 	}
 	if w.fd.Type == storage.TypeManifest {
-		return w.storage.disk.syncNames(w.storage.folder)
+		return w.storage.disk.syncEntries(w.storage.directory)
 	}
 	return nil
 }
--- a/internal/mesh/testmesh/messages.go
+++ b/internal/mesh/testmesh/messages.go
@@ -9,13 +9,13 @@
 // TransportForKind is Transport for consensus messages of one kind alone (consensus.Accept and the like): all others pass.
 func (l *Links) TransportForKind(from, kind string) func(http.RoundTripper) http.RoundTripper {
 	return func(next http.RoundTripper) http.RoundTripper {
-		return &kindTransport{begin: []byte(`{"Kind":"` + kind + `"`), faulty: l.Transport(from)(next), next: next}
+		return &kindTransport{prefix: []byte(`{"Kind":"` + kind + `"`), faulty: l.Transport(from)(next), next: next}
 	}
 }
 
 // kindTransport tells messages by how their JSON begins.
 type kindTransport struct {
-	begin        []byte
+	prefix       []byte
 	faulty, next http.RoundTripper
 }
 
@@ -34,7 +34,7 @@
 	}
 	r = r.Clone(r.Context())
 	r.Body = io.NopCloser(bytes.NewReader(body))
-	if bytes.HasPrefix(body, t.begin) {
+	if bytes.HasPrefix(body, t.prefix) {
 		return t.faulty.RoundTrip(r)
 	}
 	return t.next.RoundTrip(r)
--- a/internal/mesh/testmesh/operator.go
+++ b/internal/mesh/testmesh/operator.go
@@ -15,7 +15,7 @@
 
 // Outcomes of an order.
 const (
-	OutcomeUnclear   Outcome = iota // no answer, or one that says nothing: it may count, now or later
+	OutcomeUnknown   Outcome = iota // no answer, or one that says nothing: it may count, now or later
 	OutcomeConfirmed                // 200
 	OutcomeStale                    // 412
 	OutcomeInvalid                  // 400
@@ -25,31 +25,31 @@
 	return [...]string{"unclear", "confirmed", "stale", "invalid"}[o]
 }
 
-// Order is one order of an operator. Its tries are alike byte for byte.
-type Order struct {
-	ID      int // unique among those of a test; stands in the configuration
-	Base    int64
-	Edition int64
-	Body    string
+// Update is one order of an operator. Its tries are alike byte for byte.
+type Update struct {
+	ID          int // unique among those of a test; stands in the configuration
+	BaseVersion int64
+	Version     int64
+	Body        string
 }
 
-// NewOrder makes an order that replaces the whole configuration.
-func NewOrder(id int, base, edition int64) *Order {
+// NewUpdate makes an order that replaces the whole configuration.
+func NewUpdate(id int, baseVersion, version int64) *Update {
 	body := fmt.Sprintf(`{"Edition":%d,"Depots":[{"Name":"album","HealthPath":"/health"}],"PostOffices":[{"Town":"a.example","Regulations":[`+
-		`{"Name":"order-%d","MailClass":"repeatable","Sorting":{"StreetPrefix":"/"},"Dispatch":{"Destination":"album","Deadline":"2000ms","DeliveryTries":2}}]}]}`, edition, id)
-	return &Order{ID: id, Base: base, Edition: edition, Body: body}
+		`{"Name":"order-%d","MailClass":"repeatable","Sorting":{"StreetPrefix":"/"},"Dispatch":{"Destination":"album","Deadline":"2000ms","DeliveryTries":2}}]}]}`, version, id)
+	return &Update{ID: id, BaseVersion: baseVersion, Version: version, Body: body}
 }
 
-// Answer is one answer to an operator; Status 0 stands for none.
-type Answer struct {
-	Status int
-	Text   string
-	Took   time.Duration
+// Response is one answer to an operator; Status 0 stands for none.
+type Response struct {
+	Status   int
+	Text     string
+	Duration time.Duration
 }
 
 // Outcome is what an answer to an order says of it.
-func (a Answer) Outcome() Outcome {
-	switch a.Status {
+func (r Response) Outcome() Outcome {
+	switch r.Status {
 	case http.StatusOK:
 		return OutcomeConfirmed
 	case http.StatusPreconditionFailed:
@@ -57,7 +57,7 @@
 	case http.StatusBadRequest:
 		return OutcomeInvalid
 	}
-	return OutcomeUnclear
+	return OutcomeUnknown
 }
 
 // OperatorHost names the operators' end of a link to a control machine.
@@ -65,37 +65,37 @@
 
 // Operator calls control machines over links that may be in trouble, and moves on after a second of silence.
 type Operator struct {
-	Controls []string // addresses
-	client   *http.Client
+	Controllers []string // addresses
+	client      *http.Client
 }
 
 // NewOperator makes an operator who knows some control machines.
-func NewOperator(links *Links, controls []string) *Operator {
+func NewOperator(links *Links, controllers []string) *Operator {
 	transport := links.Transport(OperatorHost)(&http.Transport{DisableKeepAlives: true})
-	return &Operator{Controls: controls, client: &http.Client{Transport: transport, Timeout: time.Second}}
+	return &Operator{Controllers: controllers, client: &http.Client{Transport: transport, Timeout: time.Second}}
 }
 
 // Send tries an order once at one machine.
-func (o *Operator) Send(ctx context.Context, at int, order *Order) Answer {
-	return o.Call(ctx, at, "timetable.replace", strconv.FormatInt(order.Base, 10), order.Body)
+func (o *Operator) Send(ctx context.Context, controller int, update *Update) Response {
+	return o.Call(ctx, controller, "timetable.replace", strconv.FormatInt(update.BaseVersion, 10), update.Body)
 }
 
 // Call makes one call at one machine.
-func (o *Operator) Call(ctx context.Context, at int, call, match, body string) Answer {
-	began := time.Now()
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+o.Controls[at]+"/-/rpc?call="+call, strings.NewReader(body))
+func (o *Operator) Call(ctx context.Context, controller int, method, ifMatch, body string) Response {
+	start := time.Now()
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+o.Controllers[controller]+"/-/rpc?call="+method, strings.NewReader(body))
 	if err != nil {
-		return Answer{Text: err.Error()}
+		return Response{Text: err.Error()}
 	}
-	r.Header.Set("If-Match", match)
-	w, err := o.client.Do(r)
+	request.Header.Set("If-Match", ifMatch)
+	response, err := o.client.Do(request)
 	if err != nil {
-		return Answer{Text: err.Error(), Took: time.Since(began)}
+		return Response{Text: err.Error(), Duration: time.Since(start)}
 	}
-	defer w.Body.Close()
-	text, err := io.ReadAll(w.Body)
+	defer response.Body.Close()
+	text, err := io.ReadAll(response.Body)
 	if err != nil {
-		return Answer{Text: err.Error(), Took: time.Since(began)}
+		return Response{Text: err.Error(), Duration: time.Since(start)}
 	}
-	return Answer{Status: w.StatusCode, Text: string(text), Took: time.Since(began)}
+	return Response{Status: response.StatusCode, Text: string(text), Duration: time.Since(start)}
 }
--- a/internal/mesh/testmesh/partner.go
+++ b/internal/mesh/testmesh/partner.go
@@ -15,79 +15,79 @@
 type Partner struct {
 	Name, Address string
 
-	server  *http.Server
-	mu      sync.Mutex
-	edition int64
-	methods []string
-	since   int64 // edition from which on effects are forbidden without a break, 0 for not
-	told    int64 // edition up to which narrowings were reported done
-	toldAt  time.Time
-	saidAt  time.Time
-	news    chan struct{}
-	runs    map[string]int
-	effects map[string]bool
-	kept    []string // effects that ran after the narrowing that forbids them was reported done
+	server               *http.Server
+	mu                   sync.Mutex
+	version              int64
+	methods              []string
+	writesForbiddenSince int64 // edition from which on effects are forbidden without a break, 0 for not
+	reportedVersion      int64 // edition up to which narrowings were reported done
+	reportedAt           time.Time
+	publishedAt          time.Time
+	changed              chan struct{}
+	runs                 map[string]int
+	writes               map[string]bool
+	forbiddenWrites      []string // effects that ran after the narrowing that forbids them was reported done
 }
 
 // NewPartner serves at an address; it lets reads and effects in.
 func NewPartner(name, address string) (*Partner, error) {
-	l, err := net.Listen("tcp4", address)
+	listener, err := net.Listen("tcp4", address)
 	if err != nil {
 		return nil, err
 	}
-	p := &Partner{Name: name, Address: l.Addr().String(), news: make(chan struct{}), runs: map[string]int{}, effects: map[string]bool{}}
-	p.Say("GET", "POST")
+	p := &Partner{Name: name, Address: listener.Addr().String(), changed: make(chan struct{}), runs: map[string]int{}, writes: map[string]bool{}}
+	p.SetMethods("GET", "POST")
 	p.server = &http.Server{Handler: http.HandlerFunc(p.serve)}
-	go p.server.Serve(l)
+	go p.server.Serve(listener)
 	return p, nil
 }
 
 // Stop ends it.
 func (p *Partner) Stop() { p.server.Close() }
 
-// Say is its next word: which methods it lets in.
-func (p *Partner) Say(methods ...string) int64 {
+// SetMethods is its next word: which methods it lets in.
+func (p *Partner) SetMethods(methods ...string) int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.edition++
-	p.methods, p.saidAt = methods, time.Now()
-	open := false
-	for _, m := range methods {
-		open = open || m == "POST"
+	p.version++
+	p.methods, p.publishedAt = methods, time.Now()
+	allowsWrites := false
+	for _, method := range methods {
+		allowsWrites = allowsWrites || method == "POST"
 	}
-	if open {
-		p.since = 0
-	} else if p.since == 0 {
-		p.since = p.edition
+	if allowsWrites {
+		p.writesForbiddenSince = 0
+	} else if p.writesForbiddenSince == 0 {
+		p.writesForbiddenSince = p.version
 	}
-	close(p.news)
-	p.news = make(chan struct{})
-	return p.edition
+	close(p.changed)
+	p.changed = make(chan struct{})
+	return p.version
 }
 
-// Told is the edition up to which it has been told that nothing goes any more where it forbids it, and how long that took.
-func (p *Partner) Told() (edition int64, took time.Duration) {
+// ReportedVersion is the edition up to which it has been told that nothing goes any more where it forbids it, and how long that took.
+func (p *Partner) ReportedVersion() (version int64, took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.told, p.toldAt.Sub(p.saidAt)
+	return p.reportedVersion, p.reportedAt.Sub(p.publishedAt)
 }
 
-// Kept are effects that ran after the narrowing that forbids them was reported done.
-func (p *Partner) Kept() []string {
+// ForbiddenWrites are effects that ran after the narrowing that forbids them was reported done.
+func (p *Partner) ForbiddenWrites() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return append([]string{}, p.kept...)
+	return append([]string{}, p.forbiddenWrites...)
 }
 
-// Ran is how often each attempt ran, and how many effects did.
-func (p *Partner) Ran() (all map[string]int, effects int) {
+// Runs is how often each attempt ran, and how many effects did.
+func (p *Partner) Runs() (runs map[string]int, writes int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	all = map[string]int{}
+	runs = map[string]int{}
 	for id, n := range p.runs {
-		all[id] = n
+		runs[id] = n
 	}
-	return all, len(p.effects)
+	return runs, len(p.writes)
 }
 
 func (p *Partner) serve(w http.ResponseWriter, r *http.Request) {
@@ -95,20 +95,20 @@
 	case "/-/exports":
 		have, _ := strconv.ParseInt(r.URL.Query().Get("have"), 10, 64)
 		wait, _ := strconv.Atoi(r.URL.Query().Get("wait"))
-		until := time.NewTimer(time.Duration(wait) * time.Millisecond)
-		defer until.Stop()
+		timeout := time.NewTimer(time.Duration(wait) * time.Millisecond)
+		defer timeout.Stop()
 		for {
 			p.mu.Lock()
-			edition, methods, news := p.edition, p.methods, p.news
+			version, methods, changed := p.version, p.methods, p.changed
 			p.mu.Unlock()
-			if edition != have {
-				json.NewEncoder(w).Encode(map[string]any{"Partner": p.Name, "Edition": edition, "Lease": "6s", "Exports": []any{
+			if version != have {
+				json.NewEncoder(w).Encode(map[string]any{"Partner": p.Name, "Edition": version, "Lease": "6s", "Exports": []any{
 					map[string]any{"Service": "scans", "Town": p.Name + ".example", "StreetPrefix": "/scans/", "Methods": methods}}})
 				return
 			}
 			select {
-			case <-news:
-			case <-until.C:
+			case <-changed:
+			case <-timeout.C:
 				w.WriteHeader(http.StatusNotModified)
 				return
 			case <-r.Context().Done():
@@ -116,27 +116,27 @@
 			}
 		}
 	case "/-/narrowed":
-		var said struct{ Edition int64 }
-		if json.NewDecoder(r.Body).Decode(&said) != nil {
+		var report struct{ Edition int64 }
+		if json.NewDecoder(r.Body).Decode(&report) != nil {
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
 		p.mu.Lock()
-		if said.Edition > p.told {
-			p.told, p.toldAt = said.Edition, time.Now()
+		if report.Edition > p.reportedVersion {
+			p.reportedVersion, p.reportedAt = report.Edition, time.Now()
 		}
 		p.mu.Unlock()
 		return
 	}
 	id := r.Header.Get("X-Attempt-Id")
 	io.Copy(io.Discard, r.Body)
-	effect := r.Method != http.MethodGet && r.Method != http.MethodHead
+	isWrite := r.Method != http.MethodGet && r.Method != http.MethodHead
 	p.mu.Lock()
 	p.runs[id]++
-	if effect {
-		p.effects[id] = true
-		if p.since > 0 && p.told >= p.since {
-			p.kept = append(p.kept, fmt.Sprintf("%s %s by table %s", r.Method, id, r.Header.Get("X-Import-Edition")))
+	if isWrite {
+		p.writes[id] = true
+		if p.writesForbiddenSince > 0 && p.reportedVersion >= p.writesForbiddenSince {
+			p.forbiddenWrites = append(p.forbiddenWrites, fmt.Sprintf("%s %s by table %s", r.Method, id, r.Header.Get("X-Import-Edition")))
 		}
 	}
 	p.mu.Unlock()
--- a/internal/mesh/testmesh/plan.go
+++ b/internal/mesh/testmesh/plan.go
@@ -9,17 +9,17 @@
 	"ottershift/internal/mesh/settings"
 )
 
-// ports finds ports that are free at this moment on an address.
-func ports(host string, n int) (all []int, err error) {
+// freePorts finds ports that are free at this moment on an address.
+func freePorts(host string, n int) (ports []int, err error) {
 	for range n {
-		l, err := net.Listen("tcp4", host+":0")
+		listener, err := net.Listen("tcp4", host+":0")
 		if err != nil {
 			return nil, err
 		}
-		defer l.Close()
-		all = append(all, l.Addr().(*net.TCPAddr).Port)
+		defer listener.Close()
+		ports = append(ports, listener.Addr().(*net.TCPAddr).Port)
 	}
-	return all, nil
+	return ports, nil
 }
 
 // Mesh is the settings of a whole mesh on loopback: each machine has an address of its own, and all use the same ports.
@@ -27,41 +27,41 @@
 	Controllers, Proxies []*settings.Settings
 }
 
-var nextNet atomic.Int32
+var nextSubnet atomic.Int32
 
 // Plan lays a mesh out: so many controllers and proxies, zones and services by turns.
 func Plan(controllers, proxies int, zones, services []string, dir string) (*Mesh, error) {
-	third := int(nextNet.Add(1)) + 20
-	host := func(n int) string { return fmt.Sprintf("127.77.%d.%d", third, n+1) }
-	p, err := ports(host(0), 6)
+	subnet := int(nextSubnet.Add(1)) + 20
+	host := func(n int) string { return fmt.Sprintf("127.77.%d.%d", subnet, n+1) }
+	ports, err := freePorts(host(0), 6)
 	if err != nil {
 		return nil, err
 	}
-	at := func(n, port int) string { return host(n) + ":" + strconv.Itoa(p[port]) }
+	address := func(n, port int) string { return host(n) + ":" + strconv.Itoa(ports[port]) }
 	var seeds []string
 	for n := range min(controllers, 3) {
-		seeds = append(seeds, at(n, 0))
+		seeds = append(seeds, address(n, 0))
 	}
-	m := &Mesh{}
-	base := func(n int) *settings.Settings {
-		b := settings.Default()
-		b.IP, b.Zone, b.Seeds, b.FirstInternalPort, b.LastInternalPort = host(n), zones[n%len(zones)], seeds, p[1], p[1]
-		b.FirstStart, b.Tolerate.Machines, b.ControlAddress = true, 1, at(n, 0)
-		for _, z := range zones {
-			b.RegionOfZone[z] = "p"
+	mesh := &Mesh{}
+	newSettings := func(n int) *settings.Settings {
+		cfg := settings.Default()
+		cfg.IP, cfg.Zone, cfg.Seeds, cfg.FirstInternalPort, cfg.LastInternalPort = host(n), zones[n%len(zones)], seeds, ports[1], ports[1]
+		cfg.FirstStart, cfg.Tolerate.Machines, cfg.ControlAddress = true, 1, address(n, 0)
+		for _, zone := range zones {
+			cfg.RegionOfZone[zone] = "p"
 		}
-		return b
+		return cfg
 	}
 	for n := range controllers {
-		b := base(n)
-		b.Node, b.DataDir = fmt.Sprintf("controller-%d", n), fmt.Sprintf("%s/controller-%d", dir, n)
-		m.Controllers = append(m.Controllers, b)
+		cfg := newSettings(n)
+		cfg.Node, cfg.DataDir = fmt.Sprintf("controller-%d", n), fmt.Sprintf("%s/controller-%d", dir, n)
+		mesh.Controllers = append(mesh.Controllers, cfg)
 	}
 	for n := range proxies {
-		b := base(controllers + n)
-		b.Node, b.Service = fmt.Sprintf("proxy-%d", n), services[n%len(services)]
-		b.InboundAddress, b.OutboundAddress, b.ReadinessAddress, b.UpstreamAddress = at(controllers+n, 2), at(controllers+n, 3), at(controllers+n, 4), at(controllers+n, 5)
-		m.Proxies = append(m.Proxies, b)
+		cfg := newSettings(controllers + n)
+		cfg.Node, cfg.Service = fmt.Sprintf("proxy-%d", n), services[n%len(services)]
+		cfg.InboundAddress, cfg.OutboundAddress, cfg.ReadinessAddress, cfg.UpstreamAddress = address(controllers+n, 2), address(controllers+n, 3), address(controllers+n, 4), address(controllers+n, 5)
+		mesh.Proxies = append(mesh.Proxies, cfg)
 	}
-	return m, nil
+	return mesh, nil
 }
--- a/internal/mesh/testmesh/process.go
+++ b/internal/mesh/testmesh/process.go
@@ -12,11 +12,11 @@
 	"ottershift/internal/mesh/settings"
 )
 
-// Build builds the mesh's programs into a folder.
-func Build(dir string, programs ...string) error {
+// BuildPrograms builds the mesh's programs into a folder.
+func BuildPrograms(dir string, programs ...string) error {
 	for _, program := range programs {
-		if text, err := exec.Command("go", "build", "-o", filepath.Join(dir, program), "ottershift/cmd/"+program).CombinedOutput(); err != nil {
-			return fmt.Errorf("%s: %w: %s", program, err, text)
+		if output, err := exec.Command("go", "build", "-o", filepath.Join(dir, program), "ottershift/cmd/"+program).CombinedOutput(); err != nil {
+			return fmt.Errorf("%s: %w: %s", program, err, output)
 		}
 	}
 	return nil
@@ -28,9 +28,9 @@
 }
 
 // StartProcess starts a program that Build has built, with a settings file beside it. It ends with the process that started it.
-func StartProcess(dir, program string, b *settings.Settings) (*Process, error) {
-	file := filepath.Join(dir, b.Node+".conf")
-	if err := Write(b, file); err != nil {
+func StartProcess(dir, program string, cfg *settings.Settings) (*Process, error) {
+	file := filepath.Join(dir, cfg.Node+".conf")
+	if err := WriteSettings(cfg, file); err != nil {
 		return nil, err
 	}
 	command := exec.Command(filepath.Join(dir, program), "serve")
@@ -39,8 +39,8 @@
 	return &Process{command}, command.Start()
 }
 
-// Freeze has the process stand still; it does once this returns.
-func (p *Process) Freeze() error {
+// Suspend has the process stand still; it does once this returns.
+func (p *Process) Suspend() error {
 	if err := p.command.Process.Signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
@@ -60,11 +60,11 @@
 		return false, err
 	}
 	for _, thread := range threads {
-		text, err := os.ReadFile(thread)
+		stat, err := os.ReadFile(thread)
 		if err != nil {
 			return false, err
 		}
-		_, state, _ := strings.Cut(string(text), ") ") // behind the program's name
+		_, state, _ := strings.Cut(string(stat), ") ") // behind the program's name
 		if !strings.HasPrefix(state, "T") {
 			return false, nil
 		}
@@ -72,8 +72,8 @@
 	return len(threads) > 0, nil
 }
 
-// Thaw has it go on.
-func (p *Process) Thaw() error { return p.command.Process.Signal(syscall.SIGCONT) }
+// Resume has it go on.
+func (p *Process) Resume() error { return p.command.Process.Signal(syscall.SIGCONT) }
 
 // Kill ends it.
 func (p *Process) Kill() {
