--- a/internal/mesh/catch_up_test.go
+++ b/internal/mesh/catch_up_test.go
@@ -25,10 +25,10 @@
 	"ottershift/internal/mesh/testmesh"
 )
 
-// catchUpLimit is how long a member that comes back may take to hold the newest state: four turns of its own loop.
+// catchUpLimit is the time within which a restarted member must hold the newest state: four periods of its main loop.
 const catchUpLimit = 4 * time.Second
 
-// catchUpCore is a core of three with faults in its links and disks.
+// catchUpCore is a core of three controllers with faulty links and disks.
 type catchUpCore struct {
 	t       *testing.T
 	plan    *testmesh.Mesh
@@ -37,7 +37,7 @@
 	caller  *rpc.Client
 	disks   []*testmesh.Disk
 	stops   []func()
-	version atomic.Int64 // the newest that was acknowledged
+	version atomic.Int64 // the newest acknowledged version
 	routes  int
 }
 
@@ -53,7 +53,7 @@
 	})
 	for n := range plan.Controllers {
 		c.start(n, 0)
-		plan.Controllers[n].FirstStart = false // of all later starts
+		plan.Controllers[n].FirstStart = false // for later starts
 	}
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool {
 		status, _ := c.call(0, "timetable.replace", 0, catchUpConfiguration(routes, 1))
@@ -63,7 +63,7 @@
 	return c
 }
 
-// start starts a member, whose saves take so much longer.
+// start starts a member with a delay of its saves.
 func (c *catchUpCore) start(n int, saveDelay time.Duration) {
 	cfg := c.plan.Controllers[n]
 	must.NoError(c.t, os.MkdirAll(cfg.DataDir, 0o755))
@@ -102,7 +102,7 @@
 	return response.StatusCode, string(text)
 }
 
-// change makes so many changes, one after another, at a member.
+// change makes the given number of changes, one after another, at a member.
 func (c *catchUpCore) change(member, changes int) {
 	for range changes {
 		version, start := c.version.Load(), time.Now()
@@ -110,7 +110,7 @@
 		must.Wait(c.t, wait.InitialSuccess(wait.BoolFunc(func() bool {
 			status, text := c.call(member, "timetable.amend", version, body)
 			if status >= 400 && status < 500 {
-				c.t.Fatalf("amend: %d %s", status, text)
+				c.t.Fatalf("timetable.amend: %d %s", status, text)
 			}
 			return status == http.StatusOK
 		}), wait.Timeout(15*time.Second), wait.Gap(5*time.Millisecond)))
@@ -144,12 +144,12 @@
 		version, strings.Join(routesJSON, ","))
 }
 
-// dataDirMB is the size of a member's folder in MB.
+// dataDirMB returns the size of a member's data directory in MB.
 func (c *catchUpCore) dataDirMB(n int) float64 {
 	var bytes int64
 	must.NoError(c.t, filepath.WalkDir(c.plan.Controllers[n].DataDir, func(_ string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() {
-			return nil // removed meanwhile
+			return nil // removed in the meantime
 		}
 		if info, err := entry.Info(); err == nil {
 			bytes += info.Size()
@@ -159,16 +159,16 @@
 	return float64(bytes) / 1e6
 }
 
-// observation is what a member said while it caught up.
+// observation is the responses of a member while it caught up.
 type observation struct {
-	duration       time.Duration // until it held the newest state and had a vote
-	refused        int           // answers without a state: 503, or not current
-	staleOnDisk    int           // times at which an answer out of what it held would have been old
-	staleResponses []string      // answers with an old state
+	duration       time.Duration // until it held the newest state and could vote
+	refused        int           // reads that it rejected
+	staleOnDisk    int           // times at which its own state was stale and not reported as current
+	staleResponses []string      // responses with a stale state
 }
 
-// waitForCatchUp asks a member again and again, until it holds the newest state. For the first span of that time it is cut off.
-// Its vote is another one than gone.
+// waitForCatchUp polls a member until it holds the newest state and votes with another ID than previousID. After partitionedFor it
+// clears the faults of all links.
 func (c *catchUpCore) waitForCatchUp(n int, partitionedFor time.Duration, previousID string) (o observation) {
 	start := time.Now()
 	self := c.plan.Controllers[n].IP
@@ -183,7 +183,7 @@
 		switch {
 		case err != nil:
 		case status.State.Edition < acknowledged && status.Current:
-			o.staleResponses = append(o.staleResponses, fmt.Sprintf("current with %d after %d", status.State.Edition, acknowledged))
+			o.staleResponses = append(o.staleResponses, fmt.Sprintf("status current at version %d after version %d", status.State.Edition, acknowledged))
 		case status.State.Edition < acknowledged:
 			o.staleOnDisk++
 		case status.Current && memberIDAt(status.State.Core, self) != previousID:
@@ -196,14 +196,14 @@
 		case code != http.StatusOK:
 			o.refused++
 		case json.Unmarshal([]byte(text), &configuration) != nil || configuration.Edition < acknowledged:
-			o.staleResponses = append(o.staleResponses, fmt.Sprintf("200 with %d after %d", configuration.Edition, acknowledged))
+			o.staleResponses = append(o.staleResponses, fmt.Sprintf("fetch returned version %d after version %d", configuration.Edition, acknowledged))
 		}
 	}
-	c.t.Fatal("it has not caught up")
+	c.t.Fatal("member has not caught up within 20 s")
 	return o
 }
 
-// memberIDAt is the identity with a vote at an IP address, empty for none.
+// memberIDAt returns the ID of the voting member at an IP address, empty for none.
 func memberIDAt(core []consensus.Member, ip string) string {
 	for _, member := range core {
 		if strings.HasPrefix(member.Address, ip+":") {
@@ -213,7 +213,7 @@
 	return ""
 }
 
-// partition silences all links of a member.
+// partition drops all requests from and to a member.
 func (c *catchUpCore) partition(n int) {
 	for other, b := range c.plan.Controllers {
 		if other != n {
@@ -222,8 +222,8 @@
 	}
 }
 
-// A member that was away for half of many changes comes back with its disk, with none, with an old copy of it, or with a slow
-// one: it holds the newest state within a bound, and never says an old one before. More changes by OTTERSHIFT_CHANGES.
+// A member that missed half of the changes restarts with its disk, an empty disk, an old copy of its disk, or a slow disk. It must
+// hold the newest state within the limit and never serve a stale one. OTTERSHIFT_CHANGES sets the number of changes.
 func TestRestartedMemberCatchesUp(t *testing.T) {
 	changes := 4
 	if n, err := strconv.Atoi(os.Getenv("OTTERSHIFT_CHANGES")); err == nil {
@@ -241,7 +241,7 @@
 			cutFor  time.Duration
 		}{
 			{"its disk", func() {}, 0, 0},
-			{"its disk, cut off at first", func() { c.partition(member) }, 0, 700 * time.Millisecond},
+			{"its disk, partitioned at first", func() { c.partition(member) }, 0, 700 * time.Millisecond},
 			{emptyDisk, func() { must.NoError(t, os.RemoveAll(dir)) }, 0, 0},
 			{oldCopy, func() {
 				must.NoError(t, os.RemoveAll(dir))
@@ -255,7 +255,7 @@
 			c.change(0, changes-changes/2)
 			perChange := time.Since(start) / time.Duration(changes)
 			previousID := ""
-			if restart.name == emptyDisk || restart.name == oldCopy { // it comes back as a stranger
+			if restart.name == emptyDisk || restart.name == oldCopy { // it restarts with a new ID
 				status, err := c.status(0)
 				must.NoError(t, err)
 				previousID = memberIDAt(status.State.Core, c.plan.Controllers[member].IP)
@@ -263,12 +263,12 @@
 			restart.prepare()
 			c.start(member, restart.slower)
 			o := c.waitForCatchUp(member, restart.cutFor, previousID)
-			t.Logf("%d routes, %d changes (%v each), back with %s: %v to catch up; %d answers refused, %d would have been old from disk; %.1f MB on disk",
+			t.Logf("%d routes, %d changes (%v each), restart with %s: caught up after %v; %d reads rejected, %d times stale on disk; %.1f MB on disk",
 				routes, changes, perChange.Round(time.Microsecond), restart.name, o.duration.Round(time.Millisecond), o.refused, o.staleOnDisk, c.dataDirMB(0))
 			must.SliceEmpty(t, o.staleResponses)
 			must.Less(t, catchUpLimit, o.duration)
 			if restart.cutFor > 0 {
-				must.Positive(t, o.staleOnDisk) // convicted: a replica that answers from its disk without asking a majority
+				must.Positive(t, o.staleOnDisk) // else the test would not detect a replica that serves from its disk without a majority
 				must.Positive(t, o.refused)
 			}
 			if restart.name == emptyDisk {
@@ -283,7 +283,7 @@
 	}
 }
 
-// What a change of the member count costs on the wire, beside a configuration of many routes.
+// A change of the member count must send little in the core, however large the configuration is.
 func TestMemberCountChangeSendsLittle(t *testing.T) {
 	const rounds = 8
 	for _, routes := range []int{10, 4000} {
@@ -292,7 +292,7 @@
 		join := func() {
 			members++
 			node := membership.Node{Name: fmt.Sprintf("proxy-%d", members), Inbound: fmt.Sprintf("127.0.0.1:%d", 20000+members), Incarnation: "life", Seq: 1}
-			must.Wait(t, wait.InitialSuccess(wait.ErrorFunc(func() error { // its answer carries the whole configuration
+			must.Wait(t, wait.InitialSuccess(wait.ErrorFunc(func() error { // the response contains the whole configuration
 				ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 				defer cancel()
 				return c.caller.Call(ctx, c.plan.Controllers[0].InternalAddress(), rpc.PathWatch, &membership.WatchRequest{Node: node}, &membership.WatchResponse{})
@@ -302,17 +302,17 @@
 				return err == nil && status.State.BalancerCount == members
 			}), wait.Timeout(10*time.Second), wait.Gap(2*time.Millisecond)))
 		}
-		join() // the first one asks who holds what
+		join() // the first change makes the core exchange what each member holds
 		time.Sleep(300 * time.Millisecond)
 		sentBefore, start := c.meter.Sent(), time.Now()
 		for range rounds {
 			join()
 		}
-		time.Sleep(100 * time.Millisecond) // the last decision is still on its way
+		time.Sleep(100 * time.Millisecond) // the last decision is still being sent
 		perChange := (c.meter.Sent() - sentBefore) / rounds
 		status, err := c.status(0)
 		must.NoError(t, err)
-		t.Logf("%d routes, %d KB of configuration: %d bytes sent in the core for a change of the member count, gossip with it; %v each; %d compact requests not understood",
+		t.Logf("%d routes, %d KB of configuration: %d bytes sent in the core for a change of the member count, including gossip; %v each; %d compact requests repeated in full",
 			routes, len(status.State.Configuration)/1000, perChange, (time.Since(start) / rounds).Round(time.Millisecond), status.Counts["compact_lacking"])
 		must.Less(t, 100_000, perChange)
 		for n := range c.stops {
@@ -321,7 +321,7 @@
 	}
 }
 
-// After a loss of power of the whole core, with one member lost for good, the others serve what was acknowledged.
+// After the whole core has stopped and one member does not restart, the others serve what was acknowledged.
 func TestCoreRestartsWithoutOneMember(t *testing.T) {
 	c := startCatchUpCore(t, 10)
 	for lost := range c.stops {
@@ -345,7 +345,7 @@
 		readAfter := time.Since(start)
 		must.StrContains(t, text, fmt.Sprintf(`"Edition":%d,`, c.version.Load()))
 		c.change(member, 1)
-		t.Logf("without member %d: read after %v, changed after %v", lost, readAfter.Round(time.Millisecond), time.Since(start).Round(time.Millisecond))
+		t.Logf("without member %d: first read after %v, first change after %v", lost, readAfter.Round(time.Millisecond), time.Since(start).Round(time.Millisecond))
 		c.start(lost, 0)
 		must.SliceEmpty(t, c.waitForCatchUp(lost, 0, "").staleResponses)
 	}
--- a/internal/mesh/changes_under_requests_test.go
+++ b/internal/mesh/changes_under_requests_test.go
@@ -13,7 +13,8 @@
 	"ottershift/internal/mesh/rpc"
 )
 
-// changingConfig has the route of patientConfig with another deadline, or only another route.
+// changingConfig returns longDeadlineConfig with another target, deadline and keep-alive timeout, and with or without the route
+// that the requests use.
 func changingConfig(version int, hasOnceRoute bool) string {
 	prefix := "/once/"
 	if !hasOnceRoute {
@@ -25,8 +26,8 @@
 "Depots":[{"Name":"album","HealthPath":"/health","LineCap":130,"Protocol":"h1"}]}`, version, 500+version%7*100, 2000+version%5*100, prefix, 5000+version%3*100)
 }
 
-// Versions change the terms, the keep-alive timeout and the route of requests that are at work or wait for a slot. Each request gets an
-// answer: what was let in is served, the others are told that there is no route or no room.
+// New versions change the deadlines, the keep-alive timeout and the route of requests that run or wait for a slot. Each request must
+// get a response: accepted requests are served, the others get a status for a missing route or for overload.
 func TestRequestsDuringConfigurationChangesGetResponses(t *testing.T) {
 	m := startLongDeadlineMesh(t)
 	m.upstreams[0].SetWork(60 * time.Millisecond)
@@ -48,7 +49,7 @@
 				counts[got.status]++
 				mu.Unlock()
 				if runs := m.runs(id); got.status <= 0 || runs > 1 || promisesNotExecuted(got.status) && runs > 0 || got.status == http.StatusNotFound && runs > 0 {
-					t.Errorf("%s was told %v and ran %d times", id, got, runs)
+					t.Errorf("%s received %v and ran %d times", id, got, runs)
 				}
 			}
 		})
@@ -62,7 +63,7 @@
 	}
 	close(stop)
 	clients.Wait()
-	t.Logf("answers under 59 changes: %v", counts)
+	t.Logf("responses during 59 changes: %v", counts)
 	must.Positive(t, counts[http.StatusOK])
 	must.Positive(t, counts[http.StatusNotFound])
 	response, err := http.Get("http://" + m.plan.Proxies[0].InternalAddress() + rpc.PathMetrics)
--- a/internal/mesh/chunked_body_test.go
+++ b/internal/mesh/chunked_body_test.go
@@ -11,7 +11,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// A long body of no stated length goes on whole where the configuration sets no bound for it.
+// A long body without Content-Length is forwarded completely if the configuration does not limit its size.
 func TestLongBodyWithoutLengthIsForwarded(t *testing.T) {
 	m := startMesh(t, 1, 1, 0, 100)
 	unlimitedConfig := strings.Replace(config, `"ContentsBytes":67108864,`, "", 1)
@@ -36,12 +36,12 @@
 
 func (endlessReader) Read(b []byte) (int, error) { return len(b), nil }
 
-// A long body that goes on as it comes is handed the time that its client has, and no more.
+// A long body that is streamed is forwarded with at most the time that its client has left.
 func TestLongBodyKeepsClientDeadline(t *testing.T) {
 	m := startMesh(t, 1, 2, 0, 100)
 	m.applyConfig(1)
 	const bodySize, timeLeftMS = 1 << 20, 2000
-	for n := range 8 { // at this machine and by way of the other
+	for n := range 8 { // directly and through the other proxy
 		request, err := http.NewRequest(http.MethodPost, "http://"+m.plan.Proxies[0].OutboundAddress+"/read/x", io.LimitReader(endlessReader{}, bodySize))
 		must.NoError(t, err)
 		request.ContentLength = bodySize
--- a/internal/mesh/crossing_test.go
+++ b/internal/mesh/connection_close_test.go
@@ -20,18 +20,19 @@
 	"ottershift/internal/mesh/testmesh"
 )
 
-// delayedCloseListener accepts connections whose close is held open: whoever closes one waits until it is released. So a request comes
-// between the decision to close its connection and the close.
+// delayedCloseListener accepts connections whose Close blocks until the test releases it. So a request can arrive between the
+// decision to close its connection and the close.
 type delayedCloseListener struct {
 	net.Listener
 	closing     chan *delayedCloseConnection
 	once        sync.Once
-	releasedAll chan struct{} // closed once nothing is held any more
+	releasedAll chan struct{} // closed once no Close blocks any more
 }
 
+// maxDelayedCloses limits the closes that wait for the test; further ones are not delayed.
 const maxDelayedCloses = 64
 
-// releaseAll holds nothing any more.
+// releaseAll ends the blocking of all closes.
 func (l *delayedCloseListener) releaseAll() { l.once.Do(func() { close(l.releasedAll) }) }
 
 func (l *delayedCloseListener) Accept() (net.Conn, error) {
@@ -49,7 +50,7 @@
 	released chan struct{}
 }
 
-// Close implements net.Conn.
+// Close waits until the test releases the connection, and then closes it.
 func (c *delayedCloseConnection) Close() error {
 	c.once.Do(func() {
 		select {
@@ -70,7 +71,7 @@
  {"Name":"once","MailClass":"once_only","Target":"300ms","Precedence":1,"Sorting":{"StreetPrefix":"/once/"},"Dispatch":{"Destination":"album","Deadline":"2000ms","DeliveryTries":2}}]}],
 "Depots":[{"Name":"album","HealthPath":"/health","LineCap":130,"Protocol":"h1"}]}`
 
-// persistentClient is a client that sends over one kept connection.
+// persistentClient is a client that sends its requests over one connection.
 type persistentClient struct {
 	net.Conn
 	reader *bufio.Reader
@@ -81,7 +82,7 @@
 	return err
 }
 
-// receive is the status of a whole answer, 0 for none.
+// receive returns the status of a complete response, 0 for none.
 func (c *persistentClient) receive() int {
 	c.SetReadDeadline(time.Now().Add(3 * time.Second))
 	response, err := http.ReadResponse(c.reader, nil)
@@ -94,15 +95,15 @@
 	return response.StatusCode
 }
 
-// A request comes at the moment at which its connection is about to be closed: while a balancer leaves, and as the connection has been
-// idle for too long. Whatever has reached an upstream gets its answer.
+// A request arrives just before its connection is closed, because the proxy shuts down or the connection was idle for too long.
+// A request that ran at an upstream must get its response.
 func TestRequestDuringConnectionCloseGetsResponse(t *testing.T) {
 	for _, test := range []struct {
 		name, idle string
 		leaves     bool
 	}{
-		{"leaving", "15000ms", true},
-		{"idle for too long", "1000ms", false},
+		{"shutdown", "15000ms", true},
+		{"idle timeout", "1000ms", false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
@@ -122,13 +123,13 @@
 			listener.releaseAll()
 			stopping.Wait()
 			if ran && status != http.StatusOK {
-				t.Errorf("it has run at an upstream, and its client was told %d", status)
+				t.Errorf("request ran at an upstream, and its client received status %d", status)
 			}
 		})
 	}
 }
 
-// A client that closes its sending side behind a request reads on: it gets an answer, though the work for it ends.
+// A client that closes its sending side after a request still gets a response, though its request is cancelled.
 func TestHalfClosedClientGetsResponse(t *testing.T) {
 	m, _ := startDelayedCloseMesh(t, "15000ms")
 	client := dialPersistent(t, m)
@@ -138,7 +139,7 @@
 	must.Eq(t, http.StatusBadGateway, client.receive())
 }
 
-// startDelayedCloseMesh starts a proxy whose connections are held, and one with an upstream beside it that takes its time.
+// startDelayedCloseMesh starts a proxy with delayed closes, and a second proxy beside a slow upstream.
 func startDelayedCloseMesh(t *testing.T, idle string) (*mesh, *delayedCloseListener) {
 	plan, err := testmesh.Plan(1, 2, []string{"east"}, []string{"regie", "album"}, t.TempDir())
 	must.NoError(t, err)
@@ -185,7 +186,7 @@
 	return &persistentClient{conn, bufio.NewReader(conn)}
 }
 
-// waitForClose waits until a client's connection is about to be closed.
+// waitForClose waits until the proxy starts to close the connection of a client.
 func (l *delayedCloseListener) waitForClose(t *testing.T, client *persistentClient) *delayedCloseConnection {
 	timeout := time.After(10 * time.Second)
 	for {
@@ -196,12 +197,12 @@
 			}
 			close(conn.released)
 		case <-timeout:
-			t.Fatal("the connection is not closed")
+			t.Fatal("proxy has not closed the connection within 10 s")
 		}
 	}
 }
 
-// runsWithin reports whether an upstream runs an attempt within some time.
+// runsWithin reports whether an upstream runs an attempt within a time limit.
 func (m *mesh) runsWithin(id string, limit time.Duration) bool {
 	for until := time.Now().Add(limit); time.Now().Before(until); time.Sleep(time.Millisecond) {
 		if m.runs(id) > 0 {
--- a/internal/mesh/fast_versions_test.go
+++ b/internal/mesh/fast_versions_test.go
@@ -20,7 +20,7 @@
 	"ottershift/internal/mesh/settings"
 )
 
-// watchCounter counts the answers to watches and those that are current.
+// watchCounter is a transport that counts watch responses, and those that are current.
 type watchCounter struct {
 	http.RoundTripper
 	responses, current *atomic.Int64
@@ -44,10 +44,10 @@
 	return response, err
 }
 
-// While versions follow one another fast, watches are answered as current, each version is in force in time, and a balancer that
-// starts meanwhile gets its first configuration.
+// While versions follow one another fast, watch responses must be current, each version must take effect in time, and a proxy that
+// starts must get its first configuration.
 func TestFastVersionsTakeEffectInTime(t *testing.T) {
-	const limit, duration = 2500 * time.Millisecond, 4 * time.Second // of Config
+	const limit, duration = 2500 * time.Millisecond, 4 * time.Second // the stated limit for a configuration to take effect
 	for _, perSecond := range []int{3, 10, 30} {
 		t.Run(fmt.Sprint(perSecond), func(t *testing.T) {
 			m := &mesh{t: t}
@@ -55,7 +55,7 @@
 			var lateProxy *settings.Settings
 			startProxy := func(cfg *settings.Settings) {
 				if lateProxy == nil && cfg.Node == m.plan.Proxies[2].Node {
-					lateProxy = cfg // it starts later
+					lateProxy = cfg // started later
 					return
 				}
 				m.runProcess(cfg.Node, proxy.New(cfg, discardLogger, proxy.WithTransport(func(next http.RoundTripper) http.RoundTripper {
@@ -73,7 +73,7 @@
 			responses.Store(0)
 			current.Store(0)
 
-			var acknowledged sync.Map // when, by edition
+			var acknowledged sync.Map // time by version
 			version := 1
 			ticker := time.NewTicker(time.Second / time.Duration(perSecond))
 			defer ticker.Stop()
@@ -99,7 +99,7 @@
 					}
 				}
 			}
-			t.Logf("%d changes a second: %d versions, %d of %d answers current, a started balancer ready after %v", perSecond, version, current.Load(), responses.Load(), ready)
+			t.Logf("%d changes a second: %d versions, %d of %d watch responses current, a started proxy ready after %v", perSecond, version, current.Load(), responses.Load(), ready)
 			must.Greater(t, 0.8, float64(current.Load())/float64(responses.Load()))
 			must.Positive(t, ready)
 			must.Less(t, limit, ready)
--- a/internal/mesh/grace_end_test.go
+++ b/internal/mesh/grace_end_test.go
@@ -15,20 +15,20 @@
 	"ottershift/internal/mesh/testmesh"
 )
 
-// Requests may be waited for much longer than a process has for its end.
+// longDeadlineConfig has a deadline that is much longer than the grace period of a process.
 const longDeadlineConfig = `{"Edition":1,"SizeLimits":{"EnvelopeBytes":16384,"ContentsBytes":67108864,"Envelope":"3000ms","Idle":"15000ms"},
 "PostOffices":[{"Town":"a.example","Regulations":[
  {"Name":"once","MailClass":"once_only","Target":"20000ms","Precedence":1,"Sorting":{"StreetPrefix":"/once/"},"Dispatch":{"Destination":"album","Deadline":"30000ms","DeliveryTries":2}}]}],
 "Depots":[{"Name":"album","HealthPath":"/health","LineCap":130,"Protocol":"h1"}]}`
 
 const (
-	slowWork         = 4 * time.Second // longer than all of Grace
-	atUpstreamCount  = 2               // requests that an upstream of capacity 1 is handed at once
+	slowWork         = 4 * time.Second // longer than the whole grace period
+	atUpstreamCount  = 2               // requests sent at once to an upstream of capacity 1
 	openRequestCount = 4
 )
 
-// Requests are open as Grace ends: some at work at an upstream, some before it. Each gets an answer. The balancer beside the upstream
-// proves of those before it that they have not run; that of their client can't know, and promises nothing.
+// Requests are open when the grace period ends: some run at an upstream, others wait. Each must get a response. The proxy beside the
+// upstream knows that waiting requests did not run, and answers 503. The client's proxy cannot know it and must not promise it.
 func TestOpenRequestsAtGraceEndGetResponses(t *testing.T) {
 	for _, stopped := range []string{"proxy-0", "proxy-1"} {
 		t.Run(stopped, func(t *testing.T) {
@@ -40,7 +40,7 @@
 				clients.Go(func() { results[n] = m.sendOnceOnly(fmt.Sprint("open-", n)) })
 			}
 			m.waitUntil(func() bool { return m.upstreams[0].TotalRuns() == 1+atUpstreamCount })
-			time.Sleep(100 * time.Millisecond) // the others wait
+			time.Sleep(100 * time.Millisecond) // the other requests wait for a slot
 			start := time.Now()
 			m.stops[stopped]()
 			clients.Wait()
@@ -49,11 +49,11 @@
 				runs := m.runs(fmt.Sprint("open-", n))
 				switch {
 				case got.status <= 0:
-					t.Errorf("request %d ended without an answer (%v); it ran %d times", n, got, runs)
+					t.Errorf("request %d ended without a response (%v); it ran %d times", n, got, runs)
 				case runs == 0 && stopped == "proxy-1" && got.status != http.StatusServiceUnavailable:
-					t.Errorf("request %d has not run, and its client was told %v", n, got)
+					t.Errorf("request %d did not run, and its client received %v", n, got)
 				case runs > 0 && promisesNotExecuted(got.status):
-					t.Errorf("request %d has run, and its client was told %v", n, got)
+					t.Errorf("request %d ran, and its client received %v", n, got)
 				}
 			}
 		})
@@ -87,7 +87,7 @@
 	return upstream
 }
 
-// sendOnceOnly sends a request over a connection of its own.
+// sendOnceOnly sends a once-only request over a new connection.
 func (m *mesh) sendOnceOnly(id string) result {
 	request, err := http.NewRequest("POST", "http://"+m.plan.Proxies[0].OutboundAddress+"/once/x", nil)
 	must.NoError(m.t, err)
--- a/internal/mesh/imports_test.go
+++ b/internal/mesh/imports_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// Agreement, membership, discovery, forwarding and replication are this project's own work in the mesh.
+// The mesh implements consensus, membership, discovery, forwarding and replication itself and must not link libraries for them.
 func TestMeshDependencies(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", "ottershift/cmd/proxy", "ottershift/cmd/controller", "ottershift/cmd/meshctl", "ottershift/cmd/meshsim").Output()
 	must.NoError(t, err)
--- a/internal/mesh/long_configuration_test.go
+++ b/internal/mesh/long_configuration_test.go
@@ -17,13 +17,13 @@
 	"ottershift/internal/mesh/settings"
 )
 
-// slowLink is a transport over which answers come at a pace, as on a line that is narrow or full of other bytes.
+// slowLink is a transport that limits the rate of response bodies, like a link with little or shared bandwidth.
 type slowLink struct {
 	http.RoundTripper
 	bytesPerSecond int
 
 	mu     sync.Mutex
-	freeAt time.Time // when the line has carried all that was sent before
+	freeAt time.Time // when the link has transferred all earlier bytes
 }
 
 func (l *slowLink) RoundTrip(r *http.Request) (*http.Response, error) {
@@ -58,7 +58,7 @@
 	return n, err
 }
 
-// manyRoutesConfig is a configuration of many routes; the last one's prefix bears its edition.
+// manyRoutesConfig returns a configuration of many routes. The prefix of the last one contains the version.
 func manyRoutesConfig(version, count int) string {
 	var routes strings.Builder
 	for n := range count {
@@ -71,10 +71,10 @@
 	return strings.Replace(fmt.Sprintf(config, version), `{"Name":"read"`, routes.String()+`{"Name":"read"`, 1)
 }
 
-// A configuration of 4,000 routes, a megabyte, arrives over a line that carries far less than that in the time of a watch, and changes
-// of it follow at once. With a fixed time for each answer it never arrived: no balancer was ever ready.
+// A configuration of 4,000 routes (1 MB) must arrive over a link that transfers far less than that in the time of a watch, and later
+// changes must take effect in time. With a fixed timeout for each response, the configuration never arrived and no proxy became ready.
 func TestLargeConfigurationOverSlowLink(t *testing.T) {
-	const routes, bytesPerSecond, limit = 4000, 30_000, 2500 * time.Millisecond // of Config
+	const routes, bytesPerSecond, limit = 4000, 30_000, 2500 * time.Millisecond // the stated limit for a configuration to take effect
 	m := &mesh{t: t}
 	m.startAll(1, 2, 0, 100, func(cfg *settings.Settings) {
 		link := &slowLink{bytesPerSecond: bytesPerSecond}
@@ -93,16 +93,16 @@
 			must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool {
 				status, _, _, _ := m.send(n, "GET", fmt.Sprintf("/edition/%d/x", version))
 				return status == http.StatusOK
-			}), wait.Timeout(within), wait.Gap(10*time.Millisecond)), must.Sprintf("edition %d is not in force at balancer %d after %v", version, n, within))
+			}), wait.Timeout(within), wait.Gap(10*time.Millisecond)), must.Sprintf("version %d is not in effect at proxy %d after %v", version, n, within))
 		}
 		return time.Since(start)
 	}
 	first := waitInEffect(1, 15*time.Second)
-	t.Logf("%d routes at %d bytes a second: the first configuration in force after %v", routes, bytesPerSecond, first)
+	t.Logf("%d routes at %d bytes/s: first configuration in effect after %v", routes, bytesPerSecond, first)
 	for version := 2; version < 12; version++ {
 		status, text := m.call(0, "timetable.replace", fmt.Sprint(version-1), manyRoutesConfig(version, routes))
 		must.Eq(t, http.StatusOK, status, must.Sprint(text))
 		start = time.Now()
-		t.Logf("a change of one route in force after %v", waitInEffect(version, limit))
+		t.Logf("change of one route in effect after %v", waitInEffect(version, limit))
 	}
 }
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -1,5 +1,4 @@
-// Package mesh is what the mesh's programs have in common: their command line, their settings, and how they begin and
-// end.
+// Package mesh contains what the programs of the mesh have in common: command line, settings, start and shutdown.
 package mesh
 
 import (
@@ -19,20 +18,22 @@
 	"ottershift/internal/mesh/telemetry"
 )
 
-const settingsPollInterval = 2 * time.Second // settings may change without a signal
+const settingsPollInterval = 2 * time.Second // changes of the file take effect without a signal, too
 
-// Process is what a program runs.
+// Process is the controller or proxy that a program runs.
 type Process interface {
+	// UpdateSeeds replaces the seeds by those of the given settings.
 	UpdateSeeds(*settings.Settings)
+	// Run serves until the context ends.
 	Run(context.Context) error
 }
 
-// Main is a program of the mesh: it serves, or checks a settings file.
+// Main is the main function of a program of the mesh. Its commands serve, or check a settings file.
 func Main(name, help string, newProcess func(*settings.Settings, *slog.Logger) (Process, error)) {
 	app := kingpin.New(name, help)
 	path := app.Flag("config", "Settings file.").Envar(settings.FileVariable).String()
-	serve := app.Command("serve", "Serve until SIGTERM; SIGHUP, or a change of the file, puts other seeds in force.").Default()
-	check := app.Command("check", "Read the settings and name every fault with line and key.")
+	serve := app.Command("serve", "Serve until SIGTERM; SIGHUP, or a change of the settings file, updates the seeds.").Default()
+	check := app.Command("check", "Check the settings file and print every error with its line and key.")
 	switch command, err := app.Parse(os.Args[1:]); {
 	case err != nil:
 		app.FatalUsage("%v", err)
@@ -41,7 +42,7 @@
 		app.FatalIfError(err, "")
 		fmt.Printf("%s: %s in %s, %d seeds\n", *path, cfg.Node, cfg.Zone, len(cfg.Seeds))
 	case command == serve.FullCommand():
-		reload := notifySignal(syscall.SIGHUP) // first of all: one that nobody waits for ends the process
+		reload := notifySignal(syscall.SIGHUP) // before anything else: an unhandled SIGHUP ends the process
 		cfg, err := settings.Load(*path)
 		app.FatalIfError(err, "")
 		if err := run(cfg, *path, reload, newProcess); err != nil {
@@ -51,11 +52,11 @@
 	}
 }
 
-// run holds the process to its machine, and tells it what changes.
+// run sets the limits of the Go runtime, then runs the process and passes changed settings to it.
 func run(cfg *settings.Settings, path string, reload <-chan os.Signal, newProcess func(*settings.Settings, *slog.Logger) (Process, error)) error {
-	runtime.GOMAXPROCS(1) // a part of one core: threads beside one another only wait
+	runtime.GOMAXPROCS(1) // the process has a part of one core; parallel threads would only wait for it
 	debug.SetMemoryLimit(cfg.MemoryMB << 20 / 2)
-	debug.SetGCPercent(50) // memory is scarcer here than time
+	debug.SetGCPercent(50) // memory is scarcer here than CPU time
 	log := telemetry.NewLogger(os.Stderr, cfg.Node)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
@@ -73,7 +74,7 @@
 	return c
 }
 
-// watchSettings takes settings that have changed; a file that can't be read changes nothing.
+// watchSettings applies the settings when the file changes. A file that cannot be read or is invalid has no effect.
 func watchSettings(path string, reload <-chan os.Signal, process Process, log *slog.Logger) {
 	var last []byte
 	ticker := time.NewTicker(settingsPollInterval)
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -26,7 +26,7 @@
 	"ottershift/internal/mesh/testmesh"
 )
 
-// mesh is whole processes of both planes on loopback, in one process of ours.
+// mesh is controllers, proxies and upstreams on loopback, all in the process of the test.
 type mesh struct {
 	t         *testing.T
 	plan      *testmesh.Mesh
@@ -41,7 +41,7 @@
 	return m
 }
 
-// startAll starts controllers, balancers by startProxy, and an upstream beside each.
+// startAll starts controllers, proxies with startProxy, and an upstream beside each proxy.
 func (m *mesh) startAll(controllers, proxies int, work time.Duration, size int, startProxy func(*settings.Settings)) {
 	t := m.t
 	plan, err := testmesh.Plan(controllers, proxies, []string{"east", "west"}, []string{"album", "album", "regie"}, t.TempDir())
@@ -96,7 +96,7 @@
  {"Name":"once","MailClass":"once_only","Target":"300ms","Precedence":1,"Sorting":{"StreetPrefix":"/once/"},"Dispatch":{"Destination":"album","Deadline":"2000ms","DeliveryTries":2}}]}],
 "Depots":[{"Name":"album","HealthPath":"/health","LineCap":130,"Protocol":"h1"},{"Name":"regie","HealthPath":"/health","LineCap":130,"Protocol":"h1"}]}`
 
-// call is an operator's call at one of the core's processes.
+// call makes an operator's call to one controller.
 func (m *mesh) call(controller int, method, ifMatch, body string) (int, string) {
 	request, err := http.NewRequest(http.MethodPost, "http://"+m.plan.Controllers[controller].ControlAddress+"/-/rpc?call="+method, strings.NewReader(body))
 	must.NoError(m.t, err)
@@ -110,7 +110,7 @@
 	return response.StatusCode, string(text)
 }
 
-// ready waits until a balancer knows its configuration and so many upstreams answer through it.
+// waitUntil waits up to 15 s until a condition holds.
 func (m *mesh) waitUntil(condition func() bool) {
 	m.t.Helper()
 	must.Wait(m.t, wait.InitialSuccess(wait.BoolFunc(condition), wait.Timeout(15*time.Second), wait.Gap(20*time.Millisecond)))
@@ -162,7 +162,7 @@
 	var status int
 	var response *http.Response
 	m.waitUntil(func() bool { status, _, response, _ = m.send(0, "GET", "/read/x"); return status != 0 })
-	must.Eq(t, http.StatusServiceUnavailable, status) // no configuration yet: it has not run, come back
+	must.Eq(t, http.StatusServiceUnavailable, status) // without a configuration requests do not run and may be retried
 	must.NotEq(t, "", response.Header.Get("Retry-After"))
 	m.applyConfig(3)
 	_, id, response, body := m.send(1, "POST", "/once/y?z=1")
@@ -194,7 +194,7 @@
 func TestResponsesOfFaultyUpstreams(t *testing.T) {
 	m := startMesh(t, 1, 2, 0, 4000)
 	m.applyConfig(1)
-	m.waitUntil(func() bool { // both are known at both
+	m.waitUntil(func() bool { // both proxies know both upstreams
 		for n := range m.plan.Proxies {
 			m.send(n, "GET", "/read/")
 		}
@@ -230,10 +230,10 @@
 		}
 		dropAll()
 	}
-	for range 12 { // the module's bucket is filled by first sends
+	for range 12 { // first attempts fill the retry budget of the proxy
 		m.send(1, "GET", "/read/")
 	}
-	m.upstreams[0].InjectFaults(testmesh.CloseInBody) // a repeatable one is sent again, to the other
+	m.upstreams[0].InjectFaults(testmesh.CloseInBody) // a repeatable request is retried at the other upstream
 	m.upstreams[1].InjectFaults(testmesh.NoFault)
 	for range 2 {
 		status, _, _, body := m.send(1, "GET", "/read/")
@@ -256,7 +256,7 @@
 func TestDrainingUpstreamAndStoppingProxyFinishWork(t *testing.T) {
 	m := startMesh(t, 1, 2, 300*time.Millisecond, 10)
 	m.applyConfig(1)
-	m.waitUntil(func() bool { // both are known everywhere
+	m.waitUntil(func() bool { // the second proxy knows both upstreams
 		before := m.upstreams[0].TotalRuns()
 		m.send(1, "GET", "/read/x")
 		m.send(1, "GET", "/read/x")
@@ -274,7 +274,7 @@
 	}
 	m.waitUntil(func() bool { return m.upstreams[0].TotalRuns()+m.upstreams[1].TotalRuns() > 8 })
 	must.True(t, m.upstreams[0].Drain())
-	m.stops["proxy-0"]() // SIGTERM with work both ways in proxy
+	m.stops["proxy-0"]() // stops while it forwards requests in both directions
 	wg.Wait()
 	close(results)
 	for status := range results {
@@ -292,15 +292,15 @@
 		body        string
 		status      int
 	}{
-		{1, "timetable.replace", "0", configuration, 200},                        // the very same again
-		{2, "timetable.replace", "0", fmt.Sprintf(config, 5), 412},               // another on the same version
-		{0, "timetable.replace", "3", fmt.Sprintf(config, 3), 200},               // known still
-		{0, "timetable.replace", "3", fmt.Sprintf(config, 2), 400},               // not above the current one
-		{1, "timetable.replace", "3", configuration[:len(configuration)/2], 400}, // cut short
-		{1, "timetable.replace", "x", fmt.Sprintf(config, 5), 400},               // no version to build on
+		{1, "timetable.replace", "0", configuration, 200},                        // the same update again
+		{2, "timetable.replace", "0", fmt.Sprintf(config, 5), 412},               // another update of the same version
+		{0, "timetable.replace", "3", fmt.Sprintf(config, 3), 200},               // the same update, now with the current version as base
+		{0, "timetable.replace", "3", fmt.Sprintf(config, 2), 400},               // version not above the current one
+		{1, "timetable.replace", "3", configuration[:len(configuration)/2], 400}, // truncated
+		{1, "timetable.replace", "x", fmt.Sprintf(config, 5), 400},               // invalid base version
 		{1, "timetable.amend", "3", `{"Edition":7,"Withdraw":{"Routes":["read","no-such"]}}`, 200},
-		{2, "timetable.amend", "3", `{"Edition":7,"Withdraw":{"Routes":["read","no-such"]}}`, 200}, // again, after silence
-		{2, "timetable.amend", "7", `{"Edition":8,"Withdraw":{"Depots":["album"]}}`, 400},          // a route goes there
+		{2, "timetable.amend", "3", `{"Edition":7,"Withdraw":{"Routes":["read","no-such"]}}`, 200}, // a retry of the same update
+		{2, "timetable.amend", "7", `{"Edition":8,"Withdraw":{"Depots":["album"]}}`, 400},          // a route still uses the upstream service
 		{0, "timetable.amend", "3", `{"Edition":9}`, 412},
 		{0, "timetable.burn", "3", ``, 404},
 	} {
@@ -312,14 +312,14 @@
 	must.StrNotContains(t, text, `"read"`)
 	m.stops["controller-0"]()
 	m.stops["controller-1"]()
-	status, text := m.call(2, "timetable.replace", "7", fmt.Sprintf(config, 9)) // no majority: unclear, never a 4xx
+	status, text := m.call(2, "timetable.replace", "7", fmt.Sprintf(config, 9)) // without a majority the outcome is unknown, which must not be a 4xx
 	must.Eq(t, 503, status, must.Sprint(text))
 	status, _ = m.call(2, "timetable.fetch", "", "")
 	must.Eq(t, 503, status)
 }
 
-// Burst credit through whole processes: a rush of pages beyond the tenant's rate is served out of what an operator granted, asked
-// for at two balancers; a page that is asked again draws no second time, and the account adds up, also after the core's restart.
+// Requests beyond the tenant's rate are served from burst credit that an operator granted. Each page is requested at two proxies and
+// must be charged once. The account must balance, also after a restart of the core.
 func TestBurstCredit(t *testing.T) {
 	m := startMesh(t, 1, 3, 0, 100)
 	withCredit := strings.Replace(config, `"RatePerS":10000,"Surge":10000`, `"RatePerS":4,"Surge":0,"Nectar":{"Earn":0.5,"Cap":500,"Keep":"1209600s","Extra":100}`, 1)
@@ -342,7 +342,7 @@
 	status := &burstcredit.AccountStatus{}
 	must.NoError(t, client.Call(context.Background(), controllerAddress, rpc.PathCreditOrder, &controller.Order{Tenant: "acme", Tokens: 150, Who: "me", Why: "a rush"}, status))
 	must.Eq(t, 150, status.Balance)
-	must.Error(t, client.Call(context.Background(), controllerAddress, rpc.PathCreditOrder, &controller.Order{Tenant: "acme", Tokens: 150}, status)) // nobody says why
+	must.Error(t, client.Call(context.Background(), controllerAddress, rpc.PathCreditOrder, &controller.Order{Tenant: "acme", Tokens: 150}, status)) // without a name and a reason
 	sendPages := func(from, to int) (ok int) {
 		for n := from; n < to; n++ {
 			for _, controllerAddress := range []int{0, 1} {
@@ -353,9 +353,9 @@
 		}
 		return ok
 	}
-	m.waitUntil(func() bool { return sendPages(1, 3) == 4 }) // the first tokens are drawn
+	m.waitUntil(func() bool { return sendPages(1, 3) == 4 }) // the proxies have drawn their first tokens
 	ok := sendPages(100, 160)
-	must.Greater(t, 60, ok) // 4 a second alone would have served a few
+	must.Greater(t, 60, ok) // the rate of 4 a second alone would serve only a few
 	account := func() *burstcredit.AccountStatus {
 		s := &controller.Status{}
 		must.NoError(t, client.Call(context.Background(), controllerAddress, rpc.PathStatus, &controller.StatusRequest{}, s))
@@ -366,14 +366,14 @@
 	pageCount := 0
 	servedPages.Range(func(any, any) bool { pageCount++; return true })
 	last := -1.0
-	m.waitUntil(func() bool { // all has been told
+	m.waitUntil(func() bool { // the proxies have reported all spending
 		a := account()
 		settled := a.Spent == last && a.Spent > 10
 		last = a.Spent
 		return settled
 	})
 	a := account()
-	must.LessEq(t, float64(pageCount), a.Spent) // asked for twice each, drawn once
+	must.LessEq(t, float64(pageCount), a.Spent) // each page is requested twice and charged once
 	must.Less(t, 1e-6, max(a.Gap, -a.Gap))
 	m.stops["controller-0"]()
 	m.startController(m.plan.Controllers[0])
@@ -384,8 +384,8 @@
 	must.GreaterEq(t, a.Spent, account().Spent)
 }
 
-// A partner narrows what it exports while work goes on: from the moment at which it is told that this is done, no effect comes
-// any more, reads go on, nothing runs twice, and who asks is told at once.
+// A partner restricts its exports while requests run. Once it is told that the restriction is in effect, no write may reach it. Reads
+// must continue, nothing may run twice, and clients must get 403 at once.
 func TestPartnerRestrictsExports(t *testing.T) {
 	m := startMesh(t, 1, 3, 0, 100)
 	partner, err := testmesh.NewPartner("zuid", "127.77.19.1:0")
@@ -449,7 +449,7 @@
 		version := partner.SetMethods("GET")
 		m.waitUntil(func() bool { reported, _ := partner.ReportedVersion(); return reported >= version })
 		_, duration := partner.ReportedVersion()
-		t.Logf("edition %d: done after %v", version, duration)
+		t.Logf("version %d: restriction in effect after %v", version, duration)
 		status, _ := send(1, "POST", "/scans/1", fmt.Sprint("late", version))
 		must.Eq(t, http.StatusForbidden, status)
 		status, body := send(2, "GET", "/scans/1", fmt.Sprint("read", version))
--- a/internal/mesh/priority_test.go
+++ b/internal/mesh/priority_test.go
@@ -12,16 +12,16 @@
 	"github.com/shoenig/test/must"
 )
 
-// With added, a configuration has a route of the most urgent precedence and the longest target beside the first ones.
+// addedRoute is a route with the most urgent priority and the longest target.
 const addedRoute = `{"Name":"added","MailClass":"repeatable","Target":"1000ms","Precedence":0,"Unstamped":true,"Sorting":{"StreetPrefix":"/added/"},"Dispatch":{"Destination":"album","Deadline":"1000ms","DeliveryTries":2}},
 `
 
-// routeCounts counts what came of the requests on one route.
+// routeCounts counts the requests on one route, and those that were served.
 type routeCounts struct{ sent, ok atomic.Int64 }
 
 func (s *routeCounts) ratio() float64 { return float64(s.ok.Load()) / float64(max(s.sent.Load(), 1)) }
 
-// sendLoad sends so many requests a second on a path by way of each balancer, for a time.
+// sendLoad sends requests on a path at a rate for a time, to the proxies in turn.
 func (m *mesh) sendLoad(path string, perSecond int, duration time.Duration, counts *routeCounts, requests *sync.WaitGroup) {
 	requests.Go(func() {
 		ticker := time.NewTicker(time.Second / time.Duration(perSecond))
@@ -38,8 +38,8 @@
 	})
 }
 
-// Under load at twice what the upstreams can do, a route that is added with the most urgent precedence is served, and first routes
-// are not starved. Found by the operators: ordered by time alone, what was added stood last and was turned away.
+// At twice the load that the upstreams can serve, an added route with the most urgent priority must be served, and the other routes
+// must not starve. When requests were ordered by time alone, those on the added route came last and were rejected.
 func TestAddedUrgentRouteIsServedUnderLoad(t *testing.T) {
 	m := startMesh(t, 1, 2, 100*time.Millisecond, 100) // two upstreams with 8 slots each
 	m.applyConfig(1)
@@ -53,7 +53,7 @@
 	m.sendLoad("/read/x", 400, 4*time.Second, &first, &requests)
 	m.sendLoad("/added/x", 15, 4*time.Second, &urgent, &requests)
 	requests.Wait()
-	t.Logf("added: %d of %d served; first: %d of %d", urgent.ok.Load(), urgent.sent.Load(), first.ok.Load(), first.sent.Load())
+	t.Logf("added route: %d of %d served; first route: %d of %d", urgent.ok.Load(), urgent.sent.Load(), first.ok.Load(), first.sent.Load())
 	must.Greater(t, 0.9, urgent.ratio())
 	must.Greater(t, (first.ratio()+urgent.ratio())/8, first.ratio())
 }
--- a/internal/mesh/balancer_faults_test.go
+++ b/internal/mesh/proxy_faults_test.go
@@ -20,7 +20,7 @@
 	"ottershift/internal/mesh/testmesh"
 )
 
-// proxyVariable names the settings file of a proxy that the test's own program runs in a process of its own.
+// proxyVariable is the environment variable with the settings file of a proxy, which the test binary then runs instead of tests.
 const proxyVariable = "MESH_TEST_PROXY"
 
 func TestMain(m *testing.M) {
@@ -36,7 +36,7 @@
 	os.Exit(1)
 }
 
-// proxyProcess is a proxy that can be killed, frozen and thawed.
+// proxyProcess is a proxy in its own process, which can be killed, suspended and resumed.
 type proxyProcess struct {
 	t        *testing.T
 	settings *settings.Settings
@@ -58,7 +58,7 @@
 	must.NoError(p.t, p.command.Start())
 }
 
-// waitUntilListening waits until other balancers can connect.
+// waitUntilListening waits until other proxies can connect.
 func (p *proxyProcess) waitUntilListening() {
 	must.Wait(p.t, wait.InitialSuccess(wait.Timeout(5*time.Second), wait.Gap(time.Millisecond), wait.ErrorFunc(func() error {
 		conn, err := net.Dial("tcp4", p.settings.InboundAddress)
@@ -76,7 +76,7 @@
 	p.command.Wait()
 }
 
-// startProxyFaultMesh starts a mesh whose second proxy, the one beside the upstream, is a process of its own.
+// startProxyFaultMesh starts a mesh whose second proxy, the one beside the upstream, runs in its own process.
 func startProxyFaultMesh(t *testing.T) (*faultMesh, *proxyProcess) {
 	var process *proxyProcess
 	options := defaultFaultMeshOptions()
@@ -91,15 +91,15 @@
 	return options.start(t), process
 }
 
-// waitUntilServing waits until the upstream is reached again.
+// waitUntilServing waits until requests reach the upstream.
 func (fm *faultMesh) waitUntilServing() {
 	fm.waitUntil(func() bool { return fm.send(0, requestClasses[0], nil, time.Second).status == http.StatusOK })
 }
 
-// proxyFault is what happens to the balancer beside the upstream while a request is on its way to it.
+// proxyFault is a fault of the proxy beside the upstream during a request.
 type proxyFault struct {
 	name     string
-	timeLeft time.Duration // that the caller waits
+	timeLeft time.Duration // of the request
 	begin    func(*faultMesh, *proxyProcess)
 	end      func(*faultMesh, *proxyProcess)
 }
@@ -114,7 +114,7 @@
 	fm.waitUntilServing()
 }
 
-// signalDuringRequest has the request be at work as the balancer is struck.
+// signalDuringRequest delays the next request and sends a signal to the proxy before the request runs.
 func signalDuringRequest(fm *faultMesh, proxy *proxyProcess, signal syscall.Signal) {
 	fm.inject(testmesh.Injection{Fault: testmesh.DelayedRun, Delay: 40 * time.Millisecond})
 	process := proxy.command.Process
@@ -123,37 +123,37 @@
 
 var proxyFaults = []proxyFault{
 	{
-		name: "frozen before it reads, thawed after the caller's time", timeLeft: 100 * time.Millisecond,
+		name: "suspended before it reads, resumed after the deadline", timeLeft: 100 * time.Millisecond,
 		begin: suspend, end: resume,
 	},
 	{
-		name: "frozen while the upstream is at work, thawed after the caller's time", timeLeft: 100 * time.Millisecond,
-		begin: func(a *faultMesh, p *proxyProcess) { signalDuringRequest(a, p, syscall.SIGSTOP) }, end: resume,
+		name: "suspended during the request, resumed after the deadline", timeLeft: 100 * time.Millisecond,
+		begin: func(fm *faultMesh, process *proxyProcess) { signalDuringRequest(fm, process, syscall.SIGSTOP) }, end: resume,
 	},
 	{
-		name: "frozen before it reads, thawed in time", timeLeft: 2 * time.Second,
-		begin: func(a *faultMesh, p *proxyProcess) {
-			suspend(a, p)
-			time.AfterFunc(30*time.Millisecond, func() { resume(a, p) })
+		name: "suspended before it reads, resumed before the deadline", timeLeft: 2 * time.Second,
+		begin: func(fm *faultMesh, process *proxyProcess) {
+			suspend(fm, process)
+			time.AfterFunc(30*time.Millisecond, func() { resume(fm, process) })
 		},
 		end: func(*faultMesh, *proxyProcess) {},
 	},
 	{
-		name: "killed while the upstream is at work, started again", timeLeft: time.Second,
-		begin: func(a *faultMesh, p *proxyProcess) { signalDuringRequest(a, p, syscall.SIGKILL) }, end: restart,
+		name: "killed during the request, restarted", timeLeft: time.Second,
+		begin: func(fm *faultMesh, process *proxyProcess) { signalDuringRequest(fm, process, syscall.SIGKILL) }, end: restart,
 	},
 	{
-		name: "killed before the request, started again", timeLeft: time.Second,
-		begin: func(_ *faultMesh, p *proxyProcess) { p.kill() }, end: restart,
+		name: "killed before the request, restarted", timeLeft: time.Second,
+		begin: func(_ *faultMesh, process *proxyProcess) { process.kill() }, end: restart,
 	},
 	{
-		name: "replaced by another at the same address before the request", timeLeft: time.Second,
-		begin: func(_ *faultMesh, p *proxyProcess) { p.kill(); p.start(); p.waitUntilListening() }, end: restart,
+		name: "replaced at the same address before the request", timeLeft: time.Second,
+		begin: func(_ *faultMesh, process *proxyProcess) { process.kill(); process.start(); process.waitUntilListening() }, end: restart,
 	},
 }
 
-// What happens to the balancer between the caller's and the upstream: whatever its caller is told, a once-only request runs at most
-// once, and one that was promised not to run never runs, also after the thaw.
+// Injects faults of the proxy between the client's proxy and the upstream. A once-only request must run at most once, and must not
+// run after a response that promises no execution, not even once the proxy is resumed.
 func TestProxyFaultsBesideUpstream(t *testing.T) {
 	fm, process := startProxyFaultMesh(t)
 	rounds := 5
@@ -179,7 +179,7 @@
 				counts.results[first.String()]++
 				counts.maxRuns = max(counts.maxRuns, atEnd.runs)
 			}
-			t.Logf("%-70v %-10s %v; ran after the answer %d", fault.name, class.name, counts, ranLater)
+			t.Logf("%-70v %-10s %v; %d ran after the response", fault.name, class.name, counts, ranLater)
 		}
 	}
 	fm.checkRunLimits()
--- a/internal/mesh/same_name_test.go
+++ b/internal/mesh/same_name_test.go
@@ -11,13 +11,14 @@
 	"ottershift/internal/mesh/testmesh"
 )
 
-// Two routes of one name keep what is promised for each: the effects of one run once where the other one's reads may run again.
+// Two routes with the same name keep their own classes: requests on the once-only route run once, although those on the repeatable
+// route may be retried.
 func TestRoutesWithSameNameKeepTheirClasses(t *testing.T) {
 	m := startMesh(t, 1, 2, 0, 100)
 	m.applyConfig(1)
 	status, text := m.call(0, "timetable.replace", "1", strings.Replace(fmt.Sprintf(config, 2), `"Name":"once"`, `"Name":"read"`, 1))
 	must.Eq(t, http.StatusOK, status, must.Sprint(text))
-	m.waitUntil(func() bool { // in force, and both upstreams are known
+	m.waitUntil(func() bool { // the configuration is in effect, and both upstreams are known
 		m.send(0, "GET", "/read/x")
 		return m.upstreams[0].TotalRuns() > 1 && m.upstreams[1].TotalRuns() > 1
 	})
--- a/internal/mesh/frozen_test.go
+++ b/internal/mesh/suspended_controller_test.go
@@ -22,9 +22,9 @@
 	"ottershift/internal/mesh/testmesh"
 )
 
-const suspendedCallTimeout = 40 * time.Second // of callers that wait for a frozen process
+const suspendedCallTimeout = 40 * time.Second // timeout of calls to a suspended process
 
-// suspensionTime is how long a controller stands still.
+// suspensionTime returns how long a controller is suspended.
 func suspensionTime() time.Duration {
 	if span, err := time.ParseDuration(os.Getenv("OTTERSHIFT_CUT")); err == nil {
 		return span
@@ -32,7 +32,7 @@
 	return 2500 * time.Millisecond
 }
 
-// processMesh is real processes of controllers.
+// processMesh is controllers in their own processes.
 type processMesh struct {
 	t         *testing.T
 	plan      *testmesh.Mesh
@@ -80,8 +80,8 @@
 	must.Wait(m.t, wait.InitialSuccess(wait.BoolFunc(condition), wait.Timeout(15*time.Second), wait.Gap(10*time.Millisecond)))
 }
 
-// A controller, the coordinator at that, is frozen with questions that it has read and others that wait in its sockets. Once it goes on,
-// it answers none of them by what it knew before.
+// The coordinator is suspended while it has read some requests and others wait in its sockets. Once resumed, it must not answer any
+// of them from the state that it held before.
 func TestResumedControllerServesNoStaleState(t *testing.T) {
 	m := startProcessMesh(t)
 	version := 0
@@ -94,7 +94,7 @@
 		version = previous + 10
 		tokenRequest := ratelimit.TokenRequest{Node: "proxy-0", Incarnation: "l", Seq: uint64(10 * (round + 1))}
 		coordinator := -1
-		m.waitUntil(func() bool { // whoever grants tokens is the one that is frozen
+		m.waitUntil(func() bool { // the controller that grants tokens is the coordinator
 			tokenRequest.Seq++
 			for n := range m.processes {
 				if m.callInternal(n, rpc.PathTokens, tokenRequest, &map[string]ratelimit.TokenGrant{}) == nil {
@@ -111,7 +111,7 @@
 		var calls sync.WaitGroup
 		var suspended atomic.Bool
 		check := func(valid bool, call string, response any) {
-			if !valid && suspended.Load() { // what came before was true
+			if !valid && suspended.Load() { // responses before the suspension are valid
 				t.Errorf("round %d: %s: %+v", round, call, response)
 			}
 		}
@@ -122,7 +122,7 @@
 			check(err != nil || !response.Current || response.Edition == int64(version+10), "watch", response)
 		}
 		calls.Go(watch)
-		time.Sleep(100 * time.Millisecond) // it is held by the controller
+		time.Sleep(100 * time.Millisecond) // until the controller holds the watch open
 		must.NoError(t, m.processes[coordinator].Suspend())
 		suspended.Store(true)
 		calls.Go(watch)
@@ -131,7 +131,7 @@
 			newest := status == http.StatusOK && strings.Contains(text, fmt.Sprintf(`"Edition":%d,`, version+10))
 			check(newest || status == http.StatusServiceUnavailable, "fetch", text)
 		})
-		calls.Go(func() { // on top of the version that it still knew
+		calls.Go(func() { // based on the version that the controller still holds
 			status, text := m.call(coordinator, "timetable.replace", version, fmt.Sprintf(config, version+5))
 			check(status == http.StatusServiceUnavailable || status == http.StatusPreconditionFailed, "replace", text)
 		})
--- a/internal/mesh/testmesh/disk.go
+++ b/internal/mesh/testmesh/disk.go
@@ -8,10 +8,10 @@
 	"ottershift/internal/mesh/consensus"
 )
 
-// ErrWriteFailed is what a disk says that takes no writes.
-var ErrWriteFailed = errors.New("the disk takes no writes")
+// ErrWriteFailed is the error of a write to a disk that is set to fail.
+var ErrWriteFailed = errors.New("injected fault: disk write failed")
 
-// Disk is a replica's disk in a test: it may be slow, stand still or refuse. It passes what it takes on to another disk.
+// Disk wraps the disk of a consensus replica and can delay, stall or fail its saves. Other saves go to the wrapped disk.
 type Disk struct {
 	mu         sync.Mutex
 	underlying interface {
@@ -19,31 +19,31 @@
 	}
 	delay   time.Duration
 	failing bool
-	resumed chan struct{} // closed when the disk goes on; nil while it does
+	resumed chan struct{} // closed when the stall ends; nil while saves are not stalled
 }
 
-// NewDisk makes a disk in front of another one.
+// NewDisk wraps a disk, without faults at first.
 func NewDisk(underlying interface {
 	Save(*consensus.Replica) error
 }) *Disk {
 	return &Disk{underlying: underlying}
 }
 
-// SetDelay has each save take so much longer.
+// SetDelay adds a delay to each save.
 func (d *Disk) SetDelay(delay time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.delay = delay
 }
 
-// SetFailing has saves fail, or no longer.
+// SetFailing sets whether saves fail.
 func (d *Disk) SetFailing(failing bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.failing = failing
 }
 
-// Stall has saves wait until Resume.
+// Stall blocks saves until Resume is called.
 func (d *Disk) Stall() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -62,7 +62,7 @@
 	}
 }
 
-// Save meets the disk's faults and then saves on the disk behind.
+// Save applies the injected faults and then saves to the wrapped disk.
 func (d *Disk) Save(replica *consensus.Replica) error {
 	d.mu.Lock()
 	delay, failing, resumed := d.delay, d.failing, d.resumed
--- a/internal/mesh/testmesh/faults.go
+++ b/internal/mesh/testmesh/faults.go
@@ -12,74 +12,75 @@
 	"time"
 )
 
-// Fault is what an upstream does wrong with one request.
+// Fault is a fault of an upstream in handling one request.
 type Fault uint8
 
-// The faults. Those of the first group turn the request away or end its connection without running it; all others run it.
+// Faults of an upstream. With those of the first group the request is rejected, or its connection fails, before it runs. With all
+// others it runs.
 const (
 	NoFault Fault = iota
 
-	Unavailable              // 503, not delivered
-	UnavailableWithoutID     // the same, without the attempt's id
-	UnavailableTwice         // the same with the right id, and a second time after Delay
-	Misdirected              // another upstream is meant: 421, not delivered
-	MisdirectedWithoutID     // the same, without the attempt's id
-	BadRequestWithoutID      // 400, not delivered, without the attempt's id
-	ResetBeforeRun           // the connection is reset, the request unread
-	CloseBeforeRun           // the connection is closed
-	NoResponseBeforeRun      // nothing is answered on this connection any more
-	EarlyUnavailable         // 503, not delivered, while the body is still being sent; the connection is closed
-	EarlyUnavailableKeepOpen // the same, the connection stays and nothing more is read
-
-	NoResponse                // it runs and answers nothing
-	DelayedRun                // it stands still for Delay, then runs and answers
-	Reset                     // the connection is reset before the answer
-	CloseBeforeResponse       // the connection is closed before the answer
-	ResetInHeader             // the connection is reset in the answer's head
-	CloseInHeader             // the connection is closed there
+	Unavailable              // 503, marked as not executed
+	UnavailableWithoutID     // the same, without the attempt's ID
+	UnavailableTwice         // the same with the right ID, sent again after Delay
+	Misdirected              // 421 as if the request were for another upstream, marked as not executed
+	MisdirectedWithoutID     // the same, without the attempt's ID
+	BadRequestWithoutID      // 400, marked as not executed, without the attempt's ID
+	ResetBeforeRun           // the connection is reset before the request runs
+	CloseBeforeRun           // the connection is closed before the request runs
+	NoResponseBeforeRun      // nothing more is sent on this connection
+	EarlyUnavailable         // 503, marked as not executed, while the body is still being sent; the connection is closed
+	EarlyUnavailableKeepOpen // the same, but the connection stays open for a while and nothing more is read
+
+	NoResponse                // the request runs and gets no response
+	DelayedRun                // the request runs after Delay and gets its response
+	Reset                     // the connection is reset before the response
+	CloseBeforeResponse       // the connection is closed before the response
+	ResetInHeader             // the connection is reset within the response header
+	CloseInHeader             // the connection is closed within the response header
 	ResetInBody               // the connection is reset in the middle of the body
-	CloseInBody               // the connection is closed there
+	CloseInBody               // the connection is closed in the middle of the body
 	CloseBetweenChunks        // the connection is closed between two chunks
-	ResetAfterResponse        // the connection is reset Delay after a whole answer
-	CloseAfterResponse        // the connection is closed there, unannounced
-	CloseWriteAfterResponse   // the answer's direction is closed there
-	DuplicateResponse         // a second answer comes Delay after the first
-	LateErrorWithoutID        // an error without an id comes Delay after the answer
-	LateUnavailableWithoutID  // a 503, not delivered, without an id comes Delay after the answer
-	LateSuccessWithoutID      // a success without an id comes Delay after the answer
-	LateOtherID               // an answer to another request comes Delay after the answer
-	LateGarbage               // bytes that are no answer come Delay after the answer
-	PrecedingOtherID          // an answer to another request comes before its own
-	PrecedingErrorWithoutID   // an error without an id comes before its own
-	InformationalResponses    // 100 and 103 come before its own
-	SwitchingProtocols        // 101 comes in place of its own
-	SuccessWithoutID          // a success without the attempt's id
+	ResetAfterResponse        // the connection is reset Delay after a complete response
+	CloseAfterResponse        // the connection is closed Delay after a complete response, without Connection: close
+	CloseWriteAfterResponse   // the sending side is closed Delay after a complete response
+	DuplicateResponse         // the response is sent again after Delay
+	LateErrorWithoutID        // an error without an ID follows Delay after the response
+	LateUnavailableWithoutID  // a 503, marked as not executed, without an ID follows Delay after the response
+	LateSuccessWithoutID      // a success without an ID follows Delay after the response
+	LateOtherID               // a response to another request follows Delay after the response
+	LateGarbage               // bytes that are not HTTP follow Delay after the response
+	PrecedingOtherID          // a response to another request precedes the response
+	PrecedingErrorWithoutID   // an error without an ID precedes the response
+	InformationalResponses    // 100 and 103 precede the response; nothing is wrong
+	SwitchingProtocols        // 101 precedes the response
+	SuccessWithoutID          // a success without the attempt's ID
 	Error                     // 500
-	ErrorWithoutID            // 500 without the attempt's id
-	SuccessWithoutStamp       // a success without a postmark
-	UnmarkedUnavailable       // 503 that does not say that it is not delivered
-	UnmarkedTooManyRequests   // 429 that does not say that it is not delivered
-	SuccessMarkedNotExecuted  // a success that says that it is not delivered
-	Garbage                   // bytes that are no answer
-	OversizedHeader           // a head that does not end
-	ConflictingContentLengths // two lengths that differ
-	HTTP10WithoutLength       // HTTP/1.0, its end is the connection's
-	BareCRInHeader            // a carriage return in a header's value
-	ChunkedWithTrailer        // in chunks, with a trailer; nothing is wrong
-	NoContentWithBody         // 204 with bytes that look like a body behind it
-	ConnectionClose           // a whole answer that ends its connection; nothing is wrong
+	ErrorWithoutID            // 500 without the attempt's ID
+	SuccessWithoutStamp       // a success without the upstream's stamp (X-Postmark)
+	UnmarkedUnavailable       // 503 that is not marked as not executed
+	UnmarkedTooManyRequests   // 429 that is not marked as not executed
+	SuccessMarkedNotExecuted  // a success that is marked as not executed
+	Garbage                   // bytes that are not HTTP
+	OversizedHeader           // a response header of about 300 kB
+	ConflictingContentLengths // two different Content-Length headers
+	HTTP10WithoutLength       // HTTP/1.0 without a length; the body ends with the connection
+	BareCRInHeader            // a carriage return in a header value
+	ChunkedWithTrailer        // chunked, with a trailer; nothing is wrong
+	NoContentWithBody         // 204 followed by bytes that look like a body
+	ConnectionClose           // a complete response with Connection: close; nothing is wrong
 	EarlyError                // 500 while the body is still being sent; the connection is closed
-	EarlySuccess              // a whole success while the body is still being sent, which is read to its end
+	EarlySuccess              // a complete success while the body is still being sent; the rest of the body is read
 	faultCount
 )
 
-// Injection is a fault that a request is to meet, with the delay that its kind names.
+// Injection is a fault for one request. Delay is used by the faults whose comment names it.
 type Injection struct {
 	Fault Fault
 	Delay time.Duration
 }
 
-// Faults are all faults.
+// Faults returns all faults, NoFault among them.
 func Faults() []Fault {
 	all := make([]Fault, faultCount)
 	for n := range all {
@@ -91,31 +92,31 @@
 // Runs reports whether an upstream with this fault runs the request.
 func (f Fault) Runs() bool { return scripts[f].runs }
 
-// early reports whether the answer comes before the body has been read.
+// early reports whether the response is sent before the request body has been read.
 func (f Fault) early() bool { return scripts[f].early }
 
-// InjectFaults has the next requests meet faults.
+// InjectFaults queues faults without a delay, one for each of the next requests.
 func (u *Upstream) InjectFaults(faults ...Fault) {
 	for _, f := range faults {
 		u.Inject(Injection{Fault: f})
 	}
 }
 
-// Inject has the next request that has no fault yet meet one.
+// Inject queues a fault, for the next request that has none yet.
 func (u *Upstream) Inject(injection Injection) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.injections = append(u.injections, injection)
 }
 
-// PendingFaults is how many faults are still to come.
+// PendingFaults returns the number of queued faults.
 func (u *Upstream) PendingFaults() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return len(u.injections)
 }
 
-// DropNextFault takes back the next fault.
+// DropNextFault removes the next queued fault.
 func (u *Upstream) DropNextFault() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -124,7 +125,7 @@
 	}
 }
 
-// FaultMetBy is the last fault that an attempt met here.
+// FaultMetBy returns the last fault that was injected into an attempt.
 func (u *Upstream) FaultMetBy(id string) (fault Fault, met bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -132,15 +133,15 @@
 	return fault, met
 }
 
-// StrayBody is the body of answers that belong to no request.
+// StrayBody is the body of responses that belong to no request.
 const StrayBody = "odd"
 
-// upstreamResponse is an HTTP answer, as an upstream of the users frames it.
+// upstreamResponse is an HTTP response as upstreams of this mesh send it.
 type upstreamResponse struct {
 	status         int
 	id, stampValue string
 	notExecuted    bool
-	extraHeaders   string // header lines
+	extraHeaders   string // further header lines
 	body           string
 }
 
@@ -176,7 +177,7 @@
 
 func (r upstreamResponse) text() string { return r.headerText() + r.body }
 
-// failure is the answer with which an upstream itself fails a request.
+// failure is the response to a request that the upstream itself fails.
 func (r upstreamResponse) failure(status int) upstreamResponse {
 	return upstreamResponse{status: status, id: r.id, body: "failed"}
 }
@@ -198,7 +199,7 @@
 	return r
 }
 
-// strayResponse is an answer that belongs to no request.
+// strayResponse is a response that belongs to no request.
 func strayResponse(status int, id string) upstreamResponse {
 	return upstreamResponse{status: status, id: id, body: StrayBody}
 }
@@ -215,7 +216,7 @@
 	return success
 }
 
-// rawConnection is a connection without an HTTP server. What comes late is written beside the next answer, never inside it.
+// rawConnection is a connection that was hijacked from the HTTP server. The mutex keeps late writes from splitting the next response.
 type rawConnection struct {
 	*net.TCPConn
 	reader     *bufio.Reader
@@ -233,11 +234,11 @@
 	c.Close()
 }
 
-// exchange is one request and its answer over a bare connection.
+// exchange is one request and its response over a raw connection.
 type exchange struct {
 	*rawConnection
 	request  *http.Request
-	response upstreamResponse // whole and right
+	response upstreamResponse // the complete, correct response
 	delay    time.Duration
 }
 
@@ -245,25 +246,25 @@
 
 func (e *exchange) discardInput() { io.Copy(io.Discard, e.reader) }
 
-// faultScript is how a fault is played; play reports whether the connection serves on.
+// faultScript implements a fault. respond reports whether the connection stays open for further requests.
 type faultScript struct {
 	runs    bool
 	early   bool
 	delayed bool
-	respond func(*exchange) (serveOn bool)
+	respond func(*exchange) (keepOpen bool)
 }
 
-// writeText plays one piece of text and serves on.
+// writeText writes a text and keeps the connection open.
 func writeText(build func(response upstreamResponse) string) func(*exchange) bool {
 	return func(e *exchange) bool { e.write(build(e.response)); return true }
 }
 
-// writeTextThenClose plays one piece of text and closes the connection.
+// writeTextThenClose writes a text and closes the connection.
 func writeTextThenClose(build func(response upstreamResponse) string) func(*exchange) bool {
 	return func(e *exchange) bool { e.write(build(e.response)); return false }
 }
 
-// writeTextThenReset plays one piece of text and resets the connection a moment later.
+// writeTextThenReset writes a text and resets the connection 1 ms later.
 func writeTextThenReset(build func(response upstreamResponse) string) func(*exchange) bool {
 	return func(e *exchange) bool {
 		e.write(build(e.response))
@@ -273,7 +274,7 @@
 	}
 }
 
-// respondThen plays the right answer, and something else after the delay.
+// respondThen writes the correct response and runs an action after the delay.
 func respondThen(action func(*exchange)) func(*exchange) bool {
 	return func(e *exchange) bool {
 		e.write(e.response.text())
@@ -282,7 +283,7 @@
 	}
 }
 
-// respondThenWriteText plays the right answer, and a piece of text after the delay.
+// respondThenWriteText writes the correct response and another text after the delay.
 func respondThenWriteText(build func(response upstreamResponse) string) func(*exchange) bool {
 	return respondThen(func(e *exchange) { e.write(build(e.response)) })
 }
@@ -352,16 +353,16 @@
 	NoFault: {runs: true, respond: writeText(upstreamResponse.text)},
 
 	Unavailable:          {respond: writeText(unavailableText)},
-	UnavailableWithoutID: {respond: writeText(func(own upstreamResponse) string { return own.unavailable().withoutID().text() })},
-	UnavailableTwice: {respond: func(x *exchange) bool {
-		x.write(unavailableText(x.response))
-		x.afterDelay(func() { x.write(unavailableText(x.response)) })
+	UnavailableWithoutID: {respond: writeText(func(response upstreamResponse) string { return response.unavailable().withoutID().text() })},
+	UnavailableTwice: {respond: func(e *exchange) bool {
+		e.write(unavailableText(e.response))
+		e.afterDelay(func() { e.write(unavailableText(e.response)) })
 		return true
 	}},
-	Misdirected:          {respond: writeText(func(own upstreamResponse) string { return own.misdirected().text() })},
-	MisdirectedWithoutID: {respond: writeText(func(own upstreamResponse) string { return own.misdirected().withoutID().text() })},
-	BadRequestWithoutID: {respond: writeText(func(own upstreamResponse) string {
-		bad := own.unavailable().withoutID()
+	Misdirected:          {respond: writeText(func(response upstreamResponse) string { return response.misdirected().text() })},
+	MisdirectedWithoutID: {respond: writeText(func(response upstreamResponse) string { return response.misdirected().withoutID().text() })},
+	BadRequestWithoutID: {respond: writeText(func(response upstreamResponse) string {
+		bad := response.unavailable().withoutID()
 		bad.status = 400
 		return bad.text()
 	})},
@@ -369,8 +370,8 @@
 	CloseBeforeRun:      {respond: writeTextThenClose(emptyText)},
 	NoResponseBeforeRun: {respond: discardUntilClosed},
 	EarlyUnavailable:    {early: true, respond: writeTextThenClose(unavailableText)},
-	EarlyUnavailableKeepOpen: {early: true, respond: func(x *exchange) bool {
-		x.write(unavailableText(x.response))
+	EarlyUnavailableKeepOpen: {early: true, respond: func(e *exchange) bool {
+		e.write(unavailableText(e.response))
 		time.Sleep(300 * time.Millisecond)
 		return false
 	}},
@@ -384,29 +385,29 @@
 	ResetInBody:              {runs: true, respond: writeTextThenReset(halfBody)},
 	CloseInBody:              {runs: true, respond: writeTextThenClose(halfBody)},
 	CloseBetweenChunks:       {runs: true, respond: writeTextThenClose(chunkedHeaderAndHalfBody)},
-	ResetAfterResponse:       {runs: true, respond: respondThen(func(x *exchange) { x.reset() })},
-	CloseAfterResponse:       {runs: true, respond: respondThen(func(x *exchange) { x.Close() })},
-	CloseWriteAfterResponse:  {runs: true, respond: respondThen(func(x *exchange) { x.CloseWrite() })},
+	ResetAfterResponse:       {runs: true, respond: respondThen(func(e *exchange) { e.reset() })},
+	CloseAfterResponse:       {runs: true, respond: respondThen(func(e *exchange) { e.Close() })},
+	CloseWriteAfterResponse:  {runs: true, respond: respondThen(func(e *exchange) { e.CloseWrite() })},
 	DuplicateResponse:        {runs: true, respond: respondThenWriteText(upstreamResponse.text)},
 	LateErrorWithoutID:       {runs: true, respond: respondThenWriteText(func(upstreamResponse) string { return strayResponse(500, "").text() })},
 	LateUnavailableWithoutID: {runs: true, respond: respondThenWriteText(func(upstreamResponse) string { return strayUnavailable().text() })},
 	LateSuccessWithoutID:     {runs: true, respond: respondThenWriteText(func(upstreamResponse) string { return straySuccess("").text() })},
 	LateOtherID:              {runs: true, respond: respondThenWriteText(func(upstreamResponse) string { return straySuccess("of-another").text() })},
 	LateGarbage:              {runs: true, respond: respondThenWriteText(invalidHTTP)},
-	PrecedingOtherID:         {runs: true, respond: writeTextThenClose(func(own upstreamResponse) string { return straySuccess("of-another").text() + own.text() })},
-	PrecedingErrorWithoutID:  {runs: true, respond: writeText(func(own upstreamResponse) string { return strayResponse(500, "").text() + own.text() })},
-	InformationalResponses: {runs: true, respond: writeText(func(own upstreamResponse) string {
-		return "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\n\r\n" + own.text()
+	PrecedingOtherID:         {runs: true, respond: writeTextThenClose(func(response upstreamResponse) string { return straySuccess("of-another").text() + response.text() })},
+	PrecedingErrorWithoutID:  {runs: true, respond: writeText(func(response upstreamResponse) string { return strayResponse(500, "").text() + response.text() })},
+	InformationalResponses: {runs: true, respond: writeText(func(response upstreamResponse) string {
+		return "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\n\r\n" + response.text()
 	})},
-	SwitchingProtocols: {runs: true, respond: writeText(func(own upstreamResponse) string {
-		return "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n" + own.text()
+	SwitchingProtocols: {runs: true, respond: writeText(func(response upstreamResponse) string {
+		return "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n" + response.text()
 	})},
-	SuccessWithoutID:          {runs: true, respond: writeText(func(own upstreamResponse) string { return own.withoutID().text() })},
-	Error:                     {runs: true, respond: writeText(func(own upstreamResponse) string { return own.failure(500).text() })},
-	ErrorWithoutID:            {runs: true, respond: writeText(func(own upstreamResponse) string { return own.failure(500).withoutID().text() })},
+	SuccessWithoutID:          {runs: true, respond: writeText(func(response upstreamResponse) string { return response.withoutID().text() })},
+	Error:                     {runs: true, respond: writeText(func(response upstreamResponse) string { return response.failure(500).text() })},
+	ErrorWithoutID:            {runs: true, respond: writeText(func(response upstreamResponse) string { return response.failure(500).withoutID().text() })},
 	SuccessWithoutStamp:       {runs: true, respond: writeText(successWithoutStamp)},
-	UnmarkedUnavailable:       {runs: true, respond: writeText(func(own upstreamResponse) string { return own.failure(503).text() })},
-	UnmarkedTooManyRequests:   {runs: true, respond: writeText(func(own upstreamResponse) string { return own.failure(429).text() })},
+	UnmarkedUnavailable:       {runs: true, respond: writeText(func(response upstreamResponse) string { return response.failure(503).text() })},
+	UnmarkedTooManyRequests:   {runs: true, respond: writeText(func(response upstreamResponse) string { return response.failure(429).text() })},
 	SuccessMarkedNotExecuted:  {runs: true, respond: writeText(successMarkedNotExecuted)},
 	Garbage:                   {runs: true, respond: writeText(invalidHTTP)},
 	OversizedHeader:           {runs: true, respond: writeText(oversizedHeader)},
@@ -416,7 +417,7 @@
 	ChunkedWithTrailer:        {runs: true, respond: writeText(chunkedWithTrailer)},
 	NoContentWithBody:         {runs: true, respond: writeText(noContentWithBody)},
 	ConnectionClose:           {runs: true, respond: writeTextThenClose(connectionClose)},
-	EarlyError:                {runs: true, early: true, respond: writeTextThenClose(func(own upstreamResponse) string { return own.failure(500).text() })},
+	EarlyError:                {runs: true, early: true, respond: writeTextThenClose(func(response upstreamResponse) string { return response.failure(500).text() })},
 	EarlySuccess:              {runs: true, early: true, respond: earlySuccess},
 }
 
@@ -429,54 +430,54 @@
 }
 
 var faultNames = [faultCount]string{
-	NoFault:                   "sound",
-	Unavailable:               "full",
-	UnavailableWithoutID:      "full without id",
-	UnavailableTwice:          "full twice",
-	Misdirected:               "elsewhere",
-	MisdirectedWithoutID:      "elsewhere without id",
-	BadRequestWithoutID:       "bad request without id",
+	NoFault:                   "no fault",
+	Unavailable:               "unavailable",
+	UnavailableWithoutID:      "unavailable without ID",
+	UnavailableTwice:          "unavailable twice",
+	Misdirected:               "misdirected",
+	MisdirectedWithoutID:      "misdirected without ID",
+	BadRequestWithoutID:       "bad request without ID",
 	ResetBeforeRun:            "reset before run",
 	CloseBeforeRun:            "close before run",
-	NoResponseBeforeRun:       "silent before run",
-	EarlyUnavailable:          "early full",
-	EarlyUnavailableKeepOpen:  "early full connection on",
-	NoResponse:                "silent",
-	DelayedRun:                "thawed",
+	NoResponseBeforeRun:       "no response before run",
+	EarlyUnavailable:          "early unavailable",
+	EarlyUnavailableKeepOpen:  "early unavailable keep open",
+	NoResponse:                "no response",
+	DelayedRun:                "delayed run",
 	Reset:                     "reset",
-	CloseBeforeResponse:       "close before answer",
-	ResetInHeader:             "reset in head",
-	CloseInHeader:             "close in head",
+	CloseBeforeResponse:       "close before response",
+	ResetInHeader:             "reset in header",
+	CloseInHeader:             "close in header",
 	ResetInBody:               "reset in body",
-	CloseInBody:               "cut short",
-	CloseBetweenChunks:        "chunked cut",
-	ResetAfterResponse:        "reset after answer",
-	CloseAfterResponse:        "close after answer",
-	CloseWriteAfterResponse:   "half close",
-	DuplicateResponse:         "extra",
-	LateErrorWithoutID:        "error without id late",
-	LateUnavailableWithoutID:  "full without id late",
-	LateSuccessWithoutID:      "success without id late",
-	LateOtherID:               "other id late",
-	LateGarbage:               "garbage late",
-	PrecedingOtherID:          "other id",
-	PrecedingErrorWithoutID:   "error without id before",
-	InformationalResponses:    "informational",
+	CloseInBody:               "close in body",
+	CloseBetweenChunks:        "close between chunks",
+	ResetAfterResponse:        "reset after response",
+	CloseAfterResponse:        "close after response",
+	CloseWriteAfterResponse:   "close write after response",
+	DuplicateResponse:         "duplicate response",
+	LateErrorWithoutID:        "late error without ID",
+	LateUnavailableWithoutID:  "late unavailable without ID",
+	LateSuccessWithoutID:      "late success without ID",
+	LateOtherID:               "late other ID",
+	LateGarbage:               "late garbage",
+	PrecedingOtherID:          "preceding other ID",
+	PrecedingErrorWithoutID:   "preceding error without ID",
+	InformationalResponses:    "informational responses",
 	SwitchingProtocols:        "switching protocols",
-	SuccessWithoutID:          "without id",
+	SuccessWithoutID:          "success without ID",
 	Error:                     "error",
-	ErrorWithoutID:            "error without id",
-	SuccessWithoutStamp:       "unstamped",
-	UnmarkedUnavailable:       "unproven full",
-	UnmarkedTooManyRequests:   "unproven too many",
-	SuccessMarkedNotExecuted:  "contradiction",
+	ErrorWithoutID:            "error without ID",
+	SuccessWithoutStamp:       "success without stamp",
+	UnmarkedUnavailable:       "unmarked unavailable",
+	UnmarkedTooManyRequests:   "unmarked too many requests",
+	SuccessMarkedNotExecuted:  "success marked not executed",
 	Garbage:                   "garbage",
-	OversizedHeader:           "endless head",
-	ConflictingContentLengths: "two lengths",
-	HTTP10WithoutLength:       "no stated end",
-	BareCRInHeader:            "bare CR",
+	OversizedHeader:           "oversized header",
+	ConflictingContentLengths: "conflicting content lengths",
+	HTTP10WithoutLength:       "HTTP/1.0 without length",
+	BareCRInHeader:            "bare CR in header",
 	ChunkedWithTrailer:        "chunked with trailer",
-	NoContentWithBody:         "no content",
+	NoContentWithBody:         "no content with body",
 	ConnectionClose:           "connection close",
 	EarlyError:                "early error",
 	EarlySuccess:              "early success",
--- a/internal/mesh/testmesh/filter.go
+++ b/internal/mesh/testmesh/filter.go
@@ -8,24 +8,24 @@
 	"sync"
 )
 
-// errDropped is what the caller of a dropped call gets.
-var errDropped = errors.New("the call is dropped")
+// errDropped is the error of a dropped call.
+var errDropped = errors.New("injected fault: call dropped")
 
-// Filter drops calls of one process by what they say, for tests that need a process to die, or a message to be lost, between
-// two steps. The zero value drops nothing.
+// Filter drops calls of one process by their destination, path and body. Tests use it to lose a message, or to act between two
+// steps of a protocol. The zero value drops nothing.
 type Filter struct {
 	mu   sync.Mutex
 	drop func(to, path string, body []byte) bool
 }
 
-// SetDrop has calls fail for which a function says so; nil ends it. The function may be called by several calls at once.
+// SetDrop sets the function that selects the calls to drop; nil drops none. Concurrent calls may run the function concurrently.
 func (f *Filter) SetDrop(drop func(to, path string, body []byte) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.drop = drop
 }
 
-// Transport wraps the transport of the process.
+// Transport wraps the transport of a process.
 func (f *Filter) Transport(next http.RoundTripper) http.RoundTripper {
 	return &filterTransport{f, next}
 }
@@ -35,7 +35,7 @@
 	next   http.RoundTripper
 }
 
-// RoundTrip sends a request that is not dropped.
+// RoundTrip sends a request, unless it is dropped.
 func (t *filterTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	t.filter.mu.Lock()
 	drop := t.filter.drop
--- a/internal/mesh/testmesh/history/history.go
+++ b/internal/mesh/testmesh/history/history.go
@@ -1,5 +1,5 @@
-// Package history keeps what operators saw of a mesh's configuration and checks it against one register with compare and
-// set.
+// Package history records what operators saw of the configuration of a mesh, and checks that it is linearizable as a register with
+// compare-and-set.
 package history
 
 import (
@@ -12,33 +12,33 @@
 	"ottershift/internal/mesh/testmesh"
 )
 
-// Configuration is a configuration by its edition and the order that set it. Two orders may choose one edition.
+// Configuration identifies a configuration by its version and the update that set it. Two updates may choose the same version.
 type Configuration struct {
 	Version  int64
 	UpdateID int
 }
 
-// operation is a read or an order with all its tries.
+// operation is a read, or an update with all its attempts.
 type operation struct {
 	read          bool
-	configuration Configuration // read, or set by the order
+	configuration Configuration // that was read, or that the update sets
 	baseVersion   int64
 	outcome       testmesh.Outcome
 }
 
-// History is what operators saw. The zero value is empty.
+// History is the operations of operators and their outcomes. The zero value is empty.
 type History struct {
 	mu             sync.Mutex
 	operations     []porcupine.Operation
-	outcomes       map[int]testmesh.Outcome // of each order, the first that is not unclear
+	outcomes       map[int]testmesh.Outcome // the first known outcome of each update, by update ID
 	contradictions []string
 }
 
-// unknownEnd is when an order of which nobody knows the end has ended.
+// unknownEnd is the end time, in Unix nanoseconds, of an update with an unknown outcome.
 const unknownEnd = int64(1) << 62
 
-// AddUpdate adds an order, from its first try to the answer that told its outcome. An unclear one may take effect at any later
-// time.
+// AddUpdate adds an update, from its first attempt to the response that showed its outcome. An update with an unknown outcome may
+// take effect at any later time.
 func (h *History) AddUpdate(operator int, update *testmesh.Update, outcome testmesh.Outcome, start, end time.Time) {
 	h.AddOutcome(update, outcome)
 	returned := end.UnixNano()
@@ -48,7 +48,7 @@
 	h.addOperation(operator, operation{configuration: Configuration{update.Version, update.ID}, baseVersion: update.BaseVersion, outcome: outcome}, start.UnixNano(), returned)
 }
 
-// AddOutcome notes an answer to a further try of an order: it may be unclear, and must not reverse an earlier one.
+// AddOutcome records the outcome of a further attempt to send an update. It must not contradict an earlier known outcome.
 func (h *History) AddOutcome(update *testmesh.Update, outcome testmesh.Outcome) {
 	if outcome == testmesh.OutcomeUnknown {
 		return
@@ -60,7 +60,7 @@
 	}
 	previous, known := h.outcomes[update.ID]
 	if known && (previous == testmesh.OutcomeConfirmed) != (outcome == testmesh.OutcomeConfirmed) {
-		h.contradictions = append(h.contradictions, fmt.Sprintf("order %d on %d as %d: %v, then %v", update.ID, update.BaseVersion, update.Version, previous, outcome))
+		h.contradictions = append(h.contradictions, fmt.Sprintf("update %d from version %d to %d: %v, then %v", update.ID, update.BaseVersion, update.Version, previous, outcome))
 	}
 	if !known {
 		h.outcomes[update.ID] = outcome
@@ -78,7 +78,7 @@
 	h.operations = append(h.operations, porcupine.Operation{ClientId: operator, Input: op, Call: call, Return: end})
 }
 
-// Counts is how many orders ended in each way, and how many reads there were.
+// Counts returns the number of updates by outcome, and the number of reads.
 func (h *History) Counts() (updates map[testmesh.Outcome]int, reads int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -95,16 +95,16 @@
 
 // Result is the result of a check.
 type Result struct {
-	Violation string // what no register would have answered; empty for nothing
-	Unknown   bool   // the search took too long
+	Violation string // how the history violates the register model; empty if it does not
+	Unknown   bool   // the check timed out
 }
 
-// Check looks for an order of operations in which one register would have answered so.
+// Check checks whether the history is linearizable.
 func (h *History) Check(timeout time.Duration) Result {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if len(h.contradictions) > 0 {
-		return Result{Violation: "an answer was reversed: " + h.contradictions[0]}
+		return Result{Violation: "contradicting outcomes: " + h.contradictions[0]}
 	}
 	switch porcupine.CheckOperationsTimeout(registerModel, h.operations, timeout) {
 	case porcupine.Illegal:
@@ -115,8 +115,7 @@
 	return Result{}
 }
 
-// registerModel is one version that changes only from the edition that a change was made on. The zero version is there before
-// the first.
+// registerModel is a register with compare-and-set on the version of the configuration. It starts as the zero Configuration.
 var registerModel = (&porcupine.NondeterministicModel{
 	Init: func() []any { return []any{Configuration{}} },
 	Step: func(state, input, _ any) []any {
--- a/internal/mesh/testmesh/links.go
+++ b/internal/mesh/testmesh/links.go
@@ -12,30 +12,30 @@
 	"time"
 )
 
-// LinkFault is what is wrong with the calls from one machine to another.
+// LinkFault is a fault of the link from one machine to another.
 type LinkFault uint8
 
-// Faults of a link, in one direction.
+// Faults of a link in one direction.
 const (
 	LinkOK             LinkFault = iota
-	LinkDropsRequests            // requests never arrive; the caller waits until its own end
+	LinkDropsRequests            // requests are lost; the caller waits until its own deadline
 	LinkRefused                  // connections are refused at once
-	LinkReset                    // requests arrive, the connection is reset before the response
-	LinkDropsResponses           // requests arrive and are handled, their responses never come back
-	LinkDeliversLate             // requests arrive after Delay, also once their caller has given up; responses are lost
+	LinkReset                    // requests arrive; the connection is reset before the response
+	LinkDropsResponses           // requests arrive and are handled; their responses are lost
+	LinkDeliversLate             // requests arrive after the delay, even if the caller has given up; responses are lost
 )
 
 var errConnectionRefused = &net.OpError{Op: "dial", Net: "tcp4", Err: syscall.ECONNREFUSED}
 
-// Links injects faults into the calls between processes of a test. A link is named by the IP addresses of its two ends, each
-// direction by itself. The zero value has no faults.
+// Links injects faults into the calls between processes of a test. A link is identified by the IP addresses of its two ends;
+// its two directions have separate faults. The zero value has no faults.
 type Links struct {
 	mu     sync.Mutex
 	faults map[[2]string]LinkFault
 	delays map[[2]string]time.Duration
 }
 
-// Set puts a fault on the direction from one IP address to another.
+// Set sets the fault of the direction from one IP address to another.
 func (l *Links) Set(from, to string, fault LinkFault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -45,13 +45,13 @@
 	l.faults[[2]string{from, to}] = fault
 }
 
-// SetBoth puts a fault on both directions between two IP addresses.
+// SetBoth sets the fault of both directions between two IP addresses.
 func (l *Links) SetBoth(first, second string, fault LinkFault) {
 	l.Set(first, second, fault)
 	l.Set(second, first, fault)
 }
 
-// SetDelay has each request from one IP address to another wait before it is sent.
+// SetDelay delays each request from one IP address to another before it is sent.
 func (l *Links) SetDelay(from, to string, delay time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -61,7 +61,7 @@
 	l.delays[[2]string{from, to}] = delay
 }
 
-// Clear takes all faults and delays away.
+// Clear removes all faults and delays.
 func (l *Links) Clear() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -75,7 +75,7 @@
 	return l.faults[key], l.delays[key]
 }
 
-// Transport wraps the transport of a process at an IP address, so that its calls meet the faults of its links.
+// Transport wraps the transport of the process at an IP address, so that the faults of its links apply to its calls.
 func (l *Links) Transport(from string) func(http.RoundTripper) http.RoundTripper {
 	return func(next http.RoundTripper) http.RoundTripper {
 		return &faultyTransport{links: l, from: from, next: next}
@@ -88,15 +88,15 @@
 	next  http.RoundTripper
 }
 
-// CloseIdleConnections closes what the wrapped transport keeps.
+// CloseIdleConnections closes the idle connections of the wrapped transport.
 func (t *faultyTransport) CloseIdleConnections() {
-	if closer, is := t.next.(interface{ CloseIdleConnections() }); is {
+	if closer, ok := t.next.(interface{ CloseIdleConnections() }); ok {
 		closer.CloseIdleConnections()
 	}
 }
 
-// RoundTrip sends one request over the link to its host. A fault that begins while a response is on its way holds that
-// response up, too.
+// RoundTrip sends one request over the link to its host. If the link from the host back is faulty when the response arrives,
+// the response is lost.
 func (t *faultyTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	host := r.URL.Hostname()
 	fault, delay := t.links.state(t.from, host)
@@ -119,7 +119,7 @@
 	}
 	response, err := t.next.RoundTrip(r)
 	if reverse, _ := t.links.state(host, t.from); fault == LinkOK && reverse != LinkOK {
-		fault = LinkDropsResponses // the way back of the response is the other direction
+		fault = LinkDropsResponses // responses travel in the reverse direction
 	}
 	switch fault {
 	case LinkReset:
--- a/internal/mesh/testmesh/memory_disk.go
+++ b/internal/mesh/testmesh/memory_disk.go
@@ -9,31 +9,31 @@
 	"sync"
 )
 
-// ErrPowerLoss is what a MemoryDisk says to a process whose machine has lost power.
-var ErrPowerLoss = errors.New("the power is gone")
+// ErrPowerLoss is the error with which tests stop a process whose machine has lost power.
+var ErrPowerLoss = errors.New("injected fault: power loss")
 
-// MemoryDisk is the disk of one process, and knows what each loss of power may leave of it. What a file's last sync covered
-// stays; of later writes each is there, missing or torn. Each name that was made, renamed or removed since the last sync of
-// its folder is kept or lost by itself.
+// MemoryDisk is the disk of one process. It can produce the states in which a power loss may leave the disk: data that was synced
+// stays, and each later write is kept, missing or torn. Each change of a directory entry (creation, renaming, removal) since the
+// last sync of its directory is kept or lost independently.
 type MemoryDisk struct {
 	mu             sync.Mutex
 	root           *node
 	live           directoryEntries
-	durable        directoryEntries // as of the last syncs of their folders
-	pending        []entryChange    // since then, in order
+	durable        directoryEntries // as of the last sync of each directory
+	pending        []entryChange    // changes since then, in order
 	operationCount int
 
-	// PowerLossAfter is the number of operations after which the power is gone; 0 for never. What the process does after that has no
-	// effect on what AfterPowerLoss shows. It is not failed: error paths of goleveldb are no part of a loss of power.
+	// PowerLossAfter is the number of operations after which the power is lost; 0 for never. Later operations do not affect the
+	// states that AfterPowerLoss visits. They do not fail, because a power loss does not run the error paths of goleveldb.
 	PowerLossAfter       int
-	atPowerLoss          *MemoryDisk // as it was then
+	atPowerLoss          *MemoryDisk // copy of the disk at the power loss; nil before it
 	failing              bool
 	ignoreDirectorySyncs bool
-	// IgnoreFileSyncs has SyncFile do nothing. Syncs by writers go on.
+	// IgnoreFileSyncs makes SyncFile a no-op. Writers still sync.
 	IgnoreFileSyncs bool
 }
 
-// node is a file or a folder.
+// node is a file or a directory.
 type node struct {
 	synced   []byte
 	unsynced [][]byte // writes since the last sync
@@ -50,9 +50,9 @@
 
 type directoryEntries map[entryKey]*node
 
-// entryChange is one change of a folder: a name is made, goes to another one, or is removed.
+// entryChange is the creation, renaming or removal of a directory entry.
 type entryChange struct {
-	from, to entryKey // from is zero for a new name, to for a removed one
+	from, to entryKey // from is zero for a creation, to for a removal
 	node     *node
 }
 
@@ -65,33 +65,33 @@
 	}
 }
 
-// NewMemoryDisk makes an empty disk.
+// NewMemoryDisk returns an empty disk.
 func NewMemoryDisk() *MemoryDisk {
 	return &MemoryDisk{root: &node{}, live: directoryEntries{}, durable: directoryEntries{}}
 }
 
-// SetFailing has each operation fail that changes something, or no longer.
+// SetFailing sets whether operations that change or sync something fail.
 func (d *MemoryDisk) SetFailing(failing bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.failing = failing
 }
 
-// IgnoreDirectorySyncs has syncs of folders do nothing, as if the program did not call them. goleveldb's own go on.
+// IgnoreDirectorySyncs sets whether SyncDirectory is a no-op. The directory syncs of goleveldb still work.
 func (d *MemoryDisk) IgnoreDirectorySyncs(ignore bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.ignoreDirectorySyncs = ignore
 }
 
-// OperationCount is how many operations have changed or synced something so far.
+// OperationCount returns the number of operations so far that changed or synced something.
 func (d *MemoryDisk) OperationCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.operationCount
 }
 
-// Size is the size of all files that can be reached.
+// Size returns the total size in bytes of the files that have a directory entry.
 func (d *MemoryDisk) Size() (n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -101,7 +101,7 @@
 	return n
 }
 
-// beginOperation counts one operation and says whether it may happen.
+// beginOperation counts an operation and returns an error if operations are set to fail.
 func (d *MemoryDisk) beginOperation() error {
 	if d.operationCount++; d.PowerLossAfter > 0 && d.operationCount == d.PowerLossAfter+1 {
 		d.atPowerLoss = d.clone()
@@ -112,14 +112,14 @@
 	return nil
 }
 
-// PowerLost reports whether the power is gone.
+// PowerLost reports whether the power has been lost.
 func (d *MemoryDisk) PowerLost() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.atPowerLoss != nil
 }
 
-// clone copies the disk with what is unsynced.
+// clone copies the disk, including unsynced changes.
 func (d *MemoryDisk) clone() *MemoryDisk {
 	copies := map[*node]*node{nil: nil}
 	copyOf := func(n *node) *node {
@@ -148,7 +148,7 @@
 	d.pending = append(d.pending, c)
 }
 
-// key is where a path stands: a name, or one in a folder.
+// key returns the directory entry of a path, which is a name in the root directory or in one of its directories.
 func (d *MemoryDisk) key(path string) (entryKey, error) {
 	directory, name, nested := strings.Cut(path, "/")
 	if !nested {
@@ -172,7 +172,7 @@
 	return key, d.live[key], nil
 }
 
-// MakeDirectory makes a folder, unless it is there.
+// MakeDirectory creates a directory, unless it exists.
 func (d *MemoryDisk) MakeDirectory(name string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -187,7 +187,7 @@
 	return nil
 }
 
-// Rename gives a file or folder another name.
+// Rename renames a file or directory.
 func (d *MemoryDisk) Rename(from, to string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -206,7 +206,7 @@
 	return nil
 }
 
-// SyncDirectory brings the names in a folder to the disk; the empty name is that of the outer folder.
+// SyncDirectory makes the entries of a directory durable. The empty name stands for the root directory.
 func (d *MemoryDisk) SyncDirectory(name string) error {
 	d.mu.Lock()
 	ignore := d.ignoreDirectorySyncs
@@ -321,7 +321,7 @@
 	return entries
 }
 
-// Corrupt overwrites the middle of a file, as a fault of the disk itself would.
+// Corrupt overwrites the middle third of a file, as a disk fault might.
 func (d *MemoryDisk) Corrupt(path string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -336,10 +336,10 @@
 	return nil
 }
 
-// ListFiles lists the files in a folder.
+// ListFiles lists the files in a directory.
 func (d *MemoryDisk) ListFiles(directory string) []string { return d.list(directory) }
 
-// The fates of an unsynced write.
+// Effects of a power loss on an unsynced write.
 const (
 	writeMissing = iota
 	writeKept
@@ -347,8 +347,9 @@
 	writeFateCount
 )
 
-// AfterPowerLoss calls take with disks that a loss of power at this moment may leave: every one up to a bound, beyond it as
-// many seeded samples, with those among them in which names, or writes, are all kept or all lost.
+// AfterPowerLoss calls visit with the states in which a power loss at this moment may leave the disk, and returns their number. If
+// there are more than limit states, it visits limit seeded samples. The samples include the states in which all entry changes, or
+// all writes, are kept or lost.
 func (d *MemoryDisk) AfterPowerLoss(limit int, seed uint64, visit func(*MemoryDisk)) (states int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -373,7 +374,7 @@
 		switch rest := n; {
 		case combinations <= limit:
 			choose = func(choices int) int { chosen := rest % choices; rest /= choices; return chosen }
-		case n < 4: // names lost or kept, writes missing or there
+		case n < 4: // entry changes all lost or all kept, writes all missing or all kept
 			choose = func(choices int) int { return (n >> (choices - 2)) & 1 }
 		}
 		visit(d.stateAfterPowerLoss(files, choose))
@@ -398,7 +399,7 @@
 	return files
 }
 
-// stateAfterPowerLoss is one disk that may be left.
+// stateAfterPowerLoss returns one state in which a power loss may leave the disk.
 func (d *MemoryDisk) stateAfterPowerLoss(files []*node, choose func(of int) int) *MemoryDisk {
 	state := NewMemoryDisk()
 	state.root, state.ignoreDirectorySyncs, state.IgnoreFileSyncs = d.root, d.ignoreDirectorySyncs, d.IgnoreFileSyncs
@@ -430,7 +431,7 @@
 	return state
 }
 
-// contentAfterPowerLoss is what is left of a file whose last writes were not synced. A missing write before one that is there leaves zeros.
+// contentAfterPowerLoss returns the content of a file after a power loss. A missing write before one that is kept leaves zeros.
 func (n *node) contentAfterPowerLoss(choose func(of int) int) []byte {
 	data := slices.Clone(n.synced)
 	end := len(data)
--- a/internal/mesh/testmesh/memory_storage.go
+++ b/internal/mesh/testmesh/memory_storage.go
@@ -11,8 +11,8 @@
 	"github.com/syndtr/goleveldb/leveldb/storage"
 )
 
-// memoryStorage is goleveldb's storage in a folder of a MemoryDisk, with the steps of its own storage of files: CURRENT is
-// backed up, written under a name of its own, renamed, and the folder synced.
+// memoryStorage implements goleveldb's storage in a directory of a MemoryDisk. It updates CURRENT in the same steps as goleveldb's
+// file storage: back it up, write it under a temporary name, rename it, and sync the directory.
 type memoryStorage struct {
 	disk      *MemoryDisk
 	directory string
@@ -23,12 +23,12 @@
 	currentBackup = "CURRENT.bak"
 )
 
-// OpenStorage opens goleveldb's files in a folder.
+// OpenStorage opens the goleveldb storage in a directory.
 func (d *MemoryDisk) OpenStorage(directory string) (storage.Storage, error) {
 	return memoryStorage{d, directory}, nil
 }
 
-// SyncFile brings one of goleveldb's files to the disk.
+// SyncFile syncs one of goleveldb's files.
 func (d *MemoryDisk) SyncFile(directory string, file storage.FileDesc) error {
 	if d.IgnoreFileSyncs {
 		return nil
@@ -57,7 +57,7 @@
 	return s.disk.sync(file)
 }
 
-// SetMeta names the current manifest.
+// SetMeta sets the current manifest.
 func (s memoryStorage) SetMeta(fd storage.FileDesc) error {
 	content := fd.String() + "\n"
 	if previous, err := s.disk.read(s.path(currentName)); err == nil {
@@ -75,10 +75,10 @@
 	if err := s.disk.Rename(s.path(name), s.path(currentName)); err != nil {
 		return err
 	}
-	return s.disk.syncEntries(s.directory) // goleveldb's own
+	return s.disk.syncEntries(s.directory) // goleveldb syncs here too, so IgnoreDirectorySyncs does not apply
 }
 
-// GetMeta finds the current manifest: the newest of a pending one and CURRENT, else the backup.
+// GetMeta returns the current manifest: the newest of those that CURRENT, or else its backup, and the pending files name.
 func (s memoryStorage) GetMeta() (storage.FileDesc, error) {
 	var pending []string
 	var newest storage.FileDesc
@@ -203,7 +203,7 @@
 	return len(data), nil
 }
 
-// Sync brings the file to the disk; a manifest's folder with it.
+// Sync syncs the file, and for a manifest the directory as well.
 func (w *memoryWriter) Sync() error {
 	if err := w.storage.disk.sync(w.file); err != nil {
 		return err
--- a/internal/mesh/testmesh/messages.go
+++ b/internal/mesh/testmesh/messages.go
@@ -6,27 +6,27 @@
 	"net/http"
 )
 
-// TransportForKind is Transport for consensus messages of one kind alone (consensus.Accept and the like): all others pass.
+// TransportForKind is like Transport, but only consensus messages of one kind, such as consensus.Accept, are subject to faults.
 func (l *Links) TransportForKind(from, kind string) func(http.RoundTripper) http.RoundTripper {
 	return func(next http.RoundTripper) http.RoundTripper {
 		return &kindTransport{prefix: []byte(`{"Kind":"` + kind + `"`), faulty: l.Transport(from)(next), next: next}
 	}
 }
 
-// kindTransport tells messages by how their JSON begins.
+// kindTransport recognizes the kind of a message by the start of its JSON text.
 type kindTransport struct {
 	prefix       []byte
 	faulty, next http.RoundTripper
 }
 
-// CloseIdleConnections closes what the wrapped transport keeps.
+// CloseIdleConnections closes the idle connections of the wrapped transport.
 func (t *kindTransport) CloseIdleConnections() {
-	if closer, is := t.next.(interface{ CloseIdleConnections() }); is {
+	if closer, ok := t.next.(interface{ CloseIdleConnections() }); ok {
 		closer.CloseIdleConnections()
 	}
 }
 
-// RoundTrip sends a message, over the faulty links if it is of the kind.
+// RoundTrip sends a message, over the faulty links if it is of the selected kind.
 func (t *kindTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
--- a/internal/mesh/testmesh/meter.go
+++ b/internal/mesh/testmesh/meter.go
@@ -6,23 +6,23 @@
 	"sync/atomic"
 )
 
-// Meter counts what a process's calls send and receive.
+// Meter counts the calls of a process and the bytes that they send and receive.
 type Meter struct {
 	sent, received, calls atomic.Int64
 }
 
-// Transport wraps a process's transport, so that its calls are counted.
+// Transport wraps the transport of a process, so that its calls are counted.
 func (m *Meter) Transport(next http.RoundTripper) http.RoundTripper {
 	return &meteredTransport{m, next}
 }
 
-// Sent is how many bytes of bodies were sent.
+// Sent returns the number of request body bytes sent.
 func (m *Meter) Sent() int64 { return m.sent.Load() }
 
-// Received is how many bytes of bodies were received.
+// Received returns the number of response body bytes received.
 func (m *Meter) Received() int64 { return m.received.Load() }
 
-// Calls is how many calls were made.
+// Calls returns the number of calls made.
 func (m *Meter) Calls() int64 { return m.calls.Load() }
 
 type meteredTransport struct {
@@ -30,14 +30,14 @@
 	next  http.RoundTripper
 }
 
-// CloseIdleConnections closes what the wrapped transport keeps.
+// CloseIdleConnections closes the idle connections of the wrapped transport.
 func (t *meteredTransport) CloseIdleConnections() {
-	if closer, is := t.next.(interface{ CloseIdleConnections() }); is {
+	if closer, ok := t.next.(interface{ CloseIdleConnections() }); ok {
 		closer.CloseIdleConnections()
 	}
 }
 
-// RoundTrip counts one call.
+// RoundTrip sends a request and counts it.
 func (t *meteredTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	t.meter.calls.Add(1)
 	t.meter.sent.Add(max(0, r.ContentLength))
--- a/internal/mesh/testmesh/operator.go
+++ b/internal/mesh/testmesh/operator.go
@@ -10,12 +10,12 @@
 	"time"
 )
 
-// Outcome is what an operator knows of an order after one or more tries.
+// Outcome is what an operator knows about an update after one or more attempts.
 type Outcome uint8
 
-// Outcomes of an order.
+// Outcomes of an update.
 const (
-	OutcomeUnknown   Outcome = iota // no answer, or one that says nothing: it may count, now or later
+	OutcomeUnknown   Outcome = iota // no response, or an inconclusive one: the update may take effect, now or later
 	OutcomeConfirmed                // 200
 	OutcomeStale                    // 412
 	OutcomeInvalid                  // 400
@@ -25,29 +25,29 @@
 	return [...]string{"unclear", "confirmed", "stale", "invalid"}[o]
 }
 
-// Update is one order of an operator. Its tries are alike byte for byte.
+// Update is an operator's update of the configuration. All attempts to send it are byte for byte the same.
 type Update struct {
-	ID          int // unique among those of a test; stands in the configuration
+	ID          int // unique within a test; part of the configuration
 	BaseVersion int64
 	Version     int64
 	Body        string
 }
 
-// NewUpdate makes an order that replaces the whole configuration.
+// NewUpdate returns an update that replaces the whole configuration.
 func NewUpdate(id int, baseVersion, version int64) *Update {
 	body := fmt.Sprintf(`{"Edition":%d,"Depots":[{"Name":"album","HealthPath":"/health"}],"PostOffices":[{"Town":"a.example","Regulations":[`+
 		`{"Name":"order-%d","MailClass":"repeatable","Sorting":{"StreetPrefix":"/"},"Dispatch":{"Destination":"album","Deadline":"2000ms","DeliveryTries":2}}]}]}`, version, id)
 	return &Update{ID: id, BaseVersion: baseVersion, Version: version, Body: body}
 }
 
-// Response is one answer to an operator; Status 0 stands for none.
+// Response is the response to one call of an operator. Status 0 stands for no response; Text is then the error.
 type Response struct {
 	Status   int
 	Text     string
 	Duration time.Duration
 }
 
-// Outcome is what an answer to an order says of it.
+// Outcome returns the outcome that a response to an update shows.
 func (r Response) Outcome() Outcome {
 	switch r.Status {
 	case http.StatusOK:
@@ -60,27 +60,27 @@
 	return OutcomeUnknown
 }
 
-// OperatorHost names the operators' end of a link to a control machine.
+// OperatorHost is the name of the operators' end of a link to a controller.
 const OperatorHost = "operator"
 
-// Operator calls control machines over links that may be in trouble, and moves on after a second of silence.
+// Operator calls controllers over links that may be faulty. Its calls time out after a second.
 type Operator struct {
 	Controllers []string // addresses
 	client      *http.Client
 }
 
-// NewOperator makes an operator who knows some control machines.
+// NewOperator returns an operator that calls the given controllers.
 func NewOperator(links *Links, controllers []string) *Operator {
 	transport := links.Transport(OperatorHost)(&http.Transport{DisableKeepAlives: true})
 	return &Operator{Controllers: controllers, client: &http.Client{Transport: transport, Timeout: time.Second}}
 }
 
-// Send tries an order once at one machine.
+// Send makes one attempt to send an update, to one controller.
 func (o *Operator) Send(ctx context.Context, controller int, update *Update) Response {
 	return o.Call(ctx, controller, "timetable.replace", strconv.FormatInt(update.BaseVersion, 10), update.Body)
 }
 
-// Call makes one call at one machine.
+// Call makes one call to one controller. ifMatch is the version that the call is based on.
 func (o *Operator) Call(ctx context.Context, controller int, method, ifMatch, body string) Response {
 	start := time.Now()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+o.Controllers[controller]+"/-/rpc?call="+method, strings.NewReader(body))
--- a/internal/mesh/testmesh/partner.go
+++ b/internal/mesh/testmesh/partner.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// Partner is another mesh: its gateway gives its table, is told when narrowings are done, and runs what comes.
+// Partner is the gateway of a partner mesh. It serves its export table, receives the reports that restrictions of it are in
+// effect, and runs requests. A write is a request with a method other than GET and HEAD.
 type Partner struct {
 	Name, Address string
 
@@ -19,17 +20,17 @@
 	mu                   sync.Mutex
 	version              int64
 	methods              []string
-	writesForbiddenSince int64 // edition from which on effects are forbidden without a break, 0 for not
-	reportedVersion      int64 // edition up to which narrowings were reported done
+	writesForbiddenSince int64 // version since which all tables have forbidden writes; 0 while they are allowed
+	reportedVersion      int64 // newest version whose restrictions were reported to be in effect
 	reportedAt           time.Time
 	publishedAt          time.Time
 	changed              chan struct{}
 	runs                 map[string]int
 	writes               map[string]bool
-	forbiddenWrites      []string // effects that ran after the narrowing that forbids them was reported done
+	forbiddenWrites      []string // writes that ran after the restriction that forbids them was reported to be in effect
 }
 
-// NewPartner serves at an address; it lets reads and effects in.
+// NewPartner starts a partner at an address. It allows GET and POST at first.
 func NewPartner(name, address string) (*Partner, error) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -42,10 +43,10 @@
 	return p, nil
 }
 
-// Stop ends it.
+// Stop stops the partner.
 func (p *Partner) Stop() { p.server.Close() }
 
-// SetMethods is its next word: which methods it lets in.
+// SetMethods publishes a new export table with the methods that the partner allows, and returns its version.
 func (p *Partner) SetMethods(methods ...string) int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -65,21 +66,22 @@
 	return p.version
 }
 
-// ReportedVersion is the edition up to which it has been told that nothing goes any more where it forbids it, and how long that took.
+// ReportedVersion returns the newest version whose restrictions were reported to be in effect, and the time from the last
+// publication to that report.
 func (p *Partner) ReportedVersion() (version int64, took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.reportedVersion, p.reportedAt.Sub(p.publishedAt)
 }
 
-// ForbiddenWrites are effects that ran after the narrowing that forbids them was reported done.
+// ForbiddenWrites returns the writes that ran after the restriction that forbids them was reported to be in effect.
 func (p *Partner) ForbiddenWrites() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return append([]string{}, p.forbiddenWrites...)
 }
 
-// Runs is how often each attempt ran, and how many effects did.
+// Runs returns how often each attempt ran, and the number of different writes.
 func (p *Partner) Runs() (runs map[string]int, writes int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -136,7 +138,7 @@
 	if isWrite {
 		p.writes[id] = true
 		if p.writesForbiddenSince > 0 && p.reportedVersion >= p.writesForbiddenSince {
-			p.forbiddenWrites = append(p.forbiddenWrites, fmt.Sprintf("%s %s by table %s", r.Method, id, r.Header.Get("X-Import-Edition")))
+			p.forbiddenWrites = append(p.forbiddenWrites, fmt.Sprintf("%s %s with export table version %s", r.Method, id, r.Header.Get("X-Import-Edition")))
 		}
 	}
 	p.mu.Unlock()
--- a/internal/mesh/testmesh/plan.go
+++ b/internal/mesh/testmesh/plan.go
@@ -9,7 +9,7 @@
 	"ottershift/internal/mesh/settings"
 )
 
-// freePorts finds ports that are free at this moment on an address.
+// freePorts returns ports that are free at the moment on an address.
 func freePorts(host string, n int) (ports []int, err error) {
 	for range n {
 		listener, err := net.Listen("tcp4", host+":0")
@@ -22,14 +22,14 @@
 	return ports, nil
 }
 
-// Mesh is the settings of a whole mesh on loopback: each machine has an address of its own, and all use the same ports.
+// Mesh is the settings of the processes of a whole mesh on loopback. Each machine has its own address, and all use the same ports.
 type Mesh struct {
 	Controllers, Proxies []*settings.Settings
 }
 
 var nextSubnet atomic.Int32
 
-// Plan lays a mesh out: so many controllers and proxies, zones and services by turns.
+// Plan returns the settings of a mesh with the given numbers of controllers and proxies. Zones and services are assigned in turn.
 func Plan(controllers, proxies int, zones, services []string, dir string) (*Mesh, error) {
 	subnet := int(nextSubnet.Add(1)) + 20
 	host := func(n int) string { return fmt.Sprintf("127.77.%d.%d", subnet, n+1) }
--- a/internal/mesh/testmesh/process.go
+++ b/internal/mesh/testmesh/process.go
@@ -12,7 +12,7 @@
 	"ottershift/internal/mesh/settings"
 )
 
-// BuildPrograms builds the mesh's programs into a folder.
+// BuildPrograms builds programs of the mesh into a directory.
 func BuildPrograms(dir string, programs ...string) error {
 	for _, program := range programs {
 		if output, err := exec.Command("go", "build", "-o", filepath.Join(dir, program), "ottershift/cmd/"+program).CombinedOutput(); err != nil {
@@ -22,12 +22,13 @@
 	return nil
 }
 
-// Process is a real process of the mesh that a test may freeze.
+// Process is an operating system process of the mesh that a test can suspend.
 type Process struct {
 	command *exec.Cmd
 }
 
-// StartProcess starts a program that Build has built, with a settings file beside it. It ends with the process that started it.
+// StartProcess starts a program that BuildPrograms has built, with a settings file in the same directory. The process is killed
+// when the calling process ends.
 func StartProcess(dir, program string, cfg *settings.Settings) (*Process, error) {
 	file := filepath.Join(dir, cfg.Node+".conf")
 	if err := WriteSettings(cfg, file); err != nil {
@@ -39,7 +40,7 @@
 	return &Process{command}, command.Start()
 }
 
-// Suspend has the process stand still; it does once this returns.
+// Suspend stops the process with SIGSTOP and returns once all its threads have stopped.
 func (p *Process) Suspend() error {
 	if err := p.command.Process.Signal(syscall.SIGSTOP); err != nil {
 		return err
@@ -53,7 +54,7 @@
 	}
 }
 
-// stopped reports whether all threads of the process stand still.
+// stopped reports whether all threads of the process are stopped.
 func (p *Process) stopped() (bool, error) {
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.command.Process.Pid))
 	if err != nil {
@@ -64,7 +65,7 @@
 		if err != nil {
 			return false, err
 		}
-		_, state, _ := strings.Cut(string(stat), ") ") // behind the program's name
+		_, state, _ := strings.Cut(string(stat), ") ") // the state follows the program name
 		if !strings.HasPrefix(state, "T") {
 			return false, nil
 		}
@@ -72,10 +73,10 @@
 	return len(threads) > 0, nil
 }
 
-// Resume has it go on.
+// Resume continues the process.
 func (p *Process) Resume() error { return p.command.Process.Signal(syscall.SIGCONT) }
 
-// Kill ends it.
+// Kill kills the process and waits for its end.
 func (p *Process) Kill() {
 	p.command.Process.Kill()
 	p.command.Wait()
--- a/internal/mesh/testmesh/settings.go
+++ b/internal/mesh/testmesh/settings.go
@@ -11,7 +11,7 @@
 	"ottershift/internal/mesh/settings"
 )
 
-// WriteSettings writes the settings file of one process, as the platform lays it.
+// WriteSettings writes the settings file of one process, in the form in which the platform provides it.
 func WriteSettings(cfg *settings.Settings, path string) error {
 	var content strings.Builder
 	line := func(key string, value any) {
--- a/internal/mesh/testmesh/upstream.go
+++ b/internal/mesh/testmesh/upstream.go
@@ -1,5 +1,5 @@
-// Package testmesh has stand-ins for what the mesh meets outside: upstreams that check in and work, partners, faulty links and
-// disks, and settings for whole meshes on loopback. Tests, the demo and meshsim's runs use them.
+// Package testmesh provides fakes of what a mesh works with (upstreams, partners, operators), faulty links and disks, and settings
+// for whole meshes on loopback. Tests, the demo and meshsim use them.
 package testmesh
 
 import (
@@ -15,13 +15,14 @@
 	"time"
 )
 
-// Upstream is an application that checks in at the balancer beside it, runs requests and, where a test says so, answers wrongly.
+// Upstream is an application that sends heartbeats to the proxy beside it and runs requests. Tests can inject faults into its
+// responses.
 type Upstream struct {
 	ID, Service  string
 	Capacity     int
-	ResponseSize int // bytes of an answer
+	ResponseSize int // bytes of a response body
 
-	workNanoseconds atomic.Int64 // nanoseconds for a request
+	workNanoseconds atomic.Int64 // duration of a request
 	server          *http.Server
 	address         string
 	controlAddress  string
@@ -31,16 +32,16 @@
 	stopOnce        sync.Once
 
 	mu          sync.Mutex
-	sizes       map[string]int    // bytes of an answer by path prefix, where they differ from Size
-	runs        map[string]int    // by attempt
+	sizes       map[string]int    // response sizes by path prefix, where they differ from ResponseSize
+	runs        map[string]int    // by attempt ID
 	lastHeaders map[string]string // headers of the last request
-	injections  []Injection       // of the next requests
-	faultsMet   map[string]Fault  // the last fault that each attempt met
-	hijacked    map[net.Conn]bool // connections that are served without the HTTP server
+	injections  []Injection       // faults of the next requests
+	faultsMet   map[string]Fault  // the last fault of each attempt, by attempt ID
+	hijacked    map[net.Conn]bool // connections that are taken over from the HTTP server
 	connections int
 }
 
-// NewUpstream serves at an address and checks in at the balancer beside it.
+// NewUpstream starts an upstream that serves at an address and sends heartbeats to the control address of the proxy beside it.
 func NewUpstream(id, service, address, controlAddress string, capacity int, work time.Duration, size int) (*Upstream, error) {
 	u := &Upstream{
 		ID:             id,
@@ -67,36 +68,36 @@
 	return u, nil
 }
 
-// NewUpstreamWithRuns is an upstream that serves nobody and has run so many of each attempt, for those who test a judge.
+// NewUpstreamWithRuns returns an upstream that does not serve and has recorded the given runs, for tests of checkers.
 func NewUpstreamWithRuns(runs map[string]int) *Upstream { return &Upstream{runs: maps.Clone(runs)} }
 
-// SetWork sets how long a request takes from now on.
+// SetWork sets how long each later request takes.
 func (u *Upstream) SetWork(work time.Duration) { u.workNanoseconds.Store(int64(work)) }
 
 func (u *Upstream) workTime() time.Duration { return time.Duration(u.workNanoseconds.Load()) }
 
-// SetSize sets the size of answers to paths with a prefix.
+// SetSize sets the response size in bytes for paths with a prefix.
 func (u *Upstream) SetSize(prefix string, size int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.sizes[prefix] = size
 }
 
-// Runs is how often an attempt ran.
+// Runs returns how often an attempt ran.
 func (u *Upstream) Runs(id string) int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.runs[id]
 }
 
-// RunsByAttempt is how often each attempt ran.
+// RunsByAttempt returns how often each attempt ran.
 func (u *Upstream) RunsByAttempt() map[string]int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return maps.Clone(u.runs)
 }
 
-// TotalRuns is how many requests ran.
+// TotalRuns returns the number of runs of all attempts.
 func (u *Upstream) TotalRuns() (total int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -106,27 +107,27 @@
 	return total
 }
 
-// LastHeader is a header of the last request.
+// LastHeader returns a header of the last request.
 func (u *Upstream) LastHeader(name string) string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.lastHeaders[name]
 }
 
-// Connections is how many connections have been opened to it.
+// Connections returns the number of connections that were opened to the upstream.
 func (u *Upstream) Connections() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.connections
 }
 
-// Drain says that it is closing, and reports whether that was acknowledged.
+// Drain announces that the upstream is closing, and reports whether the proxy acknowledged it.
 func (u *Upstream) Drain() bool {
 	u.draining.Store(true)
 	return u.sendHeartbeat()
 }
 
-// Stop ends it without a word.
+// Stop stops the upstream without announcing it.
 func (u *Upstream) Stop() {
 	u.stopOnce.Do(func() { close(u.stop) })
 	u.server.Close()
@@ -179,8 +180,8 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// serve is one request as the HTTP server hands it on. A faulty answer is written to the bare connection, which is served
-// without the HTTP server from then on.
+// serve handles a request from the HTTP server. For a faulty response it takes the connection over from the HTTP server and
+// serves all its later requests itself.
 func (u *Upstream) serve(w http.ResponseWriter, r *http.Request) {
 	if u.isMisdirected(r) {
 		w.Header().Set("X-Delivered-By", u.ID)
@@ -252,7 +253,7 @@
 	return upstreamID != "" && upstreamID != u.ID
 }
 
-// nextInjection takes the fault that a request is to meet.
+// nextInjection takes the next fault from the queue and records the headers of the request.
 func (u *Upstream) nextInjection(r *http.Request) (injection Injection) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -272,7 +273,7 @@
 	u.runs[r.Header.Get("X-Attempt-Id")]++
 }
 
-// responseTo is the whole and right answer to a request.
+// responseTo returns the complete, correct response to a request.
 func (u *Upstream) responseTo(r *http.Request) upstreamResponse {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/mesh/answers_test.go
+++ b/internal/mesh/upstream_faults_test.go
@@ -30,13 +30,13 @@
 const (
 	smallResponseSize  = 2000
 	streamResponseSize = 100 << 10
-	largeRequestSize   = 600 << 10 // of a request: it is passed on before its last byte has come
+	largeRequestSize   = 600 << 10 // of a request body; the proxies forward it before they have received all of it
 )
 
-// requestClass is a kind of request, as a route's class says whether it may run more than once.
+// requestClass is a kind of request: the class of its route limits how often it may run.
 type requestClass struct {
 	name, method, path string
-	responseSize       int // of a whole answer
+	responseSize       int // bytes of a complete response body
 	maxRuns            int
 }
 
@@ -46,10 +46,10 @@
 	{"streamed", "GET", "/stream/x", streamResponseSize, 3},
 }
 
-// result is what a caller was told of one attempt.
+// result is what a client received for one attempt, and how often the attempt ran.
 type result struct {
 	id         string
-	status     int // 0 for a connection that ended without an answer, -1 for an answer that was cut
+	status     int // 0 if the connection ended without a response, -1 if the response was truncated
 	attemptIDs []string
 	stamp      string
 	body       string
@@ -61,28 +61,28 @@
 	case 0:
 		return "closed"
 	case -1:
-		return "cut"
+		return "truncated"
 	}
 	return fmt.Sprint(r.status)
 }
 
-// faultMesh has upstreams beside all of its proxies but the first. They are called through that, over two hops, and through the
-// second, over one where that one's own upstream is chosen.
+// faultMesh is a mesh with an upstream beside each proxy but the first. Clients call the first proxy, which adds a hop, and the
+// second, which reaches the upstream beside it directly.
 type faultMesh struct {
 	*mesh
 	clients       []*http.Client
-	previousRuns  []int // requests that each upstream has had
+	previousRuns  []int // runs of each upstream when the count began
 	previousProxy int
 	classOf       map[string]requestClass
 }
 
-// faultMeshOptions is how an answersMesh is made.
+// faultMeshOptions configures a faultMesh.
 type faultMeshOptions struct {
 	upstreams       int
 	work            time.Duration
-	calledProxies   int // proxies that clients call
+	calledProxies   int // number of proxies that clients call
 	startProxy      func(*mesh, *settings.Settings)
-	upstreamAddress func(*settings.Settings) string // the address of the upstream beside a proxy
+	upstreamAddress func(*settings.Settings) string // returns the address of the upstream beside a proxy
 }
 
 func defaultFaultMeshOptions() faultMeshOptions {
@@ -94,7 +94,7 @@
 	}
 }
 
-// start starts a mesh, and waits until the proxies that are called reach all upstreams.
+// start starts a mesh and waits until the called proxies reach all upstreams.
 func (o faultMeshOptions) start(t *testing.T) *faultMesh {
 	services := append([]string{"regie"}, slices.Repeat([]string{"album"}, o.upstreams)...)
 	plan, err := testmesh.Plan(1, 1+o.upstreams, []string{"east"}, services, t.TempDir())
@@ -135,7 +135,7 @@
 	}
 }
 
-// allReached reports whether all upstreams have had a request since the count was begun anew.
+// allReached reports whether all upstreams have run a request since the first call of it for this proxy.
 func (fm *faultMesh) allReached(at int) bool {
 	if fm.previousRuns == nil || fm.previousProxy != at {
 		fm.previousRuns, fm.previousProxy = fm.runTotals(), at
@@ -164,14 +164,14 @@
 	return total
 }
 
-// inject has the next request meet a fault, and so each further copy of it that goes to another upstream.
+// inject injects a fault at every upstream, so that retries of the next request get it, too.
 func (fm *faultMesh) inject(injection testmesh.Injection) {
 	for _, upstream := range fm.upstreams {
 		upstream.Inject(injection)
 	}
 }
 
-// faultMet reports whether a fault that was injected has been met, and takes back what has not been.
+// faultMet reports whether an upstream has used its injected fault. If so, it removes the faults of the others.
 func (fm *faultMesh) faultMet() (met bool) {
 	for _, upstream := range fm.upstreams {
 		if upstream.PendingFaults() == 0 {
@@ -217,21 +217,21 @@
 	return slices.Contains([]int{http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest}, status)
 }
 
-// violation is what the users' rules say of one attempt.
+// violation returns the rule for responses that a result violates, empty for none.
 func (r result) violation(class requestClass) string {
 	switch {
 	case len(r.attemptIDs) > 1 || len(r.attemptIDs) == 1 && r.attemptIDs[0] != r.id:
-		return "an answer to another request"
+		return "a response to another request"
 	case strings.Contains(r.body, testmesh.StrayBody):
-		return "an answer that belongs to no request"
+		return "a response that belongs to no request"
 	case r.status >= 200 && r.status < 300 && r.status != http.StatusNoContent && len(r.body) != class.responseSize:
-		return "a success without the whole body"
+		return "a success with an incomplete body"
 	case r.status >= 200 && r.status < 300 && !strings.HasPrefix(r.stamp, "stamp-i-"):
 		return "a success without the upstream's stamp"
 	case r.status >= 200 && r.status < 300 && r.runs == 0:
-		return "a success of a request that has not run"
+		return "a success of a request that did not run"
 	case class.maxRuns == 1 && promisesNotExecuted(r.status) && r.runs > 0:
-		return "a promise for a request that has run"
+		return "a status that promises no execution, for a request that ran"
 	case r.runs > class.maxRuns:
 		return fmt.Sprintf("%d runs", r.runs)
 	}
@@ -241,17 +241,17 @@
 func (fm *faultMesh) check(got result, class requestClass, context string) {
 	fm.t.Helper()
 	if violation := got.violation(class); violation != "" {
-		fm.t.Errorf("%s, %s: told %v %q %q: %s", context, class.name, got, got.attemptIDs, got.body[:min(len(got.body), 20)], violation)
+		fm.t.Errorf("%s, %s: received %v, IDs %q, body %q: %s", context, class.name, got, got.attemptIDs, got.body[:min(len(got.body), 20)], violation)
 	}
 }
 
-// faultCase is what a once-only caller may be told of a fault, and whether the connection to the upstream is kept behind it.
+// faultCase is a fault with the statuses that the client of a once-only request may receive.
 type faultCase struct {
 	fault            testmesh.Fault
 	onceOnlyStatuses []int
-	keepsConnection  bool
-	endsAtDeadline   bool // nothing ends it but the deadline
-	largeRequest     bool // it wants a request with a large body
+	keepsConnection  bool // the connection to the upstream stays usable
+	endsAtDeadline   bool // the request ends only at its deadline
+	largeRequest     bool // the request needs a large body
 }
 
 var faultCases = []faultCase{
@@ -310,18 +310,18 @@
 	{fault: testmesh.EarlySuccess, onceOnlyStatuses: []int{200}, largeRequest: true},
 }
 
-// outcomeCounts counts what callers of one fault and class were told.
+// outcomeCounts counts the results of requests for one fault and class.
 type outcomeCounts struct {
 	pairs, maxRuns       int
 	results, nextResults map[string]int
 }
 
 func (c *outcomeCounts) String() string {
-	return fmt.Sprintf("%d pairs; told %v; runs at most %d; next %v", c.pairs, c.results, c.maxRuns, c.nextResults)
+	return fmt.Sprintf("%d pairs; results %v; at most %d runs; next %v", c.pairs, c.results, c.maxRuns, c.nextResults)
 }
 
-// sendPair sends a request that meets the fault and then, over what is kept, a once-only one that has to be served as if nothing had
-// been: told 200, or what a reset that comes as it is sent leaves open.
+// sendPair sends a request that gets the fault, and then a once-only request, over a reused connection if there is one. The fault
+// must not affect the second request, except that a connection reset may fail it.
 func (fm *faultMesh) sendPair(at int, test faultCase, class requestClass, delay time.Duration, counts *outcomeCounts) {
 	timeLeft := 3 * time.Second
 	if test.endsAtDeadline {
@@ -337,32 +337,32 @@
 	connections := fm.connectionCount()
 	fm.inject(testmesh.Injection{Fault: test.fault, Delay: delay})
 	first := fm.send(at, class, body, timeLeft)
-	for !fm.faultMet() { // it was refused, or what came late broke its connection, before the upstream saw it: another one has to meet the fault
+	for !fm.faultMet() { // rejected, or failed by a late fault of the pair before, ahead of the upstream: send another one
 		fm.check(first, class, test.fault.String())
 		must.SliceContains(fm.t, []int{502, 503}, first.status, must.Sprint(test.fault, class.name))
 		first = fm.send(at, class, body, timeLeft)
 	}
 	fm.check(first, class, test.fault.String())
 	if class.maxRuns == 1 && !slices.Contains(test.onceOnlyStatuses, first.status) {
-		fm.t.Errorf("%v, %s, proxy %d: told %v with %d runs, not one of %v", test.fault, class.name, at, first, first.runs, test.onceOnlyStatuses)
+		fm.t.Errorf("%v, %s, proxy %d: received %v after %d runs, want one of %v", test.fault, class.name, at, first, first.runs, test.onceOnlyStatuses)
 	}
 	next := fm.send(at, requestClasses[0], nil, 3*time.Second)
 	fm.check(next, requestClasses[0], "after "+test.fault.String())
 	if class.maxRuns == 1 && test.keepsConnection && len(fm.upstreams) == 1 {
-		must.Eq(fm.t, connections, fm.connectionCount(), must.Sprint(test.fault, " closes the connection"))
+		must.Eq(fm.t, connections, fm.connectionCount(), must.Sprint(test.fault, " must not close the connection"))
 	}
 	counts.pairs++
 	counts.results[first.String()]++
 	counts.nextResults[next.String()]++
 	counts.maxRuns = max(counts.maxRuns, first.runs)
-	time.Sleep(delay + time.Millisecond) // what comes late is seen before the next pair
+	time.Sleep(delay + time.Millisecond) // late bytes arrive before the next pair
 }
 
 var lateDelays = []time.Duration{0, 200 * time.Microsecond, 500 * time.Microsecond, time.Millisecond, 3 * time.Millisecond}
 
-// Every fault of an upstream, for each class of request, over one hop and over two. With one upstream the next request follows
-// over the same connection; with two there is another that a request could run at once more. Last, what stands where another
-// balancer should answers so itself.
+// Injects every fault of an upstream, for each class of request, over one hop and over two. With one upstream the next request reuses
+// the connection. With two, a wrong retry could run the request at the other one. In the third mesh, the faults come from a peer
+// proxy instead of an upstream.
 func TestUpstreamFaults(t *testing.T) {
 	must.Eq(t, len(testmesh.Faults()), len(faultCases))
 	oneUpstream, twoUpstreams := defaultFaultMeshOptions(), defaultFaultMeshOptions()
@@ -381,8 +381,8 @@
 	}
 }
 
-// peerOptions has the stand-in upstream in the place of the balancer beside it: the core is told of a balancer that does not run, at
-// whose address for other balancers the upstream serves.
+// peerOptions replaces the second proxy by the fake upstream: the core is told that the proxy runs, and the upstream serves at its
+// address for other proxies.
 func peerOptions() faultMeshOptions {
 	options := defaultFaultMeshOptions()
 	options.calledProxies = 1
@@ -397,7 +397,7 @@
 	return options
 }
 
-// reportProxy tells the core of a proxy and the upstream i-0 beside it, again and again.
+// reportProxy reports a proxy and the upstream i-0 beside it to the core until the context ends.
 func reportProxy(ctx context.Context, controller string, cfg *settings.Settings) error {
 	caller := rpc.NewClient(nil)
 	defer caller.Close()
@@ -417,7 +417,7 @@
 func (fm *faultMesh) testFault(test faultCase, class requestClass) {
 	counts := &outcomeCounts{results: map[string]int{}, nextResults: map[string]int{}}
 	delays := lateDelays
-	if test.endsAtDeadline { // nothing comes late, and each takes its whole time
+	if test.endsAtDeadline { // these faults send no late bytes, and each request lasts until its deadline
 		delays = delays[:2]
 	}
 	for at := range fm.clients {
@@ -429,7 +429,7 @@
 	fm.t.Logf("%-24v %-10s %v", test.fault, class.name, counts)
 }
 
-// drainLateResponses lets what the fault before has left on connections come, so that a kept one is there.
+// drainLateResponses sends requests until late responses to the previous fault have arrived and there is an idle connection.
 func (fm *faultMesh) drainLateResponses(at int) {
 	for range 2 {
 		fm.send(at, requestClasses[0], nil, time.Second)
@@ -437,7 +437,7 @@
 	}
 }
 
-// checkRunLimits looks at all attempts a last time, after what was frozen has thawed.
+// checkRunLimits checks the number of runs of all attempts once more, after delayed runs.
 func (fm *faultMesh) checkRunLimits() {
 	time.Sleep(300 * time.Millisecond)
 	for id, class := range fm.classOf {
@@ -445,10 +445,10 @@
 	}
 }
 
-// The faults that come after a whole answer, many times: the next request is on its way as they arrive.
+// Repeats the faults that follow a complete response, so that the late bytes arrive while the next request is in flight.
 func TestLateResponsesOnReusedConnections(t *testing.T) {
 	options := defaultFaultMeshOptions()
-	options.work = 2 * time.Millisecond // what comes late comes while the next request is waited for
+	options.work = 2 * time.Millisecond // late bytes arrive while the next request runs
 	fm := options.start(t)
 	for _, test := range faultCases {
 		pairs := 100
@@ -470,7 +470,7 @@
 	}
 }
 
-// An upstream ends without a word and another starts at its address, before its proxy has heard of either.
+// An upstream stops without announcing it, and another one starts at its address before the proxy knows of either change.
 func TestUpstreamReplacedAtSameAddress(t *testing.T) {
 	fm := defaultFaultMeshOptions().start(t)
 	cfg := fm.plan.Proxies[1]
@@ -482,7 +482,7 @@
 		fm.upstreams = append(fm.upstreams, next)
 		for at := range 40 {
 			got := fm.send(at%len(fm.clients), requestClasses[0], nil, time.Second)
-			fm.check(got, requestClasses[0], "address taken over")
+			fm.check(got, requestClasses[0], "upstream replaced")
 			counts.results[got.String()]++
 			counts.pairs++
 			counts.maxRuns = max(counts.maxRuns, got.runs)
--- a/internal/mesh/versions_test.go
+++ b/internal/mesh/versions_test.go
@@ -17,19 +17,19 @@
 	"ottershift/internal/mesh/testmesh"
 )
 
-// TestMixedControllerVersions runs the controller program that OTTERSHIFT_OLD_CONTROLLER names as one of three, and
-// upgrades it in place; without the variable there is no other program to run.
+// TestMixedControllerVersions runs an older controller program beside two new controllers, and then upgrades it in place.
+// OTTERSHIFT_OLD_CONTROLLER is the path of the program; without it the test is skipped.
 func TestMixedControllerVersions(t *testing.T) {
 	program := os.Getenv("OTTERSHIFT_OLD_CONTROLLER")
 	if program == "" {
-		t.Skip("OTTERSHIFT_OLD_CONTROLLER names no program")
+		t.Skip("OTTERSHIFT_OLD_CONTROLLER is not set")
 	}
 	const oldMember = 1
 	for _, routes := range []int{10, 4000} {
 		c := startCatchUpCore(t, routes)
 		c.stop(oldMember)
 		cfg := c.plan.Controllers[oldMember]
-		must.NoError(t, os.RemoveAll(cfg.DataDir)) // large documents on disk are not read by an older version
+		must.NoError(t, os.RemoveAll(cfg.DataDir)) // an older version cannot read large documents on disk
 		must.NoError(t, os.MkdirAll(cfg.DataDir, 0o755))
 		path := filepath.Join(t.TempDir(), "settings")
 		must.NoError(t, testmesh.WriteSettings(cfg, path))
@@ -39,7 +39,7 @@
 		process.Env = append(os.Environ(), "OTTERSHIFT_CONFIG="+path)
 		must.NoError(t, process.Start())
 		c.waitForCatchUp(oldMember, 0, "")
-		for member := range c.stops { // each one proposes, with all three and with one new one away
+		for member := range c.stops { // each member proposes, first with all three, later without one new member
 			c.change(member, 5)
 		}
 		c.stop(2)
@@ -55,7 +55,7 @@
 		}
 		must.NoError(t, process.Process.Signal(syscall.SIGTERM))
 		process.Wait()
-		c.start(oldMember, 0) // the same disk, of the version before
+		c.start(oldMember, 0) // on the disk that the older version wrote
 		must.SliceEmpty(t, c.waitForCatchUp(oldMember, 0, "").staleResponses)
 		c.change(oldMember, 3)
 		must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool {
@@ -64,7 +64,7 @@
 		}), wait.Timeout(5*time.Second), wait.Gap(10*time.Millisecond)))
 		status, err := c.status(0)
 		must.NoError(t, err)
-		t.Logf("%d routes: %d changes in a core of two versions; %d compact requests not understood at member 0", routes, c.version.Load()-1, status.Counts["compact_lacking"])
+		t.Logf("%d routes: %d changes in a core of two versions; %d compact requests repeated in full at member 0", routes, c.version.Load()-1, status.Counts["compact_lacking"])
 		for n := range c.stops {
 			c.stop(n)
 		}
