--- a/internal/mesh/catch_up_test.go
+++ b/internal/mesh/catch_up_test.go
@@ -44,23 +44,23 @@
 func startCatchUpCore(t *testing.T, routes int) *catchUpCore {
 	plan, err := testmesh.Plan(3, 0, []string{"east", "west", "north"}, nil, t.TempDir())
 	must.NoError(t, err)
-	c := &catchUpCore{t: t, plan: plan, caller: rpc.NewClient(nil), disks: make([]*testmesh.Disk, 3), stops: make([]func(), 3), routes: routes}
+	core := &catchUpCore{t: t, plan: plan, caller: rpc.NewClient(nil), disks: make([]*testmesh.Disk, 3), stops: make([]func(), 3), routes: routes}
 	t.Cleanup(func() {
-		c.caller.Close()
-		for n := range c.stops {
-			c.stop(n)
+		core.caller.Close()
+		for n := range core.stops {
+			core.stop(n)
 		}
 	})
 	for n := range plan.Controllers {
-		c.start(n, 0)
+		core.start(n, 0)
 		plan.Controllers[n].FirstStart = false // for later starts
 	}
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool {
-		status, _ := c.call(0, "timetable.replace", 0, catchUpConfiguration(routes, 1))
+		status, _ := core.call(0, "timetable.replace", 0, catchUpConfiguration(routes, 1))
 		return status == http.StatusOK
 	}), wait.Timeout(15*time.Second), wait.Gap(20*time.Millisecond)))
-	c.version.Store(1)
-	return c
+	core.version.Store(1)
+	return core
 }
 
 // start starts a member with a delay of its saves.
@@ -167,8 +167,8 @@
 	staleResponses []string      // responses with a stale state
 }
 
-// waitForCatchUp polls a member until it holds the newest state and votes with another ID than previousID. After partitionedFor it
-// clears the faults of all links.
+// waitForCatchUp polls a member until it holds the newest state and votes with another ID than previousID. After
+// partitionedFor it clears the faults of all links.
 func (c *catchUpCore) waitForCatchUp(n int, partitionedFor time.Duration, previousID string) (o observation) {
 	start := time.Now()
 	self := c.plan.Controllers[n].IP
@@ -190,10 +190,10 @@
 			o.duration = time.Since(start) - partitionedFor
 			return o
 		}
-		code, text := c.call(n, "timetable.fetch", 0, "")
+		statusCode, text := c.call(n, "timetable.fetch", 0, "")
 		configuration := struct{ Edition int64 }{}
 		switch {
-		case code != http.StatusOK:
+		case statusCode != http.StatusOK:
 			o.refused++
 		case json.Unmarshal([]byte(text), &configuration) != nil || configuration.Edition < acknowledged:
 			o.staleResponses = append(o.staleResponses, fmt.Sprintf("fetch returned version %d after version %d", configuration.Edition, acknowledged))
@@ -222,8 +222,9 @@
 	}
 }
 
-// A member that missed half of the changes restarts with its disk, an empty disk, an old copy of its disk, or a slow disk. It must
-// hold the newest state within the limit and never serve a stale one. OTTERSHIFT_CHANGES sets the number of changes.
+// A member that missed half of the changes restarts with its disk, an empty disk, an old copy of its disk, or a slow
+// disk. It must hold the newest state within the limit and never serve a stale one. OTTERSHIFT_CHANGES sets the number
+// of changes.
 func TestRestartedMemberCatchesUp(t *testing.T) {
 	changes := 4
 	if n, err := strconv.Atoi(os.Getenv("OTTERSHIFT_CHANGES")); err == nil {
@@ -231,8 +232,8 @@
 	}
 	const member, emptyDisk, oldCopy = 2, "an empty disk", "an old copy of its disk"
 	for _, routes := range []int{10, 4000} {
-		c := startCatchUpCore(t, routes)
-		dir := c.plan.Controllers[member].DataDir
+		core := startCatchUpCore(t, routes)
+		dir := core.plan.Controllers[member].DataDir
 		oldDir := t.TempDir()
 		for _, restart := range []struct {
 			name    string
@@ -241,7 +242,7 @@
 			cutFor  time.Duration
 		}{
 			{"its disk", func() {}, 0, 0},
-			{"its disk, partitioned at first", func() { c.partition(member) }, 0, 700 * time.Millisecond},
+			{"its disk, partitioned at first", func() { core.partition(member) }, 0, 700 * time.Millisecond},
 			{emptyDisk, func() { must.NoError(t, os.RemoveAll(dir)) }, 0, 0},
 			{oldCopy, func() {
 				must.NoError(t, os.RemoveAll(dir))
@@ -250,35 +251,35 @@
 			{"a disk 30 times slower", func() {}, 150 * time.Millisecond, 0},
 		} {
 			start := time.Now()
-			c.change(0, changes/2)
-			c.stop(member)
-			c.change(0, changes-changes/2)
+			core.change(0, changes/2)
+			core.stop(member)
+			core.change(0, changes-changes/2)
 			perChange := time.Since(start) / time.Duration(changes)
 			previousID := ""
 			if restart.name == emptyDisk || restart.name == oldCopy { // it restarts with a new ID
-				status, err := c.status(0)
+				status, err := core.status(0)
 				must.NoError(t, err)
-				previousID = memberIDAt(status.State.Core, c.plan.Controllers[member].IP)
+				previousID = memberIDAt(status.State.Core, core.plan.Controllers[member].IP)
 			}
 			restart.prepare()
-			c.start(member, restart.slower)
-			o := c.waitForCatchUp(member, restart.cutFor, previousID)
+			core.start(member, restart.slower)
+			observed := core.waitForCatchUp(member, restart.cutFor, previousID)
 			t.Logf("%d routes, %d changes (%v each), restart with %s: caught up after %v; %d reads rejected, %d times stale on disk; %.1f MB on disk",
-				routes, changes, perChange.Round(time.Microsecond), restart.name, o.duration.Round(time.Millisecond), o.refused, o.staleOnDisk, c.dataDirMB(0))
-			must.SliceEmpty(t, o.staleResponses)
-			must.Less(t, catchUpLimit, o.duration)
+				routes, changes, perChange.Round(time.Microsecond), restart.name, observed.duration.Round(time.Millisecond), observed.refused, observed.staleOnDisk, core.dataDirMB(0))
+			must.SliceEmpty(t, observed.staleResponses)
+			must.Less(t, catchUpLimit, observed.duration)
 			if restart.cutFor > 0 {
-				must.Positive(t, o.staleOnDisk) // else the test would not detect a replica that serves from its disk without a majority
-				must.Positive(t, o.refused)
+				must.Positive(t, observed.staleOnDisk) // else the test would not detect a replica that serves from its disk without a majority
+				must.Positive(t, observed.refused)
 			}
 			if restart.name == emptyDisk {
-				c.stop(member)
+				core.stop(member)
 				must.NoError(t, os.CopyFS(oldDir, os.DirFS(dir)))
-				c.start(member, 0)
+				core.start(member, 0)
 			}
 		}
-		for n := range c.stops {
-			c.stop(n)
+		for n := range core.stops {
+			core.stop(n)
 		}
 	}
 }
@@ -287,7 +288,7 @@
 func TestMemberCountChangeSendsLittle(t *testing.T) {
 	const rounds = 8
 	for _, routes := range []int{10, 4000} {
-		c := startCatchUpCore(t, routes)
+		core := startCatchUpCore(t, routes)
 		members := 0
 		join := func() {
 			members++
@@ -295,58 +296,58 @@
 			must.Wait(t, wait.InitialSuccess(wait.ErrorFunc(func() error { // the response contains the whole configuration
 				ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 				defer cancel()
-				return c.caller.Call(ctx, c.plan.Controllers[0].InternalAddress(), rpc.PathWatch, &membership.WatchRequest{Node: node}, &membership.WatchResponse{})
+				return core.caller.Call(ctx, core.plan.Controllers[0].InternalAddress(), rpc.PathWatch, &membership.WatchRequest{Node: node}, &membership.WatchResponse{})
 			}), wait.Timeout(10*time.Second), wait.Gap(2*time.Millisecond)))
 			must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool {
-				status, err := c.status(0)
+				status, err := core.status(0)
 				return err == nil && status.State.BalancerCount == members
 			}), wait.Timeout(10*time.Second), wait.Gap(2*time.Millisecond)))
 		}
 		join() // the first change makes the core exchange what each member holds
 		time.Sleep(300 * time.Millisecond)
-		sentBefore, start := c.meter.Sent(), time.Now()
+		sentBefore, start := core.meter.Sent(), time.Now()
 		for range rounds {
 			join()
 		}
 		time.Sleep(100 * time.Millisecond) // the last decision is still being sent
-		perChange := (c.meter.Sent() - sentBefore) / rounds
-		status, err := c.status(0)
+		perChange := (core.meter.Sent() - sentBefore) / rounds
+		status, err := core.status(0)
 		must.NoError(t, err)
 		t.Logf("%d routes, %d KB of configuration: %d bytes sent in the core for a change of the member count, including gossip; %v each; %d compact requests repeated in full",
 			routes, len(status.State.Configuration)/1000, perChange, (time.Since(start) / rounds).Round(time.Millisecond), status.Counts["compact_lacking"])
 		must.Less(t, 100_000, perChange)
-		for n := range c.stops {
-			c.stop(n)
+		for n := range core.stops {
+			core.stop(n)
 		}
 	}
 }
 
 // After the whole core has stopped and one member does not restart, the others serve what was acknowledged.
 func TestCoreRestartsWithoutOneMember(t *testing.T) {
-	c := startCatchUpCore(t, 10)
-	for lost := range c.stops {
-		c.change((lost+1)%3, 5)
-		for n := range c.stops {
-			c.stop(n)
+	core := startCatchUpCore(t, 10)
+	for lost := range core.stops {
+		core.change((lost+1)%3, 5)
+		for n := range core.stops {
+			core.stop(n)
 		}
 		start := time.Now()
-		for n := range c.stops {
+		for n := range core.stops {
 			if n != lost {
-				c.start(n, 0)
+				core.start(n, 0)
 			}
 		}
 		member := (lost + 1) % 3
 		var text string
 		must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool {
 			var status int
-			status, text = c.call(member, "timetable.fetch", 0, "")
+			status, text = core.call(member, "timetable.fetch", 0, "")
 			return status == http.StatusOK
 		}), wait.Timeout(catchUpLimit), wait.Gap(5*time.Millisecond)))
 		readAfter := time.Since(start)
-		must.StrContains(t, text, fmt.Sprintf(`"Edition":%d,`, c.version.Load()))
-		c.change(member, 1)
+		must.StrContains(t, text, fmt.Sprintf(`"Edition":%d,`, core.version.Load()))
+		core.change(member, 1)
 		t.Logf("without member %d: first read after %v, first change after %v", lost, readAfter.Round(time.Millisecond), time.Since(start).Round(time.Millisecond))
-		c.start(lost, 0)
-		must.SliceEmpty(t, c.waitForCatchUp(lost, 0, "").staleResponses)
+		core.start(lost, 0)
+		must.SliceEmpty(t, core.waitForCatchUp(lost, 0, "").staleResponses)
 	}
 }
--- a/internal/mesh/changes_under_requests_test.go
+++ b/internal/mesh/changes_under_requests_test.go
@@ -13,8 +13,8 @@
 	"ottershift/internal/mesh/rpc"
 )
 
-// changingConfig returns longDeadlineConfig with another target, deadline and keep-alive timeout, and with or without the route
-// that the requests use.
+// changingConfig returns longDeadlineConfig with another target, deadline and keep-alive timeout, and with or without
+// the route that the requests use.
 func changingConfig(version int, hasOnceRoute bool) string {
 	prefix := "/once/"
 	if !hasOnceRoute {
@@ -26,8 +26,9 @@
 "Depots":[{"Name":"album","HealthPath":"/health","LineCap":130,"Protocol":"h1"}]}`, version, 500+version%7*100, 2000+version%5*100, prefix, 5000+version%3*100)
 }
 
-// New versions change the deadlines, the keep-alive timeout and the route of requests that run or wait for a slot. Each request must
-// get a response: accepted requests are served, the others get a status for a missing route or for overload.
+// New versions change the deadlines, the keep-alive timeout and the route of requests that run or wait for a slot. Each
+// request must get a response: accepted requests are served, the others get a status for a missing route or for
+// overload.
 func TestRequestsDuringConfigurationChangesGetResponses(t *testing.T) {
 	m := startLongDeadlineMesh(t)
 	m.upstreams[0].SetWork(60 * time.Millisecond)
--- a/internal/mesh/connection_close_test.go
+++ b/internal/mesh/connection_close_test.go
@@ -20,8 +20,8 @@
 	"ottershift/internal/mesh/testmesh"
 )
 
-// delayedCloseListener accepts connections whose Close blocks until the test releases it. So a request can arrive between the
-// decision to close its connection and the close.
+// delayedCloseListener accepts connections whose Close blocks until the test releases it. So a request can arrive
+// between the decision to close its connection and the close.
 type delayedCloseListener struct {
 	net.Listener
 	closing     chan *delayedCloseConnection
@@ -95,8 +95,8 @@
 	return response.StatusCode
 }
 
-// A request arrives just before its connection is closed, because the proxy shuts down or the connection was idle for too long.
-// A request that ran at an upstream must get its response.
+// A request arrives just before its connection is closed, because the proxy shuts down or the connection was idle for
+// too long. A request that ran at an upstream must get its response.
 func TestRequestDuringConnectionCloseGetsResponse(t *testing.T) {
 	for _, test := range []struct {
 		name, idle string
--- a/internal/mesh/fast_versions_test.go
+++ b/internal/mesh/fast_versions_test.go
@@ -44,8 +44,8 @@
 	return response, err
 }
 
-// While versions follow one another fast, watch responses must be current, each version must take effect in time, and a proxy that
-// starts must get its first configuration.
+// While versions follow one another fast, watch responses must be current, each version must take effect in time, and a
+// proxy that starts must get its first configuration.
 func TestFastVersionsTakeEffectInTime(t *testing.T) {
 	const limit, duration = 2500 * time.Millisecond, 4 * time.Second // the stated limit for a configuration to take effect
 	for _, perSecond := range []int{3, 10, 30} {
--- a/internal/mesh/grace_end_test.go
+++ b/internal/mesh/grace_end_test.go
@@ -27,8 +27,9 @@
 	openRequestCount = 4
 )
 
-// Requests are open when the grace period ends: some run at an upstream, others wait. Each must get a response. The proxy beside the
-// upstream knows that waiting requests did not run, and answers 503. The client's proxy cannot know it and must not promise it.
+// Requests are open when the grace period ends: some run at an upstream, others wait. Each must get a response. The
+// proxy beside the upstream knows that waiting requests did not run, and answers 503. The client's proxy cannot know it
+// and must not promise it.
 func TestOpenRequestsAtGraceEndGetResponses(t *testing.T) {
 	for _, stopped := range []string{"proxy-0", "proxy-1"} {
 		t.Run(stopped, func(t *testing.T) {
--- a/internal/mesh/imports_test.go
+++ b/internal/mesh/imports_test.go
@@ -8,7 +8,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// The mesh implements consensus, membership, discovery, forwarding and replication itself and must not link libraries for them.
+// The mesh implements consensus, membership, discovery, forwarding and replication itself and must not link libraries
+// for them.
 func TestMeshDependencies(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", "ottershift/cmd/proxy", "ottershift/cmd/controller", "ottershift/cmd/meshctl", "ottershift/cmd/meshsim").Output()
 	must.NoError(t, err)
--- a/internal/mesh/long_configuration_test.go
+++ b/internal/mesh/long_configuration_test.go
@@ -71,8 +71,9 @@
 	return strings.Replace(fmt.Sprintf(config, version), `{"Name":"read"`, routes.String()+`{"Name":"read"`, 1)
 }
 
-// A configuration of 4,000 routes (1 MB) must arrive over a link that transfers far less than that in the time of a watch, and later
-// changes must take effect in time. With a fixed timeout for each response, the configuration never arrived and no proxy became ready.
+// A configuration of 4,000 routes (1 MB) must arrive over a link that transfers far less than that in the time of a
+// watch, and later changes must take effect in time. With a fixed timeout for each response, the configuration never
+// arrived and no proxy became ready.
 func TestLargeConfigurationOverSlowLink(t *testing.T) {
 	const routes, bytesPerSecond, limit = 4000, 30_000, 2500 * time.Millisecond // the stated limit for a configuration to take effect
 	m := &mesh{t: t}
@@ -88,7 +89,7 @@
 		return status == http.StatusOK
 	})
 	start := time.Now()
-	waitInEffect := func(version int, within time.Duration) (took time.Duration) {
+	waitInEffect := func(version int, within time.Duration) (duration time.Duration) {
 		for n := range m.plan.Proxies {
 			must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool {
 				status, _, _, _ := m.send(n, "GET", fmt.Sprintf("/edition/%d/x", version))
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -318,8 +318,8 @@
 	must.Eq(t, 503, status)
 }
 
-// Requests beyond the tenant's rate are served from burst credit that an operator granted. Each page is requested at two proxies and
-// must be charged once. The account must balance, also after a restart of the core.
+// Requests beyond the tenant's rate are served from burst credit that an operator granted. Each page is requested at
+// two proxies and must be charged once. The account must balance, also after a restart of the core.
 func TestBurstCredit(t *testing.T) {
 	m := startMesh(t, 1, 3, 0, 100)
 	withCredit := strings.Replace(config, `"RatePerS":10000,"Surge":10000`, `"RatePerS":4,"Surge":0,"Nectar":{"Earn":0.5,"Cap":500,"Keep":"1209600s","Extra":100}`, 1)
@@ -328,8 +328,8 @@
 		return status == http.StatusOK
 	})
 	var servedPages sync.Map
-	page := func(n, controllerAddress int) bool {
-		status, _, _, _ := m.send(controllerAddress, "GET", fmt.Sprintf("/read/p%d", n))
+	page := func(n, proxyIndex int) bool {
+		status, _, _, _ := m.send(proxyIndex, "GET", fmt.Sprintf("/read/p%d", n))
 		if status == http.StatusOK {
 			servedPages.Store(n, true)
 		}
@@ -345,8 +345,8 @@
 	must.Error(t, client.Call(context.Background(), controllerAddress, rpc.PathCreditOrder, &controller.Order{Tenant: "acme", Tokens: 150}, status)) // without a name and a reason
 	sendPages := func(from, to int) (ok int) {
 		for n := from; n < to; n++ {
-			for _, controllerAddress := range []int{0, 1} {
-				if page(n, controllerAddress) {
+			for _, proxyIndex := range []int{0, 1} {
+				if page(n, proxyIndex) {
 					ok++
 				}
 			}
@@ -356,36 +356,36 @@
 	m.waitUntil(func() bool { return sendPages(1, 3) == 4 }) // the proxies have drawn their first tokens
 	ok := sendPages(100, 160)
 	must.Greater(t, 60, ok) // the rate of 4 a second alone would serve only a few
-	account := func() *burstcredit.AccountStatus {
-		s := &controller.Status{}
-		must.NoError(t, client.Call(context.Background(), controllerAddress, rpc.PathStatus, &controller.StatusRequest{}, s))
-		a, err := controller.FindAccount(s.State.Credit, "acme")
+	fetchAccount := func() *burstcredit.AccountStatus {
+		coreStatus := &controller.Status{}
+		must.NoError(t, client.Call(context.Background(), controllerAddress, rpc.PathStatus, &controller.StatusRequest{}, coreStatus))
+		account, err := controller.FindAccount(coreStatus.State.Credit, "acme")
 		must.NoError(t, err)
-		return a
+		return account
 	}
 	pageCount := 0
 	servedPages.Range(func(any, any) bool { pageCount++; return true })
 	last := -1.0
 	m.waitUntil(func() bool { // the proxies have reported all spending
-		a := account()
-		settled := a.Spent == last && a.Spent > 10
-		last = a.Spent
+		account := fetchAccount()
+		settled := account.Spent == last && account.Spent > 10
+		last = account.Spent
 		return settled
 	})
-	a := account()
-	must.LessEq(t, float64(pageCount), a.Spent) // each page is requested twice and charged once
-	must.Less(t, 1e-6, max(a.Gap, -a.Gap))
+	account := fetchAccount()
+	must.LessEq(t, float64(pageCount), account.Spent) // each page is requested twice and charged once
+	must.Less(t, 1e-6, max(account.Gap, -account.Gap))
 	m.stops["controller-0"]()
 	m.startController(m.plan.Controllers[0])
 	m.waitUntil(func() bool {
-		s := &controller.Status{}
-		return client.Call(context.Background(), controllerAddress, rpc.PathStatus, &controller.StatusRequest{}, s) == nil && len(s.State.Credit) > 0
+		coreStatus := &controller.Status{}
+		return client.Call(context.Background(), controllerAddress, rpc.PathStatus, &controller.StatusRequest{}, coreStatus) == nil && len(coreStatus.State.Credit) > 0
 	})
-	must.GreaterEq(t, a.Spent, account().Spent)
+	must.GreaterEq(t, account.Spent, fetchAccount().Spent)
 }
 
-// A partner restricts its exports while requests run. Once it is told that the restriction is in effect, no write may reach it. Reads
-// must continue, nothing may run twice, and clients must get 403 at once.
+// A partner restricts its exports while requests run. Once it is told that the restriction is in effect, no write may
+// reach it. Reads must continue, nothing may run twice, and clients must get 403 at once.
 func TestPartnerRestrictsExports(t *testing.T) {
 	m := startMesh(t, 1, 3, 0, 100)
 	partner, err := testmesh.NewPartner("zuid", "127.77.19.1:0")
@@ -401,17 +401,17 @@
 	must.StrContains(t, text, "Mesh")
 	var mu sync.Mutex
 	send := func(at int, method, path, id string) (int, string) {
-		r, err := http.NewRequest(method, "http://"+m.plan.Proxies[at].OutboundAddress+path, nil)
+		request, err := http.NewRequest(method, "http://"+m.plan.Proxies[at].OutboundAddress+path, nil)
 		must.NoError(t, err)
-		r.Host = "zuid.example"
-		r.Header = http.Header{"X-Attempt-Id": {id}, "X-Time-Left-Ms": {"1000"}, "X-Key": {"k1"}, "X-Hive-Gate": {"zuid"}, "X-Import-Edition": {"99"}}
-		w, err := (&http.Client{Timeout: 3 * time.Second}).Do(r)
+		request.Host = "zuid.example"
+		request.Header = http.Header{"X-Attempt-Id": {id}, "X-Time-Left-Ms": {"1000"}, "X-Key": {"k1"}, "X-Hive-Gate": {"zuid"}, "X-Import-Edition": {"99"}}
+		response, err := (&http.Client{Timeout: 3 * time.Second}).Do(request)
 		if err != nil {
 			return 0, ""
 		}
-		defer w.Body.Close()
-		body, _ := io.ReadAll(w.Body)
-		return w.StatusCode, string(body)
+		defer response.Body.Close()
+		body, _ := io.ReadAll(response.Body)
+		return response.StatusCode, string(body)
 	}
 	for n := range m.plan.Proxies {
 		m.waitUntil(func() bool {
--- a/internal/mesh/priority_test.go
+++ b/internal/mesh/priority_test.go
@@ -38,8 +38,9 @@
 	})
 }
 
-// At twice the load that the upstreams can serve, an added route with the most urgent priority must be served, and the other routes
-// must not starve. When requests were ordered by time alone, those on the added route came last and were rejected.
+// At twice the load that the upstreams can serve, an added route with the most urgent priority must be served, and the
+// other routes must not starve. When requests were ordered by time alone, those on the added route came last and were
+// rejected.
 func TestAddedUrgentRouteIsServedUnderLoad(t *testing.T) {
 	m := startMesh(t, 1, 2, 100*time.Millisecond, 100) // two upstreams with 8 slots each
 	m.applyConfig(1)
--- a/internal/mesh/proxy_faults_test.go
+++ b/internal/mesh/proxy_faults_test.go
@@ -20,7 +20,8 @@
 	"ottershift/internal/mesh/testmesh"
 )
 
-// proxyVariable is the environment variable with the settings file of a proxy, which the test binary then runs instead of tests.
+// proxyVariable is the environment variable with the settings file of a proxy, which the test binary then runs instead
+// of tests.
 const proxyVariable = "MESH_TEST_PROXY"
 
 func TestMain(m *testing.M) {
@@ -148,12 +149,16 @@
 	},
 	{
 		name: "replaced at the same address before the request", timeLeft: time.Second,
-		begin: func(_ *faultMesh, process *proxyProcess) { process.kill(); process.start(); process.waitUntilListening() }, end: restart,
+		begin: func(_ *faultMesh, process *proxyProcess) {
+			process.kill()
+			process.start()
+			process.waitUntilListening()
+		}, end: restart,
 	},
 }
 
-// Injects faults of the proxy between the client's proxy and the upstream. A once-only request must run at most once, and must not
-// run after a response that promises no execution, not even once the proxy is resumed.
+// Injects faults of the proxy between the client's proxy and the upstream. A once-only request must run at most once,
+// and must not run after a response that promises no execution, not even once the proxy is resumed.
 func TestProxyFaultsBesideUpstream(t *testing.T) {
 	fm, process := startProxyFaultMesh(t)
 	rounds := 5
--- a/internal/mesh/same_name_test.go
+++ b/internal/mesh/same_name_test.go
@@ -11,8 +11,8 @@
 	"ottershift/internal/mesh/testmesh"
 )
 
-// Two routes with the same name keep their own classes: requests on the once-only route run once, although those on the repeatable
-// route may be retried.
+// Two routes with the same name keep their own classes: requests on the once-only route run once, although those on the
+// repeatable route may be retried.
 func TestRoutesWithSameNameKeepTheirClasses(t *testing.T) {
 	m := startMesh(t, 1, 2, 0, 100)
 	m.applyConfig(1)
--- a/internal/mesh/suspended_controller_test.go
+++ b/internal/mesh/suspended_controller_test.go
@@ -80,8 +80,8 @@
 	must.Wait(m.t, wait.InitialSuccess(wait.BoolFunc(condition), wait.Timeout(15*time.Second), wait.Gap(10*time.Millisecond)))
 }
 
-// The coordinator is suspended while it has read some requests and others wait in its sockets. Once resumed, it must not answer any
-// of them from the state that it held before.
+// The coordinator is suspended while it has read some requests and others wait in its sockets. Once resumed, it must
+// not answer any of them from the state that it held before.
 func TestResumedControllerServesNoStaleState(t *testing.T) {
 	m := startProcessMesh(t)
 	version := 0
--- a/internal/mesh/testmesh/faults.go
+++ b/internal/mesh/testmesh/faults.go
@@ -15,8 +15,8 @@
 // Fault is a fault of an upstream in handling one request.
 type Fault uint8
 
-// Faults of an upstream. With those of the first group the request is rejected, or its connection fails, before it runs. With all
-// others it runs.
+// Faults of an upstream. With those of the first group the request is rejected, or its connection fails, before it
+// runs. With all others it runs.
 const (
 	NoFault Fault = iota
 
@@ -138,11 +138,11 @@
 
 // upstreamResponse is an HTTP response as upstreams of this mesh send it.
 type upstreamResponse struct {
-	status         int
-	id, stampValue string
-	notExecuted    bool
-	extraHeaders   string // further header lines
-	body           string
+	status       int
+	id, stamp    string
+	notExecuted  bool
+	extraHeaders string // further header lines
+	body         string
 }
 
 func (r upstreamResponse) headerFields() http.Header {
@@ -150,8 +150,8 @@
 	if r.id != "" {
 		header.Set("X-Attempt-Id", r.id)
 	}
-	if r.stampValue != "" {
-		header.Set("X-Postmark", r.stampValue)
+	if r.stamp != "" {
+		header.Set("X-Postmark", r.stamp)
 	}
 	if r.notExecuted {
 		header.Set("X-Not-Delivered", "1")
@@ -212,11 +212,12 @@
 
 func straySuccess(id string) upstreamResponse {
 	success := strayResponse(http.StatusOK, id)
-	success.stampValue = "stamp-stray"
+	success.stamp = "stamp-stray"
 	return success
 }
 
-// rawConnection is a connection that was hijacked from the HTTP server. The mutex keeps late writes from splitting the next response.
+// rawConnection is a connection that was hijacked from the HTTP server. The mutex keeps late writes from splitting the
+// next response.
 type rawConnection struct {
 	*net.TCPConn
 	reader     *bufio.Reader
@@ -315,7 +316,7 @@
 	return response.text()
 }
 func successWithoutStamp(response upstreamResponse) string {
-	response.stampValue = ""
+	response.stamp = ""
 	return response.text()
 }
 func successMarkedNotExecuted(response upstreamResponse) string {
--- a/internal/mesh/testmesh/filter.go
+++ b/internal/mesh/testmesh/filter.go
@@ -11,14 +11,15 @@
 // errDropped is the error of a dropped call.
 var errDropped = errors.New("injected fault: call dropped")
 
-// Filter drops calls of one process by their destination, path and body. Tests use it to lose a message, or to act between two
-// steps of a protocol. The zero value drops nothing.
+// Filter drops calls of one process by their destination, path and body. Tests use it to lose a message, or to act
+// between two steps of a protocol. The zero value drops nothing.
 type Filter struct {
 	mu   sync.Mutex
 	drop func(to, path string, body []byte) bool
 }
 
-// SetDrop sets the function that selects the calls to drop; nil drops none. Concurrent calls may run the function concurrently.
+// SetDrop sets the function that selects the calls to drop; nil drops none. Concurrent calls may run the function
+// concurrently.
 func (f *Filter) SetDrop(drop func(to, path string, body []byte) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/mesh/testmesh/history/history.go
+++ b/internal/mesh/testmesh/history/history.go
@@ -1,5 +1,5 @@
-// Package history records what operators saw of the configuration of a mesh, and checks that it is linearizable as a register with
-// compare-and-set.
+// Package history records what operators saw of the configuration of a mesh, and checks that it is linearizable as a
+// register with compare-and-set.
 package history
 
 import (
@@ -12,7 +12,8 @@
 	"ottershift/internal/mesh/testmesh"
 )
 
-// Configuration identifies a configuration by its version and the update that set it. Two updates may choose the same version.
+// Configuration identifies a configuration by its version and the update that set it. Two updates may choose the same
+// version.
 type Configuration struct {
 	Version  int64
 	UpdateID int
@@ -37,8 +38,8 @@
 // unknownEnd is the end time, in Unix nanoseconds, of an update with an unknown outcome.
 const unknownEnd = int64(1) << 62
 
-// AddUpdate adds an update, from its first attempt to the response that showed its outcome. An update with an unknown outcome may
-// take effect at any later time.
+// AddUpdate adds an update, from its first attempt to the response that showed its outcome. An update with an unknown
+// outcome may take effect at any later time.
 func (h *History) AddUpdate(operator int, update *testmesh.Update, outcome testmesh.Outcome, start, end time.Time) {
 	h.AddOutcome(update, outcome)
 	returned := end.UnixNano()
@@ -115,7 +116,8 @@
 	return Result{}
 }
 
-// registerModel is a register with compare-and-set on the version of the configuration. It starts as the zero Configuration.
+// registerModel is a register with compare-and-set on the version of the configuration. It starts as the zero
+// Configuration.
 var registerModel = (&porcupine.NondeterministicModel{
 	Init: func() []any { return []any{Configuration{}} },
 	Step: func(state, input, _ any) []any {
--- a/internal/mesh/testmesh/links.go
+++ b/internal/mesh/testmesh/links.go
@@ -27,8 +27,8 @@
 
 var errConnectionRefused = &net.OpError{Op: "dial", Net: "tcp4", Err: syscall.ECONNREFUSED}
 
-// Links injects faults into the calls between processes of a test. A link is identified by the IP addresses of its two ends;
-// its two directions have separate faults. The zero value has no faults.
+// Links injects faults into the calls between processes of a test. A link is identified by the IP addresses of its two
+// ends; its two directions have separate faults. The zero value has no faults.
 type Links struct {
 	mu     sync.Mutex
 	faults map[[2]string]LinkFault
@@ -95,8 +95,8 @@
 	}
 }
 
-// RoundTrip sends one request over the link to its host. If the link from the host back is faulty when the response arrives,
-// the response is lost.
+// RoundTrip sends one request over the link to its host. If the link from the host back is faulty when the response
+// arrives, the response is lost.
 func (t *faultyTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	host := r.URL.Hostname()
 	fault, delay := t.links.state(t.from, host)
--- a/internal/mesh/testmesh/memory_disk.go
+++ b/internal/mesh/testmesh/memory_disk.go
@@ -12,9 +12,9 @@
 // ErrPowerLoss is the error with which tests stop a process whose machine has lost power.
 var ErrPowerLoss = errors.New("injected fault: power loss")
 
-// MemoryDisk is the disk of one process. It can produce the states in which a power loss may leave the disk: data that was synced
-// stays, and each later write is kept, missing or torn. Each change of a directory entry (creation, renaming, removal) since the
-// last sync of its directory is kept or lost independently.
+// MemoryDisk is the disk of one process. It can produce the states in which a power loss may leave the disk: data that
+// was synced stays, and each later write is kept, missing or torn. Each change of a directory entry (creation,
+// renaming, removal) since the last sync of its directory is kept or lost independently.
 type MemoryDisk struct {
 	mu             sync.Mutex
 	root           *node
@@ -347,9 +347,9 @@
 	writeFateCount
 )
 
-// AfterPowerLoss calls visit with the states in which a power loss at this moment may leave the disk, and returns their number. If
-// there are more than limit states, it visits limit seeded samples. The samples include the states in which all entry changes, or
-// all writes, are kept or lost.
+// AfterPowerLoss calls visit with the states in which a power loss at this moment may leave the disk, and returns their
+// number. If there are more than limit states, it visits limit seeded samples. The samples include the states in which
+// all entry changes, or all writes, are kept or lost.
 func (d *MemoryDisk) AfterPowerLoss(limit int, seed uint64, visit func(*MemoryDisk)) (states int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -400,7 +400,7 @@
 }
 
 // stateAfterPowerLoss returns one state in which a power loss may leave the disk.
-func (d *MemoryDisk) stateAfterPowerLoss(files []*node, choose func(of int) int) *MemoryDisk {
+func (d *MemoryDisk) stateAfterPowerLoss(files []*node, choose func(choices int) int) *MemoryDisk {
 	state := NewMemoryDisk()
 	state.root, state.ignoreDirectorySyncs, state.IgnoreFileSyncs = d.root, d.ignoreDirectorySyncs, d.IgnoreFileSyncs
 	entriesAfter := directoryEntries{}
@@ -431,8 +431,9 @@
 	return state
 }
 
-// contentAfterPowerLoss returns the content of a file after a power loss. A missing write before one that is kept leaves zeros.
-func (n *node) contentAfterPowerLoss(choose func(of int) int) []byte {
+// contentAfterPowerLoss returns the content of a file after a power loss. A missing write before one that is kept
+// leaves zeros.
+func (n *node) contentAfterPowerLoss(choose func(choices int) int) []byte {
 	data := slices.Clone(n.synced)
 	end := len(data)
 	for _, write := range n.unsynced {
--- a/internal/mesh/testmesh/memory_storage.go
+++ b/internal/mesh/testmesh/memory_storage.go
@@ -11,8 +11,8 @@
 	"github.com/syndtr/goleveldb/leveldb/storage"
 )
 
-// memoryStorage implements goleveldb's storage in a directory of a MemoryDisk. It updates CURRENT in the same steps as goleveldb's
-// file storage: back it up, write it under a temporary name, rename it, and sync the directory.
+// memoryStorage implements goleveldb's storage in a directory of a MemoryDisk. It updates CURRENT in the same steps as
+// goleveldb's file storage: back it up, write it under a temporary name, rename it, and sync the directory.
 type memoryStorage struct {
 	disk      *MemoryDisk
 	directory string
--- a/internal/mesh/testmesh/messages.go
+++ b/internal/mesh/testmesh/messages.go
@@ -6,7 +6,8 @@
 	"net/http"
 )
 
-// TransportForKind is like Transport, but only consensus messages of one kind, such as consensus.Accept, are subject to faults.
+// TransportForKind is like Transport, but only consensus messages of one kind, such as consensus.Accept, are subject to
+// faults.
 func (l *Links) TransportForKind(from, kind string) func(http.RoundTripper) http.RoundTripper {
 	return func(next http.RoundTripper) http.RoundTripper {
 		return &kindTransport{prefix: []byte(`{"Kind":"` + kind + `"`), faulty: l.Transport(from)(next), next: next}
--- a/internal/mesh/testmesh/operator.go
+++ b/internal/mesh/testmesh/operator.go
@@ -21,8 +21,9 @@
 	OutcomeInvalid                  // 400
 )
 
+// String implements fmt.Stringer.
 func (o Outcome) String() string {
-	return [...]string{"unclear", "confirmed", "stale", "invalid"}[o]
+	return [...]string{"unknown", "confirmed", "stale", "invalid"}[o]
 }
 
 // Update is an operator's update of the configuration. All attempts to send it are byte for byte the same.
--- a/internal/mesh/testmesh/partner.go
+++ b/internal/mesh/testmesh/partner.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// Partner is the gateway of a partner mesh. It serves its export table, receives the reports that restrictions of it are in
-// effect, and runs requests. A write is a request with a method other than GET and HEAD.
+// Partner is the gateway of a partner mesh. It serves its export table, receives the reports that restrictions of it
+// are in effect, and runs requests. A write is a request with a method other than GET and HEAD.
 type Partner struct {
 	Name, Address string
 
@@ -68,7 +68,7 @@
 
 // ReportedVersion returns the newest version whose restrictions were reported to be in effect, and the time from the last
 // publication to that report.
-func (p *Partner) ReportedVersion() (version int64, took time.Duration) {
+func (p *Partner) ReportedVersion() (version int64, duration time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.reportedVersion, p.reportedAt.Sub(p.publishedAt)
--- a/internal/mesh/testmesh/plan.go
+++ b/internal/mesh/testmesh/plan.go
@@ -22,14 +22,16 @@
 	return ports, nil
 }
 
-// Mesh is the settings of the processes of a whole mesh on loopback. Each machine has its own address, and all use the same ports.
+// Mesh is the settings of the processes of a whole mesh on loopback. Each machine has its own address, and all use the
+// same ports.
 type Mesh struct {
 	Controllers, Proxies []*settings.Settings
 }
 
 var nextSubnet atomic.Int32
 
-// Plan returns the settings of a mesh with the given numbers of controllers and proxies. Zones and services are assigned in turn.
+// Plan returns the settings of a mesh with the given numbers of controllers and proxies. Zones and services are
+// assigned in turn.
 func Plan(controllers, proxies int, zones, services []string, dir string) (*Mesh, error) {
 	subnet := int(nextSubnet.Add(1)) + 20
 	host := func(n int) string { return fmt.Sprintf("127.77.%d.%d", subnet, n+1) }
--- a/internal/mesh/testmesh/process.go
+++ b/internal/mesh/testmesh/process.go
@@ -27,8 +27,8 @@
 	command *exec.Cmd
 }
 
-// StartProcess starts a program that BuildPrograms has built, with a settings file in the same directory. The process is killed
-// when the calling process ends.
+// StartProcess starts a program that BuildPrograms has built, with a settings file in the same directory. The process
+// is killed when the calling process ends.
 func StartProcess(dir, program string, cfg *settings.Settings) (*Process, error) {
 	file := filepath.Join(dir, cfg.Node+".conf")
 	if err := WriteSettings(cfg, file); err != nil {
--- a/internal/mesh/testmesh/upstream.go
+++ b/internal/mesh/testmesh/upstream.go
@@ -1,5 +1,5 @@
-// Package testmesh provides fakes of what a mesh works with (upstreams, partners, operators), faulty links and disks, and settings
-// for whole meshes on loopback. Tests, the demo and meshsim use them.
+// Package testmesh provides fakes of what a mesh works with (upstreams, partners, operators), faulty links and disks,
+// and settings for whole meshes on loopback. Tests, the demo and meshsim use them.
 package testmesh
 
 import (
@@ -15,8 +15,8 @@
 	"time"
 )
 
-// Upstream is an application that sends heartbeats to the proxy beside it and runs requests. Tests can inject faults into its
-// responses.
+// Upstream is an application that sends heartbeats to the proxy beside it and runs requests. Tests can inject faults
+// into its responses.
 type Upstream struct {
 	ID, Service  string
 	Capacity     int
@@ -41,7 +41,8 @@
 	connections int
 }
 
-// NewUpstream starts an upstream that serves at an address and sends heartbeats to the control address of the proxy beside it.
+// NewUpstream starts an upstream that serves at an address and sends heartbeats to the control address of the proxy
+// beside it.
 func NewUpstream(id, service, address, controlAddress string, capacity int, work time.Duration, size int) (*Upstream, error) {
 	u := &Upstream{
 		ID:             id,
@@ -180,8 +181,8 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// serve handles a request from the HTTP server. For a faulty response it takes the connection over from the HTTP server and
-// serves all its later requests itself.
+// serve handles a request from the HTTP server. For a faulty response it takes the connection over from the HTTP server
+// and serves all its later requests itself.
 func (u *Upstream) serve(w http.ResponseWriter, r *http.Request) {
 	if u.isMisdirected(r) {
 		w.Header().Set("X-Delivered-By", u.ID)
@@ -284,9 +285,9 @@
 		}
 	}
 	return upstreamResponse{
-		status:     http.StatusOK,
-		id:         r.Header.Get("X-Attempt-Id"),
-		stampValue: "stamp-" + u.ID,
-		body:       strings.Repeat("x", size),
+		status: http.StatusOK,
+		id:     r.Header.Get("X-Attempt-Id"),
+		stamp:  "stamp-" + u.ID,
+		body:   strings.Repeat("x", size),
 	}
 }
--- a/internal/mesh/upstream_faults_test.go
+++ b/internal/mesh/upstream_faults_test.go
@@ -66,8 +66,8 @@
 	return fmt.Sprint(r.status)
 }
 
-// faultMesh is a mesh with an upstream beside each proxy but the first. Clients call the first proxy, which adds a hop, and the
-// second, which reaches the upstream beside it directly.
+// faultMesh is a mesh with an upstream beside each proxy but the first. Clients call the first proxy, which adds a hop,
+// and the second, which reaches the upstream beside it directly.
 type faultMesh struct {
 	*mesh
 	clients       []*http.Client
@@ -320,8 +320,8 @@
 	return fmt.Sprintf("%d pairs; results %v; at most %d runs; next %v", c.pairs, c.results, c.maxRuns, c.nextResults)
 }
 
-// sendPair sends a request that gets the fault, and then a once-only request, over a reused connection if there is one. The fault
-// must not affect the second request, except that a connection reset may fail it.
+// sendPair sends a request that gets the fault, and then a once-only request, over a reused connection if there is one.
+// The fault must not affect the second request, except that a connection reset may fail it.
 func (fm *faultMesh) sendPair(at int, test faultCase, class requestClass, delay time.Duration, counts *outcomeCounts) {
 	timeLeft := 3 * time.Second
 	if test.endsAtDeadline {
@@ -360,9 +360,9 @@
 
 var lateDelays = []time.Duration{0, 200 * time.Microsecond, 500 * time.Microsecond, time.Millisecond, 3 * time.Millisecond}
 
-// Injects every fault of an upstream, for each class of request, over one hop and over two. With one upstream the next request reuses
-// the connection. With two, a wrong retry could run the request at the other one. In the third mesh, the faults come from a peer
-// proxy instead of an upstream.
+// Injects every fault of an upstream, for each class of request, over one hop and over two. With one upstream the next
+// request reuses the connection. With two, a wrong retry could run the request at the other one. In the third mesh, the
+// faults come from a peer proxy instead of an upstream.
 func TestUpstreamFaults(t *testing.T) {
 	must.Eq(t, len(testmesh.Faults()), len(faultCases))
 	oneUpstream, twoUpstreams := defaultFaultMeshOptions(), defaultFaultMeshOptions()
@@ -381,8 +381,8 @@
 	}
 }
 
-// peerOptions replaces the second proxy by the fake upstream: the core is told that the proxy runs, and the upstream serves at its
-// address for other proxies.
+// peerOptions replaces the second proxy by the fake upstream: the core is told that the proxy runs, and the upstream
+// serves at its address for other proxies.
 func peerOptions() faultMeshOptions {
 	options := defaultFaultMeshOptions()
 	options.calledProxies = 1
@@ -429,7 +429,8 @@
 	fm.t.Logf("%-24v %-10s %v", test.fault, class.name, counts)
 }
 
-// drainLateResponses sends requests until late responses to the previous fault have arrived and there is an idle connection.
+// drainLateResponses sends requests until late responses to the previous fault have arrived and there is an idle
+// connection.
 func (fm *faultMesh) drainLateResponses(at int) {
 	for range 2 {
 		fm.send(at, requestClasses[0], nil, time.Second)
