--- a/internal/mesh/testmesh/faults.go
+++ b/internal/mesh/testmesh/faults.go
@@ -12,74 +12,75 @@
 	"time"
 )
 
-// Fault is what an upstream does wrong with one request.
+// Fault is a fault of an upstream in handling one request.
 type Fault uint8
 
-// The faults. Those of the first group turn the request away or end its connection without running it; all others run it.
+// Faults of an upstream. With those of the first group the request is rejected, or its connection fails, before it
+// runs. With all others it runs.
 const (
-	Sound Fault = iota
-
-	Full                  // 503, not delivered
-	FullWithoutID         // the same, without the attempt's id
-	FullTwice             // the same with the right id, and a second time after Delay
-	Elsewhere             // another upstream is meant: 421, not delivered
-	ElsewhereWithoutID    // the same, without the attempt's id
-	BadRequestWithoutID   // 400, not delivered, without the attempt's id
-	ResetBeforeRun        // the connection is reset, the request unread
-	CloseBeforeRun        // the connection is closed
-	SilentBeforeRun       // nothing is answered on this connection any more
-	EarlyFull             // 503, not delivered, while the body is still being sent; the connection is closed
-	EarlyFullConnectionOn // the same, the connection stays and nothing more is read
-
-	Silent               // it runs and answers nothing
-	Thawed               // it stands still for Delay, then runs and answers
-	Reset                // the connection is reset before the answer
-	CloseBeforeAnswer    // the connection is closed before the answer
-	ResetInHead          // the connection is reset in the answer's head
-	CloseInHead          // the connection is closed there
-	ResetInBody          // the connection is reset in the middle of the body
-	CutShort             // the connection is closed there
-	ChunkedCut           // the connection is closed between two chunks
-	ResetAfterAnswer     // the connection is reset Delay after a whole answer
-	CloseAfterAnswer     // the connection is closed there, unannounced
-	HalfClose            // the answer's direction is closed there
-	Extra                // a second answer comes Delay after the first
-	ErrorWithoutIDLate   // an error without an id comes Delay after the answer
-	FullWithoutIDLate    // a 503, not delivered, without an id comes Delay after the answer
-	SuccessWithoutIDLate // a success without an id comes Delay after the answer
-	OtherIDLate          // an answer to another request comes Delay after the answer
-	GarbageLate          // bytes that are no answer come Delay after the answer
-	OtherID              // an answer to another request comes before its own
-	ErrorWithoutIDBefore // an error without an id comes before its own
-	Informational        // 100 and 103 come before its own
-	SwitchingProtocols   // 101 comes in place of its own
-	WithoutID            // a success without the attempt's id
-	Error                // 500
-	ErrorWithoutID       // 500 without the attempt's id
-	Unstamped            // a success without a postmark
-	UnprovenFull         // 503 that does not say that it is not delivered
-	UnprovenTooMany      // 429 that does not say that it is not delivered
-	Contradiction        // a success that says that it is not delivered
-	Garbage              // bytes that are no answer
-	EndlessHead          // a head that does not end
-	TwoLengths           // two lengths that differ
-	NoStatedEnd          // HTTP/1.0, its end is the connection's
-	BareCR               // a carriage return in a header's value
-	ChunkedWithTrailer   // in chunks, with a trailer; nothing is wrong
-	NoContent            // 204 with bytes that look like a body behind it
-	ConnectionClose      // a whole answer that ends its connection; nothing is wrong
-	EarlyError           // 500 while the body is still being sent; the connection is closed
-	EarlySuccess         // a whole success while the body is still being sent, which is read to its end
+	NoFault Fault = iota
+
+	Unavailable              // 503, marked as not executed
+	UnavailableWithoutID     // the same, without the attempt's ID
+	UnavailableTwice         // the same with the right ID, sent again after Delay
+	Misdirected              // 421 as if the request were for another upstream, marked as not executed
+	MisdirectedWithoutID     // the same, without the attempt's ID
+	BadRequestWithoutID      // 400, marked as not executed, without the attempt's ID
+	ResetBeforeRun           // the connection is reset before the request runs
+	CloseBeforeRun           // the connection is closed before the request runs
+	NoResponseBeforeRun      // nothing more is sent on this connection
+	EarlyUnavailable         // 503, marked as not executed, while the body is still being sent; the connection is closed
+	EarlyUnavailableKeepOpen // the same, but the connection stays open for a while and nothing more is read
+
+	NoResponse                // the request runs and gets no response
+	DelayedRun                // the request runs after Delay and gets its response
+	Reset                     // the connection is reset before the response
+	CloseBeforeResponse       // the connection is closed before the response
+	ResetInHeader             // the connection is reset within the response header
+	CloseInHeader             // the connection is closed within the response header
+	ResetInBody               // the connection is reset in the middle of the body
+	CloseInBody               // the connection is closed in the middle of the body
+	CloseBetweenChunks        // the connection is closed between two chunks
+	ResetAfterResponse        // the connection is reset Delay after a complete response
+	CloseAfterResponse        // the connection is closed Delay after a complete response, without Connection: close
+	CloseWriteAfterResponse   // the sending side is closed Delay after a complete response
+	DuplicateResponse         // the response is sent again after Delay
+	LateErrorWithoutID        // an error without an ID follows Delay after the response
+	LateUnavailableWithoutID  // a 503, marked as not executed, without an ID follows Delay after the response
+	LateSuccessWithoutID      // a success without an ID follows Delay after the response
+	LateOtherID               // a response to another request follows Delay after the response
+	LateGarbage               // bytes that are not HTTP follow Delay after the response
+	PrecedingOtherID          // a response to another request precedes the response
+	PrecedingErrorWithoutID   // an error without an ID precedes the response
+	InformationalResponses    // 100 and 103 precede the response; nothing is wrong
+	SwitchingProtocols        // 101 precedes the response
+	SuccessWithoutID          // a success without the attempt's ID
+	Error                     // 500
+	ErrorWithoutID            // 500 without the attempt's ID
+	SuccessWithoutStamp       // a success without the upstream's stamp (X-Postmark)
+	UnmarkedUnavailable       // 503 that is not marked as not executed
+	UnmarkedTooManyRequests   // 429 that is not marked as not executed
+	SuccessMarkedNotExecuted  // a success that is marked as not executed
+	Garbage                   // bytes that are not HTTP
+	OversizedHeader           // a response header of about 300 kB
+	ConflictingContentLengths // two different Content-Length headers
+	HTTP10WithoutLength       // HTTP/1.0 without a length; the body ends with the connection
+	BareCRInHeader            // a carriage return in a header value
+	ChunkedWithTrailer        // chunked, with a trailer; nothing is wrong
+	NoContentWithBody         // 204 followed by bytes that look like a body
+	ConnectionClose           // a complete response with Connection: close; nothing is wrong
+	EarlyError                // 500 while the body is still being sent; the connection is closed
+	EarlySuccess              // a complete success while the body is still being sent; the rest of the body is read
 	faultCount
 )
 
-// Injection is a fault that a request is to meet, with the delay that its kind names.
+// Injection is a fault for one request. Delay is used by the faults whose comment names it.
 type Injection struct {
 	Fault Fault
 	Delay time.Duration
 }
 
-// Faults are all faults.
+// Faults returns all faults, NoFault among them.
 func Faults() []Fault {
 	all := make([]Fault, faultCount)
 	for n := range all {
@@ -91,32 +92,32 @@
 // Runs reports whether an upstream with this fault runs the request.
 func (f Fault) Runs() bool { return scripts[f].runs }
 
-// early reports whether the answer comes before the body has been read.
+// early reports whether the response is sent before the request body has been read.
 func (f Fault) early() bool { return scripts[f].early }
 
-// Next has the next requests meet faults.
-func (u *Upstream) Next(faults ...Fault) {
+// InjectFaults queues faults without a delay, one for each of the next requests.
+func (u *Upstream) InjectFaults(faults ...Fault) {
 	for _, f := range faults {
 		u.Inject(Injection{Fault: f})
 	}
 }
 
-// Inject has the next request that has no fault yet meet one.
+// Inject queues a fault, for the next request that has none yet.
 func (u *Upstream) Inject(injection Injection) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.injections = append(u.injections, injection)
 }
 
-// Pending is how many faults are still to come.
-func (u *Upstream) Pending() int {
+// PendingFaults returns the number of queued faults.
+func (u *Upstream) PendingFaults() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return len(u.injections)
 }
 
-// Drop takes back the next fault.
-func (u *Upstream) Drop() {
+// DropNextFault removes the next queued fault.
+func (u *Upstream) DropNextFault() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if len(u.injections) > 0 {
@@ -124,272 +125,301 @@
 	}
 }
 
-// Met is the last fault that an attempt met here.
-func (u *Upstream) Met(id string) (fault Fault, met bool) {
+// FaultMetBy returns the last fault that was injected into an attempt.
+func (u *Upstream) FaultMetBy(id string) (fault Fault, met bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	fault, met = u.met[id]
+	fault, met = u.faultsMet[id]
 	return fault, met
 }
 
-// StrayBody is the body of answers that belong to no request.
+// StrayBody is the body of responses that belong to no request.
 const StrayBody = "odd"
 
-// answer is an HTTP answer, as an upstream of the users frames it.
-type answer struct {
+// upstreamResponse is an HTTP response as upstreams of this mesh send it.
+type upstreamResponse struct {
 	status       int
 	id, stamp    string
-	notDelivered bool
-	more         string // header lines
+	notExecuted  bool
+	extraHeaders string // further header lines
 	body         string
 }
 
-func (a answer) header() http.Header {
-	h := http.Header{}
-	if a.id != "" {
-		h.Set("X-Attempt-Id", a.id)
+func (r upstreamResponse) headerFields() http.Header {
+	header := http.Header{}
+	if r.id != "" {
+		header.Set("X-Attempt-Id", r.id)
 	}
-	if a.stamp != "" {
-		h.Set("X-Postmark", a.stamp)
+	if r.stamp != "" {
+		header.Set("X-Postmark", r.stamp)
 	}
-	if a.notDelivered {
-		h.Set("X-Not-Delivered", "1")
+	if r.notExecuted {
+		header.Set("X-Not-Delivered", "1")
 	}
-	h.Set("Content-Length", strconv.Itoa(len(a.body)))
-	return h
+	header.Set("Content-Length", strconv.Itoa(len(r.body)))
+	return header
 }
 
-func (a answer) send(w http.ResponseWriter) {
-	for name, values := range a.header() {
+func (r upstreamResponse) writeTo(w http.ResponseWriter) {
+	for name, values := range r.headerFields() {
 		w.Header()[name] = values
 	}
-	w.WriteHeader(a.status)
-	io.WriteString(w, a.body)
+	w.WriteHeader(r.status)
+	io.WriteString(w, r.body)
 }
 
-func (a answer) head() string {
+func (r upstreamResponse) headerText() string {
 	var text strings.Builder
-	fmt.Fprintf(&text, "HTTP/1.1 %d %s\r\n", a.status, http.StatusText(a.status))
-	a.header().Write(&text)
-	return text.String() + a.more + "\r\n"
+	fmt.Fprintf(&text, "HTTP/1.1 %d %s\r\n", r.status, http.StatusText(r.status))
+	r.headerFields().Write(&text)
+	return text.String() + r.extraHeaders + "\r\n"
 }
 
-func (a answer) text() string { return a.head() + a.body }
+func (r upstreamResponse) text() string { return r.headerText() + r.body }
 
-// failure is the answer with which an upstream itself fails a request.
-func (a answer) failure(status int) answer {
-	return answer{status: status, id: a.id, body: "failed"}
+// failure is the response to a request that the upstream itself fails.
+func (r upstreamResponse) failure(status int) upstreamResponse {
+	return upstreamResponse{status: status, id: r.id, body: "failed"}
 }
 
-func (a answer) full() answer {
-	full := a.failure(http.StatusServiceUnavailable)
-	full.notDelivered = true
-	return full
+func (r upstreamResponse) unavailable() upstreamResponse {
+	unavailable := r.failure(http.StatusServiceUnavailable)
+	unavailable.notExecuted = true
+	return unavailable
 }
 
-func (a answer) elsewhere() answer {
-	elsewhere := a.failure(http.StatusMisdirectedRequest)
-	elsewhere.notDelivered = true
-	return elsewhere
+func (r upstreamResponse) misdirected() upstreamResponse {
+	misdirected := r.failure(http.StatusMisdirectedRequest)
+	misdirected.notExecuted = true
+	return misdirected
 }
 
-func (a answer) withoutID() answer {
-	a.id = ""
-	return a
+func (r upstreamResponse) withoutID() upstreamResponse {
+	r.id = ""
+	return r
 }
 
-// stray is an answer that belongs to no request.
-func stray(status int, id string) answer { return answer{status: status, id: id, body: StrayBody} }
+// strayResponse is a response that belongs to no request.
+func strayResponse(status int, id string) upstreamResponse {
+	return upstreamResponse{status: status, id: id, body: StrayBody}
+}
 
-func strayFull() answer {
-	full := stray(http.StatusServiceUnavailable, "")
-	full.notDelivered = true
-	return full
+func strayUnavailable() upstreamResponse {
+	unavailable := strayResponse(http.StatusServiceUnavailable, "")
+	unavailable.notExecuted = true
+	return unavailable
 }
 
-func straySuccess(id string) answer {
-	success := stray(http.StatusOK, id)
+func straySuccess(id string) upstreamResponse {
+	success := strayResponse(http.StatusOK, id)
 	success.stamp = "stamp-stray"
 	return success
 }
 
-// bareConnection is a connection without an HTTP server. What comes late is written beside the next answer, never inside it.
-type bareConnection struct {
+// rawConnection is a connection that was hijacked from the HTTP server. The mutex keeps late writes from splitting the
+// next response.
+type rawConnection struct {
 	*net.TCPConn
-	reader  *bufio.Reader
-	writing sync.Mutex
+	reader     *bufio.Reader
+	writeMutex sync.Mutex
 }
 
-func (c *bareConnection) write(text string) {
-	c.writing.Lock()
-	defer c.writing.Unlock()
+func (c *rawConnection) write(text string) {
+	c.writeMutex.Lock()
+	defer c.writeMutex.Unlock()
 	io.WriteString(c.TCPConn, text)
 }
 
-func (c *bareConnection) reset() {
+func (c *rawConnection) reset() {
 	c.SetLinger(0)
 	c.Close()
 }
 
-// exchange is one request and its answer over a bare connection.
+// exchange is one request and its response over a raw connection.
 type exchange struct {
-	*bareConnection
-	request *http.Request
-	own     answer // whole and right
-	delay   time.Duration
+	*rawConnection
+	request  *http.Request
+	response upstreamResponse // the complete, correct response
+	delay    time.Duration
 }
 
-func (x *exchange) later(do func()) { time.AfterFunc(x.delay, do) }
+func (e *exchange) afterDelay(action func()) { time.AfterFunc(e.delay, action) }
 
-func (x *exchange) swallow() { io.Copy(io.Discard, x.reader) }
+func (e *exchange) discardInput() { io.Copy(io.Discard, e.reader) }
 
-// script is how a fault is played; play reports whether the connection serves on.
-type script struct {
-	runs  bool
-	early bool
-	thaws bool
-	play  func(*exchange) (serveOn bool)
+// faultScript implements a fault. respond reports whether the connection stays open for further requests.
+type faultScript struct {
+	runs    bool
+	early   bool
+	delayed bool
+	respond func(*exchange) (keepOpen bool)
 }
 
-// text plays one piece of text and serves on.
-func text(of func(own answer) string) func(*exchange) bool {
-	return func(x *exchange) bool { x.write(of(x.own)); return true }
+// writeText writes a text and keeps the connection open.
+func writeText(build func(response upstreamResponse) string) func(*exchange) bool {
+	return func(e *exchange) bool { e.write(build(e.response)); return true }
 }
 
-// textThenClose plays one piece of text and closes the connection.
-func textThenClose(of func(own answer) string) func(*exchange) bool {
-	return func(x *exchange) bool { x.write(of(x.own)); return false }
+// writeTextThenClose writes a text and closes the connection.
+func writeTextThenClose(build func(response upstreamResponse) string) func(*exchange) bool {
+	return func(e *exchange) bool { e.write(build(e.response)); return false }
 }
 
-// textThenReset plays one piece of text and resets the connection a moment later.
-func textThenReset(of func(own answer) string) func(*exchange) bool {
-	return func(x *exchange) bool {
-		x.write(of(x.own))
+// writeTextThenReset writes a text and resets the connection 1 ms later.
+func writeTextThenReset(build func(response upstreamResponse) string) func(*exchange) bool {
+	return func(e *exchange) bool {
+		e.write(build(e.response))
 		time.Sleep(time.Millisecond)
-		x.reset()
+		e.reset()
 		return false
 	}
 }
 
-// answerThen plays the right answer, and something else after the delay.
-func answerThen(do func(*exchange)) func(*exchange) bool {
-	return func(x *exchange) bool {
-		x.write(x.own.text())
-		x.later(func() { do(x) })
+// respondThen writes the correct response and runs an action after the delay.
+func respondThen(action func(*exchange)) func(*exchange) bool {
+	return func(e *exchange) bool {
+		e.write(e.response.text())
+		e.afterDelay(func() { action(e) })
 		return true
 	}
 }
 
-// answerThenText plays the right answer, and a piece of text after the delay.
-func answerThenText(of func(own answer) string) func(*exchange) bool {
-	return answerThen(func(x *exchange) { x.write(of(x.own)) })
+// respondThenWriteText writes the correct response and another text after the delay.
+func respondThenWriteText(build func(response upstreamResponse) string) func(*exchange) bool {
+	return respondThen(func(e *exchange) { e.write(build(e.response)) })
 }
 
-func nothing(answer) string       { return "" }
-func fullText(own answer) string  { return own.full().text() }
-func halfHead(own answer) string  { return own.head()[:len(own.head())/2] }
-func halfBody(own answer) string  { return own.head() + own.body[:len(own.body)/2] }
-func notHTTP(answer) string       { return "\x16\x03\x01 no answer\r\n\r\n" }
-func neverAgain(x *exchange) bool { x.swallow(); return false }
-func resetNow(x *exchange) bool   { x.reset(); return false }
-func endlessHead(own answer) string {
-	return strings.TrimSuffix(own.head(), "\r\n") + strings.Repeat("X-More: "+strings.Repeat("m", 1000)+"\r\n", 300)
+func emptyText(upstreamResponse) string                { return "" }
+func unavailableText(response upstreamResponse) string { return response.unavailable().text() }
+func halfHeader(response upstreamResponse) string {
+	return response.headerText()[:len(response.headerText())/2]
+}
+func halfBody(response upstreamResponse) string {
+	return response.headerText() + response.body[:len(response.body)/2]
+}
+func invalidHTTP(upstreamResponse) string { return "\x16\x03\x01 no answer\r\n\r\n" }
+func discardUntilClosed(e *exchange) bool { e.discardInput(); return false }
+func resetConnection(e *exchange) bool    { e.reset(); return false }
+func oversizedHeader(response upstreamResponse) string {
+	return strings.TrimSuffix(response.headerText(), "\r\n") + strings.Repeat("X-More: "+strings.Repeat("m", 1000)+"\r\n", 300)
+}
+func conflictingContentLengths(response upstreamResponse) string {
+	response.extraHeaders = "Content-Length: 3\r\n"
+	return response.text()
+}
+func bareCRInHeader(response upstreamResponse) string {
+	response.extraHeaders = "X-More: a\rX-Attempt-Id: of-another\r\n"
+	return response.text()
+}
+func connectionClose(response upstreamResponse) string {
+	response.extraHeaders = "Connection: close\r\n"
+	return response.text()
 }
-func twoLengths(own answer) string { own.more = "Content-Length: 3\r\n"; return own.text() }
-func bareCR(own answer) string {
-	own.more = "X-More: a\rX-Attempt-Id: of-another\r\n"
-	return own.text()
+func successWithoutStamp(response upstreamResponse) string {
+	response.stamp = ""
+	return response.text()
+}
+func successMarkedNotExecuted(response upstreamResponse) string {
+	response.notExecuted = true
+	return response.text()
 }
-func closesAfter(own answer) string   { own.more = "Connection: close\r\n"; return own.text() }
-func unstamped(own answer) string     { own.stamp = ""; return own.text() }
-func contradiction(own answer) string { own.notDelivered = true; return own.text() }
 
-func chunkedHead(own answer) string {
-	head := strings.Replace(own.head(), fmt.Sprintf("Content-Length: %d\r\n", len(own.body)), "Transfer-Encoding: chunked\r\nTrailer: X-More\r\n", 1)
-	return head + fmt.Sprintf("%x\r\n%s\r\n", len(own.body)/2, own.body[:len(own.body)/2])
+func chunkedHeaderAndHalfBody(response upstreamResponse) string {
+	header := strings.Replace(response.headerText(), fmt.Sprintf("Content-Length: %d\r\n", len(response.body)), "Transfer-Encoding: chunked\r\nTrailer: X-More\r\n", 1)
+	return header + fmt.Sprintf("%x\r\n%s\r\n", len(response.body)/2, response.body[:len(response.body)/2])
 }
 
-func chunkedWhole(own answer) string {
-	rest := own.body[len(own.body)/2:]
-	return chunkedHead(own) + fmt.Sprintf("%x\r\n%s\r\n0\r\nX-More: m\r\n\r\n", len(rest), rest)
+func chunkedWithTrailer(response upstreamResponse) string {
+	rest := response.body[len(response.body)/2:]
+	return chunkedHeaderAndHalfBody(response) + fmt.Sprintf("%x\r\n%s\r\n0\r\nX-More: m\r\n\r\n", len(rest), rest)
 }
 
-func noStatedEnd(own answer) string {
-	head := strings.Replace(own.head(), "HTTP/1.1", "HTTP/1.0", 1)
-	return strings.Replace(head, fmt.Sprintf("Content-Length: %d\r\n", len(own.body)), "", 1) + own.body
+func http10WithoutLength(response upstreamResponse) string {
+	header := strings.Replace(response.headerText(), "HTTP/1.1", "HTTP/1.0", 1)
+	return strings.Replace(header, fmt.Sprintf("Content-Length: %d\r\n", len(response.body)), "", 1) + response.body
 }
 
-func noContent(own answer) string {
-	own.status, own.body = http.StatusNoContent, ""
-	return own.text() + StrayBody
+func noContentWithBody(response upstreamResponse) string {
+	response.status, response.body = http.StatusNoContent, ""
+	return response.text() + StrayBody
 }
 
-func earlySuccess(x *exchange) bool {
-	x.write(x.own.text())
-	io.Copy(io.Discard, io.LimitReader(x.reader, x.request.ContentLength))
+func earlySuccess(e *exchange) bool {
+	e.write(e.response.text())
+	io.Copy(io.Discard, io.LimitReader(e.reader, e.request.ContentLength))
 	return true
 }
 
-var scripts = [faultCount]script{
-	Sound: {runs: true, play: text(answer.text)},
+var scripts = [faultCount]faultScript{
+	NoFault: {runs: true, respond: writeText(upstreamResponse.text)},
 
-	Full:          {play: text(fullText)},
-	FullWithoutID: {play: text(func(own answer) string { return own.full().withoutID().text() })},
-	FullTwice: {play: func(x *exchange) bool {
-		x.write(fullText(x.own))
-		x.later(func() { x.write(fullText(x.own)) })
+	Unavailable:          {respond: writeText(unavailableText)},
+	UnavailableWithoutID: {respond: writeText(func(response upstreamResponse) string { return response.unavailable().withoutID().text() })},
+	UnavailableTwice: {respond: func(e *exchange) bool {
+		e.write(unavailableText(e.response))
+		e.afterDelay(func() { e.write(unavailableText(e.response)) })
 		return true
 	}},
-	Elsewhere:             {play: text(func(own answer) string { return own.elsewhere().text() })},
-	ElsewhereWithoutID:    {play: text(func(own answer) string { return own.elsewhere().withoutID().text() })},
-	BadRequestWithoutID:   {play: text(func(own answer) string { bad := own.full().withoutID(); bad.status = 400; return bad.text() })},
-	ResetBeforeRun:        {play: resetNow},
-	CloseBeforeRun:        {play: textThenClose(nothing)},
-	SilentBeforeRun:       {play: neverAgain},
-	EarlyFull:             {early: true, play: textThenClose(fullText)},
-	EarlyFullConnectionOn: {early: true, play: func(x *exchange) bool { x.write(fullText(x.own)); time.Sleep(300 * time.Millisecond); return false }},
-
-	Silent:               {runs: true, play: neverAgain},
-	Thawed:               {runs: true, thaws: true, play: text(answer.text)},
-	Reset:                {runs: true, play: resetNow},
-	CloseBeforeAnswer:    {runs: true, play: textThenClose(nothing)},
-	ResetInHead:          {runs: true, play: textThenReset(halfHead)},
-	CloseInHead:          {runs: true, play: textThenClose(halfHead)},
-	ResetInBody:          {runs: true, play: textThenReset(halfBody)},
-	CutShort:             {runs: true, play: textThenClose(halfBody)},
-	ChunkedCut:           {runs: true, play: textThenClose(chunkedHead)},
-	ResetAfterAnswer:     {runs: true, play: answerThen(func(x *exchange) { x.reset() })},
-	CloseAfterAnswer:     {runs: true, play: answerThen(func(x *exchange) { x.Close() })},
-	HalfClose:            {runs: true, play: answerThen(func(x *exchange) { x.CloseWrite() })},
-	Extra:                {runs: true, play: answerThenText(answer.text)},
-	ErrorWithoutIDLate:   {runs: true, play: answerThenText(func(answer) string { return stray(500, "").text() })},
-	FullWithoutIDLate:    {runs: true, play: answerThenText(func(answer) string { return strayFull().text() })},
-	SuccessWithoutIDLate: {runs: true, play: answerThenText(func(answer) string { return straySuccess("").text() })},
-	OtherIDLate:          {runs: true, play: answerThenText(func(answer) string { return straySuccess("of-another").text() })},
-	GarbageLate:          {runs: true, play: answerThenText(notHTTP)},
-	OtherID:              {runs: true, play: textThenClose(func(own answer) string { return straySuccess("of-another").text() + own.text() })},
-	ErrorWithoutIDBefore: {runs: true, play: text(func(own answer) string { return stray(500, "").text() + own.text() })},
-	Informational: {runs: true, play: text(func(own answer) string {
-		return "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\n\r\n" + own.text()
+	Misdirected:          {respond: writeText(func(response upstreamResponse) string { return response.misdirected().text() })},
+	MisdirectedWithoutID: {respond: writeText(func(response upstreamResponse) string { return response.misdirected().withoutID().text() })},
+	BadRequestWithoutID: {respond: writeText(func(response upstreamResponse) string {
+		bad := response.unavailable().withoutID()
+		bad.status = 400
+		return bad.text()
+	})},
+	ResetBeforeRun:      {respond: resetConnection},
+	CloseBeforeRun:      {respond: writeTextThenClose(emptyText)},
+	NoResponseBeforeRun: {respond: discardUntilClosed},
+	EarlyUnavailable:    {early: true, respond: writeTextThenClose(unavailableText)},
+	EarlyUnavailableKeepOpen: {early: true, respond: func(e *exchange) bool {
+		e.write(unavailableText(e.response))
+		time.Sleep(300 * time.Millisecond)
+		return false
+	}},
+
+	NoResponse:               {runs: true, respond: discardUntilClosed},
+	DelayedRun:               {runs: true, delayed: true, respond: writeText(upstreamResponse.text)},
+	Reset:                    {runs: true, respond: resetConnection},
+	CloseBeforeResponse:      {runs: true, respond: writeTextThenClose(emptyText)},
+	ResetInHeader:            {runs: true, respond: writeTextThenReset(halfHeader)},
+	CloseInHeader:            {runs: true, respond: writeTextThenClose(halfHeader)},
+	ResetInBody:              {runs: true, respond: writeTextThenReset(halfBody)},
+	CloseInBody:              {runs: true, respond: writeTextThenClose(halfBody)},
+	CloseBetweenChunks:       {runs: true, respond: writeTextThenClose(chunkedHeaderAndHalfBody)},
+	ResetAfterResponse:       {runs: true, respond: respondThen(func(e *exchange) { e.reset() })},
+	CloseAfterResponse:       {runs: true, respond: respondThen(func(e *exchange) { e.Close() })},
+	CloseWriteAfterResponse:  {runs: true, respond: respondThen(func(e *exchange) { e.CloseWrite() })},
+	DuplicateResponse:        {runs: true, respond: respondThenWriteText(upstreamResponse.text)},
+	LateErrorWithoutID:       {runs: true, respond: respondThenWriteText(func(upstreamResponse) string { return strayResponse(500, "").text() })},
+	LateUnavailableWithoutID: {runs: true, respond: respondThenWriteText(func(upstreamResponse) string { return strayUnavailable().text() })},
+	LateSuccessWithoutID:     {runs: true, respond: respondThenWriteText(func(upstreamResponse) string { return straySuccess("").text() })},
+	LateOtherID:              {runs: true, respond: respondThenWriteText(func(upstreamResponse) string { return straySuccess("of-another").text() })},
+	LateGarbage:              {runs: true, respond: respondThenWriteText(invalidHTTP)},
+	PrecedingOtherID:         {runs: true, respond: writeTextThenClose(func(response upstreamResponse) string { return straySuccess("of-another").text() + response.text() })},
+	PrecedingErrorWithoutID:  {runs: true, respond: writeText(func(response upstreamResponse) string { return strayResponse(500, "").text() + response.text() })},
+	InformationalResponses: {runs: true, respond: writeText(func(response upstreamResponse) string {
+		return "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\n\r\n" + response.text()
+	})},
+	SwitchingProtocols: {runs: true, respond: writeText(func(response upstreamResponse) string {
+		return "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n" + response.text()
 	})},
-	SwitchingProtocols: {runs: true, play: text(func(own answer) string { return "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n" + own.text() })},
-	WithoutID:          {runs: true, play: text(func(own answer) string { return own.withoutID().text() })},
-	Error:              {runs: true, play: text(func(own answer) string { return own.failure(500).text() })},
-	ErrorWithoutID:     {runs: true, play: text(func(own answer) string { return own.failure(500).withoutID().text() })},
-	Unstamped:          {runs: true, play: text(unstamped)},
-	UnprovenFull:       {runs: true, play: text(func(own answer) string { return own.failure(503).text() })},
-	UnprovenTooMany:    {runs: true, play: text(func(own answer) string { return own.failure(429).text() })},
-	Contradiction:      {runs: true, play: text(contradiction)},
-	Garbage:            {runs: true, play: text(notHTTP)},
-	EndlessHead:        {runs: true, play: text(endlessHead)},
-	TwoLengths:         {runs: true, play: text(twoLengths)},
-	NoStatedEnd:        {runs: true, play: textThenClose(noStatedEnd)},
-	BareCR:             {runs: true, play: text(bareCR)},
-	ChunkedWithTrailer: {runs: true, play: text(chunkedWhole)},
-	NoContent:          {runs: true, play: text(noContent)},
-	ConnectionClose:    {runs: true, play: textThenClose(closesAfter)},
-	EarlyError:         {runs: true, early: true, play: textThenClose(func(own answer) string { return own.failure(500).text() })},
-	EarlySuccess:       {runs: true, early: true, play: earlySuccess},
+	SuccessWithoutID:          {runs: true, respond: writeText(func(response upstreamResponse) string { return response.withoutID().text() })},
+	Error:                     {runs: true, respond: writeText(func(response upstreamResponse) string { return response.failure(500).text() })},
+	ErrorWithoutID:            {runs: true, respond: writeText(func(response upstreamResponse) string { return response.failure(500).withoutID().text() })},
+	SuccessWithoutStamp:       {runs: true, respond: writeText(successWithoutStamp)},
+	UnmarkedUnavailable:       {runs: true, respond: writeText(func(response upstreamResponse) string { return response.failure(503).text() })},
+	UnmarkedTooManyRequests:   {runs: true, respond: writeText(func(response upstreamResponse) string { return response.failure(429).text() })},
+	SuccessMarkedNotExecuted:  {runs: true, respond: writeText(successMarkedNotExecuted)},
+	Garbage:                   {runs: true, respond: writeText(invalidHTTP)},
+	OversizedHeader:           {runs: true, respond: writeText(oversizedHeader)},
+	ConflictingContentLengths: {runs: true, respond: writeText(conflictingContentLengths)},
+	HTTP10WithoutLength:       {runs: true, respond: writeTextThenClose(http10WithoutLength)},
+	BareCRInHeader:            {runs: true, respond: writeText(bareCRInHeader)},
+	ChunkedWithTrailer:        {runs: true, respond: writeText(chunkedWithTrailer)},
+	NoContentWithBody:         {runs: true, respond: writeText(noContentWithBody)},
+	ConnectionClose:           {runs: true, respond: writeTextThenClose(connectionClose)},
+	EarlyError:                {runs: true, early: true, respond: writeTextThenClose(func(response upstreamResponse) string { return response.failure(500).text() })},
+	EarlySuccess:              {runs: true, early: true, respond: earlySuccess},
 }
 
 // String implements fmt.Stringer.
@@ -401,55 +431,55 @@
 }
 
 var faultNames = [faultCount]string{
-	Sound:                 "sound",
-	Full:                  "full",
-	FullWithoutID:         "full without id",
-	FullTwice:             "full twice",
-	Elsewhere:             "elsewhere",
-	ElsewhereWithoutID:    "elsewhere without id",
-	BadRequestWithoutID:   "bad request without id",
-	ResetBeforeRun:        "reset before run",
-	CloseBeforeRun:        "close before run",
-	SilentBeforeRun:       "silent before run",
-	EarlyFull:             "early full",
-	EarlyFullConnectionOn: "early full connection on",
-	Silent:                "silent",
-	Thawed:                "thawed",
-	Reset:                 "reset",
-	CloseBeforeAnswer:     "close before answer",
-	ResetInHead:           "reset in head",
-	CloseInHead:           "close in head",
-	ResetInBody:           "reset in body",
-	CutShort:              "cut short",
-	ChunkedCut:            "chunked cut",
-	ResetAfterAnswer:      "reset after answer",
-	CloseAfterAnswer:      "close after answer",
-	HalfClose:             "half close",
-	Extra:                 "extra",
-	ErrorWithoutIDLate:    "error without id late",
-	FullWithoutIDLate:     "full without id late",
-	SuccessWithoutIDLate:  "success without id late",
-	OtherIDLate:           "other id late",
-	GarbageLate:           "garbage late",
-	OtherID:               "other id",
-	ErrorWithoutIDBefore:  "error without id before",
-	Informational:         "informational",
-	SwitchingProtocols:    "switching protocols",
-	WithoutID:             "without id",
-	Error:                 "error",
-	ErrorWithoutID:        "error without id",
-	Unstamped:             "unstamped",
-	UnprovenFull:          "unproven full",
-	UnprovenTooMany:       "unproven too many",
-	Contradiction:         "contradiction",
-	Garbage:               "garbage",
-	EndlessHead:           "endless head",
-	TwoLengths:            "two lengths",
-	NoStatedEnd:           "no stated end",
-	BareCR:                "bare CR",
-	ChunkedWithTrailer:    "chunked with trailer",
-	NoContent:             "no content",
-	ConnectionClose:       "connection close",
-	EarlyError:            "early error",
-	EarlySuccess:          "early success",
+	NoFault:                   "no fault",
+	Unavailable:               "unavailable",
+	UnavailableWithoutID:      "unavailable without ID",
+	UnavailableTwice:          "unavailable twice",
+	Misdirected:               "misdirected",
+	MisdirectedWithoutID:      "misdirected without ID",
+	BadRequestWithoutID:       "bad request without ID",
+	ResetBeforeRun:            "reset before run",
+	CloseBeforeRun:            "close before run",
+	NoResponseBeforeRun:       "no response before run",
+	EarlyUnavailable:          "early unavailable",
+	EarlyUnavailableKeepOpen:  "early unavailable keep open",
+	NoResponse:                "no response",
+	DelayedRun:                "delayed run",
+	Reset:                     "reset",
+	CloseBeforeResponse:       "close before response",
+	ResetInHeader:             "reset in header",
+	CloseInHeader:             "close in header",
+	ResetInBody:               "reset in body",
+	CloseInBody:               "close in body",
+	CloseBetweenChunks:        "close between chunks",
+	ResetAfterResponse:        "reset after response",
+	CloseAfterResponse:        "close after response",
+	CloseWriteAfterResponse:   "close write after response",
+	DuplicateResponse:         "duplicate response",
+	LateErrorWithoutID:        "late error without ID",
+	LateUnavailableWithoutID:  "late unavailable without ID",
+	LateSuccessWithoutID:      "late success without ID",
+	LateOtherID:               "late other ID",
+	LateGarbage:               "late garbage",
+	PrecedingOtherID:          "preceding other ID",
+	PrecedingErrorWithoutID:   "preceding error without ID",
+	InformationalResponses:    "informational responses",
+	SwitchingProtocols:        "switching protocols",
+	SuccessWithoutID:          "success without ID",
+	Error:                     "error",
+	ErrorWithoutID:            "error without ID",
+	SuccessWithoutStamp:       "success without stamp",
+	UnmarkedUnavailable:       "unmarked unavailable",
+	UnmarkedTooManyRequests:   "unmarked too many requests",
+	SuccessMarkedNotExecuted:  "success marked not executed",
+	Garbage:                   "garbage",
+	OversizedHeader:           "oversized header",
+	ConflictingContentLengths: "conflicting content lengths",
+	HTTP10WithoutLength:       "HTTP/1.0 without length",
+	BareCRInHeader:            "bare CR in header",
+	ChunkedWithTrailer:        "chunked with trailer",
+	NoContentWithBody:         "no content with body",
+	ConnectionClose:           "connection close",
+	EarlyError:                "early error",
+	EarlySuccess:              "early success",
 }
--- a/internal/mesh/testmesh/operator.go
+++ b/internal/mesh/testmesh/operator.go
@@ -10,46 +10,47 @@
 	"time"
 )
 
-// Outcome is what an operator knows of an order after one or more tries.
+// Outcome is what an operator knows about an update after one or more attempts.
 type Outcome uint8
 
-// Outcomes of an order.
+// Outcomes of an update.
 const (
-	OutcomeUnclear   Outcome = iota // no answer, or one that says nothing: it may count, now or later
+	OutcomeUnknown   Outcome = iota // no response, or an inconclusive one: the update may take effect, now or later
 	OutcomeConfirmed                // 200
 	OutcomeStale                    // 412
 	OutcomeInvalid                  // 400
 )
 
+// String implements fmt.Stringer.
 func (o Outcome) String() string {
-	return [...]string{"unclear", "confirmed", "stale", "invalid"}[o]
+	return [...]string{"unknown", "confirmed", "stale", "invalid"}[o]
 }
 
-// Order is one order of an operator. Its tries are alike byte for byte.
-type Order struct {
-	ID      int // unique among those of a test; stands in the configuration
-	Base    int64
-	Edition int64
-	Body    string
+// Update is an operator's update of the configuration. All attempts to send it are byte for byte the same.
+type Update struct {
+	ID          int // unique within a test; part of the configuration
+	BaseVersion int64
+	Version     int64
+	Body        string
 }
 
-// NewOrder makes an order that replaces the whole configuration.
-func NewOrder(id int, base, edition int64) *Order {
+// NewUpdate returns an update that replaces the whole configuration.
+func NewUpdate(id int, baseVersion, version int64) *Update {
 	body := fmt.Sprintf(`{"Edition":%d,"Depots":[{"Name":"album","HealthPath":"/health"}],"PostOffices":[{"Town":"a.example","Regulations":[`+
-		`{"Name":"order-%d","MailClass":"repeatable","Sorting":{"StreetPrefix":"/"},"Dispatch":{"Destination":"album","Deadline":"2000ms","DeliveryTries":2}}]}]}`, edition, id)
-	return &Order{ID: id, Base: base, Edition: edition, Body: body}
+		`{"Name":"order-%d","MailClass":"repeatable","Sorting":{"StreetPrefix":"/"},"Dispatch":{"Destination":"album","Deadline":"2000ms","DeliveryTries":2}}]}]}`, version, id)
+	return &Update{ID: id, BaseVersion: baseVersion, Version: version, Body: body}
 }
 
-// Answer is one answer to an operator; Status 0 stands for none.
-type Answer struct {
-	Status int
-	Text   string
-	Took   time.Duration
+// Response is the response to one call of an operator. Status 0 stands for no response; Text is then the error.
+type Response struct {
+	Status   int
+	Text     string
+	Duration time.Duration
 }
 
-// Outcome is what an answer to an order says of it.
-func (a Answer) Outcome() Outcome {
-	switch a.Status {
+// Outcome returns the outcome that a response to an update shows.
+func (r Response) Outcome() Outcome {
+	switch r.Status {
 	case http.StatusOK:
 		return OutcomeConfirmed
 	case http.StatusPreconditionFailed:
@@ -57,45 +58,45 @@
 	case http.StatusBadRequest:
 		return OutcomeInvalid
 	}
-	return OutcomeUnclear
+	return OutcomeUnknown
 }
 
-// OperatorHost names the operators' end of a link to a control machine.
+// OperatorHost is the name of the operators' end of a link to a controller.
 const OperatorHost = "operator"
 
-// Operator calls control machines over links that may be in trouble, and moves on after a second of silence.
+// Operator calls controllers over links that may be faulty. Its calls time out after a second.
 type Operator struct {
-	Controls []string // addresses
-	client   *http.Client
+	Controllers []string // addresses
+	client      *http.Client
 }
 
-// NewOperator makes an operator who knows some control machines.
-func NewOperator(links *Links, controls []string) *Operator {
+// NewOperator returns an operator that calls the given controllers.
+func NewOperator(links *Links, controllers []string) *Operator {
 	transport := links.Transport(OperatorHost)(&http.Transport{DisableKeepAlives: true})
-	return &Operator{Controls: controls, client: &http.Client{Transport: transport, Timeout: time.Second}}
+	return &Operator{Controllers: controllers, client: &http.Client{Transport: transport, Timeout: time.Second}}
 }
 
-// Send tries an order once at one machine.
-func (o *Operator) Send(ctx context.Context, at int, order *Order) Answer {
-	return o.Call(ctx, at, "timetable.replace", strconv.FormatInt(order.Base, 10), order.Body)
+// Send makes one attempt to send an update, to one controller.
+func (o *Operator) Send(ctx context.Context, controller int, update *Update) Response {
+	return o.Call(ctx, controller, "timetable.replace", strconv.FormatInt(update.BaseVersion, 10), update.Body)
 }
 
-// Call makes one call at one machine.
-func (o *Operator) Call(ctx context.Context, at int, call, match, body string) Answer {
-	began := time.Now()
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+o.Controls[at]+"/-/rpc?call="+call, strings.NewReader(body))
+// Call makes one call to one controller. ifMatch is the version that the call is based on.
+func (o *Operator) Call(ctx context.Context, controller int, method, ifMatch, body string) Response {
+	start := time.Now()
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+o.Controllers[controller]+"/-/rpc?call="+method, strings.NewReader(body))
 	if err != nil {
-		return Answer{Text: err.Error()}
+		return Response{Text: err.Error()}
 	}
-	r.Header.Set("If-Match", match)
-	w, err := o.client.Do(r)
+	request.Header.Set("If-Match", ifMatch)
+	response, err := o.client.Do(request)
 	if err != nil {
-		return Answer{Text: err.Error(), Took: time.Since(began)}
+		return Response{Text: err.Error(), Duration: time.Since(start)}
 	}
-	defer w.Body.Close()
-	text, err := io.ReadAll(w.Body)
+	defer response.Body.Close()
+	text, err := io.ReadAll(response.Body)
 	if err != nil {
-		return Answer{Text: err.Error(), Took: time.Since(began)}
+		return Response{Text: err.Error(), Duration: time.Since(start)}
 	}
-	return Answer{Status: w.StatusCode, Text: string(text), Took: time.Since(began)}
+	return Response{Status: response.StatusCode, Text: string(text), Duration: time.Since(start)}
 }
--- a/internal/mesh/testmesh/process.go
+++ b/internal/mesh/testmesh/process.go
@@ -12,25 +12,26 @@
 	"ottershift/internal/mesh/settings"
 )
 
-// Build builds the mesh's programs into a folder.
-func Build(dir string, programs ...string) error {
+// BuildPrograms builds programs of the mesh into a directory.
+func BuildPrograms(dir string, programs ...string) error {
 	for _, program := range programs {
-		if text, err := exec.Command("go", "build", "-o", filepath.Join(dir, program), "ottershift/cmd/"+program).CombinedOutput(); err != nil {
-			return fmt.Errorf("%s: %w: %s", program, err, text)
+		if output, err := exec.Command("go", "build", "-o", filepath.Join(dir, program), "ottershift/cmd/"+program).CombinedOutput(); err != nil {
+			return fmt.Errorf("%s: %w: %s", program, err, output)
 		}
 	}
 	return nil
 }
 
-// Process is a real process of the mesh that a test may freeze.
+// Process is an operating system process of the mesh that a test can suspend.
 type Process struct {
 	command *exec.Cmd
 }
 
-// StartProcess starts a program that Build has built, with a settings file beside it. It ends with the process that started it.
-func StartProcess(dir, program string, b *settings.Settings) (*Process, error) {
-	file := filepath.Join(dir, b.Node+".conf")
-	if err := Write(b, file); err != nil {
+// StartProcess starts a program that BuildPrograms has built, with a settings file in the same directory. The process
+// is killed when the calling process ends.
+func StartProcess(dir, program string, cfg *settings.Settings) (*Process, error) {
+	file := filepath.Join(dir, cfg.Node+".conf")
+	if err := WriteSettings(cfg, file); err != nil {
 		return nil, err
 	}
 	command := exec.Command(filepath.Join(dir, program), "serve")
@@ -39,8 +40,8 @@
 	return &Process{command}, command.Start()
 }
 
-// Freeze has the process stand still; it does once this returns.
-func (p *Process) Freeze() error {
+// Suspend stops the process with SIGSTOP and returns once all its threads have stopped.
+func (p *Process) Suspend() error {
 	if err := p.command.Process.Signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
@@ -53,18 +54,18 @@
 	}
 }
 
-// stopped reports whether all threads of the process stand still.
+// stopped reports whether all threads of the process are stopped.
 func (p *Process) stopped() (bool, error) {
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.command.Process.Pid))
 	if err != nil {
 		return false, err
 	}
 	for _, thread := range threads {
-		text, err := os.ReadFile(thread)
+		stat, err := os.ReadFile(thread)
 		if err != nil {
 			return false, err
 		}
-		_, state, _ := strings.Cut(string(text), ") ") // behind the program's name
+		_, state, _ := strings.Cut(string(stat), ") ") // the state follows the program name
 		if !strings.HasPrefix(state, "T") {
 			return false, nil
 		}
@@ -72,10 +73,10 @@
 	return len(threads) > 0, nil
 }
 
-// Thaw has it go on.
-func (p *Process) Thaw() error { return p.command.Process.Signal(syscall.SIGCONT) }
+// Resume continues the process.
+func (p *Process) Resume() error { return p.command.Process.Signal(syscall.SIGCONT) }
 
-// Kill ends it.
+// Kill kills the process and waits for its end.
 func (p *Process) Kill() {
 	p.command.Process.Kill()
 	p.command.Wait()
--- a/internal/mesh/testmesh/upstream.go
+++ b/internal/mesh/testmesh/upstream.go
@@ -1,5 +1,5 @@
-// Package testmesh has stand-ins for what the mesh meets outside: upstreams that check in and work, partners, faulty links and
-// disks, and settings for whole meshes on loopback. Tests, the demo and meshsim's runs use them.
+// Package testmesh provides fakes of what a mesh works with (upstreams, partners, operators), faulty links and disks,
+// and settings for whole meshes on loopback. Tests, the demo and meshsim use them.
 package testmesh
 
 import (
@@ -15,125 +15,127 @@
 	"time"
 )
 
-// Upstream is an application that checks in at the balancer beside it, runs requests and, where a test says so, answers wrongly.
+// Upstream is an application that sends heartbeats to the proxy beside it and runs requests. Tests can inject faults
+// into its responses.
 type Upstream struct {
-	ID, Service string
-	Capacity    int
-	Size        int // bytes of an answer
+	ID, Service  string
+	Capacity     int
+	ResponseSize int // bytes of a response body
 
-	work    atomic.Int64 // nanoseconds for a request
-	server  *http.Server
-	address string
-	control string
-	number  atomic.Int64
-	closing atomic.Bool
-	end     chan struct{}
-	once    sync.Once
+	workNanoseconds atomic.Int64 // duration of a request
+	server          *http.Server
+	address         string
+	controlAddress  string
+	heartbeatSeq    atomic.Int64
+	draining        atomic.Bool
+	stop            chan struct{}
+	stopOnce        sync.Once
 
 	mu          sync.Mutex
-	sizes       map[string]int    // bytes of an answer by path prefix, where they differ from Size
-	runs        map[string]int    // by attempt
-	seen        map[string]string // headers of the last request
-	injections  []Injection       // of the next requests
-	met         map[string]Fault  // the last fault that each attempt met
-	raw         map[net.Conn]bool // connections that are served without the HTTP server
+	sizes       map[string]int    // response sizes by path prefix, where they differ from ResponseSize
+	runs        map[string]int    // by attempt ID
+	lastHeaders map[string]string // headers of the last request
+	injections  []Injection       // faults of the next requests
+	faultsMet   map[string]Fault  // the last fault of each attempt, by attempt ID
+	hijacked    map[net.Conn]bool // connections that are taken over from the HTTP server
 	connections int
 }
 
-// NewUpstream serves at an address and checks in at the balancer beside it.
-func NewUpstream(id, service, address, control string, capacity int, work time.Duration, size int) (*Upstream, error) {
+// NewUpstream starts an upstream that serves at an address and sends heartbeats to the control address of the proxy
+// beside it.
+func NewUpstream(id, service, address, controlAddress string, capacity int, work time.Duration, size int) (*Upstream, error) {
 	u := &Upstream{
-		ID:       id,
-		Service:  service,
-		Capacity: capacity,
-		Size:     size,
-		address:  address,
-		control:  control,
-		end:      make(chan struct{}),
-		sizes:    map[string]int{},
-		runs:     map[string]int{},
-		seen:     map[string]string{},
-		met:      map[string]Fault{},
-		raw:      map[net.Conn]bool{},
+		ID:             id,
+		Service:        service,
+		Capacity:       capacity,
+		ResponseSize:   size,
+		address:        address,
+		controlAddress: controlAddress,
+		stop:           make(chan struct{}),
+		sizes:          map[string]int{},
+		runs:           map[string]int{},
+		lastHeaders:    map[string]string{},
+		faultsMet:      map[string]Fault{},
+		hijacked:       map[net.Conn]bool{},
 	}
 	u.SetWork(work)
-	l, err := net.Listen("tcp4", address)
+	listener, err := net.Listen("tcp4", address)
 	if err != nil {
 		return nil, err
 	}
 	u.server = &http.Server{Handler: http.HandlerFunc(u.serve), ConnState: u.countConnections}
-	go u.server.Serve(l)
-	go u.beat()
+	go u.server.Serve(listener)
+	go u.sendHeartbeats()
 	return u, nil
 }
 
-// Ran is an upstream that serves nobody and has run so many of each attempt, for those who test a judge.
-func Ran(runs map[string]int) *Upstream { return &Upstream{runs: maps.Clone(runs)} }
+// NewUpstreamWithRuns returns an upstream that does not serve and has recorded the given runs, for tests of checkers.
+func NewUpstreamWithRuns(runs map[string]int) *Upstream { return &Upstream{runs: maps.Clone(runs)} }
 
-// SetWork sets how long a request takes from now on.
-func (u *Upstream) SetWork(work time.Duration) { u.work.Store(int64(work)) }
+// SetWork sets how long each later request takes.
+func (u *Upstream) SetWork(work time.Duration) { u.workNanoseconds.Store(int64(work)) }
 
-func (u *Upstream) workTime() time.Duration { return time.Duration(u.work.Load()) }
+func (u *Upstream) workTime() time.Duration { return time.Duration(u.workNanoseconds.Load()) }
 
-// SetSize sets the size of answers to paths with a prefix.
+// SetSize sets the response size in bytes for paths with a prefix.
 func (u *Upstream) SetSize(prefix string, size int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.sizes[prefix] = size
 }
 
-// Runs is how often an attempt ran.
+// Runs returns how often an attempt ran.
 func (u *Upstream) Runs(id string) int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.runs[id]
 }
 
-// All is how often each attempt ran.
-func (u *Upstream) All() map[string]int {
+// RunsByAttempt returns how often each attempt ran.
+func (u *Upstream) RunsByAttempt() map[string]int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return maps.Clone(u.runs)
 }
 
-// Total is how many requests ran.
-func (u *Upstream) Total() (n int) {
+// TotalRuns returns the number of runs of all attempts.
+func (u *Upstream) TotalRuns() (total int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for _, k := range u.runs {
-		n += k
+	for _, runs := range u.runs {
+		total += runs
 	}
-	return n
+	return total
 }
 
-// Saw is a header of the last request.
-func (u *Upstream) Saw(name string) string {
+// LastHeader returns a header of the last request.
+func (u *Upstream) LastHeader(name string) string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.seen[name]
+	return u.lastHeaders[name]
 }
 
-// Connections is how many connections have been opened to it.
+// Connections returns the number of connections that were opened to the upstream.
 func (u *Upstream) Connections() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.connections
 }
 
-// Close says that it is closing, and reports whether that was acknowledged.
-func (u *Upstream) Close() bool {
-	u.closing.Store(true)
-	return u.checkIn()
+// Drain announces that the upstream is closing, and reports whether the proxy acknowledged it.
+func (u *Upstream) Drain() bool {
+	u.draining.Store(true)
+	return u.sendHeartbeat()
 }
 
-// Stop ends it without a word.
+// Stop stops the upstream without announcing it.
 func (u *Upstream) Stop() {
-	u.once.Do(func() { close(u.end) })
+	u.stopOnce.Do(func() { close(u.stop) })
 	u.server.Close()
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for c := range u.raw {
-		c.Close()
+	for conn := range u.hijacked {
+		conn.Close()
 	}
 }
 
@@ -146,57 +148,57 @@
 	u.connections++
 }
 
-func (u *Upstream) beat() {
-	t := time.NewTicker(100 * time.Millisecond)
-	defer t.Stop()
+func (u *Upstream) sendHeartbeats() {
+	ticker := time.NewTicker(100 * time.Millisecond)
+	defer ticker.Stop()
 	for {
-		u.checkIn()
+		u.sendHeartbeat()
 		select {
-		case <-t.C:
-		case <-u.end:
+		case <-ticker.C:
+		case <-u.stop:
 			return
 		}
 	}
 }
 
-var calls = http.Client{Timeout: time.Second}
+var heartbeatClient = http.Client{Timeout: time.Second}
 
-func (u *Upstream) checkIn() bool {
-	condition := "accepting"
-	if u.closing.Load() {
-		condition = "closing"
+func (u *Upstream) sendHeartbeat() bool {
+	state := "accepting"
+	if u.draining.Load() {
+		state = "closing"
 	}
 	body, _ := json.Marshal(map[string]any{
 		"Address": u.address, "Notice": map[string]any{"Destination": u.Service, "Edition": "v1", "District": "z", "Capacity": u.Capacity},
-		"Status": map[string]any{"Condition": condition, "PostmarkNo": u.number.Add(1), "Cold_time": "0ms"},
+		"Status": map[string]any{"Condition": state, "PostmarkNo": u.heartbeatSeq.Add(1), "Cold_time": "0ms"},
 	})
-	w, err := calls.Post("http://"+u.control+"/-/rpc?call=servers.check_in&of="+u.ID, "application/json", bytes.NewReader(body))
+	response, err := heartbeatClient.Post("http://"+u.controlAddress+"/-/rpc?call=servers.check_in&of="+u.ID, "application/json", bytes.NewReader(body))
 	if err != nil {
 		return false
 	}
-	io.Copy(io.Discard, w.Body)
-	w.Body.Close()
-	return w.StatusCode == http.StatusOK
+	io.Copy(io.Discard, response.Body)
+	response.Body.Close()
+	return response.StatusCode == http.StatusOK
 }
 
-// serve is one request as the HTTP server hands it on. A faulty answer is written to the bare connection, which is served
-// without the HTTP server from then on.
+// serve handles a request from the HTTP server. For a faulty response it takes the connection over from the HTTP server
+// and serves all its later requests itself.
 func (u *Upstream) serve(w http.ResponseWriter, r *http.Request) {
-	if u.meansAnother(r) {
+	if u.isMisdirected(r) {
 		w.Header().Set("X-Delivered-By", u.ID)
 		w.Header().Set("X-Attempt-Id", r.Header.Get("X-Attempt-Id"))
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	injection := u.next(r)
+	injection := u.nextInjection(r)
 	if !injection.Fault.early() {
 		io.Copy(io.Discard, r.Body)
 	}
-	if injection.Fault != Sound {
-		u.serveBare(w, r, injection)
+	if injection.Fault != NoFault {
+		u.serveRaw(w, r, injection)
 		return
 	}
-	u.ran(r)
+	u.recordRun(r)
 	if work := u.workTime(); work > 0 {
 		select {
 		case <-time.After(work):
@@ -204,85 +206,85 @@
 			return
 		}
 	}
-	u.answerTo(r).send(w)
+	u.responseTo(r).writeTo(w)
 }
 
-func (u *Upstream) serveBare(w http.ResponseWriter, r *http.Request, injection Injection) {
+func (u *Upstream) serveRaw(w http.ResponseWriter, r *http.Request, injection Injection) {
 	hijacked, buffered, err := w.(http.Hijacker).Hijack()
 	if err != nil {
 		return
 	}
-	c := &bareConnection{TCPConn: hijacked.(*net.TCPConn), reader: buffered.Reader}
+	conn := &rawConnection{TCPConn: hijacked.(*net.TCPConn), reader: buffered.Reader}
 	u.mu.Lock()
-	u.raw[hijacked] = true
+	u.hijacked[hijacked] = true
 	u.mu.Unlock()
 	defer func() {
 		u.mu.Lock()
 		defer u.mu.Unlock()
-		delete(u.raw, hijacked)
+		delete(u.hijacked, hijacked)
 		hijacked.Close()
 	}()
-	for u.serveFault(c, r, injection) {
-		if r, err = http.ReadRequest(c.reader); err != nil {
+	for u.serveFault(conn, r, injection) {
+		if r, err = http.ReadRequest(conn.reader); err != nil {
 			return
 		}
-		if u.meansAnother(r) {
+		if u.isMisdirected(r) {
 			return
 		}
-		if injection = u.next(r); !injection.Fault.early() {
+		if injection = u.nextInjection(r); !injection.Fault.early() {
 			io.Copy(io.Discard, r.Body)
 		}
 	}
 }
 
-func (u *Upstream) serveFault(c *bareConnection, r *http.Request, injection Injection) (serveOn bool) {
+func (u *Upstream) serveFault(conn *rawConnection, r *http.Request, injection Injection) (keepOpen bool) {
 	script := &scripts[injection.Fault]
-	if script.thaws {
+	if script.delayed {
 		time.Sleep(injection.Delay)
 	}
 	if script.runs {
-		u.ran(r)
+		u.recordRun(r)
 		time.Sleep(u.workTime())
 	}
-	return script.play(&exchange{bareConnection: c, request: r, own: u.answerTo(r), delay: injection.Delay})
+	return script.respond(&exchange{rawConnection: conn, request: r, response: u.responseTo(r), delay: injection.Delay})
 }
 
-func (u *Upstream) meansAnother(r *http.Request) bool {
-	to := r.Header.Get("X-Addressee")
-	return to != "" && to != u.ID
+func (u *Upstream) isMisdirected(r *http.Request) bool {
+	upstreamID := r.Header.Get("X-Addressee")
+	return upstreamID != "" && upstreamID != u.ID
 }
 
-// next takes the fault that a request is to meet.
-func (u *Upstream) next(r *http.Request) (injection Injection) {
+// nextInjection takes the next fault from the queue and records the headers of the request.
+func (u *Upstream) nextInjection(r *http.Request) (injection Injection) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if len(u.injections) > 0 {
 		injection, u.injections = u.injections[0], u.injections[1:]
-		u.met[r.Header.Get("X-Attempt-Id")] = injection.Fault
+		u.faultsMet[r.Header.Get("X-Attempt-Id")] = injection.Fault
 	}
 	for _, name := range []string{"X-Sender", "X-Return-Address", "X-Addressee", "X-Time-Left-Ms", "X-Key", "Content-Length"} {
-		u.seen[name] = r.Header.Get(name)
+		u.lastHeaders[name] = r.Header.Get(name)
 	}
 	return injection
 }
 
-func (u *Upstream) ran(r *http.Request) {
+func (u *Upstream) recordRun(r *http.Request) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.runs[r.Header.Get("X-Attempt-Id")]++
 }
 
-// answerTo is the whole and right answer to a request.
-func (u *Upstream) answerTo(r *http.Request) answer {
+// responseTo returns the complete, correct response to a request.
+func (u *Upstream) responseTo(r *http.Request) upstreamResponse {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	size := u.Size
+	size := u.ResponseSize
 	for prefix, n := range u.sizes {
 		if strings.HasPrefix(r.URL.Path, prefix) {
 			size = n
 		}
 	}
-	return answer{
+	return upstreamResponse{
 		status: http.StatusOK,
 		id:     r.Header.Get("X-Attempt-Id"),
 		stamp:  "stamp-" + u.ID,
--- a/internal/mesh/versions_test.go
+++ b/internal/mesh/versions_test.go
@@ -17,56 +17,56 @@
 	"ottershift/internal/mesh/testmesh"
 )
 
-// TestAControllerOfAnotherVersionBesideNewOnes runs the controller program that OTTERSHIFT_OLD_CONTROLLER names as one of three, and
-// upgrades it in place; without the variable there is no other program to run.
-func TestAControllerOfAnotherVersionBesideNewOnes(t *testing.T) {
+// TestMixedControllerVersions runs an older controller program beside two new controllers, and then upgrades it in place.
+// OTTERSHIFT_OLD_CONTROLLER is the path of the program; without it the test is skipped.
+func TestMixedControllerVersions(t *testing.T) {
 	program := os.Getenv("OTTERSHIFT_OLD_CONTROLLER")
 	if program == "" {
-		t.Skip("OTTERSHIFT_OLD_CONTROLLER names no program")
+		t.Skip("OTTERSHIFT_OLD_CONTROLLER is not set")
 	}
-	const old = 1
+	const oldMember = 1
 	for _, routes := range []int{10, 4000} {
-		c := startCatchUpCore(t, routes)
-		c.stop(old)
-		b := c.plan.Controllers[old]
-		must.NoError(t, os.RemoveAll(b.DataDir)) // large documents on disk are not read by an older version
-		must.NoError(t, os.MkdirAll(b.DataDir, 0o755))
+		core := startCatchUpCore(t, routes)
+		core.stop(oldMember)
+		cfg := core.plan.Controllers[oldMember]
+		must.NoError(t, os.RemoveAll(cfg.DataDir)) // an older version cannot read large documents on disk
+		must.NoError(t, os.MkdirAll(cfg.DataDir, 0o755))
 		path := filepath.Join(t.TempDir(), "settings")
-		must.NoError(t, testmesh.Write(b, path))
+		must.NoError(t, testmesh.WriteSettings(cfg, path))
 		ctx, kill := context.WithCancel(context.Background())
 		defer kill()
 		process := exec.CommandContext(ctx, program)
 		process.Env = append(os.Environ(), "OTTERSHIFT_CONFIG="+path)
 		must.NoError(t, process.Start())
-		c.observe(old, 0, "")
-		for at := range c.stops { // each one proposes, with all three and with one new one away
-			c.change(at, 5)
+		core.waitForCatchUp(oldMember, 0, "")
+		for member := range core.stops { // each member proposes, first with all three, later without one new member
+			core.change(member, 5)
 		}
-		c.stop(2)
-		c.change(0, 3)
-		c.change(old, 3)
-		c.start(2, 0)
-		must.SliceEmpty(t, c.observe(2, 0, "").oldAnswers)
-		for at := range c.stops {
-			status, text := c.call(at, "timetable.fetch", 0, "")
+		core.stop(2)
+		core.change(0, 3)
+		core.change(oldMember, 3)
+		core.start(2, 0)
+		must.SliceEmpty(t, core.waitForCatchUp(2, 0, "").staleResponses)
+		for member := range core.stops {
+			status, text := core.call(member, "timetable.fetch", 0, "")
 			must.Eq(t, http.StatusOK, status)
-			must.StrContains(t, text, fmt.Sprintf(`"Edition":%d,`, c.edition.Load()))
+			must.StrContains(t, text, fmt.Sprintf(`"Edition":%d,`, core.version.Load()))
 			must.StrContains(t, text, fmt.Sprintf(`"route-%d"`, routes-1))
 		}
 		must.NoError(t, process.Process.Signal(syscall.SIGTERM))
 		process.Wait()
-		c.start(old, 0) // the same disk, of the version before
-		must.SliceEmpty(t, c.observe(old, 0, "").oldAnswers)
-		c.change(old, 3)
+		core.start(oldMember, 0) // on the disk that the older version wrote
+		must.SliceEmpty(t, core.waitForCatchUp(oldMember, 0, "").staleResponses)
+		core.change(oldMember, 3)
 		must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool {
-			s, err := c.status(old)
-			return err == nil && s.Current && s.State.Edition == c.edition.Load() && len(s.State.Configuration) > 100*routes
+			status, err := core.status(oldMember)
+			return err == nil && status.Current && status.State.Edition == core.version.Load() && len(status.State.Configuration) > 100*routes
 		}), wait.Timeout(5*time.Second), wait.Gap(10*time.Millisecond)))
-		s, err := c.status(0)
+		status, err := core.status(0)
 		must.NoError(t, err)
-		t.Logf("%d routes: %d changes in a core of two versions; %d compact requests not understood at member 0", routes, c.edition.Load()-1, s.Counts["compact_lacking"])
-		for n := range c.stops {
-			c.stop(n)
+		t.Logf("%d routes: %d changes in a core of two versions; %d compact requests repeated in full at member 0", routes, core.version.Load()-1, status.Counts["compact_lacking"])
+		for n := range core.stops {
+			core.stop(n)
 		}
 	}
 }
