--- a/internal/mesh/burstcredit/account.go
+++ b/internal/mesh/burstcredit/account.go
@@ -84,7 +84,7 @@
 type AccountStatus struct {
 	Tenant                          string
 	Balance                         float64
-	Outstanding                     float64 `json:"Out"` // tokens in escrow at balancers
+	Outstanding                     float64 `json:"Out"` // tokens in escrow at proxies
 	Earned, Granted, Spent, Expired float64
 	Gap                             float64 // see Ledger.Gap
 	Frozen                          bool
--- a/internal/mesh/burstcredit/burstcredit.go
+++ b/internal/mesh/burstcredit/burstcredit.go
@@ -2,25 +2,24 @@
 // rate, in any zone or region. The package does no I/O and reads no clock.
 //
 // The Ledger (ledger.go) holds the accounts of all tenants and is part of the controllers' replicated state. A Wallet
-// (wallet.go) holds the tokens of one balancer in escrow. Tokens in escrow are deducted from the account, so that
-// requests need no call to the controllers.
+// (wallet.go) holds the tokens of one proxy in escrow. Tokens in escrow are deducted from the account, so that requests
+// need no call to the controllers.
 //
 // A request reserves a token under its identity. The token is charged or released when the outcome is known. All
-// attempts of a request, including the client's own retries, share one reservation at a balancer. If several balancers
+// attempts of a request, including the client's own retries, share one reservation at a proxy. If several proxies
 // charge the same identity, the Ledger charges it once.
 //
 // Bounds for one tenant:
 //
 //	spent above the rate in a window W   <=  ExtraRate·W + ExtraRate·PrefetchWindow
-//	held by unreachable balancers        <=  ExtraRate·PrefetchWindow, for at most EscrowTimeout
-//	spent beyond the credit              <=  what crashed balancers spent after their last report,
+//	held by unreachable proxies          <=  ExtraRate·PrefetchWindow, for at most EscrowTimeout
+//	spent beyond the credit              <=  what crashed proxies spent after their last report,
 //	                                         ExtraRate·PrefetchWindow in all; otherwise 0
 //	identities kept for deduplication    <=  ExtraRate·DedupWindow
 //
-// A balancer that is silent for EscrowTimeout may have spent its whole escrow, so the escrow is written off as spent.
-// When the balancer returns, its unspent tokens go back to the account and its wallet is reset. Only a report of a
-// later incarnation proves that a balancer crashed: then effects that may have run are charged and the rest is refunded
-// at once.
+// A proxy that is silent for EscrowTimeout may have spent its whole escrow, so the escrow is written off as spent. When
+// the proxy returns, its unspent tokens go back to the account and its wallet is reset. Only a report of a later
+// incarnation proves that a proxy crashed: then effects that may have run are charged and the rest is refunded at once.
 package burstcredit
 
 import (
@@ -34,10 +33,10 @@
 
 // Time constants of the protocol, in nanoseconds.
 const (
-	PrefetchWindow = 1 * second    // amount of demand that a balancer prefetches
-	ReportInterval = second / 4    // time between two reports of a balancer that has something to report
+	PrefetchWindow = 1 * second    // amount of demand that a proxy prefetches
+	ReportInterval = second / 4    // time between two reports of a proxy that has something to report
 	DedupWindow    = 60 * second   // time for which a charged identity is recognized
-	EscrowTimeout  = 3600 * second // silence after which a balancer's escrow is written off
+	EscrowTimeout  = 3600 * second // silence after which a proxy's escrow is written off
 	day            = 86400 * second
 )
 
@@ -46,7 +45,7 @@
 	EarnRatio  float64 // fraction of the unused rate that is saved; 0 for no account
 	MaxBalance float64 // limit of saved tokens
 	Retention  int64   // nanoseconds after which saved tokens expire
-	ExtraRate  float64 // tokens per second above the tenant's rate, at all balancers together
+	ExtraRate  float64 // tokens per second above the tenant's rate, at all proxies together
 }
 
 // TenantTerms returns the terms of a configuration's tenants that have credit, by name.
@@ -83,7 +82,7 @@
 	ID     uint64
 }
 
-// Demand is what a balancer reports of one tenant, in tokens.
+// Demand is what a proxy reports of one tenant, in tokens.
 type Demand struct {
 	Held             float64 `json:",omitempty"`       // tokens in escrow, reserved or free
 	WantedByClients  float64 `json:"Want,omitempty"`   // tokens wanted for client requests
@@ -91,22 +90,22 @@
 	Returned         float64 `json:"Return,omitempty"` // tokens given back
 }
 
-// Report is a balancer's report to the ledger. The reports of an incarnation are numbered. An unanswered report is sent
+// Report is a proxy's report to the ledger. The reports of an incarnation are numbered. An unanswered report is sent
 // again unchanged.
 type Report struct {
 	Node        string
-	Incarnation string `json:"Life"` // one run of the balancer's process
+	Incarnation string `json:"Life"` // one run of the proxy's process
 	Seq         uint64
 	Demands     map[string]Demand `json:"Asks"` // by tenant
 	Settled     []ClaimID         // charged since the last answered report
-	OpenEffects []ClaimID         `json:"Open"` // requests with effects that may be running; charged if the balancer crashes
+	OpenEffects []ClaimID         `json:"Open"` // requests with effects that may be running; charged if the proxy crashes
 }
 
-// Grant is the ledger's answer to a report.
+// Grant is the ledger's response to a report.
 type Grant struct {
 	Seq     uint64
 	Tokens  map[string]float64 // added to the escrow, by tenant
-	Refunds map[string]float64 // returned to the escrow, by tenant, as another balancer had charged the same request
+	Refunds map[string]float64 // returned to the escrow, by tenant, as another proxy had charged the same request
 	Reset   bool               `json:",omitempty"` // the escrow was written off; the wallet must not spend what it held
 }
 
--- a/internal/mesh/burstcredit/burstcredit_test.go
+++ b/internal/mesh/burstcredit/burstcredit_test.go
@@ -13,7 +13,7 @@
 
 var terms = map[string]Terms{"t": {EarnRatio: 0.5, MaxBalance: 1000, Retention: 14 * day, ExtraRate: 20}}
 
-// exchange sends one report and applies its answer. It encodes and decodes the ledger in between, as the controllers
+// exchange sends one report and applies the response. It encodes and decodes the ledger in between, as the controllers
 // do.
 func exchange(t *testing.T, ledger *Ledger, wallet *Wallet, now int64) *Ledger {
 	report := wallet.Report(now)
@@ -56,8 +56,8 @@
 	return ledger, reserved
 }
 
-// A download that is requested at three balancers at once, fails at one and is delivered by two is charged once.
-// Without deduplication it is charged twice.
+// A download that is requested at three proxies at once, fails at one and is delivered by two is charged once. Without
+// deduplication it is charged twice.
 func TestDownloadThroughThreeBalancersIsChargedOnce(t *testing.T) {
 	for guard, want := range map[string]float64{"": 1, WithoutDeduplication: 2} {
 		ledger := newTestLedger(50)
@@ -108,8 +108,8 @@
 	must.Eq(t, 1, ledger.Accounts["t"].Spent)
 }
 
-// A balancer crashes with active requests. The first report of its next incarnation closes its wallet: the reported
-// effect is charged, the request without effect is refunded.
+// A proxy crashes with active requests. The first report of its next incarnation closes its wallet: the reported effect
+// is charged, the request without effect is refunded.
 func TestWalletOfLostBalancerIsClosedOnce(t *testing.T) {
 	ledger, wallet := newTestLedger(50), testWallet("a", "1")
 	effect, page := claim(1), claim(2)
@@ -132,9 +132,9 @@
 	must.Eq(t, 49-outstanding, ledger.Accounts["t"].Balance())
 }
 
-// The escrow of a balancer that is unreachable for longer than EscrowTimeout is written off. When the balancer returns,
-// its unspent tokens are refunded and its wallet is reset. Without the reset the same tokens are in the account and in
-// the wallet.
+// The escrow of a proxy that is unreachable for longer than EscrowTimeout is written off. When the proxy returns, its
+// unspent tokens are refunded and its wallet is reset. Without the reset the same tokens are in the account and in the
+// wallet.
 func TestBalancerReturnsAfterEscrowTimeout(t *testing.T) {
 	for _, guard := range []string{"", WithoutEscrowTimeout} {
 		ledger, wallet := newTestLedger(50), testWallet("a", "1")
@@ -221,7 +221,7 @@
 	}
 }
 
-// The credit spent at a service stays within the balancer's share of the service's limit.
+// The credit spent at a service stays within the proxy's share of the service's limit.
 func TestCreditStaysWithinServiceLimit(t *testing.T) {
 	wallet := testWallet("a", "1")
 	wallet.SetTerms(terms, map[string]float64{"album": 8}, 2, 0)
@@ -238,8 +238,8 @@
 	must.Between(t, 40, reserved, 45) // 4 per second for 10 s, and the initial capacity of the bucket
 }
 
-// Random schedules of four balancers with lost and repeated messages, restarts and reloads of the ledger: after each
-// step the account is balanced, and no more tokens are spent than were charged or lost with a balancer.
+// Random schedules of four proxies with lost and repeated messages, restarts and reloads of the ledger: after each step
+// the account is balanced, and no more tokens are spent than were charged or lost with a proxy.
 func TestRandomSchedules(t *testing.T) {
 	for seed := range uint64(scheduleCount(400)) {
 		rng := rand.New(rand.NewPCG(seed, 3))
--- a/internal/mesh/burstcredit/grants.go
+++ b/internal/mesh/burstcredit/grants.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// ProcessReports processes a batch of reports in order of arrival and returns the answer to each; nil for a stale
+// ProcessReports processes a batch of reports in order of arrival and returns the response to each; nil for a stale
 // report. The demands of the batch are served together: client requests first, then calls of services, each in
 // proportion to the demands.
 func (l *Ledger) ProcessReports(reports []*Report, terms map[string]Terms) []*Grant {
@@ -18,7 +18,7 @@
 		var ended []string
 		switch {
 		case wallet != nil && wallet.Incarnation == report.Incarnation && report.Seq == wallet.Seq && wallet.WrittenOff == nil:
-			grants[i] = wallet.LastGrant // a repeated report, whose answer was lost
+			grants[i] = wallet.LastGrant // a repeated report, whose response was lost
 			wallet.ReportedAt = l.Now
 			continue
 		case wallet != nil && wallet.Incarnation == report.Incarnation && report.Seq < wallet.Seq:
@@ -48,7 +48,7 @@
 			switch {
 			case l.isCharged(id) && !l.chargePerTry:
 				if !reset {
-					grant.Refunds[id.Tenant]++ // charged by another balancer; the token stays in this escrow
+					grant.Refunds[id.Tenant]++ // charged by another proxy; the token stays in this escrow
 				}
 				continue
 			case wallet.WrittenOff[id.Tenant] >= 1:
@@ -90,7 +90,7 @@
 	return slices.Sorted(maps.Keys(seen))
 }
 
-// distribute grants one tenant's available credit to the balancers that want it.
+// distribute grants one tenant's available credit to the proxies that want it.
 func (l *Ledger) distribute(tenant string, reports []*Report, grants []*Grant, accepted []bool, terms Terms) {
 	account := l.Accounts[tenant]
 	if account == nil || account.Frozen || terms.ExtraRate <= 0 {
@@ -121,7 +121,7 @@
 		}
 		slices.SortStableFunc(order, func(x, y int) int { return cmp.Compare(reports[x].Node, reports[y].Node) })
 		ratio := math.Min(1, available/total)
-		carry := 0.0 // fraction of a token that is carried to the next balancer, so that rounding loses nothing
+		carry := 0.0 // fraction of a token that is carried to the next proxy, so that rounding loses nothing
 		for _, i := range order {
 			carry += wanted(reports[i].Demands[tenant]) * ratio
 			granted := math.Min(floor(carry), available)
--- a/internal/mesh/burstcredit/ledger.go
+++ b/internal/mesh/burstcredit/ledger.go
@@ -9,7 +9,7 @@
 	"github.com/zeebo/errs"
 )
 
-// walletRecord is the ledger's record of one balancer's wallet.
+// walletRecord is the ledger's record of one proxy's wallet.
 type walletRecord struct {
 	Incarnation       string             `json:"Life"`
 	EndedIncarnations []string           `json:"Ended,omitempty"` // the most recent previous incarnations
@@ -18,7 +18,7 @@
 	Escrow            map[string]float64 `json:"Out,omitempty"`  // tokens in escrow, by tenant
 	OpenEffects       []ClaimID          `json:"Open,omitempty"` // as in Report
 	WrittenOff        map[string]float64 `json:"Lost,omitempty"` // escrow that was counted as spent, by tenant
-	LastGrant         *Grant             `json:"Last,omitempty"` // the answer to Seq, sent again if the report is repeated
+	LastGrant         *Grant             `json:"Last,omitempty"` // the response to Seq, sent again if the report is repeated
 }
 
 const (
@@ -38,7 +38,7 @@
 
 	// Disabled guards, for tests.
 	chargePerTry    bool // charge an identity each time it is reported
-	noEscrowTimeout bool // do not reset the wallet of a balancer whose escrow was written off
+	noEscrowTimeout bool // do not reset the wallet of a proxy whose escrow was written off
 	noPrecedence    bool // keep no credit for client requests
 }
 
@@ -87,7 +87,7 @@
 func (l *Ledger) Encode() (json.RawMessage, error) { return json.Marshal(l) }
 
 // Advance advances the ledger's clock: saved tokens expire, old identities are forgotten, grant budgets refill, and the
-// escrow of balancers that have been silent for EscrowTimeout is written off.
+// escrow of proxies that have been silent for EscrowTimeout is written off.
 func (l *Ledger) Advance(elapsed int64, terms map[string]Terms) {
 	if elapsed <= 0 {
 		return
@@ -133,7 +133,7 @@
 	}
 }
 
-// outstanding returns the tokens of a tenant that are in escrow at balancers.
+// outstanding returns the tokens of a tenant that are in escrow at proxies.
 func (l *Ledger) outstanding(tenant string) (total float64) {
 	for _, wallet := range l.Wallets {
 		total += wallet.Escrow[tenant]
--- a/internal/mesh/burstcredit/wallet.go
+++ b/internal/mesh/burstcredit/wallet.go
@@ -54,7 +54,7 @@
 	recentClientClaims float64    // client claims, decayed over burstWindow
 	updatedAt          int64      // of demand and recentClientClaims, in nanoseconds
 	waiting            [2]int     // queued claims of services and clients
-	usableUntil        int64      // when the escrow ends, by the balancer's own clock
+	usableUntil        int64      // when the escrow ends, by the proxy's own clock
 }
 
 // serviceBucket is a token bucket that limits the credit spent at one service.
@@ -70,7 +70,7 @@
 	notify  func(bool)
 }
 
-// Wallet holds one balancer's escrow of all tenants' credit and its reservations. It starts empty.
+// Wallet holds one proxy's escrow of all tenants' credit and its reservations. It starts empty.
 type Wallet struct {
 	node, incarnation string
 	seq               uint64
@@ -86,13 +86,13 @@
 	noEscrowTimeout, chargePerTry, noPrecedence bool // disabled guards
 }
 
-// NewWallet returns an empty wallet for one incarnation of a balancer.
+// NewWallet returns an empty wallet for one incarnation of a proxy.
 func NewWallet(node, incarnation string) *Wallet {
 	return &Wallet{node: node, incarnation: incarnation, tenants: map[string]*tenantCredit{},
 		services: map[string]*serviceBucket{}, reservations: map[ClaimID]*reservation{}}
 }
 
-// SetTerms applies the tenants' terms and the limits of services: the credit, in tokens per second, that all balancers
+// SetTerms applies the tenants' terms and the limits of services: the credit, in tokens per second, that all proxies
 // together may spend at each.
 func (w *Wallet) SetTerms(terms map[string]Terms, services map[string]float64, balancerCount int, now int64) {
 	for tenant, tenantTerms := range terms {
@@ -315,7 +315,7 @@
 
 const burstWindow = 5 * second // nanoseconds
 
-// targetTokens returns how many tokens the balancer should hold for client requests and for calls of services.
+// targetTokens returns how many tokens the proxy should hold for client requests and for calls of services.
 func (tc *tenantCredit) targetTokens(now int64) (client, service float64) {
 	decay := math.Exp(-float64(now-tc.updatedAt) / float64(second))
 	horizon := float64(PrefetchWindow) / float64(second) / 2
@@ -374,7 +374,7 @@
 	return report
 }
 
-// ApplyGrant applies the answer to a report that was sent at sentAt.
+// ApplyGrant applies the response to a report that was sent at sentAt.
 func (w *Wallet) ApplyGrant(grant *Grant, sentAt, now int64) {
 	if grant == nil || w.pendingReport == nil || grant.Seq != w.pendingReport.Seq {
 		return
--- a/internal/mesh/consensus/applied_changes.go
+++ b/internal/mesh/consensus/applied_changes.go
@@ -20,7 +20,7 @@
 	MaxAppliedChanges     = 1024
 	MaxAppliedChangeBytes = 64 << 10 // in bytes of JSON
 
-	// previousMaxAppliedChanges is the limit of the previous version. Its processes may run alongside this version and
+	// previousMaxAppliedChanges is the limit of the previous release. Its processes may run alongside this release and
 	// trim the list to this length. A shorter list has never been trimmed.
 	previousMaxAppliedChanges = 64
 )
--- a/internal/mesh/consensus/applied_changes_test.go
+++ b/internal/mesh/consensus/applied_changes_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// A process of the previous version trims the list to 64 entries. A change that it trimmed must not be reported as
+// A process of the previous release trims the list to 64 entries. A change that it trimmed must not be reported as
 // never applied either.
 func TestListTrimmedByPreviousVersion(t *testing.T) {
 	all := appliedChanges(300)
--- a/internal/mesh/consensus/compact_test.go
+++ b/internal/mesh/consensus/compact_test.go
@@ -60,7 +60,7 @@
 	must.Eq(t, next, expanded.Value)
 }
 
-// A process of the previous version does not know the compact request kinds. It must ignore such a request and must not
+// A process of the previous release does not know the compact request kinds. It must ignore such a request and must not
 // accept a value without its configuration.
 func TestCompactRequestIsIgnoredByPreviousVersion(t *testing.T) {
 	base := &State{Index: 4, Configuration: largeDocument("configuration")}
--- a/internal/mesh/consensus/lease.go
+++ b/internal/mesh/consensus/lease.go
@@ -29,13 +29,13 @@
 
 // Names of the guards that DisableGuard can turn off.
 const (
-	WithoutMajority = "without-majority" // a state is valid without answers from a majority
+	WithoutMajority = "without-majority" // a state is valid without responses from a majority
 	WithoutPending  = "without-pending"  // accepted values that may have been decided are ignored
-	WithoutIndex    = "without-index"    // an answer about one state confirms any state
-	WithoutMembers  = "without-members"  // answers from an earlier core confirm states of a later one
+	WithoutIndex    = "without-index"    // a response about one state confirms any state
+	WithoutMembers  = "without-members"  // responses from an earlier core confirm states of a later one
 )
 
-// NewReadLease returns a lease under which no state is valid yet. An answer counts for the given duration in
+// NewReadLease returns a lease under which no state is valid yet. A response counts for the given duration in
 // nanoseconds.
 func NewReadLease(duration int64) *ReadLease {
 	return &ReadLease{duration: duration, answers: map[string][]leaseAnswer{}}
--- a/internal/mesh/consensus/lease_test.go
+++ b/internal/mesh/consensus/lease_test.go
@@ -167,8 +167,8 @@
 	}
 }
 
-// A later state may have another core. Answers from members of the earlier core must not count towards the majority of
-// the later one.
+// A later state may have another core. Responses from members of the earlier core must not count towards the majority
+// of the later one.
 func TestLeaseIgnoresAnswersOfEarlierCore(t *testing.T) {
 	base := InitialState([]string{"a", "b", "c"}, func(string) string { return "" }, 1)
 	same, other := base.WithBalancerCount(5), base.ReplaceMember(InitialMemberID("a"), Member{ID: "d", Address: "d"})
--- a/internal/mesh/consensus/replica.go
+++ b/internal/mesh/consensus/replica.go
@@ -49,7 +49,7 @@
 	Learn     = "learn"   // record a decided value
 
 	// Accept and Learn with a value whose large documents are omitted, for a replica that holds them. Processes of the
-	// previous version ignore these kinds.
+	// previous release ignore these kinds.
 	AcceptCompact = "accept-compact"
 	LearnCompact  = "learn-compact"
 )
@@ -64,7 +64,7 @@
 	Incarnation *DiskIncarnation `json:"Life,omitempty"`    // of the sender of a ReadState request
 }
 
-// Response is the answer of a replica to a request.
+// Response is a replica's response to a request.
 type Response struct {
 	Kind            string `json:"To"` // of the request
 	Slot            uint64 // of the request
--- a/internal/mesh/consensus/state.go
+++ b/internal/mesh/consensus/state.go
@@ -24,13 +24,13 @@
 // State is the complete agreed state.
 type State struct {
 	Index           uint64
-	Origin          Ballot `json:",omitzero"` // of the proposal that made this state; zero from processes of the previous version
+	Origin          Ballot `json:",omitzero"` // of the proposal that made this state; zero from processes of the previous release
 	Core            []Member
 	ToleratedLosses int             `json:"Tolerate"` // number of lost disks that decisions must survive
-	Edition         int64           // of the configuration; 0 if there is none yet
+	Edition         int64           // version of the configuration; 0 if there is none yet
 	Configuration   json.RawMessage `json:"Timetable"`
 	AppliedChanges  AppliedChanges  `json:"Taken"`
-	BalancerCount   int             `json:"Members"` // number of balancers among which shared quotas are divided
+	BalancerCount   int             `json:"Members"` // number of proxies among which shared quotas are divided
 	Coordinator     Coordinator     `json:"Queen"`
 	Epoch           uint64          `json:"Reign"`      // increases with each change of the coordinator
 	Credit          json.RawMessage `json:",omitempty"` // burst credit accounts of the tenants (burstcredit)
@@ -91,7 +91,7 @@
 	return next
 }
 
-// WithBalancerCount returns the successor state with a new number of balancers.
+// WithBalancerCount returns the successor state with a new number of proxies.
 func (s *State) WithBalancerCount(count int) *State {
 	next := s.successor()
 	next.BalancerCount = count
--- a/internal/mesh/controller/burst_credit.go
+++ b/internal/mesh/controller/burst_credit.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// settleCreditReports applies all pending reports to the ledger in one agreed change. A report may be repeated
-// because its answer was lost or its outcome is unknown; the ledger then answers as it did the first time. Unused
+// settleCreditReports applies all pending reports to the ledger in one agreed change. A report may be repeated because
+// its response was lost or its outcome is unknown; the ledger then returns the same grant as the first time. Unused
 // tokens, however, are taken from the token bank once and never submitted again.
 func (c *Controller) settleCreditReports() {
 	settler := &c.credit
--- a/internal/mesh/controller/configurations.go
+++ b/internal/mesh/controller/configurations.go
@@ -15,7 +15,8 @@
 	maxKeptVersions = 32      // versions kept as bases for deltas
 	maxKeptBytes    = 4 << 20 // total size of kept documents, except for the newest two versions
 	minKeptVersions = 2
-	// Packed configurations up to this size are sent in the watch response, longer ones are fetched separately.
+	// maxInlineBytes is the size up to which a packed configuration is sent in the watch response. Proxies fetch longer
+	// ones separately.
 	maxInlineBytes = 8 << 10
 	maxChunkBytes  = 32 << 10 // per response when a configuration is fetched
 )
--- a/internal/mesh/controller/core_membership.go
+++ b/internal/mesh/controller/core_membership.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// Between two rounds of confirmation requests to a new core.
+	// confirmationRetryInterval is the time between two rounds of confirmation requests to a new core.
 	confirmationRetryInterval = 50 * time.Millisecond
-	// An unconfirmed change is retried by the maintenance loop after this time.
+	// confirmationTimeout is the time after which the maintenance loop retries an unconfirmed change.
 	confirmationTimeout = time.Duration(consensus.ReplacementTimeout)
-	// How long a spare that did not catch up is no candidate.
+	// skippedSpareTimeout is how long a spare that did not catch up is not a candidate.
 	skippedSpareTimeout     = time.Second
 	membershipChangeTimeout = 2 * time.Second // for one attempt at a membership change
 )
@@ -176,8 +176,8 @@
 	return false
 }
 
-// requiredConfirmations returns the confirmations that a change needs before it starts. A member that is heard from
-// but has confirmed nothing for longer than consensus.ReplaceAfter is no longer required.
+// requiredConfirmations returns the confirmations that a change needs before it starts. A member that is heard from but
+// has confirmed nothing for longer than consensus.ReplacementTimeout is no longer required.
 func (c *Controller) requiredConfirmations(next *consensus.State, added consensus.Member, others []consensus.PeerStatus) confirmationRequirement {
 	required := confirmationRequirement{quorum: next.Quorum()}
 	if added.ID != "" {
--- a/internal/mesh/controller/harness_test.go
+++ b/internal/mesh/controller/harness_test.go
@@ -172,7 +172,7 @@
 	must.Wait(c.t, wait.InitialSuccess(wait.BoolFunc(condition), wait.Timeout(15*time.Second), wait.Gap(20*time.Millisecond)))
 }
 
-// mustPut sends an order until its outcome is clear, and requires it to be confirmed.
+// mustPut sends an update until its outcome is clear, and requires it to be confirmed.
 func (c *cluster) mustPut(at int, order *testmesh.Update) {
 	c.t.Helper()
 	var answer testmesh.Response
@@ -183,7 +183,7 @@
 	must.Eq(c.t, testmesh.OutcomeConfirmed, answer.Outcome(), must.Sprint(order.ID, answer.Text))
 }
 
-// mustConfirm repeats orders at each running controller and requires each of them to be confirmed.
+// mustConfirm repeats updates at each running controller and requires each of them to be confirmed.
 func (c *cluster) mustConfirm(orders ...*testmesh.Update) {
 	c.t.Helper()
 	for at, node := range c.nodes {
--- a/internal/mesh/controller/histories_test.go
+++ b/internal/mesh/controller/histories_test.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// runOperator simulates one operator: it sends orders on top of the version last seen, each until its outcome is
-// clear or the attempts are used up, repeats earlier orders byte for byte, and reads.
+// runOperator simulates one operator: it sends updates on top of the version last seen, each until its outcome is clear
+// or the attempts are used up, repeats earlier updates byte for byte, and reads.
 func (h *historyRun) runOperator(operator int, random *rand.Rand, end <-chan struct{}) {
 	var sent []*testmesh.Update
 	for !sleep(time.Duration(random.IntN(60))*time.Millisecond, end) {
--- a/internal/mesh/controller/leave.go
+++ b/internal/mesh/controller/leave.go
@@ -11,11 +11,13 @@
 const (
 	leavePollInterval  = 20 * time.Millisecond   // between two checks whether this controller may stop
 	maxReplacementWait = 1500 * time.Millisecond // how long a leaving member waits for a spare to replace it
-	// Share of Bounds.Grace after which it stops unconditionally, because the platform kills it at Grace.
+	// leaveGraceShare is the fraction of Bounds.Grace after which a leaving controller stops unconditionally, because
+	// the platform kills it at Grace.
 	leaveGraceShare       = 0.6
 	serverShutdownTimeout = time.Second
 	diskCloseTimeout      = 500 * time.Millisecond
-	// How long the disk of a member that left in an orderly way still counts, as the member may be restarting.
+	// trustDepartedFor is how long the disk of a member that left in an orderly way still counts, because the member
+	// may be restarting.
 	trustDepartedFor = 4 * time.Second
 	handOverTimeout  = 500 * time.Millisecond
 )
--- a/internal/mesh/controller/maintenance.go
+++ b/internal/mesh/controller/maintenance.go
@@ -82,7 +82,7 @@
 }
 
 // updateProxyCount has the core agree on the number of proxies, among which quotas are divided. It increases at once,
-// but decreases only after leases have been expired for membership.Remembered.
+// but decreases only after leases have been expired for membership.LostRetention.
 func (c *Controller) updateProxyCount(ctx context.Context, state *consensus.State) {
 	if !c.replicator.knowsCurrent() {
 		return
--- a/internal/mesh/controller/majority_read.go
+++ b/internal/mesh/controller/majority_read.go
@@ -11,9 +11,10 @@
 )
 
 const (
-	// Reads that find an undecided value or a later state before the read proposes a change.
+	// maxUnsettledReads is the number of attempts at a read that may find an undecided value or a later state. After
+	// that, the read proposes a change.
 	maxUnsettledReads = 2
-	readRetryInterval = 20 * time.Millisecond // after a read without answers from a majority
+	readRetryInterval = 20 * time.Millisecond // after a read without responses from a majority
 	decisionTimeout   = 50 * time.Millisecond // how long to wait for the proposer of an accepted value to have it decided
 
 	neverConfirmed = time.Duration(math.MaxInt64) // confirmation age of a state that was never confirmed
--- a/internal/mesh/controller/partition_test.go
+++ b/internal/mesh/controller/partition_test.go
@@ -189,7 +189,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// findViolations calls an isolated controller and returns the answers that it cannot know to be current, and those
+// findViolations calls an isolated controller and returns the responses that it cannot know to be current, and those
 // that took too long.
 func (m *partitionedMesh) findViolations(at int) (violations []string) {
 	var mu sync.Mutex
--- a/internal/mesh/controller/proposer.go
+++ b/internal/mesh/controller/proposer.go
@@ -12,11 +12,13 @@
 
 // Failed attempts are repeated with growing timeouts, to allow for cores with slow disks.
 const (
-	// For silent members after another member has refused or has to learn a decision first.
+	// refusalTimeout is how long silent members are waited for after another member has refused or has to learn a
+	// decision first.
 	refusalTimeout = 50 * time.Millisecond
-	// Upper limit of the random pause after a first attempt, in addition to the duration of that attempt.
+	// baseRivalPause is the upper limit of the random pause after a first attempt, in addition to the duration of that
+	// attempt.
 	baseRivalPause      = 16 * time.Millisecond
-	maxAttemptDoublings = 3 // of both
+	maxAttemptDoublings = 3 // of refusalTimeout and baseRivalPause
 )
 
 // announceStragglerTimeout is how long an announcement waits for the other members once a quorum has answered.
@@ -66,7 +68,7 @@
 	return base, proposal, request
 }
 
-// awaitAnswers waits for the remaining answers, but at most announceStragglerTimeout after a quorum has succeeded.
+// awaitAnswers waits for the remaining responses, but at most announceStragglerTimeout after a quorum has succeeded.
 func awaitAnswers(answers <-chan bool, remaining, quorum int) {
 	var timedOut <-chan time.Time
 	for succeeded := 0; remaining > 0; remaining-- {
@@ -112,7 +114,7 @@
 	}
 }
 
-// attempt runs a proposal to its last step, or to StepWait if answers are missing. Once a member has refused, it
+// attempt runs a proposal to its last step, or to StepWait if responses are missing. Once a member has refused, it
 // waits for the others only for stragglerTimeout.
 func (r *replicator) attempt(ctx context.Context, state *consensus.State, proposal *consensus.Proposal, request consensus.Request, stragglerTimeout time.Duration) (step consensus.Step) {
 	for step = consensus.StepSend; step == consensus.StepSend; {
@@ -122,7 +124,7 @@
 	return step
 }
 
-// attemptStep sends one request of a proposal to the core and processes answers until they determine the next step.
+// attemptStep sends one request of a proposal to the core and processes responses until they determine the next step.
 func (r *replicator) attemptStep(ctx context.Context, state *consensus.State, proposal *consensus.Proposal, request consensus.Request, stragglerTimeout time.Duration) consensus.Step {
 	started := time.Now()
 	answers := r.broadcast(ctx, state, request, stepTimeout)
--- a/internal/mesh/controller/repair_bound.go
+++ b/internal/mesh/controller/repair_bound.go
@@ -13,10 +13,10 @@
 	repairSteps       = 4 // each a round trip and a disk sync: catch-up, prepare, accept, learn
 )
 
-// RepairBound returns the longest time from a member's last message until a spare has replaced it and is known to
-// hold the state on disk, if a spare is available, one attempt is lost, and each step takes the given time:
+// RepairBound returns the longest time from a member's last message until a spare has replaced it and is known to hold
+// the state on disk, if a spare is available, one attempt is lost, and each step takes the given time:
 //
-//	ReplaceAfter + 2·gossipInterval + stepTimeout + 4·step
+//	ReplacementTimeout + 2·gossipInterval + stepTimeout + 4·step
 //
 // Time during which a disk or a machine stalls is added to it.
 func RepairBound(step time.Duration) time.Duration {
--- a/internal/mesh/controller/replicator.go
+++ b/internal/mesh/controller/replicator.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	// For one step of an attempt at one member, which may include a slow disk sync.
+	// stepTimeout limits one step of an attempt at one member, which may include a slow disk sync.
 	stepTimeout = 900 * time.Millisecond
 	readTimeout = 400 * time.Millisecond
-	// How long a majority's confirmation that this replica is current remains valid.
+	// readLeaseDuration is how long a majority's confirmation that this replica is current remains valid.
 	readLeaseDuration = time.Duration(federation.QuorumFreshness)
 )
 
--- a/internal/mesh/controller/updates_test.go
+++ b/internal/mesh/controller/updates_test.go
@@ -22,7 +22,7 @@
 // callerTimeout is the time after which a caller tries another controller.
 const callerTimeout = time.Second
 
-// sendConcurrently sends orders concurrently, each to the controller given by at, and returns the answers.
+// sendConcurrently sends updates concurrently, each to the controller given by at, and returns the responses.
 func (c *cluster) sendConcurrently(orders []*testmesh.Update, at func(n int) int) []testmesh.Response {
 	answers := make([]testmesh.Response, len(orders))
 	var all sync.WaitGroup
@@ -43,7 +43,7 @@
 		rivals := []*testmesh.Update{testmesh.NewUpdate(10+2*round, base, edition), testmesh.NewUpdate(11+2*round, base, edition)}
 		c.sendConcurrently(rivals, func(n int) int { return (round + n) % 3 })
 		var winner *testmesh.Update
-		for _, order := range rivals { // whatever the first answers were, repeating the order reveals its outcome
+		for _, order := range rivals { // whatever the first responses were, repeating the update reveals its outcome
 			var outcome testmesh.Outcome
 			c.eventually(func() bool {
 				outcome = c.send((round+2)%3, order).Outcome()
--- a/internal/mesh/federation/export_policy.go
+++ b/internal/mesh/federation/export_policy.go
@@ -42,7 +42,7 @@
 	Partner
 	table       *Table
 	suspended   bool
-	confirmedAt int64              // when the partner last confirmed its table, by the balancer's clock
+	confirmedAt int64              // when the partner last confirmed its table, by the proxy's clock
 	exports     map[string]*Export // by host and path prefix
 	buckets     map[*Export]*tokenBucket
 }
@@ -53,13 +53,13 @@
 	updatedAt int64
 }
 
-// ExportPolicy is one balancer's view of the partners' exports and its authorization to use them. It initially denies
+// ExportPolicy is one proxy's view of the partners' exports and its authorization to use them. It initially denies
 // everything.
 type ExportPolicy struct {
 	ownRoute        func(host, path string) bool // a route of this mesh matches
 	partners        []*partnerState              // in configured order of preference
 	revision        uint64
-	authorizedUntil int64 // nanoseconds, by the balancer's clock
+	authorizedUntil int64 // nanoseconds, by the proxy's clock
 	balancerCount   int
 
 	openByDefault, ignoreAuthorization bool // disabled guards
@@ -222,7 +222,7 @@
 	return 0, NoRoute
 }
 
-// takeToken takes a token from this balancer's share of an export's rate limit, if there is one.
+// takeToken takes a token from this proxy's share of an export's rate limit, if there is one.
 func (ps *partnerState) takeToken(export *Export, balancerCount int, now int64) bool {
 	if export.RatePerSecond <= 0 {
 		return true
--- a/internal/mesh/federation/federation_test.go
+++ b/internal/mesh/federation/federation_test.go
@@ -99,7 +99,7 @@
 
 var partners = []Partner{{Name: "p", Gateway: "g", ReadsStale: true}, {Name: "q", Gateway: "h"}}
 
-// A sequence of decisions at one balancer: before the first update, with and without authorization, after the partner's
+// A sequence of decisions at one proxy: before the first update, with and without authorization, after the partner's
 // lease has expired, for own routes, non-canonical paths and a suspended partner.
 func TestExportPolicyDecisions(t *testing.T) {
 	registry := NewImportRegistry()
@@ -139,7 +139,7 @@
 }
 
 // Two partners export the same prefix: both are returned in configured order, methods are decided for each partner
-// separately, and the rate limit is divided among the balancers.
+// separately, and the rate limit is divided among the proxies.
 func TestTwoPartnersAndLimits(t *testing.T) {
 	registry := NewImportRegistry()
 	_, err := registry.ApplyTable(parseTable(t, 1, strings.Replace(readOnlyExport, `"Methods"`, `"PerS":8,"Methods"`, 1)), "1")
@@ -163,7 +163,7 @@
 			admitted++
 		}
 	}
-	must.Between(t, 4, admitted, 5) // this balancer's share is 4 per second of 8
+	must.Between(t, 4, admitted, 5) // this proxy's share is 4 per second of 8
 	warnings := ShadowedExports(registry, partners, nil)
 	must.SliceLen(t, 1, warnings)
 	must.StrContains(t, warnings[0], "q: p.example/scans/: shadowed by p")
@@ -189,8 +189,8 @@
 	must.False(t, registry.RetainOnly([]string{"q"}))
 }
 
-// A narrowing is complete when no balancer can be authorized for an earlier revision. A new coordinator counts from
-// when it first sees the narrowing.
+// A narrowing is complete when no proxy can be authorized for an earlier revision. A new coordinator counts from when
+// it first sees the narrowing.
 func TestNarrowingCompletesAfterAuthorizationsExpire(t *testing.T) {
 	registry, tracker := NewImportRegistry(), NewNarrowingTracker()
 	registry.ApplyTable(parseTable(t, 1, readWriteExport), "1")
--- a/internal/mesh/federation/import_registry.go
+++ b/internal/mesh/federation/import_registry.go
@@ -20,7 +20,7 @@
 
 // ImportRegistry holds the imports of all partners. It is part of the controllers' replicated state.
 type ImportRegistry struct {
-	Revision uint64 `json:"No"` // increases with each change that balancers act on
+	Revision uint64 `json:"No"` // increases with each change that proxies act on
 	Partners map[string]*Import
 }
 
--- a/internal/mesh/federation/table.go
+++ b/internal/mesh/federation/table.go
@@ -1,13 +1,13 @@
 // Package federation imports the exports of partner meshes: it validates partners' tables, keeps them in the
-// controllers' replicated state, and decides at each balancer whether a request may be sent to a partner. Nothing is
-// sent to a partner that its table does not name. The package does no I/O and reads no clock.
+// controllers' replicated state, and decides at each proxy whether a request may be sent to a partner. Nothing is sent
+// to a partner that its table does not name. The package does no I/O and reads no clock.
 //
 // A table change that removes permissions (a narrowing) takes effect in two steps. First it is committed
-// (ImportRegistry.ApplyTable): a balancer that learns of it sends nothing more that it forbids. A balancer sends to
-// partners only while it is authorized. Each confirmation by a controller with a fresh quorum extends the authorization
-// to AuthorizationTTL after the confirmation was requested, by the balancer's monotonic clock (ExportPolicy). So after
-// AuthorizationTTL + QuorumFreshness, plus clock drift, no balancer acts on the old table, even an unreachable one.
-// Then the narrowing is complete (NarrowingTracker), and the new edition is announced to the partner.
+// (ImportRegistry.ApplyTable): a proxy that learns of it sends nothing more that it forbids. A proxy sends to partners
+// only while it is authorized. Each confirmation by a controller with a fresh quorum extends the authorization to
+// AuthorizationTTL after the confirmation was requested, by the proxy's monotonic clock (ExportPolicy). So after
+// AuthorizationTTL + QuorumFreshness, plus clock drift, no proxy acts on the old table, even an unreachable one. Then
+// the narrowing is complete (NarrowingTracker), and the new edition is announced to the partner.
 //
 //	from the commit to the announcement  <=  (AuthorizationTTL + QuorumFreshness)·(1 + MaxClockDrift) + 3·CheckInterval,
 //	                                         and two commits
@@ -35,7 +35,7 @@
 	second      = int64(1e9)
 	millisecond = int64(1e6)
 
-	// AuthorizationTTL is how long a balancer may send to partners after it requested a confirmation, in nanoseconds.
+	// AuthorizationTTL is how long a proxy may send to partners after it requested a confirmation, in nanoseconds.
 	AuthorizationTTL = 2 * second
 	// QuorumFreshness is how long a controller counts as current after a quorum confirmed its revision, in nanoseconds.
 	QuorumFreshness = 600 * millisecond
--- a/internal/mesh/membership/membership.go
+++ b/internal/mesh/membership/membership.go
@@ -1,5 +1,5 @@
-// Package membership tracks the balancers of the mesh and the upstream on each of their machines. It also defines the
-// messages with which balancers watch the controllers for changes. A Registry is the view of one controller; it does no
+// Package membership tracks the proxies of the mesh and the upstream on each of their machines. It also defines the
+// messages with which proxies watch the controllers for changes. A Registry is the view of one controller; it does no
 // I/O and reads no clock. The registry is spread by gossip, is only eventually consistent, and expires without
 // renewals, so no correctness guarantee may depend on it alone.
 package membership
@@ -18,14 +18,14 @@
 	millisecond = int64(1e6)
 	second      = int64(1e9)
 
-	// LeaseDuration is the time in nanoseconds after which the lease of a balancer expires unless it is renewed.
+	// LeaseDuration is the time in nanoseconds after which the lease of a proxy expires unless it is renewed.
 	LeaseDuration = 3 * second
-	// LostRetention is the time in nanoseconds since its last renewal for which a balancer with an expired lease is
-	// still listed. It may be cut off only from the controllers and still serve requests.
+	// LostRetention is the time in nanoseconds since its last renewal for which a proxy with an expired lease is still
+	// listed. It may be cut off only from the controllers and still serve requests.
 	LostRetention = 15 * second
 )
 
-// Upstream is a running application instance on the machine of a balancer.
+// Upstream is a running application instance on the machine of a proxy.
 type Upstream struct {
 	ID              string
 	Service         string
@@ -33,15 +33,15 @@
 	Capacity        int    // number of requests that it can serve concurrently
 	Draining        bool   `json:"Closing,omitempty"`
 	WarmupRemaining int64  `json:"Cold,omitempty"` // remaining time in nanoseconds in which it is still slow after its start
-	OutlierLevel    int    `json:"Ill,omitempty"`  // level of package outlier, as determined by the balancer on the same machine
+	OutlierLevel    int    `json:"Ill,omitempty"`  // level of package outlier, as determined by the proxy on the same machine
 }
 
-// Node describes a balancer and its machine, as the balancer reports itself.
+// Node describes a proxy and its machine, as the proxy reports itself.
 type Node struct {
 	Name        string    `json:"Node"`
-	Inbound     string    // address for requests from other balancers
+	Inbound     string    // address for requests from other proxies
 	Zone        string    `json:"District"`
-	Incarnation string    `json:"Life"` // of the balancer process
+	Incarnation string    `json:"Life"` // of the proxy process
 	Seq         uint64    // increases with each change within an incarnation
 	Upstream    *Upstream `json:"Up,omitempty"`
 	Leaving     bool      `json:",omitempty"`
@@ -54,23 +54,23 @@
 	Lost bool  `json:",omitempty"` // its lease has expired
 }
 
-// Position identifies what a balancer already knows.
+// Position identifies what a proxy already knows.
 type Position struct {
 	Controller string `json:"Comb"` // process incarnation of the controller that issued Seq
 	Seq        uint64 // of the registry of that controller
 	Index      uint64 // of the agreed state
 
 	Edition      int64  // of the configuration
-	Digest       string `json:",omitempty"`        // of the configuration; empty from processes of the previous version
+	Digest       string `json:",omitempty"`        // of the configuration; empty from processes of the previous release
 	KnownImports uint64 `json:"Imports,omitempty"` // version of the agreed imports from partner meshes
 }
 
-// WatchRequest renews a balancer's lease and asks for changes since a position.
+// WatchRequest renews a proxy's lease and asks for changes since a position.
 type WatchRequest struct {
 	Node     Node     `json:"Nest"`
 	Position Position `json:"Have"`
 	MaxWait  int64    `json:"Wait"` // maximum time until a response, in nanoseconds
-	// AcceptsPacked is set if the balancer accepts a packed configuration, or only its digest to fetch it separately.
+	// AcceptsPacked is set if the proxy accepts a packed configuration, or only its digest to fetch it separately.
 	AcceptsPacked bool `json:"Packed,omitempty"`
 }
 
@@ -80,17 +80,17 @@
 	Current bool // a majority of the core recently confirmed Index as the newest state
 	// Starting is set while the controller has been up for less than LeaseDuration, so that nodes may be missing.
 	Starting      bool            `json:"Young,omitempty"`
-	BalancerCount int             `json:"Members"`             // agreed number of balancers
+	BalancerCount int             `json:"Members"`             // agreed number of proxies
 	Coordinator   string          `json:"Queen"`               // address of the controller that manages the quotas
 	Epoch         uint64          `json:"Reign"`               // increases with each change of the coordinator
-	Configuration json.RawMessage `json:"Timetable,omitempty"` // set if the balancer has another edition
+	Configuration json.RawMessage `json:"Timetable,omitempty"` // set if the proxy has another edition
 	// Packed replaces Configuration in responses to requests with AcceptsPacked. It is absent if it is too long. The
-	// balancer then fetches the configuration with the given Digest separately.
+	// proxy then fetches the configuration with the given Digest separately.
 	Packed       *routing.Packed `json:",omitempty"`
 	Complete     bool            `json:"Whole"` // Nodes lists all known nodes, not only changes
 	Nodes        []Record        `json:"Nests,omitempty"`
 	RemovedNodes []string        `json:"Gone,omitempty"`
-	// Imports are the agreed imports from partner meshes, set if the balancer has another version of them.
+	// Imports are the agreed imports from partner meshes, set if the proxy has another version of them.
 	Imports        json.RawMessage `json:",omitempty"`
 	ImportsVersion uint64          `json:"ImportsNo,omitempty"`
 	// ImportsCurrent is set if no later imports had been decided until recently, so that the agreed imports may be
@@ -103,7 +103,7 @@
 // ConfigurationRequest asks for a part of a packed configuration: the first part of the newest one, or the next part of
 // the transfer that an earlier response began.
 type ConfigurationRequest struct {
-	HeldDigest   string `json:"Held"`       // digest of the configuration that the balancer has, empty if none
+	HeldDigest   string `json:"Held"`       // digest of the configuration that the proxy has, empty if none
 	Result, Base string `json:",omitempty"` // digests from the response that began the transfer
 	Offset       int    `json:",omitempty"` // number of bytes already received in this transfer
 }
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -353,7 +353,7 @@
 		}
 		return ok
 	}
-	m.waitUntil(func() bool { return sendPages(1, 3) == 4 }) // the proxies have drawn their first tokens
+	m.waitUntil(func() bool { return sendPages(1, 3) == 4 }) // the proxies have received their first tokens
 	ok := sendPages(100, 160)
 	must.Greater(t, 60, ok) // the rate of 4 a second alone would serve only a few
 	fetchAccount := func() *burstcredit.AccountStatus {
--- a/internal/mesh/meshctl/backup.go
+++ b/internal/mesh/meshctl/backup.go
@@ -9,7 +9,7 @@
 	"ottershift/internal/mesh/storage"
 )
 
-// backup writes the decided state to a file: from a data directory, or from the core if dir is empty.
+// backup writes the decided state to a file: from a data directory, or from the controllers if dir is empty.
 func (c *client) backup(file, dir string) error {
 	var state *consensus.State
 	if dir != "" {
--- a/internal/mesh/meshctl/configuration.go
+++ b/internal/mesh/meshctl/configuration.go
@@ -106,7 +106,7 @@
 	return configuration.Edition, nil
 }
 
-// checkConfiguration validates a configuration file without the core.
+// checkConfiguration validates a configuration file without calling a controller.
 func (c *client) checkConfiguration(file string) error {
 	body, err := readInput(file)
 	if err != nil {
--- a/internal/mesh/meshctl/credit.go
+++ b/internal/mesh/meshctl/credit.go
@@ -79,8 +79,8 @@
 	return &exitError{Error.New("tenant %q has no account", tenant), Refused}
 }
 
-// orderCredit sends an operator's order on a burst credit account to the core. It is not retried: a grant whose outcome
-// is unknown could take effect twice.
+// orderCredit sends an operator's order on a burst credit account to a controller. It is not retried: a grant whose
+// outcome is unknown could take effect twice.
 func (c *client) orderCredit(order *controller.Order) error {
 	account := &burstcredit.AccountStatus{}
 	if err := c.sendOrder(rpc.PathCreditOrder, order, account, "check the account's history before you repeat the order"); err != nil {
@@ -90,7 +90,7 @@
 	return err
 }
 
-// sendOrder sends an order to one process of the core, once. advice is added to the error, for an order whose outcome is
+// sendOrder sends an order to one controller, once. advice is added to the error, for an order whose outcome is
 // unknown.
 func (c *client) sendOrder(path string, order, response any, advice string) error {
 	if err := c.requireAddresses(); err != nil {
--- a/internal/mesh/meshctl/meshctl.go
+++ b/internal/mesh/meshctl/meshctl.go
@@ -1,5 +1,5 @@
-// Package meshctl implements the operators' command line. It queries the controllers, which are called the core here,
-// and prints each result with its age.
+// Package meshctl implements the operators' command line. It queries the controllers and prints each result with its
+// age. Its output calls all controllers together the core.
 package meshctl
 
 import (
@@ -23,8 +23,8 @@
 // Exit codes.
 const (
 	OK             = 0
-	Failed         = 1  // no process responded, or a file could not be read or written
-	Refused        = 2  // the core refuses the change: invalid, or another version is current
+	Failed         = 1  // no controller responded, or a file could not be read or written
+	Refused        = 2  // the controllers reject the change: invalid, or another version is current
 	OutcomeUnknown = 3  // no majority responded in time: the change may or may not take effect
 	Usage          = 64 // invalid command line
 )
@@ -42,10 +42,10 @@
 type client struct {
 	out          io.Writer
 	seeds        []string      // control addresses
-	internalPort int           // of the core's processes
+	internalPort int           // of the controllers
 	json         bool          // print results as JSON
 	newest       bool          // have the core confirm the status by a majority
-	timeout      time.Duration // of a call to one process
+	timeout      time.Duration // of a call to one controller
 }
 
 // Run runs a command line and returns the exit code.
@@ -194,7 +194,7 @@
 	return Failed
 }
 
-// resolveAddresses sets the core's addresses, from a list of addresses or from the seeds of a settings file.
+// resolveAddresses sets the controllers' addresses, from a list of addresses or from the seeds of a settings file.
 func (c *client) resolveAddresses(core string, internalPort int) error {
 	c.internalPort = internalPort
 	if core == "" {
@@ -215,7 +215,7 @@
 	return nil
 }
 
-// requireAddresses returns an error if the core's addresses are unknown.
+// requireAddresses returns an error if the controllers' addresses are unknown.
 func (c *client) requireAddresses() error {
 	if len(c.seeds) == 0 {
 		return &exitError{Error.New("no core address: use --core ADDRESS,... or a settings file, or set BEEKEEPER_CORE"), Usage}
@@ -223,7 +223,7 @@
 	return nil
 }
 
-// queryStatus returns the status of the first process that responds.
+// queryStatus returns the status of the first controller that responds.
 func (c *client) queryStatus() (*controller.Status, error) {
 	if err := c.requireAddresses(); err != nil {
 		return nil, err
@@ -239,7 +239,7 @@
 	return nil, failures.Err()
 }
 
-// statusOf returns the status of the process at an address.
+// statusOf returns the status of the controller at an address.
 func (c *client) statusOf(address string) (*controller.Status, error) {
 	if c.internalPort == 0 {
 		return nil, &exitError{Error.New("unknown inner port: use --inner PORT, or a settings file for --core"), Usage}
@@ -267,7 +267,7 @@
 	return encoder.Encode(value)
 }
 
-// show prints a view of the core's status.
+// show prints a view of a controller's status.
 func (c *client) show(print func(*client, *controller.Status) error) error {
 	status, err := c.queryStatus()
 	if err != nil {
--- a/internal/mesh/meshctl/partners.go
+++ b/internal/mesh/meshctl/partners.go
@@ -105,7 +105,7 @@
 	})
 }
 
-// orderPartner sends an operator's order on a partner mesh to the core.
+// orderPartner sends an operator's order on a partner mesh to a controller.
 func (c *client) orderPartner(order *controller.PartnerOrder) error {
 	partner := &federation.Import{}
 	if err := c.sendOrder(rpc.PathPartnerOrder, order, partner, "it is safe to repeat the order"); err != nil {
--- a/internal/mesh/meshctl/status.go
+++ b/internal/mesh/meshctl/status.go
@@ -12,7 +12,7 @@
 	"ottershift/internal/mesh/controller"
 )
 
-// printSource prints which process the status comes from and how old it is.
+// printSource prints which controller the status comes from and how old it is.
 func (c *client) printSource(status *controller.Status) {
 	freshness := "confirmed by a majority " + ago(status.Confirmed)
 	if !status.Current {
@@ -33,7 +33,7 @@
 	return d.Round(time.Millisecond).String() + " ago"
 }
 
-// showStatuses prints a line for each process of the core. It fails if no process responds.
+// showStatuses prints a line for each controller. It fails if no controller responds.
 func (c *client) showStatuses() error {
 	if err := c.requireAddresses(); err != nil {
 		return err
@@ -74,7 +74,7 @@
 	return err
 }
 
-// showCore prints the members of the core and its other processes.
+// showCore prints the members of the core and the other controllers.
 func (c *client) showCore(status *controller.Status) error {
 	if c.json {
 		return c.printJSON(status.Core)
@@ -132,7 +132,7 @@
 	})
 }
 
-// showDuties prints which process has which duty.
+// showDuties prints which controller has which duty.
 func (c *client) showDuties(status *controller.Status) error {
 	if c.json {
 		return c.printJSON(map[string]any{"Coordinator": status.State.Coordinator, "Epoch": status.State.Epoch, "Members": status.State.BalancerCount})
@@ -166,7 +166,7 @@
 	})
 }
 
-// watch prints changes of the status until a duration has passed. It polls the core every 500 ms.
+// watch prints changes of the status until a duration has passed. It polls the controllers every 500 ms.
 func (c *client) watch(duration time.Duration) error {
 	if err := c.requireAddresses(); err != nil {
 		return err
--- a/internal/mesh/outlier/outlier.go
+++ b/internal/mesh/outlier/outlier.go
@@ -1,11 +1,11 @@
-// Package outlier detects upstreams that fail part of their requests. The balancer beside an upstream is the only way
-// to it, so it sees the outcomes of all callers. Its Detector keeps the evidence about that upstream and reduces it to
-// a level, which is gossiped. Callers compare the levels of a service's upstreams and derive the share of its capacity
+// Package outlier detects upstreams that fail part of their requests. The proxy beside an upstream is the only way to
+// it, so it sees the outcomes of all callers. Its Detector keeps the evidence about that upstream and reduces it to a
+// level, which is gossiped. Callers compare the levels of a service's upstreams and derive the share of its capacity
 // that each is sent (CapacityShares). The package does no I/O and reads no clock.
 //
-// Levels are hearsay to the callers, so their effect is bounded. A level decays as its evidence ages. It counts
+// Callers can't verify the levels, so the effect of a level is bounded. A level decays as its evidence ages. It counts
 // relative to the median of the service: a service whose upstreams all fail alike, for instance because of a common
-// dependency, keeps its shares. At most MaxReducedFraction of a service's slots is reduced. A balancer reports only the
+// dependency, keeps its shares. At most MaxReducedFraction of a service's slots is reduced. A proxy reports only the
 // upstream beside it, so a false report affects no other upstream.
 package outlier
 
--- a/internal/mesh/outlier/outlier_test.go
+++ b/internal/mesh/outlier/outlier_test.go
@@ -157,12 +157,12 @@
 
 func TestCapacitySharesAreBounded(t *testing.T) {
 	slots := []float64{6, 6, 6, 6, 6}
-	must.Eq(t, []float64{1, 1, 0.125, 1, 1}, CapacityShares([]int{0, 0, 3, 0, 0}, slots))     // one outlier, reported by its own balancer
+	must.Eq(t, []float64{1, 1, 0.125, 1, 1}, CapacityShares([]int{0, 0, 3, 0, 0}, slots))     // one outlier, reported by its own proxy
 	must.Eq(t, []float64{1, 1, 1, 1, 1}, CapacityShares([]int{2, 2, 2, 2, 2}, slots))         // all at the median
 	must.Eq(t, []float64{1, 0.5, 1, 1, 1}, CapacityShares([]int{2, 3, 2, 2, 1}, slots))       // relative to the median
 	must.Eq(t, []float64{0.125, 0.125, 1, 1, 1}, CapacityShares([]int{3, 3, 0, 0, 0}, slots)) // the most severe first, within the limit
 	must.Eq(t, []float64{1, 1}, CapacityShares([]int{0, 3}, []float64{6, 6}))                 // one of two exceeds MaxReducedFraction
 	must.Eq(t, []float64{1}, CapacityShares([]int{3}, []float64{6}))                          // a single upstream
-	must.Eq(t, []float64{1, 1, 0.125}, CapacityShares([]int{0, 0, 99}, []float64{6, 6, 6}))   // an unknown level, from a later version
+	must.Eq(t, []float64{1, 1, 0.125}, CapacityShares([]int{0, 0, 99}, []float64{6, 6, 6}))   // an unknown level, from a later release
 	must.Eq(t, []float64{1, 1, 1}, CapacityShares([]int{-9, 0, 0}, []float64{6, 6, 6}))       // a negative level
 }
--- a/internal/mesh/proxy/downstream_request.go
+++ b/internal/mesh/proxy/downstream_request.go
@@ -41,7 +41,7 @@
 
 // beginAttempt reports whether an attempt may be sent. It may not after the request was answered, or after it was sent
 // to the maximum number of upstreams; attempts that were refused before they reached an upstream do not count. Each
-// attempt after the first takes a retry from the budget. Without the check for an answer, an attempt that was ordered
+// attempt after the first takes a retry from the budget. Without the check for a response, an attempt that was ordered
 // earlier would be sent after a response that states that nothing runs.
 func (r *downstreamRequest) beginAttempt(takeRetry func() bool) bool {
 	r.mu.Lock()
--- a/internal/mesh/proxy/key_validity.go
+++ b/internal/mesh/proxy/key_validity.go
@@ -18,8 +18,8 @@
 // confirmed records the response of a current controller to a request that was sent at askedAt.
 func (v *keyValidity) confirmed(askedAt int64) { v.confirmedAt.Store(askedAt) }
 
-// valid reports whether API keys may be accepted. The controller's own confirmation may be older by up to
-// federation.Fresh than the request that it answered.
+// valid reports whether API keys may be accepted. The controller's own confirmation may be older than the request that
+// it answered, by up to federation.QuorumFreshness.
 func (v *keyValidity) valid(now int64) bool {
 	if v.maxAge == 0 {
 		return true
--- a/internal/mesh/proxy/known_nodes.go
+++ b/internal/mesh/proxy/known_nodes.go
@@ -19,7 +19,7 @@
 // The controller's next timely response confirms or discards it. If the list were requested again each time, a long
 // list would never be applied over a link on which it is always late.
 type lateNodeList struct {
-	controller string // instance ID of the controller, "" for none
+	controller string // incarnation of the controller, "" for none
 	names      map[string]bool
 }
 
--- a/internal/mesh/proxy/proxy_test.go
+++ b/internal/mesh/proxy/proxy_test.go
@@ -223,7 +223,7 @@
 	must.False(t, request.beginAttempt(takeRetry))
 }
 
-// Earlier versions read the priority header without the rank and send it without one; both directions have to work.
+// Earlier releases read the priority header without the rank and send it without one; both directions have to work.
 func TestPriorityHeaderBetweenVersions(t *testing.T) {
 	configuration, err := routing.Parse([]byte(`{"Edition":1,"Senders":[{"Name":"t","ApiKeys":["k"],"Precedence":3}],"PostOffices":[{"Town":"a","Regulations":[
 {"Name":"r","MailClass":"repeatable","Target":"1s","Precedence":2,"Sorting":{"StreetPrefix":"/r/"},"Dispatch":{"Destination":"s","Deadline":"1s","DeliveryTries":1}}]}],"Depots":[{"Name":"s"}]}`))
@@ -231,7 +231,7 @@
 	p := &Proxy{}
 	p.view.Store(&configurationView{configuration: configuration})
 	encoded := requestPriority{300 * time.Millisecond, priority.NewRank(1, 0), false}.encode()
-	must.Eq(t, "300", encoded[0]) // all that earlier versions read
+	must.Eq(t, "300", encoded[0]) // all that earlier releases read
 	for _, c := range []struct {
 		values []string
 		path   string
@@ -239,7 +239,7 @@
 		want   requestPriority
 	}{
 		{encoded, "/r/x", "t", requestPriority{300 * time.Millisecond, priority.NewRank(1, 0), false}},
-		{encoded[:1], "/r/x?y", "t", requestPriority{300 * time.Millisecond, priority.NewRank(3, 2), false}}, // from an earlier version: rank of the local configuration
+		{encoded[:1], "/r/x?y", "t", requestPriority{300 * time.Millisecond, priority.NewRank(3, 2), false}}, // from an earlier release: rank of the local configuration
 		{encoded[:1], "/r/x", "", requestPriority{300 * time.Millisecond, priority.NewRank(0, 2), false}},
 		{requestPriority{300 * time.Millisecond, priority.NewRank(1, 0), true}.encode(), "/r/x", "t", requestPriority{300 * time.Millisecond, priority.NewRank(1, 0), true}},
 		{encoded[:1], "/other/", "t", requestPriority{300 * time.Millisecond, priority.LowestRank, false}},
--- a/internal/mesh/proxy/quota.go
+++ b/internal/mesh/proxy/quota.go
@@ -10,12 +10,13 @@
 )
 
 const (
-	idleDrawInterval = 350 * time.Millisecond // without demand: the token bank reserves a base rate for a proxy that does not draw
-	minDrawInterval  = 12 * time.Millisecond  // between two draws
-	drawTimeout      = 300 * time.Millisecond // for the response to a draw
-	maxDrawWait      = 60 * time.Millisecond  // that a request without a token waits for one draw
-	// A request may need several draws: one under way does not include its demand, and a new bank has no tokens yet.
-	maxDrawWaits = 3 // draws that a request waits for
+	idleDrawInterval = 350 * time.Millisecond // without demand: the token bank reserves a base rate for a proxy that sends no token requests
+	minDrawInterval  = 12 * time.Millisecond  // between two token requests
+	drawTimeout      = 300 * time.Millisecond // for the response to a token request
+	maxDrawWait      = 60 * time.Millisecond  // that a request without a token waits for one token request
+	// A request may need several token requests: one in flight does not include its demand, and a new bank has no
+	// tokens yet.
+	maxDrawWaits = 3 // token requests that a request waits for
 )
 
 // tokenCache holds this proxy's quota tokens of the tenants and the address of the coordinator that grants more.
@@ -26,7 +27,7 @@
 	coordinator string
 	epoch       uint64
 	wake        chan struct{} // buffered for one value
-	drawDone    chan struct{} // closed at the end of each draw
+	drawDone    chan struct{} // closed at the end of each token request
 }
 
 // setCoordinator sets the controller that keeps the token bank. One of an earlier epoch is ignored.
@@ -46,8 +47,8 @@
 	}
 }
 
-// withinQuota reports whether a request is within its tenant's quota. Most requests find a token in the cache; one
-// that does not waits for a draw.
+// withinQuota reports whether a request is within its tenant's quota. Most requests find a token in the cache; one that
+// does not waits for a token request.
 func (p *Proxy) withinQuota(ctx context.Context, tenant string) (ok bool, retryAfter time.Duration) {
 	cache := &p.tokenCache
 	for round := 0; ; round++ {
@@ -73,7 +74,7 @@
 	}
 }
 
-// runTokenDraws draws tokens from the coordinator according to demand.
+// runTokenDraws requests tokens from the coordinator according to demand.
 func (p *Proxy) runTokenDraws(ctx context.Context) {
 	cache := &p.tokenCache
 	ticker := time.NewTicker(idleDrawInterval)
--- a/internal/mesh/proxy/request_priority.go
+++ b/internal/mesh/proxy/request_priority.go
@@ -26,7 +26,7 @@
 }
 
 // encode returns the values of meshPriorityHeader. The first one is the latency target in milliseconds, which is all
-// that earlier versions read; the second one is the rank. Every version removes the header from clients' requests, so
+// that earlier releases read; the second one is the rank. Every release removes the header from clients' requests, so
 // only proxies can set it.
 func (p requestPriority) encode() []string {
 	rank := rankPrefix + p.rank.String()
@@ -36,7 +36,7 @@
 	return []string{strconv.FormatInt(p.latencyTarget.Milliseconds(), 10), rank}
 }
 
-// priorityOf returns the priority of a request from another proxy. If that proxy runs an earlier version that does not
+// priorityOf returns the priority of a request from another proxy. If that proxy runs an earlier release that does not
 // send the rank, the rank comes from this proxy's configuration.
 func (p *Proxy) priorityOf(r *http.Request) requestPriority {
 	requested := requestPriority{latencyTarget: defaultLatencyTarget}
--- a/internal/mesh/proxy/request_result.go
+++ b/internal/mesh/proxy/request_result.go
@@ -56,8 +56,8 @@
 	p.writeError(w, r, kind, 0)
 }
 
-// answerAtShutdown answers an open request according to its state when the process ends. After close no further
-// attempt starts, and after Vanish no new result arrives, so the state is final.
+// answerAtShutdown answers an open request according to its state when the process ends. After close no further attempt
+// starts, and after ClientGone no new result arrives, so the state is final.
 func (p *Proxy) answerAtShutdown(w http.ResponseWriter, r *http.Request, request *downstreamRequest, call *desk.Handle) {
 	mayHaveRun, inFlight, failedResponse := request.close()
 	request.servicePool.desk.ClientGone(call)
--- a/internal/mesh/proxy/upstream_request.go
+++ b/internal/mesh/proxy/upstream_request.go
@@ -28,8 +28,8 @@
 	callerGone func() bool // reports whether the connection that the request came over is closed; nil for no check
 }
 
-// upstreamResponse is the result of sending an upstreamRequest. The kind Unready means that the request was not sent,
-// Broke that it may have run.
+// upstreamResponse is the result of sending an upstreamRequest. The kind NotReady means that the request was not sent,
+// IncompleteResponse that it may have run.
 type upstreamResponse struct {
 	kind         apierror.Kind
 	err          error
--- a/internal/mesh/proxy/watch_test.go
+++ b/internal/mesh/proxy/watch_test.go
@@ -92,7 +92,7 @@
 		must.Eq(t, []string{"a", "b", "c", "d"}, slices.Sorted(maps.Keys(p.nodes)))
 		must.Eq(t, "a2", p.nodes["a"].Incarnation)
 		must.False(t, p.nodes["b"].Lost)
-		must.Eq(t, 2, p.nodes["c"].Seq) // newer record of the same instance
+		must.Eq(t, 2, p.nodes["c"].Seq) // newer record of the same incarnation
 		must.SliceLen(t, 3, p.knownControllers())
 		must.Eq(t, 4, p.members)
 		apply(&membership.WatchResponse{Position: membership.Position{Controller: "cut off", Seq: 12}, BalancerCount: 1, RemovedNodes: []string{"a", "b"}})
--- a/internal/mesh/ratelimit/quota.go
+++ b/internal/mesh/ratelimit/quota.go
@@ -7,9 +7,9 @@
 	"ottershift/internal/mesh/settings"
 )
 
-// A tenant's quota is shared by all balancers. The coordinator keeps the TokenBank: one pool per tenant that fills at
-// the tenant's rate. Balancers prefetch tokens from it into their Wallets and spend them locally, without a call per
-// request. A request that finds no token waits for one token request to the bank.
+// A tenant's quota is shared by all proxies. The coordinator keeps the TokenBank: one pool per tenant that fills at the
+// tenant's rate. Proxies prefetch tokens from it into their Wallets and spend them locally, without a call per request.
+// A request that finds no token waits for one token request to the bank.
 //
 // Bound: the requests allowed in a window W spend tokens that the pool gained in the window (R·W), that were in the
 // pool at its start (P), or that were in wallets at its start (H). The bank keeps P + H within Reserve, so for a tenant
@@ -18,17 +18,17 @@
 //	allowed(W) <= R·W + Reserve + R·(AssumeFallbackAfter - FallbackAfter)·k/n
 //	Reserve = X - max(0.3·X, R·(AssumeFallbackAfter - FallbackAfter)), X = S + OverRatio·(R·W + S) + Slack
 //
-// A balancer that cannot reach the bank spends a fallback rate of R/n. The bank fills its pools by that much less for
-// each balancer that it does not hear from. When k of n balancers lose the bank at once, their rate counts twice until
-// the bank notices; Reserve leaves room for this.
+// A proxy that cannot reach the bank spends a fallback rate of R/n. The bank fills its pools by that much less for each
+// proxy that it does not hear from. When k of n proxies lose the bank at once, their rate counts twice until the bank
+// notices; Reserve leaves room for this.
 
 // Time constants of the quota protocol, in nanoseconds of the local clock.
 const (
-	AssumeFallbackAfter = int64(900e6)  // silence after which the bank assumes that a balancer spends its fallback rate
-	FallbackAfter       = int64(450e6)  // time without an answer after which a balancer spends its fallback rate
-	TokenExpiry         = int64(2500e6) // time without an answer after which a balancer drops its tokens
-	GrantExpiry         = int64(3000e6) // silence after which the bank counts a balancer's tokens as gone
-	PrefetchWindow      = int64(600e6)  // amount of demand that a balancer prefetches
+	AssumeFallbackAfter = int64(900e6)  // silence after which the bank assumes that a proxy spends its fallback rate
+	FallbackAfter       = int64(450e6)  // time without a response after which a proxy spends its fallback rate
+	TokenExpiry         = int64(2500e6) // time without a response after which a proxy drops its tokens
+	GrantExpiry         = int64(3000e6) // silence after which the bank counts a proxy's tokens as gone
+	PrefetchWindow      = int64(600e6)  // amount of demand that a proxy prefetches
 	minRetryAfter       = int64(40e6)   // shortest wait before the next request to an empty pool
 	firstRetryAfter     = int64(10e6)   // the same for a pool that has just run empty or been opened, as requests wait for it
 )
--- a/internal/mesh/ratelimit/ratelimit.go
+++ b/internal/mesh/ratelimit/ratelimit.go
@@ -1,8 +1,8 @@
-// Package ratelimit enforces limits that all balancers share: tenants' quotas (quota.go) and the retry budget of each
+// Package ratelimit enforces limits that all proxies share: tenants' quotas (quota.go) and the retry budget of each
 // service. It does no I/O and reads no clock.
 //
-// Retry budget: each of n balancers may spend 1/n of the window's slack, and a ratio of its own first attempts. It
-// needs no coordination.
+// Retry budget: each of n proxies may spend 1/n of the window's slack, and a ratio of its own first attempts. It needs
+// no coordination.
 package ratelimit
 
 import (
@@ -25,8 +25,7 @@
 	b.updatedAt = now
 }
 
-// RetryBudget limits the extra attempts (retries and hedges) that a balancer sends to one service over a sliding
-// window.
+// RetryBudget limits the extra attempts (retries and hedges) that a proxy sends to one service over a sliding window.
 type RetryBudget struct {
 	window                       int64
 	ratio, slack                 float64
@@ -64,8 +63,8 @@
 	return total
 }
 
-// NewRetryBudget returns an empty budget for a window in nanoseconds. ratio applies to the balancer's own first
-// attempts; slack is the number of extra attempts per window that all balancers share.
+// NewRetryBudget returns an empty budget for a window in nanoseconds. ratio applies to the proxy's own first attempts;
+// slack is the number of extra attempts per window that all proxies share.
 func NewRetryBudget(window int64, ratio, slack float64) *RetryBudget {
 	return &RetryBudget{window: window, ratio: ratio, slack: slack, topRank: priority.LowestRank}
 }
@@ -97,7 +96,7 @@
 	return true
 }
 
-// MaxExtraAttempts returns how many extra attempts are allowed in the window that ends now. A balancer uses half of its
+// MaxExtraAttempts returns how many extra attempts are allowed in the window that ends now. A proxy uses half of its
 // share for its own extra attempts. The other half covers the downstream calls of repeated requests, which cannot be
 // told from first attempts.
 func (b *RetryBudget) MaxExtraAttempts(members int) float64 {
--- a/internal/mesh/ratelimit/ratelimit_test.go
+++ b/internal/mesh/ratelimit/ratelimit_test.go
@@ -12,9 +12,9 @@
 
 const millisecond = int64(1e6)
 
-// quotaSimulation runs a random schedule: coordinator changes, messages lost in one or both directions, frozen
-// balancers, restarts of one or all balancers, and a load that changes up to many times the limit. Times are in
-// nanoseconds; slices have one element per balancer.
+// quotaSimulation runs a random schedule: coordinator changes, messages lost in one or both directions, frozen proxies,
+// restarts of one or all proxies, and a load that changes up to many times the limit. Times are in nanoseconds; slices
+// have one element per proxy.
 type quotaSimulation struct {
 	rng               *rand.Rand
 	now               int64
@@ -23,10 +23,10 @@
 	wallets           []*Wallet
 	incarnations      []int
 	requestsLostUntil []int64 // until then its requests are lost
-	grantsLostUntil   []int64 // until then answers to it are lost
+	grantsLostUntil   []int64 // until then responses to it are lost
 	frozenUntil       []int64
 	nextRequestAt     []int64
-	grantDueAt        []int64 // when the answer in flight arrives, -1 for none
+	grantDueAt        []int64 // when the response in flight arrives, -1 for none
 	grantsInFlight    []map[string]TokenGrant
 	requestSentAt     []int64
 	bank              *TokenBank
@@ -204,7 +204,7 @@
 	}
 }
 
-// At most 2 % of a tenant's requests are denied while its load, spread over many balancers, is below its rate.
+// At most 2 % of a tenant's requests are denied while its load, spread over many proxies, is below its rate.
 func TestLoadBelowQuotaIsRarelyDenied(t *testing.T) {
 	s := newQuotaSimulation(1, 65, Limit{7, 7, 5e9, 0.1, 20})
 	requests, denied := 0, 0
@@ -234,7 +234,7 @@
 	must.LessEq(t, requests/50, denied)
 }
 
-// A balancer spends no more extra attempts than the ratio of its first attempts plus its share of the slack.
+// A proxy spends no more extra attempts than the ratio of its first attempts plus its share of the slack.
 func TestRetryBudgetIsRatioPlusShareOfSlack(t *testing.T) {
 	budget := NewRetryBudget(10e9, 0.2, 58)
 	spent := 0
--- a/internal/mesh/ratelimit/token_bank.go
+++ b/internal/mesh/ratelimit/token_bank.go
@@ -12,13 +12,13 @@
 	tokens        float64
 	activeSeconds float64            // value of the bank's activeSeconds at the last refill
 	refilledAt    int64              // time of the last refill, in nanoseconds
-	outstanding   map[string]float64 // tokens in wallets, by balancer
+	outstanding   map[string]float64 // tokens in wallets, by proxy
 	emptyAt       int64              // when a request last found the pool empty
 
 	unused float64 // tokens beyond what the reserve allows the pool to hold, since TakeUnused
 }
 
-// balancerState is what the bank knows of a balancer from its last request.
+// balancerState is what the bank knows of a proxy from its last request.
 type balancerState struct {
 	incarnation string
 	seq         uint64
@@ -30,30 +30,30 @@
 type TokenBank struct {
 	openedAt      int64
 	balancers     map[string]*balancerState
-	balancerCount int // number of balancers, as agreed by the controllers
+	balancerCount int // number of proxies, as agreed by the controllers
 	pools         map[string]*tenantPool
 
-	activeSeconds float64 // time since the bank was opened, weighted with the fraction of balancers that drew on it
+	activeSeconds float64 // time since the bank was opened, weighted with the fraction of proxies that drew on it
 	advancedTo    int64   // time up to which activeSeconds is integrated, in nanoseconds
 }
 
-// Demand is what a balancer asks for one tenant, in tokens.
+// Demand is what a proxy asks for one tenant, in tokens.
 type Demand struct {
 	Held     float64 `json:",omitempty"`     // tokens that it holds
 	Wanted   float64 `json:"More,omitempty"` // tokens that it wants in addition
 	Returned float64 `json:"Back,omitempty"` // unspent tokens that it gives back
 }
 
-// TokenRequest is a balancer's request to the bank.
+// TokenRequest is a proxy's request to the bank.
 type TokenRequest struct {
 	Node        string
-	Incarnation string            `json:"Life"` // one run of the balancer's process
+	Incarnation string            `json:"Life"` // one run of the proxy's process
 	Seq         uint64            // increases with each request of an incarnation
 	Fallback    bool              `json:"Standing"` // it spends its fallback rate
 	Demands     map[string]Demand `json:"Wants"`    // by tenant
 }
 
-// TokenGrant is the bank's answer for one tenant.
+// TokenGrant is the bank's response for one tenant.
 type TokenGrant struct {
 	Tokens     float64 `json:",omitempty"`
 	RetryAfter int64   `json:"Dry,omitempty"` // nanoseconds to wait before the next request; 0 if there were enough tokens
@@ -64,7 +64,7 @@
 	return &TokenBank{openedAt: now, advancedTo: now, balancers: map[string]*balancerState{}, pools: map[string]*tenantPool{}}
 }
 
-// SetLimits applies the tenants' limits and the number of balancers.
+// SetLimits applies the tenants' limits and the number of proxies.
 func (b *TokenBank) SetLimits(limits map[string]Limit, count int, now int64) {
 	b.balancerCount = count
 	for tenant := range b.pools {
@@ -87,7 +87,7 @@
 	}
 }
 
-// activeFraction returns the fraction of the balancers that draw on the bank.
+// activeFraction returns the fraction of the proxies that draw on the bank.
 func (b *TokenBank) activeFraction(now int64) float64 {
 	active := 0
 	for _, balancer := range b.balancers {
@@ -157,8 +157,8 @@
 }
 
 // Grant answers a token request. It returns nil for a request that was overtaken by a later one. The tokens that a
-// balancer reports as held replace the bank's own count: a balancer's requests are sequential, so tokens of a lost
-// answer count as never granted.
+// proxy reports as held replace the bank's own count: a proxy's requests are sequential, so tokens of a lost response
+// count as never granted.
 func (b *TokenBank) Grant(request *TokenRequest, now int64) map[string]TokenGrant {
 	balancer := b.balancers[request.Node]
 	if balancer != nil && balancer.incarnation == request.Incarnation && request.Seq <= balancer.seq {
@@ -175,7 +175,7 @@
 		}
 	}
 	balancer.fallback = balancer.fallback && request.Fallback // fallback only if both the last and this request say so
-	b.advance(now)                                            // with the state of the balancers before this request
+	b.advance(now)                                            // with the state of the proxies before this request
 	balancer.seq, balancer.lastHeard, balancer.fallback = request.Seq, now, request.Fallback
 	for node, other := range b.balancers {
 		if now-other.lastHeard > 20*GrantExpiry {
--- a/internal/mesh/ratelimit/wallet.go
+++ b/internal/mesh/ratelimit/wallet.go
@@ -25,13 +25,13 @@
 	fallback   TokenBucket
 }
 
-// Wallet holds one balancer's tokens of all tenants. It starts empty: a balancer cannot know what its previous
-// incarnation had left, so a restart, even of all balancers at once, grants nothing twice.
+// Wallet holds one proxy's tokens of all tenants. It starts empty: a proxy cannot know what its previous incarnation
+// had left, so a restart, even of all proxies at once, grants nothing twice.
 type Wallet struct {
 	balancerCount     int
 	tenants           map[string]*tenantTokens
 	seq               uint64
-	rejoin            bool  // the bank answered after a fallback and counts the balancer as active from its next request on
+	rejoin            bool  // the bank answered after a fallback and counts the proxy as active from its next request on
 	answeredRequestAt int64 // send time of the latest answered request, in nanoseconds
 }
 
@@ -40,7 +40,7 @@
 	return &Wallet{tenants: map[string]*tenantTokens{}, answeredRequestAt: now - FallbackAfter - 1}
 }
 
-// SetLimits applies the tenants' limits and the known number of balancers.
+// SetLimits applies the tenants' limits and the known number of proxies.
 func (w *Wallet) SetLimits(limits map[string]Limit, balancerCount int, now int64) {
 	w.balancerCount = max(balancerCount, 1)
 	for tenant := range w.tenants {
@@ -99,8 +99,8 @@
 	return RequestTokens, 0
 }
 
-// targetTokens returns how many tokens the balancer should hold. It rounds down: for a tenant with few requests per
-// second, one token at each of many balancers would use up the quota and leave none where the next request arrives.
+// targetTokens returns how many tokens the proxy should hold. It rounds down: for a tenant with few requests per
+// second, one token at each of many proxies would use up the quota and leave none where the next request arrives.
 func (t *tenantTokens) targetTokens(now int64) float64 {
 	return math.Floor(t.demand * math.Exp(-float64(now-t.updatedAt)/nanosPerSecond) * float64(PrefetchWindow) / nanosPerSecond)
 }
@@ -146,7 +146,7 @@
 	w.answeredRequestAt = min(w.answeredRequestAt, now-FallbackAfter-1)
 }
 
-// ApplyGrants applies the answer to a request that was sent at sentAt.
+// ApplyGrants applies the response to a request that was sent at sentAt.
 func (w *Wallet) ApplyGrants(grants map[string]TokenGrant, sentAt, now int64) {
 	if sentAt < w.answeredRequestAt {
 		return
--- a/internal/mesh/routing/ambiguity.go
+++ b/internal/mesh/routing/ambiguity.go
@@ -10,7 +10,7 @@
 // findAmbiguities returns an error that lists everything ambiguous in a valid configuration: two routes with the same
 // host and prefix, an API key that is empty or belongs to two tenants, two tenants or services with the same name, an
 // unknown Destination in a route that also has an Apportion, and shares whose sum overflows. In configurations that
-// earlier versions accepted in spite of this, the last of conflicting items takes effect, as it did there.
+// earlier releases accepted in spite of this, the last of conflicting items takes effect, as it did there.
 func (c *Configuration) findAmbiguities() error {
 	var faults errs.Group
 	faults.Add(c.ambiguousServices())
--- a/internal/mesh/routing/parse.go
+++ b/internal/mesh/routing/parse.go
@@ -141,7 +141,7 @@
 	return configuration, nil
 }
 
-// Load decodes a configuration that has been agreed on. An ambiguous configuration that an earlier version accepted
+// Load decodes a configuration that has been agreed on. An ambiguous configuration that an earlier release accepted
 // stays in effect with the meaning that it had there. Ambiguities reports the conflicts, which the next change has to
 // resolve.
 func Load(document []byte) (*Configuration, error) { return decode(document, nil) }
--- a/internal/mesh/routing/strict_test.go
+++ b/internal/mesh/routing/strict_test.go
@@ -10,7 +10,7 @@
 )
 
 // Parse must reject a configuration that can be understood in two ways, since operators would not know which meaning is
-// in effect. Load must still accept it, because earlier versions may have agreed on it.
+// in effect. Load must still accept it, because earlier releases may have agreed on it.
 func TestParseRejectsAmbiguousConfigurations(t *testing.T) {
 	route := func(name, prefix string) string {
 		return fmt.Sprintf(`{"Name":%q,"MailClass":"repeatable","Sorting":{"StreetPrefix":%q},"Dispatch":{"Destination":"y","Deadline":"1s","DeliveryTries":1}}`, name, prefix)
@@ -37,7 +37,7 @@
 		must.NotEq(t, testConfiguration, body, must.Sprint(name))
 		_, err := Parse([]byte(body))
 		must.ErrorContains(t, err, c.message, must.Sprint(name))
-		agreed, err := Load([]byte(body)) // as agreed by an earlier version that accepted it
+		agreed, err := Load([]byte(body)) // as agreed by an earlier release that accepted it
 		must.NoError(t, err, must.Sprint(name))
 		must.ErrorContains(t, agreed.Ambiguities(), c.message, must.Sprint(name))
 	}
--- a/internal/mesh/rpc/paths.go
+++ b/internal/mesh/rpc/paths.go
@@ -1,7 +1,7 @@
 package rpc
 
-// Paths of the calls between the mesh's own processes. The previous version uses the same paths, so that they may change
-// only with a protocol version that both versions understand.
+// Paths of the calls between the mesh's own processes. The previous release uses the same paths, so they may change
+// only with a protocol version that both releases understand.
 const (
 	PathConsensus     = "/hive/swarm"         // consensus requests between controllers
 	PathGossip        = "/hive/mingle"        // gossip about registered proxies and peers between controllers
--- a/internal/mesh/simulation/core.go
+++ b/internal/mesh/simulation/core.go
@@ -126,8 +126,8 @@
 	faultsUntil int64
 }
 
-// faultFreeStart is how long a run has no faults at first. A core that has to tolerate the loss of two disks grows
-// from its three founders in that time.
+// faultFreeStart is how long a run has no faults at first. A core that has to tolerate the loss of two disks grows from
+// its three initial members in that time.
 const faultFreeStart = 4 * Second
 
 // Simulate runs the scenario once.
@@ -149,7 +149,7 @@
 	return sim
 }
 
-// startInitialProcesses starts the controllers, the founders with the initial state on their disks.
+// startInitialProcesses starts the controllers, the initial members with the initial state on their disks.
 func (sim *coreSimulation) startInitialProcesses() {
 	var founders []string
 	for n := range sim.Founders {
--- a/internal/mesh/simulation/core_faults.go
+++ b/internal/mesh/simulation/core_faults.go
@@ -196,7 +196,7 @@
 func (sim *coreSimulation) wipeDisk(proc *coreProcess) {
 	before := proc.disk.ID
 	proc.disk = sim.newEmptyDisk(proc.number)
-	if sim.StrangerVotes { // it keeps its founder identity
+	if sim.StrangerVotes { // it keeps its old identity
 		proc.disk.ID, proc.disk.Decided = before, sim.initialState
 	}
 }
--- a/internal/mesh/simulation/credit.go
+++ b/internal/mesh/simulation/credit.go
@@ -21,7 +21,7 @@
 	ServiceRate              float64 // service-to-service requests a second
 	Repeats                  float64 // share of the requests that is repeated at other proxies, up to twice, almost at the same time
 	LostResponses, NotRun    float64 // share of the attempts whose response is lost; share that never runs
-	Kills, Cuts, CoreOutages int     // of proxies; of regions from the core; of the whole core
+	Kills, Cuts, CoreOutages int     // kills of proxies; cuts of regions from the core; outages of the whole core
 	CutFor                   int64
 	Guard                    string // guard to disable, empty for none
 }
--- a/internal/mesh/simulation/credit_checks.go
+++ b/internal/mesh/simulation/credit_checks.go
@@ -58,8 +58,8 @@
 	if sim.result.Due > status.Earned+status.Granted+sim.result.Unheard+1e-6 {
 		violation("BEYOND: %.0f tokens spent of a credit of %.0f, %.0f of them never reported", sim.result.Due, status.Earned+status.Granted, sim.result.Unheard)
 	}
-	// Tokens are outstanding for Ahead, and reserved for the length of a request. Those of proxies that ended are granted
-	// a second time.
+	// Tokens are outstanding for burstcredit.PrefetchWindow, and reserved for the length of a request. Those of proxies
+	// that ended are granted a second time.
 	spent, stranded, _ := sim.terms["t"].Bounds(5 * Second)
 	sim.result.Bound, sim.result.StrandedBound = spent+sim.Extra*float64(sim.Kills), stranded
 	for a, proxy := 0, 0; proxy < len(sim.spentAt); proxy++ {
--- a/internal/mesh/simulation/mesh.go
+++ b/internal/mesh/simulation/mesh.go
@@ -17,7 +17,7 @@
 	Rate, Burst               float64
 	Demand                    float64 // requests of the tenant, as a multiple of its rate
 	PeakFactor                float64 // factor on Demand in the middle third of the run
-	Kills, KillAlls, Cuts     int     // of proxies
+	Kills, KillAlls, Cuts     int     // faults of proxies
 	ControllerKills, ZoneCuts int
 	FullBucket, NoGracePeriod bool    // guards to disable
 	UpstreamChanges           int     // changes of upstreams at random times
--- a/internal/mesh/simulation/partner.go
+++ b/internal/mesh/simulation/partner.go
@@ -17,7 +17,7 @@
 	Delay                int64   // one way
 	Rate                 float64 // requests a second, half of them with an effect
 	Changes              int     // of the partner's export table
-	Cuts, Freezes, Kills int     // of proxies from the core; of proxies; of the coordinator
+	Cuts, Freezes, Kills int     // cuts of proxies from the core; freezes of proxies; kills of the coordinator
 	CutFor               int64
 	Busy                 float64 // share of the requests that wait at the egress proxy before they leave
 	Rejected             float64 // share that the partner rejects without running it
--- a/internal/mesh/storage/backup.go
+++ b/internal/mesh/storage/backup.go
@@ -12,7 +12,7 @@
 // backupFormat is the version of the backup's encoding.
 const backupFormat = 1
 
-// Backup holds a decided state of the controllers' consensus group, from which a new group can be started.
+// Backup holds a decided state of the core, from which a new core can be started.
 type Backup struct {
 	Format int
 	State  *consensus.State
@@ -44,9 +44,8 @@
 	return backup.State, nil
 }
 
-// Restore writes a state to an empty directory, as the replica of a consensus group with a single member. The member
-// gets a new disk ID, so that no disk of the former group counts as a member; its controllers join the new group like
-// new ones.
+// Restore writes a state to an empty directory, as the replica of a core with a single member. The member gets a new
+// disk ID, so that no disk of the former core counts as a member; its controllers join the new core like new ones.
 func Restore(dir string, state *consensus.State, address, zone string) (id string, err error) {
 	if _, err := os.Stat(filepath.Join(dir, storeDirectory)); err == nil {
 		return "", Error.New("%s holds a copy already: restore needs an empty directory", dir)
@@ -56,7 +55,7 @@
 	}
 	id = NewID()
 	restored := *state
-	restored.Index += 1 << 20 // beyond any index that the lost group may have decided
+	restored.Index += 1 << 20 // beyond any index that the lost core may have decided
 	restored.Core, restored.Coordinator = []consensus.Member{{ID: id, Address: address, Zone: zone}}, consensus.Coordinator{}
 	store, _, initReason, err := Open(dir, func() (string, *consensus.State) { return id, &restored })
 	if err != nil {
--- a/internal/mesh/storage/encoding.go
+++ b/internal/mesh/storage/encoding.go
@@ -57,8 +57,8 @@
 	return json.Unmarshal(body, target)
 }
 
-// storedState is a state whose large documents are stored under their digests. A state without large documents is stored
-// as the previous version stores it.
+// storedState is a state whose large documents are stored under their digests. A state without large documents is
+// stored as the previous release stores it.
 type storedState struct {
 	*consensus.State
 	Parts consensus.DocumentDigests `json:",omitempty"`
--- a/internal/mesh/storage/format_test.go
+++ b/internal/mesh/storage/format_test.go
@@ -11,7 +11,7 @@
 	"ottershift/internal/mesh/consensus"
 )
 
-// The previous version stored each state together with its configuration in one value.
+// The previous release stored each state together with its configuration in one value.
 func TestReadsFormatOfPreviousVersion(t *testing.T) {
 	dir := t.TempDir()
 	must.NoError(t, os.MkdirAll(dir, 0o755))
--- a/internal/mesh/storage/storage.go
+++ b/internal/mesh/storage/storage.go
@@ -32,7 +32,7 @@
 	prefixDocument = "document-" // followed by the document's digest
 )
 
-// Names in the data directory. They are the same as in earlier versions.
+// Names in the data directory. They are the same as in earlier releases.
 const (
 	storeDirectory   = "wax"
 	quarantinePrefix = "unreadable-" // followed by a random ID: a store that could not be read
@@ -146,7 +146,7 @@
 	return replica, initReason, nil
 }
 
-// recordInstance increments the number of starts from this disk and gives the running instance a new token.
+// recordInstance increments the number of starts from this disk and gives the present incarnation a new token.
 func (s *Store) recordInstance(replica *consensus.Replica) error {
 	var last consensus.DiskIncarnation
 	if raw, err := s.get(keyInstance); err == nil {
@@ -257,7 +257,7 @@
 	return documents.Error()
 }
 
-// NewID returns a new random ID, for disks and for instances.
+// NewID returns a new random ID, for disks and for incarnations.
 func NewID() string {
 	var raw [12]byte
 	rand.Read(raw[:])
--- a/internal/mesh/versions_test.go
+++ b/internal/mesh/versions_test.go
@@ -29,7 +29,7 @@
 		core := startCatchUpCore(t, routes)
 		core.stop(oldMember)
 		cfg := core.plan.Controllers[oldMember]
-		must.NoError(t, os.RemoveAll(cfg.DataDir)) // an older version cannot read large documents on disk
+		must.NoError(t, os.RemoveAll(cfg.DataDir)) // an older release cannot read large documents on disk
 		must.NoError(t, os.MkdirAll(cfg.DataDir, 0o755))
 		path := filepath.Join(t.TempDir(), "settings")
 		must.NoError(t, testmesh.WriteSettings(cfg, path))
@@ -55,7 +55,7 @@
 		}
 		must.NoError(t, process.Process.Signal(syscall.SIGTERM))
 		process.Wait()
-		core.start(oldMember, 0) // on the disk that the older version wrote
+		core.start(oldMember, 0) // on the disk that the older release wrote
 		must.SliceEmpty(t, core.waitForCatchUp(oldMember, 0, "").staleResponses)
 		core.change(oldMember, 3)
 		must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool {
