--- a/internal/cluster/keep/state.go
+++ b/internal/cluster/keep/state.go
@@ -101,7 +101,7 @@
 	Load(data []byte) error
 }
 
-// TimedPart is a part that is told the elapsed time. The leader measures it on its monotonic clock and proposes it,
+// TimedPart is a part that receives the elapsed time. The leader measures it on its monotonic clock and proposes it,
 // so that the agreed time never runs faster than real time. Due returns the command body to propose when elapsed
 // nanoseconds have not been reported yet, or nil if nothing is due.
 type TimedPart interface {
--- a/internal/cluster/keep/store.go
+++ b/internal/cluster/keep/store.go
@@ -132,7 +132,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("record %d: %w", number, err)
 		}
-		// An index that is not higher than the last one begins the entries of another leader, which supersede ours.
+		// An index that is not higher than the last one begins the entries of another leader, which replace earlier ones.
 		if count := len(entries); count > 0 && entry.GetIndex() <= entries[count-1].GetIndex() {
 			kept := entry.GetIndex() - min(entry.GetIndex(), entries[0].GetIndex())
 			entries = entries[:kept:kept]
--- a/internal/cluster/ledger.go
+++ b/internal/cluster/ledger.go
@@ -126,7 +126,7 @@
 }
 
 // Ledger returns the ledger under the settings in force, or nil if claims are disabled. Its sequence numbers continue
-// across changes of settings, so a process has one ledger for its whole life.
+// across changes of settings, so a process has one ledger as long as it runs.
 func (c *Cluster) Ledger() *ledger.Ledger {
 	access := c.ledger
 	if access == nil {
--- a/internal/cluster/ledger/query.go
+++ b/internal/cluster/ledger/query.go
@@ -76,7 +76,7 @@
 	maxPageScan    = 20000 // records scanned for a page
 )
 
-// Read implements keep.Reader: it answers an encoded Query with an encoded Page.
+// Read implements keep.ReadablePart: it answers an encoded Query with an encoded Page.
 func (sm *StateMachine) Read(body []byte) []byte {
 	var query Query
 	if pack.Unpack(body, &query) != nil {
--- a/internal/cluster/ledger/statemachine.go
+++ b/internal/cluster/ledger/statemachine.go
@@ -376,7 +376,7 @@
 	sm.checksumLog[index%checksumLogSize] = loggedChecksum{index, sm.checksum}
 }
 
-// Due implements keep.Clocked: it returns the clock command that is due after the elapsed nanoseconds, or nil.
+// Due implements keep.TimedPart: it returns the clock command that is due after the elapsed nanoseconds, or nil.
 func (sm *StateMachine) Due(elapsed int64) []byte {
 	if len(sm.slotByKey) == 0 || elapsed < clockGranularity {
 		return nil
--- a/internal/cluster/member/core.go
+++ b/internal/cluster/member/core.go
@@ -310,7 +310,7 @@
 	}
 }
 
-// ObserveEnd handles the message that a run has gone. The run has left if its last status was final; else it is dead.
+// ObserveEnd handles the message that a run has ended. The run has left if its last status was final; else it is dead.
 func (c *Core) ObserveEnd(now int64, id ID) {
 	if id == c.self.ID {
 		return
@@ -336,7 +336,7 @@
 		return false
 	}
 	m.Status, m.LastHeard = status, now
-	if status.Final && m.State == Dead { // the final status arrived after the message that the run has gone
+	if status.Final && m.State == Dead { // the final status arrived after the message that the run has ended
 		c.setState(now, m, Left)
 	}
 	return true
@@ -384,7 +384,7 @@
 }
 
 // Tick forgets runs past their retention and periodically exchanges state with dead members and with configured addresses
-// that no live member has, at most config.AtOnce per round.
+// that no live member has, at most config.RejoinParallelism per round.
 func (c *Core) Tick(now int64) {
 	for _, m := range c.sorted() {
 		if m.State == Dead && now-m.StateSince > deadRetention || (m.State == Left || m.State == Superseded) && now-m.StateSince > endedRetention {
--- a/internal/cluster/member/core_test.go
+++ b/internal/cluster/member/core_test.go
@@ -177,7 +177,7 @@
 			}
 			deliver()
 		}
-	case 8: // p is told, rightly or not, that q has gone
+	case 8: // p receives a true or false report that q has ended
 		if p.running && !p.paused {
 			p.core.ObserveEnd(s.now, q.self.ID)
 		}
--- a/internal/cluster/peers.go
+++ b/internal/cluster/peers.go
@@ -16,7 +16,7 @@
 )
 
 // Sink receives the messages of peers. from and to number the decision engines over all balancers. raw is valid only until
-// Told returns.
+// HandleReport returns.
 type Sink interface {
 	// HandleReport handles a message.
 	HandleReport(from, to int, raw []byte)
@@ -70,7 +70,7 @@
 	delete(c.peerRoutes, roster.NameHash(pool))
 }
 
-// SendReport implements httpwire.Speaker. It never blocks: a message is dropped if the queue is full.
+// SendReport implements httpwire.ReportSender. It never blocks: a message is dropped if the queue is full.
 func (r *PeerRoute) SendReport(from, to int, raw []byte) {
 	receiver := to / r.shards
 	if to < 0 || receiver >= len(r.members) || receiver == r.self || len(raw) > maxPeerMessageBytes {
--- a/internal/desk/desk.go
+++ b/internal/desk/desk.go
@@ -67,7 +67,7 @@
 	sent      []*Attempt
 	pending   int // number of attempts without a result
 	class     *figures.TariffCounter
-	done      bool // has its answer, or the client is gone
+	done      bool // has its answer, or the client has disconnected
 	streaming bool // its answer is being streamed, without the engine
 }
 
@@ -313,7 +313,7 @@
 	})
 }
 
-// StreamStarted reports that the answer of an attempt is too long to be buffered and is being streamed to the client.
+// StreamStarted reports that the response to an attempt is too long to be buffered and is being streamed to the client.
 // Unless the transaction has ended already, the attempt settles it and its deadline is lifted, and StreamEnded has
 // to report the end of the stream. The engine has to know, or it would send a hedge after the client's first bytes.
 func (d *Dispatcher) StreamStarted(h *Handle, p *Attempt) (won bool) {
@@ -330,7 +330,7 @@
 	return won
 }
 
-// StreamEnded reports the end of a streamed answer.
+// StreamEnded reports the end of a streamed response.
 func (d *Dispatcher) StreamEnded(h *Handle, p *Attempt, complete bool) {
 	p.cancel(context.Canceled)
 	d.metrics.InFlight.Add(-1)
--- a/internal/httpwire/attempt.go
+++ b/internal/httpwire/attempt.go
@@ -65,7 +65,7 @@
 }
 
 // send sends the request once and handles the response. The outcome of a streamed response has been reported to
-// the desk already.
+// the dispatcher already.
 func (sh *shard) send(
 	handle *desk.Handle, attempt *desk.Attempt, txn *transaction, writer *connWriter, held *reservation,
 	stored *upstreamResponse,
--- a/internal/httpwire/conn_tracker.go
+++ b/internal/httpwire/conn_tracker.go
@@ -169,7 +169,7 @@
 	return unread
 }
 
-// evictBody closes the connection whose body has been silent for longest, to free its room. It returns false if
+// evictBody closes the connection whose body has been silent for longest, to free its buffer. It returns false if
 // there is none.
 func (tracker *connTracker) evictBody(own *trackedConn) bool {
 	tracker.mu.Lock()
--- a/internal/httpwire/conn_writer.go
+++ b/internal/httpwire/conn_writer.go
@@ -10,8 +10,8 @@
 	"ottershift/internal/rawconn"
 )
 
-// connWriter is the path of all writes of a transaction's attempts until its answer closes the path or its client
-// disconnects. Otherwise an attempt that waits for a connection, or for its turn to be written, could be sent
+// connWriter carries out all writes of a transaction's attempts. It refuses them once the transaction is answered
+// or its client has disconnected. Otherwise an attempt that waits for a connection, or to be written, could be sent
 // after the answer. The client is checked at each write, because after a stall of the process timers fire before
 // disconnects are noticed.
 type connWriter struct {
--- a/internal/httpwire/httpwire_test.go
+++ b/internal/httpwire/httpwire_test.go
@@ -302,7 +302,7 @@
 		}
 	}()
 	time.Sleep(20 * time.Millisecond)
-	if r, body := send("2"); r == logic.Settled && body != "2" || r != logic.Settled && r != logic.Unsent /* blames nobody */ {
+	if r, body := send("2"); r == logic.Settled && body != "2" || r != logic.Settled && r != logic.Unsent /* not the upstream's fault */ {
 		t.Errorf("second attempt: result %d, body %q", r, body)
 	}
 	<-done
--- a/internal/httpwire/limits.go
+++ b/internal/httpwire/limits.go
@@ -150,7 +150,7 @@
 	released bool
 }
 
-// reserve takes room for more bytes of a request body; all is the size of the body with them. A body longer than
+// reserve takes buffer space for more bytes of a request body; all is the size of the body with them. A body longer than
 // maxReservedBody may use at most 1/maxBodyShare of the memory, and only up to half of the memory may be in use.
 // Otherwise a few long bodies would take all of it, and short ones, which are always buffered, would be refused.
 func (held *reservation) reserve(bytes, all int64) bool {
--- a/internal/httpwire/ownership.go
+++ b/internal/httpwire/ownership.go
@@ -77,7 +77,7 @@
 type ownershipGuard struct {
 	ownership   Ownership
 	shard       *shard
-	withdrawnCh chan struct{} // receives when an attempt was refused and the transaction withdrawn from the desk
+	withdrawnCh chan struct{} // receives when an attempt was refused and the transaction withdrawn from the dispatcher
 	started     time.Time
 	timeout     time.Duration // at started
 
@@ -146,7 +146,7 @@
 	return admission == Admit
 }
 
-// arrival returns the description of the guarded transaction for the desk.
+// arrival returns the description of the guarded transaction for the dispatcher.
 func (guard *ownershipGuard) arrival(txn *transaction) desk.Arrival {
 	arrival := txn.arrival()
 	if guard != nil {
@@ -230,7 +230,7 @@
 	}
 }
 
-// withdrawn returns the channel that receives when the transaction has been withdrawn from the desk.
+// withdrawn returns the channel that receives when the transaction has been withdrawn from the dispatcher.
 func (guard *ownershipGuard) withdrawn() <-chan struct{} {
 	if guard == nil {
 		return nil
--- a/internal/httpwire/pool.go
+++ b/internal/httpwire/pool.go
@@ -36,7 +36,7 @@
 	cancel    context.CancelFunc
 }
 
-// shard is the part of a pool on one core, with its own desk, decision engine and upstream connections. Each shard
+// shard is the part of a pool on one core, with its own dispatcher, decision engine and upstream connections. Each shard
 // counts as a separate balancer for the engines. A client connection belongs to one shard.
 type shard struct {
 	*Pool
@@ -137,7 +137,7 @@
 	}
 }
 
-// HandleReport passes a load report on to one of the pool's engines. It implements peers.Sink.
+// HandleReport passes a load report on to one of the pool's engines. It implements peers.ReportHandler.
 func (pool *Pool) HandleReport(from, to int, raw []byte) {
 	if n := to - pool.settings.Load().Engine.Index*len(pool.shards); n >= 0 && n < len(pool.shards) {
 		pool.shards[n].desk.PeerReport(from, raw)
@@ -154,7 +154,7 @@
 func (pool *Pool) Log() *slog.Logger { return pool.log }
 
 // Update applies an update of the list of upstreams, or a complete list if complete is set, and logs what it changed. It
-// implements lists.Sink, as do Unlisted and Follow.
+// implements lists.Sink, as do SourceLost and Requested.
 func (pool *Pool) Update(entries []roster.Entry[string], complete bool) {
 	var change roster.Change
 	for _, sh := range pool.shards {
--- a/internal/httpwire/request.go
+++ b/internal/httpwire/request.go
@@ -55,7 +55,7 @@
 	upload *upload     // the rest of the body that is still being received, nil if there is none
 }
 
-// arrival returns the description of the transaction for the desk.
+// arrival returns the description of the transaction for the dispatcher.
 func (txn *transaction) arrival() desk.Arrival {
 	return desk.Arrival{
 		Config: txn.settings.Engine, Tariff: txn.tariff, Customer: txn.customer, Timeout: txn.timeout,
@@ -165,8 +165,8 @@
 	errNoBodyRoom = &requestError{http.StatusServiceUnavailable, "no room for the body"}
 )
 
-// readBody reads the body of a request, completely or as far as there is room. evict may free some room shortly
-// after. Room is reserved only as the body arrives, because the announced lengths together could exceed the
+// readBody reads the body of a request, completely or as far as there is buffer space. evict may free some shortly
+// after. Space is reserved only as the body arrives, because the announced lengths together could exceed the
 // memory.
 func (txn *transaction) readBody(
 	w http.ResponseWriter, req *http.Request, held *reservation, evict func() bool,
@@ -184,7 +184,7 @@
 			room := max(more, 1)
 			reserved := held.reserve(int64(room), int64(len(txn.body)+room))
 			for n := 0; !reserved && len(txn.body) <= maxReservedBody && n < evictionTries && evict(); n++ {
-				time.Sleep(recentWindow) // until the evicted connection has released its room
+				time.Sleep(recentWindow) // until the evicted connection has released its buffer
 				reserved = held.reserve(int64(room), int64(len(txn.body)+room))
 			}
 			if !reserved {
--- a/internal/httpwire/serve.go
+++ b/internal/httpwire/serve.go
@@ -176,8 +176,8 @@
 	}
 }
 
-// runTransaction runs a transaction from its arrival at the desk to its answer. withdrawn reports that it was
-// withdrawn from the desk instead.
+// runTransaction runs a transaction from its arrival at the dispatcher to its answer. withdrawn reports that it was
+// withdrawn from the dispatcher instead.
 func (front *FrontEnd) runTransaction(
 	w http.ResponseWriter, req *http.Request, sh *shard, txn *transaction, handle *desk.Handle, writer *connWriter,
 	held *reservation, guard *ownershipGuard,
--- a/internal/httpwire/stream.go
+++ b/internal/httpwire/stream.go
@@ -86,7 +86,7 @@
 }
 
 // readResponse reads a response, either to its end or as a stream. streamed reports that it was sent to the client
-// as a stream and that its outcome has been reported to the desk.
+// as a stream and that its outcome has been reported to the dispatcher.
 func (sh *shard) readResponse(
 	handle *desk.Handle, attempt *desk.Attempt, resp *http.Response, stored *upstreamResponse, held *reservation,
 ) (body []byte, streamed bool, err error) {
--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -71,7 +71,7 @@
 	}, nil
 }
 
-// Known implements desk.Module, as do the methods below.
+// Known implements desk.Engine, as do the methods below.
 func (b *Balancer) Known(i int) bool { return b.known[i] }
 
 func (b *Balancer) Join() int {
--- a/internal/process/ledger.go
+++ b/internal/process/ledger.go
@@ -31,7 +31,7 @@
 	settings *config.Settings
 }
 
-// Begin creates the claim of a transaction. It implements httpwire.Claims.
+// Begin creates the claim of a transaction. It implements httpwire.OwnershipRegistry.
 func (c *ledgerClaims) Begin(request httpwire.OwnershipRequest) httpwire.Ownership {
 	tariff := request.Settings
 	ask := ledger.Request{
@@ -47,7 +47,7 @@
 	return &transactionClaim{c.ledger.NewClaim(ask, request.Timeout), tariff}
 }
 
-// transactionClaim is the claim of one transaction. It implements httpwire.Claim.
+// transactionClaim is the claim of one transaction. It implements httpwire.Ownership.
 type transactionClaim struct {
 	*ledger.Claim
 	tariff *logic.Tariff
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -508,7 +508,7 @@
 	p.receivedOnce.Do(func() { close(p.listReceived) })
 }
 
-// followList starts the source of a pool's upstream list and stops the previous one. replaced tells that the pool had
+// followList starts the source of a pool's upstream list and stops the previous one. replaced means that the pool had
 // another source before.
 func (proc *Process) followList(target *pool, list plan.UpstreamSource, replaced bool) {
 	target.stopList()
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// TestPeerReports checks that balancers with peers send load reports by say and take them in by note_from, and that
-// malformed reports are reported and otherwise ignored.
+// TestPeerReports checks that balancers with peers send load reports in "say" messages and receive them in "note_from"
+// messages, and that malformed reports are reported and otherwise ignored.
 func TestPeerReports(t *testing.T) {
 	peers := strings.NewReplacer(`"fleet_size":1`, `"fleet_size":2,"self_index":1,"weight_source":"live"`,
 		`"probes":true`, `"probes":true,"peers":true`, `"pod":0,`, `"pod":0,"family_type":"k",`).Replace(startFrame)
--- a/logic/config_test.go
+++ b/logic/config_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // A new configuration with fewer attempts and another tariff applies to new transactions only. Open ones keep theirs,
-// and the learnt limit and hedge delay stay.
+// and the learned limit and hedge delay stay.
 func TestReconfigureKeepsConfigOfOpenTransactions(t *testing.T) {
 	first := testConfig(testTariff(Idempotent, Everywhere))
 	h := newHarness(t, first, 4, 1)
--- a/logic/copies.go
+++ b/logic/copies.go
@@ -18,7 +18,7 @@
 	if b.hedgeDelay = 0; sum(b.samples[:]) < minSamples {
 		return
 	}
-	// Hedges of many balancers multiply over the tiers, and each cancelled attempt costs its connection.
+	// Hedges of many balancers multiply over the tiers, and each cancelled attempt closes its connection.
 	scale := float64(b.config.Balancers-1) / manyBalancers
 	b.hedgeDelay = max(minHedgeDelay, b.latencyQuantile(1-max(minHedgeFraction, hedgeFraction/(1+scale*scale))))
 }
--- a/logic/fleet_test.go
+++ b/logic/fleet_test.go
@@ -272,8 +272,8 @@
 	}
 }
 
-// Without any fault, hedges must be rare: they multiply over the tiers of a service, and each cancelled attempt costs
-// its connection.
+// Without any fault, hedges must be rare: they multiply over the tiers of a service, and each cancelled attempt
+// closes its connection.
 func TestFleetSendsFewHedgesWithoutFaults(t *testing.T) {
 	for _, c := range []struct {
 		balancers   int
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -1,6 +1,6 @@
 // Package logic decides, for one balancer, which upstream serves each transaction and how it ends.
 //
-// The caller reports the events of a round in their order (Join, List, Drain, Leave, Listed; Arrive,
+// The caller reports the events of a round in their order (Join, List, Drain, Leave, Listed; Arrive, Sent,
 // BodyReceived, Outcome, StreamStarted, ClientGone; ProbeResult; PeerReport; Reconfigure, SetProcesses), then
 // calls Round once, which writes all decisions to a Writer. docs/design.md gives the reasons for the design.
 package logic
@@ -35,10 +35,10 @@
 	minLimitFactor     = 2. / 3 // lower bound of the limit, as a multiple of the initial limit
 	peerCongestedRatio = 2.0    // with peers: congestion begins at this multiple of usualRatio
 	maxLimitFactor     = 1.6    // with peers: the limit may always grow to this multiple of the initial limit
-	crossZonePenalty   = 10.0   // a crossing priced at a tenth of the earnings halves the cross-zone traffic
+	crossZonePenalty   = 10.0   // a cross-zone price of a tenth of the earnings halves that traffic
 	burstTokens        = 4      // transactions of a customer that may arrive at once by chance
 	tickInterval       = 200 * ms
-	congestedRatio     = 1.4 // the limit shrinks while answers take this many times the best time
+	congestedRatio     = 1.4 // the limit shrinks while responses take this many times the best time
 
 	reportsPerSend = 28       // load reports that each first attempt allows
 	minReportGap   = 10 * ms  // between load reports
@@ -100,7 +100,7 @@
 	return len(b.inUse) - 1
 }
 
-// reset drops what was learnt about an upstream.
+// reset drops what was learned about an upstream.
 func (b *Balancer) reset(i int) {
 	b.ejectedUntil[i], b.probesAnswered[i], b.unreachable[i] = 0, 0, false
 	b.logOdds[i], b.weight[i], b.successes[i], b.failures[i], b.kind[i], b.peerInFlight[i] = 0, 0, 0, 0, 0, 0
@@ -114,7 +114,7 @@
 func (b *Balancer) List(i int, u Upstream, now int64) {
 	b.now = now
 	if u.StartedAt > b.startedAt[i] && b.ready[i] {
-		b.reset(i) // restarted: it is cold, and what was learnt about it no longer holds
+		b.reset(i) // restarted: it is cold, and what was learned about it no longer holds
 	}
 	u.Weight = math.Max(u.Weight, 1e-6)
 	if b.config.LiveWeights {
@@ -148,7 +148,7 @@
 // Drain reports that an upstream drains. It gets nothing new from this round on, within any grace period.
 func (b *Balancer) Drain(i int) { b.ready[i], b.listDirty = false, true }
 
-// Leave reports that an upstream is gone. Its index may be reused once no attempt or probe is pending.
+// Leave reports that an upstream was removed. Its index may be reused once no attempt or probe is pending.
 func (b *Balancer) Leave(i int) {
 	b.ready[i], b.inUse[i], b.ejectedUntil[i], b.listDirty = false, false, 0, true
 }
@@ -198,7 +198,7 @@
 	b.mark(tx)
 }
 
-// Outcome reports the result of attempt n. final tells that the transaction ended with it or before.
+// Outcome reports the result of attempt n. final means that the transaction ended with it or before.
 func (b *Balancer) Outcome(tx *Transaction, n int, r Result, took int64, final bool, now int64) {
 	p := &tx.attempts[n]
 	if !p.pending {
@@ -227,7 +227,7 @@
 	b.mark(tx)
 }
 
-// StreamStarted reports that attempt n began to stream its answer to the client. Time-outs no longer apply.
+// StreamStarted reports that attempt n began to stream its response to the client. Time-outs no longer apply.
 func (b *Balancer) StreamStarted(tx *Transaction, n int) {
 	tx.streaming = &tx.attempts[n]
 	b.mark(tx)
@@ -400,7 +400,7 @@
 	b.cancelPending(tx)
 }
 
-// cancelPending cancels the pending attempts of an answered transaction, but not one that streams the answer.
+// cancelPending cancels pending attempts of an answered transaction, but not one that streams its response.
 func (b *Balancer) cancelPending(tx *Transaction) {
 	for n := range tx.attempts {
 		if p := &tx.attempts[n]; p.pending && !p.cancelled && p != tx.streaming && b.config.Cancelling {
--- a/logic/peers.go
+++ b/logic/peers.go
@@ -5,7 +5,7 @@
 // Load reports between the balancers of a pool.
 
 // sendReports sends peers the latency ratio and, per attempt in flight, the position of its upstream in the
-// assignment. Reports among many add up, so each first attempt pays for a fixed number of them.
+// assignment. Reports grow with the number of peers, so each first attempt allows a fixed number.
 func (b *Balancer) sendReports() {
 	if b.reportBudget < len(b.peers) {
 		b.nextReport = math.MaxInt64 // the next first attempt refills the budget
--- a/logic/peers_test.go
+++ b/logic/peers_test.go
@@ -109,7 +109,7 @@
 	}
 }
 
-// Live weights change with every list, but shares must not: each that moves costs new connections and learnt state.
+// Live weights change with every list, but shares must not: each share that moves costs new connections and learned state.
 func TestLiveWeightsDoNotMoveShares(t *testing.T) {
 	config := testConfig(testTariff(Idempotent, Everywhere))
 	config.Balancers, config.LiveWeights = 40, true
@@ -162,7 +162,7 @@
 	}
 }
 
-// Reports among many balancers add up, so their number per first attempt is bounded, whatever the size of the fleet.
+// The number of reports grows with that of the balancers, so it is bounded per first attempt for any size of the fleet.
 func TestReportsAreBounded(t *testing.T) {
 	h := newPeer(t, 1333, 5, 120)
 	for n := range 400 {
--- a/logic/room.go
+++ b/logic/room.go
@@ -27,7 +27,7 @@
 }
 
 // initLimit sets the initial limit by the number of upstreams and balancers, but at most to what the customer
-// quotas allow, as two for each of hundreds of balancers would be more than the list can bear.
+// quotas allow, as two transactions for each of hundreds of balancers could overload the upstreams.
 func (b *Balancer) initLimit() {
 	n, _ := b.inService()
 	total := initialConcurrency*float64(n) + 2*float64(b.config.Balancers)
@@ -150,7 +150,7 @@
 		b.baseRatio, congested, concurrency = usualRatio, peerCongestedRatio, b.concurrency()
 		perLoad, ceiling = b.longConcurrency/max(b.longLoad, 1e-12), maxLimitFactor*initial
 	}
-	// What sustains the best rate at the best ratio, scaled to the present mix and to the capacity that is left.
+	// The load that sustains the best rate at the best ratio, scaled to the present mix and remaining capacity.
 	full := b.bestRate * capacity * b.baseRatio * perLoad
 	if b.latencyRatio() > congested*b.baseRatio {
 		b.limit = max(minLimitFactor*initial, 0.8*full, 0.93*min(b.limit, concurrency))
--- a/logic/rotation.go
+++ b/logic/rotation.go
@@ -81,7 +81,7 @@
 	return fallback
 }
 
-// assign sets this balancer's shares. If hundreds used the whole list, each would learn too little of each.
+// assign sets this balancer's shares. If hundreds used the whole list, each would have few samples of each.
 // So they form partitions, whose members split each zone among them, in an order of each partition's own.
 func (b *Balancer) assign() {
 	b.listDirty, b.assigned = false, b.assigned[:0]
@@ -95,7 +95,7 @@
 			b.assigned, zones[b.zone[i]] = append(b.assigned, i), true
 		}
 	}
-	// Each partition has one balancer per upstream. Where crossings cost much, those in its zone must suffice.
+	// An upstream has one balancer per partition. If crossing zones is costly, those in its zone must suffice.
 	n := float64(len(zones))
 	perUpstream, perBalancer := minOverlap, minUpstreams
 	if b.config.Peers {
@@ -186,7 +186,7 @@
 func (b *Balancer) expectedWarmth(i int) float64 { return math.Sqrt(b.warmth(i)) }
 
 // refill adds and returns the tokens of a cold upstream: the warm rate times warmth and half the overload
-// factor. More from all balancers would overload it for good; less would jam the few warm ones of a new list.
+// factor. More from all balancers would overload it for good; less overloads the warm ones of a new list.
 func (b *Balancer) refill(i int) float64 {
 	rate := b.warmRate * b.share[i] * b.warmth(i) * b.config.OverloadFactor / 2 / b.processes
 	if b.warmRate == 0 {
--- a/logic/types.go
+++ b/logic/types.go
@@ -41,7 +41,7 @@
 	longestWait int64 // the longest wait seen for a first try of a client
 }
 
-// Same reports whether two tariffs have the same settings. Learnt state and user data are ignored.
+// Same reports whether two tariffs have the same settings. Learned state and user data are ignored.
 func (t *Tariff) Same(other *Tariff) bool {
 	a, b := *t, *other
 	a.UserData, b.UserData, a.longestWait, b.longestWait = nil, nil, 0, 0
@@ -122,9 +122,9 @@
 
 const (
 	Settled      Result = iota
-	Errored             // the upstream answered with an error
+	Errored             // the upstream responded with an error
 	Refused             // refused without processing
-	TimedOut            // no answer in time
+	TimedOut            // no response in time
 	Unreachable         // no connection could be opened
 	Disconnected        // the connection broke
 	Cancelled           // cancelled by this balancer
@@ -189,7 +189,7 @@
 	queued      bool     // waits for the concurrency limit
 	late        bool     // has had a late attempt
 	active      bool     // counted in Balancer.active
-	streaming   *Attempt // the attempt whose answer is being streamed
+	streaming   *Attempt // the attempt whose response is being streamed
 	answered    bool     // has its final answer
 }
 
@@ -323,7 +323,7 @@
 // SetProcesses sets how many processes act as this balancer at present, this one included.
 func (b *Balancer) SetProcesses(n int) { b.processes = float64(max(n, 1)) }
 
-// Reconfigure replaces the configuration. Open transactions keep the one that they came under, and learnt state stays.
+// Reconfigure replaces the configuration. Open transactions keep the one that they came under, and learned state stays.
 func (b *Balancer) Reconfigure(config *Config, now int64) error {
 	if err := config.Validate(); err != nil {
 		return err
@@ -333,7 +333,7 @@
 	return nil
 }
 
-// resetPeers drops all load reports, as the numbers of the balancers may have changed, and makes room for new ones.
+// resetPeers drops all load reports, as the numbers of the balancers may have changed, and allocates space for new ones.
 func (b *Balancer) resetPeers() {
 	for peer := range b.peerAttempts {
 		b.forgetPeer(peer)
