--- a/.ci/knownred/main.go
+++ b/.ci/knownred/main.go
@@ -1,6 +1,6 @@
-// Command knownred runs "go test" with the arguments that it is given and lets CI pass over just the tests that
-// KNOWN-RED.txt lists: at most three, one line each, "package.Test | cause | issue". A listed test that passes fails CI, as
-// does a list that can't be read.
+// Command knownred runs "go test" with the given arguments and tolerates failures of only the tests listed in
+// KNOWN-RED.txt: at most three, one per line, as "package.Test | cause | issue". A listed test that passes fails CI, as
+// does a malformed list.
 package main
 
 import (
@@ -14,19 +14,19 @@
 )
 
 const (
-	listFile   = "KNOWN-RED.txt"
-	mostListed = 3
+	listFile  = "KNOWN-RED.txt"
+	maxListed = 3
 )
 
-// red is a test that is known to fail.
-type red struct {
+// knownFailure is a test that is known to fail.
+type knownFailure struct {
 	Package, Test, Cause, Issue string
 }
 
 var testName = regexp.MustCompile(`^(.+)\.(Test\w+)$`)
 
-// parse reads the list. Blank lines don't count.
-func parse(text string) (all []red, err error) {
+// parse reads the list and ignores blank lines.
+func parse(text string) (all []knownFailure, err error) {
 	for n, line := range strings.Split(text, "\n") {
 		if strings.TrimSpace(line) == "" {
 			continue
@@ -40,21 +40,21 @@
 		}
 		name := testName.FindStringSubmatch(fields[0])
 		if name == nil || fields[1] == "" || fields[2] == "" {
-			return nil, fmt.Errorf("%s, line %d: a test of a package, its cause and its issue have to be said", listFile, n+1)
+			return nil, fmt.Errorf("%s, line %d: the package and test, the cause and the issue are required", listFile, n+1)
 		}
-		all = append(all, red{Package: name[1], Test: name[2], Cause: fields[1], Issue: fields[2]})
+		all = append(all, knownFailure{Package: name[1], Test: name[2], Cause: fields[1], Issue: fields[2]})
 	}
-	if len(all) > mostListed {
-		return nil, fmt.Errorf("%s lists %d tests; %d are the most", listFile, len(all), mostListed)
+	if len(all) > maxListed {
+		return nil, fmt.Errorf("%s lists %d tests; the maximum is %d", listFile, len(all), maxListed)
 	}
 	return all, nil
 }
 
-// skipped is the pattern of go test's -skip for the listed tests of a package.
-func skipped(all []red, of string) string {
+// skipPattern returns the go test -skip pattern for the listed tests of a package.
+func skipPattern(all []knownFailure, pkg string) string {
 	var names []string
 	for _, r := range all {
-		if r.Package == of {
+		if r.Package == pkg {
 			names = append(names, r.Test)
 		}
 	}
@@ -68,7 +68,7 @@
 	}
 }
 
-// run plays all packages that args name (the last argument is their pattern), the listed tests by themselves.
+// run tests the packages that match the last argument. It runs the listed tests separately.
 func run(args []string) error {
 	if len(args) == 0 {
 		return errors.New("usage: knownred [flags of go test] PACKAGES")
@@ -97,19 +97,19 @@
 		}
 		fmt.Printf("known red: %s.%s: %s (issue %s)\n", r.Package, r.Test, r.Cause, r.Issue)
 		if goTest(append(slices.Clone(flags), "-run", "^"+r.Test+"$"), r.Package) == nil {
-			failures = append(failures, fmt.Errorf("%s.%s passes: take it off %s", r.Package, r.Test, listFile))
+			failures = append(failures, fmt.Errorf("%s.%s passes: remove it from %s", r.Package, r.Test, listFile))
 		}
 	}
-	var clean []string
+	var unlisted []string
 	for _, p := range packages {
-		if slices.ContainsFunc(all, func(r red) bool { return r.Package == p }) {
-			failures = append(failures, goTest(append(slices.Clone(flags), "-skip", skipped(all, p)), p))
+		if slices.ContainsFunc(all, func(r knownFailure) bool { return r.Package == p }) {
+			failures = append(failures, goTest(append(slices.Clone(flags), "-skip", skipPattern(all, p)), p))
 		} else {
-			clean = append(clean, p)
+			unlisted = append(unlisted, p)
 		}
 	}
-	if len(clean) > 0 {
-		failures = append(failures, goTest(flags, clean...))
+	if len(unlisted) > 0 {
+		failures = append(failures, goTest(flags, unlisted...))
 	}
 	return errors.Join(failures...)
 }
--- a/.ci/knownred/main_test.go
+++ b/.ci/knownred/main_test.go
@@ -6,14 +6,14 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestTheListIsRead(t *testing.T) {
+func TestParse(t *testing.T) {
 	all, err := parse("ottershift/internal/a.TestOne | a race | 57\n\nottershift/internal/b.TestTwo | a cause | 58\n")
 	must.NoError(t, err)
-	must.Eq(t, []red{{"ottershift/internal/a", "TestOne", "a race", "57"}, {"ottershift/internal/b", "TestTwo", "a cause", "58"}}, all)
-	must.Eq(t, "^(TestOne)$", skipped(all, "ottershift/internal/a"))
+	must.Eq(t, []knownFailure{{"ottershift/internal/a", "TestOne", "a race", "57"}, {"ottershift/internal/b", "TestTwo", "a cause", "58"}}, all)
+	must.Eq(t, "^(TestOne)$", skipPattern(all, "ottershift/internal/a"))
 }
 
-func TestAListThatSaysTooLittleOrTooMuchIsRefused(t *testing.T) {
+func TestParseRejectsIncompleteOrOversizedList(t *testing.T) {
 	line := "ottershift/internal/a.TestOne | a race | 57\n"
 	for _, text := range []string{
 		"ottershift/internal/a.TestOne | a race\n", "TestOne | a race | 57\n", "ottershift/internal/a.TestOne | | 57\n", line + line + line + line,
--- a/.ci/linked/main.go
+++ b/.ci/linked/main.go
@@ -1,4 +1,4 @@
-// linked fails unless a program is linked dynamically against the C library, as the platform wants it.
+// Command linked fails unless a program is linked dynamically against the C library, as the platform requires.
 package main
 
 import (
@@ -22,12 +22,12 @@
 		return fmt.Errorf("%s: %w", path, err)
 	}
 	defer f.Close()
-	needs, err := f.ImportedLibraries()
+	libraries, err := f.ImportedLibraries()
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	if !slices.ContainsFunc(needs, func(name string) bool { return strings.HasPrefix(name, "libc.") }) {
-		return fmt.Errorf("%s is not linked against the C library; it needs %v", path, needs)
+	if !slices.ContainsFunc(libraries, func(name string) bool { return strings.HasPrefix(name, "libc.") }) {
+		return fmt.Errorf("%s is not linked against the C library; it needs %v", path, libraries)
 	}
 	return nil
 }
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,4 @@
-// Command adapter runs balancers on the bench's wire: frames in on standard input, replies out on standard
-// output.
+// Command adapter runs balancers for the bench: it reads frames from standard input and writes replies to standard output.
 package main
 
 import (
--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -1,4 +1,4 @@
-// Command controller is a process of the mesh's core.
+// Command controller is a replica of the mesh's core.
 package main
 
 import (
@@ -10,7 +10,7 @@
 )
 
 func main() {
-	mesh.Main("controller", "A process of the core: it keeps what is agreed and gives news.", func(b *settings.Settings, log *slog.Logger) (mesh.Process, error) {
+	mesh.Main("controller", "A replica of the core: it stores the replicated state and publishes updates.", func(b *settings.Settings, log *slog.Logger) (mesh.Process, error) {
 		return controller.Open(b, log)
 	})
 }
--- a/cmd/meshctl/main.go
+++ b/cmd/meshctl/main.go
@@ -1,4 +1,4 @@
-// Command meshctl is the operators' command line of a mesh.
+// Command meshctl is the operator's command line for a mesh.
 package main
 
 import (
--- a/cmd/meshsim/ask.go
+++ b/cmd/meshsim/ask.go
@@ -11,9 +11,9 @@
 )
 
 func askCommand(app *kingpin.Application) command {
-	ask := app.Command("ask", "Answer a question: a table, a row for each value that it varies.")
+	ask := app.Command("ask", "Answer a question with a table: one row per value that it varies.")
 	files := ask.Arg("file", "Question, TOML.").Required().ExistingFiles()
-	seeds := ask.Flag("seeds", "Days a row, instead of what the question says.").Int()
+	seeds := ask.Flag("seeds", "Simulated days per row, instead of the question's number.").Int()
 	asJSON := ask.Flag("json", "Answer as JSON.").Bool()
 	quiet := ask.Flag("quiet", "No progress.").Bool()
 	return command{ask.FullCommand(), func(app *kingpin.Application) {
@@ -23,7 +23,7 @@
 			if *seeds > 0 {
 				q.Seeds = *seeds
 			}
-			held = answer(app, q, file, *asJSON, *quiet) && held
+			held = printAnswer(app, q, file, *asJSON, *quiet) && held
 		}
 		if !held {
 			fmt.Println("verdict=broken")
@@ -33,8 +33,8 @@
 	}}
 }
 
-// answer prints a question's rows and reports whether it held.
-func answer(app *kingpin.Application, q *simulation.Question, file string, asJSON, quiet bool) bool {
+// printAnswer prints the rows of a question and reports whether they meet its expectation.
+func printAnswer(app *kingpin.Application, q *simulation.Question, file string, asJSON, quiet bool) bool {
 	names, rows, err := q.Answer(func(done, all int) {
 		if !quiet {
 			fmt.Fprintf(os.Stderr, "\r%s: %d of %d rows", file, done, all)
@@ -53,7 +53,7 @@
 }
 
 func playCommand(app *kingpin.Application) command {
-	play := app.Command("play", "Play one day of a question and tell what came of it.")
+	play := app.Command("play", "Simulate one day of a question and print the result.")
 	file := play.Arg("file", "Question, TOML.").Required().ExistingFile()
 	seed := play.Flag("seed", "Which.").Default("1").Uint64()
 	return command{play.FullCommand(), func(app *kingpin.Application) {
@@ -61,8 +61,8 @@
 	}}
 }
 
-func printJSON(app *kingpin.Application, what any) {
-	raw, err := json.MarshalIndent(what, "", "  ")
+func printJSON(app *kingpin.Application, value any) {
+	raw, err := json.MarshalIndent(value, "", "  ")
 	app.FatalIfError(err, "")
 	fmt.Println(string(raw))
 }
--- a/cmd/meshsim/hunt.go
+++ b/cmd/meshsim/hunt.go
@@ -8,11 +8,11 @@
 )
 
 func huntCommand(app *kingpin.Application) command {
-	hunt := app.Command("hunt", "Look for a day that breaks a rule, shrink it to the fewest faults and write it as a question.")
-	file := hunt.Arg("file", "Question, TOML: its numbers of faults are where the hunt begins.").Required().ExistingFile()
-	days := hunt.Flag("days", "Days to play at most.").Default("5000").Int()
-	seed := hunt.Flag("seed", "Of the hunt.").Default("1").Uint64()
-	out := hunt.Flag("out", "Where to write the day.").Default("found.toml").String()
+	hunt := app.Command("hunt", "Search for a day that breaks a rule, shrink it to the fewest faults and write it as a question.")
+	file := hunt.Arg("file", "Question, TOML; the search starts from its numbers of faults.").Required().ExistingFile()
+	days := hunt.Flag("days", "Maximum number of days to simulate.").Default("5000").Int()
+	seed := hunt.Flag("seed", "Seed of the search.").Default("1").Uint64()
+	out := hunt.Flag("out", "File to write the day to.").Default("found.toml").String()
 	return command{hunt.FullCommand(), func(app *kingpin.Application) {
 		q := readQuestion(app, *file)
 		found, played := q.Search(*seed, *days, func(played int, near float64) {
--- a/cmd/meshsim/main.go
+++ b/cmd/meshsim/main.go
@@ -1,5 +1,5 @@
-// Command meshsim answers what-if questions about a mesh, with the mesh's own state machines on a virtual clock, and plays meshes
-// of real processes.
+// Command meshsim answers what-if questions about a mesh by running the mesh's own state machines on a virtual clock. It
+// also runs meshes of real processes.
 package main
 
 import (
@@ -11,21 +11,21 @@
 	"ottershift/internal/mesh/simulation"
 )
 
-// exitBroken is the code of a command that found a broken rule.
+// exitBroken is the exit code of a command that found a broken rule.
 const exitBroken = 1
 
-// command is one verb: what it is called and what it does.
+// command is a subcommand: its full name and its action.
 type command struct {
 	name string
 	run  func(app *kingpin.Application)
 }
 
 func main() {
-	app := kingpin.New("meshsim", "Plays a mesh on a virtual clock: other sizes, other failures, other settings.")
+	app := kingpin.New("meshsim", "Simulates a mesh on a virtual clock with other sizes, failures or settings.")
 	processes := processFlags{
-		programs: app.Flag("programs", "Folder with controller and proxy; where this program is, if not given.").String(),
-		beside:   app.Flag("beside", "Folder with another version's controller and proxy: every second process is started from it.").String(),
-		logs:     app.Flag("logs", "Folder for what the processes of run, demo and scale write.").String(),
+		programs:       app.Flag("programs", "Folder with controller and proxy; the folder of this program by default.").String(),
+		secondPrograms: app.Flag("beside", "Folder with another version's controller and proxy: every second process runs from it.").String(),
+		logs:           app.Flag("logs", "Folder for the logs of the processes of run, demo and scale.").String(),
 	}
 	commands := []command{askCommand(app), playCommand(app), huntCommand(app), runCommand(app, processes), demoCommand(app, processes), scaleCommand(app, processes)}
 	chosen := kingpin.MustParse(app.Parse(os.Args[1:]))
@@ -36,11 +36,11 @@
 	}
 }
 
-// processFlags are those of the commands that start real processes.
-type processFlags struct{ programs, beside, logs *string }
+// processFlags are the flags of the commands that start real processes.
+type processFlags struct{ programs, secondPrograms, logs *string }
 
-// folder is where the programs are.
-func (f processFlags) folder(app *kingpin.Application) string {
+// programDir returns the folder of the programs to start.
+func (f processFlags) programDir(app *kingpin.Application) string {
 	if *f.programs != "" {
 		return *f.programs
 	}
--- a/cmd/meshsim/run.go
+++ b/cmd/meshsim/run.go
@@ -15,10 +15,10 @@
 )
 
 func runCommand(app *kingpin.Application, flags processFlags) command {
-	run := app.Command("run", "Play a question's mesh as real processes on loopback, and judge it by what clients, upstreams and operators saw.")
-	file := run.Arg("file", "Question, TOML: its table [run].").Required().ExistingFile()
-	seed := run.Flag("seed", "Of the clients.").Uint64()
-	short := run.Flag("short", "Its short form.").Bool()
+	run := app.Command("run", "Run a question's mesh as real processes on loopback and judge it by what clients, upstreams and operators saw.")
+	file := run.Arg("file", "Question, TOML, with a table [run].").Required().ExistingFile()
+	seed := run.Flag("seed", "Seed of the clients.").Uint64()
+	short := run.Flag("short", "Run the short form.").Bool()
 	return command{run.FullCommand(), func(app *kingpin.Application) {
 		q := readQuestion(app, *file)
 		if *seed > 0 {
@@ -29,28 +29,28 @@
 }
 
 func demoCommand(app *kingpin.Application, flags processFlags) command {
-	demo := app.Command("demo", "Show a mesh for 20 seconds: three controllers, six proxies, one of each killed on the way.")
+	demo := app.Command("demo", "Run a mesh for 20 seconds: three controllers and six proxies, one of each killed during the run.")
 	return command{demo.FullCommand(), func(app *kingpin.Application) { playProcesses(app, flags, simulation.Demo(), false) }}
 }
 
-// playProcesses plays a question's real processes and prints what was seen.
+// playProcesses runs a question's mesh as real processes and prints the result.
 func playProcesses(app *kingpin.Application, flags processFlags, q *simulation.Question, short bool) {
-	ctx, end := untilSignal()
-	defer end()
+	ctx, stop := signalContext()
+	defer stop()
 	began := time.Now()
 	fmt.Println(q.Title)
-	mesh := q.ProcessMesh(flags.folder(app), *flags.logs, short)
-	mesh.Beside = *flags.beside
-	seen, err := processes.Play(ctx, mesh, func(format string, args ...any) {
+	mesh := q.ProcessMesh(flags.programDir(app), *flags.logs, short)
+	mesh.Beside = *flags.secondPrograms
+	result, err := processes.Play(ctx, mesh, func(format string, args ...any) {
 		fmt.Printf("%6.2fs  %s\n", time.Since(began).Seconds(), fmt.Sprintf(format, args...))
 	})
 	app.FatalIfError(err, "")
-	seen.Print(os.Stdout)
-	if len(seen.Broken) > 0 {
+	result.Print(os.Stdout)
+	if len(result.Broken) > 0 {
 		os.Exit(exitBroken)
 	}
 }
 
-func untilSignal() (context.Context, context.CancelFunc) {
+func signalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 }
--- a/cmd/meshsim/scale.go
+++ b/cmd/meshsim/scale.go
@@ -10,17 +10,17 @@
 )
 
 func scaleCommand(app *kingpin.Application, flags processFlags) command {
-	verb := app.Command("scale", "Measure how a mesh's cost grows: hollow balancers at real controllers, beside real proxies, at several sizes.")
-	file := verb.Arg("file", "Plan, TOML.").Required().ExistingFile()
-	sizes := verb.Flag("size", "A size to play instead of the plan's; may be given more than once.").Ints()
-	asJSON := verb.Flag("json", "Answer as JSON.").Bool()
-	svg := verb.Flag("svg", "Where to draw the figures.").String()
-	quiet := verb.Flag("quiet", "No progress.").Bool()
-	return command{verb.FullCommand(), func(app *kingpin.Application) {
+	cmd := app.Command("scale", "Measure how a mesh's cost grows: emulated balancers and real proxies at real controllers, at several sizes.")
+	file := cmd.Arg("file", "Plan, TOML.").Required().ExistingFile()
+	sizes := cmd.Flag("size", "A size to run instead of the plan's; repeatable.").Ints()
+	asJSON := cmd.Flag("json", "Answer as JSON.").Bool()
+	svg := cmd.Flag("svg", "File to write the charts to.").String()
+	quiet := cmd.Flag("quiet", "No progress.").Bool()
+	return command{cmd.FullCommand(), func(app *kingpin.Application) {
 		plan := readPlan(app, *file, *sizes)
-		ctx, end := untilSignal()
-		defer end()
-		report, err := scale.Run(ctx, plan, flags.folder(app), *flags.logs, func(row scale.Row) {
+		ctx, stop := signalContext()
+		defer stop()
+		report, err := scale.Run(ctx, plan, flags.programDir(app), *flags.logs, func(row scale.Row) {
 			if !*quiet {
 				fmt.Fprintln(os.Stderr, row.Summary())
 			}
--- a/cmd/ottershift/check.go
+++ b/cmd/ottershift/check.go
@@ -17,15 +17,15 @@
 
 func checkCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "check FILE", Short: "Say all that is wrong with a configuration", Args: cobra.ExactArgs(1),
-		Long: `Names every fault of a file with its line, its key and what would be right, and remarks on what is no fault but
-worth knowing. Exits with 1 if there is a fault.`,
+		Use: "check FILE", Short: "Validate a configuration", Args: cobra.ExactArgs(1),
+		Long: `Reports every fault of a file with its line, its key and the expected value, and remarks on valid but noteworthy
+settings. Exits with 1 if there is a fault.`,
 		RunE: func(c *cobra.Command, args []string) error {
-			p, wrong := plan.Read(args[0])
-			n, m := tell(c.OutOrStdout(), wrong)
+			p, problems := plan.Read(args[0])
+			n, m := printFaults(c.OutOrStdout(), problems)
 			if p == nil {
 				fmt.Fprintf(c.OutOrStdout(), "%s: %s, %s\n", args[0], count(n, "fault"), count(m, "remark"))
-				return errSaid
+				return errReported
 			}
 			fmt.Fprintf(c.OutOrStdout(), "%s: in order: %s, %s, %s, %s\n", args[0], count(len(p.Listeners), "listener"),
 				count(len(p.Pools), "pool"), count(len(p.Routes), "route"), count(m, "remark"))
@@ -43,9 +43,9 @@
 	}
 }
 
-// tell writes faults, a line each.
-func tell(w io.Writer, all []faults.Fault) (faulty, remarks int) {
-	for _, f := range all {
+// printFaults writes faults and remarks, one per line, and counts them.
+func printFaults(w io.Writer, problems []faults.Fault) (faulty, remarks int) {
+	for _, f := range problems {
 		if f.Warning {
 			remarks++
 			fmt.Fprintf(w, "remark: %v\n", f)
@@ -68,59 +68,59 @@
 	var headers []string
 	var listener string
 	c := &cobra.Command{
-		Use: "routes FILE METHOD URL", Short: "Say which route takes a transaction, and why", Args: cobra.ExactArgs(3),
-		Long: `Says which route and pool take a transaction, which other routes its host and path fit, and why those lost. Exits
-with 1 if none takes it.`,
+		Use: "routes FILE METHOD URL", Short: "Explain which route matches a transaction", Args: cobra.ExactArgs(3),
+		Long: `Prints the route and pool selected for a transaction, the other routes that match its host and path, and why they were
+not selected. Exits with 1 if no route matches.`,
 		Example: `  ottershift routes examples/three-pools.toml GET http://album.example.org/album/2026 -H 'X-Lane: view'`,
 		RunE: func(c *cobra.Command, args []string) error {
-			p, wrong := plan.Read(args[0])
+			p, problems := plan.Read(args[0])
 			if p == nil {
-				tell(c.ErrOrStderr(), wrong)
-				return errSaid
+				printFaults(c.ErrOrStderr(), problems)
+				return errReported
 			}
-			to, err := url.Parse(args[2])
+			target, err := url.Parse(args[2])
 			if err != nil {
 				return err
 			}
-			host, ok := routes.NormalizeHost(to.Host)
+			host, ok := routes.NormalizeHost(target.Host)
 			if !ok {
-				return fmt.Errorf("the host %q makes no sense: it would be answered 400", to.Host)
+				return fmt.Errorf("invalid host %q: the balancer would answer 400", target.Host)
 			}
-			path, ok := routes.NormalizePath(to.EscapedPath())
+			path, ok := routes.NormalizePath(target.EscapedPath())
 			if !ok {
-				return fmt.Errorf("the path %q makes no sense: it would be answered 400", to.EscapedPath())
+				return fmt.Errorf("invalid path %q: the balancer would answer 400", target.EscapedPath())
 			}
-			said := http.Header{}
+			header := http.Header{}
 			for _, h := range headers {
 				name, value, ok := strings.Cut(h, ":")
 				if !ok {
-					return fmt.Errorf("-H %q is no header; write it as 'Name: value'", h)
+					return fmt.Errorf("-H %q is not a header; the format is 'Name: value'", h)
 				}
-				said.Add(name, strings.TrimSpace(value))
+				header.Add(name, strings.TrimSpace(value))
 			}
 			if listener == "" && len(p.Listeners) == 1 {
 				listener = p.Listeners[0].Name
 			}
-			return explain(c.OutOrStdout(), p, &routes.Request{
+			return printRouteMatches(c.OutOrStdout(), p, &routes.Request{
 				Listener: listener, Host: host, Path: path, Method: args[1],
 				Header: func(name string) (string, bool) {
-					v := said[http.CanonicalHeaderKey(name)]
+					v := header[http.CanonicalHeaderKey(name)]
 					return strings.Join(v, ""), len(v) == 1
 				},
 			})
 		},
 	}
-	c.Flags().StringArrayVarP(&headers, "header", "H", nil, "a header of the transaction, 'Name: value'")
-	c.Flags().StringVar(&listener, "listener", "", "the listener that it comes to, where there are several")
+	c.Flags().StringArrayVarP(&headers, "header", "H", nil, "header of the transaction, 'Name: value'")
+	c.Flags().StringVar(&listener, "listener", "", "listener of the transaction, if there are several")
 	return c
 }
 
-func explain(w io.Writer, p *plan.Plan, q *routes.Request) error {
-	fmt.Fprintf(w, "%s host %q path %q, as they are looked up\n", q.Method, q.Host, q.Path)
-	all := p.Table.Explain(q)
+func printRouteMatches(w io.Writer, p *plan.Plan, req *routes.Request) error {
+	fmt.Fprintf(w, "%s host %q path %q, as they are looked up\n", req.Method, req.Host, req.Path)
+	matches := p.Table.Explain(req)
 	taken := false
 	out := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	for _, m := range all {
+	for _, m := range matches {
 		tariff := m.Route.Tariff
 		if tariff == "" {
 			tariff = "as it says itself"
@@ -134,7 +134,7 @@
 	out.Flush()
 	if !taken {
 		fmt.Fprintln(w, "no route takes it: 404")
-		return errSaid
+		return errReported
 	}
 	return nil
 }
--- a/cmd/ottershift/cluster.go
+++ b/cmd/ottershift/cluster.go
@@ -18,8 +18,8 @@
 	"ottershift/internal/ops"
 )
 
-// asked sends staff's word to a balancer and gives its lines.
-func asked(address, call string, within time.Duration) ([]string, error) {
+// callOps sends an operator's call to a balancer's ops address and returns the lines of the answer.
+func callOps(address, call string, within time.Duration) ([]string, error) {
 	text, ok, err := ops.Call(address, call, within)
 	if err != nil {
 		return nil, err
@@ -39,11 +39,12 @@
 func ownersCommand() *cobra.Command {
 	var raw bool
 	c := &cobra.Command{
-		Use: "owners [ADDRESS]", Short: "Say who owns which duty of the cluster, by which token", Args: cobra.MaximumNArgs(1),
-		Long: `ADDRESS is a balancer's "ops", 127.0.0.1:9901 if it isn't said. Tells what that balancer knows of duties: owner, token, how
-long it may act itself without a renewal, the highest token it has seen, and how many acts of old owners it has refused.`,
+		Use: "owners [ADDRESS]", Short: "Show the owner and fencing token of each duty", Args: cobra.MaximumNArgs(1),
+		Long: `ADDRESS is a balancer's "ops" address, 127.0.0.1:9901 by default. Prints what that balancer knows of each duty: owner,
+token, how long the balancer itself may act without a renewal, the highest token seen, and how many acts of former
+owners it has refused.`,
 		RunE: func(c *cobra.Command, args []string) error {
-			lines, err := asked(seat(args), "CLUSTER owners", 2*time.Second)
+			lines, err := callOps(opsAddress(args), "CLUSTER owners", 2*time.Second)
 			if err != nil {
 				return err
 			}
@@ -62,18 +63,18 @@
 				if d.Owned {
 					left = (time.Duration(d.RemainingMS) * time.Millisecond).String()
 				}
-				fmt.Fprintf(out, "%s\t%s\t%d\t%s\t%d\n", d.Duty, dash(d.Owner), d.Token, left, d.HighestToken)
+				fmt.Fprintf(out, "%s\t%s\t%d\t%s\t%d\n", d.Duty, orDash(d.Owner), d.Token, left, d.HighestToken)
 			}
 			out.Flush()
 			fmt.Fprintf(c.OutOrStdout(), "as known by %s, session %d; %d acts of old owners refused here, %d sessions ended\n", o.Name, o.Session, o.Refused, o.EndedSessions)
 			return nil
 		},
 	}
-	c.Flags().BoolVar(&raw, "json", false, "a line of JSON instead of a table")
+	c.Flags().BoolVar(&raw, "json", false, "print a line of JSON instead of a table")
 	return c
 }
 
-func seat(args []string) string {
+func opsAddress(args []string) string {
 	if len(args) > 0 {
 		return args[0]
 	}
@@ -83,55 +84,55 @@
 func clusterCommand() *cobra.Command {
 	var address string
 	c := &cobra.Command{
-		Use: "cluster", Short: "Look after the keepers of a cluster",
-		Long: `status, replace, transfer and snapshot ask a running balancer at its "ops"; restore and recover work on a directory that no
-process uses. docs/owners.md tells what to do when a keeper, a majority or a disk is lost.`,
+		Use: "cluster", Short: "Manage the keepers of a cluster",
+		Long: `status, replace, transfer and snapshot call a running balancer at its "ops" address; restore and recover work on a
+directory that no process uses. docs/owners.md describes what to do when a keeper, a majority or a disk is lost.`,
 	}
-	c.PersistentFlags().StringVar(&address, "ops", "127.0.0.1:9901", "second address of a balancer of the cluster")
+	c.PersistentFlags().StringVar(&address, "ops", "127.0.0.1:9901", "ops address of a balancer of the cluster")
 	status := &cobra.Command{
-		Use: "status", Short: "Say how each keeper stands", Args: cobra.NoArgs,
+		Use: "status", Short: "Show the state of each keeper", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			lines, err := asked(address, "CLUSTER status", 10*time.Second)
+			lines, err := callOps(address, "CLUSTER status", 10*time.Second)
 			if err != nil {
 				return err
 			}
 			out := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
 			fmt.Fprintln(out, "KEEPER\tGROUP\tROLE\tLEADER\tTERM\tCOMMIT\tAPPLIED\tSNAPSHOT\tAGE\tSEATS\tFAULT")
-			well := 0
+			healthy := 0
 			for _, line := range lines {
-				var k cluster.VoterStatus
-				if err := json.Unmarshal([]byte(line), &k); err != nil {
+				var voter cluster.VoterStatus
+				if err := json.Unmarshal([]byte(line), &voter); err != nil {
 					return err
 				}
 				var seats []string
-				for _, s := range k.Voters {
+				for _, s := range voter.Voters {
 					text := s.String()
 					if s.Learner {
 						text += " (learner)"
 					}
 					seats = append(seats, text)
 				}
-				if k.Fault == "" {
-					well++
+				if voter.Fault == "" {
+					healthy++
 				}
-				fmt.Fprintf(out, "%s\t%d\t%s\t%s\t%d\t%d\t%d\t%d\t%dms\t%s\t%s\n", k.Name, k.Group, dash(k.Role), dash(k.Leader), k.Term, k.Commit, k.Applied, k.Snapshot, k.StalenessMS,
-					dash(strings.Join(seats, " ")), k.Fault)
-				for _, lost := range k.Recovered {
-					fmt.Fprintf(out, "\t%s\n", lost)
+				fmt.Fprintf(out, "%s\t%d\t%s\t%s\t%d\t%d\t%d\t%d\t%dms\t%s\t%s\n", voter.Name, voter.Group, orDash(voter.Role), orDash(voter.Leader), voter.Term, voter.Commit, voter.Applied, voter.Snapshot, voter.StalenessMS,
+					orDash(strings.Join(seats, " ")), voter.Fault)
+				for _, loss := range voter.Recovered {
+					fmt.Fprintf(out, "\t%s\n", loss)
 				}
 			}
 			out.Flush()
-			if well <= len(lines)/2 {
-				return fmt.Errorf("%d of %d keepers answer: no majority", well, len(lines))
+			if healthy <= len(lines)/2 {
+				return fmt.Errorf("%d of %d keepers answer: no majority", healthy, len(lines))
 			}
 			return nil
 		},
 	}
-	order := func(use, short string) *cobra.Command {
+	voterCommand := func(use, short string) *cobra.Command {
 		return &cobra.Command{
 			Use: use + " NAME", Short: short, Args: cobra.ExactArgs(1),
 			RunE: func(c *cobra.Command, args []string) error {
-				_, err := asked(address, "CLUSTER "+use+" "+args[0], 10*time.Second)
+				_, err := callOps(address, "CLUSTER "+use+" "+args[0], 10*time.Second)
 				if err == nil {
 					fmt.Fprintln(c.OutOrStdout(), "under way; \"ottershift cluster status\" shows it")
 				}
@@ -140,9 +141,9 @@
 		}
 	}
 	snapshot := &cobra.Command{
-		Use: "snapshot FILE", Short: "Keep all that is agreed in a file", Args: cobra.ExactArgs(1),
+		Use: "snapshot FILE", Short: "Write a snapshot of the replicated state to a file", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			lines, err := asked(address, "CLUSTER snapshot", 10*time.Second)
+			lines, err := callOps(address, "CLUSTER snapshot", 10*time.Second)
 			if err != nil {
 				return err
 			}
@@ -157,9 +158,9 @@
 		},
 	}
 	restore := &cobra.Command{
-		Use: "restore FILE DIRECTORY NAME", Short: "Make keeper NAME's directory out of a snapshot, as a group of its own", Args: cobra.ExactArgs(3),
-		Long: `DIRECTORY is the keeper's "directory" in [cluster]; it must not hold a group yet. The other keepers are started with empty
-directories and taken in one by one with "cluster replace".`,
+		Use: "restore FILE DIRECTORY NAME", Short: "Create keeper NAME's directory from a snapshot, as a new group", Args: cobra.ExactArgs(3),
+		Long: `DIRECTORY is the keeper's "directory" in [cluster]; it must not hold a group yet. Start the other keepers with empty
+directories and add them one by one with "cluster replace".`,
 		RunE: func(c *cobra.Command, args []string) error {
 			raw, err := os.ReadFile(args[0])
 			if err != nil {
@@ -169,10 +170,11 @@
 		},
 	}
 	var yes bool
-	recovering := &cobra.Command{
-		Use: "recover DIRECTORY", Short: "Go on from one keeper's directory when the majority is lost for good", Args: cobra.ExactArgs(1),
-		Long: `Names what may be lost, and does it only with --yes. It is marked for good in what is agreed. The process of that keeper must not
-run. The other keepers' old directories must never be started again; they are taken in anew with "cluster replace".`,
+	recovery := &cobra.Command{
+		Use: "recover DIRECTORY", Short: "Recover from one keeper's directory after the permanent loss of the majority", Args: cobra.ExactArgs(1),
+		Long: `Lists what may be lost; acts only with --yes. The recovery is recorded permanently in the replicated state. The process
+of that keeper must not be running. The old directories of the other keepers must never be used again; add those
+keepers with "cluster replace" and new directories.`,
 		RunE: func(c *cobra.Command, args []string) error {
 			dir := keep.GroupDir(args[0], 0)
 			f, err := keep.InspectDir(dir, nil)
@@ -184,13 +186,13 @@
 				fmt.Fprintln(c.OutOrStdout(), "- "+line)
 			}
 			if !yes {
-				return errors.New("nothing was done; --yes does it")
+				return errors.New("nothing was changed; pass --yes to recover")
 			}
 			return keep.Recover(dir, f, "the majority was lost")
 		},
 	}
-	recovering.Flags().BoolVar(&yes, "yes", false, "accept what may be lost")
-	c.AddCommand(status, order("replace", "Make the new directory of keeper NAME a keeper in the place of its old one"),
-		order("transfer", "Have keeper NAME lead"), snapshot, restore, recovering)
+	recovery.Flags().BoolVar(&yes, "yes", false, "accept the possible losses")
+	c.AddCommand(status, voterCommand("replace", "Replace keeper NAME's old directory with its new one"),
+		voterCommand("transfer", "Transfer leadership to keeper NAME"), snapshot, restore, recovery)
 	return c
 }
--- a/cmd/ottershift/fleet.go
+++ b/cmd/ottershift/fleet.go
@@ -14,29 +14,30 @@
 )
 
 func fleetCommand() *cobra.Command {
-	var o fleet.Options
+	var options fleet.Options
 	var asJSON bool
-	var page string
+	var htmlFile string
 	var rows int
 	c := &cobra.Command{
-		Use: "fleet DIR", Short: "Count across the logs of many balancers what they did together", Args: cobra.ExactArgs(1),
-		Long: `Reads all files of a folder, each the log of one balancer (key=value text or JSON), and prints what was lost by second and
-why, how many did the same in the same second, how many held an upstream aside at once and for how long, how lists
-spread, and who lost the most. Lines that can't be read are told on standard error and left out (docs/fleet.md).`,
+		Use: "fleet DIR", Short: "Summarize the logs of many balancers", Args: cobra.ExactArgs(1),
+		Long: `Reads all files of a folder, each the log of one balancer (key=value text or JSON). Prints failed transactions by second
+and cause, how many balancers did the same in the same second, how many had an upstream ejected at once and for how
+long, how lists spread, and which balancers lost the most. Lines that cannot be parsed are reported on standard error
+and skipped (docs/fleet.md).`,
 		RunE: func(c *cobra.Command, args []string) error {
-			if rows < 1 || o.Step < 0 || o.From < 0 || o.To < 0 {
-				return errors.New("--rows is at least 1, --every, --from and --to are not negative")
+			if rows < 1 || options.Step < 0 || options.From < 0 || options.To < 0 {
+				return errors.New("--rows must be at least 1; --every, --from and --to must not be negative")
 			}
-			if o.To > 0 && o.To <= o.From {
-				return errors.New("--to is not after --from")
+			if options.To > 0 && options.To <= options.From {
+				return errors.New("--to must be after --from")
 			}
-			progress, end := bar(c, "reading "+args[0])
+			progress, end := progressBar(c, "reading "+args[0])
 			logs, err := fleet.Read(args[0], progress)
 			end()
 			if err != nil {
 				return err
 			}
-			count, err := logs.Summarize(o)
+			count, err := logs.Summarize(options)
 			if err != nil {
 				return err
 			}
@@ -46,8 +47,8 @@
 			if more := count.UnreadLines - len(count.ParseErrors); more > 0 {
 				fmt.Fprintf(c.ErrOrStderr(), "and %d more lines like these\n", more)
 			}
-			if page != "" {
-				out, err := os.Create(page)
+			if htmlFile != "" {
+				out, err := os.Create(htmlFile)
 				if err != nil {
 					return err
 				}
@@ -62,18 +63,18 @@
 			return nil
 		},
 	}
-	c.Flags().DurationVar(&o.Step, "every", time.Second, "what a row by time stands for, a second at least")
-	c.Flags().DurationVar(&o.From, "from", 0, "leave out what was before, counted from the first line")
-	c.Flags().DurationVar(&o.To, "to", 0, "leave out what was after, counted from the first line")
-	c.Flags().IntVar(&rows, "rows", 40, "rows of a table that are shown")
-	c.Flags().BoolVar(&asJSON, "json", false, "print all of it as JSON")
-	c.Flags().StringVar(&page, "html", "", "write one page with pictures to this file as well")
+	c.Flags().DurationVar(&options.Step, "every", time.Second, "time span of a row, at least one second")
+	c.Flags().DurationVar(&options.From, "from", 0, "skip lines before this offset from the first line")
+	c.Flags().DurationVar(&options.To, "to", 0, "skip lines after this offset from the first line")
+	c.Flags().IntVar(&rows, "rows", 40, "maximum rows per table")
+	c.Flags().BoolVar(&asJSON, "json", false, "print the full summary as JSON")
+	c.Flags().StringVar(&htmlFile, "html", "", "also write an HTML page with charts to this file")
 	return c
 }
 
-// bar draws how far something has come, where somebody looks.
-func bar(c *cobra.Command, what string) (progress func(done float64), end func()) {
-	if about, err := os.Stderr.Stat(); err != nil || about.Mode()&os.ModeCharDevice == 0 {
+// progressBar draws a progress bar on standard error if that is a terminal.
+func progressBar(c *cobra.Command, what string) (progress func(done float64), end func()) {
+	if info, err := os.Stderr.Stat(); err != nil || info.Mode()&os.ModeCharDevice == 0 {
 		return func(float64) {}, func() {}
 	}
 	var mu sync.Mutex
--- a/cmd/ottershift/flood_test.go
+++ b/cmd/ottershift/flood_test.go
@@ -13,9 +13,9 @@
 	"time"
 )
 
-// worker is a stand-in upstream of some cores, which work on one transaction each for some time; what finds too many
-// waiting is turned away.
-func worker(b *testing.B, cores int, usual time.Duration) string {
+// newQueueingUpstream starts an emulated upstream. Each of its cores processes one transaction at a time, and it rejects
+// a transaction that finds too many waiting.
+func newQueueingUpstream(b *testing.B, cores int, meanTime time.Duration) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -39,7 +39,7 @@
 		case <-r.Context().Done():
 			return
 		}
-		time.Sleep(usual/2 + time.Duration(rand.ExpFloat64()/2*float64(usual)))
+		time.Sleep(meanTime/2 + time.Duration(rand.ExpFloat64()/2*float64(meanTime)))
 		io.WriteString(w, "done")
 	})}
 	go s.Serve(l)
@@ -47,21 +47,22 @@
 	return l.Addr().String()
 }
 
-// seen is what a pool's clients saw: times from when each was due, and answers by status.
-type seen struct {
-	mu    sync.Mutex
-	took  []time.Duration
-	kinds map[int]int
+// clientStats are the latencies of a pool's clients, each measured from when the request was due, and their answers by
+// status.
+type clientStats struct {
+	mu           sync.Mutex
+	latencies    []time.Duration
+	statusCounts map[int]int
 }
 
-func (s *seen) quantile(part float64) time.Duration {
-	slices.Sort(s.took)
-	return s.took[int(part*float64(len(s.took)-1))]
+func (s *clientStats) quantile(part float64) time.Duration {
+	slices.Sort(s.latencies)
+	return s.latencies[int(part*float64(len(s.latencies)-1))]
 }
 
-// openLoad asks a host at a rate, at times that don't hang on the answers.
-func openLoad(client *http.Transport, address, host string, rate float64, span time.Duration) *seen {
-	s := &seen{kinds: map[int]int{}}
+// runOpenLoad sends requests to a host at a rate, independently of the answers (open loop).
+func runOpenLoad(client *http.Transport, address, host string, rate float64, span time.Duration) *clientStats {
+	s := &clientStats{statusCounts: map[int]int{}}
 	var open sync.WaitGroup
 	due, end := time.Now(), time.Now().Add(span)
 	for {
@@ -82,8 +83,8 @@
 			}
 			took := time.Since(at)
 			s.mu.Lock()
-			s.kinds[status]++
-			s.took = append(s.took, took)
+			s.statusCounts[status]++
+			s.latencies = append(s.latencies, took)
 			s.mu.Unlock()
 		})
 	}
@@ -91,8 +92,8 @@
 	return s
 }
 
-// BenchmarkFlood plays three pools with and without a flood at one of them, ten times what it can do, in turns, and
-// prints what the flood does to the others' median and 99th percentile. FLOOD is the length of a part, else 30s.
+// BenchmarkFlood alternates between normal load on three pools and a flood at one of them, ten times its capacity. It
+// prints how the flood changes the median and 99th percentile of the others. FLOOD is the length of a part, by default 30s.
 //
 //	go test ./cmd/ottershift -run xxx -bench Flood -benchtime 1x -timeout 20m
 func BenchmarkFlood(b *testing.B) {
@@ -100,37 +101,37 @@
 	if d, err := time.ParseDuration(os.Getenv("FLOOD")); err == nil {
 		span = d
 	}
-	const upstreams, cores, usual, part, flood = 3, 2, 15 * time.Millisecond, 100.0, 4000.0
+	const upstreams, cores, meanTime, baseRate, floodRate = 3, 2, 15 * time.Millisecond, 100.0, 4000.0
 	text := tariffs
 	hosts := []string{"album.example.org", "opslag.example.org", "www.example.org"}
 	for n, name := range []string{"album", "opslag", "www"} {
 		var all []string
 		for range upstreams {
-			all = append(all, worker(b, cores, usual))
+			all = append(all, newQueueingUpstream(b, cores, meanTime))
 		}
 		text += poolText(name, "", all...) + fmt.Sprintf("[[routes]]\nhosts = [%q]\npool = %q\n", hosts[n], name)
 	}
-	balancer := serving(b, text)
+	balancer := startServe(b, text)
 	clients := [3]*http.Transport{}
 	for n := range clients {
 		clients[n] = &http.Transport{MaxIdleConnsPerHost: 300, MaxConnsPerHost: 300}
 		defer clients[n].CloseIdleConnections()
 	}
-	play := func(flooded bool) (all [3]*seen) {
+	play := func(flooded bool) (all [3]*clientStats) {
 		var parts sync.WaitGroup
 		for n, host := range hosts {
 			parts.Go(func() {
-				rate := part
+				rate := baseRate
 				if n == 0 && flooded {
-					rate = flood
+					rate = floodRate
 				}
-				all[n] = openLoad(clients[n], balancer.address, host, rate, span)
+				all[n] = runOpenLoad(clients[n], balancer.address, host, rate, span)
 			})
 		}
 		parts.Wait()
 		return all
 	}
-	openLoad(clients[0], balancer.address, hosts[0], part, 3*time.Second)
+	runOpenLoad(clients[0], balancer.address, hosts[0], baseRate, 3*time.Second)
 	for range b.N {
 		var medians, tails []float64
 		for pair := range 4 {
@@ -142,9 +143,9 @@
 				medians, tails = append(medians, m), append(tails, p)
 				b.Logf("pair %d, %s: median %s calm, %s flooded (%.3f); 99 in 100 %s, %s (%.3f); answers %v, %v", pair, hosts[n],
 					calm[n].quantile(0.5), flooded[n].quantile(0.5), m, calm[n].quantile(0.99), flooded[n].quantile(0.99), p,
-					calm[n].kinds, flooded[n].kinds)
+					calm[n].statusCounts, flooded[n].statusCounts)
 			}
-			b.Logf("pair %d, the flooded pool: %v calm, %v flooded; half of all within %s", pair, calm[0].kinds, flooded[0].kinds,
+			b.Logf("pair %d, the flooded pool: %v calm, %v flooded; half of all within %s", pair, calm[0].statusCounts, flooded[0].statusCounts,
 				flooded[0].quantile(0.5))
 		}
 		slices.Sort(medians)
--- a/cmd/ottershift/lab.go
+++ b/cmd/ottershift/lab.go
@@ -31,15 +31,16 @@
 
 func labCommand(reload <-chan os.Signal) *cobra.Command {
 	c := &cobra.Command{
-		Use: "lab", Short: "Play experiments with emulated services and judge what was seen",
-		Long: `The lab plays experiments (experiments/*.toml) on loopback: emulated upstreams, clients and faults around balancers that
-are started as processes of their own, judged from outside. docs/lab.md tells how to write one and how to read a outcome.`,
+		Use: "lab", Short: "Run experiments with emulated services and evaluate the results",
+		Long: `The lab runs experiments (experiments/*.toml) on loopback: emulated upstreams, clients and faults around balancers that
+run as separate processes and are judged from outside. docs/lab.md describes how to write an experiment and how to read
+an outcome.`,
 	}
 	c.AddCommand(labRun(), labList(), labPlan(), labCompare(), labReport(), labCeiling(), labRate(), labBalancer(reload))
 	return c
 }
 
-// labOptions are what run and compare have in common.
+// labOptions are the options shared by the lab commands.
 type labOptions struct {
 	short    bool
 	runs     int
@@ -49,22 +50,22 @@
 	logs     string
 }
 
-func (o *labOptions) flags(c *cobra.Command) {
-	c.Flags().BoolVar(&o.short, "short", false, "play the short form")
-	c.Flags().Uint64Var(&o.seed, "seed", 0, "another seed than the file's")
+func (o *labOptions) addFlags(c *cobra.Command) {
+	c.Flags().BoolVar(&o.short, "short", false, "run the short form")
+	c.Flags().Uint64Var(&o.seed, "seed", 0, "seed to use instead of the file's")
 }
 
-// read takes an experiment as the flags want it; all that is wrong with it is said before anything starts.
-func (o *labOptions) read(c *cobra.Command, file string) (*spec.Experiment, error) {
-	e, wrong := spec.Read(file, o.short)
+// readExperiment reads an experiment and applies the flags. All faults of the file are reported before anything starts.
+func (o *labOptions) readExperiment(c *cobra.Command, file string) (*spec.Experiment, error) {
+	e, problems := spec.Read(file, o.short)
 	if e == nil {
-		tell(c.ErrOrStderr(), wrong)
-		return nil, errSaid
+		printFaults(c.ErrOrStderr(), problems)
+		return nil, errReported
 	}
 	if len(o.variants) > 0 {
 		for _, v := range o.variants {
 			if !slices.Contains(spec.Variants, v) {
-				return nil, fmt.Errorf("%q is none of %s", v, strings.Join(spec.Variants, ", "))
+				return nil, fmt.Errorf("unknown variant %q; want one of %s", v, strings.Join(spec.Variants, ", "))
 			}
 		}
 		e.Variants = o.variants
@@ -79,7 +80,7 @@
 	return e, nil
 }
 
-// play plays one variant once.
+// play runs one variant once.
 func (o *labOptions) play(c *cobra.Command, e *spec.Experiment, program, variant, what string) (*judge.Result, error) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
@@ -88,7 +89,7 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	progress, end := bar(c, what)
+	progress, end := progressBar(c, what)
 	r, err := run.Play(ctx, e, e.Load(), run.Options{Program: program, Variant: variant, Dir: dir, Progress: progress})
 	end()
 	if o.logs != "" {
@@ -105,7 +106,7 @@
 	return judge.Judge(e, r), nil
 }
 
-// keepLogs keeps what the balancers logged and were told, and what the lab did.
+// keepLogs copies the balancers' logs and configurations to a folder and writes the lab's actions to the file acts.
 func keepLogs(from, to string, r *record.Run) error {
 	if err := os.MkdirAll(to, 0o755); err != nil {
 		return err
@@ -127,14 +128,14 @@
 
 func labRun() *cobra.Command {
 	o := &labOptions{}
-	var keep, page string
-	var beside bool
+	var jsonFile, htmlFile string
+	var sideBySide bool
 	c := &cobra.Command{
-		Use: "run FILE", Short: "Play an experiment", Args: cobra.ExactArgs(1),
-		Long: `Plays each variant of an experiment, prints a table and, as its last line, the verdict. Exits with 1 if it fell short or
-nothing can be concluded.`,
+		Use: "run FILE", Short: "Run an experiment", Args: cobra.ExactArgs(1),
+		Long: `Runs each variant of an experiment and prints a table and, as the last line, the verdict. Exits with 1 unless the
+verdict is "held".`,
 		RunE: func(c *cobra.Command, args []string) error {
-			e, err := o.read(c, args[0])
+			e, err := o.readExperiment(c, args[0])
 			if err != nil {
 				return err
 			}
@@ -150,7 +151,7 @@
 				var all sync.WaitGroup
 				for i, v := range e.Variants {
 					all.Go(func() { results[i], faults[i] = o.play(c, e, o.program, v, fmt.Sprintf("%s %s", e.Name, v)) })
-					if !beside {
+					if !sideBySide {
 						all.Wait()
 					}
 				}
@@ -164,35 +165,35 @@
 			}
 			out.Judge(e)
 			out.Table(c.OutOrStdout())
-			if keep != "" {
-				if err := out.Save(keep); err != nil {
+			if jsonFile != "" {
+				if err := out.Save(jsonFile); err != nil {
 					return err
 				}
 			}
-			if err := write(out, page); err != nil {
+			if err := writeHTML(out, htmlFile); err != nil {
 				return err
 			}
 			if out.Verdict != "held" {
-				return errSaid
+				return errReported
 			}
 			return nil
 		},
 	}
-	o.flags(c)
-	c.Flags().IntVar(&o.runs, "runs", 1, "how often, each with the next seed, the variants in turn")
-	c.Flags().StringSliceVar(&o.variants, "variants", nil, "others than the file's, separated by commas")
-	c.Flags().StringVar(&o.program, "program", "", "the balancers' program, if not this one")
-	c.Flags().BoolVar(&beside, "side-by-side", false, "play the variants at once: sooner, and each gets less of the machine")
-	c.Flags().StringVar(&o.logs, "logs", "", "keep the balancers' logs and what the lab did in this folder")
-	c.Flags().StringVar(&keep, "json", "", "keep all that was seen in this file")
-	c.Flags().StringVar(&page, "html", "", "write a report to look at")
+	o.addFlags(c)
+	c.Flags().IntVar(&o.runs, "runs", 1, "number of runs; each uses the next seed and runs the variants in turn")
+	c.Flags().StringSliceVar(&o.variants, "variants", nil, "comma-separated variants to use instead of the file's")
+	c.Flags().StringVar(&o.program, "program", "", "program of the balancers; this program by default")
+	c.Flags().BoolVar(&sideBySide, "side-by-side", false, "run the variants concurrently: faster, but each has fewer resources")
+	c.Flags().StringVar(&o.logs, "logs", "", "write the balancers' logs and the lab's actions to this folder")
+	c.Flags().StringVar(&jsonFile, "json", "", "write the full outcome to this file")
+	c.Flags().StringVar(&htmlFile, "html", "", "write an HTML report to this file")
 	return c
 }
 
 func labList() *cobra.Command {
 	var dir string
 	c := &cobra.Command{
-		Use: "list", Short: "Say which experiments there are", Args: cobra.NoArgs,
+		Use: "list", Short: "List the experiments", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			files, err := filepath.Glob(filepath.Join(dir, "*.toml"))
 			if err != nil {
@@ -202,9 +203,9 @@
 				return fmt.Errorf("no experiments in %s", dir)
 			}
 			for _, file := range files {
-				e, wrong := spec.Read(file, false)
+				e, problems := spec.Read(file, false)
 				if e == nil {
-					tell(c.ErrOrStderr(), wrong)
+					printFaults(c.ErrOrStderr(), problems)
 					continue
 				}
 				fmt.Fprintf(c.OutOrStdout(), "%-36s %s (%gs, %s)\n", file, e.Title, float64(e.Length)/1e9, strings.Join(e.Variants, ", "))
@@ -212,23 +213,23 @@
 			return nil
 		},
 	}
-	c.Flags().StringVar(&dir, "dir", "experiments", "where they are")
+	c.Flags().StringVar(&dir, "dir", "experiments", "folder of the experiments")
 	return c
 }
 
 func labPlan() *cobra.Command {
 	o := &labOptions{}
 	c := &cobra.Command{
-		Use: "plan FILE", Short: "Write the load and the faults of an experiment, a line each", Args: cobra.ExactArgs(1),
+		Use: "plan FILE", Short: "Print the load and the faults of an experiment, one per line", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			e, err := o.read(c, args[0])
+			e, err := o.readExperiment(c, args[0])
 			if err != nil {
 				return err
 			}
 			return e.Write(c.OutOrStdout())
 		},
 	}
-	o.flags(c)
+	o.addFlags(c)
 	return c
 }
 
@@ -236,9 +237,9 @@
 	o := &labOptions{}
 	var file, variant string
 	c := &cobra.Command{
-		Use: "compare A B", Short: "Set two kept outcomes or two builds side by side", Args: cobra.ExactArgs(2),
-		Long: `A and B are files that "run --json" kept, compared by the runs of --variant in pairs; or programs, which play the
-experiment of --experiment in turns, pair by pair with the same seed. The interval is that of the mean of the pairs' differences.`,
+		Use: "compare A B", Short: "Compare two saved outcomes or two builds", Args: cobra.ExactArgs(2),
+		Long: `A and B are files written by "run --json", whose runs of --variant are compared in pairs; or programs, which run
+--experiment in turns, each pair with the same seed. The interval is that of the mean difference of the pairs.`,
 		RunE: func(c *cobra.Command, args []string) error {
 			if file == "" {
 				var runs [2][]*judge.Result
@@ -256,7 +257,7 @@
 				outcome.Compare(c.OutOrStdout(), filepath.Base(args[0]), filepath.Base(args[1]), runs[0], runs[1])
 				return nil
 			}
-			e, err := o.read(c, file)
+			e, err := o.readExperiment(c, file)
 			if err != nil {
 				return err
 			}
@@ -265,7 +266,7 @@
 			for n := range o.runs {
 				e.Seed = seed + uint64(n)
 				for i := range 2 {
-					k := (i + n) % 2 // who goes first changes
+					k := (i + n) % 2 // the order alternates to cancel out ordering effects
 					r, err := o.play(c, e, args[k], variant, fmt.Sprintf("pair %d, %s", n+1, filepath.Base(args[k])))
 					if err != nil {
 						return err
@@ -280,17 +281,17 @@
 			return nil
 		},
 	}
-	o.flags(c)
-	c.Flags().StringVar(&file, "experiment", "", "what programs play")
-	c.Flags().StringVar(&variant, "variant", "design", "which variant")
-	c.Flags().IntVar(&o.runs, "pairs", 5, "how many")
+	o.addFlags(c)
+	c.Flags().StringVar(&file, "experiment", "", "experiment that the programs run")
+	c.Flags().StringVar(&variant, "variant", "design", "variant to compare")
+	c.Flags().IntVar(&o.runs, "pairs", 5, "number of pairs")
 	return c
 }
 
 func labReport() *cobra.Command {
-	var page, pictures string
+	var htmlFile, pictures string
 	c := &cobra.Command{
-		Use: "report FILE", Short: "Show again what run --json kept", Args: cobra.ExactArgs(1),
+		Use: "report FILE", Short: "Print an outcome written by run --json", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			o, err := outcome.Load(args[0])
 			if err != nil {
@@ -301,20 +302,20 @@
 					return err
 				}
 			}
-			if err := write(o, page); err != nil {
+			if err := writeHTML(o, htmlFile); err != nil {
 				return err
 			}
 			o.Table(c.OutOrStdout())
 			return nil
 		},
 	}
-	c.Flags().StringVar(&page, "html", "", "write a report to look at")
-	c.Flags().StringVar(&pictures, "pictures", "", "write its pictures into this folder")
+	c.Flags().StringVar(&htmlFile, "html", "", "write an HTML report to this file")
+	c.Flags().StringVar(&pictures, "pictures", "", "write the charts to this folder")
 	return c
 }
 
-// write puts a report into a file, if there is one to write.
-func write(o *outcome.Outcome, file string) error {
+// writeHTML writes an outcome's HTML report to file; it does nothing if file is empty.
+func writeHTML(o *outcome.Outcome, file string) error {
 	if file == "" {
 		return nil
 	}
@@ -328,38 +329,39 @@
 func labCeiling() *cobra.Command {
 	var span time.Duration
 	c := &cobra.Command{
-		Use: "ceiling", Short: "Measure the lab itself, against an upstream that answers at once", Args: cobra.NoArgs,
+		Use: "ceiling", Short: "Measure the load generator against an upstream that answers immediately", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			top, err := load.Ceiling(span)
+			ceiling, err := load.Ceiling(span)
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(c.OutOrStdout(), "ceiling %.0f calls a second\n", top)
+			fmt.Fprintf(c.OutOrStdout(), "ceiling %.0f calls a second\n", ceiling)
 			for _, share := range []float64{0.01, 0.1, 0.5} {
-				own, err := load.Own(top*share, span)
+				ownError, err := load.Own(ceiling*share, span)
 				if err != nil {
 					return err
 				}
 				fmt.Fprintf(c.OutOrStdout(), "at %g%%: %.0f calls a second, own error of latency: half within %s, 99 in 100 within %s, at most %s\n",
-					100*share, own.Rate, own.P50, own.P99, own.Most)
+					100*share, ownError.Rate, ownError.P50, ownError.P99, ownError.Most)
 			}
 			return nil
 		},
 	}
-	c.Flags().DurationVar(&span, "for", 5*time.Second, "how long each measurement lasts")
+	c.Flags().DurationVar(&span, "for", 5*time.Second, "duration of each measurement")
 	return c
 }
 
-// labRate measures what balancers pass on at most, in turns.
+// labRate measures the maximum throughput of balancers, taking turns.
 func labRate() *cobra.Command {
 	var span time.Duration
 	var clients []int
 	var rounds int
 	var cores float64
 	c := &cobra.Command{
-		Use: "rate [PROGRAM...]", Short: "Measure what balancers pass on at most, before upstreams that answer at once",
-		Long: `Each program is started by the platform's JSON, which every build understands, and asked by clients that ask again as soon
-as they are answered; "straight" asks an upstream without a balancer. Programs take turns, round by round.`,
+		Use: "rate [PROGRAM...]", Short: "Measure the maximum throughput of balancers with upstreams that answer immediately",
+		Long: `Each program is started with the platform's JSON, which every build understands, under a closed-loop load: each client
+sends its next request as soon as it has an answer. "straight" measures an upstream without a balancer. The programs
+take turns in each round.`,
 		RunE: func(c *cobra.Command, programs []string) error {
 			if len(programs) == 0 {
 				own, err := os.Executable()
@@ -368,15 +370,15 @@
 				}
 				programs = []string{own}
 			}
-			best := map[string]map[int][]float64{}
+			rates := map[string]map[int][]float64{}
 			for round := range rounds {
 				for _, name := range append([]string{"straight"}, programs...) {
 					program := name
 					if name == "straight" {
 						program = ""
 					}
-					if best[name] == nil {
-						best[name] = map[int][]float64{}
+					if rates[name] == nil {
+						rates[name] = map[int][]float64{}
 					}
 					for _, n := range clients {
 						dir, err := os.MkdirTemp("", "ottershift-lab")
@@ -390,7 +392,7 @@
 						t := rig.Closed(n, span)
 						rig.Close()
 						os.RemoveAll(dir)
-						best[name][n] = append(best[name][n], t.Rate)
+						rates[name][n] = append(rates[name][n], t.Rate)
 						fmt.Fprintf(c.OutOrStdout(), "round %d %-28s clients=%d rate=%.0f p50=%s p99=%s pushes=%.4f other=%d memory=%.1fMB\n", round+1,
 							name, n, t.Rate, t.P50, t.P99, t.Pushes, t.Other, float64(t.Memory)/(1<<20))
 					}
@@ -400,7 +402,7 @@
 				fmt.Fprintf(c.OutOrStdout(), "clients=%d", n)
 				first := 0.0
 				for i, name := range append([]string{"straight"}, programs...) {
-					mean, _ := outcome.Interval(best[name][n])
+					mean, _ := outcome.Interval(rates[name][n])
 					if fmt.Fprintf(c.OutOrStdout(), " %s=%.0f", name, mean); i == 1 {
 						first = mean
 					} else if i > 1 {
@@ -412,32 +414,32 @@
 			return nil
 		},
 	}
-	c.Flags().DurationVar(&span, "for", 3*time.Second, "how long each measurement lasts")
-	c.Flags().IntSliceVar(&clients, "clients", []int{1, 8, 32, 128, 512}, "how many ask at once")
-	c.Flags().IntVar(&rounds, "rounds", 1, "how often")
+	c.Flags().DurationVar(&span, "for", 3*time.Second, "duration of each measurement")
+	c.Flags().IntSliceVar(&clients, "clients", []int{1, 8, 32, 128, 512}, "numbers of concurrent clients")
+	c.Flags().IntVar(&rounds, "rounds", 1, "number of rounds")
 	c.Flags().Float64Var(&cores, "cores", 1, "limits.cores of the balancers")
 	return c
 }
 
-// labBalancer serves with a plain policy, for comparisons only.
+// labBalancer serves with a baseline policy; it exists only for comparisons.
 func labBalancer(reload <-chan os.Signal) *cobra.Command {
 	var policy, file string
 	c := &cobra.Command{
-		Use: "balancer", Short: "Serve with a plain policy, to compare the design with", Args: cobra.NoArgs, Hidden: true,
+		Use: "balancer", Short: "Serve with a baseline policy, for comparison with the design", Args: cobra.NoArgs, Hidden: true,
 		RunE: func(c *cobra.Command, _ []string) error {
 			module, err := baseline.Make(policy)
 			if err != nil {
 				return err
 			}
-			p, wrong := plan.Read(file)
+			p, problems := plan.Read(file)
 			if p == nil {
-				tell(os.Stderr, wrong)
-				return errSaid
+				printFaults(os.Stderr, problems)
+				return errReported
 			}
 			log, level := logs.New(io.Discard, "text")
 			s, err := process.StartWithEngine(p, log, level, module)
 			if err != nil {
-				return stopped(slog.New(slog.NewTextHandler(os.Stderr, nil)), err)
+				return logStop(slog.New(slog.NewTextHandler(os.Stderr, nil)), err)
 			}
 			stop := make(chan os.Signal, 1)
 			signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
@@ -451,6 +453,6 @@
 		},
 	}
 	c.Flags().StringVar(&policy, "policy", "random", "which")
-	c.Flags().StringVar(&file, "config", "", "as for serve")
+	c.Flags().StringVar(&file, "config", "", "configuration file, as for serve")
 	return c
 }
--- a/cmd/ottershift/main.go
+++ b/cmd/ottershift/main.go
@@ -1,5 +1,5 @@
-// Command ottershift is a load balancer between services: it takes transactions, finds the pool of each by its routes,
-// and sends it to an upstream of that pool's list.
+// Command ottershift is a load balancer between services. It accepts transactions, selects a pool for each by its routes
+// and forwards it to an upstream of that pool.
 package main
 
 import (
@@ -14,45 +14,45 @@
 )
 
 func main() {
-	// Danger: SIGHUP ends a process that doesn't catch it, however early it comes.
+	// SIGHUP terminates a process that does not handle it, so the handler is installed before anything else starts.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
-	if err := root(reload).Execute(); err != nil {
-		if !errors.Is(err, errSaid) {
+	if err := rootCommand(reload).Execute(); err != nil {
+		if !errors.Is(err, errReported) {
 			fmt.Fprintln(os.Stderr, "ottershift:", err)
 		}
 		os.Exit(1)
 	}
 }
 
-// errSaid ends a command that has said already what is wrong.
-var errSaid = errors.New("said")
+// errReported ends a command that has already printed its error.
+var errReported = errors.New("said")
 
-func root(reload <-chan os.Signal) *cobra.Command {
+func rootCommand(reload <-chan os.Signal) *cobra.Command {
 	c := &cobra.Command{
 		Use:   "ottershift",
 		Short: "A load balancer between services",
-		Long: `ottershift takes transactions over HTTP/1.1, finds the pool of each by its routes, sends it to an upstream of that
-pool's list and answers it exactly once before its hard stop.
+		Long: `ottershift accepts transactions over HTTP/1.1, selects a pool for each by its routes, forwards it to an upstream of
+that pool and answers it exactly once before its hard stop.
 
-Without a command and with PROXY_CONFIG set it serves one pool by the platform's JSON, as "serve" does.`,
+Without a command and with PROXY_CONFIG set, it serves one pool from the platform's JSON, as "serve" does.`,
 		Args: cobra.NoArgs, SilenceErrors: true, SilenceUsage: true,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if path := os.Getenv("PROXY_CONFIG"); path != "" {
 				return servePlatform(path, reload)
 			}
 			c.Help()
-			return errors.New("no command, and PROXY_CONFIG names no file")
+			return errors.New("no command given and PROXY_CONFIG is not set")
 		},
 	}
 	c.AddCommand(serveCommand(reload), checkCommand(), routesCommand(), demoCommand(), labCommand(reload), opsCommand(), membersCommand(), ownersCommand(), clusterCommand(), ledgerCommand(), fleetCommand(), &cobra.Command{
-		Use: "version", Short: "Say which build this is", Args: cobra.NoArgs,
+		Use: "version", Short: "Print the build version", Args: cobra.NoArgs,
 		Run: func(c *cobra.Command, _ []string) { fmt.Fprintln(c.OutOrStdout(), version()) },
 	})
 	return c
 }
 
-// version is what the tool chain put into the program.
+// version describes the build from the information that the Go tool chain embeds in the binary.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/cmd/ottershift/members.go
+++ b/cmd/ottershift/members.go
@@ -21,20 +21,20 @@
 	var within, every time.Duration
 	var raw, watch, all bool
 	c := &cobra.Command{
-		Use: "members [ADDRESS]", Short: "Say who is in the cluster, as seen by one process or by all", Args: cobra.MaximumNArgs(1),
-		Long: `ADDRESS is a balancer's "ops", 127.0.0.1:9901 if it isn't said. What it holds of the others is hearsay: each line says
-how old the last word is. With --all it asks each living member as well, and says where their views differ. Exits with 0 if it was
-told, with 1 if it can't be asked, is in no cluster, is over itself, or views differ.`,
+		Use: "members [ADDRESS]", Short: "List the cluster members as seen by one process or by all", Args: cobra.MaximumNArgs(1),
+		Long: `ADDRESS is a balancer's "ops" address, 127.0.0.1:9901 by default. Its view of the other members may be out of date: each
+line shows the age of the last message. With --all, also queries each live member and prints where the views differ.
+Exits with 1 if the balancer does not answer, is in no cluster or has been superseded, or if views differ.`,
 		RunE: func(c *cobra.Command, args []string) error {
 			address := "127.0.0.1:9901"
 			if len(args) > 0 {
 				address = args[0]
 			}
 			for {
-				same, err := members(c.OutOrStdout(), address, within, raw, all)
+				same, err := printMembers(c.OutOrStdout(), address, within, raw, all)
 				if !watch {
 					if err == nil && !same {
-						err = errSaid
+						err = errReported
 					}
 					return err
 				}
@@ -50,15 +50,15 @@
 		},
 	}
 	c.Flags().DurationVar(&within, "within", 2*time.Second, "how long to wait for the answer")
-	c.Flags().BoolVar(&raw, "json", false, "a line of JSON for each view instead of tables")
-	c.Flags().BoolVar(&all, "all", false, "the views of all living members, and where they differ")
-	c.Flags().BoolVar(&watch, "watch", false, "ask again and again")
-	c.Flags().DurationVar(&every, "every", time.Second, "how often with --watch")
+	c.Flags().BoolVar(&raw, "json", false, "print a line of JSON per view instead of tables")
+	c.Flags().BoolVar(&all, "all", false, "show the views of all live members and their differences")
+	c.Flags().BoolVar(&watch, "watch", false, "repeat until interrupted")
+	c.Flags().DurationVar(&every, "every", time.Second, "interval of --watch")
 	return c
 }
 
-// views asks a process for what it holds of all members, and all others for theirs.
-func views(address string, within time.Duration, all bool) (seen []member.View, err error) {
+// fetchViews fetches the membership view of a process and, if all is set, those of the other members.
+func fetchViews(address string, within time.Duration, all bool) (found []member.View, err error) {
 	call := "MEMBERS"
 	if all {
 		call = "MEMBERS ALL"
@@ -80,34 +80,34 @@
 		if err := json.Unmarshal(lines.Bytes(), &v); err != nil {
 			return nil, err
 		}
-		seen = append(seen, v)
+		found = append(found, v)
 	}
-	return seen, nil
+	return found, nil
 }
 
-// members shows the views; same tells that none differs and nobody is over.
-func members(to io.Writer, address string, within time.Duration, raw, all bool) (same bool, err error) {
-	seen, err := views(address, within, all)
+// printMembers prints the views; same reports that no views differ and that the process has not been superseded.
+func printMembers(w io.Writer, address string, within time.Duration, raw, all bool) (same bool, err error) {
+	views, err := fetchViews(address, within, all)
 	if err != nil {
 		return false, err
 	}
-	if len(seen) == 0 {
+	if len(views) == 0 {
 		return false, errors.New("no answer")
 	}
-	differ := member.CompareViews(seen)
+	differences := member.CompareViews(views)
 	if raw {
-		say := json.NewEncoder(to)
-		for _, v := range seen {
-			say.Encode(v)
+		encoder := json.NewEncoder(w)
+		for _, v := range views {
+			encoder.Encode(v)
 		}
-		return len(differ) == 0 && seen[0].SupersededBy == "", nil
+		return len(differences) == 0 && views[0].SupersededBy == "", nil
 	}
-	v := seen[0]
-	fmt.Fprintf(to, "cluster %s as seen by %s\n", v.Cluster, v.Self)
+	v := views[0]
+	fmt.Fprintf(w, "cluster %s as seen by %s\n", v.Cluster, v.Self)
 	if v.SupersededBy != "" {
-		fmt.Fprintf(to, "this run is over: %s came after it, and it takes no part any more\n", v.SupersededBy)
+		fmt.Fprintf(w, "this run is over: %s came after it, and it takes no part any more\n", v.SupersededBy)
 	}
-	out := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
+	out := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(out, "NAME\tEPOCH\tSTATE\tSINCE\tLAST WORD\tZONE\tADDRESS\tOPEN\tRATE/S\tBUILD\tOFFERS")
 	ms := func(n int64) string {
 		return (time.Duration(n) * time.Millisecond).Round(100 * time.Millisecond).String()
@@ -117,28 +117,28 @@
 		if m.Draining && state == member.Alive.String() {
 			state = "leaving"
 		}
-		word := ms(m.LastHeardMillis)
+		lastHeard := ms(m.LastHeardMillis)
 		if m.Self {
-			word = "itself"
+			lastHeard = "itself"
 		}
-		fmt.Fprintf(out, "%s\t%d\t%s\t%s\t%s\t%s\t%s\t%d\t%.1f\t%s\t%s\n", m.Name, m.Epoch, state, ms(m.StateMillis), word, dash(m.Zone), m.Address, m.OpenTransactions,
-			m.Rate, dash(m.Build), dash(strings.Join(m.Pools, ",")))
+		fmt.Fprintf(out, "%s\t%d\t%s\t%s\t%s\t%s\t%s\t%d\t%.1f\t%s\t%s\n", m.Name, m.Epoch, state, ms(m.StateMillis), lastHeard, orDash(m.Zone), m.Address, m.OpenTransactions,
+			m.Rate, orDash(m.Build), orDash(strings.Join(m.Pools, ",")))
 	}
 	out.Flush()
 	if all {
-		told := slices.DeleteFunc(slices.Clone(seen), func(v member.View) bool { return v.Error != "" })
-		fmt.Fprintf(to, "%d views of %d members asked\n", len(told), len(seen))
-		for _, line := range differ {
-			fmt.Fprintln(to, line)
+		answered := slices.DeleteFunc(slices.Clone(views), func(v member.View) bool { return v.Error != "" })
+		fmt.Fprintf(w, "%d views of %d members asked\n", len(answered), len(views))
+		for _, line := range differences {
+			fmt.Fprintln(w, line)
 		}
-		if len(differ) == 0 {
-			fmt.Fprintln(to, "all views are the same")
+		if len(differences) == 0 {
+			fmt.Fprintln(w, "all views are the same")
 		}
 	}
-	return len(differ) == 0 && v.SupersededBy == "", nil
+	return len(differences) == 0 && v.SupersededBy == "", nil
 }
 
-func dash(text string) string {
+func orDash(text string) string {
 	if text == "" {
 		return "-"
 	}
--- a/cmd/ottershift/ops.go
+++ b/cmd/ottershift/ops.go
@@ -13,9 +13,10 @@
 func opsCommand() *cobra.Command {
 	var within time.Duration
 	c := &cobra.Command{
-		Use: "ops ADDRESS CALL", Short: "Ask a balancer at its second address, or tell it to leave", Args: cobra.ExactArgs(2),
-		Long: `ADDRESS is the balancer's "ops". The calls are HEALTH (does it take clients?), DUMP (its figures), LEAVE (have clients
-go elsewhere) and JOIN (take them again). Exits with 0 if it says yes, 1 if it says no or can't be asked.`,
+		Use: "ops ADDRESS CALL", Short: "Query a balancer at its ops address, or drain it", Args: cobra.ExactArgs(2),
+		Long: `ADDRESS is the balancer's "ops" address. The calls are HEALTH (whether it accepts clients), DUMP (its metrics), LEAVE
+(start draining) and JOIN (accept clients again). Exits with 0 on success, with 1 on a refusal or if the balancer does
+not answer.`,
 		ValidArgs: []string{"HEALTH", "DUMP", "LEAVE", "JOIN"},
 		RunE: func(c *cobra.Command, args []string) error {
 			text, yes, err := ops.Call(args[0], args[1], within)
@@ -26,11 +27,11 @@
 			case text == "":
 				return errors.New("no answer")
 			case !yes:
-				return errSaid
+				return errReported
 			}
 			return nil
 		},
 	}
-	c.Flags().DurationVar(&within, "within", 2*time.Second, "how long to wait for its answer")
+	c.Flags().DurationVar(&within, "within", 2*time.Second, "how long to wait for the answer")
 	return c
 }
--- a/cmd/ottershift/pools_test.go
+++ b/cmd/ottershift/pools_test.go
@@ -15,9 +15,9 @@
 	"time"
 )
 
-// serving starts the program with a configuration of ours and waits until it is ready. In the text LISTEN stands for its
+// startServe starts the program with a TOML configuration and waits until it is ready. LISTEN in the text stands for its
 // address.
-func serving(t testing.TB, text string) *balancer {
+func startServe(t testing.TB, text string) *balancer {
 	t.Helper()
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -53,8 +53,8 @@
 	return text
 }
 
-// tells answers with a name, and with what arrived.
-func tells(name string) func(int32, *http.Request, []byte, net.Conn) bool {
+// respondWithName answers with a name and the host and target of the request.
+func respondWithName(name string) func(int32, *http.Request, []byte, net.Conn) bool {
 	return func(_ int32, r *http.Request, _ []byte, c net.Conn) bool {
 		text := name + " " + r.Host + " " + r.RequestURI
 		_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
@@ -62,8 +62,8 @@
 	}
 }
 
-// raw writes a message as it stands and reads the answer.
-func (b *balancer) raw(t testing.TB, text string) (status int, body string) {
+// sendRaw writes a message unchanged and reads the answer.
+func (b *balancer) sendRaw(t testing.TB, text string) (status int, body string) {
 	t.Helper()
 	c, err := net.Dial("tcp", b.address)
 	if err != nil {
@@ -78,9 +78,9 @@
 }
 
 func TestHostsAndPaths(t *testing.T) {
-	album, opslag, www := newUpstream(t, tells("album")), newUpstream(t, tells("opslag")), newUpstream(t, tells("www"))
-	b := serving(t, tariffs+poolText("album", "", album.Addr().String())+poolText("opslag", "", opslag.Addr().String())+
-		poolText("www", "", www.Addr().String(), album.Addr().String())+ // an address and a name that another pool has too
+	album, opslag, www := newUpstream(t, respondWithName("album")), newUpstream(t, respondWithName("opslag")), newUpstream(t, respondWithName("www"))
+	b := startServe(t, tariffs+poolText("album", "", album.Addr().String())+poolText("opslag", "", opslag.Addr().String())+
+		poolText("www", "", www.Addr().String(), album.Addr().String())+ // another pool has the same address and upstream name
 		`[[routes]]
 hosts = ["www.example.org"]
 pool = "www"
@@ -105,7 +105,7 @@
 	for _, c := range []struct {
 		line, host string
 		status     int
-		want       string // "" for whatever
+		want       string // "" accepts any body
 	}{
 		{"GET /album/1", "x.example.org", 200, "album x.example.org /album/1"},
 		{"GET /album/1?q=%2f..", "X.Example.ORG.:8000", 200, "album X.Example.ORG.:8000 /album/1?q=%2f.."},
@@ -123,27 +123,27 @@
 		{"GET /album", "", 404, ""},
 		{"GET /album", "x..example.org", 400, ""},
 		{"GET /anything", "www.example.org", 200, ""},
-		{"GET http://x.example.org/album/1", "www.example.org", 200, "album x.example.org /album/1"}, // the target counts
+		{"GET http://x.example.org/album/1", "www.example.org", 200, "album x.example.org /album/1"}, // the absolute target takes precedence over Host
 		{"OPTIONS *", "x.example.org", 400, ""},
 		{"GET /album", "x.example.org\r\nHost: www.example.org", 400, ""},
 		{"GET /album", "x.example.org\r\nContent-Length: 7\r\nTransfer-Encoding: chunked", 411, ""},
 	} {
-		status, body := b.raw(t, c.line+" HTTP/1.1\r\nHost: "+c.host+"\r\n\r\n")
+		status, body := b.sendRaw(t, c.line+" HTTP/1.1\r\nHost: "+c.host+"\r\n\r\n")
 		if status != c.status || c.want != "" && body != c.want {
 			t.Errorf("%s at %q: %d %q", c.line, c.host, status, body)
 		}
 	}
-	if status, _ := b.raw(t, "GET /album HTTP/1.1\r\n\r\n"); status != 400 {
-		t.Errorf("without a host: %d", status)
+	if status, _ := b.sendRaw(t, "GET /album HTTP/1.1\r\n\r\n"); status != 400 {
+		t.Errorf("no Host header: status %d", status)
 	}
 }
 
-// A pool whose upstreams all hang holds what it may and no more: the rest goes on, and what is beyond is deferred at
-// once. An id that is open in one pool is free in another.
-func TestHangingPoolLeavesTheRest(t *testing.T) {
+// A pool whose upstreams all hang holds no more than its share of the limits: the other pools keep working, and
+// transactions beyond the share are deferred immediately. An id that is open in one pool is free in another.
+func TestHangingPoolDoesNotAffectOtherPools(t *testing.T) {
 	hung := newUpstream(t, nil)
 	hung.do = func(_ int32, _ *http.Request, _ []byte, c net.Conn) bool { return hung.hang(c) }
-	fine := newUpstream(t, tells("www"))
+	fine := newUpstream(t, respondWithName("www"))
 	text := "limits = { descriptors = 160, bodies = \"2MiB\" }\n" + tariffs + poolText("album", "", hung.Addr().String()) +
 		poolText("www", "", fine.Addr().String()) + `[[routes]]
 hosts = ["album.example.org"]
@@ -152,7 +152,7 @@
 hosts = ["www.example.org"]
 pool = "www"
 `
-	b := serving(t, text)
+	b := startServe(t, text)
 	type answer struct {
 		status int
 		took   time.Duration
@@ -189,30 +189,30 @@
 		}
 	}
 	if n := b.files(); n > 160 {
-		t.Errorf("%d descriptors", n)
+		t.Errorf("%d open descriptors, want at most 160", n)
 	}
-	at, late := 0, 0
+	immediate, late := 0, 0
 	for range flood {
 		switch a := <-answers; {
 		case a.status == 503 && a.took < time.Second:
-			at++
-		case a.status == 503 || a.status == 0: // at its hard stop, or its connection made room
+			immediate++
+		case a.status == 503 || a.status == 0: // at its hard stop, or its connection was closed to free a descriptor
 			late++
 		default:
 			t.Errorf("%d after %s", a.status, a.took)
 		}
 	}
-	if at < flood/4 || hung.arrived.Load() == 0 {
-		t.Errorf("%d deferred at once, %d later, %d arrived", at, late, hung.arrived.Load())
+	if immediate < flood/4 || hung.arrived.Load() == 0 {
+		t.Errorf("%d deferred immediately, %d later, %d reached the upstream", immediate, late, hung.arrived.Load())
 	}
 }
 
-// A faulty file changes nothing, whatever it would have changed, and the log names all of its faults.
+// Reloading an invalid file changes nothing, and the log lists all of its faults.
 func TestFaultyReloadChangesNothing(t *testing.T) {
-	u, v := newUpstream(t, tells("u")), newUpstream(t, tells("v"))
+	u, v := newUpstream(t, respondWithName("u")), newUpstream(t, respondWithName("v"))
 	text := tariffs + poolText("www", "", u.Addr().String()) + "[[routes]]\npool = \"www\"\n"
-	b := serving(t, text)
-	put := func(text string) {
+	b := startServe(t, text)
+	writeAndReload := func(text string) {
 		t.Helper()
 		if err := os.WriteFile(b.file, []byte(strings.ReplaceAll(text, "LISTEN", b.address)), 0o600); err != nil {
 			t.Fatal(err)
@@ -220,16 +220,16 @@
 		b.command.Process.Signal(syscall.SIGHUP)
 	}
 	other := strings.Replace(text, u.Addr().String(), v.Addr().String(), 1)
-	put(strings.Replace(other, "pool = \"www\"", "pool = \"w\"\npath = \"/\"", 1))
-	soon(t, "the log names the faults", func() bool {
+	writeAndReload(strings.Replace(other, "pool = \"www\"", "pool = \"w\"\npath = \"/\"", 1))
+	soon(t, "the log lists the faults", func() bool {
 		return strings.Contains(b.log.String(), "step=kept") && strings.Count(b.log.String(), "step=fault") == 2
 	})
-	if status, body := b.raw(t, "GET /x HTTP/1.1\r\nHost: a\r\n\r\n"); status != 200 || !strings.HasPrefix(body, "u ") {
+	if status, body := b.sendRaw(t, "GET /x HTTP/1.1\r\nHost: a\r\n\r\n"); status != 200 || !strings.HasPrefix(body, "u ") {
 		t.Errorf("%d %q", status, body)
 	}
-	put(other)
-	soon(t, "the file that is in order is in force", func() bool {
-		_, body := b.raw(t, "GET /x HTTP/1.1\r\nHost: a\r\n\r\n")
+	writeAndReload(other)
+	soon(t, "the valid file is in force", func() bool {
+		_, body := b.sendRaw(t, "GET /x HTTP/1.1\r\nHost: a\r\n\r\n")
 		return strings.HasPrefix(body, "v ")
 	})
 	for _, line := range strings.Split(strings.TrimSpace(b.log.String()), "\n") {
@@ -245,7 +245,8 @@
 	}
 }
 
-// What a plain upstream says goes on as it is: answers without a body, other codes, and what it is told of the client.
+// Answers of a plain upstream are forwarded unchanged, also without a body and with other status codes. The upstream
+// receives the forwarding headers.
 func TestPlainAnswers(t *testing.T) {
 	seen := make(chan http.Header, 10)
 	u := newUpstream(t, func(_ int32, r *http.Request, _ []byte, c net.Conn) bool {
@@ -258,7 +259,7 @@
 		_, err := io.WriteString(c, answer)
 		return err == nil
 	})
-	b := serving(t, tariffs+poolText("www", "", u.Addr().String())+"[[routes]]\npool = \"www\"\n")
+	b := startServe(t, tariffs+poolText("www", "", u.Addr().String())+"[[routes]]\npool = \"www\"\n")
 	c, err := net.Dial("tcp", b.address)
 	if err != nil {
 		t.Fatal(err)
@@ -272,7 +273,7 @@
 		body         string
 	}{
 		{"GET", "/moved", 302, 0, ""}, {"PUT", "/made", 201, 2, "ok"}, {"DELETE", "/none", 204, 0, ""}, {"GET", "/same", 304, 0, ""},
-		{"HEAD", "/head", 200, 12345, ""}, {"GET", "/made", 201, 2, "ok"}, // on the same connection, which must be clean
+		{"HEAD", "/head", 200, 12345, ""}, {"GET", "/made", 201, 2, "ok"}, // on the same connection, which must hold no leftover bytes
 	} {
 		c.SetDeadline(time.Now().Add(5 * time.Second))
 		fmt.Fprintf(c, "%s %s HTTP/1.1\r\nHost: a\r\nX-Forwarded-For: 10.1.1.1\r\n\r\n", want.method, want.path)
@@ -286,15 +287,15 @@
 		}
 		h := <-seen
 		if h.Get("X-Txn") == "" || h.Get("X-Remaining") == "" || strings.Join(h["X-Forwarded-For"], ",") != "10.1.1.1,127.0.0.1" {
-			t.Errorf("told as %v", h)
+			t.Errorf("forwarded header %v", h)
 		}
 	}
 }
 
-// A tunnel's target is no path: nothing of it reaches an upstream.
-func TestNoTunnels(t *testing.T) {
+// The target of CONNECT is not a path, so the request is rejected and never reaches an upstream.
+func TestConnectIsRejected(t *testing.T) {
 	u := newUpstream(t, says(fine))
-	b := serving(t, tariffs+poolText("www", "", u.Addr().String())+"[[routes]]\npool = \"www\"\n")
+	b := startServe(t, tariffs+poolText("www", "", u.Addr().String())+"[[routes]]\npool = \"www\"\n")
 	for _, target := range []string{"host:80", "/x", "http://host/x"} {
 		c, err := net.Dial("tcp", b.address)
 		if err != nil {
@@ -307,7 +308,7 @@
 	}
 }
 
-// check and routes say what serve would do.
+// The check and routes commands report what serve would do.
 func TestCheckAndRoutes(t *testing.T) {
 	say := func(want int, args ...string) string {
 		t.Helper()
--- a/cmd/ottershift/serve.go
+++ b/cmd/ottershift/serve.go
@@ -19,9 +19,9 @@
 func serveCommand(reload <-chan os.Signal) *cobra.Command {
 	var file string
 	c := &cobra.Command{
-		Use: "serve", Short: "Serve what a configuration says", Args: cobra.NoArgs,
-		Long: `Serves until SIGTERM. SIGHUP reads the configuration again: all of it is put in force, or nothing if anything is
-wrong with it. Without --config, PROXY_CONFIG names the platform's JSON.`,
+		Use: "serve", Short: "Run the balancer", Args: cobra.NoArgs,
+		Long: `Serves until SIGTERM. SIGHUP reloads the configuration: it is applied as a whole, or not at all if it has an error.
+Without --config, PROXY_CONFIG names the platform's JSON.`,
 		RunE: func(_ *cobra.Command, _ []string) error {
 			if file != "" {
 				return serve(file, reload)
@@ -29,7 +29,7 @@
 			if path := os.Getenv("PROXY_CONFIG"); path != "" {
 				return servePlatform(path, reload)
 			}
-			return errors.New("no configuration: --config names a file, or PROXY_CONFIG the platform's")
+			return errors.New("no configuration: pass --config or set PROXY_CONFIG")
 		},
 	}
 	c.Flags().StringVarP(&file, "config", "c", "", "configuration in TOML (docs/configuration.md)")
@@ -37,97 +37,97 @@
 	return c
 }
 
-// servePlatform serves one pool by the platform's JSON.
+// servePlatform serves one pool from the platform's JSON.
 func servePlatform(path string, reload <-chan os.Signal) error {
 	log, level := logs.New(os.Stderr, "text")
 	p, err := plan.ReadPlatform(path)
 	if err == nil {
-		err = live(p, log, level, reload, func() (*plan.Plan, []faults.Fault, error) {
+		err = serveUntilStopped(p, log, level, reload, func() (*plan.Plan, []faults.Fault, error) {
 			p, err := plan.ReadPlatform(path)
 			return p, nil, err
 		})
 	}
-	return stopped(log, err)
+	return logStop(log, err)
 }
 
-// serve serves by a file of our own.
+// serve runs the balancer from a TOML configuration file.
 func serve(path string, reload <-chan os.Signal) error {
-	p, wrong := plan.Read(path)
+	p, problems := plan.Read(path)
 	if p == nil {
-		tell(os.Stderr, wrong)
-		return errSaid
+		printFaults(os.Stderr, problems)
+		return errReported
 	}
 	log, level := logs.New(os.Stderr, p.Log.Format)
-	remarks(log, wrong)
-	return stopped(log, live(p, log, level, reload, func() (*plan.Plan, []faults.Fault, error) {
-		p, wrong := plan.Read(path)
+	logWarnings(log, problems)
+	return logStop(log, serveUntilStopped(p, log, level, reload, func() (*plan.Plan, []faults.Fault, error) {
+		p, problems := plan.Read(path)
 		if p == nil {
-			return nil, wrong, fmt.Errorf("%d faults", len(wrong))
+			return nil, problems, fmt.Errorf("%d faults", len(problems))
 		}
-		return p, wrong, nil
+		return p, problems, nil
 	}))
 }
 
-func stopped(log *slog.Logger, err error) error {
+func logStop(log *slog.Logger, err error) error {
 	if err != nil {
 		logs.WithoutPool(log).Error("stop", "fault", err)
-		return errSaid
+		return errReported
 	}
 	return nil
 }
 
-// live is the life of the process.
-func live(
+// serveUntilStopped runs the balancer until SIGTERM, SIGINT or a listener failure, and reloads it on SIGHUP.
+func serveUntilStopped(
 	p *plan.Plan, log *slog.Logger, level *slog.LevelVar, reload <-chan os.Signal,
 	reread func() (*plan.Plan, []faults.Fault, error),
 ) error {
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
-	s, err := process.Start(p, log, level)
+	server, err := process.Start(p, log, level)
 	if err != nil {
 		return err
 	}
-	own := logs.WithoutPool(log)
+	processLog := logs.WithoutPool(log)
 	if p.OpsAddress != "" {
-		own.Info("start", "name", p.Name, "ops", p.OpsAddress)
+		processLog.Info("start", "name", p.Name, "ops", p.OpsAddress)
 	}
 	for _, l := range p.Listeners {
-		own.Info("start", "name", p.Name, "listen", l.Address, "listener", l.Name)
+		processLog.Info("start", "name", p.Name, "listen", l.Address, "listener", l.Name)
 	}
-	for _, told := range p.Pools {
-		log.Info("start", "pool", told.Name, "name", p.Name, "discovery", told.Upstreams.Discovery, "tier", told.Settings.Engine.Tier,
-			"known", len(told.Upstreams.Initial.Entries)+len(told.Upstreams.Static), "index", told.Upstreams.Initial.Version)
+	for _, pool := range p.Pools {
+		log.Info("start", "pool", pool.Name, "name", p.Name, "discovery", pool.Upstreams.Discovery, "tier", pool.Settings.Engine.Tier,
+			"known", len(pool.Upstreams.Initial.Entries)+len(pool.Upstreams.Static), "index", pool.Upstreams.Initial.Version)
 	}
 	for {
 		select {
-		case err := <-s.ListenerErrors():
+		case err := <-server.ListenerErrors():
 			return err
 		case <-reload:
-			// Danger: a file that makes no sense must not cost what is in service.
-			p, wrong, err := reread()
+			// An invalid file leaves the running configuration in place.
+			p, problems, err := reread()
 			if err == nil {
-				if err = s.Reload(p); err == nil {
-					remarks(log, wrong)
+				if err = server.Reload(p); err == nil {
+					logWarnings(log, problems)
 					continue
 				}
-				wrong = nil
+				problems = nil
 			}
-			s.CountInvalidConfig()
-			own.Error("reload", "step", "kept", "fault", err)
-			for _, f := range wrong {
+			server.CountInvalidConfig()
+			processLog.Error("reload", "step", "kept", "fault", err)
+			for _, f := range problems {
 				if !f.Warning {
-					own.Error("reload", "step", "fault", "fault", f)
+					processLog.Error("reload", "step", "fault", "fault", f)
 				}
 			}
 		case <-stop:
-			s.Drain()
+			server.Drain()
 			return nil
 		}
 	}
 }
 
-func remarks(log *slog.Logger, all []faults.Fault) {
-	for _, f := range all {
+func logWarnings(log *slog.Logger, problems []faults.Fault) {
+	for _, f := range problems {
 		if f.Warning {
 			logs.WithoutPool(log).Debug("remark", "text", f)
 		}
--- a/cmd/proxy/main.go
+++ b/cmd/proxy/main.go
@@ -1,4 +1,4 @@
-// Command proxy is the mesh's balancer: one beside each upstream.
+// Command proxy is the mesh's balancer, which runs beside each upstream.
 package main
 
 import (
