--- a/cmd/ottershift/ledger.go
+++ b/cmd/ottershift/ledger.go
@@ -220,11 +220,11 @@
 		}
 		fmt.Fprintf(w, "%s: %s\n", dir, count(len(copies[dir]), "key"))
 	}
-	lines := ledger.DiffCopies(copies)
-	for _, line := range lines {
+	differences := ledger.DiffCopies(copies)
+	for _, line := range differences {
 		fmt.Fprintln(w, line)
 	}
-	if len(lines) > 0 {
+	if len(differences) > 0 {
 		return errReported
 	}
 	return nil
--- a/cmd/ottershift/lists_test.go
+++ b/cmd/ottershift/lists_test.go
@@ -29,14 +29,14 @@
 	failures     []string
 }
 
-func (f *trafficChecker) upstream() *upstream {
+func (f *trafficChecker) newUpstream() *upstream {
 	return newUpstream(f.t, func(_ int32, r *http.Request, _ []byte, c net.Conn) bool {
 		n, _ := f.runs.LoadOrStore(r.Header.Get("X-Txn")+r.Header.Get("X-Lane"), new(atomic.Int32))
 		if n.(*atomic.Int32).Add(1) > 1 && r.Header.Get("X-Lane") == "post" {
 			f.addFailure("once-only work executed twice")
 		}
 		time.Sleep(2 * time.Millisecond)
-		_, err := io.WriteString(c, fine)
+		_, err := io.WriteString(c, okResponse)
 		return err == nil
 	})
 }
@@ -68,7 +68,7 @@
 					in = bufio.NewReader(c)
 				}
 				start := time.Now()
-				status, header, _, err := on(c, in, message([]string{"view", "post", "load"}[n%3], 1, "Content-Length: 0\r\n\r\n"))
+				status, header, _, err := roundTripOn(c, in, requestText([]string{"view", "post", "load"}[n%3], 1, "Content-Length: 0\r\n\r\n"))
 				took := time.Since(start)
 				f.mu.Lock()
 				if f.statusCounts[status]++; status != 0 {
@@ -126,33 +126,33 @@
 // restart in between loses no answered transaction.
 func TestMalformedLists(t *testing.T) {
 	f := &trafficChecker{t: t}
-	u, v := f.upstream(), f.upstream()
+	u, v := f.newUpstream(), f.newUpstream()
 	r := newRegistry(t)
-	f.b = start(t, r, 1024, strings.NewReplacer(`"layer":1`, `"layer":0`).Replace(settings), u, v)
+	f.b = start(t, r, 1024, strings.NewReplacer(`"layer":1`, `"layer":0`).Replace(platformSettings), u, v)
 	w := r.next(t)
 	a, z := entry("u0", u.Addr().String(), "SERVING"), entry("u1", v.Addr().String(), "SERVING")
 	f.start()
 	f.waitSettled("initial list")
 
-	w.say(report(50, true))
+	w.send(discoveryReport(50, true))
 	time.Sleep(100 * time.Millisecond)
-	arrived := u.arrived.Load() + v.arrived.Load()
+	arrived := u.requests.Load() + v.requests.Load()
 	f.takeCounts()
 	time.Sleep(300 * time.Millisecond)
-	if by := f.takeCounts(); by[503] < 20 || len(by) != 1 || u.arrived.Load()+v.arrived.Load() > arrived {
-		t.Errorf("empty list: answers %v, %d attempts", by, u.arrived.Load()+v.arrived.Load()-arrived)
+	if by := f.takeCounts(); by[503] < 20 || len(by) != 1 || u.requests.Load()+v.requests.Load() > arrived {
+		t.Errorf("empty list: answers %v, %d attempts", by, u.requests.Load()+v.requests.Load()-arrived)
 	}
-	w.say(report(12, true, a, z)) // an older version, then the current one
+	w.send(discoveryReport(12, true, a, z)) // an older version, then the current one
 	f.waitSettled("an older list")
 	for n := range 40 { // flaps
-		w.say(report(51+n, n%2 == 0, []string{a, z, strings.Replace(a, "SERVING", "DRAINING", 1)}[n%3]))
+		w.send(discoveryReport(51+n, n%2 == 0, []string{a, z, strings.Replace(a, "SERVING", "DRAINING", 1)}[n%3]))
 		time.Sleep(5 * time.Millisecond)
 	}
-	w.say(report(100, true, a, a, z, a, z))
+	w.send(discoveryReport(100, true, a, a, z, a, z))
 	f.waitSettled("entries that repeat")
-	twice := report(101, true, a, z, entry("u9", u.Addr().String(), "SERVING"), entry("", u.Addr().String(), "SERVING"), `{"name":"n"}`, `7`)
+	twice := discoveryReport(101, true, a, z, entry("u9", u.Addr().String(), "SERVING"), entry("", u.Addr().String(), "SERVING"), `{"name":"n"}`, `7`)
 	for range 5 {
-		w.say(twice)
+		w.send(twice)
 	}
 	f.waitSettled("one machine under two names")
 	for _, odd := range []string{"step=odd entries=3", "odd=1"} {
@@ -163,8 +163,8 @@
 	f.b.command.Process.Signal(syscall.SIGTERM)
 	<-f.b.exit
 	f.b.launch(t)
-	f.b.await(t)
-	r.next(t).say(report(101, true, a, z))
+	f.b.waitReady(t)
+	r.next(t).send(discoveryReport(101, true, a, z))
 	f.waitSettled("after a restart")
 	f.finish()
 }
@@ -173,7 +173,7 @@
 // use, and discovery is queried no more than a few times a second.
 func TestDiscoveryFailures(t *testing.T) {
 	f := &trafficChecker{t: t}
-	u, v := f.upstream(), f.upstream()
+	u, v := f.newUpstream(), f.newUpstream()
 	var asked, mode atomic.Int32 // 0 breaks after a line, 1 answers 503, 2 never answers
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -183,7 +183,7 @@
 		asked.Add(1)
 		switch mode.Load() {
 		case 0:
-			fmt.Fprintln(w, report(41, true, entry("u0", u.Addr().String(), "SERVING"), entry("u1", v.Addr().String(), "SERVING")))
+			fmt.Fprintln(w, discoveryReport(41, true, entry("u0", u.Addr().String(), "SERVING"), entry("u1", v.Addr().String(), "SERVING")))
 		case 1:
 			w.WriteHeader(http.StatusServiceUnavailable)
 		default:
@@ -192,7 +192,7 @@
 	})}
 	go s.Serve(l)
 	t.Cleanup(func() { s.Close() })
-	f.b = start(t, &registry{Listener: l}, 1024, strings.Replace(settings, `"layer":1`, `"layer":0`, 1), u, v)
+	f.b = start(t, &registry{Listener: l}, 1024, strings.Replace(platformSettings, `"layer":1`, `"layer":0`, 1), u, v)
 	f.start()
 	f.waitSettled("initial list")
 	for _, what := range []string{"breaks after a line", "503", "says nothing"} {
--- a/cmd/ottershift/days_test.go
+++ b/cmd/ottershift/operations_test.go
@@ -20,7 +20,7 @@
 	"ottershift/internal/ops"
 )
 
-func unused(t testing.TB) string {
+func unusedAddress(t testing.TB) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -29,43 +29,43 @@
 	return l.Addr().String()
 }
 
-// begin starts a balancer with a second address.
-func begin(t *testing.T, memory int, upstreams ...*upstream) (b *balancer, second string) {
-	b, second = &balancer{t: t, address: unused(t), log: &lockedBuffer{}}, unused(t)
-	b.up(b.told(second, newRegistry(t), memory, 512, settings, upstreams...))
-	return b, second
+// startWithOps starts a balancer with an ops address.
+func startWithOps(t *testing.T, memory int, upstreams ...*upstream) (b *balancer, opsAddr string) {
+	b, opsAddr = &balancer{t: t, address: unusedAddress(t), log: &lockedBuffer{}}, unusedAddress(t)
+	b.runUntilCleanup(b.platformConfig(opsAddr, newRegistry(t), memory, 512, platformSettings, upstreams...))
+	return b, opsAddr
 }
 
-// call asks at a second address, and fails if that takes over a second.
-func call(t *testing.T, second, what string) (text string, ok bool) {
+// callOK sends a call to an ops address and fails the test if there is no answer within a second.
+func callOK(t *testing.T, opsAddr, what string) (text string, ok bool) {
 	t.Helper()
-	text, ok, err := ops.Call(second, what, time.Second)
+	text, ok, err := ops.Call(opsAddr, what, time.Second)
 	if err != nil {
 		t.Errorf("%s: %v after %q", what, err, text)
 	}
 	return text, ok
 }
 
-// figure reads one figure; -1 if it is not there.
-func figure(t *testing.T, second, name string) int {
+// metric reads one metric, or returns -1 if it is missing.
+func metric(t *testing.T, opsAddr, name string) int {
 	t.Helper()
-	text, _ := call(t, second, "DUMP")
+	text, _ := callOK(t, opsAddr, "DUMP")
 	_, rest, _ := strings.Cut("\n"+text, "\n"+name+" ")
 	n := -1
 	fmt.Sscan(rest, &n)
 	return n
 }
 
-func ended(tariff, state string) string {
+func transactionsMetric(tariff, state string) string {
 	return fmt.Sprintf(`proxy_transactions{group="%s",state="%s"}`, tariff, state)
 }
 
-// Callers that hold the second address and clients that flood the first cost the next caller nothing.
-func TestSecondAddressAnswersUnderAnyLoad(t *testing.T) {
-	b, second := begin(t, 192, newUpstream(t, says(fine)))
+// Callers that occupy the ops address and clients that flood the main address do not delay the next ops call.
+func TestOpsAddressAnswersUnderLoad(t *testing.T) {
+	b, opsAddr := startWithOps(t, 192, newUpstream(t, respondWith(okResponse)))
 	var held []net.Conn
 	for n := range 2 * ops.MaxConnections {
-		c, err := net.Dial("tcp", second)
+		c, err := net.Dial("tcp", opsAddr)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -75,7 +75,7 @@
 		}
 		held = append(held, c)
 	}
-	for range 300 { // strangers, more than there is room for
+	for range 300 { // more idle connections than the limit
 		if c, err := net.Dial("tcp", b.address); err == nil {
 			defer c.Close()
 		}
@@ -84,8 +84,8 @@
 		"HEALTH\r\n": "SUCCESS\n", "health\n": "SUCCESS\n", "HEALTH": "SUCCESS\n", "\n": "FAILURE", "NOISE\n": "FAILURE",
 		strings.Repeat("x", 100) + "\n": "FAILURE", "JOIN\n": "SUCCESS\n",
 	} {
-		begin := time.Now()
-		c, err := net.Dial("tcp", second)
+		start := time.Now()
+		c, err := net.Dial("tcp", opsAddr)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -93,42 +93,42 @@
 			io.WriteString(c, part)
 		}
 		c.(*net.TCPConn).CloseWrite()
-		c.SetDeadline(begin.Add(2 * time.Second))
+		c.SetDeadline(start.Add(2 * time.Second))
 		text, _ := io.ReadAll(c)
-		if !strings.HasPrefix(string(text), want) || time.Since(begin) > time.Second {
-			t.Errorf("%q: %q after %s", line, text, time.Since(begin))
+		if !strings.HasPrefix(string(text), want) || time.Since(start) > time.Second {
+			t.Errorf("%q: %q after %s", line, text, time.Since(start))
 		}
 		c.Close()
 	}
-	io.WriteString(held[len(held)-2], "TH\n") // the last ones were not let go
+	io.WriteString(held[len(held)-2], "TH\n") // the most recent ops connections were not evicted
 	held[len(held)-2].SetDeadline(time.Now().Add(time.Second))
 	if text, err := io.ReadAll(held[len(held)-2]); err != nil || string(text) != "SUCCESS\n" {
 		t.Errorf("a call in two pieces: %q %v", text, err)
 	}
 }
 
-// The figures are what clients and upstreams count themselves.
-func TestFiguresAreWhatHappened(t *testing.T) {
+// The metrics match the counts of the clients and upstreams.
+func TestMetricsMatchObservedTraffic(t *testing.T) {
 	var sends atomic.Int64
 	u := newUpstream(t, func(n int32, r *http.Request, _ []byte, c net.Conn) bool {
 		sends.Add(1)
 		if n%4 == 0 {
 			io.WriteString(c, "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n")
 		} else {
-			io.WriteString(c, fine)
+			io.WriteString(c, okResponse)
 		}
 		return true
 	})
-	b, second := begin(t, 192, u)
+	b, opsAddr := startWithOps(t, 192, u)
 	got := map[string]int{}
 	for n := range 120 {
 		tariff := []string{"view", "post", "load"}[n%3]
-		status, _, _ := b.ask(message(tariff, 2, "Content-Length: 0\r\n\r\n"))
+		status, _, _ := b.roundTrip(requestText(tariff, 2, "Content-Length: 0\r\n\r\n"))
 		got[fmt.Sprint(tariff, status)]++
 	}
 	for _, tariff := range []string{"view", "post", "load"} {
 		for state, status := range map[string]string{"answered": "200", "deferred": "503", "errored": "502"} {
-			if n := figure(t, second, ended(tariff, state)); n != got[tariff+status] {
+			if n := metric(t, opsAddr, transactionsMetric(tariff, state)); n != got[tariff+status] {
 				t.Errorf("%s %s: %d, seen %d", tariff, state, n, got[tariff+status])
 			}
 		}
@@ -136,29 +136,29 @@
 	for name, want := range map[string]int{
 		"proxy_sends": int(sends.Load()), "proxy_current": 0, "proxy_cluster_size": 1, "proxy_conf_loaded": 0, "proxy_conf_invalid": 0,
 	} {
-		if n := figure(t, second, name); n != want {
-			t.Errorf("%s: %d, not %d", name, n, want)
+		if n := metric(t, opsAddr, name); n != want {
+			t.Errorf("%s: got %d, want %d", name, n, want)
 		}
 	}
-	if text, _ := call(t, second, "DUMP"); !strings.HasSuffix(text, "\nEOT\n") {
+	if text, _ := callOK(t, opsAddr, "DUMP"); !strings.HasSuffix(text, "\nEOT\n") {
 		t.Errorf("ends with %q", text[max(0, len(text)-20):])
 	}
 }
 
-// A balancer that is told to leave says no, loses nobody's transaction, holds nothing idle after four seconds, and
-// takes clients again when told so.
+// After LEAVE a balancer reports unhealthy, loses no transaction and has closed its idle connections after four seconds.
+// After JOIN it accepts clients again.
 func TestLeaveAndJoin(t *testing.T) {
-	b, second := begin(t, 192, newUpstream(t, echo("")))
+	b, opsAddr := startWithOps(t, 192, newUpstream(t, echo("")))
 	var stop atomic.Bool
-	var all sync.WaitGroup
-	var closed atomic.Int64 // connections that ended with their answer
+	var wg sync.WaitGroup
+	var closed atomic.Int64 // connections that the balancer closed
 	for n := range 8 {
 		c, in := b.dial()
-		all.Go(func() {
+		wg.Go(func() {
 			for !stop.Load() {
-				status, header, _, err := on(c, in, message("view", 2, "\r\n"))
+				status, header, _, err := roundTripOn(c, in, requestText("view", 2, "\r\n"))
 				if err != nil && n%2 == 0 || err == nil && status != 200 {
-					t.Errorf("on a kept connection: %d %v", status, err)
+					t.Errorf("on an existing connection: %d %v", status, err)
 				}
 				if err != nil || header.Get("Connection") == "close" {
 					closed.Add(1)
@@ -166,62 +166,62 @@
 				}
 				if n%2 == 0 {
 					time.Sleep(10 * time.Millisecond)
-				} else { // idle when it is closed
+				} else { // idle when the balancer closes it
 					time.Sleep(2500 * time.Millisecond)
 				}
 			}
 		})
 	}
 	time.Sleep(100 * time.Millisecond)
-	left := time.Now()
-	for range 2 { // the second time is no fault
-		if text, ok := call(t, second, "LEAVE"); !ok {
+	leftAt := time.Now()
+	for range 2 { // the call is idempotent
+		if text, ok := callOK(t, opsAddr, "LEAVE"); !ok {
 			t.Errorf("%q", text)
 		}
 	}
-	if _, ok := call(t, second, "HEALTH"); ok {
+	if _, ok := callOK(t, opsAddr, "HEALTH"); ok {
 		t.Error("healthy")
 	}
-	if status, _, _ := b.ask("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n"); status != 503 {
+	if status, _, _ := b.roundTrip("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n"); status != 503 {
 		t.Errorf("health: %d", status)
 	}
 	silent, in := b.dial()
-	time.Sleep(time.Until(left.Add(3900 * time.Millisecond)))
+	time.Sleep(time.Until(leftAt.Add(3900 * time.Millisecond)))
 	silent.SetDeadline(time.Now().Add(50 * time.Millisecond))
 	if _, err := in.ReadByte(); os.IsTimeout(err) {
-		t.Error("a silent connection is held")
+		t.Error("a silent connection is still open")
 	}
 	stop.Store(true)
-	all.Wait()
+	wg.Wait()
 	if n := closed.Load(); n != 8 {
-		t.Errorf("%d of 8 connections were ended", n)
+		t.Errorf("%d of 8 connections were closed", n)
 	}
-	if status, _, _ := b.ask(message("view", 1, "\r\n")); status != 503 { // harmless elsewhere
-		t.Errorf("what comes late: %d", status)
+	if status, _, _ := b.roundTrip(requestText("view", 1, "\r\n")); status != 503 { // the client can retry at another balancer
+		t.Errorf("a transaction after LEAVE: %d", status)
 	}
-	if text, ok := call(t, second, "JOIN"); !ok {
+	if text, ok := callOK(t, opsAddr, "JOIN"); !ok {
 		t.Errorf("%q", text)
 	}
-	if _, ok := call(t, second, "HEALTH"); !ok {
-		t.Error("not back")
+	if _, ok := callOK(t, opsAddr, "HEALTH"); !ok {
+		t.Error("unhealthy after JOIN")
 	}
-	if status, header, _ := b.ask(message("view", 1, "\r\n")); status != 200 || header.Get("Connection") == "close" {
-		t.Errorf("after coming back: %d", status)
+	if status, header, _ := b.roundTrip(requestText("view", 1, "\r\n")); status != 200 || header.Get("Connection") == "close" {
+		t.Errorf("a transaction after JOIN: %d", status)
 	}
 }
 
-// Settings change under load, one file in three is broken: nothing is lost, each transaction runs under the terms that
-// it came under, and a class comes and goes.
-func TestSettingsChangeUnderLoad(t *testing.T) {
+// Settings are reloaded under load, with one invalid file in three. No transaction is lost, each runs under the terms that
+// it arrived under, and a tariff is repeatedly added and removed.
+func TestReloadUnderLoad(t *testing.T) {
 	u := newUpstream(t, func(_ int32, r *http.Request, _ []byte, c net.Conn) bool {
 		time.Sleep(2 * time.Millisecond)
-		io.WriteString(c, fine)
+		io.WriteString(c, okResponse)
 		return true
 	})
-	b, second := begin(t, 192, u)
-	good := b.config()
-	sing := strings.Replace(good, `"tariffs":[`, `"tariffs":[{"name":"sing","contract_time":500000,"hard_stop":900000,"effect":"idempotent","earnings":2},`, 1)
-	sing = strings.Replace(sing, `"max_pushes":4`, `"max_pushes":2`, 1)
+	b, opsAddr := startWithOps(t, 192, u)
+	good := b.readConfig()
+	withSing := strings.Replace(good, `"tariffs":[`, `"tariffs":[{"name":"sing","contract_time":500000,"hard_stop":900000,"effect":"idempotent","earnings":2},`, 1)
+	withSing = strings.Replace(withSing, `"max_pushes":4`, `"max_pushes":2`, 1)
 	broken := []string{
 		"", good[:len(good)/2], strings.Replace(good, `"hard_stop":6000000`, `"hard_stop":0`, 1),
 		strings.Replace(good, `"hard_stop":6000000,`, ``, 1), strings.Replace(good, `"max_pushes":4`, `"max_pushes":-4`, 1),
@@ -232,13 +232,13 @@
 		strings.Replace(good, `"seed":"8c1f30d27a5be964",`, ``, 1),
 	}
 	var stop atomic.Bool
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	var lost, done atomic.Int64
 	for range 6 {
 		c, in := b.dial()
-		all.Go(func() {
+		wg.Go(func() {
 			for !stop.Load() {
-				if status, _, body, err := on(c, in, message("view", 2, "\r\n")); err != nil || status != 200 || body != "fine" {
+				if status, _, body, err := roundTripOn(c, in, requestText("view", 2, "\r\n")); err != nil || status != 200 || body != "fine" {
 					lost.Add(1)
 					t.Errorf("%d %q %v", status, body, err)
 					return
@@ -252,41 +252,41 @@
 		text := broken[n/3%len(broken)]
 		switch n % 3 {
 		case 0:
-			text, loaded = sing, loaded+1
+			text, loaded = withSing, loaded+1
 		case 1:
 			text, loaded = good, loaded+1
 		default:
 			invalid++
 		}
-		b.configure(text)
+		b.writeConfig(text)
 		b.command.Process.Signal(syscall.SIGHUP)
-		soon(t, fmt.Sprintf("file %d is read", n), func() bool {
-			return figure(t, second, "proxy_conf_loaded") == loaded && figure(t, second, "proxy_conf_invalid") == invalid
+		eventually(t, fmt.Sprintf("file %d is read", n), func() bool {
+			return metric(t, opsAddr, "proxy_conf_loaded") == loaded && metric(t, opsAddr, "proxy_conf_invalid") == invalid
 		})
-		if status, _, _ := b.ask(strings.ReplaceAll(message("view", 0.9, "\r\n"), "view", "sing")); status != 200 {
-			t.Errorf("a class that is there, or was a moment ago: %d", status)
+		if status, _, _ := b.roundTrip(strings.ReplaceAll(requestText("view", 0.9, "\r\n"), "view", "sing")); status != 200 {
+			t.Errorf("a tariff that exists or was just removed: %d", status)
 		}
 	}
 	stop.Store(true)
-	all.Wait()
-	if n := figure(t, second, ended("view", "answered")); n != int(done.Load()) {
+	wg.Wait()
+	if n := metric(t, opsAddr, transactionsMetric("view", "answered")); n != int(done.Load()) {
 		t.Errorf("%d answered, seen %d", n, done.Load())
 	}
-	if n := figure(t, second, ended("sing", "answered")); n != 15*len(broken) {
-		t.Errorf("%d of a class that comes and goes", n)
+	if n := metric(t, opsAddr, transactionsMetric("sing", "answered")); n != 15*len(broken) {
+		t.Errorf("%d answered of the tariff that is added and removed", n)
 	}
-	b.configure(strings.Replace(good, `"cores":1.0`, `"cores":2.0`, 1))
+	b.writeConfig(strings.Replace(good, `"cores":1.0`, `"cores":2.0`, 1))
 	b.command.Process.Signal(syscall.SIGHUP)
-	soon(t, "what waits for the next start is said", func() bool { return strings.Contains(b.log.String(), "step=later key=limits.cores") })
+	eventually(t, "a setting that needs a restart is logged", func() bool { return strings.Contains(b.log.String(), "step=later key=limits.cores") })
 	time.Sleep(time.Second)
-	if status, _, _ := b.ask(strings.ReplaceAll(message("view", 0.9, "\r\n"), "view", "sing")); status != 404 {
-		t.Errorf("a class that was dropped: %d", status)
+	if status, _, _ := b.roundTrip(strings.ReplaceAll(requestText("view", 0.9, "\r\n"), "view", "sing")); status != 404 {
+		t.Errorf("a removed tariff: %d", status)
 	}
 }
 
-// A process is replaced again and again beside its successor, on one socket, under load: nobody is left without an
-// answer, and the two know of each other.
-func TestProcessIsReplaced(t *testing.T) {
+// A process is replaced repeatedly under load while its successor shares its socket. Every client gets an answer, and the
+// two processes detect each other.
+func TestProcessReplacementUnderLoad(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -300,34 +300,34 @@
 	folder, r := t.TempDir(), newRegistry(t)
 	u := newUpstream(t, func(_ int32, _ *http.Request, _ []byte, c net.Conn) bool {
 		time.Sleep(5 * time.Millisecond)
-		io.WriteString(c, fine)
+		io.WriteString(c, okResponse)
 		return true
 	})
 	go func() {
 		for w := range r.watches {
-			w.say(report(42, true, entry("u0", u.Addr().String(), "SERVING")))
+			w.send(discoveryReport(42, true, entry("u0", u.Addr().String(), "SERVING")))
 		}
 	}()
 	log := &lockedBuffer{}
-	next := func() (b *balancer, second string) {
+	next := func() (b *balancer, opsAddr string) {
 		b = &balancer{
-			t: t, address: l.Addr().String(), log: log, shares: []*os.File{socket},
+			t: t, address: l.Addr().String(), log: log, extraFiles: []*os.File{socket},
 			env: []string{"PROXY_LISTEN_FD=3", "TMPDIR=" + folder},
 		}
-		second = unused(t)
-		b.run(b.told(second, r, 64, 512, settings, u))
+		opsAddr = unusedAddress(t)
+		b.run(b.platformConfig(opsAddr, r, 64, 512, platformSettings, u))
 		t.Cleanup(func() { b.command.Process.Kill(); <-b.exit })
-		soon(t, "it takes clients", func() bool {
-			_, ok, _ := ops.Call(second, "HEALTH", time.Second)
+		eventually(t, "the process accepts clients", func() bool {
+			_, ok, _ := ops.Call(opsAddr, "HEALTH", time.Second)
 			return ok
 		})
-		return b, second
+		return b, opsAddr
 	}
 	b, _ := next()
 	var stop atomic.Bool
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for n := range 8 {
-		all.Go(func() {
+		wg.Go(func() {
 			var c net.Conn
 			var in *bufio.Reader
 			for !stop.Load() {
@@ -339,7 +339,7 @@
 					}
 					in = bufio.NewReader(c)
 				}
-				status, header, _, err := on(c, in, message("view", 2, "\r\n"))
+				status, header, _, err := roundTripOn(c, in, requestText("view", 2, "\r\n"))
 				if err != nil || status != 200 {
 					t.Errorf("%d %v", status, err)
 					return
@@ -361,41 +361,41 @@
 					t.Errorf("ended with %v", err)
 				}
 			case <-time.After(3600 * time.Millisecond):
-				t.Error("not ended in time")
+				t.Error("the process did not exit in time")
 			}
 		} else {
-			stop.Store(true) // what a killed process holds is lost, and its place is free all the same
-			all.Wait()
+			stop.Store(true) // a killed process loses its transactions, so the load stops first; its slot is freed nevertheless
+			wg.Wait()
 			b.command.Process.Kill()
 			<-b.exit
 		}
 		b = successor
 	}
-	soon(t, "it knows that it is alone", func() bool { return strings.Contains(log.String(), "processes=1") })
-	soon(t, "they knew of each other", func() bool { return strings.Contains(log.String(), "processes=2") })
+	eventually(t, "the process detects that it is alone", func() bool { return strings.Contains(log.String(), "processes=1") })
+	eventually(t, "the processes detected each other", func() bool { return strings.Contains(log.String(), "processes=2") })
 }
 
-func TestInheritedSocketIsChecked(t *testing.T) {
+func TestInheritedSocketIsValidated(t *testing.T) {
 	for fd, want := range map[string]string{"x": "PROXY_LISTEN_FD", "1": "PROXY_LISTEN_FD", "77": "descriptor 77"} {
 		b := &balancer{t: t, address: "127.0.0.1:1", log: &lockedBuffer{}}
 		t.Setenv("PROXY_LISTEN_FD", fd)
-		b.run(b.told("", newRegistry(t), 64, 512, settings))
+		b.run(b.platformConfig("", newRegistry(t), 64, 512, platformSettings))
 		if err := <-b.exit; err == nil || !strings.Contains(b.log.String(), want) {
 			t.Errorf("%s: %v %s", fd, err, b.log)
 		}
 	}
 }
 
-// noise is a body of some size and its hash, made as it is read.
-func noise(size int64) (io.Reader, func() [32]byte) {
+// randomBody returns a pseudo-random body of a size and a function for the hash of the bytes read so far.
+func randomBody(size int64) (io.Reader, func() [32]byte) {
 	hash := sha256.New()
 	from := io.LimitReader(rand.NewChaCha8([32]byte{}), size)
 	return io.TeeReader(from, hash), func() [32]byte { return [32]byte(hash.Sum(nil)) }
 }
 
-// Bodies and answers of many megabytes, in all forms, at once and slowly, come through unchanged, in far less memory than
-// they have bytes.
-func TestLargeBodiesFlow(t *testing.T) {
+// Large bodies and answers, with a length and chunked, sent concurrently and read slowly, are forwarded unchanged in far
+// less memory than their size.
+func TestLargeBodiesAreStreamed(t *testing.T) {
 	const size, memory = 32 << 20, 64
 	var arrived sync.Map
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -411,7 +411,7 @@
 		if r.URL.Query().Get("big") == "length" {
 			w.Header().Set("Content-Length", strconv.Itoa(size))
 		}
-		body, _ := noise(size)
+		body, _ := randomBody(size)
 		io.Copy(w, body)
 	})}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -420,15 +420,15 @@
 	}
 	go server.Serve(l)
 	defer server.Close()
-	b, second := begin(t, memory, &upstream{Listener: l})
-	body, sum := noise(size)
+	b, opsAddr := startWithOps(t, memory, &upstream{Listener: l})
+	body, sum := randomBody(size)
 	io.Copy(io.Discard, body)
 	want := sum()
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for n := range 16 {
-		all.Go(func() {
-			length, id := int64(size), fmt.Sprintf("%016x", ids.Add(1))
-			send, _ := noise(size)
+		wg.Go(func() {
+			length, id := int64(size), fmt.Sprintf("%016x", nextID.Add(1))
+			send, _ := randomBody(size)
 			path := "/post"
 			if n%4 >= 2 {
 				path, length, send = "/post?big="+[]string{"length", "chunks"}[n%2], 5, strings.NewReader("small")
@@ -450,7 +450,7 @@
 			defer a.Body.Close()
 			got := sha256.New()
 			var into io.Writer = got
-			if n < 8 { // slowly at first
+			if n < 8 { // read slowly at first
 				io.CopyN(into, a.Body, 100<<10)
 				time.Sleep(500 * time.Millisecond)
 			}
@@ -462,15 +462,15 @@
 				return
 			}
 			if sum, _ := arrived.Load(id); sum != want || a.StatusCode != 200 {
-				t.Errorf("%d: %d, a body that isn't what was sent", n, a.StatusCode)
+				t.Errorf("%d: %d, the body was changed", n, a.StatusCode)
 			}
 		})
 	}
-	all.Wait()
-	if n := figure(t, second, ended("post", "answered")); n != 16 {
+	wg.Wait()
+	if n := metric(t, opsAddr, transactionsMetric("post", "answered")); n != 16 {
 		t.Errorf("%d answered", n)
 	}
-	if n := figure(t, second, "proxy_current"); n != 0 {
+	if n := metric(t, opsAddr, "proxy_current"); n != 0 {
 		t.Errorf("%d open", n)
 	}
 	status, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", b.command.Process.Pid))
@@ -481,9 +481,9 @@
 	}
 }
 
-// An answer that breaks after its client has had its first bytes is broken off visibly, counted as failed, and not tried
-// again; one that stops in its first bytes may be had elsewhere.
-func TestAnswerThatBreaksIsSeenToBreak(t *testing.T) {
+// If a response breaks after its first bytes have reached the client, the client sees a truncated answer, and the
+// transaction counts as failed and is not retried. A response that breaks earlier may be retried at another upstream.
+func TestTruncatedAnswerIsVisibleToClient(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n"
 	chunks := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	u := newUpstream(t, func(_ int32, r *http.Request, _ []byte, c net.Conn) bool {
@@ -494,31 +494,31 @@
 		io.WriteString(c, text)
 		return false
 	})
-	b, second := begin(t, 192, u)
+	b, opsAddr := startWithOps(t, 192, u)
 	for _, tariff := range []string{"view", "post"} {
 		c, in := b.dial()
-		status, _, body, err := on(c, in, message(tariff, 2, "Content-Length: 0\r\n\r\n"))
+		status, _, body, err := roundTripOn(c, in, requestText(tariff, 2, "Content-Length: 0\r\n\r\n"))
 		if status != 200 || err == nil || len(body) < 100000 {
 			t.Errorf("%s: %d, %d bytes, %v", tariff, status, len(body), err)
 		}
-		soon(t, tariff+" is counted as failed", func() bool { return figure(t, second, ended(tariff, "errored")) == 1 })
+		eventually(t, tariff+" is counted as failed", func() bool { return metric(t, opsAddr, transactionsMetric(tariff, "errored")) == 1 })
 	}
-	if n := u.arrived.Load(); n != 2 {
-		t.Errorf("%d pushes", n)
+	if n := u.requests.Load(); n != 2 {
+		t.Errorf("%d attempts", n)
 	}
 }
 
-// A slow client is not held against an upstream, and its transaction's time begins with its last byte.
+// A slow client does not count against an upstream. The time of its transaction starts with its last byte.
 func TestSlowClientsAreServed(t *testing.T) {
-	b, _ := begin(t, 64, newUpstream(t, func(_ int32, r *http.Request, body []byte, c net.Conn) bool {
+	b, _ := startWithOps(t, 64, newUpstream(t, func(_ int32, r *http.Request, body []byte, c net.Conn) bool {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%d", len(strconv.Itoa(len(body))), len(body))
 		return true
 	}))
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for name, size := range map[string]int{"head": 0, "body": 200 << 10, "huge": 20 << 20} {
-		all.Go(func() {
+		wg.Go(func() {
 			conn, in := b.dial()
-			text := message("post", 0.8, fmt.Sprintf("Content-Length: %d\r\n\r\n", size))
+			text := requestText("post", 0.8, fmt.Sprintf("Content-Length: %d\r\n\r\n", size))
 			if name == "head" {
 				io.WriteString(conn, text[:20])
 				time.Sleep(1900 * time.Millisecond)
@@ -547,17 +547,17 @@
 			}
 		})
 	}
-	all.Wait()
+	wg.Wait()
 }
 
-// A crowd that says nothing, or stops in a head or in a body, makes room for those that speak: they are served on new
-// connections, also slowly, and the second address answers.
-func TestCrowdsMakeRoom(t *testing.T) {
-	b, second := begin(t, 32, newUpstream(t, says(fine)))
+// Clients that send nothing, or stall in a head or a body, are evicted in favour of active ones. Active clients are served
+// on new connections, even if they send slowly, and the ops address answers.
+func TestStalledClientsAreEvicted(t *testing.T) {
+	b, opsAddr := startWithOps(t, 32, newUpstream(t, respondWith(okResponse)))
 	var stop atomic.Bool
-	var all sync.WaitGroup
-	for n := range 15 { // each connects again and again: in all several times as many as there are descriptors
-		all.Go(func() {
+	var wg sync.WaitGroup
+	for n := range 15 { // together they open several times as many connections as there are descriptors
+		wg.Go(func() {
 			var held []net.Conn
 			for !stop.Load() {
 				c, err := net.Dial("tcp", b.address)
@@ -565,7 +565,7 @@
 					continue
 				}
 				held = append(held, c)
-				text := message("post", 3, "Content-Length: 50000\r\n\r\n")
+				text := requestText("post", 3, "Content-Length: 50000\r\n\r\n")
 				io.WriteString(c, []string{"", text[:30], text + strings.Repeat("x", 20000)}[n%3])
 				if len(held) > 60 {
 					held[0].Close()
@@ -584,37 +584,37 @@
 		good.Go(func() {
 			for range 6 {
 				c, in := b.dial()
-				text := message("post", 2, "Content-Length: 32000\r\n\r\n"+strings.Repeat("x", 32000))
+				text := requestText("post", 2, "Content-Length: 32000\r\n\r\n"+strings.Repeat("x", 32000))
 				c.SetDeadline(time.Now().Add(5 * time.Second))
 				for part := 0; part < len(text); part += 3200 {
 					io.WriteString(c, text[part:min(part+3200, len(text))])
 					time.Sleep(5 * time.Millisecond)
 				}
 				if a, err := http.ReadResponse(in, nil); err != nil || a.StatusCode != 200 {
-					t.Errorf("a good client: %v %v", a, err)
+					t.Errorf("an active client: %v %v", a, err)
 				}
 				c.Close()
 			}
 		})
 	}
 	for range 5 {
-		if _, ok := call(t, second, "HEALTH"); !ok {
+		if _, ok := callOK(t, opsAddr, "HEALTH"); !ok {
 			t.Error("not healthy")
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
 	good.Wait()
 	stop.Store(true)
-	all.Wait()
-	if n := b.files(); n > 512 {
-		t.Errorf("%d descriptors", n)
+	wg.Wait()
+	if n := b.descriptorCount(); n > 512 {
+		t.Errorf("%d open descriptors", n)
 	}
 }
 
-// An answer of no stated length that comes slowly is its client's from its first bytes. Danger: held until it is known to
-// be long, its contract time is up meanwhile, and what came in good time is given up.
-func TestSlowLongAnswersFlowAtOnce(t *testing.T) {
-	b, _ := begin(t, 64, newUpstream(t, func(_ int32, _ *http.Request, _ []byte, c net.Conn) bool {
+// A slow answer without a stated length is streamed from its first bytes. If it were buffered until it is known to be
+// long, its contract time would expire meanwhile and a timely answer would be lost.
+func TestSlowLongAnswersAreStreamedImmediately(t *testing.T) {
+	b, _ := startWithOps(t, 64, newUpstream(t, func(_ int32, _ *http.Request, _ []byte, c net.Conn) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 		for range 30 {
 			if _, err := fmt.Fprintf(c, "1000\r\n%s\r\n", strings.Repeat("x", 4096)); err != nil {
@@ -626,12 +626,12 @@
 		return err == nil
 	}))
 	c, in := b.dial()
-	began := time.Now()
-	io.WriteString(c, message("view", 0.7, "\r\n")) // it takes twice as long in all
-	c.SetDeadline(began.Add(5 * time.Second))
+	start := time.Now()
+	io.WriteString(c, requestText("view", 0.7, "\r\n")) // the whole answer takes twice as long
+	c.SetDeadline(start.Add(5 * time.Second))
 	a, err := http.ReadResponse(in, nil)
-	if err != nil || a.StatusCode != 200 || time.Since(began) > 400*time.Millisecond {
-		t.Fatalf("%v %v after %s", a, err, time.Since(began))
+	if err != nil || a.StatusCode != 200 || time.Since(start) > 400*time.Millisecond {
+		t.Fatalf("%v %v after %s", a, err, time.Since(start))
 	}
 	if n, err := io.Copy(io.Discard, a.Body); n != 30*4096 || err != nil {
 		t.Errorf("%d bytes, %v", n, err)
--- a/cmd/ottershift/pools_test.go
+++ b/cmd/ottershift/pools_test.go
@@ -33,7 +33,7 @@
 		b.command.Process.Kill()
 		<-b.exit
 	})
-	b.await(t)
+	b.waitReady(t)
 	return b
 }
 
@@ -70,7 +70,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	status, _, body, err = on(c, bufio.NewReader(c), text)
+	status, _, body, err = roundTripOn(c, bufio.NewReader(c), text)
 	if err != nil {
 		t.Fatalf("%v after %q", err, text)
 	}
@@ -142,7 +142,7 @@
 // transactions beyond the share are deferred immediately. An id that is open in one pool is free in another.
 func TestHangingPoolDoesNotAffectOtherPools(t *testing.T) {
 	hung := newUpstream(t, nil)
-	hung.do = func(_ int32, _ *http.Request, _ []byte, c net.Conn) bool { return hung.hang(c) }
+	hung.handle = func(_ int32, _ *http.Request, _ []byte, c net.Conn) bool { return hung.hang(c) }
 	fine := newUpstream(t, respondWithName("www"))
 	text := "limits = { descriptors = 160, bodies = \"2MiB\" }\n" + tariffs + poolText("album", "", hung.Addr().String()) +
 		poolText("www", "", fine.Addr().String()) + `[[routes]]
@@ -169,7 +169,7 @@
 				return
 			}
 			defer c.Close()
-			status, _, _, _ := on(c, bufio.NewReader(c), fmt.Sprintf("POST /x HTTP/1.1\r\nHost: album.example.org\r\nX-Txn: t%d\r\n"+
+			status, _, _, _ := roundTripOn(c, bufio.NewReader(c), fmt.Sprintf("POST /x HTTP/1.1\r\nHost: album.example.org\r\nX-Txn: t%d\r\n"+
 				"Content-Length: %d\r\n\r\n%s", n, len(body), body))
 			answers <- answer{status, time.Since(start)}
 		}()
@@ -183,12 +183,12 @@
 	in := bufio.NewReader(c)
 	for n := range 50 {
 		start := time.Now()
-		status, _, text, err := on(c, in, fmt.Sprintf("GET /y HTTP/1.1\r\nHost: www.example.org\r\nX-Txn: t%d\r\n\r\n", n))
+		status, _, text, err := roundTripOn(c, in, fmt.Sprintf("GET /y HTTP/1.1\r\nHost: www.example.org\r\nX-Txn: t%d\r\n\r\n", n))
 		if err != nil || status != 200 || text != "www www.example.org /y" || time.Since(start) > time.Second {
 			t.Fatalf("%d %q %v after %s", status, text, err, time.Since(start))
 		}
 	}
-	if n := b.files(); n > 160 {
+	if n := b.descriptorCount(); n > 160 {
 		t.Errorf("%d open descriptors, want at most 160", n)
 	}
 	immediate, late := 0, 0
@@ -202,8 +202,8 @@
 			t.Errorf("%d after %s", a.status, a.took)
 		}
 	}
-	if immediate < flood/4 || hung.arrived.Load() == 0 {
-		t.Errorf("%d deferred immediately, %d later, %d reached the upstream", immediate, late, hung.arrived.Load())
+	if immediate < flood/4 || hung.requests.Load() == 0 {
+		t.Errorf("%d deferred immediately, %d later, %d reached the upstream", immediate, late, hung.requests.Load())
 	}
 }
 
@@ -221,14 +221,14 @@
 	}
 	other := strings.Replace(text, u.Addr().String(), v.Addr().String(), 1)
 	writeAndReload(strings.Replace(other, "pool = \"www\"", "pool = \"w\"\npath = \"/\"", 1))
-	soon(t, "the log lists the faults", func() bool {
+	eventually(t, "the log lists the faults", func() bool {
 		return strings.Contains(b.log.String(), "step=kept") && strings.Count(b.log.String(), "step=fault") == 2
 	})
 	if status, body := b.sendRaw(t, "GET /x HTTP/1.1\r\nHost: a\r\n\r\n"); status != 200 || !strings.HasPrefix(body, "u ") {
 		t.Errorf("%d %q", status, body)
 	}
 	writeAndReload(other)
-	soon(t, "the valid file is in force", func() bool {
+	eventually(t, "the valid file is in force", func() bool {
 		_, body := b.sendRaw(t, "GET /x HTTP/1.1\r\nHost: a\r\n\r\n")
 		return strings.HasPrefix(body, "v ")
 	})
@@ -294,16 +294,16 @@
 
 // The target of CONNECT is not a path, so the request is rejected and never reaches an upstream.
 func TestConnectIsRejected(t *testing.T) {
-	u := newUpstream(t, says(fine))
+	u := newUpstream(t, respondWith(okResponse))
 	b := startServe(t, tariffs+poolText("www", "", u.Addr().String())+"[[routes]]\npool = \"www\"\n")
 	for _, target := range []string{"host:80", "/x", "http://host/x"} {
 		c, err := net.Dial("tcp", b.address)
 		if err != nil {
 			t.Fatal(err)
 		}
-		status, _, _, err := on(c, bufio.NewReader(c), "CONNECT "+target+" HTTP/1.1\r\nHost: host:80\r\n\r\n")
-		if c.Close(); err != nil || status < 400 || u.arrived.Load() > 0 {
-			t.Errorf("CONNECT %s: %d %v, %d arrived", target, status, err, u.arrived.Load())
+		status, _, _, err := roundTripOn(c, bufio.NewReader(c), "CONNECT "+target+" HTTP/1.1\r\nHost: host:80\r\n\r\n")
+		if c.Close(); err != nil || status < 400 || u.requests.Load() > 0 {
+			t.Errorf("CONNECT %s: %d %v, %d arrived", target, status, err, u.requests.Load())
 		}
 	}
 }
