--- a/internal/lab/emulate/list.go
+++ b/internal/lab/emulate/list.go
@@ -110,7 +110,7 @@
 	for _, pools := range ls.all {
 		l := pools[u.Group.Pool]
 		l.mu.Lock()
-		wait := time.Duration(ls.fleet.e.Listed) + l.late
+		wait := time.Duration(ls.fleet.e.DiscoveryDelay) + l.late
 		l.mu.Unlock()
 		time.AfterFunc(wait, func() { l.set(u.Index, entry{name, status, since}) })
 	}
--- a/internal/lab/judge/cluster.go
+++ b/internal/lab/judge/cluster.go
@@ -11,66 +11,66 @@
 	"ottershift/internal/lab/spec"
 )
 
-// clusterRules are what must hold of the balancers as one fleet; each piece of it adds its own.
+// clusterRules are the rules that balancers must keep together as a cluster.
 var clusterRules = []struct {
-	name string
-	look func(*fleet)
+	name  string
+	check func(*clusterChecker)
 }{
-	{"views", (*fleet).views},
-	{"deaths", (*fleet).deaths},
-	{"owners", (*fleet).owners},
-	{"ledger", (*fleet).ledger},
+	{"views", (*clusterChecker).checkViews},
+	{"deaths", (*clusterChecker).checkDeaths},
+	{"owners", (*clusterChecker).checkOwners},
+	{"ledger", (*clusterChecker).checkLedger},
 }
 
-// slack is what the lab itself takes to see a change: two samples and the answer.
-const slack = 300 * ms
-
-// fleet is what was seen of members, held against what the lab did.
-type fleet struct {
-	j              *judge
-	e              *spec.Experiment
-	r              *record.Run
-	death, back    int64 // bounds
-	worst, slowest int64
-	without        int64
-	count          int
+// observationSlack is how long the lab takes to observe a change: two sampling intervals and the answer.
+const observationSlack = 300 * ms
+
+// clusterChecker compares what members reported with what the lab did to them.
+type clusterChecker struct {
+	evaluator                            *evaluator
+	experiment                           *spec.Experiment
+	run                                  *record.Run
+	deathBound, convergenceBound         int64 // stated bounds, with observationSlack
+	slowestDetection, slowestConvergence int64
+	longestWithoutOwner                  int64
+	breaches                             int
 }
 
-// cluster judges the fleet's own rules.
-func (j *judge) cluster() {
-	if j.e.Cluster == nil || len(j.r.Processes) == 0 {
+// checkCluster checks the cluster rules.
+func (ev *evaluator) checkCluster() {
+	if ev.experiment.Cluster == nil || len(ev.run.Processes) == 0 {
 		return
 	}
-	n := j.e.Balancers
-	s := j.e.Cluster.Settings
-	f := &fleet{j: j, e: j.e, r: j.r, death: int64(s.DeathBound(n)) + slack, back: int64(s.ConvergenceBound(n)) + slack}
-	slices.SortStableFunc(j.r.Views, func(a, b record.View) int { return int(max(-1, min(1, a.At-b.At))) })
+	balancers := ev.experiment.Balancers
+	settings := ev.experiment.Cluster.Settings
+	checker := &clusterChecker{evaluator: ev, experiment: ev.experiment, run: ev.run, deathBound: int64(settings.DeathBound(balancers)) + observationSlack, convergenceBound: int64(settings.ConvergenceBound(balancers)) + observationSlack}
+	slices.SortStableFunc(ev.run.Views, func(a, b record.View) int { return int(max(-1, min(1, a.At-b.At))) })
 	for _, rule := range clusterRules {
-		before := f.count
-		rule.look(f)
-		j.out.Figures["cluster_"+rule.name] = float64(f.count - before)
-	}
-	fig := j.out.Figures
-	fig["cluster"] = float64(f.count)
-	fig["death_seen"], fig["death_bound"] = float64(f.worst)/float64(second), float64(f.death)/float64(second)
-	if j.e.Cluster.Voters > 0 {
-		fig["no_owner"], fig["no_owner_bound"] = float64(f.without)/float64(second), float64(int64(s.NoOwnerBound(n))+slack)/float64(second)
-		fig["refused"] = float64(j.r.Refused)
-	}
-	fig["views_back"], fig["views_bound"] = float64(f.slowest)/float64(second), float64(f.back)/float64(second)
+		before := checker.breaches
+		rule.check(checker)
+		ev.result.Figures["cluster_"+rule.name] = float64(checker.breaches - before)
+	}
+	figures := ev.result.Figures
+	figures["cluster"] = float64(checker.breaches)
+	figures["death_seen"], figures["death_bound"] = float64(checker.slowestDetection)/float64(second), float64(checker.deathBound)/float64(second)
+	if ev.experiment.Cluster.Voters > 0 {
+		figures["no_owner"], figures["no_owner_bound"] = float64(checker.longestWithoutOwner)/float64(second), float64(int64(settings.NoOwnerBound(balancers))+observationSlack)/float64(second)
+		figures["refused"] = float64(ev.run.Refused)
+	}
+	figures["views_back"], figures["views_bound"] = float64(checker.slowestConvergence)/float64(second), float64(checker.convergenceBound)/float64(second)
 }
 
-func (f *fleet) breach(rule, text string, values ...any) {
-	f.count++
-	if f.count <= shown {
-		f.j.out.Examples = append(f.j.out.Examples, "cluster, "+rule+": "+fmt.Sprintf(text, values...))
+func (cc *clusterChecker) recordBreach(rule, text string, values ...any) {
+	cc.breaches++
+	if cc.breaches <= maxExamples {
+		cc.evaluator.result.Examples = append(cc.evaluator.result.Examples, "cluster, "+rule+": "+fmt.Sprintf(text, values...))
 	}
 }
 
-func (f *fleet) who(p int) string {
-	x := f.r.Processes[p]
+func (cc *clusterChecker) runName(p int) string {
+	x := cc.run.Processes[p]
 	if len(x.IDs) == 0 {
-		return spec.Name(x.Member)
+		return spec.MemberName(x.Member)
 	}
 	return x.IDs[len(x.IDs)-1].ID
 }
@@ -78,12 +78,12 @@
 func overlaps(s record.Span, from, to int64) bool { return s.From <= to && (s.To == 0 || s.To >= from) }
 
 // stopped reports whether a process was stopped within a span.
-func (f *fleet) stopped(p int, from, to int64) bool {
-	return slices.ContainsFunc(f.r.Processes[p].Stops, func(s record.Span) bool { return overlaps(s, from, to) })
+func (cc *clusterChecker) stopped(p int, from, to int64) bool {
+	return slices.ContainsFunc(cc.run.Processes[p].Stops, func(s record.Span) bool { return overlaps(s, from, to) })
 }
 
-// disturbed is the end of the last thing that was wrong before a time, and whether anything still is.
-func (f *fleet) disturbed(at int64) (last int64, still bool) {
+// lastDisturbance returns when the last disturbance before a time ended, and whether one is still in progress.
+func (cc *clusterChecker) lastDisturbance(at int64) (last int64, still bool) {
 	note := func(s record.Span) {
 		if s.From > at {
 			return
@@ -94,10 +94,10 @@
 		}
 		last = max(last, s.To)
 	}
-	for _, l := range f.r.Links {
+	for _, l := range cc.run.Links {
 		note(l.Span)
 	}
-	for _, p := range f.r.Processes {
+	for _, p := range cc.run.Processes {
 		for _, s := range p.Stops {
 			note(s)
 		}
@@ -105,11 +105,11 @@
 		if p.To != 0 {
 			note(record.Span{From: p.To, To: p.To})
 		}
-		for _, l := range p.IDs { // it goes on as another run
+		for _, l := range p.IDs { // the process continues under a new incarnation
 			note(record.Span{From: max(1, l.At), To: max(1, l.At)})
 		}
 	}
-	for _, a := range f.r.Acts { // a reset is over at once
+	for _, a := range cc.run.Acts { // a reset has no duration
 		if strings.HasPrefix(a.What, "reset") {
 			note(record.Span{From: a.At, To: a.At})
 		}
@@ -117,10 +117,11 @@
 	return last, still
 }
 
-// truth is which processes should be held alive at a time: the newest of each member that runs.
-func (f *fleet) truth(at int64) (runs []string, known bool) {
-	for i, p := range f.r.Processes {
-		if p.From > at || p.To != 0 && p.To <= at || f.superseded(i, at) {
+// expectedAlive returns the runs that views should show as alive at a time: the newest of each running member.
+// It returns false if the ID of one of them is unknown.
+func (cc *clusterChecker) expectedAlive(at int64) (runs []string, known bool) {
+	for i, p := range cc.run.Processes {
+		if p.From > at || p.To != 0 && p.To <= at || cc.superseded(i, at) {
 			continue
 		}
 		if len(p.IDs) == 0 {
@@ -132,10 +133,10 @@
 	return runs, true
 }
 
-// superseded reports whether a newer run of the same member has begun by then.
-func (f *fleet) superseded(i int, at int64) bool {
-	p := f.r.Processes[i]
-	for k, q := range f.r.Processes {
+// superseded reports whether a newer run of the same member had started by a time.
+func (cc *clusterChecker) superseded(i int, at int64) bool {
+	p := cc.run.Processes[i]
+	for k, q := range cc.run.Processes {
 		if k != i && q.Member == p.Member && q.From <= at && (q.From > p.From || q.From == p.From && k > i) {
 			return true
 		}
@@ -143,43 +144,44 @@
 	return false
 }
 
-// views: after all is well again for the stated time, every view is the truth, and an old run knows that it is over.
-func (f *fleet) views() {
-	wrong := map[int64]int64{} // by the end of what was wrong: when the last wrong view of it was seen
-	for _, v := range f.r.Views {
-		last, still := f.disturbed(v.At)
-		p := f.r.Processes[v.Process]
+// checkViews checks that, from the stated bound after the last disturbance on, every view shows exactly the running members
+// and a superseded run knows that it is superseded.
+func (cc *clusterChecker) checkViews() {
+	lastWrongView := map[int64]int64{} // by the end of the disturbance: how long after it a wrong view was last seen
+	for _, v := range cc.run.Views {
+		last, still := cc.lastDisturbance(v.At)
+		p := cc.run.Processes[v.Process]
 		if still || p.To != 0 && v.At >= p.To {
 			continue
 		}
-		want, known := f.truth(v.At)
+		want, known := cc.expectedAlive(v.At)
 		if !known {
 			continue
 		}
-		old := f.superseded(v.Process, v.At)
+		old := cc.superseded(v.Process, v.At)
 		ok := v.Over == old && (old || slices.Equal(v.Alive, want))
 		if ok {
 			continue
 		}
-		wrong[last] = max(wrong[last], v.At-last)
-		if v.At-last > f.back {
-			what := fmt.Sprintf("holds %s alive, and there are %s", short(v.Alive), short(want))
+		lastWrongView[last] = max(lastWrongView[last], v.At-last)
+		if v.At-last > cc.convergenceBound {
+			what := fmt.Sprintf("it shows %s as alive, but %s are running", formatRuns(v.Alive), formatRuns(want))
 			if v.Over != old {
-				what = "goes on, though a newer run of its name is there"
+				what = "it does not know that a newer run supersedes it"
 				if v.Over {
-					what = "says that it is over, and is the newest of its name"
+					what = "it reports being superseded, but is the newest run of its member"
 				}
 			}
-			f.breach("views", "%s at %s, %.1f s after all was well again (%.1f at most): %s", f.who(v.Process), at(v.At),
-				float64(v.At-last)/float64(second), float64(f.back)/float64(second), what)
+			cc.recordBreach("views", "view of %s at %s, %.1f s after the last disturbance (limit %.1f s): %s", cc.runName(v.Process), formatTime(v.At),
+				float64(v.At-last)/float64(second), float64(cc.convergenceBound)/float64(second), what)
 		}
 	}
-	for _, t := range wrong {
-		f.slowest = max(f.slowest, t)
+	for _, t := range lastWrongView {
+		cc.slowestConvergence = max(cc.slowestConvergence, t)
 	}
 }
 
-func short(runs []string) string {
+func formatRuns(runs []string) string {
 	var all []string
 	for _, r := range runs {
 		id, _ := member.ParseID(r)
@@ -188,66 +190,66 @@
 	return "[" + strings.Join(all, " ") + "]"
 }
 
-// deaths: a process that was killed is held alive by nobody for longer than the stated time, where links are well.
-func (f *fleet) deaths() {
-	for _, p := range f.r.Processes {
+// checkDeaths checks that no view shows a killed process as alive for longer than the stated bound while all links work.
+func (cc *clusterChecker) checkDeaths() {
+	for _, p := range cc.run.Processes {
 		id := p.ID(p.To)
 		if p.To == 0 || id == "" {
 			continue
 		}
-		told := false
-		for _, v := range f.r.Views {
+		reported := false
+		for _, v := range cc.run.Views {
 			if v.At < p.To || !slices.Contains(v.Alive, id) || v.Over {
 				continue
 			}
-			q := f.r.Processes[v.Process]
-			if q.ID(v.At) == id || f.troubled(p.To, v.At) || f.stopped(v.Process, p.To, v.At) || q.To != 0 && v.At > q.To || q.From > p.To {
+			q := cc.run.Processes[v.Process]
+			if q.ID(v.At) == id || cc.anyLinkFaulty(p.To, v.At) || cc.stopped(v.Process, p.To, v.At) || q.To != 0 && v.At > q.To || q.From > p.To {
 				continue
 			}
-			f.worst = max(f.worst, v.At-p.To)
-			if v.At-p.To > f.death && !told {
-				told = true
-				f.breach("deaths", "%s holds %s alive %.1f s after its death (%.1f at most)", f.who(v.Process), id, float64(v.At-p.To)/float64(second),
-					float64(f.death)/float64(second))
+			cc.slowestDetection = max(cc.slowestDetection, v.At-p.To)
+			if v.At-p.To > cc.deathBound && !reported {
+				reported = true
+				cc.recordBreach("deaths", "view of %s shows %s as alive %.1f s after its death (limit %.1f s)", cc.runName(v.Process), id, float64(v.At-p.To)/float64(second),
+					float64(cc.deathBound)/float64(second))
 			}
 		}
 	}
 }
 
-// troubled reports whether any link was unwell within a span.
-func (f *fleet) troubled(from, to int64) bool {
-	return slices.ContainsFunc(f.r.Links, func(t record.Trouble) bool { return overlaps(t.Span, from, to) })
+// anyLinkFaulty reports whether any link had a fault at some point of a time span.
+func (cc *clusterChecker) anyLinkFaulty(from, to int64) bool {
+	return slices.ContainsFunc(cc.run.Links, func(t record.Trouble) bool { return overlaps(t.Span, from, to) })
 }
 
-// owners: nobody would act on a duty under a token once another would under a higher one; and there is an owner within the
-// stated time while a majority of keepers runs and is reached.
-func (f *fleet) owners() {
+// checkOwners checks that no process still claims to act on a duty under a fencing token once another process claims it under
+// a higher one, and that a duty has an owner within the stated bound while a majority of voters runs and is connected.
+func (cc *clusterChecker) checkOwners() {
 	type claimed struct {
 		token   uint64
 		process int
 		at      int64
 	}
-	highest, last := map[string]claimed{}, map[string]int64{}
-	told := map[string]bool{}
-	claims := slices.Clone(f.r.Claims)
+	highest, lastClaim := map[string]claimed{}, map[string]int64{}
+	reported := map[string]bool{}
+	claims := slices.Clone(cc.run.Claims)
 	slices.SortStableFunc(claims, func(a, b record.Claim) int { return cmp.Compare(a.At, b.At) })
 	for _, c := range claims {
 		h := highest[c.Duty]
 		switch {
 		case c.Token > h.token:
 			highest[c.Duty] = claimed{c.Token, c.Process, c.At}
-		case c.Token < h.token && c.At > h.at+slack/3 && !told[fmt.Sprint(c.Duty, c.Process, c.Token)]:
-			told[fmt.Sprint(c.Duty, c.Process, c.Token)] = true
-			f.breach("owners", "%s would act on %s by token %d at %s, and %s by token %d since %s", f.who(c.Process), c.Duty, c.Token, at(c.At), f.who(h.process),
-				h.token, at(h.at))
-		}
-		if before, some := last[c.Duty]; some {
-			before = max(before, f.apart(before, c.At))
-			f.without = max(f.without, c.At-before)
-			if limit := int64(f.e.Cluster.Settings.NoOwnerBound(f.e.Balancers)) + slack; c.At-before > limit {
-				f.breach("owners", "%s had no owner from %s to %s (%.1f s at most)", c.Duty, at(before), at(c.At), float64(limit)/float64(second))
+		case c.Token < h.token && c.At > h.at+observationSlack/3 && !reported[fmt.Sprint(c.Duty, c.Process, c.Token)]:
+			reported[fmt.Sprint(c.Duty, c.Process, c.Token)] = true
+			cc.recordBreach("owners", "%s may act on %s under token %d at %s, but %s has claimed it under token %d since %s", cc.runName(c.Process), c.Duty, c.Token, formatTime(c.At), cc.runName(h.process),
+				h.token, formatTime(h.at))
+		}
+		if before, some := lastClaim[c.Duty]; some {
+			before = max(before, cc.lastWithoutMajority(before, c.At))
+			cc.longestWithoutOwner = max(cc.longestWithoutOwner, c.At-before)
+			if limit := int64(cc.experiment.Cluster.Settings.NoOwnerBound(cc.experiment.Balancers)) + observationSlack; c.At-before > limit {
+				cc.recordBreach("owners", "duty %s had no owner from %s to %s (limit %.1f s)", c.Duty, formatTime(before), formatTime(c.At), float64(limit)/float64(second))
 			}
 		}
-		last[c.Duty] = c.At
+		lastClaim[c.Duty] = c.At
 	}
 }
--- a/internal/lab/judge/judge.go
+++ b/internal/lab/judge/judge.go
@@ -1,5 +1,5 @@
-// Package judge says what became of a run from what was seen from outside: whether the four rules held, and how well it
-// served. It has no I/O.
+// Package judge evaluates a run of an experiment from external observations only. It checks the four rules and, for
+// clusters, the cluster rules, and computes service figures. It does no I/O.
 package judge
 
 import (
@@ -17,29 +17,29 @@
 )
 
 const (
-	ms      = int64(1e6)
-	second  = int64(1e9)
-	margin  = 50 * ms   // of each limit: the way there and back
-	grace   = 1500 * ms // for new work after a drain was told
-	tooLate = 10 * ms   // lag of the lab itself, 99 in 100, that makes a run void
-	shown   = 5         // examples of each breach
-	spans   = 3         // seconds over which service has to be back
-	back    = 0.95      // part of service before that counts as back
-	longest = 120 * second
+	ms             = int64(1e6)
+	second         = int64(1e9)
+	limitMargin    = 50 * ms      // tolerance on each limit for the network round trip
+	drainGrace     = 1500 * ms    // during which new work may still arrive after a drain was announced
+	maxLabLag      = 10 * ms      // a 99th percentile of the lab's own lag beyond this makes a run void
+	maxExamples    = 5            // for each kind of breach
+	serviceWindow  = 3            // seconds over which service is averaged to detect recovery
+	recoveredShare = 0.95         // of the service before the faults; from this on it counts as recovered
+	maxLatency     = 120 * second // of the latency histograms
 )
 
-// Result is what became of a run.
+// Result is the evaluation of one run. It is stored as JSON under its field names.
 type Result struct {
-	Figures  map[string]float64 // by name, "service:album" for a part
+	Figures  map[string]float64 // by name; "service:album" is the figure of one pool, tariff or customer
 	Examples []string           // of breaches
 	Seconds  []Second
 	Upstream []Upstream
-	Lag99    float64 // of the lab, milliseconds
-	Void     string  // why nothing can be concluded, empty if it can
-	Broken   string  // why the run ended before its time
+	Lag99    float64 // 99th percentile of the lab's own lag, milliseconds
+	Void     string  // why the run allows no conclusion; empty if it does
+	Broken   string  // why the run ended early; empty if it did not
 }
 
-// Second is what was asked for in one second, and what became of it.
+// Second counts the transactions that were due in one second of a run, by outcome.
 type Second struct {
 	Asked, Settled, Late, Deferred, Failed, Lost int
 	Service                                      float64
@@ -47,128 +47,129 @@
 	Pushes, First                                int
 }
 
-// Upstream is what reached one.
+// Upstream counts the attempts that reached one upstream.
 type Upstream struct {
 	Name                         string
 	Pushes, Turned, Dropped, Ran int
 }
 
-// part sums up what one pool, tariff or customer was worth.
-type part struct{ asked, earned float64 }
+// earnings sums the offered and earned value of the transactions of one pool, tariff, customer or second.
+type earnings struct{ offered, earned float64 }
 
-func (p *part) service() float64 {
-	if p.asked == 0 {
+func (p *earnings) ratio() float64 {
+	if p.offered == 0 {
 		return 1
 	}
-	return p.earned / p.asked
+	return p.earned / p.offered
 }
 
-type judge struct {
-	e      *spec.Experiment
-	r      *record.Run
-	out    *Result
-	counts [5]int
-	ids    map[string]int // tries by id
+type evaluator struct {
+	experiment   *spec.Experiment
+	run          *record.Run
+	result       *Result
+	ruleBreaches [5]int
+	requestByID  map[string]int // index into Run.Tries by request ID
 }
 
-// Judge looks at a run.
-func Judge(e *spec.Experiment, r *record.Run) *Result {
-	j := &judge{e: e, r: r, out: &Result{Figures: map[string]float64{}}, ids: map[string]int{}}
-	for i, t := range r.Tries {
-		j.ids[t.ID] = i
+// Judge evaluates a run of an experiment.
+func Judge(experiment *spec.Experiment, run *record.Run) *Result {
+	ev := &evaluator{experiment: experiment, run: run, result: &Result{Figures: map[string]float64{}}, requestByID: map[string]int{}}
+	for i, t := range run.Tries {
+		ev.requestByID[t.ID] = i
 	}
 	arrived := map[string][]record.Arrival{}
-	slices.SortStableFunc(r.Arrived, func(a, b record.Arrival) int { return cmp.Compare(a.At, b.At) })
-	for _, a := range r.Arrived {
+	slices.SortStableFunc(run.Arrived, func(a, b record.Arrival) int { return cmp.Compare(a.At, b.At) })
+	for _, a := range run.Arrived {
 		arrived[a.ID] = append(arrived[a.ID], a)
 	}
-	j.answers(arrived)
-	j.effects(arrived)
-	j.drains()
-	for _, o := range r.Overfed {
-		j.breach(4, "%s, cold, was sent %.1f times what it can do at %s", e.Upstreams[o.Upstream].Name, o.Of, at(o.At))
+	ev.checkAnswers(arrived)
+	ev.checkEffects(arrived)
+	ev.checkDrains()
+	for _, o := range run.Overfed {
+		ev.recordBreach(4, "%s was sent %.1f times its capacity while cold, at %s", experiment.Upstreams[o.Upstream].Name, o.Of, formatTime(o.At))
 	}
-	j.service(arrived)
+	ev.computeService(arrived)
 	total := 0
-	for rule, n := range j.counts {
+	for rule, n := range ev.ruleBreaches {
 		if rule > 0 {
-			j.out.Figures[fmt.Sprintf("rule%d", rule)] = float64(n)
+			ev.result.Figures[fmt.Sprintf("rule%d", rule)] = float64(n)
 			total += n
 		}
 	}
 	watched := int64(0)
-	for _, a := range j.r.Asks {
+	for _, a := range ev.run.Asks {
 		if a.To == 0 {
-			a.To = j.e.Length
+			a.To = ev.experiment.Length
 		}
-		watched += max(0, min(a.To, j.e.Length)-max(a.At, 0))
+		watched += max(0, min(a.To, ev.experiment.Length)-max(a.At, 0))
 	}
-	j.out.Figures["asks"] = float64(len(j.r.Asks)) / (float64(j.e.Length) / float64(second))
-	j.out.Figures["watches"] = float64(watched) / float64(j.e.Length)
-	j.cluster()
-	j.out.Figures["breaches"] = float64(total) + j.out.Figures["cluster"]
-	j.lag()
-	return j.out
+	ev.result.Figures["asks"] = float64(len(ev.run.Asks)) / (float64(ev.experiment.Length) / float64(second))
+	ev.result.Figures["watches"] = float64(watched) / float64(ev.experiment.Length)
+	ev.checkCluster()
+	ev.result.Figures["breaches"] = float64(total) + ev.result.Figures["cluster"]
+	ev.checkLag()
+	return ev.result
 }
 
-func at(t int64) string { return fmt.Sprintf("%.3fs", float64(t)/float64(second)) }
+func formatTime(t int64) string { return fmt.Sprintf("%.3fs", float64(t)/float64(second)) }
 
-func (j *judge) breach(rule int, text string, values ...any) {
-	if j.counts[rule]++; j.counts[rule] <= shown {
-		j.out.Examples = append(j.out.Examples, fmt.Sprintf("rule %d: ", rule)+fmt.Sprintf(text, values...))
+func (ev *evaluator) recordBreach(rule int, text string, values ...any) {
+	if ev.ruleBreaches[rule]++; ev.ruleBreaches[rule] <= maxExamples {
+		ev.result.Examples = append(ev.result.Examples, fmt.Sprintf("rule %d: ", rule)+fmt.Sprintf(text, values...))
 	}
 }
 
-// excused reports whether the experiment itself held up a balancer within a span.
-func (j *judge) excused(balancer int, from, to int64) bool {
-	return slices.ContainsFunc(j.r.Outages, func(o record.Outage) bool {
-		return o.Balancer == balancer && o.From <= to && o.To+margin >= from
+// excused reports whether the experiment had killed or stopped a balancer at some point of a time span.
+func (ev *evaluator) excused(balancer int, from, to int64) bool {
+	return slices.ContainsFunc(ev.run.Outages, func(o record.Outage) bool {
+		return o.Balancer == balancer && o.From <= to && o.To+limitMargin >= from
 	})
 }
 
-// answers: each transaction taken has one final answer before its hard stop, and nothing goes out after it.
-func (j *judge) answers(arrived map[string][]record.Arrival) {
-	for _, t := range j.r.Tries {
+// checkAnswers checks rule 1: each accepted transaction gets exactly one final answer before its hard stop, and no
+// attempt is sent after that answer.
+func (ev *evaluator) checkAnswers(arrived map[string][]record.Arrival) {
+	for _, t := range ev.run.Tries {
 		if t.Extra {
-			j.breach(1, "more than one answer, or another's, for %s at balancer %d", t.ID, t.Balancer+1)
+			ev.recordBreach(1, "%s got more than one answer, or the answer to another request, from balancer %d", t.ID, t.Balancer+1)
 		}
 		if t.Sent == 0 || t.Group < 0 {
 			continue
 		}
-		stop := t.Sent + t.Left + margin
-		if j.excused(t.Balancer, t.Sent, stop) {
+		stop := t.Sent + t.Left + limitMargin
+		if ev.excused(t.Balancer, t.Sent, stop) {
 			continue
 		}
 		switch {
 		case t.Status == 0 && t.Closed:
-			j.breach(1, "%s, sent at %s, had its connection closed without an answer", t.ID, at(t.Sent))
+			ev.recordBreach(1, "%s, sent at %s: connection closed without an answer", t.ID, formatTime(t.Sent))
 		case t.Status == 0:
-			j.breach(1, "%s, sent at %s to balancer %d with %.0f ms left, had no answer by its hard stop", t.ID, at(t.Sent), t.Balancer+1, float64(t.Left)/float64(ms))
+			ev.recordBreach(1, "%s, sent at %s to balancer %d with %.0f ms left, got no answer by its hard stop", t.ID, formatTime(t.Sent), t.Balancer+1, float64(t.Left)/float64(ms))
 		case t.Answered > stop:
-			j.breach(1, "%s, sent at %s to balancer %d with %.0f ms left, was answered %d %.0f ms after its hard stop", t.ID, at(t.Sent), t.Balancer+1,
-				float64(t.Left)/float64(ms), t.Status, float64(t.Answered-stop+margin)/float64(ms))
+			ev.recordBreach(1, "%s, sent at %s to balancer %d with %.0f ms left, was answered with status %d, %.0f ms after its hard stop", t.ID, formatTime(t.Sent), t.Balancer+1,
+				float64(t.Left)/float64(ms), t.Status, float64(t.Answered-stop+limitMargin)/float64(ms))
 		}
 		end := t.Answered
 		if end == 0 {
 			end = stop
 		}
 		for _, a := range arrived[t.ID] {
-			if a.At > end+margin {
-				j.breach(1, "%s was sent to %s at %s, %.0f ms after its answer by balancer %d", t.ID, j.e.Upstreams[a.Upstream].Name, at(a.At), float64(a.At-end)/float64(ms), t.Balancer+1)
+			if a.At > end+limitMargin {
+				ev.recordBreach(1, "attempt of %s reached %s at %s, %.0f ms after balancer %d had answered", t.ID, ev.experiment.Upstreams[a.Upstream].Name, formatTime(a.At), float64(a.At-end)/float64(ms), t.Balancer+1)
 			}
 		}
 	}
 }
 
-// effects: none happens twice, and a deferral is harmless to repeat.
-func (j *judge) effects(arrived map[string][]record.Arrival) {
-	ran := map[uint64]int{} // of once-only roots, over all tries
-	for _, t := range j.r.Tries {
+// checkEffects checks rule 2: no transaction takes effect twice, and a deferred transaction is safe to repeat.
+func (ev *evaluator) checkEffects(arrived map[string][]record.Arrival) {
+	runsByRoot := map[uint64]int{} // for once-only transactions, over all requests of their clients
+	for _, t := range ev.run.Tries {
 		if t.Group < 0 {
 			continue
 		}
-		f := j.e.Tariffs[t.Tariff]
-		if f.Idempotency == logic.Idempotent {
+		tariff := ev.experiment.Tariffs[t.Tariff]
+		if tariff.Idempotency == logic.Idempotent {
 			continue
 		}
 		runs, effects, first := 0, 0, int64(0)
@@ -178,58 +179,58 @@
 					first = a.At
 				}
 			}
-			if a.Effect != 0 && !a.Dropped && (effects == 0 || a.At < first+f.DedupWindow) {
+			if a.Effect != 0 && !a.Dropped && (effects == 0 || a.At < first+tariff.DedupWindow) {
 				effects++
 			}
 		}
 		switch {
-		case f.Idempotency == logic.NonIdempotent && runs > 1:
-			j.breach(2, "%s, once-only, may have run %d times", t.ID, runs)
-		case f.Idempotency == logic.Keyed && effects > 1:
-			j.breach(2, "%s, tagged, took effect %d times", t.ID, effects)
-		case (t.Status == 503 || t.Status == 429) && runs > 0 && !(f.Idempotency == logic.Keyed && f.DedupScope == logic.Everywhere):
-			j.breach(2, "%s was answered %d, harmless to repeat, and may have run", t.ID, t.Status)
+		case tariff.Idempotency == logic.NonIdempotent && runs > 1:
+			ev.recordBreach(2, "once-only %s may have run %d times", t.ID, runs)
+		case tariff.Idempotency == logic.Keyed && effects > 1:
+			ev.recordBreach(2, "tagged %s took effect %d times within its deduplication window", t.ID, effects)
+		case (t.Status == 503 || t.Status == 429) && runs > 0 && !(tariff.Idempotency == logic.Keyed && tariff.DedupScope == logic.Everywhere):
+			ev.recordBreach(2, "%s was answered with status %d, which says that a repeat is safe, but may have run", t.ID, t.Status)
 		}
-		if f.Idempotency == logic.NonIdempotent && t.Group < len(j.e.Clients) {
-			if before := ran[t.Root]; before > 0 && runs > 0 {
-				j.breach(2, "%016x, once-only, ran again after its client was told that it may ask again", t.Root)
+		if tariff.Idempotency == logic.NonIdempotent && t.Group < len(ev.experiment.Clients) {
+			if before := runsByRoot[t.Root]; before > 0 && runs > 0 {
+				ev.recordBreach(2, "once-only %016x ran again after its client was told that a retry is safe", t.Root)
 			}
-			ran[t.Root] += runs
+			runsByRoot[t.Root] += runs
 		}
 	}
 }
 
-// drains: new work to an upstream that drains or is gone only within the grace.
-func (j *judge) drains() {
+// checkDrains checks rule 3: a draining or removed upstream gets new work only within the grace period.
+func (ev *evaluator) checkDrains() {
 	type key struct{ balancer, upstream int }
-	told := map[key][]record.Told{}
-	for _, t := range j.r.Told {
-		told[key{t.Balancer, t.Upstream}] = append(told[key{t.Balancer, t.Upstream}], t)
+	reports := map[key][]record.Told{}
+	for _, t := range ev.run.Told {
+		reports[key{t.Balancer, t.Upstream}] = append(reports[key{t.Balancer, t.Upstream}], t)
 	}
-	for _, a := range j.r.Arrived {
-		i, known := j.ids[a.ID]
+	for _, a := range ev.run.Arrived {
+		i, known := ev.requestByID[a.ID]
 		if !known {
 			continue
 		}
-		since := int64(-1) // told that it doesn't serve, and nothing else since
-		for _, t := range told[key{j.r.Tries[i].Balancer, a.Upstream}] {
+		notServingSince := int64(-1) // when the balancer was first told so; -1 while it holds the upstream to be serving
+		for _, t := range reports[key{ev.run.Tries[i].Balancer, a.Upstream}] {
 			if t.At > a.At {
 				break
 			}
 			if t.Serving {
-				since = -1
-			} else if since < 0 {
-				since = t.At
+				notServingSince = -1
+			} else if notServingSince < 0 {
+				notServingSince = t.At
 			}
 		}
-		if since >= 0 && a.At > since+grace+margin && !j.excused(j.r.Tries[i].Balancer, since, a.At) {
-			j.breach(3, "%s was sent %s %.2f s after it was told to drain", j.e.Upstreams[a.Upstream].Name, a.ID, float64(a.At-since)/float64(second))
+		if notServingSince >= 0 && a.At > notServingSince+drainGrace+limitMargin && !ev.excused(ev.run.Tries[i].Balancer, notServingSince, a.At) {
+			ev.recordBreach(3, "%s got %s %.2f s after the balancer was told that it drains", ev.experiment.Upstreams[a.Upstream].Name, a.ID, float64(a.At-notServingSince)/float64(second))
 		}
 	}
 }
 
-// ending is how one piece of work ended for its client.
-type ending struct {
+// transactionOutcome is the result of one transaction for its client, over all its requests.
+type transactionOutcome struct {
 	due      int64
 	clients  int
 	status   int
@@ -238,123 +239,123 @@
 	lost     bool
 }
 
-// service adds up what was earned of what was asked for.
-func (j *judge) service(arrived map[string][]record.Arrival) {
-	roots := map[uint64]*ending{}
-	for _, t := range j.r.Tries {
-		if t.Group < 0 || t.Group >= len(j.e.Clients) {
+// computeService sums the value of all offered transactions and what was earned of it.
+func (ev *evaluator) computeService(arrived map[string][]record.Arrival) {
+	roots := map[uint64]*transactionOutcome{}
+	for _, t := range ev.run.Tries {
+		if t.Group < 0 || t.Group >= len(ev.experiment.Clients) {
 			continue
 		}
-		x := roots[t.Root]
-		if x == nil {
-			x = &ending{due: t.Due, clients: t.Group}
-			roots[t.Root] = x
+		outcome := roots[t.Root]
+		if outcome == nil {
+			outcome = &transactionOutcome{due: t.Due, clients: t.Group}
+			roots[t.Root] = outcome
 		}
-		if x.status == 200 {
+		if outcome.status == 200 {
 			continue
 		}
-		x.status, x.answered = t.Status, t.Answered
-		x.deferred, x.lost = t.Status == 503 || t.Status == 429, t.Status == 0
+		outcome.status, outcome.answered = t.Status, t.Answered
+		outcome.deferred, outcome.lost = t.Status == 503 || t.Status == 429, t.Status == 0
 	}
-	// What was never sent, because a run was broken off, is asked for all the same.
-	for _, c := range j.e.Load() {
+	// Transactions that were never sent, because the run ended early, count as offered and lost.
+	for _, c := range ev.experiment.Load() {
 		if roots[c.Root] == nil {
-			roots[c.Root] = &ending{due: c.Due, clients: c.Clients, lost: true}
+			roots[c.Root] = &transactionOutcome{due: c.Due, clients: c.Clients, lost: true}
 		}
 	}
-	j.out.Seconds = make([]Second, (j.e.Length+second-1)/second)
-	took := make([]*hdrhistogram.Histogram, len(j.out.Seconds))
-	for i := range took {
-		took[i] = hdrhistogram.New(1, int64(longest/1000), 3)
+	ev.result.Seconds = make([]Second, (ev.experiment.Length+second-1)/second)
+	latencies := make([]*hdrhistogram.Histogram, len(ev.result.Seconds))
+	for i := range latencies {
+		latencies[i] = hdrhistogram.New(1, int64(maxLatency/1000), 3)
 	}
-	whole := hdrhistogram.New(1, int64(longest/1000), 3)
-	parts := map[string]*part{}
-	secs := make([]part, len(j.out.Seconds))
-	var settled, deferred, failed, lost, all int
+	totalLatency := hdrhistogram.New(1, int64(maxLatency/1000), 3)
+	earningsByLabel := map[string]*earnings{}
+	perSecond := make([]earnings, len(ev.result.Seconds))
+	var settled, deferred, failed, lost, total int
 	for _, root := range slices.Sorted(maps.Keys(roots)) {
-		x := roots[root]
-		n := int(min(x.due/second, int64(len(secs)-1)))
-		c := j.e.Clients[x.clients]
-		f := j.e.Tariffs[c.Tariff]
-		s, earned, status := &j.out.Seconds[n], 0.0, x.status
-		s.Asked++
+		outcome := roots[root]
+		n := int(min(outcome.due/second, int64(len(perSecond)-1)))
+		c := ev.experiment.Clients[outcome.clients]
+		tariff := ev.experiment.Tariffs[c.Tariff]
+		bucket, earned, status := &ev.result.Seconds[n], 0.0, outcome.status
+		bucket.Asked++
 		late := false
 		switch {
 		case status == 200:
-			earned = f.Earnings
-			if late = x.answered-x.due > f.ContractTime+margin/10; late {
-				earned *= f.LateEarnings
-				s.Late++
+			earned = tariff.Earnings
+			if late = outcome.answered-outcome.due > tariff.ContractTime+limitMargin/10; late {
+				earned *= tariff.LateEarnings
+				bucket.Late++
 			}
-			s.Settled++
-			us := max(1, min((x.answered-x.due)/1000, longest/1000))
-			took[n].RecordValue(us)
-			if x.due >= j.e.Settle {
-				whole.RecordValue(us)
+			bucket.Settled++
+			us := max(1, min((outcome.answered-outcome.due)/1000, maxLatency/1000))
+			latencies[n].RecordValue(us)
+			if outcome.due >= ev.experiment.Settle {
+				totalLatency.RecordValue(us)
 			}
-		case x.deferred:
-			s.Deferred++
-		case x.lost:
-			s.Lost++
+		case outcome.deferred:
+			bucket.Deferred++
+		case outcome.lost:
+			bucket.Lost++
 		default:
-			s.Failed++
+			bucket.Failed++
 		}
-		secs[n].asked, secs[n].earned = secs[n].asked+f.Earnings, secs[n].earned+earned
-		if x.due < j.e.Settle {
+		perSecond[n].offered, perSecond[n].earned = perSecond[n].offered+tariff.Earnings, perSecond[n].earned+earned
+		if outcome.due < ev.experiment.Settle {
 			continue
 		}
-		all++
+		total++
 		switch {
 		case status == 200:
 			settled++
-		case x.deferred:
+		case outcome.deferred:
 			deferred++
-		case x.lost:
+		case outcome.lost:
 			lost++
 		default:
 			failed++
 		}
-		for _, name := range []string{"", ":" + j.e.Pools[c.Pool], ":" + f.Name, ":" + c.Customer} {
+		for _, name := range []string{"", ":" + ev.experiment.Pools[c.Pool], ":" + tariff.Name, ":" + c.Customer} {
 			if name == ":" {
 				continue
 			}
-			p := parts[name]
-			if p == nil {
-				p = &part{}
-				parts[name] = p
+			sum := earningsByLabel[name]
+			if sum == nil {
+				sum = &earnings{}
+				earningsByLabel[name] = sum
 			}
-			p.asked, p.earned = p.asked+f.Earnings, p.earned+earned
+			sum.offered, sum.earned = sum.offered+tariff.Earnings, sum.earned+earned
 		}
 	}
-	fig := j.out.Figures
-	for name, p := range parts {
-		fig["service"+name] = p.service()
+	figures := ev.result.Figures
+	for name, sum := range earningsByLabel {
+		figures["service"+name] = sum.ratio()
 	}
-	of := float64(max(all, 1))
-	fig["asked"], fig["settled"], fig["deferred"] = float64(all), float64(settled)/of, float64(deferred)/of
-	fig["failed"], fig["lost"] = float64(failed)/of, float64(lost)/of
+	divisor := float64(max(total, 1))
+	figures["asked"], figures["settled"], figures["deferred"] = float64(total), float64(settled)/divisor, float64(deferred)/divisor
+	figures["failed"], figures["lost"] = float64(failed)/divisor, float64(lost)/divisor
 	for name, q := range map[string]float64{"p50": 50, "p99": 99, "p999": 99.9} {
-		fig[name] = float64(whole.ValueAtQuantile(q)) / 1000
+		figures[name] = float64(totalLatency.ValueAtQuantile(q)) / 1000
 	}
-	for i := range secs {
-		s := &j.out.Seconds[i]
-		s.Service = secs[i].service()
-		s.P50, s.P95, s.P99 = float64(took[i].ValueAtQuantile(50))/1000, float64(took[i].ValueAtQuantile(95))/1000, float64(took[i].ValueAtQuantile(99))/1000
+	for i := range perSecond {
+		bucket := &ev.result.Seconds[i]
+		bucket.Service = perSecond[i].ratio()
+		bucket.P50, bucket.P95, bucket.P99 = float64(latencies[i].ValueAtQuantile(50))/1000, float64(latencies[i].ValueAtQuantile(95))/1000, float64(latencies[i].ValueAtQuantile(99))/1000
 	}
-	j.pushes(arrived)
-	j.recovery(secs)
+	ev.countAttempts(arrived)
+	ev.computeRecovery(perSecond)
 }
 
-// pushes counts what reached upstreams.
-func (j *judge) pushes(arrived map[string][]record.Arrival) {
-	j.out.Upstream = make([]Upstream, len(j.e.Upstreams))
-	for i, u := range j.e.Upstreams {
-		j.out.Upstream[i].Name = u.Name
+// countAttempts counts the attempts that reached upstreams, and computes how many each transaction took.
+func (ev *evaluator) countAttempts(arrived map[string][]record.Arrival) {
+	ev.result.Upstream = make([]Upstream, len(ev.experiment.Upstreams))
+	for i, u := range ev.experiment.Upstreams {
+		ev.result.Upstream[i].Name = u.Name
 	}
-	pushes, first := 0, 0
-	for _, all := range arrived {
-		for n, a := range all {
-			u, s := &j.out.Upstream[a.Upstream], &j.out.Seconds[max(0, min(a.At/second, int64(len(j.out.Seconds)-1)))]
+	attempts, first := 0, 0
+	for _, arrivals := range arrived {
+		for n, a := range arrivals {
+			u, s := &ev.result.Upstream[a.Upstream], &ev.result.Seconds[max(0, min(a.At/second, int64(len(ev.result.Seconds)-1)))]
 			u.Pushes++
 			s.Pushes++
 			if n == 0 {
@@ -370,79 +371,80 @@
 				u.Ran++
 			}
 		}
-		if all[0].At >= j.e.Settle {
+		if arrivals[0].At >= ev.experiment.Settle {
 			first++
-			pushes += len(all)
+			attempts += len(arrivals)
 		}
 	}
-	j.out.Figures["attempts"] = float64(pushes) / float64(max(first, 1))
+	ev.result.Figures["attempts"] = float64(attempts) / float64(max(first, 1))
 }
 
-// recovery is how long after the last fault's end service was back for good, and how low it went over some seconds.
-func (j *judge) recovery(secs []part) {
+// computeRecovery computes how long after the end of the last fault service had recovered, and the worst service over any
+// window of serviceWindow seconds.
+func (ev *evaluator) computeRecovery(perSecond []earnings) {
 	begin, end := int64(math.MaxInt64), int64(0)
-	for _, f := range j.e.Faults {
+	for _, f := range ev.experiment.Faults {
 		begin, end = min(begin, f.At), max(end, f.At+f.For)
 	}
-	for _, c := range j.e.Clients { // a wave is trouble as well
+	for _, c := range ev.experiment.Clients { // a step of the load counts as a fault
 		for _, s := range c.Steps {
 			begin, end = min(begin, s.At), max(end, s.At)
 		}
 	}
-	over := func(from, to int) float64 {
-		var p part
-		for i := max(0, from); i < min(to, len(secs)); i++ {
-			p.asked, p.earned = p.asked+secs[i].asked, p.earned+secs[i].earned
+	serviceBetween := func(from, to int) float64 {
+		var p earnings
+		for i := max(0, from); i < min(to, len(perSecond)); i++ {
+			p.offered, p.earned = p.offered+perSecond[i].offered, p.earned+perSecond[i].earned
 		}
-		return p.service()
+		return p.ratio()
 	}
-	worst, settle := 1.0, int(j.e.Settle/second)
-	for i := settle; i+spans <= len(secs); i++ {
-		worst = min(worst, over(i, i+spans))
+	worst, settle := 1.0, int(ev.experiment.Settle/second)
+	for i := settle; i+serviceWindow <= len(perSecond); i++ {
+		worst = min(worst, serviceBetween(i, i+serviceWindow))
 	}
-	j.out.Figures["worst"] = worst
-	if end == 0 || end >= j.e.Length {
+	ev.result.Figures["worst"] = worst
+	if end == 0 || end >= ev.experiment.Length {
 		return
 	}
-	usual := over(settle, int(begin/second))
-	j.out.Figures["recover"] = float64(j.e.Length-end) / float64(second)
-	for i := int(end / second); i < len(secs); i++ {
-		if over(i, i+spans) >= back*usual {
-			j.out.Figures["recover"] = max(0, float64(int64(i)*second-end)/float64(second))
+	baseline := serviceBetween(settle, int(begin/second))
+	ev.result.Figures["recover"] = float64(ev.experiment.Length-end) / float64(second)
+	for i := int(end / second); i < len(perSecond); i++ {
+		if serviceBetween(i, i+serviceWindow) >= recoveredShare*baseline {
+			ev.result.Figures["recover"] = max(0, float64(int64(i)*second-end)/float64(second))
 			return
 		}
 	}
 }
 
-// lag sees whether the lab kept its own time.
-func (j *judge) lag() {
-	j.out.Broken = j.r.Broken
-	if len(j.r.Lag) == 0 {
+// checkLag declares the run void if the lab itself ran late.
+func (ev *evaluator) checkLag() {
+	ev.result.Broken = ev.run.Broken
+	if len(ev.run.Lag) == 0 {
 		return
 	}
-	all := slices.Sorted(slices.Values(j.r.Lag))
-	late := all[len(all)*99/100]
-	j.out.Lag99 = float64(late) / float64(ms)
-	if late > tooLate {
-		j.out.Void = fmt.Sprintf("the lab itself was %.1f ms late, 99 in 100 (%d at most): its machine is too small or busy for this", j.out.Lag99, tooLate/ms)
+	sorted := slices.Sorted(slices.Values(ev.run.Lag))
+	lag99 := sorted[len(sorted)*99/100]
+	ev.result.Lag99 = float64(lag99) / float64(ms)
+	if lag99 > maxLabLag {
+		ev.result.Void = fmt.Sprintf("the lab itself was %.1f ms late at the 99th percentile (limit %d ms): its machine is too small or too busy for this experiment", ev.result.Lag99, maxLabLag/ms)
 	}
 }
 
-// Holds says whether a condition holds, over the results of all variants.
-func Holds(c spec.Condition, all map[string]*Result) (ok bool, left, right float64) {
+// Holds reports whether a condition holds over the results of all variants, and the values of both sides.
+func Holds(condition spec.Condition, results map[string]*Result) (ok bool, left, right float64) {
 	value := func(f spec.Figure) float64 {
 		if f.Variant == "" {
 			return f.Number
 		}
-		if r := all[f.Variant]; r != nil {
+		if r := results[f.Variant]; r != nil {
 			if v, some := r.Figures[f.Name]; some {
 				return v
 			}
 		}
 		return math.NaN()
 	}
-	left, right = value(c.Left), value(c.Right)+c.Plus
-	switch c.Op {
+	left, right = value(condition.Left), value(condition.Right)+condition.Offset
+	switch condition.Op {
 	case "<":
 		ok = left < right
 	case "<=":
--- a/internal/lab/judge/judge_test.go
+++ b/internal/lab/judge/judge_test.go
@@ -8,7 +8,7 @@
 	"ottershift/internal/lab/spec"
 )
 
-const text = `title = "x"
+const experimentText = `title = "x"
 length = "10s"
 settle = "0s"
 [tariffs.view]
@@ -29,23 +29,23 @@
 for = "2s"
 `
 
-// Earnings count from when the first try was due, a late answer earns its part, what was never sent is asked for all the
-// same, and recovery is told from the end of the last fault.
+// Lateness is measured from when a transaction's first request was due, a late answer earns its share, a transaction that was
+// never sent counts as offered, and recovery is measured from the end of the last fault.
 func TestService(t *testing.T) {
-	e, faults := spec.Parse("x.toml", []byte(text), false)
+	e, faults := spec.Parse("x.toml", []byte(experimentText), false)
 	if e == nil {
 		t.Fatal(faults)
 	}
 	r := &record.Run{}
 	for n, c := range e.Load() {
 		if c.Due >= 9*second {
-			continue // broken off: not sent
+			continue // as if the run had ended early: not sent
 		}
 		try := record.Try{Root: c.Root, ID: string(rune('a' + n)), Due: c.Due, Sent: c.Due, Left: second, Status: 200, Answered: c.Due + 50*ms}
 		switch c.Due / second {
 		case 3, 4:
 			try.Status = 503
-		case 5: // a retry earns by its first try's due time
+		case 5: // the lateness of a retry counts from the due time of the first request
 			first := try
 			first.ID, first.Status = first.ID+"0", 503
 			r.Tries = append(r.Tries, first)
@@ -60,14 +60,14 @@
 		t.Errorf("%v: %q", out.Figures, out.Examples)
 	}
 	if got := out.Figures["recover"]; got != 1 {
-		t.Errorf("back after %g s", got)
+		t.Errorf("recovered after %g s, want 1", got)
 	}
-	// A lab that was late itself says so, whatever it saw.
+	// A run in which the lab itself was late is void.
 	r.Lag = []int64{ms, 30 * ms, 30 * ms}
 	if out := Judge(e, r); !strings.Contains(out.Void, "30.0 ms late") {
 		t.Errorf("%q", out.Void)
 	}
-	// A balancer that the experiment itself killed is excused, another isn't.
+	// A missing answer is excused only if the experiment had killed the balancer.
 	r.Tries[0].Status, r.Tries[0].Closed = 0, true
 	if out := Judge(e, r); out.Figures["rule1"] != 1 {
 		t.Errorf("%v", out.Figures)
--- a/internal/lab/judge/ledger.go
+++ b/internal/lab/judge/ledger.go
@@ -11,163 +11,164 @@
 	"ottershift/logic"
 )
 
-// ledger: a key that its client sends again and again, to whatever balancer, takes effect once within its window; once-only work
-// runs once; and at the end the ledger denies nothing that ran, and knows of all that was answered. By what clients sent and
-// upstreams ran: no balancer's word counts but the ledger's own, which is what is judged.
-func (f *fleet) ledger() {
+// checkLedger checks the ledger's guarantees. A key that its client repeats at any balancer takes effect once within its
+// window, and a once-only transaction runs once. At the end the ledger has an entry for every transaction that ran or was
+// answered. The check relies on what clients sent and upstreams ran; of the balancers' own reports only the ledger's content
+// counts, because it is under test.
+func (cc *clusterChecker) checkLedger() {
 	type work struct {
 		clients, tariff int
 		label           string
 		runs            []record.Arrival
-		acked, first    int64 // last and first answer that settled it
+		acked, first    int64 // last and first successful answer
 		tries           int
 	}
-	roots := map[uint64]*work{}
-	for _, t := range f.r.Tries {
-		if t.Group < 0 || t.Group >= len(f.e.Clients) || !f.e.Clients[t.Group].Repeats {
+	transactions := map[uint64]*work{}
+	for _, t := range cc.run.Tries {
+		if t.Group < 0 || t.Group >= len(cc.experiment.Clients) || !cc.experiment.Clients[t.Group].RepeatsByKey {
 			continue
 		}
-		w := roots[t.Root]
-		if w == nil {
-			w = &work{clients: t.Group, tariff: t.Tariff, label: fmt.Sprintf("%016x", t.Root)}
-			roots[t.Root] = w
+		transaction := transactions[t.Root]
+		if transaction == nil {
+			transaction = &work{clients: t.Group, tariff: t.Tariff, label: fmt.Sprintf("%016x", t.Root)}
+			transactions[t.Root] = transaction
 		}
-		if w.tries++; t.Status == 200 {
-			w.acked = max(w.acked, t.Answered)
-			if w.first == 0 || t.Answered < w.first {
-				w.first = t.Answered
+		if transaction.tries++; t.Status == 200 {
+			transaction.acked = max(transaction.acked, t.Answered)
+			if transaction.first == 0 || t.Answered < transaction.first {
+				transaction.first = t.Answered
 			}
 		}
 	}
-	if len(roots) == 0 {
+	if len(transactions) == 0 {
 		return
 	}
-	for _, a := range f.r.Arrived { // in order of time
-		// What a tagged transaction's upstream didn't do to its end it forgets as well; once-only work counts from its first step.
-		if w := roots[a.Root]; w != nil && a.Ran && !a.Dropped && (a.Effect != 0 || f.e.Tariffs[w.tariff].Idempotency == logic.NonIdempotent) {
-			w.runs = append(w.runs, a)
+	for _, a := range cc.run.Arrived { // sorted by time
+		// An upstream forgets a tagged transaction that it did not complete. A once-only transaction counts as soon as it starts.
+		if transaction := transactions[a.Root]; transaction != nil && a.Ran && !a.Dropped && (a.Effect != 0 || cc.experiment.Tariffs[transaction.tariff].Idempotency == logic.NonIdempotent) {
+			transaction.runs = append(transaction.runs, a)
 		}
 	}
-	written := map[string]record.Entry{}
-	for _, e := range f.r.Written {
-		written[e.Tariff+"/"+e.Label] = e
+	ledgerEntries := map[string]record.Entry{}
+	for _, e := range cc.run.Written {
+		ledgerEntries[e.Tariff+"/"+e.Label] = e
 	}
 	counts := map[string]int{}
-	claims := f.r.Kept && f.r.Read != 0
-	for _, root := range slices.Sorted(maps.Keys(roots)) {
-		w := roots[root]
-		tariff := f.e.Tariffs[w.tariff]
-		counts["repeats"] += w.tries - 1
+	entriesRead := cc.run.Kept && cc.run.Read != 0
+	for _, root := range slices.Sorted(maps.Keys(transactions)) {
+		transaction := transactions[root]
+		tariff := cc.experiment.Tariffs[transaction.tariff]
+		counts["repeats"] += transaction.tries - 1
 		window := tariff.DedupWindow
 		if tariff.Idempotency == logic.NonIdempotent {
 			window = int64(time.Hour)
 		}
-		for i, a := range w.runs {
-			if i > 0 && a.At < w.runs[0].At+window {
+		for i, a := range transaction.runs {
+			if i > 0 && a.At < transaction.runs[0].At+window {
 				rule := "twice"
 				if tariff.Idempotency == logic.NonIdempotent {
 					rule = "once_twice"
 				}
 				counts[rule]++
-				f.breach("ledger", "%s %s took effect at %s at %s, and at %s at %s", tariff.Name, w.label, f.e.Upstreams[w.runs[0].Upstream].Name, at(w.runs[0].At),
-					f.e.Upstreams[a.Upstream].Name, at(a.At))
+				cc.recordBreach("ledger", "%s %s took effect at %s at %s and again at %s at %s", tariff.Name, transaction.label, cc.experiment.Upstreams[transaction.runs[0].Upstream].Name, formatTime(transaction.runs[0].At),
+					cc.experiment.Upstreams[a.Upstream].Name, formatTime(a.At))
 				break
 			}
 		}
-		if !claims {
+		if !entriesRead {
 			continue
 		}
-		_, some := written[tariff.Name+"/"+w.label]
-		young := func(t int64) bool {
-			return t != 0 && (tariff.Idempotency == logic.NonIdempotent || f.r.Read < t+window)
+		_, found := ledgerEntries[tariff.Name+"/"+transaction.label]
+		inWindow := func(t int64) bool {
+			return t != 0 && (tariff.Idempotency == logic.NonIdempotent || cc.run.Read < t+window)
 		}
-		if n := len(w.runs); n > 0 && young(w.runs[n-1].At) && !some {
+		if n := len(transaction.runs); n > 0 && inWindow(transaction.runs[n-1].At) && !found {
 			counts["denied"]++
-			f.breach("ledger", "%s %s ran at %s at %s, and the ledger holds nothing of it", tariff.Name, w.label, f.e.Upstreams[w.runs[n-1].Upstream].Name, at(w.runs[n-1].At))
+			cc.recordBreach("ledger", "%s %s ran at %s at %s, but the ledger has no entry for it", tariff.Name, transaction.label, cc.experiment.Upstreams[transaction.runs[n-1].Upstream].Name, formatTime(transaction.runs[n-1].At))
 		}
-		if w.acked != 0 && young(w.acked-tariff.HardStop) && !some {
+		if transaction.acked != 0 && inWindow(transaction.acked-tariff.HardStop) && !found {
 			counts["unheard"]++
-			f.breach("ledger", "%s %s was answered at %s, and the ledger holds nothing of it", tariff.Name, w.label, at(w.acked))
+			cc.recordBreach("ledger", "%s %s was answered at %s, but the ledger has no entry for it", tariff.Name, transaction.label, formatTime(transaction.acked))
 		}
 	}
-	for _, l := range f.r.Looks {
-		w := roots[l.Root]
-		if w == nil {
+	for _, l := range cc.run.Looks {
+		transaction := transactions[l.Root]
+		if transaction == nil {
 			continue
 		}
 		counts["looks"]++
-		window := f.e.Tariffs[w.tariff].DedupWindow
-		if f.e.Tariffs[w.tariff].Idempotency == logic.NonIdempotent {
+		window := cc.experiment.Tariffs[transaction.tariff].DedupWindow
+		if cc.experiment.Tariffs[transaction.tariff].Idempotency == logic.NonIdempotent {
 			window = int64(time.Hour)
 		}
-		// Whoever has its answer before it asks reads of it, at whatever member.
-		if !l.Found && w.first != 0 && l.From > w.first && l.To < w.first+window {
+		// Reads are linearizable: a read that starts after the answer finds the entry at any member.
+		if !l.Found && transaction.first != 0 && l.From > transaction.first && l.To < transaction.first+window {
 			counts["blind"]++
-			f.breach("ledger", "%s, asked at %s, knew nothing of %s %s, which had been answered at %s", spec.Name(l.Member), at(l.From), f.e.Tariffs[w.tariff].Name,
-				w.label, at(w.first))
+			cc.recordBreach("ledger", "%s, read at %s, had no entry for %s %s, which had been answered at %s", spec.MemberName(l.Member), formatTime(l.From), cc.experiment.Tariffs[transaction.tariff].Name,
+				transaction.label, formatTime(transaction.first))
 		}
 	}
-	if f.r.Read == 0 && f.r.Kept {
-		f.breach("ledger", "the ledger could not be read at the end")
+	if cc.run.Read == 0 && cc.run.Kept {
+		cc.recordBreach("ledger", "the ledger could not be read at the end of the run")
 	}
 	for _, name := range []string{"twice", "once_twice", "denied", "unheard", "repeats", "looks", "blind"} {
-		f.j.out.Figures[name] = float64(counts[name])
+		cc.evaluator.result.Figures[name] = float64(counts[name])
 	}
-	f.outside()
+	cc.computeServiceOutsideOutages()
 }
 
-// outside is what was earned of what was asked for while no claim may be deferred: not within the stated time after anything went
-// wrong between members, nor without a majority of keepers. By tariff.
-func (f *fleet) outside() {
-	bound := int64(f.e.Cluster.Settings.ClaimOutageBound())
-	var spans []record.Span
-	for _, o := range f.r.Outages {
-		spans = append(spans, record.Span{From: o.From, To: o.From + bound})
+// computeServiceOutsideOutages computes service, in total and by tariff, for the time when no claim may be deferred. It leaves
+// out the stated bound after each outage or link fault, and the time without a majority of voters.
+func (cc *clusterChecker) computeServiceOutsideOutages() {
+	bound := int64(cc.experiment.Cluster.Settings.ClaimOutageBound())
+	var excluded []record.Span
+	for _, o := range cc.run.Outages {
+		excluded = append(excluded, record.Span{From: o.From, To: o.From + bound})
 	}
-	for _, t := range f.r.Links {
-		spans = append(spans, record.Span{From: t.Span.From, To: t.Span.From + bound})
+	for _, t := range cc.run.Links {
+		excluded = append(excluded, record.Span{From: t.Span.From, To: t.Span.From + bound})
 	}
-	for at, lost := int64(0), int64(-1); at <= f.e.Length; at += steps { // without a majority, and until it is back
-		if !f.majority(at) {
-			if lost < 0 {
-				lost = at
+	for now, lostAt := int64(0), int64(-1); now <= cc.experiment.Length; now += majorityCheckInterval { // exclude the time without a majority, and the bound after it
+		if !cc.hasMajority(now) {
+			if lostAt < 0 {
+				lostAt = now
 			}
-		} else if lost >= 0 {
-			spans, lost = append(spans, record.Span{From: lost, To: at + bound}), -1
+		} else if lostAt >= 0 {
+			excluded, lostAt = append(excluded, record.Span{From: lostAt, To: now + bound}), -1
 		}
 	}
-	parts := map[string]*part{}
-	done := map[uint64]record.Try{}
-	for _, t := range f.r.Tries {
-		if t.Group < 0 || t.Group >= len(f.e.Clients) {
+	earningsByLabel := map[string]*earnings{}
+	outcomes := map[uint64]record.Try{}
+	for _, t := range cc.run.Tries {
+		if t.Group < 0 || t.Group >= len(cc.experiment.Clients) {
 			continue
 		}
-		if was, some := done[t.Root]; !some || was.Status != 200 {
-			done[t.Root] = t
+		if was, some := outcomes[t.Root]; !some || was.Status != 200 {
+			outcomes[t.Root] = t
 		}
 	}
-	for _, t := range done {
-		if t.Due < f.e.Settle || slices.ContainsFunc(spans, func(s record.Span) bool { return t.Due >= s.From-second/5 && t.Due <= s.To }) {
+	for _, t := range outcomes {
+		if t.Due < cc.experiment.Settle || slices.ContainsFunc(excluded, func(s record.Span) bool { return t.Due >= s.From-second/5 && t.Due <= s.To }) {
 			continue
 		}
-		tariff := f.e.Tariffs[t.Tariff]
+		tariff := cc.experiment.Tariffs[t.Tariff]
 		for _, name := range []string{"", ":" + tariff.Name} {
-			p := parts[name]
-			if p == nil {
-				p = &part{}
-				parts[name] = p
+			sum := earningsByLabel[name]
+			if sum == nil {
+				sum = &earnings{}
+				earningsByLabel[name] = sum
 			}
-			p.asked += tariff.Earnings
+			sum.offered += tariff.Earnings
 			if t.Status == 200 {
-				if t.Answered-t.Due > tariff.ContractTime+margin/10 {
-					p.earned += tariff.Earnings * tariff.LateEarnings
+				if t.Answered-t.Due > tariff.ContractTime+limitMargin/10 {
+					sum.earned += tariff.Earnings * tariff.LateEarnings
 				} else {
-					p.earned += tariff.Earnings
+					sum.earned += tariff.Earnings
 				}
 			}
 		}
 	}
-	for name, p := range parts {
-		f.j.out.Figures["outside"+name] = p.service()
+	for name, sum := range earningsByLabel {
+		cc.evaluator.result.Figures["outside"+name] = sum.ratio()
 	}
 }
--- a/internal/lab/judge/majority.go
+++ b/internal/lab/judge/majority.go
@@ -7,38 +7,39 @@
 )
 
 const (
-	steps   = 20 * ms  // between two looks at whether a majority of keepers is there
-	seating = second   // from the order to replace a keeper until it votes
-	heals   = 100 * ms // until what waits on a link that is well again is through
+	majorityCheckInterval = 20 * ms  // between two checks for a majority of voters
+	replacementDelay      = second   // from the command that replaces a voter until it votes
+	linkRecovery          = 100 * ms // until data queued on a repaired link is delivered
 )
 
-// apart is the last moment within a span at which no majority of keepers ran, had a vote and reached one another, by what the lab
-// did; 0 for none. What is promised for a majority begins anew behind it.
-func (f *fleet) apart(from, to int64) (last int64) {
-	for at := to - to%steps; at > from; at -= steps {
-		if !f.majority(at) {
+// lastWithoutMajority returns the last time within a span at which, by what the lab did, no majority of voters was running,
+// allowed to vote and connected; 0 if there is none. Bounds that require a majority count from that time.
+func (cc *clusterChecker) lastWithoutMajority(from, to int64) (last int64) {
+	for at := to - to%majorityCheckInterval; at > from; at -= majorityCheckInterval {
+		if !cc.hasMajority(at) {
 			return at
 		}
 	}
 	return 0
 }
 
-// majority reports whether some keepers that are one ran, voted and reached one another at a time.
-func (f *fleet) majority(at int64) bool {
-	n := f.e.Cluster.Voters
+// hasMajority reports whether a majority of voters was running, allowed to vote and connected at a time.
+func (cc *clusterChecker) hasMajority(at int64) bool {
+	n := cc.experiment.Cluster.Voters
 	votes := make([]bool, n)
 	for k := range votes {
-		votes[k] = f.votes(k, at)
+		votes[k] = cc.canVote(k, at)
 	}
 	for set := uint(0); set < 1<<n; set++ {
-		if 2*bits.OnesCount(set) > n && f.together(set, votes, at) {
+		if 2*bits.OnesCount(set) > n && cc.connected(set, votes, at) {
 			return true
 		}
 	}
 	return false
 }
 
-func (f *fleet) together(set uint, votes []bool, at int64) bool {
+// connected reports whether all voters of a set may vote and reach one another at a time.
+func (cc *clusterChecker) connected(set uint, votes []bool, at int64) bool {
 	for a := range votes {
 		if set>>a&1 == 0 {
 			continue
@@ -46,8 +47,8 @@
 		if !votes[a] {
 			return false
 		}
-		for _, t := range f.r.Links {
-			if t.From == a && t.To < len(votes) && set>>t.To&1 != 0 && overlaps(record.Span{From: t.Span.From, To: t.Span.To + heals}, at, at) &&
+		for _, t := range cc.run.Links {
+			if t.From == a && t.To < len(votes) && set>>t.To&1 != 0 && overlaps(record.Span{From: t.Span.From, To: t.Span.To + linkRecovery}, at, at) &&
 				(t.Kind == "cut" || t.Kind == "stall" || t.Kind == "trickle") {
 				return false
 			}
@@ -56,19 +57,19 @@
 	return true
 }
 
-// votes reports whether a keeper's process runs, isn't stopped, and has a directory that the group knows.
-func (f *fleet) votes(k int, at int64) bool {
-	for _, o := range f.r.Outages {
+// canVote reports whether a voter's process is running and has the directory that the other voters know it by.
+func (cc *clusterChecker) canVote(k int, at int64) bool {
+	for _, o := range cc.run.Outages {
 		if o.Balancer != k || at < o.From {
 			continue
 		}
-		if o.To == 0 || at <= o.To+heals {
+		if o.To == 0 || at <= o.To+linkRecovery {
 			return false
 		}
 		if o.Seatless {
 			seated := false
-			for _, s := range f.r.Seated {
-				seated = seated || s.Balancer == k && s.At > o.From && at > s.At+seating
+			for _, s := range cc.run.Seated {
+				seated = seated || s.Balancer == k && s.At > o.From && at > s.At+replacementDelay
 			}
 			if !seated {
 				return false
--- a/internal/lab/load/ceiling.go
+++ b/internal/lab/load/ceiling.go
@@ -53,7 +53,7 @@
 	return &spec.Experiment{
 		Seed: 1, Length: int64(span), Pools: []string{"p"},
 		Tariffs: []*spec.Tariff{{Name: "view", Tariff: &logic.Tariff{Idempotency: logic.Idempotent, ContractTime: second, HardStop: 5 * second}}},
-		Clients: []*spec.Clients{{Name: "c", Rate: rate, Shape: "poisson", Patience: 5 * second, Kept: true}},
+		Clients: []*spec.Clients{{Name: "c", Rate: rate, Shape: "poisson", Timeout: 5 * second, KeepsConnections: true}},
 	}
 }
 
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -26,13 +26,13 @@
 	mu    sync.Mutex
 	tries []record.Try
 	lag   []int64
-	down  []bool        // balancers that clients have been told not to use
-	late  [64]spec.Call // what was asked for last by clients that repeat
+	down  []bool               // balancers that clients have been told not to use
+	late  [64]spec.Transaction // what was asked for last by clients that repeat
 	asked int
 }
 
 // Recent is something that clients that repeat have asked for lately; ok is false where there is nothing.
-func (l *Load) Recent() (c spec.Call, ok bool) {
+func (l *Load) Recent() (c spec.Transaction, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.asked == 0 {
@@ -47,7 +47,7 @@
 	for n := range len(e.Clients) + 1 {
 		var all []*Target
 		for _, a := range addresses {
-			all = append(all, NewTarget(a, n == len(e.Clients) || e.Clients[n].Kept))
+			all = append(all, NewTarget(a, n == len(e.Clients) || e.Clients[n].KeepsConnections))
 		}
 		l.targets = append(l.targets, all)
 	}
@@ -86,7 +86,7 @@
 }
 
 // Run sends all that the plan holds, and returns once each has its end.
-func (l *Load) Run(ctx context.Context, plan []spec.Call) {
+func (l *Load) Run(ctx context.Context, plan []spec.Transaction) {
 	var open sync.WaitGroup
 	defer open.Wait()
 	timer := time.NewTimer(time.Hour)
@@ -113,40 +113,40 @@
 }
 
 // ask is one piece of work, over all its tries.
-func (l *Load) ask(ctx context.Context, c spec.Call) {
+func (l *Load) ask(ctx context.Context, c spec.Transaction) {
 	k := l.e.Clients[c.Clients]
 	f := l.e.Tariffs[k.Tariff]
 	key := ""
-	if f.Idempotency == logic.Keyed || k.Keyed {
+	if f.Idempotency == logic.Keyed || k.SendsKey {
 		key = fmt.Sprintf("%016x", c.Root)
 	}
-	if k.Repeats {
+	if k.RepeatsByKey {
 		l.mu.Lock()
 		l.late[l.asked%len(l.late)] = c
 		l.asked++
 		l.mu.Unlock()
 	}
-	if k.After > 0 {
+	if k.HedgeAfter > 0 {
 		l.insist(ctx, c, k, key)
 		return
 	}
 	for try := 0; ctx.Err() == nil; try++ {
-		left := time.Duration(c.Due + k.Patience - l.now())
+		left := time.Duration(c.Due + k.Timeout - l.now())
 		if left <= 0 {
 			return
 		}
-		a, t := l.try(c.Clients, k.Pool, k.Tariff, k.Customer, key, c.Root, left, try > 0 && k.Marks, k.Body)
+		a, t := l.try(c.Clients, k.Pool, k.Tariff, k.Customer, key, c.Root, left, try > 0 && k.MarksRetries, k.Body)
 		t.Due = c.Due
 		l.note(t)
 		again := a.Status == 503 || a.Status == 429 || a.Refused
 		// What failed may have run: only what may run again is asked for once more.
 		harmless := f.Idempotency == logic.Idempotent || f.Idempotency == logic.Keyed && f.DedupScope == logic.Everywhere
-		again = again || harmless && (a.Closed || a.Status >= 500) || k.Repeats && a.Status != 200
+		again = again || harmless && (a.Closed || a.Status >= 500) || k.RepeatsByKey && a.Status != 200
 		if !again || try >= k.Retries {
 			return
 		}
-		pause := time.Duration(k.Pause)
-		if k.Heeds && a.Advice > 0 {
+		pause := time.Duration(k.RetryDelay)
+		if k.FollowsAdvice && a.Advice > 0 {
 			pause = a.Advice
 		}
 		pause = pause/2 + rand.N(pause+1)
@@ -160,15 +160,15 @@
 
 // insist is one piece of work of a client that doesn't wait for its first try to end: without an answer for some time it sends
 // its key to another balancer as well, and takes the first answer that settles it.
-func (l *Load) insist(ctx context.Context, c spec.Call, k *spec.Clients, key string) {
+func (l *Load) insist(ctx context.Context, c spec.Transaction, k *spec.Clients, key string) {
 	answers := make(chan Answer, k.Retries+1)
 	out, tries := 0, 0
 	send := func() {
-		left := time.Duration(c.Due + k.Patience - l.now())
+		left := time.Duration(c.Due + k.Timeout - l.now())
 		if left <= 0 || tries > k.Retries {
 			return
 		}
-		again := tries > 0 && k.Marks
+		again := tries > 0 && k.MarksRetries
 		out++
 		tries++
 		go func() {
@@ -179,7 +179,7 @@
 		}()
 	}
 	send()
-	next := time.NewTimer(time.Duration(k.After))
+	next := time.NewTimer(time.Duration(k.HedgeAfter))
 	defer next.Stop()
 	settled := false
 	for out > 0 {
@@ -189,8 +189,8 @@
 			if settled = settled || a.Status == 200; settled {
 				continue // what is out comes to its end
 			}
-			pause := time.Duration(k.Pause)
-			if k.Heeds && a.Advice > 0 {
+			pause := time.Duration(k.RetryDelay)
+			if k.FollowsAdvice && a.Advice > 0 {
 				pause = a.Advice
 			}
 			if out == 0 && tries <= k.Retries {
@@ -200,12 +200,12 @@
 					return
 				}
 				send()
-				next.Reset(time.Duration(k.After))
+				next.Reset(time.Duration(k.HedgeAfter))
 			}
 		case <-next.C:
 			if !settled {
 				send()
-				next.Reset(time.Duration(k.After))
+				next.Reset(time.Duration(k.HedgeAfter))
 			}
 		case <-ctx.Done():
 			for ; out > 0; out-- {
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -120,7 +120,7 @@
 			o.Words = append(o.Words, fmt.Sprintf("%s broke the rules %g times", v.Name, m.Figures["breaches"]))
 		}
 	}
-	for _, name := range e.Convicts {
+	for _, name := range e.MustBreakRules {
 		m := means[name]
 		if m == nil {
 			continue // it was not asked for
--- a/internal/lab/run/cluster.go
+++ b/internal/lab/run/cluster.go
@@ -28,36 +28,38 @@
 )
 
 const (
-	samples = 100 * time.Millisecond // of views
-	answers = 80 * time.Millisecond  // until a view that doesn't come counts as none
+	sampleInterval = 100 * time.Millisecond // between two samples of a member's view
+	sampleTimeout  = 80 * time.Millisecond  // for the answer to one sample
 )
 
-// seat is a balancer's place in the cluster of a run.
-type seat struct {
-	spec.Seat
-	lab  string // the file by which the lab tells the process of its own
-	disk string // and the one that says which fault its directory has
-	copy string // an earlier copy of its directory
+// placement holds the addresses and files of a member in the cluster of a run.
+type placement struct {
+	spec.Placement
+	labFile       string // file with the lab settings of the process
+	diskFaultFile string // file that names the current fault of its directory
+	backupDir     string // copy of its directory from the start of the run
 }
 
 // clustered reports whether the balancers of this run are members of a cluster.
-func (s *stage) clustered() bool { return s.e.Cluster != nil && s.o.Variant != "no-cluster" }
+func (rn *runner) clustered() bool {
+	return rn.experiment.Cluster != nil && rn.options.Variant != "no-cluster"
+}
 
-// Ports for balancers lie below those that the system hands out by itself (32768 and up on Linux). Danger: one from there
-// may be another's by the time its process starts, and again when it is started once more.
+// Ports of balancers lie below the ephemeral range of the system (32768 and up on Linux). The system may give a port of that
+// range to another process before the balancer starts or while it restarts.
 const (
 	firstPort = 12000
-	ports     = 20000
+	portCount = 20000
 )
 
-var handed sync.Map // ports given to processes of this run and others beside it
+var assignedAddresses sync.Map // addresses assigned to balancers of this run and of concurrent ones
 
-// free is an address at which nobody listens, TCP or UDP.
-func free() (string, error) {
+// freeAddress returns a local address on which nobody listens, TCP or UDP.
+func freeAddress() (string, error) {
 	for range 200 {
-		address := fmt.Sprintf("127.0.0.1:%d", firstPort+rand.IntN(ports))
-		if _, taken := handed.LoadOrStore(address, true); taken {
-			continue // its process hasn't listened yet
+		address := fmt.Sprintf("127.0.0.1:%d", firstPort+rand.IntN(portCount))
+		if _, taken := assignedAddresses.LoadOrStore(address, true); taken {
+			continue // its process may not listen yet
 		}
 		l, err := net.Listen("tcp", address)
 		if err != nil {
@@ -71,115 +73,115 @@
 		u.Close()
 		return address, nil
 	}
-	return "", errors.New("no port is free")
+	return "", errors.New("no free port found in 200 tries")
 }
 
-// links makes the links and a place for each balancer.
-func (s *stage) links() (err error) {
-	if !s.clustered() {
+// createLinks creates the links between balancers, and a placement for each balancer.
+func (rn *runner) createLinks() (err error) {
+	if !rn.clustered() {
 		return nil
 	}
-	if s.mesh, err = between.New(s.e.Balancers, s.e.Seed); err != nil {
+	if rn.mesh, err = between.New(rn.experiment.Balancers, rn.experiment.Seed); err != nil {
 		return err
 	}
-	for n := range s.e.Balancers {
-		t, err := s.seat(n, "")
+	for n := range rn.experiment.Balancers {
+		t, err := rn.newPlacement(n, "")
 		if err != nil {
 			return err
 		}
-		s.seats = append(s.seats, t)
-		s.mesh.Target(n, t.Address)
+		rn.placements = append(rn.placements, t)
+		rn.mesh.Target(n, t.Address)
 	}
 	return nil
 }
 
-// seat makes a place; a second one of the same balancer has a suffix.
-func (s *stage) seat(n int, suffix string) (t *seat, err error) {
-	name := spec.Name(n) + suffix
-	t = &seat{lab: filepath.Join(s.o.Dir, name+".lab"), disk: filepath.Join(s.o.Dir, name+".disk"), copy: filepath.Join(s.o.Dir, name+".old")}
-	t.Dir, t.Through = filepath.Join(s.o.Dir, name), map[string]string{}
-	if t.Address, err = free(); err != nil {
+// newPlacement creates a placement. A second one of the same balancer needs a suffix.
+func (rn *runner) newPlacement(n int, suffix string) (place *placement, err error) {
+	name := spec.MemberName(n) + suffix
+	place = &placement{labFile: filepath.Join(rn.options.Dir, name+".lab"), diskFaultFile: filepath.Join(rn.options.Dir, name+".disk"), backupDir: filepath.Join(rn.options.Dir, name+".old")}
+	place.Dir, place.Through = filepath.Join(rn.options.Dir, name), map[string]string{}
+	if place.Address, err = freeAddress(); err != nil {
 		return nil, err
 	}
-	if t.Ops, err = free(); err != nil {
+	if place.Ops, err = freeAddress(); err != nil {
 		return nil, err
 	}
-	for other := range s.e.Balancers {
+	for other := range rn.experiment.Balancers {
 		if other != n {
-			t.Through[spec.Name(other)] = s.mesh.Address(n, other)
-			t.Join = append(t.Join, s.mesh.Address(n, other))
+			place.Through[spec.MemberName(other)] = rn.mesh.Address(n, other)
+			place.Join = append(place.Join, rn.mesh.Address(n, other))
 		}
 	}
-	lab := cluster.Lab{ParentPID: os.Getpid(), DiskFaultFile: t.disk}
-	if guard, some := strings.CutPrefix(s.o.Variant, "without-"); some && guard != "ledger" {
+	lab := cluster.Lab{ParentPID: os.Getpid(), DiskFaultFile: place.diskFaultFile}
+	if guard, some := strings.CutPrefix(rn.options.Variant, "without-"); some && guard != "ledger" {
 		lab.DisabledGuards = []string{guard}
 	}
 	raw, err := json.Marshal(lab)
 	if err != nil {
 		return nil, err
 	}
-	return t, os.WriteFile(t.lab, raw, 0o600)
+	return place, os.WriteFile(place.labFile, raw, 0o600)
 }
 
-// more is what a balancer is told beside its pools.
-func (s *stage) more(n int, t *seat) map[string]any {
-	if t == nil {
+// extraConfig returns the configuration of a balancer as a cluster member.
+func (rn *runner) extraConfig(n int, place *placement) map[string]any {
+	if place == nil {
 		return nil
 	}
-	more := s.e.Clustered(n, t.Seat)
-	c := more["cluster"].(map[string]any)
-	switch s.o.Variant {
+	extra := rn.experiment.MemberConfiguration(n, place.Placement)
+	c := extra["cluster"].(map[string]any)
+	switch rn.options.Variant {
 	case "without-ledger":
 		delete(c, "ledger")
-	case "one-copy": // kept by one machine alone
-		c["voters"] = []string{spec.Name(0)}
+	case "one-copy": // the ledger has a single replica
+		c["voters"] = []string{spec.MemberName(0)}
 	}
-	return more
+	return extra
 }
 
-// keeps reports whether the members keep a ledger.
-func (s *stage) keeps() bool {
-	return s.clustered() && s.e.Cluster.Settings.Ledger.Enabled() && s.o.Variant != "without-ledger"
+// hasLedger reports whether the members maintain a ledger.
+func (rn *runner) hasLedger() bool {
+	return rn.clustered() && rn.experiment.Cluster.Settings.Ledger.Enabled() && rn.options.Variant != "without-ledger"
 }
 
-// look reads lines of the ledger at members, by chance, for as long as the run goes on.
-func (s *stage) look(ctx context.Context) {
+// readLedgerEntries reads ledger entries of recent transactions at random members until the run ends.
+func (rn *runner) readLedgerEntries(ctx context.Context) {
 	for ctx.Err() == nil {
-		c, some := s.load.Recent()
-		if !some {
+		transaction, found := rn.load.Recent()
+		if !found {
 			time.Sleep(50 * time.Millisecond)
 			continue
 		}
-		k := s.e.Clients[c.Clients]
-		key := ledger.KeyOf("tag", s.e.Pools[k.Pool], k.Customer, s.e.Tariffs[k.Tariff].Name, fmt.Sprintf("%016x", c.Root))
-		q, _ := json.Marshal(ledger.Query{Kind: "look", Key: key[:]})
-		n := rand.IntN(len(s.seats))
-		from := s.now()
-		text, ok, err := ops.Call(s.seats[n].Ops, "CLUSTER ledger find "+string(q), time.Second)
+		clients := rn.experiment.Clients[transaction.Clients]
+		key := ledger.KeyOf("tag", rn.experiment.Pools[clients.Pool], clients.Customer, rn.experiment.Tariffs[clients.Tariff].Name, fmt.Sprintf("%016x", transaction.Root))
+		query, _ := json.Marshal(ledger.Query{Kind: "look", Key: key[:]})
+		n := rand.IntN(len(rn.placements))
+		from := rn.elapsed()
+		text, ok, err := ops.Call(rn.placements[n].Ops, "CLUSTER ledger find "+string(query), time.Second)
 		if err == nil && ok {
-			s.mu.Lock()
-			s.looks = append(s.looks, record.Look{Member: n, Root: c.Root, From: from, To: s.now(), Found: strings.Contains(text, key.String())})
-			s.mu.Unlock()
+			rn.mu.Lock()
+			rn.ledgerReads = append(rn.ledgerReads, record.Look{Member: n, Root: transaction.Root, From: from, To: rn.elapsed(), Found: strings.Contains(text, key.String())})
+			rn.mu.Unlock()
 		}
 		time.Sleep(time.Duration(10+rand.IntN(20)) * time.Millisecond)
 	}
 }
 
-const readers = 3 // of the ledger, while all goes on
+const ledgerReaders = 3 // concurrent readers of the ledger during a run
 
 const (
-	ledgerWithin = 8 * time.Second // for the ledger to be read once all is over
-	oneRead      = 3 * time.Second
+	ledgerTimeout     = 8 * time.Second // to read the whole ledger after the run
+	ledgerReadTimeout = 3 * time.Second
 )
 
-// ledger reads what is written down at the end, from whichever member can tell.
-func (s *stage) ledger(ctx context.Context) (all []record.Entry, read int64) {
-	if !s.keeps() {
+// readLedger reads all entries of the ledger at the end, from the first member that answers.
+func (rn *runner) readLedger(ctx context.Context) (all []record.Entry, read int64) {
+	if !rn.hasLedger() {
 		return nil, 0
 	}
-	for n, end := 0, time.Now().Add(ledgerWithin); time.Now().Before(end) && ctx.Err() == nil; n++ {
-		at := s.now()
-		text, ok, err := ops.Call(s.seats[n%len(s.seats)].Ops, "CLUSTER ledger find {}", oneRead)
+	for n, end := 0, time.Now().Add(ledgerTimeout); time.Now().Before(end) && ctx.Err() == nil; n++ {
+		at := rn.elapsed()
+		text, ok, err := ops.Call(rn.placements[n%len(rn.placements)].Ops, "CLUSTER ledger find {}", ledgerReadTimeout)
 		if err != nil || !ok {
 			time.Sleep(50 * time.Millisecond)
 			continue
@@ -197,159 +199,159 @@
 	return nil, 0
 }
 
-func (s *stage) seatOf(n int) *seat {
-	if n < len(s.seats) {
-		return s.seats[n]
+func (rn *runner) placementOf(n int) *placement {
+	if n < len(rn.placements) {
+		return rn.placements[n]
 	}
 	return nil
 }
 
-func (s *stage) act(text string, values ...any) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.acts = append(s.acts, record.Act{At: s.now(), What: fmt.Sprintf(text, values...)})
+func (rn *runner) logAction(text string, values ...any) {
+	rn.mu.Lock()
+	defer rn.mu.Unlock()
+	rn.actions = append(rn.actions, record.Act{At: rn.elapsed(), What: fmt.Sprintf(text, values...)})
 }
 
-// begun notes that a member's process runs; its end and its stops are noted by the same number.
-func (s *stage) begun(n int) int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.processes = append(s.processes, record.Process{Member: n, From: s.now()})
-	return len(s.processes) - 1
+// processStarted records the start of a member's process. It returns the index under which its stops and its end are recorded.
+func (rn *runner) processStarted(n int) int {
+	rn.mu.Lock()
+	defer rn.mu.Unlock()
+	rn.processes = append(rn.processes, record.Process{Member: n, From: rn.elapsed()})
+	return len(rn.processes) - 1
 }
 
-func (s *stage) gone(process int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if process < len(s.processes) && s.processes[process].To == 0 {
-		s.processes[process].To = s.now()
+func (rn *runner) processExited(process int) {
+	rn.mu.Lock()
+	defer rn.mu.Unlock()
+	if process < len(rn.processes) && rn.processes[process].To == 0 {
+		rn.processes[process].To = rn.elapsed()
 	}
 }
 
-func (s *stage) stopped(process int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	p := &s.processes[process]
-	p.Stops = append(p.Stops, record.Span{From: s.now()})
+func (rn *runner) processStopped(process int) {
+	rn.mu.Lock()
+	defer rn.mu.Unlock()
+	p := &rn.processes[process]
+	p.Stops = append(p.Stops, record.Span{From: rn.elapsed()})
 }
 
-func (s *stage) continued(process int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	p := &s.processes[process]
-	p.Stops[len(p.Stops)-1].To = s.now()
+func (rn *runner) processContinued(process int) {
+	rn.mu.Lock()
+	defer rn.mu.Unlock()
+	p := &rn.processes[process]
+	p.Stops[len(p.Stops)-1].To = rn.elapsed()
 }
 
-// sample asks a member's process for its view again and again, until it has ended.
-func (s *stage) sample(b *balancer, process int, ended <-chan struct{}) {
-	tick := time.NewTicker(samples)
+// sampleViews requests the view of a member's process at regular intervals until the process has ended.
+func (rn *runner) sampleViews(b *balancer, process int, ended <-chan struct{}) {
+	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
 		case <-ended:
 			return
-		case <-s.over:
+		case <-rn.finished:
 			return
 		}
-		text, ok, err := ops.Call(b.seat.Ops, "MEMBERS", answers)
+		text, ok, err := ops.Call(b.placement.Ops, "MEMBERS", sampleTimeout)
 		var v member.View
 		if err != nil || !ok || json.NewDecoder(strings.NewReader(text)).Decode(&v) != nil {
 			continue
 		}
-		if s.e.Cluster.Voters > 0 {
-			s.claim(b, process)
+		if rn.experiment.Cluster.Voters > 0 {
+			rn.sampleClaims(b, process)
 		}
-		s.mu.Lock()
-		if p := &s.processes[process]; len(p.IDs) == 0 || p.IDs[len(p.IDs)-1].ID != v.Self {
-			p.IDs = append(p.IDs, record.Label{At: s.now(), ID: v.Self})
+		rn.mu.Lock()
+		if p := &rn.processes[process]; len(p.IDs) == 0 || p.IDs[len(p.IDs)-1].ID != v.Self {
+			p.IDs = append(p.IDs, record.Label{At: rn.elapsed(), ID: v.Self})
 		}
-		s.views = append(s.views, record.View{Process: process, At: s.now(), Over: v.SupersededBy != "", Alive: v.AliveRuns()})
-		s.mu.Unlock()
+		rn.views = append(rn.views, record.View{Process: process, At: rn.elapsed(), Over: v.SupersededBy != "", Alive: v.AliveRuns()})
+		rn.mu.Unlock()
 	}
 }
 
-// claim asks a member's process on which duties it may act.
-func (s *stage) claim(b *balancer, process int) {
-	from := s.now()
-	text, ok, err := ops.Call(b.seat.Ops, "CLUSTER owners", answers)
+// sampleClaims requests the duties on which a member's process may act.
+func (rn *runner) sampleClaims(b *balancer, process int) {
+	from := rn.elapsed()
+	text, ok, err := ops.Call(b.placement.Ops, "CLUSTER owners", sampleTimeout)
 	var o cluster.DutyReport
 	if err != nil || !ok || json.NewDecoder(strings.NewReader(text)).Decode(&o) != nil {
 		return
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.refused[process] = max(s.refused[process], o.Refused)
+	rn.mu.Lock()
+	defer rn.mu.Unlock()
+	rn.refusedActs[process] = max(rn.refusedActs[process], o.Refused)
 	for _, d := range o.Duties {
 		if d.Owned && d.MayAct {
-			s.claims = append(s.claims, record.Claim{Process: process, At: from, Duty: d.Duty, Token: d.Token})
+			rn.claims = append(rn.claims, record.Claim{Process: process, At: from, Duty: d.Duty, Token: d.Token})
 		}
 	}
 }
 
-// aimed finds whom a fault meets that is meant for the owner of the list's duty.
-func (s *stage) aimed(f *spec.Fault) *spec.Fault {
-	if !s.clustered() || f.Link == nil && !slices.Contains(f.Balancers, spec.Owner) || f.Link != nil && !slices.Contains(f.Link.From, spec.Owner) {
-		if slices.Contains(f.Balancers, spec.Owner) { // without a cluster any will do
-			own := *f
-			own.Balancers = []int{0}
-			return &own
+// resolveOwner returns the fault with spec.DutyOwner replaced by the current owner of the list duty of the first pool.
+func (rn *runner) resolveOwner(f *spec.Fault) *spec.Fault {
+	if !rn.clustered() || f.Link == nil && !slices.Contains(f.Balancers, spec.DutyOwner) || f.Link != nil && !slices.Contains(f.Link.From, spec.DutyOwner) {
+		if slices.Contains(f.Balancers, spec.DutyOwner) { // without a cluster there is no owner; take the first balancer
+			resolved := *f
+			resolved.Balancers = []int{0}
+			return &resolved
 		}
 		return f
 	}
-	at, duty := 0, shared.Duty(s.e.Pools[0])
+	owner, duty := 0, shared.Duty(rn.experiment.Pools[0])
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		if n, known := s.owner(duty); known {
-			at = n
+		if n, known := rn.currentOwner(duty); known {
+			owner = n
 			break
 		}
 	}
-	s.act("%s owns %s", spec.Name(at), duty)
-	own := *f
-	aim := func(all []int) (out []int) {
+	rn.logAction("%s owns %s", spec.MemberName(owner), duty)
+	resolved := *f
+	replaceOwner := func(all []int) (out []int) {
 		for _, n := range all {
-			if n == spec.Owner {
-				n = at
+			if n == spec.DutyOwner {
+				n = owner
 			}
 			out = append(out, n)
 		}
 		return out
 	}
-	own.Balancers = aim(f.Balancers)
+	resolved.Balancers = replaceOwner(f.Balancers)
 	if f.Link != nil {
 		l := *f.Link
-		l.From, l.To = aim(l.From), aim(l.To)
-		own.Link = &l
+		l.From, l.To = replaceOwner(l.From), replaceOwner(l.To)
+		resolved.Link = &l
 	}
-	return &own
+	return &resolved
 }
 
-// owner is who says last that it may act on a duty.
-func (s *stage) owner(duty string) (member int, known bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for i := len(s.claims) - 1; i >= 0; i-- {
-		if c := s.claims[i]; c.Duty == duty && s.now()-c.At < int64(time.Second) {
-			return s.processes[c.Process].Member, true
+// currentOwner returns the member that last claimed a duty within the past second.
+func (rn *runner) currentOwner(duty string) (member int, known bool) {
+	rn.mu.Lock()
+	defer rn.mu.Unlock()
+	for i := len(rn.claims) - 1; i >= 0; i-- {
+		if c := rn.claims[i]; c.Duty == duty && rn.elapsed()-c.At < int64(time.Second) {
+			return rn.processes[c.Process].Member, true
 		}
 	}
 	return 0, false
 }
 
-// trouble has a link be unwell until some time.
-func (s *stage) trouble(f *spec.Fault, wait func()) {
+// injectLinkFault applies a fault to links until wait returns.
+func (rn *runner) injectLinkFault(f *spec.Fault, wait func()) {
 	kind := strings.TrimPrefix(f.Kind, "link-")
-	directions := f.Link.Directions(s.e.Balancers)
+	directions := f.Link.Directions(rn.experiment.Balancers)
 	if kind == "reset" {
 		for _, d := range directions {
-			s.mesh.Reset(d[0], d[1])
+			rn.mesh.Reset(d[0], d[1])
 		}
-		s.act("reset %v", names(directions))
+		rn.logAction("reset %v", linkNames(directions))
 		return
 	}
 	set := func(on bool) {
 		for _, d := range directions {
-			s.mesh.Set(d[0], d[1], func(t *between.Trouble) {
+			rn.mesh.Set(d[0], d[1], func(t *between.Trouble) {
 				switch kind {
 				case "cut":
 					t.Cut = on
@@ -361,99 +363,100 @@
 					}
 				case "loss":
 					if t.Loss = 0; on {
-						t.Loss = f.Link.Part
+						t.Loss = f.Link.Fraction
 					}
 				case "duplicate":
 					if t.Duplicate = 0; on {
-						t.Duplicate = f.Link.Part
+						t.Duplicate = f.Link.Fraction
 					}
 				case "reorder":
 					if t.Reorder = 0; on {
-						t.Reorder = f.Link.Part
+						t.Reorder = f.Link.Fraction
 					}
 				case "trickle":
 					if t.Trickle = 0; on {
-						t.Trickle = f.Link.Pace
+						t.Trickle = f.Link.BytesPerSecond
 					}
 				}
 			})
 		}
 	}
-	from := s.now()
-	s.act("%s %v begins", kind, names(directions))
+	from := rn.elapsed()
+	rn.logAction("%s %v begins", kind, linkNames(directions))
 	set(true)
 	wait()
 	set(false)
-	s.act("%s %v ends", kind, names(directions))
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	rn.logAction("%s %v ends", kind, linkNames(directions))
+	rn.mu.Lock()
+	defer rn.mu.Unlock()
 	for _, d := range directions {
-		s.troubles = append(s.troubles, record.Trouble{From: d[0], To: d[1], Kind: kind, Span: record.Span{From: from, To: s.now()}})
+		rn.linkFaults = append(rn.linkFaults, record.Trouble{From: d[0], To: d[1], Kind: kind, Span: record.Span{From: from, To: rn.elapsed()}})
 	}
 }
 
-func names(directions [][2]int) (all []string) {
+func linkNames(directions [][2]int) (all []string) {
 	for _, d := range directions {
-		all = append(all, spec.Name(d[0])+">"+spec.Name(d[1]))
+		all = append(all, spec.MemberName(d[0])+">"+spec.MemberName(d[1]))
 	}
 	return all
 }
 
-// double stops a member's process, starts another of the same name elsewhere, and lets the old one go on.
-func (s *stage) double(b *balancer, wait func()) {
-	t, err := s.seat(b.index, "x")
+// startDuplicate stops a member's process, starts another one of the same name at another address, and continues the old one
+// after wait returns.
+func (rn *runner) startDuplicate(b *balancer, wait func()) {
+	place, err := rn.newPlacement(b.index, "x")
 	if err != nil {
-		s.broke(err)
+		rn.abort(err)
 		return
 	}
-	out := record.Outage{Balancer: b.index, From: s.now()}
+	span := record.Outage{Balancer: b.index, From: rn.elapsed()}
 	defer func() {
-		out.To = s.now()
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		s.outages = append(s.outages, out)
+		span.To = rn.elapsed()
+		rn.mu.Lock()
+		defer rn.mu.Unlock()
+		rn.outages = append(rn.outages, span)
 	}()
 	b.command.Process.Signal(syscall.SIGSTOP)
-	s.stopped(b.process)
-	s.act("%s is stopped, and another run of it is started elsewhere", spec.Name(b.index))
-	s.mesh.Target(b.index, t.Address) // others reach a name where its newest run is
-	other, err := s.start(b.index, t, "x")
+	rn.processStopped(b.process)
+	rn.logAction("%s is stopped, and another run of it is started elsewhere", spec.MemberName(b.index))
+	rn.mesh.Target(b.index, place.Address) // the other members connect to the newest run of a name
+	other, err := rn.startBalancer(b.index, place, "x")
 	if err != nil {
-		s.broke(err)
+		rn.abort(err)
 		return
 	}
-	s.mu.Lock()
-	s.doubles = append(s.doubles, other)
-	s.mu.Unlock()
+	rn.mu.Lock()
+	rn.duplicates = append(rn.duplicates, other)
+	rn.mu.Unlock()
 	wait()
 	b.command.Process.Signal(syscall.SIGCONT)
-	s.continued(b.process)
-	s.act("the old run of %s goes on", spec.Name(b.index))
+	rn.processContinued(b.process)
+	rn.logAction("the old run of %s continues", spec.MemberName(b.index))
 }
 
-// directory has a member's directory fail.
-func (s *stage) directory(b *balancer, kind string, wait func()) {
-	s.act("the directory of %s: %s", spec.Name(b.index), kind)
-	if err := os.WriteFile(b.seat.disk, []byte(strings.TrimPrefix(kind, "disk-")), 0o600); err != nil {
-		s.broke(err)
+// injectDiskFault applies a disk fault to a member's directory until wait returns.
+func (rn *runner) injectDiskFault(b *balancer, kind string, wait func()) {
+	rn.logAction("the directory of %s: %s", spec.MemberName(b.index), kind)
+	if err := os.WriteFile(b.placement.diskFaultFile, []byte(strings.TrimPrefix(kind, "disk-")), 0o600); err != nil {
+		rn.abort(err)
 		return
 	}
 	wait()
-	os.Remove(b.seat.disk)
-	s.act("the directory of %s is well", spec.Name(b.index))
+	os.Remove(b.placement.diskFaultFile)
+	rn.logAction("the directory of %s works again", spec.MemberName(b.index))
 }
 
-// before does what an outage does to a member's directory.
-func (b *balancer) before(kind string) {
-	if b.seat == nil {
+// prepareDir wipes the directory of a killed member or replaces it by the old copy, as the kind of outage demands.
+func (bal *balancer) prepareDir(kind string) {
+	if bal.placement == nil {
 		return
 	}
 	switch kind {
 	case "balancer-wipe":
-		os.RemoveAll(b.seat.Dir)
+		os.RemoveAll(bal.placement.Dir)
 	case "balancer-old":
-		os.RemoveAll(b.seat.Dir)
-		copyDir(b.seat.copy, b.seat.Dir)
+		os.RemoveAll(bal.placement.Dir)
+		copyDir(bal.placement.backupDir, bal.placement.Dir)
 	}
 }
 
@@ -474,9 +477,9 @@
 	}
 }
 
-// environment is a member's.
-func (b *balancer) environment(c *exec.Cmd) {
-	if b.seat != nil {
-		c.Env = append(os.Environ(), cluster.LabVariable+"="+b.seat.lab)
+// setEnvironment tells a member's process where its lab settings are.
+func (bal *balancer) setEnvironment(c *exec.Cmd) {
+	if bal.placement != nil {
+		c.Env = append(os.Environ(), cluster.LabVariable+"="+bal.placement.labFile)
 	}
 }
--- a/internal/lab/run/run.go
+++ b/internal/lab/run/run.go
@@ -1,5 +1,5 @@
-// Package run plays an experiment once: it starts emulated upstreams, discovery and the balancers under test, lets
-// clients loose and faults happen, and returns what was seen from outside.
+// Package run performs one run of an experiment. It starts emulated upstreams, discovery and the balancers under test, runs
+// the clients, injects the faults, and returns what was observed from outside.
 package run
 
 import (
@@ -24,22 +24,22 @@
 	"ottershift/internal/ops"
 )
 
-// Options say what is under test.
+// Options select the program and variant under test.
 type Options struct {
-	Program  string // of the balancers
-	Variant  string // of spec.Variants
-	Dir      string // for configurations and logs
+	Program  string // executable of the balancers
+	Variant  string // one of spec.Variants
+	Dir      string // directory for configurations and logs
 	Progress func(done float64)
 }
 
 const (
-	readyWithin = 15 * time.Second
-	drainsFor   = 1700 * time.Millisecond // in a deploy, from the word to the end
-	noticed     = 300 * time.Millisecond  // until clients leave a balancer that died
-	longer      = 5 * time.Second         // than all that is out may take
+	readyTimeout      = 15 * time.Second
+	drainDuration     = 1700 * time.Millisecond // in a deploy, from the announcement of the drain to the removal of the upstream
+	clientNoticeDelay = 300 * time.Millisecond  // until clients stop using a balancer that was killed
+	finishTimeout     = 5 * time.Second         // allowed beyond the end of the last possible request
 )
 
-// arguments start a balancer of a variant.
+// arguments returns the command line of a balancer of a variant.
 func arguments(variant, config string) []string {
 	if variant == "design" || variant == "no-copies" || variant == "no-cluster" || variant == "one-copy" || strings.HasPrefix(variant, "without-") {
 		return []string{"serve", "--config", config}
@@ -47,135 +47,135 @@
 	return []string{"lab", "balancer", "--policy", variant, "--config", config}
 }
 
-// balancer is one under test.
+// balancer is a balancer under test.
 type balancer struct {
-	s       *stage
-	index   int
-	address string
-	args    []string
-	log     *os.File
-	seat    *seat // nil where it is in no cluster
+	runner    *runner
+	index     int
+	address   string
+	args      []string
+	log       *os.File
+	placement *placement // nil if it is not a member of a cluster
 
 	mu      sync.Mutex
 	command *exec.Cmd
-	killed  bool // by us
-	process int  // of those of members
-	ended   chan struct{}
+	killed  bool // by the lab
+	process int  // index into the processes of members
+	exited  chan struct{}
 }
 
-// stage is all that a run consists of.
-type stage struct {
-	e         *spec.Experiment
-	o         Options
-	epoch     time.Time
-	fleet     *emulate.Fleet
-	lists     *emulate.Lists
-	load      *load.Load
-	balancers []*balancer
-	broke     context.CancelCauseFunc
+// runner holds the parts and the observations of one run.
+type runner struct {
+	experiment *spec.Experiment
+	options    Options
+	startTime  time.Time
+	fleet      *emulate.Fleet
+	discovery  *emulate.Lists
+	load       *load.Load
+	balancers  []*balancer
+	abort      context.CancelCauseFunc
 
-	mesh  *between.Mesh
-	seats []*seat
-	over  chan struct{} // closed at the end
+	mesh       *between.Mesh
+	placements []*placement
+	finished   chan struct{} // closed at the end of the run
 
-	mu        sync.Mutex
-	outages   []record.Outage
-	doubles   []*balancer
-	processes []record.Process
-	views     []record.View
-	troubles  []record.Trouble
-	acts      []record.Act
-	claims    []record.Claim
-	looks     []record.Look
-	seated    []record.Seated
-	refused   map[int]int64            // by process
-	done      map[string]chan struct{} // faults by name, closed at their end
+	mu           sync.Mutex
+	outages      []record.Outage
+	duplicates   []*balancer
+	processes    []record.Process
+	views        []record.View
+	linkFaults   []record.Trouble
+	actions      []record.Act
+	claims       []record.Claim
+	ledgerReads  []record.Look
+	replacements []record.Seated
+	refusedActs  map[int]int64            // by process
+	faultDone    map[string]chan struct{} // by the name of a fault; closed when it has ended
 }
 
-// Play plays an experiment. An error means that it could not begin; what broke it later stands in the record.
-func Play(ctx context.Context, e *spec.Experiment, plan []spec.Call, o Options) (*record.Run, error) {
-	s := &stage{e: e, o: o, over: make(chan struct{}), done: map[string]chan struct{}{}, refused: map[int]int64{}, epoch: time.Now()}
-	for _, f := range e.Faults {
+// Play runs an experiment once. It returns an error if the run could not start. What aborted it later is in Run.Broken.
+func Play(ctx context.Context, experiment *spec.Experiment, plan []spec.Transaction, options Options) (*record.Run, error) {
+	rn := &runner{experiment: experiment, options: options, finished: make(chan struct{}), faultDone: map[string]chan struct{}{}, refusedActs: map[int]int64{}, startTime: time.Now()}
+	for _, f := range experiment.Faults {
 		if f.Name != "" {
-			s.done[f.Name] = make(chan struct{})
+			rn.faultDone[f.Name] = make(chan struct{})
 		}
 	}
 	var err error
-	if s.fleet, err = emulate.NewFleet(e); err != nil {
+	if rn.fleet, err = emulate.NewFleet(experiment); err != nil {
 		return nil, err
 	}
-	defer s.fleet.Close()
-	if s.lists, err = emulate.NewLists(s.fleet, e.Balancers); err != nil {
+	defer rn.fleet.Close()
+	if rn.discovery, err = emulate.NewLists(rn.fleet, experiment.Balancers); err != nil {
 		return nil, err
 	}
-	defer s.lists.Close()
-	ctx, s.broke = context.WithCancelCause(ctx)
-	defer s.broke(nil)
-	defer s.kill()
-	if err = s.links(); err != nil {
+	defer rn.discovery.Close()
+	ctx, rn.abort = context.WithCancelCause(ctx)
+	defer rn.abort(nil)
+	defer rn.killAll()
+	if err = rn.createLinks(); err != nil {
 		return nil, err
 	}
-	if s.mesh != nil {
-		defer s.mesh.Close()
+	if rn.mesh != nil {
+		defer rn.mesh.Close()
 	}
 	var addresses []string
-	for n := range e.Balancers {
-		b, err := s.balancer(n)
+	for n := range experiment.Balancers {
+		b, err := rn.newBalancer(n)
 		if err != nil {
 			return nil, err
 		}
-		s.balancers = append(s.balancers, b)
+		rn.balancers = append(rn.balancers, b)
 		addresses = append(addresses, b.address)
 	}
-	for _, b := range s.balancers {
-		if err := b.ready(ctx); err != nil {
+	for _, b := range rn.balancers {
+		if err := b.waitReady(ctx); err != nil {
 			return nil, err
 		}
 	}
 
-	for _, t := range s.seats {
-		copyDir(t.Dir, t.copy)
-	}
-	s.restart()
-	s.fleet.Begin(s.epoch)
-	s.load = load.New(e, s.epoch, addresses)
-	s.fleet.Call = s.load.Call
-	length := time.Duration(e.Length)
+	for _, t := range rn.placements {
+		copyDir(t.Dir, t.backupDir)
+	}
+	rn.restartClock()
+	rn.fleet.Begin(rn.startTime)
+	rn.load = load.New(experiment, rn.startTime, addresses)
+	rn.fleet.Call = rn.load.Call
+	length := time.Duration(experiment.Length)
 	longest := time.Duration(0)
-	for _, c := range e.Clients {
-		longest = max(longest, time.Duration(c.Patience))
+	for _, c := range experiment.Clients {
+		longest = max(longest, time.Duration(c.Timeout))
 	}
-	// Danger: a balancer that hangs must not hold up the lab; clients have limits of their own, and the run has one.
-	ctx, end := context.WithTimeout(ctx, length+longest+longer)
+	// The run has a time limit besides those of the clients, because a hanging balancer would block the lab otherwise.
+	ctx, end := context.WithTimeout(ctx, length+longest+finishTimeout)
 	defer end()
 	var faults sync.WaitGroup
-	for _, f := range e.Faults {
+	for _, f := range experiment.Faults {
 		faults.Go(func() {
 			if f.Name != "" {
-				defer close(s.done[f.Name])
+				defer close(rn.faultDone[f.Name])
 			}
 			if f.After != "" {
 				select {
-				case <-s.done[f.After]:
+				case <-rn.faultDone[f.After]:
 				case <-ctx.Done():
 					return
 				}
 				later := *f
-				later.At += s.now()
-				s.fault(ctx, &later)
+				later.At += rn.elapsed()
+				rn.inject(ctx, &later)
 				return
 			}
-			s.fault(ctx, f)
+			rn.inject(ctx, f)
 		})
 	}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		s.load.Run(ctx, plan)
+		rn.load.Run(ctx, plan)
 	}()
-	if s.keeps() {
-		for range readers {
-			faults.Go(func() { s.look(ctx) })
+	if rn.hasLedger() {
+		for range ledgerReaders {
+			faults.Go(func() { rn.readLedgerEntries(ctx) })
 		}
 	}
 	tick := time.NewTicker(100 * time.Millisecond)
@@ -185,123 +185,125 @@
 		case <-done:
 			open = false
 		case <-tick.C:
-			if o.Progress != nil {
-				o.Progress(min(1, float64(time.Since(s.epoch))/float64(length)))
+			if options.Progress != nil {
+				options.Progress(min(1, float64(time.Since(rn.startTime))/float64(length)))
 			}
 		}
 	}
-	time.Sleep(100 * time.Millisecond) // what goes out after an answer is seen as well
-	written, read := s.ledger(ctx)
+	time.Sleep(100 * time.Millisecond) // so that attempts sent after an answer are observed as well
+	written, read := rn.readLedger(ctx)
 	broken := ""
 	if cause := context.Cause(ctx); cause != nil {
 		broken = cause.Error()
 	}
 	end()
-	s.broke(nil)
+	rn.abort(nil)
 	faults.Wait()
 
-	close(s.over)
-	s.mu.Lock()
+	close(rn.finished)
+	rn.mu.Lock()
 	r := &record.Run{
-		Told: s.lists.Told(), Outages: s.outages, Broken: broken, Processes: s.processes, Views: s.views, Links: s.troubles, Acts: s.acts,
-		Claims: s.claims, Asks: s.lists.Asks(), Seated: s.seated, Looks: s.looks, Written: written, Read: read, Kept: s.keeps(),
+		Told: rn.discovery.Told(), Outages: rn.outages, Broken: broken, Processes: rn.processes, Views: rn.views, Links: rn.linkFaults, Acts: rn.actions,
+		Claims: rn.claims, Asks: rn.discovery.Asks(), Seated: rn.replacements, Looks: rn.ledgerReads, Written: written, Read: read, Kept: rn.hasLedger(),
 	}
-	for _, n := range s.refused {
+	for _, n := range rn.refusedActs {
 		r.Refused += n
 	}
-	s.mu.Unlock()
-	s.load.Gather(r)
-	s.fleet.Gather(r)
+	rn.mu.Unlock()
+	rn.load.Gather(r)
+	rn.fleet.Gather(r)
 	return r, nil
 }
 
-// restart has the clock of the record begin; members run already.
-func (s *stage) restart() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.epoch = time.Now()
-	for i := range s.processes {
-		s.processes[i].From = 0
-	}
-	s.views, s.acts, s.claims = nil, nil, nil
+// restartClock starts the clock of the record anew. The members are running already.
+func (rn *runner) restartClock() {
+	rn.mu.Lock()
+	defer rn.mu.Unlock()
+	rn.startTime = time.Now()
+	for i := range rn.processes {
+		rn.processes[i].From = 0
+	}
+	rn.views, rn.actions, rn.claims = nil, nil, nil
 }
 
-// balancer starts one.
-func (s *stage) balancer(n int) (*balancer, error) { return s.start(n, s.seatOf(n), "") }
+// newBalancer starts a balancer.
+func (rn *runner) newBalancer(n int) (*balancer, error) {
+	return rn.startBalancer(n, rn.placementOf(n), "")
+}
 
-func (s *stage) start(n int, t *seat, suffix string) (*balancer, error) {
-	address, err := free()
+func (rn *runner) startBalancer(n int, place *placement, suffix string) (*balancer, error) {
+	address, err := freeAddress()
 	if err != nil {
 		return nil, err
 	}
-	file := filepath.Join(s.o.Dir, fmt.Sprintf("balancer-%d%s.toml", n+1, suffix))
+	file := filepath.Join(rn.options.Dir, fmt.Sprintf("balancer-%d%s.toml", n+1, suffix))
 	log, err := os.Create(strings.TrimSuffix(file, ".toml") + ".log")
 	if err != nil {
 		return nil, err
 	}
-	b := &balancer{s: s, index: n, address: address, args: arguments(s.o.Variant, file), log: log, seat: t}
+	b := &balancer{runner: rn, index: n, address: address, args: arguments(rn.options.Variant, file), log: log, placement: place}
 	if err := b.configure(); err != nil {
 		return nil, err
 	}
 	return b, b.start()
 }
 
-// configure writes what it is told.
-func (b *balancer) configure() error {
-	s := b.s
-	text := s.e.Configuration(b.index, b.address, s.lists.Addresses(b.index), s.o.Variant != "no-copies", s.more(b.index, b.seat))
-	return os.WriteFile(b.args[len(b.args)-1], text, 0o600)
+// configure writes the configuration file of the balancer.
+func (bal *balancer) configure() error {
+	s := bal.runner
+	text := s.experiment.Configuration(bal.index, bal.address, s.discovery.Addresses(bal.index), s.options.Variant != "no-copies", s.extraConfig(bal.index, bal.placement))
+	return os.WriteFile(bal.args[len(bal.args)-1], text, 0o600)
 }
 
-func (b *balancer) start() error {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	c := exec.Command(b.s.o.Program, b.args...)
-	c.Stderr, c.Stdout = b.log, b.log
-	b.environment(c)
+func (bal *balancer) start() error {
+	bal.mu.Lock()
+	defer bal.mu.Unlock()
+	c := exec.Command(bal.runner.options.Program, bal.args...)
+	c.Stderr, c.Stdout = bal.log, bal.log
+	bal.setEnvironment(c)
 	if err := c.Start(); err != nil {
 		return err
 	}
-	b.command, b.killed, b.ended = c, false, make(chan struct{})
-	ended := b.ended
-	if b.seat != nil {
-		b.process = b.s.begun(b.index)
-		go b.s.sample(b, b.process, ended)
+	bal.command, bal.killed, bal.exited = c, false, make(chan struct{})
+	ended := bal.exited
+	if bal.placement != nil {
+		bal.process = bal.runner.processStarted(bal.index)
+		go bal.runner.sampleViews(bal, bal.process, ended)
 	}
-	process := b.process
+	process := bal.process
 	go func() {
 		err := c.Wait()
-		b.mu.Lock()
-		killed := b.killed
-		b.mu.Unlock()
-		if b.seat != nil {
-			b.s.gone(process)
+		bal.mu.Lock()
+		killed := bal.killed
+		bal.mu.Unlock()
+		if bal.placement != nil {
+			bal.runner.processExited(process)
 		}
 		if !killed {
-			b.s.broke(fmt.Errorf("balancer %d ended by itself: %v; its last words: %s", b.index+1, err, b.words()))
+			bal.runner.abort(fmt.Errorf("balancer %d ended by itself: %v; last log line: %s", bal.index+1, err, bal.lastLogLine()))
 		}
 		close(ended)
 	}()
 	return nil
 }
 
-// words are the last that it logged.
-func (b *balancer) words() string {
-	text, _ := os.ReadFile(b.log.Name())
+// lastLogLine returns the last line of the balancer's log.
+func (bal *balancer) lastLogLine() string {
+	text, _ := os.ReadFile(bal.log.Name())
 	lines := strings.Split(strings.TrimSpace(string(text)), "\n")
 	return lines[len(lines)-1]
 }
 
-// ready waits until it has the list of each pool.
-func (b *balancer) ready(ctx context.Context) error {
+// waitReady waits until the balancer has the upstream list of each pool.
+func (bal *balancer) waitReady(ctx context.Context) error {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	for end := time.Now().Add(readyWithin); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(readyTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if ctx.Err() != nil {
 			return context.Cause(ctx)
 		}
 		all := true
-		for _, pool := range b.s.e.Pools {
-			a, err := client.Get("http://" + b.address + "/_health?pool=" + pool)
+		for _, pool := range bal.runner.experiment.Pools {
+			a, err := client.Get("http://" + bal.address + "/_health?pool=" + pool)
 			if err == nil {
 				a.Body.Close()
 			}
@@ -311,209 +313,213 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("balancer %d was not ready within %s; its last words: %s", b.index+1, readyWithin, b.words())
+	return fmt.Errorf("balancer %d was not ready within %s; last log line: %s", bal.index+1, readyTimeout, bal.lastLogLine())
 }
 
-// stop ends it at once.
-func (b *balancer) stop() {
-	b.mu.Lock()
-	b.killed = true
-	c, ended := b.command, b.ended
-	b.mu.Unlock()
+// kill kills the balancer and waits for its exit.
+func (bal *balancer) kill() {
+	bal.mu.Lock()
+	bal.killed = true
+	c, ended := bal.command, bal.exited
+	bal.mu.Unlock()
 	c.Process.Kill()
 	<-ended
 }
 
-func (s *stage) kill() {
-	s.mu.Lock()
-	all := append(slices.Clone(s.balancers), s.doubles...)
-	s.mu.Unlock()
+// killAll kills all balancers.
+func (rn *runner) killAll() {
+	rn.mu.Lock()
+	all := append(slices.Clone(rn.balancers), rn.duplicates...)
+	rn.mu.Unlock()
 	for _, b := range all {
-		b.stop()
+		b.kill()
 		b.log.Close()
 	}
 }
 
-// now is the time since the start.
-func (s *stage) now() int64 { return int64(time.Since(s.epoch)) }
+// elapsed returns the time since the start in nanoseconds.
+func (rn *runner) elapsed() int64 { return int64(time.Since(rn.startTime)) }
 
-// wait waits until some time, and tells whether the run is still on.
-func (s *stage) wait(ctx context.Context, until int64) bool {
+// waitUntil waits until a time of the run. It returns false if the run ends before.
+func (rn *runner) waitUntil(ctx context.Context, until int64) bool {
 	select {
-	case <-time.After(time.Duration(until - s.now())):
+	case <-time.After(time.Duration(until - rn.elapsed())):
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// fault has one thing go wrong, and sets it right again.
-func (s *stage) fault(ctx context.Context, f *spec.Fault) {
-	if !s.wait(ctx, f.At) {
+// inject injects a fault, and removes it after its duration.
+func (rn *runner) inject(ctx context.Context, fault *spec.Fault) {
+	if !rn.waitUntil(ctx, fault.At) {
 		return
 	}
-	f = s.aimed(f)
-	end := f.At + f.For
-	some := func(do func(u *emulate.Upstream)) {
-		for _, i := range f.Upstreams {
-			do(s.fleet.Upstreams[i])
+	fault = rn.resolveOwner(fault)
+	end := fault.At + fault.For
+	forEachUpstream := func(do func(u *emulate.Upstream)) {
+		for _, i := range fault.Upstreams {
+			do(rn.fleet.Upstreams[i])
 		}
 	}
-	share := f.Factor
+	share := fault.Factor
 	if share == 0 {
 		share = 1
 	}
-	switch f.Kind {
+	switch fault.Kind {
 	case "hang", "fail", "full", "reset", "garbage", "half", "deaf":
-		some(func(u *emulate.Upstream) { u.Trouble(f.Kind, share) })
-		s.wait(ctx, end)
-		some(func(u *emulate.Upstream) { u.Trouble(f.Kind, 0) })
+		forEachUpstream(func(u *emulate.Upstream) { u.Trouble(fault.Kind, share) })
+		rn.waitUntil(ctx, end)
+		forEachUpstream(func(u *emulate.Upstream) { u.Trouble(fault.Kind, 0) })
 	case "slow":
-		some(func(u *emulate.Upstream) { u.Hamper(share, u.Group.Cores) })
-		s.wait(ctx, end)
-		some(func(u *emulate.Upstream) { u.Hamper(1, u.Group.Cores) })
+		forEachUpstream(func(u *emulate.Upstream) { u.Hamper(share, u.Group.Cores) })
+		rn.waitUntil(ctx, end)
+		forEachUpstream(func(u *emulate.Upstream) { u.Hamper(1, u.Group.Cores) })
 	case "cores":
-		some(func(u *emulate.Upstream) { u.Hamper(1, int(f.Factor)) })
-		s.wait(ctx, end)
-		some(func(u *emulate.Upstream) { u.Hamper(1, u.Group.Cores) })
+		forEachUpstream(func(u *emulate.Upstream) { u.Hamper(1, int(fault.Factor)) })
+		rn.waitUntil(ctx, end)
+		forEachUpstream(func(u *emulate.Upstream) { u.Hamper(1, u.Group.Cores) })
 	case "die":
-		some(func(u *emulate.Upstream) { u.Die() })
-		s.wait(ctx, end)
-		some(func(u *emulate.Upstream) {
+		forEachUpstream(func(u *emulate.Upstream) { u.Die() })
+		rn.waitUntil(ctx, end)
+		forEachUpstream(func(u *emulate.Upstream) {
 			u.Rise(false)
-			s.lists.Set(u, "SERVING", true)
+			rn.discovery.Set(u, "SERVING", true)
 		})
 	case "drain":
-		some(func(u *emulate.Upstream) { s.lists.Set(u, "DRAINING", false) })
-		if s.wait(ctx, end) {
-			some(func(u *emulate.Upstream) { s.lists.Set(u, "SERVING", false) })
+		forEachUpstream(func(u *emulate.Upstream) { rn.discovery.Set(u, "DRAINING", false) })
+		if rn.waitUntil(ctx, end) {
+			forEachUpstream(func(u *emulate.Upstream) { rn.discovery.Set(u, "SERVING", false) })
 		}
 	case "deploy":
-		var all sync.WaitGroup
-		for n, i := range f.Upstreams {
-			all.Go(func() { s.replace(ctx, s.fleet.Upstreams[i], f.At+f.For*int64(n)/int64(len(f.Upstreams))) })
+		var pending sync.WaitGroup
+		for n, i := range fault.Upstreams {
+			pending.Go(func() {
+				rn.replaceUpstream(ctx, rn.fleet.Upstreams[i], fault.At+fault.For*int64(n)/int64(len(fault.Upstreams)))
+			})
 		}
-		all.Wait()
+		pending.Wait()
 	case "list-down":
-		s.lists.Down(f.Pool, true)
-		s.wait(ctx, end)
-		s.lists.Down(f.Pool, false)
+		rn.discovery.Down(fault.Pool, true)
+		rn.waitUntil(ctx, end)
+		rn.discovery.Down(fault.Pool, false)
 	case "list-late":
-		s.lists.Late(f.Pool, time.Duration(share*float64(time.Second)))
-		s.wait(ctx, end)
-		s.lists.Late(f.Pool, 0)
+		rn.discovery.Late(fault.Pool, time.Duration(share*float64(time.Second)))
+		rn.waitUntil(ctx, end)
+		rn.discovery.Late(fault.Pool, 0)
 	case "list-lacks":
-		s.lists.Lacks(f.Upstreams, true)
-		s.wait(ctx, end)
-		s.lists.Lacks(f.Upstreams, false)
+		rn.discovery.Lacks(fault.Upstreams, true)
+		rn.waitUntil(ctx, end)
+		rn.discovery.Lacks(fault.Upstreams, false)
 	case "balancer-kill", "balancer-stop", "balancer-wipe", "balancer-old":
-		var all sync.WaitGroup
-		for _, n := range f.Balancers {
-			all.Go(func() { s.outage(ctx, s.balancers[n], f, end) })
+		var pending sync.WaitGroup
+		for _, n := range fault.Balancers {
+			pending.Go(func() { rn.injectOutage(ctx, rn.balancers[n], fault, end) })
 		}
-		all.Wait()
+		pending.Wait()
 	}
-	if f.Kind == "balancer-double" && !s.clustered() { // what it costs there is the stop alone
-		stop := *f
+	if fault.Kind == "balancer-double" && !rn.clustered() { // without a cluster, only the stop of the process applies
+		stop := *fault
 		stop.Kind = "balancer-stop"
-		s.fault(ctx, &stop)
+		rn.inject(ctx, &stop)
 	}
-	if !s.clustered() {
+	if !rn.clustered() {
 		return
 	}
-	wait := func() { s.wait(ctx, end) }
-	var all sync.WaitGroup
-	defer all.Wait()
+	wait := func() { rn.waitUntil(ctx, end) }
+	var pending sync.WaitGroup
+	defer pending.Wait()
 	switch {
-	case f.Link != nil:
-		s.trouble(f, wait)
-	case f.Kind == "balancer-double":
-		for _, n := range f.Balancers {
-			all.Go(func() { s.double(s.balancers[n], wait) })
+	case fault.Link != nil:
+		rn.injectLinkFault(fault, wait)
+	case fault.Kind == "balancer-double":
+		for _, n := range fault.Balancers {
+			pending.Go(func() { rn.startDuplicate(rn.balancers[n], wait) })
 		}
-	case f.Kind == "balancer-leave":
-		for _, n := range f.Balancers {
-			all.Go(func() {
-				ops.Call(s.seats[n].Ops, "LEAVE", time.Second)
+	case fault.Kind == "balancer-leave":
+		for _, n := range fault.Balancers {
+			pending.Go(func() {
+				ops.Call(rn.placements[n].Ops, "LEAVE", time.Second)
 				wait()
-				ops.Call(s.seats[n].Ops, "JOIN", time.Second)
+				ops.Call(rn.placements[n].Ops, "JOIN", time.Second)
 			})
 		}
-	case f.Kind == "keeper-replace": // as staff would
-		for _, n := range f.Balancers {
-			text, _, err := ops.Call(s.seats[(n+1)%len(s.seats)].Ops, "CLUSTER replace "+spec.Name(n), 10*time.Second)
-			s.act("replace %s: %s %v", spec.Name(n), strings.TrimSpace(text), err)
-			s.mu.Lock()
-			s.seated = append(s.seated, record.Seated{Balancer: n, At: s.now()})
-			s.mu.Unlock()
+	case fault.Kind == "keeper-replace": // through the operators' command
+		for _, n := range fault.Balancers {
+			text, _, err := ops.Call(rn.placements[(n+1)%len(rn.placements)].Ops, "CLUSTER replace "+spec.MemberName(n), 10*time.Second)
+			rn.logAction("replace %s: %s %v", spec.MemberName(n), strings.TrimSpace(text), err)
+			rn.mu.Lock()
+			rn.replacements = append(rn.replacements, record.Seated{Balancer: n, At: rn.elapsed()})
+			rn.mu.Unlock()
 		}
-	case strings.HasPrefix(f.Kind, "disk-"):
-		for _, n := range f.Balancers {
-			all.Go(func() { s.directory(s.balancers[n], f.Kind, wait) })
+	case strings.HasPrefix(fault.Kind, "disk-"):
+		for _, n := range fault.Balancers {
+			pending.Go(func() { rn.injectDiskFault(rn.balancers[n], fault.Kind, wait) })
 		}
 	}
 }
 
-// replace is one step of a deploy: an upstream drains, ends, and its successor starts cold under another name.
-func (s *stage) replace(ctx context.Context, u *emulate.Upstream, from int64) {
-	if !s.wait(ctx, from) {
+// replaceUpstream performs one step of a deploy: it drains an upstream, stops it, and starts its successor cold and under
+// another name.
+func (rn *runner) replaceUpstream(ctx context.Context, u *emulate.Upstream, from int64) {
+	if !rn.waitUntil(ctx, from) {
 		return
 	}
-	s.lists.Set(u, "DRAINING", false)
-	if !s.wait(ctx, from+int64(drainsFor)) {
+	rn.discovery.Set(u, "DRAINING", false)
+	if !rn.waitUntil(ctx, from+int64(drainDuration)) {
 		return
 	}
-	s.lists.Set(u, "DELETED", false)
-	time.Sleep(time.Duration(s.e.Listed) + 20*time.Millisecond)
+	rn.discovery.Set(u, "DELETED", false)
+	time.Sleep(time.Duration(rn.experiment.DiscoveryDelay) + 20*time.Millisecond)
 	u.Die()
 	u.Rise(true)
-	s.lists.Set(u, "SERVING", true)
+	rn.discovery.Set(u, "SERVING", true)
 }
 
-// outage kills or stops a balancer until some time.
-func (s *stage) outage(ctx context.Context, b *balancer, f *spec.Fault, end int64) {
-	o := record.Outage{Balancer: b.index, From: s.now(), Seatless: f.Kind == "balancer-wipe" || f.Kind == "balancer-old"}
+// injectOutage kills or stops a balancer, and restarts or continues it at the end.
+func (rn *runner) injectOutage(ctx context.Context, b *balancer, f *spec.Fault, end int64) {
+	span := record.Outage{Balancer: b.index, From: rn.elapsed(), Seatless: f.Kind == "balancer-wipe" || f.Kind == "balancer-old"}
 	kill := f.Kind != "balancer-stop"
-	var told atomic.Bool
+	var clientsNotified atomic.Bool
 	if kill {
-		b.stop()
-		s.act("%s is killed (%s)", spec.Name(b.index), f.Kind)
-		time.AfterFunc(noticed, func() { told.Store(true); s.load.Down(b.index, true) })
+		b.kill()
+		rn.logAction("%s is killed (%s)", spec.MemberName(b.index), f.Kind)
+		time.AfterFunc(clientNoticeDelay, func() { clientsNotified.Store(true); rn.load.Down(b.index, true) })
 	} else {
 		b.command.Process.Signal(syscall.SIGSTOP)
-		s.act("%s is stopped", spec.Name(b.index))
-		if b.seat != nil {
-			s.stopped(b.process)
+		rn.logAction("%s is stopped", spec.MemberName(b.index))
+		if b.placement != nil {
+			rn.processStopped(b.process)
 		}
 	}
-	s.wait(ctx, end)
+	rn.waitUntil(ctx, end)
 	if !kill {
 		b.command.Process.Signal(syscall.SIGCONT)
-		if b.seat != nil {
-			s.continued(b.process)
+		if b.placement != nil {
+			rn.processContinued(b.process)
 		}
-		s.act("%s goes on", spec.Name(b.index))
+		rn.logAction("%s continues", spec.MemberName(b.index))
 	} else if ctx.Err() == nil {
-		b.before(f.Kind)
-		if f.Moves && b.seat != nil {
-			if address, err := free(); err == nil {
-				b.seat.Address = address
-				s.mesh.Target(b.index, address)
+		b.prepareDir(f.Kind)
+		if f.ChangesAddress && b.placement != nil {
+			if address, err := freeAddress(); err == nil {
+				b.placement.Address = address
+				rn.mesh.Target(b.index, address)
 				if err := b.configure(); err != nil {
-					s.broke(err)
+					rn.abort(err)
 				}
 			}
 		}
 		if b.start() == nil {
-			s.act("%s is started again", spec.Name(b.index))
-			b.ready(ctx)
+			rn.logAction("%s is started again", spec.MemberName(b.index))
+			b.waitReady(ctx)
 		}
-		if told.Load() {
-			s.load.Down(b.index, false)
+		if clientsNotified.Load() {
+			rn.load.Down(b.index, false)
 		}
 	}
-	o.To = s.now()
-	s.mu.Lock()
-	s.outages = append(s.outages, o)
-	s.mu.Unlock()
+	span.To = rn.elapsed()
+	rn.mu.Lock()
+	rn.outages = append(rn.outages, span)
+	rn.mu.Unlock()
 }
--- a/internal/lab/run/run_test.go
+++ b/internal/lab/run/run_test.go
@@ -23,20 +23,20 @@
 	"ottershift/internal/plan"
 )
 
-// The test's own program stands in for balancers that break a rule each, and the real one is built beside it.
-var real string
+// realProgram is the path of the ottershift program, built for the tests. The test binary itself serves as the faulty balancers.
+var realProgram string
 
 func TestMain(m *testing.M) {
 	if kind := os.Getenv("BAD_BALANCER"); kind != "" {
-		serveBadly(kind)
+		serveFaulty(kind)
 		return
 	}
 	dir, err := os.MkdirTemp("", "lab")
 	if err != nil {
 		panic(err)
 	}
-	real = filepath.Join(dir, "ottershift")
-	if out, err := exec.Command("go", "build", "-o", real, "ottershift/cmd/ottershift").CombinedOutput(); err != nil {
+	realProgram = filepath.Join(dir, "ottershift")
+	if out, err := exec.Command("go", "build", "-o", realProgram, "ottershift/cmd/ottershift").CombinedOutput(); err != nil {
 		panic(string(out))
 	}
 	code := m.Run()
@@ -44,24 +44,24 @@
 	os.Exit(code)
 }
 
-// bad is a small balancer: random choice, one push, and one thing that it does wrong.
-type bad struct {
+// faultyBalancer is a minimal balancer. It picks an upstream at random, makes one attempt, and has one fault.
+type faultyBalancer struct {
 	kind string
 	mu   sync.Mutex
-	list map[string]listed
+	list map[string]endpoint
 }
 
-type listed struct {
+type endpoint struct {
 	Name, Address, Status string
 	Since                 int64 `json:"since_ms"`
 }
 
-func serveBadly(kind string) {
+func serveFaulty(kind string) {
 	p, faults := plan.Read(os.Args[len(os.Args)-1])
 	if p == nil {
 		panic(faults)
 	}
-	b := &bad{kind: kind, list: map[string]listed{}}
+	b := &faultyBalancer{kind: kind, list: map[string]endpoint{}}
 	ready := make(chan struct{})
 	go b.follow(p.Pools[0].Upstreams.Discovery, ready)
 	<-ready
@@ -75,42 +75,42 @@
 	http.Serve(l, b)
 }
 
-func (b *bad) follow(address string, ready chan struct{}) {
+func (fb *faultyBalancer) follow(address string, ready chan struct{}) {
 	a, err := http.Get("http://" + address + "/catalog/members?watch=1")
 	if err != nil {
 		panic(err)
 	}
 	lines := bufio.NewScanner(a.Body)
 	for n := 0; lines.Scan(); {
-		var report struct{ Endpoints []listed }
+		var report struct{ Endpoints []endpoint }
 		if json.Unmarshal(lines.Bytes(), &report) != nil {
 			continue
 		}
-		b.mu.Lock()
+		fb.mu.Lock()
 		for _, e := range report.Endpoints {
-			if b.kind == "deaf" && n > 0 && e.Status != "SERVING" {
-				continue // hears of no drain
+			if fb.kind == "deaf" && n > 0 && e.Status != "SERVING" {
+				continue // ignores drains
 			}
-			b.list[e.Name] = e
+			fb.list[e.Name] = e
 		}
-		b.mu.Unlock()
+		fb.mu.Unlock()
 		if n++; n == 1 {
 			close(ready)
 		}
 	}
 }
 
-// pick takes any that serves; one that floods takes the one that started last.
-func (b *bad) pick() (address string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// pick returns a random serving upstream; with the fault "floods", the one that started last.
+func (fb *faultyBalancer) pick() (address string) {
+	fb.mu.Lock()
+	defer fb.mu.Unlock()
 	var all []string
 	last := int64(0)
-	for _, e := range b.list {
+	for _, e := range fb.list {
 		if e.Status != "SERVING" {
 			continue
 		}
-		if all = append(all, e.Address); b.kind == "floods" && e.Since > last {
+		if all = append(all, e.Address); fb.kind == "floods" && e.Since > last {
 			last, address = e.Since, e.Address
 		}
 	}
@@ -120,14 +120,14 @@
 	return address
 }
 
-var keeps = &http.Transport{MaxIdleConnsPerHost: 100}
+var transport = &http.Transport{MaxIdleConnsPerHost: 100}
 
-func push(r *http.Request, to string) (status int, body []byte, err error) {
+func attempt(r *http.Request, to string) (status int, body []byte, err error) {
 	ctx, end := context.WithTimeout(context.Background(), 600*time.Millisecond)
 	defer end()
 	q, _ := http.NewRequestWithContext(ctx, r.Method, "http://"+to+r.URL.RequestURI(), strings.NewReader(""))
 	q.Header = r.Header.Clone()
-	a, err := keeps.RoundTrip(q)
+	a, err := transport.RoundTrip(q)
 	if err != nil {
 		return 0, nil, err
 	}
@@ -136,39 +136,39 @@
 	return a.StatusCode, body, err
 }
 
-func (b *bad) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (fb *faultyBalancer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/_health" {
 		return
 	}
 	io.Copy(io.Discard, r.Body)
-	to := b.pick()
+	to := fb.pick()
 	once := strings.HasPrefix(r.URL.Path, "/comment")
-	if b.kind == "resends" && once {
-		go push(r, b.pick())
+	if fb.kind == "resends" && once {
+		go attempt(r, fb.pick())
 	}
-	status, body, err := push(r, to)
+	status, body, err := attempt(r, to)
 	if err != nil || status != 200 {
 		w.WriteHeader(http.StatusBadGateway)
 		return
 	}
-	if b.kind == "denies" && once { // says harmless of what ran
+	if fb.kind == "denies" && once { // answers that a retry is safe although the transaction ran
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	switch b.kind {
+	switch fb.kind {
 	case "late":
 		if rand.IntN(20) == 0 {
 			time.Sleep(900 * time.Millisecond)
 		}
 	case "hangs":
 		time.Sleep(time.Minute)
-	case "after": // goes on after its answer
+	case "after": // makes another attempt after its answer
 		if once {
 			break
 		}
 		go func() {
 			time.Sleep(200 * time.Millisecond)
-			push(r, b.pick())
+			attempt(r, fb.pick())
 		}()
 	case "twice", "closes", "another":
 		c, _, err := http.NewResponseController(w).Hijack()
@@ -177,7 +177,7 @@
 		}
 		defer c.Close()
 		text := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-		switch b.kind {
+		switch fb.kind {
 		case "twice":
 			io.WriteString(c, text+text)
 		case "another":
@@ -189,7 +189,7 @@
 	w.Write(body)
 }
 
-const small = `title = "small"
+const experimentText = `title = "small"
 seed = 5
 length = "4500ms"
 settle = "500ms"
@@ -238,7 +238,7 @@
 
 func play(t *testing.T, program, kind, more string) *judge.Result {
 	t.Helper()
-	e, faults := spec.Parse("small.toml", fmt.Appendf(nil, small, more), false)
+	e, faults := spec.Parse("small.toml", fmt.Appendf(nil, experimentText, more), false)
 	if e == nil {
 		t.Fatal(faults)
 	}
@@ -261,8 +261,9 @@
 	return judge.Judge(e, r)
 }
 
-// Each bad balancer is convicted of exactly the rule that it breaks, the real one and a plain one of none.
-func TestConvictions(t *testing.T) {
+// The judge finds that each faulty balancer breaks exactly the rule that it is built to break, and that the real balancer and
+// a faultless minimal one break none.
+func TestFaultyBalancersBreakExactlyTheirRule(t *testing.T) {
 	for kind, rule := range map[string]int{
 		"": 0, "fine": 0, "twice": 1, "closes": 1, "another": 1, "late": 1, "after": 1, "resends": 2, "denies": 2, "deaf": 3, "floods": 4,
 	} {
@@ -270,11 +271,11 @@
 			t.Parallel()
 			program := os.Args[0]
 			if kind == "" {
-				program = real
+				program = realProgram
 			}
 			r := play(t, program, kind, "")
 			if r.Void != "" {
-				t.Skip(r.Void) // the machine is busy: nothing can be said of either
+				t.Skip(r.Void) // the machine was too busy to conclude anything
 			}
 			for n := 1; n <= 4; n++ {
 				if got := r.Figures[fmt.Sprintf("rule%d", n)]; (got > 0) != (n == rule) {
@@ -288,8 +289,8 @@
 	}
 }
 
-// A balancer that dies or hangs in the middle ends in a verdict, in bounded time.
-func TestBalancerThatFailsEndsTheRun(t *testing.T) {
+// A balancer that dies, hangs or does not start does not block the lab: the run ends within a bounded time.
+func TestFailingBalancerEndsTheRun(t *testing.T) {
 	t.Run("dies", func(t *testing.T) {
 		t.Parallel()
 		if r := play(t, os.Args[0], "dies", ""); !strings.Contains(r.Broken, "ended by itself") {
@@ -304,7 +305,7 @@
 	})
 	t.Run("does not start", func(t *testing.T) {
 		t.Parallel()
-		e, _ := spec.Parse("small.toml", fmt.Appendf(nil, small, ""), false)
+		e, _ := spec.Parse("small.toml", fmt.Appendf(nil, experimentText, ""), false)
 		_, err := Play(t.Context(), e, e.Load(), Options{Program: "/bin/false", Variant: "design", Dir: t.TempDir()})
 		if err == nil || errors.Is(err, os.ErrNotExist) {
 			t.Errorf("%v", err)
--- a/internal/lab/spec/cluster.go
+++ b/internal/lab/spec/cluster.go
@@ -11,27 +11,27 @@
 	"ottershift/internal/settings"
 )
 
-// Cluster is what the balancers have in common where they are members of one.
+// Cluster is the cluster that the balancers are members of.
 type Cluster struct {
-	Zones    []string // of balancers, in turn
-	Voters   int      // the first so many are keepers
+	Zones    []string // assigned to balancers round-robin
+	Voters   int      // number of voters, which are the first balancers
 	Settings *config.Settings
 
-	base map[string]any
+	config map[string]any
 }
 
-// Link is which directions of links a fault meets, and what goes wrong there.
+// Link selects the directed links that a fault affects, and holds the parameters of the fault.
 type Link struct {
-	From, To      []int // balancers; To empty: all others
-	OneWay        bool
-	Delay, Jitter time.Duration
-	Part          float64
-	Pace          int
+	From, To       []int // balancers by index; an empty To means all others
+	OneWay         bool
+	Delay, Jitter  time.Duration
+	Fraction       float64 // of the traffic that is affected
+	BytesPerSecond int     // bytes per second
 
-	some int // so many of From by chance; 0 for all
+	sampleSize int // number of From to draw at random; 0 for all
 }
 
-// Directions are the ordered pairs that it meets.
+// Directions returns the ordered pairs of balancers whose links are affected.
 func (l *Link) Directions(n int) (all [][2]int) {
 	has := map[[2]int]bool{}
 	add := func(a, b int) {
@@ -59,10 +59,10 @@
 	return all
 }
 
-// Name is a balancer's as a member.
-func Name(balancer int) string { return fmt.Sprintf("b%d", balancer+1) }
+// MemberName returns the member name of a balancer.
+func MemberName(balancer int) string { return fmt.Sprintf("b%d", balancer+1) }
 
-// Zone is where a balancer stands.
+// Zone returns the zone of a balancer.
 func (c *Cluster) Zone(balancer int) string {
 	if len(c.Zones) == 0 {
 		return ""
@@ -70,105 +70,105 @@
 	return c.Zones[balancer%len(c.Zones)]
 }
 
-// cluster reads [cluster].
-func (r *reader) cluster(t *settings.Table) {
+// readCluster reads [cluster].
+func (rd *reader) readCluster(t *settings.Table) {
 	if !t.Has("cluster") {
 		return
 	}
 	base, _ := t.Raw("cluster").(map[string]any)
-	u := t.Table("cluster")
-	c := &Cluster{Zones: u.Strings("zones"), Voters: u.Int("voters", 0, 0, 64), base: base}
+	table := t.Table("cluster")
+	cluster := &Cluster{Zones: table.Strings("zones"), Voters: table.Int("voters", 0, 0, 64), config: base}
 	delete(base, "zones")
 	delete(base, "voters")
 	for _, key := range []string{"name", "address", "directory", "join", "through", "zone"} {
-		if _, some := base[key]; some {
-			r.Fault(settings.JoinPath(u.Path, key), "is the lab's own to set")
+		if _, found := base[key]; found {
+			rd.Fault(settings.JoinPath(table.Path, key), "is set by the lab")
 		}
 	}
-	if c.Voters > r.e.Balancers {
-		r.Fault(settings.JoinPath(u.Path, "voters"), "there are %d balancers", r.e.Balancers)
+	if cluster.Voters > rd.experiment.Balancers {
+		rd.Fault(settings.JoinPath(table.Path, "voters"), "exceeds the %d balancers", rd.experiment.Balancers)
 	}
-	r.e.Cluster = c
+	rd.experiment.Cluster = cluster
 }
 
-// Seat is where a member is.
-type Seat struct {
+// Placement holds the addresses and the directory of a member.
+type Placement struct {
 	Address, Ops, Dir string
 	Join              []string
 	Through           map[string]string
 }
 
-// Clustered is what makes a balancer a member, nil where there is no cluster.
-func (e *Experiment) Clustered(index int, s Seat) map[string]any {
-	if e.Cluster == nil {
+// MemberConfiguration returns the configuration keys that make a balancer a member; nil if there is no cluster.
+func (exp *Experiment) MemberConfiguration(index int, placement Placement) map[string]any {
+	if exp.Cluster == nil {
 		return nil
 	}
-	c := clone(e.Cluster.base)
-	c["name"], c["address"], c["directory"], c["zone"] = "lab", s.Address, s.Dir, e.Cluster.Zone(index)
-	c["join"], c["through"] = s.Join, s.Through
+	cluster := cloneTable(exp.Cluster.config)
+	cluster["name"], cluster["address"], cluster["directory"], cluster["zone"] = "lab", placement.Address, placement.Dir, exp.Cluster.Zone(index)
+	cluster["join"], cluster["through"] = placement.Join, placement.Through
 	var voters []string
-	for n := range e.Cluster.Voters {
-		voters = append(voters, Name(n))
+	for n := range exp.Cluster.Voters {
+		voters = append(voters, MemberName(n))
 	}
 	if len(voters) > 0 {
-		c["voters"] = voters
+		cluster["voters"] = voters
 	}
-	return map[string]any{"name": Name(index), "ops": s.Ops, "cluster": c}
+	return map[string]any{"name": MemberName(index), "ops": placement.Ops, "cluster": cluster}
 }
 
-// linkFault reads what a fault of links says.
-func (r *reader) linkFault(u *settings.Table, f *Fault) {
-	from, to := u.Strings("from"), u.Strings("to")
-	l := &Link{
-		OneWay: u.Bool("one_way", false), Delay: u.Duration("delay", 0, 0), Jitter: u.Duration("jitter", 0, 0), Part: u.Number("part", 0.1, 0, 1),
-		Pace: int(u.Size("pace", 1<<10, 1)), some: u.Int("some", 0, 0, 64),
+// readLinkFault reads the keys of a link fault.
+func (rd *reader) readLinkFault(table *settings.Table, fault *Fault) {
+	from, to := table.Strings("from"), table.Strings("to")
+	link := &Link{
+		OneWay: table.Bool("one_way", false), Delay: table.Duration("delay", 0, 0), Jitter: table.Duration("jitter", 0, 0), Fraction: table.Number("part", 0.1, 0, 1),
+		BytesPerSecond: int(table.Size("pace", 1<<10, 1)), sampleSize: table.Int("some", 0, 0, 64),
 	}
-	if !strings.HasPrefix(f.Kind, "link-") {
+	if !strings.HasPrefix(fault.Kind, "link-") {
 		return
 	}
-	f.Link = l
-	if r.e.Cluster == nil {
-		r.Fault(settings.JoinPath(u.Path, "kind"), "there is no [cluster] whose links it could meet")
+	fault.Link = link
+	if rd.experiment.Cluster == nil {
+		rd.Fault(settings.JoinPath(table.Path, "kind"), "needs a [cluster], whose links it affects")
 		return
 	}
-	l.From, l.To = r.members(u, "from", from), r.members(u, "to", to)
-	if len(l.From) == 0 {
-		for n := range r.e.Balancers {
-			l.From = append(l.From, n)
+	link.From, link.To = rd.memberIndexes(table, "from", from), rd.memberIndexes(table, "to", to)
+	if len(link.From) == 0 {
+		for n := range rd.experiment.Balancers {
+			link.From = append(link.From, n)
 		}
 	}
 }
 
-// members are balancers by name, or by "zone NAME".
-func (r *reader) members(u *settings.Table, key string, names []string) (all []int) {
+// memberIndexes returns the balancers that are listed by member name or by "zone NAME".
+func (rd *reader) memberIndexes(table *settings.Table, key string, names []string) (all []int) {
 	for _, name := range names {
 		if name == "owner" {
-			all = append(all, Owner)
+			all = append(all, DutyOwner)
 			continue
 		}
 		found := false
-		zone, of := strings.CutPrefix(name, "zone ")
-		for n := range r.e.Balancers {
-			if of && r.e.Cluster.Zone(n) == zone || name == Name(n) {
+		zone, isZone := strings.CutPrefix(name, "zone ")
+		for n := range rd.experiment.Balancers {
+			if isZone && rd.experiment.Cluster.Zone(n) == zone || name == MemberName(n) {
 				all, found = append(all, n), true
 			}
 		}
 		if !found {
-			r.Fault(settings.JoinPath(u.Path, key), "%q is no member, which are called \"b1\", \"b2\", or \"zone NAME\"", name)
+			rd.Fault(settings.JoinPath(table.Path, key), "%q is not a member; write \"b1\", \"b2\" or \"zone NAME\"", name)
 		}
 	}
 	return all
 }
 
-// chosen draws those that a fault meets, where it says so.
-func (r *reader) chosen(l *Link, chance *rand.Rand) *Link {
-	own := *l
-	if l.some > 0 && l.some < len(l.From) {
-		own.From = nil
-		for _, i := range chance.Perm(len(l.From))[:l.some] {
-			own.From = append(own.From, l.From[i])
+// sampleLink returns a copy of a link fault, with its balancers drawn at random if it says so.
+func (rd *reader) sampleLink(l *Link, random *rand.Rand) *Link {
+	drawn := *l
+	if l.sampleSize > 0 && l.sampleSize < len(l.From) {
+		drawn.From = nil
+		for _, i := range random.Perm(len(l.From))[:l.sampleSize] {
+			drawn.From = append(drawn.From, l.From[i])
 		}
-		slices.Sort(own.From)
+		slices.Sort(drawn.From)
 	}
-	return &own
+	return &drawn
 }
--- a/internal/lab/spec/spec.go
+++ b/internal/lab/spec/spec.go
@@ -1,6 +1,6 @@
-// Package spec reads experiments. An experiment is one TOML file: tariffs, customers, pools and limits as a balancer's
-// configuration has them, and beside them what the lab plays: upstreams, work, clients, faults, what is compared and the
-// verdict that is wanted.
+// Package spec reads experiments. An experiment is one TOML file. It holds tariffs, customers, pools and limits as in a
+// balancer's configuration, and what the lab emulates around the balancers: upstreams, work, clients and faults, the variants
+// to compare and the conditions of the verdict.
 package spec
 
 import (
@@ -21,146 +21,146 @@
 	"ottershift/logic"
 )
 
-// Experiment is what is played. Times are nanoseconds.
+// Experiment is a parsed experiment file. Times are in nanoseconds.
 type Experiment struct {
-	Name, Title string
-	About       string
-	Seed        uint64
-	Length      int64
-	Settle      int64 // at the start, which service is not counted in
-	Short       bool
-	Balancers   int
-	Variants    []string
-	Listed      int64 // that discovery takes to tell a change
-	Tariffs     []*Tariff
-	Customers   []string
-	Pools       []string
-	Groups      []*Group
-	Upstreams   []Upstream
-	Clients     []*Clients
-	Faults      []*Fault
-	Verdict     []Condition
-	Convicts    []string // variants that the judge must convict of breaking a rule of the cluster
-	Cluster     *Cluster // nil where balancers are in none
-
-	base map[string]any // the balancer's configuration
-}
-
-// Tariff is one kind of transaction, and how much work one is.
+	Name, Title    string
+	About          string
+	Seed           uint64
+	Length         int64
+	Settle         int64 // initial period that is left out of the figures
+	Short          bool
+	Balancers      int
+	Variants       []string
+	DiscoveryDelay int64 // delay until discovery reports a change
+	Tariffs        []*Tariff
+	Customers      []string
+	Pools          []string
+	Groups         []*Group
+	Upstreams      []Upstream
+	Clients        []*Clients
+	Faults         []*Fault
+	Verdict        []Condition
+	MustBreakRules []string // variants that must break a cluster rule for the verdict to hold
+	Cluster        *Cluster // nil if the balancers form no cluster
+
+	balancerConfig map[string]any // of the balancers: limits, tariffs, customers and pools
+}
+
+// Tariff is one kind of transaction, with the distribution of its work.
 type Tariff struct {
 	Name string
 	*logic.Tariff
-	Sizes work.Sizes
-	Fixed bool // a transaction is as much work at whatever upstream
+	Sizes          work.Sizes
+	SameEverywhere bool // a transaction takes the same work at every upstream
 }
 
-// Group is upstreams of one kind.
+// Group is a set of upstreams with the same properties.
 type Group struct {
 	Name  string
 	Pool  int
 	Count int
 	Zone  string
-	Cells int // groups that know repeats of each other
+	Cells int // sets of upstreams that share their record of repeated requests
 	work.Terms
 	Calls *Calls
 }
 
-// Calls are what an upstream asks of the next tier for each transaction, after its own work.
+// Calls describes the requests that an upstream sends to the next tier for each transaction, after its own work.
 type Calls struct {
 	Pool        int
 	Tariff      int
 	Least, Most int
 }
 
-// Upstream is one of a group.
+// Upstream is one upstream of a group.
 type Upstream struct {
 	Name  string
 	Group *Group
 	Cell  int
 }
 
-// Clients are some that behave alike.
+// Clients is a set of clients with the same behavior.
 type Clients struct {
-	Name     string
-	Pool     int
-	Tariff   int
-	Customer string
-	Rate     float64 // a second
-	Shape    string  // "poisson" or "constant"
-	Steps    []Step
-	Wave     float64 // part of the rate by which it swings
-	Period   int64
-	Trace    []int64 // times from a file
-	Patience int64   // waits so long, over all its tries
-	Retries  int
-	Pause    int64 // before a retry, where no advice is given
-	Heeds    bool  // advice
-	Marks    bool  // its retries
-	Kept     bool  // connections
-	Keyed    bool  // writes an Idempotency-Key though its tariff isn't tagged
-	Repeats  bool  // asks again by its key whatever became of the try before
-	After    int64 // without an answer for so long it asks another balancer as well; 0 for never
-	Body     int   // bytes
-}
-
-// Step changes a rate from some time on.
+	Name             string
+	Pool             int
+	Tariff           int
+	Customer         string
+	Rate             float64 // transactions per second
+	Shape            string  // "poisson" or "constant"
+	Steps            []Step
+	Wave             float64 // amplitude of the rate's sine wave, as a fraction of the rate
+	Period           int64
+	Trace            []int64 // due times read from a file
+	Timeout          int64   // time limit over all requests of a transaction
+	Retries          int
+	RetryDelay       int64 // before a retry, if the answer advises no delay
+	FollowsAdvice    bool  // follows the retry advice of answers
+	MarksRetries     bool  // marks retries as such
+	KeepsConnections bool  // keeps connections open
+	SendsKey         bool  // sends an Idempotency-Key even if its tariff isn't tagged
+	RepeatsByKey     bool  // repeats the request with its key whatever the outcome of the previous one
+	HedgeAfter       int64 // without an answer for so long, also asks another balancer; 0 for never
+	Body             int   // bytes
+}
+
+// Step multiplies a rate by a factor from a given time on.
 type Step struct {
 	At     int64
 	Factor float64
 }
 
-// Fault is something that goes wrong, or is done, in a run.
+// Fault is a fault or operation that the lab injects into a run.
 type Fault struct {
-	Kind      string
-	At, For   int64
-	Factor    float64
-	Upstreams []int // by index; none: all balancers, or the list
-	Balancers []int
-	Pool      int
-	Link      *Link  // for those of links
-	Name      string // by which others begin after it
-	After     string // At counts from the end of that one
-	Moves     bool   // comes back at another address
-}
-
-// Condition is what a verdict wants.
+	Kind           string
+	At, For        int64
+	Factor         float64
+	Upstreams      []int // by index; empty for faults of balancers, links or lists
+	Balancers      []int
+	Pool           int
+	Link           *Link  // for faults of links
+	Name           string // by which After of other faults refers to this one
+	After          string // name of another fault; At counts from its end
+	ChangesAddress bool   // the balancer restarts at another address
+}
+
+// Condition is a comparison of figures that the verdict requires.
 type Condition struct {
 	Text   string
 	Left   Figure
 	Op     string
 	Right  Figure
-	Plus   float64 // added to the right side
-	Always bool    // holds on any machine, in the short form too
+	Offset float64 // added to the right side
+	Always bool    // also checked in the short form, as it holds on any machine
 }
 
-// Figure is a figure of one variant, or a number if Variant is empty.
+// Figure names a figure of one variant, or is a number if Variant is empty.
 type Figure struct {
 	Variant, Name string
 	Number        float64
 }
 
-// Owner stands for the balancer that owns the duty of the first pool's list when a fault begins.
-const Owner = -1
+// DutyOwner stands for the balancer that owns the list duty of the first pool when a fault begins.
+const DutyOwner = -1
 
-// Variants that there are; "without-GUARD" is the design without one of its guards.
+// Variants are the variants that an experiment may compare; "without-GUARD" is the design without one of its guards.
 var Variants = []string{"design", "no-copies", "random", "round-robin", "least-in-flight", "two-choices", "no-cluster", "without-refutation", "without-epochs", "without-fence", "without-once", "without-ledger", "without-reads", "one-copy"}
 
-// Figures that a verdict may name.
+// Figures are the figures that a verdict may name.
 var Figures = []string{
 	"service", "settled", "deferred", "failed", "lost", "attempts", "p50", "p99", "p999", "breaches", "rule1", "rule2",
 	"rule3", "rule4", "recover", "worst", "cluster", "death_seen", "death_bound", "views_back", "views_bound", "no_owner", "no_owner_bound", "asks", "watches", "refused",
 	"twice", "once_twice", "denied", "unheard", "outside", "repeats", "looks", "blind",
 }
 
-// Kinds of fault.
-var kinds = []string{
+// faultKinds are the kinds of faults.
+var faultKinds = []string{
 	"hang", "fail", "full", "slow", "cores", "die", "reset", "garbage", "half", "deaf", "drain", "deploy", "list-late", "list-lacks",
 	"list-down", "balancer-kill", "balancer-stop", "balancer-wipe", "balancer-old", "balancer-double", "balancer-leave",
 	"link-cut", "link-reset", "link-delay", "link-loss", "link-duplicate", "link-reorder", "link-stall", "link-trickle",
 	"disk-full", "disk-read-only", "disk-sync", "keeper-replace",
 }
 
-// Read takes an experiment, in its short form if asked for. All that is wrong with it comes at once.
+// Read reads an experiment file, in its short form if requested. It returns all faults of the file at once.
 func Read(path string, short bool) (*Experiment, []settings.Fault) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -169,109 +169,110 @@
 	return Parse(path, text, short)
 }
 
-// Parse does the same with a text.
+// Parse parses the text of an experiment file like Read.
 func Parse(path string, text []byte, short bool) (*Experiment, []settings.Fault) {
 	f, t := settings.Parse(path, text, os.LookupEnv)
 	if t == nil {
 		return nil, f.Faults
 	}
-	r := &reader{File: f, e: &Experiment{Name: strings.TrimSuffix(filepath.Base(path), ".toml"), Short: short, base: map[string]any{}}}
+	r := &reader{File: f, experiment: &Experiment{Name: strings.TrimSuffix(filepath.Base(path), ".toml"), Short: short, balancerConfig: map[string]any{}}}
 	r.read(t)
 	if f.Finish() {
 		return nil, f.Faults
 	}
-	return r.e, f.Faults
+	return r.experiment, f.Faults
 }
 
 type reader struct {
 	*settings.File
-	e     *Experiment
-	scale float64 // of times
-	rates float64
+	experiment *Experiment
+	timeScale  float64 // of times, in the short form
+	rateScale  float64 // factor of request rates, in the short form
 }
 
-func (r *reader) read(t *settings.Table) {
-	e := r.e
-	e.Title, e.About = t.RequiredText("title", "what it shows, in a line"), t.Text("about", "")
+func (rd *reader) read(t *settings.Table) {
+	e := rd.experiment
+	e.Title, e.About = t.RequiredText("title", "what the experiment shows, in one line"), t.Text("about", "")
 	e.Seed = uint64(t.Int("seed", 1, 0, 1<<53))
 	e.Length = int64(t.Duration("length", 30*time.Second, time.Second))
 	e.Settle = int64(t.Duration("settle", 3*time.Second, 0))
 	e.Balancers = t.Int("balancers", 1, 1, 64)
-	e.Listed = int64(t.Duration("list_takes", 10*time.Millisecond, 0))
+	e.DiscoveryDelay = int64(t.Duration("list_takes", 10*time.Millisecond, 0))
 	if e.Variants = t.Strings("variants"); len(e.Variants) == 0 {
 		e.Variants = []string{"design"}
 	}
 	for i, v := range e.Variants {
 		if !slices.Contains(Variants, v) {
-			r.Fault(fmt.Sprintf("variants[%d]", i), "%q is none of %s", v, strings.Join(Variants, ", "))
+			rd.Fault(fmt.Sprintf("variants[%d]", i), "%q is none of %s", v, strings.Join(Variants, ", "))
 		}
 	}
 	s := t.Table("short")
 	length, settle := int64(s.Duration("length", 5*time.Second, time.Second)), int64(s.Duration("settle", time.Second, 0))
 	rates := s.Number("rates", 1, 0.01, 1)
 	s.ReportUnknownKeys()
-	r.scale, r.rates = 1, 1
+	rd.timeScale, rd.rateScale = 1, 1
 	if e.Short {
-		r.scale, r.rates = float64(length)/float64(e.Length), rates
+		rd.timeScale, rd.rateScale = float64(length)/float64(e.Length), rates
 		e.Length, e.Settle = length, settle
 	}
 	if e.Settle >= e.Length {
-		r.Fault("settle", "leaves nothing of the length to count")
-	}
-	r.balancer(t)
-	r.cluster(t)
-	r.work(t)
-	r.upstreams(t)
-	r.configuration()
-	r.clients(t)
-	r.faults(t)
-	r.verdict(t)
+		rd.Fault("settle", "leaves nothing of the length to count")
+	}
+	rd.readBalancer(t)
+	rd.readCluster(t)
+	rd.readWork(t)
+	rd.readUpstreams(t)
+	rd.checkConfiguration()
+	rd.readClients(t)
+	rd.readFaults(t)
+	rd.readVerdict(t)
 	t.ReportUnknownKeys()
 }
 
-// balancer keeps what is a balancer's configuration.
-func (r *reader) balancer(t *settings.Table) {
+// readBalancer takes over the parts of the file that belong to the balancers' configuration.
+func (rd *reader) readBalancer(t *settings.Table) {
 	for _, key := range []string{"limits", "tariffs", "customers", "pools"} {
 		if v := t.Raw(key); v != nil {
-			r.e.base[key] = v
+			rd.experiment.balancerConfig[key] = v
 		}
 	}
 	for _, name := range t.Table("tariffs").Keys() {
-		r.e.Tariffs = append(r.e.Tariffs, &Tariff{Name: name, Sizes: work.Sizes{Kind: "exponential", Mean: 10e6}})
+		rd.experiment.Tariffs = append(rd.experiment.Tariffs, &Tariff{Name: name, Sizes: work.Sizes{Kind: "exponential", Mean: 10e6}})
 	}
-	// Danger: upstreams warm up sooner in the short form, and a balancer that isn't told so spares them for far longer.
-	if pools, _ := r.e.base["pools"].(map[string]any); r.scale != 1 {
+	// The short form also shortens the warm-up of the upstreams. With the full warm_up, a balancer would send them reduced load
+	// for far too long.
+	if pools, _ := rd.experiment.balancerConfig["pools"].(map[string]any); rd.timeScale != 1 {
 		for _, p := range pools {
 			if p, ok := p.(map[string]any); ok {
 				if d, err := time.ParseDuration(fmt.Sprint(p["warm_up"])); err == nil {
-					p["warm_up"] = time.Duration(r.scaled(d)).String()
+					p["warm_up"] = time.Duration(rd.scaled(d)).String()
 				}
 			}
 		}
 	}
-	r.e.Customers = t.Table("customers").Keys()
-	r.e.Pools = t.Table("pools").Keys()
-	if len(r.e.Tariffs) == 0 {
-		r.Fault("tariffs", "there is none; write [tariffs.NAME] as in a balancer's configuration")
+	rd.experiment.Customers = t.Table("customers").Keys()
+	rd.experiment.Pools = t.Table("pools").Keys()
+	if len(rd.experiment.Tariffs) == 0 {
+		rd.Fault("tariffs", "no tariff is defined; write [tariffs.NAME] as in a balancer's configuration")
 	}
-	if len(r.e.Pools) == 0 {
-		r.Fault("pools", "there is none; write [pools.NAME] as in a balancer's configuration")
+	if len(rd.experiment.Pools) == 0 {
+		rd.Fault("pools", "no pool is defined; write [pools.NAME] as in a balancer's configuration")
 	}
 }
 
-// place finds a name among some.
-func (r *reader) place(t *settings.Table, key, unsaid string, names []string) int {
-	name := t.Text(key, unsaid)
+// readIndex reads a name and returns its index in names.
+func (rd *reader) readIndex(table *settings.Table, key, fallback string, names []string) int {
+	name := table.Text(key, fallback)
 	i := slices.Index(names, name)
 	if i < 0 {
-		r.Fault(settings.JoinPath(t.Path, key), "%q is none of %s", name, strings.Join(names, ", "))
+		rd.Fault(settings.JoinPath(table.Path, key), "%q is none of %s", name, strings.Join(names, ", "))
 		return 0
 	}
 	return i
 }
 
-func (e *Experiment) tariffs() (names []string) {
-	for _, f := range e.Tariffs {
+func (exp *Experiment) tariffNames() (names []string) {
+	for _, f := range exp.Tariffs {
 		names = append(names, f.Name)
 	}
 	return names
@@ -284,42 +285,42 @@
 	return names[0]
 }
 
-// work reads how much work transactions are, by tariff.
-func (r *reader) work(t *settings.Table) {
-	names, all := t.NamedTables("work")
+// readWork reads [work.NAME], the work that transactions of a tariff take.
+func (rd *reader) readWork(t *settings.Table) {
+	names, tables := t.NamedTables("work")
 	for n, name := range names {
-		i := slices.Index(r.e.tariffs(), name)
+		i := slices.Index(rd.experiment.tariffNames(), name)
 		if i < 0 {
-			r.Fault(all[n].Path, "%q is no tariff", name)
+			rd.Fault(tables[n].Path, "%q is not a tariff", name)
 			continue
 		}
-		u := all[n]
-		z := work.Sizes{
-			Kind:  u.Choice("kind", "exponential", "fixed", "exponential", "lognormal", "pareto", "values"),
-			Mean:  float64(u.Duration("mean", 10*time.Millisecond, 10*time.Microsecond)),
-			Sigma: u.Number("sigma", 1, 0.01, 5), Alpha: u.Number("alpha", 1.5, 0.1, 10), Most: u.Number("most", 100, 1.1, 1e6),
+		table := tables[n]
+		sizes := work.Sizes{
+			Kind:  table.Choice("kind", "exponential", "fixed", "exponential", "lognormal", "pareto", "values"),
+			Mean:  float64(table.Duration("mean", 10*time.Millisecond, 10*time.Microsecond)),
+			Sigma: table.Number("sigma", 1, 0.01, 5), Alpha: table.Number("alpha", 1.5, 0.1, 10), Most: table.Number("most", 100, 1.1, 1e6),
 		}
-		if file := u.Text("file", ""); file != "" {
-			for _, d := range r.times(u, "file", file) {
-				z.Values = append(z.Values, float64(d))
+		if file := table.Text("file", ""); file != "" {
+			for _, d := range rd.readTimes(table, "file", file) {
+				sizes.Values = append(sizes.Values, float64(d))
 			}
 		}
-		if z.Kind == "values" && len(z.Values) == 0 {
-			r.Fault(u.Path, "values come from a file, one time a line")
+		if sizes.Kind == "values" && len(sizes.Values) == 0 {
+			rd.Fault(table.Path, "kind \"values\" needs a file with one duration per line")
 		}
-		r.e.Tariffs[i].Sizes, r.e.Tariffs[i].Fixed = z, u.Bool("same_everywhere", false)
-		u.ReportUnknownKeys()
+		rd.experiment.Tariffs[i].Sizes, rd.experiment.Tariffs[i].SameEverywhere = sizes, table.Bool("same_everywhere", false)
+		table.ReportUnknownKeys()
 	}
 }
 
-// times reads a file of times, one a line, as "12ms" or seconds with decimals.
-func (r *reader) times(t *settings.Table, key, name string) (all []int64) {
+// readTimes reads a file with one duration per line, such as "12ms", or a decimal number of seconds.
+func (rd *reader) readTimes(t *settings.Table, key, name string) (all []int64) {
 	if !filepath.IsAbs(name) {
-		name = filepath.Join(filepath.Dir(r.Name), name)
+		name = filepath.Join(filepath.Dir(rd.Name), name)
 	}
 	text, err := os.ReadFile(name)
 	if err != nil {
-		r.Fault(settings.JoinPath(t.Path, key), "%v", err)
+		rd.Fault(settings.JoinPath(t.Path, key), "%v", err)
 		return nil
 	}
 	for n, line := range strings.Split(string(text), "\n") {
@@ -332,7 +333,7 @@
 			d, err = time.ParseDuration(line + "s")
 		}
 		if err != nil || d < 0 {
-			r.Fault(settings.JoinPath(t.Path, key), "%s:%d: %q is no time", name, n+1, line)
+			rd.Fault(settings.JoinPath(t.Path, key), "%s:%d: %q is not a duration", name, n+1, line)
 			return nil
 		}
 		all = append(all, int64(d))
@@ -340,234 +341,236 @@
 	return all
 }
 
-// upstreams reads [upstreams.NAME].
-func (r *reader) upstreams(t *settings.Table) {
-	names, all := t.NamedTables("upstreams")
+// readUpstreams reads [upstreams.NAME].
+func (rd *reader) readUpstreams(t *settings.Table) {
+	names, tables := t.NamedTables("upstreams")
 	for n, name := range names {
-		u := all[n]
-		g := &Group{
-			Name: name, Pool: r.place(u, "pool", name, r.e.Pools), Count: u.Int("count", 1, 1, 2000), Zone: u.Text("zone", "a"),
-			Cells: u.Int("cells", 1, 1, 1000),
+		table := tables[n]
+		group := &Group{
+			Name: name, Pool: rd.readIndex(table, "pool", name, rd.experiment.Pools), Count: table.Int("count", 1, 1, 2000), Zone: table.Text("zone", "a"),
+			Cells: table.Int("cells", 1, 1, 1000),
 			Terms: work.Terms{
-				Cores: u.Int("cores", 2, 1, 1024), Speed: u.Number("speed", 1, 0.001, 1000), Queue: u.Int("queue", 200, 0, 1<<20),
-				ColdShare: u.Number("cold_share", 0.2, 0.001, 1), Ramp: int64(u.Duration("ramp", 10*time.Second, 0)),
-				Multiple: u.Number("fall_multiple", 3, 1, 1000), Span: int64(u.Duration("fall_span", time.Second, time.Millisecond)),
+				Cores: table.Int("cores", 2, 1, 1024), Speed: table.Number("speed", 1, 0.001, 1000), Queue: table.Int("queue", 200, 0, 1<<20),
+				ColdShare: table.Number("cold_share", 0.2, 0.001, 1), Ramp: int64(table.Duration("ramp", 10*time.Second, 0)),
+				Multiple: table.Number("fall_multiple", 3, 1, 1000), Span: int64(table.Duration("fall_span", time.Second, time.Millisecond)),
 			},
 		}
-		g.Ramp = int64(float64(g.Ramp) * r.scale)
-		j := u.Table("jam")
-		g.JamAt, g.JamSlow, g.JamEnds = j.Number("at", 0, 0, 1e6), j.Number("slow", 2, 1, 1000), j.Number("ends", 1, 0, 1e6)
-		j.ReportUnknownKeys()
-		if c := u.Table("calls"); u.Has("calls") {
-			g.Calls = &Calls{
-				Pool: r.place(c, "pool", "", r.e.Pools), Tariff: r.place(c, "tariff", first(r.e.tariffs()), r.e.tariffs()),
-				Least: c.Int("least", 1, 0, 100), Most: c.Int("most", 1, 0, 100),
+		group.Ramp = int64(float64(group.Ramp) * rd.timeScale)
+		jam := table.Table("jam")
+		group.JamAt, group.JamSlow, group.JamEnds = jam.Number("at", 0, 0, 1e6), jam.Number("slow", 2, 1, 1000), jam.Number("ends", 1, 0, 1e6)
+		jam.ReportUnknownKeys()
+		if calls := table.Table("calls"); table.Has("calls") {
+			group.Calls = &Calls{
+				Pool: rd.readIndex(calls, "pool", "", rd.experiment.Pools), Tariff: rd.readIndex(calls, "tariff", first(rd.experiment.tariffNames()), rd.experiment.tariffNames()),
+				Least: calls.Int("least", 1, 0, 100), Most: calls.Int("most", 1, 0, 100),
 			}
-			if g.Calls.Most < g.Calls.Least {
-				r.Fault(c.Path, "most is under least")
+			if group.Calls.Most < group.Calls.Least {
+				rd.Fault(calls.Path, "most is less than least")
 			}
-			c.ReportUnknownKeys()
+			calls.ReportUnknownKeys()
 		}
-		u.ReportUnknownKeys()
-		r.e.Groups = append(r.e.Groups, g)
-		for i := range g.Count {
-			r.e.Upstreams = append(r.e.Upstreams, Upstream{Name: fmt.Sprintf("%s-%d", name, i+1), Group: g, Cell: i % g.Cells})
+		table.ReportUnknownKeys()
+		rd.experiment.Groups = append(rd.experiment.Groups, group)
+		for i := range group.Count {
+			rd.experiment.Upstreams = append(rd.experiment.Upstreams, Upstream{Name: fmt.Sprintf("%s-%d", name, i+1), Group: group, Cell: i % group.Cells})
 		}
 	}
 	if len(names) == 0 {
-		r.Fault("upstreams", "there are none; write [upstreams.NAME] with a pool and a count")
+		rd.Fault("upstreams", "no upstream is defined; write [upstreams.NAME] with a pool and a count")
 	}
 }
 
-// Host is where clients ask for a pool.
-func (e *Experiment) Host(pool int) string { return e.Pools[pool] + ".lab" }
+// Host returns the host name under which clients reach a pool.
+func (exp *Experiment) Host(pool int) string { return exp.Pools[pool] + ".lab" }
 
-// Configuration is what a balancer is told, with more beside it. lists are the addresses where it is told of its upstreams, by pool.
-func (e *Experiment) Configuration(index int, listen string, lists []string, copies bool, more map[string]any) []byte {
-	c := clone(e.base)
-	c["name"] = fmt.Sprintf("balancer-%d", index+1)
-	maps.Copy(c, more)
-	c["seed"] = int64(e.Seed + uint64(index)*7919 + 1)
-	c["log"] = map[string]any{"level": "info"}
-	c["listeners"] = map[string]any{"lab": map[string]any{"address": listen}}
+// Configuration returns a balancer's configuration as TOML, with the extra top-level keys. lists are the addresses of its
+// discovery services by pool.
+func (exp *Experiment) Configuration(index int, listen string, lists []string, hedging bool, extra map[string]any) []byte {
+	config := cloneTable(exp.balancerConfig)
+	config["name"] = fmt.Sprintf("balancer-%d", index+1)
+	maps.Copy(config, extra)
+	config["seed"] = int64(exp.Seed + uint64(index)*7919 + 1)
+	config["log"] = map[string]any{"level": "info"}
+	config["listeners"] = map[string]any{"lab": map[string]any{"address": listen}}
 	var routes []any
-	pools := c["pools"].(map[string]any)
-	for n, name := range e.Pools {
-		p := clone(pools[name].(map[string]any))
-		pools[name] = p
-		p["protocol"], p["discovery"] = "platform", lists[n]
-		if p["peers"] != "cluster" {
-			p["index"] = int64(index)
-		} else if more["cluster"] == nil {
-			delete(p, "peers")
-			delete(p, "share_list")
-			p["index"] = int64(index)
-		}
-		p["balancers"] = int64(e.Balancers)
-		if !copies {
-			p["second_copies"] = false
+	pools := config["pools"].(map[string]any)
+	for n, name := range exp.Pools {
+		poolConfig := cloneTable(pools[name].(map[string]any))
+		pools[name] = poolConfig
+		poolConfig["protocol"], poolConfig["discovery"] = "platform", lists[n]
+		if poolConfig["peers"] != "cluster" {
+			poolConfig["index"] = int64(index)
+		} else if extra["cluster"] == nil {
+			delete(poolConfig, "peers")
+			delete(poolConfig, "share_list")
+			poolConfig["index"] = int64(index)
+		}
+		poolConfig["balancers"] = int64(exp.Balancers)
+		if !hedging {
+			poolConfig["second_copies"] = false
 		}
 		zones := []any{}
-		for _, g := range e.Groups {
+		for _, g := range exp.Groups {
 			if g.Pool == n && !slices.Contains(zones, any(g.Zone)) {
 				zones = append(zones, g.Zone)
 			}
 		}
-		if len(zones) > 0 && p["zones"] == nil {
-			p["zones"], p["zone"] = zones, zones[index%len(zones)]
+		if len(zones) > 0 && poolConfig["zones"] == nil {
+			poolConfig["zones"], poolConfig["zone"] = zones, zones[index%len(zones)]
 		}
-		routes = append(routes, map[string]any{"name": name, "hosts": []string{e.Host(n)}, "pool": name})
+		routes = append(routes, map[string]any{"name": name, "hosts": []string{exp.Host(n)}, "pool": name})
 	}
-	c["routes"] = routes
-	text, err := toml.Marshal(c)
+	config["routes"] = routes
+	text, err := toml.Marshal(config)
 	if err != nil {
-		panic(err) // it was read from such a text
+		panic(err) // can't happen: the values were read from TOML
 	}
 	return text
 }
 
-func clone(m map[string]any) map[string]any {
+func cloneTable(m map[string]any) map[string]any {
 	m = maps.Clone(m)
 	for k, v := range m {
 		if in, some := v.(map[string]any); some {
-			m[k] = clone(in)
+			m[k] = cloneTable(in)
 		}
 	}
 	return m
 }
 
-// configuration checks what a balancer would be told, and takes the tariffs from it.
-func (r *reader) configuration() {
-	if r.Finish() {
+// checkConfiguration checks the configuration of the first balancer, and takes the tariffs and cluster settings from it.
+func (rd *reader) checkConfiguration() {
+	if rd.Finish() {
 		return
 	}
-	lists := make([]string, len(r.e.Pools))
+	lists := make([]string, len(rd.experiment.Pools))
 	for i := range lists {
 		lists[i] = "127.0.0.1:1"
 	}
-	p, faults := plan.Parse(r.Name, r.e.Configuration(0, "127.0.0.1:1", lists, true, r.e.Clustered(0, Seat{Address: "127.0.0.1:2", Ops: "127.0.0.1:3", Dir: os.TempDir()})), os.LookupEnv)
+	p, faults := plan.Parse(rd.Name, rd.experiment.Configuration(0, "127.0.0.1:1", lists, true, rd.experiment.MemberConfiguration(0, Placement{Address: "127.0.0.1:2", Ops: "127.0.0.1:3", Dir: os.TempDir()})), os.LookupEnv)
 	for _, f := range faults {
 		if !f.Warning {
-			r.Fault(f.Key, "%s", f.Text)
+			rd.Fault(f.Key, "%s", f.Text)
 		}
 	}
 	if p == nil {
 		return
 	}
-	if r.e.Cluster != nil {
-		r.e.Cluster.Settings = p.Cluster
+	if rd.experiment.Cluster != nil {
+		rd.experiment.Cluster.Settings = p.Cluster
 	}
-	book := p.Pools[0].Settings
+	largest := p.Pools[0].Settings
 	for _, q := range p.Pools {
-		if len(q.Settings.Tariffs) > len(book.Tariffs) {
-			book = q.Settings
+		if len(q.Settings.Tariffs) > len(largest.Tariffs) {
+			largest = q.Settings
 		}
 	}
-	for _, f := range r.e.Tariffs {
-		if i, known := book.Tariffs[f.Name]; known {
-			f.Tariff = book.Engine.Tariffs[i]
+	for _, f := range rd.experiment.Tariffs {
+		if i, known := largest.Tariffs[f.Name]; known {
+			f.Tariff = largest.Engine.Tariffs[i]
 		} else {
-			r.Fault("tariffs."+f.Name, "one pool at least has all tariffs here")
+			rd.Fault("tariffs."+f.Name, "at least one pool must have all tariffs in an experiment")
 		}
 	}
 }
 
-// clients reads [[clients]].
-func (r *reader) clients(t *settings.Table) {
-	for n, u := range t.Tables("clients") {
-		c := &Clients{
-			Name: u.Text("name", fmt.Sprintf("clients-%d", n+1)), Pool: r.place(u, "pool", first(r.e.Pools), r.e.Pools),
-			Tariff: r.place(u, "tariff", first(r.e.tariffs()), r.e.tariffs()), Customer: u.Text("customer", ""),
-			Rate: u.Number("rate", 10, 0, 1e6) * r.rates, Shape: u.Choice("shape", "poisson", "poisson", "constant"),
-			Wave: u.Number("wave", 0, 0, 1), Period: r.scaled(u.Duration("period", 10*time.Second, time.Millisecond)),
-			Patience: int64(u.Duration("patience", 0, 0)), Retries: u.Int("retries", 0, 0, 100),
-			Pause: int64(u.Duration("pause", 100*time.Millisecond, 0)), Heeds: u.Bool("heeds_advice", true), Marks: u.Bool("marks_retries", true),
-			Kept: u.Choice("connections", "kept", "kept", "new") == "kept", Body: int(u.Size("body", 0, 0)),
-			Keyed: u.Bool("keyed", false), Repeats: u.Bool("repeats", false), After: int64(u.Duration("again_after", 0, 0)),
+// readClients reads [[clients]].
+func (rd *reader) readClients(t *settings.Table) {
+	for n, table := range t.Tables("clients") {
+		clients := &Clients{
+			Name: table.Text("name", fmt.Sprintf("clients-%d", n+1)), Pool: rd.readIndex(table, "pool", first(rd.experiment.Pools), rd.experiment.Pools),
+			Tariff: rd.readIndex(table, "tariff", first(rd.experiment.tariffNames()), rd.experiment.tariffNames()), Customer: table.Text("customer", ""),
+			Rate: table.Number("rate", 10, 0, 1e6) * rd.rateScale, Shape: table.Choice("shape", "poisson", "poisson", "constant"),
+			Wave: table.Number("wave", 0, 0, 1), Period: rd.scaled(table.Duration("period", 10*time.Second, time.Millisecond)),
+			Timeout: int64(table.Duration("patience", 0, 0)), Retries: table.Int("retries", 0, 0, 100),
+			RetryDelay: int64(table.Duration("pause", 100*time.Millisecond, 0)), FollowsAdvice: table.Bool("heeds_advice", true), MarksRetries: table.Bool("marks_retries", true),
+			KeepsConnections: table.Choice("connections", "kept", "kept", "new") == "kept", Body: int(table.Size("body", 0, 0)),
+			SendsKey: table.Bool("keyed", false), RepeatsByKey: table.Bool("repeats", false), HedgeAfter: int64(table.Duration("again_after", 0, 0)),
 		}
-		if c.After > 0 && !c.Repeats {
-			r.Fault(settings.JoinPath(u.Path, "again_after"), "asks a second time while the first is out, which is for clients that say repeats = true")
+		if clients.HedgeAfter > 0 && !clients.RepeatsByKey {
+			rd.Fault(settings.JoinPath(table.Path, "again_after"), "sends a second request while the first is unanswered, which requires repeats = true")
 		}
-		if c.Customer != "" && !slices.Contains(r.e.Customers, c.Customer) {
-			r.Fault(settings.JoinPath(u.Path, "customer"), "%q is no customer", c.Customer)
+		if clients.Customer != "" && !slices.Contains(rd.experiment.Customers, clients.Customer) {
+			rd.Fault(settings.JoinPath(table.Path, "customer"), "%q is not a customer", clients.Customer)
 		}
-		if len(r.e.Tariffs) > c.Tariff && r.e.Tariffs[c.Tariff].Tariff != nil && c.Patience == 0 {
-			c.Patience = r.e.Tariffs[c.Tariff].HardStop
+		if len(rd.experiment.Tariffs) > clients.Tariff && rd.experiment.Tariffs[clients.Tariff].Tariff != nil && clients.Timeout == 0 {
+			clients.Timeout = rd.experiment.Tariffs[clients.Tariff].HardStop
 		}
-		for _, s := range u.Tables("steps") {
-			c.Steps = append(c.Steps, Step{r.scaled(s.Duration("at", 0, 0)), s.Number("factor", 1, 0, 1e4)})
+		for _, s := range table.Tables("steps") {
+			clients.Steps = append(clients.Steps, Step{rd.scaled(s.Duration("at", 0, 0)), s.Number("factor", 1, 0, 1e4)})
 			s.ReportUnknownKeys()
 		}
-		if file := u.Text("trace", ""); file != "" {
-			c.Trace = r.times(u, "trace", file)
-			slices.Sort(c.Trace)
+		if file := table.Text("trace", ""); file != "" {
+			clients.Trace = rd.readTimes(table, "trace", file)
+			slices.Sort(clients.Trace)
 		}
-		u.ReportUnknownKeys()
-		r.e.Clients = append(r.e.Clients, c)
+		table.ReportUnknownKeys()
+		rd.experiment.Clients = append(rd.experiment.Clients, clients)
 	}
-	if len(r.e.Clients) == 0 {
-		r.Fault("clients", "there are none; write [[clients]] with a pool, a tariff and a rate")
+	if len(rd.experiment.Clients) == 0 {
+		rd.Fault("clients", "no clients are defined; write [[clients]] with a pool, a tariff and a rate")
 	}
 }
 
-func (r *reader) scaled(d time.Duration) int64 { return int64(float64(d) * r.scale) }
+func (rd *reader) scaled(d time.Duration) int64 { return int64(float64(d) * rd.timeScale) }
 
-// faults reads [[faults]]; which upstreams a share meets is drawn here, so that it is part of the plan.
-func (r *reader) faults(t *settings.Table) {
-	for n, u := range t.Tables("faults") {
-		f := &Fault{
-			Kind: u.Choice("kind", "", kinds...), At: r.scaled(u.Duration("at", 0, 0)), For: r.scaled(u.Duration("for", 0, 0)),
-			Factor: u.Number("factor", 0, 0, 1e4), Pool: r.place(u, "pool", first(r.e.Pools), r.e.Pools),
-			Name: u.Text("name", ""), After: u.Text("after", ""), Moves: u.Bool("moves", false),
+// readFaults reads [[faults]]. It also draws the upstreams or balancers that a share selects, so that they are part of the
+// plan.
+func (rd *reader) readFaults(t *settings.Table) {
+	for n, table := range t.Tables("faults") {
+		fault := &Fault{
+			Kind: table.Choice("kind", "", faultKinds...), At: rd.scaled(table.Duration("at", 0, 0)), For: rd.scaled(table.Duration("for", 0, 0)),
+			Factor: table.Number("factor", 0, 0, 1e4), Pool: rd.readIndex(table, "pool", first(rd.experiment.Pools), rd.experiment.Pools),
+			Name: table.Text("name", ""), After: table.Text("after", ""), ChangesAddress: table.Bool("moves", false),
 		}
-		r.linkFault(u, f)
-		if f.After != "" && !slices.ContainsFunc(r.e.Faults, func(g *Fault) bool { return g.Name == f.After }) {
-			r.Fault(settings.JoinPath(u.Path, "after"), "no fault before it is called %q", f.After)
+		rd.readLinkFault(table, fault)
+		if fault.After != "" && !slices.ContainsFunc(rd.experiment.Faults, func(drawn *Fault) bool { return drawn.Name == fault.After }) {
+			rd.Fault(settings.JoinPath(table.Path, "after"), "no earlier fault has the name %q", fault.After)
 		}
-		share, times := u.Number("share", 1, 0, 1), u.Int("times", 1, 1, 1000)
-		within := r.scaled(u.Duration("within", 0, 0))
-		named := u.Strings("upstreams")
-		balancers := u.Strings("balancers")
-		u.ReportUnknownKeys()
-		chance := chanceOf(r.e.Seed, "fault", n)
+		share, times := table.Number("share", 1, 0, 1), table.Int("times", 1, 1, 1000)
+		within := rd.scaled(table.Duration("within", 0, 0))
+		named := table.Strings("upstreams")
+		balancers := table.Strings("balancers")
+		table.ReportUnknownKeys()
+		random := randomSource(rd.experiment.Seed, "fault", n)
 		for range times {
-			g := *f
+			drawn := *fault
 			if within > 0 {
-				g.At += chance.Int64N(within)
+				drawn.At += random.Int64N(within)
 			}
-			if f.Link != nil {
-				g.Link = r.chosen(f.Link, chance)
-			} else if strings.HasPrefix(f.Kind, "balancer-") || strings.HasPrefix(f.Kind, "disk-") || f.Kind == "keeper-replace" {
-				g.Balancers = r.balancers(u, balancers, share, chance.Perm(r.e.Balancers))
-			} else if !strings.HasPrefix(f.Kind, "list-") || f.Kind == "list-lacks" {
-				var all []int
-				for i, up := range r.e.Upstreams {
+			if fault.Link != nil {
+				drawn.Link = rd.sampleLink(fault.Link, random)
+			} else if strings.HasPrefix(fault.Kind, "balancer-") || strings.HasPrefix(fault.Kind, "disk-") || fault.Kind == "keeper-replace" {
+				drawn.Balancers = rd.balancerIndexes(table, balancers, share, random.Perm(rd.experiment.Balancers))
+			} else if !strings.HasPrefix(fault.Kind, "list-") || fault.Kind == "list-lacks" {
+				var candidates []int
+				for i, up := range rd.experiment.Upstreams {
 					if len(named) == 0 || slices.Contains(named, up.Name) || slices.Contains(named, up.Group.Name) {
-						all = append(all, i)
+						candidates = append(candidates, i)
 					}
 				}
-				if len(all) == 0 {
-					r.Fault(settings.JoinPath(u.Path, "upstreams"), "no upstream and no group is called so")
+				if len(candidates) == 0 {
+					rd.Fault(settings.JoinPath(table.Path, "upstreams"), "no upstream and no group has this name")
 				}
-				chance.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-				g.Upstreams = all[:int(share*float64(len(all))+0.999)]
-				slices.Sort(g.Upstreams)
+				random.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
+				drawn.Upstreams = candidates[:int(share*float64(len(candidates))+0.999)]
+				slices.Sort(drawn.Upstreams)
 			}
-			r.e.Faults = append(r.e.Faults, &g)
+			rd.experiment.Faults = append(rd.experiment.Faults, &drawn)
 		}
 	}
-	slices.SortStableFunc(r.e.Faults, func(a, b *Fault) int { return int(max(-1, min(1, a.At-b.At))) })
+	slices.SortStableFunc(rd.experiment.Faults, func(a, b *Fault) int { return int(max(-1, min(1, a.At-b.At))) })
 }
 
-func (r *reader) balancers(t *settings.Table, named []string, share float64, order []int) (all []int) {
+func (rd *reader) balancerIndexes(t *settings.Table, named []string, share float64, order []int) (all []int) {
 	for _, name := range named {
 		if name == "owner" {
-			all = append(all, Owner)
+			all = append(all, DutyOwner)
 			continue
 		}
 		n, err := strconv.Atoi(strings.TrimPrefix(name, "b"))
-		if err != nil || n < 1 || n > r.e.Balancers {
-			r.Fault(settings.JoinPath(t.Path, "balancers"), "%q is no balancer, which are counted from \"1\"", name)
+		if err != nil || n < 1 || n > rd.experiment.Balancers {
+			rd.Fault(settings.JoinPath(t.Path, "balancers"), "%q is not a balancer; balancers are numbered from \"1\"", name)
 			continue
 		}
 		all = append(all, n-1)
@@ -579,31 +582,31 @@
 	return all
 }
 
-// verdict reads what is wanted.
-func (r *reader) verdict(t *settings.Table) {
-	v := t.Table("verdict")
-	for i, name := range v.Strings("convicts") {
-		if !slices.Contains(r.e.Variants, name) {
-			r.Fault(fmt.Sprintf("verdict.convicts[%d]", i), "%q is no variant of this experiment", name)
+// readVerdict reads [verdict].
+func (rd *reader) readVerdict(t *settings.Table) {
+	table := t.Table("verdict")
+	for i, name := range table.Strings("convicts") {
+		if !slices.Contains(rd.experiment.Variants, name) {
+			rd.Fault(fmt.Sprintf("verdict.convicts[%d]", i), "%q is not a variant of this experiment", name)
 		}
-		r.e.Convicts = append(r.e.Convicts, name)
+		rd.experiment.MustBreakRules = append(rd.experiment.MustBreakRules, name)
 	}
 	for _, key := range []string{"always", "full"} {
-		for i, text := range v.Strings(key) {
-			c, err := r.condition(text)
+		for i, text := range table.Strings(key) {
+			condition, err := rd.parseCondition(text)
 			if err != "" {
-				r.Fault(fmt.Sprintf("verdict.%s[%d]", key, i), "%q: %s", text, err)
+				rd.Fault(fmt.Sprintf("verdict.%s[%d]", key, i), "%q: %s", text, err)
 				continue
 			}
-			if c.Always = key == "always"; c.Always || !r.e.Short {
-				r.e.Verdict = append(r.e.Verdict, c)
+			if condition.Always = key == "always"; condition.Always || !rd.experiment.Short {
+				rd.experiment.Verdict = append(rd.experiment.Verdict, condition)
 			}
 		}
 	}
-	v.ReportUnknownKeys()
+	table.ReportUnknownKeys()
 }
 
-func (r *reader) condition(text string) (c Condition, fault string) {
+func (rd *reader) parseCondition(text string) (c Condition, fault string) {
 	words := strings.Fields(text)
 	c.Text = text
 	if len(words) != 3 && len(words) != 5 {
@@ -613,38 +616,38 @@
 		return c, words[1] + " is none of < <= > >= =="
 	}
 	c.Op = words[1]
-	if c.Left, fault = r.figure(words[0]); fault != "" {
+	if c.Left, fault = rd.parseFigure(words[0]); fault != "" {
 		return c, fault
 	}
-	if c.Right, fault = r.figure(words[2]); fault != "" {
+	if c.Right, fault = rd.parseFigure(words[2]); fault != "" {
 		return c, fault
 	}
 	if len(words) == 5 {
 		plus, err := strconv.ParseFloat(words[4], 64)
 		if err != nil || words[3] != "+" && words[3] != "-" {
-			return c, "after the right side comes + or - and a number"
+			return c, "the right side may only be followed by + or - and a number"
 		}
-		if c.Plus = plus; words[3] == "-" {
-			c.Plus = -plus
+		if c.Offset = plus; words[3] == "-" {
+			c.Offset = -plus
 		}
 	}
 	return c, ""
 }
 
-func (r *reader) figure(word string) (f Figure, fault string) {
+func (rd *reader) parseFigure(word string) (f Figure, fault string) {
 	if n, err := strconv.ParseFloat(word, 64); err == nil {
 		return Figure{Number: n}, ""
 	}
 	variant, name, _ := strings.Cut(word, ".")
-	if !slices.Contains(r.e.Variants, variant) {
-		return f, fmt.Sprintf("%q is no variant of this experiment", variant)
+	if !slices.Contains(rd.experiment.Variants, variant) {
+		return f, fmt.Sprintf("%q is not a variant of this experiment", variant)
 	}
 	base, of, _ := strings.Cut(name, ":")
 	if !slices.Contains(Figures, base) {
 		return f, fmt.Sprintf("%q is none of %s", base, strings.Join(Figures, ", "))
 	}
-	if of != "" && !slices.Contains(r.e.tariffs(), of) && !slices.Contains(r.e.Pools, of) && !slices.Contains(r.e.Customers, of) {
-		return f, fmt.Sprintf("%q is no tariff, pool or customer", of)
+	if of != "" && !slices.Contains(rd.experiment.tariffNames(), of) && !slices.Contains(rd.experiment.Pools, of) && !slices.Contains(rd.experiment.Customers, of) {
+		return f, fmt.Sprintf("%q is not a tariff, pool or customer", of)
 	}
 	return Figure{Variant: variant, Name: name}, ""
 }
--- a/internal/lab/spec/spec_test.go
+++ b/internal/lab/spec/spec_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// The experiments there are are in order, in both forms.
-func TestExperimentsAreInOrder(t *testing.T) {
+// All experiment files of the repository parse without faults, in the full and the short form.
+func TestExperimentFilesAreValid(t *testing.T) {
 	files, _ := filepath.Glob("../../../experiments/*.toml")
 	if len(files) < 6 {
 		t.Fatalf("%v", files)
@@ -26,9 +26,9 @@
 	}
 }
 
-// The same seed plays the same load and faults, byte for byte; another seed another; and clients or faults that are added
-// change nobody else's.
-func TestPlanHangsOnTheSeedAlone(t *testing.T) {
+// The same seed gives the same plan byte for byte, another seed another plan, and clients or faults that are added do not
+// change the rest of the plan.
+func TestPlanDependsOnSeedOnly(t *testing.T) {
 	text, err := os.ReadFile("../../../experiments/hang.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -44,10 +44,10 @@
 	}
 	one := write(string(text))
 	if one != write(string(text)) {
-		t.Error("the same seed plays another plan")
+		t.Error("the same seed gives a different plan")
 	}
 	if one == write(strings.Replace(string(text), "seed = 11", "seed = 12", 1)) {
-		t.Error("another seed plays the same plan")
+		t.Error("another seed gives the same plan")
 	}
 	more := write(string(text) + "\n[[clients]]\nname = \"others\"\nrate = 5\n[[faults]]\nkind = \"slow\"\nat = \"1s\"\nfor = \"1s\"\nfactor = 2\nshare = 0.3\n")
 	var kept []string
@@ -57,12 +57,12 @@
 		}
 	}
 	if strings.Join(kept, "\n") != one {
-		t.Error("what was added changes the rest of the plan")
+		t.Error("the added clients and fault change the rest of the plan")
 	}
 }
 
-// All that is wrong with an experiment is named with its line.
-func TestFaults(t *testing.T) {
+// Every fault of an experiment file is reported with its line.
+func TestFaultsAreReportedWithTheirLine(t *testing.T) {
 	_, faults := Parse("x.toml", []byte(`title = "x"
 length = "2s"
 settle = "3s"
@@ -91,13 +91,13 @@
 	}
 	all := strings.Join(said, "\n")
 	for _, want := range []string{
-		"x.toml:3: settle: leaves nothing", `x.toml:4: variants[0]: "desing" is none of`, `x.toml:8: work.veiw: "veiw" is no tariff`,
+		"x.toml:3: settle: leaves nothing", `x.toml:4: variants[0]: "desing" is none of`, `x.toml:8: work.veiw: "veiw" is not a tariff`,
 		"x.toml:13: upstreams.album.cout: is no key here; count is", `x.toml:15: clients[0].tariff: "v" is none of view`,
 		"x.toml:16: clients[0].rate: -1 lies outside", `x.toml:18: faults[0].kind: "hangs" is none of`,
-		"x.toml:19: faults[0].upstreams: no upstream and no group", `x.toml:21: verdict.always[1]: "x": write it as`,
+		"x.toml:19: faults[0].upstreams: no upstream and no group has this name", `x.toml:21: verdict.always[1]: "x": write it as`,
 	} {
 		if !strings.Contains(all, want) {
-			t.Errorf("not said: %s", want)
+			t.Errorf("not reported: %s", want)
 		}
 	}
 	_, faults = Parse("x.toml", []byte("title = \"x\"\n[tariffs.view]\ncontract_time = \"2s\"\nhard_stop = \"1s\"\n[pools.album]\nmax_pushs = 3\n"+
@@ -108,7 +108,7 @@
 	}
 	for _, want := range []string{"x.toml:3: tariffs.view.contract_time: 2s is beyond", "x.toml:6: pools.album.max_pushs: is no key here; max_pushes is"} {
 		if !strings.Contains(all, want) {
-			t.Errorf("not said: %s in\n%s", want, all)
+			t.Errorf("not reported: %s in\n%s", want, all)
 		}
 	}
 }
