--- a/internal/lab/judge/cluster.go
+++ b/internal/lab/judge/cluster.go
@@ -43,7 +43,9 @@
 	}
 	balancers := ev.experiment.Balancers
 	settings := ev.experiment.Cluster.Settings
-	checker := &clusterChecker{evaluator: ev, experiment: ev.experiment, run: ev.run, deathBound: int64(settings.DeathBound(balancers)) + observationSlack, convergenceBound: int64(settings.ConvergenceBound(balancers)) + observationSlack}
+	checker := &clusterChecker{evaluator: ev, experiment: ev.experiment, run: ev.run,
+		deathBound:       int64(settings.DeathBound(balancers)) + observationSlack,
+		convergenceBound: int64(settings.ConvergenceBound(balancers)) + observationSlack}
 	slices.SortStableFunc(ev.run.Views, func(a, b record.View) int { return int(max(-1, min(1, a.At-b.At))) })
 	for _, rule := range clusterRules {
 		before := checker.breaches
@@ -52,12 +54,15 @@
 	}
 	figures := ev.result.Figures
 	figures["cluster"] = float64(checker.breaches)
-	figures["death_seen"], figures["death_bound"] = float64(checker.slowestDetection)/float64(second), float64(checker.deathBound)/float64(second)
+	figures["death_seen"], figures["death_bound"] = float64(checker.slowestDetection)/float64(second),
+		float64(checker.deathBound)/float64(second)
 	if ev.experiment.Cluster.Voters > 0 {
-		figures["no_owner"], figures["no_owner_bound"] = float64(checker.longestWithoutOwner)/float64(second), float64(int64(settings.NoOwnerBound(balancers))+observationSlack)/float64(second)
+		figures["no_owner"], figures["no_owner_bound"] = float64(checker.longestWithoutOwner)/float64(second),
+			float64(int64(settings.NoOwnerBound(balancers))+observationSlack)/float64(second)
 		figures["refused"] = float64(ev.run.Refused)
 	}
-	figures["views_back"], figures["views_bound"] = float64(checker.slowestConvergence)/float64(second), float64(checker.convergenceBound)/float64(second)
+	figures["views_back"], figures["views_bound"] = float64(checker.slowestConvergence)/float64(second),
+		float64(checker.convergenceBound)/float64(second)
 }
 
 func (cc *clusterChecker) recordBreach(rule, text string, values ...any) {
@@ -148,32 +153,33 @@
 // and a superseded run knows that it is superseded.
 func (cc *clusterChecker) checkViews() {
 	lastWrongView := map[int64]int64{} // by the end of the disturbance: how long after it a wrong view was last seen
-	for _, v := range cc.run.Views {
-		last, still := cc.lastDisturbance(v.At)
-		p := cc.run.Processes[v.Process]
-		if still || p.To != 0 && v.At >= p.To {
+	for _, view := range cc.run.Views {
+		last, still := cc.lastDisturbance(view.At)
+		process := cc.run.Processes[view.Process]
+		if still || process.To != 0 && view.At >= process.To {
 			continue
 		}
-		want, known := cc.expectedAlive(v.At)
+		want, known := cc.expectedAlive(view.At)
 		if !known {
 			continue
 		}
-		old := cc.superseded(v.Process, v.At)
-		ok := v.Over == old && (old || slices.Equal(v.Alive, want))
+		old := cc.superseded(view.Process, view.At)
+		ok := view.Over == old && (old || slices.Equal(view.Alive, want))
 		if ok {
 			continue
 		}
-		lastWrongView[last] = max(lastWrongView[last], v.At-last)
-		if v.At-last > cc.convergenceBound {
-			what := fmt.Sprintf("it shows %s as alive, but %s are running", formatRuns(v.Alive), formatRuns(want))
-			if v.Over != old {
+		lastWrongView[last] = max(lastWrongView[last], view.At-last)
+		if view.At-last > cc.convergenceBound {
+			what := fmt.Sprintf("it shows %s as alive, but %s are running", formatRuns(view.Alive), formatRuns(want))
+			if view.Over != old {
 				what = "it does not know that a newer run supersedes it"
-				if v.Over {
+				if view.Over {
 					what = "it reports being superseded, but is the newest run of its member"
 				}
 			}
-			cc.recordBreach("views", "view of %s at %s, %.1f s after the last disturbance (limit %.1f s): %s", cc.runName(v.Process), formatTime(v.At),
-				float64(v.At-last)/float64(second), float64(cc.convergenceBound)/float64(second), what)
+			cc.recordBreach("views", "view of %s at %s, %.1f s after the last disturbance (limit %.1f s): %s",
+				cc.runName(view.Process), formatTime(view.At),
+				float64(view.At-last)/float64(second), float64(cc.convergenceBound)/float64(second), what)
 		}
 	}
 	for _, t := range lastWrongView {
@@ -192,24 +198,27 @@
 
 // checkDeaths checks that no view shows a killed process as alive for longer than the stated bound while all links work.
 func (cc *clusterChecker) checkDeaths() {
-	for _, p := range cc.run.Processes {
-		id := p.ID(p.To)
-		if p.To == 0 || id == "" {
+	for _, process := range cc.run.Processes {
+		id := process.ID(process.To)
+		if process.To == 0 || id == "" {
 			continue
 		}
 		reported := false
-		for _, v := range cc.run.Views {
-			if v.At < p.To || !slices.Contains(v.Alive, id) || v.Over {
+		for _, view := range cc.run.Views {
+			if view.At < process.To || !slices.Contains(view.Alive, id) || view.Over {
 				continue
 			}
-			q := cc.run.Processes[v.Process]
-			if q.ID(v.At) == id || cc.anyLinkFaulty(p.To, v.At) || cc.stopped(v.Process, p.To, v.At) || q.To != 0 && v.At > q.To || q.From > p.To {
+			observer := cc.run.Processes[view.Process]
+			if observer.ID(view.At) == id || cc.anyLinkFaulty(process.To, view.At) ||
+				cc.stopped(view.Process, process.To, view.At) || observer.To != 0 && view.At > observer.To ||
+				observer.From > process.To {
 				continue
 			}
-			cc.slowestDetection = max(cc.slowestDetection, v.At-p.To)
-			if v.At-p.To > cc.deathBound && !reported {
+			cc.slowestDetection = max(cc.slowestDetection, view.At-process.To)
+			if view.At-process.To > cc.deathBound && !reported {
 				reported = true
-				cc.recordBreach("deaths", "view of %s shows %s as alive %.1f s after its death (limit %.1f s)", cc.runName(v.Process), id, float64(v.At-p.To)/float64(second),
+				cc.recordBreach("deaths", "view of %s shows %s as alive %.1f s after its death (limit %.1f s)",
+					cc.runName(view.Process), id, float64(view.At-process.To)/float64(second),
 					float64(cc.deathBound)/float64(second))
 			}
 		}
@@ -233,23 +242,26 @@
 	reported := map[string]bool{}
 	claims := slices.Clone(cc.run.Claims)
 	slices.SortStableFunc(claims, func(a, b record.Claim) int { return cmp.Compare(a.At, b.At) })
-	for _, c := range claims {
-		h := highest[c.Duty]
+	for _, claim := range claims {
+		highestClaim := highest[claim.Duty]
 		switch {
-		case c.Token > h.token:
-			highest[c.Duty] = claimed{c.Token, c.Process, c.At}
-		case c.Token < h.token && c.At > h.at+observationSlack/3 && !reported[fmt.Sprint(c.Duty, c.Process, c.Token)]:
-			reported[fmt.Sprint(c.Duty, c.Process, c.Token)] = true
-			cc.recordBreach("owners", "%s may act on %s under token %d at %s, but %s has claimed it under token %d since %s", cc.runName(c.Process), c.Duty, c.Token, formatTime(c.At), cc.runName(h.process),
-				h.token, formatTime(h.at))
-		}
-		if before, some := lastClaim[c.Duty]; some {
-			before = max(before, cc.lastWithoutMajority(before, c.At))
-			cc.longestWithoutOwner = max(cc.longestWithoutOwner, c.At-before)
-			if limit := int64(cc.experiment.Cluster.Settings.NoOwnerBound(cc.experiment.Balancers)) + observationSlack; c.At-before > limit {
-				cc.recordBreach("owners", "duty %s had no owner from %s to %s (limit %.1f s)", c.Duty, formatTime(before), formatTime(c.At), float64(limit)/float64(second))
+		case claim.Token > highestClaim.token:
+			highest[claim.Duty] = claimed{claim.Token, claim.Process, claim.At}
+		case claim.Token < highestClaim.token && claim.At > highestClaim.at+observationSlack/3 &&
+			!reported[fmt.Sprint(claim.Duty, claim.Process, claim.Token)]:
+			reported[fmt.Sprint(claim.Duty, claim.Process, claim.Token)] = true
+			cc.recordBreach("owners", "%s may act on %s under token %d at %s, but %s has claimed it under token %d since %s",
+				cc.runName(claim.Process), claim.Duty, claim.Token, formatTime(claim.At), cc.runName(highestClaim.process),
+				highestClaim.token, formatTime(highestClaim.at))
+		}
+		if before, some := lastClaim[claim.Duty]; some {
+			before = max(before, cc.lastWithoutMajority(before, claim.At))
+			cc.longestWithoutOwner = max(cc.longestWithoutOwner, claim.At-before)
+			if limit := int64(cc.experiment.Cluster.Settings.NoOwnerBound(cc.experiment.Balancers)) + observationSlack; claim.At-before > limit {
+				cc.recordBreach("owners", "duty %s had no owner from %s to %s (limit %.1f s)", claim.Duty,
+					formatTime(before), formatTime(claim.At), float64(limit)/float64(second))
 			}
 		}
-		lastClaim[c.Duty] = c.At
+		lastClaim[claim.Duty] = claim.At
 	}
 }
--- a/internal/lab/judge/judge.go
+++ b/internal/lab/judge/judge.go
@@ -73,7 +73,8 @@
 
 // Judge evaluates a run of an experiment.
 func Judge(experiment *spec.Experiment, run *record.Run) *Result {
-	ev := &evaluator{experiment: experiment, run: run, result: &Result{Figures: map[string]float64{}}, requestByID: map[string]int{}}
+	ev := &evaluator{experiment: experiment, run: run, result: &Result{Figures: map[string]float64{}},
+		requestByID: map[string]int{}}
 	for i, t := range run.Tries {
 		ev.requestByID[t.ID] = i
 	}
@@ -86,7 +87,8 @@
 	ev.checkEffects(arrived)
 	ev.checkDrains()
 	for _, o := range run.Overfed {
-		ev.recordBreach(4, "%s was sent %.1f times its capacity while cold, at %s", experiment.Upstreams[o.Upstream].Name, o.Of, formatTime(o.At))
+		ev.recordBreach(4, "%s was sent %.1f times its capacity while cold, at %s",
+			experiment.Upstreams[o.Upstream].Name, o.Of, formatTime(o.At))
 	}
 	ev.computeService(arrived)
 	total := 0
@@ -129,33 +131,38 @@
 // checkAnswers checks rule 1: each accepted transaction gets exactly one final answer before its hard stop, and no
 // attempt is sent after that answer.
 func (ev *evaluator) checkAnswers(arrived map[string][]record.Arrival) {
-	for _, t := range ev.run.Tries {
-		if t.Extra {
-			ev.recordBreach(1, "%s got more than one answer, or the answer to another request, from balancer %d", t.ID, t.Balancer+1)
+	for _, request := range ev.run.Tries {
+		if request.Extra {
+			ev.recordBreach(1, "%s got more than one answer, or the answer to another request, from balancer %d",
+				request.ID, request.Balancer+1)
 		}
-		if t.Sent == 0 || t.Group < 0 {
+		if request.Sent == 0 || request.Group < 0 {
 			continue
 		}
-		stop := t.Sent + t.Left + limitMargin
-		if ev.excused(t.Balancer, t.Sent, stop) {
+		stop := request.Sent + request.Left + limitMargin
+		if ev.excused(request.Balancer, request.Sent, stop) {
 			continue
 		}
 		switch {
-		case t.Status == 0 && t.Closed:
-			ev.recordBreach(1, "%s, sent at %s: connection closed without an answer", t.ID, formatTime(t.Sent))
-		case t.Status == 0:
-			ev.recordBreach(1, "%s, sent at %s to balancer %d with %.0f ms left, got no answer by its hard stop", t.ID, formatTime(t.Sent), t.Balancer+1, float64(t.Left)/float64(ms))
-		case t.Answered > stop:
-			ev.recordBreach(1, "%s, sent at %s to balancer %d with %.0f ms left, was answered with status %d, %.0f ms after its hard stop", t.ID, formatTime(t.Sent), t.Balancer+1,
-				float64(t.Left)/float64(ms), t.Status, float64(t.Answered-stop+limitMargin)/float64(ms))
+		case request.Status == 0 && request.Closed:
+			ev.recordBreach(1, "%s, sent at %s: connection closed without an answer", request.ID, formatTime(request.Sent))
+		case request.Status == 0:
+			ev.recordBreach(1, "%s, sent at %s to balancer %d with %.0f ms left, got no answer by its hard stop",
+				request.ID, formatTime(request.Sent), request.Balancer+1, float64(request.Left)/float64(ms))
+		case request.Answered > stop:
+			ev.recordBreach(1, "%s, sent at %s to balancer %d with %.0f ms left, was answered with status %d, %.0f ms after its hard stop",
+				request.ID, formatTime(request.Sent), request.Balancer+1,
+				float64(request.Left)/float64(ms), request.Status, float64(request.Answered-stop+limitMargin)/float64(ms))
 		}
-		end := t.Answered
+		end := request.Answered
 		if end == 0 {
 			end = stop
 		}
-		for _, a := range arrived[t.ID] {
-			if a.At > end+limitMargin {
-				ev.recordBreach(1, "attempt of %s reached %s at %s, %.0f ms after balancer %d had answered", t.ID, ev.experiment.Upstreams[a.Upstream].Name, formatTime(a.At), float64(a.At-end)/float64(ms), t.Balancer+1)
+		for _, arrival := range arrived[request.ID] {
+			if arrival.At > end+limitMargin {
+				ev.recordBreach(1, "attempt of %s reached %s at %s, %.0f ms after balancer %d had answered",
+					request.ID, ev.experiment.Upstreams[arrival.Upstream].Name, formatTime(arrival.At),
+					float64(arrival.At-end)/float64(ms), request.Balancer+1)
 			}
 		}
 	}
@@ -164,38 +171,40 @@
 // checkEffects checks rule 2: no transaction takes effect twice, and a deferred transaction is safe to repeat.
 func (ev *evaluator) checkEffects(arrived map[string][]record.Arrival) {
 	runsByRoot := map[uint64]int{} // for once-only transactions, over all requests of their clients
-	for _, t := range ev.run.Tries {
-		if t.Group < 0 {
+	for _, request := range ev.run.Tries {
+		if request.Group < 0 {
 			continue
 		}
-		tariff := ev.experiment.Tariffs[t.Tariff]
+		tariff := ev.experiment.Tariffs[request.Tariff]
 		if tariff.Idempotency == logic.Idempotent {
 			continue
 		}
 		runs, effects, first := 0, 0, int64(0)
-		for _, a := range arrived[t.ID] {
-			if a.Ran {
+		for _, arrival := range arrived[request.ID] {
+			if arrival.Ran {
 				if runs++; runs == 1 {
-					first = a.At
+					first = arrival.At
 				}
 			}
-			if a.Effect != 0 && !a.Dropped && (effects == 0 || a.At < first+tariff.DedupWindow) {
+			if arrival.Effect != 0 && !arrival.Dropped && (effects == 0 || arrival.At < first+tariff.DedupWindow) {
 				effects++
 			}
 		}
 		switch {
 		case tariff.Idempotency == logic.NonIdempotent && runs > 1:
-			ev.recordBreach(2, "once-only %s may have run %d times", t.ID, runs)
+			ev.recordBreach(2, "once-only %s may have run %d times", request.ID, runs)
 		case tariff.Idempotency == logic.Keyed && effects > 1:
-			ev.recordBreach(2, "tagged %s took effect %d times within its deduplication window", t.ID, effects)
-		case (t.Status == 503 || t.Status == 429) && runs > 0 && !(tariff.Idempotency == logic.Keyed && tariff.DedupScope == logic.Everywhere):
-			ev.recordBreach(2, "%s was answered with status %d, which says that a repeat is safe, but may have run", t.ID, t.Status)
+			ev.recordBreach(2, "tagged %s took effect %d times within its deduplication window", request.ID, effects)
+		case (request.Status == 503 || request.Status == 429) && runs > 0 &&
+			!(tariff.Idempotency == logic.Keyed && tariff.DedupScope == logic.Everywhere):
+			ev.recordBreach(2, "%s was answered with status %d, which says that a repeat is safe, but may have run",
+				request.ID, request.Status)
 		}
-		if tariff.Idempotency == logic.NonIdempotent && t.Group < len(ev.experiment.Clients) {
-			if before := runsByRoot[t.Root]; before > 0 && runs > 0 {
-				ev.recordBreach(2, "once-only %016x ran again after its client was told that a retry is safe", t.Root)
+		if tariff.Idempotency == logic.NonIdempotent && request.Group < len(ev.experiment.Clients) {
+			if before := runsByRoot[request.Root]; before > 0 && runs > 0 {
+				ev.recordBreach(2, "once-only %016x ran again after its client was told that a retry is safe", request.Root)
 			}
-			runsByRoot[t.Root] += runs
+			runsByRoot[request.Root] += runs
 		}
 	}
 }
@@ -207,14 +216,14 @@
 	for _, t := range ev.run.Told {
 		reports[key{t.Balancer, t.Upstream}] = append(reports[key{t.Balancer, t.Upstream}], t)
 	}
-	for _, a := range ev.run.Arrived {
-		i, known := ev.requestByID[a.ID]
+	for _, arrival := range ev.run.Arrived {
+		i, known := ev.requestByID[arrival.ID]
 		if !known {
 			continue
 		}
 		notServingSince := int64(-1) // when the balancer was first told so; -1 while it holds the upstream to be serving
-		for _, t := range reports[key{ev.run.Tries[i].Balancer, a.Upstream}] {
-			if t.At > a.At {
+		for _, t := range reports[key{ev.run.Tries[i].Balancer, arrival.Upstream}] {
+			if t.At > arrival.At {
 				break
 			}
 			if t.Serving {
@@ -223,8 +232,10 @@
 				notServingSince = t.At
 			}
 		}
-		if notServingSince >= 0 && a.At > notServingSince+drainGrace+limitMargin && !ev.excused(ev.run.Tries[i].Balancer, notServingSince, a.At) {
-			ev.recordBreach(3, "%s got %s %.2f s after the balancer was told that it drains", ev.experiment.Upstreams[a.Upstream].Name, a.ID, float64(a.At-notServingSince)/float64(second))
+		if notServingSince >= 0 && arrival.At > notServingSince+drainGrace+limitMargin &&
+			!ev.excused(ev.run.Tries[i].Balancer, notServingSince, arrival.At) {
+			ev.recordBreach(3, "%s got %s %.2f s after the balancer was told that it drains",
+				ev.experiment.Upstreams[arrival.Upstream].Name, arrival.ID, float64(arrival.At-notServingSince)/float64(second))
 		}
 	}
 }
@@ -332,7 +343,8 @@
 		figures["service"+name] = sum.ratio()
 	}
 	divisor := float64(max(total, 1))
-	figures["asked"], figures["settled"], figures["deferred"] = float64(total), float64(settled)/divisor, float64(deferred)/divisor
+	figures["asked"], figures["settled"], figures["deferred"] = float64(total), float64(settled)/divisor,
+		float64(deferred)/divisor
 	figures["failed"], figures["lost"] = float64(failed)/divisor, float64(lost)/divisor
 	for name, q := range map[string]float64{"p50": 50, "p99": 99, "p999": 99.9} {
 		figures[name] = float64(totalLatency.ValueAtQuantile(q)) / 1000
@@ -340,7 +352,8 @@
 	for i := range perSecond {
 		bucket := &ev.result.Seconds[i]
 		bucket.Service = perSecond[i].ratio()
-		bucket.P50, bucket.P95, bucket.P99 = float64(latencies[i].ValueAtQuantile(50))/1000, float64(latencies[i].ValueAtQuantile(95))/1000, float64(latencies[i].ValueAtQuantile(99))/1000
+		bucket.P50, bucket.P95, bucket.P99 = float64(latencies[i].ValueAtQuantile(50))/1000,
+			float64(latencies[i].ValueAtQuantile(95))/1000, float64(latencies[i].ValueAtQuantile(99))/1000
 	}
 	ev.countAttempts(arrived)
 	ev.computeRecovery(perSecond)
@@ -355,7 +368,8 @@
 	attempts, first := 0, 0
 	for _, arrivals := range arrived {
 		for n, a := range arrivals {
-			u, s := &ev.result.Upstream[a.Upstream], &ev.result.Seconds[max(0, min(a.At/second, int64(len(ev.result.Seconds)-1)))]
+			u, s := &ev.result.Upstream[a.Upstream],
+				&ev.result.Seconds[max(0, min(a.At/second, int64(len(ev.result.Seconds)-1)))]
 			u.Pushes++
 			s.Pushes++
 			if n == 0 {
--- a/internal/lab/judge/ledger.go
+++ b/internal/lab/judge/ledger.go
@@ -44,8 +44,9 @@
 		return
 	}
 	for _, a := range cc.run.Arrived { // sorted by time
-		// An upstream forgets a tagged transaction that it did not complete. A once-only transaction counts as soon as it starts.
-		if transaction := transactions[a.Root]; transaction != nil && a.Ran && !a.Dropped && (a.Effect != 0 || cc.experiment.Tariffs[transaction.tariff].Idempotency == logic.NonIdempotent) {
+		// An upstream forgets a tagged transaction that it did not complete. A once-only transaction counts from its start.
+		if transaction := transactions[a.Root]; transaction != nil && a.Ran && !a.Dropped &&
+			(a.Effect != 0 || cc.experiment.Tariffs[transaction.tariff].Idempotency == logic.NonIdempotent) {
 			transaction.runs = append(transaction.runs, a)
 		}
 	}
@@ -70,7 +71,9 @@
 					rule = "once_twice"
 				}
 				counts[rule]++
-				cc.recordBreach("ledger", "%s %s took effect at %s at %s and again at %s at %s", tariff.Name, transaction.label, cc.experiment.Upstreams[transaction.runs[0].Upstream].Name, formatTime(transaction.runs[0].At),
+				cc.recordBreach("ledger", "%s %s took effect at %s at %s and again at %s at %s", tariff.Name,
+					transaction.label, cc.experiment.Upstreams[transaction.runs[0].Upstream].Name,
+					formatTime(transaction.runs[0].At),
 					cc.experiment.Upstreams[a.Upstream].Name, formatTime(a.At))
 				break
 			}
@@ -84,11 +87,14 @@
 		}
 		if n := len(transaction.runs); n > 0 && inWindow(transaction.runs[n-1].At) && !found {
 			counts["denied"]++
-			cc.recordBreach("ledger", "%s %s ran at %s at %s, but the ledger has no entry for it", tariff.Name, transaction.label, cc.experiment.Upstreams[transaction.runs[n-1].Upstream].Name, formatTime(transaction.runs[n-1].At))
+			cc.recordBreach("ledger", "%s %s ran at %s at %s, but the ledger has no entry for it", tariff.Name,
+				transaction.label, cc.experiment.Upstreams[transaction.runs[n-1].Upstream].Name,
+				formatTime(transaction.runs[n-1].At))
 		}
 		if transaction.acked != 0 && inWindow(transaction.acked-tariff.HardStop) && !found {
 			counts["unheard"]++
-			cc.recordBreach("ledger", "%s %s was answered at %s, but the ledger has no entry for it", tariff.Name, transaction.label, formatTime(transaction.acked))
+			cc.recordBreach("ledger", "%s %s was answered at %s, but the ledger has no entry for it", tariff.Name,
+				transaction.label, formatTime(transaction.acked))
 		}
 	}
 	for _, l := range cc.run.Looks {
@@ -104,7 +110,8 @@
 		// Reads are linearizable: a read that starts after the answer finds the entry at any member.
 		if !l.Found && transaction.first != 0 && l.From > transaction.first && l.To < transaction.first+window {
 			counts["blind"]++
-			cc.recordBreach("ledger", "%s, read at %s, had no entry for %s %s, which had been answered at %s", spec.MemberName(l.Member), formatTime(l.From), cc.experiment.Tariffs[transaction.tariff].Name,
+			cc.recordBreach("ledger", "%s, read at %s, had no entry for %s %s, which had been answered at %s",
+				spec.MemberName(l.Member), formatTime(l.From), cc.experiment.Tariffs[transaction.tariff].Name,
 				transaction.label, formatTime(transaction.first))
 		}
 	}
@@ -128,7 +135,8 @@
 	for _, t := range cc.run.Links {
 		excluded = append(excluded, record.Span{From: t.Span.From, To: t.Span.From + bound})
 	}
-	for now, lostAt := int64(0), int64(-1); now <= cc.experiment.Length; now += majorityCheckInterval { // exclude the time without a majority, and the bound after it
+	// Exclude the time without a majority, and the bound after it.
+	for now, lostAt := int64(0), int64(-1); now <= cc.experiment.Length; now += majorityCheckInterval {
 		if !cc.hasMajority(now) {
 			if lostAt < 0 {
 				lostAt = now
@@ -148,7 +156,8 @@
 		}
 	}
 	for _, t := range outcomes {
-		if t.Due < cc.experiment.Settle || slices.ContainsFunc(excluded, func(s record.Span) bool { return t.Due >= s.From-second/5 && t.Due <= s.To }) {
+		if t.Due < cc.experiment.Settle || slices.ContainsFunc(excluded,
+			func(s record.Span) bool { return t.Due >= s.From-second/5 && t.Due <= s.To }) {
 			continue
 		}
 		tariff := cc.experiment.Tariffs[t.Tariff]
--- a/internal/lab/judge/majority.go
+++ b/internal/lab/judge/majority.go
@@ -48,7 +48,8 @@
 			return false
 		}
 		for _, t := range cc.run.Links {
-			if t.From == a && t.To < len(votes) && set>>t.To&1 != 0 && overlaps(record.Span{From: t.Span.From, To: t.Span.To + linkRecovery}, at, at) &&
+			if t.From == a && t.To < len(votes) && set>>t.To&1 != 0 &&
+				overlaps(record.Span{From: t.Span.From, To: t.Span.To + linkRecovery}, at, at) &&
 				(t.Kind == "cut" || t.Kind == "stall" || t.Kind == "trickle") {
 				return false
 			}
--- a/internal/lab/run/cluster.go
+++ b/internal/lab/run/cluster.go
@@ -96,9 +96,10 @@
 }
 
 // newPlacement creates a placement. A second one of the same balancer needs a suffix.
-func (rn *runner) newPlacement(n int, suffix string) (place *placement, err error) {
-	name := spec.MemberName(n) + suffix
-	place = &placement{labFile: filepath.Join(rn.options.Dir, name+".lab"), diskFaultFile: filepath.Join(rn.options.Dir, name+".disk"), backupDir: filepath.Join(rn.options.Dir, name+".old")}
+func (rn *runner) newPlacement(index int, suffix string) (place *placement, err error) {
+	name := spec.MemberName(index) + suffix
+	place = &placement{labFile: filepath.Join(rn.options.Dir, name+".lab"),
+		diskFaultFile: filepath.Join(rn.options.Dir, name+".disk"), backupDir: filepath.Join(rn.options.Dir, name+".old")}
 	place.Dir, place.Through = filepath.Join(rn.options.Dir, name), map[string]string{}
 	if place.Address, err = freeAddress(); err != nil {
 		return nil, err
@@ -107,9 +108,9 @@
 		return nil, err
 	}
 	for other := range rn.experiment.Balancers {
-		if other != n {
-			place.Through[spec.MemberName(other)] = rn.mesh.Address(n, other)
-			place.Join = append(place.Join, rn.mesh.Address(n, other))
+		if other != index {
+			place.Through[spec.MemberName(other)] = rn.mesh.Address(index, other)
+			place.Join = append(place.Join, rn.mesh.Address(index, other))
 		}
 	}
 	lab := cluster.Lab{ParentPID: os.Getpid(), DiskFaultFile: place.diskFaultFile}
@@ -153,14 +154,16 @@
 			continue
 		}
 		clients := rn.experiment.Clients[transaction.Clients]
-		key := ledger.KeyOf("tag", rn.experiment.Pools[clients.Pool], clients.Customer, rn.experiment.Tariffs[clients.Tariff].Name, fmt.Sprintf("%016x", transaction.Root))
+		key := ledger.KeyOf("tag", rn.experiment.Pools[clients.Pool], clients.Customer,
+			rn.experiment.Tariffs[clients.Tariff].Name, fmt.Sprintf("%016x", transaction.Root))
 		query, _ := json.Marshal(ledger.Query{Kind: "look", Key: key[:]})
 		n := rand.IntN(len(rn.placements))
 		from := rn.elapsed()
 		text, ok, err := ops.Call(rn.placements[n].Ops, "CLUSTER ledger find "+string(query), time.Second)
 		if err == nil && ok {
 			rn.mu.Lock()
-			rn.ledgerReads = append(rn.ledgerReads, record.Look{Member: n, Root: transaction.Root, From: from, To: rn.elapsed(), Found: strings.Contains(text, key.String())})
+			rn.ledgerReads = append(rn.ledgerReads, record.Look{Member: n, Root: transaction.Root, From: from,
+				To: rn.elapsed(), Found: strings.Contains(text, key.String())})
 			rn.mu.Unlock()
 		}
 		time.Sleep(time.Duration(10+rand.IntN(20)) * time.Millisecond)
@@ -212,7 +215,7 @@
 	rn.actions = append(rn.actions, record.Act{At: rn.elapsed(), What: fmt.Sprintf(text, values...)})
 }
 
-// processStarted records the start of a member's process. It returns the index under which its stops and its end are recorded.
+// processStarted records the start of a member's process. It returns the index that its stops and its end are recorded under.
 func (rn *runner) processStarted(n int) int {
 	rn.mu.Lock()
 	defer rn.mu.Unlock()
@@ -243,7 +246,7 @@
 }
 
 // sampleViews requests the view of a member's process at regular intervals until the process has ended.
-func (rn *runner) sampleViews(b *balancer, process int, ended <-chan struct{}) {
+func (rn *runner) sampleViews(bal *balancer, process int, ended <-chan struct{}) {
 	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
 	for {
@@ -254,27 +257,28 @@
 		case <-rn.finished:
 			return
 		}
-		text, ok, err := ops.Call(b.placement.Ops, "MEMBERS", sampleTimeout)
-		var v member.View
-		if err != nil || !ok || json.NewDecoder(strings.NewReader(text)).Decode(&v) != nil {
+		text, ok, err := ops.Call(bal.placement.Ops, "MEMBERS", sampleTimeout)
+		var view member.View
+		if err != nil || !ok || json.NewDecoder(strings.NewReader(text)).Decode(&view) != nil {
 			continue
 		}
 		if rn.experiment.Cluster.Voters > 0 {
-			rn.sampleClaims(b, process)
+			rn.sampleClaims(bal, process)
 		}
 		rn.mu.Lock()
-		if p := &rn.processes[process]; len(p.IDs) == 0 || p.IDs[len(p.IDs)-1].ID != v.Self {
-			p.IDs = append(p.IDs, record.Label{At: rn.elapsed(), ID: v.Self})
+		if p := &rn.processes[process]; len(p.IDs) == 0 || p.IDs[len(p.IDs)-1].ID != view.Self {
+			p.IDs = append(p.IDs, record.Label{At: rn.elapsed(), ID: view.Self})
 		}
-		rn.views = append(rn.views, record.View{Process: process, At: rn.elapsed(), Over: v.SupersededBy != "", Alive: v.AliveRuns()})
+		rn.views = append(rn.views, record.View{Process: process, At: rn.elapsed(), Over: view.SupersededBy != "",
+			Alive: view.AliveRuns()})
 		rn.mu.Unlock()
 	}
 }
 
 // sampleClaims requests the duties on which a member's process may act.
-func (rn *runner) sampleClaims(b *balancer, process int) {
+func (rn *runner) sampleClaims(bal *balancer, process int) {
 	from := rn.elapsed()
-	text, ok, err := ops.Call(b.placement.Ops, "CLUSTER owners", sampleTimeout)
+	text, ok, err := ops.Call(bal.placement.Ops, "CLUSTER owners", sampleTimeout)
 	var o cluster.DutyReport
 	if err != nil || !ok || json.NewDecoder(strings.NewReader(text)).Decode(&o) != nil {
 		return
@@ -290,14 +294,15 @@
 }
 
 // resolveOwner returns the fault with spec.DutyOwner replaced by the current owner of the list duty of the first pool.
-func (rn *runner) resolveOwner(f *spec.Fault) *spec.Fault {
-	if !rn.clustered() || f.Link == nil && !slices.Contains(f.Balancers, spec.DutyOwner) || f.Link != nil && !slices.Contains(f.Link.From, spec.DutyOwner) {
-		if slices.Contains(f.Balancers, spec.DutyOwner) { // without a cluster there is no owner; take the first balancer
-			resolved := *f
+func (rn *runner) resolveOwner(fault *spec.Fault) *spec.Fault {
+	if !rn.clustered() || fault.Link == nil && !slices.Contains(fault.Balancers, spec.DutyOwner) ||
+		fault.Link != nil && !slices.Contains(fault.Link.From, spec.DutyOwner) {
+		if slices.Contains(fault.Balancers, spec.DutyOwner) { // without a cluster there is no owner; take the first balancer
+			resolved := *fault
 			resolved.Balancers = []int{0}
 			return &resolved
 		}
-		return f
+		return fault
 	}
 	owner, duty := 0, shared.Duty(rn.experiment.Pools[0])
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
@@ -307,7 +312,7 @@
 		}
 	}
 	rn.logAction("%s owns %s", spec.MemberName(owner), duty)
-	resolved := *f
+	resolved := *fault
 	replaceOwner := func(all []int) (out []int) {
 		for _, n := range all {
 			if n == spec.DutyOwner {
@@ -317,9 +322,9 @@
 		}
 		return out
 	}
-	resolved.Balancers = replaceOwner(f.Balancers)
-	if f.Link != nil {
-		l := *f.Link
+	resolved.Balancers = replaceOwner(fault.Balancers)
+	if fault.Link != nil {
+		l := *fault.Link
 		l.From, l.To = replaceOwner(l.From), replaceOwner(l.To)
 		resolved.Link = &l
 	}
@@ -339,9 +344,9 @@
 }
 
 // injectLinkFault applies a fault to links until wait returns.
-func (rn *runner) injectLinkFault(f *spec.Fault, wait func()) {
-	kind := strings.TrimPrefix(f.Kind, "link-")
-	directions := f.Link.Directions(rn.experiment.Balancers)
+func (rn *runner) injectLinkFault(fault *spec.Fault, wait func()) {
+	kind := strings.TrimPrefix(fault.Kind, "link-")
+	directions := fault.Link.Directions(rn.experiment.Balancers)
 	if kind == "reset" {
 		for _, d := range directions {
 			rn.mesh.Reset(d[0], d[1])
@@ -359,23 +364,23 @@
 					t.Stall = on
 				case "delay":
 					if t.Delay, t.Jitter = 0, 0; on {
-						t.Delay, t.Jitter = f.Link.Delay, f.Link.Jitter
+						t.Delay, t.Jitter = fault.Link.Delay, fault.Link.Jitter
 					}
 				case "loss":
 					if t.Loss = 0; on {
-						t.Loss = f.Link.Fraction
+						t.Loss = fault.Link.Fraction
 					}
 				case "duplicate":
 					if t.Duplicate = 0; on {
-						t.Duplicate = f.Link.Fraction
+						t.Duplicate = fault.Link.Fraction
 					}
 				case "reorder":
 					if t.Reorder = 0; on {
-						t.Reorder = f.Link.Fraction
+						t.Reorder = fault.Link.Fraction
 					}
 				case "trickle":
 					if t.Trickle = 0; on {
-						t.Trickle = f.Link.BytesPerSecond
+						t.Trickle = fault.Link.BytesPerSecond
 					}
 				}
 			})
@@ -390,7 +395,8 @@
 	rn.mu.Lock()
 	defer rn.mu.Unlock()
 	for _, d := range directions {
-		rn.linkFaults = append(rn.linkFaults, record.Trouble{From: d[0], To: d[1], Kind: kind, Span: record.Span{From: from, To: rn.elapsed()}})
+		rn.linkFaults = append(rn.linkFaults, record.Trouble{From: d[0], To: d[1], Kind: kind,
+			Span: record.Span{From: from, To: rn.elapsed()}})
 	}
 }
 
@@ -403,24 +409,24 @@
 
 // startDuplicate stops a member's process, starts another one of the same name at another address, and continues the old one
 // after wait returns.
-func (rn *runner) startDuplicate(b *balancer, wait func()) {
-	place, err := rn.newPlacement(b.index, "x")
+func (rn *runner) startDuplicate(bal *balancer, wait func()) {
+	place, err := rn.newPlacement(bal.index, "x")
 	if err != nil {
 		rn.abort(err)
 		return
 	}
-	span := record.Outage{Balancer: b.index, From: rn.elapsed()}
+	span := record.Outage{Balancer: bal.index, From: rn.elapsed()}
 	defer func() {
 		span.To = rn.elapsed()
 		rn.mu.Lock()
 		defer rn.mu.Unlock()
 		rn.outages = append(rn.outages, span)
 	}()
-	b.command.Process.Signal(syscall.SIGSTOP)
-	rn.processStopped(b.process)
-	rn.logAction("%s is stopped, and another run of it is started elsewhere", spec.MemberName(b.index))
-	rn.mesh.Target(b.index, place.Address) // the other members connect to the newest run of a name
-	other, err := rn.startBalancer(b.index, place, "x")
+	bal.command.Process.Signal(syscall.SIGSTOP)
+	rn.processStopped(bal.process)
+	rn.logAction("%s is stopped, and another run of it is started elsewhere", spec.MemberName(bal.index))
+	rn.mesh.Target(bal.index, place.Address) // the other members connect to the newest run of a name
+	other, err := rn.startBalancer(bal.index, place, "x")
 	if err != nil {
 		rn.abort(err)
 		return
@@ -429,21 +435,21 @@
 	rn.duplicates = append(rn.duplicates, other)
 	rn.mu.Unlock()
 	wait()
-	b.command.Process.Signal(syscall.SIGCONT)
-	rn.processContinued(b.process)
-	rn.logAction("the old run of %s continues", spec.MemberName(b.index))
+	bal.command.Process.Signal(syscall.SIGCONT)
+	rn.processContinued(bal.process)
+	rn.logAction("the old run of %s continues", spec.MemberName(bal.index))
 }
 
 // injectDiskFault applies a disk fault to a member's directory until wait returns.
-func (rn *runner) injectDiskFault(b *balancer, kind string, wait func()) {
-	rn.logAction("the directory of %s: %s", spec.MemberName(b.index), kind)
-	if err := os.WriteFile(b.placement.diskFaultFile, []byte(strings.TrimPrefix(kind, "disk-")), 0o600); err != nil {
+func (rn *runner) injectDiskFault(bal *balancer, kind string, wait func()) {
+	rn.logAction("the directory of %s: %s", spec.MemberName(bal.index), kind)
+	if err := os.WriteFile(bal.placement.diskFaultFile, []byte(strings.TrimPrefix(kind, "disk-")), 0o600); err != nil {
 		rn.abort(err)
 		return
 	}
 	wait()
-	os.Remove(b.placement.diskFaultFile)
-	rn.logAction("the directory of %s works again", spec.MemberName(b.index))
+	os.Remove(bal.placement.diskFaultFile)
+	rn.logAction("the directory of %s works again", spec.MemberName(bal.index))
 }
 
 // prepareDir wipes the directory of a killed member or replaces it by the old copy, as the kind of outage demands.
--- a/internal/lab/run/run.go
+++ b/internal/lab/run/run.go
@@ -34,14 +34,15 @@
 
 const (
 	readyTimeout      = 15 * time.Second
-	drainDuration     = 1700 * time.Millisecond // in a deploy, from the announcement of the drain to the removal of the upstream
+	drainDuration     = 1700 * time.Millisecond // of an upstream in a deploy, until its removal
 	clientNoticeDelay = 300 * time.Millisecond  // until clients stop using a balancer that was killed
 	finishTimeout     = 5 * time.Second         // allowed beyond the end of the last possible request
 )
 
 // arguments returns the command line of a balancer of a variant.
 func arguments(variant, config string) []string {
-	if variant == "design" || variant == "no-copies" || variant == "no-cluster" || variant == "one-copy" || strings.HasPrefix(variant, "without-") {
+	if variant == "design" || variant == "no-copies" || variant == "no-cluster" || variant == "one-copy" ||
+		strings.HasPrefix(variant, "without-") {
 		return []string{"serve", "--config", config}
 	}
 	return []string{"lab", "balancer", "--policy", variant, "--config", config}
@@ -94,7 +95,8 @@
 
 // Play runs an experiment once. It returns an error if the run could not start. What aborted it later is in Run.Broken.
 func Play(ctx context.Context, experiment *spec.Experiment, plan []spec.Transaction, options Options) (*record.Run, error) {
-	rn := &runner{experiment: experiment, options: options, finished: make(chan struct{}), faultDone: map[string]chan struct{}{}, refusedActs: map[int]int64{}, startTime: time.Now()}
+	rn := &runner{experiment: experiment, options: options, finished: make(chan struct{}),
+		faultDone: map[string]chan struct{}{}, refusedActs: map[int]int64{}, startTime: time.Now()}
 	for _, f := range experiment.Faults {
 		if f.Name != "" {
 			rn.faultDone[f.Name] = make(chan struct{})
@@ -203,8 +205,10 @@
 	close(rn.finished)
 	rn.mu.Lock()
 	r := &record.Run{
-		Told: rn.discovery.Told(), Outages: rn.outages, Broken: broken, Processes: rn.processes, Views: rn.views, Links: rn.linkFaults, Acts: rn.actions,
-		Claims: rn.claims, Asks: rn.discovery.Asks(), Seated: rn.replacements, Looks: rn.ledgerReads, Written: written, Read: read, Kept: rn.hasLedger(),
+		Told: rn.discovery.Told(), Outages: rn.outages, Broken: broken, Processes: rn.processes, Views: rn.views,
+		Links: rn.linkFaults, Acts: rn.actions,
+		Claims: rn.claims, Asks: rn.discovery.Asks(), Seated: rn.replacements, Looks: rn.ledgerReads,
+		Written: written, Read: read, Kept: rn.hasLedger(),
 	}
 	for _, n := range rn.refusedActs {
 		r.Refused += n
@@ -231,40 +235,42 @@
 	return rn.startBalancer(n, rn.placementOf(n), "")
 }
 
-func (rn *runner) startBalancer(n int, place *placement, suffix string) (*balancer, error) {
+func (rn *runner) startBalancer(index int, place *placement, suffix string) (*balancer, error) {
 	address, err := freeAddress()
 	if err != nil {
 		return nil, err
 	}
-	file := filepath.Join(rn.options.Dir, fmt.Sprintf("balancer-%d%s.toml", n+1, suffix))
+	file := filepath.Join(rn.options.Dir, fmt.Sprintf("balancer-%d%s.toml", index+1, suffix))
 	log, err := os.Create(strings.TrimSuffix(file, ".toml") + ".log")
 	if err != nil {
 		return nil, err
 	}
-	b := &balancer{runner: rn, index: n, address: address, args: arguments(rn.options.Variant, file), log: log, placement: place}
-	if err := b.configure(); err != nil {
+	bal := &balancer{runner: rn, index: index, address: address, args: arguments(rn.options.Variant, file),
+		log: log, placement: place}
+	if err := bal.configure(); err != nil {
 		return nil, err
 	}
-	return b, b.start()
+	return bal, bal.start()
 }
 
 // configure writes the configuration file of the balancer.
 func (bal *balancer) configure() error {
-	s := bal.runner
-	text := s.experiment.Configuration(bal.index, bal.address, s.discovery.Addresses(bal.index), s.options.Variant != "no-copies", s.extraConfig(bal.index, bal.placement))
+	rn := bal.runner
+	text := rn.experiment.Configuration(bal.index, bal.address, rn.discovery.Addresses(bal.index),
+		rn.options.Variant != "no-copies", rn.extraConfig(bal.index, bal.placement))
 	return os.WriteFile(bal.args[len(bal.args)-1], text, 0o600)
 }
 
 func (bal *balancer) start() error {
 	bal.mu.Lock()
 	defer bal.mu.Unlock()
-	c := exec.Command(bal.runner.options.Program, bal.args...)
-	c.Stderr, c.Stdout = bal.log, bal.log
-	bal.setEnvironment(c)
-	if err := c.Start(); err != nil {
+	command := exec.Command(bal.runner.options.Program, bal.args...)
+	command.Stderr, command.Stdout = bal.log, bal.log
+	bal.setEnvironment(command)
+	if err := command.Start(); err != nil {
 		return err
 	}
-	bal.command, bal.killed, bal.exited = c, false, make(chan struct{})
+	bal.command, bal.killed, bal.exited = command, false, make(chan struct{})
 	ended := bal.exited
 	if bal.placement != nil {
 		bal.process = bal.runner.processStarted(bal.index)
@@ -272,7 +278,7 @@
 	}
 	process := bal.process
 	go func() {
-		err := c.Wait()
+		err := command.Wait()
 		bal.mu.Lock()
 		killed := bal.killed
 		bal.mu.Unlock()
@@ -280,7 +286,8 @@
 			bal.runner.processExited(process)
 		}
 		if !killed {
-			bal.runner.abort(fmt.Errorf("balancer %d ended by itself: %v; last log line: %s", bal.index+1, err, bal.lastLogLine()))
+			bal.runner.abort(fmt.Errorf("balancer %d ended by itself: %v; last log line: %s", bal.index+1, err,
+				bal.lastLogLine()))
 		}
 		close(ended)
 	}()
@@ -446,7 +453,8 @@
 		}
 	case fault.Kind == "keeper-replace": // through the operators' command
 		for _, n := range fault.Balancers {
-			text, _, err := ops.Call(rn.placements[(n+1)%len(rn.placements)].Ops, "CLUSTER replace "+spec.MemberName(n), 10*time.Second)
+			text, _, err := ops.Call(rn.placements[(n+1)%len(rn.placements)].Ops,
+				"CLUSTER replace "+spec.MemberName(n), 10*time.Second)
 			rn.logAction("replace %s: %s %v", spec.MemberName(n), strings.TrimSpace(text), err)
 			rn.mu.Lock()
 			rn.replacements = append(rn.replacements, record.Seated{Balancer: n, At: rn.elapsed()})
@@ -461,61 +469,62 @@
 
 // replaceUpstream performs one step of a deploy: it drains an upstream, stops it, and starts its successor cold and under
 // another name.
-func (rn *runner) replaceUpstream(ctx context.Context, u *emulate.Upstream, from int64) {
+func (rn *runner) replaceUpstream(ctx context.Context, upstream *emulate.Upstream, from int64) {
 	if !rn.waitUntil(ctx, from) {
 		return
 	}
-	rn.discovery.Set(u, "DRAINING", false)
+	rn.discovery.Set(upstream, "DRAINING", false)
 	if !rn.waitUntil(ctx, from+int64(drainDuration)) {
 		return
 	}
-	rn.discovery.Set(u, "DELETED", false)
+	rn.discovery.Set(upstream, "DELETED", false)
 	time.Sleep(time.Duration(rn.experiment.DiscoveryDelay) + 20*time.Millisecond)
-	u.Die()
-	u.Rise(true)
-	rn.discovery.Set(u, "SERVING", true)
+	upstream.Die()
+	upstream.Rise(true)
+	rn.discovery.Set(upstream, "SERVING", true)
 }
 
 // injectOutage kills or stops a balancer, and restarts or continues it at the end.
-func (rn *runner) injectOutage(ctx context.Context, b *balancer, f *spec.Fault, end int64) {
-	span := record.Outage{Balancer: b.index, From: rn.elapsed(), Seatless: f.Kind == "balancer-wipe" || f.Kind == "balancer-old"}
-	kill := f.Kind != "balancer-stop"
+func (rn *runner) injectOutage(ctx context.Context, bal *balancer, fault *spec.Fault, end int64) {
+	span := record.Outage{Balancer: bal.index, From: rn.elapsed(),
+		Seatless: fault.Kind == "balancer-wipe" || fault.Kind == "balancer-old"}
+	kill := fault.Kind != "balancer-stop"
 	var clientsNotified atomic.Bool
 	if kill {
-		b.kill()
-		rn.logAction("%s is killed (%s)", spec.MemberName(b.index), f.Kind)
-		time.AfterFunc(clientNoticeDelay, func() { clientsNotified.Store(true); rn.load.Down(b.index, true) })
+		bal.kill()
+		rn.logAction("%s is killed (%s)", spec.MemberName(bal.index), fault.Kind)
+		time.AfterFunc(clientNoticeDelay, func() { clientsNotified.Store(true); rn.load.Down(bal.index, true) })
 	} else {
-		b.command.Process.Signal(syscall.SIGSTOP)
-		rn.logAction("%s is stopped", spec.MemberName(b.index))
-		if b.placement != nil {
-			rn.processStopped(b.process)
+		bal.command.Process.Signal(syscall.SIGSTOP)
+		rn.logAction("%s is stopped", spec.MemberName(bal.index))
+		if bal.placement != nil {
+			rn.processStopped(bal.process)
 		}
 	}
 	rn.waitUntil(ctx, end)
 	if !kill {
-		b.command.Process.Signal(syscall.SIGCONT)
-		if b.placement != nil {
-			rn.processContinued(b.process)
+		bal.command.Process.Signal(syscall.SIGCONT)
+		if bal.placement != nil {
+			rn.processContinued(bal.process)
 		}
-		rn.logAction("%s continues", spec.MemberName(b.index))
+		rn.logAction("%s continues", spec.MemberName(bal.index))
 	} else if ctx.Err() == nil {
-		b.prepareDir(f.Kind)
-		if f.ChangesAddress && b.placement != nil {
+		bal.prepareDir(fault.Kind)
+		if fault.ChangesAddress && bal.placement != nil {
 			if address, err := freeAddress(); err == nil {
-				b.placement.Address = address
-				rn.mesh.Target(b.index, address)
-				if err := b.configure(); err != nil {
+				bal.placement.Address = address
+				rn.mesh.Target(bal.index, address)
+				if err := bal.configure(); err != nil {
 					rn.abort(err)
 				}
 			}
 		}
-		if b.start() == nil {
-			rn.logAction("%s is started again", spec.MemberName(b.index))
-			b.waitReady(ctx)
+		if bal.start() == nil {
+			rn.logAction("%s is started again", spec.MemberName(bal.index))
+			bal.waitReady(ctx)
 		}
 		if clientsNotified.Load() {
-			rn.load.Down(b.index, false)
+			rn.load.Down(bal.index, false)
 		}
 	}
 	span.To = rn.elapsed()
--- a/internal/lab/run/run_test.go
+++ b/internal/lab/run/run_test.go
@@ -23,7 +23,8 @@
 	"ottershift/internal/plan"
 )
 
-// realProgram is the path of the ottershift program, built for the tests. The test binary itself serves as the faulty balancers.
+// realProgram is the path of the ottershift program, built for the tests. The test binary itself serves as the faulty
+// balancers.
 var realProgram string
 
 func TestMain(m *testing.M) {
@@ -57,22 +58,22 @@
 }
 
 func serveFaulty(kind string) {
-	p, faults := plan.Read(os.Args[len(os.Args)-1])
-	if p == nil {
+	configuration, faults := plan.Read(os.Args[len(os.Args)-1])
+	if configuration == nil {
 		panic(faults)
 	}
-	b := &faultyBalancer{kind: kind, list: map[string]endpoint{}}
+	fb := &faultyBalancer{kind: kind, list: map[string]endpoint{}}
 	ready := make(chan struct{})
-	go b.follow(p.Pools[0].Upstreams.Discovery, ready)
+	go fb.follow(configuration.Pools[0].Upstreams.Discovery, ready)
 	<-ready
 	if kind == "dies" {
 		time.AfterFunc(1500*time.Millisecond, func() { os.Exit(3) })
 	}
-	l, err := net.Listen("tcp", p.Listeners[0].Address)
+	l, err := net.Listen("tcp", configuration.Listeners[0].Address)
 	if err != nil {
 		panic(err)
 	}
-	http.Serve(l, b)
+	http.Serve(l, fb)
 }
 
 func (fb *faultyBalancer) follow(address string, ready chan struct{}) {
@@ -238,8 +239,8 @@
 
 func play(t *testing.T, program, kind, more string) *judge.Result {
 	t.Helper()
-	e, faults := spec.Parse("small.toml", fmt.Appendf(nil, experimentText, more), false)
-	if e == nil {
+	experiment, faults := spec.Parse("small.toml", fmt.Appendf(nil, experimentText, more), false)
+	if experiment == nil {
 		t.Fatal(faults)
 	}
 	if kind != "" {
@@ -251,18 +252,18 @@
 		program = file
 	}
 	start := time.Now()
-	r, err := Play(t.Context(), e, e.Load(), Options{Program: program, Variant: "design", Dir: t.TempDir()})
+	result, err := Play(t.Context(), experiment, experiment.Load(), Options{Program: program, Variant: "design", Dir: t.TempDir()})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if took := time.Since(start); took > 25*time.Second {
 		t.Errorf("took %s", took)
 	}
-	return judge.Judge(e, r)
+	return judge.Judge(experiment, result)
 }
 
-// The judge finds that each faulty balancer breaks exactly the rule that it is built to break, and that the real balancer and
-// a faultless minimal one break none.
+// Each faulty balancer is found to break exactly the rule that it is built to break; the real balancer and a minimal one
+// without a fault break none.
 func TestFaultyBalancersBreakExactlyTheirRule(t *testing.T) {
 	for kind, rule := range map[string]int{
 		"": 0, "fine": 0, "twice": 1, "closes": 1, "another": 1, "late": 1, "after": 1, "resends": 2, "denies": 2, "deaf": 3, "floods": 4,
--- a/internal/lab/spec/cluster.go
+++ b/internal/lab/spec/cluster.go
@@ -26,7 +26,7 @@
 	OneWay         bool
 	Delay, Jitter  time.Duration
 	Fraction       float64 // of the traffic that is affected
-	BytesPerSecond int     // bytes per second
+	BytesPerSecond int     // of each connection, for a slowed link
 
 	sampleSize int // number of From to draw at random; 0 for all
 }
@@ -104,7 +104,8 @@
 		return nil
 	}
 	cluster := cloneTable(exp.Cluster.config)
-	cluster["name"], cluster["address"], cluster["directory"], cluster["zone"] = "lab", placement.Address, placement.Dir, exp.Cluster.Zone(index)
+	cluster["name"], cluster["address"], cluster["directory"], cluster["zone"] = "lab", placement.Address,
+		placement.Dir, exp.Cluster.Zone(index)
 	cluster["join"], cluster["through"] = placement.Join, placement.Through
 	var voters []string
 	for n := range exp.Cluster.Voters {
@@ -120,7 +121,8 @@
 func (rd *reader) readLinkFault(table *settings.Table, fault *Fault) {
 	from, to := table.Strings("from"), table.Strings("to")
 	link := &Link{
-		OneWay: table.Bool("one_way", false), Delay: table.Duration("delay", 0, 0), Jitter: table.Duration("jitter", 0, 0), Fraction: table.Number("part", 0.1, 0, 1),
+		OneWay: table.Bool("one_way", false), Delay: table.Duration("delay", 0, 0),
+		Jitter: table.Duration("jitter", 0, 0), Fraction: table.Number("part", 0.1, 0, 1),
 		BytesPerSecond: int(table.Size("pace", 1<<10, 1)), sampleSize: table.Int("some", 0, 0, 64),
 	}
 	if !strings.HasPrefix(fault.Kind, "link-") {
--- a/internal/lab/spec/load.go
+++ b/internal/lab/spec/load.go
@@ -83,21 +83,22 @@
 }
 
 // Work returns how much work a transaction takes at an upstream.
-func (f *Tariff) Work(seed, root uint64, upstream string, attempt int) float64 {
+func (tariff *Tariff) Work(seed, root uint64, upstream string, attempt int) float64 {
 	part := "work"
-	if !f.SameEverywhere {
+	if !tariff.SameEverywhere {
 		part = "work at " + upstream
 		attempt += int(root % 7919)
 	} else {
 		attempt = 0
 	}
-	return f.Sizes.Draw(randomSource(seed^root, part, attempt))
+	return tariff.Sizes.Draw(randomSource(seed^root, part, attempt))
 }
 
 // Write writes the plan: one line for each fault and each transaction.
 func (exp *Experiment) Write(w io.Writer) error {
 	out := bufio.NewWriter(w)
-	fmt.Fprintf(out, "experiment %s seed %d length %d balancers %d upstreams %d\n", exp.Name, exp.Seed, exp.Length, exp.Balancers, len(exp.Upstreams))
+	fmt.Fprintf(out, "experiment %s seed %d length %d balancers %d upstreams %d\n", exp.Name, exp.Seed, exp.Length,
+		exp.Balancers, len(exp.Upstreams))
 	for _, f := range exp.Faults {
 		fmt.Fprintf(out, "fault %d %s for %d factor %g upstreams", f.At, f.Kind, f.For, f.Factor)
 		for _, u := range f.Upstreams {
@@ -114,7 +115,8 @@
 	}
 	for _, c := range exp.Load() {
 		clients := exp.Clients[c.Clients]
-		fmt.Fprintf(out, "call %d %016x %s %s %s\n", c.Due, c.Root, clients.Name, exp.Pools[clients.Pool], exp.Tariffs[clients.Tariff].Name)
+		fmt.Fprintf(out, "call %d %016x %s %s %s\n", c.Due, c.Root, clients.Name, exp.Pools[clients.Pool],
+			exp.Tariffs[clients.Tariff].Name)
 	}
 	return out.Flush()
 }
--- a/internal/lab/spec/spec.go
+++ b/internal/lab/spec/spec.go
@@ -143,18 +143,22 @@
 const DutyOwner = -1
 
 // Variants are the variants that an experiment may compare; "without-GUARD" is the design without one of its guards.
-var Variants = []string{"design", "no-copies", "random", "round-robin", "least-in-flight", "two-choices", "no-cluster", "without-refutation", "without-epochs", "without-fence", "without-once", "without-ledger", "without-reads", "one-copy"}
+var Variants = []string{"design", "no-copies", "random", "round-robin", "least-in-flight", "two-choices",
+	"no-cluster", "without-refutation", "without-epochs", "without-fence", "without-once", "without-ledger",
+	"without-reads", "one-copy"}
 
 // Figures are the figures that a verdict may name.
 var Figures = []string{
 	"service", "settled", "deferred", "failed", "lost", "attempts", "p50", "p99", "p999", "breaches", "rule1", "rule2",
-	"rule3", "rule4", "recover", "worst", "cluster", "death_seen", "death_bound", "views_back", "views_bound", "no_owner", "no_owner_bound", "asks", "watches", "refused",
+	"rule3", "rule4", "recover", "worst", "cluster", "death_seen", "death_bound", "views_back", "views_bound",
+	"no_owner", "no_owner_bound", "asks", "watches", "refused",
 	"twice", "once_twice", "denied", "unheard", "outside", "repeats", "looks", "blind",
 }
 
 // faultKinds are the kinds of faults.
 var faultKinds = []string{
-	"hang", "fail", "full", "slow", "cores", "die", "reset", "garbage", "half", "deaf", "drain", "deploy", "list-late", "list-lacks",
+	"hang", "fail", "full", "slow", "cores", "die", "reset", "garbage", "half", "deaf", "drain", "deploy",
+	"list-late", "list-lacks",
 	"list-down", "balancer-kill", "balancer-stop", "balancer-wipe", "balancer-old", "balancer-double", "balancer-leave",
 	"link-cut", "link-reset", "link-delay", "link-loss", "link-duplicate", "link-reorder", "link-stall", "link-trickle",
 	"disk-full", "disk-read-only", "disk-sync", "keeper-replace",
@@ -171,16 +175,17 @@
 
 // Parse parses the text of an experiment file like Read.
 func Parse(path string, text []byte, short bool) (*Experiment, []settings.Fault) {
-	f, t := settings.Parse(path, text, os.LookupEnv)
-	if t == nil {
-		return nil, f.Faults
+	file, table := settings.Parse(path, text, os.LookupEnv)
+	if table == nil {
+		return nil, file.Faults
 	}
-	r := &reader{File: f, experiment: &Experiment{Name: strings.TrimSuffix(filepath.Base(path), ".toml"), Short: short, balancerConfig: map[string]any{}}}
-	r.read(t)
-	if f.Finish() {
-		return nil, f.Faults
+	rd := &reader{File: file, experiment: &Experiment{Name: strings.TrimSuffix(filepath.Base(path), ".toml"),
+		Short: short, balancerConfig: map[string]any{}}}
+	rd.read(table)
+	if file.Finish() {
+		return nil, file.Faults
 	}
-	return r.experiment, f.Faults
+	return rd.experiment, file.Faults
 }
 
 type reader struct {
@@ -237,7 +242,8 @@
 		}
 	}
 	for _, name := range t.Table("tariffs").Keys() {
-		rd.experiment.Tariffs = append(rd.experiment.Tariffs, &Tariff{Name: name, Sizes: work.Sizes{Kind: "exponential", Mean: 10e6}})
+		rd.experiment.Tariffs = append(rd.experiment.Tariffs,
+			&Tariff{Name: name, Sizes: work.Sizes{Kind: "exponential", Mean: 10e6}})
 	}
 	// The short form also shortens the warm-up of the upstreams. With the full warm_up, a balancer would send them reduced load
 	// for far too long.
@@ -298,7 +304,8 @@
 		sizes := work.Sizes{
 			Kind:  table.Choice("kind", "exponential", "fixed", "exponential", "lognormal", "pareto", "values"),
 			Mean:  float64(table.Duration("mean", 10*time.Millisecond, 10*time.Microsecond)),
-			Sigma: table.Number("sigma", 1, 0.01, 5), Alpha: table.Number("alpha", 1.5, 0.1, 10), Most: table.Number("most", 100, 1.1, 1e6),
+			Sigma: table.Number("sigma", 1, 0.01, 5), Alpha: table.Number("alpha", 1.5, 0.1, 10),
+			Most: table.Number("most", 100, 1.1, 1e6),
 		}
 		if file := table.Text("file", ""); file != "" {
 			for _, d := range rd.readTimes(table, "file", file) {
@@ -347,22 +354,27 @@
 	for n, name := range names {
 		table := tables[n]
 		group := &Group{
-			Name: name, Pool: rd.readIndex(table, "pool", name, rd.experiment.Pools), Count: table.Int("count", 1, 1, 2000), Zone: table.Text("zone", "a"),
+			Name: name, Pool: rd.readIndex(table, "pool", name, rd.experiment.Pools),
+			Count: table.Int("count", 1, 1, 2000), Zone: table.Text("zone", "a"),
 			Cells: table.Int("cells", 1, 1, 1000),
 			Terms: work.Terms{
-				Cores: table.Int("cores", 2, 1, 1024), Speed: table.Number("speed", 1, 0.001, 1000), Queue: table.Int("queue", 200, 0, 1<<20),
+				Cores: table.Int("cores", 2, 1, 1024), Speed: table.Number("speed", 1, 0.001, 1000),
+				Queue:     table.Int("queue", 200, 0, 1<<20),
 				ColdShare: table.Number("cold_share", 0.2, 0.001, 1), Ramp: int64(table.Duration("ramp", 10*time.Second, 0)),
-				Multiple: table.Number("fall_multiple", 3, 1, 1000), Span: int64(table.Duration("fall_span", time.Second, time.Millisecond)),
+				Multiple: table.Number("fall_multiple", 3, 1, 1000),
+				Span:     int64(table.Duration("fall_span", time.Second, time.Millisecond)),
 			},
 		}
 		group.Ramp = int64(float64(group.Ramp) * rd.timeScale)
 		jam := table.Table("jam")
-		group.JamAt, group.JamSlow, group.JamEnds = jam.Number("at", 0, 0, 1e6), jam.Number("slow", 2, 1, 1000), jam.Number("ends", 1, 0, 1e6)
+		group.JamAt, group.JamSlow, group.JamEnds = jam.Number("at", 0, 0, 1e6), jam.Number("slow", 2, 1, 1000),
+			jam.Number("ends", 1, 0, 1e6)
 		jam.ReportUnknownKeys()
 		if calls := table.Table("calls"); table.Has("calls") {
 			group.Calls = &Calls{
-				Pool: rd.readIndex(calls, "pool", "", rd.experiment.Pools), Tariff: rd.readIndex(calls, "tariff", first(rd.experiment.tariffNames()), rd.experiment.tariffNames()),
-				Least: calls.Int("least", 1, 0, 100), Most: calls.Int("most", 1, 0, 100),
+				Pool:   rd.readIndex(calls, "pool", "", rd.experiment.Pools),
+				Tariff: rd.readIndex(calls, "tariff", first(rd.experiment.tariffNames()), rd.experiment.tariffNames()),
+				Least:  calls.Int("least", 1, 0, 100), Most: calls.Int("most", 1, 0, 100),
 			}
 			if group.Calls.Most < group.Calls.Least {
 				rd.Fault(calls.Path, "most is less than least")
@@ -372,7 +384,8 @@
 		table.ReportUnknownKeys()
 		rd.experiment.Groups = append(rd.experiment.Groups, group)
 		for i := range group.Count {
-			rd.experiment.Upstreams = append(rd.experiment.Upstreams, Upstream{Name: fmt.Sprintf("%s-%d", name, i+1), Group: group, Cell: i % group.Cells})
+			rd.experiment.Upstreams = append(rd.experiment.Upstreams,
+				Upstream{Name: fmt.Sprintf("%s-%d", name, i+1), Group: group, Cell: i % group.Cells})
 		}
 	}
 	if len(names) == 0 {
@@ -410,9 +423,9 @@
 			poolConfig["second_copies"] = false
 		}
 		zones := []any{}
-		for _, g := range exp.Groups {
-			if g.Pool == n && !slices.Contains(zones, any(g.Zone)) {
-				zones = append(zones, g.Zone)
+		for _, group := range exp.Groups {
+			if group.Pool == n && !slices.Contains(zones, any(group.Zone)) {
+				zones = append(zones, group.Zone)
 			}
 		}
 		if len(zones) > 0 && poolConfig["zones"] == nil {
@@ -447,22 +460,24 @@
 	for i := range lists {
 		lists[i] = "127.0.0.1:1"
 	}
-	p, faults := plan.Parse(rd.Name, rd.experiment.Configuration(0, "127.0.0.1:1", lists, true, rd.experiment.MemberConfiguration(0, Placement{Address: "127.0.0.1:2", Ops: "127.0.0.1:3", Dir: os.TempDir()})), os.LookupEnv)
+	parsed, faults := plan.Parse(rd.Name, rd.experiment.Configuration(0, "127.0.0.1:1", lists, true,
+		rd.experiment.MemberConfiguration(0, Placement{Address: "127.0.0.1:2", Ops: "127.0.0.1:3",
+			Dir: os.TempDir()})), os.LookupEnv)
 	for _, f := range faults {
 		if !f.Warning {
 			rd.Fault(f.Key, "%s", f.Text)
 		}
 	}
-	if p == nil {
+	if parsed == nil {
 		return
 	}
 	if rd.experiment.Cluster != nil {
-		rd.experiment.Cluster.Settings = p.Cluster
+		rd.experiment.Cluster.Settings = parsed.Cluster
 	}
-	largest := p.Pools[0].Settings
-	for _, q := range p.Pools {
-		if len(q.Settings.Tariffs) > len(largest.Tariffs) {
-			largest = q.Settings
+	largest := parsed.Pools[0].Settings
+	for _, pool := range parsed.Pools {
+		if len(pool.Settings.Tariffs) > len(largest.Tariffs) {
+			largest = pool.Settings
 		}
 	}
 	for _, f := range rd.experiment.Tariffs {
@@ -478,22 +493,29 @@
 func (rd *reader) readClients(t *settings.Table) {
 	for n, table := range t.Tables("clients") {
 		clients := &Clients{
-			Name: table.Text("name", fmt.Sprintf("clients-%d", n+1)), Pool: rd.readIndex(table, "pool", first(rd.experiment.Pools), rd.experiment.Pools),
-			Tariff: rd.readIndex(table, "tariff", first(rd.experiment.tariffNames()), rd.experiment.tariffNames()), Customer: table.Text("customer", ""),
-			Rate: table.Number("rate", 10, 0, 1e6) * rd.rateScale, Shape: table.Choice("shape", "poisson", "poisson", "constant"),
-			Wave: table.Number("wave", 0, 0, 1), Period: rd.scaled(table.Duration("period", 10*time.Second, time.Millisecond)),
+			Name:     table.Text("name", fmt.Sprintf("clients-%d", n+1)),
+			Pool:     rd.readIndex(table, "pool", first(rd.experiment.Pools), rd.experiment.Pools),
+			Tariff:   rd.readIndex(table, "tariff", first(rd.experiment.tariffNames()), rd.experiment.tariffNames()),
+			Customer: table.Text("customer", ""),
+			Rate:     table.Number("rate", 10, 0, 1e6) * rd.rateScale,
+			Shape:    table.Choice("shape", "poisson", "poisson", "constant"),
+			Wave:     table.Number("wave", 0, 0, 1), Period: rd.scaled(table.Duration("period", 10*time.Second, time.Millisecond)),
 			Timeout: int64(table.Duration("patience", 0, 0)), Retries: table.Int("retries", 0, 0, 100),
-			RetryDelay: int64(table.Duration("pause", 100*time.Millisecond, 0)), FollowsAdvice: table.Bool("heeds_advice", true), MarksRetries: table.Bool("marks_retries", true),
+			RetryDelay:    int64(table.Duration("pause", 100*time.Millisecond, 0)),
+			FollowsAdvice: table.Bool("heeds_advice", true), MarksRetries: table.Bool("marks_retries", true),
 			KeepsConnections: table.Choice("connections", "kept", "kept", "new") == "kept", Body: int(table.Size("body", 0, 0)),
-			SendsKey: table.Bool("keyed", false), RepeatsByKey: table.Bool("repeats", false), HedgeAfter: int64(table.Duration("again_after", 0, 0)),
+			SendsKey: table.Bool("keyed", false), RepeatsByKey: table.Bool("repeats", false),
+			HedgeAfter: int64(table.Duration("again_after", 0, 0)),
 		}
 		if clients.HedgeAfter > 0 && !clients.RepeatsByKey {
-			rd.Fault(settings.JoinPath(table.Path, "again_after"), "sends a second request while the first is unanswered, which requires repeats = true")
+			rd.Fault(settings.JoinPath(table.Path, "again_after"),
+				"sends a second request while the first is unanswered, which requires repeats = true")
 		}
 		if clients.Customer != "" && !slices.Contains(rd.experiment.Customers, clients.Customer) {
 			rd.Fault(settings.JoinPath(table.Path, "customer"), "%q is not a customer", clients.Customer)
 		}
-		if len(rd.experiment.Tariffs) > clients.Tariff && rd.experiment.Tariffs[clients.Tariff].Tariff != nil && clients.Timeout == 0 {
+		if len(rd.experiment.Tariffs) > clients.Tariff && rd.experiment.Tariffs[clients.Tariff].Tariff != nil &&
+			clients.Timeout == 0 {
 			clients.Timeout = rd.experiment.Tariffs[clients.Tariff].HardStop
 		}
 		for _, s := range table.Tables("steps") {
@@ -519,12 +541,15 @@
 func (rd *reader) readFaults(t *settings.Table) {
 	for n, table := range t.Tables("faults") {
 		fault := &Fault{
-			Kind: table.Choice("kind", "", faultKinds...), At: rd.scaled(table.Duration("at", 0, 0)), For: rd.scaled(table.Duration("for", 0, 0)),
-			Factor: table.Number("factor", 0, 0, 1e4), Pool: rd.readIndex(table, "pool", first(rd.experiment.Pools), rd.experiment.Pools),
+			Kind: table.Choice("kind", "", faultKinds...), At: rd.scaled(table.Duration("at", 0, 0)),
+			For:    rd.scaled(table.Duration("for", 0, 0)),
+			Factor: table.Number("factor", 0, 0, 1e4), Pool: rd.readIndex(table, "pool", first(rd.experiment.Pools),
+				rd.experiment.Pools),
 			Name: table.Text("name", ""), After: table.Text("after", ""), ChangesAddress: table.Bool("moves", false),
 		}
 		rd.readLinkFault(table, fault)
-		if fault.After != "" && !slices.ContainsFunc(rd.experiment.Faults, func(drawn *Fault) bool { return drawn.Name == fault.After }) {
+		if fault.After != "" && !slices.ContainsFunc(rd.experiment.Faults,
+			func(drawn *Fault) bool { return drawn.Name == fault.After }) {
 			rd.Fault(settings.JoinPath(table.Path, "after"), "no earlier fault has the name %q", fault.After)
 		}
 		share, times := table.Number("share", 1, 0, 1), table.Int("times", 1, 1, 1000)
@@ -540,7 +565,8 @@
 			}
 			if fault.Link != nil {
 				drawn.Link = rd.sampleLink(fault.Link, random)
-			} else if strings.HasPrefix(fault.Kind, "balancer-") || strings.HasPrefix(fault.Kind, "disk-") || fault.Kind == "keeper-replace" {
+			} else if strings.HasPrefix(fault.Kind, "balancer-") || strings.HasPrefix(fault.Kind, "disk-") ||
+				fault.Kind == "keeper-replace" {
 				drawn.Balancers = rd.balancerIndexes(table, balancers, share, random.Perm(rd.experiment.Balancers))
 			} else if !strings.HasPrefix(fault.Kind, "list-") || fault.Kind == "list-lacks" {
 				var candidates []int
@@ -606,48 +632,49 @@
 	table.ReportUnknownKeys()
 }
 
-func (rd *reader) parseCondition(text string) (c Condition, fault string) {
+func (rd *reader) parseCondition(text string) (condition Condition, fault string) {
 	words := strings.Fields(text)
-	c.Text = text
+	condition.Text = text
 	if len(words) != 3 && len(words) != 5 {
-		return c, "write it as \"design.service >= 0.9\" or \"design.service > random.service + 0.1\""
+		return condition, "write it as \"design.service >= 0.9\" or \"design.service > random.service + 0.1\""
 	}
 	if !slices.Contains([]string{"<", "<=", ">", ">=", "=="}, words[1]) {
-		return c, words[1] + " is none of < <= > >= =="
+		return condition, words[1] + " is none of < <= > >= =="
 	}
-	c.Op = words[1]
-	if c.Left, fault = rd.parseFigure(words[0]); fault != "" {
-		return c, fault
+	condition.Op = words[1]
+	if condition.Left, fault = rd.parseFigure(words[0]); fault != "" {
+		return condition, fault
 	}
-	if c.Right, fault = rd.parseFigure(words[2]); fault != "" {
-		return c, fault
+	if condition.Right, fault = rd.parseFigure(words[2]); fault != "" {
+		return condition, fault
 	}
 	if len(words) == 5 {
 		plus, err := strconv.ParseFloat(words[4], 64)
 		if err != nil || words[3] != "+" && words[3] != "-" {
-			return c, "the right side may only be followed by + or - and a number"
+			return condition, "the right side may only be followed by + or - and a number"
 		}
-		if c.Offset = plus; words[3] == "-" {
-			c.Offset = -plus
+		if condition.Offset = plus; words[3] == "-" {
+			condition.Offset = -plus
 		}
 	}
-	return c, ""
+	return condition, ""
 }
 
-func (rd *reader) parseFigure(word string) (f Figure, fault string) {
+func (rd *reader) parseFigure(word string) (figure Figure, fault string) {
 	if n, err := strconv.ParseFloat(word, 64); err == nil {
 		return Figure{Number: n}, ""
 	}
 	variant, name, _ := strings.Cut(word, ".")
 	if !slices.Contains(rd.experiment.Variants, variant) {
-		return f, fmt.Sprintf("%q is not a variant of this experiment", variant)
+		return figure, fmt.Sprintf("%q is not a variant of this experiment", variant)
 	}
 	base, of, _ := strings.Cut(name, ":")
 	if !slices.Contains(Figures, base) {
-		return f, fmt.Sprintf("%q is none of %s", base, strings.Join(Figures, ", "))
+		return figure, fmt.Sprintf("%q is none of %s", base, strings.Join(Figures, ", "))
 	}
-	if of != "" && !slices.Contains(rd.experiment.tariffNames(), of) && !slices.Contains(rd.experiment.Pools, of) && !slices.Contains(rd.experiment.Customers, of) {
-		return f, fmt.Sprintf("%q is not a tariff, pool or customer", of)
+	if of != "" && !slices.Contains(rd.experiment.tariffNames(), of) && !slices.Contains(rd.experiment.Pools, of) &&
+		!slices.Contains(rd.experiment.Customers, of) {
+		return figure, fmt.Sprintf("%q is not a tariff, pool or customer", of)
 	}
 	return Figure{Variant: variant, Name: name}, ""
 }
