--- a/cmd/meshsim/run.go
+++ b/cmd/meshsim/run.go
@@ -40,13 +40,13 @@
 	began := time.Now()
 	fmt.Println(q.Title)
 	mesh := q.ProcessMesh(flags.folder(app), *flags.logs, short)
-	mesh.Beside = *flags.beside
-	seen, err := processes.Play(ctx, mesh, func(format string, args ...any) {
+	mesh.OtherPrograms = *flags.beside
+	seen, err := processes.Run(ctx, mesh, func(format string, args ...any) {
 		fmt.Printf("%6.2fs  %s\n", time.Since(began).Seconds(), fmt.Sprintf(format, args...))
 	})
 	app.FatalIfError(err, "")
 	seen.Print(os.Stdout)
-	if len(seen.Broken) > 0 {
+	if len(seen.Violations) > 0 {
 		os.Exit(exitBroken)
 	}
 }
--- a/internal/mesh/simulation/processes/configuration_judge.go
+++ b/internal/mesh/simulation/processes/configuration_judge.go
@@ -7,127 +7,128 @@
 	"time"
 )
 
-// Bounds of configuration in force, as operators are promised them.
+// Bounds for configuration to take effect, as promised to operators.
 const (
-	configBound   = 2500 * time.Millisecond // from the acknowledgement of a version until each balancer in touch goes by it
-	backBound     = 250 * time.Millisecond  // after which a balancer that has gone by a version goes by no older one
-	slowBack      = 8                       // times that, for a balancer that stood still
-	touchBound    = 3 * time.Second         // after trouble, until a balancer counts as in touch
-	leastCompared = 20                      // requests on added routes, from which on their share is judged
-	leastShare    = 4                       // the share served on first routes may be so many times theirs
+	inForceBound   = 2500 * time.Millisecond // from the acknowledgement of a version until each connected proxy uses it
+	rollbackBound  = 250 * time.Millisecond  // from the use of a version at a proxy until no older version is used there
+	outageFactor   = 8                       // factor on rollbackBound for a proxy in an outage, such as a frozen process
+	reconnectBound = 3 * time.Second         // from the end of an outage until a proxy counts as connected
+	minCompared    = 20                      // requests on added routes below which their served ratio is not judged
+	maxServedRatio = 4                       // largest quotient of the served ratios of first and added routes
 )
 
-// version is one version of the configuration. Each adds a route of its own, and takes one away that an older one added.
+// version is one version of the configuration. Each adds a route and may remove a route that an older version added.
 type version struct {
-	edition   int
-	sent      time.Duration // since the start
-	acked     time.Duration // 0 for never
-	withdrawn int           // edition whose route it takes away, 0 for none
+	edition      int
+	sent         time.Duration // since the start of the run
+	acknowledged time.Duration // 0 if never
+	withdraws    int           // version whose route it removes, 0 for none
 }
 
-// probe is a request that shows which version a balancer goes by.
+// probe is a request that shows which version a proxy uses.
 type probe struct {
-	proxy, life int // life is of its process, -1 where that ended meanwhile
-	edition     int // whose route was asked for
-	invalid     bool
-	sent, done  time.Duration
-	status      int
+	proxy, pid int // pid is the process ID of the proxy, -1 if the process ended during the probe
+	edition    int // version whose route is requested
+	invalid    bool
+	sent, done time.Duration
+	status     int
 }
 
-// trouble is a time in which a balancer is not in touch.
-type trouble struct {
-	proxy      int // -1 for all
-	from, till time.Duration
+// outage is a period in which a proxy is not connected.
+type outage struct {
+	proxy      int // -1 for all proxies
+	start, end time.Duration
 }
 
-// configurationJudge holds what probes saw against what operators were told. It reads no clock.
+// configurationJudge compares the results of probes with the acknowledgements that operators received. It reads no clock.
 type configurationJudge struct {
-	versions []version // by rising edition
-	probes   []probe
-	troubles []trouble
-	breaks   func(format string, args ...any)
+	versions        []version // in ascending order
+	probes          []probe
+	outages         []outage
+	reportViolation func(format string, args ...any)
 }
 
-// inTouch reports whether a balancer had no trouble for a while before a request, until its end.
-func (j *configurationJudge) inTouch(p *probe) bool {
-	return !slices.ContainsFunc(j.troubles, func(t trouble) bool {
-		return (t.proxy < 0 || t.proxy == p.proxy) && p.done >= t.from && p.sent <= t.till+touchBound
+// connected reports whether the proxy had no outage from reconnectBound before the probe until the end of the probe.
+func (j *configurationJudge) connected(p *probe) bool {
+	return !slices.ContainsFunc(j.outages, func(t outage) bool {
+		return (t.proxy < 0 || t.proxy == p.proxy) && p.done >= t.start && p.sent <= t.end+reconnectBound
 	})
 }
 
-// routeOf is when the route of an edition may be there, and must be: from the sending of its version, from so long after the
-// acknowledgement; and when it must be gone and may be: the same of the version that takes it away.
-func (j *configurationJudge) routeOf(edition int) (added, gone *version) {
+// routeVersions returns the version that adds the route of a version and the version that removes it, nil for none. The
+// route may exist once the adding version is sent, and must exist inForceBound after its acknowledgement. The same bounds hold for
+// the removal.
+func (j *configurationJudge) routeVersions(edition int) (added, withdrawn *version) {
 	for n := range j.versions {
 		v := &j.versions[n]
 		if v.edition == edition {
 			added = v
 		}
-		if v.withdrawn == edition {
-			gone = v
+		if v.withdraws == edition {
+			withdrawn = v
 		}
 	}
-	return added, gone
+	return added, withdrawn
 }
 
-// judge names each probe that breaks a rule.
+// judge reports each probe that violates a rule.
 func (j *configurationJudge) judge() {
 	for n := range j.probes {
 		p := &j.probes[n]
 		served, unknown := p.status == http.StatusOK, p.status == http.StatusNotFound
 		if p.invalid {
 			if served {
-				j.breaks("CONFIG: balancer %d serves by an invalid configuration, edition %d", p.proxy, p.edition)
+				j.reportViolation("CONFIG: proxy %d serves a route of an invalid configuration, version %d", p.proxy, p.edition)
 			}
 			continue
 		}
-		added, gone := j.routeOf(p.edition)
-		if added == nil || !j.inTouch(p) {
+		added, withdrawn := j.routeVersions(p.edition)
+		if added == nil || !j.connected(p) {
 			continue
 		}
-		if unknown && added.acked > 0 && p.sent > added.acked+configBound && (gone == nil || p.done < gone.sent) {
-			j.breaks("CONFIG: edition %d is not in force at balancer %d %v after its acknowledgement", p.edition, p.proxy, p.sent-added.acked)
+		if unknown && added.acknowledged > 0 && p.sent > added.acknowledged+inForceBound && (withdrawn == nil || p.done < withdrawn.sent) {
+			j.reportViolation("CONFIG: version %d is not in force at proxy %d %v after its acknowledgement", p.edition, p.proxy, p.sent-added.acknowledged)
 		}
-		if served && gone != nil && gone.acked > 0 && p.sent > gone.acked+configBound {
-			j.breaks("CONFIG: balancer %d serves the route of edition %d %v after edition %d took it away", p.proxy, p.edition, p.sent-gone.acked, gone.edition)
+		if served && withdrawn != nil && withdrawn.acknowledged > 0 && p.sent > withdrawn.acknowledged+inForceBound {
+			j.reportViolation("CONFIG: proxy %d serves the route of version %d %v after version %d removed it", p.proxy, p.edition, p.sent-withdrawn.acknowledged, withdrawn.edition)
 		}
 	}
-	j.judgeBack()
-	j.judgeShare()
+	j.judgeRollbacks()
+	j.judgeServed()
 }
 
-// judgeBack names balancers that went by an older version after a newer one, within one life.
-func (j *configurationJudge) judgeBack() {
-	type life struct{ proxy, life int }
-	seen := map[life][]*probe{} // that showed an edition in force
+// judgeRollbacks reports proxies that used an older version after a newer one within one process lifetime.
+func (j *configurationJudge) judgeRollbacks() {
+	type lifetime struct{ proxy, pid int }
+	seen := map[lifetime][]*probe{} // probes that showed a version in force
 	for n := range j.probes {
 		p := &j.probes[n]
-		if p.life >= 0 && !p.invalid && p.status == http.StatusOK {
-			seen[life{p.proxy, p.life}] = append(seen[life{p.proxy, p.life}], p)
+		if p.pid >= 0 && !p.invalid && p.status == http.StatusOK {
+			seen[lifetime{p.proxy, p.pid}] = append(seen[lifetime{p.proxy, p.pid}], p)
 		}
 	}
 	for n := range j.probes {
 		p := &j.probes[n]
-		if p.life < 0 || p.invalid || p.status != http.StatusNotFound && p.status != http.StatusOK {
+		if p.pid < 0 || p.invalid || p.status != http.StatusNotFound && p.status != http.StatusOK {
 			continue
 		}
-		bound := backBound
-		if !j.inTouch(p) {
-			bound *= slowBack
+		bound := rollbackBound
+		if !j.connected(p) {
+			bound *= outageFactor
 		}
-		added, gone := j.routeOf(p.edition)
+		added, withdrawn := j.routeVersions(p.edition)
 		if added == nil {
 			continue
 		}
-		for _, earlier := range seen[life{p.proxy, p.life}] {
+		for _, earlier := range seen[lifetime{p.proxy, p.pid}] {
 			if p.sent <= earlier.done+bound {
 				continue
 			}
 			switch {
-			case p.status == http.StatusNotFound && earlier.edition >= p.edition && (gone == nil || p.done < gone.sent):
-				j.breaks("CONFIG: balancer %d went back: edition %d was in force, and %v later edition %d is not", p.proxy, earlier.edition, p.sent-earlier.done, p.edition)
-			case p.status == http.StatusOK && gone != nil && earlier.edition >= gone.edition:
-				j.breaks("CONFIG: balancer %d went back: edition %d was in force, and %v later the route of edition %d is served", p.proxy, earlier.edition, p.sent-earlier.done, p.edition)
+			case p.status == http.StatusNotFound && earlier.edition >= p.edition && (withdrawn == nil || p.done < withdrawn.sent):
+				j.reportViolation("CONFIG: proxy %d went back: version %d was in force, and %v later version %d is not", p.proxy, earlier.edition, p.sent-earlier.done, p.edition)
+			case p.status == http.StatusOK && withdrawn != nil && earlier.edition >= withdrawn.edition:
+				j.reportViolation("CONFIG: proxy %d went back: version %d was in force, and %v later the route of version %d is served", p.proxy, earlier.edition, p.sent-earlier.done, p.edition)
 			default:
 				continue
 			}
@@ -136,56 +137,58 @@
 	}
 }
 
-// judgeShare holds what is served on added routes, in calm times, against what is on the first.
-func (j *configurationJudge) judgeShare() {
-	added, first := j.shares()
-	if added.asked >= leastCompared && added.ratio()*leastShare < first.ratio() {
-		j.breaks("CONFIG: of %d requests on routes that were added, %d were served; of %d on the first routes, %d", added.asked, added.served, first.asked, first.served)
+// judgeServed compares the served ratio on added routes with that on the first routes, outside of outages.
+func (j *configurationJudge) judgeServed() {
+	added, first := j.servedCounts()
+	if added.requests >= minCompared && added.ratio()*maxServedRatio < first.ratio() {
+		j.reportViolation("CONFIG: of %d requests on added routes, %d were served; of %d on the first routes, %d", added.requests, added.served, first.requests, first.served)
 	}
 }
 
-type share struct{ asked, served int }
+type servedCount struct{ requests, served int }
 
-func (s share) ratio() float64 { return float64(s.served) / float64(max(s.asked, 1)) }
+func (c servedCount) ratio() float64 { return float64(c.served) / float64(max(c.requests, 1)) }
 
-func (s share) String() string { return fmt.Sprintf("%d of %d", s.served, s.asked) }
+func (c servedCount) String() string { return fmt.Sprintf("%d of %d", c.served, c.requests) }
 
-// shares are what was served on routes that were surely there, by balancers in touch: on those of later versions, and of the first.
-func (j *configurationJudge) shares() (added, first share) {
+// servedCounts counts the probes of routes that must be in force at connected proxies, for added routes and those of the first
+// version.
+func (j *configurationJudge) servedCounts() (added, first servedCount) {
 	for n := range j.probes {
 		p := &j.probes[n]
-		v, gone := j.routeOf(p.edition)
-		if p.invalid || v == nil || v.acked == 0 || p.sent <= v.acked+configBound || gone != nil && p.done >= gone.sent || !j.inTouch(p) {
+		v, withdrawn := j.routeVersions(p.edition)
+		if p.invalid || v == nil || v.acknowledged == 0 || p.sent <= v.acknowledged+inForceBound || withdrawn != nil && p.done >= withdrawn.sent || !j.connected(p) {
 			continue
 		}
-		of := &added
-		if v.edition == firstEdition {
-			of = &first
+		counts := &added
+		if v.edition == firstVersion {
+			counts = &first
 		}
-		of.asked++
+		counts.requests++
 		if p.status == http.StatusOK {
-			of.served++
+			counts.served++
 		}
 	}
 	return added, first
 }
 
-// inForce is how long each version took from its acknowledgement until a balancer was first seen to go by it, by what probes can tell.
-func (j *configurationJudge) inForce() (all []time.Duration) {
-	type at struct{ proxy, edition int }
-	seen := map[at]time.Duration{}
+// inForceDelays returns, for each version and proxy, the delay from the acknowledgement until a probe first showed the
+// version in force.
+func (j *configurationJudge) inForceDelays() (delays []time.Duration) {
+	type key struct{ proxy, edition int }
+	seen := map[key]time.Duration{}
 	for n := range j.probes {
 		p := &j.probes[n]
-		k := at{p.proxy, p.edition}
+		k := key{p.proxy, p.edition}
 		if p.status == http.StatusOK && !p.invalid && (seen[k] == 0 || p.done < seen[k]) {
 			seen[k] = p.done
 		}
 	}
 	for k, done := range seen {
-		if v, _ := j.routeOf(k.edition); v != nil && v.acked > 0 && v.edition != firstEdition {
-			all = append(all, max(0, done-v.acked))
+		if v, _ := j.routeVersions(k.edition); v != nil && v.acknowledged > 0 && v.edition != firstVersion {
+			delays = append(delays, max(0, done-v.acknowledged))
 		}
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(delays)
+	return delays
 }
--- a/internal/mesh/simulation/processes/faults.go
+++ b/internal/mesh/simulation/processes/faults.go
@@ -15,33 +15,33 @@
 	KillAll          = "kill_all"
 	FreezeController = "freeze_controller"
 	FreezeProxy      = "freeze_proxy"
-	WipeController   = "wipe_controller" // killed, and its disk emptied
+	WipeController   = "wipe_controller" // killed, and its data directory emptied
 	TermProxy        = "term_proxy"
 )
 
-// Kinds are all of them.
+// Kinds lists all kinds of faults.
 var Kinds = []string{KillController, KillProxy, KillAll, FreezeController, FreezeProxy, WipeController, TermProxy}
 
-// Fault is one thing that goes wrong.
+// Fault is a fault that begins at a given time and lasts for a given duration.
 type Fault struct {
 	Kind    string
 	At, For time.Duration
 	Who     int
 }
 
-// befall has one fault happen, and end.
-func (w *world) befall(ctx context.Context, f Fault, tell func(string, ...any)) {
-	if nap(ctx, f.At) != nil {
+// injectFault injects a fault and ends it after its duration.
+func (h *harness) injectFault(ctx context.Context, f Fault, logf func(string, ...any)) {
+	if sleep(ctx, f.At) != nil {
 		return
 	}
-	var hit []*process
-	for n, p := range w.all {
-		if w.hits(f, n) {
-			hit = append(hit, p)
+	var affected []*process
+	for n, p := range h.processes {
+		if h.affects(f, n) {
+			affected = append(affected, p)
 		}
 	}
-	for _, p := range hit {
-		tell("%s of %s", f.Kind, p.name)
+	for _, p := range affected {
+		logf("%s of %s", f.Kind, p.name)
 		switch {
 		case strings.HasPrefix(f.Kind, "freeze"):
 			p.signal(syscall.SIGSTOP, false)
@@ -51,13 +51,13 @@
 			p.signal(syscall.SIGKILL, true)
 		}
 	}
-	nap(ctx, f.For)
-	for _, p := range hit {
+	sleep(ctx, f.For)
+	for _, p := range affected {
 		if strings.HasPrefix(f.Kind, "freeze") {
 			p.signal(syscall.SIGCONT, false)
 			continue
 		}
-		p.signal(syscall.SIGKILL, true) // one that was asked to leave has left by now
+		p.signal(syscall.SIGKILL, true) // a process that was sent SIGTERM has exited by now
 		if f.Kind == WipeController {
 			os.RemoveAll(p.settings.DataDir)
 			os.MkdirAll(p.settings.DataDir, 0o755)
@@ -65,26 +65,26 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if err := w.run(p); err != nil {
-			w.breaks("%s does not start again: %v", p.name, err)
+		if err := h.startProcess(p); err != nil {
+			h.reportViolation("%s does not restart: %v", p.name, err)
 			return
 		}
-		w.mu.Lock()
-		w.out.Restarts++
-		w.mu.Unlock()
-		tell("%s is back", p.name)
+		h.mu.Lock()
+		h.outcome.Restarts++
+		h.mu.Unlock()
+		logf("%s is restarted", p.name)
 	}
 }
 
-// hits reports whether a fault is that of a process; controllers come first, proxies after them.
-func (w *world) hits(f Fault, n int) bool {
+// affects reports whether a fault affects process n. Processes are numbered with the controllers first, then the proxies.
+func (h *harness) affects(f Fault, n int) bool {
 	switch f.Kind {
 	case KillAll:
 		return true
 	case KillController, FreezeController, WipeController:
-		return n == f.Who%w.Controllers
+		return n == f.Who%h.Controllers
 	case KillProxy, FreezeProxy, TermProxy:
-		return n == w.Controllers+f.Who%w.Proxies
+		return n == h.Controllers+f.Who%h.Proxies
 	}
 	return false
 }
--- a/internal/mesh/simulation/processes/judge.go
+++ b/internal/mesh/simulation/processes/judge.go
@@ -13,124 +13,125 @@
 	"ottershift/internal/mesh/burstcredit"
 )
 
-// judge holds what clients were told against what upstreams ran.
-func (w *world) judge() {
+// judge compares the responses that clients received with the requests that upstreams ran.
+func (h *harness) judge() {
 	runs := map[string]int{}
-	for n, a := range w.apps {
-		for id, k := range a.RunsByAttempt() {
-			runs[id] += k
-			w.out.By[n].Ran += k
+	for n, upstream := range h.upstreams {
+		for id, count := range upstream.RunsByAttempt() {
+			runs[id] += count
+			h.outcome.ByProxy[n].Runs += count
 		}
 	}
-	if w.side != nil {
-		ran, effects := w.side.Runs()
-		for id, k := range ran {
-			runs[id] += k
+	if h.partner != nil {
+		ran, effects := h.partner.Runs()
+		for id, count := range ran {
+			runs[id] += count
 		}
-		w.out.Effects = effects
-		for _, what := range w.side.ForbiddenWrites() {
-			w.breaks("KEPT: %s, after that narrowing was reported done", what)
+		h.outcome.PartnerEffects = effects
+		for _, what := range h.partner.ForbiddenWrites() {
+			h.reportViolation("KEPT: %s ran after its narrowing was reported complete", what)
 		}
 	}
-	if w.Credit > 0 {
-		w.judgeCredit(runs)
+	if h.Credit > 0 {
+		h.judgeCredit(runs)
 	}
-	for id, k := range runs {
-		t := w.sent[id]
+	for id, count := range runs {
+		attempt := h.attempts[id]
 		switch {
-		case t == nil:
-			w.breaks("UNASKED: %s ran and was sent by nobody", id)
-		case t.once && k > 1:
-			w.breaks("TWICE: %s ran %d times", id, k)
-		case t.once && (t.status == http.StatusServiceUnavailable || t.status == http.StatusTooManyRequests || t.status == http.StatusForbidden):
-			w.breaks("REFUSED: %s was promised not to run, and ran", id)
+		case attempt == nil:
+			h.reportViolation("UNASKED: %s ran, but no client sent it", id)
+		case attempt.onceOnly && count > 1:
+			h.reportViolation("TWICE: %s ran %d times", id, count)
+		case attempt.onceOnly && (attempt.status == http.StatusServiceUnavailable || attempt.status == http.StatusTooManyRequests || attempt.status == http.StatusForbidden):
+			h.reportViolation("REFUSED: %s was refused, but ran", id)
 		}
 	}
-	for id, t := range w.sent {
+	for id, attempt := range h.attempts {
 		switch {
-		case t.probe:
-		case t.status == -1:
-			w.breaks("MIXED: %s got an answer that is no upstream's", id)
-		case t.status == http.StatusOK && runs[id] == 0:
-			w.breaks("MIXED: %s was answered and never ran", id)
-		case !t.outside && t.status >= 300 && t.status < 500 && t.status != http.StatusTooManyRequests:
-			w.breaks("DENIED: %s got %d", id, t.status)
+		case attempt.probe:
+		case attempt.status == -1:
+			h.reportViolation("MIXED: %s got a response that no upstream sent", id)
+		case attempt.status == http.StatusOK && runs[id] == 0:
+			h.reportViolation("MIXED: %s was served, but never ran", id)
+		case !attempt.toPartner && attempt.status >= 300 && attempt.status < 500 && attempt.status != http.StatusTooManyRequests:
+			h.reportViolation("DENIED: %s got %d", id, attempt.status)
 		}
 	}
-	if w.tail[0] > 0 && float64(w.tail[1]) < 0.9*float64(w.tail[0]) {
-		w.breaks("RECOVER: %d of %d requests were served once all was mended", w.tail[1], w.tail[0])
+	if h.afterFaults[0] > 0 && float64(h.afterFaults[1]) < 0.9*float64(h.afterFaults[0]) {
+		h.reportViolation("RECOVER: %d of %d requests were served after the end of all faults", h.afterFaults[1], h.afterFaults[0])
 	}
-	slices.Sort(w.out.Broken)
+	slices.Sort(h.outcome.Violations)
 }
 
-// judgeCredit holds what was charged against what was served: each key once, effects that may have run among them.
-func (w *world) judgeCredit(runs map[string]int) {
+// judgeCredit compares the tokens charged with the requests served. Each idempotency key is due at most one charge,
+// and requests that may have had an effect count as due.
+func (h *harness) judgeCredit(runs map[string]int) {
 	due := map[string]bool{}
-	for id, t := range w.sent {
-		if key, _, _ := strings.Cut(id, "/"); t.status == http.StatusOK || t.once && runs[id] > 0 || t.status == 0 {
+	for id, attempt := range h.attempts {
+		if key, _, _ := strings.Cut(id, "/"); attempt.status == http.StatusOK || attempt.onceOnly && runs[id] > 0 || attempt.status == 0 {
 			due[key] = true
 		}
 	}
-	w.out.DueMost = len(due)
-	ctx, end := context.WithTimeout(context.Background(), 8*time.Second)
-	defer end()
-	var a *burstcredit.AccountStatus
-	for last := -1.0; ; { // until all has been told
-		now, err := w.account(ctx)
+	h.outcome.MaxCharges = len(due)
+	ctx, cancel := context.WithTimeout(context.Background(), 8*time.Second)
+	defer cancel()
+	var account *burstcredit.AccountStatus
+	for last := -1.0; ; { // until the proxies have reported all charges
+		current, err := h.fetchAccount(ctx)
 		if err != nil && ctx.Err() != nil {
-			w.breaks("CREDIT: nobody gives the account: %v", err)
+			h.reportViolation("CREDIT: no controller returned the account: %v", err)
 			return
 		}
 		if err == nil {
-			if a = now; a.Spent == last {
+			if account = current; account.Spent == last {
 				break
 			}
-			last = a.Spent
+			last = account.Spent
 		}
-		if nap(ctx, time.Second) != nil {
+		if sleep(ctx, time.Second) != nil {
 			break
 		}
 	}
-	w.out.Spent = a.Spent
-	if a.Spent > float64(len(due))+1e-6 {
-		w.breaks("CREDIT: %.0f charges, and %d requests that were due one at most", a.Spent, len(due))
+	h.outcome.Charged = account.Spent
+	if account.Spent > float64(len(due))+1e-6 {
+		h.reportViolation("CREDIT: %.0f tokens charged, but at most %d requests were due a charge", account.Spent, len(due))
 	}
-	if a.Gap > 1e-6 || a.Gap < -1e-6 {
-		w.breaks("CREDIT: the account is out by %g", a.Gap)
+	if account.Gap > 1e-6 || account.Gap < -1e-6 {
+		h.reportViolation("CREDIT: the account does not balance: difference %g", account.Gap)
 	}
-	if a.Spent > w.Credit+a.Earned {
-		w.breaks("CREDIT: %.0f charged of a credit of %.0f", a.Spent, w.Credit+a.Earned)
+	if account.Spent > h.Credit+account.Earned {
+		h.reportViolation("CREDIT: %.0f tokens charged, but the credit is %.0f", account.Spent, h.Credit+account.Earned)
 	}
 }
 
-// Print writes what was seen; the last line is the verdict.
+// Print writes the result. The last line is the verdict.
 func (o *Outcome) Print(out io.Writer) {
-	t := tabwriter.NewWriter(out, 2, 8, 2, ' ', 0)
-	fmt.Fprintln(t, "proxy\tasked\tserved\trefused\tfailed\tno answer\tran beside it\t")
-	for _, s := range o.By {
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t\n", s.Node, s.Asked, s.OK, s.Refused, s.Failed, s.NoAnswer, s.Ran)
+	table := tabwriter.NewWriter(out, 2, 8, 2, ' ', 0)
+	fmt.Fprintln(table, "proxy\trequests\tserved\trefused\tfailed\tno response\trun by its upstream\t")
+	for _, s := range o.ByProxy {
+		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t\n", s.Node, s.Requests, s.OK, s.Refused, s.Failed, s.NoResponse, s.Runs)
 	}
-	t.Flush()
-	for _, b := range o.Broken[:min(len(o.Broken), 10)] {
-		fmt.Fprintln(out, b)
+	table.Flush()
+	for _, violation := range o.Violations[:min(len(o.Violations), 10)] {
+		fmt.Fprintln(out, violation)
 	}
-	if n := len(o.Acks); n > 0 {
-		slices.Sort(o.Acks)
-		fmt.Fprintf(out, "changes of a configuration of %d bytes: acknowledged after %v in the median, %v at most\n", o.Bytes, o.Acks[n/2].Round(100*time.Microsecond), o.Acks[n-1].Round(time.Millisecond))
+	if n := len(o.AckDelays); n > 0 {
+		slices.Sort(o.AckDelays)
+		fmt.Fprintf(out, "changes of a configuration of %d bytes: acknowledged after %v (median), %v (maximum)\n", o.Bytes, o.AckDelays[n/2].Round(100*time.Microsecond), o.AckDelays[n-1].Round(time.Millisecond))
 	}
-	if n := len(o.InForce); n > 0 {
-		fmt.Fprintf(out, "versions: %d probes, in force after %v in the median, %v at most; served on added routes %v, on the first %v\n", o.Probes,
-			o.InForce[n/2].Round(time.Millisecond), o.InForce[n-1].Round(time.Millisecond), o.Added, o.First)
+	if n := len(o.InForceDelays); n > 0 {
+		fmt.Fprintf(out, "versions: %d probes, in force after %v (median), %v (maximum); served on added routes %v, on the first routes %v\n", o.Probes,
+			o.InForceDelays[n/2].Round(time.Millisecond), o.InForceDelays[n-1].Round(time.Millisecond), o.AddedRoutes, o.FirstRoutes)
 	}
-	if o.Spent > 0 {
-		fmt.Fprintf(out, "credit: %.0f charged; %d requests were due a charge at most\n", o.Spent, o.DueMost)
+	if o.Charged > 0 {
+		fmt.Fprintf(out, "credit: %.0f tokens charged; at most %d requests were due a charge\n", o.Charged, o.MaxCharges)
 	}
-	if len(o.Done) > 0 {
-		fmt.Fprintf(out, "partner: %d effects ran, %d narrowings done, after %v at most\n", o.Effects, len(o.Done), slices.Max(o.Done).Round(time.Millisecond))
+	if len(o.NarrowingDelays) > 0 {
+		fmt.Fprintf(out, "partner: %d writes ran, %d narrowings complete, after at most %v\n", o.PartnerEffects, len(o.NarrowingDelays), slices.Max(o.NarrowingDelays).Round(time.Millisecond))
 	}
 	verdict := "held"
-	if len(o.Broken) > 0 {
+	if len(o.Violations) > 0 {
 		verdict = "broken"
 	}
-	fmt.Fprintf(out, "verdict=%s served=%.4f late=%d restarts=%d changes=%d broken=%d\n", verdict, float64(o.OK)/float64(max(o.Asked, 1)), o.Late, o.Restarts, o.Changes, len(o.Broken))
+	fmt.Fprintf(out, "verdict=%s served=%.4f late=%d restarts=%d changes=%d broken=%d\n", verdict, float64(o.OK)/float64(max(o.Requests, 1)), o.Late, o.Restarts, o.Changes, len(o.Violations))
 }
--- a/internal/mesh/simulation/processes/processes.go
+++ b/internal/mesh/simulation/processes/processes.go
@@ -1,5 +1,5 @@
-// Package processes plays a mesh as real processes on loopback, with stand-in upstreams, clients and operators of its own, and judges
-// it by what those saw alone. It is the part of meshsim that has a real clock.
+// Package processes runs a mesh as real processes on loopback, with stand-in upstreams, clients and operators, and judges
+// it only by what those observed. It is the part of meshsim that runs in real time.
 package processes
 
 import (
@@ -17,56 +17,56 @@
 	"ottershift/internal/mesh/testmesh"
 )
 
-// Error is the class of plays that could not be played.
+// Error is the class of errors of runs that could not be carried out.
 var Error = errs.Class("processes")
 
-// Mesh is what is played.
+// Mesh describes the mesh to run, its load and its faults.
 type Mesh struct {
-	Programs             string // folder of controller and proxy
-	Beside               string // folder of another version's: every second process is started from it, "" for none
+	Programs             string // folder of the controller and proxy binaries
+	OtherPrograms        string // folder of the binaries of another release, which every second process runs, "" for none
 	Controllers, Proxies int
 	Zones, Services      []string
 	Length               time.Duration
-	Rate                 float64 // requests a second, of all clients together
-	Work                 time.Duration
-	Size                 int // bytes of an answer
-	Routes               int // beside those that are asked for
+	Rate                 float64       // requests per second of all clients together
+	ProcessingTime       time.Duration // of an upstream for each request
+	ResponseBytes        int           // size of a response body
+	IdleRoutes           int           // routes in the configuration that receive no requests
 	Faults               []Fault
 	Seed                 uint64
-	Credit               float64       // tokens of burst credit of the one tenant that all clients are of, 0 for none
-	TenantRate           float64       // its rate then, a second
-	Extra                float64       // and the most over it
-	Partner              time.Duration // between two words of a partner that narrows and widens what it exports, 0 for no partner
-	Versions             time.Duration // between two versions of the configuration that are probed for, 0 for a version each three seconds and no probes
-	Logs                 string        // folder for what the processes write, "" for nowhere
+	Credit               float64       // burst credit, in tokens, of the single tenant of all clients, 0 for no tenant
+	TenantRate           float64       // rate limit of that tenant, in requests per second
+	ExtraRate            float64       // largest rate above the limit while burst credit is spent
+	PartnerInterval      time.Duration // between two changes of the partner's exports, 0 for no partner
+	VersionInterval      time.Duration // between two probed configuration versions, 0 for a version every 3 s and no probes
+	Logs                 string        // folder for the log files of the processes, "" for none
 }
 
-// Served is what came of the requests that began at one proxy.
+// Served counts the requests sent through one proxy, by result.
 type Served struct {
-	Node                                 string
-	Asked, OK, Refused, Failed, NoAnswer int
-	Ran                                  int // at the upstream beside it
+	Node                                      string
+	Requests, OK, Refused, Failed, NoResponse int
+	Runs                                      int // requests run by the upstream of this proxy
 }
 
-// Outcome is what was seen.
+// Outcome is the result of a run.
 type Outcome struct {
-	By        []Served
-	Broken    []string
-	Asked, OK int
-	Late      int // answered after their aim
-	Restarts  int
-	Changes   int
-	Acks      []time.Duration // from the first call of a change until it was acknowledged
-	Bytes     int             // of the configuration
-	Settle    time.Duration   // from the start until a request was served
-	Spent     float64         // tokens that were charged
-	DueMost   int             // requests that were served, or whose effect may have been
-	Effects   int             // that ran at the partner
-	Done      []time.Duration // from the partner's words that narrowed until it was told that nothing comes any more
-	Probes    int             // for versions
-	InForce   []time.Duration // from the acknowledgement of each version until it was seen in force at each balancer
-	Added     share           // of the probes of routes that versions added
-	First     share           // of the probes of those of the first
+	ByProxy         []Served
+	Violations      []string
+	Requests, OK    int
+	Late            int // served after the latency target
+	Restarts        int
+	Changes         int
+	AckDelays       []time.Duration // from the first attempt to send a change until its acknowledgement
+	Bytes           int             // size of the configuration
+	StartupTime     time.Duration   // from the start until all proxies serve
+	Charged         float64         // tokens charged to the tenant
+	MaxCharges      int             // requests that were served or may have had an effect, each charged at most once
+	PartnerEffects  int             // writes that ran at the partner
+	NarrowingDelays []time.Duration // from a narrowing of the exports until the mesh reported it complete
+	Probes          int             // requests that probe for configuration versions
+	InForceDelays   []time.Duration // from the acknowledgement of a version until it was seen in force, for each proxy
+	AddedRoutes     servedCount     // probes of routes added by versions
+	FirstRoutes     servedCount     // probes of routes of the first version
 }
 
 type process struct {
@@ -75,100 +75,100 @@
 	settingsFile  string
 	mu            sync.Mutex
 	cmd           *exec.Cmd
-	down          bool // by a fault, until it starts it again
+	exitExpected  bool // set while a fault has stopped the process
 }
 
-type world struct {
+type harness struct {
 	Mesh
-	dir  string
-	plan *testmesh.Mesh
-	all  []*process
-	apps []*testmesh.Upstream
-	side *testmesh.Partner // nil for none
+	dir       string
+	plan      *testmesh.Mesh
+	processes []*process
+	upstreams []*testmesh.Upstream
+	partner   *testmesh.Partner // nil for none
 
-	mu    sync.Mutex
-	out   Outcome
-	sent  map[string]*try
-	began time.Time
+	mu        sync.Mutex
+	outcome   Outcome
+	attempts  map[string]*attempt
+	startedAt time.Time
 
-	versioned versioned
+	versionLog versionLog
 
-	tail  [2]int // asked and served once all that was wrong is over
-	stops sync.WaitGroup
+	afterFaults [2]int // requests sent and served after the end of all faults
+	exits       sync.WaitGroup
 }
 
-type try struct {
-	once    bool
-	status  int
-	outside bool // toward the partner
-	probe   bool // for a version: what its status means is judged apart
+type attempt struct {
+	onceOnly  bool
+	status    int
+	toPartner bool
+	probe     bool // a probe for a configuration version, which configurationJudge judges
 }
 
-const aim = 300 * time.Millisecond
+const latencyTarget = 300 * time.Millisecond
 
-// Play plays it; tell is told what happens.
-func Play(ctx context.Context, m Mesh, tell func(format string, args ...any)) (*Outcome, error) {
+// Run runs the mesh and judges it. Progress is reported to logf.
+func Run(ctx context.Context, m Mesh, logf func(format string, args ...any)) (*Outcome, error) {
 	dir, err := os.MkdirTemp("", "meshsim")
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
 	defer os.RemoveAll(dir)
-	w := &world{Mesh: m, dir: dir, sent: map[string]*try{}}
-	if w.plan, err = testmesh.Plan(m.Controllers, m.Proxies, m.Zones, m.Services, dir); err != nil {
+	h := &harness{Mesh: m, dir: dir, attempts: map[string]*attempt{}}
+	if h.plan, err = testmesh.Plan(m.Controllers, m.Proxies, m.Zones, m.Services, dir); err != nil {
 		return nil, Error.Wrap(err)
 	}
-	defer w.stop()
-	if m.Partner > 0 {
-		if w.side, err = testmesh.NewPartner("zuid", settings.Host(w.plan.Controllers[0].ControlAddress)+":0"); err != nil {
+	defer h.stop()
+	if m.PartnerInterval > 0 {
+		if h.partner, err = testmesh.NewPartner("zuid", settings.Host(h.plan.Controllers[0].ControlAddress)+":0"); err != nil {
 			return nil, Error.Wrap(err)
 		}
-		defer w.side.Stop()
+		defer h.partner.Stop()
 	}
-	began := time.Now()
-	if err := w.start(); err != nil {
+	startedAt := time.Now()
+	if err := h.startMesh(); err != nil {
 		return nil, err
 	}
-	if err := w.first(ctx); err != nil {
+	if err := h.installConfiguration(ctx); err != nil {
 		return nil, err
 	}
-	w.out.Settle = time.Since(began)
-	tell("%d controllers and %d proxies serve after %v", m.Controllers, m.Proxies, w.out.Settle.Round(time.Millisecond))
-	ctx, end := context.WithTimeout(ctx, m.Length)
-	defer end()
-	var parts sync.WaitGroup
-	calm := time.Duration(0)
+	h.outcome.StartupTime = time.Since(startedAt)
+	logf("%d controllers and %d proxies serve after %v", m.Controllers, m.Proxies, h.outcome.StartupTime.Round(time.Millisecond))
+	ctx, cancel := context.WithTimeout(ctx, m.Length)
+	defer cancel()
+	var tasks sync.WaitGroup
+	faultsEnd := time.Duration(0)
 	for _, f := range m.Faults {
-		calm = max(calm, f.At+f.For)
-		parts.Go(func() { w.befall(ctx, f, tell) })
+		faultsEnd = max(faultsEnd, f.At+f.For)
+		tasks.Go(func() { h.injectFault(ctx, f, logf) })
 	}
-	w.began = time.Now()
-	if m.Versions > 0 {
-		w.versioned.sent(firstEdition, 0, 0)
-		w.versioned.acknowledged(firstEdition, 1)
-		parts.Go(func() { w.changeVersions(ctx, tell) })
-		for n := range w.plan.Proxies {
-			parts.Go(func() { w.probeVersions(ctx, n) })
+	h.startedAt = time.Now()
+	if m.VersionInterval > 0 {
+		h.versionLog.recordSent(firstVersion, 0, 0)
+		h.versionLog.recordAcknowledged(firstVersion, 1)
+		tasks.Go(func() { h.changeVersions(ctx, logf) })
+		for n := range h.plan.Proxies {
+			tasks.Go(func() { h.probeVersions(ctx, n) })
 		}
 	} else {
-		parts.Go(func() { w.operate(ctx, tell) })
+		tasks.Go(func() { h.changeConfiguration(ctx, logf) })
 	}
-	if w.side != nil {
-		parts.Go(func() { w.narrow(ctx, tell) })
+	if h.partner != nil {
+		tasks.Go(func() { h.changeExports(ctx, logf) })
 	}
-	w.clients(ctx, time.Now().Add(calm+4*time.Second))
-	parts.Wait()
+	h.runClients(ctx, time.Now().Add(faultsEnd+4*time.Second))
+	tasks.Wait()
 	if ctx.Err() != nil && !errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return nil, Error.New("stopped")
+		return nil, Error.New("run interrupted")
 	}
-	w.judge()
-	if m.Versions > 0 {
-		w.judgeVersions()
+	h.judge()
+	if m.VersionInterval > 0 {
+		h.judgeVersions()
 	}
-	return &w.out, nil
+	return &h.outcome, nil
 }
 
-func (w *world) breaks(format string, args ...any) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.out.Broken = append(w.out.Broken, fmt.Sprintf(format, args...))
+func (h *harness) reportViolation(format string, args ...any) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.outcome.Violations = append(h.outcome.Violations, fmt.Sprintf(format, args...))
 }
--- a/internal/mesh/simulation/processes/versions.go
+++ b/internal/mesh/simulation/processes/versions.go
@@ -11,204 +11,206 @@
 )
 
 const (
-	firstEdition  = 1
-	keptRoutes    = 40                     // of versions, before the oldest is taken away
-	probePause    = 40 * time.Millisecond  // between two probes of a balancer
-	orderPause    = 100 * time.Millisecond // after an order without a clear answer
-	invalidOrders = 5                      // one order in so many is invalid
+	firstVersion          = 1
+	maxAddedRoutes        = 40                     // a version beyond that removes the oldest added route
+	probeInterval         = 40 * time.Millisecond  // between two probes of a proxy
+	retryInterval         = 100 * time.Millisecond // after a change whose result is unknown
+	invalidChangeInterval = 5                      // one in so many changes is preceded by an invalid one
 )
 
-// route is the text of a route that a version adds. Its rank is the highest and its target the longest: it is in no hurry, and first.
+// route returns the JSON of a route that a version adds. It has the highest precedence and the longest latency target.
 func route(name, prefix, service string) string {
 	return fmt.Sprintf(`{"Name":%q,"MailClass":"repeatable","Target":"1000ms","Precedence":0,"Unstamped":true,"Sorting":{"StreetPrefix":%q},"Dispatch":{"Destination":%q,"Deadline":"1000ms","DeliveryTries":2}}`, name, prefix, service)
 }
 
-func (w *world) versionRoute(edition int) string {
-	return route(fmt.Sprintf("version-%d", edition), fmt.Sprintf("/version/%d/", edition), w.Services[0])
+func (h *harness) versionRoute(edition int) string {
+	return route(fmt.Sprintf("version-%d", edition), fmt.Sprintf("/version/%d/", edition), h.Services[0])
 }
 
-// versioned is what is put, told and seen of versions that follow one another.
-type versioned struct {
+// versionLog records the configuration versions sent and acknowledged, and the results of probes.
+type versionLog struct {
 	mu    sync.Mutex
 	judge configurationJudge
 }
 
-func (w *world) since() time.Duration { return time.Since(w.began) }
+func (h *harness) elapsed() time.Duration { return time.Since(h.startedAt) }
 
-// sent notes that a version is on its way, and acknowledged that it was taken.
-func (v *versioned) sent(edition, withdrawn int, at time.Duration) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	v.judge.versions = append(v.judge.versions, version{edition: edition, withdrawn: withdrawn, sent: at})
+// recordSent records that a version is about to be sent. recordAcknowledged records its acknowledgement.
+func (l *versionLog) recordSent(edition, withdrawn int, at time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.judge.versions = append(l.judge.versions, version{edition: edition, withdraws: withdrawn, sent: at})
 }
 
-func (v *versioned) acknowledged(edition int, at time.Duration) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	for n := range v.judge.versions {
-		if v.judge.versions[n].edition == edition {
-			v.judge.versions[n].acked = at
+func (l *versionLog) recordAcknowledged(edition int, at time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for n := range l.judge.versions {
+		if l.judge.versions[n].edition == edition {
+			l.judge.versions[n].acknowledged = at
 		}
 	}
 }
 
-func (v *versioned) add(p probe) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	v.judge.probes = append(v.judge.probes, p)
+func (l *versionLog) addProbe(p probe) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.judge.probes = append(l.judge.probes, p)
 }
 
-// newest is the newest edition that may be in force.
-func (v *versioned) newest() int {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return v.judge.versions[len(v.judge.versions)-1].edition
+// newest returns the newest version that may be in force.
+func (l *versionLog) newest() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.judge.versions[len(l.judge.versions)-1].edition
 }
 
-// changeVersions has versions follow one another at a pace, some orders invalid, each at any controller.
-func (w *world) changeVersions(ctx context.Context, tell func(string, ...any)) {
-	chance := rand.New(rand.NewPCG(w.Seed, 2))
-	pace := time.NewTicker(w.Versions)
-	defer pace.Stop()
-	newest := firstEdition
+// changeVersions sends a new version every VersionInterval to a random controller, and invalid changes in between.
+func (h *harness) changeVersions(ctx context.Context, logf func(string, ...any)) {
+	rng := rand.New(rand.NewPCG(h.Seed, 2))
+	ticker := time.NewTicker(h.VersionInterval)
+	defer ticker.Stop()
+	newest := firstVersion
 	for ctx.Err() == nil {
-		edition, withdraw, gone := newest+1, "", 0
-		if gone = newest - keptRoutes; gone > firstEdition {
-			withdraw = fmt.Sprintf(`,"Withdraw":{"Routes":["version-%d"]}`, gone)
+		edition, withdraw, withdrawn := newest+1, "", 0
+		if withdrawn = newest - maxAddedRoutes; withdrawn > firstVersion {
+			withdraw = fmt.Sprintf(`,"Withdraw":{"Routes":["version-%d"]}`, withdrawn)
 		} else {
-			gone = 0
+			withdrawn = 0
 		}
-		if chance.IntN(invalidOrders) == 0 {
-			w.orderInvalid(ctx, chance, newest)
+		if rng.IntN(invalidChangeInterval) == 0 {
+			h.sendInvalidChange(ctx, rng, newest)
 		}
-		body := fmt.Sprintf(`{"Edition":%d,"Deliver":{"PostOffices":[{"Town":"demo.example","Regulations":[%s]}]}%s}`, edition, w.versionRoute(edition), withdraw)
-		began := w.since()
-		w.versioned.sent(edition, gone, began)
-		if !w.order(ctx, chance, newest, edition, body) {
+		body := fmt.Sprintf(`{"Edition":%d,"Deliver":{"PostOffices":[{"Town":"demo.example","Regulations":[%s]}]}%s}`, edition, h.versionRoute(edition), withdraw)
+		startedAt := h.elapsed()
+		h.versionLog.recordSent(edition, withdrawn, startedAt)
+		if !h.applyChange(ctx, rng, newest, edition, body) {
 			return
 		}
-		w.versioned.acknowledged(edition, w.since())
-		w.mu.Lock()
-		w.out.Changes++
-		w.out.Acks = append(w.out.Acks, w.since()-began)
-		w.mu.Unlock()
+		h.versionLog.recordAcknowledged(edition, h.elapsed())
+		h.mu.Lock()
+		h.outcome.Changes++
+		h.outcome.AckDelays = append(h.outcome.AckDelays, h.elapsed()-startedAt)
+		h.mu.Unlock()
 		newest = edition
 		select {
-		case <-pace.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 		}
 	}
-	tell("%d versions were acknowledged", w.out.Changes)
+	logf("%d versions were acknowledged", h.outcome.Changes)
 }
 
-// order sends an order until it is acknowledged.
-func (w *world) order(ctx context.Context, chance *rand.Rand, base, edition int, body string) bool {
+// applyChange sends a change until it is acknowledged. It reports false if the change is refused or ctx ends.
+func (h *harness) applyChange(ctx context.Context, rng *rand.Rand, base, edition int, body string) bool {
 	for ctx.Err() == nil {
-		status, text, _ := w.call(ctx, chance.IntN(w.Controllers), "timetable.amend", fmt.Sprint(base), body)
+		status, text, _ := h.callController(ctx, rng.IntN(h.Controllers), "timetable.amend", fmt.Sprint(base), body)
 		switch {
 		case status == http.StatusOK:
 			return true
 		case status >= 400 && status < 500:
-			w.breaks("CONFIG: version %d on top of %d was refused: %d %s", edition, base, status, strings.TrimSpace(text))
+			h.reportViolation("CONFIG: version %d on top of %d was refused: %d %s", edition, base, status, strings.TrimSpace(text))
 			return false
 		}
-		nap(ctx, orderPause)
+		sleep(ctx, retryInterval)
 	}
 	return false
 }
 
-// orderInvalid sends a change that means two things, or names what is not there. It must be refused; no clear answer is none.
-func (w *world) orderInvalid(ctx context.Context, chance *rand.Rand, base int) {
-	marker := route(fmt.Sprintf("invalid-%d", base+1), fmt.Sprintf("/invalid/%d/", base+1), w.Services[0])
+// sendInvalidChange sends a change that is ambiguous, names an unknown service or has a deadline of zero. It must not
+// be acknowledged. A request without a clear result is accepted.
+func (h *harness) sendInvalidChange(ctx context.Context, rng *rand.Rand, base int) {
+	marker := route(fmt.Sprintf("invalid-%d", base+1), fmt.Sprintf("/invalid/%d/", base+1), h.Services[0])
 	second := []string{
-		route("same-place", fmt.Sprintf("/invalid/%d/", base+1), w.Services[0]),
+		route("same-place", fmt.Sprintf("/invalid/%d/", base+1), h.Services[0]),
 		route("unknown", "/unknown/", "nobody"),
-		strings.Replace(route("no-time", "/no-time/", w.Services[0]), `"Deadline":"1000ms"`, `"Deadline":"0ms"`, 1),
-		strings.Replace(route("twice", "/twice/", w.Services[0]), `"Name"`, `"Name":"once","Name"`, 1),
-	}[chance.IntN(4)]
+		strings.Replace(route("no-time", "/no-time/", h.Services[0]), `"Deadline":"1000ms"`, `"Deadline":"0ms"`, 1),
+		strings.Replace(route("twice", "/twice/", h.Services[0]), `"Name"`, `"Name":"once","Name"`, 1),
+	}[rng.IntN(4)]
 	body := fmt.Sprintf(`{"Edition":%d,"Deliver":{"PostOffices":[{"Town":"demo.example","Regulations":[%s,%s]}]}}`, base+1, marker, second)
-	status, _, _ := w.call(ctx, chance.IntN(w.Controllers), "timetable.amend", fmt.Sprint(base), body)
+	status, _, _ := h.callController(ctx, rng.IntN(h.Controllers), "timetable.amend", fmt.Sprint(base), body)
 	if status == http.StatusOK {
-		w.breaks("CONFIG: an invalid change was acknowledged: %s", second)
+		h.reportViolation("CONFIG: an invalid change was acknowledged: %s", second)
 	}
 }
 
-// probeVersions asks one balancer on routes of versions: the newest, one before it, one that was taken away, the first, an invalid one.
-func (w *world) probeVersions(ctx context.Context, proxy int) {
-	chance := rand.New(rand.NewPCG(w.Seed, uint64(10+proxy)))
+// probeVersions probes one proxy for routes of the newest version, of an older or removed one, of the first and of an
+// invalid one.
+func (h *harness) probeVersions(ctx context.Context, proxy int) {
+	rng := rand.New(rand.NewPCG(h.Seed, uint64(10+proxy)))
 	client := &http.Client{Timeout: 3 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
-	var flying sync.WaitGroup
-	defer flying.Wait()
-	for n := 0; nap(ctx, probePause) == nil; n++ {
-		newest := w.versioned.newest()
-		p := probe{proxy: proxy, life: w.lifeOf(proxy), sent: w.since()}
-		switch chance.IntN(6) {
+	var inFlight sync.WaitGroup
+	defer inFlight.Wait()
+	for n := 0; sleep(ctx, probeInterval) == nil; n++ {
+		newest := h.versionLog.newest()
+		p := probe{proxy: proxy, pid: h.proxyPID(proxy), sent: h.elapsed()}
+		switch rng.IntN(6) {
 		case 0, 1:
 			p.edition = newest
 		case 2:
-			p.edition = max(firstEdition, newest-1-chance.IntN(keptRoutes+keptRoutes/4))
+			p.edition = max(firstVersion, newest-1-rng.IntN(maxAddedRoutes+maxAddedRoutes/4))
 		case 3:
 			p.edition, p.invalid = newest, true
 		default:
-			p.edition = firstEdition
+			p.edition = firstVersion
 		}
-		flying.Go(func() { w.versioned.add(w.probeOnce(client, p, n)) })
+		inFlight.Go(func() { h.versionLog.addProbe(h.probeOnce(client, p, n)) })
 	}
 }
 
-func (w *world) probeOnce(client *http.Client, p probe, n int) probe {
+func (h *harness) probeOnce(client *http.Client, p probe, n int) probe {
 	path := fmt.Sprintf("/version/%d/", p.edition)
 	switch {
 	case p.invalid:
 		path = fmt.Sprintf("/invalid/%d/", p.edition)
-	case p.edition == firstEdition:
-		path = "/read/" + w.Services[0] + "/"
+	case p.edition == firstVersion:
+		path = "/read/" + h.Services[0] + "/"
 	}
-	r, err := http.NewRequest(http.MethodGet, "http://"+w.plan.Proxies[p.proxy].OutboundAddress+path, nil)
+	request, err := http.NewRequest(http.MethodGet, "http://"+h.plan.Proxies[p.proxy].OutboundAddress+path, nil)
 	if err != nil {
 		return p
 	}
-	r.Host = "demo.example"
+	request.Host = "demo.example"
 	id := fmt.Sprintf("probe-%d-%d", p.proxy, n)
-	r.Header = http.Header{"X-Attempt-Id": {id}, "X-Time-Left-Ms": {"1000"}}
-	w.mu.Lock()
-	w.sent[id] = &try{probe: true}
-	w.mu.Unlock()
-	answer, err := client.Do(r)
-	p.done = w.since()
-	if w.lifeOf(p.proxy) != p.life {
-		p.life = -1
+	request.Header = http.Header{"X-Attempt-Id": {id}, "X-Time-Left-Ms": {"1000"}}
+	h.mu.Lock()
+	h.attempts[id] = &attempt{probe: true}
+	h.mu.Unlock()
+	response, err := client.Do(request)
+	p.done = h.elapsed()
+	if h.proxyPID(p.proxy) != p.pid {
+		p.pid = -1
 	}
 	if err != nil {
 		return p
 	}
-	answer.Body.Close()
-	p.status = answer.StatusCode
+	response.Body.Close()
+	p.status = response.StatusCode
 	return p
 }
 
-// lifeOf is the number of a balancer's process.
-func (w *world) lifeOf(proxy int) int {
-	p := w.all[w.Controllers+proxy]
+// proxyPID returns the process ID of a proxy.
+func (h *harness) proxyPID(proxy int) int {
+	p := h.processes[h.Controllers+proxy]
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd.Process.Pid
 }
 
-// judgeVersions has what was seen of versions judged.
-func (w *world) judgeVersions() {
-	w.versioned.mu.Lock()
-	defer w.versioned.mu.Unlock()
-	j := &w.versioned.judge
-	j.breaks = w.breaks
-	for _, f := range w.Faults {
-		t := trouble{proxy: -1, from: f.At, till: f.At + f.For}
+// judgeVersions judges the results of the probes.
+func (h *harness) judgeVersions() {
+	h.versionLog.mu.Lock()
+	defer h.versionLog.mu.Unlock()
+	judge := &h.versionLog.judge
+	judge.reportViolation = h.reportViolation
+	for _, f := range h.Faults {
+		outage := outage{proxy: -1, start: f.At, end: f.At + f.For}
 		if f.Kind == KillProxy || f.Kind == FreezeProxy || f.Kind == TermProxy {
-			t.proxy = f.Who % w.Proxies
+			outage.proxy = f.Who % h.Proxies
 		}
-		j.troubles = append(j.troubles, t)
+		judge.outages = append(judge.outages, outage)
 	}
-	j.judge()
-	w.out.Probes, w.out.InForce = len(j.probes), j.inForce()
-	w.out.Added, w.out.First = j.shares()
+	judge.judge()
+	h.outcome.Probes, h.outcome.InForceDelays = len(judge.probes), judge.inForceDelays()
+	h.outcome.AddedRoutes, h.outcome.FirstRoutes = judge.servedCounts()
 }
--- a/internal/mesh/simulation/run.go
+++ b/internal/mesh/simulation/run.go
@@ -51,7 +51,7 @@
 func (question *Question) ProcessMesh(programs, logs string, short bool) processes.Mesh {
 	settings := question.Run
 	mesh := processes.Mesh{Programs: programs, Logs: logs, Controllers: settings.Controllers, Proxies: settings.Proxies, Zones: settings.Zones, Services: settings.Services,
-		Length: time.Duration(settings.Length), Rate: settings.Rate, Work: time.Duration(settings.Work), Size: settings.Size, Routes: settings.Routes, Credit: settings.Credit, Extra: settings.Extra, TenantRate: settings.TenantRate, Seed: question.Seed, Partner: time.Duration(settings.Partner), Versions: time.Duration(settings.Versions)}
+		Length: time.Duration(settings.Length), Rate: settings.Rate, ProcessingTime: time.Duration(settings.Work), ResponseBytes: settings.Size, IdleRoutes: settings.Routes, Credit: settings.Credit, ExtraRate: settings.Extra, TenantRate: settings.TenantRate, Seed: question.Seed, PartnerInterval: time.Duration(settings.Partner), VersionInterval: time.Duration(settings.Versions)}
 	if short && settings.Short > 0 {
 		mesh.Length = time.Duration(settings.Short)
 	}
--- a/internal/mesh/simulation/scale/fit.go
+++ b/internal/mesh/simulation/scale/fit.go
@@ -2,47 +2,47 @@
 
 import "math"
 
-// Slope is how a figure grows with the number of balancers.
+// Slope is the growth of a figure with the number of proxies.
 type Slope struct {
 	Phase    Phase
-	Rate     float64 `json:",omitempty"` // calls a second, for phases that serve
+	Rate     float64 `json:",omitempty"` // requests per second, for phases with client requests
 	Figure   string
 	Unit     string
 	Sizes    []int
 	Values   []float64
-	Base     float64 // of the straight line through them
-	PerNode  float64 // its slope
-	Exponent float64 // of the power through them: 1 in proportion, 2 with the square
+	Base     float64 // intercept of the fitted straight line
+	PerNode  float64 // slope of that line
+	Exponent float64 // of the fitted power law: 1 is linear, 2 quadratic growth
 }
 
-// figure is one that is fitted; of reports false where a row has none.
+// figure is a figure that is fitted over the sizes. value reports false if a row does not have it.
 type figure struct {
 	name, unit string
-	of         func(*Row) (float64, bool)
+	value      func(*Row) (float64, bool)
 }
 
-func always(of func(*Row) float64) func(*Row) (float64, bool) {
+func ofAll(of func(*Row) float64) func(*Row) (float64, bool) {
 	return func(r *Row) (float64, bool) { return of(r), true }
 }
 
-func (r *Row) perBalancer(n int64) float64 { return float64(n) / r.Took / float64(r.Size) }
+func (r *Row) perProxy(n int64) float64 { return float64(n) / r.Took / float64(r.Size) }
 
 var figures = []figure{
-	{"watch requests of a balancer", "1/s", always(func(r *Row) float64 { return r.perBalancer(r.Watch.Requests) })},
-	{"told to a balancer", "KB/s", always(func(r *Row) float64 { return r.perBalancer(r.Watch.Received) / 1000 })},
-	{"sent by a balancer", "KB/s", always(func(r *Row) float64 { return r.perBalancer(r.Watch.Sent) / 1000 })},
-	{"told to all", "MB", always(func(r *Row) float64 { return float64(r.Watch.Received) / 1e6 })},
-	{"responses with all nodes, to all", "1/s", always(func(r *Row) float64 { return float64(r.Watch.Whole) / r.Took })},
-	{"failed watch requests", "", always(func(r *Row) float64 { return float64(r.Watch.Failed) })},
-	{"draws of a balancer", "1/s", ofDraws(func(r *Row) float64 { return r.perBalancer(r.Watch.Draws) })},
-	{"calls that wait for a draw", "", ofDraws(func(r *Row) float64 { return float64(r.Watch.QuotaWaited) / float64(max(r.Watch.QuotaCalls, 1)) })},
-	{"draws that fail", "", ofDraws(func(r *Row) float64 { return float64(r.Watch.DrawsFailed) / float64(r.Watch.Draws) })},
-	{"new connections", "1/s", always(func(r *Row) float64 { return float64(r.Watch.Dialed) / r.Took })},
-	{"processor, controllers together", "cores", always(func(r *Row) float64 { return r.Controllers.Cores })},
-	{"processor, busiest controller", "cores", always(func(r *Row) float64 { return r.Controllers.BusiestCore })},
-	{"memory, largest controller", "MB", always(func(r *Row) float64 { return r.Controllers.LargestMB })},
-	{"descriptors, fullest controller", "", always(func(r *Row) float64 { return float64(r.Controllers.Descriptors) })},
-	{"processor, all hollow balancers", "cores", always(func(r *Row) float64 { return r.Hollow.Cores })},
+	{"watch requests of a balancer", "1/s", ofAll(func(r *Row) float64 { return r.perProxy(r.Watch.Requests) })},
+	{"told to a balancer", "KB/s", ofAll(func(r *Row) float64 { return r.perProxy(r.Watch.Received) / 1000 })},
+	{"sent by a balancer", "KB/s", ofAll(func(r *Row) float64 { return r.perProxy(r.Watch.Sent) / 1000 })},
+	{"told to all", "MB", ofAll(func(r *Row) float64 { return float64(r.Watch.Received) / 1e6 })},
+	{"responses with all nodes, to all", "1/s", ofAll(func(r *Row) float64 { return float64(r.Watch.Whole) / r.Took })},
+	{"failed watch requests", "", ofAll(func(r *Row) float64 { return float64(r.Watch.Failed) })},
+	{"draws of a balancer", "1/s", ofTokenRequests(func(r *Row) float64 { return r.perProxy(r.Watch.Draws) })},
+	{"calls that wait for a draw", "", ofTokenRequests(func(r *Row) float64 { return float64(r.Watch.QuotaWaited) / float64(max(r.Watch.QuotaCalls, 1)) })},
+	{"draws that fail", "", ofTokenRequests(func(r *Row) float64 { return float64(r.Watch.DrawsFailed) / float64(r.Watch.Draws) })},
+	{"new connections", "1/s", ofAll(func(r *Row) float64 { return float64(r.Watch.Dialed) / r.Took })},
+	{"processor, controllers together", "cores", ofAll(func(r *Row) float64 { return r.Controllers.Cores })},
+	{"processor, busiest controller", "cores", ofAll(func(r *Row) float64 { return r.Controllers.BusiestCore })},
+	{"memory, largest controller", "MB", ofAll(func(r *Row) float64 { return r.Controllers.LargestMB })},
+	{"descriptors, fullest controller", "", ofAll(func(r *Row) float64 { return float64(r.Controllers.Descriptors) })},
+	{"processor, all hollow balancers", "cores", ofAll(func(r *Row) float64 { return r.Hollow.Cores })},
 	{"processor, a proxy", "cores", ofProxies(func(u RoleUsage) float64 { return u.Cores / float64(u.Processes) })},
 	{"memory, largest proxy", "MB", ofProxies(func(u RoleUsage) float64 { return u.LargestMB })},
 	{"descriptors, fullest proxy", "", ofProxies(func(u RoleUsage) float64 { return float64(u.Descriptors) })},
@@ -77,7 +77,7 @@
 	}
 }
 
-func ofDraws(of func(*Row) float64) func(*Row) (float64, bool) {
+func ofTokenRequests(of func(*Row) float64) func(*Row) (float64, bool) {
 	return func(r *Row) (float64, bool) {
 		if r.Watch.Draws == 0 {
 			return 0, false
@@ -108,31 +108,31 @@
 }
 
 // fitAll fits each figure of each phase over the sizes.
-func fitAll(rows []Row) (all []Slope) {
+func fitAll(rows []Row) (slopes []Slope) {
 	var order []series
 	by := map[series][]*Row{}
 	for n := range rows {
-		of := rows[n].series()
-		if by[of] == nil {
-			order = append(order, of)
+		key := rows[n].series()
+		if by[key] == nil {
+			order = append(order, key)
 		}
-		by[of] = append(by[of], &rows[n])
+		by[key] = append(by[key], &rows[n])
 	}
-	for _, of := range order {
+	for _, key := range order {
 		for _, f := range figures {
-			if s := fit(of, f, by[of]); len(s.Sizes) > 0 {
-				all = append(all, s)
+			if s := fit(key, f, by[key]); len(s.Sizes) > 0 {
+				slopes = append(slopes, s)
 			}
 		}
 	}
-	return all
+	return slopes
 }
 
-func fit(of series, f figure, rows []*Row) Slope {
-	s := Slope{Phase: of.phase, Rate: of.rate, Figure: f.name, Unit: f.unit}
+func fit(key series, f figure, rows []*Row) Slope {
+	s := Slope{Phase: key.phase, Rate: key.rate, Figure: f.name, Unit: f.unit}
 	var sizes, logSizes, logValues []float64
 	for _, r := range rows {
-		value, has := f.of(r)
+		value, has := f.value(r)
 		if !has {
 			continue
 		}
@@ -146,7 +146,7 @@
 	return s
 }
 
-// line is the straight line of least squares; it is level where there are fewer than two different places.
+// line returns the least-squares line through the points. Its slope is 0 if fewer than two x values differ.
 func line(x, y []float64) (base, slope float64) {
 	n := float64(len(x))
 	if n == 0 {
@@ -157,14 +157,14 @@
 		meanX += x[k] / n
 		meanY += y[k] / n
 	}
-	var both, square float64
+	var covariance, variance float64
 	for k := range x {
-		both += (x[k] - meanX) * (y[k] - meanY)
-		square += (x[k] - meanX) * (x[k] - meanX)
+		covariance += (x[k] - meanX) * (y[k] - meanY)
+		variance += (x[k] - meanX) * (x[k] - meanX)
 	}
-	if square == 0 {
+	if variance == 0 {
 		return meanY, 0
 	}
-	slope = both / square
+	slope = covariance / variance
 	return meanY - slope*meanX, slope
 }
--- a/internal/mesh/simulation/scale/hollow.go
+++ b/internal/mesh/simulation/scale/hollow.go
@@ -15,34 +15,35 @@
 	"ottershift/internal/mesh/storage"
 )
 
-// How a hollow balancer paces itself; a real proxy does the same.
+// Intervals of a hollow proxy, the same as those of a real proxy.
 const (
 	watchWait   = 600 * time.Millisecond
 	avoidFailed = 3 * time.Second
 	retryPause  = 20 * time.Millisecond
 )
 
-// hollow is a balancer without a data plane: it renews its lease and takes news, as a real proxy does, and serves nobody.
-type hollow struct {
+// hollowProxy is a proxy without a data plane. It renews its lease and receives updates like a real proxy, but
+// serves no requests.
+type hollowProxy struct {
 	number int
 	fleet  *fleet
 	caller *rpc.Client
 
-	mu            sync.Mutex
-	node          membership.Node
-	changed       chan struct{}
-	position      membership.Position
-	controllers   []membership.ControllerAddress
-	coordinatorAt string
-	known         []uint64 // by number: the newest Seq told of each hollow node, 0 for none
-	stop          context.CancelFunc
-	stopped       chan struct{}
+	mu                 sync.Mutex
+	node               membership.Node
+	changed            chan struct{}
+	position           membership.Position
+	controllers        []membership.ControllerAddress
+	coordinatorAddress string
+	known              []uint64 // by proxy number: newest Seq received for each hollow proxy, 0 for none
+	stop               context.CancelFunc
+	stopped            chan struct{}
 }
 
 func hollowName(number int) string { return fmt.Sprintf("hollow-%04d", number) }
 
-func newHollow(f *fleet, number int, zone, service string) *hollow {
-	return &hollow{
+func newHollowProxy(f *fleet, number int, zone, service string) *hollowProxy {
+	return &hollowProxy{
 		number: number, fleet: f, caller: rpc.NewClient(f.meter.wrap), changed: make(chan struct{}), known: make([]uint64, f.size),
 		node: membership.Node{
 			Name: hollowName(number), Inbound: fmt.Sprintf("10.%d.%d.%d:8109", 100+number>>16, number>>8&255, number&255), Zone: zone,
@@ -51,13 +52,13 @@
 	}
 }
 
-// start begins the watch; a new life knows nothing.
-func (h *hollow) start(ctx context.Context, newLife bool) {
+// start begins the watch. A new incarnation starts without any state.
+func (h *hollowProxy) start(ctx context.Context, newIncarnation bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if newLife {
+	if newIncarnation {
 		h.node.Incarnation, h.position, h.controllers = storage.NewID(), membership.Position{}, nil
-		h.node.Seq = h.fleet.next(h.number)
+		h.node.Seq = h.fleet.nextSeq(h.number)
 		clear(h.known)
 	}
 	ctx, h.stop = context.WithCancel(ctx)
@@ -69,8 +70,8 @@
 	}()
 }
 
-// silence ends the watch without a word, as a crash or a cut does.
-func (h *hollow) silence() {
+// disconnect stops the watch without notice, as a crash or a partition does.
+func (h *hollowProxy) disconnect() {
 	h.mu.Lock()
 	stop, stopped := h.stop, h.stopped
 	h.mu.Unlock()
@@ -80,18 +81,18 @@
 	}
 }
 
-// change has the balancer's upstream change, which it tells at once.
-func (h *hollow) change() {
+// changeUpstream changes the state of the upstream and has the proxy send it at once.
+func (h *hollowProxy) changeUpstream() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	upstream := *h.node.Upstream
 	upstream.OutlierLevel = (upstream.OutlierLevel + 1) % 4
-	h.node.Upstream, h.node.Seq = &upstream, h.fleet.next(h.number)
+	h.node.Upstream, h.node.Seq = &upstream, h.fleet.nextSeq(h.number)
 	close(h.changed)
 	h.changed = make(chan struct{})
 }
 
-func (h *hollow) watch(ctx context.Context) {
+func (h *hollowProxy) watch(ctx context.Context) {
 	failed := map[string]time.Time{}
 	for ctx.Err() == nil {
 		controller := h.pickController(failed)
@@ -112,28 +113,28 @@
 			h.fleet.meter.NotCurrent.Add(1)
 			failed[controller] = time.Now()
 		}
-		pause(ctx, retryPause)
+		sleep(ctx, retryPause)
 	}
 }
 
-// request makes one watch request; it is given up for a change of the balancer's own.
-func (h *hollow) request(ctx context.Context, controller string) (response *membership.WatchResponse, interrupted bool, err error) {
+// request makes one watch request. A change of the proxy's own node interrupts it.
+func (h *hollowProxy) request(ctx context.Context, controller string) (response *membership.WatchResponse, interrupted bool, err error) {
 	h.mu.Lock()
 	request := &membership.WatchRequest{Node: h.node, Position: h.position, MaxWait: int64(watchWait), AcceptsPacked: true}
 	changed := h.changed
 	h.mu.Unlock()
 	h.fleet.meter.Requests.Add(1)
 	response = &membership.WatchResponse{}
-	patience := rpc.StallPolicy{Timeout: proxy.WatchTimeout, Interrupt: changed}
-	err = h.caller.CallUntilStalled(ctx, patience, controller, rpc.PathWatch, request, response)
+	stallPolicy := rpc.StallPolicy{Timeout: proxy.WatchTimeout, Interrupt: changed}
+	err = h.caller.CallUntilStalled(ctx, stallPolicy, controller, rpc.PathWatch, request, response)
 	if err == nil && response.Packed == nil && response.Digest != "" && response.Digest != request.Position.Digest {
 		err = h.fetchConfiguration(ctx, controller, request.Position.Digest)
 	}
 	return response, errors.Is(err, rpc.ErrInterrupted), err
 }
 
-// fetchConfiguration takes the bytes of a long configuration, as a real proxy does, and reads nothing of them.
-func (h *hollow) fetchConfiguration(ctx context.Context, controller, held string) error {
+// fetchConfiguration downloads a long configuration in pieces, as a real proxy does, and discards it.
+func (h *hollowProxy) fetchConfiguration(ctx context.Context, controller, held string) error {
 	request := &membership.ConfigurationRequest{HeldDigest: held}
 	for {
 		piece := &membership.ConfigurationResponse{}
@@ -148,39 +149,39 @@
 	}
 }
 
-// apply takes news, as a real proxy takes it.
-func (h *hollow) apply(n *membership.WatchResponse) {
+// apply applies a watch response, as a real proxy does.
+func (h *hollowProxy) apply(response *membership.WatchResponse) {
 	now := time.Now()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if n.Complete {
+	if response.Complete {
 		h.fleet.meter.Whole.Add(1)
-		if !n.Starting {
+		if !response.Starting {
 			clear(h.known)
 		}
 	}
-	h.fleet.meter.Nodes.Add(int64(len(n.Nodes)))
-	for _, record := range n.Nodes {
+	h.fleet.meter.Nodes.Add(int64(len(response.Nodes)))
+	for _, record := range response.Nodes {
 		h.observe(record, now)
 	}
-	for _, name := range n.RemovedNodes {
+	for _, name := range response.RemovedNodes {
 		if number, is := hollowNumber(name, len(h.known)); is {
 			h.known[number] = 0
 		}
 	}
-	h.controllers, h.coordinatorAt = n.Controllers, n.Coordinator
+	h.controllers, h.coordinatorAddress = response.Controllers, response.Coordinator
 	if h.fleet.stableOrder {
 		slices.SortFunc(h.controllers, func(a, b membership.ControllerAddress) int { return strings.Compare(a.Address, b.Address) })
 	}
-	h.position.Controller, h.position.Seq = n.Controller, n.Seq
-	if n.Configuration != nil || n.Digest != h.position.Digest {
-		h.position.Index, h.position.Edition, h.position.Digest = max(h.position.Index, n.Index), n.Edition, n.Digest
-	} else if n.Index > h.position.Index && (n.Edition == h.position.Edition || n.Edition == 0) {
-		h.position.Index = n.Index
+	h.position.Controller, h.position.Seq = response.Controller, response.Seq
+	if response.Configuration != nil || response.Digest != h.position.Digest {
+		h.position.Index, h.position.Edition, h.position.Digest = max(h.position.Index, response.Index), response.Edition, response.Digest
+	} else if response.Index > h.position.Index && (response.Edition == h.position.Edition || response.Edition == 0) {
+		h.position.Index = response.Index
 	}
 }
 
-func (h *hollow) observe(record membership.Record, now time.Time) {
+func (h *hollowProxy) observe(record membership.Record, now time.Time) {
 	number, is := hollowNumber(record.Name, len(h.known))
 	if !is {
 		return
@@ -191,7 +192,7 @@
 	}
 	if record.Seq > h.known[number] {
 		h.known[number] = record.Seq
-		h.fleet.heard(number, record.Seq, now)
+		h.fleet.recordDelivery(number, record.Seq, now)
 	}
 }
 
@@ -203,8 +204,8 @@
 	return number, true
 }
 
-// complete reports whether all nodes that are there are known as they are.
-func (h *hollow) complete(seqs []uint64) bool {
+// complete reports whether the current state of all connected nodes is known.
+func (h *hollowProxy) complete(seqs []uint64) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for number, seq := range seqs {
@@ -215,47 +216,47 @@
 	return true
 }
 
-// coordinator is the address of who keeps the token bank, as far as is known.
-func (h *hollow) coordinator() string {
+// coordinator returns the last known address of the coordinator, which holds the token bank.
+func (h *hollowProxy) coordinator() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.coordinatorAt
+	return h.coordinatorAddress
 }
 
-func (h *hollow) life() string {
+func (h *hollowProxy) incarnation() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.node.Incarnation
 }
 
-func (h *hollow) edition() int64 {
+func (h *hollowProxy) edition() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.position.Edition
 }
 
-// pickController chooses as a real proxy does: of those that have not failed of late, one of its zone first.
-func (h *hollow) pickController(failed map[string]time.Time) string {
+// pickController chooses a controller as a real proxy does: one that has not failed recently, preferably of its own zone.
+func (h *hollowProxy) pickController(failed map[string]time.Time) string {
 	h.mu.Lock()
 	controllers := h.controllers
 	h.mu.Unlock()
 	all := orderControllers(h.node.Name, h.node.Zone, controllers, h.fleet.seeds)
 	oldest := all[0]
-	for _, at := range all {
-		if time.Since(failed[at]) > avoidFailed {
-			return at
+	for _, address := range all {
+		if time.Since(failed[address]) > avoidFailed {
+			return address
 		}
-		if failed[at].Before(failed[oldest]) {
-			oldest = at
+		if failed[address].Before(failed[oldest]) {
+			oldest = address
 		}
 	}
 	return oldest
 }
 
 func orderControllers(name, zone string, controllers []membership.ControllerAddress, seeds []string) (all []string) {
-	add := func(at string) {
-		if !slices.Contains(all, at) {
-			all = append(all, at)
+	add := func(address string) {
+		if !slices.Contains(all, address) {
+			all = append(all, address)
 		}
 	}
 	for _, c := range controllers {
@@ -267,18 +268,18 @@
 	for _, c := range controllers {
 		add(c.Address)
 	}
-	for _, at := range seeds {
-		add(at)
+	for _, address := range seeds {
+		add(address)
 	}
 	rest := all[own:]
 	if len(rest) < 2 {
 		return all
 	}
-	by := (len(name) + int(name[len(name)-1])) % len(rest)
-	return slices.Concat(all[:own], rest[by:], rest[:by])
+	offset := (len(name) + int(name[len(name)-1])) % len(rest)
+	return slices.Concat(all[:own], rest[offset:], rest[:offset])
 }
 
-func pause(ctx context.Context, d time.Duration) error {
+func sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/mesh/simulation/scale/hollow_quota.go
+++ b/internal/mesh/simulation/scale/hollow_quota.go
@@ -11,38 +11,39 @@
 	"ottershift/internal/mesh/rpc"
 )
 
-// How a hollow balancer draws tokens; a real proxy does the same.
+// Intervals and the timeout of token requests, the same as those of a real proxy.
 const (
-	drawEvery  = 350 * time.Millisecond
-	drawPause  = 12 * time.Millisecond
-	drawWithin = 300 * time.Millisecond
+	tokenRequestInterval = 350 * time.Millisecond
+	tokenRequestPause    = 12 * time.Millisecond
+	tokenRequestTimeout  = 300 * time.Millisecond
 )
 
-// Figures of the quota rule that the settings of a process hold where nothing else is said.
+// Parameters of the quota rule, the defaults of the process settings.
 const (
-	quotaWindow = 5 * time.Second
-	quotaOver   = 0.1
-	quotaSlack  = 20
-	quotaAmple  = 2 // times what tenants ask is their quota: nothing is refused for it
+	quotaWindow    = 5 * time.Second
+	quotaOverRatio = 0.1
+	quotaSlack     = 20
+	quotaFactor    = 2 // quota relative to the request rate of a tenant, so that no request is refused
 )
 
-// hollowQuota is the tokens of a hollow balancer: calls take them from a real wallet, and draws at the real coordinator refill it.
+// hollowQuota holds the tokens of a hollow proxy. Requests take them from a real wallet, and token requests to the real
+// coordinator refill it.
 type hollowQuota struct {
-	hollow *hollow
+	proxy  *hollowProxy
 	plan   *QuotaPlan
 	epoch  time.Time
-	need   chan struct{}
+	needed chan struct{}
 
 	mu     sync.Mutex
 	wallet *ratelimit.Wallet
 }
 
-func newHollowQuota(h *hollow, p *Plan) *hollowQuota {
-	q := &hollowQuota{hollow: h, plan: &p.Quota, epoch: time.Now(), need: make(chan struct{}, 1), wallet: ratelimit.NewWallet(0)}
+func newHollowQuota(h *hollowProxy, p *Plan) *hollowQuota {
+	q := &hollowQuota{proxy: h, plan: &p.Quota, epoch: time.Now(), needed: make(chan struct{}, 1), wallet: ratelimit.NewWallet(0)}
 	limits := map[string]ratelimit.Limit{}
 	for n := range p.Quota.Tenants {
 		rate := p.Quota.rate(h.fleet.size)
-		limits[tenantName(n)] = ratelimit.Limit{Rate: rate, Burst: rate, Window: int64(quotaWindow), OverRatio: quotaOver, Slack: quotaSlack}
+		limits[tenantName(n)] = ratelimit.Limit{Rate: rate, Burst: rate, Window: int64(quotaWindow), OverRatio: quotaOverRatio, Slack: quotaSlack}
 	}
 	q.wallet.SetLimits(limits, h.fleet.size, 0)
 	return q
@@ -50,86 +51,86 @@
 
 func tenantName(n int) string { return fmt.Sprintf("tenant-%02d", n) }
 
-// rate is the quota of each tenant, at a number of balancers.
-func (p *QuotaPlan) rate(balancers int) float64 {
-	return quotaAmple * p.Calls * float64(balancers) / float64(p.Tenants)
+// rate returns the quota of each tenant for a number of proxies.
+func (p *QuotaPlan) rate(proxies int) float64 {
+	return quotaFactor * p.Calls * float64(proxies) / float64(p.Tenants)
 }
 
 func (q *hollowQuota) now() int64 { return int64(time.Since(q.epoch)) }
 
-// run calls and draws until the context ends.
+// run takes and requests tokens until ctx ends.
 func (q *hollowQuota) run(ctx context.Context) {
-	var both sync.WaitGroup
-	both.Go(func() { q.call(ctx) })
-	both.Go(func() { q.draw(ctx) })
-	both.Wait()
+	var tasks sync.WaitGroup
+	tasks.Go(func() { q.takeTokens(ctx) })
+	tasks.Go(func() { q.requestTokens(ctx) })
+	tasks.Wait()
 }
 
-// call takes a token for each call, at random times, of tenants in equal parts.
-func (q *hollowQuota) call(ctx context.Context) {
-	for pause(ctx, time.Duration(rand.ExpFloat64()/q.plan.Calls*float64(time.Second))) == nil {
+// takeTokens takes a token for each simulated request, at random times and for tenants in equal shares.
+func (q *hollowQuota) takeTokens(ctx context.Context) {
+	for sleep(ctx, time.Duration(rand.ExpFloat64()/q.plan.Calls*float64(time.Second))) == nil {
 		q.mu.Lock()
 		verdict, _ := q.wallet.Take(tenantName(rand.IntN(q.plan.Tenants)), q.now(), false)
-		wants := verdict == ratelimit.RequestTokens || q.wallet.ShouldRequest(q.now())
+		needsTokens := verdict == ratelimit.RequestTokens || q.wallet.ShouldRequest(q.now())
 		q.mu.Unlock()
-		q.hollow.fleet.meter.QuotaCalls.Add(1)
+		q.proxy.fleet.meter.QuotaCalls.Add(1)
 		if verdict == ratelimit.RequestTokens {
-			q.hollow.fleet.meter.QuotaWaited.Add(1)
+			q.proxy.fleet.meter.QuotaWaited.Add(1)
 		}
-		if wants {
-			q.want()
+		if needsTokens {
+			q.signalNeed()
 		}
 	}
 }
 
-func (q *hollowQuota) want() {
+func (q *hollowQuota) signalNeed() {
 	select {
-	case q.need <- struct{}{}:
+	case q.needed <- struct{}{}:
 	default:
 	}
 }
 
-func (q *hollowQuota) draw(ctx context.Context) {
-	every := time.NewTicker(drawEvery)
-	defer every.Stop()
+func (q *hollowQuota) requestTokens(ctx context.Context) {
+	ticker := time.NewTicker(tokenRequestInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-q.need:
-		case <-every.C:
+		case <-q.needed:
+		case <-ticker.C:
 		case <-ctx.Done():
 			return
 		}
-		if at := q.hollow.coordinator(); at != "" {
-			q.drawOnce(ctx, at)
+		if address := q.proxy.coordinator(); address != "" {
+			q.requestOnce(ctx, address)
 		}
-		if pause(ctx, drawPause) != nil {
+		if sleep(ctx, tokenRequestPause) != nil {
 			return
 		}
 	}
 }
 
-func (q *hollowQuota) drawOnce(ctx context.Context, at string) {
+func (q *hollowQuota) requestOnce(ctx context.Context, address string) {
 	q.mu.Lock()
 	sent := q.now()
-	request := q.wallet.NewRequest(q.hollow.node.Name, q.hollow.life(), sent)
+	request := q.wallet.NewRequest(q.proxy.node.Name, q.proxy.incarnation(), sent)
 	q.mu.Unlock()
-	call, end := context.WithTimeout(ctx, drawWithin)
-	defer end()
-	given := map[string]ratelimit.TokenGrant{}
-	err := q.hollow.caller.Call(call, at, rpc.PathTokens, request, &given)
-	meter := q.hollow.fleet.meter
+	callCtx, cancel := context.WithTimeout(ctx, tokenRequestTimeout)
+	defer cancel()
+	grants := map[string]ratelimit.TokenGrant{}
+	err := q.proxy.caller.Call(callCtx, address, rpc.PathTokens, request, &grants)
+	meter := q.proxy.fleet.meter
 	meter.Draws.Add(1)
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if err != nil {
 		meter.DrawsFailed.Add(1)
-		if call.Err() == nil {
+		if callCtx.Err() == nil {
 			q.wallet.RequestRefused(q.now())
 		}
 		return
 	}
-	q.wallet.ApplyGrants(given, sent, q.now())
+	q.wallet.ApplyGrants(grants, sent, q.now())
 	if q.wallet.ShouldRequest(q.now()) {
-		q.want()
+		q.signalNeed()
 	}
 }
--- a/internal/mesh/simulation/scale/hollow_test.go
+++ b/internal/mesh/simulation/scale/hollow_test.go
@@ -15,16 +15,16 @@
 	"ottershift/internal/mesh/rpc"
 )
 
-// registry is a controller that knows by the real registry, and answers after a short wait.
+// registry is a controller that uses the real membership registry and responds after a short delay.
 type registry struct {
 	*membership.Registry
-	turn     chan struct{}
+	slot     chan struct{}
 	refuse   atomic.Bool
 	requests atomic.Int64
 }
 
 func newRegistry(t *testing.T) (*registry, string) {
-	r := &registry{Registry: membership.NewRegistry(), turn: make(chan struct{}, 1)}
+	r := &registry{Registry: membership.NewRegistry(), slot: make(chan struct{}, 1)}
 	mux := http.NewServeMux()
 	mux.HandleFunc(rpc.PathWatch, rpc.Handle(r.handle))
 	server := httptest.NewServer(mux)
@@ -37,8 +37,8 @@
 		return nil, Error.New("refused")
 	}
 	time.Sleep(5 * time.Millisecond)
-	r.turn <- struct{}{}
-	defer func() { <-r.turn }()
+	r.slot <- struct{}{}
+	defer func() { <-r.slot }()
 	now := time.Now().UnixNano()
 	r.Observe(request.Node, 0, now, true)
 	response := &membership.WatchResponse{Position: membership.Position{Controller: "life", Seq: r.Seq()}, Current: true}
@@ -46,52 +46,52 @@
 	return response, nil
 }
 
-func TestHollowBalancersLearnOfOneAnother(t *testing.T) {
+func TestHollowProxiesLearnOfOneAnother(t *testing.T) {
 	_, at := newRegistry(t)
-	ctx, end := context.WithCancel(context.Background())
-	defer end()
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	f := newFleet(6, []string{at}, []string{"x", "y"}, 2)
-	f.start(ctx, f.all, true)
-	defer f.silence(f.all)
+	f.start(ctx, f.proxies, true)
+	defer f.disconnect(f.proxies)
 	_, done := f.waitComplete(ctx, 5*time.Second)
 	must.True(t, done)
 	must.Positive(t, f.meter.Read().Received)
 	must.Positive(t, f.meter.Read().Dialed)
 
 	f.takeDelays()
-	f.all[3].change()
+	f.proxies[3].changeUpstream()
 	_, done = f.waitComplete(ctx, 5*time.Second)
 	must.True(t, done)
 	must.Eq(t, 6, f.takeDelays().TotalCount())
 
-	some := f.ofZones(func(zone int) bool { return zone == 1 })
-	must.SliceLen(t, 3, some)
-	f.silence(some)
-	before := f.all[1].node.Incarnation
-	f.start(ctx, some, true)
-	must.NotEq(t, before, f.all[1].node.Incarnation)
+	zoneProxies := f.inZones(func(zone int) bool { return zone == 1 })
+	must.SliceLen(t, 3, zoneProxies)
+	f.disconnect(zoneProxies)
+	before := f.proxies[1].node.Incarnation
+	f.start(ctx, zoneProxies, true)
+	must.NotEq(t, before, f.proxies[1].node.Incarnation)
 	_, done = f.waitComplete(ctx, 5*time.Second)
 	must.True(t, done)
 }
 
-func TestHollowBalancerLeavesAControllerThatFails(t *testing.T) {
+func TestHollowProxyAvoidsFailedController(t *testing.T) {
 	bad, badAt := newRegistry(t)
 	bad.refuse.Store(true)
 	good, goodAt := newRegistry(t)
-	ctx, end := context.WithCancel(context.Background())
-	defer end()
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	f := newFleet(2, []string{badAt, goodAt}, []string{"x"}, 1)
-	f.start(ctx, f.all, true)
-	defer f.silence(f.all)
+	f.start(ctx, f.proxies, true)
+	defer f.disconnect(f.proxies)
 	_, done := f.waitComplete(ctx, 5*time.Second)
 	must.True(t, done)
 	must.Positive(t, good.requests.Load())
-	must.LessEq(t, 2, bad.requests.Load()) // each asks it once at most within the span for which it is avoided
+	must.LessEq(t, 2, bad.requests.Load()) // each proxy sends it at most one request within avoidFailed
 }
 
-func TestLostAndGoneNodesAreNotKnown(t *testing.T) {
+func TestLostAndRemovedNodesAreNotKnown(t *testing.T) {
 	f := newFleet(2, []string{"127.0.0.1:1"}, []string{"x"}, 1)
-	h := f.all[0]
+	h := f.proxies[0]
 	node := membership.Record{Node: membership.Node{Name: hollowName(1), Seq: 4}}
 	h.apply(&membership.WatchResponse{Nodes: []membership.Record{node}})
 	must.True(t, h.complete([]uint64{0, 4}))
--- a/internal/mesh/simulation/scale/meter.go
+++ b/internal/mesh/simulation/scale/meter.go
@@ -7,27 +7,27 @@
 	"sync/atomic"
 )
 
-// Meter counts what crosses the connections of the hollow balancers, headers included, and what came of their requests.
+// Meter counts the bytes on the connections of the hollow proxies, headers included, and the results of their requests.
 type Meter struct {
 	Received, Sent     atomic.Int64 // bytes
 	Dialed             atomic.Int64 // connections
-	Open               atomic.Int64 // connections at this moment
+	Open               atomic.Int64 // connections currently open
 	Requests, Failed   atomic.Int64 // watch requests
-	NotCurrent, Whole  atomic.Int64 // responses of controllers that are not current, and that hold all nodes
-	Interrupted, Nodes atomic.Int64 // requests given up for a change of one's own, and records received
+	NotCurrent, Whole  atomic.Int64 // responses of controllers that are not current, and responses with all nodes
+	Interrupted, Nodes atomic.Int64 // requests interrupted by a change of the proxy's own node, and records received
 
-	QuotaCalls, QuotaWaited atomic.Int64 // calls of limited tenants, and those that had to wait for a draw
-	Draws, DrawsFailed      atomic.Int64
+	QuotaCalls, QuotaWaited atomic.Int64 // requests of limited tenants, and those that had to wait for tokens
+	Draws, DrawsFailed      atomic.Int64 // token requests
 }
 
-// Reading is a meter at one moment.
+// Reading is a snapshot of a Meter.
 type Reading struct {
 	Received, Sent, Dialed, Open                            int64
 	Requests, Failed, NotCurrent, Whole, Interrupted, Nodes int64
 	QuotaCalls, QuotaWaited, Draws, DrawsFailed             int64
 }
 
-// Read takes all counts.
+// Read returns the current counts.
 func (m *Meter) Read() Reading {
 	return Reading{
 		Received: m.Received.Load(), Sent: m.Sent.Load(), Dialed: m.Dialed.Load(), Open: m.Open.Load(), Requests: m.Requests.Load(),
@@ -36,7 +36,7 @@
 	}
 }
 
-// Since is what has been counted after an earlier reading; Open stays as it is.
+// Since returns the counts since an earlier reading. Open is not a difference but the current value.
 func (r Reading) Since(before Reading) Reading {
 	return Reading{
 		Received: r.Received - before.Received, Sent: r.Sent - before.Sent, Dialed: r.Dialed - before.Dialed, Open: r.Open,
@@ -47,7 +47,7 @@
 	}
 }
 
-// wrap has a caller's own transport dial connections that are counted.
+// wrap makes a client's transport dial metered connections.
 func (m *Meter) wrap(next http.RoundTripper) http.RoundTripper {
 	transport, is := next.(*http.Transport)
 	if !is {
--- a/internal/mesh/simulation/scale/operator.go
+++ b/internal/mesh/simulation/scale/operator.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	orderTimeout = time.Second
-	orderPause   = 50 * time.Millisecond
+	changeTimeout = time.Second
+	retryInterval = 50 * time.Millisecond
 )
 
-// operator puts configurations and changes them.
+// operator installs and changes the configuration.
 type operator struct {
-	controls []string // addresses of controllers
-	edition  int64
-	client   http.Client
+	addresses []string // addresses of controllers
+	edition   int64
+	client    http.Client
 }
 
 type limits struct {
@@ -27,44 +27,44 @@
 	Envelope, Idle               string
 }
 
-type sorting struct{ StreetPrefix string }
+type routeMatch struct{ StreetPrefix string }
 
-type dispatch struct {
+type routeTarget struct {
 	Destination   string
 	Deadline      string
 	DeliveryTries int
 }
 
-type regulation struct {
+type routeEntry struct {
 	Name, MailClass, Target string
 	Precedence              int
-	Sorting                 sorting
-	Dispatch                dispatch
+	Sorting                 routeMatch
+	Dispatch                routeTarget
 }
 
-type postOffice struct {
+type hostEntry struct {
 	Town        string
-	Regulations []regulation
+	Regulations []routeEntry
 }
 
-type depot struct {
+type serviceEntry struct {
 	Name, HealthPath string
 	LineCap          int
 	Protocol         string
 }
 
-type sender struct {
+type tenantEntry struct {
 	Name            string
 	ApiKeys         []string
 	RatePerS, Surge float64
 }
 
-type timetable struct {
+type configuration struct {
 	Edition     int64
 	SizeLimits  limits
-	PostOffices []postOffice `json:",omitempty"`
-	Depots      []depot      `json:",omitempty"`
-	Senders     []sender     `json:",omitempty"`
+	PostOffices []hostEntry    `json:",omitempty"`
+	Depots      []serviceEntry `json:",omitempty"`
+	Senders     []tenantEntry  `json:",omitempty"`
 }
 
 func sizeLimits(edition int64) limits {
@@ -72,78 +72,79 @@
 	return limits{EnvelopeBytes: 16384, ContentsBytes: 64 << 20, Envelope: "3000ms", Idle: fmt.Sprintf("%dms", idle+edition)}
 }
 
-// firstTimetable has a route for each served service, and the others dealt out to the services of hollow balancers.
-func firstTimetable(p *Plan) *timetable {
-	t := &timetable{Edition: 1, SizeLimits: sizeLimits(1), PostOffices: []postOffice{{Town: callHost}}}
-	office := &t.PostOffices[0]
-	route := func(name, service string) {
-		office.Regulations = append(office.Regulations, regulation{Name: name, MailClass: "repeatable", Target: "300ms", Precedence: 1,
-			Sorting: sorting{StreetPrefix: "/" + name + "/"}, Dispatch: dispatch{Destination: service, Deadline: "2000ms", DeliveryTries: 3}})
+// initialConfiguration returns a configuration with a route for the service of each real proxy. The other routes are spread
+// over the services of the hollow proxies.
+func initialConfiguration(p *Plan) *configuration {
+	c := &configuration{Edition: 1, SizeLimits: sizeLimits(1), PostOffices: []hostEntry{{Town: requestHost}}}
+	host := &c.PostOffices[0]
+	addRoute := func(name, addService string) {
+		host.Regulations = append(host.Regulations, routeEntry{Name: name, MailClass: "repeatable", Target: "300ms", Precedence: 1,
+			Sorting: routeMatch{StreetPrefix: "/" + name + "/"}, Dispatch: routeTarget{Destination: addService, Deadline: "2000ms", DeliveryTries: 3}})
 	}
-	service := func(name string) {
-		t.Depots = append(t.Depots, depot{Name: name, HealthPath: "/health", LineCap: 130, Protocol: "h1"})
+	addService := func(name string) {
+		c.Depots = append(c.Depots, serviceEntry{Name: name, HealthPath: "/health", LineCap: 130, Protocol: "h1"})
 	}
 	for n := range p.Proxies {
-		service(servedName(n))
-		route(servedName(n), servedName(n))
+		addService(servedName(n))
+		addRoute(servedName(n), servedName(n))
 	}
 	for n := range p.Services {
-		service(serviceName(n))
+		addService(serviceName(n))
 	}
 	for n := range p.Routes {
-		route(fmt.Sprintf("route-%04d", n), serviceName(n%p.Services))
+		addRoute(fmt.Sprintf("route-%04d", n), serviceName(n%p.Services))
 	}
-	return t
+	return c
 }
 
-// The tenant of the calls that real proxies carry; it has no quota, so that none is refused for one.
+// The tenant of the requests through real proxies. It has no quota, so that no request is refused for it.
 const (
 	clientTenant = "clients"
 	clientKey    = "key-of-clients"
 )
 
-// withTenants is a timetable with limited tenants beside it, and the one of the calls of real proxies.
-func (t *timetable) withTenants(p *Plan, balancers int) *timetable {
-	t.Senders = append(t.Senders, sender{Name: clientTenant, ApiKeys: []string{clientKey}})
+// withTenants adds the limited tenants, and the tenant of the requests through real proxies.
+func (c *configuration) withTenants(p *Plan, proxies int) *configuration {
+	c.Senders = append(c.Senders, tenantEntry{Name: clientTenant, ApiKeys: []string{clientKey}})
 	for n := range p.Quota.Tenants {
-		name, rate := tenantName(n), p.Quota.rate(balancers)
-		t.Senders = append(t.Senders, sender{Name: name, ApiKeys: []string{"key-of-" + name}, RatePerS: rate, Surge: rate})
+		name, rate := tenantName(n), p.Quota.rate(proxies)
+		c.Senders = append(c.Senders, tenantEntry{Name: name, ApiKeys: []string{"key-of-" + name}, RatePerS: rate, Surge: rate})
 	}
-	return t
+	return c
 }
 
-// put brings a whole configuration, and sends it until it is taken.
-func (o *operator) put(ctx context.Context, t *timetable) (bytes int, err error) {
-	return o.order(ctx, "timetable.replace", t)
+// replace installs a complete configuration. It retries until a controller accepts it.
+func (o *operator) replace(ctx context.Context, c *configuration) (bytes int, err error) {
+	return o.apply(ctx, "timetable.replace", c)
 }
 
-// amend changes the configuration's limits.
+// amend changes the size limits of the configuration.
 func (o *operator) amend(ctx context.Context) error {
-	_, err := o.order(ctx, "timetable.amend", &timetable{Edition: o.edition + 1, SizeLimits: sizeLimits(o.edition + 1)})
+	_, err := o.apply(ctx, "timetable.amend", &configuration{Edition: o.edition + 1, SizeLimits: sizeLimits(o.edition + 1)})
 	return err
 }
 
-func (o *operator) order(ctx context.Context, call string, t *timetable) (bytes int, err error) {
-	body, err := json.Marshal(t)
+func (o *operator) apply(ctx context.Context, call string, c *configuration) (bytes int, err error) {
+	body, err := json.Marshal(c)
 	if err != nil {
 		return 0, Error.Wrap(err)
 	}
 	for n := 0; ; n++ {
-		status, err := o.send(ctx, o.controls[n%len(o.controls)], call, string(body))
+		status, err := o.send(ctx, o.addresses[n%len(o.addresses)], call, string(body))
 		if err == nil && status == http.StatusOK {
-			o.edition = t.Edition
+			o.edition = c.Edition
 			return len(body), nil
 		}
-		if pause(ctx, orderPause) != nil {
-			return 0, Error.New("nobody takes %s: status %d, %v", call, status, err)
+		if sleep(ctx, retryInterval) != nil {
+			return 0, Error.New("no controller accepted %s: status %d, %v", call, status, err)
 		}
 	}
 }
 
-func (o *operator) send(ctx context.Context, at, call, body string) (status int, err error) {
-	ctx, end := context.WithTimeout(ctx, orderTimeout)
-	defer end()
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+at+"/-/rpc?call="+call, strings.NewReader(body))
+func (o *operator) send(ctx context.Context, address, call, body string) (status int, err error) {
+	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
+	defer cancel()
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/-/rpc?call="+call, strings.NewReader(body))
 	if err != nil {
 		return 0, err
 	}
--- a/internal/mesh/simulation/scale/plan.go
+++ b/internal/mesh/simulation/scale/plan.go
@@ -1,6 +1,6 @@
-// Package scale measures how the cost of a mesh grows with the number of its balancers. Hollow balancers, all in one process,
-// speak the real watch protocol to real controller processes; a few real proxies serve calls beside them. Each size is played
-// through the same phases, and the figures of a phase are fitted over the sizes.
+// Package scale measures how the cost of the control plane grows with the number of proxies. Hollow proxies, all in one
+// process, use the real watch protocol with real controller processes, while a few real proxies serve requests. Each size
+// runs through the same phases, and the figures of a phase are fitted over the sizes.
 package scale
 
 import (
@@ -14,10 +14,10 @@
 	"github.com/zeebo/errs"
 )
 
-// Error is the class of faults in plans and of runs that could not be made.
+// Error is the class of errors in plans and of runs that could not be carried out.
 var Error = errs.Class("scale")
 
-// Bounds of a plan, so that a run stays within the machine.
+// Limits of a plan, so that a run does not exhaust the machine.
 const (
 	maxSize        = 4000
 	maxProxies     = 40
@@ -26,7 +26,7 @@
 	maxPhase       = 5 * time.Minute
 )
 
-// Duration is a time in a plan, such as "1.5s".
+// Duration is a duration in a plan, such as "1.5s".
 type Duration time.Duration
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -39,45 +39,45 @@
 	return err
 }
 
-// Plan is a scale run as its file describes it.
+// Plan describes a scale run. It is read from a TOML file.
 type Plan struct {
 	Title       string
-	Sizes       []int // hollow balancers, one pass each
+	Sizes       []int // numbers of hollow proxies, each measured in turn
 	Controllers int
-	Proxies     int // real ones, each with an upstream of its own service
-	Services    int // of the hollow balancers
+	Proxies     int // real proxies, each with an upstream of its own service
+	Services    int // of the hollow proxies
 	Zones       int
 	Regions     int
-	Routes      int // of the configuration, dealt out to the services
+	Routes      int // of the configuration, spread over the services
 
-	Window  Duration // that a steady phase is measured for
-	Storm   Duration // that is measured after a start, a restart or a return
-	Silence Duration // that a zone or region is away
+	Window  Duration // length of the measurement of a steady phase
+	Storm   Duration // length of the measurement after a start, restart or reconnection
+	Silence Duration // time for which a zone or region is disconnected
 
-	ChangesPerSecond float64 `toml:"changes_per_second"` // upstreams that change while changes are measured
-	Configurations   int     // changes of the configuration, one a second
-	Phases           []Phase // those to play, all where left out
+	ChangesPerSecond float64 `toml:"changes_per_second"` // changes of upstreams in the changes phase
+	Configurations   int     // changes of the configuration, one per second
+	Phases           []Phase // phases to run, all by default
 
-	// StableOrder has hollow balancers order the controllers they are told of before each chooses its own. Without it they
-	// choose as proxies of this version do: by a list that names the controller that answered first.
+	// StableOrder makes hollow proxies sort the received list of controllers before they choose one. Without it they choose
+	// as current proxies do, from a list that begins with the controller that sent the response.
 	StableOrder bool `toml:"stable_order"`
 
 	Serve ServePlan
 	Quota QuotaPlan
 }
 
-// QuotaPlan is the limited tenants, and the calls for which hollow balancers take tokens.
+// QuotaPlan is the limited tenants and the requests for which hollow proxies take tokens.
 type QuotaPlan struct {
 	Tenants int
-	Calls   float64 // a second at each balancer
+	Calls   float64 // requests per second at each proxy
 }
 
-// ServePlan is the traffic of the real proxies.
+// ServePlan is the client traffic through the real proxies.
 type ServePlan struct {
-	Rates []float64 // calls a second of all clients together, a phase each
-	Base  float64   // the rate during the phases after them
-	Work  Duration  // of an upstream for each call
-	Bytes int       // of an answer
+	Rates []float64 // requests per second of all clients together, one phase each
+	Base  float64   // request rate during the phases that follow
+	Work  Duration  // processing time of an upstream for each request
+	Bytes int       // size of a response body
 }
 
 func defaultPlan() *Plan {
@@ -90,7 +90,7 @@
 	}
 }
 
-// ReadPlan reads a plan and names all that is wrong with it.
+// ReadPlan reads and validates a plan.
 func ReadPlan(text []byte) (*Plan, error) {
 	plan := defaultPlan()
 	decoder := toml.NewDecoder(strings.NewReader(string(text))).DisallowUnknownFields()
@@ -113,7 +113,7 @@
 	return Error.Wrap(err)
 }
 
-// Validate names all that is wrong with a plan.
+// Validate returns all errors of a plan.
 func (p *Plan) Validate() error {
 	var faults errs.Group
 	check := func(key string, value any, rules ...validation.Rule) {
--- a/internal/mesh/simulation/scale/plot.go
+++ b/internal/mesh/simulation/scale/plot.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	plotHeight  = 150.0 // of one figure
+	plotHeight  = 150.0 // of one chart
 	plotGap     = 40.0
 	plotColumns = 2
 	plotWidth   = 320.0
 	plotColour  = "#2255aa"
 )
 
-// plotted are the figures of the picture.
-var plotted = []struct {
+// charts lists the charts of the SVG.
+var charts = []struct {
 	phase  Phase
 	figure string
 }{
@@ -28,13 +28,13 @@
 	{PhaseRest, "processor, a proxy"}, {PhaseChanges, "processor, a proxy"},
 }
 
-// SVG draws the figures over the sizes, each with the straight line through them.
+// SVG returns charts of the figures over the sizes, each with its fitted line.
 func (r *Report) SVG() string {
 	var b strings.Builder
-	rows := (len(plotted) + plotColumns - 1) / plotColumns
+	rows := (len(charts) + plotColumns - 1) / plotColumns
 	draw.OpenSVG(&b, r.Title, float64(rows)*(plotHeight+plotGap)+plotGap)
 	drawn := 0
-	for _, wanted := range plotted {
+	for _, wanted := range charts {
 		for _, s := range r.Slopes {
 			if s.Phase != wanted.phase || s.Figure != wanted.figure {
 				continue
--- a/internal/mesh/simulation/scale/process.go
+++ b/internal/mesh/simulation/scale/process.go
@@ -15,10 +15,10 @@
 	"ottershift/internal/mesh/testmesh"
 )
 
-// ticksPerSecond is the unit of processor times under /proc on Linux.
+// ticksPerSecond is the unit of CPU times under /proc on Linux.
 const ticksPerSecond = 100
 
-// programs is where the mesh's programs are, and where what they need and write is kept.
+// programs holds the folders of the binaries, of their settings and data, and of their logs.
 type programs struct{ folder, work, logs string }
 
 // process is a real process of the mesh.
@@ -27,16 +27,16 @@
 	ended chan struct{}
 }
 
-// start starts a program of the mesh by its settings.
+// start writes the settings of a process and starts its program.
 func (p programs) start(program string, b *settings.Settings) (*process, error) {
 	file := filepath.Join(p.work, b.Node+".conf")
 	if err := testmesh.WriteSettings(b, file); err != nil {
 		return nil, Error.Wrap(err)
 	}
-	b.FirstStart = false // from now on
+	b.FirstStart = false // a restarted process is no longer a first start
 	cmd := exec.Command(filepath.Join(p.folder, program), "serve")
 	cmd.Env = []string{settings.FileVariable + "=" + file, "PATH=" + os.Getenv("PATH")}
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // none outlives this one
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // no child process outlives the simulator
 	if p.logs != "" {
 		log, err := os.OpenFile(filepath.Join(p.logs, b.Node+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 		if err != nil {
@@ -71,15 +71,15 @@
 	}
 }
 
-// Usage is what a process has used and holds, by /proc.
+// Usage is the resource usage of a process, from /proc.
 type Usage struct {
-	Processor   time.Duration // since its start
+	Processor   time.Duration // CPU time since its start
 	Resident    int64         // bytes
-	Peak        int64         // bytes, the most resident since the peak was reset
+	Peak        int64         // bytes, peak resident memory since the last reset
 	Descriptors int
 }
 
-// readUsage reads it for a process id.
+// readUsage reads the usage of a process.
 func readUsage(pid int) (Usage, error) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -100,12 +100,12 @@
 	return Usage{Processor: processor, Resident: statusBytes(status, "VmRSS:"), Peak: statusBytes(status, "VmHWM:"), Descriptors: len(descriptors)}, nil
 }
 
-// resetPeak has the kernel count the peak of resident memory anew.
+// resetPeak resets the peak resident memory that the kernel keeps for a process.
 func resetPeak(pid int) {
 	os.WriteFile(fmt.Sprintf("/proc/%d/clear_refs", pid), []byte("5"), 0)
 }
 
-// parseProcessor reads user and system time; the program's name before them may hold spaces.
+// parseProcessor returns user plus system time. The program name before these fields may contain spaces and parentheses.
 func parseProcessor(stat []byte) (time.Duration, error) {
 	const userTime, systemTime = 11, 12 // fields after the name
 	fields := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:]))
@@ -123,7 +123,7 @@
 	return time.Duration(ticks) * time.Second / ticksPerSecond, nil
 }
 
-// statusBytes reads a line such as "VmRSS:   1024 kB".
+// statusBytes parses a line such as "VmRSS:   1024 kB".
 func statusBytes(status []byte, name string) int64 {
 	for _, line := range strings.Split(string(status), "\n") {
 		if rest, is := strings.CutPrefix(line, name); is {
@@ -134,7 +134,7 @@
 	return 0
 }
 
-// group is processes of one role.
+// group is the processes of one role.
 type group []*process
 
 func (g group) usage() (all []Usage, err error) {
@@ -160,14 +160,14 @@
 	}
 }
 
-// RoleUsage is what the processes of one role used while a phase was measured.
+// RoleUsage is the resource usage of the processes of one role during the measurement of a phase.
 type RoleUsage struct {
 	Processes   int
-	Cores       float64 // all together
-	BusiestCore float64 // the busiest one
-	MemoryMB    float64 // mean of their peaks
+	Cores       float64 // of all processes together
+	BusiestCore float64 // of the busiest process
+	MemoryMB    float64 // mean of the peaks
 	LargestMB   float64 // the largest peak
-	Descriptors int     // the most of any
+	Descriptors int     // largest number of any process
 }
 
 func roleUsage(before, after []Usage, took time.Duration) RoleUsage {
@@ -184,7 +184,7 @@
 	return out
 }
 
-// ownProcess is this very process among the measured.
+// ownProcess returns the current process, which holds the hollow proxies, as one to measure.
 func ownProcess(p *os.Process) *process {
 	return &process{cmd: &exec.Cmd{Process: p}, ended: make(chan struct{})}
 }
--- a/internal/mesh/simulation/scale/report.go
+++ b/internal/mesh/simulation/scale/report.go
@@ -7,26 +7,26 @@
 	"text/tabwriter"
 )
 
-// Report is what a run measured.
+// Report holds the measurements of a run.
 type Report struct {
 	Title  string
 	Rows   []Row
 	Slopes []Slope
 }
 
-// WriteJSON writes all of it.
+// WriteJSON writes the report as JSON.
 func (r *Report) WriteJSON(out io.Writer) error {
 	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", " ")
 	return Error.Wrap(encoder.Encode(r))
 }
 
-// Summary is a row in one line, for those who wait.
+// Summary returns a row as one line of progress output.
 func (r Row) Summary() string {
-	text := fmt.Sprintf("size %d %s: %.2f requests/s and %.2f KB/s told a balancer, %d failed, controllers %.3f cores and %.0f MB", r.Size, r.Phase,
-		r.perBalancer(r.Watch.Requests), r.perBalancer(r.Watch.Received)/1000, r.Watch.Failed, r.Controllers.Cores, r.Controllers.LargestMB)
+	text := fmt.Sprintf("size %d %s: %.2f requests/s and %.2f KB/s received per proxy, %d failed, controllers %.3f cores and %.0f MB", r.Size, r.Phase,
+		r.perProxy(r.Watch.Requests), r.perProxy(r.Watch.Received)/1000, r.Watch.Failed, r.Controllers.Cores, r.Controllers.LargestMB)
 	if r.Complete != nil {
-		text += fmt.Sprintf(", all told after %.2f s", *r.Complete)
+		text += fmt.Sprintf(", complete after %.2f s", *r.Complete)
 	}
 	if s := r.Served; s != nil {
 		text += fmt.Sprintf(", served %d of %d, added %.2f and %.2f ms", s.OK, s.Calls, s.Added().P50, s.Added().P99)
@@ -34,7 +34,7 @@
 	return text + ", load " + r.Machine
 }
 
-// WriteTable writes the slopes, a line for each figure of each phase.
+// WriteTable writes the slopes, one line for each figure of each phase.
 func (r *Report) WriteTable(out io.Writer) error {
 	table := tabwriter.NewWriter(out, 2, 8, 2, ' ', tabwriter.AlignRight)
 	for n, s := range r.Slopes {
--- a/internal/mesh/simulation/scale/run.go
+++ b/internal/mesh/simulation/scale/run.go
@@ -14,43 +14,43 @@
 	controllerProgram = "controller"
 	proxyProgram      = "proxy"
 
-	startPatience    = 20 * time.Second // for the core, and for real proxies to serve
-	completePatience = 45 * time.Second // for all balancers to know all
-	settlePause      = 2 * time.Second  // between phases
+	startTimeout    = 20 * time.Second // for the core to accept a configuration, and for real proxies to serve
+	completeTimeout = 45 * time.Second // for all proxies to know all others
+	phaseInterval   = 2 * time.Second  // between phases
 )
 
-// Row is the figures of one phase at one size.
+// Row holds the figures of one phase at one size.
 type Row struct {
 	Size  int
 	Phase Phase
 	Took  float64 // seconds measured
 
-	Watch       Reading // of hollow balancers
+	Watch       Reading // of the hollow proxies
 	Controllers RoleUsage
 	Proxies     RoleUsage
-	Hollow      RoleUsage // the process that holds them
+	Hollow      RoleUsage // the process of the hollow proxies
 
-	Told     *Delay   // from a change of an upstream until others have heard of it
-	Complete *float64 // seconds until all balancers know all others, or have the configuration; below 0: not in time
+	Told     *Delay   // from a change of an upstream until other proxies receive it
+	Complete *float64 // seconds until all proxies know all others, or have the configuration; negative after a timeout
 	Served   *Served
 
-	Machine string // load averages as the phase ended
+	Machine string // load averages at the end of the phase
 }
 
-// Delay is quantiles in milliseconds.
+// Delay holds quantiles in milliseconds.
 type Delay struct {
 	Count         int64
 	P50, P99, Max float64
 }
 
-// Run plays all sizes of a plan with the programs of a folder; tell is told each row as it comes. A report that comes with an
-// error holds what was measured before it.
-func Run(ctx context.Context, p *Plan, folder, logs string, tell func(Row)) (*Report, error) {
+// Run measures all sizes of a plan with the programs of a folder. It calls onRow with each row as soon as it is measured. A
+// report that is returned with an error holds the rows measured before the error.
+func Run(ctx context.Context, p *Plan, folder, logs string, onRow func(Row)) (*Report, error) {
 	report := &Report{Title: p.Title}
 	var failed error
 	for _, size := range p.Sizes {
 		var rows []Row
-		rows, failed = runSize(ctx, p, size, programs{folder: folder, logs: logs}, tell)
+		rows, failed = runSize(ctx, p, size, programs{folder: folder, logs: logs}, onRow)
 		report.Rows = append(report.Rows, rows...)
 		if failed != nil {
 			break
@@ -60,14 +60,14 @@
 	return report, failed
 }
 
-// pass is the play of one size.
-type pass struct {
+// sizeRun is the run at one size.
+type sizeRun struct {
 	plan     *Plan
 	programs programs
 	fleet    *fleet
 	operator *operator
-	load     *load
-	tell     func(Row)
+	load     *loadGenerator
+	onRow    func(Row)
 
 	controllers, proxies, self group
 	settings                   []*settings.Settings // of the controllers
@@ -75,277 +75,280 @@
 	rows                       []Row
 }
 
-func runSize(ctx context.Context, p *Plan, size int, with programs, tell func(Row)) (rows []Row, err error) {
+func runSize(ctx context.Context, p *Plan, size int, with programs, onRow func(Row)) (rows []Row, err error) {
 	dir, err := os.MkdirTemp("", "meshsim-scale")
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
 	defer os.RemoveAll(dir)
 	with.work = dir
-	ctx, end := context.WithCancel(ctx)
-	defer end()
-	x := &pass{plan: p, programs: with, tell: tell}
-	defer x.close()
-	if err := x.open(ctx, size); err != nil {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	r := &sizeRun{plan: p, programs: with, onRow: onRow}
+	defer r.close()
+	if err := r.open(ctx, size); err != nil {
 		return nil, err
 	}
 	for _, phase := range Phases {
 		if phase != PhaseStart && !p.plays(phase) {
 			continue
 		}
-		if err := x.play(ctx, phase); err != nil {
-			return x.rows, err
+		if err := r.runPhase(ctx, phase); err != nil {
+			return r.rows, err
 		}
-		if pause(ctx, settlePause) != nil {
-			return x.rows, Error.New("stopped")
+		if sleep(ctx, phaseInterval) != nil {
+			return r.rows, Error.New("run interrupted")
 		}
 	}
-	return x.rows, nil
+	return r.rows, nil
 }
 
-// open starts controllers and real proxies and puts the first configuration; no hollow balancer runs yet.
-func (x *pass) open(ctx context.Context, size int) error {
+// open starts controllers and real proxies and installs the initial configuration. It starts no hollow proxies.
+func (r *sizeRun) open(ctx context.Context, size int) error {
 	var services []string
-	for n := range max(x.plan.Proxies, 1) {
+	for n := range max(r.plan.Proxies, 1) {
 		services = append(services, servedName(n))
 	}
-	mesh, err := testmesh.Plan(x.plan.Controllers, x.plan.Proxies, x.plan.zoneNames(), services, x.programs.work)
+	mesh, err := testmesh.Plan(r.plan.Controllers, r.plan.Proxies, r.plan.zoneNames(), services, r.programs.work)
 	if err != nil {
 		return Error.Wrap(err)
 	}
 	var seeds, controls []string
-	x.settings = mesh.Controllers
+	r.settings = mesh.Controllers
 	for _, b := range mesh.Controllers {
 		if err := os.MkdirAll(b.DataDir, 0o755); err != nil {
 			return Error.Wrap(err)
 		}
-		controller, err := x.programs.start(controllerProgram, b)
+		controller, err := r.programs.start(controllerProgram, b)
 		if err != nil {
 			return err
 		}
-		x.controllers = append(x.controllers, controller)
+		r.controllers = append(r.controllers, controller)
 		controls = append(controls, b.ControlAddress)
 	}
 	for _, seed := range mesh.Controllers[0].Seeds {
 		seeds = append(seeds, settings.InternalAddressOf(settings.Host(seed), mesh.Controllers[0].FirstInternalPort))
 	}
-	x.fleet = newFleet(size, seeds, x.plan.zoneNames(), x.plan.Services)
-	x.fleet.stableOrder = x.plan.StableOrder
-	x.operator = &operator{controls: controls}
+	r.fleet = newFleet(size, seeds, r.plan.zoneNames(), r.plan.Services)
+	r.fleet.stableOrder = r.plan.StableOrder
+	r.operator = &operator{addresses: controls}
 	self, err := os.FindProcess(os.Getpid())
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	x.self = group{ownProcess(self)}
-	patience, end := context.WithTimeout(ctx, startPatience)
-	defer end()
-	if _, err := x.operator.put(patience, firstTimetable(x.plan).withTenants(x.plan, size)); err != nil {
+	r.self = group{ownProcess(self)}
+	waitCtx, cancel := context.WithTimeout(ctx, startTimeout)
+	defer cancel()
+	if _, err := r.operator.replace(waitCtx, initialConfiguration(r.plan).withTenants(r.plan, size)); err != nil {
 		return err
 	}
-	return x.openProxies(patience, mesh.Proxies)
+	return r.openProxies(waitCtx, mesh.Proxies)
 }
 
-func (x *pass) openProxies(ctx context.Context, proxies []*settings.Settings) error {
+func (r *sizeRun) openProxies(ctx context.Context, proxies []*settings.Settings) error {
 	var outbounds, upstreams []string
 	for n, b := range proxies {
-		proxy, err := x.programs.start(proxyProgram, b)
+		proxy, err := r.programs.start(proxyProgram, b)
 		if err != nil {
 			return err
 		}
-		x.proxies = append(x.proxies, proxy)
-		upstream, err := testmesh.NewUpstream(fmt.Sprintf("served-%d", n), b.Service, b.UpstreamAddress, b.ControlAddress, 64, time.Duration(x.plan.Serve.Work), x.plan.Serve.Bytes)
+		r.proxies = append(r.proxies, proxy)
+		upstream, err := testmesh.NewUpstream(fmt.Sprintf("served-%d", n), b.Service, b.UpstreamAddress, b.ControlAddress, 64, time.Duration(r.plan.Serve.Work), r.plan.Serve.Bytes)
 		if err != nil {
 			return Error.Wrap(err)
 		}
-		x.upstreams = append(x.upstreams, upstream)
+		r.upstreams = append(r.upstreams, upstream)
 		outbounds, upstreams = append(outbounds, b.OutboundAddress), append(upstreams, b.UpstreamAddress)
 	}
-	x.load = newLoad(outbounds, upstreams)
-	return x.waitServed(ctx)
+	r.load = newLoadGenerator(outbounds, upstreams)
+	return r.waitServed(ctx)
 }
 
-// waitServed waits until a whole round of calls is served.
-func (x *pass) waitServed(ctx context.Context) error {
-	if len(x.proxies) < 2 {
+// waitServed waits until a complete round of requests is served.
+func (r *sizeRun) waitServed(ctx context.Context) error {
+	if len(r.proxies) < 2 {
 		return nil
 	}
 	for {
-		x.load.reset()
-		for n := range int(ways) * len(x.proxies) {
-			x.load.call(way(n%int(ways)), n)
+		r.load.reset()
+		for n := range int(wayCount) * len(r.proxies) {
+			r.load.send(way(n%int(wayCount)), n)
 		}
-		if served := x.load.served(0); served.OK == served.Calls {
+		if served := r.load.served(0); served.OK == served.Calls {
 			return nil
 		}
-		if pause(ctx, 100*time.Millisecond) != nil {
+		if sleep(ctx, 100*time.Millisecond) != nil {
 			return Error.New("the real proxies do not serve")
 		}
 	}
 }
 
-func (x *pass) close() {
-	if x.fleet != nil {
-		x.fleet.silence(x.fleet.all)
+func (r *sizeRun) close() {
+	if r.fleet != nil {
+		r.fleet.disconnect(r.fleet.proxies)
 	}
-	for _, upstream := range x.upstreams {
+	for _, upstream := range r.upstreams {
 		upstream.Stop()
 	}
-	x.proxies.kill()
-	x.controllers.kill()
+	r.proxies.kill()
+	r.controllers.kill()
 }
 
-// play plays a phase.
-func (x *pass) play(ctx context.Context, phase Phase) error {
+// runPhase runs a phase.
+func (r *sizeRun) runPhase(ctx context.Context, phase Phase) error {
 	switch phase {
 	case PhaseStart:
-		return x.storm(ctx, phase, 0, func() { x.fleet.start(ctx, x.fleet.all, true) })
+		return r.measureRecovery(ctx, phase, 0, func() { r.fleet.start(ctx, r.fleet.proxies, true) })
 	case PhaseRest:
-		return x.measure(ctx, phase, 0, nil)
+		return r.measureSteady(ctx, phase, 0, nil)
 	case PhaseChanges:
-		return x.measure(ctx, phase, 0, func(ctx context.Context) { x.fleet.changes(ctx, x.plan.ChangesPerSecond) })
+		return r.measureSteady(ctx, phase, 0, func(ctx context.Context) { r.fleet.changeUpstreams(ctx, r.plan.ChangesPerSecond) })
 	case PhaseServe:
-		for _, rate := range x.plan.Serve.Rates {
-			if err := x.measure(ctx, phase, rate, nil); err != nil {
+		for _, rate := range r.plan.Serve.Rates {
+			if err := r.measureSteady(ctx, phase, rate, nil); err != nil {
 				return err
 			}
 		}
 		return nil
 	case PhaseQuota:
-		return x.measure(ctx, phase, 0, x.draws)
+		return r.measureSteady(ctx, phase, 0, r.useTokens)
 	case PhaseConfiguration:
-		return x.configure(ctx)
+		return r.measureConfiguration(ctx)
 	case PhaseZone:
-		return x.away(ctx, phase, func(zone int) bool { return zone == 0 }, true)
+		return r.measureReturn(ctx, phase, func(zone int) bool { return zone == 0 }, true)
 	case PhaseRegion:
-		return x.away(ctx, phase, func(zone int) bool { return zone%x.plan.Regions == 0 }, false)
+		return r.measureReturn(ctx, phase, func(zone int) bool { return zone%r.plan.Regions == 0 }, false)
 	case PhaseController:
-		return x.loseController(ctx)
+		return r.measureWithoutController(ctx)
 	case PhaseRestart:
-		return x.storm(ctx, phase, x.plan.Serve.Base, func() {
-			x.fleet.silence(x.fleet.all)
-			x.fleet.start(ctx, x.fleet.all, true)
+		return r.measureRecovery(ctx, phase, r.plan.Serve.Base, func() {
+			r.fleet.disconnect(r.fleet.proxies)
+			r.fleet.start(ctx, r.fleet.proxies, true)
 		})
 	}
 	return nil
 }
 
-// draws has all hollow balancers draw tokens until the context ends.
-func (x *pass) draws(ctx context.Context) {
-	for _, h := range x.fleet.all {
-		go newHollowQuota(h, x.plan).run(ctx)
+// useTokens has all hollow proxies take and request tokens until ctx ends.
+func (r *sizeRun) useTokens(ctx context.Context) {
+	for _, h := range r.fleet.proxies {
+		go newHollowQuota(h, r.plan).run(ctx)
 	}
 }
 
-// away silences the balancers of zones for a while and has them return at once, as new lives or as they were.
-func (x *pass) away(ctx context.Context, phase Phase, zones func(int) bool, newLife bool) error {
-	some := x.fleet.ofZones(zones)
-	x.fleet.silence(some)
-	if pause(ctx, time.Duration(x.plan.Silence)) != nil {
-		return Error.New("stopped")
+// measureReturn disconnects the proxies of zones for a while and measures their simultaneous return, as new incarnations
+// or with their previous state.
+func (r *sizeRun) measureReturn(ctx context.Context, phase Phase, zones func(int) bool, newIncarnation bool) error {
+	proxies := r.fleet.inZones(zones)
+	r.fleet.disconnect(proxies)
+	if sleep(ctx, time.Duration(r.plan.Silence)) != nil {
+		return Error.New("run interrupted")
 	}
-	return x.storm(ctx, phase, x.plan.Serve.Base, func() { x.fleet.start(ctx, some, newLife) })
+	return r.measureRecovery(ctx, phase, r.plan.Serve.Base, func() { r.fleet.start(ctx, proxies, newIncarnation) })
 }
 
-// loseController kills the first controller, measures the others, which do all the work then, and starts it again.
-func (x *pass) loseController(ctx context.Context) error {
-	remaining := x.controllers[1:]
-	all := x.controllers
-	x.controllers[0].kill()
-	x.controllers = remaining
-	err := x.measure(ctx, PhaseController, x.plan.Serve.Base, nil)
-	x.controllers = all
+// measureWithoutController kills the first controller, measures the remaining ones, which then carry all load, and
+// restarts it.
+func (r *sizeRun) measureWithoutController(ctx context.Context) error {
+	remaining := r.controllers[1:]
+	all := r.controllers
+	r.controllers[0].kill()
+	r.controllers = remaining
+	err := r.measureSteady(ctx, PhaseController, r.plan.Serve.Base, nil)
+	r.controllers = all
 	if err != nil {
 		return err
 	}
-	x.controllers[0], err = x.programs.start(controllerProgram, x.settings[0])
+	r.controllers[0], err = r.programs.start(controllerProgram, r.settings[0])
 	return err
 }
 
-// storm measures what follows an event, and how long it takes until all know all.
-func (x *pass) storm(ctx context.Context, phase Phase, rate float64, event func()) error {
-	probe, err := x.begin(phase, rate)
+// measureRecovery measures the time after an event, and how long it takes until all proxies know all others.
+func (r *sizeRun) measureRecovery(ctx context.Context, phase Phase, rate float64, event func()) error {
+	measurement, err := r.begin(phase, rate)
 	if err != nil {
 		return err
 	}
-	serving, end := context.WithTimeout(ctx, time.Duration(x.plan.Storm))
-	defer end()
-	served := make(chan struct{})
+	loadCtx, cancel := context.WithTimeout(ctx, time.Duration(r.plan.Storm))
+	defer cancel()
+	loadDone := make(chan struct{})
 	go func() {
-		defer close(served)
-		x.load.run(serving, rate)
+		defer close(loadDone)
+		r.load.run(loadCtx, rate)
 	}()
 	event()
-	took, done := x.fleet.waitComplete(ctx, completePatience)
+	took, done := r.fleet.waitComplete(ctx, completeTimeout)
 	complete := took.Seconds()
 	if !done {
 		complete = -1
 	}
-	<-serving.Done()
-	row, err := probe.end()
+	<-loadCtx.Done()
+	row, err := measurement.end()
 	if err != nil {
 		return err
 	}
-	<-served
+	<-loadDone
 	row.Complete = &complete
-	return x.add(row, rate)
+	return r.addRow(row, rate)
 }
 
-// measure takes a steady phase's figures while something goes on.
-func (x *pass) measure(ctx context.Context, phase Phase, rate float64, work func(context.Context)) error {
-	probe, err := x.begin(phase, rate)
+// measureSteady measures a steady phase while background runs.
+func (r *sizeRun) measureSteady(ctx context.Context, phase Phase, rate float64, background func(context.Context)) error {
+	measurement, err := r.begin(phase, rate)
 	if err != nil {
 		return err
 	}
-	during, end := context.WithTimeout(ctx, time.Duration(x.plan.Window))
-	defer end()
-	if work != nil {
-		go work(during)
+	windowCtx, cancel := context.WithTimeout(ctx, time.Duration(r.plan.Window))
+	defer cancel()
+	if background != nil {
+		go background(windowCtx)
 	}
-	x.load.run(during, rate)
-	<-during.Done()
-	row, err := probe.end()
+	r.load.run(windowCtx, rate)
+	<-windowCtx.Done()
+	row, err := measurement.end()
 	if err != nil {
 		return err
 	}
 	if phase == PhaseChanges {
-		row.Told = delay(x)
+		row.Told = delay(r)
 	}
-	return x.add(row, rate)
+	return r.addRow(row, rate)
 }
 
-func delay(x *pass) *Delay {
-	h := x.fleet.takeDelays()
+func delay(r *sizeRun) *Delay {
+	h := r.fleet.takeDelays()
 	return &Delay{Count: h.TotalCount(), P50: milliseconds(h, 50), P99: milliseconds(h, 99), Max: float64(h.Max()) / 1000}
 }
 
-// configure changes the configuration once a second; Complete is the longest until all balancers had one.
-func (x *pass) configure(ctx context.Context) error {
+// measureConfiguration changes the configuration once per second. Complete is the longest time until all proxies had a
+// version.
+func (r *sizeRun) measureConfiguration(ctx context.Context) error {
 	longest := 0.0
-	probe, err := x.begin(PhaseConfiguration, 0)
+	measurement, err := r.begin(PhaseConfiguration, 0)
 	if err != nil {
 		return err
 	}
-	for range x.plan.Configurations {
-		began := time.Now()
-		ordering, end := context.WithTimeout(ctx, startPatience)
-		err := x.operator.amend(ordering)
-		end()
+	for range r.plan.Configurations {
+		startedAt := time.Now()
+		changeCtx, cancel := context.WithTimeout(ctx, startTimeout)
+		err := r.operator.amend(changeCtx)
+		cancel()
 		if err != nil {
 			return err
 		}
-		if _, done := x.fleet.waitEdition(ctx, completePatience, x.operator.edition); !done {
+		if _, done := r.fleet.waitEdition(ctx, completeTimeout, r.operator.edition); !done {
 			longest = -1
 			break
 		}
-		longest = max(longest, time.Since(began).Seconds())
-		if pause(ctx, time.Until(began.Add(time.Second))) != nil {
-			return Error.New("stopped")
+		longest = max(longest, time.Since(startedAt).Seconds())
+		if sleep(ctx, time.Until(startedAt.Add(time.Second))) != nil {
+			return Error.New("run interrupted")
 		}
 	}
-	row, err := probe.end()
+	row, err := measurement.end()
 	if err != nil {
 		return err
 	}
 	row.Complete = &longest
-	return x.add(row, 0)
+	return r.addRow(row, 0)
 }
--- a/internal/mesh/simulation/scale/scale_test.go
+++ b/internal/mesh/simulation/scale/scale_test.go
@@ -63,7 +63,7 @@
 	must.True(t, found)
 }
 
-func TestReportTableAndPicture(t *testing.T) {
+func TestReportTableAndSVG(t *testing.T) {
 	r := &Report{Title: "a < b", Rows: []Row{
 		{Size: 10, Phase: PhaseRest, Took: 2, Watch: Reading{Received: 40000}},
 		{Size: 20, Phase: PhaseRest, Took: 2, Watch: Reading{Received: 80000}},
@@ -91,7 +91,7 @@
 	must.Positive(t, own.Descriptors)
 }
 
-func TestControllersOfTheOwnZoneComeFirst(t *testing.T) {
+func TestControllersOfSameZoneComeFirst(t *testing.T) {
 	controllers := []membership.ControllerAddress{{Address: "a", Zone: "x"}, {Address: "b", Zone: "y"}, {Address: "c", Zone: "z"}}
 	must.Eq(t, "b", orderControllers("hollow-0001", "y", controllers, nil)[0])
 	first := map[string]bool{}
--- a/internal/mesh/simulation/scale/serve.go
+++ b/internal/mesh/simulation/scale/serve.go
@@ -13,134 +13,134 @@
 )
 
 const (
-	callTimeout = 2 * time.Second
-	maxInFlight = 2048 // calls; a client that finds more counts the next as failed
-	callHost    = "scale.example"
+	requestTimeout = 2 * time.Second
+	maxInFlight    = 2048 // requests; at this limit the next request is not sent and counts as failed
+	requestHost    = "scale.example"
 )
 
-// way is how a call reaches an upstream.
+// way is the path of a request to an upstream.
 type way int
 
 const (
-	direct  way = iota // straight from the client, without the mesh
-	oneHop             // by the proxy beside the upstream alone
-	twoHops            // by the client's proxy and the one beside the upstream
-	ways
+	direct  way = iota // from the client to the upstream, without the mesh
+	oneHop             // through the proxy of the upstream only
+	twoHops            // through the client's proxy and the proxy of the upstream
+	wayCount
 )
 
-// Latency is the quantiles of one way, in milliseconds.
+// Latency holds the latency quantiles of one path, in milliseconds.
 type Latency struct{ P50, P99 float64 }
 
-// Served is what came of the calls of a phase.
+// Served holds the results of the client requests of a phase.
 type Served struct {
-	Rate                    float64 // calls a second that were asked for
+	Rate                    float64 // target rate, requests per second
 	Calls, OK               int64
 	Direct, OneHop, TwoHops Latency
 }
 
-// Added is the time that the mesh adds to a call with both hops, in milliseconds.
+// Added returns the latency that the mesh adds to a request with both hops, in milliseconds.
 func (s *Served) Added() Latency {
 	return Latency{P50: s.TwoHops.P50 - s.Direct.P50, P99: s.TwoHops.P99 - s.Direct.P99}
 }
 
-// load is clients that call by all ways in equal parts, so that all meet the same machine.
-type load struct {
+// loadGenerator sends client requests over all paths in equal parts, so that all are measured under the same machine load.
+type loadGenerator struct {
 	client    *http.Client
-	outbounds []string // addresses of proxies
-	upstreams []string // and of the upstreams beside them
+	outbounds []string // outbound addresses of the proxies
+	upstreams []string // addresses of their upstreams
 
-	mu     sync.Mutex
-	calls  int64
-	ok     int64
-	delays [ways]*hdrhistogram.Histogram
+	mu       sync.Mutex
+	requests int64
+	ok       int64
+	delays   [wayCount]*hdrhistogram.Histogram
 }
 
-func newLoad(outbounds, upstreams []string) *load {
-	l := &load{outbounds: outbounds, upstreams: upstreams, client: &http.Client{Timeout: callTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 64, DisableCompression: true}}}
-	l.reset()
-	return l
+func newLoadGenerator(outbounds, upstreams []string) *loadGenerator {
+	g := &loadGenerator{outbounds: outbounds, upstreams: upstreams, client: &http.Client{Timeout: requestTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 64, DisableCompression: true}}}
+	g.reset()
+	return g
 }
 
-func (l *load) reset() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.calls, l.ok = 0, 0
-	for n := range l.delays {
-		l.delays[n] = hdrhistogram.New(leastDelay, mostDelay, digits)
+func (g *loadGenerator) reset() {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.requests, g.ok = 0, 0
+	for n := range g.delays {
+		g.delays[n] = hdrhistogram.New(minDelayMicros, maxDelayMicros, significantDigits)
 	}
 }
 
-// run calls at a rate, at random times, until the context ends, and waits for what is under way.
-func (l *load) run(ctx context.Context, rate float64) {
-	if rate <= 0 || len(l.outbounds) < 2 {
+// run sends requests at a rate, at random times, until ctx ends, and waits for those in flight.
+func (g *loadGenerator) run(ctx context.Context, rate float64) {
+	if rate <= 0 || len(g.outbounds) < 2 {
 		return
 	}
-	free := make(chan struct{}, maxInFlight)
-	var flying sync.WaitGroup
+	slots := make(chan struct{}, maxInFlight)
+	var inFlight sync.WaitGroup
 	next := time.Now()
 	for n := 0; ctx.Err() == nil; n++ {
 		next = next.Add(time.Duration(rand.ExpFloat64() / rate * float64(time.Second)))
-		if wait := time.Until(next); wait > 0 && pause(ctx, wait) != nil {
+		if wait := time.Until(next); wait > 0 && sleep(ctx, wait) != nil {
 			break
 		}
 		select {
-		case free <- struct{}{}:
+		case slots <- struct{}{}:
 		default:
-			l.note(direct, 0, false)
+			g.record(direct, 0, false)
 			continue
 		}
-		flying.Go(func() {
-			l.call(way(n%int(ways)), n)
-			<-free
+		inFlight.Go(func() {
+			g.send(way(n%int(wayCount)), n)
+			<-slots
 		})
 	}
-	flying.Wait()
+	inFlight.Wait()
 }
 
-// call makes one call. Invariant: each proxy has a service of its own, so the way of a call is known.
-func (l *load) call(by way, n int) {
-	from := rand.IntN(len(l.outbounds))
+// send sends one request. Each proxy has a service of its own, so the service determines the path of the request.
+func (g *loadGenerator) send(by way, n int) {
+	from := rand.IntN(len(g.outbounds))
 	to := from
 	if by == twoHops {
-		to = (from + 1 + rand.IntN(len(l.outbounds)-1)) % len(l.outbounds)
+		to = (from + 1 + rand.IntN(len(g.outbounds)-1)) % len(g.outbounds)
 	}
-	at := l.outbounds[from]
+	address := g.outbounds[from]
 	if by == direct {
-		at = l.upstreams[to]
+		address = g.upstreams[to]
 	}
-	request, err := http.NewRequest(http.MethodGet, fmt.Sprintf("http://%s/%s/", at, servedName(to)), nil)
+	request, err := http.NewRequest(http.MethodGet, fmt.Sprintf("http://%s/%s/", address, servedName(to)), nil)
 	if err != nil {
 		return
 	}
-	request.Host = callHost
-	request.Header = http.Header{"X-Key": {clientKey}, "X-Attempt-Id": {fmt.Sprintf("scale-%d-%d", n, rand.Uint64())}, "X-Time-Left-Ms": {fmt.Sprint(callTimeout.Milliseconds())}}
-	began := time.Now()
-	response, err := l.client.Do(request)
+	request.Host = requestHost
+	request.Header = http.Header{"X-Key": {clientKey}, "X-Attempt-Id": {fmt.Sprintf("scale-%d-%d", n, rand.Uint64())}, "X-Time-Left-Ms": {fmt.Sprint(requestTimeout.Milliseconds())}}
+	startedAt := time.Now()
+	response, err := g.client.Do(request)
 	if err != nil {
-		l.note(by, 0, false)
+		g.record(by, 0, false)
 		return
 	}
 	_, err = io.Copy(io.Discard, response.Body)
 	response.Body.Close()
-	l.note(by, time.Since(began), err == nil && response.StatusCode == http.StatusOK)
+	g.record(by, time.Since(startedAt), err == nil && response.StatusCode == http.StatusOK)
 }
 
-func (l *load) note(by way, took time.Duration, ok bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.calls++
+func (g *loadGenerator) record(by way, took time.Duration, ok bool) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.requests++
 	if !ok {
 		return
 	}
-	l.ok++
-	l.delays[by].RecordValue(min(max(took.Microseconds(), leastDelay), mostDelay))
+	g.ok++
+	g.delays[by].RecordValue(min(max(took.Microseconds(), minDelayMicros), maxDelayMicros))
 }
 
-// served is what came of the calls since the last reset.
-func (l *load) served(rate float64) *Served {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return &Served{Rate: rate, Calls: l.calls, OK: l.ok, Direct: latency(l.delays[direct]), OneHop: latency(l.delays[oneHop]), TwoHops: latency(l.delays[twoHops])}
+// served returns the results of the requests since the last reset.
+func (g *loadGenerator) served(rate float64) *Served {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return &Served{Rate: rate, Calls: g.requests, OK: g.ok, Direct: latency(g.delays[direct]), OneHop: latency(g.delays[oneHop]), TwoHops: latency(g.delays[twoHops])}
 }
 
 func latency(h *hdrhistogram.Histogram) Latency {
