--- a/cmd/meshsim/run.go
+++ b/cmd/meshsim/run.go
@@ -40,13 +40,13 @@
 	began := time.Now()
 	fmt.Println(q.Title)
 	mesh := q.ProcessMesh(flags.programDir(app), *flags.logs, short)
-	mesh.Beside = *flags.secondPrograms
-	result, err := processes.Play(ctx, mesh, func(format string, args ...any) {
+	mesh.OtherPrograms = *flags.secondPrograms
+	result, err := processes.Run(ctx, mesh, func(format string, args ...any) {
 		fmt.Printf("%6.2fs  %s\n", time.Since(began).Seconds(), fmt.Sprintf(format, args...))
 	})
 	app.FatalIfError(err, "")
 	result.Print(os.Stdout)
-	if len(result.Broken) > 0 {
+	if len(result.Violations) > 0 {
 		os.Exit(exitBroken)
 	}
 }
