--- a/cmd/ottershift/lab.go
+++ b/cmd/ottershift/lab.go
@@ -425,7 +425,7 @@
 	c := &cobra.Command{
 		Use: "balancer", Short: "Serve with a plain policy, to compare the design with", Args: cobra.NoArgs, Hidden: true,
 		RunE: func(c *cobra.Command, _ []string) error {
-			module, err := baseline.Make(policy)
+			module, err := baseline.NewFactory(policy)
 			if err != nil {
 				return err
 			}
--- a/internal/cluster/keep/history_test.go
+++ b/internal/cluster/keep/history_test.go
@@ -179,18 +179,18 @@
 		case 0, 1:
 			for k := range 5 {
 				if k != result && (k < 3 || rng.IntN(2) == 0) {
-					network.Set(result, k, func(x *between.Trouble) { x.Cut = true })
+					network.Set(result, k, func(x *between.Faults) { x.Cut = true })
 				}
 			}
 			time.Sleep(time.Duration(rng.IntN(600)) * time.Millisecond)
 			for k := range 5 {
 				if k != result {
-					network.Set(result, k, func(x *between.Trouble) { x.Cut = false })
+					network.Set(result, k, func(x *between.Faults) { x.Cut = false })
 				}
 			}
 		case 2:
 			if result != b {
-				network.Set(result, b, func(x *between.Trouble) { x.Delay = time.Duration(rng.IntN(60)) * time.Millisecond })
+				network.Set(result, b, func(x *between.Faults) { x.Delay = time.Duration(rng.IntN(60)) * time.Millisecond })
 			}
 		case 3:
 			replicas[result].Close()
--- a/internal/cluster/ledger/capacity_test.go
+++ b/internal/cluster/ledger/capacity_test.go
@@ -34,7 +34,7 @@
 		names = append(names, fmt.Sprint("k", i))
 		for k := range replicas + 1 {
 			if i != k {
-				mesh.Set(i, k, func(trouble *between.Trouble) { trouble.Delay = delay })
+				mesh.Set(i, k, func(trouble *between.Faults) { trouble.Delay = delay })
 			}
 		}
 	}
--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -1,5 +1,6 @@
-// Package baseline holds plain ways to choose an upstream, to compare the design with. They go through the same front,
-// desk and rules as the design; they send no copies, keep no room and set nobody aside. Retries go by the same bucket.
+// Package baseline implements simple load-balancing policies to compare the decision engine with. They run behind the
+// same front end and under the same rules. They send no hedges, have no concurrency limits and eject no upstreams.
+// Their retries use the same token bucket.
 package baseline
 
 import (
@@ -13,60 +14,60 @@
 )
 
 const (
-	bucketPart = 0.1
-	bucketMost = 100
+	retryTokensPerTransaction = 0.1
+	maxRetryTokens            = 100
 )
 
-// state is what is kept of a transaction.
-type state struct {
-	t       *logic.Transaction
-	tariff  *logic.Tariff
-	stop    int64
-	pushes  []push
-	out     int
-	over    bool
-	touched bool
-	place   int
+// transactionState is the state of one transaction.
+type transactionState struct {
+	t           *logic.Transaction
+	tariff      *logic.Tariff
+	deadline    int64
+	attempts    []attempt
+	outstanding int
+	closed      bool
+	touched     bool
+	heapIndex   int
 }
 
-type push struct {
-	upstream int
-	out      bool
-	result   logic.Result
+type attempt struct {
+	upstream    int
+	outstanding bool
+	result      logic.Result
 }
 
-// Balancer is a plain one.
+// Balancer is an engine that chooses upstreams by a simple policy.
 type Balancer struct {
-	kind   string
-	terms  *logic.Config
-	chance *rand.Rand
+	policy string
+	config *logic.Config
+	rng    *rand.Rand
 	now    int64
-	w      logic.Writer
+	writer logic.Writer
 
 	known, ready []bool
-	up           []logic.Upstream
-	flying       []int
-	turn         int
-	bucket       float64
-	all          map[*logic.Transaction]*state
-	touched      []*state
-	dues         dues
+	upstreams    []logic.Upstream
+	inFlight     []int
+	nextTurn     int
+	retryTokens  float64
+	transactions map[*logic.Transaction]*transactionState
+	touched      []*transactionState
+	deadlines    deadlineHeap
 }
 
-// Make says how to start a plain balancer of some kind.
-func Make(kind string) (desk.EngineFactory, error) {
+// NewFactory returns a factory of engines with the policy named kind.
+func NewFactory(kind string) (desk.EngineFactory, error) {
 	switch kind {
 	case "random", "round-robin", "least-in-flight", "two-choices":
 	default:
-		return nil, errors.New("baseline: there is none called " + kind)
+		return nil, errors.New("baseline: unknown policy: " + kind)
 	}
-	return func(terms *logic.Config, now int64) (desk.Engine, error) {
-		if len(terms.Tariffs) == 0 || terms.MaxAttempts < 1 {
-			return nil, errors.New("baseline: no tariffs or no pushes")
+	return func(config *logic.Config, now int64) (desk.Engine, error) {
+		if len(config.Tariffs) == 0 || config.MaxAttempts < 1 {
+			return nil, errors.New("baseline: configuration has no tariffs or MaxAttempts is below 1")
 		}
 		return &Balancer{
-			kind: kind, terms: terms, now: now, chance: rand.New(rand.NewPCG(terms.Seed, 1)), bucket: 1,
-			all: map[*logic.Transaction]*state{},
+			policy: kind, config: config, now: now, rng: rand.New(rand.NewPCG(config.Seed, 1)), retryTokens: 1,
+			transactions: map[*logic.Transaction]*transactionState{},
 		}, nil
 	}, nil
 }
@@ -76,39 +77,39 @@
 
 func (b *Balancer) Join() int {
 	for i, known := range b.known {
-		if !known && b.flying[i] == 0 {
+		if !known && b.inFlight[i] == 0 {
 			b.known[i] = true
 			return i
 		}
 	}
 	b.known, b.ready = append(b.known, true), append(b.ready, false)
-	b.up, b.flying = append(b.up, logic.Upstream{}), append(b.flying, 0)
+	b.upstreams, b.inFlight = append(b.upstreams, logic.Upstream{}), append(b.inFlight, 0)
 	return len(b.known) - 1
 }
 
-func (b *Balancer) List(i int, u logic.Upstream, now int64)       { b.ready[i], b.up[i] = true, u }
+func (b *Balancer) List(i int, u logic.Upstream, now int64)       { b.ready[i], b.upstreams[i] = true, u }
 func (b *Balancer) Drain(i int)                                   { b.ready[i] = false }
 func (b *Balancer) Leave(i int)                                   { b.ready[i], b.known[i] = false, false }
 func (b *Balancer) Listed(bool, int64)                            {}
 func (b *Balancer) PeerReport(int, []byte, int64)                 {}
 func (b *Balancer) ProbeResult(int, bool)                         {}
-func (b *Balancer) BodyReceived(*logic.Transaction, int64, int64) {} // the lab's transactions come whole
+func (b *Balancer) BodyReceived(*logic.Transaction, int64, int64) {} // the lab's clients send whole requests
 
 func (b *Balancer) Arrive(t *logic.Transaction, tariff, _ int, _, left int64, _ bool, now int64) {
-	s := &state{t: t, tariff: b.terms.Tariffs[tariff], stop: now + left, place: -1}
-	b.all[t] = s
-	heap.Push(&b.dues, s)
+	s := &transactionState{t: t, tariff: b.config.Tariffs[tariff], deadline: now + left, heapIndex: -1}
+	b.transactions[t] = s
+	heap.Push(&b.deadlines, s)
 	b.touch(s)
 }
 
 func (b *Balancer) Outcome(t *logic.Transaction, n int, r logic.Result, _ int64, final bool, now int64) {
-	s := b.all[t]
-	if s == nil || !s.pushes[n].out {
+	s := b.transactions[t]
+	if s == nil || !s.attempts[n].outstanding {
 		return
 	}
-	s.pushes[n].out, s.pushes[n].result = false, r
-	s.out--
-	b.flying[s.pushes[n].upstream]--
+	s.attempts[n].outstanding, s.attempts[n].result = false, r
+	s.outstanding--
+	b.inFlight[s.attempts[n].upstream]--
 	if final {
 		b.close(s)
 	}
@@ -116,160 +117,162 @@
 }
 
 func (b *Balancer) ClientGone(t *logic.Transaction) {
-	if s := b.all[t]; s != nil {
+	if s := b.transactions[t]; s != nil {
 		b.close(s)
 		b.touch(s)
 	}
 }
 
-func (b *Balancer) touch(s *state) {
+func (b *Balancer) touch(s *transactionState) {
 	if !s.touched {
 		s.touched = true
 		b.touched = append(b.touched, s)
 	}
 }
 
-func (b *Balancer) close(s *state) {
-	s.over = true
-	if s.place >= 0 {
-		heap.Remove(&b.dues, s.place)
+func (b *Balancer) close(s *transactionState) {
+	s.closed = true
+	if s.heapIndex >= 0 {
+		heap.Remove(&b.deadlines, s.heapIndex)
 	}
 }
 
-// Round decides on all that came in.
+// Round makes the decisions for all transactions with new events or expired deadlines.
 func (b *Balancer) Round(now int64, w logic.Writer) {
-	b.now, b.w = now, w
-	for len(b.dues) > 0 && b.dues[0].stop <= now {
-		b.touch(heap.Pop(&b.dues).(*state))
+	b.now, b.writer = now, w
+	for len(b.deadlines) > 0 && b.deadlines[0].deadline <= now {
+		b.touch(heap.Pop(&b.deadlines).(*transactionState))
 	}
 	for k := 0; k < len(b.touched); k++ {
 		b.touched[k].touched = false
 		b.decide(b.touched[k])
 	}
 	b.touched = b.touched[:0]
-	if len(b.dues) > 0 {
-		w.Wake(max(b.dues[0].stop, now+1))
+	if len(b.deadlines) > 0 {
+		w.Wake(max(b.deadlines[0].deadline, now+1))
 	}
-	b.w = nil
+	b.writer = nil
 }
 
-func (b *Balancer) decide(s *state) {
-	if s.over {
-		for n := range s.pushes {
-			if s.pushes[n].out {
-				b.w.Cancel(s.t, n)
+func (b *Balancer) decide(s *transactionState) {
+	if s.closed {
+		for n := range s.attempts {
+			if s.attempts[n].outstanding {
+				b.writer.Cancel(s.t, n)
 			}
 		}
-		if s.out == 0 {
-			delete(b.all, s.t)
+		if s.outstanding == 0 {
+			delete(b.transactions, s.t)
 		}
 		return
 	}
-	if b.now >= s.stop {
-		b.end(s)
+	if b.now >= s.deadline {
+		b.finish(s)
 		return
 	}
-	if s.out > 0 {
+	if s.outstanding > 0 {
 		return
 	}
-	if n := len(s.pushes); n == 0 {
-		b.bucket = min(bucketMost, b.bucket+bucketPart)
-	} else if n >= b.terms.MaxAttempts || b.bucket < 1 || !s.mayRepeat() {
-		b.end(s)
+	if n := len(s.attempts); n == 0 {
+		b.retryTokens = min(maxRetryTokens, b.retryTokens+retryTokensPerTransaction)
+	} else if n >= b.config.MaxAttempts || b.retryTokens < 1 || !s.mayRetry() {
+		b.finish(s)
 		return
 	} else {
-		b.bucket--
+		b.retryTokens--
 	}
 	i := b.choose(s)
 	if i < 0 {
-		b.end(s)
+		b.finish(s)
 		return
 	}
-	s.pushes = append(s.pushes, push{upstream: i, out: true})
-	s.out++
-	b.flying[i]++
-	b.w.Send(s.t, i, s.stop)
+	s.attempts = append(s.attempts, attempt{upstream: i, outstanding: true})
+	s.outstanding++
+	b.inFlight[i]++
+	b.writer.Send(s.t, i, s.deadline)
 }
 
-// ran reports whether any push may have run.
-func (s *state) ran() bool {
-	for _, p := range s.pushes {
-		if p.out || !p.result.NeverRan() {
+// ran reports whether any attempt may have been executed by an upstream.
+func (s *transactionState) ran() bool {
+	for _, p := range s.attempts {
+		if p.outstanding || !p.result.NeverRan() {
 			return true
 		}
 	}
 	return false
 }
 
-func (s *state) mayRepeat() bool { return s.tariff.Idempotency == logic.Idempotent || !s.ran() }
+func (s *transactionState) mayRetry() bool {
+	return s.tariff.Idempotency == logic.Idempotent || !s.ran()
+}
 
-func (b *Balancer) end(s *state) {
-	harmless := s.mayRepeat() || s.tariff.Idempotency == logic.Keyed && s.tariff.DedupScope == logic.Everywhere
+func (b *Balancer) finish(s *transactionState) {
+	harmless := s.mayRetry() || s.tariff.Idempotency == logic.Keyed && s.tariff.DedupScope == logic.Everywhere
 	b.close(s)
 	if harmless {
-		b.w.Defer(s.t, logic.AttemptsFailed, b.terms.Backoff(s.tariff))
+		b.writer.Defer(s.t, logic.AttemptsFailed, b.config.Backoff(s.tariff))
 	} else {
-		b.w.Forfeit(s.t, logic.AttemptsFailed)
+		b.writer.Forfeit(s.t, logic.AttemptsFailed)
 	}
 	b.decide(s)
 }
 
-// choose takes an upstream that wasn't tried, -1 if there is none.
-func (b *Balancer) choose(s *state) int {
-	var fit []int
+// choose returns an upstream that has not been tried for this transaction; -1 if there is none.
+func (b *Balancer) choose(s *transactionState) int {
+	var candidates []int
 	for i, ready := range b.ready {
 		tried := false
-		for _, p := range s.pushes {
+		for _, p := range s.attempts {
 			tried = tried || p.upstream == i
 		}
 		if ready && !tried {
-			fit = append(fit, i)
+			candidates = append(candidates, i)
 		}
 	}
-	if len(fit) == 0 {
+	if len(candidates) == 0 {
 		return -1
 	}
-	load := func(i int) float64 { return float64(b.flying[i]+1) / math.Max(b.up[i].Weight, 1e-6) }
-	switch b.kind {
+	load := func(i int) float64 { return float64(b.inFlight[i]+1) / math.Max(b.upstreams[i].Weight, 1e-6) }
+	switch b.policy {
 	case "round-robin":
-		b.turn++
-		return fit[b.turn%len(fit)]
+		b.nextTurn++
+		return candidates[b.nextTurn%len(candidates)]
 	case "least-in-flight":
-		best := fit[b.chance.IntN(len(fit))]
-		for _, i := range fit {
+		best := candidates[b.rng.IntN(len(candidates))]
+		for _, i := range candidates {
 			if load(i) < load(best) {
 				best = i
 			}
 		}
 		return best
 	case "two-choices":
-		one, other := fit[b.chance.IntN(len(fit))], fit[b.chance.IntN(len(fit))]
+		one, other := candidates[b.rng.IntN(len(candidates))], candidates[b.rng.IntN(len(candidates))]
 		if load(other) < load(one) {
 			return other
 		}
 		return one
 	}
-	return fit[b.chance.IntN(len(fit))]
+	return candidates[b.rng.IntN(len(candidates))]
 }
 
-// dues is a heap of states by their stop.
-type dues []*state
+// deadlineHeap is a heap of transactions, ordered by deadline.
+type deadlineHeap []*transactionState
 
-func (d dues) Len() int           { return len(d) }
-func (d dues) Less(i, j int) bool { return d[i].stop < d[j].stop }
-func (d dues) Swap(i, j int) {
+func (d deadlineHeap) Len() int           { return len(d) }
+func (d deadlineHeap) Less(i, j int) bool { return d[i].deadline < d[j].deadline }
+func (d deadlineHeap) Swap(i, j int) {
 	d[i], d[j] = d[j], d[i]
-	d[i].place, d[j].place = i, j
+	d[i].heapIndex, d[j].heapIndex = i, j
 }
 
-func (d *dues) Push(s any) {
-	s.(*state).place = len(*d)
-	*d = append(*d, s.(*state))
+func (d *deadlineHeap) Push(s any) {
+	s.(*transactionState).heapIndex = len(*d)
+	*d = append(*d, s.(*transactionState))
 }
 
-func (d *dues) Pop() any {
+func (d *deadlineHeap) Pop() any {
 	last := len(*d) - 1
 	s := (*d)[last]
-	s.place, (*d)[last], *d = -1, nil, (*d)[:last]
+	s.heapIndex, (*d)[last], *d = -1, nil, (*d)[:last]
 	return s
 }
--- a/internal/lab/between/between.go
+++ b/internal/lab/between/between.go
@@ -1,5 +1,5 @@
-// Package between is the lab's network: every link between two members goes through a relay on loopback, TCP and UDP,
-// each direction for itself, and what is wrong with a direction is set while it runs.
+// Package between emulates the network between cluster members. Each direction of each link has its own TCP and UDP
+// relay on loopback, and its faults can be changed at run time.
 package between
 
 import (
@@ -13,64 +13,65 @@
 	"time"
 )
 
-// Trouble is what is wrong with one direction of a link.
-type Trouble struct {
-	Cut       bool          // datagrams are lost; bytes and new connections are held until it ends
-	Stall     bool          // connections are taken and nothing passes; datagrams do
-	Delay     time.Duration // of all that passes
-	Jitter    time.Duration // and up to so much more, by chance; bytes stay in order, datagrams don't
-	Loss      float64       // part of the datagrams
-	Duplicate float64       // part of them that comes twice
-	Reorder   float64       // part of them that is held for up to the delay, jitter and 50 ms more
-	Trickle   int           // bytes a second of a connection; 0 for no limit
+// Faults holds the faults of one direction of a link.
+type Faults struct {
+	Cut       bool          // drops datagrams; holds bytes and new connections until the cut ends
+	Stall     bool          // accepts connections but holds their bytes; datagrams still pass
+	Delay     time.Duration // added to all bytes and datagrams
+	Jitter    time.Duration // upper bound of a random extra delay; bytes stay in order, datagrams may not
+	Loss      float64       // fraction of datagrams dropped
+	Duplicate float64       // fraction of datagrams delivered twice
+	Reorder   float64       // fraction of datagrams held for up to Delay + Jitter + 50 ms longer
+	Trickle   int           // bytes per second per connection; 0 means no limit
 }
 
 const (
-	chunk    = 16 << 10
-	held     = 64 // chunks of one direction of a connection that are under way
-	dials    = 2 * time.Second
-	shuffled = 50 * time.Millisecond
-	datagram = 64 << 10
-	waiting  = 1 << 16 // datagrams under way on one link
+	chunkBytes         = 16 << 10
+	maxBufferedChunks  = 64 // buffered chunks per direction of a connection
+	dialTimeout        = 2 * time.Second
+	maxReorderDelay    = 50 * time.Millisecond
+	maxDatagramBytes   = 64 << 10
+	maxQueuedDatagrams = 1 << 16 // queued datagrams per direction of a link
 )
 
-// Mesh is all links between some members.
+// Mesh is the set of links between all members.
 type Mesh struct {
-	n    int
-	end  chan struct{}
-	all  sync.WaitGroup
-	rows [][]*way
-
-	mu     sync.Mutex
-	change chan struct{} // closed at each change of any trouble
-	target []string      // members' own addresses
-	chance *rand.Rand
-	ended  bool
-
-	Passed, Lost, Doubled atomic.Int64 // datagrams
+	n          int
+	done       chan struct{}
+	goroutines sync.WaitGroup
+	directions [][]*direction
+
+	mu      sync.Mutex
+	change  chan struct{} // closed and replaced at each change of a fault or a target
+	targets []string      // members' own addresses, by member
+	rng     *rand.Rand
+	closed  bool
+
+	Passed, Lost, Duplicated atomic.Int64 // counts of datagrams
 }
 
-// way is one direction, and the relay at which its datagrams and the connections opened along it come in.
-type way struct {
+// direction is one direction of a link. Its relay receives the datagrams and the connections that go in this direction.
+type direction struct {
 	m        *Mesh
 	from, to int
 	tcp      net.Listener
 	udp      *net.UDPConn
 	out      *net.UDPConn
-	trouble  Trouble
-	conns    map[*pair]struct{}
-	late     queue
-	kick     chan struct{}
+	faults   Faults
+	conns    map[*relayedConn]struct{}
+	delayed  queue
+	wake     chan struct{}
 }
 
-// New makes the links of n members; none passes before its member has a target.
+// New creates the links between n members. A link forwards nothing until Target is called for its destination.
 func New(n int, seed uint64) (*Mesh, error) {
 	m := &Mesh{
-		n: n, end: make(chan struct{}), rows: make([][]*way, n), change: make(chan struct{}), target: make([]string, n),
-		chance: rand.New(rand.NewPCG(seed, 0x33)),
+		n: n, done: make(chan struct{}), directions: make([][]*direction, n),
+		change: make(chan struct{}), targets: make([]string, n),
+		rng: rand.New(rand.NewPCG(seed, 0x33)),
 	}
 	for a := range n {
-		m.rows[a] = make([]*way, n)
+		m.directions[a] = make([]*direction, n)
 		for b := range n {
 			if a == b {
 				continue
@@ -80,15 +81,15 @@
 				m.Close()
 				return nil, err
 			}
-			m.rows[a][b] = w
+			m.directions[a][b] = w
 		}
 	}
 	return m, nil
 }
 
-func (m *Mesh) open(a, b int) (w *way, err error) {
-	w = &way{m: m, from: a, to: b, conns: map[*pair]struct{}{}, kick: make(chan struct{}, 1)}
-	for try := 0; ; try++ { // the same port has to be free for both
+func (m *Mesh) open(a, b int) (w *direction, err error) {
+	w = &direction{m: m, from: a, to: b, conns: map[*relayedConn]struct{}{}, wake: make(chan struct{}, 1)}
+	for try := 0; ; try++ { // TCP and UDP must share a port number
 		if w.tcp, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 			return nil, err
 		}
@@ -105,42 +106,42 @@
 		w.udp.Close()
 		return nil, err
 	}
-	m.all.Go(w.accept)
-	m.all.Go(w.receive)
-	m.all.Go(w.deliver)
+	m.goroutines.Go(w.accept)
+	m.goroutines.Go(w.receiveDatagrams)
+	m.goroutines.Go(w.forwardDatagrams)
 	return w, nil
 }
 
-// Address is where member a reaches member b.
-func (m *Mesh) Address(a, b int) string { return m.rows[a][b].tcp.Addr().String() }
+// Address returns the relay address at which member a reaches member b.
+func (m *Mesh) Address(a, b int) string { return m.directions[a][b].tcp.Addr().String() }
 
-// Target says where a member is itself.
+// Target sets the address at which member b listens.
 func (m *Mesh) Target(b int, address string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.target[b] = address
-	m.changed()
+	m.targets[b] = address
+	m.notifyChanged()
 }
 
-// changed wakes whoever waits on a trouble; with the lock.
-func (m *Mesh) changed() {
+// notifyChanged wakes all goroutines that wait for a change. The caller holds m.mu.
+func (m *Mesh) notifyChanged() {
 	close(m.change)
 	m.change = make(chan struct{})
 }
 
-// Set changes what is wrong with the direction from a to b.
-func (m *Mesh) Set(a, b int, change func(*Trouble)) {
+// Set changes the faults of the direction from a to b.
+func (m *Mesh) Set(a, b int, change func(*Faults)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	change(&m.rows[a][b].trouble)
-	m.changed()
+	change(&m.directions[a][b].faults)
+	m.notifyChanged()
 }
 
-// Reset breaks all connections between two members, as seen by both.
+// Reset aborts all connections between two members; both ends see a TCP reset.
 func (m *Mesh) Reset(a, b int) {
 	m.mu.Lock()
-	var all []*pair
-	for _, w := range []*way{m.rows[a][b], m.rows[b][a]} {
+	var all []*relayedConn
+	for _, w := range []*direction{m.directions[a][b], m.directions[b][a]} {
 		for p := range w.conns {
 			all = append(all, p)
 		}
@@ -151,11 +152,11 @@
 	}
 }
 
-// Connections counts those that are open.
+// Connections returns the number of open relayed connections.
 func (m *Mesh) Connections() (n int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, row := range m.rows {
+	for _, row := range m.directions {
 		for _, w := range row {
 			if w != nil {
 				n += len(w.conns)
@@ -165,17 +166,17 @@
 	return n
 }
 
-// Close ends all of it and waits.
+// Close stops all relays, resets their connections and waits for their goroutines.
 func (m *Mesh) Close() {
 	m.mu.Lock()
-	if m.ended {
+	if m.closed {
 		m.mu.Unlock()
 		return
 	}
-	m.ended = true
-	close(m.end)
-	var all []*pair
-	for _, row := range m.rows {
+	m.closed = true
+	close(m.done)
+	var all []*relayedConn
+	for _, row := range m.directions {
 		for _, w := range row {
 			if w == nil {
 				continue
@@ -192,78 +193,78 @@
 	for _, p := range all {
 		p.reset()
 	}
-	m.all.Wait()
+	m.goroutines.Wait()
 }
 
-// now is a direction's trouble, and what is closed when any changes.
-func (m *Mesh) now(a, b int) (t Trouble, target string, change <-chan struct{}) {
+// current returns the faults and the target of a direction, and a channel that is closed at the next change.
+func (m *Mesh) current(a, b int) (t Faults, target string, change <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.rows[a][b].trouble, m.target[b], m.change
+	return m.directions[a][b].faults, m.targets[b], m.change
 }
 
-func (m *Mesh) draw(most time.Duration) time.Duration {
+func (m *Mesh) randomDuration(most time.Duration) time.Duration {
 	if most <= 0 {
 		return 0
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return time.Duration(m.chance.Int64N(int64(most)))
+	return time.Duration(m.rng.Int64N(int64(most)))
 }
 
-func (m *Mesh) odds(part float64) bool {
+func (m *Mesh) chance(part float64) bool {
 	if part <= 0 {
 		return false
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.chance.Float64() < part
+	return m.rng.Float64() < part
 }
 
-// pair is a connection through the relay: what a opened, and the relay's own to b.
-type pair struct {
-	m    *Mesh
-	gone chan struct{}
-	once sync.Once
-	mu   sync.Mutex
-	ends []*net.TCPConn
+// relayedConn is a relayed connection: the accepted connection and the relay's own connection to the target.
+type relayedConn struct {
+	m     *Mesh
+	done  chan struct{}
+	once  sync.Once
+	mu    sync.Mutex
+	conns []*net.TCPConn
 }
 
-func (p *pair) add(c *net.TCPConn) {
+func (p *relayedConn) add(c *net.TCPConn) {
 	p.mu.Lock()
-	p.ends = append(p.ends, c)
+	p.conns = append(p.conns, c)
 	p.mu.Unlock()
 	select {
-	case <-p.gone:
+	case <-p.done:
 		c.Close()
 	default:
 	}
 }
 
-// reset breaks it for both.
-func (p *pair) reset() {
-	p.once.Do(func() { close(p.gone) })
+// reset aborts both connections with a TCP reset.
+func (p *relayedConn) reset() {
+	p.once.Do(func() { close(p.done) })
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, c := range p.ends {
+	for _, c := range p.conns {
 		c.SetLinger(0)
 		c.Close()
 	}
 }
 
-// close ends it in order.
-func (p *pair) close() {
-	p.once.Do(func() { close(p.gone) })
+// close closes both connections without a reset.
+func (p *relayedConn) close() {
+	p.once.Do(func() { close(p.done) })
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, c := range p.ends {
+	for _, c := range p.conns {
 		c.Close()
 	}
 }
 
-func (w *way) accept() {
+func (dir *direction) accept() {
 	for {
-		c, err := w.tcp.Accept()
+		c, err := dir.tcp.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -271,75 +272,75 @@
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
-		p := &pair{m: w.m, gone: make(chan struct{})}
+		p := &relayedConn{m: dir.m, done: make(chan struct{})}
 		p.add(c.(*net.TCPConn))
-		w.m.mu.Lock()
-		ended := w.m.ended
+		dir.m.mu.Lock()
+		ended := dir.m.closed
 		if !ended {
-			w.conns[p] = struct{}{}
+			dir.conns[p] = struct{}{}
 		}
-		w.m.mu.Unlock()
+		dir.m.mu.Unlock()
 		if ended {
 			p.reset()
 			continue
 		}
-		w.m.all.Go(func() { w.join(p, c.(*net.TCPConn)) })
+		dir.m.goroutines.Go(func() { dir.relay(p, c.(*net.TCPConn)) })
 	}
 }
 
-// join is the life of a connection.
-func (w *way) join(p *pair, here *net.TCPConn) {
+// relay relays one accepted connection until it ends.
+func (dir *direction) relay(p *relayedConn, here *net.TCPConn) {
 	defer func() {
 		p.close()
-		w.m.mu.Lock()
-		delete(w.conns, p)
-		w.m.mu.Unlock()
+		dir.m.mu.Lock()
+		delete(dir.conns, p)
+		dir.m.mu.Unlock()
 	}()
-	// A connection over a link that is cut either way is not made before it is whole.
+	// A TCP handshake needs both directions, so the relay dials only when neither direction is cut.
 	for {
-		there, target, change := w.m.now(w.from, w.to)
-		back, _, _ := w.m.now(w.to, w.from)
+		there, target, change := dir.m.current(dir.from, dir.to)
+		back, _, _ := dir.m.current(dir.to, dir.from)
 		if !there.Cut && !back.Cut && target != "" {
-			far, err := net.DialTimeout("tcp", target, dials)
+			far, err := net.DialTimeout("tcp", target, dialTimeout)
 			if err != nil {
 				p.reset()
 				return
 			}
 			p.add(far.(*net.TCPConn))
 			var both sync.WaitGroup
-			both.Go(func() { w.m.pump(p, here, far.(*net.TCPConn), w.from, w.to) })
-			both.Go(func() { w.m.pump(p, far.(*net.TCPConn), here, w.to, w.from) })
+			both.Go(func() { dir.m.forward(p, here, far.(*net.TCPConn), dir.from, dir.to) })
+			both.Go(func() { dir.m.forward(p, far.(*net.TCPConn), here, dir.to, dir.from) })
 			both.Wait()
 			return
 		}
 		select {
 		case <-change:
-		case <-p.gone:
+		case <-p.done:
 			return
 		}
 	}
 }
 
-type piece struct {
-	due time.Time
-	raw []byte // nil for the end
+type chunk struct {
+	due  time.Time
+	data []byte // nil marks the end of the stream
 }
 
-// pump carries the bytes of one direction of a connection, in order.
-func (m *Mesh) pump(p *pair, from, to *net.TCPConn, a, b int) {
-	pieces := make(chan piece, held)
+// forward forwards the bytes of one direction of a connection, in order.
+func (m *Mesh) forward(p *relayedConn, from, to *net.TCPConn, a, b int) {
+	pieces := make(chan chunk, maxBufferedChunks)
 	var reading sync.WaitGroup
 	reading.Go(func() {
 		defer close(pieces)
 		for {
-			raw := make([]byte, chunk)
+			raw := make([]byte, chunkBytes)
 			n, err := from.Read(raw)
-			t, _, _ := m.now(a, b)
-			due := time.Now().Add(t.Delay + m.draw(t.Jitter))
+			t, _, _ := m.current(a, b)
+			due := time.Now().Add(t.Delay + m.randomDuration(t.Jitter))
 			if n > 0 {
 				select {
-				case pieces <- piece{due, raw[:n]}:
-				case <-p.gone:
+				case pieces <- chunk{due, raw[:n]}:
+				case <-p.done:
 					return
 				}
 			}
@@ -349,8 +350,8 @@
 					return
 				}
 				select {
-				case pieces <- piece{due, nil}:
-				case <-p.gone:
+				case pieces <- chunk{due, nil}:
+				case <-p.done:
 				}
 				return
 			}
@@ -361,35 +362,35 @@
 		if !p.wait(time.Until(x.due)) {
 			return
 		}
-		if x.raw == nil {
-			if !p.passes(a, b) {
+		if x.data == nil {
+			if !p.waitPassable(a, b) {
 				return
 			}
 			to.CloseWrite()
 			return
 		}
-		for len(x.raw) > 0 {
-			if !p.passes(a, b) {
+		for len(x.data) > 0 {
+			if !p.waitPassable(a, b) {
 				return
 			}
-			n := len(x.raw)
-			if t, _, _ := m.now(a, b); t.Trickle > 0 {
+			n := len(x.data)
+			if t, _, _ := m.current(a, b); t.Trickle > 0 {
 				n = min(n, max(1, t.Trickle/20))
 				if !p.wait(time.Duration(n) * time.Second / time.Duration(t.Trickle)) {
 					return
 				}
 			}
-			if _, err := to.Write(x.raw[:n]); err != nil {
+			if _, err := to.Write(x.data[:n]); err != nil {
 				p.reset()
 				return
 			}
-			x.raw = x.raw[n:]
+			x.data = x.data[n:]
 		}
 	}
 }
 
-// wait waits; false if the connection ended meanwhile.
-func (p *pair) wait(d time.Duration) bool {
+// wait sleeps for d. It returns false if the connection ends first.
+func (p *relayedConn) wait(d time.Duration) bool {
 	if d <= 0 {
 		return true
 	}
@@ -398,33 +399,33 @@
 	select {
 	case <-timer.C:
 		return true
-	case <-p.gone:
+	case <-p.done:
 		return false
 	}
 }
 
-// passes waits until bytes may pass from a to b.
-func (p *pair) passes(a, b int) bool {
+// waitPassable waits until bytes may pass from a to b. It returns false if the connection ends first.
+func (p *relayedConn) waitPassable(a, b int) bool {
 	for {
-		t, _, change := p.m.now(a, b)
+		t, _, change := p.m.current(a, b)
 		if !t.Cut && !t.Stall {
 			return true
 		}
 		select {
 		case <-change:
-		case <-p.gone:
+		case <-p.done:
 			return false
 		}
 	}
 }
 
-// queue holds datagrams until they are due.
-type queue []piece
+// queue is a heap of datagrams, ordered by due time.
+type queue []chunk
 
 func (q queue) Len() int           { return len(q) }
 func (q queue) Less(i, j int) bool { return q[i].due.Before(q[j].due) }
 func (q queue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
-func (q *queue) Push(x any)        { *q = append(*q, x.(piece)) }
+func (q *queue) Push(x any)        { *q = append(*q, x.(chunk)) }
 func (q *queue) Pop() any {
 	old := *q
 	x := old[len(old)-1]
@@ -432,10 +433,10 @@
 	return x
 }
 
-func (w *way) receive() {
-	room := make([]byte, datagram)
+func (dir *direction) receiveDatagrams() {
+	buffer := make([]byte, maxDatagramBytes)
 	for {
-		n, _, err := w.udp.ReadFromUDP(room)
+		n, _, err := dir.udp.ReadFromUDP(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -443,66 +444,66 @@
 			time.Sleep(time.Millisecond)
 			continue
 		}
-		t, _, _ := w.m.now(w.from, w.to)
-		if t.Cut || w.m.odds(t.Loss) {
-			w.m.Lost.Add(1)
+		t, _, _ := dir.m.current(dir.from, dir.to)
+		if t.Cut || dir.m.chance(t.Loss) {
+			dir.m.Lost.Add(1)
 			continue
 		}
 		times := 1
-		if w.m.odds(t.Duplicate) {
+		if dir.m.chance(t.Duplicate) {
 			times = 2
-			w.m.Doubled.Add(1)
+			dir.m.Duplicated.Add(1)
 		}
 		for range times {
-			due := time.Now().Add(t.Delay + w.m.draw(t.Jitter))
-			if w.m.odds(t.Reorder) {
-				due = due.Add(w.m.draw(t.Delay + t.Jitter + shuffled))
+			due := time.Now().Add(t.Delay + dir.m.randomDuration(t.Jitter))
+			if dir.m.chance(t.Reorder) {
+				due = due.Add(dir.m.randomDuration(t.Delay + t.Jitter + maxReorderDelay))
 			}
-			w.m.mu.Lock()
-			if len(w.late) < waiting {
-				heap.Push(&w.late, piece{due, append([]byte(nil), room[:n]...)})
+			dir.m.mu.Lock()
+			if len(dir.delayed) < maxQueuedDatagrams {
+				heap.Push(&dir.delayed, chunk{due, append([]byte(nil), buffer[:n]...)})
 			}
-			w.m.mu.Unlock()
+			dir.m.mu.Unlock()
 		}
 		select {
-		case w.kick <- struct{}{}:
+		case dir.wake <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// deliver sends datagrams on when they are due.
-func (w *way) deliver() {
+// forwardDatagrams forwards datagrams when they are due.
+func (dir *direction) forwardDatagrams() {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for {
 		next := time.Hour
-		w.m.mu.Lock()
+		dir.m.mu.Lock()
 		var ready [][]byte
-		for len(w.late) > 0 {
-			if d := time.Until(w.late[0].due); d > 0 {
+		for len(dir.delayed) > 0 {
+			if d := time.Until(dir.delayed[0].due); d > 0 {
 				next = d
 				break
 			}
-			ready = append(ready, heap.Pop(&w.late).(piece).raw)
+			ready = append(ready, heap.Pop(&dir.delayed).(chunk).data)
 		}
-		cut, target := w.trouble.Cut, w.m.target[w.to]
-		w.m.mu.Unlock()
+		cut, target := dir.faults.Cut, dir.m.targets[dir.to]
+		dir.m.mu.Unlock()
 		if to, err := net.ResolveUDPAddr("udp", target); err == nil && target != "" {
 			for _, raw := range ready {
-				if cut { // on its way when the link was cut
-					w.m.Lost.Add(1)
+				if cut { // in transit when the link was cut
+					dir.m.Lost.Add(1)
 					continue
 				}
-				w.out.WriteToUDP(raw, to)
-				w.m.Passed.Add(1)
+				dir.out.WriteToUDP(raw, to)
+				dir.m.Passed.Add(1)
 			}
 		}
 		timer.Reset(next)
 		select {
 		case <-timer.C:
-		case <-w.kick:
-		case <-w.m.end:
+		case <-dir.wake:
+		case <-dir.m.done:
 			return
 		}
 	}
--- a/internal/lab/between/between_test.go
+++ b/internal/lab/between/between_test.go
@@ -12,7 +12,7 @@
 	"go.uber.org/goleak"
 )
 
-// echo answers bytes and datagrams with themselves, and a half-closed connection with its own end.
+// echo starts a server that echoes TCP bytes, half-closes included, and delivers the datagrams it receives to got.
 func echo(t *testing.T) (address string, got chan []byte) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -37,7 +37,7 @@
 		}
 	}()
 	go func() {
-		b := make([]byte, datagram)
+		b := make([]byte, maxDatagramBytes)
 		for {
 			n, _, err := u.ReadFromUDP(b)
 			if err != nil {
@@ -52,7 +52,7 @@
 
 func mesh(t *testing.T) (*Mesh, chan []byte) {
 	t.Helper()
-	t.Cleanup(func() { goleak.VerifyNone(t) }) // nothing is left behind
+	t.Cleanup(func() { goleak.VerifyNone(t) }) // no goroutines leak
 	at, got := echo(t)
 	m, err := New(2, 7)
 	if err != nil {
@@ -73,11 +73,12 @@
 	return c.(*net.TCPConn)
 }
 
-// Bytes come in order over links that delay, trickle and stop in between; half-closed connections are passed on.
-func TestBytes(t *testing.T) {
+// A link with delay, jitter and a temporary cut must not lose or reorder the bytes of a connection, and must forward a
+// half-close.
+func TestTCPBytesArriveInOrder(t *testing.T) {
 	m, _ := mesh(t)
-	m.Set(0, 1, func(x *Trouble) { x.Delay, x.Jitter = 20*time.Millisecond, 30*time.Millisecond })
-	m.Set(1, 0, func(x *Trouble) { x.Jitter = 20 * time.Millisecond })
+	m.Set(0, 1, func(x *Faults) { x.Delay, x.Jitter = 20*time.Millisecond, 30*time.Millisecond })
+	m.Set(1, 0, func(x *Faults) { x.Jitter = 20 * time.Millisecond })
 	c := dial(t, m)
 	sent := make([]byte, 1<<20)
 	rand.NewChaCha8([32]byte{1}).Read(sent)
@@ -85,9 +86,9 @@
 		for n := 0; n < len(sent); n += 50_000 {
 			c.Write(sent[n:min(n+50_000, len(sent))])
 			if n == 500_000 {
-				m.Set(0, 1, func(x *Trouble) { x.Cut = true })
+				m.Set(0, 1, func(x *Faults) { x.Cut = true })
 				time.Sleep(100 * time.Millisecond)
-				m.Set(0, 1, func(x *Trouble) { x.Cut = false })
+				m.Set(0, 1, func(x *Faults) { x.Cut = false })
 			}
 		}
 		c.CloseWrite()
@@ -98,8 +99,9 @@
 	}
 }
 
-// Delays are as told; a stall takes connections and passes nothing, one way; a trickle goes at its pace; a reset is one.
-func TestTroubles(t *testing.T) {
+// Each fault must have its effect and no other: delay, a one-way stall, a bandwidth limit, a cut that ends, and a reset
+// that leaves no open connection.
+func TestLinkFaults(t *testing.T) {
 	m, _ := mesh(t)
 	one := func(c *net.TCPConn, within time.Duration) (time.Duration, error) {
 		start := time.Now()
@@ -110,35 +112,35 @@
 	}
 	c := dial(t, m)
 	if d, err := one(c, time.Second); err != nil || d > 50*time.Millisecond {
-		t.Errorf("a sound link took %s, %v", d, err)
+		t.Errorf("link without faults took %s, %v", d, err)
 	}
-	m.Set(1, 0, func(x *Trouble) { x.Delay = 150 * time.Millisecond })
+	m.Set(1, 0, func(x *Faults) { x.Delay = 150 * time.Millisecond })
 	if d, err := one(c, time.Second); err != nil || d < 150*time.Millisecond || d > 250*time.Millisecond {
-		t.Errorf("150 ms one way took %s, %v", d, err)
+		t.Errorf("link with a one-way delay of 150 ms took %s, %v", d, err)
 	}
-	m.Set(1, 0, func(x *Trouble) { *x = Trouble{Stall: true} })
+	m.Set(1, 0, func(x *Faults) { *x = Faults{Stall: true} })
 	if d, err := one(c, 200*time.Millisecond); err == nil {
-		t.Errorf("a stalled link answered after %s", d)
+		t.Errorf("echo over a stalled link after %s", d)
 	}
-	if m.Set(1, 0, func(x *Trouble) { *x = Trouble{Trickle: 1000} }); true {
+	if m.Set(1, 0, func(x *Faults) { *x = Faults{Trickle: 1000} }); true {
 		c.SetReadDeadline(time.Now().Add(5 * time.Second))
-		io.ReadFull(c, make([]byte, 1)) // what was held
+		io.ReadFull(c, make([]byte, 1)) // the byte held by the stall
 		start := time.Now()
 		c.Write(make([]byte, 500))
 		if _, err := io.ReadFull(c, make([]byte, 500)); err != nil || time.Since(start) < 400*time.Millisecond || time.Since(start) > time.Second {
-			t.Errorf("500 bytes at 1,000 a second took %s, %v", time.Since(start), err)
+			t.Errorf("500 bytes at 1,000 bytes per second took %s, %v", time.Since(start), err)
 		}
 	}
-	m.Set(1, 0, func(x *Trouble) { *x = Trouble{} })
-	m.Set(1, 0, func(x *Trouble) { x.Cut = true })
-	late := dial(t, m) // taken, and made when the link is whole
-	time.AfterFunc(150*time.Millisecond, func() { m.Set(1, 0, func(x *Trouble) { x.Cut = false }) })
+	m.Set(1, 0, func(x *Faults) { *x = Faults{} })
+	m.Set(1, 0, func(x *Faults) { x.Cut = true })
+	late := dial(t, m) // accepted now, relayed when the cut ends
+	time.AfterFunc(150*time.Millisecond, func() { m.Set(1, 0, func(x *Faults) { x.Cut = false }) })
 	if d, err := one(late, time.Second); err != nil || d < 100*time.Millisecond {
-		t.Errorf("over a cut that ended: %s, %v", d, err)
+		t.Errorf("connection opened during a cut took %s, %v", d, err)
 	}
 	m.Reset(1, 0)
 	if _, err := one(c, time.Second); err == nil {
-		t.Error("a reset connection answers")
+		t.Error("echo over a reset connection")
 	}
 	for range 100 {
 		if m.Connections() == 0 {
@@ -146,10 +148,11 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Errorf("%d connections are left", m.Connections())
+	t.Errorf("%d connections still open after a reset", m.Connections())
 }
 
-// Thousands of datagrams: all come over a sound link; a part is lost, doubled, out of order where told; none over a cut.
+// Over a link without faults, all datagrams arrive in order. Loss, duplication and reordering must affect about the
+// configured fraction, and no datagram may pass a cut link.
 func TestDatagrams(t *testing.T) {
 	m, got := mesh(t)
 	c, err := net.Dial("udp", m.Address(0, 1))
@@ -181,18 +184,18 @@
 		}
 	}
 	if came, swapped := send(); came != n || swapped != 0 {
-		t.Errorf("a sound link: %d of %d came, %d out of order", came, n, swapped)
+		t.Errorf("link without faults: %d of %d datagrams received, %d out of order", came, n, swapped)
 	}
-	m.Set(0, 1, func(x *Trouble) { x.Loss = 0.25 })
+	m.Set(0, 1, func(x *Faults) { x.Loss = 0.25 })
 	if came, _ := send(); came < n*70/100 || came > n*80/100 {
-		t.Errorf("a quarter lost: %d of %d came", came, n)
+		t.Errorf("loss of 25%%: %d of %d datagrams received", came, n)
 	}
-	m.Set(0, 1, func(x *Trouble) { *x = Trouble{Duplicate: 0.5, Reorder: 0.2} })
+	m.Set(0, 1, func(x *Faults) { *x = Faults{Duplicate: 0.5, Reorder: 0.2} })
 	if came, swapped := send(); came < n*145/100 || came > n*155/100 || swapped < n/20 {
-		t.Errorf("half doubled, a fifth out of order: %d of %d came, %d out of order", came, n, swapped)
+		t.Errorf("50%% duplicated, 20%% reordered: %d received of %d sent, %d out of order", came, n, swapped)
 	}
-	m.Set(0, 1, func(x *Trouble) { *x = Trouble{Cut: true} })
+	m.Set(0, 1, func(x *Faults) { *x = Faults{Cut: true} })
 	if came, _ := send(); came != 0 {
-		t.Errorf("%d came over a cut link", came)
+		t.Errorf("%d datagrams passed a cut link", came)
 	}
 }
--- a/internal/lab/emulate/upstream.go
+++ b/internal/lab/emulate/upstream.go
@@ -155,7 +155,7 @@
 	s, conns := u.http, u.conns
 	u.down = true
 	for _, j := range u.server.Stop(u.fleet.Now()) {
-		j.Mark.(*visit).end(false)
+		j.Tag.(*visit).end(false)
 	}
 	var all []net.Conn
 	for c := range conns {
@@ -215,7 +215,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.advance()
-	u.server.Hamper(slow, cores)
+	u.server.ApplyFault(slow, cores)
 	u.arm()
 }
 
@@ -235,7 +235,7 @@
 func (u *Upstream) advance() int64 {
 	now := u.fleet.Now()
 	for _, j := range u.server.Advance(now) {
-		v := j.Mark.(*visit)
+		v := j.Tag.(*visit)
 		v.effect = now
 		v.end(true)
 	}
@@ -302,14 +302,14 @@
 	v := &visit{over: make(chan struct{})}
 	u.mu.Lock()
 	now := u.advance()
-	a := record.Arrival{ID: id, Root: root, Upstream: u.Index, At: now, Cold: u.server.Warmth(now) < 1}
+	a := record.Arrival{ID: id, Root: root, Upstream: u.Index, At: now, Cold: u.server.WarmupFactor(now) < 1}
 	place := len(u.arrived)
 	kind := u.meets()
 	var first, mine *effect
 	if kind == "" && tariff.Idempotency == logic.Keyed { // what is turned away leaves no mark
 		first, mine = u.fleet.tag(u, tariff, r.Header.Get("Idempotency-Key"), now)
 	}
-	j := &work.Job{Mark: v, Work: tariff.Work(u.fleet.e.Seed, root, u.Upstream.Name, place)}
+	j := &work.Job{Tag: v, Work: tariff.Work(u.fleet.e.Seed, root, u.Upstream.Name, place)}
 	if kind == "full" {
 		kind, a.Turned = "", true
 	}
@@ -320,12 +320,12 @@
 	case first != nil:
 		a.Dropped = true
 	default:
-		before := u.server.Overfed
+		before := u.server.MaxColdOverload
 		if a.Ran = u.server.Arrive(j, now); !a.Ran {
 			a.Turned = true
 		}
-		if u.server.Overfed > before && before == 0 {
-			u.overfed = append(u.overfed, record.Overfed{Upstream: u.Index, At: now, Of: u.server.Overfed})
+		if u.server.MaxColdOverload > before && before == 0 {
+			u.overfed = append(u.overfed, record.Overfed{Upstream: u.Index, At: now, Of: u.server.MaxColdOverload})
 		}
 	}
 	u.arrived = append(u.arrived, a)
--- a/internal/lab/run/cluster.go
+++ b/internal/lab/run/cluster.go
@@ -349,7 +349,7 @@
 	}
 	set := func(on bool) {
 		for _, d := range directions {
-			s.mesh.Set(d[0], d[1], func(t *between.Trouble) {
+			s.mesh.Set(d[0], d[1], func(t *between.Faults) {
 				switch kind {
 				case "cut":
 					t.Cut = on
--- a/internal/lab/work/work.go
+++ b/internal/lab/work/work.go
@@ -1,6 +1,6 @@
-// Package work is the model of an upstream: cores that work on what was sent, a queue with a bound, a cold start, a jam
-// when far too much waits. It has no I/O and no clock; who drives it tells the time, so that real sockets and a clock that
-// jumps use the same model.
+// Package work models an upstream server: cores that process jobs, a bounded queue, a warm-up after a cold start, and a
+// slowdown under overload. The model has no I/O and no clock. The caller passes the time, so real sockets and a
+// simulated clock use the same model.
 package work
 
 import (
@@ -9,243 +9,247 @@
 	"slices"
 )
 
-// Terms is what one upstream can do. Times are nanoseconds.
+// Terms describes the capacity of one upstream. Times are in nanoseconds.
 type Terms struct {
 	Cores     int
-	Speed     float64 // 1: work takes as long as it says
-	Queue     int     // waiting at most; what finds it full is turned away
-	ColdShare float64 // of its speed right after a start
-	Ramp      int64   // until it is warm
-	JamAt     float64 // in hand for each core from which on it is slow; 0 for never
-	JamSlow   float64 // so many times
-	JamEnds   float64 // until so many are in hand for each core
-	Multiple  float64 // cold, it falls over when sent this multiple of what it can do
-	Span      int64   // for so long; 0 for never
+	Speed     float64 // 1 means that a core does one nanosecond of work per nanosecond
+	Queue     int     // maximum queue length; jobs that arrive at a full queue are rejected
+	ColdShare float64 // fraction of Speed right after a cold start
+	Ramp      int64   // duration of the warm-up
+	JamAt     float64 // jobs per core at which the overload slowdown begins; 0 disables it
+	JamSlow   float64 // slowdown factor under overload
+	JamEnds   float64 // jobs per core at which the slowdown ends
+	Multiple  float64 // a cold server is overloaded by more than this multiple of its capacity
+	Span      int64   // window over which that multiple is measured; 0 disables the check
 }
 
-// Job is a piece of work in the hands of a server.
+// Job is a unit of work for a server.
 type Job struct {
-	Mark any // the caller's own
-	Work float64
-	left float64
-	in   bool
+	Tag       any // opaque to the server
+	Work      float64
+	remaining float64
+	active    bool
 }
 
 const (
-	steps    = 20 // of a cold ramp
-	fewest   = 8  // jobs that can overfeed
-	instants = 1  // nanoseconds that count as none
+	warmupSteps     = 20 // of the warm-up ramp
+	minOverloadJobs = 8  // jobs in the window below which overload is not reported
+	minWork         = 1  // smallest amount of work, in nanoseconds; less than half of it counts as done
 )
 
-// Server is one upstream at work.
+// Server is the state of one upstream.
 type Server struct {
-	terms   Terms
-	slow    float64 // a fault: so many times slower
-	cores   int     // left by a fault
-	born    int64   // of a cold start; 0 for long ago
-	jammed  bool
-	last    int64
-	running []*Job
-	queue   []*Job
-	fed     []feed // within the last span, while cold
-	Overfed float64
+	terms           Terms
+	slowdown        float64 // slowdown factor of a fault
+	cores           int     // cores available under a fault
+	startedAt       int64   // time of the cold start; 0 if the server started warm
+	overloaded      bool
+	last            int64
+	running         []*Job
+	queue           []*Job
+	coldArrivals    []coldArrival // arrivals within the last Span while cold
+	MaxColdOverload float64       // largest multiple of its capacity that it was sent while cold, if above Multiple
 }
 
-type feed struct {
+type coldArrival struct {
 	at   int64
 	work float64
 }
 
-// New starts a server that is warm.
+// New returns a warm server.
 func New(t Terms, now int64) *Server {
-	return &Server{terms: t, slow: 1, cores: t.Cores, last: now}
+	return &Server{terms: t, slowdown: 1, cores: t.Cores, last: now}
 }
 
-// Start starts it anew and cold; what it had is gone.
+// Start restarts the server cold and returns the jobs that were lost.
 func (s *Server) Start(now int64) (lost []*Job) {
 	lost = s.Stop(now)
-	s.born, s.jammed, s.fed = max(now, 1), false, nil
+	s.startedAt, s.overloaded, s.coldArrivals = max(now, 1), false, nil
 	return lost
 }
 
-// Stop takes all that it has from it.
+// Stop removes all jobs from the server and returns them.
 func (s *Server) Stop(now int64) (lost []*Job) {
 	lost = slices.Concat(s.running, s.queue)
 	for _, j := range lost {
-		j.in = false
+		j.active = false
 	}
 	s.running, s.queue, s.last = nil, nil, now
 	return lost
 }
 
-// Hamper sets what a fault does to it: so many times slower, so many cores left. What was done until now stays done.
-func (s *Server) Hamper(slow float64, cores int) { s.slow, s.cores = max(slow, 1e-3), max(cores, 0) }
+// ApplyFault applies a fault: a slowdown factor and the number of cores left. Work done so far is kept.
+func (s *Server) ApplyFault(slow float64, cores int) {
+	s.slowdown, s.cores = max(slow, 1e-3), max(cores, 0)
+}
 
-// Warmth is the part of its speed that it has by now.
-func (s *Server) Warmth(now int64) float64 {
-	age := now - s.born
-	if s.born == 0 || s.terms.Ramp == 0 || age >= s.terms.Ramp {
+// WarmupFactor returns the fraction of Speed that the server has reached.
+func (s *Server) WarmupFactor(now int64) float64 {
+	age := now - s.startedAt
+	if s.startedAt == 0 || s.terms.Ramp == 0 || age >= s.terms.Ramp {
 		return 1
 	}
-	step := age * steps / s.terms.Ramp
-	return s.terms.ColdShare + (1-s.terms.ColdShare)*float64(step)/steps
+	step := age * warmupSteps / s.terms.Ramp
+	return s.terms.ColdShare + (1-s.terms.ColdShare)*float64(step)/warmupSteps
 }
 
-// Strength is the work that it can do in a nanosecond.
-func (s *Server) Strength(now int64) float64 {
-	return float64(s.terms.Cores) * s.terms.Speed * s.Warmth(now)
+// Capacity returns the work that the server can do per nanosecond without faults or overload.
+func (s *Server) Capacity(now int64) float64 {
+	return float64(s.terms.Cores) * s.terms.Speed * s.WarmupFactor(now)
 }
 
-// InHand is what runs and what waits.
-func (s *Server) InHand() int { return len(s.running) + len(s.queue) }
+// InFlight returns the number of running and queued jobs.
+func (s *Server) InFlight() int { return len(s.running) + len(s.queue) }
 
-// Arrive takes a job, unless the queue is full. Advance comes before it.
+// Arrive accepts a job and returns true, or returns false if the queue is full. The caller first calls Advance with the
+// same time.
 func (s *Server) Arrive(j *Job, now int64) bool {
 	if len(s.running) >= s.cores && len(s.queue) >= s.terms.Queue {
 		return false
 	}
-	j.left, j.in = max(j.Work, instants), true
+	j.remaining, j.active = max(j.Work, minWork), true
 	s.queue = append(s.queue, j)
-	s.feed(j.Work, now)
-	s.fill()
+	s.recordColdArrival(j.Work, now)
+	s.startQueued()
 	return true
 }
 
-// feed counts what is sent to it while it is cold.
-func (s *Server) feed(work float64, now int64) {
-	if s.terms.Span == 0 || s.Warmth(now) == 1 {
-		s.fed = nil
+// recordColdArrival records an arrival while the server is cold, and updates MaxColdOverload.
+func (s *Server) recordColdArrival(work float64, now int64) {
+	if s.terms.Span == 0 || s.WarmupFactor(now) == 1 {
+		s.coldArrivals = nil
 		return
 	}
-	s.fed = append(s.fed, feed{now, work})
+	s.coldArrivals = append(s.coldArrivals, coldArrival{now, work})
 	first, total := 0, 0.0
-	for i, f := range s.fed {
+	for i, f := range s.coldArrivals {
 		if f.at <= now-s.terms.Span {
 			first = i + 1
 		} else {
 			total += f.work
 		}
 	}
-	s.fed = s.fed[first:]
-	if of := total / (s.Strength(now) * float64(s.terms.Span)); len(s.fed) >= fewest && of > s.terms.Multiple {
-		s.Overfed = max(s.Overfed, of)
+	s.coldArrivals = s.coldArrivals[first:]
+	if of := total / (s.Capacity(now) * float64(s.terms.Span)); len(s.coldArrivals) >= minOverloadJobs && of > s.terms.Multiple {
+		s.MaxColdOverload = max(s.MaxColdOverload, of)
 	}
 }
 
-// Cancel takes a job from it, if it still has it.
+// Cancel removes a job that is running or queued; otherwise it does nothing.
 func (s *Server) Cancel(j *Job) {
-	if !j.in {
+	if !j.active {
 		return
 	}
-	j.in = false
+	j.active = false
 	is := func(o *Job) bool { return o == j }
 	s.running, s.queue = slices.DeleteFunc(s.running, is), slices.DeleteFunc(s.queue, is)
-	s.fill()
+	s.startQueued()
 }
 
-func (s *Server) fill() {
+func (s *Server) startQueued() {
 	for len(s.running) < s.cores && len(s.queue) > 0 {
 		s.running = append(s.running, s.queue[0])
 		s.queue = s.queue[1:]
 	}
 	if s.terms.JamAt > 0 {
-		load := float64(s.InHand()) / float64(max(s.terms.Cores, 1))
+		load := float64(s.InFlight()) / float64(max(s.terms.Cores, 1))
 		if load >= s.terms.JamAt {
-			s.jammed = true
+			s.overloaded = true
 		} else if load <= s.terms.JamEnds {
-			s.jammed = false
+			s.overloaded = false
 		}
 	}
 }
 
-// rate is what one core does in a nanosecond, as long as nothing changes.
+// rate returns the current work per nanosecond of one core.
 func (s *Server) rate(now int64) float64 {
-	r := s.terms.Speed * s.Warmth(now) / s.slow
-	if s.jammed {
+	r := s.terms.Speed * s.WarmupFactor(now) / s.slowdown
+	if s.overloaded {
 		r /= max(s.terms.JamSlow, 1)
 	}
 	return r
 }
 
-// change is when its warmth changes next.
-func (s *Server) change(now int64) int64 {
-	if s.Warmth(now) == 1 {
+// nextWarmupStep returns the time of the next warm-up step; MaxInt64 if the server is warm.
+func (s *Server) nextWarmupStep(now int64) int64 {
+	if s.WarmupFactor(now) == 1 {
 		return math.MaxInt64
 	}
-	step := (now-s.born)*steps/s.terms.Ramp + 1
-	return s.born + (step*s.terms.Ramp+steps-1)/steps
+	step := (now-s.startedAt)*warmupSteps/s.terms.Ramp + 1
+	return s.startedAt + (step*s.terms.Ramp+warmupSteps-1)/warmupSteps
 }
 
-// Advance lets time pass, and returns what was done by now, in order.
+// Advance moves the model to now and returns the completed jobs in order of completion.
 func (s *Server) Advance(now int64) (done []*Job) {
 	for s.last < now {
-		at := min(now, s.change(s.last))
+		at := min(now, s.nextWarmupStep(s.last))
 		r := s.rate(s.last)
 		for _, j := range s.running {
-			at = min(at, s.last+int64(math.Ceil(j.left/r)))
+			at = min(at, s.last+int64(math.Ceil(j.remaining/r)))
 		}
 		at = max(at, s.last+1)
 		for _, j := range s.running {
-			j.left -= r * float64(at-s.last)
+			j.remaining -= r * float64(at-s.last)
 		}
 		s.last = at
 		for _, j := range s.running {
-			if j.left < instants/2. {
-				j.in = false
+			if j.remaining < minWork/2. {
+				j.active = false
 				done = append(done, j)
 			}
 		}
-		s.running = slices.DeleteFunc(s.running, func(j *Job) bool { return !j.in })
-		s.fill()
+		s.running = slices.DeleteFunc(s.running, func(j *Job) bool { return !j.active })
+		s.startQueued()
 	}
 	return done
 }
 
-// Next is when something is done next, if nothing comes in; MaxInt64 for never.
+// Next returns the time of the next completion or warm-up step, if no job arrives before; MaxInt64 if no job runs.
 func (s *Server) Next() int64 {
 	next := int64(math.MaxInt64)
 	r := s.rate(s.last)
 	for _, j := range s.running {
-		next = min(next, s.last+max(1, int64(math.Ceil(j.left/r))))
+		next = min(next, s.last+max(1, int64(math.Ceil(j.remaining/r))))
 	}
 	if next != math.MaxInt64 {
-		next = min(next, s.change(s.last))
+		next = min(next, s.nextWarmupStep(s.last))
 	}
 	return next
 }
 
-// Sizes is how much work transactions of one kind are.
+// Sizes is the distribution of the work per transaction.
 type Sizes struct {
 	Kind   string    // "fixed", "exponential", "lognormal", "pareto" or "values"
-	Mean   float64   // nanoseconds
-	Sigma  float64   // of a lognormal one
-	Alpha  float64   // of a bounded Pareto
-	Most   float64   // and its bound, as a multiple of the mean
-	Values []float64 // drawn from evenly
+	Mean   float64   // in nanoseconds
+	Sigma  float64   // of the logarithm, for a lognormal distribution
+	Alpha  float64   // shape of a bounded Pareto distribution
+	Most   float64   // its upper bound, as a multiple of the mean
+	Values []float64 // drawn from uniformly
 }
 
-// Draw draws one.
-func (z *Sizes) Draw(chance *rand.Rand) float64 {
-	switch z.Kind {
+// Draw returns a random amount of work.
+func (sizes *Sizes) Draw(rng *rand.Rand) float64 {
+	switch sizes.Kind {
 	case "exponential":
-		return z.Mean * chance.ExpFloat64()
+		return sizes.Mean * rng.ExpFloat64()
 	case "lognormal":
-		return z.Mean * math.Exp(z.Sigma*chance.NormFloat64()-z.Sigma*z.Sigma/2)
+		return sizes.Mean * math.Exp(sizes.Sigma*rng.NormFloat64()-sizes.Sigma*sizes.Sigma/2)
 	case "pareto":
-		// Between least and most, with the mean that is asked for.
-		a, most := z.Alpha, z.Mean*z.Most
-		least := z.least(a, most)
-		u := chance.Float64()
+		// Inverse transform sampling between the bounds; the lower bound is chosen so that the mean is sizes.Mean.
+		a, most := sizes.Alpha, sizes.Mean*sizes.Most
+		least := sizes.paretoLowerBound(a, most)
+		u := rng.Float64()
 		return least / math.Pow(1-u*(1-math.Pow(least/most, a)), 1/a)
 	case "values":
-		return z.Values[chance.IntN(len(z.Values))]
+		return sizes.Values[rng.IntN(len(sizes.Values))]
 	}
-	return z.Mean
+	return sizes.Mean
 }
 
-// least is the lower bound of a Pareto of some mean and upper bound, found by halving.
-func (z *Sizes) least(a, most float64) float64 {
-	low, high := 0.0, z.Mean
+// paretoLowerBound returns the lower bound of a bounded Pareto distribution with shape a, upper bound most
+// and the configured mean, found by bisection.
+func (sizes *Sizes) paretoLowerBound(a, most float64) float64 {
+	low, high := 0.0, sizes.Mean
 	for range 60 {
 		l := (low + high) / 2
 		ratio := math.Pow(l/most, a)
@@ -253,7 +257,7 @@
 		if a != 1 {
 			mean = a * l / (a - 1) * (1 - math.Pow(l/most, a-1)) / (1 - ratio)
 		}
-		if mean < z.Mean {
+		if mean < sizes.Mean {
 			low = l
 		} else {
 			high = l
--- a/internal/lab/work/work_test.go
+++ b/internal/lab/work/work_test.go
@@ -8,14 +8,15 @@
 
 const ms = 1e6
 
-// play sends jobs at random to a server and returns what it did, and the mean time in it.
-func play(t *testing.T, s *Server, chance *rand.Rand, rate float64, jobs int, mean float64) (done int, took float64) {
+// simulate sends jobs to a server as a Poisson process, and returns the number of completed jobs and their mean
+// sojourn time.
+func simulate(t *testing.T, s *Server, chance *rand.Rand, rate float64, jobs int, mean float64) (done int, took float64) {
 	came := map[*Job]int64{}
 	now, worked := int64(0), 0.0
 	finish := func(at int64) {
 		for _, j := range s.Advance(at) {
 			if _, in := came[j]; !in {
-				t.Fatal("done twice, or never sent")
+				t.Fatal("completed a job twice, or a job that was never sent")
 			}
 			took += float64(at - came[j])
 			worked += j.Work
@@ -36,36 +37,37 @@
 		}
 		if chance.IntN(10) == 0 && len(came) > 0 {
 			if most := float64(s.terms.Cores) * s.terms.Speed * float64(now); worked > most+mean*20 {
-				t.Fatalf("%g of work done where %g could be", worked, most)
+				t.Fatalf("%g of work done, above the capacity of %g", worked, most)
 			}
 		}
 	}
 	for at := s.Next(); at != math.MaxInt64; at = s.Next() {
 		finish(at)
 	}
-	if len(came) != 0 || s.InHand() != 0 {
-		t.Errorf("%d jobs were never done", len(came))
+	if len(came) != 0 || s.InFlight() != 0 {
+		t.Errorf("%d jobs never completed", len(came))
 	}
 	return done, took / float64(done)
 }
 
-// One core with exponential work at half of its strength keeps a job for twice its work: the textbook's M/M/1.
-func TestQueueIsTheTextbooks(t *testing.T) {
+// One core with exponential work at 50% load must match M/M/1: the mean sojourn time is twice the mean work.
+func TestQueueMatchesMM1(t *testing.T) {
 	s := New(Terms{Cores: 1, Speed: 1, Queue: 1 << 20}, 0)
-	done, took := play(t, s, rand.New(rand.NewPCG(1, 1)), 50, 200_000, 10*ms)
+	done, took := simulate(t, s, rand.New(rand.NewPCG(1, 1)), 50, 200_000, 10*ms)
 	if done != 200_000 || math.Abs(took/(20*ms)-1) > 0.05 {
-		t.Errorf("%d done, mean %.2f ms", done, took/ms)
+		t.Errorf("%d jobs completed, mean sojourn time %.2f ms", done, took/ms)
 	}
 }
 
-// Cold, it does its share of the work, more with every step; a jam sets in and ends; cancelled work is not done.
-func TestColdJamAndCancel(t *testing.T) {
+// A cold server must run at its reduced speed, the overload slowdown must begin and end at its bounds, cancelled jobs
+// must not complete, and overload of a cold server must be reported.
+func TestColdStartOverloadAndCancel(t *testing.T) {
 	s := New(Terms{Cores: 2, Speed: 1, Queue: 100, ColdShare: 0.2, Ramp: 1000 * ms, JamAt: 10, JamSlow: 4, JamEnds: 1, Multiple: 3, Span: 100 * ms}, 0)
 	s.Start(0)
 	j := &Job{Work: 10 * ms}
 	s.Arrive(j, 1)
 	if next := s.Next(); next < 48*ms || next > 51*ms {
-		t.Errorf("10 ms of work take %.1f ms cold", float64(next)/ms)
+		t.Errorf("10 ms of work take %.1f ms on a cold server", float64(next)/ms)
 	}
 	s.Advance(2000 * ms)
 	var all []*Job
@@ -75,28 +77,28 @@
 		s.Arrive(j, 2000*ms)
 	}
 	if next := s.Next() - 2000*ms; next < 39*ms || next > 41*ms {
-		t.Errorf("10 ms of work take %.1f ms in a jam", float64(next)/ms)
+		t.Errorf("10 ms of work take %.1f ms during the overload slowdown", float64(next)/ms)
 	}
 	for _, j := range all[:28] {
 		s.Cancel(j)
 	}
-	if done := s.Advance(2200 * ms); len(done) != 2 || s.InHand() != 0 {
-		t.Errorf("%d done", len(done))
+	if done := s.Advance(2200 * ms); len(done) != 2 || s.InFlight() != 0 {
+		t.Errorf("%d jobs completed, want 2", len(done))
 	}
 	s.Arrive(&Job{Work: 10 * ms}, 2200*ms)
 	if next := s.Next() - 2200*ms; next > 11*ms {
-		t.Errorf("10 ms of work take %.1f ms after the jam", float64(next)/ms)
+		t.Errorf("10 ms of work take %.1f ms after the overload slowdown", float64(next)/ms)
 	}
 	s.Start(3000 * ms)
 	for n := range 40 {
 		s.Arrive(&Job{Work: 10 * ms}, 3000*ms+int64(n)*ms)
 	}
-	if s.Overfed < 3 {
-		t.Errorf("sent %.1f times what it can do, and it was not noticed", s.Overfed)
+	if s.MaxColdOverload < 3 {
+		t.Errorf("highest overload reported for a cold server is %.1f times its capacity, want at least 3", s.MaxColdOverload)
 	}
 }
 
-// The sizes have the mean that was asked for, whatever their kind.
+// The samples of each kind of distribution must have the configured mean.
 func TestSizes(t *testing.T) {
 	for _, z := range []Sizes{
 		{Kind: "fixed", Mean: 10 * ms}, {Kind: "exponential", Mean: 10 * ms}, {Kind: "lognormal", Mean: 10 * ms, Sigma: 1},
@@ -109,7 +111,7 @@
 			sum += z.Draw(chance)
 		}
 		if mean := sum / n / (10 * ms); math.Abs(mean-1) > 0.03 {
-			t.Errorf("%s has %.3f of its mean", z.Kind, mean)
+			t.Errorf("%s: sample mean is %.3f of the configured mean", z.Kind, mean)
 		}
 	}
 }
