--- a/internal/lab/emulate/list.go
+++ b/internal/lab/emulate/list.go
@@ -14,7 +14,7 @@
 	"ottershift/internal/lab/record"
 )
 
-// Lists are discovery, one for each balancer and pool, so that each can be told late, wrong or nothing.
+// Lists emulates discovery. Each balancer and pool has its own server, whose answers can be delayed, wrong or missing.
 type Lists struct {
 	fleet *Fleet
 	all   [][]*list // by balancer, by pool
@@ -24,7 +24,7 @@
 	asks []record.Ask
 }
 
-// list is what one balancer is told of one pool.
+// list is the discovery server of one pool for one balancer.
 type list struct {
 	lists    *Lists
 	balancer int
@@ -41,13 +41,13 @@
 	watch   map[chan string]struct{}
 }
 
-// entry is how an upstream stands there.
+// entry is the listed state of an upstream.
 type entry struct {
 	name, status string
 	since        int64 // milliseconds
 }
 
-// NewLists opens discovery for some balancers.
+// NewLists starts the discovery servers for a number of balancers.
 func NewLists(f *Fleet, balancers int) (*Lists, error) {
 	ls := &Lists{fleet: f}
 	for b := range balancers {
@@ -70,7 +70,7 @@
 	return ls, nil
 }
 
-// Addresses are where a balancer is told, by pool.
+// Addresses returns the discovery addresses of a balancer, by pool.
 func (ls *Lists) Addresses(balancer int) (all []string) {
 	for _, l := range ls.all[balancer] {
 		all = append(all, l.address)
@@ -78,7 +78,7 @@
 	return all
 }
 
-// Close ends discovery.
+// Close stops all discovery servers.
 func (ls *Lists) Close() {
 	for _, pools := range ls.all {
 		for _, l := range pools {
@@ -87,21 +87,21 @@
 	}
 }
 
-// Told is what was told, and when.
+// Told returns the updates that were sent.
 func (ls *Lists) Told() []record.Told {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
 	return ls.told
 }
 
-// Asks are the calls that came, and when.
+// Asks returns the calls that were received.
 func (ls *Lists) Asks() []record.Ask {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
 	return slices.Clone(ls.asks)
 }
 
-// Set changes how an upstream stands in all lists, each in its time. cold says that it has just started.
+// Set changes the status of an upstream in all lists, each after its delay. cold means that it has just started.
 func (ls *Lists) Set(u *Upstream, status string, cold bool) {
 	name, since := u.Name(), int64(0)
 	if cold {
@@ -128,7 +128,7 @@
 	l.noted(upstream)
 }
 
-// noted keeps what a balancer was told, for the judge.
+// noted records an update for the judge.
 func (l *list) noted(upstream int) {
 	l.lists.mu.Lock()
 	defer l.lists.mu.Unlock()
@@ -141,12 +141,12 @@
 	for w := range l.watch {
 		select {
 		case w <- line:
-		default: // too slow; it is told the rest after it asks again
+		default: // a slow watcher misses this update and gets the full list with its next call
 		}
 	}
 }
 
-// report words the list, or some of it.
+// report formats the whole list or some of its entries.
 func (l *list) report(whole bool, some ...int) string {
 	if whole {
 		some = nil
@@ -165,7 +165,7 @@
 	return fmt.Sprintf(`{"index":%d,"snapshot":%t,"endpoints":[%s]}`, l.index, whole, strings.Join(words, ","))
 }
 
-// Down has discovery of a pool answer nobody, or answer again.
+// Down makes discovery of a pool unavailable or available again. It ends all watches of an unavailable pool.
 func (ls *Lists) Down(pool int, down bool) {
 	for _, pools := range ls.all {
 		l := pools[pool]
@@ -181,7 +181,7 @@
 	}
 }
 
-// Late has each change of a pool's list told so much later.
+// Late delays all later updates of a pool.
 func (ls *Lists) Late(pool int, late time.Duration) {
 	for _, pools := range ls.all {
 		pools[pool].mu.Lock()
@@ -190,7 +190,7 @@
 	}
 }
 
-// Lacks has the list leave out some upstreams that are well, or name them again.
+// Lacks omits healthy upstreams from the lists, or lists them again.
 func (ls *Lists) Lacks(upstreams []int, lacks bool) {
 	for _, i := range upstreams {
 		for _, pools := range ls.all {
@@ -211,7 +211,7 @@
 	}
 }
 
-// ServeHTTP is a balancer's question.
+// ServeHTTP answers a balancer's call with the list, followed by updates if it watches.
 func (l *list) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	l.mu.Lock()
 	if l.down {
--- a/internal/lab/emulate/upstream.go
+++ b/internal/lab/emulate/upstream.go
@@ -1,5 +1,5 @@
-// Package emulate plays upstreams and discovery on real loopback sockets, hundreds in one process. How long work takes
-// is decided by the model of package work; nothing burns a core.
+// Package emulate emulates upstreams and discovery on loopback sockets, hundreds in one process. Package work models
+// service times; emulated work uses no CPU.
 package emulate
 
 import (
@@ -23,25 +23,25 @@
 	"ottershift/logic"
 )
 
-// Fleet is all upstreams of a run.
+// Fleet is the set of upstreams of a run.
 type Fleet struct {
 	e         *spec.Experiment
 	epoch     atomic.Pointer[time.Time]
 	tariffs   map[string]*spec.Tariff
 	Upstreams []*Upstream
-	Call      func(ctx context.Context, from *spec.Group, root uint64, left time.Duration) bool // asks the next tier
+	Call      func(ctx context.Context, from *spec.Group, root uint64, left time.Duration) bool // sends a transaction to the next tier
 
 	mu    sync.Mutex // guards known
 	known map[string]*effect
 }
 
-// effect is a tagged transaction's first run within its group.
+// effect is the first run of a keyed transaction within its deduplication scope.
 type effect struct {
 	began int64
 	over  chan struct{}
 }
 
-// Upstream is one of them.
+// Upstream is one emulated upstream.
 type Upstream struct {
 	spec.Upstream
 	Index   int
@@ -60,12 +60,12 @@
 	ticks   int
 	chance  *rand.Rand
 	life    int
-	trouble map[string]float64 // share of what comes that is met by a fault, by its kind
+	trouble map[string]float64 // fraction of requests affected, by kind of fault
 	down    bool
 	deaf    atomic.Bool
 }
 
-// NewFleet opens all upstreams of an experiment. Its time runs from now on, until Begin starts it anew.
+// NewFleet starts all upstreams of an experiment. Its clock starts now; Begin restarts it.
 func NewFleet(e *spec.Experiment) (*Fleet, error) {
 	f := &Fleet{e: e, tariffs: map[string]*spec.Tariff{}, known: map[string]*effect{}}
 	f.Begin(time.Now())
@@ -87,13 +87,13 @@
 	return f, nil
 }
 
-// Begin sets the start of the run; nothing is at work yet.
+// Begin sets the start of the run. No upstream may have work at that time.
 func (f *Fleet) Begin(epoch time.Time) { f.epoch.Store(&epoch) }
 
-// Now is the time since the start of the run.
+// Now returns the time since the start of the run, in nanoseconds.
 func (f *Fleet) Now() int64 { return int64(time.Since(*f.epoch.Load())) }
 
-// Close ends all of them.
+// Close stops all upstreams.
 func (f *Fleet) Close() {
 	for _, u := range f.Upstreams {
 		u.Die()
@@ -101,7 +101,7 @@
 	}
 }
 
-// Gather puts what they saw into a record.
+// Gather adds the observations of the upstreams to a record.
 func (f *Fleet) Gather(r *record.Run) {
 	for _, u := range f.Upstreams {
 		u.mu.Lock()
@@ -112,7 +112,7 @@
 	}
 }
 
-// listener holds back who connects while its upstream is deaf.
+// listener delays accepted connections while the fault "deaf" lasts.
 type listener struct {
 	net.Listener
 	u *Upstream
@@ -149,7 +149,7 @@
 	return nil
 }
 
-// Die ends it at once: its connections are reset, what it had is lost.
+// Die kills the upstream: its connections are reset and its work is lost.
 func (u *Upstream) Die() {
 	u.mu.Lock()
 	s, conns := u.http, u.conns
@@ -171,7 +171,7 @@
 	s.Close()
 }
 
-// Rise starts it again at its address, cold; as another, if renamed.
+// Rise restarts the upstream cold at its old address, under a new name if renamed.
 func (u *Upstream) Rise(renamed bool) {
 	u.mu.Lock()
 	address := u.Address
@@ -184,11 +184,11 @@
 		if u.open(address) == nil {
 			return
 		}
-		time.Sleep(10 * time.Millisecond) // what was open there is still closing
+		time.Sleep(10 * time.Millisecond) // the old listener may still be closing
 	}
 }
 
-// Name is what discovery calls it: each life has another.
+// Name returns the name in discovery, which differs between incarnations.
 func (u *Upstream) Name() string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -198,7 +198,7 @@
 	return fmt.Sprintf("%s.%d", u.Upstream.Name, u.life+1)
 }
 
-// Trouble has a share of what comes met by a fault of some kind; 0 ends it.
+// Trouble applies a kind of fault to a fraction of requests; 0 ends it.
 func (u *Upstream) Trouble(kind string, share float64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -210,7 +210,7 @@
 	}
 }
 
-// Hamper makes it slower, or leaves it fewer cores.
+// Hamper slows the upstream down or reduces its cores.
 func (u *Upstream) Hamper(slow float64, cores int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -219,7 +219,7 @@
 	u.arm()
 }
 
-// visit is a push at an upstream.
+// visit is the state of one attempt at an upstream.
 type visit struct {
 	over   chan struct{}
 	done   bool
@@ -231,7 +231,7 @@
 	close(v.over)
 }
 
-// advance brings the model up to now.
+// advance moves the model to the current time and returns that time.
 func (u *Upstream) advance() int64 {
 	now := u.fleet.Now()
 	for _, j := range u.server.Advance(now) {
@@ -242,7 +242,7 @@
 	return now
 }
 
-// arm sets the timer to what the model does next.
+// arm sets the timer to the next event of the model.
 func (u *Upstream) arm() {
 	if u.due = u.server.Next(); u.due != math.MaxInt64 {
 		u.timer.Reset(time.Duration(max(0, u.due-u.fleet.Now())))
@@ -263,7 +263,7 @@
 	u.arm()
 }
 
-// meets draws which fault meets what comes now, "" for none.
+// meets returns the fault that affects the next request, drawn at random; "" for none.
 func (u *Upstream) meets() string {
 	for _, kind := range []string{"hang", "reset", "garbage", "half", "fail", "full"} {
 		if share := u.trouble[kind]; share > 0 && (share >= 1 || u.chance.Float64() < share) {
@@ -273,7 +273,7 @@
 	return ""
 }
 
-// ServeHTTP is one push at an upstream.
+// ServeHTTP serves one attempt, or a health check at /ping.
 func (u *Upstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
 		return
@@ -306,7 +306,7 @@
 	place := len(u.arrived)
 	kind := u.meets()
 	var first, mine *effect
-	if kind == "" && tariff.Idempotency == logic.Keyed { // what is turned away leaves no mark
+	if kind == "" && tariff.Idempotency == logic.Keyed { // requests hit by a fault do not register their key
 		first, mine = u.fleet.tag(u, tariff, r.Header.Get("Idempotency-Key"), now)
 	}
 	j := &work.Job{Tag: v, Work: tariff.Work(u.fleet.e.Seed, root, u.Upstream.Name, place)}
@@ -357,7 +357,7 @@
 			u.arm()
 			u.mu.Unlock()
 			select {
-			case <-v.over: // it was done all the same
+			case <-v.over: // completed before the cancellation
 			default:
 			}
 		}
@@ -366,7 +366,7 @@
 		u.mu.Unlock()
 		u.fleet.untag(mine, v.effect != 0)
 		if !v.done {
-			// Danger: a handler that ends without a word answers 200, though what it was asked for is lost.
+			// The work is lost. A handler that returns without writing sends status 200, so abort the connection.
 			panic(http.ErrAbortHandler)
 		}
 	}
@@ -377,7 +377,7 @@
 	fmt.Fprintf(w, "ok %s %s\n", id, u.Upstream.Name)
 }
 
-// next asks the next tier for what a transaction needs of it.
+// next sends the calls of a transaction to the next tier and reports whether all succeeded.
 func (u *Upstream) next(r *http.Request, root uint64) bool {
 	left, err := strconv.ParseFloat(r.Header.Get("X-Remaining"), 64)
 	if err != nil {
@@ -396,7 +396,7 @@
 	return true
 }
 
-// spoil is what comes back in a fault.
+// spoil sends the response that a fault produces.
 func (u *Upstream) spoil(w http.ResponseWriter, r *http.Request, kind string) {
 	if kind == "hang" {
 		<-r.Context().Done()
@@ -423,7 +423,7 @@
 	}
 }
 
-// tag notes the first run of a tagged transaction within its group, or finds it.
+// tag registers the first run of a keyed transaction within its deduplication scope, or returns the one registered.
 func (f *Fleet) tag(u *Upstream, t *spec.Tariff, key string, now int64) (first, mine *effect) {
 	scope := fmt.Sprintf("%s/%d", u.Group.Name, u.Cell)
 	switch t.DedupScope {
@@ -443,7 +443,7 @@
 	return nil, e
 }
 
-// untag says how a first run ended. One without an effect is forgotten.
+// untag marks a first run as ended. If it had no effect, the key may run again.
 func (f *Fleet) untag(e *effect, done bool) {
 	if e == nil {
 		return
--- a/internal/lab/load/ceiling.go
+++ b/internal/lab/load/ceiling.go
@@ -18,7 +18,7 @@
 	"ottershift/logic"
 )
 
-// atOnce is an upstream that answers at once, so that all time is another's. It counts what comes.
+// atOnce starts an upstream that answers immediately, so that it adds no service time. It counts requests in came.
 func atOnce(came *atomic.Int64) (net.Listener, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -47,7 +47,7 @@
 	return l, nil
 }
 
-// experiment is one kind of clients at some rate.
+// experiment returns an experiment with one group of clients at a rate.
 func experiment(rate float64, span time.Duration) *spec.Experiment {
 	second := int64(time.Second)
 	return &spec.Experiment{
@@ -57,7 +57,7 @@
 	}
 }
 
-// Ceiling is how many calls a second the lab's clients make at most, each waiting for its answer before the next.
+// Ceiling returns the maximum closed-loop rate of the lab's clients, in calls per second.
 func Ceiling(span time.Duration) (float64, error) {
 	l, err := atOnce(new(atomic.Int64))
 	if err != nil {
@@ -86,13 +86,14 @@
 	return best, nil
 }
 
-// Error is the lab's own, in a latency that should be nothing.
+// Error is the latency that the lab itself adds: measured without a balancer, against an upstream that answers
+// immediately.
 type Error struct {
 	Rate           float64
 	P50, P99, Most time.Duration
 }
 
-// Own plays an open load at a rate and tells how long after each call was due its answer was there.
+// Own generates an open load at a rate and measures the time from each call's due time to its answer.
 func Own(rate float64, span time.Duration) (e Error, err error) {
 	l, err := atOnce(new(atomic.Int64))
 	if err != nil {
--- a/internal/lab/load/client.go
+++ b/internal/lab/load/client.go
@@ -1,5 +1,5 @@
-// Package load plays clients: each sends what its plan says at the time that the plan says, whatever became of what it
-// sent before, and notes what came back.
+// Package load emulates clients. They generate an open load: each request is sent at its planned time, whatever the
+// outcome of earlier requests. The package records all answers.
 package load
 
 import (
@@ -14,20 +14,20 @@
 	"time"
 )
 
-// Answer is what came back of one request.
+// Answer is the outcome of one request at its client.
 type Answer struct {
 	Status  int
 	Advice  time.Duration // Retry-After
 	Body    []byte
-	Sent    time.Time // its last byte; zero if that didn't go out
-	Read    time.Time // the answer's last byte
-	Extra   bool      // more came than the answer
+	Sent    time.Time // when the last byte of the request was written; zero if it was not
+	Read    time.Time // when reading the answer ended
+	Extra   bool      // bytes beyond the answer arrived
 	Closed  bool      // the connection ended without an answer
-	Gone    bool      // the time was up first
-	Refused bool      // no connection came about
+	Gone    bool      // the deadline passed first
+	Refused bool      // no connection could be opened
 }
 
-// Target is a balancer as clients of one kind reach it, with the connections that they keep.
+// Target is a balancer with the connection pool of one group of clients.
 type Target struct {
 	address string
 	keep    bool
@@ -42,10 +42,10 @@
 	used bool
 }
 
-// NewTarget makes one; keep says whether connections are used again.
+// NewTarget returns a target. With keep, connections are reused.
 func NewTarget(address string, keep bool) *Target { return &Target{address: address, keep: keep} }
 
-// Close closes what is kept.
+// Close closes the idle connections.
 func (t *Target) Close() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -55,7 +55,7 @@
 	t.idle = nil
 }
 
-// takeIdle takes the idle connection that was used last, nil where there is none or none is kept.
+// takeIdle removes and returns the most recently used idle connection; nil if there is none.
 func (t *Target) takeIdle() *conn {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -68,7 +68,8 @@
 	return c
 }
 
-// get takes the connection that was used last, or opens one. What the balancer has closed meanwhile is found out.
+// get returns the most recently used idle connection or opens a new one. The balancer may have closed an idle
+// connection, which shows only on use.
 func (t *Target) get(until time.Time) (c *conn, err error) {
 	if c := t.takeIdle(); c != nil {
 		return c, nil
@@ -80,11 +81,11 @@
 	return &conn{Conn: n, in: bufio.NewReaderSize(n, 4096)}, nil
 }
 
-// Do sends a request and waits for its answer until some time. A kept connection that the balancer closed as the
-// request went out is no answer: the request goes out once more on a new one, as a client may between requests.
+// Do sends a request and waits for its answer until a deadline. If the balancer closes a reused connection while the
+// request is sent, Do sends the request again on another connection, as HTTP clients do.
 //
-// Danger: where the balancer is gone then, nobody knows whether it had read the request. It counts as closed without an answer,
-// not as refused, which would be harmless to ask elsewhere.
+// If that connection cannot be opened, the balancer may still have read the first request. The answer then counts as
+// closed and not as refused, because a refused request is safe to send elsewhere.
 func (t *Target) Do(request []byte, until time.Time) (a Answer) {
 	for first := true; ; first = false {
 		c, err := t.get(until)
@@ -102,7 +103,7 @@
 func (t *Target) on(c *conn, request []byte, until time.Time) (a Answer, again bool) {
 	c.SetDeadline(until)
 	if c.in.Buffered() > 0 {
-		// What lies there came after the last answer, from nobody's request.
+		// These bytes arrived after the last answer and belong to no request.
 		c.Close()
 		a.Extra = true
 		return a, !c.used
@@ -126,7 +127,7 @@
 			return a, false
 		}
 		a.Closed = true
-		// Nothing at all came back on a connection that had stood idle: it was closed before the request was read.
+		// A reused connection that ends at once and without any byte was closed before the request was read.
 		return a, c.used && r == nil && (err == io.EOF || err == io.ErrUnexpectedEOF || strings.Contains(err.Error(), "reset")) &&
 			a.Read.Sub(a.Sent) < 20*time.Millisecond
 	}
@@ -146,8 +147,8 @@
 	return a, false
 }
 
-// Stray looks whether anything came on the connections that stand idle; more than an answer is told so even where its
-// client sends nothing any more.
+// Stray returns the number of idle connections with unread bytes. It finds excess bytes after the last answer on a
+// connection, where no further request would find them.
 func (t *Target) Stray() (n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -160,7 +161,7 @@
 	return n
 }
 
-// Request words a request by the platform's protocol.
+// Request formats a request in the platform's protocol.
 func Request(tariff, host, id, customer, key string, root uint64, left time.Duration, again bool, post bool, body int) []byte {
 	var b bytes.Buffer
 	method := "GET"
--- a/internal/lab/load/client_test.go
+++ b/internal/lab/load/client_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// A balancer that reads a request on a kept connection and dies has not refused it: it may have sent it on.
+// A balancer that reads a request on a reused connection and then exits may have forwarded it. The client must report
+// the request as closed without an answer, not as refused.
 func TestDeathIsNoRefusal(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -30,12 +31,12 @@
 	defer target.Close()
 	request := Request("comment", "album.lab", "1", "", "", 1, time.Second, false, true, 0)
 	if a := target.Do(request, time.Now().Add(time.Second)); a.Status != 200 {
-		t.Fatalf("the first: %+v", a)
+		t.Fatalf("first request: %+v", a)
 	}
 	if a := target.Do(request, time.Now().Add(time.Second)); a.Refused || !a.Closed || a.Sent.IsZero() {
-		t.Errorf("a request that was read before the end: %+v", a)
+		t.Errorf("request read before the balancer exited: %+v", a)
 	}
 	if a := target.Do(request, time.Now().Add(time.Second)); !a.Refused {
-		t.Errorf("with nobody there: %+v", a)
+		t.Errorf("request without a listener: %+v", a)
 	}
 }
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -14,24 +14,24 @@
 	"ottershift/logic"
 )
 
-// Load plays the clients of one run.
+// Load emulates the clients of one run.
 type Load struct {
 	e       *spec.Experiment
 	epoch   time.Time
-	targets [][]*Target // by clients (the last for calls between tiers), by balancer
-	post    []bool      // by tariff
+	targets [][]*Target // by client group (the last one for calls between tiers), then by balancer
+	post    []bool      // by tariff: whether requests use POST
 	ids     atomic.Uint64
 	pick    atomic.Uint64
 
 	mu    sync.Mutex
 	tries []record.Try
 	lag   []int64
-	down  []bool        // balancers that clients have been told not to use
-	late  [64]spec.Call // what was asked for last by clients that repeat
+	down  []bool        // balancers that clients must not use
+	late  [64]spec.Call // ring of the latest calls of repeating clients
 	asked int
 }
 
-// Recent is something that clients that repeat have asked for lately; ok is false where there is nothing.
+// Recent returns a random recent call of repeating clients; ok is false if there is none.
 func (l *Load) Recent() (c spec.Call, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -41,7 +41,7 @@
 	return l.late[rand.IntN(min(l.asked, len(l.late)))], true
 }
 
-// New makes the clients of an experiment for balancers at some addresses.
+// New creates the clients of an experiment for the balancers at the given addresses.
 func New(e *spec.Experiment, epoch time.Time, addresses []string) *Load {
 	l := &Load{e: e, epoch: epoch, down: make([]bool, len(addresses))}
 	for n := range len(e.Clients) + 1 {
@@ -59,7 +59,7 @@
 
 func (l *Load) now() int64 { return int64(time.Since(l.epoch)) }
 
-// Down tells clients that a balancer is down, or up again, as a front before them would.
+// Down marks a balancer as down or up for the clients, as a load balancer in front of the balancers would.
 func (l *Load) Down(balancer int, down bool) {
 	l.mu.Lock()
 	l.down[balancer] = down
@@ -71,7 +71,7 @@
 	}
 }
 
-// balancer takes the next one that isn't down.
+// balancer returns the next balancer in round-robin order that is not down.
 func (l *Load) balancer() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -85,7 +85,7 @@
 	return from
 }
 
-// Run sends all that the plan holds, and returns once each has its end.
+// Run sends all planned calls and returns when all have ended.
 func (l *Load) Run(ctx context.Context, plan []spec.Call) {
 	var open sync.WaitGroup
 	defer open.Wait()
@@ -112,7 +112,7 @@
 	}
 }
 
-// ask is one piece of work, over all its tries.
+// ask performs one call with its retries.
 func (l *Load) ask(ctx context.Context, c spec.Call) {
 	k := l.e.Clients[c.Clients]
 	f := l.e.Tariffs[k.Tariff]
@@ -139,7 +139,7 @@
 		t.Due = c.Due
 		l.note(t)
 		again := a.Status == 503 || a.Status == 429 || a.Refused
-		// What failed may have run: only what may run again is asked for once more.
+		// A failed request may have run, so it is retried only if a second run does no harm.
 		harmless := f.Idempotency == logic.Idempotent || f.Idempotency == logic.Keyed && f.DedupScope == logic.Everywhere
 		again = again || harmless && (a.Closed || a.Status >= 500) || k.Repeats && a.Status != 200
 		if !again || try >= k.Retries {
@@ -158,8 +158,8 @@
 	}
 }
 
-// insist is one piece of work of a client that doesn't wait for its first try to end: without an answer for some time it sends
-// its key to another balancer as well, and takes the first answer that settles it.
+// insist performs one call of a hedging client: without an answer for some time, it also sends the request with the same
+// key to another balancer, and takes the first answer that settles it.
 func (l *Load) insist(ctx context.Context, c spec.Call, k *spec.Clients, key string) {
 	answers := make(chan Answer, k.Retries+1)
 	out, tries := 0, 0
@@ -187,7 +187,7 @@
 		case a := <-answers:
 			out--
 			if settled = settled || a.Status == 200; settled {
-				continue // what is out comes to its end
+				continue // outstanding requests run to their end
 			}
 			pause := time.Duration(k.Pause)
 			if k.Heeds && a.Advice > 0 {
@@ -216,7 +216,7 @@
 	}
 }
 
-// Call is a transaction from an upstream to the next tier.
+// Call sends a transaction from an upstream to the next tier and reports whether it succeeded.
 func (l *Load) Call(ctx context.Context, from *spec.Group, root uint64, left time.Duration) bool {
 	k, key := len(l.e.Clients), ""
 	if l.e.Tariffs[from.Calls.Tariff].Idempotency == logic.Keyed {
@@ -228,7 +228,7 @@
 	return a.Status == 200
 }
 
-// try sends one request.
+// try sends one request to the next balancer and returns its answer and its record.
 func (l *Load) try(
 	clients, pool, tariff int, customer, key string, root uint64, left time.Duration, again bool, body int,
 ) (Answer, record.Try) {
@@ -236,7 +236,8 @@
 	balancer := l.balancer()
 	until := time.Now().Add(left)
 	request := Request(l.e.Tariffs[tariff].Name, l.e.Host(pool), id, customer, key, root, left, again, l.post[tariff], body)
-	// A client waits a little longer than it says: what is on the way then is still an answer to the judge.
+	// The client waits 100 ms longer than the timeout it announces, so that the judge still sees answers in transit
+	// at that time.
 	a := l.targets[clients][balancer].Do(request, until.Add(100*time.Millisecond))
 	t := record.Try{
 		Root: root, ID: id, Group: clients, Tariff: tariff, Balancer: balancer, Left: int64(left), Status: a.Status,
@@ -249,7 +250,7 @@
 		t.Answered = int64(a.Read.Sub(l.epoch))
 	}
 	if a.Status == 200 && !strings.HasPrefix(string(a.Body), "ok "+id+" ") {
-		t.Extra = true // another's answer
+		t.Extra = true // the answer of another request
 	}
 	return a, t
 }
@@ -260,7 +261,7 @@
 	l.mu.Unlock()
 }
 
-// Gather puts what the clients saw into a record, and closes their connections.
+// Gather adds the observations of the clients to a record and closes their connections.
 func (l *Load) Gather(r *record.Run) {
 	for _, all := range l.targets {
 		for b, t := range all {
--- a/internal/lab/load/rate.go
+++ b/internal/lab/load/rate.go
@@ -17,17 +17,17 @@
 	"ottershift/internal/lab/record"
 )
 
-// Through is what a balancer passes on at most.
+// Through is the measured throughput of a balancer.
 type Through struct {
 	Clients  int
-	Rate     float64 // settled a second
-	Other    int     // answered anything else, or not at all
+	Rate     float64 // settled requests per second
+	Other    int     // requests with another answer or none
 	P50, P99 time.Duration
-	Pushes   float64 // for each transaction
-	Memory   int64   // bytes resident at the end
+	Pushes   float64 // per transaction
+	Memory   int64   // resident set size at the end, in bytes
 }
 
-// Rig is one balancer between upstreams that answer at once and clients that ask again as soon as they are answered.
+// Rig is one balancer between upstreams that answer immediately and closed-loop clients.
 type Rig struct {
 	command *exec.Cmd
 	lists   []net.Listener
@@ -38,8 +38,8 @@
 
 const rigUpstreams = 8
 
-// NewRig starts a program by the platform's JSON, which every build of it understands. Without a program clients ask an
-// upstream straight.
+// NewRig starts a balancer with a configuration in the platform's JSON format, which every build of it understands.
+// Without a program, clients send directly to an upstream.
 func NewRig(program, dir string, cores float64) (r *Rig, err error) {
 	r = &Rig{}
 	defer func() {
@@ -95,10 +95,10 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	return r, fmt.Errorf("%s was not ready", program)
+	return r, fmt.Errorf("%s not ready after 200 health checks", program)
 }
 
-// Close ends it.
+// Close stops the balancer and the upstreams.
 func (r *Rig) Close() {
 	if r.command != nil {
 		r.command.Process.Kill()
@@ -112,7 +112,8 @@
 	}
 }
 
-// Closed has some clients ask for some time, each again as soon as it is answered. The first fifth isn't counted.
+// Closed runs a closed load for span: each client sends its next request when it has its answer. The first fifth is a
+// warm-up and is not counted.
 func (r *Rig) Closed(clients int, span time.Duration) Through {
 	p := New(experiment(1, span), time.Now(), []string{r.target})
 	defer p.Gather(&record.Run{})
--- a/internal/lab/record/record.go
+++ b/internal/lab/record/record.go
@@ -1,88 +1,88 @@
-// Package record holds what an experiment saw from outside: what clients sent and were answered, and what reached each
-// upstream. Times are nanoseconds since the start of the run, on one clock.
+// Package record holds the observations of an experiment, all made outside the balancers: requests and answers at the
+// clients, and arrivals at the upstreams. Times are nanoseconds since the start of the run, on one clock.
 package record
 
-// Try is one transaction as its client saw it. A client that asks again makes a new Try of the same Root.
+// Try is one request as its client saw it. A retry or a hedge of a client is a new record with the same Root.
 type Try struct {
-	Root     uint64 // the work that is asked for, over all tries
+	Root     uint64 // identifies the work, over all requests for it
 	ID       string // X-Txn
-	Group    int    // of clients
+	Group    int    // of clients; -1 if unknown
 	Tariff   int
 	Balancer int   // -1 if none could be reached
-	Due      int64 // when its first try was to be sent
-	Sent     int64 // when it was written whole; 0 if it wasn't
-	Answered int64 // when its answer was read whole; 0 if none came
-	Left     int64 // that its client waits, from Sent
-	Status   int   // 0 if no answer came
-	Extra    bool  // more came than its answer
+	Due      int64 // when the first request of the Root was due
+	Sent     int64 // when the request was completely written; 0 if it was not
+	Answered int64 // when the answer was completely read; 0 if there was none
+	Left     int64 // how long the client waits, from Sent
+	Status   int   // 0 without an answer
+	Extra    bool  // bytes other than its own answer arrived
 	Closed   bool  // the connection ended without an answer
 }
 
-// Arrival is one push as its upstream saw it, from the last byte of its request.
+// Arrival is one attempt as its upstream saw it, from the last byte of the request.
 type Arrival struct {
 	ID       string
 	Root     uint64
 	Upstream int
 	At       int64
-	Ran      bool  // it was worked on, to its end or not
-	Effect   int64 // when its effect took place, 0 if it didn't
-	Dropped  bool  // known as a repeat: no second effect
-	Turned   bool  // rejected without a look
-	Cold     bool
+	Ran      bool  // execution began, whether it completed or not
+	Effect   int64 // when its effect took place; 0 if it did not
+	Dropped  bool  // recognized as a duplicate: no second effect
+	Turned   bool  // rejected without execution
+	Cold     bool  // the upstream was still warming up
 }
 
-// Told is what a balancer was told of an upstream.
+// Told is an update about an upstream that discovery sent to a balancer.
 type Told struct {
 	Balancer, Upstream int
 	At                 int64
 	Serving            bool
 }
 
-// Overfed is an upstream that was sent more than it bears while it was cold.
+// Overfed is an upstream that was overloaded while cold.
 type Overfed struct {
 	Upstream int
 	At       int64
-	Of       float64 // what came, as a multiple of what it could do then
+	Of       float64 // arrived work as a multiple of the capacity at that time
 }
 
-// Outage is a span in which a balancer was killed or stopped by the experiment.
+// Outage is a period in which the experiment had killed or stopped a balancer.
 type Outage struct {
 	Balancer int
 	From, To int64
-	Seatless bool // it came back without its directory, or with an old copy of it: no keeper until it is replaced
+	Seatless bool // it restarted without its data directory or with an old copy: not a voter until it is replaced
 }
 
-// Seated is a keeper that was put in its own old place.
+// Seated is a voter that was replaced by a new one on the same balancer.
 type Seated struct {
 	Balancer int
 	At       int64
 }
 
-// Run is all that one run saw.
+// Run holds all observations of one run.
 type Run struct {
 	Tries   []Try
 	Arrived []Arrival
 	Told    []Told
 	Overfed []Overfed
 	Outages []Outage
-	Lag     []int64 // of the lab itself: how late it did what was due, sampled
-	Broken  string  // why the run ended before its time
+	Lag     []int64 // samples of how late the lab itself acted on its schedule
+	Broken  string  // why the run ended early; empty if it did not
 
-	Processes []Process // balancers that are members of a cluster
+	Processes []Process // runs of balancers that are members of a cluster
 	Views     []View
 	Links     []Trouble
 	Acts      []Act
 	Claims    []Claim
 	Asks      []Ask
 	Seated    []Seated
-	Refused   int64 // acts of old owners, by what members count
+	Refused   int64 // actions of previous owners that members refused, by the members' counters
 	Looks     []Look
-	Written   []Entry // what the ledger holds at the end
-	Read      int64   // when that was read; 0 if it couldn't be
-	Kept      bool    // members keep a ledger
+	Written   []Entry // content of the ledger at the end
+	Read      int64   // when the final content was read; 0 if that failed
+	Kept      bool    // the members have a ledger
 }
 
-// Look is a linearizable read of the ledger at a member while all goes on.
+// Look is a linearizable read of the ledger at a member during the run.
 type Look struct {
 	Member   int
 	Root     uint64
@@ -90,13 +90,13 @@
 	Found    bool
 }
 
-// Entry is a line of the ledger.
+// Entry is an entry of the ledger.
 type Entry struct {
 	Tariff, Label, State string
-	May                  bool
+	May                  bool // the transaction may have run
 }
 
-// Claim is a process's word that it may act on a duty at some time, under a token.
+// Claim is a process's statement that it may act on a duty, with its fencing token.
 type Claim struct {
 	Process int
 	At      int64
@@ -104,27 +104,27 @@
 	Token   uint64
 }
 
-// Ask is a balancer's call to discovery, for as long as it was told changes.
+// Ask is a balancer's call to discovery, including the time in which it watched for changes.
 type Ask struct {
 	Balancer int
-	At, To   int64 // To is 0 if it was told to the end
+	At, To   int64 // To is 0 if the call lasted until the end of the run
 }
 
-// Process is one run of one member.
+// Process is one operating-system process of a member.
 type Process struct {
 	Member   int     // balancer
-	IDs      []Label // a process may go on as another run
-	From, To int64   // To is 0 if it ran to the end
+	IDs      []Label // a process may continue under a new run ID
+	From, To int64   // To is 0 if it ran until the end
 	Stops    []Span
 }
 
-// Label is what a process calls its run, from some time on.
+// Label is the run ID that a process uses from At on.
 type Label struct {
 	At int64
 	ID string
 }
 
-// ID is what it called its run at some time, "" if that isn't known.
+// ID returns the run ID of the process at a time; "" if unknown.
 func (p *Process) ID(at int64) (id string) {
 	for _, l := range p.IDs {
 		if l.At <= at || id == "" {
@@ -134,25 +134,25 @@
 	return id
 }
 
-// Span is from one time to another.
+// Span is a time interval.
 type Span struct{ From, To int64 }
 
-// View is whom a process held alive at some time.
+// View is the set of members that a process considered alive.
 type View struct {
 	Process int
 	At      int64
-	Over    bool
+	Over    bool // the process's run was superseded
 	Alive   []string
 }
 
-// Trouble is a link that was not well in one direction.
+// Trouble is a fault of one direction of a link.
 type Trouble struct {
 	From, To int // members
 	Kind     string
 	Span
 }
 
-// Act is something that the lab did.
+// Act is an action of the lab.
 type Act struct {
 	At   int64
 	What string
--- a/internal/lab/report/html.go
+++ b/internal/lab/report/html.go
@@ -12,7 +12,7 @@
 	"ottershift/internal/lab/judge"
 )
 
-// HTML writes a page that needs nothing else.
+// HTML writes a self-contained page.
 func (o *Outcome) HTML(w io.Writer) error {
 	var b strings.Builder
 	draw.WritePageHead(&b, o.Name)
@@ -47,7 +47,7 @@
 	return err
 }
 
-// picture is one drawing, whole by itself.
+// picture is a self-contained SVG image.
 type picture struct{ name, svg string }
 
 func (o *Outcome) pictures(r *judge.Result) (all []picture) {
@@ -62,7 +62,7 @@
 	return all
 }
 
-// Pictures writes the pictures of the first run of each variant into a folder, and returns their files.
+// Pictures writes the charts of the first run of each variant into a folder and returns the file names.
 func (o *Outcome) Pictures(dir string) (files []string, err error) {
 	for _, v := range o.Variants {
 		if len(v.Runs) == 0 {
@@ -81,7 +81,7 @@
 
 func esc(text string) string { return draw.EscapeHTML(text) }
 
-// plot is what the pictures have in common.
+// plot returns the time axis and the fault intervals, which all charts share.
 func (o *Outcome) plot() *draw.Plot {
 	p := &draw.Plot{Duration: o.Length}
 	for _, f := range o.Faults {
@@ -104,7 +104,7 @@
 	return v
 }
 
-// latency over time by quantile, on a scale of powers.
+// latency draws latency quantiles over time, on a logarithmic scale.
 func (o *Outcome) latency(b *strings.Builder, r *judge.Result) {
 	lines := []draw.Series{
 		{Name: "99 in 100", Colour: "#a22", Values: each(r, func(s judge.Second) float64 { return some(s.P99) })},
@@ -127,14 +127,14 @@
 		ticks = append(ticks, math.Pow(10, p))
 	}
 	p := o.plot()
-	p.OpenWithAxes(b, "Latency of what was settled, from when it was due, milliseconds", ticks, y, "%g")
+	p.OpenWithAxes(b, "Latency of settled transactions, from their due time, milliseconds", ticks, y, "%g")
 	for n, l := range lines {
 		p.Line(b, l, n, y)
 	}
 	b.WriteString("</svg>")
 }
 
-// answers by kind, one on the other.
+// answers draws stacked bars of the outcomes by kind.
 func (o *Outcome) answers(b *strings.Builder, r *judge.Result) {
 	all := []draw.Series{
 		{Name: "in time", Colour: "#3a7", Values: each(r, func(s judge.Second) float64 { return float64(s.Settled - s.Late) })},
@@ -149,12 +149,12 @@
 	}
 	y, ticks := draw.LinearScale(most)
 	p := o.plot()
-	p.OpenWithAxes(b, "What became of what was due in each second", ticks, y, "%.0f")
+	p.OpenWithAxes(b, "Outcomes of the transactions due in each second", ticks, y, "%.0f")
 	p.Bars(b, all, y)
 	b.WriteString("</svg>")
 }
 
-// attempts for each first push.
+// attempts draws the number of attempts per first attempt.
 func (o *Outcome) attempts(b *strings.Builder, r *judge.Result) {
 	values := each(r, func(s judge.Second) float64 {
 		if s.First == 0 {
@@ -170,22 +170,22 @@
 	}
 	y := func(v float64) float64 { return draw.MarginTop + draw.PlotHeight*(1-(v-0.9)/(most-0.9)) }
 	p := o.plot()
-	p.OpenWithAxes(b, "Pushes for each first push", []float64{1, most}, y, "%.2f")
+	p.OpenWithAxes(b, "Attempts per first attempt", []float64{1, most}, y, "%.2f")
 	p.Line(b, draw.Series{Name: "pushes", Colour: "#639", Values: values}, 0, y)
 	b.WriteString("</svg>")
 }
 
-// upstreams shows what reached each.
+// upstreams draws the attempts that reached each upstream.
 func upstreams(b *strings.Builder, r *judge.Result) {
 	most := 1
 	for _, u := range r.Upstream {
 		most = max(most, u.Pushes)
 	}
 	bar := draw.PlotWidth / math.Max(1, float64(len(r.Upstream)))
-	draw.OpenSVG(b, fmt.Sprintf("Pushes by upstream (at most %d); dark: turned away", most), 90)
+	draw.OpenSVG(b, fmt.Sprintf("Attempts by upstream (at most %d); dark: rejected", most), 90)
 	for i, u := range r.Upstream {
 		h, t := 80*float64(u.Pushes)/float64(most), 80*float64(u.Turned)/float64(most)
-		fmt.Fprintf(b, `<rect x="%.1f" y="%.1f" width="%.1f" height="%.1f" fill="#27a"><title>%s: %d pushes, %d turned away</title></rect><rect x="%.1f" y="%.1f" width="%.1f" height="%.1f" fill="#124"/>`,
+		fmt.Fprintf(b, `<rect x="%.1f" y="%.1f" width="%.1f" height="%.1f" fill="#27a"><title>%s: %d attempts, %d rejected</title></rect><rect x="%.1f" y="%.1f" width="%.1f" height="%.1f" fill="#124"/>`,
 			draw.MarginLeft+bar*float64(i), 85-h, bar*0.85, h, esc(u.Name), u.Pushes, u.Turned, draw.MarginLeft+bar*float64(i), 85-t, bar*0.85, t)
 	}
 	b.WriteString("</svg>")
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -1,4 +1,4 @@
-// Package report words what experiments showed: a table and a verdict for the terminal, JSON to keep, HTML to look at.
+// Package report presents the results of experiments: a table and a verdict for the terminal, JSON to store, and HTML.
 package report
 
 import (
@@ -15,19 +15,19 @@
 	"ottershift/internal/lab/spec"
 )
 
-// Variant is one way that was tried, over all runs of it.
+// Variant holds the results of all runs of one variant.
 type Variant struct {
 	Name string
 	Runs []*judge.Result
 }
 
-// Fault is what went wrong, for pictures.
+// Fault is the interval of a fault, shown in charts.
 type Fault struct {
 	Kind     string
 	From, To float64 // seconds
 }
 
-// Outcome is what one experiment showed.
+// Outcome is the result of one experiment.
 type Outcome struct {
 	Name, Title string
 	About       string
@@ -38,10 +38,10 @@
 	Faults      []Fault
 	Variants    []*Variant
 	Verdict     string   // "held", "short" or "void"
-	Words       []string // what the verdict rests on
+	Words       []string // findings that support the verdict
 }
 
-// New begins an outcome.
+// New returns an outcome without runs.
 func New(e *spec.Experiment) *Outcome {
 	o := &Outcome{
 		Name: e.Name, Title: e.Title, About: e.About, Seed: e.Seed, Short: e.Short, Length: float64(e.Length) / 1e9,
@@ -56,10 +56,10 @@
 	return o
 }
 
-// ts are the 0.975 quantiles of Student's t by degrees of freedom, from 1.
+// ts holds the 0.975 quantiles of Student's t distribution by degrees of freedom, from 1.
 var ts = []float64{12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145, 2.131, 2.120, 2.110, 2.101, 2.093, 2.086}
 
-// Interval is a mean and the half of its 95% confidence interval, which is NaN for one value alone.
+// Interval returns the mean and the half-width of its 95% confidence interval, which is NaN for fewer than two values.
 func Interval(values []float64) (mean, half float64) {
 	n := float64(len(values))
 	for _, v := range values {
@@ -79,7 +79,7 @@
 	return mean, t * math.Sqrt(sum/(n-1)/n)
 }
 
-// Values are a figure in all runs.
+// Values returns a figure of all runs that have it.
 func (v *Variant) Values(figure string) (all []float64) {
 	for _, r := range v.Runs {
 		if f, some := r.Figures[figure]; some {
@@ -89,7 +89,8 @@
 	return all
 }
 
-// Judge comes to the verdict, from the means of all runs; breaches count from each.
+// Judge computes the verdict from the means over all runs. For rules and breaches it takes the maximum instead, so that
+// a breach in one run counts.
 func (o *Outcome) Judge(e *spec.Experiment) {
 	means := map[string]*judge.Result{}
 	o.Verdict = "held"
@@ -114,7 +115,7 @@
 			}
 		}
 		means[v.Name] = m
-		// The rules hold for the design without anybody asking.
+		// Experiments need not list the rules: the design must always satisfy them.
 		if (v.Name == "design" || v.Name == "no-copies") && m.Figures["breaches"] > 0 && o.Verdict != "void" {
 			o.Verdict = "short"
 			o.Words = append(o.Words, fmt.Sprintf("%s broke the rules %g times", v.Name, m.Figures["breaches"]))
@@ -123,10 +124,11 @@
 	for _, name := range e.Convicts {
 		m := means[name]
 		if m == nil {
-			continue // it was not asked for
+			continue // the variant was not requested
 		}
 		word := "convicted"
-		// Danger: a judge that finds nothing where a guard is missing proves nothing of the design either.
+		// A variant with a safeguard removed must break rules. If the judge finds no breach there, the absence of
+		// breaches in the design proves nothing.
 		if m.Figures["breaches"] == 0 {
 			if word = "short: not convicted"; o.Verdict == "held" {
 				o.Verdict = "short"
@@ -147,7 +149,7 @@
 	}
 }
 
-// columns of the table, and how each is written.
+// columns lists the figures of the table and their formats.
 var columns = []struct{ figure, format string }{
 	{"service", "%.4f"}, {"settled", "%.4f"}, {"deferred", "%.4f"}, {"failed", "%.4f"}, {"lost", "%.4f"}, {"attempts", "%.3f"},
 	{"p50", "%.1f"}, {"p99", "%.1f"}, {"p999", "%.1f"}, {"worst", "%.3f"}, {"recover", "%.1f"}, {"breaches", "%g"},
@@ -155,7 +157,7 @@
 	{"no_owner", "%.1f"}, {"no_owner_bound", "%.1f"}, {"asks", "%.2f"}, {"watches", "%.1f"}, {"refused", "%g"},
 }
 
-// Table writes what was seen, and the verdict as its last line.
+// Table writes the figures and findings, with the verdict as the last line.
 func (o *Outcome) Table(w io.Writer) {
 	fmt.Fprintf(w, "%s: %s\n", o.Name, o.Title)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
@@ -205,7 +207,7 @@
 	return text
 }
 
-// Save keeps all of it.
+// Save writes the outcome to a file as JSON.
 func (o *Outcome) Save(file string) error {
 	text, err := json.MarshalIndent(o, "", " ")
 	if err != nil {
@@ -214,7 +216,7 @@
 	return os.WriteFile(file, append(text, '\n'), 0o644)
 }
 
-// Load reads what Save kept.
+// Load reads a file written by Save.
 func Load(file string) (*Outcome, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -225,12 +227,12 @@
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
 	if len(o.Variants) == 0 {
-		return nil, fmt.Errorf("%s: not the outcome of an experiment", file)
+		return nil, fmt.Errorf("%s: not an experiment result: it has no variants", file)
 	}
 	return o, nil
 }
 
-// Compare writes the differences of pairs of runs, b less a, with their intervals.
+// Compare writes the mean differences b - a over pairs of runs, with their confidence intervals.
 func Compare(w io.Writer, nameA, nameB string, a, b []*judge.Result) {
 	n := min(len(a), len(b))
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
@@ -253,7 +255,7 @@
 		word := ""
 		switch {
 		case math.IsNaN(half):
-			word = "one pair tells nothing"
+			word = "a single pair has no confidence interval"
 		case d-half > 0 || d+half < 0:
 			word = "differs"
 		}
