--- a/cmd/ottershift/lab.go
+++ b/cmd/ottershift/lab.go
@@ -117,7 +117,7 @@
 	}
 	if r != nil {
 		var acts strings.Builder
-		for _, a := range r.Acts {
+		for _, a := range r.Actions {
 			fmt.Fprintf(&acts, "%.3f %s\n", float64(a.At)/1e9, a.What)
 		}
 		err = errors.Join(err, os.WriteFile(filepath.Join(to, "acts"), []byte(acts.String()), 0o644))
@@ -163,7 +163,7 @@
 				}
 			}
 			out.Judge(e)
-			out.Table(c.OutOrStdout())
+			out.WriteTable(c.OutOrStdout())
 			if keep != "" {
 				if err := out.Save(keep); err != nil {
 					return err
@@ -297,14 +297,14 @@
 				return err
 			}
 			if pictures != "" {
-				if _, err := o.Pictures(pictures); err != nil {
+				if _, err := o.WriteCharts(pictures); err != nil {
 					return err
 				}
 			}
 			if err := write(o, page); err != nil {
 				return err
 			}
-			o.Table(c.OutOrStdout())
+			o.WriteTable(c.OutOrStdout())
 			return nil
 		},
 	}
@@ -322,7 +322,7 @@
 	if err != nil {
 		return err
 	}
-	return errors.Join(o.HTML(f), f.Close())
+	return errors.Join(o.WriteHTML(f), f.Close())
 }
 
 func labCeiling() *cobra.Command {
@@ -330,18 +330,18 @@
 	c := &cobra.Command{
 		Use: "ceiling", Short: "Measure the lab itself, against an upstream that answers at once", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			top, err := load.Ceiling(span)
+			top, err := load.MaxCallRate(span)
 			if err != nil {
 				return err
 			}
 			fmt.Fprintf(c.OutOrStdout(), "ceiling %.0f calls a second\n", top)
 			for _, share := range []float64{0.01, 0.1, 0.5} {
-				own, err := load.Own(top*share, span)
+				own, err := load.MeasureOwnLatency(top*share, span)
 				if err != nil {
 					return err
 				}
 				fmt.Fprintf(c.OutOrStdout(), "at %g%%: %.0f calls a second, own error of latency: half within %s, 99 in 100 within %s, at most %s\n",
-					100*share, own.Rate, own.P50, own.P99, own.Most)
+					100*share, own.Rate, own.P50, own.P99, own.Max)
 			}
 			return nil
 		},
@@ -387,12 +387,12 @@
 						if err != nil {
 							return err
 						}
-						t := rig.Closed(n, span)
+						t := rig.RunClosedLoop(n, span)
 						rig.Close()
 						os.RemoveAll(dir)
 						best[name][n] = append(best[name][n], t.Rate)
 						fmt.Fprintf(c.OutOrStdout(), "round %d %-28s clients=%d rate=%.0f p50=%s p99=%s pushes=%.4f other=%d memory=%.1fMB\n", round+1,
-							name, n, t.Rate, t.P50, t.P99, t.Pushes, t.Other, float64(t.Memory)/(1<<20))
+							name, n, t.Rate, t.P50, t.P99, t.Attempts, t.Failed, float64(t.Memory)/(1<<20))
 					}
 				}
 			}
--- a/internal/lab/between/between.go
+++ b/internal/lab/between/between.go
@@ -252,7 +252,7 @@
 	}
 }
 
-// close closes both connections without a reset.
+// close ends both connections without a reset.
 func (p *relayedConn) close() {
 	p.once.Do(func() { close(p.done) })
 	p.mu.Lock()
@@ -288,7 +288,7 @@
 	}
 }
 
-// relay relays one accepted connection until it ends.
+// relay connects an accepted connection to the target and forwards bytes both ways until it ends.
 func (dir *direction) relay(p *relayedConn, here *net.TCPConn) {
 	defer func() {
 		p.close()
@@ -326,7 +326,7 @@
 	data []byte // nil marks the end of the stream
 }
 
-// forward forwards the bytes of one direction of a connection, in order.
+// forward copies the bytes of one direction of a connection, in order, and applies the direction's faults.
 func (m *Mesh) forward(p *relayedConn, from, to *net.TCPConn, a, b int) {
 	pieces := make(chan chunk, maxBufferedChunks)
 	var reading sync.WaitGroup
@@ -472,7 +472,7 @@
 	}
 }
 
-// forwardDatagrams forwards datagrams when they are due.
+// forwardDatagrams sends queued datagrams to the target when they are due.
 func (dir *direction) forwardDatagrams() {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
--- a/internal/lab/emulate/upstream.go
+++ b/internal/lab/emulate/upstream.go
@@ -25,20 +25,21 @@
 
 // Fleet is the set of upstreams of a run.
 type Fleet struct {
-	e         *spec.Experiment
-	epoch     atomic.Pointer[time.Time]
-	tariffs   map[string]*spec.Tariff
-	Upstreams []*Upstream
-	Call      func(ctx context.Context, from *spec.Group, root uint64, left time.Duration) bool // sends a transaction to the next tier
-
-	mu    sync.Mutex // guards known
-	known map[string]*effect
+	experiment *spec.Experiment
+	epoch      atomic.Pointer[time.Time]
+	tariffs    map[string]*spec.Tariff
+	Upstreams  []*Upstream
+	// Call sends a transaction to the next tier.
+	Call func(ctx context.Context, from *spec.Group, root uint64, left time.Duration) bool
+
+	mu        sync.Mutex // guards keyedRuns
+	keyedRuns map[string]*keyedRun
 }
 
-// effect is the first run of a keyed transaction within its deduplication scope.
-type effect struct {
-	began int64
-	over  chan struct{}
+// keyedRun is the first run of a keyed transaction within its deduplication scope.
+type keyedRun struct {
+	startedAt int64
+	ended     chan struct{}
 }
 
 // Upstream is one emulated upstream.
@@ -48,34 +49,34 @@
 	Address string
 	fleet   *Fleet
 
-	mu      sync.Mutex
-	server  *work.Server
-	timer   *time.Timer
-	due     int64
-	http    *http.Server
-	conns   map[net.Conn]struct{}
-	arrived []record.Arrival
-	overfed []record.Overfed
-	lag     []int64
-	ticks   int
-	chance  *rand.Rand
-	life    int
-	trouble map[string]float64 // fraction of requests affected, by kind of fault
-	down    bool
-	deaf    atomic.Bool
+	mu            sync.Mutex
+	server        *work.Server
+	timer         *time.Timer
+	nextEventAt   int64
+	http          *http.Server
+	conns         map[net.Conn]struct{}
+	arrived       []record.Arrival
+	coldOverloads []record.ColdOverload
+	lag           []int64
+	ticks         int
+	rng           *rand.Rand
+	incarnation   int
+	faultShares   map[string]float64 // fraction of requests affected, by kind of fault
+	down          bool
+	acceptBlocked atomic.Bool
 }
 
 // NewFleet starts all upstreams of an experiment. Its clock starts now; Begin restarts it.
 func NewFleet(e *spec.Experiment) (*Fleet, error) {
-	f := &Fleet{e: e, tariffs: map[string]*spec.Tariff{}, known: map[string]*effect{}}
+	f := &Fleet{experiment: e, tariffs: map[string]*spec.Tariff{}, keyedRuns: map[string]*keyedRun{}}
 	f.Begin(time.Now())
 	for _, t := range e.Tariffs {
 		f.tariffs[t.Name] = t
 	}
 	for i, up := range e.Upstreams {
 		u := &Upstream{
-			Upstream: up, Index: i, fleet: f, server: work.New(up.Group.Terms, 0), chance: rand.New(rand.NewPCG(e.Seed, uint64(i))),
-			trouble: map[string]float64{}, due: math.MaxInt64,
+			Upstream: up, Index: i, fleet: f, server: work.New(up.Group.Terms, 0), rng: rand.New(rand.NewPCG(e.Seed, uint64(i))),
+			faultShares: map[string]float64{}, nextEventAt: math.MaxInt64,
 		}
 		u.timer = time.AfterFunc(time.Hour, u.tick)
 		f.Upstreams = append(f.Upstreams, u)
@@ -96,7 +97,7 @@
 // Close stops all upstreams.
 func (f *Fleet) Close() {
 	for _, u := range f.Upstreams {
-		u.Die()
+		u.Kill()
 		u.timer.Stop()
 	}
 }
@@ -106,7 +107,7 @@
 	for _, u := range f.Upstreams {
 		u.mu.Lock()
 		r.Arrived = append(r.Arrived, u.arrived...)
-		r.Overfed = append(r.Overfed, u.overfed...)
+		r.ColdOverloads = append(r.ColdOverloads, u.coldOverloads...)
 		r.Lag = append(r.Lag, u.lag...)
 		u.mu.Unlock()
 	}
@@ -115,12 +116,12 @@
 // listener delays accepted connections while the fault "deaf" lasts.
 type listener struct {
 	net.Listener
-	u *Upstream
+	upstream *Upstream
 }
 
 func (l listener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
-	for err == nil && l.u.deaf.Load() {
+	for err == nil && l.upstream.acceptBlocked.Load() {
 		time.Sleep(10 * time.Millisecond)
 	}
 	return c, err
@@ -149,13 +150,13 @@
 	return nil
 }
 
-// Die kills the upstream: its connections are reset and its work is lost.
-func (u *Upstream) Die() {
+// Kill kills the upstream: its connections are reset and its work is lost.
+func (u *Upstream) Kill() {
 	u.mu.Lock()
 	s, conns := u.http, u.conns
 	u.down = true
 	for _, j := range u.server.Stop(u.fleet.Now()) {
-		j.Tag.(*visit).end(false)
+		j.Tag.(*attempt).finish(false)
 	}
 	var all []net.Conn
 	for c := range conns {
@@ -171,12 +172,12 @@
 	s.Close()
 }
 
-// Rise restarts the upstream cold at its old address, under a new name if renamed.
-func (u *Upstream) Rise(renamed bool) {
+// Restart starts the upstream again, cold and at its old address. With renamed, it gets a new name.
+func (u *Upstream) Restart(renamed bool) {
 	u.mu.Lock()
 	address := u.Address
 	if renamed {
-		u.life++
+		u.incarnation++
 	}
 	u.server.Start(u.fleet.Now())
 	u.mu.Unlock()
@@ -192,81 +193,81 @@
 func (u *Upstream) Name() string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.life == 0 {
+	if u.incarnation == 0 {
 		return u.Upstream.Name
 	}
-	return fmt.Sprintf("%s.%d", u.Upstream.Name, u.life+1)
+	return fmt.Sprintf("%s.%d", u.Upstream.Name, u.incarnation+1)
 }
 
-// Trouble applies a kind of fault to a fraction of requests; 0 ends it.
-func (u *Upstream) Trouble(kind string, share float64) {
+// SetFault applies a kind of fault to a fraction of requests; 0 ends it.
+func (u *Upstream) SetFault(kind string, share float64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.trouble[kind] = share; share == 0 {
-		delete(u.trouble, kind)
+	if u.faultShares[kind] = share; share == 0 {
+		delete(u.faultShares, kind)
 	}
 	if kind == "deaf" {
-		u.deaf.Store(share > 0)
+		u.acceptBlocked.Store(share > 0)
 	}
 }
 
-// Hamper slows the upstream down or reduces its cores.
-func (u *Upstream) Hamper(slow float64, cores int) {
+// ApplySlowdown sets a slowdown factor and the number of cores left.
+func (u *Upstream) ApplySlowdown(slow float64, cores int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.advance()
 	u.server.ApplyFault(slow, cores)
-	u.arm()
+	u.scheduleTick()
 }
 
-// visit is the state of one attempt at an upstream.
-type visit struct {
-	over   chan struct{}
-	done   bool
-	effect int64
+// attempt is the state of one attempt at an upstream.
+type attempt struct {
+	ended     chan struct{}
+	completed bool
+	effectAt  int64
 }
 
-func (v *visit) end(done bool) {
-	v.done = done
-	close(v.over)
+func (a *attempt) finish(done bool) {
+	a.completed = done
+	close(a.ended)
 }
 
 // advance moves the model to the current time and returns that time.
 func (u *Upstream) advance() int64 {
 	now := u.fleet.Now()
 	for _, j := range u.server.Advance(now) {
-		v := j.Tag.(*visit)
-		v.effect = now
-		v.end(true)
+		v := j.Tag.(*attempt)
+		v.effectAt = now
+		v.finish(true)
 	}
 	return now
 }
 
-// arm sets the timer to the next event of the model.
-func (u *Upstream) arm() {
-	if u.due = u.server.Next(); u.due != math.MaxInt64 {
-		u.timer.Reset(time.Duration(max(0, u.due-u.fleet.Now())))
+// scheduleTick sets the timer to the next event of the model.
+func (u *Upstream) scheduleTick() {
+	if u.nextEventAt = u.server.Next(); u.nextEventAt != math.MaxInt64 {
+		u.timer.Reset(time.Duration(max(0, u.nextEventAt-u.fleet.Now())))
 	}
 }
 
 func (u *Upstream) tick() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.due == math.MaxInt64 {
+	if u.nextEventAt == math.MaxInt64 {
 		return
 	}
-	due := u.due
+	due := u.nextEventAt
 	now := u.advance()
 	if u.ticks++; u.ticks%16 == 0 && now >= due {
 		u.lag = append(u.lag, now-due)
 	}
-	u.arm()
+	u.scheduleTick()
 }
 
-// meets returns the fault that affects the next request, drawn at random; "" for none.
-func (u *Upstream) meets() string {
+// drawFault returns the fault that affects the next request, drawn at random; "" for none.
+func (u *Upstream) drawFault() string {
 	for _, kind := range []string{"hang", "reset", "garbage", "half", "fail", "full"} {
-		if share := u.trouble[kind]; share > 0 && (share >= 1 || u.chance.Float64() < share) {
+		if share := u.faultShares[kind]; share > 0 && (share >= 1 || u.rng.Float64() < share) {
 			return kind
 		}
 	}
@@ -280,7 +281,7 @@
 	}
 	if r.URL.Path == "/ping" {
 		u.mu.Lock()
-		kind := u.meets()
+		kind := u.drawFault()
 		u.mu.Unlock()
 		switch kind {
 		case "":
@@ -299,86 +300,86 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	v := &visit{over: make(chan struct{})}
+	v := &attempt{ended: make(chan struct{})}
 	u.mu.Lock()
 	now := u.advance()
 	a := record.Arrival{ID: id, Root: root, Upstream: u.Index, At: now, Cold: u.server.WarmupFactor(now) < 1}
 	place := len(u.arrived)
-	kind := u.meets()
-	var first, mine *effect
+	kind := u.drawFault()
+	var first, mine *keyedRun
 	if kind == "" && tariff.Idempotency == logic.Keyed { // requests hit by a fault do not register their key
-		first, mine = u.fleet.tag(u, tariff, r.Header.Get("Idempotency-Key"), now)
+		first, mine = u.fleet.registerKey(u, tariff, r.Header.Get("Idempotency-Key"), now)
 	}
-	j := &work.Job{Tag: v, Work: tariff.Work(u.fleet.e.Seed, root, u.Upstream.Name, place)}
+	j := &work.Job{Tag: v, Work: tariff.Work(u.fleet.experiment.Seed, root, u.Upstream.Name, place)}
 	if kind == "full" {
-		kind, a.Turned = "", true
+		kind, a.Rejected = "", true
 	}
 	switch {
-	case a.Turned:
+	case a.Rejected:
 	case kind != "":
-		a.Ran = kind != "fail"
+		a.Executed = kind != "fail"
 	case first != nil:
-		a.Dropped = true
+		a.Deduplicated = true
 	default:
 		before := u.server.MaxColdOverload
-		if a.Ran = u.server.Arrive(j, now); !a.Ran {
-			a.Turned = true
+		if a.Executed = u.server.Arrive(j, now); !a.Executed {
+			a.Rejected = true
 		}
 		if u.server.MaxColdOverload > before && before == 0 {
-			u.overfed = append(u.overfed, record.Overfed{Upstream: u.Index, At: now, Of: u.server.MaxColdOverload})
+			u.coldOverloads = append(u.coldOverloads, record.ColdOverload{Upstream: u.Index, At: now, Multiple: u.server.MaxColdOverload})
 		}
 	}
 	u.arrived = append(u.arrived, a)
-	u.arm()
+	u.scheduleTick()
 	u.mu.Unlock()
 
 	switch {
 	case kind != "":
-		u.spoil(w, r, kind)
+		u.serveFault(w, r, kind)
 		return
-	case a.Turned:
-		u.fleet.untag(mine, false)
+	case a.Rejected:
+		u.fleet.finishKey(mine, false)
 		w.Header().Set("X-Turned-Away", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
-	case a.Dropped:
+	case a.Deduplicated:
 		select {
-		case <-first.over:
+		case <-first.ended:
 		case <-r.Context().Done():
 			return
 		}
 	default:
 		select {
-		case <-v.over:
+		case <-v.ended:
 		case <-r.Context().Done():
 			u.mu.Lock()
 			u.advance()
 			u.server.Cancel(j)
-			u.arm()
+			u.scheduleTick()
 			u.mu.Unlock()
 			select {
-			case <-v.over: // completed before the cancellation
+			case <-v.ended: // completed before the cancellation
 			default:
 			}
 		}
 		u.mu.Lock()
-		u.arrived[place].Effect = v.effect
+		u.arrived[place].Effect = v.effectAt
 		u.mu.Unlock()
-		u.fleet.untag(mine, v.effect != 0)
-		if !v.done {
+		u.fleet.finishKey(mine, v.effectAt != 0)
+		if !v.completed {
 			// The work is lost. A handler that returns without writing sends status 200, so abort the connection.
 			panic(http.ErrAbortHandler)
 		}
 	}
-	if u.Group.Calls != nil && !u.next(r, root) {
+	if u.Group.Calls != nil && !u.callNextTier(r, root) {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
 	fmt.Fprintf(w, "ok %s %s\n", id, u.Upstream.Name)
 }
 
-// next sends the calls of a transaction to the next tier and reports whether all succeeded.
-func (u *Upstream) next(r *http.Request, root uint64) bool {
+// callNextTier sends the calls of a transaction to the next tier and reports whether all succeeded.
+func (u *Upstream) callNextTier(r *http.Request, root uint64) bool {
 	left, err := strconv.ParseFloat(r.Header.Get("X-Remaining"), 64)
 	if err != nil {
 		left = 1
@@ -386,7 +387,7 @@
 	end := time.Now().Add(time.Duration(left * float64(time.Second)))
 	c := u.Group.Calls
 	u.mu.Lock()
-	n := c.Least + u.chance.IntN(c.Most-c.Least+1)
+	n := c.Least + u.rng.IntN(c.Most-c.Least+1)
 	u.mu.Unlock()
 	for range n {
 		if !u.fleet.Call(r.Context(), u.Group, root, time.Until(end)) {
@@ -396,8 +397,8 @@
 	return true
 }
 
-// spoil sends the response that a fault produces.
-func (u *Upstream) spoil(w http.ResponseWriter, r *http.Request, kind string) {
+// serveFault sends the response that a fault produces.
+func (u *Upstream) serveFault(w http.ResponseWriter, r *http.Request, kind string) {
 	if kind == "hang" {
 		<-r.Context().Done()
 		return
@@ -423,8 +424,9 @@
 	}
 }
 
-// tag registers the first run of a keyed transaction within its deduplication scope, or returns the one registered.
-func (f *Fleet) tag(u *Upstream, t *spec.Tariff, key string, now int64) (first, mine *effect) {
+// registerKey registers the first run of a keyed transaction within its deduplication scope, or returns the one that
+// is registered.
+func (f *Fleet) registerKey(u *Upstream, t *spec.Tariff, key string, now int64) (first, mine *keyedRun) {
 	scope := fmt.Sprintf("%s/%d", u.Group.Name, u.Cell)
 	switch t.DedupScope {
 	case logic.SameZone:
@@ -435,23 +437,23 @@
 	scope = t.Name + "\n" + scope + "\n" + key
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if e := f.known[scope]; e != nil && now < e.began+t.DedupWindow {
+	if e := f.keyedRuns[scope]; e != nil && now < e.startedAt+t.DedupWindow {
 		return e, nil
 	}
-	e := &effect{began: now, over: make(chan struct{})}
-	f.known[scope] = e
+	e := &keyedRun{startedAt: now, ended: make(chan struct{})}
+	f.keyedRuns[scope] = e
 	return nil, e
 }
 
-// untag marks a first run as ended. If it had no effect, the key may run again.
-func (f *Fleet) untag(e *effect, done bool) {
+// finishKey marks a first run as ended. If it had no effect, the key may run again.
+func (f *Fleet) finishKey(e *keyedRun, done bool) {
 	if e == nil {
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !done {
-		e.began = math.MinInt64 / 2
+		e.startedAt = math.MinInt64 / 2
 	}
-	close(e.over)
+	close(e.ended)
 }
--- a/internal/lab/judge/cluster.go
+++ b/internal/lab/judge/cluster.go
@@ -94,7 +94,7 @@
 		}
 		last = max(last, s.To)
 	}
-	for _, l := range f.r.Links {
+	for _, l := range f.r.LinkFaults {
 		note(l.Span)
 	}
 	for _, p := range f.r.Processes {
@@ -109,7 +109,7 @@
 			note(record.Span{From: max(1, l.At), To: max(1, l.At)})
 		}
 	}
-	for _, a := range f.r.Acts { // a reset is over at once
+	for _, a := range f.r.Actions { // a reset is over at once
 		if strings.HasPrefix(a.What, "reset") {
 			note(record.Span{From: a.At, To: a.At})
 		}
@@ -157,16 +157,16 @@
 			continue
 		}
 		old := f.superseded(v.Process, v.At)
-		ok := v.Over == old && (old || slices.Equal(v.Alive, want))
+		ok := v.Superseded == old && (old || slices.Equal(v.Alive, want))
 		if ok {
 			continue
 		}
 		wrong[last] = max(wrong[last], v.At-last)
 		if v.At-last > f.back {
 			what := fmt.Sprintf("holds %s alive, and there are %s", short(v.Alive), short(want))
-			if v.Over != old {
+			if v.Superseded != old {
 				what = "goes on, though a newer run of its name is there"
-				if v.Over {
+				if v.Superseded {
 					what = "says that it is over, and is the newest of its name"
 				}
 			}
@@ -197,7 +197,7 @@
 		}
 		told := false
 		for _, v := range f.r.Views {
-			if v.At < p.To || !slices.Contains(v.Alive, id) || v.Over {
+			if v.At < p.To || !slices.Contains(v.Alive, id) || v.Superseded {
 				continue
 			}
 			q := f.r.Processes[v.Process]
@@ -216,7 +216,7 @@
 
 // troubled reports whether any link was unwell within a span.
 func (f *fleet) troubled(from, to int64) bool {
-	return slices.ContainsFunc(f.r.Links, func(t record.Trouble) bool { return overlaps(t.Span, from, to) })
+	return slices.ContainsFunc(f.r.LinkFaults, func(t record.LinkFault) bool { return overlaps(t.Span, from, to) })
 }
 
 // owners: nobody would act on a duty under a token once another would under a higher one; and there is an owner within the
--- a/internal/lab/judge/judge.go
+++ b/internal/lab/judge/judge.go
@@ -74,7 +74,7 @@
 // Judge looks at a run.
 func Judge(e *spec.Experiment, r *record.Run) *Result {
 	j := &judge{e: e, r: r, out: &Result{Figures: map[string]float64{}}, ids: map[string]int{}}
-	for i, t := range r.Tries {
+	for i, t := range r.Requests {
 		j.ids[t.ID] = i
 	}
 	arrived := map[string][]record.Arrival{}
@@ -85,8 +85,8 @@
 	j.answers(arrived)
 	j.effects(arrived)
 	j.drains()
-	for _, o := range r.Overfed {
-		j.breach(4, "%s, cold, was sent %.1f times what it can do at %s", e.Upstreams[o.Upstream].Name, o.Of, at(o.At))
+	for _, o := range r.ColdOverloads {
+		j.breach(4, "%s, cold, was sent %.1f times what it can do at %s", e.Upstreams[o.Upstream].Name, o.Multiple, at(o.At))
 	}
 	j.service(arrived)
 	total := 0
@@ -97,13 +97,13 @@
 		}
 	}
 	watched := int64(0)
-	for _, a := range j.r.Asks {
+	for _, a := range j.r.DiscoveryCalls {
 		if a.To == 0 {
 			a.To = j.e.Length
 		}
 		watched += max(0, min(a.To, j.e.Length)-max(a.At, 0))
 	}
-	j.out.Figures["asks"] = float64(len(j.r.Asks)) / (float64(j.e.Length) / float64(second))
+	j.out.Figures["asks"] = float64(len(j.r.DiscoveryCalls)) / (float64(j.e.Length) / float64(second))
 	j.out.Figures["watches"] = float64(watched) / float64(j.e.Length)
 	j.cluster()
 	j.out.Figures["breaches"] = float64(total) + j.out.Figures["cluster"]
@@ -128,14 +128,14 @@
 
 // answers: each transaction taken has one final answer before its hard stop, and nothing goes out after it.
 func (j *judge) answers(arrived map[string][]record.Arrival) {
-	for _, t := range j.r.Tries {
+	for _, t := range j.r.Requests {
 		if t.Extra {
 			j.breach(1, "more than one answer, or another's, for %s at balancer %d", t.ID, t.Balancer+1)
 		}
 		if t.Sent == 0 || t.Group < 0 {
 			continue
 		}
-		stop := t.Sent + t.Left + margin
+		stop := t.Sent + t.Timeout + margin
 		if j.excused(t.Balancer, t.Sent, stop) {
 			continue
 		}
@@ -143,10 +143,10 @@
 		case t.Status == 0 && t.Closed:
 			j.breach(1, "%s, sent at %s, had its connection closed without an answer", t.ID, at(t.Sent))
 		case t.Status == 0:
-			j.breach(1, "%s, sent at %s to balancer %d with %.0f ms left, had no answer by its hard stop", t.ID, at(t.Sent), t.Balancer+1, float64(t.Left)/float64(ms))
+			j.breach(1, "%s, sent at %s to balancer %d with %.0f ms left, had no answer by its hard stop", t.ID, at(t.Sent), t.Balancer+1, float64(t.Timeout)/float64(ms))
 		case t.Answered > stop:
 			j.breach(1, "%s, sent at %s to balancer %d with %.0f ms left, was answered %d %.0f ms after its hard stop", t.ID, at(t.Sent), t.Balancer+1,
-				float64(t.Left)/float64(ms), t.Status, float64(t.Answered-stop+margin)/float64(ms))
+				float64(t.Timeout)/float64(ms), t.Status, float64(t.Answered-stop+margin)/float64(ms))
 		}
 		end := t.Answered
 		if end == 0 {
@@ -163,7 +163,7 @@
 // effects: none happens twice, and a deferral is harmless to repeat.
 func (j *judge) effects(arrived map[string][]record.Arrival) {
 	ran := map[uint64]int{} // of once-only roots, over all tries
-	for _, t := range j.r.Tries {
+	for _, t := range j.r.Requests {
 		if t.Group < 0 {
 			continue
 		}
@@ -173,12 +173,12 @@
 		}
 		runs, effects, first := 0, 0, int64(0)
 		for _, a := range arrived[t.ID] {
-			if a.Ran {
+			if a.Executed {
 				if runs++; runs == 1 {
 					first = a.At
 				}
 			}
-			if a.Effect != 0 && !a.Dropped && (effects == 0 || a.At < first+f.DedupWindow) {
+			if a.Effect != 0 && !a.Deduplicated && (effects == 0 || a.At < first+f.DedupWindow) {
 				effects++
 			}
 		}
@@ -202,8 +202,8 @@
 // drains: new work to an upstream that drains or is gone only within the grace.
 func (j *judge) drains() {
 	type key struct{ balancer, upstream int }
-	told := map[key][]record.Told{}
-	for _, t := range j.r.Told {
+	told := map[key][]record.DiscoveryUpdate{}
+	for _, t := range j.r.DiscoveryUpdates {
 		told[key{t.Balancer, t.Upstream}] = append(told[key{t.Balancer, t.Upstream}], t)
 	}
 	for _, a := range j.r.Arrived {
@@ -212,7 +212,7 @@
 			continue
 		}
 		since := int64(-1) // told that it doesn't serve, and nothing else since
-		for _, t := range told[key{j.r.Tries[i].Balancer, a.Upstream}] {
+		for _, t := range told[key{j.r.Requests[i].Balancer, a.Upstream}] {
 			if t.At > a.At {
 				break
 			}
@@ -222,7 +222,7 @@
 				since = t.At
 			}
 		}
-		if since >= 0 && a.At > since+grace+margin && !j.excused(j.r.Tries[i].Balancer, since, a.At) {
+		if since >= 0 && a.At > since+grace+margin && !j.excused(j.r.Requests[i].Balancer, since, a.At) {
 			j.breach(3, "%s was sent %s %.2f s after it was told to drain", j.e.Upstreams[a.Upstream].Name, a.ID, float64(a.At-since)/float64(second))
 		}
 	}
@@ -241,7 +241,7 @@
 // service adds up what was earned of what was asked for.
 func (j *judge) service(arrived map[string][]record.Arrival) {
 	roots := map[uint64]*ending{}
-	for _, t := range j.r.Tries {
+	for _, t := range j.r.Requests {
 		if t.Group < 0 || t.Group >= len(j.e.Clients) {
 			continue
 		}
@@ -360,13 +360,13 @@
 			if n == 0 {
 				s.First++
 			}
-			if a.Turned {
+			if a.Rejected {
 				u.Turned++
 			}
-			if a.Dropped {
+			if a.Deduplicated {
 				u.Dropped++
 			}
-			if a.Ran {
+			if a.Executed {
 				u.Ran++
 			}
 		}
@@ -416,7 +416,7 @@
 
 // lag sees whether the lab kept its own time.
 func (j *judge) lag() {
-	j.out.Broken = j.r.Broken
+	j.out.Broken = j.r.AbortReason
 	if len(j.r.Lag) == 0 {
 		return
 	}
--- a/internal/lab/judge/judge_test.go
+++ b/internal/lab/judge/judge_test.go
@@ -41,18 +41,18 @@
 		if c.Due >= 9*second {
 			continue // broken off: not sent
 		}
-		try := record.Try{Root: c.Root, ID: string(rune('a' + n)), Due: c.Due, Sent: c.Due, Left: second, Status: 200, Answered: c.Due + 50*ms}
+		try := record.ClientRequest{Root: c.Root, ID: string(rune('a' + n)), Due: c.Due, Sent: c.Due, Timeout: second, Status: 200, Answered: c.Due + 50*ms}
 		switch c.Due / second {
 		case 3, 4:
 			try.Status = 503
 		case 5: // a retry earns by its first try's due time
 			first := try
 			first.ID, first.Status = first.ID+"0", 503
-			r.Tries = append(r.Tries, first)
+			r.Requests = append(r.Requests, first)
 			try.Sent, try.Answered = c.Due+400*ms, c.Due+450*ms
 		}
-		r.Tries = append(r.Tries, try)
-		r.Arrived = append(r.Arrived, record.Arrival{ID: try.ID, Root: c.Root, At: try.Sent + ms, Ran: true, Effect: try.Answered})
+		r.Requests = append(r.Requests, try)
+		r.Arrived = append(r.Arrived, record.Arrival{ID: try.ID, Root: c.Root, At: try.Sent + ms, Executed: true, Effect: try.Answered})
 	}
 	out := Judge(e, r)
 	asked := out.Figures["asked"]
@@ -68,7 +68,7 @@
 		t.Errorf("%q", out.Void)
 	}
 	// A balancer that the experiment itself killed is excused, another isn't.
-	r.Tries[0].Status, r.Tries[0].Closed = 0, true
+	r.Requests[0].Status, r.Requests[0].Closed = 0, true
 	if out := Judge(e, r); out.Figures["rule1"] != 1 {
 		t.Errorf("%v", out.Figures)
 	}
--- a/internal/lab/judge/ledger.go
+++ b/internal/lab/judge/ledger.go
@@ -23,7 +23,7 @@
 		tries           int
 	}
 	roots := map[uint64]*work{}
-	for _, t := range f.r.Tries {
+	for _, t := range f.r.Requests {
 		if t.Group < 0 || t.Group >= len(f.e.Clients) || !f.e.Clients[t.Group].Repeats {
 			continue
 		}
@@ -44,16 +44,16 @@
 	}
 	for _, a := range f.r.Arrived { // in order of time
 		// What a tagged transaction's upstream didn't do to its end it forgets as well; once-only work counts from its first step.
-		if w := roots[a.Root]; w != nil && a.Ran && !a.Dropped && (a.Effect != 0 || f.e.Tariffs[w.tariff].Idempotency == logic.NonIdempotent) {
+		if w := roots[a.Root]; w != nil && a.Executed && !a.Deduplicated && (a.Effect != 0 || f.e.Tariffs[w.tariff].Idempotency == logic.NonIdempotent) {
 			w.runs = append(w.runs, a)
 		}
 	}
 	written := map[string]record.Entry{}
-	for _, e := range f.r.Written {
-		written[e.Tariff+"/"+e.Label] = e
+	for _, e := range f.r.LedgerEntries {
+		written[e.Tariff+"/"+e.ClientKey] = e
 	}
 	counts := map[string]int{}
-	claims := f.r.Kept && f.r.Read != 0
+	claims := f.r.HasLedger && f.r.LedgerReadAt != 0
 	for _, root := range slices.Sorted(maps.Keys(roots)) {
 		w := roots[root]
 		tariff := f.e.Tariffs[w.tariff]
@@ -79,7 +79,7 @@
 		}
 		_, some := written[tariff.Name+"/"+w.label]
 		young := func(t int64) bool {
-			return t != 0 && (tariff.Idempotency == logic.NonIdempotent || f.r.Read < t+window)
+			return t != 0 && (tariff.Idempotency == logic.NonIdempotent || f.r.LedgerReadAt < t+window)
 		}
 		if n := len(w.runs); n > 0 && young(w.runs[n-1].At) && !some {
 			counts["denied"]++
@@ -90,7 +90,7 @@
 			f.breach("ledger", "%s %s was answered at %s, and the ledger holds nothing of it", tariff.Name, w.label, at(w.acked))
 		}
 	}
-	for _, l := range f.r.Looks {
+	for _, l := range f.r.LedgerReads {
 		w := roots[l.Root]
 		if w == nil {
 			continue
@@ -107,7 +107,7 @@
 				w.label, at(w.first))
 		}
 	}
-	if f.r.Read == 0 && f.r.Kept {
+	if f.r.LedgerReadAt == 0 && f.r.HasLedger {
 		f.breach("ledger", "the ledger could not be read at the end")
 	}
 	for _, name := range []string{"twice", "once_twice", "denied", "unheard", "repeats", "looks", "blind"} {
@@ -124,7 +124,7 @@
 	for _, o := range f.r.Outages {
 		spans = append(spans, record.Span{From: o.From, To: o.From + bound})
 	}
-	for _, t := range f.r.Links {
+	for _, t := range f.r.LinkFaults {
 		spans = append(spans, record.Span{From: t.Span.From, To: t.Span.From + bound})
 	}
 	for at, lost := int64(0), int64(-1); at <= f.e.Length; at += steps { // without a majority, and until it is back
@@ -137,8 +137,8 @@
 		}
 	}
 	parts := map[string]*part{}
-	done := map[uint64]record.Try{}
-	for _, t := range f.r.Tries {
+	done := map[uint64]record.ClientRequest{}
+	for _, t := range f.r.Requests {
 		if t.Group < 0 || t.Group >= len(f.e.Clients) {
 			continue
 		}
--- a/internal/lab/judge/majority.go
+++ b/internal/lab/judge/majority.go
@@ -46,7 +46,7 @@
 		if !votes[a] {
 			return false
 		}
-		for _, t := range f.r.Links {
+		for _, t := range f.r.LinkFaults {
 			if t.From == a && t.To < len(votes) && set>>t.To&1 != 0 && overlaps(record.Span{From: t.Span.From, To: t.Span.To + heals}, at, at) &&
 				(t.Kind == "cut" || t.Kind == "stall" || t.Kind == "trickle") {
 				return false
@@ -65,9 +65,9 @@
 		if o.To == 0 || at <= o.To+heals {
 			return false
 		}
-		if o.Seatless {
+		if o.WithoutState {
 			seated := false
-			for _, s := range f.r.Seated {
+			for _, s := range f.r.VoterReplacements {
 				seated = seated || s.Balancer == k && s.At > o.From && at > s.At+seating
 			}
 			if !seated {
--- a/internal/lab/load/ceiling.go
+++ b/internal/lab/load/ceiling.go
@@ -18,8 +18,9 @@
 	"ottershift/logic"
 )
 
-// atOnce starts an upstream that answers immediately, so that it adds no service time. It counts requests in came.
-func atOnce(came *atomic.Int64) (net.Listener, error) {
+// startInstantUpstream starts an upstream that answers immediately, so that it adds no service time.
+// It counts requests in came.
+func startInstantUpstream(came *atomic.Int64) (net.Listener, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -57,9 +58,9 @@
 	}
 }
 
-// Ceiling returns the maximum closed-loop rate of the lab's clients, in calls per second.
-func Ceiling(span time.Duration) (float64, error) {
-	l, err := atOnce(new(atomic.Int64))
+// MaxCallRate returns the maximum closed-loop rate of the lab's clients, in calls per second.
+func MaxCallRate(span time.Duration) (float64, error) {
+	l, err := startInstantUpstream(new(atomic.Int64))
 	if err != nil {
 		return 0, err
 	}
@@ -73,7 +74,7 @@
 		for n := range clients {
 			all.Go(func() {
 				for i := uint64(0); time.Now().Before(end); i++ {
-					if a, _ := p.try(0, 0, 0, "", "", uint64(n)<<32+i, 5*time.Second, false, 0); a.Status == 200 {
+					if a, _ := p.sendRequest(0, 0, 0, "", "", uint64(n)<<32+i, 5*time.Second, false, 0); a.Status == 200 {
 						made.Add(1)
 					}
 				}
@@ -86,16 +87,16 @@
 	return best, nil
 }
 
-// Error is the latency that the lab itself adds: measured without a balancer, against an upstream that answers
+// OwnLatency is the latency that the lab itself adds: measured without a balancer, against an upstream that answers
 // immediately.
-type Error struct {
-	Rate           float64
-	P50, P99, Most time.Duration
+type OwnLatency struct {
+	Rate          float64
+	P50, P99, Max time.Duration
 }
 
-// Own generates an open load at a rate and measures the time from each call's due time to its answer.
-func Own(rate float64, span time.Duration) (e Error, err error) {
-	l, err := atOnce(new(atomic.Int64))
+// MeasureOwnLatency generates an open load at a rate and measures the time from each call's due time to its answer.
+func MeasureOwnLatency(rate float64, span time.Duration) (e OwnLatency, err error) {
+	l, err := startInstantUpstream(new(atomic.Int64))
 	if err != nil {
 		return e, err
 	}
@@ -105,13 +106,13 @@
 	p.Run(context.Background(), x.Load())
 	p.Gather(r)
 	h := hdrhistogram.New(1, int64(time.Minute), 3)
-	for _, t := range r.Tries {
+	for _, t := range r.Requests {
 		if t.Status == 200 {
 			h.RecordValue(max(1, t.Answered-t.Due))
 		}
 	}
-	return Error{
+	return OwnLatency{
 		Rate: float64(h.TotalCount()) / span.Seconds(), P50: time.Duration(h.ValueAtQuantile(50)).Round(time.Microsecond),
-		P99: time.Duration(h.ValueAtQuantile(99)).Round(time.Microsecond), Most: time.Duration(h.Max()).Round(time.Microsecond),
+		P99: time.Duration(h.ValueAtQuantile(99)).Round(time.Microsecond), Max: time.Duration(h.Max()).Round(time.Microsecond),
 	}, nil
 }
--- a/internal/lab/load/client.go
+++ b/internal/lab/load/client.go
@@ -16,21 +16,21 @@
 
 // Answer is the outcome of one request at its client.
 type Answer struct {
-	Status  int
-	Advice  time.Duration // Retry-After
-	Body    []byte
-	Sent    time.Time // when the last byte of the request was written; zero if it was not
-	Read    time.Time // when reading the answer ended
-	Extra   bool      // bytes beyond the answer arrived
-	Closed  bool      // the connection ended without an answer
-	Gone    bool      // the deadline passed first
-	Refused bool      // no connection could be opened
+	Status     int
+	RetryAfter time.Duration // from the Retry-After header; 0 if absent
+	Body       []byte
+	Sent       time.Time // when the last byte of the request was written; zero if it was not
+	Read       time.Time // when reading the answer ended
+	Extra      bool      // bytes beyond the answer arrived
+	Closed     bool      // the connection ended without an answer
+	TimedOut   bool      // the deadline passed first
+	Refused    bool      // no connection could be opened
 }
 
 // Target is a balancer with the connection pool of one group of clients.
 type Target struct {
-	address string
-	keep    bool
+	address   string
+	keepAlive bool
 
 	mu   sync.Mutex
 	idle []*conn
@@ -38,12 +38,14 @@
 
 type conn struct {
 	net.Conn
-	in   *bufio.Reader
-	used bool
+	reader *bufio.Reader
+	used   bool
 }
 
 // NewTarget returns a target. With keep, connections are reused.
-func NewTarget(address string, keep bool) *Target { return &Target{address: address, keep: keep} }
+func NewTarget(address string, keepAlive bool) *Target {
+	return &Target{address: address, keepAlive: keepAlive}
+}
 
 // Close closes the idle connections.
 func (t *Target) Close() {
@@ -60,7 +62,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	last := len(t.idle) - 1
-	if !t.keep || last < 0 {
+	if !t.keepAlive || last < 0 {
 		return nil
 	}
 	c := t.idle[last]
@@ -68,9 +70,9 @@
 	return c
 }
 
-// get returns the most recently used idle connection or opens a new one. The balancer may have closed an idle
+// connection returns the most recently used idle connection or opens a new one. The balancer may have closed an idle
 // connection, which shows only on use.
-func (t *Target) get(until time.Time) (c *conn, err error) {
+func (t *Target) connection(until time.Time) (c *conn, err error) {
 	if c := t.takeIdle(); c != nil {
 		return c, nil
 	}
@@ -78,7 +80,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &conn{Conn: n, in: bufio.NewReaderSize(n, 4096)}, nil
+	return &conn{Conn: n, reader: bufio.NewReaderSize(n, 4096)}, nil
 }
 
 // Do sends a request and waits for its answer until a deadline. If the balancer closes a reused connection while the
@@ -88,21 +90,21 @@
 // closed and not as refused, because a refused request is safe to send elsewhere.
 func (t *Target) Do(request []byte, until time.Time) (a Answer) {
 	for first := true; ; first = false {
-		c, err := t.get(until)
+		c, err := t.connection(until)
 		if err != nil {
 			a.Refused = first
 			return a
 		}
 		again := false
-		if a, again = t.on(c, request, until); !again {
+		if a, again = t.roundTrip(c, request, until); !again {
 			return a
 		}
 	}
 }
 
-func (t *Target) on(c *conn, request []byte, until time.Time) (a Answer, again bool) {
+func (t *Target) roundTrip(c *conn, request []byte, until time.Time) (a Answer, again bool) {
 	c.SetDeadline(until)
-	if c.in.Buffered() > 0 {
+	if c.reader.Buffered() > 0 {
 		// These bytes arrived after the last answer and belong to no request.
 		c.Close()
 		a.Extra = true
@@ -115,7 +117,7 @@
 		return a, c.used
 	}
 	a.Sent = time.Now()
-	r, err := http.ReadResponse(c.in, nil)
+	r, err := http.ReadResponse(c.reader, nil)
 	if err == nil {
 		a.Body, err = io.ReadAll(r.Body)
 	}
@@ -123,7 +125,7 @@
 	if err != nil {
 		c.Close()
 		late, _ := err.(net.Error)
-		if a.Gone = late != nil && late.Timeout() || !a.Read.Before(until); a.Gone {
+		if a.TimedOut = late != nil && late.Timeout() || !a.Read.Before(until); a.TimedOut {
 			return a, false
 		}
 		a.Closed = true
@@ -133,10 +135,10 @@
 	}
 	a.Status = r.StatusCode
 	if s, err := strconv.ParseFloat(r.Header.Get("Retry-After"), 64); err == nil {
-		a.Advice = time.Duration(s * float64(time.Second))
+		a.RetryAfter = time.Duration(s * float64(time.Second))
 	}
-	a.Extra = c.in.Buffered() > 0
-	if r.Close || !t.keep || a.Extra {
+	a.Extra = c.reader.Buffered() > 0
+	if r.Close || !t.keepAlive || a.Extra {
 		c.Close()
 		return a, false
 	}
@@ -147,22 +149,22 @@
 	return a, false
 }
 
-// Stray returns the number of idle connections with unread bytes. It finds excess bytes after the last answer on a
-// connection, where no further request would find them.
-func (t *Target) Stray() (n int) {
+// ConnsWithUnreadBytes returns the number of idle connections with unread bytes. It finds excess bytes after
+// the last answer on a connection, where no further request would find them.
+func (t *Target) ConnsWithUnreadBytes() (n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, c := range t.idle {
 		c.SetReadDeadline(time.Now().Add(time.Millisecond))
-		if _, err := c.in.Peek(1); err == nil {
+		if _, err := c.reader.Peek(1); err == nil {
 			n++
 		}
 	}
 	return n
 }
 
-// Request formats a request in the platform's protocol.
-func Request(tariff, host, id, customer, key string, root uint64, left time.Duration, again bool, post bool, body int) []byte {
+// FormatRequest formats a request in the platform's protocol.
+func FormatRequest(tariff, host, id, customer, key string, root uint64, left time.Duration, again bool, post bool, body int) []byte {
 	var b bytes.Buffer
 	method := "GET"
 	if post {
--- a/internal/lab/load/client_test.go
+++ b/internal/lab/load/client_test.go
@@ -10,7 +10,7 @@
 
 // A balancer that reads a request on a reused connection and then exits may have forwarded it. The client must report
 // the request as closed without an answer, not as refused.
-func TestDeathIsNoRefusal(t *testing.T) {
+func TestClosedConnectionIsNotRefusal(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -29,7 +29,7 @@
 	}()
 	target := NewTarget(l.Addr().String(), true)
 	defer target.Close()
-	request := Request("comment", "album.lab", "1", "", "", 1, time.Second, false, true, 0)
+	request := FormatRequest("comment", "album.lab", "1", "", "", 1, time.Second, false, true, 0)
 	if a := target.Do(request, time.Now().Add(time.Second)); a.Status != 200 {
 		t.Fatalf("first request: %+v", a)
 	}
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -14,36 +14,36 @@
 	"ottershift/logic"
 )
 
-// Load emulates the clients of one run.
-type Load struct {
-	e       *spec.Experiment
-	epoch   time.Time
-	targets [][]*Target // by client group (the last one for calls between tiers), then by balancer
-	post    []bool      // by tariff: whether requests use POST
-	ids     atomic.Uint64
-	pick    atomic.Uint64
+// Generator emulates the clients of one run.
+type Generator struct {
+	experiment   *spec.Experiment
+	epoch        time.Time
+	targets      [][]*Target // by client group (the last one for calls between tiers), then by balancer
+	post         []bool      // by tariff: whether requests use POST
+	lastID       atomic.Uint64
+	nextBalancer atomic.Uint64
 
-	mu    sync.Mutex
-	tries []record.Try
-	lag   []int64
-	down  []bool        // balancers that clients must not use
-	late  [64]spec.Call // ring of the latest calls of repeating clients
-	asked int
+	mu          sync.Mutex
+	requests    []record.ClientRequest
+	lag         []int64
+	down        []bool        // balancers that clients must not use
+	recentCalls [64]spec.Call // ring of the latest calls of repeating clients
+	recentCount int
 }
 
 // Recent returns a random recent call of repeating clients; ok is false if there is none.
-func (l *Load) Recent() (c spec.Call, ok bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.asked == 0 {
+func (g *Generator) Recent() (c spec.Call, ok bool) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.recentCount == 0 {
 		return c, false
 	}
-	return l.late[rand.IntN(min(l.asked, len(l.late)))], true
+	return g.recentCalls[rand.IntN(min(g.recentCount, len(g.recentCalls)))], true
 }
 
 // New creates the clients of an experiment for the balancers at the given addresses.
-func New(e *spec.Experiment, epoch time.Time, addresses []string) *Load {
-	l := &Load{e: e, epoch: epoch, down: make([]bool, len(addresses))}
+func New(e *spec.Experiment, epoch time.Time, addresses []string) *Generator {
+	l := &Generator{experiment: e, epoch: epoch, down: make([]bool, len(addresses))}
 	for n := range len(e.Clients) + 1 {
 		var all []*Target
 		for _, a := range addresses {
@@ -57,28 +57,28 @@
 	return l
 }
 
-func (l *Load) now() int64 { return int64(time.Since(l.epoch)) }
+func (g *Generator) now() int64 { return int64(time.Since(g.epoch)) }
 
-// Down marks a balancer as down or up for the clients, as a load balancer in front of the balancers would.
-func (l *Load) Down(balancer int, down bool) {
-	l.mu.Lock()
-	l.down[balancer] = down
-	l.mu.Unlock()
+// SetDown marks a balancer as down or up for the clients, as a load balancer in front of the balancers would.
+func (g *Generator) SetDown(balancer int, down bool) {
+	g.mu.Lock()
+	g.down[balancer] = down
+	g.mu.Unlock()
 	if down {
-		for _, all := range l.targets {
+		for _, all := range g.targets {
 			all[balancer].Close()
 		}
 	}
 }
 
-// balancer returns the next balancer in round-robin order that is not down.
-func (l *Load) balancer() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	n := len(l.down)
-	from := int(l.pick.Add(1)) % n
+// pickBalancer returns the next balancer in round-robin order that is not down.
+func (g *Generator) pickBalancer() int {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	n := len(g.down)
+	from := int(g.nextBalancer.Add(1)) % n
 	for i := range n {
-		if !l.down[(from+i)%n] {
+		if !g.down[(from+i)%n] {
 			return (from + i) % n
 		}
 	}
@@ -86,13 +86,13 @@
 }
 
 // Run sends all planned calls and returns when all have ended.
-func (l *Load) Run(ctx context.Context, plan []spec.Call) {
+func (g *Generator) Run(ctx context.Context, plan []spec.Call) {
 	var open sync.WaitGroup
 	defer open.Wait()
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for n, c := range plan {
-		if wait := time.Duration(c.Due - l.now()); wait > 0 {
+		if wait := time.Duration(c.Due - g.now()); wait > 0 {
 			timer.Reset(wait)
 			select {
 			case <-timer.C:
@@ -104,40 +104,40 @@
 			return
 		}
 		if n%16 == 0 {
-			l.mu.Lock()
-			l.lag = append(l.lag, max(0, l.now()-c.Due))
-			l.mu.Unlock()
+			g.mu.Lock()
+			g.lag = append(g.lag, max(0, g.now()-c.Due))
+			g.mu.Unlock()
 		}
-		open.Go(func() { l.ask(ctx, c) })
+		open.Go(func() { g.callWithRetries(ctx, c) })
 	}
 }
 
-// ask performs one call with its retries.
-func (l *Load) ask(ctx context.Context, c spec.Call) {
-	k := l.e.Clients[c.Clients]
-	f := l.e.Tariffs[k.Tariff]
+// callWithRetries performs one call with its retries.
+func (g *Generator) callWithRetries(ctx context.Context, c spec.Call) {
+	k := g.experiment.Clients[c.Clients]
+	f := g.experiment.Tariffs[k.Tariff]
 	key := ""
 	if f.Idempotency == logic.Keyed || k.Keyed {
 		key = fmt.Sprintf("%016x", c.Root)
 	}
 	if k.Repeats {
-		l.mu.Lock()
-		l.late[l.asked%len(l.late)] = c
-		l.asked++
-		l.mu.Unlock()
+		g.mu.Lock()
+		g.recentCalls[g.recentCount%len(g.recentCalls)] = c
+		g.recentCount++
+		g.mu.Unlock()
 	}
 	if k.After > 0 {
-		l.insist(ctx, c, k, key)
+		g.callHedged(ctx, c, k, key)
 		return
 	}
 	for try := 0; ctx.Err() == nil; try++ {
-		left := time.Duration(c.Due + k.Patience - l.now())
+		left := time.Duration(c.Due + k.Patience - g.now())
 		if left <= 0 {
 			return
 		}
-		a, t := l.try(c.Clients, k.Pool, k.Tariff, k.Customer, key, c.Root, left, try > 0 && k.Marks, k.Body)
+		a, t := g.sendRequest(c.Clients, k.Pool, k.Tariff, k.Customer, key, c.Root, left, try > 0 && k.Marks, k.Body)
 		t.Due = c.Due
-		l.note(t)
+		g.addRequest(t)
 		again := a.Status == 503 || a.Status == 429 || a.Refused
 		// A failed request may have run, so it is retried only if a second run does no harm.
 		harmless := f.Idempotency == logic.Idempotent || f.Idempotency == logic.Keyed && f.DedupScope == logic.Everywhere
@@ -146,8 +146,8 @@
 			return
 		}
 		pause := time.Duration(k.Pause)
-		if k.Heeds && a.Advice > 0 {
-			pause = a.Advice
+		if k.Heeds && a.RetryAfter > 0 {
+			pause = a.RetryAfter
 		}
 		pause = pause/2 + rand.N(pause+1)
 		select {
@@ -158,13 +158,13 @@
 	}
 }
 
-// insist performs one call of a hedging client: without an answer for some time, it also sends the request with the same
-// key to another balancer, and takes the first answer that settles it.
-func (l *Load) insist(ctx context.Context, c spec.Call, k *spec.Clients, key string) {
+// callHedged performs one call of a hedging client: without an answer for some time, it also sends
+// the request with the same key to another balancer, and takes the first answer that settles it.
+func (g *Generator) callHedged(ctx context.Context, c spec.Call, k *spec.Clients, key string) {
 	answers := make(chan Answer, k.Retries+1)
 	out, tries := 0, 0
 	send := func() {
-		left := time.Duration(c.Due + k.Patience - l.now())
+		left := time.Duration(c.Due + k.Patience - g.now())
 		if left <= 0 || tries > k.Retries {
 			return
 		}
@@ -172,9 +172,9 @@
 		out++
 		tries++
 		go func() {
-			a, t := l.try(c.Clients, k.Pool, k.Tariff, k.Customer, key, c.Root, left, again, k.Body)
+			a, t := g.sendRequest(c.Clients, k.Pool, k.Tariff, k.Customer, key, c.Root, left, again, k.Body)
 			t.Due = c.Due
-			l.note(t)
+			g.addRequest(t)
 			answers <- a
 		}()
 	}
@@ -190,8 +190,8 @@
 				continue // outstanding requests run to their end
 			}
 			pause := time.Duration(k.Pause)
-			if k.Heeds && a.Advice > 0 {
-				pause = a.Advice
+			if k.Heeds && a.RetryAfter > 0 {
+				pause = a.RetryAfter
 			}
 			if out == 0 && tries <= k.Retries {
 				select {
@@ -217,37 +217,37 @@
 }
 
 // Call sends a transaction from an upstream to the next tier and reports whether it succeeded.
-func (l *Load) Call(ctx context.Context, from *spec.Group, root uint64, left time.Duration) bool {
-	k, key := len(l.e.Clients), ""
-	if l.e.Tariffs[from.Calls.Tariff].Idempotency == logic.Keyed {
-		key = fmt.Sprintf("%016x-%x", root, l.ids.Add(1))
+func (g *Generator) Call(ctx context.Context, from *spec.Group, root uint64, left time.Duration) bool {
+	k, key := len(g.experiment.Clients), ""
+	if g.experiment.Tariffs[from.Calls.Tariff].Idempotency == logic.Keyed {
+		key = fmt.Sprintf("%016x-%x", root, g.lastID.Add(1))
 	}
-	a, t := l.try(k, from.Calls.Pool, from.Calls.Tariff, "", key, root, left, false, 0)
+	a, t := g.sendRequest(k, from.Calls.Pool, from.Calls.Tariff, "", key, root, left, false, 0)
 	t.Due = t.Sent
-	l.note(t)
+	g.addRequest(t)
 	return a.Status == 200
 }
 
-// try sends one request to the next balancer and returns its answer and its record.
-func (l *Load) try(
+// sendRequest sends one request to the next balancer and returns its answer and its record.
+func (g *Generator) sendRequest(
 	clients, pool, tariff int, customer, key string, root uint64, left time.Duration, again bool, body int,
-) (Answer, record.Try) {
-	id := fmt.Sprintf("%08x%08x", uint32(root), l.ids.Add(1))
-	balancer := l.balancer()
+) (Answer, record.ClientRequest) {
+	id := fmt.Sprintf("%08x%08x", uint32(root), g.lastID.Add(1))
+	balancer := g.pickBalancer()
 	until := time.Now().Add(left)
-	request := Request(l.e.Tariffs[tariff].Name, l.e.Host(pool), id, customer, key, root, left, again, l.post[tariff], body)
+	request := FormatRequest(g.experiment.Tariffs[tariff].Name, g.experiment.Host(pool), id, customer, key, root, left, again, g.post[tariff], body)
 	// The client waits 100 ms longer than the timeout it announces, so that the judge still sees answers in transit
 	// at that time.
-	a := l.targets[clients][balancer].Do(request, until.Add(100*time.Millisecond))
-	t := record.Try{
-		Root: root, ID: id, Group: clients, Tariff: tariff, Balancer: balancer, Left: int64(left), Status: a.Status,
+	a := g.targets[clients][balancer].Do(request, until.Add(100*time.Millisecond))
+	t := record.ClientRequest{
+		Root: root, ID: id, Group: clients, Tariff: tariff, Balancer: balancer, Timeout: int64(left), Status: a.Status,
 		Extra: a.Extra, Closed: a.Closed,
 	}
 	if !a.Sent.IsZero() {
-		t.Sent = int64(a.Sent.Sub(l.epoch))
+		t.Sent = int64(a.Sent.Sub(g.epoch))
 	}
 	if a.Status != 0 {
-		t.Answered = int64(a.Read.Sub(l.epoch))
+		t.Answered = int64(a.Read.Sub(g.epoch))
 	}
 	if a.Status == 200 && !strings.HasPrefix(string(a.Body), "ok "+id+" ") {
 		t.Extra = true // the answer of another request
@@ -255,24 +255,24 @@
 	return a, t
 }
 
-func (l *Load) note(t record.Try) {
-	l.mu.Lock()
-	l.tries = append(l.tries, t)
-	l.mu.Unlock()
+func (g *Generator) addRequest(t record.ClientRequest) {
+	g.mu.Lock()
+	g.requests = append(g.requests, t)
+	g.mu.Unlock()
 }
 
 // Gather adds the observations of the clients to a record and closes their connections.
-func (l *Load) Gather(r *record.Run) {
-	for _, all := range l.targets {
+func (g *Generator) Gather(r *record.Run) {
+	for _, all := range g.targets {
 		for b, t := range all {
-			if n := t.Stray(); n > 0 {
-				r.Tries = append(r.Tries, record.Try{Balancer: b, Group: -1, Extra: true})
+			if n := t.ConnsWithUnreadBytes(); n > 0 {
+				r.Requests = append(r.Requests, record.ClientRequest{Balancer: b, Group: -1, Extra: true})
 			}
 			t.Close()
 		}
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	r.Tries = append(r.Tries, l.tries...)
-	r.Lag = append(r.Lag, l.lag...)
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	r.Requests = append(r.Requests, g.requests...)
+	r.Lag = append(r.Lag, g.lag...)
 }
--- a/internal/lab/load/rate.go
+++ b/internal/lab/load/rate.go
@@ -17,23 +17,23 @@
 	"ottershift/internal/lab/record"
 )
 
-// Through is the measured throughput of a balancer.
-type Through struct {
+// Throughput is the measured throughput of a balancer.
+type Throughput struct {
 	Clients  int
 	Rate     float64 // settled requests per second
-	Other    int     // requests with another answer or none
+	Failed   int     // requests with another answer or none
 	P50, P99 time.Duration
-	Pushes   float64 // per transaction
+	Attempts float64 // per transaction
 	Memory   int64   // resident set size at the end, in bytes
 }
 
 // Rig is one balancer between upstreams that answer immediately and closed-loop clients.
 type Rig struct {
-	command *exec.Cmd
-	lists   []net.Listener
-	pushes  atomic.Int64
-	log     *os.File
-	target  string
+	command   *exec.Cmd
+	upstreams []net.Listener
+	attempts  atomic.Int64
+	log       *os.File
+	target    string
 }
 
 const rigUpstreams = 8
@@ -49,15 +49,15 @@
 	}()
 	var entries []string
 	for n := range rigUpstreams {
-		l, err := atOnce(&r.pushes)
+		l, err := startInstantUpstream(&r.attempts)
 		if err != nil {
 			return r, err
 		}
-		r.lists = append(r.lists, l)
+		r.upstreams = append(r.upstreams, l)
 		entries = append(entries, fmt.Sprintf(`{"name":"u%d","address":%q,"zone":"a","type":"m","group":1,"status":"SERVING","weight":1,"since_ms":0}`, n, l.Addr()))
 	}
 	if program == "" {
-		r.target = r.lists[0].Addr().String()
+		r.target = r.upstreams[0].Addr().String()
 		return r, nil
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -104,7 +104,7 @@
 		r.command.Process.Kill()
 		r.command.Wait()
 	}
-	for _, l := range r.lists {
+	for _, l := range r.upstreams {
 		l.Close()
 	}
 	if r.log != nil {
@@ -112,26 +112,26 @@
 	}
 }
 
-// Closed runs a closed load for span: each client sends its next request when it has its answer. The first fifth is a
-// warm-up and is not counted.
-func (r *Rig) Closed(clients int, span time.Duration) Through {
+// RunClosedLoop runs a closed load for span: each client sends its next request when it has its
+// answer. The first fifth is a warm-up and is not counted.
+func (r *Rig) RunClosedLoop(clients int, span time.Duration) Throughput {
 	p := New(experiment(1, span), time.Now(), []string{r.target})
 	defer p.Gather(&record.Run{})
 	h := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
-	t, counted := Through{Clients: clients}, span*4/5
+	t, counted := Throughput{Clients: clients}, span*4/5
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	start := time.Now()
 	from, end := start.Add(span/5), start.Add(span)
 	var before atomic.Int64
-	time.AfterFunc(span/5, func() { before.Store(r.pushes.Load()) })
+	time.AfterFunc(span/5, func() { before.Store(r.attempts.Load()) })
 	for n := range clients {
 		all.Go(func() {
 			var took []time.Duration
 			other := 0
 			for i := uint64(0); time.Now().Before(end); i++ {
 				began := time.Now()
-				a, _ := p.try(0, 0, 0, "", "", uint64(n)<<32+i, 5*time.Second, false, 0)
+				a, _ := p.sendRequest(0, 0, 0, "", "", uint64(n)<<32+i, 5*time.Second, false, 0)
 				if began.Before(from) {
 					continue
 				}
@@ -143,18 +143,18 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			t.Other += other
+			t.Failed += other
 			for _, d := range took {
 				h.RecordValue(max(1, d.Microseconds()))
 			}
 		})
 	}
 	all.Wait()
-	pushes := r.pushes.Load() - before.Load()
+	pushes := r.attempts.Load() - before.Load()
 	t.Rate = float64(h.TotalCount()) / counted.Seconds()
 	t.P50 = time.Duration(h.ValueAtQuantile(50)) * time.Microsecond
 	t.P99 = time.Duration(h.ValueAtQuantile(99)) * time.Microsecond
-	t.Pushes = float64(pushes) / float64(max(h.TotalCount()+int64(t.Other), 1))
+	t.Attempts = float64(pushes) / float64(max(h.TotalCount()+int64(t.Failed), 1))
 	if r.command != nil {
 		text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", r.command.Process.Pid))
 		_, rest, _ := strings.Cut(string(text), "VmRSS:")
--- a/internal/lab/report/html.go
+++ b/internal/lab/report/html.go
@@ -12,33 +12,33 @@
 	"ottershift/internal/lab/judge"
 )
 
-// HTML writes a self-contained page.
-func (o *Outcome) HTML(w io.Writer) error {
+// WriteHTML writes a self-contained page.
+func (outcome *Outcome) WriteHTML(w io.Writer) error {
 	var b strings.Builder
-	draw.WritePageHead(&b, o.Name)
-	fmt.Fprintf(&b, `<p>%s</p><p>%s</p><p class="%s"><b>verdict: %s</b></p><ul>`, esc(o.Title), esc(o.About), o.Verdict, o.Verdict)
-	for _, word := range o.Words {
-		fmt.Fprintf(&b, "<li>%s</li>", esc(word))
+	draw.WritePageHead(&b, outcome.Name)
+	fmt.Fprintf(&b, `<p>%s</p><p>%s</p><p class="%s"><b>verdict: %s</b></p><ul>`, escapeHTML(outcome.Title), escapeHTML(outcome.About), outcome.Verdict, outcome.Verdict)
+	for _, word := range outcome.Words {
+		fmt.Fprintf(&b, "<li>%s</li>", escapeHTML(word))
 	}
 	b.WriteString("</ul><table><tr><th>variant</th>")
 	for _, c := range columns {
 		fmt.Fprintf(&b, "<th>%s</th>", c.figure)
 	}
 	b.WriteString("</tr>")
-	for _, v := range o.Variants {
-		fmt.Fprintf(&b, "<tr><td>%s</td>", esc(v.Name))
+	for _, v := range outcome.Variants {
+		fmt.Fprintf(&b, "<tr><td>%s</td>", escapeHTML(v.Name))
 		for _, c := range columns {
-			fmt.Fprintf(&b, "<td>%s</td>", cell(v.Values(c.figure), c.format))
+			fmt.Fprintf(&b, "<td>%s</td>", formatCell(v.Values(c.figure), c.format))
 		}
 		b.WriteString("</tr>")
 	}
-	fmt.Fprintf(&b, "</table><p>Times in milliseconds, recovery in seconds. Seed %d. Shaded: while a fault lasts.</p>", o.Seed)
-	for _, v := range o.Variants {
+	fmt.Fprintf(&b, "</table><p>Times in milliseconds, recovery in seconds. Seed %d. Shaded: while a fault lasts.</p>", outcome.Seed)
+	for _, v := range outcome.Variants {
 		if len(v.Runs) == 0 {
 			continue
 		}
-		fmt.Fprintf(&b, "<h2>%s</h2>", esc(v.Name))
-		for _, p := range o.pictures(v.Runs[0]) {
+		fmt.Fprintf(&b, "<h2>%s</h2>", escapeHTML(v.Name))
+		for _, p := range outcome.charts(v.Runs[0]) {
 			fmt.Fprintf(&b, "<figure>%s</figure>", p.svg)
 		}
 	}
@@ -47,29 +47,29 @@
 	return err
 }
 
-// picture is a self-contained SVG image.
-type picture struct{ name, svg string }
+// chart is a self-contained SVG image.
+type chart struct{ name, svg string }
 
-func (o *Outcome) pictures(r *judge.Result) (all []picture) {
+func (outcome *Outcome) charts(r *judge.Result) (all []chart) {
 	for _, p := range []struct {
 		name string
 		draw func(b *strings.Builder, r *judge.Result)
-	}{{"latency", o.latency}, {"answers", o.answers}, {"attempts", o.attempts}, {"upstreams", upstreams}} {
+	}{{"latency", outcome.latency}, {"answers", outcome.answers}, {"attempts", outcome.attempts}, {"upstreams", upstreams}} {
 		var b strings.Builder
 		p.draw(&b, r)
-		all = append(all, picture{p.name, b.String()})
+		all = append(all, chart{p.name, b.String()})
 	}
 	return all
 }
 
-// Pictures writes the charts of the first run of each variant into a folder and returns the file names.
-func (o *Outcome) Pictures(dir string) (files []string, err error) {
-	for _, v := range o.Variants {
+// WriteCharts writes the charts of the first run of each variant into a folder and returns the file names.
+func (outcome *Outcome) WriteCharts(dir string) (files []string, err error) {
+	for _, v := range outcome.Variants {
 		if len(v.Runs) == 0 {
 			continue
 		}
-		for _, p := range o.pictures(v.Runs[0]) {
-			file := filepath.Join(dir, fmt.Sprintf("%s-%s-%s.svg", o.Name, v.Name, p.name))
+		for _, p := range outcome.charts(v.Runs[0]) {
+			file := filepath.Join(dir, fmt.Sprintf("%s-%s-%s.svg", outcome.Name, v.Name, p.name))
 			if err := os.WriteFile(file, []byte(p.svg+"\n"), 0o644); err != nil {
 				return files, err
 			}
@@ -79,25 +79,25 @@
 	return files, nil
 }
 
-func esc(text string) string { return draw.EscapeHTML(text) }
+func escapeHTML(text string) string { return draw.EscapeHTML(text) }
 
 // plot returns the time axis and the fault intervals, which all charts share.
-func (o *Outcome) plot() *draw.Plot {
-	p := &draw.Plot{Duration: o.Length}
-	for _, f := range o.Faults {
+func (outcome *Outcome) plot() *draw.Plot {
+	p := &draw.Plot{Duration: outcome.Length}
+	for _, f := range outcome.Faults {
 		p.Spans = append(p.Spans, draw.Span{Name: f.Kind, From: f.From, To: f.To})
 	}
 	return p
 }
 
-func each(r *judge.Result, of func(s judge.Second) float64) (all []float64) {
+func perSecond(r *judge.Result, of func(s judge.Second) float64) (all []float64) {
 	for _, s := range r.Seconds {
 		all = append(all, of(s))
 	}
 	return all
 }
 
-func some(v float64) float64 {
+func zeroAsNaN(v float64) float64 {
 	if v == 0 {
 		return math.NaN()
 	}
@@ -105,11 +105,11 @@
 }
 
 // latency draws latency quantiles over time, on a logarithmic scale.
-func (o *Outcome) latency(b *strings.Builder, r *judge.Result) {
+func (outcome *Outcome) latency(b *strings.Builder, r *judge.Result) {
 	lines := []draw.Series{
-		{Name: "99 in 100", Colour: "#a22", Values: each(r, func(s judge.Second) float64 { return some(s.P99) })},
-		{Name: "95 in 100", Colour: "#b80", Values: each(r, func(s judge.Second) float64 { return some(s.P95) })},
-		{Name: "half", Colour: "#27a", Values: each(r, func(s judge.Second) float64 { return some(s.P50) })},
+		{Name: "99 in 100", Colour: "#a22", Values: perSecond(r, func(s judge.Second) float64 { return zeroAsNaN(s.P99) })},
+		{Name: "95 in 100", Colour: "#b80", Values: perSecond(r, func(s judge.Second) float64 { return zeroAsNaN(s.P95) })},
+		{Name: "half", Colour: "#27a", Values: perSecond(r, func(s judge.Second) float64 { return zeroAsNaN(s.P50) })},
 	}
 	low, most := math.Inf(1), 1.0
 	for _, l := range lines {
@@ -126,7 +126,7 @@
 	for p := from; p <= to; p++ {
 		ticks = append(ticks, math.Pow(10, p))
 	}
-	p := o.plot()
+	p := outcome.plot()
 	p.OpenWithAxes(b, "Latency of settled transactions, from their due time, milliseconds", ticks, y, "%g")
 	for n, l := range lines {
 		p.Line(b, l, n, y)
@@ -135,28 +135,28 @@
 }
 
 // answers draws stacked bars of the outcomes by kind.
-func (o *Outcome) answers(b *strings.Builder, r *judge.Result) {
+func (outcome *Outcome) answers(b *strings.Builder, r *judge.Result) {
 	all := []draw.Series{
-		{Name: "in time", Colour: "#3a7", Values: each(r, func(s judge.Second) float64 { return float64(s.Settled - s.Late) })},
-		{Name: "late", Colour: "#b80", Values: each(r, func(s judge.Second) float64 { return float64(s.Late) })},
-		{Name: "deferred", Colour: "#89b", Values: each(r, func(s judge.Second) float64 { return float64(s.Deferred) })},
-		{Name: "failed", Colour: "#a22", Values: each(r, func(s judge.Second) float64 { return float64(s.Failed) })},
-		{Name: "lost", Colour: "#222", Values: each(r, func(s judge.Second) float64 { return float64(s.Lost) })},
+		{Name: "in time", Colour: "#3a7", Values: perSecond(r, func(s judge.Second) float64 { return float64(s.Settled - s.Late) })},
+		{Name: "late", Colour: "#b80", Values: perSecond(r, func(s judge.Second) float64 { return float64(s.Late) })},
+		{Name: "deferred", Colour: "#89b", Values: perSecond(r, func(s judge.Second) float64 { return float64(s.Deferred) })},
+		{Name: "failed", Colour: "#a22", Values: perSecond(r, func(s judge.Second) float64 { return float64(s.Failed) })},
+		{Name: "lost", Colour: "#222", Values: perSecond(r, func(s judge.Second) float64 { return float64(s.Lost) })},
 	}
 	most := 0.0
 	for _, s := range r.Seconds {
 		most = math.Max(most, float64(s.Asked))
 	}
 	y, ticks := draw.LinearScale(most)
-	p := o.plot()
+	p := outcome.plot()
 	p.OpenWithAxes(b, "Outcomes of the transactions due in each second", ticks, y, "%.0f")
 	p.Bars(b, all, y)
 	b.WriteString("</svg>")
 }
 
 // attempts draws the number of attempts per first attempt.
-func (o *Outcome) attempts(b *strings.Builder, r *judge.Result) {
-	values := each(r, func(s judge.Second) float64 {
+func (outcome *Outcome) attempts(b *strings.Builder, r *judge.Result) {
+	values := perSecond(r, func(s judge.Second) float64 {
 		if s.First == 0 {
 			return math.NaN()
 		}
@@ -169,7 +169,7 @@
 		}
 	}
 	y := func(v float64) float64 { return draw.MarginTop + draw.PlotHeight*(1-(v-0.9)/(most-0.9)) }
-	p := o.plot()
+	p := outcome.plot()
 	p.OpenWithAxes(b, "Attempts per first attempt", []float64{1, most}, y, "%.2f")
 	p.Line(b, draw.Series{Name: "pushes", Colour: "#639", Values: values}, 0, y)
 	b.WriteString("</svg>")
@@ -186,7 +186,7 @@
 	for i, u := range r.Upstream {
 		h, t := 80*float64(u.Pushes)/float64(most), 80*float64(u.Turned)/float64(most)
 		fmt.Fprintf(b, `<rect x="%.1f" y="%.1f" width="%.1f" height="%.1f" fill="#27a"><title>%s: %d attempts, %d rejected</title></rect><rect x="%.1f" y="%.1f" width="%.1f" height="%.1f" fill="#124"/>`,
-			draw.MarginLeft+bar*float64(i), 85-h, bar*0.85, h, esc(u.Name), u.Pushes, u.Turned, draw.MarginLeft+bar*float64(i), 85-t, bar*0.85, t)
+			draw.MarginLeft+bar*float64(i), 85-h, bar*0.85, h, escapeHTML(u.Name), u.Pushes, u.Turned, draw.MarginLeft+bar*float64(i), 85-t, bar*0.85, t)
 	}
 	b.WriteString("</svg>")
 }
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -56,8 +56,8 @@
 	return o
 }
 
-// ts holds the 0.975 quantiles of Student's t distribution by degrees of freedom, from 1.
-var ts = []float64{12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145, 2.131, 2.120, 2.110, 2.101, 2.093, 2.086}
+// studentT975 holds the 0.975 quantiles of Student's t distribution by degrees of freedom, from 1.
+var studentT975 = []float64{12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145, 2.131, 2.120, 2.110, 2.101, 2.093, 2.086}
 
 // Interval returns the mean and the half-width of its 95% confidence interval, which is NaN for fewer than two values.
 func Interval(values []float64) (mean, half float64) {
@@ -73,8 +73,8 @@
 		sum += (v - mean) * (v - mean)
 	}
 	t := 1.96
-	if len(values)-2 < len(ts) {
-		t = ts[len(values)-2]
+	if len(values)-2 < len(studentT975) {
+		t = studentT975[len(values)-2]
 	}
 	return mean, t * math.Sqrt(sum/(n-1)/n)
 }
@@ -91,10 +91,10 @@
 
 // Judge computes the verdict from the means over all runs. For rules and breaches it takes the maximum instead, so that
 // a breach in one run counts.
-func (o *Outcome) Judge(e *spec.Experiment) {
+func (outcome *Outcome) Judge(e *spec.Experiment) {
 	means := map[string]*judge.Result{}
-	o.Verdict = "held"
-	for _, v := range o.Variants {
+	outcome.Verdict = "held"
+	for _, v := range outcome.Variants {
 		m := &judge.Result{Figures: map[string]float64{}}
 		for _, r := range v.Runs {
 			for name := range r.Figures {
@@ -106,19 +106,19 @@
 				}
 			}
 			if r.Void != "" {
-				o.Verdict = "void"
-				o.Words = append(o.Words, v.Name+": "+r.Void)
+				outcome.Verdict = "void"
+				outcome.Words = append(outcome.Words, v.Name+": "+r.Void)
 			}
-			if r.Broken != "" && o.Verdict != "void" {
-				o.Verdict = "short"
-				o.Words = append(o.Words, v.Name+" broke off: "+r.Broken)
+			if r.Broken != "" && outcome.Verdict != "void" {
+				outcome.Verdict = "short"
+				outcome.Words = append(outcome.Words, v.Name+" broke off: "+r.Broken)
 			}
 		}
 		means[v.Name] = m
 		// Experiments need not list the rules: the design must always satisfy them.
-		if (v.Name == "design" || v.Name == "no-copies") && m.Figures["breaches"] > 0 && o.Verdict != "void" {
-			o.Verdict = "short"
-			o.Words = append(o.Words, fmt.Sprintf("%s broke the rules %g times", v.Name, m.Figures["breaches"]))
+		if (v.Name == "design" || v.Name == "no-copies") && m.Figures["breaches"] > 0 && outcome.Verdict != "void" {
+			outcome.Verdict = "short"
+			outcome.Words = append(outcome.Words, fmt.Sprintf("%s broke the rules %g times", v.Name, m.Figures["breaches"]))
 		}
 	}
 	for _, name := range e.Convicts {
@@ -130,22 +130,22 @@
 		// A variant with a safeguard removed must break rules. If the judge finds no breach there, the absence of
 		// breaches in the design proves nothing.
 		if m.Figures["breaches"] == 0 {
-			if word = "short: not convicted"; o.Verdict == "held" {
-				o.Verdict = "short"
+			if word = "short: not convicted"; outcome.Verdict == "held" {
+				outcome.Verdict = "short"
 			}
 		}
-		o.Words = append(o.Words, fmt.Sprintf("%s: %s (%g of the cluster's rules broken, %g of the four)", word, name, m.Figures["cluster"], m.Figures["breaches"]-m.Figures["cluster"]))
+		outcome.Words = append(outcome.Words, fmt.Sprintf("%s: %s (%g of the cluster's rules broken, %g of the four)", word, name, m.Figures["cluster"], m.Figures["breaches"]-m.Figures["cluster"]))
 	}
 	for _, c := range e.Verdict {
 		ok, left, right := judge.Holds(c, means)
 		word := "held"
 		if !ok {
 			word = "short"
-			if o.Verdict == "held" {
-				o.Verdict = "short"
+			if outcome.Verdict == "held" {
+				outcome.Verdict = "short"
 			}
 		}
-		o.Words = append(o.Words, fmt.Sprintf("%s: %s (%.4g and %.4g)", word, c.Text, left, right))
+		outcome.Words = append(outcome.Words, fmt.Sprintf("%s: %s (%.4g and %.4g)", word, c.Text, left, right))
 	}
 }
 
@@ -157,19 +157,19 @@
 	{"no_owner", "%.1f"}, {"no_owner_bound", "%.1f"}, {"asks", "%.2f"}, {"watches", "%.1f"}, {"refused", "%g"},
 }
 
-// Table writes the figures and findings, with the verdict as the last line.
-func (o *Outcome) Table(w io.Writer) {
-	fmt.Fprintf(w, "%s: %s\n", o.Name, o.Title)
+// WriteTable writes the figures and findings, with the verdict as the last line.
+func (outcome *Outcome) WriteTable(w io.Writer) {
+	fmt.Fprintf(w, "%s: %s\n", outcome.Name, outcome.Title)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprint(t, "variant")
 	for _, c := range columns {
 		fmt.Fprint(t, "\t", c.figure)
 	}
 	fmt.Fprintln(t, "\tlag99")
-	for _, v := range o.Variants {
+	for _, v := range outcome.Variants {
 		fmt.Fprint(t, v.Name)
 		for _, c := range columns {
-			fmt.Fprint(t, "\t", cell(v.Values(c.figure), c.format))
+			fmt.Fprint(t, "\t", formatCell(v.Values(c.figure), c.format))
 		}
 		lag := 0.0
 		for _, r := range v.Runs {
@@ -178,24 +178,24 @@
 		fmt.Fprintf(t, "\t%.1f\n", lag)
 	}
 	t.Flush()
-	for _, v := range o.Variants {
+	for _, v := range outcome.Variants {
 		for _, r := range v.Runs {
 			for _, x := range r.Examples {
 				fmt.Fprintf(w, "%s: %s\n", v.Name, x)
 			}
 		}
 	}
-	for _, word := range o.Words {
+	for _, word := range outcome.Words {
 		fmt.Fprintln(w, word)
 	}
-	fmt.Fprintf(w, "verdict=%s experiment=%s", o.Verdict, o.Name)
-	for _, v := range o.Variants {
-		fmt.Fprintf(w, " %s=%s", v.Name, cell(v.Values("service"), "%.4f"))
+	fmt.Fprintf(w, "verdict=%s experiment=%s", outcome.Verdict, outcome.Name)
+	for _, v := range outcome.Variants {
+		fmt.Fprintf(w, " %s=%s", v.Name, formatCell(v.Values("service"), "%.4f"))
 	}
 	fmt.Fprintln(w)
 }
 
-func cell(values []float64, format string) string {
+func formatCell(values []float64, format string) string {
 	if len(values) == 0 {
 		return "-"
 	}
@@ -208,8 +208,8 @@
 }
 
 // Save writes the outcome to a file as JSON.
-func (o *Outcome) Save(file string) error {
-	text, err := json.MarshalIndent(o, "", " ")
+func (outcome *Outcome) Save(file string) error {
+	text, err := json.MarshalIndent(outcome, "", " ")
 	if err != nil {
 		return err
 	}
--- a/internal/lab/run/cluster.go
+++ b/internal/lab/run/cluster.go
@@ -158,7 +158,7 @@
 		text, ok, err := ops.Call(s.seats[n].Ops, "CLUSTER ledger find "+string(q), time.Second)
 		if err == nil && ok {
 			s.mu.Lock()
-			s.looks = append(s.looks, record.Look{Member: n, Root: c.Root, From: from, To: s.now(), Found: strings.Contains(text, key.String())})
+			s.looks = append(s.looks, record.LinearizableRead{Member: n, Root: c.Root, From: from, To: s.now(), Found: strings.Contains(text, key.String())})
 			s.mu.Unlock()
 		}
 		time.Sleep(time.Duration(10+rand.IntN(20)) * time.Millisecond)
@@ -191,7 +191,7 @@
 			if in.Decode(&e) != nil {
 				return all, at
 			}
-			all = append(all, record.Entry{Tariff: e.Tariff, Label: e.ClientKey, State: e.State, May: e.MayHaveRun})
+			all = append(all, record.Entry{Tariff: e.Tariff, ClientKey: e.ClientKey, State: e.State, MayHaveRun: e.MayHaveRun})
 		}
 	}
 	return nil, 0
@@ -207,7 +207,7 @@
 func (s *stage) act(text string, values ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.acts = append(s.acts, record.Act{At: s.now(), What: fmt.Sprintf(text, values...)})
+	s.acts = append(s.acts, record.Action{At: s.now(), What: fmt.Sprintf(text, values...)})
 }
 
 // begun notes that a member's process runs; its end and its stops are noted by the same number.
@@ -262,9 +262,9 @@
 		}
 		s.mu.Lock()
 		if p := &s.processes[process]; len(p.IDs) == 0 || p.IDs[len(p.IDs)-1].ID != v.Self {
-			p.IDs = append(p.IDs, record.Label{At: s.now(), ID: v.Self})
+			p.IDs = append(p.IDs, record.RunID{At: s.now(), ID: v.Self})
 		}
-		s.views = append(s.views, record.View{Process: process, At: s.now(), Over: v.SupersededBy != "", Alive: v.AliveRuns()})
+		s.views = append(s.views, record.View{Process: process, At: s.now(), Superseded: v.SupersededBy != "", Alive: v.AliveRuns()})
 		s.mu.Unlock()
 	}
 }
@@ -388,7 +388,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, d := range directions {
-		s.troubles = append(s.troubles, record.Trouble{From: d[0], To: d[1], Kind: kind, Span: record.Span{From: from, To: s.now()}})
+		s.troubles = append(s.troubles, record.LinkFault{From: d[0], To: d[1], Kind: kind, Span: record.Span{From: from, To: s.now()}})
 	}
 }
 
--- a/internal/lab/run/run.go
+++ b/internal/lab/run/run.go
@@ -69,8 +69,8 @@
 	o         Options
 	epoch     time.Time
 	fleet     *emulate.Fleet
-	lists     *emulate.Lists
-	load      *load.Load
+	lists     *emulate.Discovery
+	load      *load.Generator
 	balancers []*balancer
 	broke     context.CancelCauseFunc
 
@@ -83,11 +83,11 @@
 	doubles   []*balancer
 	processes []record.Process
 	views     []record.View
-	troubles  []record.Trouble
-	acts      []record.Act
+	troubles  []record.LinkFault
+	acts      []record.Action
 	claims    []record.Claim
-	looks     []record.Look
-	seated    []record.Seated
+	looks     []record.LinearizableRead
+	seated    []record.VoterReplacement
 	refused   map[int]int64            // by process
 	done      map[string]chan struct{} // faults by name, closed at their end
 }
@@ -105,7 +105,7 @@
 		return nil, err
 	}
 	defer s.fleet.Close()
-	if s.lists, err = emulate.NewLists(s.fleet, e.Balancers); err != nil {
+	if s.lists, err = emulate.NewDiscovery(s.fleet, e.Balancers); err != nil {
 		return nil, err
 	}
 	defer s.lists.Close()
@@ -203,8 +203,8 @@
 	close(s.over)
 	s.mu.Lock()
 	r := &record.Run{
-		Told: s.lists.Told(), Outages: s.outages, Broken: broken, Processes: s.processes, Views: s.views, Links: s.troubles, Acts: s.acts,
-		Claims: s.claims, Asks: s.lists.Asks(), Seated: s.seated, Looks: s.looks, Written: written, Read: read, Kept: s.keeps(),
+		DiscoveryUpdates: s.lists.Updates(), Outages: s.outages, AbortReason: broken, Processes: s.processes, Views: s.views, LinkFaults: s.troubles, Actions: s.acts,
+		Claims: s.claims, DiscoveryCalls: s.lists.Calls(), VoterReplacements: s.seated, LedgerReads: s.looks, LedgerEntries: written, LedgerReadAt: read, HasLedger: s.keeps(),
 	}
 	for _, n := range s.refused {
 		r.Refused += n
@@ -365,28 +365,28 @@
 	}
 	switch f.Kind {
 	case "hang", "fail", "full", "reset", "garbage", "half", "deaf":
-		some(func(u *emulate.Upstream) { u.Trouble(f.Kind, share) })
+		some(func(u *emulate.Upstream) { u.SetFault(f.Kind, share) })
 		s.wait(ctx, end)
-		some(func(u *emulate.Upstream) { u.Trouble(f.Kind, 0) })
+		some(func(u *emulate.Upstream) { u.SetFault(f.Kind, 0) })
 	case "slow":
-		some(func(u *emulate.Upstream) { u.Hamper(share, u.Group.Cores) })
+		some(func(u *emulate.Upstream) { u.ApplySlowdown(share, u.Group.Cores) })
 		s.wait(ctx, end)
-		some(func(u *emulate.Upstream) { u.Hamper(1, u.Group.Cores) })
+		some(func(u *emulate.Upstream) { u.ApplySlowdown(1, u.Group.Cores) })
 	case "cores":
-		some(func(u *emulate.Upstream) { u.Hamper(1, int(f.Factor)) })
+		some(func(u *emulate.Upstream) { u.ApplySlowdown(1, int(f.Factor)) })
 		s.wait(ctx, end)
-		some(func(u *emulate.Upstream) { u.Hamper(1, u.Group.Cores) })
+		some(func(u *emulate.Upstream) { u.ApplySlowdown(1, u.Group.Cores) })
 	case "die":
-		some(func(u *emulate.Upstream) { u.Die() })
+		some(func(u *emulate.Upstream) { u.Kill() })
 		s.wait(ctx, end)
 		some(func(u *emulate.Upstream) {
-			u.Rise(false)
-			s.lists.Set(u, "SERVING", true)
+			u.Restart(false)
+			s.lists.SetStatus(u, "SERVING", true)
 		})
 	case "drain":
-		some(func(u *emulate.Upstream) { s.lists.Set(u, "DRAINING", false) })
+		some(func(u *emulate.Upstream) { s.lists.SetStatus(u, "DRAINING", false) })
 		if s.wait(ctx, end) {
-			some(func(u *emulate.Upstream) { s.lists.Set(u, "SERVING", false) })
+			some(func(u *emulate.Upstream) { s.lists.SetStatus(u, "SERVING", false) })
 		}
 	case "deploy":
 		var all sync.WaitGroup
@@ -395,17 +395,17 @@
 		}
 		all.Wait()
 	case "list-down":
-		s.lists.Down(f.Pool, true)
+		s.lists.SetDown(f.Pool, true)
 		s.wait(ctx, end)
-		s.lists.Down(f.Pool, false)
+		s.lists.SetDown(f.Pool, false)
 	case "list-late":
-		s.lists.Late(f.Pool, time.Duration(share*float64(time.Second)))
+		s.lists.SetDelay(f.Pool, time.Duration(share*float64(time.Second)))
 		s.wait(ctx, end)
-		s.lists.Late(f.Pool, 0)
+		s.lists.SetDelay(f.Pool, 0)
 	case "list-lacks":
-		s.lists.Lacks(f.Upstreams, true)
+		s.lists.SetOmitted(f.Upstreams, true)
 		s.wait(ctx, end)
-		s.lists.Lacks(f.Upstreams, false)
+		s.lists.SetOmitted(f.Upstreams, false)
 	case "balancer-kill", "balancer-stop", "balancer-wipe", "balancer-old":
 		var all sync.WaitGroup
 		for _, n := range f.Balancers {
@@ -444,7 +444,7 @@
 			text, _, err := ops.Call(s.seats[(n+1)%len(s.seats)].Ops, "CLUSTER replace "+spec.Name(n), 10*time.Second)
 			s.act("replace %s: %s %v", spec.Name(n), strings.TrimSpace(text), err)
 			s.mu.Lock()
-			s.seated = append(s.seated, record.Seated{Balancer: n, At: s.now()})
+			s.seated = append(s.seated, record.VoterReplacement{Balancer: n, At: s.now()})
 			s.mu.Unlock()
 		}
 	case strings.HasPrefix(f.Kind, "disk-"):
@@ -459,26 +459,26 @@
 	if !s.wait(ctx, from) {
 		return
 	}
-	s.lists.Set(u, "DRAINING", false)
+	s.lists.SetStatus(u, "DRAINING", false)
 	if !s.wait(ctx, from+int64(drainsFor)) {
 		return
 	}
-	s.lists.Set(u, "DELETED", false)
+	s.lists.SetStatus(u, "DELETED", false)
 	time.Sleep(time.Duration(s.e.Listed) + 20*time.Millisecond)
-	u.Die()
-	u.Rise(true)
-	s.lists.Set(u, "SERVING", true)
+	u.Kill()
+	u.Restart(true)
+	s.lists.SetStatus(u, "SERVING", true)
 }
 
 // outage kills or stops a balancer until some time.
 func (s *stage) outage(ctx context.Context, b *balancer, f *spec.Fault, end int64) {
-	o := record.Outage{Balancer: b.index, From: s.now(), Seatless: f.Kind == "balancer-wipe" || f.Kind == "balancer-old"}
+	o := record.Outage{Balancer: b.index, From: s.now(), WithoutState: f.Kind == "balancer-wipe" || f.Kind == "balancer-old"}
 	kill := f.Kind != "balancer-stop"
 	var told atomic.Bool
 	if kill {
 		b.stop()
 		s.act("%s is killed (%s)", spec.Name(b.index), f.Kind)
-		time.AfterFunc(noticed, func() { told.Store(true); s.load.Down(b.index, true) })
+		time.AfterFunc(noticed, func() { told.Store(true); s.load.SetDown(b.index, true) })
 	} else {
 		b.command.Process.Signal(syscall.SIGSTOP)
 		s.act("%s is stopped", spec.Name(b.index))
@@ -509,7 +509,7 @@
 			b.ready(ctx)
 		}
 		if told.Load() {
-			s.load.Down(b.index, false)
+			s.load.SetDown(b.index, false)
 		}
 	}
 	o.To = s.now()
