--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -73,128 +73,128 @@
 }
 
 // Known implements desk.Module, as do the methods below.
-func (b *Balancer) Known(i int) bool { return b.known[i] }
+func (lb *Balancer) Known(i int) bool { return lb.known[i] }
 
-func (b *Balancer) Join() int {
-	for i, known := range b.known {
-		if !known && b.inFlight[i] == 0 {
-			b.known[i] = true
+func (lb *Balancer) Join() int {
+	for i, known := range lb.known {
+		if !known && lb.inFlight[i] == 0 {
+			lb.known[i] = true
 			return i
 		}
 	}
-	b.known, b.ready = append(b.known, true), append(b.ready, false)
-	b.upstreams, b.inFlight = append(b.upstreams, logic.Upstream{}), append(b.inFlight, 0)
-	return len(b.known) - 1
+	lb.known, lb.ready = append(lb.known, true), append(lb.ready, false)
+	lb.upstreams, lb.inFlight = append(lb.upstreams, logic.Upstream{}), append(lb.inFlight, 0)
+	return len(lb.known) - 1
 }
 
-func (b *Balancer) List(i int, u logic.Upstream, now int64)       { b.ready[i], b.upstreams[i] = true, u }
-func (b *Balancer) Drain(i int)                                   { b.ready[i] = false }
-func (b *Balancer) Leave(i int)                                   { b.ready[i], b.known[i] = false, false }
-func (b *Balancer) Listed(bool, int64)                            {}
-func (b *Balancer) PeerReport(int, []byte, int64)                 {}
-func (b *Balancer) ProbeResult(int, bool)                         {}
-func (b *Balancer) BodyReceived(*logic.Transaction, int64, int64) {} // the lab's clients send whole requests
+func (lb *Balancer) List(i int, u logic.Upstream, now int64)       { lb.ready[i], lb.upstreams[i] = true, u }
+func (lb *Balancer) Drain(i int)                                   { lb.ready[i] = false }
+func (lb *Balancer) Leave(i int)                                   { lb.ready[i], lb.known[i] = false, false }
+func (lb *Balancer) Listed(bool, int64)                            {}
+func (lb *Balancer) PeerReport(int, []byte, int64)                 {}
+func (lb *Balancer) ProbeResult(int, bool)                         {}
+func (lb *Balancer) BodyReceived(*logic.Transaction, int64, int64) {} // the lab's clients send whole requests
 
-func (b *Balancer) Arrive(t *logic.Transaction, tariff, _ int, _, left int64, _ bool, now int64) {
-	s := &transactionState{t: t, tariff: b.config.Tariffs[tariff], deadline: now + left, heapIndex: -1}
-	b.transactions[t] = s
-	heap.Push(&b.deadlines, s)
-	b.touch(s)
+func (lb *Balancer) Arrive(t *logic.Transaction, tariff, _ int, _, left int64, _ bool, now int64) {
+	state := &transactionState{t: t, tariff: lb.config.Tariffs[tariff], deadline: now + left, heapIndex: -1}
+	lb.transactions[t] = state
+	heap.Push(&lb.deadlines, state)
+	lb.touch(state)
 }
 
-func (b *Balancer) Outcome(t *logic.Transaction, n int, r logic.Result, _ int64, final bool, now int64) {
-	s := b.transactions[t]
-	if s == nil || !s.attempts[n].outstanding {
+func (lb *Balancer) Outcome(t *logic.Transaction, n int, r logic.Result, _ int64, final bool, now int64) {
+	state := lb.transactions[t]
+	if state == nil || !state.attempts[n].outstanding {
 		return
 	}
-	s.attempts[n].outstanding, s.attempts[n].result = false, r
-	s.outstanding--
-	b.inFlight[s.attempts[n].upstream]--
+	state.attempts[n].outstanding, state.attempts[n].result = false, r
+	state.outstanding--
+	lb.inFlight[state.attempts[n].upstream]--
 	if final {
-		b.close(s)
+		lb.close(state)
 	}
-	b.touch(s)
+	lb.touch(state)
 }
 
-func (b *Balancer) ClientGone(t *logic.Transaction) {
-	if s := b.transactions[t]; s != nil {
-		b.close(s)
-		b.touch(s)
+func (lb *Balancer) ClientGone(t *logic.Transaction) {
+	if state := lb.transactions[t]; state != nil {
+		lb.close(state)
+		lb.touch(state)
 	}
 }
 
-func (b *Balancer) touch(s *transactionState) {
-	if !s.touched {
-		s.touched = true
-		b.touched = append(b.touched, s)
+func (lb *Balancer) touch(state *transactionState) {
+	if !state.touched {
+		state.touched = true
+		lb.touched = append(lb.touched, state)
 	}
 }
 
-func (b *Balancer) close(s *transactionState) {
-	s.closed = true
-	if s.heapIndex >= 0 {
-		heap.Remove(&b.deadlines, s.heapIndex)
+func (lb *Balancer) close(state *transactionState) {
+	state.closed = true
+	if state.heapIndex >= 0 {
+		heap.Remove(&lb.deadlines, state.heapIndex)
 	}
 }
 
 // Round makes the decisions for all transactions with new events or expired deadlines.
-func (b *Balancer) Round(now int64, w logic.Writer) {
-	b.now, b.writer = now, w
-	for len(b.deadlines) > 0 && b.deadlines[0].deadline <= now {
-		b.touch(heap.Pop(&b.deadlines).(*transactionState))
+func (lb *Balancer) Round(now int64, w logic.Writer) {
+	lb.now, lb.writer = now, w
+	for len(lb.deadlines) > 0 && lb.deadlines[0].deadline <= now {
+		lb.touch(heap.Pop(&lb.deadlines).(*transactionState))
 	}
-	for k := 0; k < len(b.touched); k++ {
-		b.touched[k].touched = false
-		b.decide(b.touched[k])
+	for k := 0; k < len(lb.touched); k++ {
+		lb.touched[k].touched = false
+		lb.decide(lb.touched[k])
 	}
-	b.touched = b.touched[:0]
-	if len(b.deadlines) > 0 {
-		w.Wake(max(b.deadlines[0].deadline, now+1))
+	lb.touched = lb.touched[:0]
+	if len(lb.deadlines) > 0 {
+		w.Wake(max(lb.deadlines[0].deadline, now+1))
 	}
-	b.writer = nil
+	lb.writer = nil
 }
 
-func (b *Balancer) decide(s *transactionState) {
-	if s.closed {
-		for n := range s.attempts {
-			if s.attempts[n].outstanding {
-				b.writer.Cancel(s.t, n)
+func (lb *Balancer) decide(state *transactionState) {
+	if state.closed {
+		for n := range state.attempts {
+			if state.attempts[n].outstanding {
+				lb.writer.Cancel(state.t, n)
 			}
 		}
-		if s.outstanding == 0 {
-			delete(b.transactions, s.t)
+		if state.outstanding == 0 {
+			delete(lb.transactions, state.t)
 		}
 		return
 	}
-	if b.now >= s.deadline {
-		b.finish(s)
+	if lb.now >= state.deadline {
+		lb.finish(state)
 		return
 	}
-	if s.outstanding > 0 {
+	if state.outstanding > 0 {
 		return
 	}
-	if n := len(s.attempts); n == 0 {
-		b.retryTokens = min(maxRetryTokens, b.retryTokens+retryTokensPerTransaction)
-	} else if n >= b.config.MaxAttempts || b.retryTokens < 1 || !s.mayRetry() {
-		b.finish(s)
+	if n := len(state.attempts); n == 0 {
+		lb.retryTokens = min(maxRetryTokens, lb.retryTokens+retryTokensPerTransaction)
+	} else if n >= lb.config.MaxAttempts || lb.retryTokens < 1 || !state.mayRetry() {
+		lb.finish(state)
 		return
 	} else {
-		b.retryTokens--
+		lb.retryTokens--
 	}
-	i := b.choose(s)
+	i := lb.choose(state)
 	if i < 0 {
-		b.finish(s)
+		lb.finish(state)
 		return
 	}
-	s.attempts = append(s.attempts, attempt{upstream: i, outstanding: true})
-	s.outstanding++
-	b.inFlight[i]++
-	b.writer.Send(s.t, i, s.deadline)
+	state.attempts = append(state.attempts, attempt{upstream: i, outstanding: true})
+	state.outstanding++
+	lb.inFlight[i]++
+	lb.writer.Send(state.t, i, state.deadline)
 }
 
 // ran reports whether any attempt may have been executed by an upstream.
-func (s *transactionState) ran() bool {
-	for _, p := range s.attempts {
+func (state *transactionState) ran() bool {
+	for _, p := range state.attempts {
 		if p.outstanding || !p.result.NeverRan() {
 			return true
 		}
@@ -202,27 +202,27 @@
 	return false
 }
 
-func (s *transactionState) mayRetry() bool {
-	return s.tariff.Idempotency == logic.Idempotent || !s.ran()
+func (state *transactionState) mayRetry() bool {
+	return state.tariff.Idempotency == logic.Idempotent || !state.ran()
 }
 
-func (b *Balancer) finish(s *transactionState) {
-	harmless := s.mayRetry() || s.tariff.Idempotency == logic.Keyed && s.tariff.DedupScope == logic.Everywhere
-	b.close(s)
-	if harmless {
-		b.writer.Defer(s.t, logic.AttemptsFailed, b.config.Backoff(s.tariff))
+func (lb *Balancer) finish(state *transactionState) {
+	safeToRetry := state.mayRetry() || state.tariff.Idempotency == logic.Keyed && state.tariff.DedupScope == logic.Everywhere
+	lb.close(state)
+	if safeToRetry {
+		lb.writer.Defer(state.t, logic.AttemptsFailed, lb.config.Backoff(state.tariff))
 	} else {
-		b.writer.Forfeit(s.t, logic.AttemptsFailed)
+		lb.writer.Forfeit(state.t, logic.AttemptsFailed)
 	}
-	b.decide(s)
+	lb.decide(state)
 }
 
 // choose returns an upstream that has not been tried for this transaction; -1 if there is none.
-func (b *Balancer) choose(s *transactionState) int {
+func (lb *Balancer) choose(state *transactionState) int {
 	var candidates []int
-	for i, ready := range b.ready {
+	for i, ready := range lb.ready {
 		tried := false
-		for _, p := range s.attempts {
+		for _, p := range state.attempts {
 			tried = tried || p.upstream == i
 		}
 		if ready && !tried {
@@ -232,13 +232,13 @@
 	if len(candidates) == 0 {
 		return -1
 	}
-	load := func(i int) float64 { return float64(b.inFlight[i]+1) / math.Max(b.upstreams[i].Weight, 1e-6) }
-	switch b.policy {
+	load := func(i int) float64 { return float64(lb.inFlight[i]+1) / math.Max(lb.upstreams[i].Weight, 1e-6) }
+	switch lb.policy {
 	case "round-robin":
-		b.nextTurn++
-		return candidates[b.nextTurn%len(candidates)]
+		lb.nextTurn++
+		return candidates[lb.nextTurn%len(candidates)]
 	case "least-in-flight":
-		best := candidates[b.rng.IntN(len(candidates))]
+		best := candidates[lb.rng.IntN(len(candidates))]
 		for _, i := range candidates {
 			if load(i) < load(best) {
 				best = i
@@ -246,13 +246,13 @@
 		}
 		return best
 	case "two-choices":
-		one, other := candidates[b.rng.IntN(len(candidates))], candidates[b.rng.IntN(len(candidates))]
+		one, other := candidates[lb.rng.IntN(len(candidates))], candidates[lb.rng.IntN(len(candidates))]
 		if load(other) < load(one) {
 			return other
 		}
 		return one
 	}
-	return candidates[b.rng.IntN(len(candidates))]
+	return candidates[lb.rng.IntN(len(candidates))]
 }
 
 // deadlineHeap is a heap of transactions, ordered by deadline.
--- a/internal/lab/between/between.go
+++ b/internal/lab/between/between.go
@@ -52,7 +52,7 @@
 
 // direction is one direction of a link. Its relay receives the datagrams and the connections that go in this direction.
 type direction struct {
-	m        *Mesh
+	mesh     *Mesh
 	from, to int
 	tcp      net.Listener
 	udp      *net.UDPConn
@@ -65,98 +65,98 @@
 
 // New creates the links between n members. A link forwards nothing until Target is called for its destination.
 func New(n int, seed uint64) (*Mesh, error) {
-	m := &Mesh{
+	mesh := &Mesh{
 		n: n, done: make(chan struct{}), directions: make([][]*direction, n),
 		change: make(chan struct{}), targets: make([]string, n),
 		rng: rand.New(rand.NewPCG(seed, 0x33)),
 	}
 	for a := range n {
-		m.directions[a] = make([]*direction, n)
+		mesh.directions[a] = make([]*direction, n)
 		for b := range n {
 			if a == b {
 				continue
 			}
-			w, err := m.open(a, b)
+			dir, err := mesh.open(a, b)
 			if err != nil {
-				m.Close()
+				mesh.Close()
 				return nil, err
 			}
-			m.directions[a][b] = w
+			mesh.directions[a][b] = dir
 		}
 	}
-	return m, nil
+	return mesh, nil
 }
 
-func (m *Mesh) open(a, b int) (w *direction, err error) {
-	w = &direction{m: m, from: a, to: b, conns: map[*relayedConn]struct{}{}, wake: make(chan struct{}, 1)}
+func (mesh *Mesh) open(a, b int) (dir *direction, err error) {
+	dir = &direction{mesh: mesh, from: a, to: b, conns: map[*relayedConn]struct{}{}, wake: make(chan struct{}, 1)}
 	for try := 0; ; try++ { // TCP and UDP must share a port number
-		if w.tcp, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
+		if dir.tcp, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 			return nil, err
 		}
-		at := w.tcp.Addr().(*net.TCPAddr)
-		if w.udp, err = net.ListenUDP("udp", &net.UDPAddr{IP: at.IP, Port: at.Port}); err == nil {
+		at := dir.tcp.Addr().(*net.TCPAddr)
+		if dir.udp, err = net.ListenUDP("udp", &net.UDPAddr{IP: at.IP, Port: at.Port}); err == nil {
 			break
 		}
-		if w.tcp.Close(); try > 20 {
+		if dir.tcp.Close(); try > 20 {
 			return nil, err
 		}
 	}
-	if w.out, err = net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}); err != nil {
-		w.tcp.Close()
-		w.udp.Close()
+	if dir.out, err = net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}); err != nil {
+		dir.tcp.Close()
+		dir.udp.Close()
 		return nil, err
 	}
-	m.goroutines.Go(w.accept)
-	m.goroutines.Go(w.receiveDatagrams)
-	m.goroutines.Go(w.forwardDatagrams)
-	return w, nil
+	mesh.goroutines.Go(dir.accept)
+	mesh.goroutines.Go(dir.receiveDatagrams)
+	mesh.goroutines.Go(dir.forwardDatagrams)
+	return dir, nil
 }
 
 // Address returns the relay address at which member a reaches member b.
-func (m *Mesh) Address(a, b int) string { return m.directions[a][b].tcp.Addr().String() }
+func (mesh *Mesh) Address(a, b int) string { return mesh.directions[a][b].tcp.Addr().String() }
 
 // Target sets the address at which member b listens.
-func (m *Mesh) Target(b int, address string) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.targets[b] = address
-	m.notifyChanged()
+func (mesh *Mesh) Target(b int, address string) {
+	mesh.mu.Lock()
+	defer mesh.mu.Unlock()
+	mesh.targets[b] = address
+	mesh.notifyChanged()
 }
 
 // notifyChanged wakes all goroutines that wait for a change. The caller holds m.mu.
-func (m *Mesh) notifyChanged() {
-	close(m.change)
-	m.change = make(chan struct{})
+func (mesh *Mesh) notifyChanged() {
+	close(mesh.change)
+	mesh.change = make(chan struct{})
 }
 
 // Set changes the faults of the direction from a to b.
-func (m *Mesh) Set(a, b int, change func(*Faults)) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	change(&m.directions[a][b].faults)
-	m.notifyChanged()
+func (mesh *Mesh) Set(a, b int, change func(*Faults)) {
+	mesh.mu.Lock()
+	defer mesh.mu.Unlock()
+	change(&mesh.directions[a][b].faults)
+	mesh.notifyChanged()
 }
 
 // Reset aborts all connections between two members; both ends see a TCP reset.
-func (m *Mesh) Reset(a, b int) {
-	m.mu.Lock()
+func (mesh *Mesh) Reset(a, b int) {
+	mesh.mu.Lock()
 	var all []*relayedConn
-	for _, w := range []*direction{m.directions[a][b], m.directions[b][a]} {
+	for _, w := range []*direction{mesh.directions[a][b], mesh.directions[b][a]} {
 		for p := range w.conns {
 			all = append(all, p)
 		}
 	}
-	m.mu.Unlock()
+	mesh.mu.Unlock()
 	for _, p := range all {
 		p.reset()
 	}
 }
 
 // Connections returns the number of open relayed connections.
-func (m *Mesh) Connections() (n int) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	for _, row := range m.directions {
+func (mesh *Mesh) Connections() (n int) {
+	mesh.mu.Lock()
+	defer mesh.mu.Unlock()
+	for _, row := range mesh.directions {
 		for _, w := range row {
 			if w != nil {
 				n += len(w.conns)
@@ -167,16 +167,16 @@
 }
 
 // Close stops all relays, resets their connections and waits for their goroutines.
-func (m *Mesh) Close() {
-	m.mu.Lock()
-	if m.closed {
-		m.mu.Unlock()
+func (mesh *Mesh) Close() {
+	mesh.mu.Lock()
+	if mesh.closed {
+		mesh.mu.Unlock()
 		return
 	}
-	m.closed = true
-	close(m.done)
+	mesh.closed = true
+	close(mesh.done)
 	var all []*relayedConn
-	for _, row := range m.directions {
+	for _, row := range mesh.directions {
 		for _, w := range row {
 			if w == nil {
 				continue
@@ -189,75 +189,75 @@
 			}
 		}
 	}
-	m.mu.Unlock()
+	mesh.mu.Unlock()
 	for _, p := range all {
 		p.reset()
 	}
-	m.goroutines.Wait()
+	mesh.goroutines.Wait()
 }
 
 // current returns the faults and the target of a direction, and a channel that is closed at the next change.
-func (m *Mesh) current(a, b int) (t Faults, target string, change <-chan struct{}) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.directions[a][b].faults, m.targets[b], m.change
+func (mesh *Mesh) current(a, b int) (t Faults, target string, change <-chan struct{}) {
+	mesh.mu.Lock()
+	defer mesh.mu.Unlock()
+	return mesh.directions[a][b].faults, mesh.targets[b], mesh.change
 }
 
-func (m *Mesh) randomDuration(most time.Duration) time.Duration {
+func (mesh *Mesh) randomDuration(most time.Duration) time.Duration {
 	if most <= 0 {
 		return 0
 	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return time.Duration(m.rng.Int64N(int64(most)))
+	mesh.mu.Lock()
+	defer mesh.mu.Unlock()
+	return time.Duration(mesh.rng.Int64N(int64(most)))
 }
 
-func (m *Mesh) chance(part float64) bool {
+func (mesh *Mesh) chance(part float64) bool {
 	if part <= 0 {
 		return false
 	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.rng.Float64() < part
+	mesh.mu.Lock()
+	defer mesh.mu.Unlock()
+	return mesh.rng.Float64() < part
 }
 
 // relayedConn is a relayed connection: the accepted connection and the relay's own connection to the target.
 type relayedConn struct {
-	m     *Mesh
+	mesh  *Mesh
 	done  chan struct{}
 	once  sync.Once
 	mu    sync.Mutex
 	conns []*net.TCPConn
 }
 
-func (p *relayedConn) add(c *net.TCPConn) {
-	p.mu.Lock()
-	p.conns = append(p.conns, c)
-	p.mu.Unlock()
+func (conn *relayedConn) add(c *net.TCPConn) {
+	conn.mu.Lock()
+	conn.conns = append(conn.conns, c)
+	conn.mu.Unlock()
 	select {
-	case <-p.done:
+	case <-conn.done:
 		c.Close()
 	default:
 	}
 }
 
 // reset aborts both connections with a TCP reset.
-func (p *relayedConn) reset() {
-	p.once.Do(func() { close(p.done) })
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, c := range p.conns {
+func (conn *relayedConn) reset() {
+	conn.once.Do(func() { close(conn.done) })
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	for _, c := range conn.conns {
 		c.SetLinger(0)
 		c.Close()
 	}
 }
 
 // close ends both connections without a reset.
-func (p *relayedConn) close() {
-	p.once.Do(func() { close(p.done) })
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, c := range p.conns {
+func (conn *relayedConn) close() {
+	conn.once.Do(func() { close(conn.done) })
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	for _, c := range conn.conns {
 		c.Close()
 	}
 }
@@ -272,50 +272,50 @@
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
-		p := &relayedConn{m: dir.m, done: make(chan struct{})}
+		p := &relayedConn{mesh: dir.mesh, done: make(chan struct{})}
 		p.add(c.(*net.TCPConn))
-		dir.m.mu.Lock()
-		ended := dir.m.closed
+		dir.mesh.mu.Lock()
+		ended := dir.mesh.closed
 		if !ended {
 			dir.conns[p] = struct{}{}
 		}
-		dir.m.mu.Unlock()
+		dir.mesh.mu.Unlock()
 		if ended {
 			p.reset()
 			continue
 		}
-		dir.m.goroutines.Go(func() { dir.relay(p, c.(*net.TCPConn)) })
+		dir.mesh.goroutines.Go(func() { dir.relay(p, c.(*net.TCPConn)) })
 	}
 }
 
 // relay connects an accepted connection to the target and forwards bytes both ways until it ends.
-func (dir *direction) relay(p *relayedConn, here *net.TCPConn) {
+func (dir *direction) relay(conn *relayedConn, near *net.TCPConn) {
 	defer func() {
-		p.close()
-		dir.m.mu.Lock()
-		delete(dir.conns, p)
-		dir.m.mu.Unlock()
+		conn.close()
+		dir.mesh.mu.Lock()
+		delete(dir.conns, conn)
+		dir.mesh.mu.Unlock()
 	}()
 	// A TCP handshake needs both directions, so the relay dials only when neither direction is cut.
 	for {
-		there, target, change := dir.m.current(dir.from, dir.to)
-		back, _, _ := dir.m.current(dir.to, dir.from)
-		if !there.Cut && !back.Cut && target != "" {
+		outbound, target, change := dir.mesh.current(dir.from, dir.to)
+		inbound, _, _ := dir.mesh.current(dir.to, dir.from)
+		if !outbound.Cut && !inbound.Cut && target != "" {
 			far, err := net.DialTimeout("tcp", target, dialTimeout)
 			if err != nil {
-				p.reset()
+				conn.reset()
 				return
 			}
-			p.add(far.(*net.TCPConn))
+			conn.add(far.(*net.TCPConn))
 			var both sync.WaitGroup
-			both.Go(func() { dir.m.forward(p, here, far.(*net.TCPConn), dir.from, dir.to) })
-			both.Go(func() { dir.m.forward(p, far.(*net.TCPConn), here, dir.to, dir.from) })
+			both.Go(func() { dir.mesh.forward(conn, near, far.(*net.TCPConn), dir.from, dir.to) })
+			both.Go(func() { dir.mesh.forward(conn, far.(*net.TCPConn), near, dir.to, dir.from) })
 			both.Wait()
 			return
 		}
 		select {
 		case <-change:
-		case <-p.done:
+		case <-conn.done:
 			return
 		}
 	}
@@ -327,70 +327,70 @@
 }
 
 // forward copies the bytes of one direction of a connection, in order, and applies the direction's faults.
-func (m *Mesh) forward(p *relayedConn, from, to *net.TCPConn, a, b int) {
-	pieces := make(chan chunk, maxBufferedChunks)
+func (mesh *Mesh) forward(conn *relayedConn, from, to *net.TCPConn, a, b int) {
+	chunks := make(chan chunk, maxBufferedChunks)
 	var reading sync.WaitGroup
 	reading.Go(func() {
-		defer close(pieces)
+		defer close(chunks)
 		for {
 			raw := make([]byte, chunkBytes)
 			n, err := from.Read(raw)
-			t, _, _ := m.current(a, b)
-			due := time.Now().Add(t.Delay + m.randomDuration(t.Jitter))
+			faults, _, _ := mesh.current(a, b)
+			due := time.Now().Add(faults.Delay + mesh.randomDuration(faults.Jitter))
 			if n > 0 {
 				select {
-				case pieces <- chunk{due, raw[:n]}:
-				case <-p.done:
+				case chunks <- chunk{due, raw[:n]}:
+				case <-conn.done:
 					return
 				}
 			}
 			if err != nil {
 				if !errors.Is(err, io.EOF) {
-					p.reset()
+					conn.reset()
 					return
 				}
 				select {
-				case pieces <- chunk{due, nil}:
-				case <-p.done:
+				case chunks <- chunk{due, nil}:
+				case <-conn.done:
 				}
 				return
 			}
 		}
 	})
 	defer reading.Wait()
-	for x := range pieces {
-		if !p.wait(time.Until(x.due)) {
+	for next := range chunks {
+		if !conn.wait(time.Until(next.due)) {
 			return
 		}
-		if x.data == nil {
-			if !p.waitPassable(a, b) {
+		if next.data == nil {
+			if !conn.waitPassable(a, b) {
 				return
 			}
 			to.CloseWrite()
 			return
 		}
-		for len(x.data) > 0 {
-			if !p.waitPassable(a, b) {
+		for len(next.data) > 0 {
+			if !conn.waitPassable(a, b) {
 				return
 			}
-			n := len(x.data)
-			if t, _, _ := m.current(a, b); t.Trickle > 0 {
-				n = min(n, max(1, t.Trickle/20))
-				if !p.wait(time.Duration(n) * time.Second / time.Duration(t.Trickle)) {
+			n := len(next.data)
+			if faults, _, _ := mesh.current(a, b); faults.Trickle > 0 {
+				n = min(n, max(1, faults.Trickle/20))
+				if !conn.wait(time.Duration(n) * time.Second / time.Duration(faults.Trickle)) {
 					return
 				}
 			}
-			if _, err := to.Write(x.data[:n]); err != nil {
-				p.reset()
+			if _, err := to.Write(next.data[:n]); err != nil {
+				conn.reset()
 				return
 			}
-			x.data = x.data[n:]
+			next.data = next.data[n:]
 		}
 	}
 }
 
 // wait sleeps for d. It returns false if the connection ends first.
-func (p *relayedConn) wait(d time.Duration) bool {
+func (conn *relayedConn) wait(d time.Duration) bool {
 	if d <= 0 {
 		return true
 	}
@@ -399,21 +399,21 @@
 	select {
 	case <-timer.C:
 		return true
-	case <-p.done:
+	case <-conn.done:
 		return false
 	}
 }
 
 // waitPassable waits until bytes may pass from a to b. It returns false if the connection ends first.
-func (p *relayedConn) waitPassable(a, b int) bool {
+func (conn *relayedConn) waitPassable(a, b int) bool {
 	for {
-		t, _, change := p.m.current(a, b)
+		t, _, change := conn.mesh.current(a, b)
 		if !t.Cut && !t.Stall {
 			return true
 		}
 		select {
 		case <-change:
-		case <-p.done:
+		case <-conn.done:
 			return false
 		}
 	}
@@ -444,26 +444,26 @@
 			time.Sleep(time.Millisecond)
 			continue
 		}
-		t, _, _ := dir.m.current(dir.from, dir.to)
-		if t.Cut || dir.m.chance(t.Loss) {
-			dir.m.Lost.Add(1)
+		faults, _, _ := dir.mesh.current(dir.from, dir.to)
+		if faults.Cut || dir.mesh.chance(faults.Loss) {
+			dir.mesh.Lost.Add(1)
 			continue
 		}
-		times := 1
-		if dir.m.chance(t.Duplicate) {
-			times = 2
-			dir.m.Duplicated.Add(1)
+		copies := 1
+		if dir.mesh.chance(faults.Duplicate) {
+			copies = 2
+			dir.mesh.Duplicated.Add(1)
 		}
-		for range times {
-			due := time.Now().Add(t.Delay + dir.m.randomDuration(t.Jitter))
-			if dir.m.chance(t.Reorder) {
-				due = due.Add(dir.m.randomDuration(t.Delay + t.Jitter + maxReorderDelay))
+		for range copies {
+			due := time.Now().Add(faults.Delay + dir.mesh.randomDuration(faults.Jitter))
+			if dir.mesh.chance(faults.Reorder) {
+				due = due.Add(dir.mesh.randomDuration(faults.Delay + faults.Jitter + maxReorderDelay))
 			}
-			dir.m.mu.Lock()
+			dir.mesh.mu.Lock()
 			if len(dir.delayed) < maxQueuedDatagrams {
 				heap.Push(&dir.delayed, chunk{due, append([]byte(nil), buffer[:n]...)})
 			}
-			dir.m.mu.Unlock()
+			dir.mesh.mu.Unlock()
 		}
 		select {
 		case dir.wake <- struct{}{}:
@@ -478,7 +478,7 @@
 	defer timer.Stop()
 	for {
 		next := time.Hour
-		dir.m.mu.Lock()
+		dir.mesh.mu.Lock()
 		var ready [][]byte
 		for len(dir.delayed) > 0 {
 			if d := time.Until(dir.delayed[0].due); d > 0 {
@@ -487,23 +487,23 @@
 			}
 			ready = append(ready, heap.Pop(&dir.delayed).(chunk).data)
 		}
-		cut, target := dir.faults.Cut, dir.m.targets[dir.to]
-		dir.m.mu.Unlock()
+		cut, target := dir.faults.Cut, dir.mesh.targets[dir.to]
+		dir.mesh.mu.Unlock()
 		if to, err := net.ResolveUDPAddr("udp", target); err == nil && target != "" {
 			for _, raw := range ready {
 				if cut { // in transit when the link was cut
-					dir.m.Lost.Add(1)
+					dir.mesh.Lost.Add(1)
 					continue
 				}
 				dir.out.WriteToUDP(raw, to)
-				dir.m.Passed.Add(1)
+				dir.mesh.Passed.Add(1)
 			}
 		}
 		timer.Reset(next)
 		select {
 		case <-timer.C:
 		case <-dir.wake:
-		case <-dir.m.done:
+		case <-dir.mesh.done:
 			return
 		}
 	}
--- a/internal/lab/between/between_test.go
+++ b/internal/lab/between/between_test.go
@@ -50,7 +50,7 @@
 	return l.Addr().String(), got
 }
 
-func mesh(t *testing.T) (*Mesh, chan []byte) {
+func newTestMesh(t *testing.T) (*Mesh, chan []byte) {
 	t.Helper()
 	t.Cleanup(func() { goleak.VerifyNone(t) }) // no goroutines leak
 	at, got := echo(t)
@@ -76,7 +76,7 @@
 // A link with delay, jitter and a temporary cut must not lose or reorder the bytes of a connection, and must forward a
 // half-close.
 func TestTCPBytesArriveInOrder(t *testing.T) {
-	m, _ := mesh(t)
+	m, _ := newTestMesh(t)
 	m.Set(0, 1, func(x *Faults) { x.Delay, x.Jitter = 20*time.Millisecond, 30*time.Millisecond })
 	m.Set(1, 0, func(x *Faults) { x.Jitter = 20 * time.Millisecond })
 	c := dial(t, m)
@@ -102,7 +102,7 @@
 // Each fault must have its effect and no other: delay, a one-way stall, a bandwidth limit, a cut that ends, and a reset
 // that leaves no open connection.
 func TestLinkFaults(t *testing.T) {
-	m, _ := mesh(t)
+	m, _ := newTestMesh(t)
 	one := func(c *net.TCPConn, within time.Duration) (time.Duration, error) {
 		start := time.Now()
 		c.SetReadDeadline(start.Add(within))
@@ -154,7 +154,7 @@
 // Over a link without faults, all datagrams arrive in order. Loss, duplication and reordering must affect about the
 // configured fraction, and no datagram may pass a cut link.
 func TestDatagrams(t *testing.T) {
-	m, got := mesh(t)
+	m, got := newTestMesh(t)
 	c, err := net.Dial("udp", m.Address(0, 1))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/emulate/list.go
+++ b/internal/lab/emulate/list.go
@@ -48,39 +48,40 @@
 }
 
 // NewDiscovery starts the discovery servers for a number of balancers.
-func NewDiscovery(f *Fleet, balancers int) (*Discovery, error) {
-	ls := &Discovery{fleet: f}
+func NewDiscovery(fleet *Fleet, balancers int) (*Discovery, error) {
+	discovery := &Discovery{fleet: fleet}
 	for b := range balancers {
 		var pools []*listServer
-		for p := range f.experiment.Pools {
+		for p := range fleet.experiment.Pools {
 			n, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				return nil, err
 			}
-			l := &listServer{discovery: ls, balancer: b, pool: p, address: n.Addr().String(), index: 1, omitted: map[int]bool{}, watchers: map[chan string]struct{}{}}
-			for _, u := range f.Upstreams {
-				l.entries = append(l.entries, entry{u.Name(), "SERVING", 0})
+			srv := &listServer{discovery: discovery, balancer: b, pool: p, address: n.Addr().String(), index: 1,
+				omitted: map[int]bool{}, watchers: map[chan string]struct{}{}}
+			for _, u := range fleet.Upstreams {
+				srv.entries = append(srv.entries, entry{u.Name(), "SERVING", 0})
 			}
-			l.server = &http.Server{Handler: l, ErrorLog: log.New(io.Discard, "", 0)}
-			go l.server.Serve(n)
-			pools = append(pools, l)
+			srv.server = &http.Server{Handler: srv, ErrorLog: log.New(io.Discard, "", 0)}
+			go srv.server.Serve(n)
+			pools = append(pools, srv)
 		}
-		ls.servers = append(ls.servers, pools)
+		discovery.servers = append(discovery.servers, pools)
 	}
-	return ls, nil
+	return discovery, nil
 }
 
 // Addresses returns the discovery addresses of a balancer, by pool.
-func (d *Discovery) Addresses(balancer int) (all []string) {
-	for _, l := range d.servers[balancer] {
+func (discovery *Discovery) Addresses(balancer int) (all []string) {
+	for _, l := range discovery.servers[balancer] {
 		all = append(all, l.address)
 	}
 	return all
 }
 
 // Close stops all discovery servers.
-func (d *Discovery) Close() {
-	for _, pools := range d.servers {
+func (discovery *Discovery) Close() {
+	for _, pools := range discovery.servers {
 		for _, l := range pools {
 			l.server.Close()
 		}
@@ -88,57 +89,57 @@
 }
 
 // Updates returns the updates that were sent.
-func (d *Discovery) Updates() []record.DiscoveryUpdate {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.updates
+func (discovery *Discovery) Updates() []record.DiscoveryUpdate {
+	discovery.mu.Lock()
+	defer discovery.mu.Unlock()
+	return discovery.updates
 }
 
 // Calls returns the calls that were received.
-func (d *Discovery) Calls() []record.DiscoveryCall {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return slices.Clone(d.calls)
+func (discovery *Discovery) Calls() []record.DiscoveryCall {
+	discovery.mu.Lock()
+	defer discovery.mu.Unlock()
+	return slices.Clone(discovery.calls)
 }
 
 // SetStatus changes the status of an upstream in all lists, each after its delay. cold means that it has just started.
-func (d *Discovery) SetStatus(u *Upstream, status string, cold bool) {
+func (discovery *Discovery) SetStatus(u *Upstream, status string, cold bool) {
 	name, since := u.Name(), int64(0)
 	if cold {
 		since = time.Now().UnixMilli()
 	}
-	for _, pools := range d.servers {
+	for _, pools := range discovery.servers {
 		l := pools[u.Group.Pool]
 		l.mu.Lock()
-		wait := time.Duration(d.fleet.experiment.Listed) + l.delay
+		wait := time.Duration(discovery.fleet.experiment.Listed) + l.delay
 		l.mu.Unlock()
 		time.AfterFunc(wait, func() { l.set(u.Index, entry{name, status, since}) })
 	}
 }
 
-func (s *listServer) set(upstream int, e entry) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.entries[upstream] = e
-	s.index++
-	if s.omitted[upstream] {
+func (srv *listServer) set(upstream int, e entry) {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	srv.entries[upstream] = e
+	srv.index++
+	if srv.omitted[upstream] {
 		return
 	}
-	s.notifyWatchers(s.formatUpdate(false, upstream))
-	s.recordUpdate(upstream)
+	srv.notifyWatchers(srv.formatUpdate(false, upstream))
+	srv.recordUpdate(upstream)
 }
 
 // recordUpdate records an update for the judge.
-func (s *listServer) recordUpdate(upstream int) {
-	s.discovery.mu.Lock()
-	defer s.discovery.mu.Unlock()
-	s.discovery.updates = append(s.discovery.updates, record.DiscoveryUpdate{
-		Balancer: s.balancer, Upstream: upstream, At: s.discovery.fleet.Now(), Serving: s.entries[upstream].status == "SERVING",
+func (srv *listServer) recordUpdate(upstream int) {
+	srv.discovery.mu.Lock()
+	defer srv.discovery.mu.Unlock()
+	srv.discovery.updates = append(srv.discovery.updates, record.DiscoveryUpdate{
+		Balancer: srv.balancer, Upstream: upstream, At: srv.discovery.fleet.Now(), Serving: srv.entries[upstream].status == "SERVING",
 	})
 }
 
-func (s *listServer) notifyWatchers(line string) {
-	for w := range s.watchers {
+func (srv *listServer) notifyWatchers(line string) {
+	for w := range srv.watchers {
 		select {
 		case w <- line:
 		default: // a slow watcher misses this update and gets the full list with its next call
@@ -147,27 +148,27 @@
 }
 
 // formatUpdate formats the whole list or some of its entries.
-func (s *listServer) formatUpdate(whole bool, some ...int) string {
+func (srv *listServer) formatUpdate(whole bool, some ...int) string {
 	if whole {
 		some = nil
-		for i, u := range s.discovery.fleet.Upstreams {
-			if u.Group.Pool == s.pool && s.entries[i].status != "DELETED" && !s.omitted[i] {
+		for i, u := range srv.discovery.fleet.Upstreams {
+			if u.Group.Pool == srv.pool && srv.entries[i].status != "DELETED" && !srv.omitted[i] {
 				some = append(some, i)
 			}
 		}
 	}
 	var words []string
 	for _, i := range some {
-		u, e := s.discovery.fleet.Upstreams[i], s.entries[i]
+		u, e := srv.discovery.fleet.Upstreams[i], srv.entries[i]
 		words = append(words, fmt.Sprintf(`{"name":%q,"address":%q,"zone":%q,"type":"m","group":%d,"status":%q,"weight":%g,"since_ms":%d}`,
 			e.name, u.Address, u.Group.Zone, u.Cell, e.status, float64(u.Group.Cores)*u.Group.Speed, e.since))
 	}
-	return fmt.Sprintf(`{"index":%d,"snapshot":%t,"endpoints":[%s]}`, s.index, whole, strings.Join(words, ","))
+	return fmt.Sprintf(`{"index":%d,"snapshot":%t,"endpoints":[%s]}`, srv.index, whole, strings.Join(words, ","))
 }
 
 // SetDown makes discovery of a pool unavailable or available again. It ends all watches of an unavailable pool.
-func (d *Discovery) SetDown(pool int, down bool) {
-	for _, pools := range d.servers {
+func (discovery *Discovery) SetDown(pool int, down bool) {
+	for _, pools := range discovery.servers {
 		l := pools[pool]
 		l.mu.Lock()
 		l.down = down
@@ -182,8 +183,8 @@
 }
 
 // SetDelay delays all later updates of a pool.
-func (d *Discovery) SetDelay(pool int, late time.Duration) {
-	for _, pools := range d.servers {
+func (discovery *Discovery) SetDelay(pool int, late time.Duration) {
+	for _, pools := range discovery.servers {
 		pools[pool].mu.Lock()
 		pools[pool].delay = late
 		pools[pool].mu.Unlock()
@@ -191,10 +192,10 @@
 }
 
 // SetOmitted omits healthy upstreams from the lists, or lists them again.
-func (d *Discovery) SetOmitted(upstreams []int, lacks bool) {
+func (discovery *Discovery) SetOmitted(upstreams []int, lacks bool) {
 	for _, i := range upstreams {
-		for _, pools := range d.servers {
-			l := pools[d.fleet.Upstreams[i].Group.Pool]
+		for _, pools := range discovery.servers {
+			l := pools[discovery.fleet.Upstreams[i].Group.Pool]
 			l.mu.Lock()
 			l.index++
 			if lacks {
@@ -212,38 +213,38 @@
 }
 
 // ServeHTTP answers a balancer's call with the list, followed by updates if it watches.
-func (s *listServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	s.mu.Lock()
-	if s.down {
-		s.mu.Unlock()
+func (srv *listServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	srv.mu.Lock()
+	if srv.down {
+		srv.mu.Unlock()
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	s.discovery.mu.Lock()
-	ask := len(s.discovery.calls)
-	s.discovery.calls = append(s.discovery.calls, record.DiscoveryCall{Balancer: s.balancer, At: s.discovery.fleet.Now()})
-	s.discovery.mu.Unlock()
+	srv.discovery.mu.Lock()
+	ask := len(srv.discovery.calls)
+	srv.discovery.calls = append(srv.discovery.calls, record.DiscoveryCall{Balancer: srv.balancer, At: srv.discovery.fleet.Now()})
+	srv.discovery.mu.Unlock()
 	defer func() {
-		s.discovery.mu.Lock()
-		defer s.discovery.mu.Unlock()
-		s.discovery.calls[ask].To = s.discovery.fleet.Now()
+		srv.discovery.mu.Lock()
+		defer srv.discovery.mu.Unlock()
+		srv.discovery.calls[ask].To = srv.discovery.fleet.Now()
 	}()
-	text := s.formatUpdate(true)
-	for i, u := range s.discovery.fleet.Upstreams {
-		if u.Group.Pool == s.pool {
-			s.recordUpdate(i)
+	text := srv.formatUpdate(true)
+	for i, u := range srv.discovery.fleet.Upstreams {
+		if u.Group.Pool == srv.pool {
+			srv.recordUpdate(i)
 		}
 	}
 	lines := make(chan string, 1000)
 	watches := r.URL.Query().Get("watch") == "1"
 	if watches {
-		s.watchers[lines] = struct{}{}
+		srv.watchers[lines] = struct{}{}
 	}
-	s.mu.Unlock()
+	srv.mu.Unlock()
 	defer func() {
-		s.mu.Lock()
-		delete(s.watchers, lines)
-		s.mu.Unlock()
+		srv.mu.Lock()
+		delete(srv.watchers, lines)
+		srv.mu.Unlock()
 	}()
 	io.WriteString(w, text+"\n")
 	if !watches {
--- a/internal/lab/emulate/upstream.go
+++ b/internal/lab/emulate/upstream.go
@@ -68,43 +68,43 @@
 
 // NewFleet starts all upstreams of an experiment. Its clock starts now; Begin restarts it.
 func NewFleet(e *spec.Experiment) (*Fleet, error) {
-	f := &Fleet{experiment: e, tariffs: map[string]*spec.Tariff{}, keyedRuns: map[string]*keyedRun{}}
-	f.Begin(time.Now())
+	fleet := &Fleet{experiment: e, tariffs: map[string]*spec.Tariff{}, keyedRuns: map[string]*keyedRun{}}
+	fleet.Begin(time.Now())
 	for _, t := range e.Tariffs {
-		f.tariffs[t.Name] = t
+		fleet.tariffs[t.Name] = t
 	}
 	for i, up := range e.Upstreams {
 		u := &Upstream{
-			Upstream: up, Index: i, fleet: f, server: work.New(up.Group.Terms, 0), rng: rand.New(rand.NewPCG(e.Seed, uint64(i))),
+			Upstream: up, Index: i, fleet: fleet, server: work.New(up.Group.Terms, 0), rng: rand.New(rand.NewPCG(e.Seed, uint64(i))),
 			faultShares: map[string]float64{}, nextEventAt: math.MaxInt64,
 		}
 		u.timer = time.AfterFunc(time.Hour, u.tick)
-		f.Upstreams = append(f.Upstreams, u)
+		fleet.Upstreams = append(fleet.Upstreams, u)
 		if err := u.open("127.0.0.1:0"); err != nil {
-			f.Close()
+			fleet.Close()
 			return nil, err
 		}
 	}
-	return f, nil
+	return fleet, nil
 }
 
 // Begin sets the start of the run. No upstream may have work at that time.
-func (f *Fleet) Begin(epoch time.Time) { f.epoch.Store(&epoch) }
+func (fleet *Fleet) Begin(epoch time.Time) { fleet.epoch.Store(&epoch) }
 
 // Now returns the time since the start of the run, in nanoseconds.
-func (f *Fleet) Now() int64 { return int64(time.Since(*f.epoch.Load())) }
+func (fleet *Fleet) Now() int64 { return int64(time.Since(*fleet.epoch.Load())) }
 
 // Close stops all upstreams.
-func (f *Fleet) Close() {
-	for _, u := range f.Upstreams {
+func (fleet *Fleet) Close() {
+	for _, u := range fleet.Upstreams {
 		u.Kill()
 		u.timer.Stop()
 	}
 }
 
 // Gather adds the observations of the upstreams to a record.
-func (f *Fleet) Gather(r *record.Run) {
-	for _, u := range f.Upstreams {
+func (fleet *Fleet) Gather(r *record.Run) {
+	for _, u := range fleet.Upstreams {
 		u.mu.Lock()
 		r.Arrived = append(r.Arrived, u.arrived...)
 		r.ColdOverloads = append(r.ColdOverloads, u.coldOverloads...)
@@ -127,42 +127,42 @@
 	return c, err
 }
 
-func (u *Upstream) open(address string) error {
+func (up *Upstream) open(address string) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
 	}
-	s := &http.Server{Handler: u, ErrorLog: log.New(io.Discard, "", 0)}
+	s := &http.Server{Handler: up, ErrorLog: log.New(io.Discard, "", 0)}
 	conns := map[net.Conn]struct{}{}
 	s.ConnState = func(c net.Conn, now http.ConnState) {
-		u.mu.Lock()
-		defer u.mu.Unlock()
+		up.mu.Lock()
+		defer up.mu.Unlock()
 		if now == http.StateNew {
 			conns[c] = struct{}{}
 		} else if now == http.StateClosed || now == http.StateHijacked {
 			delete(conns, c)
 		}
 	}
-	u.mu.Lock()
-	u.Address, u.http, u.conns, u.down = l.Addr().String(), s, conns, false
-	u.mu.Unlock()
-	go s.Serve(listener{l, u})
+	up.mu.Lock()
+	up.Address, up.http, up.conns, up.down = l.Addr().String(), s, conns, false
+	up.mu.Unlock()
+	go s.Serve(listener{l, up})
 	return nil
 }
 
 // Kill kills the upstream: its connections are reset and its work is lost.
-func (u *Upstream) Kill() {
-	u.mu.Lock()
-	s, conns := u.http, u.conns
-	u.down = true
-	for _, j := range u.server.Stop(u.fleet.Now()) {
-		j.Tag.(*attempt).finish(false)
+func (up *Upstream) Kill() {
+	up.mu.Lock()
+	s, conns := up.http, up.conns
+	up.down = true
+	for _, j := range up.server.Stop(up.fleet.Now()) {
+		j.Tag.(*attemptState).finish(false)
 	}
 	var all []net.Conn
 	for c := range conns {
 		all = append(all, c)
 	}
-	u.mu.Unlock()
+	up.mu.Unlock()
 	for _, c := range all {
 		if t, ok := c.(*net.TCPConn); ok {
 			t.SetLinger(0)
@@ -173,16 +173,16 @@
 }
 
 // Restart starts the upstream again, cold and at its old address. With renamed, it gets a new name.
-func (u *Upstream) Restart(renamed bool) {
-	u.mu.Lock()
-	address := u.Address
+func (up *Upstream) Restart(renamed bool) {
+	up.mu.Lock()
+	address := up.Address
 	if renamed {
-		u.incarnation++
+		up.incarnation++
 	}
-	u.server.Start(u.fleet.Now())
-	u.mu.Unlock()
+	up.server.Start(up.fleet.Now())
+	up.mu.Unlock()
 	for range 50 {
-		if u.open(address) == nil {
+		if up.open(address) == nil {
 			return
 		}
 		time.Sleep(10 * time.Millisecond) // the old listener may still be closing
@@ -190,84 +190,84 @@
 }
 
 // Name returns the name in discovery, which differs between incarnations.
-func (u *Upstream) Name() string {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if u.incarnation == 0 {
-		return u.Upstream.Name
+func (up *Upstream) Name() string {
+	up.mu.Lock()
+	defer up.mu.Unlock()
+	if up.incarnation == 0 {
+		return up.Upstream.Name
 	}
-	return fmt.Sprintf("%s.%d", u.Upstream.Name, u.incarnation+1)
+	return fmt.Sprintf("%s.%d", up.Upstream.Name, up.incarnation+1)
 }
 
 // SetFault applies a kind of fault to a fraction of requests; 0 ends it.
-func (u *Upstream) SetFault(kind string, share float64) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if u.faultShares[kind] = share; share == 0 {
-		delete(u.faultShares, kind)
+func (up *Upstream) SetFault(kind string, share float64) {
+	up.mu.Lock()
+	defer up.mu.Unlock()
+	if up.faultShares[kind] = share; share == 0 {
+		delete(up.faultShares, kind)
 	}
 	if kind == "deaf" {
-		u.acceptBlocked.Store(share > 0)
+		up.acceptBlocked.Store(share > 0)
 	}
 }
 
 // ApplySlowdown sets a slowdown factor and the number of cores left.
-func (u *Upstream) ApplySlowdown(slow float64, cores int) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	u.advance()
-	u.server.ApplyFault(slow, cores)
-	u.scheduleTick()
+func (up *Upstream) ApplySlowdown(slow float64, cores int) {
+	up.mu.Lock()
+	defer up.mu.Unlock()
+	up.advance()
+	up.server.ApplyFault(slow, cores)
+	up.scheduleTick()
 }
 
-// attempt is the state of one attempt at an upstream.
-type attempt struct {
+// attemptState is the state of one attempt at an upstream.
+type attemptState struct {
 	ended     chan struct{}
 	completed bool
 	effectAt  int64
 }
 
-func (a *attempt) finish(done bool) {
-	a.completed = done
-	close(a.ended)
+func (state *attemptState) finish(done bool) {
+	state.completed = done
+	close(state.ended)
 }
 
 // advance moves the model to the current time and returns that time.
-func (u *Upstream) advance() int64 {
-	now := u.fleet.Now()
-	for _, j := range u.server.Advance(now) {
-		v := j.Tag.(*attempt)
-		v.effectAt = now
-		v.finish(true)
+func (up *Upstream) advance() int64 {
+	now := up.fleet.Now()
+	for _, j := range up.server.Advance(now) {
+		state := j.Tag.(*attemptState)
+		state.effectAt = now
+		state.finish(true)
 	}
 	return now
 }
 
 // scheduleTick sets the timer to the next event of the model.
-func (u *Upstream) scheduleTick() {
-	if u.nextEventAt = u.server.Next(); u.nextEventAt != math.MaxInt64 {
-		u.timer.Reset(time.Duration(max(0, u.nextEventAt-u.fleet.Now())))
+func (up *Upstream) scheduleTick() {
+	if up.nextEventAt = up.server.Next(); up.nextEventAt != math.MaxInt64 {
+		up.timer.Reset(time.Duration(max(0, up.nextEventAt-up.fleet.Now())))
 	}
 }
 
-func (u *Upstream) tick() {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if u.nextEventAt == math.MaxInt64 {
+func (up *Upstream) tick() {
+	up.mu.Lock()
+	defer up.mu.Unlock()
+	if up.nextEventAt == math.MaxInt64 {
 		return
 	}
-	due := u.nextEventAt
-	now := u.advance()
-	if u.ticks++; u.ticks%16 == 0 && now >= due {
-		u.lag = append(u.lag, now-due)
+	due := up.nextEventAt
+	now := up.advance()
+	if up.ticks++; up.ticks%16 == 0 && now >= due {
+		up.lag = append(up.lag, now-due)
 	}
-	u.scheduleTick()
+	up.scheduleTick()
 }
 
 // drawFault returns the fault that affects the next request, drawn at random; "" for none.
-func (u *Upstream) drawFault() string {
+func (up *Upstream) drawFault() string {
 	for _, kind := range []string{"hang", "reset", "garbage", "half", "fail", "full"} {
-		if share := u.faultShares[kind]; share > 0 && (share >= 1 || u.rng.Float64() < share) {
+		if share := up.faultShares[kind]; share > 0 && (share >= 1 || up.rng.Float64() < share) {
 			return kind
 		}
 	}
@@ -275,14 +275,14 @@
 }
 
 // ServeHTTP serves one attempt, or a health check at /ping.
-func (u *Upstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (up *Upstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
 		return
 	}
 	if r.URL.Path == "/ping" {
-		u.mu.Lock()
-		kind := u.drawFault()
-		u.mu.Unlock()
+		up.mu.Lock()
+		kind := up.drawFault()
+		up.mu.Unlock()
 		switch kind {
 		case "":
 		case "hang":
@@ -293,56 +293,56 @@
 		return
 	}
 	name, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
-	tariff := u.fleet.tariffs[name]
+	tariff := up.fleet.tariffs[name]
 	id := r.Header.Get("X-Txn")
 	root, _ := strconv.ParseUint(r.URL.Query().Get("root"), 16, 64)
 	if tariff == nil || id == "" {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	v := &attempt{ended: make(chan struct{})}
-	u.mu.Lock()
-	now := u.advance()
-	a := record.Arrival{ID: id, Root: root, Upstream: u.Index, At: now, Cold: u.server.WarmupFactor(now) < 1}
-	place := len(u.arrived)
-	kind := u.drawFault()
-	var first, mine *keyedRun
+	state := &attemptState{ended: make(chan struct{})}
+	up.mu.Lock()
+	now := up.advance()
+	arrival := record.Arrival{ID: id, Root: root, Upstream: up.Index, At: now, Cold: up.server.WarmupFactor(now) < 1}
+	index := len(up.arrived)
+	kind := up.drawFault()
+	var first, own *keyedRun
 	if kind == "" && tariff.Idempotency == logic.Keyed { // requests hit by a fault do not register their key
-		first, mine = u.fleet.registerKey(u, tariff, r.Header.Get("Idempotency-Key"), now)
+		first, own = up.fleet.registerKey(up, tariff, r.Header.Get("Idempotency-Key"), now)
 	}
-	j := &work.Job{Tag: v, Work: tariff.Work(u.fleet.experiment.Seed, root, u.Upstream.Name, place)}
+	job := &work.Job{Tag: state, Work: tariff.Work(up.fleet.experiment.Seed, root, up.Upstream.Name, index)}
 	if kind == "full" {
-		kind, a.Rejected = "", true
+		kind, arrival.Rejected = "", true
 	}
 	switch {
-	case a.Rejected:
+	case arrival.Rejected:
 	case kind != "":
-		a.Executed = kind != "fail"
+		arrival.Executed = kind != "fail"
 	case first != nil:
-		a.Deduplicated = true
+		arrival.Deduplicated = true
 	default:
-		before := u.server.MaxColdOverload
-		if a.Executed = u.server.Arrive(j, now); !a.Executed {
-			a.Rejected = true
+		before := up.server.MaxColdOverload
+		if arrival.Executed = up.server.Arrive(job, now); !arrival.Executed {
+			arrival.Rejected = true
 		}
-		if u.server.MaxColdOverload > before && before == 0 {
-			u.coldOverloads = append(u.coldOverloads, record.ColdOverload{Upstream: u.Index, At: now, Multiple: u.server.MaxColdOverload})
+		if up.server.MaxColdOverload > before && before == 0 {
+			up.coldOverloads = append(up.coldOverloads, record.ColdOverload{Upstream: up.Index, At: now, Multiple: up.server.MaxColdOverload})
 		}
 	}
-	u.arrived = append(u.arrived, a)
-	u.scheduleTick()
-	u.mu.Unlock()
+	up.arrived = append(up.arrived, arrival)
+	up.scheduleTick()
+	up.mu.Unlock()
 
 	switch {
 	case kind != "":
-		u.serveFault(w, r, kind)
+		up.serveFault(w, r, kind)
 		return
-	case a.Rejected:
-		u.fleet.finishKey(mine, false)
+	case arrival.Rejected:
+		up.fleet.finishKey(own, false)
 		w.Header().Set("X-Turned-Away", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
-	case a.Deduplicated:
+	case arrival.Deduplicated:
 		select {
 		case <-first.ended:
 		case <-r.Context().Done():
@@ -350,47 +350,47 @@
 		}
 	default:
 		select {
-		case <-v.ended:
+		case <-state.ended:
 		case <-r.Context().Done():
-			u.mu.Lock()
-			u.advance()
-			u.server.Cancel(j)
-			u.scheduleTick()
-			u.mu.Unlock()
+			up.mu.Lock()
+			up.advance()
+			up.server.Cancel(job)
+			up.scheduleTick()
+			up.mu.Unlock()
 			select {
-			case <-v.ended: // completed before the cancellation
+			case <-state.ended: // completed before the cancellation
 			default:
 			}
 		}
-		u.mu.Lock()
-		u.arrived[place].Effect = v.effectAt
-		u.mu.Unlock()
-		u.fleet.finishKey(mine, v.effectAt != 0)
-		if !v.completed {
+		up.mu.Lock()
+		up.arrived[index].Effect = state.effectAt
+		up.mu.Unlock()
+		up.fleet.finishKey(own, state.effectAt != 0)
+		if !state.completed {
 			// The work is lost. A handler that returns without writing sends status 200, so abort the connection.
 			panic(http.ErrAbortHandler)
 		}
 	}
-	if u.Group.Calls != nil && !u.callNextTier(r, root) {
+	if up.Group.Calls != nil && !up.callNextTier(r, root) {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	fmt.Fprintf(w, "ok %s %s\n", id, u.Upstream.Name)
+	fmt.Fprintf(w, "ok %s %s\n", id, up.Upstream.Name)
 }
 
 // callNextTier sends the calls of a transaction to the next tier and reports whether all succeeded.
-func (u *Upstream) callNextTier(r *http.Request, root uint64) bool {
+func (up *Upstream) callNextTier(r *http.Request, root uint64) bool {
 	left, err := strconv.ParseFloat(r.Header.Get("X-Remaining"), 64)
 	if err != nil {
 		left = 1
 	}
 	end := time.Now().Add(time.Duration(left * float64(time.Second)))
-	c := u.Group.Calls
-	u.mu.Lock()
-	n := c.Least + u.rng.IntN(c.Most-c.Least+1)
-	u.mu.Unlock()
+	c := up.Group.Calls
+	up.mu.Lock()
+	n := c.Least + up.rng.IntN(c.Most-c.Least+1)
+	up.mu.Unlock()
 	for range n {
-		if !u.fleet.Call(r.Context(), u.Group, root, time.Until(end)) {
+		if !up.fleet.Call(r.Context(), up.Group, root, time.Until(end)) {
 			return false
 		}
 	}
@@ -398,7 +398,7 @@
 }
 
 // serveFault sends the response that a fault produces.
-func (u *Upstream) serveFault(w http.ResponseWriter, r *http.Request, kind string) {
+func (up *Upstream) serveFault(w http.ResponseWriter, r *http.Request, kind string) {
 	if kind == "hang" {
 		<-r.Context().Done()
 		return
@@ -426,7 +426,7 @@
 
 // registerKey registers the first run of a keyed transaction within its deduplication scope, or returns the one that
 // is registered.
-func (f *Fleet) registerKey(u *Upstream, t *spec.Tariff, key string, now int64) (first, mine *keyedRun) {
+func (fleet *Fleet) registerKey(u *Upstream, t *spec.Tariff, key string, now int64) (first, mine *keyedRun) {
 	scope := fmt.Sprintf("%s/%d", u.Group.Name, u.Cell)
 	switch t.DedupScope {
 	case logic.SameZone:
@@ -435,23 +435,23 @@
 		scope = ""
 	}
 	scope = t.Name + "\n" + scope + "\n" + key
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if e := f.keyedRuns[scope]; e != nil && now < e.startedAt+t.DedupWindow {
+	fleet.mu.Lock()
+	defer fleet.mu.Unlock()
+	if e := fleet.keyedRuns[scope]; e != nil && now < e.startedAt+t.DedupWindow {
 		return e, nil
 	}
 	e := &keyedRun{startedAt: now, ended: make(chan struct{})}
-	f.keyedRuns[scope] = e
+	fleet.keyedRuns[scope] = e
 	return nil, e
 }
 
 // finishKey marks a first run as ended. If it had no effect, the key may run again.
-func (f *Fleet) finishKey(e *keyedRun, done bool) {
+func (fleet *Fleet) finishKey(e *keyedRun, done bool) {
 	if e == nil {
 		return
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
+	fleet.mu.Lock()
+	defer fleet.mu.Unlock()
 	if !done {
 		e.startedAt = math.MinInt64 / 2
 	}
--- a/internal/lab/load/ceiling.go
+++ b/internal/lab/load/ceiling.go
@@ -67,21 +67,21 @@
 	defer l.Close()
 	best := 0.0
 	for _, clients := range []int{runtime.GOMAXPROCS(0), 4 * runtime.GOMAXPROCS(0), 16 * runtime.GOMAXPROCS(0)} {
-		p := New(experiment(1, span), time.Now(), []string{l.Addr().String()})
+		gen := New(experiment(1, span), time.Now(), []string{l.Addr().String()})
 		var made atomic.Int64
 		var all sync.WaitGroup
 		end := time.Now().Add(span / 3)
 		for n := range clients {
 			all.Go(func() {
 				for i := uint64(0); time.Now().Before(end); i++ {
-					if a, _ := p.sendRequest(0, 0, 0, "", "", uint64(n)<<32+i, 5*time.Second, false, 0); a.Status == 200 {
+					if a, _ := gen.sendRequest(0, 0, 0, "", "", uint64(n)<<32+i, 5*time.Second, false, 0); a.Status == 200 {
 						made.Add(1)
 					}
 				}
 			})
 		}
 		all.Wait()
-		p.Gather(&record.Run{})
+		gen.Gather(&record.Run{})
 		best = max(best, float64(made.Load())/(span/3).Seconds())
 	}
 	return best, nil
@@ -101,18 +101,18 @@
 		return e, err
 	}
 	defer l.Close()
-	x := experiment(rate, span)
-	p, r := New(x, time.Now(), []string{l.Addr().String()}), &record.Run{}
-	p.Run(context.Background(), x.Load())
-	p.Gather(r)
-	h := hdrhistogram.New(1, int64(time.Minute), 3)
-	for _, t := range r.Requests {
+	exp := experiment(rate, span)
+	gen, run := New(exp, time.Now(), []string{l.Addr().String()}), &record.Run{}
+	gen.Run(context.Background(), exp.Load())
+	gen.Gather(run)
+	histogram := hdrhistogram.New(1, int64(time.Minute), 3)
+	for _, t := range run.Requests {
 		if t.Status == 200 {
-			h.RecordValue(max(1, t.Answered-t.Due))
+			histogram.RecordValue(max(1, t.Answered-t.Due))
 		}
 	}
 	return OwnLatency{
-		Rate: float64(h.TotalCount()) / span.Seconds(), P50: time.Duration(h.ValueAtQuantile(50)).Round(time.Microsecond),
-		P99: time.Duration(h.ValueAtQuantile(99)).Round(time.Microsecond), Max: time.Duration(h.Max()).Round(time.Microsecond),
+		Rate: float64(histogram.TotalCount()) / span.Seconds(), P50: time.Duration(histogram.ValueAtQuantile(50)).Round(time.Microsecond),
+		P99: time.Duration(histogram.ValueAtQuantile(99)).Round(time.Microsecond), Max: time.Duration(histogram.Max()).Round(time.Microsecond),
 	}, nil
 }
--- a/internal/lab/load/client.go
+++ b/internal/lab/load/client.go
@@ -48,35 +48,35 @@
 }
 
 // Close closes the idle connections.
-func (t *Target) Close() {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for _, c := range t.idle {
+func (target *Target) Close() {
+	target.mu.Lock()
+	defer target.mu.Unlock()
+	for _, c := range target.idle {
 		c.Close()
 	}
-	t.idle = nil
+	target.idle = nil
 }
 
 // takeIdle removes and returns the most recently used idle connection; nil if there is none.
-func (t *Target) takeIdle() *conn {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	last := len(t.idle) - 1
-	if !t.keepAlive || last < 0 {
+func (target *Target) takeIdle() *conn {
+	target.mu.Lock()
+	defer target.mu.Unlock()
+	last := len(target.idle) - 1
+	if !target.keepAlive || last < 0 {
 		return nil
 	}
-	c := t.idle[last]
-	t.idle = t.idle[:last]
+	c := target.idle[last]
+	target.idle = target.idle[:last]
 	return c
 }
 
 // connection returns the most recently used idle connection or opens a new one. The balancer may have closed an idle
 // connection, which shows only on use.
-func (t *Target) connection(until time.Time) (c *conn, err error) {
-	if c := t.takeIdle(); c != nil {
+func (target *Target) connection(until time.Time) (c *conn, err error) {
+	if c := target.takeIdle(); c != nil {
 		return c, nil
 	}
-	n, err := net.DialTimeout("tcp", t.address, max(time.Millisecond, min(time.Until(until), 3*time.Second)))
+	n, err := net.DialTimeout("tcp", target.address, max(time.Millisecond, min(time.Until(until), 3*time.Second)))
 	if err != nil {
 		return nil, err
 	}
@@ -88,73 +88,73 @@
 //
 // If that connection cannot be opened, the balancer may still have read the first request. The answer then counts as
 // closed and not as refused, because a refused request is safe to send elsewhere.
-func (t *Target) Do(request []byte, until time.Time) (a Answer) {
+func (target *Target) Do(request []byte, until time.Time) (answer Answer) {
 	for first := true; ; first = false {
-		c, err := t.connection(until)
+		c, err := target.connection(until)
 		if err != nil {
-			a.Refused = first
-			return a
+			answer.Refused = first
+			return answer
 		}
-		again := false
-		if a, again = t.roundTrip(c, request, until); !again {
-			return a
+		retry := false
+		if answer, retry = target.roundTrip(c, request, until); !retry {
+			return answer
 		}
 	}
 }
 
-func (t *Target) roundTrip(c *conn, request []byte, until time.Time) (a Answer, again bool) {
+func (target *Target) roundTrip(c *conn, request []byte, until time.Time) (answer Answer, retry bool) {
 	c.SetDeadline(until)
 	if c.reader.Buffered() > 0 {
 		// These bytes arrived after the last answer and belong to no request.
 		c.Close()
-		a.Extra = true
-		return a, !c.used
+		answer.Extra = true
+		return answer, !c.used
 	}
 	_, err := c.Write(request)
 	if err != nil {
 		c.Close()
-		a.Closed = true
-		return a, c.used
+		answer.Closed = true
+		return answer, c.used
 	}
-	a.Sent = time.Now()
-	r, err := http.ReadResponse(c.reader, nil)
+	answer.Sent = time.Now()
+	response, err := http.ReadResponse(c.reader, nil)
 	if err == nil {
-		a.Body, err = io.ReadAll(r.Body)
+		answer.Body, err = io.ReadAll(response.Body)
 	}
-	a.Read = time.Now()
+	answer.Read = time.Now()
 	if err != nil {
 		c.Close()
 		late, _ := err.(net.Error)
-		if a.TimedOut = late != nil && late.Timeout() || !a.Read.Before(until); a.TimedOut {
-			return a, false
+		if answer.TimedOut = late != nil && late.Timeout() || !answer.Read.Before(until); answer.TimedOut {
+			return answer, false
 		}
-		a.Closed = true
+		answer.Closed = true
 		// A reused connection that ends at once and without any byte was closed before the request was read.
-		return a, c.used && r == nil && (err == io.EOF || err == io.ErrUnexpectedEOF || strings.Contains(err.Error(), "reset")) &&
-			a.Read.Sub(a.Sent) < 20*time.Millisecond
+		return answer, c.used && response == nil && (err == io.EOF || err == io.ErrUnexpectedEOF || strings.Contains(err.Error(), "reset")) &&
+			answer.Read.Sub(answer.Sent) < 20*time.Millisecond
 	}
-	a.Status = r.StatusCode
-	if s, err := strconv.ParseFloat(r.Header.Get("Retry-After"), 64); err == nil {
-		a.RetryAfter = time.Duration(s * float64(time.Second))
+	answer.Status = response.StatusCode
+	if s, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64); err == nil {
+		answer.RetryAfter = time.Duration(s * float64(time.Second))
 	}
-	a.Extra = c.reader.Buffered() > 0
-	if r.Close || !t.keepAlive || a.Extra {
+	answer.Extra = c.reader.Buffered() > 0
+	if response.Close || !target.keepAlive || answer.Extra {
 		c.Close()
-		return a, false
+		return answer, false
 	}
 	c.used = true
-	t.mu.Lock()
-	t.idle = append(t.idle, c)
-	t.mu.Unlock()
-	return a, false
+	target.mu.Lock()
+	target.idle = append(target.idle, c)
+	target.mu.Unlock()
+	return answer, false
 }
 
 // ConnsWithUnreadBytes returns the number of idle connections with unread bytes. It finds excess bytes after
 // the last answer on a connection, where no further request would find them.
-func (t *Target) ConnsWithUnreadBytes() (n int) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for _, c := range t.idle {
+func (target *Target) ConnsWithUnreadBytes() (n int) {
+	target.mu.Lock()
+	defer target.mu.Unlock()
+	for _, c := range target.idle {
 		c.SetReadDeadline(time.Now().Add(time.Millisecond))
 		if _, err := c.reader.Peek(1); err == nil {
 			n++
@@ -164,7 +164,7 @@
 }
 
 // FormatRequest formats a request in the platform's protocol.
-func FormatRequest(tariff, host, id, customer, key string, root uint64, left time.Duration, again bool, post bool, body int) []byte {
+func FormatRequest(tariff, host, id, customer, key string, root uint64, left time.Duration, resent bool, post bool, body int) []byte {
 	var b bytes.Buffer
 	method := "GET"
 	if post {
@@ -178,7 +178,7 @@
 	if key != "" {
 		b.WriteString("Idempotency-Key: " + key + "\r\n")
 	}
-	if again {
+	if resent {
 		b.WriteString("X-Resent: 1\r\n")
 	}
 	if post {
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -32,53 +32,53 @@
 }
 
 // Recent returns a random recent call of repeating clients; ok is false if there is none.
-func (g *Generator) Recent() (c spec.Call, ok bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.recentCount == 0 {
+func (gen *Generator) Recent() (c spec.Call, ok bool) {
+	gen.mu.Lock()
+	defer gen.mu.Unlock()
+	if gen.recentCount == 0 {
 		return c, false
 	}
-	return g.recentCalls[rand.IntN(min(g.recentCount, len(g.recentCalls)))], true
+	return gen.recentCalls[rand.IntN(min(gen.recentCount, len(gen.recentCalls)))], true
 }
 
 // New creates the clients of an experiment for the balancers at the given addresses.
 func New(e *spec.Experiment, epoch time.Time, addresses []string) *Generator {
-	l := &Generator{experiment: e, epoch: epoch, down: make([]bool, len(addresses))}
+	gen := &Generator{experiment: e, epoch: epoch, down: make([]bool, len(addresses))}
 	for n := range len(e.Clients) + 1 {
 		var all []*Target
 		for _, a := range addresses {
 			all = append(all, NewTarget(a, n == len(e.Clients) || e.Clients[n].Kept))
 		}
-		l.targets = append(l.targets, all)
+		gen.targets = append(gen.targets, all)
 	}
 	for _, f := range e.Tariffs {
-		l.post = append(l.post, f.Idempotency != logic.Idempotent)
+		gen.post = append(gen.post, f.Idempotency != logic.Idempotent)
 	}
-	return l
+	return gen
 }
 
-func (g *Generator) now() int64 { return int64(time.Since(g.epoch)) }
+func (gen *Generator) now() int64 { return int64(time.Since(gen.epoch)) }
 
 // SetDown marks a balancer as down or up for the clients, as a load balancer in front of the balancers would.
-func (g *Generator) SetDown(balancer int, down bool) {
-	g.mu.Lock()
-	g.down[balancer] = down
-	g.mu.Unlock()
+func (gen *Generator) SetDown(balancer int, down bool) {
+	gen.mu.Lock()
+	gen.down[balancer] = down
+	gen.mu.Unlock()
 	if down {
-		for _, all := range g.targets {
+		for _, all := range gen.targets {
 			all[balancer].Close()
 		}
 	}
 }
 
 // pickBalancer returns the next balancer in round-robin order that is not down.
-func (g *Generator) pickBalancer() int {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	n := len(g.down)
-	from := int(g.nextBalancer.Add(1)) % n
+func (gen *Generator) pickBalancer() int {
+	gen.mu.Lock()
+	defer gen.mu.Unlock()
+	n := len(gen.down)
+	from := int(gen.nextBalancer.Add(1)) % n
 	for i := range n {
-		if !g.down[(from+i)%n] {
+		if !gen.down[(from+i)%n] {
 			return (from + i) % n
 		}
 	}
@@ -86,13 +86,13 @@
 }
 
 // Run sends all planned calls and returns when all have ended.
-func (g *Generator) Run(ctx context.Context, plan []spec.Call) {
+func (gen *Generator) Run(ctx context.Context, plan []spec.Call) {
 	var open sync.WaitGroup
 	defer open.Wait()
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for n, c := range plan {
-		if wait := time.Duration(c.Due - g.now()); wait > 0 {
+		if wait := time.Duration(c.Due - gen.now()); wait > 0 {
 			timer.Reset(wait)
 			select {
 			case <-timer.C:
@@ -104,50 +104,52 @@
 			return
 		}
 		if n%16 == 0 {
-			g.mu.Lock()
-			g.lag = append(g.lag, max(0, g.now()-c.Due))
-			g.mu.Unlock()
+			gen.mu.Lock()
+			gen.lag = append(gen.lag, max(0, gen.now()-c.Due))
+			gen.mu.Unlock()
 		}
-		open.Go(func() { g.callWithRetries(ctx, c) })
+		open.Go(func() { gen.callWithRetries(ctx, c) })
 	}
 }
 
 // callWithRetries performs one call with its retries.
-func (g *Generator) callWithRetries(ctx context.Context, c spec.Call) {
-	k := g.experiment.Clients[c.Clients]
-	f := g.experiment.Tariffs[k.Tariff]
+func (gen *Generator) callWithRetries(ctx context.Context, call spec.Call) {
+	group := gen.experiment.Clients[call.Clients]
+	tariff := gen.experiment.Tariffs[group.Tariff]
 	key := ""
-	if f.Idempotency == logic.Keyed || k.Keyed {
-		key = fmt.Sprintf("%016x", c.Root)
+	if tariff.Idempotency == logic.Keyed || group.Keyed {
+		key = fmt.Sprintf("%016x", call.Root)
 	}
-	if k.Repeats {
-		g.mu.Lock()
-		g.recentCalls[g.recentCount%len(g.recentCalls)] = c
-		g.recentCount++
-		g.mu.Unlock()
+	if group.Repeats {
+		gen.mu.Lock()
+		gen.recentCalls[gen.recentCount%len(gen.recentCalls)] = call
+		gen.recentCount++
+		gen.mu.Unlock()
 	}
-	if k.After > 0 {
-		g.callHedged(ctx, c, k, key)
+	if group.After > 0 {
+		gen.callHedged(ctx, call, group, key)
 		return
 	}
 	for try := 0; ctx.Err() == nil; try++ {
-		left := time.Duration(c.Due + k.Patience - g.now())
+		left := time.Duration(call.Due + group.Patience - gen.now())
 		if left <= 0 {
 			return
 		}
-		a, t := g.sendRequest(c.Clients, k.Pool, k.Tariff, k.Customer, key, c.Root, left, try > 0 && k.Marks, k.Body)
-		t.Due = c.Due
-		g.addRequest(t)
-		again := a.Status == 503 || a.Status == 429 || a.Refused
+		answer, request := gen.sendRequest(call.Clients, group.Pool, group.Tariff, group.Customer, key, call.Root, left,
+			try > 0 && group.Marks, group.Body)
+		request.Due = call.Due
+		gen.addRequest(request)
+		again := answer.Status == 503 || answer.Status == 429 || answer.Refused
 		// A failed request may have run, so it is retried only if a second run does no harm.
-		harmless := f.Idempotency == logic.Idempotent || f.Idempotency == logic.Keyed && f.DedupScope == logic.Everywhere
-		again = again || harmless && (a.Closed || a.Status >= 500) || k.Repeats && a.Status != 200
-		if !again || try >= k.Retries {
+		harmless := tariff.Idempotency == logic.Idempotent ||
+			tariff.Idempotency == logic.Keyed && tariff.DedupScope == logic.Everywhere
+		again = again || harmless && (answer.Closed || answer.Status >= 500) || group.Repeats && answer.Status != 200
+		if !again || try >= group.Retries {
 			return
 		}
-		pause := time.Duration(k.Pause)
-		if k.Heeds && a.RetryAfter > 0 {
-			pause = a.RetryAfter
+		pause := time.Duration(group.Pause)
+		if group.Heeds && answer.RetryAfter > 0 {
+			pause = answer.RetryAfter
 		}
 		pause = pause/2 + rand.N(pause+1)
 		select {
@@ -160,55 +162,56 @@
 
 // callHedged performs one call of a hedging client: without an answer for some time, it also sends
 // the request with the same key to another balancer, and takes the first answer that settles it.
-func (g *Generator) callHedged(ctx context.Context, c spec.Call, k *spec.Clients, key string) {
-	answers := make(chan Answer, k.Retries+1)
-	out, tries := 0, 0
+func (gen *Generator) callHedged(ctx context.Context, call spec.Call, group *spec.Clients, key string) {
+	answers := make(chan Answer, group.Retries+1)
+	outstanding, sent := 0, 0
 	send := func() {
-		left := time.Duration(c.Due + k.Patience - g.now())
-		if left <= 0 || tries > k.Retries {
+		left := time.Duration(call.Due + group.Patience - gen.now())
+		if left <= 0 || sent > group.Retries {
 			return
 		}
-		again := tries > 0 && k.Marks
-		out++
-		tries++
+		resent := sent > 0 && group.Marks
+		outstanding++
+		sent++
 		go func() {
-			a, t := g.sendRequest(c.Clients, k.Pool, k.Tariff, k.Customer, key, c.Root, left, again, k.Body)
-			t.Due = c.Due
-			g.addRequest(t)
-			answers <- a
+			answer, request := gen.sendRequest(call.Clients, group.Pool, group.Tariff, group.Customer, key, call.Root,
+				left, resent, group.Body)
+			request.Due = call.Due
+			gen.addRequest(request)
+			answers <- answer
 		}()
 	}
 	send()
-	next := time.NewTimer(time.Duration(k.After))
+	next := time.NewTimer(time.Duration(group.After))
 	defer next.Stop()
 	settled := false
-	for out > 0 {
+	for outstanding > 0 {
 		select {
-		case a := <-answers:
-			out--
-			if settled = settled || a.Status == 200; settled {
+		case answer := <-answers:
+			outstanding--
+			if settled = settled || answer.Status == 200; settled {
 				continue // outstanding requests run to their end
 			}
-			pause := time.Duration(k.Pause)
-			if k.Heeds && a.RetryAfter > 0 {
-				pause = a.RetryAfter
+			pause := time.Duration(group.Pause)
+			if group.Heeds && answer.RetryAfter > 0 {
+				pause = answer.RetryAfter
 			}
-			if out == 0 && tries <= k.Retries {
+			if outstanding == 0 && sent <= group.Retries {
 				select {
 				case <-time.After(pause/2 + rand.N(pause+1)):
 				case <-ctx.Done():
 					return
 				}
 				send()
-				next.Reset(time.Duration(k.After))
+				next.Reset(time.Duration(group.After))
 			}
 		case <-next.C:
 			if !settled {
 				send()
-				next.Reset(time.Duration(k.After))
+				next.Reset(time.Duration(group.After))
 			}
 		case <-ctx.Done():
-			for ; out > 0; out-- {
+			for ; outstanding > 0; outstanding-- {
 				<-answers
 			}
 			return
@@ -217,53 +220,54 @@
 }
 
 // Call sends a transaction from an upstream to the next tier and reports whether it succeeded.
-func (g *Generator) Call(ctx context.Context, from *spec.Group, root uint64, left time.Duration) bool {
-	k, key := len(g.experiment.Clients), ""
-	if g.experiment.Tariffs[from.Calls.Tariff].Idempotency == logic.Keyed {
-		key = fmt.Sprintf("%016x-%x", root, g.lastID.Add(1))
+func (gen *Generator) Call(ctx context.Context, from *spec.Group, root uint64, left time.Duration) bool {
+	k, key := len(gen.experiment.Clients), ""
+	if gen.experiment.Tariffs[from.Calls.Tariff].Idempotency == logic.Keyed {
+		key = fmt.Sprintf("%016x-%x", root, gen.lastID.Add(1))
 	}
-	a, t := g.sendRequest(k, from.Calls.Pool, from.Calls.Tariff, "", key, root, left, false, 0)
+	a, t := gen.sendRequest(k, from.Calls.Pool, from.Calls.Tariff, "", key, root, left, false, 0)
 	t.Due = t.Sent
-	g.addRequest(t)
+	gen.addRequest(t)
 	return a.Status == 200
 }
 
 // sendRequest sends one request to the next balancer and returns its answer and its record.
-func (g *Generator) sendRequest(
-	clients, pool, tariff int, customer, key string, root uint64, left time.Duration, again bool, body int,
+func (gen *Generator) sendRequest(
+	clients, pool, tariff int, customer, key string, root uint64, left time.Duration, resent bool, body int,
 ) (Answer, record.ClientRequest) {
-	id := fmt.Sprintf("%08x%08x", uint32(root), g.lastID.Add(1))
-	balancer := g.pickBalancer()
+	id := fmt.Sprintf("%08x%08x", uint32(root), gen.lastID.Add(1))
+	balancer := gen.pickBalancer()
 	until := time.Now().Add(left)
-	request := FormatRequest(g.experiment.Tariffs[tariff].Name, g.experiment.Host(pool), id, customer, key, root, left, again, g.post[tariff], body)
+	request := FormatRequest(gen.experiment.Tariffs[tariff].Name, gen.experiment.Host(pool), id, customer, key,
+		root, left, resent, gen.post[tariff], body)
 	// The client waits 100 ms longer than the timeout it announces, so that the judge still sees answers in transit
 	// at that time.
-	a := g.targets[clients][balancer].Do(request, until.Add(100*time.Millisecond))
-	t := record.ClientRequest{
-		Root: root, ID: id, Group: clients, Tariff: tariff, Balancer: balancer, Timeout: int64(left), Status: a.Status,
-		Extra: a.Extra, Closed: a.Closed,
+	answer := gen.targets[clients][balancer].Do(request, until.Add(100*time.Millisecond))
+	result := record.ClientRequest{
+		Root: root, ID: id, Group: clients, Tariff: tariff, Balancer: balancer, Timeout: int64(left), Status: answer.Status,
+		Extra: answer.Extra, Closed: answer.Closed,
 	}
-	if !a.Sent.IsZero() {
-		t.Sent = int64(a.Sent.Sub(g.epoch))
+	if !answer.Sent.IsZero() {
+		result.Sent = int64(answer.Sent.Sub(gen.epoch))
 	}
-	if a.Status != 0 {
-		t.Answered = int64(a.Read.Sub(g.epoch))
+	if answer.Status != 0 {
+		result.Answered = int64(answer.Read.Sub(gen.epoch))
 	}
-	if a.Status == 200 && !strings.HasPrefix(string(a.Body), "ok "+id+" ") {
-		t.Extra = true // the answer of another request
+	if answer.Status == 200 && !strings.HasPrefix(string(answer.Body), "ok "+id+" ") {
+		result.Extra = true // the answer of another request
 	}
-	return a, t
+	return answer, result
 }
 
-func (g *Generator) addRequest(t record.ClientRequest) {
-	g.mu.Lock()
-	g.requests = append(g.requests, t)
-	g.mu.Unlock()
+func (gen *Generator) addRequest(t record.ClientRequest) {
+	gen.mu.Lock()
+	gen.requests = append(gen.requests, t)
+	gen.mu.Unlock()
 }
 
 // Gather adds the observations of the clients to a record and closes their connections.
-func (g *Generator) Gather(r *record.Run) {
-	for _, all := range g.targets {
+func (gen *Generator) Gather(r *record.Run) {
+	for _, all := range gen.targets {
 		for b, t := range all {
 			if n := t.ConnsWithUnreadBytes(); n > 0 {
 				r.Requests = append(r.Requests, record.ClientRequest{Balancer: b, Group: -1, Extra: true})
@@ -271,8 +275,8 @@
 			t.Close()
 		}
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	r.Requests = append(r.Requests, g.requests...)
-	r.Lag = append(r.Lag, g.lag...)
+	gen.mu.Lock()
+	defer gen.mu.Unlock()
+	r.Requests = append(r.Requests, gen.requests...)
+	r.Lag = append(r.Lag, gen.lag...)
 }
--- a/internal/lab/load/rate.go
+++ b/internal/lab/load/rate.go
@@ -40,98 +40,98 @@
 
 // NewRig starts a balancer with a configuration in the platform's JSON format, which every build of it understands.
 // Without a program, clients send directly to an upstream.
-func NewRig(program, dir string, cores float64) (r *Rig, err error) {
-	r = &Rig{}
+func NewRig(program, dir string, cores float64) (rig *Rig, err error) {
+	rig = &Rig{}
 	defer func() {
 		if err != nil {
-			r.Close()
+			rig.Close()
 		}
 	}()
 	var entries []string
 	for n := range rigUpstreams {
-		l, err := startInstantUpstream(&r.attempts)
+		l, err := startInstantUpstream(&rig.attempts)
 		if err != nil {
-			return r, err
+			return rig, err
 		}
-		r.upstreams = append(r.upstreams, l)
+		rig.upstreams = append(rig.upstreams, l)
 		entries = append(entries, fmt.Sprintf(`{"name":"u%d","address":%q,"zone":"a","type":"m","group":1,"status":"SERVING","weight":1,"since_ms":0}`, n, l.Addr()))
 	}
 	if program == "" {
-		r.target = r.upstreams[0].Addr().String()
-		return r, nil
+		rig.target = rig.upstreams[0].Addr().String()
+		return rig, nil
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return r, err
+		return rig, err
 	}
-	r.target = l.Addr().String()
+	rig.target = l.Addr().String()
 	l.Close()
 	config := fmt.Sprintf(`{"name":"rig","listen":%q,"discovery":"127.0.0.1:1","seed":"8c","limits":{"cores":%g,"memory_mb":1024,"sockets":8192},
 "known":{"index":1,"snapshot":true,"endpoints":[%s]},"settings":{"fleet_size":1,"self_index":0,"layer":0,"zone":"a","zones":["a"],
 "registry_mode":"push","limits":{"cancelling":true,"max_pushes":4,"probes":true,"second_copies":true,"dial_timeout":500000,"idle_close":30000000},
 "guarantees":{"cold_from":0.2,"ramp_time":9000000,"fall_multiple":3,"overload_for":1000000},
 "tariffs":[{"name":"view","effect":"idempotent","contract_time":1000000,"hard_stop":2500000,"earnings":1,"late_earnings":0.5}]}}`,
-		r.target, cores, strings.Join(entries, ","))
+		rig.target, cores, strings.Join(entries, ","))
 	file := filepath.Join(dir, "rig.json")
 	if err := os.WriteFile(file, []byte(config), 0o600); err != nil {
-		return r, err
+		return rig, err
 	}
-	if r.log, err = os.Create(filepath.Join(dir, "rig.log")); err != nil {
-		return r, err
+	if rig.log, err = os.Create(filepath.Join(dir, "rig.log")); err != nil {
+		return rig, err
 	}
-	r.command = exec.Command(program)
-	r.command.Env = append(os.Environ(), "PROXY_CONFIG="+file)
-	r.command.Stderr = r.log
-	if err := r.command.Start(); err != nil {
-		r.command = nil
-		return r, err
+	rig.command = exec.Command(program)
+	rig.command.Env = append(os.Environ(), "PROXY_CONFIG="+file)
+	rig.command.Stderr = rig.log
+	if err := rig.command.Start(); err != nil {
+		rig.command = nil
+		return rig, err
 	}
 	for range 200 {
-		if a, err := http.Get("http://" + r.target + "/_health"); err == nil {
+		if a, err := http.Get("http://" + rig.target + "/_health"); err == nil {
 			a.Body.Close()
 			if a.StatusCode == http.StatusOK {
-				return r, nil
+				return rig, nil
 			}
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	return r, fmt.Errorf("%s not ready after 200 health checks", program)
+	return rig, fmt.Errorf("%s not ready after 200 health checks", program)
 }
 
 // Close stops the balancer and the upstreams.
-func (r *Rig) Close() {
-	if r.command != nil {
-		r.command.Process.Kill()
-		r.command.Wait()
+func (rig *Rig) Close() {
+	if rig.command != nil {
+		rig.command.Process.Kill()
+		rig.command.Wait()
 	}
-	for _, l := range r.upstreams {
+	for _, l := range rig.upstreams {
 		l.Close()
 	}
-	if r.log != nil {
-		r.log.Close()
+	if rig.log != nil {
+		rig.log.Close()
 	}
 }
 
 // RunClosedLoop runs a closed load for span: each client sends its next request when it has its
 // answer. The first fifth is a warm-up and is not counted.
-func (r *Rig) RunClosedLoop(clients int, span time.Duration) Throughput {
-	p := New(experiment(1, span), time.Now(), []string{r.target})
-	defer p.Gather(&record.Run{})
-	h := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
-	t, counted := Throughput{Clients: clients}, span*4/5
+func (rig *Rig) RunClosedLoop(clients int, span time.Duration) Throughput {
+	gen := New(experiment(1, span), time.Now(), []string{rig.target})
+	defer gen.Gather(&record.Run{})
+	histogram := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
+	result, counted := Throughput{Clients: clients}, span*4/5
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	start := time.Now()
 	from, end := start.Add(span/5), start.Add(span)
 	var before atomic.Int64
-	time.AfterFunc(span/5, func() { before.Store(r.attempts.Load()) })
+	time.AfterFunc(span/5, func() { before.Store(rig.attempts.Load()) })
 	for n := range clients {
 		all.Go(func() {
 			var took []time.Duration
 			other := 0
 			for i := uint64(0); time.Now().Before(end); i++ {
 				began := time.Now()
-				a, _ := p.sendRequest(0, 0, 0, "", "", uint64(n)<<32+i, 5*time.Second, false, 0)
+				a, _ := gen.sendRequest(0, 0, 0, "", "", uint64(n)<<32+i, 5*time.Second, false, 0)
 				if began.Before(from) {
 					continue
 				}
@@ -143,23 +143,23 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			t.Failed += other
+			result.Failed += other
 			for _, d := range took {
-				h.RecordValue(max(1, d.Microseconds()))
+				histogram.RecordValue(max(1, d.Microseconds()))
 			}
 		})
 	}
 	all.Wait()
-	pushes := r.attempts.Load() - before.Load()
-	t.Rate = float64(h.TotalCount()) / counted.Seconds()
-	t.P50 = time.Duration(h.ValueAtQuantile(50)) * time.Microsecond
-	t.P99 = time.Duration(h.ValueAtQuantile(99)) * time.Microsecond
-	t.Attempts = float64(pushes) / float64(max(h.TotalCount()+int64(t.Failed), 1))
-	if r.command != nil {
-		text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", r.command.Process.Pid))
+	pushes := rig.attempts.Load() - before.Load()
+	result.Rate = float64(histogram.TotalCount()) / counted.Seconds()
+	result.P50 = time.Duration(histogram.ValueAtQuantile(50)) * time.Microsecond
+	result.P99 = time.Duration(histogram.ValueAtQuantile(99)) * time.Microsecond
+	result.Attempts = float64(pushes) / float64(max(histogram.TotalCount()+int64(result.Failed), 1))
+	if rig.command != nil {
+		text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", rig.command.Process.Pid))
 		_, rest, _ := strings.Cut(string(text), "VmRSS:")
-		fmt.Sscan(rest, &t.Memory)
-		t.Memory <<= 10
+		fmt.Sscan(rest, &result.Memory)
+		result.Memory <<= 10
 	}
-	return t
+	return result
 }
--- a/internal/lab/report/html.go
+++ b/internal/lab/report/html.go
@@ -111,16 +111,16 @@
 		{Name: "95 in 100", Colour: "#b80", Values: perSecond(r, func(s judge.Second) float64 { return zeroAsNaN(s.P95) })},
 		{Name: "half", Colour: "#27a", Values: perSecond(r, func(s judge.Second) float64 { return zeroAsNaN(s.P50) })},
 	}
-	low, most := math.Inf(1), 1.0
+	low, high := math.Inf(1), 1.0
 	for _, l := range lines {
 		for _, v := range l.Values {
 			if !math.IsNaN(v) {
-				low, most = math.Min(low, v), math.Max(most, v)
+				low, high = math.Min(low, v), math.Max(high, v)
 			}
 		}
 	}
-	from := math.Floor(math.Log10(math.Min(low, most)))
-	to := math.Max(from+1, math.Ceil(math.Log10(most)))
+	from := math.Floor(math.Log10(math.Min(low, high)))
+	to := math.Max(from+1, math.Ceil(math.Log10(high)))
 	y := func(v float64) float64 { return draw.MarginTop + draw.PlotHeight*(1-(math.Log10(v)-from)/(to-from)) }
 	var ticks []float64
 	for p := from; p <= to; p++ {
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -43,17 +43,17 @@
 
 // New returns an outcome without runs.
 func New(e *spec.Experiment) *Outcome {
-	o := &Outcome{
+	outcome := &Outcome{
 		Name: e.Name, Title: e.Title, About: e.About, Seed: e.Seed, Short: e.Short, Length: float64(e.Length) / 1e9,
 		Settle: float64(e.Settle) / 1e9,
 	}
 	for _, f := range e.Faults {
-		o.Faults = append(o.Faults, Fault{f.Kind, float64(f.At) / 1e9, float64(f.At+f.For) / 1e9})
+		outcome.Faults = append(outcome.Faults, Fault{f.Kind, float64(f.At) / 1e9, float64(f.At+f.For) / 1e9})
 	}
 	for _, v := range e.Variants {
-		o.Variants = append(o.Variants, &Variant{Name: v})
+		outcome.Variants = append(outcome.Variants, &Variant{Name: v})
 	}
-	return o
+	return outcome
 }
 
 // studentT975 holds the 0.975 quantiles of Student's t distribution by degrees of freedom, from 1.
@@ -222,14 +222,14 @@
 	if err != nil {
 		return nil, err
 	}
-	o := &Outcome{}
-	if err := json.Unmarshal(text, o); err != nil {
+	outcome := &Outcome{}
+	if err := json.Unmarshal(text, outcome); err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
-	if len(o.Variants) == 0 {
+	if len(outcome.Variants) == 0 {
 		return nil, fmt.Errorf("%s: not an experiment result: it has no variants", file)
 	}
-	return o, nil
+	return outcome, nil
 }
 
 // Compare writes the mean differences b - a over pairs of runs, with their confidence intervals.
@@ -238,19 +238,19 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "figure\t%s\t%s\tdifference\t95%% interval\t\n", nameA, nameB)
 	for _, c := range columns {
-		var as, bs, diff []float64
+		var valuesA, valuesB, diff []float64
 		for i := range n {
 			x, one := a[i].Figures[c.figure]
 			y, other := b[i].Figures[c.figure]
 			if one && other {
-				as, bs, diff = append(as, x), append(bs, y), append(diff, y-x)
+				valuesA, valuesB, diff = append(valuesA, x), append(valuesB, y), append(diff, y-x)
 			}
 		}
 		if len(diff) == 0 {
 			continue
 		}
-		ma, _ := Interval(as)
-		mb, _ := Interval(bs)
+		meanA, _ := Interval(valuesA)
+		meanB, _ := Interval(valuesB)
 		d, half := Interval(diff)
 		word := ""
 		switch {
@@ -259,7 +259,7 @@
 		case d-half > 0 || d+half < 0:
 			word = "differs"
 		}
-		fmt.Fprintf(t, "%s\t"+c.format+"\t"+c.format+"\t"+strings.Replace(c.format, "%", "%+", 1)+"\t[%.4g, %.4g]\t%s\n", c.figure, ma, mb, d, d-half, d+half, word)
+		fmt.Fprintf(t, "%s\t"+c.format+"\t"+c.format+"\t"+strings.Replace(c.format, "%", "%+", 1)+"\t[%.4g, %.4g]\t%s\n", c.figure, meanA, meanB, d, d-half, d+half, word)
 	}
 	t.Flush()
 }
--- a/internal/lab/work/work.go
+++ b/internal/lab/work/work.go
@@ -62,157 +62,157 @@
 }
 
 // Start restarts the server cold and returns the jobs that were lost.
-func (s *Server) Start(now int64) (lost []*Job) {
-	lost = s.Stop(now)
-	s.startedAt, s.overloaded, s.coldArrivals = max(now, 1), false, nil
+func (srv *Server) Start(now int64) (lost []*Job) {
+	lost = srv.Stop(now)
+	srv.startedAt, srv.overloaded, srv.coldArrivals = max(now, 1), false, nil
 	return lost
 }
 
 // Stop removes all jobs from the server and returns them.
-func (s *Server) Stop(now int64) (lost []*Job) {
-	lost = slices.Concat(s.running, s.queue)
+func (srv *Server) Stop(now int64) (lost []*Job) {
+	lost = slices.Concat(srv.running, srv.queue)
 	for _, j := range lost {
 		j.active = false
 	}
-	s.running, s.queue, s.last = nil, nil, now
+	srv.running, srv.queue, srv.last = nil, nil, now
 	return lost
 }
 
 // ApplyFault applies a fault: a slowdown factor and the number of cores left. Work done so far is kept.
-func (s *Server) ApplyFault(slow float64, cores int) {
-	s.slowdown, s.cores = max(slow, 1e-3), max(cores, 0)
+func (srv *Server) ApplyFault(slow float64, cores int) {
+	srv.slowdown, srv.cores = max(slow, 1e-3), max(cores, 0)
 }
 
 // WarmupFactor returns the fraction of Speed that the server has reached.
-func (s *Server) WarmupFactor(now int64) float64 {
-	age := now - s.startedAt
-	if s.startedAt == 0 || s.terms.Ramp == 0 || age >= s.terms.Ramp {
+func (srv *Server) WarmupFactor(now int64) float64 {
+	age := now - srv.startedAt
+	if srv.startedAt == 0 || srv.terms.Ramp == 0 || age >= srv.terms.Ramp {
 		return 1
 	}
-	step := age * warmupSteps / s.terms.Ramp
-	return s.terms.ColdShare + (1-s.terms.ColdShare)*float64(step)/warmupSteps
+	step := age * warmupSteps / srv.terms.Ramp
+	return srv.terms.ColdShare + (1-srv.terms.ColdShare)*float64(step)/warmupSteps
 }
 
 // Capacity returns the work that the server can do per nanosecond without faults or overload.
-func (s *Server) Capacity(now int64) float64 {
-	return float64(s.terms.Cores) * s.terms.Speed * s.WarmupFactor(now)
+func (srv *Server) Capacity(now int64) float64 {
+	return float64(srv.terms.Cores) * srv.terms.Speed * srv.WarmupFactor(now)
 }
 
 // InFlight returns the number of running and queued jobs.
-func (s *Server) InFlight() int { return len(s.running) + len(s.queue) }
+func (srv *Server) InFlight() int { return len(srv.running) + len(srv.queue) }
 
 // Arrive accepts a job and returns true, or returns false if the queue is full. The caller first calls Advance with the
 // same time.
-func (s *Server) Arrive(j *Job, now int64) bool {
-	if len(s.running) >= s.cores && len(s.queue) >= s.terms.Queue {
+func (srv *Server) Arrive(job *Job, now int64) bool {
+	if len(srv.running) >= srv.cores && len(srv.queue) >= srv.terms.Queue {
 		return false
 	}
-	j.remaining, j.active = max(j.Work, minWork), true
-	s.queue = append(s.queue, j)
-	s.recordColdArrival(j.Work, now)
-	s.startQueued()
+	job.remaining, job.active = max(job.Work, minWork), true
+	srv.queue = append(srv.queue, job)
+	srv.recordColdArrival(job.Work, now)
+	srv.startQueued()
 	return true
 }
 
 // recordColdArrival records an arrival while the server is cold, and updates MaxColdOverload.
-func (s *Server) recordColdArrival(work float64, now int64) {
-	if s.terms.Span == 0 || s.WarmupFactor(now) == 1 {
-		s.coldArrivals = nil
+func (srv *Server) recordColdArrival(work float64, now int64) {
+	if srv.terms.Span == 0 || srv.WarmupFactor(now) == 1 {
+		srv.coldArrivals = nil
 		return
 	}
-	s.coldArrivals = append(s.coldArrivals, coldArrival{now, work})
+	srv.coldArrivals = append(srv.coldArrivals, coldArrival{now, work})
 	first, total := 0, 0.0
-	for i, f := range s.coldArrivals {
-		if f.at <= now-s.terms.Span {
+	for i, f := range srv.coldArrivals {
+		if f.at <= now-srv.terms.Span {
 			first = i + 1
 		} else {
 			total += f.work
 		}
 	}
-	s.coldArrivals = s.coldArrivals[first:]
-	if of := total / (s.Capacity(now) * float64(s.terms.Span)); len(s.coldArrivals) >= minOverloadJobs && of > s.terms.Multiple {
-		s.MaxColdOverload = max(s.MaxColdOverload, of)
+	srv.coldArrivals = srv.coldArrivals[first:]
+	if multiple := total / (srv.Capacity(now) * float64(srv.terms.Span)); len(srv.coldArrivals) >= minOverloadJobs && multiple > srv.terms.Multiple {
+		srv.MaxColdOverload = max(srv.MaxColdOverload, multiple)
 	}
 }
 
 // Cancel removes a job that is running or queued; otherwise it does nothing.
-func (s *Server) Cancel(j *Job) {
-	if !j.active {
+func (srv *Server) Cancel(job *Job) {
+	if !job.active {
 		return
 	}
-	j.active = false
-	is := func(o *Job) bool { return o == j }
-	s.running, s.queue = slices.DeleteFunc(s.running, is), slices.DeleteFunc(s.queue, is)
-	s.startQueued()
+	job.active = false
+	is := func(o *Job) bool { return o == job }
+	srv.running, srv.queue = slices.DeleteFunc(srv.running, is), slices.DeleteFunc(srv.queue, is)
+	srv.startQueued()
 }
 
-func (s *Server) startQueued() {
-	for len(s.running) < s.cores && len(s.queue) > 0 {
-		s.running = append(s.running, s.queue[0])
-		s.queue = s.queue[1:]
+func (srv *Server) startQueued() {
+	for len(srv.running) < srv.cores && len(srv.queue) > 0 {
+		srv.running = append(srv.running, srv.queue[0])
+		srv.queue = srv.queue[1:]
 	}
-	if s.terms.JamAt > 0 {
-		load := float64(s.InFlight()) / float64(max(s.terms.Cores, 1))
-		if load >= s.terms.JamAt {
-			s.overloaded = true
-		} else if load <= s.terms.JamEnds {
-			s.overloaded = false
+	if srv.terms.JamAt > 0 {
+		load := float64(srv.InFlight()) / float64(max(srv.terms.Cores, 1))
+		if load >= srv.terms.JamAt {
+			srv.overloaded = true
+		} else if load <= srv.terms.JamEnds {
+			srv.overloaded = false
 		}
 	}
 }
 
 // rate returns the current work per nanosecond of one core.
-func (s *Server) rate(now int64) float64 {
-	r := s.terms.Speed * s.WarmupFactor(now) / s.slowdown
-	if s.overloaded {
-		r /= max(s.terms.JamSlow, 1)
+func (srv *Server) rate(now int64) float64 {
+	r := srv.terms.Speed * srv.WarmupFactor(now) / srv.slowdown
+	if srv.overloaded {
+		r /= max(srv.terms.JamSlow, 1)
 	}
 	return r
 }
 
 // nextWarmupStep returns the time of the next warm-up step; MaxInt64 if the server is warm.
-func (s *Server) nextWarmupStep(now int64) int64 {
-	if s.WarmupFactor(now) == 1 {
+func (srv *Server) nextWarmupStep(now int64) int64 {
+	if srv.WarmupFactor(now) == 1 {
 		return math.MaxInt64
 	}
-	step := (now-s.startedAt)*warmupSteps/s.terms.Ramp + 1
-	return s.startedAt + (step*s.terms.Ramp+warmupSteps-1)/warmupSteps
+	step := (now-srv.startedAt)*warmupSteps/srv.terms.Ramp + 1
+	return srv.startedAt + (step*srv.terms.Ramp+warmupSteps-1)/warmupSteps
 }
 
 // Advance moves the model to now and returns the completed jobs in order of completion.
-func (s *Server) Advance(now int64) (done []*Job) {
-	for s.last < now {
-		at := min(now, s.nextWarmupStep(s.last))
-		r := s.rate(s.last)
-		for _, j := range s.running {
-			at = min(at, s.last+int64(math.Ceil(j.remaining/r)))
+func (srv *Server) Advance(now int64) (done []*Job) {
+	for srv.last < now {
+		at := min(now, srv.nextWarmupStep(srv.last))
+		rate := srv.rate(srv.last)
+		for _, job := range srv.running {
+			at = min(at, srv.last+int64(math.Ceil(job.remaining/rate)))
 		}
-		at = max(at, s.last+1)
-		for _, j := range s.running {
-			j.remaining -= r * float64(at-s.last)
+		at = max(at, srv.last+1)
+		for _, job := range srv.running {
+			job.remaining -= rate * float64(at-srv.last)
 		}
-		s.last = at
-		for _, j := range s.running {
-			if j.remaining < minWork/2. {
-				j.active = false
-				done = append(done, j)
+		srv.last = at
+		for _, job := range srv.running {
+			if job.remaining < minWork/2. {
+				job.active = false
+				done = append(done, job)
 			}
 		}
-		s.running = slices.DeleteFunc(s.running, func(j *Job) bool { return !j.active })
-		s.startQueued()
+		srv.running = slices.DeleteFunc(srv.running, func(job *Job) bool { return !job.active })
+		srv.startQueued()
 	}
 	return done
 }
 
 // Next returns the time of the next completion or warm-up step, if no job arrives before; MaxInt64 if no job runs.
-func (s *Server) Next() int64 {
+func (srv *Server) Next() int64 {
 	next := int64(math.MaxInt64)
-	r := s.rate(s.last)
-	for _, j := range s.running {
-		next = min(next, s.last+max(1, int64(math.Ceil(j.remaining/r))))
+	rate := srv.rate(srv.last)
+	for _, j := range srv.running {
+		next = min(next, srv.last+max(1, int64(math.Ceil(j.remaining/rate))))
 	}
 	if next != math.MaxInt64 {
-		next = min(next, s.nextWarmupStep(s.last))
+		next = min(next, srv.nextWarmupStep(srv.last))
 	}
 	return next
 }
