--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -1,6 +1,6 @@
 // Package baseline implements simple load-balancing policies to compare the decision engine with. They run behind the
 // same front end and under the same rules. They send no hedges, have no concurrency limits and eject no upstreams.
-// Their retries use the same token bucket.
+// A token bucket limits their retries as it does the decision engine's.
 package baseline
 
 import (
@@ -54,25 +54,25 @@
 	deadlines    deadlineHeap
 }
 
-// NewFactory returns a factory of engines with the policy named kind.
-func NewFactory(kind string) (desk.EngineFactory, error) {
-	switch kind {
+// NewFactory returns a factory of engines with the named policy.
+func NewFactory(policy string) (desk.EngineFactory, error) {
+	switch policy {
 	case "random", "round-robin", "least-in-flight", "two-choices":
 	default:
-		return nil, errors.New("baseline: unknown policy: " + kind)
+		return nil, errors.New("baseline: unknown policy: " + policy)
 	}
 	return func(config *logic.Config, now int64) (desk.Engine, error) {
 		if len(config.Tariffs) == 0 || config.MaxAttempts < 1 {
 			return nil, errors.New("baseline: configuration has no tariffs or MaxAttempts is below 1")
 		}
 		return &Balancer{
-			policy: kind, config: config, now: now, rng: rand.New(rand.NewPCG(config.Seed, 1)), retryTokens: 1,
+			policy: policy, config: config, now: now, rng: rand.New(rand.NewPCG(config.Seed, 1)), retryTokens: 1,
 			transactions: map[*logic.Transaction]*transactionState{},
 		}, nil
 	}, nil
 }
 
-// Known implements desk.Module, as do the methods below.
+// Known and the exported methods below implement desk.Engine.
 func (lb *Balancer) Known(i int) bool { return lb.known[i] }
 
 func (lb *Balancer) Join() int {
@@ -246,11 +246,11 @@
 		}
 		return best
 	case "two-choices":
-		one, other := candidates[lb.rng.IntN(len(candidates))], candidates[lb.rng.IntN(len(candidates))]
-		if load(other) < load(one) {
-			return other
+		first, second := candidates[lb.rng.IntN(len(candidates))], candidates[lb.rng.IntN(len(candidates))]
+		if load(second) < load(first) {
+			return second
 		}
-		return one
+		return first
 	}
 	return candidates[lb.rng.IntN(len(candidates))]
 }
--- a/internal/lab/emulate/upstream.go
+++ b/internal/lab/emulate/upstream.go
@@ -75,7 +75,7 @@
 	}
 	for i, up := range e.Upstreams {
 		u := &Upstream{
-			Upstream: up, Index: i, fleet: fleet, server: work.New(up.Group.Terms, 0), rng: rand.New(rand.NewPCG(e.Seed, uint64(i))),
+			Upstream: up, Index: i, fleet: fleet, server: work.New(up.Group.ServerConfig, 0), rng: rand.New(rand.NewPCG(e.Seed, uint64(i))),
 			faultShares: map[string]float64{}, nextEventAt: math.MaxInt64,
 		}
 		u.timer = time.AfterFunc(time.Hour, u.tick)
--- a/internal/lab/load/ceiling.go
+++ b/internal/lab/load/ceiling.go
@@ -19,8 +19,8 @@
 )
 
 // startInstantUpstream starts an upstream that answers immediately, so that it adds no service time.
-// It counts requests in came.
-func startInstantUpstream(came *atomic.Int64) (net.Listener, error) {
+// It counts the received requests.
+func startInstantUpstream(requests *atomic.Int64) (net.Listener, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -38,7 +38,7 @@
 					if err != nil {
 						return
 					}
-					came.Add(1)
+					requests.Add(1)
 					text := "ok " + r.Header.Get("X-Txn") + " x\n"
 					fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 				}
--- a/internal/lab/load/client.go
+++ b/internal/lab/load/client.go
@@ -124,8 +124,8 @@
 	answer.Read = time.Now()
 	if err != nil {
 		c.Close()
-		late, _ := err.(net.Error)
-		if answer.TimedOut = late != nil && late.Timeout() || !answer.Read.Before(until); answer.TimedOut {
+		netErr, _ := err.(net.Error)
+		if answer.TimedOut = netErr != nil && netErr.Timeout() || !answer.Read.Before(until); answer.TimedOut {
 			return answer, false
 		}
 		answer.Closed = true
--- a/internal/lab/load/rate.go
+++ b/internal/lab/load/rate.go
@@ -49,23 +49,23 @@
 	}()
 	var entries []string
 	for n := range rigUpstreams {
-		l, err := startInstantUpstream(&rig.attempts)
+		listener, err := startInstantUpstream(&rig.attempts)
 		if err != nil {
 			return rig, err
 		}
-		rig.upstreams = append(rig.upstreams, l)
-		entries = append(entries, fmt.Sprintf(`{"name":"u%d","address":%q,"zone":"a","type":"m","group":1,"status":"SERVING","weight":1,"since_ms":0}`, n, l.Addr()))
+		rig.upstreams = append(rig.upstreams, listener)
+		entries = append(entries, fmt.Sprintf(`{"name":"u%d","address":%q,"zone":"a","type":"m","group":1,"status":"SERVING","weight":1,"since_ms":0}`, n, listener.Addr()))
 	}
 	if program == "" {
 		rig.target = rig.upstreams[0].Addr().String()
 		return rig, nil
 	}
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return rig, err
 	}
-	rig.target = l.Addr().String()
-	l.Close()
+	rig.target = listener.Addr().String()
+	listener.Close()
 	config := fmt.Sprintf(`{"name":"rig","listen":%q,"discovery":"127.0.0.1:1","seed":"8c","limits":{"cores":%g,"memory_mb":1024,"sockets":8192},
 "known":{"index":1,"snapshot":true,"endpoints":[%s]},"settings":{"fleet_size":1,"self_index":0,"layer":0,"zone":"a","zones":["a"],
 "registry_mode":"push","limits":{"cancelling":true,"max_pushes":4,"probes":true,"second_copies":true,"dial_timeout":500000,"idle_close":30000000},
@@ -150,11 +150,11 @@
 		})
 	}
 	all.Wait()
-	pushes := rig.attempts.Load() - before.Load()
+	attempts := rig.attempts.Load() - before.Load()
 	result.Rate = float64(histogram.TotalCount()) / counted.Seconds()
 	result.P50 = time.Duration(histogram.ValueAtQuantile(50)) * time.Microsecond
 	result.P99 = time.Duration(histogram.ValueAtQuantile(99)) * time.Microsecond
-	result.Attempts = float64(pushes) / float64(max(histogram.TotalCount()+int64(result.Failed), 1))
+	result.Attempts = float64(attempts) / float64(max(histogram.TotalCount()+int64(result.Failed), 1))
 	if rig.command != nil {
 		text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", rig.command.Process.Pid))
 		_, rest, _ := strings.Cut(string(text), "VmRSS:")
--- a/internal/lab/report/html.go
+++ b/internal/lab/report/html.go
@@ -143,11 +143,11 @@
 		{Name: "failed", Colour: "#a22", Values: perSecond(r, func(s judge.Second) float64 { return float64(s.Failed) })},
 		{Name: "lost", Colour: "#222", Values: perSecond(r, func(s judge.Second) float64 { return float64(s.Lost) })},
 	}
-	most := 0.0
+	highest := 0.0
 	for _, s := range r.Seconds {
-		most = math.Max(most, float64(s.Asked))
+		highest = math.Max(highest, float64(s.Asked))
 	}
-	y, ticks := draw.LinearScale(most)
+	y, ticks := draw.LinearScale(highest)
 	p := outcome.plot()
 	p.OpenWithAxes(b, "Outcomes of the transactions due in each second", ticks, y, "%.0f")
 	p.Bars(b, all, y)
@@ -162,31 +162,31 @@
 		}
 		return float64(s.Pushes) / float64(s.First)
 	})
-	most := 1.2
+	highest := 1.2
 	for _, v := range values {
 		if !math.IsNaN(v) {
-			most = math.Max(most, v)
+			highest = math.Max(highest, v)
 		}
 	}
-	y := func(v float64) float64 { return draw.MarginTop + draw.PlotHeight*(1-(v-0.9)/(most-0.9)) }
+	y := func(v float64) float64 { return draw.MarginTop + draw.PlotHeight*(1-(v-0.9)/(highest-0.9)) }
 	p := outcome.plot()
-	p.OpenWithAxes(b, "Attempts per first attempt", []float64{1, most}, y, "%.2f")
+	p.OpenWithAxes(b, "Attempts per first attempt", []float64{1, highest}, y, "%.2f")
 	p.Line(b, draw.Series{Name: "pushes", Colour: "#639", Values: values}, 0, y)
 	b.WriteString("</svg>")
 }
 
 // upstreams draws the attempts that reached each upstream.
 func upstreams(b *strings.Builder, r *judge.Result) {
-	most := 1
+	highest := 1
 	for _, u := range r.Upstream {
-		most = max(most, u.Pushes)
+		highest = max(highest, u.Pushes)
 	}
 	bar := draw.PlotWidth / math.Max(1, float64(len(r.Upstream)))
-	draw.OpenSVG(b, fmt.Sprintf("Attempts by upstream (at most %d); dark: rejected", most), 90)
+	draw.OpenSVG(b, fmt.Sprintf("Attempts by upstream (at most %d); dark: rejected", highest), 90)
 	for i, u := range r.Upstream {
-		h, t := 80*float64(u.Pushes)/float64(most), 80*float64(u.Turned)/float64(most)
+		height, rejectedHeight := 80*float64(u.Pushes)/float64(highest), 80*float64(u.Turned)/float64(highest)
 		fmt.Fprintf(b, `<rect x="%.1f" y="%.1f" width="%.1f" height="%.1f" fill="#27a"><title>%s: %d attempts, %d rejected</title></rect><rect x="%.1f" y="%.1f" width="%.1f" height="%.1f" fill="#124"/>`,
-			draw.MarginLeft+bar*float64(i), 85-h, bar*0.85, h, escapeHTML(u.Name), u.Pushes, u.Turned, draw.MarginLeft+bar*float64(i), 85-t, bar*0.85, t)
+			draw.MarginLeft+bar*float64(i), 85-height, bar*0.85, height, escapeHTML(u.Name), u.Pushes, u.Turned, draw.MarginLeft+bar*float64(i), 85-rejectedHeight, bar*0.85, rejectedHeight)
 	}
 	b.WriteString("</svg>")
 }
--- a/internal/lab/spec/spec.go
+++ b/internal/lab/spec/spec.go
@@ -50,7 +50,7 @@
 type Tariff struct {
 	Name string
 	*logic.Tariff
-	Sizes work.Sizes
+	Sizes work.Distribution
 	Fixed bool // a transaction is as much work at whatever upstream
 }
 
@@ -61,7 +61,7 @@
 	Count int
 	Zone  string
 	Cells int // groups that know repeats of each other
-	work.Terms
+	work.ServerConfig
 	Calls *Calls
 }
 
@@ -237,7 +237,7 @@
 		}
 	}
 	for _, name := range t.Table("tariffs").Keys() {
-		r.e.Tariffs = append(r.e.Tariffs, &Tariff{Name: name, Sizes: work.Sizes{Kind: "exponential", Mean: 10e6}})
+		r.e.Tariffs = append(r.e.Tariffs, &Tariff{Name: name, Sizes: work.Distribution{Kind: "exponential", Mean: 10e6}})
 	}
 	// Danger: upstreams warm up sooner in the short form, and a balancer that isn't told so spares them for far longer.
 	if pools, _ := r.e.base["pools"].(map[string]any); r.scale != 1 {
@@ -294,10 +294,10 @@
 			continue
 		}
 		u := all[n]
-		z := work.Sizes{
+		z := work.Distribution{
 			Kind:  u.Choice("kind", "exponential", "fixed", "exponential", "lognormal", "pareto", "values"),
 			Mean:  float64(u.Duration("mean", 10*time.Millisecond, 10*time.Microsecond)),
-			Sigma: u.Number("sigma", 1, 0.01, 5), Alpha: u.Number("alpha", 1.5, 0.1, 10), Most: u.Number("most", 100, 1.1, 1e6),
+			Sigma: u.Number("sigma", 1, 0.01, 5), Alpha: u.Number("alpha", 1.5, 0.1, 10), MaxMultiple: u.Number("most", 100, 1.1, 1e6),
 		}
 		if file := u.Text("file", ""); file != "" {
 			for _, d := range r.times(u, "file", file) {
@@ -348,15 +348,15 @@
 		g := &Group{
 			Name: name, Pool: r.place(u, "pool", name, r.e.Pools), Count: u.Int("count", 1, 1, 2000), Zone: u.Text("zone", "a"),
 			Cells: u.Int("cells", 1, 1, 1000),
-			Terms: work.Terms{
+			ServerConfig: work.ServerConfig{
 				Cores: u.Int("cores", 2, 1, 1024), Speed: u.Number("speed", 1, 0.001, 1000), Queue: u.Int("queue", 200, 0, 1<<20),
-				ColdShare: u.Number("cold_share", 0.2, 0.001, 1), Ramp: int64(u.Duration("ramp", 10*time.Second, 0)),
-				Multiple: u.Number("fall_multiple", 3, 1, 1000), Span: int64(u.Duration("fall_span", time.Second, time.Millisecond)),
+				ColdShare: u.Number("cold_share", 0.2, 0.001, 1), WarmUp: int64(u.Duration("ramp", 10*time.Second, 0)),
+				ColdOverloadFactor: u.Number("fall_multiple", 3, 1, 1000), ColdOverloadSpan: int64(u.Duration("fall_span", time.Second, time.Millisecond)),
 			},
 		}
-		g.Ramp = int64(float64(g.Ramp) * r.scale)
+		g.WarmUp = int64(float64(g.WarmUp) * r.scale)
 		j := u.Table("jam")
-		g.JamAt, g.JamSlow, g.JamEnds = j.Number("at", 0, 0, 1e6), j.Number("slow", 2, 1, 1000), j.Number("ends", 1, 0, 1e6)
+		g.OverloadAt, g.OverloadSlowdown, g.OverloadEnds = j.Number("at", 0, 0, 1e6), j.Number("slow", 2, 1, 1000), j.Number("ends", 1, 0, 1e6)
 		j.ReportUnknownKeys()
 		if c := u.Table("calls"); u.Has("calls") {
 			g.Calls = &Calls{
--- a/internal/lab/work/work.go
+++ b/internal/lab/work/work.go
@@ -9,18 +9,18 @@
 	"slices"
 )
 
-// Terms describes the capacity of one upstream. Times are in nanoseconds.
-type Terms struct {
-	Cores     int
-	Speed     float64 // 1 means that a core does one nanosecond of work per nanosecond
-	Queue     int     // maximum queue length; jobs that arrive at a full queue are rejected
-	ColdShare float64 // fraction of Speed right after a cold start
-	Ramp      int64   // duration of the warm-up
-	JamAt     float64 // jobs per core at which the overload slowdown begins; 0 disables it
-	JamSlow   float64 // slowdown factor under overload
-	JamEnds   float64 // jobs per core at which the slowdown ends
-	Multiple  float64 // a cold server is overloaded by more than this multiple of its capacity
-	Span      int64   // window over which that multiple is measured; 0 disables the check
+// ServerConfig describes the capacity of one upstream. Times are in nanoseconds.
+type ServerConfig struct {
+	Cores              int
+	Speed              float64 // 1 means that a core does one nanosecond of work per nanosecond
+	Queue              int     // maximum queue length; jobs that arrive at a full queue are rejected
+	ColdShare          float64 // fraction of Speed right after a cold start
+	WarmUp             int64   // duration of the warm-up
+	OverloadAt         float64 // jobs per core at which the overload slowdown begins; 0 disables it
+	OverloadSlowdown   float64 // slowdown factor under overload
+	OverloadEnds       float64 // jobs per core at which the slowdown ends
+	ColdOverloadFactor float64 // a cold server is overloaded by more than this multiple of its capacity
+	ColdOverloadSpan   int64   // window over which that multiple is measured; 0 disables the check
 }
 
 // Job is a unit of work for a server.
@@ -39,7 +39,7 @@
 
 // Server is the state of one upstream.
 type Server struct {
-	terms           Terms
+	config          ServerConfig
 	slowdown        float64 // slowdown factor of a fault
 	cores           int     // cores available under a fault
 	startedAt       int64   // time of the cold start; 0 if the server started warm
@@ -47,8 +47,8 @@
 	last            int64
 	running         []*Job
 	queue           []*Job
-	coldArrivals    []coldArrival // arrivals within the last Span while cold
-	MaxColdOverload float64       // largest multiple of its capacity that it was sent while cold, if above Multiple
+	coldArrivals    []coldArrival // arrivals within the last ColdOverloadSpan while cold
+	MaxColdOverload float64       // largest multiple of its capacity sent while cold; 0 if never above ColdOverloadFactor
 }
 
 type coldArrival struct {
@@ -57,8 +57,8 @@
 }
 
 // New returns a warm server.
-func New(t Terms, now int64) *Server {
-	return &Server{terms: t, slowdown: 1, cores: t.Cores, last: now}
+func New(config ServerConfig, now int64) *Server {
+	return &Server{config: config, slowdown: 1, cores: config.Cores, last: now}
 }
 
 // Start restarts the server cold and returns the jobs that were lost.
@@ -86,16 +86,16 @@
 // WarmupFactor returns the fraction of Speed that the server has reached.
 func (srv *Server) WarmupFactor(now int64) float64 {
 	age := now - srv.startedAt
-	if srv.startedAt == 0 || srv.terms.Ramp == 0 || age >= srv.terms.Ramp {
+	if srv.startedAt == 0 || srv.config.WarmUp == 0 || age >= srv.config.WarmUp {
 		return 1
 	}
-	step := age * warmupSteps / srv.terms.Ramp
-	return srv.terms.ColdShare + (1-srv.terms.ColdShare)*float64(step)/warmupSteps
+	step := age * warmupSteps / srv.config.WarmUp
+	return srv.config.ColdShare + (1-srv.config.ColdShare)*float64(step)/warmupSteps
 }
 
 // Capacity returns the work that the server can do per nanosecond without faults or overload.
 func (srv *Server) Capacity(now int64) float64 {
-	return float64(srv.terms.Cores) * srv.terms.Speed * srv.WarmupFactor(now)
+	return float64(srv.config.Cores) * srv.config.Speed * srv.WarmupFactor(now)
 }
 
 // InFlight returns the number of running and queued jobs.
@@ -104,7 +104,7 @@
 // Arrive accepts a job and returns true, or returns false if the queue is full. The caller first calls Advance with the
 // same time.
 func (srv *Server) Arrive(job *Job, now int64) bool {
-	if len(srv.running) >= srv.cores && len(srv.queue) >= srv.terms.Queue {
+	if len(srv.running) >= srv.cores && len(srv.queue) >= srv.config.Queue {
 		return false
 	}
 	job.remaining, job.active = max(job.Work, minWork), true
@@ -116,21 +116,22 @@
 
 // recordColdArrival records an arrival while the server is cold, and updates MaxColdOverload.
 func (srv *Server) recordColdArrival(work float64, now int64) {
-	if srv.terms.Span == 0 || srv.WarmupFactor(now) == 1 {
+	if srv.config.ColdOverloadSpan == 0 || srv.WarmupFactor(now) == 1 {
 		srv.coldArrivals = nil
 		return
 	}
 	srv.coldArrivals = append(srv.coldArrivals, coldArrival{now, work})
 	first, total := 0, 0.0
 	for i, f := range srv.coldArrivals {
-		if f.at <= now-srv.terms.Span {
+		if f.at <= now-srv.config.ColdOverloadSpan {
 			first = i + 1
 		} else {
 			total += f.work
 		}
 	}
 	srv.coldArrivals = srv.coldArrivals[first:]
-	if multiple := total / (srv.Capacity(now) * float64(srv.terms.Span)); len(srv.coldArrivals) >= minOverloadJobs && multiple > srv.terms.Multiple {
+	if multiple := total / (srv.Capacity(now) * float64(srv.config.ColdOverloadSpan)); len(srv.coldArrivals) >= minOverloadJobs &&
+		multiple > srv.config.ColdOverloadFactor {
 		srv.MaxColdOverload = max(srv.MaxColdOverload, multiple)
 	}
 }
@@ -151,11 +152,11 @@
 		srv.running = append(srv.running, srv.queue[0])
 		srv.queue = srv.queue[1:]
 	}
-	if srv.terms.JamAt > 0 {
-		load := float64(srv.InFlight()) / float64(max(srv.terms.Cores, 1))
-		if load >= srv.terms.JamAt {
+	if srv.config.OverloadAt > 0 {
+		load := float64(srv.InFlight()) / float64(max(srv.config.Cores, 1))
+		if load >= srv.config.OverloadAt {
 			srv.overloaded = true
-		} else if load <= srv.terms.JamEnds {
+		} else if load <= srv.config.OverloadEnds {
 			srv.overloaded = false
 		}
 	}
@@ -163,9 +164,9 @@
 
 // rate returns the current work per nanosecond of one core.
 func (srv *Server) rate(now int64) float64 {
-	r := srv.terms.Speed * srv.WarmupFactor(now) / srv.slowdown
+	r := srv.config.Speed * srv.WarmupFactor(now) / srv.slowdown
 	if srv.overloaded {
-		r /= max(srv.terms.JamSlow, 1)
+		r /= max(srv.config.OverloadSlowdown, 1)
 	}
 	return r
 }
@@ -175,8 +176,8 @@
 	if srv.WarmupFactor(now) == 1 {
 		return math.MaxInt64
 	}
-	step := (now-srv.startedAt)*warmupSteps/srv.terms.Ramp + 1
-	return srv.startedAt + (step*srv.terms.Ramp+warmupSteps-1)/warmupSteps
+	step := (now-srv.startedAt)*warmupSteps/srv.config.WarmUp + 1
+	return srv.startedAt + (step*srv.config.WarmUp+warmupSteps-1)/warmupSteps
 }
 
 // Advance moves the model to now and returns the completed jobs in order of completion.
@@ -217,39 +218,39 @@
 	return next
 }
 
-// Sizes is the distribution of the work per transaction.
-type Sizes struct {
-	Kind   string    // "fixed", "exponential", "lognormal", "pareto" or "values"
-	Mean   float64   // in nanoseconds
-	Sigma  float64   // of the logarithm, for a lognormal distribution
-	Alpha  float64   // shape of a bounded Pareto distribution
-	Most   float64   // its upper bound, as a multiple of the mean
-	Values []float64 // drawn from uniformly
+// Distribution is the distribution of the work per transaction.
+type Distribution struct {
+	Kind        string    // "fixed", "exponential", "lognormal", "pareto" or "values"
+	Mean        float64   // in nanoseconds
+	Sigma       float64   // of the logarithm, for a lognormal distribution
+	Alpha       float64   // shape of a bounded Pareto distribution
+	MaxMultiple float64   // its upper bound, as a multiple of the mean
+	Values      []float64 // drawn from uniformly
 }
 
 // Draw returns a random amount of work.
-func (sizes *Sizes) Draw(rng *rand.Rand) float64 {
-	switch sizes.Kind {
+func (dist *Distribution) Draw(rng *rand.Rand) float64 {
+	switch dist.Kind {
 	case "exponential":
-		return sizes.Mean * rng.ExpFloat64()
+		return dist.Mean * rng.ExpFloat64()
 	case "lognormal":
-		return sizes.Mean * math.Exp(sizes.Sigma*rng.NormFloat64()-sizes.Sigma*sizes.Sigma/2)
+		return dist.Mean * math.Exp(dist.Sigma*rng.NormFloat64()-dist.Sigma*dist.Sigma/2)
 	case "pareto":
 		// Inverse transform sampling between the bounds; the lower bound is chosen so that the mean is sizes.Mean.
-		a, most := sizes.Alpha, sizes.Mean*sizes.Most
-		least := sizes.paretoLowerBound(a, most)
+		a, most := dist.Alpha, dist.Mean*dist.MaxMultiple
+		least := dist.paretoLowerBound(a, most)
 		u := rng.Float64()
 		return least / math.Pow(1-u*(1-math.Pow(least/most, a)), 1/a)
 	case "values":
-		return sizes.Values[rng.IntN(len(sizes.Values))]
+		return dist.Values[rng.IntN(len(dist.Values))]
 	}
-	return sizes.Mean
+	return dist.Mean
 }
 
 // paretoLowerBound returns the lower bound of a bounded Pareto distribution with shape a, upper bound most
 // and the configured mean, found by bisection.
-func (sizes *Sizes) paretoLowerBound(a, most float64) float64 {
-	low, high := 0.0, sizes.Mean
+func (dist *Distribution) paretoLowerBound(a, most float64) float64 {
+	low, high := 0.0, dist.Mean
 	for range 60 {
 		l := (low + high) / 2
 		ratio := math.Pow(l/most, a)
@@ -257,7 +258,7 @@
 		if a != 1 {
 			mean = a * l / (a - 1) * (1 - math.Pow(l/most, a-1)) / (1 - ratio)
 		}
-		if mean < sizes.Mean {
+		if mean < dist.Mean {
 			low = l
 		} else {
 			high = l
--- a/internal/lab/work/work_test.go
+++ b/internal/lab/work/work_test.go
@@ -36,7 +36,7 @@
 			came[j] = now
 		}
 		if chance.IntN(10) == 0 && len(came) > 0 {
-			if most := float64(s.terms.Cores) * s.terms.Speed * float64(now); worked > most+mean*20 {
+			if most := float64(s.config.Cores) * s.config.Speed * float64(now); worked > most+mean*20 {
 				t.Fatalf("%g of work done, above the capacity of %g", worked, most)
 			}
 		}
@@ -52,7 +52,7 @@
 
 // One core with exponential work at 50% load must match M/M/1: the mean sojourn time is twice the mean work.
 func TestQueueMatchesMM1(t *testing.T) {
-	s := New(Terms{Cores: 1, Speed: 1, Queue: 1 << 20}, 0)
+	s := New(ServerConfig{Cores: 1, Speed: 1, Queue: 1 << 20}, 0)
 	done, took := simulate(t, s, rand.New(rand.NewPCG(1, 1)), 50, 200_000, 10*ms)
 	if done != 200_000 || math.Abs(took/(20*ms)-1) > 0.05 {
 		t.Errorf("%d jobs completed, mean sojourn time %.2f ms", done, took/ms)
@@ -62,7 +62,7 @@
 // A cold server must run at its reduced speed, the overload slowdown must begin and end at its bounds, cancelled jobs
 // must not complete, and overload of a cold server must be reported.
 func TestColdStartOverloadAndCancel(t *testing.T) {
-	s := New(Terms{Cores: 2, Speed: 1, Queue: 100, ColdShare: 0.2, Ramp: 1000 * ms, JamAt: 10, JamSlow: 4, JamEnds: 1, Multiple: 3, Span: 100 * ms}, 0)
+	s := New(ServerConfig{Cores: 2, Speed: 1, Queue: 100, ColdShare: 0.2, WarmUp: 1000 * ms, OverloadAt: 10, OverloadSlowdown: 4, OverloadEnds: 1, ColdOverloadFactor: 3, ColdOverloadSpan: 100 * ms}, 0)
 	s.Start(0)
 	j := &Job{Work: 10 * ms}
 	s.Arrive(j, 1)
@@ -99,10 +99,10 @@
 }
 
 // The samples of each kind of distribution must have the configured mean.
-func TestSizes(t *testing.T) {
-	for _, z := range []Sizes{
+func TestDistributionMeans(t *testing.T) {
+	for _, z := range []Distribution{
 		{Kind: "fixed", Mean: 10 * ms}, {Kind: "exponential", Mean: 10 * ms}, {Kind: "lognormal", Mean: 10 * ms, Sigma: 1},
-		{Kind: "pareto", Mean: 10 * ms, Alpha: 1.5, Most: 50}, {Kind: "pareto", Mean: 10 * ms, Alpha: 1, Most: 20},
+		{Kind: "pareto", Mean: 10 * ms, Alpha: 1.5, MaxMultiple: 50}, {Kind: "pareto", Mean: 10 * ms, Alpha: 1, MaxMultiple: 20},
 		{Kind: "values", Mean: 10 * ms, Values: []float64{5 * ms, 15 * ms}},
 	} {
 		chance, sum := rand.New(rand.NewPCG(2, 2)), 0.0
