--- a/cmd/ottershift/lab.go
+++ b/cmd/ottershift/lab.go
@@ -118,7 +118,7 @@
 	}
 	if r != nil {
 		var acts strings.Builder
-		for _, a := range r.Acts {
+		for _, a := range r.Actions {
 			fmt.Fprintf(&acts, "%.3f %s\n", float64(a.At)/1e9, a.What)
 		}
 		err = errors.Join(err, os.WriteFile(filepath.Join(to, "acts"), []byte(acts.String()), 0o644))
@@ -164,7 +164,7 @@
 				}
 			}
 			out.Judge(e)
-			out.Table(c.OutOrStdout())
+			out.WriteTable(c.OutOrStdout())
 			if jsonFile != "" {
 				if err := out.Save(jsonFile); err != nil {
 					return err
@@ -298,14 +298,14 @@
 				return err
 			}
 			if pictures != "" {
-				if _, err := o.Pictures(pictures); err != nil {
+				if _, err := o.WriteCharts(pictures); err != nil {
 					return err
 				}
 			}
 			if err := writeHTML(o, htmlFile); err != nil {
 				return err
 			}
-			o.Table(c.OutOrStdout())
+			o.WriteTable(c.OutOrStdout())
 			return nil
 		},
 	}
@@ -323,7 +323,7 @@
 	if err != nil {
 		return err
 	}
-	return errors.Join(o.HTML(f), f.Close())
+	return errors.Join(o.WriteHTML(f), f.Close())
 }
 
 func labCeiling() *cobra.Command {
@@ -331,18 +331,18 @@
 	c := &cobra.Command{
 		Use: "ceiling", Short: "Measure the load generator against an upstream that answers immediately", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			ceiling, err := load.Ceiling(span)
+			ceiling, err := load.MaxCallRate(span)
 			if err != nil {
 				return err
 			}
 			fmt.Fprintf(c.OutOrStdout(), "ceiling %.0f calls a second\n", ceiling)
 			for _, share := range []float64{0.01, 0.1, 0.5} {
-				ownError, err := load.Own(ceiling*share, span)
+				ownError, err := load.MeasureOwnLatency(ceiling*share, span)
 				if err != nil {
 					return err
 				}
 				fmt.Fprintf(c.OutOrStdout(), "at %g%%: %.0f calls a second, own error of latency: half within %s, 99 in 100 within %s, at most %s\n",
-					100*share, ownError.Rate, ownError.P50, ownError.P99, ownError.Most)
+					100*share, ownError.Rate, ownError.P50, ownError.P99, ownError.Max)
 			}
 			return nil
 		},
@@ -389,12 +389,12 @@
 						if err != nil {
 							return err
 						}
-						t := rig.Closed(n, span)
+						t := rig.RunClosedLoop(n, span)
 						rig.Close()
 						os.RemoveAll(dir)
 						rates[name][n] = append(rates[name][n], t.Rate)
 						fmt.Fprintf(c.OutOrStdout(), "round %d %-28s clients=%d rate=%.0f p50=%s p99=%s pushes=%.4f other=%d memory=%.1fMB\n", round+1,
-							name, n, t.Rate, t.P50, t.P99, t.Pushes, t.Other, float64(t.Memory)/(1<<20))
+							name, n, t.Rate, t.P50, t.P99, t.Attempts, t.Failed, float64(t.Memory)/(1<<20))
 					}
 				}
 			}
@@ -427,7 +427,7 @@
 	c := &cobra.Command{
 		Use: "balancer", Short: "Serve with a baseline policy, for comparison with the design", Args: cobra.NoArgs, Hidden: true,
 		RunE: func(c *cobra.Command, _ []string) error {
-			module, err := baseline.Make(policy)
+			module, err := baseline.NewFactory(policy)
 			if err != nil {
 				return err
 			}
--- a/internal/lab/judge/cluster.go
+++ b/internal/lab/judge/cluster.go
@@ -99,7 +99,7 @@
 		}
 		last = max(last, s.To)
 	}
-	for _, l := range cc.run.Links {
+	for _, l := range cc.run.LinkFaults {
 		note(l.Span)
 	}
 	for _, p := range cc.run.Processes {
@@ -114,7 +114,7 @@
 			note(record.Span{From: max(1, l.At), To: max(1, l.At)})
 		}
 	}
-	for _, a := range cc.run.Acts { // a reset has no duration
+	for _, a := range cc.run.Actions { // a reset has no duration
 		if strings.HasPrefix(a.What, "reset") {
 			note(record.Span{From: a.At, To: a.At})
 		}
@@ -164,16 +164,16 @@
 			continue
 		}
 		old := cc.superseded(view.Process, view.At)
-		ok := view.Over == old && (old || slices.Equal(view.Alive, want))
+		ok := view.Superseded == old && (old || slices.Equal(view.Alive, want))
 		if ok {
 			continue
 		}
 		lastWrongView[last] = max(lastWrongView[last], view.At-last)
 		if view.At-last > cc.convergenceBound {
 			what := fmt.Sprintf("it shows %s as alive, but %s are running", formatRuns(view.Alive), formatRuns(want))
-			if view.Over != old {
+			if view.Superseded != old {
 				what = "it does not know that a newer run supersedes it"
-				if view.Over {
+				if view.Superseded {
 					what = "it reports being superseded, but is the newest run of its member"
 				}
 			}
@@ -205,7 +205,7 @@
 		}
 		reported := false
 		for _, view := range cc.run.Views {
-			if view.At < process.To || !slices.Contains(view.Alive, id) || view.Over {
+			if view.At < process.To || !slices.Contains(view.Alive, id) || view.Superseded {
 				continue
 			}
 			observer := cc.run.Processes[view.Process]
@@ -227,7 +227,7 @@
 
 // anyLinkFaulty reports whether any link had a fault at some point of a time span.
 func (cc *clusterChecker) anyLinkFaulty(from, to int64) bool {
-	return slices.ContainsFunc(cc.run.Links, func(t record.Trouble) bool { return overlaps(t.Span, from, to) })
+	return slices.ContainsFunc(cc.run.LinkFaults, func(t record.LinkFault) bool { return overlaps(t.Span, from, to) })
 }
 
 // checkOwners checks that no process still claims to act on a duty under a fencing token once another process claims it under
--- a/internal/lab/judge/judge.go
+++ b/internal/lab/judge/judge.go
@@ -75,7 +75,7 @@
 func Judge(experiment *spec.Experiment, run *record.Run) *Result {
 	ev := &evaluator{experiment: experiment, run: run, result: &Result{Figures: map[string]float64{}},
 		requestByID: map[string]int{}}
-	for i, t := range run.Tries {
+	for i, t := range run.Requests {
 		ev.requestByID[t.ID] = i
 	}
 	arrived := map[string][]record.Arrival{}
@@ -86,9 +86,9 @@
 	ev.checkAnswers(arrived)
 	ev.checkEffects(arrived)
 	ev.checkDrains()
-	for _, o := range run.Overfed {
+	for _, o := range run.ColdOverloads {
 		ev.recordBreach(4, "%s was sent %.1f times its capacity while cold, at %s",
-			experiment.Upstreams[o.Upstream].Name, o.Of, formatTime(o.At))
+			experiment.Upstreams[o.Upstream].Name, o.Multiple, formatTime(o.At))
 	}
 	ev.computeService(arrived)
 	total := 0
@@ -99,13 +99,13 @@
 		}
 	}
 	watched := int64(0)
-	for _, a := range ev.run.Asks {
+	for _, a := range ev.run.DiscoveryCalls {
 		if a.To == 0 {
 			a.To = ev.experiment.Length
 		}
 		watched += max(0, min(a.To, ev.experiment.Length)-max(a.At, 0))
 	}
-	ev.result.Figures["asks"] = float64(len(ev.run.Asks)) / (float64(ev.experiment.Length) / float64(second))
+	ev.result.Figures["asks"] = float64(len(ev.run.DiscoveryCalls)) / (float64(ev.experiment.Length) / float64(second))
 	ev.result.Figures["watches"] = float64(watched) / float64(ev.experiment.Length)
 	ev.checkCluster()
 	ev.result.Figures["breaches"] = float64(total) + ev.result.Figures["cluster"]
@@ -131,7 +131,7 @@
 // checkAnswers checks rule 1: each accepted transaction gets exactly one final answer before its hard stop, and no
 // attempt is sent after that answer.
 func (ev *evaluator) checkAnswers(arrived map[string][]record.Arrival) {
-	for _, request := range ev.run.Tries {
+	for _, request := range ev.run.Requests {
 		if request.Extra {
 			ev.recordBreach(1, "%s got more than one answer, or the answer to another request, from balancer %d",
 				request.ID, request.Balancer+1)
@@ -139,7 +139,7 @@
 		if request.Sent == 0 || request.Group < 0 {
 			continue
 		}
-		stop := request.Sent + request.Left + limitMargin
+		stop := request.Sent + request.Timeout + limitMargin
 		if ev.excused(request.Balancer, request.Sent, stop) {
 			continue
 		}
@@ -148,11 +148,11 @@
 			ev.recordBreach(1, "%s, sent at %s: connection closed without an answer", request.ID, formatTime(request.Sent))
 		case request.Status == 0:
 			ev.recordBreach(1, "%s, sent at %s to balancer %d with %.0f ms left, got no answer by its hard stop",
-				request.ID, formatTime(request.Sent), request.Balancer+1, float64(request.Left)/float64(ms))
+				request.ID, formatTime(request.Sent), request.Balancer+1, float64(request.Timeout)/float64(ms))
 		case request.Answered > stop:
 			ev.recordBreach(1, "%s, sent at %s to balancer %d with %.0f ms left, was answered with status %d, %.0f ms after its hard stop",
 				request.ID, formatTime(request.Sent), request.Balancer+1,
-				float64(request.Left)/float64(ms), request.Status, float64(request.Answered-stop+limitMargin)/float64(ms))
+				float64(request.Timeout)/float64(ms), request.Status, float64(request.Answered-stop+limitMargin)/float64(ms))
 		}
 		end := request.Answered
 		if end == 0 {
@@ -171,7 +171,7 @@
 // checkEffects checks rule 2: no transaction takes effect twice, and a deferred transaction is safe to repeat.
 func (ev *evaluator) checkEffects(arrived map[string][]record.Arrival) {
 	runsByRoot := map[uint64]int{} // for once-only transactions, over all requests of their clients
-	for _, request := range ev.run.Tries {
+	for _, request := range ev.run.Requests {
 		if request.Group < 0 {
 			continue
 		}
@@ -181,12 +181,12 @@
 		}
 		runs, effects, first := 0, 0, int64(0)
 		for _, arrival := range arrived[request.ID] {
-			if arrival.Ran {
+			if arrival.Executed {
 				if runs++; runs == 1 {
 					first = arrival.At
 				}
 			}
-			if arrival.Effect != 0 && !arrival.Dropped && (effects == 0 || arrival.At < first+tariff.DedupWindow) {
+			if arrival.Effect != 0 && !arrival.Deduplicated && (effects == 0 || arrival.At < first+tariff.DedupWindow) {
 				effects++
 			}
 		}
@@ -212,8 +212,8 @@
 // checkDrains checks rule 3: a draining or removed upstream gets new work only within the grace period.
 func (ev *evaluator) checkDrains() {
 	type key struct{ balancer, upstream int }
-	reports := map[key][]record.Told{}
-	for _, t := range ev.run.Told {
+	reports := map[key][]record.DiscoveryUpdate{}
+	for _, t := range ev.run.DiscoveryUpdates {
 		reports[key{t.Balancer, t.Upstream}] = append(reports[key{t.Balancer, t.Upstream}], t)
 	}
 	for _, arrival := range ev.run.Arrived {
@@ -222,7 +222,7 @@
 			continue
 		}
 		notServingSince := int64(-1) // when the balancer was first told so; -1 while it holds the upstream to be serving
-		for _, t := range reports[key{ev.run.Tries[i].Balancer, arrival.Upstream}] {
+		for _, t := range reports[key{ev.run.Requests[i].Balancer, arrival.Upstream}] {
 			if t.At > arrival.At {
 				break
 			}
@@ -233,7 +233,7 @@
 			}
 		}
 		if notServingSince >= 0 && arrival.At > notServingSince+drainGrace+limitMargin &&
-			!ev.excused(ev.run.Tries[i].Balancer, notServingSince, arrival.At) {
+			!ev.excused(ev.run.Requests[i].Balancer, notServingSince, arrival.At) {
 			ev.recordBreach(3, "%s got %s %.2f s after the balancer was told that it drains",
 				ev.experiment.Upstreams[arrival.Upstream].Name, arrival.ID, float64(arrival.At-notServingSince)/float64(second))
 		}
@@ -253,7 +253,7 @@
 // computeService sums the value of all offered transactions and what was earned of it.
 func (ev *evaluator) computeService(arrived map[string][]record.Arrival) {
 	roots := map[uint64]*transactionOutcome{}
-	for _, t := range ev.run.Tries {
+	for _, t := range ev.run.Requests {
 		if t.Group < 0 || t.Group >= len(ev.experiment.Clients) {
 			continue
 		}
@@ -375,13 +375,13 @@
 			if n == 0 {
 				s.First++
 			}
-			if a.Turned {
+			if a.Rejected {
 				u.Turned++
 			}
-			if a.Dropped {
+			if a.Deduplicated {
 				u.Dropped++
 			}
-			if a.Ran {
+			if a.Executed {
 				u.Ran++
 			}
 		}
@@ -432,7 +432,7 @@
 
 // checkLag declares the run void if the lab itself ran late.
 func (ev *evaluator) checkLag() {
-	ev.result.Broken = ev.run.Broken
+	ev.result.Broken = ev.run.AbortReason
 	if len(ev.run.Lag) == 0 {
 		return
 	}
--- a/internal/lab/judge/ledger.go
+++ b/internal/lab/judge/ledger.go
@@ -24,7 +24,7 @@
 		tries           int
 	}
 	transactions := map[uint64]*work{}
-	for _, t := range cc.run.Tries {
+	for _, t := range cc.run.Requests {
 		if t.Group < 0 || t.Group >= len(cc.experiment.Clients) || !cc.experiment.Clients[t.Group].RepeatsByKey {
 			continue
 		}
@@ -45,17 +45,17 @@
 	}
 	for _, a := range cc.run.Arrived { // sorted by time
 		// An upstream forgets a tagged transaction that it did not complete. A once-only transaction counts from its start.
-		if transaction := transactions[a.Root]; transaction != nil && a.Ran && !a.Dropped &&
+		if transaction := transactions[a.Root]; transaction != nil && a.Executed && !a.Deduplicated &&
 			(a.Effect != 0 || cc.experiment.Tariffs[transaction.tariff].Idempotency == logic.NonIdempotent) {
 			transaction.runs = append(transaction.runs, a)
 		}
 	}
 	ledgerEntries := map[string]record.Entry{}
-	for _, e := range cc.run.Written {
-		ledgerEntries[e.Tariff+"/"+e.Label] = e
+	for _, e := range cc.run.LedgerEntries {
+		ledgerEntries[e.Tariff+"/"+e.ClientKey] = e
 	}
 	counts := map[string]int{}
-	entriesRead := cc.run.Kept && cc.run.Read != 0
+	entriesRead := cc.run.HasLedger && cc.run.LedgerReadAt != 0
 	for _, root := range slices.Sorted(maps.Keys(transactions)) {
 		transaction := transactions[root]
 		tariff := cc.experiment.Tariffs[transaction.tariff]
@@ -83,7 +83,7 @@
 		}
 		_, found := ledgerEntries[tariff.Name+"/"+transaction.label]
 		inWindow := func(t int64) bool {
-			return t != 0 && (tariff.Idempotency == logic.NonIdempotent || cc.run.Read < t+window)
+			return t != 0 && (tariff.Idempotency == logic.NonIdempotent || cc.run.LedgerReadAt < t+window)
 		}
 		if n := len(transaction.runs); n > 0 && inWindow(transaction.runs[n-1].At) && !found {
 			counts["denied"]++
@@ -97,7 +97,7 @@
 				transaction.label, formatTime(transaction.acked))
 		}
 	}
-	for _, l := range cc.run.Looks {
+	for _, l := range cc.run.LedgerReads {
 		transaction := transactions[l.Root]
 		if transaction == nil {
 			continue
@@ -115,7 +115,7 @@
 				transaction.label, formatTime(transaction.first))
 		}
 	}
-	if cc.run.Read == 0 && cc.run.Kept {
+	if cc.run.LedgerReadAt == 0 && cc.run.HasLedger {
 		cc.recordBreach("ledger", "the ledger could not be read at the end of the run")
 	}
 	for _, name := range []string{"twice", "once_twice", "denied", "unheard", "repeats", "looks", "blind"} {
@@ -132,7 +132,7 @@
 	for _, o := range cc.run.Outages {
 		excluded = append(excluded, record.Span{From: o.From, To: o.From + bound})
 	}
-	for _, t := range cc.run.Links {
+	for _, t := range cc.run.LinkFaults {
 		excluded = append(excluded, record.Span{From: t.Span.From, To: t.Span.From + bound})
 	}
 	// Exclude the time without a majority, and the bound after it.
@@ -146,8 +146,8 @@
 		}
 	}
 	earningsByLabel := map[string]*earnings{}
-	outcomes := map[uint64]record.Try{}
-	for _, t := range cc.run.Tries {
+	outcomes := map[uint64]record.ClientRequest{}
+	for _, t := range cc.run.Requests {
 		if t.Group < 0 || t.Group >= len(cc.experiment.Clients) {
 			continue
 		}
--- a/internal/lab/judge/majority.go
+++ b/internal/lab/judge/majority.go
@@ -47,7 +47,7 @@
 		if !votes[a] {
 			return false
 		}
-		for _, t := range cc.run.Links {
+		for _, t := range cc.run.LinkFaults {
 			if t.From == a && t.To < len(votes) && set>>t.To&1 != 0 &&
 				overlaps(record.Span{From: t.Span.From, To: t.Span.To + linkRecovery}, at, at) &&
 				(t.Kind == "cut" || t.Kind == "stall" || t.Kind == "trickle") {
@@ -67,9 +67,9 @@
 		if o.To == 0 || at <= o.To+linkRecovery {
 			return false
 		}
-		if o.Seatless {
+		if o.WithoutState {
 			seated := false
-			for _, s := range cc.run.Seated {
+			for _, s := range cc.run.VoterReplacements {
 				seated = seated || s.Balancer == k && s.At > o.From && at > s.At+replacementDelay
 			}
 			if !seated {
--- a/internal/lab/load/ceiling.go
+++ b/internal/lab/load/ceiling.go
@@ -18,8 +18,9 @@
 	"ottershift/logic"
 )
 
-// atOnce is an upstream that answers at once, so that all time is another's. It counts what comes.
-func atOnce(came *atomic.Int64) (net.Listener, error) {
+// startInstantUpstream starts an upstream that answers immediately, so that it adds no service time.
+// It counts the received requests.
+func startInstantUpstream(requests *atomic.Int64) (net.Listener, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -37,7 +38,7 @@
 					if err != nil {
 						return
 					}
-					came.Add(1)
+					requests.Add(1)
 					text := "ok " + r.Header.Get("X-Txn") + " x\n"
 					fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 				}
@@ -47,7 +48,7 @@
 	return l, nil
 }
 
-// experiment is one kind of clients at some rate.
+// experiment returns an experiment with one group of clients at a rate.
 func experiment(rate float64, span time.Duration) *spec.Experiment {
 	second := int64(time.Second)
 	return &spec.Experiment{
@@ -57,60 +58,61 @@
 	}
 }
 
-// Ceiling is how many calls a second the lab's clients make at most, each waiting for its answer before the next.
-func Ceiling(span time.Duration) (float64, error) {
-	l, err := atOnce(new(atomic.Int64))
+// MaxCallRate returns the maximum closed-loop rate of the lab's clients, in calls per second.
+func MaxCallRate(span time.Duration) (float64, error) {
+	l, err := startInstantUpstream(new(atomic.Int64))
 	if err != nil {
 		return 0, err
 	}
 	defer l.Close()
 	best := 0.0
 	for _, clients := range []int{runtime.GOMAXPROCS(0), 4 * runtime.GOMAXPROCS(0), 16 * runtime.GOMAXPROCS(0)} {
-		p := New(experiment(1, span), time.Now(), []string{l.Addr().String()})
+		gen := New(experiment(1, span), time.Now(), []string{l.Addr().String()})
 		var made atomic.Int64
 		var all sync.WaitGroup
 		end := time.Now().Add(span / 3)
 		for n := range clients {
 			all.Go(func() {
 				for i := uint64(0); time.Now().Before(end); i++ {
-					if a, _ := p.try(0, 0, 0, "", "", uint64(n)<<32+i, 5*time.Second, false, 0); a.Status == 200 {
+					if a, _ := gen.sendRequest(0, 0, 0, "", "", uint64(n)<<32+i, 5*time.Second, false, 0); a.Status == 200 {
 						made.Add(1)
 					}
 				}
 			})
 		}
 		all.Wait()
-		p.Gather(&record.Run{})
+		gen.Gather(&record.Run{})
 		best = max(best, float64(made.Load())/(span/3).Seconds())
 	}
 	return best, nil
 }
 
-// Error is the lab's own, in a latency that should be nothing.
-type Error struct {
-	Rate           float64
-	P50, P99, Most time.Duration
+// OwnLatency is the latency that the lab itself adds: measured without a balancer, against an upstream that answers
+// immediately.
+type OwnLatency struct {
+	Rate          float64
+	P50, P99, Max time.Duration
 }
 
-// Own plays an open load at a rate and tells how long after each call was due its answer was there.
-func Own(rate float64, span time.Duration) (e Error, err error) {
-	l, err := atOnce(new(atomic.Int64))
+// MeasureOwnLatency generates an open load at a rate and measures the time from each call's due time to its answer.
+func MeasureOwnLatency(rate float64, span time.Duration) (e OwnLatency, err error) {
+	l, err := startInstantUpstream(new(atomic.Int64))
 	if err != nil {
 		return e, err
 	}
 	defer l.Close()
-	x := experiment(rate, span)
-	p, r := New(x, time.Now(), []string{l.Addr().String()}), &record.Run{}
-	p.Run(context.Background(), x.Load())
-	p.Gather(r)
-	h := hdrhistogram.New(1, int64(time.Minute), 3)
-	for _, t := range r.Tries {
+	exp := experiment(rate, span)
+	gen, run := New(exp, time.Now(), []string{l.Addr().String()}), &record.Run{}
+	gen.Run(context.Background(), exp.Load())
+	gen.Gather(run)
+	histogram := hdrhistogram.New(1, int64(time.Minute), 3)
+	for _, t := range run.Requests {
 		if t.Status == 200 {
-			h.RecordValue(max(1, t.Answered-t.Due))
+			histogram.RecordValue(max(1, t.Answered-t.Due))
 		}
 	}
-	return Error{
-		Rate: float64(h.TotalCount()) / span.Seconds(), P50: time.Duration(h.ValueAtQuantile(50)).Round(time.Microsecond),
-		P99: time.Duration(h.ValueAtQuantile(99)).Round(time.Microsecond), Most: time.Duration(h.Max()).Round(time.Microsecond),
+	return OwnLatency{
+		Rate: float64(histogram.TotalCount()) / span.Seconds(), P50: time.Duration(histogram.ValueAtQuantile(50)).Round(time.Microsecond),
+		P99: time.Duration(histogram.ValueAtQuantile(99)).Round(time.Microsecond), Max: time.Duration(histogram.Max()).Round(time.Microsecond),
 	}, nil
 }
--- a/internal/lab/run/cluster.go
+++ b/internal/lab/run/cluster.go
@@ -162,7 +162,7 @@
 		text, ok, err := ops.Call(rn.placements[n].Ops, "CLUSTER ledger find "+string(query), time.Second)
 		if err == nil && ok {
 			rn.mu.Lock()
-			rn.ledgerReads = append(rn.ledgerReads, record.Look{Member: n, Root: transaction.Root, From: from,
+			rn.ledgerReads = append(rn.ledgerReads, record.LinearizableRead{Member: n, Root: transaction.Root, From: from,
 				To: rn.elapsed(), Found: strings.Contains(text, key.String())})
 			rn.mu.Unlock()
 		}
@@ -196,7 +196,7 @@
 			if in.Decode(&e) != nil {
 				return all, at
 			}
-			all = append(all, record.Entry{Tariff: e.Tariff, Label: e.ClientKey, State: e.State, May: e.MayHaveRun})
+			all = append(all, record.Entry{Tariff: e.Tariff, ClientKey: e.ClientKey, State: e.State, MayHaveRun: e.MayHaveRun})
 		}
 	}
 	return nil, 0
@@ -212,7 +212,7 @@
 func (rn *runner) logAction(text string, values ...any) {
 	rn.mu.Lock()
 	defer rn.mu.Unlock()
-	rn.actions = append(rn.actions, record.Act{At: rn.elapsed(), What: fmt.Sprintf(text, values...)})
+	rn.actions = append(rn.actions, record.Action{At: rn.elapsed(), What: fmt.Sprintf(text, values...)})
 }
 
 // processStarted records the start of a member's process. It returns the index that its stops and its end are recorded under.
@@ -267,9 +267,9 @@
 		}
 		rn.mu.Lock()
 		if p := &rn.processes[process]; len(p.IDs) == 0 || p.IDs[len(p.IDs)-1].ID != view.Self {
-			p.IDs = append(p.IDs, record.Label{At: rn.elapsed(), ID: view.Self})
+			p.IDs = append(p.IDs, record.RunID{At: rn.elapsed(), ID: view.Self})
 		}
-		rn.views = append(rn.views, record.View{Process: process, At: rn.elapsed(), Over: view.SupersededBy != "",
+		rn.views = append(rn.views, record.View{Process: process, At: rn.elapsed(), Superseded: view.SupersededBy != "",
 			Alive: view.AliveRuns()})
 		rn.mu.Unlock()
 	}
@@ -356,7 +356,7 @@
 	}
 	set := func(on bool) {
 		for _, d := range directions {
-			rn.mesh.Set(d[0], d[1], func(t *between.Trouble) {
+			rn.mesh.Set(d[0], d[1], func(t *between.Faults) {
 				switch kind {
 				case "cut":
 					t.Cut = on
@@ -395,7 +395,7 @@
 	rn.mu.Lock()
 	defer rn.mu.Unlock()
 	for _, d := range directions {
-		rn.linkFaults = append(rn.linkFaults, record.Trouble{From: d[0], To: d[1], Kind: kind,
+		rn.linkFaults = append(rn.linkFaults, record.LinkFault{From: d[0], To: d[1], Kind: kind,
 			Span: record.Span{From: from, To: rn.elapsed()}})
 	}
 }
--- a/internal/lab/run/run.go
+++ b/internal/lab/run/run.go
@@ -70,8 +70,8 @@
 	options    Options
 	startTime  time.Time
 	fleet      *emulate.Fleet
-	discovery  *emulate.Lists
-	load       *load.Load
+	discovery  *emulate.Discovery
+	load       *load.Generator
 	balancers  []*balancer
 	abort      context.CancelCauseFunc
 
@@ -84,11 +84,11 @@
 	duplicates   []*balancer
 	processes    []record.Process
 	views        []record.View
-	linkFaults   []record.Trouble
-	actions      []record.Act
+	linkFaults   []record.LinkFault
+	actions      []record.Action
 	claims       []record.Claim
-	ledgerReads  []record.Look
-	replacements []record.Seated
+	ledgerReads  []record.LinearizableRead
+	replacements []record.VoterReplacement
 	refusedActs  map[int]int64            // by process
 	faultDone    map[string]chan struct{} // by the name of a fault; closed when it has ended
 }
@@ -107,7 +107,7 @@
 		return nil, err
 	}
 	defer rn.fleet.Close()
-	if rn.discovery, err = emulate.NewLists(rn.fleet, experiment.Balancers); err != nil {
+	if rn.discovery, err = emulate.NewDiscovery(rn.fleet, experiment.Balancers); err != nil {
 		return nil, err
 	}
 	defer rn.discovery.Close()
@@ -205,10 +205,10 @@
 	close(rn.finished)
 	rn.mu.Lock()
 	r := &record.Run{
-		Told: rn.discovery.Told(), Outages: rn.outages, Broken: broken, Processes: rn.processes, Views: rn.views,
-		Links: rn.linkFaults, Acts: rn.actions,
-		Claims: rn.claims, Asks: rn.discovery.Asks(), Seated: rn.replacements, Looks: rn.ledgerReads,
-		Written: written, Read: read, Kept: rn.hasLedger(),
+		DiscoveryUpdates: rn.discovery.Updates(), Outages: rn.outages, AbortReason: broken, Processes: rn.processes, Views: rn.views,
+		LinkFaults: rn.linkFaults, Actions: rn.actions,
+		Claims: rn.claims, DiscoveryCalls: rn.discovery.Calls(), VoterReplacements: rn.replacements, LedgerReads: rn.ledgerReads,
+		LedgerEntries: written, LedgerReadAt: read, HasLedger: rn.hasLedger(),
 	}
 	for _, n := range rn.refusedActs {
 		r.Refused += n
@@ -375,28 +375,28 @@
 	}
 	switch fault.Kind {
 	case "hang", "fail", "full", "reset", "garbage", "half", "deaf":
-		forEachUpstream(func(u *emulate.Upstream) { u.Trouble(fault.Kind, share) })
+		forEachUpstream(func(u *emulate.Upstream) { u.SetFault(fault.Kind, share) })
 		rn.waitUntil(ctx, end)
-		forEachUpstream(func(u *emulate.Upstream) { u.Trouble(fault.Kind, 0) })
+		forEachUpstream(func(u *emulate.Upstream) { u.SetFault(fault.Kind, 0) })
 	case "slow":
-		forEachUpstream(func(u *emulate.Upstream) { u.Hamper(share, u.Group.Cores) })
+		forEachUpstream(func(u *emulate.Upstream) { u.ApplySlowdown(share, u.Group.Cores) })
 		rn.waitUntil(ctx, end)
-		forEachUpstream(func(u *emulate.Upstream) { u.Hamper(1, u.Group.Cores) })
+		forEachUpstream(func(u *emulate.Upstream) { u.ApplySlowdown(1, u.Group.Cores) })
 	case "cores":
-		forEachUpstream(func(u *emulate.Upstream) { u.Hamper(1, int(fault.Factor)) })
+		forEachUpstream(func(u *emulate.Upstream) { u.ApplySlowdown(1, int(fault.Factor)) })
 		rn.waitUntil(ctx, end)
-		forEachUpstream(func(u *emulate.Upstream) { u.Hamper(1, u.Group.Cores) })
+		forEachUpstream(func(u *emulate.Upstream) { u.ApplySlowdown(1, u.Group.Cores) })
 	case "die":
-		forEachUpstream(func(u *emulate.Upstream) { u.Die() })
+		forEachUpstream(func(u *emulate.Upstream) { u.Kill() })
 		rn.waitUntil(ctx, end)
 		forEachUpstream(func(u *emulate.Upstream) {
-			u.Rise(false)
-			rn.discovery.Set(u, "SERVING", true)
+			u.Restart(false)
+			rn.discovery.SetStatus(u, "SERVING", true)
 		})
 	case "drain":
-		forEachUpstream(func(u *emulate.Upstream) { rn.discovery.Set(u, "DRAINING", false) })
+		forEachUpstream(func(u *emulate.Upstream) { rn.discovery.SetStatus(u, "DRAINING", false) })
 		if rn.waitUntil(ctx, end) {
-			forEachUpstream(func(u *emulate.Upstream) { rn.discovery.Set(u, "SERVING", false) })
+			forEachUpstream(func(u *emulate.Upstream) { rn.discovery.SetStatus(u, "SERVING", false) })
 		}
 	case "deploy":
 		var pending sync.WaitGroup
@@ -407,17 +407,17 @@
 		}
 		pending.Wait()
 	case "list-down":
-		rn.discovery.Down(fault.Pool, true)
+		rn.discovery.SetDown(fault.Pool, true)
 		rn.waitUntil(ctx, end)
-		rn.discovery.Down(fault.Pool, false)
+		rn.discovery.SetDown(fault.Pool, false)
 	case "list-late":
-		rn.discovery.Late(fault.Pool, time.Duration(share*float64(time.Second)))
+		rn.discovery.SetDelay(fault.Pool, time.Duration(share*float64(time.Second)))
 		rn.waitUntil(ctx, end)
-		rn.discovery.Late(fault.Pool, 0)
+		rn.discovery.SetDelay(fault.Pool, 0)
 	case "list-lacks":
-		rn.discovery.Lacks(fault.Upstreams, true)
+		rn.discovery.SetOmitted(fault.Upstreams, true)
 		rn.waitUntil(ctx, end)
-		rn.discovery.Lacks(fault.Upstreams, false)
+		rn.discovery.SetOmitted(fault.Upstreams, false)
 	case "balancer-kill", "balancer-stop", "balancer-wipe", "balancer-old":
 		var pending sync.WaitGroup
 		for _, n := range fault.Balancers {
@@ -457,7 +457,7 @@
 				"CLUSTER replace "+spec.MemberName(n), 10*time.Second)
 			rn.logAction("replace %s: %s %v", spec.MemberName(n), strings.TrimSpace(text), err)
 			rn.mu.Lock()
-			rn.replacements = append(rn.replacements, record.Seated{Balancer: n, At: rn.elapsed()})
+			rn.replacements = append(rn.replacements, record.VoterReplacement{Balancer: n, At: rn.elapsed()})
 			rn.mu.Unlock()
 		}
 	case strings.HasPrefix(fault.Kind, "disk-"):
@@ -473,27 +473,27 @@
 	if !rn.waitUntil(ctx, from) {
 		return
 	}
-	rn.discovery.Set(upstream, "DRAINING", false)
+	rn.discovery.SetStatus(upstream, "DRAINING", false)
 	if !rn.waitUntil(ctx, from+int64(drainDuration)) {
 		return
 	}
-	rn.discovery.Set(upstream, "DELETED", false)
+	rn.discovery.SetStatus(upstream, "DELETED", false)
 	time.Sleep(time.Duration(rn.experiment.DiscoveryDelay) + 20*time.Millisecond)
-	upstream.Die()
-	upstream.Rise(true)
-	rn.discovery.Set(upstream, "SERVING", true)
+	upstream.Kill()
+	upstream.Restart(true)
+	rn.discovery.SetStatus(upstream, "SERVING", true)
 }
 
 // injectOutage kills or stops a balancer, and restarts or continues it at the end.
 func (rn *runner) injectOutage(ctx context.Context, bal *balancer, fault *spec.Fault, end int64) {
 	span := record.Outage{Balancer: bal.index, From: rn.elapsed(),
-		Seatless: fault.Kind == "balancer-wipe" || fault.Kind == "balancer-old"}
+		WithoutState: fault.Kind == "balancer-wipe" || fault.Kind == "balancer-old"}
 	kill := fault.Kind != "balancer-stop"
 	var clientsNotified atomic.Bool
 	if kill {
 		bal.kill()
 		rn.logAction("%s is killed (%s)", spec.MemberName(bal.index), fault.Kind)
-		time.AfterFunc(clientNoticeDelay, func() { clientsNotified.Store(true); rn.load.Down(bal.index, true) })
+		time.AfterFunc(clientNoticeDelay, func() { clientsNotified.Store(true); rn.load.SetDown(bal.index, true) })
 	} else {
 		bal.command.Process.Signal(syscall.SIGSTOP)
 		rn.logAction("%s is stopped", spec.MemberName(bal.index))
@@ -524,7 +524,7 @@
 			bal.waitReady(ctx)
 		}
 		if clientsNotified.Load() {
-			rn.load.Down(bal.index, false)
+			rn.load.SetDown(bal.index, false)
 		}
 	}
 	span.To = rn.elapsed()
--- a/internal/lab/spec/spec.go
+++ b/internal/lab/spec/spec.go
@@ -50,7 +50,7 @@
 type Tariff struct {
 	Name string
 	*logic.Tariff
-	Sizes          work.Sizes
+	Sizes          work.Distribution
 	SameEverywhere bool // a transaction takes the same work at every upstream
 }
 
@@ -61,7 +61,7 @@
 	Count int
 	Zone  string
 	Cells int // sets of upstreams that share their record of repeated requests
-	work.Terms
+	work.ServerConfig
 	Calls *Calls
 }
 
@@ -243,7 +243,7 @@
 	}
 	for _, name := range t.Table("tariffs").Keys() {
 		rd.experiment.Tariffs = append(rd.experiment.Tariffs,
-			&Tariff{Name: name, Sizes: work.Sizes{Kind: "exponential", Mean: 10e6}})
+			&Tariff{Name: name, Sizes: work.Distribution{Kind: "exponential", Mean: 10e6}})
 	}
 	// The short form also shortens the warm-up of the upstreams. With the full warm_up, a balancer would send them reduced load
 	// for far too long.
@@ -301,11 +301,11 @@
 			continue
 		}
 		table := tables[n]
-		sizes := work.Sizes{
+		sizes := work.Distribution{
 			Kind:  table.Choice("kind", "exponential", "fixed", "exponential", "lognormal", "pareto", "values"),
 			Mean:  float64(table.Duration("mean", 10*time.Millisecond, 10*time.Microsecond)),
 			Sigma: table.Number("sigma", 1, 0.01, 5), Alpha: table.Number("alpha", 1.5, 0.1, 10),
-			Most: table.Number("most", 100, 1.1, 1e6),
+			MaxMultiple: table.Number("most", 100, 1.1, 1e6),
 		}
 		if file := table.Text("file", ""); file != "" {
 			for _, d := range rd.readTimes(table, "file", file) {
@@ -357,17 +357,17 @@
 			Name: name, Pool: rd.readIndex(table, "pool", name, rd.experiment.Pools),
 			Count: table.Int("count", 1, 1, 2000), Zone: table.Text("zone", "a"),
 			Cells: table.Int("cells", 1, 1, 1000),
-			Terms: work.Terms{
+			ServerConfig: work.ServerConfig{
 				Cores: table.Int("cores", 2, 1, 1024), Speed: table.Number("speed", 1, 0.001, 1000),
 				Queue:     table.Int("queue", 200, 0, 1<<20),
-				ColdShare: table.Number("cold_share", 0.2, 0.001, 1), Ramp: int64(table.Duration("ramp", 10*time.Second, 0)),
-				Multiple: table.Number("fall_multiple", 3, 1, 1000),
-				Span:     int64(table.Duration("fall_span", time.Second, time.Millisecond)),
+				ColdShare: table.Number("cold_share", 0.2, 0.001, 1), WarmUp: int64(table.Duration("ramp", 10*time.Second, 0)),
+				ColdOverloadFactor: table.Number("fall_multiple", 3, 1, 1000),
+				ColdOverloadSpan:   int64(table.Duration("fall_span", time.Second, time.Millisecond)),
 			},
 		}
-		group.Ramp = int64(float64(group.Ramp) * rd.timeScale)
+		group.WarmUp = int64(float64(group.WarmUp) * rd.timeScale)
 		jam := table.Table("jam")
-		group.JamAt, group.JamSlow, group.JamEnds = jam.Number("at", 0, 0, 1e6), jam.Number("slow", 2, 1, 1000),
+		group.OverloadAt, group.OverloadSlowdown, group.OverloadEnds = jam.Number("at", 0, 0, 1e6), jam.Number("slow", 2, 1, 1000),
 			jam.Number("ends", 1, 0, 1e6)
 		jam.ReportUnknownKeys()
 		if calls := table.Table("calls"); table.Has("calls") {
