--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -1,5 +1,6 @@
-// Package baseline holds plain ways to choose an upstream, to compare the design with. They go through the same front,
-// desk and rules as the design; they send no copies, keep no room and set nobody aside. Retries go by the same bucket.
+// Package baseline implements simple load-balancing policies to compare the decision engine with. They run behind the
+// same front end and under the same rules. They send no hedges, have no concurrency limits and eject no upstreams.
+// A token bucket limits their retries as it does the decision engine's.
 package baseline
 
 import (
@@ -13,263 +14,265 @@
 )
 
 const (
-	bucketPart = 0.1
-	bucketMost = 100
+	retryTokensPerTransaction = 0.1
+	maxRetryTokens            = 100
 )
 
-// state is what is kept of a transaction.
-type state struct {
-	t       *logic.Transaction
-	tariff  *logic.Tariff
-	stop    int64
-	pushes  []push
-	out     int
-	over    bool
-	touched bool
-	place   int
+// transactionState is the state of one transaction.
+type transactionState struct {
+	t           *logic.Transaction
+	tariff      *logic.Tariff
+	deadline    int64
+	attempts    []attempt
+	outstanding int
+	closed      bool
+	touched     bool
+	heapIndex   int
 }
 
-type push struct {
-	upstream int
-	out      bool
-	result   logic.Result
+type attempt struct {
+	upstream    int
+	outstanding bool
+	result      logic.Result
 }
 
-// Balancer is a plain one.
+// Balancer is an engine that chooses upstreams by a simple policy.
 type Balancer struct {
-	kind   string
-	terms  *logic.Config
-	chance *rand.Rand
+	policy string
+	config *logic.Config
+	rng    *rand.Rand
 	now    int64
-	w      logic.Writer
+	writer logic.Writer
 
 	known, ready []bool
-	up           []logic.Upstream
-	flying       []int
-	turn         int
-	bucket       float64
-	all          map[*logic.Transaction]*state
-	touched      []*state
-	dues         dues
+	upstreams    []logic.Upstream
+	inFlight     []int
+	nextTurn     int
+	retryTokens  float64
+	transactions map[*logic.Transaction]*transactionState
+	touched      []*transactionState
+	deadlines    deadlineHeap
 }
 
-// Make says how to start a plain balancer of some kind.
-func Make(kind string) (desk.EngineFactory, error) {
-	switch kind {
+// NewFactory returns a factory of engines with the named policy.
+func NewFactory(policy string) (desk.EngineFactory, error) {
+	switch policy {
 	case "random", "round-robin", "least-in-flight", "two-choices":
 	default:
-		return nil, errors.New("baseline: there is none called " + kind)
+		return nil, errors.New("baseline: unknown policy: " + policy)
 	}
-	return func(terms *logic.Config, now int64) (desk.Engine, error) {
-		if len(terms.Tariffs) == 0 || terms.MaxAttempts < 1 {
-			return nil, errors.New("baseline: no tariffs or no pushes")
+	return func(config *logic.Config, now int64) (desk.Engine, error) {
+		if len(config.Tariffs) == 0 || config.MaxAttempts < 1 {
+			return nil, errors.New("baseline: configuration has no tariffs or MaxAttempts is below 1")
 		}
 		return &Balancer{
-			kind: kind, terms: terms, now: now, chance: rand.New(rand.NewPCG(terms.Seed, 1)), bucket: 1,
-			all: map[*logic.Transaction]*state{},
+			policy: policy, config: config, now: now, rng: rand.New(rand.NewPCG(config.Seed, 1)), retryTokens: 1,
+			transactions: map[*logic.Transaction]*transactionState{},
 		}, nil
 	}, nil
 }
 
-// Known implements desk.Module, as do the methods below.
-func (b *Balancer) Known(i int) bool { return b.known[i] }
+// Known and the exported methods below implement desk.Engine.
+func (lb *Balancer) Known(i int) bool { return lb.known[i] }
 
-func (b *Balancer) Join() int {
-	for i, known := range b.known {
-		if !known && b.flying[i] == 0 {
-			b.known[i] = true
+func (lb *Balancer) Join() int {
+	for i, known := range lb.known {
+		if !known && lb.inFlight[i] == 0 {
+			lb.known[i] = true
 			return i
 		}
 	}
-	b.known, b.ready = append(b.known, true), append(b.ready, false)
-	b.up, b.flying = append(b.up, logic.Upstream{}), append(b.flying, 0)
-	return len(b.known) - 1
+	lb.known, lb.ready = append(lb.known, true), append(lb.ready, false)
+	lb.upstreams, lb.inFlight = append(lb.upstreams, logic.Upstream{}), append(lb.inFlight, 0)
+	return len(lb.known) - 1
 }
 
-func (b *Balancer) List(i int, u logic.Upstream, now int64)       { b.ready[i], b.up[i] = true, u }
-func (b *Balancer) Drain(i int)                                   { b.ready[i] = false }
-func (b *Balancer) Leave(i int)                                   { b.ready[i], b.known[i] = false, false }
-func (b *Balancer) Listed(bool, int64)                            {}
-func (b *Balancer) PeerReport(int, []byte, int64)                 {}
-func (b *Balancer) ProbeResult(int, bool)                         {}
-func (b *Balancer) BodyReceived(*logic.Transaction, int64, int64) {} // the lab's transactions come whole
+func (lb *Balancer) List(i int, u logic.Upstream, now int64)       { lb.ready[i], lb.upstreams[i] = true, u }
+func (lb *Balancer) Drain(i int)                                   { lb.ready[i] = false }
+func (lb *Balancer) Leave(i int)                                   { lb.ready[i], lb.known[i] = false, false }
+func (lb *Balancer) Listed(bool, int64)                            {}
+func (lb *Balancer) PeerReport(int, []byte, int64)                 {}
+func (lb *Balancer) ProbeResult(int, bool)                         {}
+func (lb *Balancer) BodyReceived(*logic.Transaction, int64, int64) {} // the lab's clients send whole requests
 
-func (b *Balancer) Arrive(t *logic.Transaction, tariff, _ int, _, left int64, _ bool, now int64) {
-	s := &state{t: t, tariff: b.terms.Tariffs[tariff], stop: now + left, place: -1}
-	b.all[t] = s
-	heap.Push(&b.dues, s)
-	b.touch(s)
+func (lb *Balancer) Arrive(t *logic.Transaction, tariff, _ int, _, left int64, _ bool, now int64) {
+	state := &transactionState{t: t, tariff: lb.config.Tariffs[tariff], deadline: now + left, heapIndex: -1}
+	lb.transactions[t] = state
+	heap.Push(&lb.deadlines, state)
+	lb.touch(state)
 }
 
-func (b *Balancer) Outcome(t *logic.Transaction, n int, r logic.Result, _ int64, final bool, now int64) {
-	s := b.all[t]
-	if s == nil || !s.pushes[n].out {
+func (lb *Balancer) Outcome(t *logic.Transaction, n int, r logic.Result, _ int64, final bool, now int64) {
+	state := lb.transactions[t]
+	if state == nil || !state.attempts[n].outstanding {
 		return
 	}
-	s.pushes[n].out, s.pushes[n].result = false, r
-	s.out--
-	b.flying[s.pushes[n].upstream]--
+	state.attempts[n].outstanding, state.attempts[n].result = false, r
+	state.outstanding--
+	lb.inFlight[state.attempts[n].upstream]--
 	if final {
-		b.close(s)
+		lb.close(state)
 	}
-	b.touch(s)
+	lb.touch(state)
 }
 
-func (b *Balancer) ClientGone(t *logic.Transaction) {
-	if s := b.all[t]; s != nil {
-		b.close(s)
-		b.touch(s)
+func (lb *Balancer) ClientGone(t *logic.Transaction) {
+	if state := lb.transactions[t]; state != nil {
+		lb.close(state)
+		lb.touch(state)
 	}
 }
 
-func (b *Balancer) touch(s *state) {
-	if !s.touched {
-		s.touched = true
-		b.touched = append(b.touched, s)
+func (lb *Balancer) touch(state *transactionState) {
+	if !state.touched {
+		state.touched = true
+		lb.touched = append(lb.touched, state)
 	}
 }
 
-func (b *Balancer) close(s *state) {
-	s.over = true
-	if s.place >= 0 {
-		heap.Remove(&b.dues, s.place)
+func (lb *Balancer) close(state *transactionState) {
+	state.closed = true
+	if state.heapIndex >= 0 {
+		heap.Remove(&lb.deadlines, state.heapIndex)
 	}
 }
 
-// Round decides on all that came in.
-func (b *Balancer) Round(now int64, w logic.Writer) {
-	b.now, b.w = now, w
-	for len(b.dues) > 0 && b.dues[0].stop <= now {
-		b.touch(heap.Pop(&b.dues).(*state))
+// Round makes the decisions for all transactions with new events or expired deadlines.
+func (lb *Balancer) Round(now int64, w logic.Writer) {
+	lb.now, lb.writer = now, w
+	for len(lb.deadlines) > 0 && lb.deadlines[0].deadline <= now {
+		lb.touch(heap.Pop(&lb.deadlines).(*transactionState))
 	}
-	for k := 0; k < len(b.touched); k++ {
-		b.touched[k].touched = false
-		b.decide(b.touched[k])
+	for k := 0; k < len(lb.touched); k++ {
+		lb.touched[k].touched = false
+		lb.decide(lb.touched[k])
 	}
-	b.touched = b.touched[:0]
-	if len(b.dues) > 0 {
-		w.Wake(max(b.dues[0].stop, now+1))
+	lb.touched = lb.touched[:0]
+	if len(lb.deadlines) > 0 {
+		w.Wake(max(lb.deadlines[0].deadline, now+1))
 	}
-	b.w = nil
+	lb.writer = nil
 }
 
-func (b *Balancer) decide(s *state) {
-	if s.over {
-		for n := range s.pushes {
-			if s.pushes[n].out {
-				b.w.Cancel(s.t, n)
+func (lb *Balancer) decide(state *transactionState) {
+	if state.closed {
+		for n := range state.attempts {
+			if state.attempts[n].outstanding {
+				lb.writer.Cancel(state.t, n)
 			}
 		}
-		if s.out == 0 {
-			delete(b.all, s.t)
+		if state.outstanding == 0 {
+			delete(lb.transactions, state.t)
 		}
 		return
 	}
-	if b.now >= s.stop {
-		b.end(s)
+	if lb.now >= state.deadline {
+		lb.finish(state)
 		return
 	}
-	if s.out > 0 {
+	if state.outstanding > 0 {
 		return
 	}
-	if n := len(s.pushes); n == 0 {
-		b.bucket = min(bucketMost, b.bucket+bucketPart)
-	} else if n >= b.terms.MaxAttempts || b.bucket < 1 || !s.mayRepeat() {
-		b.end(s)
+	if n := len(state.attempts); n == 0 {
+		lb.retryTokens = min(maxRetryTokens, lb.retryTokens+retryTokensPerTransaction)
+	} else if n >= lb.config.MaxAttempts || lb.retryTokens < 1 || !state.mayRetry() {
+		lb.finish(state)
 		return
 	} else {
-		b.bucket--
+		lb.retryTokens--
 	}
-	i := b.choose(s)
+	i := lb.choose(state)
 	if i < 0 {
-		b.end(s)
+		lb.finish(state)
 		return
 	}
-	s.pushes = append(s.pushes, push{upstream: i, out: true})
-	s.out++
-	b.flying[i]++
-	b.w.Send(s.t, i, s.stop)
+	state.attempts = append(state.attempts, attempt{upstream: i, outstanding: true})
+	state.outstanding++
+	lb.inFlight[i]++
+	lb.writer.Send(state.t, i, state.deadline)
 }
 
-// ran reports whether any push may have run.
-func (s *state) ran() bool {
-	for _, p := range s.pushes {
-		if p.out || !p.result.NeverRan() {
+// ran reports whether any attempt may have been executed by an upstream.
+func (state *transactionState) ran() bool {
+	for _, p := range state.attempts {
+		if p.outstanding || !p.result.NeverRan() {
 			return true
 		}
 	}
 	return false
 }
 
-func (s *state) mayRepeat() bool { return s.tariff.Idempotency == logic.Idempotent || !s.ran() }
+func (state *transactionState) mayRetry() bool {
+	return state.tariff.Idempotency == logic.Idempotent || !state.ran()
+}
 
-func (b *Balancer) end(s *state) {
-	harmless := s.mayRepeat() || s.tariff.Idempotency == logic.Keyed && s.tariff.DedupScope == logic.Everywhere
-	b.close(s)
-	if harmless {
-		b.w.Defer(s.t, logic.AttemptsFailed, b.terms.Backoff(s.tariff))
+func (lb *Balancer) finish(state *transactionState) {
+	safeToRetry := state.mayRetry() || state.tariff.Idempotency == logic.Keyed && state.tariff.DedupScope == logic.Everywhere
+	lb.close(state)
+	if safeToRetry {
+		lb.writer.Defer(state.t, logic.AttemptsFailed, lb.config.Backoff(state.tariff))
 	} else {
-		b.w.Forfeit(s.t, logic.AttemptsFailed)
+		lb.writer.Forfeit(state.t, logic.AttemptsFailed)
 	}
-	b.decide(s)
+	lb.decide(state)
 }
 
-// choose takes an upstream that wasn't tried, -1 if there is none.
-func (b *Balancer) choose(s *state) int {
-	var fit []int
-	for i, ready := range b.ready {
+// choose returns an upstream that has not been tried for this transaction; -1 if there is none.
+func (lb *Balancer) choose(state *transactionState) int {
+	var candidates []int
+	for i, ready := range lb.ready {
 		tried := false
-		for _, p := range s.pushes {
+		for _, p := range state.attempts {
 			tried = tried || p.upstream == i
 		}
 		if ready && !tried {
-			fit = append(fit, i)
+			candidates = append(candidates, i)
 		}
 	}
-	if len(fit) == 0 {
+	if len(candidates) == 0 {
 		return -1
 	}
-	load := func(i int) float64 { return float64(b.flying[i]+1) / math.Max(b.up[i].Weight, 1e-6) }
-	switch b.kind {
+	load := func(i int) float64 { return float64(lb.inFlight[i]+1) / math.Max(lb.upstreams[i].Weight, 1e-6) }
+	switch lb.policy {
 	case "round-robin":
-		b.turn++
-		return fit[b.turn%len(fit)]
+		lb.nextTurn++
+		return candidates[lb.nextTurn%len(candidates)]
 	case "least-in-flight":
-		best := fit[b.chance.IntN(len(fit))]
-		for _, i := range fit {
+		best := candidates[lb.rng.IntN(len(candidates))]
+		for _, i := range candidates {
 			if load(i) < load(best) {
 				best = i
 			}
 		}
 		return best
 	case "two-choices":
-		one, other := fit[b.chance.IntN(len(fit))], fit[b.chance.IntN(len(fit))]
-		if load(other) < load(one) {
-			return other
+		first, second := candidates[lb.rng.IntN(len(candidates))], candidates[lb.rng.IntN(len(candidates))]
+		if load(second) < load(first) {
+			return second
 		}
-		return one
+		return first
 	}
-	return fit[b.chance.IntN(len(fit))]
+	return candidates[lb.rng.IntN(len(candidates))]
 }
 
-// dues is a heap of states by their stop.
-type dues []*state
+// deadlineHeap is a heap of transactions, ordered by deadline.
+type deadlineHeap []*transactionState
 
-func (d dues) Len() int           { return len(d) }
-func (d dues) Less(i, j int) bool { return d[i].stop < d[j].stop }
-func (d dues) Swap(i, j int) {
+func (d deadlineHeap) Len() int           { return len(d) }
+func (d deadlineHeap) Less(i, j int) bool { return d[i].deadline < d[j].deadline }
+func (d deadlineHeap) Swap(i, j int) {
 	d[i], d[j] = d[j], d[i]
-	d[i].place, d[j].place = i, j
+	d[i].heapIndex, d[j].heapIndex = i, j
 }
 
-func (d *dues) Push(s any) {
-	s.(*state).place = len(*d)
-	*d = append(*d, s.(*state))
+func (d *deadlineHeap) Push(s any) {
+	s.(*transactionState).heapIndex = len(*d)
+	*d = append(*d, s.(*transactionState))
 }
 
-func (d *dues) Pop() any {
+func (d *deadlineHeap) Pop() any {
 	last := len(*d) - 1
 	s := (*d)[last]
-	s.place, (*d)[last], *d = -1, nil, (*d)[:last]
+	s.heapIndex, (*d)[last], *d = -1, nil, (*d)[:last]
 	return s
 }
--- a/internal/lab/emulate/list.go
+++ b/internal/lab/emulate/list.go
@@ -14,236 +14,237 @@
 	"ottershift/internal/lab/record"
 )
 
-// Lists are discovery, one for each balancer and pool, so that each can be told late, wrong or nothing.
-type Lists struct {
-	fleet *Fleet
-	all   [][]*list // by balancer, by pool
+// Discovery emulates discovery. Each balancer and pool has its own server, whose answers can be delayed, wrong or missing.
+type Discovery struct {
+	fleet   *Fleet
+	servers [][]*listServer // by balancer, by pool
 
-	mu   sync.Mutex
-	told []record.Told
-	asks []record.Ask
+	mu      sync.Mutex
+	updates []record.DiscoveryUpdate
+	calls   []record.DiscoveryCall
 }
 
-// list is what one balancer is told of one pool.
-type list struct {
-	lists    *Lists
-	balancer int
-	pool     int
-	address  string
-	server   *http.Server
+// listServer is the discovery server of one pool for one balancer.
+type listServer struct {
+	discovery *Discovery
+	balancer  int
+	pool      int
+	address   string
+	server    *http.Server
 
-	mu      sync.Mutex
-	late    time.Duration
-	down    bool
-	lacks   map[int]bool
-	index   int
-	entries []entry // by upstream
-	watch   map[chan string]struct{}
+	mu       sync.Mutex
+	delay    time.Duration
+	down     bool
+	omitted  map[int]bool
+	index    int
+	entries  []entry // by upstream
+	watchers map[chan string]struct{}
 }
 
-// entry is how an upstream stands there.
+// entry is the listed state of an upstream.
 type entry struct {
 	name, status string
 	since        int64 // milliseconds
 }
 
-// NewLists opens discovery for some balancers.
-func NewLists(f *Fleet, balancers int) (*Lists, error) {
-	ls := &Lists{fleet: f}
+// NewDiscovery starts the discovery servers for a number of balancers.
+func NewDiscovery(fleet *Fleet, balancers int) (*Discovery, error) {
+	discovery := &Discovery{fleet: fleet}
 	for b := range balancers {
-		var pools []*list
-		for p := range f.e.Pools {
+		var pools []*listServer
+		for p := range fleet.experiment.Pools {
 			n, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				return nil, err
 			}
-			l := &list{lists: ls, balancer: b, pool: p, address: n.Addr().String(), index: 1, lacks: map[int]bool{}, watch: map[chan string]struct{}{}}
-			for _, u := range f.Upstreams {
-				l.entries = append(l.entries, entry{u.Name(), "SERVING", 0})
+			srv := &listServer{discovery: discovery, balancer: b, pool: p, address: n.Addr().String(), index: 1,
+				omitted: map[int]bool{}, watchers: map[chan string]struct{}{}}
+			for _, u := range fleet.Upstreams {
+				srv.entries = append(srv.entries, entry{u.Name(), "SERVING", 0})
 			}
-			l.server = &http.Server{Handler: l, ErrorLog: log.New(io.Discard, "", 0)}
-			go l.server.Serve(n)
-			pools = append(pools, l)
+			srv.server = &http.Server{Handler: srv, ErrorLog: log.New(io.Discard, "", 0)}
+			go srv.server.Serve(n)
+			pools = append(pools, srv)
 		}
-		ls.all = append(ls.all, pools)
+		discovery.servers = append(discovery.servers, pools)
 	}
-	return ls, nil
+	return discovery, nil
 }
 
-// Addresses are where a balancer is told, by pool.
-func (ls *Lists) Addresses(balancer int) (all []string) {
-	for _, l := range ls.all[balancer] {
+// Addresses returns the discovery addresses of a balancer, by pool.
+func (discovery *Discovery) Addresses(balancer int) (all []string) {
+	for _, l := range discovery.servers[balancer] {
 		all = append(all, l.address)
 	}
 	return all
 }
 
-// Close ends discovery.
-func (ls *Lists) Close() {
-	for _, pools := range ls.all {
+// Close stops all discovery servers.
+func (discovery *Discovery) Close() {
+	for _, pools := range discovery.servers {
 		for _, l := range pools {
 			l.server.Close()
 		}
 	}
 }
 
-// Told is what was told, and when.
-func (ls *Lists) Told() []record.Told {
-	ls.mu.Lock()
-	defer ls.mu.Unlock()
-	return ls.told
+// Updates returns the updates that were sent.
+func (discovery *Discovery) Updates() []record.DiscoveryUpdate {
+	discovery.mu.Lock()
+	defer discovery.mu.Unlock()
+	return discovery.updates
 }
 
-// Asks are the calls that came, and when.
-func (ls *Lists) Asks() []record.Ask {
-	ls.mu.Lock()
-	defer ls.mu.Unlock()
-	return slices.Clone(ls.asks)
+// Calls returns the calls that were received.
+func (discovery *Discovery) Calls() []record.DiscoveryCall {
+	discovery.mu.Lock()
+	defer discovery.mu.Unlock()
+	return slices.Clone(discovery.calls)
 }
 
-// Set changes how an upstream stands in all lists, each in its time. cold says that it has just started.
-func (ls *Lists) Set(u *Upstream, status string, cold bool) {
+// SetStatus changes the status of an upstream in all lists, each after its delay. cold means that it has just started.
+func (discovery *Discovery) SetStatus(u *Upstream, status string, cold bool) {
 	name, since := u.Name(), int64(0)
 	if cold {
 		since = time.Now().UnixMilli()
 	}
-	for _, pools := range ls.all {
+	for _, pools := range discovery.servers {
 		l := pools[u.Group.Pool]
 		l.mu.Lock()
-		wait := time.Duration(ls.fleet.e.Listed) + l.late
+		wait := time.Duration(discovery.fleet.experiment.DiscoveryDelay) + l.delay
 		l.mu.Unlock()
 		time.AfterFunc(wait, func() { l.set(u.Index, entry{name, status, since}) })
 	}
 }
 
-func (l *list) set(upstream int, e entry) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.entries[upstream] = e
-	l.index++
-	if l.lacks[upstream] {
+func (srv *listServer) set(upstream int, e entry) {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	srv.entries[upstream] = e
+	srv.index++
+	if srv.omitted[upstream] {
 		return
 	}
-	l.tell(l.report(false, upstream))
-	l.noted(upstream)
+	srv.notifyWatchers(srv.formatUpdate(false, upstream))
+	srv.recordUpdate(upstream)
 }
 
-// noted keeps what a balancer was told, for the judge.
-func (l *list) noted(upstream int) {
-	l.lists.mu.Lock()
-	defer l.lists.mu.Unlock()
-	l.lists.told = append(l.lists.told, record.Told{
-		Balancer: l.balancer, Upstream: upstream, At: l.lists.fleet.Now(), Serving: l.entries[upstream].status == "SERVING",
+// recordUpdate records an update for the judge.
+func (srv *listServer) recordUpdate(upstream int) {
+	srv.discovery.mu.Lock()
+	defer srv.discovery.mu.Unlock()
+	srv.discovery.updates = append(srv.discovery.updates, record.DiscoveryUpdate{
+		Balancer: srv.balancer, Upstream: upstream, At: srv.discovery.fleet.Now(), Serving: srv.entries[upstream].status == "SERVING",
 	})
 }
 
-func (l *list) tell(line string) {
-	for w := range l.watch {
+func (srv *listServer) notifyWatchers(line string) {
+	for w := range srv.watchers {
 		select {
 		case w <- line:
-		default: // too slow; it is told the rest after it asks again
+		default: // a slow watcher misses this update and gets the full list with its next call
 		}
 	}
 }
 
-// report words the list, or some of it.
-func (l *list) report(whole bool, some ...int) string {
+// formatUpdate formats the whole list or some of its entries.
+func (srv *listServer) formatUpdate(whole bool, some ...int) string {
 	if whole {
 		some = nil
-		for i, u := range l.lists.fleet.Upstreams {
-			if u.Group.Pool == l.pool && l.entries[i].status != "DELETED" && !l.lacks[i] {
+		for i, u := range srv.discovery.fleet.Upstreams {
+			if u.Group.Pool == srv.pool && srv.entries[i].status != "DELETED" && !srv.omitted[i] {
 				some = append(some, i)
 			}
 		}
 	}
 	var words []string
 	for _, i := range some {
-		u, e := l.lists.fleet.Upstreams[i], l.entries[i]
+		u, e := srv.discovery.fleet.Upstreams[i], srv.entries[i]
 		words = append(words, fmt.Sprintf(`{"name":%q,"address":%q,"zone":%q,"type":"m","group":%d,"status":%q,"weight":%g,"since_ms":%d}`,
 			e.name, u.Address, u.Group.Zone, u.Cell, e.status, float64(u.Group.Cores)*u.Group.Speed, e.since))
 	}
-	return fmt.Sprintf(`{"index":%d,"snapshot":%t,"endpoints":[%s]}`, l.index, whole, strings.Join(words, ","))
+	return fmt.Sprintf(`{"index":%d,"snapshot":%t,"endpoints":[%s]}`, srv.index, whole, strings.Join(words, ","))
 }
 
-// Down has discovery of a pool answer nobody, or answer again.
-func (ls *Lists) Down(pool int, down bool) {
-	for _, pools := range ls.all {
+// SetDown makes discovery of a pool unavailable or available again. It ends all watches of an unavailable pool.
+func (discovery *Discovery) SetDown(pool int, down bool) {
+	for _, pools := range discovery.servers {
 		l := pools[pool]
 		l.mu.Lock()
 		l.down = down
-		for w := range l.watch {
+		for w := range l.watchers {
 			if down {
 				close(w)
-				delete(l.watch, w)
+				delete(l.watchers, w)
 			}
 		}
 		l.mu.Unlock()
 	}
 }
 
-// Late has each change of a pool's list told so much later.
-func (ls *Lists) Late(pool int, late time.Duration) {
-	for _, pools := range ls.all {
+// SetDelay delays all later updates of a pool.
+func (discovery *Discovery) SetDelay(pool int, late time.Duration) {
+	for _, pools := range discovery.servers {
 		pools[pool].mu.Lock()
-		pools[pool].late = late
+		pools[pool].delay = late
 		pools[pool].mu.Unlock()
 	}
 }
 
-// Lacks has the list leave out some upstreams that are well, or name them again.
-func (ls *Lists) Lacks(upstreams []int, lacks bool) {
+// SetOmitted omits healthy upstreams from the lists, or lists them again.
+func (discovery *Discovery) SetOmitted(upstreams []int, lacks bool) {
 	for _, i := range upstreams {
-		for _, pools := range ls.all {
-			l := pools[ls.fleet.Upstreams[i].Group.Pool]
+		for _, pools := range discovery.servers {
+			l := pools[discovery.fleet.Upstreams[i].Group.Pool]
 			l.mu.Lock()
 			l.index++
 			if lacks {
 				e := l.entries[i]
 				l.entries[i].status = "DELETED"
-				l.tell(l.report(false, i))
+				l.notifyWatchers(l.formatUpdate(false, i))
 				l.entries[i] = e
 			}
-			if l.lacks[i] = lacks; !lacks {
-				l.tell(l.report(false, i))
+			if l.omitted[i] = lacks; !lacks {
+				l.notifyWatchers(l.formatUpdate(false, i))
 			}
 			l.mu.Unlock()
 		}
 	}
 }
 
-// ServeHTTP is a balancer's question.
-func (l *list) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	l.mu.Lock()
-	if l.down {
-		l.mu.Unlock()
+// ServeHTTP answers a balancer's call with the list, followed by updates if it watches.
+func (srv *listServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	srv.mu.Lock()
+	if srv.down {
+		srv.mu.Unlock()
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	l.lists.mu.Lock()
-	ask := len(l.lists.asks)
-	l.lists.asks = append(l.lists.asks, record.Ask{Balancer: l.balancer, At: l.lists.fleet.Now()})
-	l.lists.mu.Unlock()
+	srv.discovery.mu.Lock()
+	ask := len(srv.discovery.calls)
+	srv.discovery.calls = append(srv.discovery.calls, record.DiscoveryCall{Balancer: srv.balancer, At: srv.discovery.fleet.Now()})
+	srv.discovery.mu.Unlock()
 	defer func() {
-		l.lists.mu.Lock()
-		defer l.lists.mu.Unlock()
-		l.lists.asks[ask].To = l.lists.fleet.Now()
+		srv.discovery.mu.Lock()
+		defer srv.discovery.mu.Unlock()
+		srv.discovery.calls[ask].To = srv.discovery.fleet.Now()
 	}()
-	text := l.report(true)
-	for i, u := range l.lists.fleet.Upstreams {
-		if u.Group.Pool == l.pool {
-			l.noted(i)
+	text := srv.formatUpdate(true)
+	for i, u := range srv.discovery.fleet.Upstreams {
+		if u.Group.Pool == srv.pool {
+			srv.recordUpdate(i)
 		}
 	}
 	lines := make(chan string, 1000)
 	watches := r.URL.Query().Get("watch") == "1"
 	if watches {
-		l.watch[lines] = struct{}{}
+		srv.watchers[lines] = struct{}{}
 	}
-	l.mu.Unlock()
+	srv.mu.Unlock()
 	defer func() {
-		l.mu.Lock()
-		delete(l.watch, lines)
-		l.mu.Unlock()
+		srv.mu.Lock()
+		delete(srv.watchers, lines)
+		srv.mu.Unlock()
 	}()
 	io.WriteString(w, text+"\n")
 	if !watches {
--- a/internal/lab/emulate/upstream.go
+++ b/internal/lab/emulate/upstream.go
@@ -1,5 +1,5 @@
-// Package emulate plays upstreams and discovery on real loopback sockets, hundreds in one process. How long work takes
-// is decided by the model of package work; nothing burns a core.
+// Package emulate emulates upstreams and discovery on loopback sockets, hundreds in one process. Package work models
+// service times; emulated work uses no CPU.
 package emulate
 
 import (
@@ -23,145 +23,146 @@
 	"ottershift/logic"
 )
 
-// Fleet is all upstreams of a run.
+// Fleet is the set of upstreams of a run.
 type Fleet struct {
-	e         *spec.Experiment
-	epoch     atomic.Pointer[time.Time]
-	tariffs   map[string]*spec.Tariff
-	Upstreams []*Upstream
-	Call      func(ctx context.Context, from *spec.Group, root uint64, left time.Duration) bool // asks the next tier
-
-	mu    sync.Mutex // guards known
-	known map[string]*effect
+	experiment *spec.Experiment
+	epoch      atomic.Pointer[time.Time]
+	tariffs    map[string]*spec.Tariff
+	Upstreams  []*Upstream
+	// Call sends a transaction to the next tier.
+	Call func(ctx context.Context, from *spec.Group, root uint64, left time.Duration) bool
+
+	mu        sync.Mutex // guards keyedRuns
+	keyedRuns map[string]*keyedRun
 }
 
-// effect is a tagged transaction's first run within its group.
-type effect struct {
-	began int64
-	over  chan struct{}
+// keyedRun is the first run of a keyed transaction within its deduplication scope.
+type keyedRun struct {
+	startedAt int64
+	ended     chan struct{}
 }
 
-// Upstream is one of them.
+// Upstream is one emulated upstream.
 type Upstream struct {
 	spec.Upstream
 	Index   int
 	Address string
 	fleet   *Fleet
 
-	mu      sync.Mutex
-	server  *work.Server
-	timer   *time.Timer
-	due     int64
-	http    *http.Server
-	conns   map[net.Conn]struct{}
-	arrived []record.Arrival
-	overfed []record.Overfed
-	lag     []int64
-	ticks   int
-	chance  *rand.Rand
-	life    int
-	trouble map[string]float64 // share of what comes that is met by a fault, by its kind
-	down    bool
-	deaf    atomic.Bool
+	mu            sync.Mutex
+	server        *work.Server
+	timer         *time.Timer
+	nextEventAt   int64
+	http          *http.Server
+	conns         map[net.Conn]struct{}
+	arrived       []record.Arrival
+	coldOverloads []record.ColdOverload
+	lag           []int64
+	ticks         int
+	rng           *rand.Rand
+	incarnation   int
+	faultShares   map[string]float64 // fraction of requests affected, by kind of fault
+	down          bool
+	acceptBlocked atomic.Bool
 }
 
-// NewFleet opens all upstreams of an experiment. Its time runs from now on, until Begin starts it anew.
+// NewFleet starts all upstreams of an experiment. Its clock starts now; Begin restarts it.
 func NewFleet(e *spec.Experiment) (*Fleet, error) {
-	f := &Fleet{e: e, tariffs: map[string]*spec.Tariff{}, known: map[string]*effect{}}
-	f.Begin(time.Now())
+	fleet := &Fleet{experiment: e, tariffs: map[string]*spec.Tariff{}, keyedRuns: map[string]*keyedRun{}}
+	fleet.Begin(time.Now())
 	for _, t := range e.Tariffs {
-		f.tariffs[t.Name] = t
+		fleet.tariffs[t.Name] = t
 	}
 	for i, up := range e.Upstreams {
 		u := &Upstream{
-			Upstream: up, Index: i, fleet: f, server: work.New(up.Group.Terms, 0), chance: rand.New(rand.NewPCG(e.Seed, uint64(i))),
-			trouble: map[string]float64{}, due: math.MaxInt64,
+			Upstream: up, Index: i, fleet: fleet, server: work.New(up.Group.ServerConfig, 0), rng: rand.New(rand.NewPCG(e.Seed, uint64(i))),
+			faultShares: map[string]float64{}, nextEventAt: math.MaxInt64,
 		}
 		u.timer = time.AfterFunc(time.Hour, u.tick)
-		f.Upstreams = append(f.Upstreams, u)
+		fleet.Upstreams = append(fleet.Upstreams, u)
 		if err := u.open("127.0.0.1:0"); err != nil {
-			f.Close()
+			fleet.Close()
 			return nil, err
 		}
 	}
-	return f, nil
+	return fleet, nil
 }
 
-// Begin sets the start of the run; nothing is at work yet.
-func (f *Fleet) Begin(epoch time.Time) { f.epoch.Store(&epoch) }
+// Begin sets the start of the run. No upstream may have work at that time.
+func (fleet *Fleet) Begin(epoch time.Time) { fleet.epoch.Store(&epoch) }
 
-// Now is the time since the start of the run.
-func (f *Fleet) Now() int64 { return int64(time.Since(*f.epoch.Load())) }
+// Now returns the time since the start of the run, in nanoseconds.
+func (fleet *Fleet) Now() int64 { return int64(time.Since(*fleet.epoch.Load())) }
 
-// Close ends all of them.
-func (f *Fleet) Close() {
-	for _, u := range f.Upstreams {
-		u.Die()
+// Close stops all upstreams.
+func (fleet *Fleet) Close() {
+	for _, u := range fleet.Upstreams {
+		u.Kill()
 		u.timer.Stop()
 	}
 }
 
-// Gather puts what they saw into a record.
-func (f *Fleet) Gather(r *record.Run) {
-	for _, u := range f.Upstreams {
+// Gather adds the observations of the upstreams to a record.
+func (fleet *Fleet) Gather(r *record.Run) {
+	for _, u := range fleet.Upstreams {
 		u.mu.Lock()
 		r.Arrived = append(r.Arrived, u.arrived...)
-		r.Overfed = append(r.Overfed, u.overfed...)
+		r.ColdOverloads = append(r.ColdOverloads, u.coldOverloads...)
 		r.Lag = append(r.Lag, u.lag...)
 		u.mu.Unlock()
 	}
 }
 
-// listener holds back who connects while its upstream is deaf.
+// listener delays accepted connections while the fault "deaf" lasts.
 type listener struct {
 	net.Listener
-	u *Upstream
+	upstream *Upstream
 }
 
 func (l listener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
-	for err == nil && l.u.deaf.Load() {
+	for err == nil && l.upstream.acceptBlocked.Load() {
 		time.Sleep(10 * time.Millisecond)
 	}
 	return c, err
 }
 
-func (u *Upstream) open(address string) error {
+func (up *Upstream) open(address string) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
 	}
-	s := &http.Server{Handler: u, ErrorLog: log.New(io.Discard, "", 0)}
+	s := &http.Server{Handler: up, ErrorLog: log.New(io.Discard, "", 0)}
 	conns := map[net.Conn]struct{}{}
 	s.ConnState = func(c net.Conn, now http.ConnState) {
-		u.mu.Lock()
-		defer u.mu.Unlock()
+		up.mu.Lock()
+		defer up.mu.Unlock()
 		if now == http.StateNew {
 			conns[c] = struct{}{}
 		} else if now == http.StateClosed || now == http.StateHijacked {
 			delete(conns, c)
 		}
 	}
-	u.mu.Lock()
-	u.Address, u.http, u.conns, u.down = l.Addr().String(), s, conns, false
-	u.mu.Unlock()
-	go s.Serve(listener{l, u})
+	up.mu.Lock()
+	up.Address, up.http, up.conns, up.down = l.Addr().String(), s, conns, false
+	up.mu.Unlock()
+	go s.Serve(listener{l, up})
 	return nil
 }
 
-// Die ends it at once: its connections are reset, what it had is lost.
-func (u *Upstream) Die() {
-	u.mu.Lock()
-	s, conns := u.http, u.conns
-	u.down = true
-	for _, j := range u.server.Stop(u.fleet.Now()) {
-		j.Mark.(*visit).end(false)
+// Kill kills the upstream: its connections are reset and its work is lost.
+func (up *Upstream) Kill() {
+	up.mu.Lock()
+	s, conns := up.http, up.conns
+	up.down = true
+	for _, j := range up.server.Stop(up.fleet.Now()) {
+		j.Tag.(*attemptState).finish(false)
 	}
 	var all []net.Conn
 	for c := range conns {
 		all = append(all, c)
 	}
-	u.mu.Unlock()
+	up.mu.Unlock()
 	for _, c := range all {
 		if t, ok := c.(*net.TCPConn); ok {
 			t.SetLinger(0)
@@ -171,117 +172,117 @@
 	s.Close()
 }
 
-// Rise starts it again at its address, cold; as another, if renamed.
-func (u *Upstream) Rise(renamed bool) {
-	u.mu.Lock()
-	address := u.Address
+// Restart starts the upstream again, cold and at its old address. With renamed, it gets a new name.
+func (up *Upstream) Restart(renamed bool) {
+	up.mu.Lock()
+	address := up.Address
 	if renamed {
-		u.life++
+		up.incarnation++
 	}
-	u.server.Start(u.fleet.Now())
-	u.mu.Unlock()
+	up.server.Start(up.fleet.Now())
+	up.mu.Unlock()
 	for range 50 {
-		if u.open(address) == nil {
+		if up.open(address) == nil {
 			return
 		}
-		time.Sleep(10 * time.Millisecond) // what was open there is still closing
+		time.Sleep(10 * time.Millisecond) // the old listener may still be closing
 	}
 }
 
-// Name is what discovery calls it: each life has another.
-func (u *Upstream) Name() string {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if u.life == 0 {
-		return u.Upstream.Name
+// Name returns the name in discovery, which differs between incarnations.
+func (up *Upstream) Name() string {
+	up.mu.Lock()
+	defer up.mu.Unlock()
+	if up.incarnation == 0 {
+		return up.Upstream.Name
 	}
-	return fmt.Sprintf("%s.%d", u.Upstream.Name, u.life+1)
+	return fmt.Sprintf("%s.%d", up.Upstream.Name, up.incarnation+1)
 }
 
-// Trouble has a share of what comes met by a fault of some kind; 0 ends it.
-func (u *Upstream) Trouble(kind string, share float64) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if u.trouble[kind] = share; share == 0 {
-		delete(u.trouble, kind)
+// SetFault applies a kind of fault to a fraction of requests; 0 ends it.
+func (up *Upstream) SetFault(kind string, share float64) {
+	up.mu.Lock()
+	defer up.mu.Unlock()
+	if up.faultShares[kind] = share; share == 0 {
+		delete(up.faultShares, kind)
 	}
 	if kind == "deaf" {
-		u.deaf.Store(share > 0)
+		up.acceptBlocked.Store(share > 0)
 	}
 }
 
-// Hamper makes it slower, or leaves it fewer cores.
-func (u *Upstream) Hamper(slow float64, cores int) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	u.advance()
-	u.server.Hamper(slow, cores)
-	u.arm()
+// ApplySlowdown sets a slowdown factor and the number of cores left.
+func (up *Upstream) ApplySlowdown(slow float64, cores int) {
+	up.mu.Lock()
+	defer up.mu.Unlock()
+	up.advance()
+	up.server.ApplyFault(slow, cores)
+	up.scheduleTick()
 }
 
-// visit is a push at an upstream.
-type visit struct {
-	over   chan struct{}
-	done   bool
-	effect int64
+// attemptState is the state of one attempt at an upstream.
+type attemptState struct {
+	ended     chan struct{}
+	completed bool
+	effectAt  int64
 }
 
-func (v *visit) end(done bool) {
-	v.done = done
-	close(v.over)
+func (state *attemptState) finish(done bool) {
+	state.completed = done
+	close(state.ended)
 }
 
-// advance brings the model up to now.
-func (u *Upstream) advance() int64 {
-	now := u.fleet.Now()
-	for _, j := range u.server.Advance(now) {
-		v := j.Mark.(*visit)
-		v.effect = now
-		v.end(true)
+// advance moves the model to the current time and returns that time.
+func (up *Upstream) advance() int64 {
+	now := up.fleet.Now()
+	for _, j := range up.server.Advance(now) {
+		state := j.Tag.(*attemptState)
+		state.effectAt = now
+		state.finish(true)
 	}
 	return now
 }
 
-// arm sets the timer to what the model does next.
-func (u *Upstream) arm() {
-	if u.due = u.server.Next(); u.due != math.MaxInt64 {
-		u.timer.Reset(time.Duration(max(0, u.due-u.fleet.Now())))
+// scheduleTick sets the timer to the next event of the model.
+func (up *Upstream) scheduleTick() {
+	if up.nextEventAt = up.server.Next(); up.nextEventAt != math.MaxInt64 {
+		up.timer.Reset(time.Duration(max(0, up.nextEventAt-up.fleet.Now())))
 	}
 }
 
-func (u *Upstream) tick() {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if u.due == math.MaxInt64 {
+func (up *Upstream) tick() {
+	up.mu.Lock()
+	defer up.mu.Unlock()
+	if up.nextEventAt == math.MaxInt64 {
 		return
 	}
-	due := u.due
-	now := u.advance()
-	if u.ticks++; u.ticks%16 == 0 && now >= due {
-		u.lag = append(u.lag, now-due)
+	due := up.nextEventAt
+	now := up.advance()
+	if up.ticks++; up.ticks%16 == 0 && now >= due {
+		up.lag = append(up.lag, now-due)
 	}
-	u.arm()
+	up.scheduleTick()
 }
 
-// meets draws which fault meets what comes now, "" for none.
-func (u *Upstream) meets() string {
+// drawFault returns the fault that affects the next request, drawn at random; "" for none.
+func (up *Upstream) drawFault() string {
 	for _, kind := range []string{"hang", "reset", "garbage", "half", "fail", "full"} {
-		if share := u.trouble[kind]; share > 0 && (share >= 1 || u.chance.Float64() < share) {
+		if share := up.faultShares[kind]; share > 0 && (share >= 1 || up.rng.Float64() < share) {
 			return kind
 		}
 	}
 	return ""
 }
 
-// ServeHTTP is one push at an upstream.
-func (u *Upstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+// ServeHTTP serves one attempt, or a health check at /ping.
+func (up *Upstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
 		return
 	}
 	if r.URL.Path == "/ping" {
-		u.mu.Lock()
-		kind := u.meets()
-		u.mu.Unlock()
+		up.mu.Lock()
+		kind := up.drawFault()
+		up.mu.Unlock()
 		switch kind {
 		case "":
 		case "hang":
@@ -292,112 +293,112 @@
 		return
 	}
 	name, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
-	tariff := u.fleet.tariffs[name]
+	tariff := up.fleet.tariffs[name]
 	id := r.Header.Get("X-Txn")
 	root, _ := strconv.ParseUint(r.URL.Query().Get("root"), 16, 64)
 	if tariff == nil || id == "" {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	v := &visit{over: make(chan struct{})}
-	u.mu.Lock()
-	now := u.advance()
-	a := record.Arrival{ID: id, Root: root, Upstream: u.Index, At: now, Cold: u.server.Warmth(now) < 1}
-	place := len(u.arrived)
-	kind := u.meets()
-	var first, mine *effect
-	if kind == "" && tariff.Idempotency == logic.Keyed { // what is turned away leaves no mark
-		first, mine = u.fleet.tag(u, tariff, r.Header.Get("Idempotency-Key"), now)
-	}
-	j := &work.Job{Mark: v, Work: tariff.Work(u.fleet.e.Seed, root, u.Upstream.Name, place)}
+	state := &attemptState{ended: make(chan struct{})}
+	up.mu.Lock()
+	now := up.advance()
+	arrival := record.Arrival{ID: id, Root: root, Upstream: up.Index, At: now, Cold: up.server.WarmupFactor(now) < 1}
+	index := len(up.arrived)
+	kind := up.drawFault()
+	var first, own *keyedRun
+	if kind == "" && tariff.Idempotency == logic.Keyed { // requests hit by a fault do not register their key
+		first, own = up.fleet.registerKey(up, tariff, r.Header.Get("Idempotency-Key"), now)
+	}
+	job := &work.Job{Tag: state, Work: tariff.Work(up.fleet.experiment.Seed, root, up.Upstream.Name, index)}
 	if kind == "full" {
-		kind, a.Turned = "", true
+		kind, arrival.Rejected = "", true
 	}
 	switch {
-	case a.Turned:
+	case arrival.Rejected:
 	case kind != "":
-		a.Ran = kind != "fail"
+		arrival.Executed = kind != "fail"
 	case first != nil:
-		a.Dropped = true
+		arrival.Deduplicated = true
 	default:
-		before := u.server.Overfed
-		if a.Ran = u.server.Arrive(j, now); !a.Ran {
-			a.Turned = true
+		before := up.server.MaxColdOverload
+		if arrival.Executed = up.server.Arrive(job, now); !arrival.Executed {
+			arrival.Rejected = true
 		}
-		if u.server.Overfed > before && before == 0 {
-			u.overfed = append(u.overfed, record.Overfed{Upstream: u.Index, At: now, Of: u.server.Overfed})
+		if up.server.MaxColdOverload > before && before == 0 {
+			up.coldOverloads = append(up.coldOverloads, record.ColdOverload{Upstream: up.Index, At: now, Multiple: up.server.MaxColdOverload})
 		}
 	}
-	u.arrived = append(u.arrived, a)
-	u.arm()
-	u.mu.Unlock()
+	up.arrived = append(up.arrived, arrival)
+	up.scheduleTick()
+	up.mu.Unlock()
 
 	switch {
 	case kind != "":
-		u.spoil(w, r, kind)
+		up.serveFault(w, r, kind)
 		return
-	case a.Turned:
-		u.fleet.untag(mine, false)
+	case arrival.Rejected:
+		up.fleet.finishKey(own, false)
 		w.Header().Set("X-Turned-Away", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
-	case a.Dropped:
+	case arrival.Deduplicated:
 		select {
-		case <-first.over:
+		case <-first.ended:
 		case <-r.Context().Done():
 			return
 		}
 	default:
 		select {
-		case <-v.over:
+		case <-state.ended:
 		case <-r.Context().Done():
-			u.mu.Lock()
-			u.advance()
-			u.server.Cancel(j)
-			u.arm()
-			u.mu.Unlock()
+			up.mu.Lock()
+			up.advance()
+			up.server.Cancel(job)
+			up.scheduleTick()
+			up.mu.Unlock()
 			select {
-			case <-v.over: // it was done all the same
+			case <-state.ended: // completed before the cancellation
 			default:
 			}
 		}
-		u.mu.Lock()
-		u.arrived[place].Effect = v.effect
-		u.mu.Unlock()
-		u.fleet.untag(mine, v.effect != 0)
-		if !v.done {
-			// Danger: a handler that ends without a word answers 200, though what it was asked for is lost.
+		up.mu.Lock()
+		up.arrived[index].Effect = state.effectAt
+		up.mu.Unlock()
+		up.fleet.finishKey(own, state.effectAt != 0)
+		if !state.completed {
+			// The work is lost. A handler that returns without writing sends status 200, so abort the connection.
 			panic(http.ErrAbortHandler)
 		}
 	}
-	if u.Group.Calls != nil && !u.next(r, root) {
+	if up.Group.Calls != nil && !up.callNextTier(r, root) {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	fmt.Fprintf(w, "ok %s %s\n", id, u.Upstream.Name)
+	fmt.Fprintf(w, "ok %s %s\n", id, up.Upstream.Name)
 }
 
-// next asks the next tier for what a transaction needs of it.
-func (u *Upstream) next(r *http.Request, root uint64) bool {
+// callNextTier sends the calls of a transaction to the next tier and reports whether all succeeded.
+func (up *Upstream) callNextTier(r *http.Request, root uint64) bool {
 	left, err := strconv.ParseFloat(r.Header.Get("X-Remaining"), 64)
 	if err != nil {
 		left = 1
 	}
 	end := time.Now().Add(time.Duration(left * float64(time.Second)))
-	c := u.Group.Calls
-	u.mu.Lock()
-	n := c.Least + u.chance.IntN(c.Most-c.Least+1)
-	u.mu.Unlock()
+	c := up.Group.Calls
+	up.mu.Lock()
+	n := c.Least + up.rng.IntN(c.Most-c.Least+1)
+	up.mu.Unlock()
 	for range n {
-		if !u.fleet.Call(r.Context(), u.Group, root, time.Until(end)) {
+		if !up.fleet.Call(r.Context(), up.Group, root, time.Until(end)) {
 			return false
 		}
 	}
 	return true
 }
 
-// spoil is what comes back in a fault.
-func (u *Upstream) spoil(w http.ResponseWriter, r *http.Request, kind string) {
+// serveFault sends the response that a fault produces.
+func (up *Upstream) serveFault(w http.ResponseWriter, r *http.Request, kind string) {
 	if kind == "hang" {
 		<-r.Context().Done()
 		return
@@ -423,8 +424,9 @@
 	}
 }
 
-// tag notes the first run of a tagged transaction within its group, or finds it.
-func (f *Fleet) tag(u *Upstream, t *spec.Tariff, key string, now int64) (first, mine *effect) {
+// registerKey registers the first run of a keyed transaction within its deduplication scope, or returns the one that
+// is registered.
+func (fleet *Fleet) registerKey(u *Upstream, t *spec.Tariff, key string, now int64) (first, mine *keyedRun) {
 	scope := fmt.Sprintf("%s/%d", u.Group.Name, u.Cell)
 	switch t.DedupScope {
 	case logic.SameZone:
@@ -433,25 +435,25 @@
 		scope = ""
 	}
 	scope = t.Name + "\n" + scope + "\n" + key
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if e := f.known[scope]; e != nil && now < e.began+t.DedupWindow {
+	fleet.mu.Lock()
+	defer fleet.mu.Unlock()
+	if e := fleet.keyedRuns[scope]; e != nil && now < e.startedAt+t.DedupWindow {
 		return e, nil
 	}
-	e := &effect{began: now, over: make(chan struct{})}
-	f.known[scope] = e
+	e := &keyedRun{startedAt: now, ended: make(chan struct{})}
+	fleet.keyedRuns[scope] = e
 	return nil, e
 }
 
-// untag says how a first run ended. One without an effect is forgotten.
-func (f *Fleet) untag(e *effect, done bool) {
+// finishKey marks a first run as ended. If it had no effect, the key may run again.
+func (fleet *Fleet) finishKey(e *keyedRun, done bool) {
 	if e == nil {
 		return
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
+	fleet.mu.Lock()
+	defer fleet.mu.Unlock()
 	if !done {
-		e.began = math.MinInt64 / 2
+		e.startedAt = math.MinInt64 / 2
 	}
-	close(e.over)
+	close(e.ended)
 }
--- a/internal/lab/load/client.go
+++ b/internal/lab/load/client.go
@@ -1,5 +1,5 @@
-// Package load plays clients: each sends what its plan says at the time that the plan says, whatever became of what it
-// sent before, and notes what came back.
+// Package load emulates clients. They generate an open load: each request is sent at its planned time, whatever the
+// outcome of earlier requests. The package records all answers.
 package load
 
 import (
@@ -14,23 +14,23 @@
 	"time"
 )
 
-// Answer is what came back of one request.
+// Answer is the outcome of one request at its client.
 type Answer struct {
-	Status  int
-	Advice  time.Duration // Retry-After
-	Body    []byte
-	Sent    time.Time // its last byte; zero if that didn't go out
-	Read    time.Time // the answer's last byte
-	Extra   bool      // more came than the answer
-	Closed  bool      // the connection ended without an answer
-	Gone    bool      // the time was up first
-	Refused bool      // no connection came about
+	Status     int
+	RetryAfter time.Duration // from the Retry-After header; 0 if absent
+	Body       []byte
+	Sent       time.Time // when the last byte of the request was written; zero if it was not
+	Read       time.Time // when reading the answer ended
+	Extra      bool      // bytes beyond the answer arrived
+	Closed     bool      // the connection ended without an answer
+	TimedOut   bool      // the deadline passed first
+	Refused    bool      // no connection could be opened
 }
 
-// Target is a balancer as clients of one kind reach it, with the connections that they keep.
+// Target is a balancer with the connection pool of one group of clients.
 type Target struct {
-	address string
-	keep    bool
+	address   string
+	keepAlive bool
 
 	mu   sync.Mutex
 	idle []*conn
@@ -38,130 +38,133 @@
 
 type conn struct {
 	net.Conn
-	in   *bufio.Reader
-	used bool
+	reader *bufio.Reader
+	used   bool
 }
 
-// NewTarget makes one; keep says whether connections are used again.
-func NewTarget(address string, keep bool) *Target { return &Target{address: address, keep: keep} }
+// NewTarget returns a target. With keep, connections are reused.
+func NewTarget(address string, keepAlive bool) *Target {
+	return &Target{address: address, keepAlive: keepAlive}
+}
 
-// Close closes what is kept.
-func (t *Target) Close() {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for _, c := range t.idle {
+// Close closes the idle connections.
+func (target *Target) Close() {
+	target.mu.Lock()
+	defer target.mu.Unlock()
+	for _, c := range target.idle {
 		c.Close()
 	}
-	t.idle = nil
+	target.idle = nil
 }
 
-// takeIdle takes the idle connection that was used last, nil where there is none or none is kept.
-func (t *Target) takeIdle() *conn {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	last := len(t.idle) - 1
-	if !t.keep || last < 0 {
+// takeIdle removes and returns the most recently used idle connection; nil if there is none.
+func (target *Target) takeIdle() *conn {
+	target.mu.Lock()
+	defer target.mu.Unlock()
+	last := len(target.idle) - 1
+	if !target.keepAlive || last < 0 {
 		return nil
 	}
-	c := t.idle[last]
-	t.idle = t.idle[:last]
+	c := target.idle[last]
+	target.idle = target.idle[:last]
 	return c
 }
 
-// get takes the connection that was used last, or opens one. What the balancer has closed meanwhile is found out.
-func (t *Target) get(until time.Time) (c *conn, err error) {
-	if c := t.takeIdle(); c != nil {
+// connection returns the most recently used idle connection or opens a new one. The balancer may have closed an idle
+// connection, which shows only on use.
+func (target *Target) connection(until time.Time) (c *conn, err error) {
+	if c := target.takeIdle(); c != nil {
 		return c, nil
 	}
-	n, err := net.DialTimeout("tcp", t.address, max(time.Millisecond, min(time.Until(until), 3*time.Second)))
+	n, err := net.DialTimeout("tcp", target.address, max(time.Millisecond, min(time.Until(until), 3*time.Second)))
 	if err != nil {
 		return nil, err
 	}
-	return &conn{Conn: n, in: bufio.NewReaderSize(n, 4096)}, nil
+	return &conn{Conn: n, reader: bufio.NewReaderSize(n, 4096)}, nil
 }
 
-// Do sends a request and waits for its answer until some time. A kept connection that the balancer closed as the
-// request went out is no answer: the request goes out once more on a new one, as a client may between requests.
+// Do sends a request and waits for its answer until a deadline. If the balancer closes a reused connection while the
+// request is sent, Do sends the request again on another connection, as HTTP clients do.
 //
-// Danger: where the balancer is gone then, nobody knows whether it had read the request. It counts as closed without an answer,
-// not as refused, which would be harmless to ask elsewhere.
-func (t *Target) Do(request []byte, until time.Time) (a Answer) {
+// If that connection cannot be opened, the balancer may still have read the first request. The answer then counts as
+// closed and not as refused, because a refused request is safe to send elsewhere.
+func (target *Target) Do(request []byte, until time.Time) (answer Answer) {
 	for first := true; ; first = false {
-		c, err := t.get(until)
+		c, err := target.connection(until)
 		if err != nil {
-			a.Refused = first
-			return a
+			answer.Refused = first
+			return answer
 		}
-		again := false
-		if a, again = t.on(c, request, until); !again {
-			return a
+		retry := false
+		if answer, retry = target.roundTrip(c, request, until); !retry {
+			return answer
 		}
 	}
 }
 
-func (t *Target) on(c *conn, request []byte, until time.Time) (a Answer, again bool) {
+func (target *Target) roundTrip(c *conn, request []byte, until time.Time) (answer Answer, retry bool) {
 	c.SetDeadline(until)
-	if c.in.Buffered() > 0 {
-		// What lies there came after the last answer, from nobody's request.
+	if c.reader.Buffered() > 0 {
+		// These bytes arrived after the last answer and belong to no request.
 		c.Close()
-		a.Extra = true
-		return a, !c.used
+		answer.Extra = true
+		return answer, !c.used
 	}
 	_, err := c.Write(request)
 	if err != nil {
 		c.Close()
-		a.Closed = true
-		return a, c.used
+		answer.Closed = true
+		return answer, c.used
 	}
-	a.Sent = time.Now()
-	r, err := http.ReadResponse(c.in, nil)
+	answer.Sent = time.Now()
+	response, err := http.ReadResponse(c.reader, nil)
 	if err == nil {
-		a.Body, err = io.ReadAll(r.Body)
+		answer.Body, err = io.ReadAll(response.Body)
 	}
-	a.Read = time.Now()
+	answer.Read = time.Now()
 	if err != nil {
 		c.Close()
-		late, _ := err.(net.Error)
-		if a.Gone = late != nil && late.Timeout() || !a.Read.Before(until); a.Gone {
-			return a, false
+		netErr, _ := err.(net.Error)
+		if answer.TimedOut = netErr != nil && netErr.Timeout() || !answer.Read.Before(until); answer.TimedOut {
+			return answer, false
 		}
-		a.Closed = true
-		// Nothing at all came back on a connection that had stood idle: it was closed before the request was read.
-		return a, c.used && r == nil && (err == io.EOF || err == io.ErrUnexpectedEOF || strings.Contains(err.Error(), "reset")) &&
-			a.Read.Sub(a.Sent) < 20*time.Millisecond
+		answer.Closed = true
+		// A reused connection that ends at once and without any byte was closed before the request was read.
+		return answer, c.used && response == nil && (err == io.EOF || err == io.ErrUnexpectedEOF || strings.Contains(err.Error(), "reset")) &&
+			answer.Read.Sub(answer.Sent) < 20*time.Millisecond
 	}
-	a.Status = r.StatusCode
-	if s, err := strconv.ParseFloat(r.Header.Get("Retry-After"), 64); err == nil {
-		a.Advice = time.Duration(s * float64(time.Second))
+	answer.Status = response.StatusCode
+	if s, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64); err == nil {
+		answer.RetryAfter = time.Duration(s * float64(time.Second))
 	}
-	a.Extra = c.in.Buffered() > 0
-	if r.Close || !t.keep || a.Extra {
+	answer.Extra = c.reader.Buffered() > 0
+	if response.Close || !target.keepAlive || answer.Extra {
 		c.Close()
-		return a, false
+		return answer, false
 	}
 	c.used = true
-	t.mu.Lock()
-	t.idle = append(t.idle, c)
-	t.mu.Unlock()
-	return a, false
+	target.mu.Lock()
+	target.idle = append(target.idle, c)
+	target.mu.Unlock()
+	return answer, false
 }
 
-// Stray looks whether anything came on the connections that stand idle; more than an answer is told so even where its
-// client sends nothing any more.
-func (t *Target) Stray() (n int) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for _, c := range t.idle {
+// ConnsWithUnreadBytes returns the number of idle connections with unread bytes. It finds excess bytes after
+// the last answer on a connection, where no further request would find them.
+func (target *Target) ConnsWithUnreadBytes() (n int) {
+	target.mu.Lock()
+	defer target.mu.Unlock()
+	for _, c := range target.idle {
 		c.SetReadDeadline(time.Now().Add(time.Millisecond))
-		if _, err := c.in.Peek(1); err == nil {
+		if _, err := c.reader.Peek(1); err == nil {
 			n++
 		}
 	}
 	return n
 }
 
-// Request words a request by the platform's protocol.
-func Request(tariff, host, id, customer, key string, root uint64, left time.Duration, again bool, post bool, body int) []byte {
+// FormatRequest formats a request in the platform's protocol.
+func FormatRequest(tariff, host, id, customer, key string, root uint64, left time.Duration, resent bool, post bool, body int) []byte {
 	var b bytes.Buffer
 	method := "GET"
 	if post {
@@ -175,7 +178,7 @@
 	if key != "" {
 		b.WriteString("Idempotency-Key: " + key + "\r\n")
 	}
-	if again {
+	if resent {
 		b.WriteString("X-Resent: 1\r\n")
 	}
 	if post {
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -14,85 +14,85 @@
 	"ottershift/logic"
 )
 
-// Load plays the clients of one run.
-type Load struct {
-	e       *spec.Experiment
-	epoch   time.Time
-	targets [][]*Target // by clients (the last for calls between tiers), by balancer
-	post    []bool      // by tariff
-	ids     atomic.Uint64
-	pick    atomic.Uint64
+// Generator emulates the clients of one run.
+type Generator struct {
+	experiment   *spec.Experiment
+	epoch        time.Time
+	targets      [][]*Target // by client group (the last one for calls between tiers), then by balancer
+	post         []bool      // by tariff: whether requests use POST
+	lastID       atomic.Uint64
+	nextBalancer atomic.Uint64
 
-	mu    sync.Mutex
-	tries []record.Try
-	lag   []int64
-	down  []bool        // balancers that clients have been told not to use
-	late  [64]spec.Call // what was asked for last by clients that repeat
-	asked int
+	mu          sync.Mutex
+	requests    []record.ClientRequest
+	lag         []int64
+	down        []bool               // balancers that clients must not use
+	recentCalls [64]spec.Transaction // ring of the latest calls of repeating clients
+	recentCount int
 }
 
-// Recent is something that clients that repeat have asked for lately; ok is false where there is nothing.
-func (l *Load) Recent() (c spec.Call, ok bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.asked == 0 {
+// Recent returns a random recent call of repeating clients; ok is false if there is none.
+func (gen *Generator) Recent() (c spec.Transaction, ok bool) {
+	gen.mu.Lock()
+	defer gen.mu.Unlock()
+	if gen.recentCount == 0 {
 		return c, false
 	}
-	return l.late[rand.IntN(min(l.asked, len(l.late)))], true
+	return gen.recentCalls[rand.IntN(min(gen.recentCount, len(gen.recentCalls)))], true
 }
 
-// New makes the clients of an experiment for balancers at some addresses.
-func New(e *spec.Experiment, epoch time.Time, addresses []string) *Load {
-	l := &Load{e: e, epoch: epoch, down: make([]bool, len(addresses))}
+// New creates the clients of an experiment for the balancers at the given addresses.
+func New(e *spec.Experiment, epoch time.Time, addresses []string) *Generator {
+	gen := &Generator{experiment: e, epoch: epoch, down: make([]bool, len(addresses))}
 	for n := range len(e.Clients) + 1 {
 		var all []*Target
 		for _, a := range addresses {
-			all = append(all, NewTarget(a, n == len(e.Clients) || e.Clients[n].Kept))
+			all = append(all, NewTarget(a, n == len(e.Clients) || e.Clients[n].KeepsConnections))
 		}
-		l.targets = append(l.targets, all)
+		gen.targets = append(gen.targets, all)
 	}
 	for _, f := range e.Tariffs {
-		l.post = append(l.post, f.Idempotency != logic.Idempotent)
+		gen.post = append(gen.post, f.Idempotency != logic.Idempotent)
 	}
-	return l
+	return gen
 }
 
-func (l *Load) now() int64 { return int64(time.Since(l.epoch)) }
+func (gen *Generator) now() int64 { return int64(time.Since(gen.epoch)) }
 
-// Down tells clients that a balancer is down, or up again, as a front before them would.
-func (l *Load) Down(balancer int, down bool) {
-	l.mu.Lock()
-	l.down[balancer] = down
-	l.mu.Unlock()
+// SetDown marks a balancer as down or up for the clients, as a load balancer in front of the balancers would.
+func (gen *Generator) SetDown(balancer int, down bool) {
+	gen.mu.Lock()
+	gen.down[balancer] = down
+	gen.mu.Unlock()
 	if down {
-		for _, all := range l.targets {
+		for _, all := range gen.targets {
 			all[balancer].Close()
 		}
 	}
 }
 
-// balancer takes the next one that isn't down.
-func (l *Load) balancer() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	n := len(l.down)
-	from := int(l.pick.Add(1)) % n
+// pickBalancer returns the next balancer in round-robin order that is not down.
+func (gen *Generator) pickBalancer() int {
+	gen.mu.Lock()
+	defer gen.mu.Unlock()
+	n := len(gen.down)
+	from := int(gen.nextBalancer.Add(1)) % n
 	for i := range n {
-		if !l.down[(from+i)%n] {
+		if !gen.down[(from+i)%n] {
 			return (from + i) % n
 		}
 	}
 	return from
 }
 
-// Run sends all that the plan holds, and returns once each has its end.
-func (l *Load) Run(ctx context.Context, plan []spec.Call) {
+// Run sends all planned calls and returns when all have ended.
+func (gen *Generator) Run(ctx context.Context, plan []spec.Transaction) {
 	var open sync.WaitGroup
 	defer open.Wait()
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for n, c := range plan {
-		if wait := time.Duration(c.Due - l.now()); wait > 0 {
+		if wait := time.Duration(c.Due - gen.now()); wait > 0 {
 			timer.Reset(wait)
 			select {
 			case <-timer.C:
@@ -104,50 +104,52 @@
 			return
 		}
 		if n%16 == 0 {
-			l.mu.Lock()
-			l.lag = append(l.lag, max(0, l.now()-c.Due))
-			l.mu.Unlock()
+			gen.mu.Lock()
+			gen.lag = append(gen.lag, max(0, gen.now()-c.Due))
+			gen.mu.Unlock()
 		}
-		open.Go(func() { l.ask(ctx, c) })
+		open.Go(func() { gen.callWithRetries(ctx, c) })
 	}
 }
 
-// ask is one piece of work, over all its tries.
-func (l *Load) ask(ctx context.Context, c spec.Call) {
-	k := l.e.Clients[c.Clients]
-	f := l.e.Tariffs[k.Tariff]
+// callWithRetries performs one call with its retries.
+func (gen *Generator) callWithRetries(ctx context.Context, call spec.Transaction) {
+	group := gen.experiment.Clients[call.Clients]
+	tariff := gen.experiment.Tariffs[group.Tariff]
 	key := ""
-	if f.Idempotency == logic.Keyed || k.Keyed {
-		key = fmt.Sprintf("%016x", c.Root)
+	if tariff.Idempotency == logic.Keyed || group.SendsKey {
+		key = fmt.Sprintf("%016x", call.Root)
 	}
-	if k.Repeats {
-		l.mu.Lock()
-		l.late[l.asked%len(l.late)] = c
-		l.asked++
-		l.mu.Unlock()
+	if group.RepeatsByKey {
+		gen.mu.Lock()
+		gen.recentCalls[gen.recentCount%len(gen.recentCalls)] = call
+		gen.recentCount++
+		gen.mu.Unlock()
 	}
-	if k.After > 0 {
-		l.insist(ctx, c, k, key)
+	if group.HedgeAfter > 0 {
+		gen.callHedged(ctx, call, group, key)
 		return
 	}
 	for try := 0; ctx.Err() == nil; try++ {
-		left := time.Duration(c.Due + k.Patience - l.now())
+		left := time.Duration(call.Due + group.Timeout - gen.now())
 		if left <= 0 {
 			return
 		}
-		a, t := l.try(c.Clients, k.Pool, k.Tariff, k.Customer, key, c.Root, left, try > 0 && k.Marks, k.Body)
-		t.Due = c.Due
-		l.note(t)
-		again := a.Status == 503 || a.Status == 429 || a.Refused
-		// What failed may have run: only what may run again is asked for once more.
-		harmless := f.Idempotency == logic.Idempotent || f.Idempotency == logic.Keyed && f.DedupScope == logic.Everywhere
-		again = again || harmless && (a.Closed || a.Status >= 500) || k.Repeats && a.Status != 200
-		if !again || try >= k.Retries {
+		answer, request := gen.sendRequest(call.Clients, group.Pool, group.Tariff, group.Customer, key, call.Root, left,
+			try > 0 && group.MarksRetries, group.Body)
+		request.Due = call.Due
+		gen.addRequest(request)
+		again := answer.Status == 503 || answer.Status == 429 || answer.Refused
+		// A failed request may have run, so it is retried only if a second run does no harm.
+		harmless := tariff.Idempotency == logic.Idempotent ||
+			tariff.Idempotency == logic.Keyed && tariff.DedupScope == logic.Everywhere
+		again = again || harmless && (answer.Closed || answer.Status >= 500) || group.RepeatsByKey && answer.Status != 200
+		if !again || try >= group.Retries {
 			return
 		}
-		pause := time.Duration(k.Pause)
-		if k.Heeds && a.Advice > 0 {
-			pause = a.Advice
+		pause := time.Duration(group.RetryDelay)
+		if group.FollowsAdvice && answer.RetryAfter > 0 {
+			pause = answer.RetryAfter
 		}
 		pause = pause/2 + rand.N(pause+1)
 		select {
@@ -158,57 +160,58 @@
 	}
 }
 
-// insist is one piece of work of a client that doesn't wait for its first try to end: without an answer for some time it sends
-// its key to another balancer as well, and takes the first answer that settles it.
-func (l *Load) insist(ctx context.Context, c spec.Call, k *spec.Clients, key string) {
-	answers := make(chan Answer, k.Retries+1)
-	out, tries := 0, 0
+// callHedged performs one call of a hedging client: without an answer for some time, it also sends
+// the request with the same key to another balancer, and takes the first answer that settles it.
+func (gen *Generator) callHedged(ctx context.Context, call spec.Transaction, group *spec.Clients, key string) {
+	answers := make(chan Answer, group.Retries+1)
+	outstanding, sent := 0, 0
 	send := func() {
-		left := time.Duration(c.Due + k.Patience - l.now())
-		if left <= 0 || tries > k.Retries {
+		left := time.Duration(call.Due + group.Timeout - gen.now())
+		if left <= 0 || sent > group.Retries {
 			return
 		}
-		again := tries > 0 && k.Marks
-		out++
-		tries++
+		resent := sent > 0 && group.MarksRetries
+		outstanding++
+		sent++
 		go func() {
-			a, t := l.try(c.Clients, k.Pool, k.Tariff, k.Customer, key, c.Root, left, again, k.Body)
-			t.Due = c.Due
-			l.note(t)
-			answers <- a
+			answer, request := gen.sendRequest(call.Clients, group.Pool, group.Tariff, group.Customer, key, call.Root,
+				left, resent, group.Body)
+			request.Due = call.Due
+			gen.addRequest(request)
+			answers <- answer
 		}()
 	}
 	send()
-	next := time.NewTimer(time.Duration(k.After))
+	next := time.NewTimer(time.Duration(group.HedgeAfter))
 	defer next.Stop()
 	settled := false
-	for out > 0 {
+	for outstanding > 0 {
 		select {
-		case a := <-answers:
-			out--
-			if settled = settled || a.Status == 200; settled {
-				continue // what is out comes to its end
+		case answer := <-answers:
+			outstanding--
+			if settled = settled || answer.Status == 200; settled {
+				continue // outstanding requests run to their end
 			}
-			pause := time.Duration(k.Pause)
-			if k.Heeds && a.Advice > 0 {
-				pause = a.Advice
+			pause := time.Duration(group.RetryDelay)
+			if group.FollowsAdvice && answer.RetryAfter > 0 {
+				pause = answer.RetryAfter
 			}
-			if out == 0 && tries <= k.Retries {
+			if outstanding == 0 && sent <= group.Retries {
 				select {
 				case <-time.After(pause/2 + rand.N(pause+1)):
 				case <-ctx.Done():
 					return
 				}
 				send()
-				next.Reset(time.Duration(k.After))
+				next.Reset(time.Duration(group.HedgeAfter))
 			}
 		case <-next.C:
 			if !settled {
 				send()
-				next.Reset(time.Duration(k.After))
+				next.Reset(time.Duration(group.HedgeAfter))
 			}
 		case <-ctx.Done():
-			for ; out > 0; out-- {
+			for ; outstanding > 0; outstanding-- {
 				<-answers
 			}
 			return
@@ -216,62 +219,64 @@
 	}
 }
 
-// Call is a transaction from an upstream to the next tier.
-func (l *Load) Call(ctx context.Context, from *spec.Group, root uint64, left time.Duration) bool {
-	k, key := len(l.e.Clients), ""
-	if l.e.Tariffs[from.Calls.Tariff].Idempotency == logic.Keyed {
-		key = fmt.Sprintf("%016x-%x", root, l.ids.Add(1))
+// Call sends a transaction from an upstream to the next tier and reports whether it succeeded.
+func (gen *Generator) Call(ctx context.Context, from *spec.Group, root uint64, left time.Duration) bool {
+	k, key := len(gen.experiment.Clients), ""
+	if gen.experiment.Tariffs[from.Calls.Tariff].Idempotency == logic.Keyed {
+		key = fmt.Sprintf("%016x-%x", root, gen.lastID.Add(1))
 	}
-	a, t := l.try(k, from.Calls.Pool, from.Calls.Tariff, "", key, root, left, false, 0)
+	a, t := gen.sendRequest(k, from.Calls.Pool, from.Calls.Tariff, "", key, root, left, false, 0)
 	t.Due = t.Sent
-	l.note(t)
+	gen.addRequest(t)
 	return a.Status == 200
 }
 
-// try sends one request.
-func (l *Load) try(
-	clients, pool, tariff int, customer, key string, root uint64, left time.Duration, again bool, body int,
-) (Answer, record.Try) {
-	id := fmt.Sprintf("%08x%08x", uint32(root), l.ids.Add(1))
-	balancer := l.balancer()
+// sendRequest sends one request to the next balancer and returns its answer and its record.
+func (gen *Generator) sendRequest(
+	clients, pool, tariff int, customer, key string, root uint64, left time.Duration, resent bool, body int,
+) (Answer, record.ClientRequest) {
+	id := fmt.Sprintf("%08x%08x", uint32(root), gen.lastID.Add(1))
+	balancer := gen.pickBalancer()
 	until := time.Now().Add(left)
-	request := Request(l.e.Tariffs[tariff].Name, l.e.Host(pool), id, customer, key, root, left, again, l.post[tariff], body)
-	// A client waits a little longer than it says: what is on the way then is still an answer to the judge.
-	a := l.targets[clients][balancer].Do(request, until.Add(100*time.Millisecond))
-	t := record.Try{
-		Root: root, ID: id, Group: clients, Tariff: tariff, Balancer: balancer, Left: int64(left), Status: a.Status,
-		Extra: a.Extra, Closed: a.Closed,
+	request := FormatRequest(gen.experiment.Tariffs[tariff].Name, gen.experiment.Host(pool), id, customer, key,
+		root, left, resent, gen.post[tariff], body)
+	// The client waits 100 ms longer than the timeout it announces, so that the judge still sees answers in transit
+	// at that time.
+	answer := gen.targets[clients][balancer].Do(request, until.Add(100*time.Millisecond))
+	result := record.ClientRequest{
+		Root: root, ID: id, Group: clients, Tariff: tariff, Balancer: balancer, Timeout: int64(left), Status: answer.Status,
+		Extra: answer.Extra, Closed: answer.Closed,
 	}
-	if !a.Sent.IsZero() {
-		t.Sent = int64(a.Sent.Sub(l.epoch))
+	if !answer.Sent.IsZero() {
+		result.Sent = int64(answer.Sent.Sub(gen.epoch))
 	}
-	if a.Status != 0 {
-		t.Answered = int64(a.Read.Sub(l.epoch))
+	if answer.Status != 0 {
+		result.Answered = int64(answer.Read.Sub(gen.epoch))
 	}
-	if a.Status == 200 && !strings.HasPrefix(string(a.Body), "ok "+id+" ") {
-		t.Extra = true // another's answer
+	if answer.Status == 200 && !strings.HasPrefix(string(answer.Body), "ok "+id+" ") {
+		result.Extra = true // the answer of another request
 	}
-	return a, t
+	return answer, result
 }
 
-func (l *Load) note(t record.Try) {
-	l.mu.Lock()
-	l.tries = append(l.tries, t)
-	l.mu.Unlock()
+func (gen *Generator) addRequest(t record.ClientRequest) {
+	gen.mu.Lock()
+	gen.requests = append(gen.requests, t)
+	gen.mu.Unlock()
 }
 
-// Gather puts what the clients saw into a record, and closes their connections.
-func (l *Load) Gather(r *record.Run) {
-	for _, all := range l.targets {
+// Gather adds the observations of the clients to a record and closes their connections.
+func (gen *Generator) Gather(r *record.Run) {
+	for _, all := range gen.targets {
 		for b, t := range all {
-			if n := t.Stray(); n > 0 {
-				r.Tries = append(r.Tries, record.Try{Balancer: b, Group: -1, Extra: true})
+			if n := t.ConnsWithUnreadBytes(); n > 0 {
+				r.Requests = append(r.Requests, record.ClientRequest{Balancer: b, Group: -1, Extra: true})
 			}
 			t.Close()
 		}
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	r.Tries = append(r.Tries, l.tries...)
-	r.Lag = append(r.Lag, l.lag...)
+	gen.mu.Lock()
+	defer gen.mu.Unlock()
+	r.Requests = append(r.Requests, gen.requests...)
+	r.Lag = append(r.Lag, gen.lag...)
 }
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -1,4 +1,4 @@
-// Package report words what experiments showed: a table and a verdict for the terminal, JSON to keep, HTML to look at.
+// Package report presents the results of experiments: a table and a verdict for the terminal, JSON to store, and HTML.
 package report
 
 import (
@@ -15,19 +15,19 @@
 	"ottershift/internal/lab/spec"
 )
 
-// Variant is one way that was tried, over all runs of it.
+// Variant holds the results of all runs of one variant.
 type Variant struct {
 	Name string
 	Runs []*judge.Result
 }
 
-// Fault is what went wrong, for pictures.
+// Fault is the interval of a fault, shown in charts.
 type Fault struct {
 	Kind     string
 	From, To float64 // seconds
 }
 
-// Outcome is what one experiment showed.
+// Outcome is the result of one experiment.
 type Outcome struct {
 	Name, Title string
 	About       string
@@ -38,28 +38,28 @@
 	Faults      []Fault
 	Variants    []*Variant
 	Verdict     string   // "held", "short" or "void"
-	Words       []string // what the verdict rests on
+	Words       []string // findings that support the verdict
 }
 
-// New begins an outcome.
+// New returns an outcome without runs.
 func New(e *spec.Experiment) *Outcome {
-	o := &Outcome{
+	outcome := &Outcome{
 		Name: e.Name, Title: e.Title, About: e.About, Seed: e.Seed, Short: e.Short, Length: float64(e.Length) / 1e9,
 		Settle: float64(e.Settle) / 1e9,
 	}
 	for _, f := range e.Faults {
-		o.Faults = append(o.Faults, Fault{f.Kind, float64(f.At) / 1e9, float64(f.At+f.For) / 1e9})
+		outcome.Faults = append(outcome.Faults, Fault{f.Kind, float64(f.At) / 1e9, float64(f.At+f.For) / 1e9})
 	}
 	for _, v := range e.Variants {
-		o.Variants = append(o.Variants, &Variant{Name: v})
+		outcome.Variants = append(outcome.Variants, &Variant{Name: v})
 	}
-	return o
+	return outcome
 }
 
-// ts are the 0.975 quantiles of Student's t by degrees of freedom, from 1.
-var ts = []float64{12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145, 2.131, 2.120, 2.110, 2.101, 2.093, 2.086}
+// studentT975 holds the 0.975 quantiles of Student's t distribution by degrees of freedom, from 1.
+var studentT975 = []float64{12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145, 2.131, 2.120, 2.110, 2.101, 2.093, 2.086}
 
-// Interval is a mean and the half of its 95% confidence interval, which is NaN for one value alone.
+// Interval returns the mean and the half-width of its 95% confidence interval, which is NaN for fewer than two values.
 func Interval(values []float64) (mean, half float64) {
 	n := float64(len(values))
 	for _, v := range values {
@@ -73,13 +73,13 @@
 		sum += (v - mean) * (v - mean)
 	}
 	t := 1.96
-	if len(values)-2 < len(ts) {
-		t = ts[len(values)-2]
+	if len(values)-2 < len(studentT975) {
+		t = studentT975[len(values)-2]
 	}
 	return mean, t * math.Sqrt(sum/(n-1)/n)
 }
 
-// Values are a figure in all runs.
+// Values returns a figure of all runs that have it.
 func (v *Variant) Values(figure string) (all []float64) {
 	for _, r := range v.Runs {
 		if f, some := r.Figures[figure]; some {
@@ -89,11 +89,12 @@
 	return all
 }
 
-// Judge comes to the verdict, from the means of all runs; breaches count from each.
-func (o *Outcome) Judge(e *spec.Experiment) {
+// Judge computes the verdict from the means over all runs. For rules and breaches it takes the maximum instead, so that
+// a breach in one run counts.
+func (outcome *Outcome) Judge(e *spec.Experiment) {
 	means := map[string]*judge.Result{}
-	o.Verdict = "held"
-	for _, v := range o.Variants {
+	outcome.Verdict = "held"
+	for _, v := range outcome.Variants {
 		m := &judge.Result{Figures: map[string]float64{}}
 		for _, r := range v.Runs {
 			for name := range r.Figures {
@@ -105,49 +106,50 @@
 				}
 			}
 			if r.Void != "" {
-				o.Verdict = "void"
-				o.Words = append(o.Words, v.Name+": "+r.Void)
+				outcome.Verdict = "void"
+				outcome.Words = append(outcome.Words, v.Name+": "+r.Void)
 			}
-			if r.Broken != "" && o.Verdict != "void" {
-				o.Verdict = "short"
-				o.Words = append(o.Words, v.Name+" broke off: "+r.Broken)
+			if r.Broken != "" && outcome.Verdict != "void" {
+				outcome.Verdict = "short"
+				outcome.Words = append(outcome.Words, v.Name+" broke off: "+r.Broken)
 			}
 		}
 		means[v.Name] = m
-		// The rules hold for the design without anybody asking.
-		if (v.Name == "design" || v.Name == "no-copies") && m.Figures["breaches"] > 0 && o.Verdict != "void" {
-			o.Verdict = "short"
-			o.Words = append(o.Words, fmt.Sprintf("%s broke the rules %g times", v.Name, m.Figures["breaches"]))
+		// Experiments need not list the rules: the design must always satisfy them.
+		if (v.Name == "design" || v.Name == "no-copies") && m.Figures["breaches"] > 0 && outcome.Verdict != "void" {
+			outcome.Verdict = "short"
+			outcome.Words = append(outcome.Words, fmt.Sprintf("%s broke the rules %g times", v.Name, m.Figures["breaches"]))
 		}
 	}
-	for _, name := range e.Convicts {
+	for _, name := range e.MustBreakRules {
 		m := means[name]
 		if m == nil {
-			continue // it was not asked for
+			continue // the variant was not requested
 		}
 		word := "convicted"
-		// Danger: a judge that finds nothing where a guard is missing proves nothing of the design either.
+		// A variant with a safeguard removed must break rules. If the judge finds no breach there, the absence of
+		// breaches in the design proves nothing.
 		if m.Figures["breaches"] == 0 {
-			if word = "short: not convicted"; o.Verdict == "held" {
-				o.Verdict = "short"
+			if word = "short: not convicted"; outcome.Verdict == "held" {
+				outcome.Verdict = "short"
 			}
 		}
-		o.Words = append(o.Words, fmt.Sprintf("%s: %s (%g of the cluster's rules broken, %g of the four)", word, name, m.Figures["cluster"], m.Figures["breaches"]-m.Figures["cluster"]))
+		outcome.Words = append(outcome.Words, fmt.Sprintf("%s: %s (%g of the cluster's rules broken, %g of the four)", word, name, m.Figures["cluster"], m.Figures["breaches"]-m.Figures["cluster"]))
 	}
 	for _, c := range e.Verdict {
 		ok, left, right := judge.Holds(c, means)
 		word := "held"
 		if !ok {
 			word = "short"
-			if o.Verdict == "held" {
-				o.Verdict = "short"
+			if outcome.Verdict == "held" {
+				outcome.Verdict = "short"
 			}
 		}
-		o.Words = append(o.Words, fmt.Sprintf("%s: %s (%.4g and %.4g)", word, c.Text, left, right))
+		outcome.Words = append(outcome.Words, fmt.Sprintf("%s: %s (%.4g and %.4g)", word, c.Text, left, right))
 	}
 }
 
-// columns of the table, and how each is written.
+// columns lists the figures of the table and their formats.
 var columns = []struct{ figure, format string }{
 	{"service", "%.4f"}, {"settled", "%.4f"}, {"deferred", "%.4f"}, {"failed", "%.4f"}, {"lost", "%.4f"}, {"attempts", "%.3f"},
 	{"p50", "%.1f"}, {"p99", "%.1f"}, {"p999", "%.1f"}, {"worst", "%.3f"}, {"recover", "%.1f"}, {"breaches", "%g"},
@@ -155,19 +157,19 @@
 	{"no_owner", "%.1f"}, {"no_owner_bound", "%.1f"}, {"asks", "%.2f"}, {"watches", "%.1f"}, {"refused", "%g"},
 }
 
-// Table writes what was seen, and the verdict as its last line.
-func (o *Outcome) Table(w io.Writer) {
-	fmt.Fprintf(w, "%s: %s\n", o.Name, o.Title)
+// WriteTable writes the figures and findings, with the verdict as the last line.
+func (outcome *Outcome) WriteTable(w io.Writer) {
+	fmt.Fprintf(w, "%s: %s\n", outcome.Name, outcome.Title)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprint(t, "variant")
 	for _, c := range columns {
 		fmt.Fprint(t, "\t", c.figure)
 	}
 	fmt.Fprintln(t, "\tlag99")
-	for _, v := range o.Variants {
+	for _, v := range outcome.Variants {
 		fmt.Fprint(t, v.Name)
 		for _, c := range columns {
-			fmt.Fprint(t, "\t", cell(v.Values(c.figure), c.format))
+			fmt.Fprint(t, "\t", formatCell(v.Values(c.figure), c.format))
 		}
 		lag := 0.0
 		for _, r := range v.Runs {
@@ -176,24 +178,24 @@
 		fmt.Fprintf(t, "\t%.1f\n", lag)
 	}
 	t.Flush()
-	for _, v := range o.Variants {
+	for _, v := range outcome.Variants {
 		for _, r := range v.Runs {
 			for _, x := range r.Examples {
 				fmt.Fprintf(w, "%s: %s\n", v.Name, x)
 			}
 		}
 	}
-	for _, word := range o.Words {
+	for _, word := range outcome.Words {
 		fmt.Fprintln(w, word)
 	}
-	fmt.Fprintf(w, "verdict=%s experiment=%s", o.Verdict, o.Name)
-	for _, v := range o.Variants {
-		fmt.Fprintf(w, " %s=%s", v.Name, cell(v.Values("service"), "%.4f"))
+	fmt.Fprintf(w, "verdict=%s experiment=%s", outcome.Verdict, outcome.Name)
+	for _, v := range outcome.Variants {
+		fmt.Fprintf(w, " %s=%s", v.Name, formatCell(v.Values("service"), "%.4f"))
 	}
 	fmt.Fprintln(w)
 }
 
-func cell(values []float64, format string) string {
+func formatCell(values []float64, format string) string {
 	if len(values) == 0 {
 		return "-"
 	}
@@ -205,59 +207,59 @@
 	return text
 }
 
-// Save keeps all of it.
-func (o *Outcome) Save(file string) error {
-	text, err := json.MarshalIndent(o, "", " ")
+// Save writes the outcome to a file as JSON.
+func (outcome *Outcome) Save(file string) error {
+	text, err := json.MarshalIndent(outcome, "", " ")
 	if err != nil {
 		return err
 	}
 	return os.WriteFile(file, append(text, '\n'), 0o644)
 }
 
-// Load reads what Save kept.
+// Load reads a file written by Save.
 func Load(file string) (*Outcome, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
 	}
-	o := &Outcome{}
-	if err := json.Unmarshal(text, o); err != nil {
+	outcome := &Outcome{}
+	if err := json.Unmarshal(text, outcome); err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
-	if len(o.Variants) == 0 {
-		return nil, fmt.Errorf("%s: not the outcome of an experiment", file)
+	if len(outcome.Variants) == 0 {
+		return nil, fmt.Errorf("%s: not an experiment result: it has no variants", file)
 	}
-	return o, nil
+	return outcome, nil
 }
 
-// Compare writes the differences of pairs of runs, b less a, with their intervals.
+// Compare writes the mean differences b - a over pairs of runs, with their confidence intervals.
 func Compare(w io.Writer, nameA, nameB string, a, b []*judge.Result) {
 	n := min(len(a), len(b))
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "figure\t%s\t%s\tdifference\t95%% interval\t\n", nameA, nameB)
 	for _, c := range columns {
-		var as, bs, diff []float64
+		var valuesA, valuesB, diff []float64
 		for i := range n {
 			x, one := a[i].Figures[c.figure]
 			y, other := b[i].Figures[c.figure]
 			if one && other {
-				as, bs, diff = append(as, x), append(bs, y), append(diff, y-x)
+				valuesA, valuesB, diff = append(valuesA, x), append(valuesB, y), append(diff, y-x)
 			}
 		}
 		if len(diff) == 0 {
 			continue
 		}
-		ma, _ := Interval(as)
-		mb, _ := Interval(bs)
+		meanA, _ := Interval(valuesA)
+		meanB, _ := Interval(valuesB)
 		d, half := Interval(diff)
 		word := ""
 		switch {
 		case math.IsNaN(half):
-			word = "one pair tells nothing"
+			word = "a single pair has no confidence interval"
 		case d-half > 0 || d+half < 0:
 			word = "differs"
 		}
-		fmt.Fprintf(t, "%s\t"+c.format+"\t"+c.format+"\t"+strings.Replace(c.format, "%", "%+", 1)+"\t[%.4g, %.4g]\t%s\n", c.figure, ma, mb, d, d-half, d+half, word)
+		fmt.Fprintf(t, "%s\t"+c.format+"\t"+c.format+"\t"+strings.Replace(c.format, "%", "%+", 1)+"\t[%.4g, %.4g]\t%s\n", c.figure, meanA, meanB, d, d-half, d+half, word)
 	}
 	t.Flush()
 }
--- a/internal/lab/work/work.go
+++ b/internal/lab/work/work.go
@@ -1,6 +1,6 @@
-// Package work is the model of an upstream: cores that work on what was sent, a queue with a bound, a cold start, a jam
-// when far too much waits. It has no I/O and no clock; who drives it tells the time, so that real sockets and a clock that
-// jumps use the same model.
+// Package work models an upstream server: cores that process jobs, a bounded queue, a warm-up after a cold start, and a
+// slowdown under overload. The model has no I/O and no clock. The caller passes the time, so real sockets and a
+// simulated clock use the same model.
 package work
 
 import (
@@ -9,243 +9,248 @@
 	"slices"
 )
 
-// Terms is what one upstream can do. Times are nanoseconds.
-type Terms struct {
-	Cores     int
-	Speed     float64 // 1: work takes as long as it says
-	Queue     int     // waiting at most; what finds it full is turned away
-	ColdShare float64 // of its speed right after a start
-	Ramp      int64   // until it is warm
-	JamAt     float64 // in hand for each core from which on it is slow; 0 for never
-	JamSlow   float64 // so many times
-	JamEnds   float64 // until so many are in hand for each core
-	Multiple  float64 // cold, it falls over when sent this multiple of what it can do
-	Span      int64   // for so long; 0 for never
+// ServerConfig describes the capacity of one upstream. Times are in nanoseconds.
+type ServerConfig struct {
+	Cores              int
+	Speed              float64 // 1 means that a core does one nanosecond of work per nanosecond
+	Queue              int     // maximum queue length; jobs that arrive at a full queue are rejected
+	ColdShare          float64 // fraction of Speed right after a cold start
+	WarmUp             int64   // duration of the warm-up
+	OverloadAt         float64 // jobs per core at which the overload slowdown begins; 0 disables it
+	OverloadSlowdown   float64 // slowdown factor under overload
+	OverloadEnds       float64 // jobs per core at which the slowdown ends
+	ColdOverloadFactor float64 // a cold server is overloaded by more than this multiple of its capacity
+	ColdOverloadSpan   int64   // window over which that multiple is measured; 0 disables the check
 }
 
-// Job is a piece of work in the hands of a server.
+// Job is a unit of work for a server.
 type Job struct {
-	Mark any // the caller's own
-	Work float64
-	left float64
-	in   bool
+	Tag       any // opaque to the server
+	Work      float64
+	remaining float64
+	active    bool
 }
 
 const (
-	steps    = 20 // of a cold ramp
-	fewest   = 8  // jobs that can overfeed
-	instants = 1  // nanoseconds that count as none
+	warmupSteps     = 20 // of the warm-up ramp
+	minOverloadJobs = 8  // jobs in the window below which overload is not reported
+	minWork         = 1  // smallest amount of work, in nanoseconds; less than half of it counts as done
 )
 
-// Server is one upstream at work.
+// Server is the state of one upstream.
 type Server struct {
-	terms   Terms
-	slow    float64 // a fault: so many times slower
-	cores   int     // left by a fault
-	born    int64   // of a cold start; 0 for long ago
-	jammed  bool
-	last    int64
-	running []*Job
-	queue   []*Job
-	fed     []feed // within the last span, while cold
-	Overfed float64
+	config          ServerConfig
+	slowdown        float64 // slowdown factor of a fault
+	cores           int     // cores available under a fault
+	startedAt       int64   // time of the cold start; 0 if the server started warm
+	overloaded      bool
+	last            int64
+	running         []*Job
+	queue           []*Job
+	coldArrivals    []coldArrival // arrivals within the last ColdOverloadSpan while cold
+	MaxColdOverload float64       // largest multiple of its capacity sent while cold; 0 if never above ColdOverloadFactor
 }
 
-type feed struct {
+type coldArrival struct {
 	at   int64
 	work float64
 }
 
-// New starts a server that is warm.
-func New(t Terms, now int64) *Server {
-	return &Server{terms: t, slow: 1, cores: t.Cores, last: now}
+// New returns a warm server.
+func New(config ServerConfig, now int64) *Server {
+	return &Server{config: config, slowdown: 1, cores: config.Cores, last: now}
 }
 
-// Start starts it anew and cold; what it had is gone.
-func (s *Server) Start(now int64) (lost []*Job) {
-	lost = s.Stop(now)
-	s.born, s.jammed, s.fed = max(now, 1), false, nil
+// Start restarts the server cold and returns the jobs that were lost.
+func (srv *Server) Start(now int64) (lost []*Job) {
+	lost = srv.Stop(now)
+	srv.startedAt, srv.overloaded, srv.coldArrivals = max(now, 1), false, nil
 	return lost
 }
 
-// Stop takes all that it has from it.
-func (s *Server) Stop(now int64) (lost []*Job) {
-	lost = slices.Concat(s.running, s.queue)
+// Stop removes all jobs from the server and returns them.
+func (srv *Server) Stop(now int64) (lost []*Job) {
+	lost = slices.Concat(srv.running, srv.queue)
 	for _, j := range lost {
-		j.in = false
+		j.active = false
 	}
-	s.running, s.queue, s.last = nil, nil, now
+	srv.running, srv.queue, srv.last = nil, nil, now
 	return lost
 }
 
-// Hamper sets what a fault does to it: so many times slower, so many cores left. What was done until now stays done.
-func (s *Server) Hamper(slow float64, cores int) { s.slow, s.cores = max(slow, 1e-3), max(cores, 0) }
+// ApplyFault applies a fault: a slowdown factor and the number of cores left. Work done so far is kept.
+func (srv *Server) ApplyFault(slow float64, cores int) {
+	srv.slowdown, srv.cores = max(slow, 1e-3), max(cores, 0)
+}
 
-// Warmth is the part of its speed that it has by now.
-func (s *Server) Warmth(now int64) float64 {
-	age := now - s.born
-	if s.born == 0 || s.terms.Ramp == 0 || age >= s.terms.Ramp {
+// WarmupFactor returns the fraction of Speed that the server has reached.
+func (srv *Server) WarmupFactor(now int64) float64 {
+	age := now - srv.startedAt
+	if srv.startedAt == 0 || srv.config.WarmUp == 0 || age >= srv.config.WarmUp {
 		return 1
 	}
-	step := age * steps / s.terms.Ramp
-	return s.terms.ColdShare + (1-s.terms.ColdShare)*float64(step)/steps
+	step := age * warmupSteps / srv.config.WarmUp
+	return srv.config.ColdShare + (1-srv.config.ColdShare)*float64(step)/warmupSteps
 }
 
-// Strength is the work that it can do in a nanosecond.
-func (s *Server) Strength(now int64) float64 {
-	return float64(s.terms.Cores) * s.terms.Speed * s.Warmth(now)
+// Capacity returns the work that the server can do per nanosecond without faults or overload.
+func (srv *Server) Capacity(now int64) float64 {
+	return float64(srv.config.Cores) * srv.config.Speed * srv.WarmupFactor(now)
 }
 
-// InHand is what runs and what waits.
-func (s *Server) InHand() int { return len(s.running) + len(s.queue) }
+// InFlight returns the number of running and queued jobs.
+func (srv *Server) InFlight() int { return len(srv.running) + len(srv.queue) }
 
-// Arrive takes a job, unless the queue is full. Advance comes before it.
-func (s *Server) Arrive(j *Job, now int64) bool {
-	if len(s.running) >= s.cores && len(s.queue) >= s.terms.Queue {
+// Arrive accepts a job and returns true, or returns false if the queue is full. The caller first calls Advance with the
+// same time.
+func (srv *Server) Arrive(job *Job, now int64) bool {
+	if len(srv.running) >= srv.cores && len(srv.queue) >= srv.config.Queue {
 		return false
 	}
-	j.left, j.in = max(j.Work, instants), true
-	s.queue = append(s.queue, j)
-	s.feed(j.Work, now)
-	s.fill()
+	job.remaining, job.active = max(job.Work, minWork), true
+	srv.queue = append(srv.queue, job)
+	srv.recordColdArrival(job.Work, now)
+	srv.startQueued()
 	return true
 }
 
-// feed counts what is sent to it while it is cold.
-func (s *Server) feed(work float64, now int64) {
-	if s.terms.Span == 0 || s.Warmth(now) == 1 {
-		s.fed = nil
+// recordColdArrival records an arrival while the server is cold, and updates MaxColdOverload.
+func (srv *Server) recordColdArrival(work float64, now int64) {
+	if srv.config.ColdOverloadSpan == 0 || srv.WarmupFactor(now) == 1 {
+		srv.coldArrivals = nil
 		return
 	}
-	s.fed = append(s.fed, feed{now, work})
+	srv.coldArrivals = append(srv.coldArrivals, coldArrival{now, work})
 	first, total := 0, 0.0
-	for i, f := range s.fed {
-		if f.at <= now-s.terms.Span {
+	for i, f := range srv.coldArrivals {
+		if f.at <= now-srv.config.ColdOverloadSpan {
 			first = i + 1
 		} else {
 			total += f.work
 		}
 	}
-	s.fed = s.fed[first:]
-	if of := total / (s.Strength(now) * float64(s.terms.Span)); len(s.fed) >= fewest && of > s.terms.Multiple {
-		s.Overfed = max(s.Overfed, of)
+	srv.coldArrivals = srv.coldArrivals[first:]
+	if multiple := total / (srv.Capacity(now) * float64(srv.config.ColdOverloadSpan)); len(srv.coldArrivals) >= minOverloadJobs &&
+		multiple > srv.config.ColdOverloadFactor {
+		srv.MaxColdOverload = max(srv.MaxColdOverload, multiple)
 	}
 }
 
-// Cancel takes a job from it, if it still has it.
-func (s *Server) Cancel(j *Job) {
-	if !j.in {
+// Cancel removes a job that is running or queued; otherwise it does nothing.
+func (srv *Server) Cancel(job *Job) {
+	if !job.active {
 		return
 	}
-	j.in = false
-	is := func(o *Job) bool { return o == j }
-	s.running, s.queue = slices.DeleteFunc(s.running, is), slices.DeleteFunc(s.queue, is)
-	s.fill()
+	job.active = false
+	is := func(o *Job) bool { return o == job }
+	srv.running, srv.queue = slices.DeleteFunc(srv.running, is), slices.DeleteFunc(srv.queue, is)
+	srv.startQueued()
 }
 
-func (s *Server) fill() {
-	for len(s.running) < s.cores && len(s.queue) > 0 {
-		s.running = append(s.running, s.queue[0])
-		s.queue = s.queue[1:]
+func (srv *Server) startQueued() {
+	for len(srv.running) < srv.cores && len(srv.queue) > 0 {
+		srv.running = append(srv.running, srv.queue[0])
+		srv.queue = srv.queue[1:]
 	}
-	if s.terms.JamAt > 0 {
-		load := float64(s.InHand()) / float64(max(s.terms.Cores, 1))
-		if load >= s.terms.JamAt {
-			s.jammed = true
-		} else if load <= s.terms.JamEnds {
-			s.jammed = false
+	if srv.config.OverloadAt > 0 {
+		load := float64(srv.InFlight()) / float64(max(srv.config.Cores, 1))
+		if load >= srv.config.OverloadAt {
+			srv.overloaded = true
+		} else if load <= srv.config.OverloadEnds {
+			srv.overloaded = false
 		}
 	}
 }
 
-// rate is what one core does in a nanosecond, as long as nothing changes.
-func (s *Server) rate(now int64) float64 {
-	r := s.terms.Speed * s.Warmth(now) / s.slow
-	if s.jammed {
-		r /= max(s.terms.JamSlow, 1)
+// rate returns the current work per nanosecond of one core.
+func (srv *Server) rate(now int64) float64 {
+	r := srv.config.Speed * srv.WarmupFactor(now) / srv.slowdown
+	if srv.overloaded {
+		r /= max(srv.config.OverloadSlowdown, 1)
 	}
 	return r
 }
 
-// change is when its warmth changes next.
-func (s *Server) change(now int64) int64 {
-	if s.Warmth(now) == 1 {
+// nextWarmupStep returns the time of the next warm-up step; MaxInt64 if the server is warm.
+func (srv *Server) nextWarmupStep(now int64) int64 {
+	if srv.WarmupFactor(now) == 1 {
 		return math.MaxInt64
 	}
-	step := (now-s.born)*steps/s.terms.Ramp + 1
-	return s.born + (step*s.terms.Ramp+steps-1)/steps
+	step := (now-srv.startedAt)*warmupSteps/srv.config.WarmUp + 1
+	return srv.startedAt + (step*srv.config.WarmUp+warmupSteps-1)/warmupSteps
 }
 
-// Advance lets time pass, and returns what was done by now, in order.
-func (s *Server) Advance(now int64) (done []*Job) {
-	for s.last < now {
-		at := min(now, s.change(s.last))
-		r := s.rate(s.last)
-		for _, j := range s.running {
-			at = min(at, s.last+int64(math.Ceil(j.left/r)))
+// Advance moves the model to now and returns the completed jobs in order of completion.
+func (srv *Server) Advance(now int64) (done []*Job) {
+	for srv.last < now {
+		at := min(now, srv.nextWarmupStep(srv.last))
+		rate := srv.rate(srv.last)
+		for _, job := range srv.running {
+			at = min(at, srv.last+int64(math.Ceil(job.remaining/rate)))
 		}
-		at = max(at, s.last+1)
-		for _, j := range s.running {
-			j.left -= r * float64(at-s.last)
+		at = max(at, srv.last+1)
+		for _, job := range srv.running {
+			job.remaining -= rate * float64(at-srv.last)
 		}
-		s.last = at
-		for _, j := range s.running {
-			if j.left < instants/2. {
-				j.in = false
-				done = append(done, j)
+		srv.last = at
+		for _, job := range srv.running {
+			if job.remaining < minWork/2. {
+				job.active = false
+				done = append(done, job)
 			}
 		}
-		s.running = slices.DeleteFunc(s.running, func(j *Job) bool { return !j.in })
-		s.fill()
+		srv.running = slices.DeleteFunc(srv.running, func(job *Job) bool { return !job.active })
+		srv.startQueued()
 	}
 	return done
 }
 
-// Next is when something is done next, if nothing comes in; MaxInt64 for never.
-func (s *Server) Next() int64 {
+// Next returns the time of the next completion or warm-up step, if no job arrives before; MaxInt64 if no job runs.
+func (srv *Server) Next() int64 {
 	next := int64(math.MaxInt64)
-	r := s.rate(s.last)
-	for _, j := range s.running {
-		next = min(next, s.last+max(1, int64(math.Ceil(j.left/r))))
+	rate := srv.rate(srv.last)
+	for _, j := range srv.running {
+		next = min(next, srv.last+max(1, int64(math.Ceil(j.remaining/rate))))
 	}
 	if next != math.MaxInt64 {
-		next = min(next, s.change(s.last))
+		next = min(next, srv.nextWarmupStep(srv.last))
 	}
 	return next
 }
 
-// Sizes is how much work transactions of one kind are.
-type Sizes struct {
-	Kind   string    // "fixed", "exponential", "lognormal", "pareto" or "values"
-	Mean   float64   // nanoseconds
-	Sigma  float64   // of a lognormal one
-	Alpha  float64   // of a bounded Pareto
-	Most   float64   // and its bound, as a multiple of the mean
-	Values []float64 // drawn from evenly
+// Distribution is the distribution of the work per transaction.
+type Distribution struct {
+	Kind        string    // "fixed", "exponential", "lognormal", "pareto" or "values"
+	Mean        float64   // in nanoseconds
+	Sigma       float64   // of the logarithm, for a lognormal distribution
+	Alpha       float64   // shape of a bounded Pareto distribution
+	MaxMultiple float64   // its upper bound, as a multiple of the mean
+	Values      []float64 // drawn from uniformly
 }
 
-// Draw draws one.
-func (z *Sizes) Draw(chance *rand.Rand) float64 {
-	switch z.Kind {
+// Draw returns a random amount of work.
+func (dist *Distribution) Draw(rng *rand.Rand) float64 {
+	switch dist.Kind {
 	case "exponential":
-		return z.Mean * chance.ExpFloat64()
+		return dist.Mean * rng.ExpFloat64()
 	case "lognormal":
-		return z.Mean * math.Exp(z.Sigma*chance.NormFloat64()-z.Sigma*z.Sigma/2)
+		return dist.Mean * math.Exp(dist.Sigma*rng.NormFloat64()-dist.Sigma*dist.Sigma/2)
 	case "pareto":
-		// Between least and most, with the mean that is asked for.
-		a, most := z.Alpha, z.Mean*z.Most
-		least := z.least(a, most)
-		u := chance.Float64()
+		// Inverse transform sampling between the bounds; the lower bound is chosen so that the mean is sizes.Mean.
+		a, most := dist.Alpha, dist.Mean*dist.MaxMultiple
+		least := dist.paretoLowerBound(a, most)
+		u := rng.Float64()
 		return least / math.Pow(1-u*(1-math.Pow(least/most, a)), 1/a)
 	case "values":
-		return z.Values[chance.IntN(len(z.Values))]
+		return dist.Values[rng.IntN(len(dist.Values))]
 	}
-	return z.Mean
+	return dist.Mean
 }
 
-// least is the lower bound of a Pareto of some mean and upper bound, found by halving.
-func (z *Sizes) least(a, most float64) float64 {
-	low, high := 0.0, z.Mean
+// paretoLowerBound returns the lower bound of a bounded Pareto distribution with shape a, upper bound most
+// and the configured mean, found by bisection.
+func (dist *Distribution) paretoLowerBound(a, most float64) float64 {
+	low, high := 0.0, dist.Mean
 	for range 60 {
 		l := (low + high) / 2
 		ratio := math.Pow(l/most, a)
@@ -253,7 +258,7 @@
 		if a != 1 {
 			mean = a * l / (a - 1) * (1 - math.Pow(l/most, a-1)) / (1 - ratio)
 		}
-		if mean < z.Mean {
+		if mean < dist.Mean {
 			low = l
 		} else {
 			high = l
